--- /dev/null
+++ b/tests/compatibility/test_stored_data.py
@@ -0,0 +1,300 @@
+"""Files of commit c0e5f5c: stores, snapshots, commands, the cache and the configuration files."""
+
+import json
+import shutil
+import sqlite3
+import time
+from pathlib import Path
+from types import SimpleNamespace
+from typing import Any
+
+import pytest
+
+from ploverspoke.consensus.disk import Disk, restore
+from ploverspoke.consensus.log import Entry
+from ploverspoke.consensus.members import fingerprint
+from ploverspoke.consensus.orders import read_replica_orders
+from ploverspoke.consensus.replica import Batch
+from ploverspoke.distribution.client import read_cache, write_cache
+from ploverspoke.distribution.orders import (
+    WatchOrders,
+    read_config_server_orders,
+    read_config_servers,
+    read_watch_orders,
+)
+from ploverspoke.distribution.overlay import canonical
+from ploverspoke.distribution.versions import Versions, digest_of, publish_command
+from ploverspoke.distribution.watch import Taken
+from ploverspoke.leases.node import ERA_KEPT
+from ploverspoke.leases.orders import read_keeper_orders, read_keepers
+from ploverspoke.leases.terms import Terms
+from ploverspoke.program.briefing import read_briefing
+from ploverspoke.routing.outcomes import OUTCOMES
+from ploverspoke.store.ledger import Ledger
+from ploverspoke.store.memory import RosterMemory
+from ploverspoke.store.node import CONFIGURATION, ROSTER
+from ploverspoke.store.scribe import StoreScribe
+
+from .data_files import DATA, SECOND, decoded, encoded, read_json
+
+STATES: dict[str, type] = {"store": Ledger, "leases": Terms, "config": Versions}
+BODIES = ['{"settings": {"RoundUs": 2000}}', '{"settings": {"RoundUs": 3000}, "zones": {"a": {}}}']
+DIGEST = bytes(range(16))
+SECRET = b"a secret of twenty-four."
+REPLICAS = {"r1": ("10.0.0.1:7001", "10.0.0.1:8081")}
+every_store = pytest.mark.parametrize("name", STATES)
+
+
+# ---- What touches the names of the product ----
+
+
+def open_storage(folder: Path) -> Disk:
+    disk = Disk(folder)
+    disk.open()
+    return disk
+
+
+def copy_of(name: str, folder: Path) -> Path:
+    shutil.copy(DATA / name / "store.db", folder / "store.db")
+    return folder
+
+
+def load_state(name: str, snapshot: bytes) -> Any:
+    state = STATES[name]()
+    state.load(snapshot)
+    return state
+
+
+def write_storage(folder: Path, told: dict[str, Any], snapshot: bytes) -> None:
+    """The same steps as those that made the data."""
+    disk = open_storage(folder)
+    disk.keep("disk", told["disk"])
+    disk.begin(told["me"], told["fingerprint"], told["members"])
+    batch = Batch()
+    batch.vote = (told["vote"][0], told["vote"][1])
+    batch.entries = [Entry(at, term, kind, decoded(data)) for at, term, kind, data in told["entries"]]
+    disk.write(batch)
+    disk.keep_snapshot(told["snapshot_at"], told["snapshot_term"], told["members"], snapshot)
+    for key, value in told["kept"].items():
+        disk.keep(key, decoded(value))
+    disk.close()
+
+
+def proposed_by_router() -> list[str]:
+    """The commands of one submission, as a leading replica proposes them."""
+    proposed: list[str] = []
+    node: Any = SimpleNamespace(clock=SimpleNamespace(now=lambda: 5 * SECOND), on_role=[])
+    node.propose = lambda command, then: proposed.append(encoded(command))
+    scribe = StoreScribe(node, [], [])
+    digest = scribe.digest("POST", "/book/1", b"{}")
+    scribe.take("job-1", 1, digest, 7 * SECOND, lambda yes: None)
+    scribe.intend("job-1", "w0", 1, lambda yes: None)
+    scribe.outcome("job-1", 1, "full")
+    scribe.answer("job-1", "satisfied", "fine", digest, lambda yes: None)
+    return proposed
+
+
+# ---- Stores ----
+
+
+@every_store
+def test_a_store_is_read_with_all_its_values(name: str, tmp_path: Path) -> None:
+    told = read_json(f"{name}/written.json")
+    disk = open_storage(copy_of(name, tmp_path))
+    assert (disk.me, disk.disk, disk.fingerprint) == (told["me"], told["disk"], told["fingerprint"])
+    assert [disk.term, disk.vote] == told["vote"] and disk.members == told["members"]
+    assert (disk.log.snapshot_index, disk.log.snapshot_term) == (told["snapshot_at"], told["snapshot_term"])
+    entries = [[one.at, one.term, one.kind, encoded(one.data)] for one in disk.log.entries]
+    assert entries == told["entries"][told["snapshot_at"] :]
+    assert disk.state == (DATA / name / "snapshot.bin").read_bytes()
+    assert told["kept"] and {key: encoded(disk.kept(key)) for key in told["kept"]} == told["kept"]
+    disk.close()
+
+
+@every_store
+def test_a_store_is_written_with_the_same_rows(name: str, tmp_path: Path) -> None:
+    write_storage(tmp_path, read_json(f"{name}/written.json"), (DATA / name / "snapshot.bin").read_bytes())
+    assert rows_of(tmp_path / "store.db") == rows_of(DATA / name / "store.db")
+
+
+def rows_of(path: Path) -> dict[str, Any]:
+    """Every table with its definition and its rows."""
+    found: dict[str, Any] = {}
+    database = sqlite3.connect(f"file:{path}?mode=ro&immutable=1", uri=True)
+    for table, definition in database.execute("select name, sql from sqlite_master").fetchall():
+        found[table] = (definition, database.execute(f"select * from {table} order by 1").fetchall())
+    database.close()
+    assert set(found) == {"told", "entries", "snapshot"} and all(rows for _, rows in found.values())
+    return found
+
+
+@every_store
+def test_a_store_is_restored_as_a_backup(name: str, tmp_path: Path) -> None:
+    disk = restore(tmp_path / "new", DATA / name / "store.db", "r3.1")
+    term = read_json(f"{name}/written.json")["vote"][0]
+    assert disk.kept("me") == "r3.1" and disk.kept("vote") == [term + 1, ""]
+    assert disk.state == (DATA / name / "snapshot.bin").read_bytes()
+    disk.close()
+
+
+@every_store
+def test_the_fingerprint_of_the_first_members_is_the_same(name: str) -> None:
+    told = read_json(f"{name}/written.json")
+    assert fingerprint(told["cluster"], told["members"]) == told["fingerprint"]
+
+
+def test_the_keys_of_kept_values_are_the_same() -> None:
+    assert list(read_json("store/written.json")["kept"]) == [CONFIGURATION, ROSTER]
+    assert list(read_json("leases/written.json")["kept"]) == [ERA_KEPT]
+
+
+def test_a_kept_list_of_workers_is_read_and_written_again() -> None:
+    kept: list[Any] = []
+    told = decoded(read_json("store/written.json")["kept"]["roster"])
+    RosterMemory(kept.append).told(read_json("scribe.json")["roster_body"].encode())
+    RosterMemory(kept.append, told).told(b'{"version": 4, "full": false, "servers": []}')
+    assert [encoded(one) for one in kept] == [encoded(told)] * 2
+
+
+# ---- State machines ----
+
+
+@every_store
+@pytest.mark.parametrize("file", ["snapshot.bin", "state.bin"])
+def test_a_snapshot_is_loaded_and_taken_again(name: str, file: str) -> None:
+    snapshot = (DATA / name / file).read_bytes()
+    assert load_state(name, snapshot).dump() == snapshot
+
+
+@every_store
+def test_the_whole_log_gives_the_same_snapshots(name: str) -> None:
+    told, state = read_json(f"{name}/written.json"), STATES[name]()
+    for at, _, kind, data in told["entries"]:
+        if kind == "data":
+            state.apply(at, decoded(data))
+        if at == told["snapshot_at"]:
+            assert state.dump() == (DATA / name / "snapshot.bin").read_bytes()
+    assert state.dump() == (DATA / name / "state.bin").read_bytes()
+
+
+@every_store
+def test_a_store_is_replayed_to_the_same_state(name: str, tmp_path: Path) -> None:
+    disk = open_storage(copy_of(name, tmp_path))
+    state = load_state(name, disk.state)
+    for entry in disk.log.entries:
+        if entry.kind == "data":
+            state.apply(entry.at, entry.data)
+    assert state.dump() == (DATA / name / "state.bin").read_bytes()
+    disk.close()
+
+
+def test_submissions_of_a_snapshot_have_their_values() -> None:
+    ledger = load_state("store", (DATA / "store" / "state.bin").read_bytes())
+    assert list(ledger.open) == ["job-2", "job-4"] and list(ledger.answered) == ["job-1", "job-3"]
+    job = ledger.open["job-2"]
+    assert (job.grade, job.digest, job.abandon_at, job.taken_at) == (1, DIGEST[::-1], 10 * SECOND, 4 * SECOND)
+    intents = [(one.worker, one.index, one.at, one.outcome, one.wall) for one in job.intents]
+    wall = 1_700_000_002 * SECOND
+    assert intents == [("w1", 1, 5 * SECOND, "broken_off", wall), ("w2", 2, 6 * SECOND, "", 6 * SECOND)]
+    first, second = ledger.answered.values()
+    assert (first.how, first.result, first.digest) == ("satisfied", "fine", DIGEST)
+    assert first.forget_at == (9 + 15 * 60) * SECOND and second.how == "nacked"
+    version = ledger.configuration()
+    assert (version.version, version.body, version.by) == (1, BODIES[0], "anna")
+    assert (version.at, ledger.configured_under, ledger.now) == (1_700_000_001 * SECOND, 7, 9 * SECOND)
+
+
+def test_leases_of_a_snapshot_have_their_values() -> None:
+    leases = load_state("leases", (DATA / "leases" / "state.bin").read_bytes())
+    first = 1_700_000_000 << 24
+    assert (leases.era, leases.last) == (1_700_000_000, first + 1)
+    held = {name: [(h.holder, h.token, h.duration) for h in row] for name, row in leases.names.items()}
+    assert held == {"summary": [("n2/1", first, 30 * SECOND)], "restart": [("n0/1", first + 1, 60 * SECOND)]}
+
+
+def test_versions_of_a_snapshot_have_their_values() -> None:
+    versions = load_state("config", (DATA / "config" / "state.bin").read_bytes())
+    rows = [(v.number, v.body, v.digest, v.canonical, v.by, v.id) for v in versions.kept]
+    digests = [(digest_of(body), digest_of(canonical(json.loads(body)))) for body in BODIES]
+    assert rows == [
+        (1, BODIES[0], *digests[0], "anna", "request-1"),
+        (2, BODIES[1], *digests[1], "ben", "request-4"),
+    ]
+    answers = {key: (one.done, one.version, one.why) for key, one in versions.answers.items()}
+    assert answers == {
+        "request-1": (True, 1, ""),
+        "request-2": (True, 1, "version 1 says the same"),
+        "request-3": (False, 1, "version 1 is in force, and 0 was expected"),
+        "request-4": (True, 2, ""),
+    }
+
+
+# ---- Commands ----
+
+
+def test_the_router_s_commands_are_the_same(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(time, "time_ns", lambda: 1_700_000_000 * SECOND)
+    assert proposed_by_router() == read_json("scribe.json")["proposed"]
+
+
+def test_outcomes_that_the_log_keeps_are_the_same() -> None:
+    assert sorted(set(OUTCOMES.values())) == read_json("scribe.json")["outcomes"]
+
+
+def test_publish_commands_are_the_same() -> None:
+    made = []
+    requests = [(0, 0, "anna"), (0, 0, "anna"), (1, 0, "ben"), (1, 1, "ben")]
+    for number, (body, expect, by) in enumerate(requests, 1):
+        same = digest_of(canonical(json.loads(BODIES[body])))
+        made.append(encoded(publish_command(BODIES[body], same, expect, by, f"request-{number}")))
+    assert made == read_json("config/written.json")["commands"]
+
+
+# ---- Files ----
+
+
+def test_a_cached_version_is_read_and_written_again(tmp_path: Path) -> None:
+    old = DATA / "config" / "cache.json"
+    taken = Taken(2, digest_of(BODIES[1]), BODIES[1])
+    assert read_cache(WatchOrders("fleet", [], [], SECRET, old)) == (taken, "")
+    write_cache(WatchOrders("fleet", [], [], SECRET, tmp_path / "cache.json"), taken)
+    assert (tmp_path / "cache.json").read_bytes() == old.read_bytes()
+
+
+def test_a_replica_s_file_has_its_values() -> None:
+    orders = read_replica_orders(DATA / "files" / "store.json")
+    assert (orders.cluster, orders.name, orders.folder) == ("fleet", "r1", DATA / "files" / "r1-store")
+    assert (orders.secret, orders.replicas) == (SECRET, REPLICAS)
+    assert (orders.election, orders.snapshot_every) == (400_000_000, 500)
+    assert orders.members() == {"r1.1": ["r1", *REPLICAS["r1"], True]}
+
+
+def test_a_lease_server_s_file_has_its_values() -> None:
+    path = DATA / "files" / "keepers.json"
+    orders, servers = read_keeper_orders(path), read_keepers(path)
+    assert orders.replica == read_replica_orders(DATA / "files" / "store.json")
+    rules = [tuple(orders.rules.of(name) or ()) for name in ("restart", "team-a", "other")]
+    assert rules == [(3, 120 * SECOND), (1, 60 * SECOND), ()] and orders.rules.least == 2 * SECOND
+    assert tuple(servers) == ({"r1": "10.0.0.1:7001"}, ["10.0.0.1:8081"], SECRET)
+
+
+def test_a_config_server_s_file_has_its_values() -> None:
+    path = DATA / "files" / "config-servers.json"
+    orders = read_config_server_orders(path)
+    assert orders.replica == read_replica_orders(DATA / "files" / "store.json")
+    assert (orders.most_watchers, orders.bytes_a_second) == (99, 200_000)
+    assert tuple(read_config_servers(path)) == ({"r1": "10.0.0.1:7001"}, SECRET)
+
+
+def test_a_watcher_s_file_has_its_values() -> None:
+    servers = ["10.0.0.1:8081", "10.0.0.2:8081"]
+    cache = DATA / "files" / "n0-config.json"
+    found = tuple(read_watch_orders(DATA / "files" / "watch.json"))
+    assert found == ("fleet", servers, servers[:1], SECRET, cache)
+
+
+def test_a_dispatcher_s_file_has_its_values() -> None:
+    told = read_briefing({"RELAY_CONFIG": str(DATA / "files" / "example.json")})
+    assert (told.name, told.listen, told.discovery) == ("n0", ("127.0.0.1", 8081), "127.0.0.1:8500")
+    assert (told.seed, told.sockets, told.memory) == (0x8C1F30D27A5BE964, 1024, 192 << 20)
+    assert told.known is not None and told.known["servers"][0]["id"] == "w0"
