--- /dev/null
+++ b/tests/compatibility/test_wire_bytes.py
@@ -0,0 +1,394 @@
+"""Messages of commit c0e5f5c: the same events give the same bytes, and its bytes are understood."""
+
+import asyncio
+import getpass
+import secrets
+import socket
+from collections.abc import Callable
+from pathlib import Path
+from types import SimpleNamespace
+from typing import Any
+from unittest import mock
+
+import pytest
+from click.testing import CliRunner
+
+from ploverspoke.cli import main as command_line
+from ploverspoke.consensus import raft
+from ploverspoke.consensus.frames import BadFrame, Frames
+from ploverspoke.consensus.links import ASKS, Links
+from ploverspoke.consensus.orders import read_replica_orders
+from ploverspoke.distribution.client import ServerConnection
+from ploverspoke.distribution.door import Door as WatcherDoor
+from ploverspoke.distribution.door import WatcherConnection
+from ploverspoke.distribution.feed import Feed
+from ploverspoke.distribution.node import ConfigServerNode
+from ploverspoke.distribution.orders import read_config_server_orders
+from ploverspoke.distribution.parcels import read_have
+from ploverspoke.distribution.versions import Version, digest_of
+from ploverspoke.distribution.watch import Watch
+from ploverspoke.leases.client import KeeperConnection
+from ploverspoke.leases.door import Door as HolderDoor
+from ploverspoke.leases.door import HolderConnection
+from ploverspoke.leases.holder import Holder
+from ploverspoke.leases.keeper import Keeper
+from ploverspoke.leases.node import KeeperNode
+from ploverspoke.leases.orders import read_keeper_orders
+from ploverspoke.leases.rules import Rule, Rules
+from ploverspoke.leases.terms import Terms
+from ploverspoke.protocol import clients, discovery, heads, operators, tellings, workers
+from ploverspoke.store.node import StoreNode
+
+from .data_files import DATA, SECOND, decoded, encoded, read_json
+
+MILLISECOND = 1_000_000
+CLUSTER = "fleet"
+SECRET = b"a secret of twenty-four."
+MEMBERS = {f"r{n}.1": [f"r{n}", f"10.0.0.{n}:7001", f"10.0.0.{n}:8081", True] for n in (1, 2, 3)}
+Calls = dict[str, Callable[..., Any]]
+
+
+# ---- Scripted runs ----
+
+
+class Run:
+    """Repeats the steps of a recorded run; what its objects send is compared after each."""
+
+    def __init__(self) -> None:
+        self.now = 0
+        self.sent: list[list[str]] = []
+        self.calls: dict[str, Calls] = {}
+
+    def emit(self, kind: str, to: str, message: Any) -> int:
+        self.sent.append([kind, to, encoded(message)])
+        return len(self.sent[-1][2]) // 2
+
+    def repeat(self, name: str) -> None:
+        for number, step in enumerate(read_json(name)):
+            self.now, self.sent = step["now"], []
+            self.calls[step["who"]][step["call"]](*step["arguments"])
+            assert self.sent == step["sent"], f"{name}, step {number}: {step['who']} {step['call']}"
+
+
+def raft_calls(run: Run, who: str) -> Calls:
+    host = mock.MagicMock()
+    host.now = lambda: run.now
+    host.send = host.send_now = lambda to, message: run.emit("send", to, message)
+    host.snapshot = lambda: None
+    one = raft.Raft(host, who, MEMBERS, lambda: 0.5, disk=f"disk of {who}")
+
+    def compact(index: int, term: int, data: str) -> None:
+        found = (index, term, one.members_at(index), bytes.fromhex(data))
+        host.snapshot = lambda: found
+        one.compacted(index)
+
+    return {
+        "tick": one.tick,
+        "message": lambda sender, data: one.message(sender, decoded(data)),
+        "propose": lambda rows: one.propose([decoded(row) for row in rows]),
+        "synced": one.synced,
+        "compact": compact,
+        "change_members": one.change_members,
+        "transfer": one.transfer,
+    }
+
+
+def keeper_calls(run: Run) -> Calls:
+    terms = Terms()
+    proposed: list[tuple[Any, Callable[[bool], None]]] = []
+    confirms: list[Callable[[bool], None]] = []
+
+    def propose(command: Any, then: Callable[[bool], None]) -> None:
+        run.emit("propose", "", command)
+        proposed.append((command, then))
+
+    def commit() -> None:
+        while confirms:
+            confirms.pop(0)(True)
+        while proposed:
+            command, then = proposed.pop(0)
+            terms.apply(0, command)
+            then(True)
+
+    host: Any = SimpleNamespace(now=lambda: run.now, propose=propose, confirm=confirms.append)
+    host.tell = lambda holder, message: run.emit("tell", holder, message)
+    keeper = Keeper(host, terms, Rules({"summary": Rule(1, 30 * SECOND)}, SECOND))
+    return {
+        "leads": keeper.leads,
+        "asked": lambda holder, data: keeper.asked(holder, decoded(data)),
+        "tick": keeper.tick,
+        "commit": commit,
+    }
+
+
+def holder_calls(run: Run) -> Calls:
+    host: Any = SimpleNamespace(now=lambda: run.now, go_elsewhere=lambda: None)
+    host.send = lambda message: run.emit("send", "keeper", message)
+    holder = Holder(host)
+    told = lambda data: holder.told(decoded(data))  # noqa: E731
+    return {"want": holder.want, "release": holder.release, "tick": holder.tick, "told": told}
+
+
+def watch_calls(run: Run) -> Calls:
+    host: Any = SimpleNamespace(now=lambda: run.now, fraction=lambda: 0.5, say=lambda line: None)
+    host.dial = lambda link, where: run.emit("dial", where, link)
+    host.hang_up = lambda link: run.emit("hang up", "", link)
+    host.send = lambda link, message: run.emit("send", "", message)
+    host.take = lambda number, digest, body: "RoundUs: too large" if number == 3 else ""
+    watch = Watch(host, CLUSTER, ["10.0.0.1:8081"], [])
+    told = lambda link, data: watch.told(link, decoded(data))  # noqa: E731
+    return {"begin": watch.begin, "tick": watch.tick, "greeted": watch.greeted, "told": told}
+
+
+def feed_calls(run: Run) -> Calls:
+    host: Any = SimpleNamespace(now=lambda: run.now, is_fresh=lambda: True, drop=lambda name, why: None)
+    host.send = lambda name, message: run.emit("send", name, message)
+    feed = Feed(host, CLUSTER, 10, 1_000_000)
+
+    def offer(number: int, body: str) -> None:
+        feed.offer(Version(number, body, digest_of(body), digest_of(body), "anna", f"request-{number}"))
+
+    return {
+        "offer": offer,
+        "said": lambda name, data: feed.said(name, read_have(decoded(data))),
+        "tick": feed.tick,
+        "beat": lambda: run.emit("send", "n0", feed.beat()),
+        "rows": lambda: run.emit("rows", "", feed.rows()),
+    }
+
+
+def test_replicas_send_the_same_messages(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(raft, "PIECE", 16)
+    run = Run()
+    run.calls = {who: raft_calls(run, who) for who in (*MEMBERS, "r4.1")}
+    run.repeat("raft-run.json")
+
+
+def test_the_replicas_run_holds_every_kind_of_message() -> None:
+    sent = [decoded(row[2]) for step in read_json("raft-run.json") for row in step["sent"]]
+    assert {message["k"] for message in sent} == set(raft.HANDLERS)
+    entries = {entry[2] for message in sent if message["k"] == "append" for entry in message["e"]}
+    assert entries == {"noop", "members", "data"}
+    assert {message["ok"] for message in sent if message["k"] == "appended"} == {True, False}
+
+
+def test_lease_servers_and_holders_send_the_same_messages() -> None:
+    run = Run()
+    run.calls = {"keeper": keeper_calls(run), "n0/1": holder_calls(run), "n1/1": holder_calls(run)}
+    run.repeat("lease-run.json")
+
+
+def test_config_servers_and_watchers_send_the_same_messages() -> None:
+    run = Run()
+    run.calls = {"watch": watch_calls(run), "feed": feed_calls(run)}
+    run.repeat("watch-run.json")
+
+
+# ---- Frames on connections ----
+
+
+class Transport(mock.MagicMock):
+    """Keeps what is written to it."""
+
+    def __init__(self, **settings: Any) -> None:
+        super().__init__(**settings)
+        self.written: list[str] = []
+        self.write = lambda data: self.written.append(data.hex())
+        self.get_write_buffer_size = lambda: 0
+        self.is_closing = lambda: False
+
+
+def with_nonce(make: Callable[[], Any], letter: str) -> Any:
+    with mock.patch.object(secrets, "token_bytes", return_value=letter.encode() * 16):
+        return make()
+
+
+def server_node() -> Any:
+    """A server that does not lead, and has no room for watchers."""
+    node: Any = SimpleNamespace(orders=SimpleNamespace(secret=SECRET, cluster=CLUSTER), me="r1.1")
+    node.keeper = SimpleNamespace(leading=False)
+    node.leader_clients = lambda: "10.0.0.2:8081"
+    node.feed = SimpleNamespace(
+        has_room_for=lambda name: False, beat=lambda: {"k": "beat", "n": 2, "l": True}
+    )
+    return node
+
+
+def watcher_frames(cluster: str) -> Frames:
+    user: Any = SimpleNamespace(orders=SimpleNamespace(secret=SECRET, cluster=cluster), name="n0")
+    found: Frames = with_nonce(lambda: ServerConnection(user, 1), "w").frames
+    return found
+
+
+def holder_frames() -> Frames:
+    user: Any = SimpleNamespace(keepers=SimpleNamespace(secret=SECRET), me="n0/1")
+    found: Frames = with_nonce(lambda: KeeperConnection(user), "h").frames
+    return found
+
+
+def replica_frames(told: dict[str, Any], me: str, letter: str) -> Frames:
+    greeting = {"id": me, "store": read_json("store/written.json")["fingerprint"]}
+    return with_nonce(lambda: Frames(bytes.fromhex(told["secret"]), greeting), letter)
+
+
+def test_frames_between_replicas_are_written_and_read() -> None:
+    told = read_json("frames.json")
+    a, b = replica_frames(told, "r1.1", "a"), replica_frames(told, "r2.1", "b")
+    assert [a.hello().hex(), b.hello().hex()] == told["replica_hellos"]
+    for frames, hello in zip((a, b), reversed(told["replica_hellos"]), strict=True):
+        assert frames.feed(bytes.fromhex(hello)) == []
+    bodies = [decoded(body) for body in told["replica_bodies"]]
+    assert [a.write(body).hex() for body in bodies] == told["replica_frames"]
+    assert b.feed(bytes.fromhex("".join(told["replica_frames"]))) == bodies
+
+
+def test_a_changed_frame_is_refused() -> None:
+    told = read_json("frames.json")
+    b = replica_frames(told, "r2.1", "b")
+    b.feed(bytes.fromhex(told["replica_hellos"][0]))
+    changed = bytearray.fromhex(told["replica_frames"][0])
+    changed[-1] ^= 1
+    with pytest.raises(BadFrame):
+        b.feed(bytes(changed))
+
+
+def test_greetings_are_the_same() -> None:
+    told = read_json("frames.json")
+    tool = with_nonce(lambda: Frames(SECRET, {"id": ASKS, "store": ""}), "t")
+    hellos = [tool, holder_frames(), watcher_frames(CLUSTER), watcher_frames("other")]
+    names = ["tool", "holder", "watcher", "stranger"]
+    assert [one.hello().hex() for one in hellos] == [told[f"{name}_hello"] for name in names]
+
+
+def test_a_holder_is_sent_to_the_leader() -> None:
+    told = read_json("frames.json")
+    server = with_nonce(lambda: HolderConnection(HolderDoor(server_node())), "k")
+    server.transport = Transport()
+    holder = holder_frames()
+    holder.feed(server.frames.hello())
+    server.data_received(bytes.fromhex(told["holder_hello"] + told["holder_request"]))
+    assert server.transport.written == told["keeper_elsewhere"]
+    assert holder.feed(bytes.fromhex(told["keeper_elsewhere"][0])) == [{"elsewhere": "10.0.0.2:8081"}]
+
+
+@pytest.mark.parametrize(("name", "cluster"), [("elsewhere", CLUSTER), ("refused", "other")])
+def test_a_watcher_is_sent_elsewhere_or_refused(name: str, cluster: str) -> None:
+    told = read_json("frames.json")
+    server = with_nonce(lambda: WatcherConnection(WatcherDoor(server_node())), "s")
+    server.transport = Transport()
+    watcher = watcher_frames(cluster)
+    watcher.feed(server.frames.hello())
+    have = watcher.write({"k": "have", "n": 0, "d": b"", "f": 0, "w": "", "r": 0})
+    server.data_received(watcher.hello() + (have if name == "elsewhere" else b""))
+    assert server.transport.written == told[f"server_{name}"]
+    messages = watcher.feed(bytes.fromhex("".join(told[f"server_{name}"])))
+    assert messages[-1]["k"] == name
+
+
+# ---- Tools ----
+
+
+class FakeReplica:
+    """A socket to a replica that answers from the recorded answers."""
+
+    def __init__(self, asked: list[str], answers: dict[str, Any]) -> None:
+        self.asked = asked
+        self.answers = answers
+        self.frames = Frames(SECRET, {"id": "r1.1", "store": ""})
+        self.unread = [self.frames.hello()]
+
+    def __enter__(self) -> "FakeReplica":
+        return self
+
+    def __exit__(self, *error: object) -> None: ...
+
+    def settimeout(self, seconds: float) -> None: ...
+
+    def sendall(self, data: bytes) -> None:
+        for question in self.frames.feed(data):
+            self.asked.append(encoded(question))
+            self.unread.append(self.frames.write(self.answers.get(question["ask"], {"done": True})))
+
+    def recv(self, most: int) -> bytes:
+        return self.unread.pop(0)
+
+
+def test_tools_ask_the_same_questions(monkeypatch: pytest.MonkeyPatch) -> None:
+    told, asked = read_json("questions.json"), []
+    monkeypatch.setattr(socket, "create_connection", lambda *_: FakeReplica(asked, told["answers"]))
+    monkeypatch.setattr(getpass, "getuser", lambda: "anna")
+    monkeypatch.setattr(secrets, "token_hex", lambda size: "0f" * size)
+    for row in told["commands"]:
+        asked.clear()
+        words = [str(DATA / "files" / word) if word.endswith(".json") else word for word in row["command"]]
+        done = CliRunner().invoke(command_line, words)
+        assert (asked, done.exit_code) == (row["asked"], row["exit"]), (row["command"], done.output)
+
+
+def make_node(name: str, folder: Path) -> Any:
+    files = DATA / "files"
+    there = read_replica_orders(files / "store.json")._replace(folder=folder)
+    if name == "store":
+        return StoreNode(there)
+    if name == "leases":
+        return KeeperNode(read_keeper_orders(files / "keepers.json")._replace(replica=there))
+    return ConfigServerNode(read_config_server_orders(files / "config-servers.json")._replace(replica=there))
+
+
+async def answers_of(node: Any, questions: list[Any]) -> list[Any]:
+    """Of a follower, without a socket."""
+    replies: list[Any] = []
+    with mock.patch.object(Links, "open", mock.AsyncMock()):
+        await node.open(new=True)
+    for question in questions:
+        node.links.asked(question, replies.append)
+    await node.close()
+    return replies
+
+
+@pytest.mark.parametrize("name", ["store", "leases", "config"])
+def test_replicas_give_tools_the_same_answers(name: str, tmp_path: Path) -> None:
+    told = read_json("answers.json")[name]
+    questions = [question for question, _ in told["answers"]]
+    status, *others = asyncio.run(answers_of(make_node(name, tmp_path), [{"ask": "status"}, *questions]))
+    assert list(status) == told["status"]
+    assert [[q, encoded(a)] for q, a in zip(questions, others, strict=True)] == told["answers"]
+
+
+# ---- Other wires ----
+
+HEADERS = {"host": "x", "request-info": "slots=2", "connection": "close, x-hop", "x-hop": "1"}
+HEADERS |= {"idempotency-key": "job-1", "request-timeout-ms": "900"}
+VARS = [operators.operations('look "up"', "ok", 4), operators.figure("open_requests", 2)]
+WORKER = "10.0.1.1:9001"
+WRITTEN = {
+    "telling": tellings.write_telling(3, 9, 0.4, ["w0", "w1"]),
+    "job": workers.job("POST", "/book/1", HEADERS, b"{}", 1500 * MILLISECOND, WORKER),
+    "probe_load": workers.probe(True, WORKER),
+    "probe_healthy": workers.probe(False, WORKER),
+    "answer_ok": clients.answer(200, b"fine", True),
+    "answer_busy": clients.answer(503, b"later", False, come_back_after=1500 * MILLISECOND),
+    "answer_elsewhere": clients.answer(307, b"", True, location="http://10.0.0.2:8081/book/1"),
+    "continue": clients.CONTINUE,
+    "head": heads.head("GET / HTTP/1.1", {"Host": "a", "X": "1"}),
+    "discovery_whole": discovery.watch(None, 0, "10.0.2.1:8500"),
+    "discovery_from": discovery.watch(7, 20 * SECOND, "10.0.2.1:8500"),
+    "admin_yes": operators.said_yes("ready"),
+    "admin_no": operators.said_no("leaving"),
+    "admin_vars": operators.figures(VARS),
+}
+
+
+@pytest.mark.parametrize("name", WRITTEN)
+def test_bytes_for_others_are_the_same(name: str) -> None:
+    assert WRITTEN[name] == read_json("other-wires.json")[name].encode("latin-1")
+
+
+def test_every_recorded_wire_is_compared() -> None:
+    assert set(read_json("other-wires.json")) == set(WRITTEN)
+
+
+def test_a_gossip_message_is_read() -> None:
+    octets = read_json("other-wires.json")["telling"].encode("latin-1")
+    zone, number, lateness, held = tellings.read_telling(octets, tellings.marks_of(["w0", "w1", "w2"]))
+    assert (zone, number, lateness, held) == (3, 9, 102 / 255, ["w0", "w1"])
