--- a/tests/compatibility/make_data.py
+++ b/tests/compatibility/make_data.py
@@ -478,29 +478,58 @@
 
 # ---- The command line's questions ----
 
+LEASE = {"name": "summary", "holder": "n0/1", "token": 3, "duration_ms": 30000, "over_in_ms": 20000}
 ANSWERS: dict[str, Any] = {
     "status": {"leads": True, "name": "r1"},
     "configurations": [[1, "anna", 1, "{}"]],
-    "leases": {"leads": True, "held": [], "waiting": {}, "declared": {}},
+    "leases": {
+        "leads": True,
+        "held": [LEASE],
+        "waiting": {"summary": ["n1/1"]},
+        "declared": {"summary": {"places": 1, "longest_ms": 30000}},
+    },
     "versions": [[1, "00", "anna", "request-1"]],
     "version": {"n": 1, "body": "{}", "by": "anna"},
-    "watchers": [],
+    "watchers": [["n0", 1, 1, "", 0.5, True], ["n1", 0, 1, "RoundUs: too large", 1.5, True]],
     "publish": {"done": True, "version": 2, "why": ""},
 }
 COMMANDS = [
-    ["store", "status", "store.json"],
-    ["store", "members", "add", "store.json", "r4", "--peers", "10.0.0.4:7001", "--clients", "10.0.0.4:8081"],
-    ["store", "members", "add", "store.json", "r4", "--peers", "a:1", "--clients", "a:2", "--votes"],
-    ["store", "members", "remove", "store.json", "r4"],
-    ["store", "transfer", "store.json", "r1"],
-    ["store", "configure", "store.json", "example.json"],
-    ["store", "configurations", "store.json"],
-    ["store", "backup", "store.json", "/backups/r1.db"],
-    ["lease", "list", "keepers.json"],
-    ["lease", "backup", "keepers.json", "/backups/k1.db"],
-    ["config", "publish", "config-servers.json", "body.json", "--by", "anna"],
-    ["config", "rollback", "config-servers.json", "1", "--by", "anna"],
-    ["config", "status", "config-servers.json"],
+    ["store", "status", "store.json", "--json"],
+    [
+        "store",
+        "members",
+        "add",
+        "store.json",
+        "r4",
+        "--peers",
+        "10.0.0.4:7001",
+        "--clients",
+        "10.0.0.4:8081",
+        "--json",
+    ],
+    [
+        "store",
+        "members",
+        "add",
+        "store.json",
+        "r4",
+        "--peers",
+        "a:1",
+        "--clients",
+        "a:2",
+        "--votes",
+        "--json",
+    ],
+    ["store", "members", "remove", "store.json", "r4", "--json"],
+    ["store", "transfer", "store.json", "r1", "--json"],
+    ["store", "configure", "store.json", "example.json", "--json"],
+    ["store", "configurations", "store.json", "--json"],
+    ["store", "backup", "store.json", "/backups/r1.db", "--json"],
+    ["lease", "list", "keepers.json", "--json"],
+    ["lease", "backup", "keepers.json", "/backups/k1.db", "--json"],
+    ["config", "publish", "config-servers.json", "body.json", "--by", "anna", "--json"],
+    ["config", "rollback", "config-servers.json", "1", "--by", "anna", "--json"],
+    ["config", "status", "config-servers.json", "--json"],
 ]
 
 
@@ -541,10 +570,44 @@
         ):
             done = CliRunner().invoke(command_line, arguments)
         assert asked and not isinstance(done.exception, Exception), (words, done.output, done.exception)
-        rows.append({"command": words, "asked": asked, "exit": done.exit_code})
+        rows.append({"command": words, "asked": asked, "exit": done.exit_code, "said": done.output})
     write_json(folder / "questions.json", {"answers": ANSWERS, "commands": rows})
 
 
+PUBLISH = {"ask": "publish", "body": "{}", "expect": 0, "by": "anna", "id": "request-1"}
+LEADER_QUESTIONS: dict[str, list[dict[str, Any]]] = {
+    "store": [
+        {"ask": "configure", "body": "{}", "by": "anna", "token": 3},
+        {"ask": "configure", "body": "{}", "by": "ben", "token": 2},
+        {"ask": "configurations"},
+    ],
+    "leases": [{"ask": "leases"}],
+    "config": [
+        PUBLISH,
+        {**PUBLISH, "id": "request-2", "body": "[]"},
+        {"ask": "versions"},
+        {"ask": "version"},
+    ],
+}
+
+
+async def answers_of_leader(node: Any, questions: list[dict[str, Any]]) -> list[Any]:
+    """The only replica stands at once and leads."""
+    node.replica.raft.next_election = 0
+    node.replica.raft.tick()
+    for _ in range(2):  # the second is told when all that waits for the lead has heard of it
+        confirmed = asyncio.get_running_loop().create_future()
+        node.read(confirmed.set_result)
+        assert await confirmed
+    found = []
+    for question in questions:
+        reply = asyncio.get_running_loop().create_future()
+        with mock.patch.object(time, "time_ns", lambda: 1_700_000_000 * SECOND):
+            node.links.asked(question, reply.set_result)
+        found.append([question, encode(await reply).hex()])
+    return found
+
+
 async def write_answers(folder: Path) -> None:
     """What a replica of each kind answers to tools; of its status the names of the values alone."""
     files = folder / "files"
@@ -552,9 +615,8 @@
     store = read_replica_orders(files / "store.json")
     leases = read_keeper_orders(files / "keepers.json")
     config = read_config_server_orders(files / "config-servers.json")
-    publish = {"ask": "publish", "body": "{}", "expect": 0, "by": "anna", "id": "request-1"}
     questions = [{"ask": kind} for kind in ("configurations", "leases", "versions", "watchers", "version")]
-    questions += [publish, {"ask": "no such"}, {"ask": "transfer", "to": "r9"}]
+    questions += [PUBLISH, {"ask": "no such"}, {"ask": "transfer", "to": "r9"}]
     for name, make in (("store", StoreNode), ("leases", KeeperNode), ("config", ConfigServerNode)):
         with tempfile.TemporaryDirectory() as place, mock.patch.object(Links, "open", mock.AsyncMock()):
             there = store._replace(folder=Path(place))
@@ -564,11 +626,13 @@
             replies: list[Any] = []
             for question in [{"ask": "status"}, *questions]:
                 node.links.asked(question, replies.append)
+            led = await answers_of_leader(node, LEADER_QUESTIONS[name])
             await node.close()
         rows = zip(questions, replies[1:], strict=True)
         found[name] = {
             "status": list(replies[0]),
             "answers": [[question, encode(reply).hex()] for question, reply in rows],
+            "answers_of_leader": led,
         }
     write_json(folder / "answers.json", found)
 
@@ -581,6 +645,7 @@
     headers |= {"idempotency-key": "job-1", "request-timeout-ms": "900"}
     found = {
         "telling": tellings.write_telling(3, 9, 0.4, ["w0", "w1"]),
+        "telling_long": tellings.write_telling(5, 255, 1.0, [f"w{number}" for number in range(200)]),
         "job": workers.job("POST", "/book/1", headers, b"{}", 1500 * MILLISECOND, "10.0.1.1:9001"),
         "probe_load": workers.probe(True, "10.0.1.1:9001"),
         "probe_healthy": workers.probe(False, "10.0.1.1:9001"),
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -1,5 +1,6 @@
 """Files of commit c0e5f5c: stores, snapshots, commands, the cache and the configuration files."""
 
+import asyncio
 import json
 import shutil
 import sqlite3
@@ -7,15 +8,18 @@
 from pathlib import Path
 from types import SimpleNamespace
 from typing import Any
+from unittest import mock
 
 import pytest
 
 from ploverspoke.consensus.disk import Disk, restore
+from ploverspoke.consensus.links import Links
 from ploverspoke.consensus.log import Entry
 from ploverspoke.consensus.members import fingerprint
 from ploverspoke.consensus.orders import read_replica_orders
 from ploverspoke.consensus.replica import Batch
 from ploverspoke.distribution.client import read_cache, write_cache
+from ploverspoke.distribution.node import COMMITTED, ConfigServerNode
 from ploverspoke.distribution.orders import (
     WatchOrders,
     read_config_server_orders,
@@ -23,7 +27,7 @@
     read_watch_orders,
 )
 from ploverspoke.distribution.overlay import canonical
-from ploverspoke.distribution.versions import Versions, digest_of, publish_command
+from ploverspoke.distribution.versions import Version, Versions, digest_of, publish_command
 from ploverspoke.distribution.watch import Taken
 from ploverspoke.leases.node import ERA_KEPT
 from ploverspoke.leases.orders import read_keeper_orders, read_keepers
@@ -94,6 +98,16 @@
     return proposed
 
 
+async def latest_served(node: ConfigServerNode) -> Version | None:
+    """What a config server offers its watchers after its start, before it has heard of a leader."""
+    with mock.patch.object(Links, "open", mock.AsyncMock()):
+        await node.open()
+    assert node.versions.number() == 1
+    latest = node.feed.latest
+    await node.close()
+    return latest
+
+
 # ---- Stores ----
 
 
@@ -146,6 +160,15 @@
 def test_the_keys_of_kept_values_are_the_same() -> None:
     assert list(read_json("store/written.json")["kept"]) == [CONFIGURATION, ROSTER]
     assert list(read_json("leases/written.json")["kept"]) == [ERA_KEPT]
+    assert list(read_json("config/written.json")["kept"]) == [COMMITTED]
+
+
+def test_a_config_server_serves_the_version_that_its_old_store_knew_committed(tmp_path: Path) -> None:
+    """The log holds version 2 behind the snapshot; that it is committed stands in a kept value alone."""
+    orders = read_config_server_orders(DATA / "files" / "config-servers.json")
+    replica = orders.replica._replace(folder=copy_of("config", tmp_path))
+    latest = asyncio.run(latest_served(ConfigServerNode(orders._replace(replica=replica))))
+    assert latest is not None and (latest.number, latest.body, latest.by) == (2, BODIES[1], "ben")
 
 
 def test_a_kept_list_of_workers_is_read_and_written_again() -> None:
@@ -241,6 +264,12 @@
     assert sorted(set(OUTCOMES.values())) == read_json("scribe.json")["outcomes"]
 
 
+def test_two_bodies_with_the_same_values_have_one_canonical_text() -> None:
+    """Its digest is kept with each version, and says whether a published body is a new one."""
+    body = json.loads('{ "zones": {"a": {}}, "settings": {"Z": 1.0, "A": "\u00e9"}, "discovery": "x" }')
+    assert canonical(body) == '{"discovery":"x","settings":{"A":"\\u00e9","Z":1.0},"zones":{"a":{}}}'
+
+
 def test_publish_commands_are_the_same() -> None:
     made = []
     requests = [(0, 0, "anna"), (0, 0, "anna"), (1, 0, "ben"), (1, 1, "ben")]
--- a/tests/compatibility/test_wire_bytes.py
+++ b/tests/compatibility/test_wire_bytes.py
@@ -4,7 +4,8 @@
 import getpass
 import secrets
 import socket
-from collections.abc import Callable
+import time
+from collections.abc import Awaitable, Callable
 from pathlib import Path
 from types import SimpleNamespace
 from typing import Any
@@ -313,7 +314,7 @@
         return self.unread.pop(0)
 
 
-def test_tools_ask_the_same_questions(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_tools_ask_the_same_questions_and_read_the_answers(monkeypatch: pytest.MonkeyPatch) -> None:
     told, asked = read_json("questions.json"), []
     monkeypatch.setattr(socket, "create_connection", lambda *_: FakeReplica(asked, told["answers"]))
     monkeypatch.setattr(getpass, "getuser", lambda: "anna")
@@ -322,7 +323,8 @@
         asked.clear()
         words = [str(DATA / "files" / word) if word.endswith(".json") else word for word in row["command"]]
         done = CliRunner().invoke(command_line, words)
-        assert (asked, done.exit_code) == (row["asked"], row["exit"]), (row["command"], done.output)
+        found = {"command": row["command"], "asked": asked, "exit": done.exit_code, "said": done.output}
+        assert found == row
 
 
 def make_node(name: str, folder: Path) -> Any:
@@ -335,8 +337,8 @@
     return ConfigServerNode(read_config_server_orders(files / "config-servers.json")._replace(replica=there))
 
 
-async def answers_of(node: Any, questions: list[Any]) -> list[Any]:
-    """Of a follower, without a socket."""
+async def answers_of_follower(node: Any, questions: list[Any]) -> list[Any]:
+    """Of the only replica before it stands, without a socket."""
     replies: list[Any] = []
     with mock.patch.object(Links, "open", mock.AsyncMock()):
         await node.open(new=True)
@@ -346,15 +348,70 @@
     return replies
 
 
+async def give_lease(node: Any) -> None:
+    given = asyncio.get_running_loop().create_future()
+    node.tell_holder = lambda holder, message: message["has"] and given.set_result(None)
+    node.keeper.asked("n0/1", {"n": 1, "want": [["restart", 30 * SECOND, 0, 0]], "release": []})
+    await given
+
+
+async def answers_of_leader(
+    node: Any, questions: list[Any], first: Callable[[Any], Awaitable[None]] | None = None
+) -> list[Any]:
+    """Of the only replica, which stands at once and leads, without a socket; `first` is done before."""
+    loop = asyncio.get_running_loop()
+    with mock.patch.object(Links, "open", mock.AsyncMock()):
+        await node.open(new=True)
+    node.replica.raft.next_election = 0
+    node.replica.raft.tick()
+    for _ in range(2):  # the second is told when all that waits for the lead has heard of it
+        confirmed = loop.create_future()
+        node.read(confirmed.set_result)
+        assert await confirmed
+    if first is not None:
+        await first(node)
+    replies = []
+    for question in questions:
+        reply = loop.create_future()
+        node.links.asked(question, reply.set_result)
+        replies.append(await reply)
+    await node.close()
+    return replies
+
+
+@pytest.mark.parametrize("name", ["store", "leases", "config"])
+def test_a_leader_gives_tools_the_same_answers(
+    name: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    monkeypatch.setattr(time, "time_ns", lambda: 1_700_000_000 * SECOND)
+    told = read_json("answers.json")[name]["answers_of_leader"]
+    questions = [question for question, _ in told]
+    replies = asyncio.run(answers_of_leader(make_node(name, tmp_path), questions))
+    assert [[q, encoded(a)] for q, a in zip(questions, replies, strict=True)] == told
+
+
 @pytest.mark.parametrize("name", ["store", "leases", "config"])
-def test_replicas_give_tools_the_same_answers(name: str, tmp_path: Path) -> None:
+def test_a_follower_gives_tools_the_same_answers(name: str, tmp_path: Path) -> None:
     told = read_json("answers.json")[name]
     questions = [question for question, _ in told["answers"]]
-    status, *others = asyncio.run(answers_of(make_node(name, tmp_path), [{"ask": "status"}, *questions]))
+    status, *others = asyncio.run(
+        answers_of_follower(make_node(name, tmp_path), [{"ask": "status"}, *questions])
+    )
     assert list(status) == told["status"]
+    member = {"name": "r1", "peers": "10.0.0.1:7001", "clients": "10.0.0.1:8081", "votes": True}
+    assert encoded(status["members"]) == encoded([member])
     assert [[q, encoded(a)] for q, a in zip(questions, others, strict=True)] == told["answers"]
 
 
+def test_a_lease_server_gives_tools_the_rows_of_held_leases(tmp_path: Path) -> None:
+    node = make_node("leases", tmp_path)
+    (told,) = asyncio.run(answers_of_leader(node, [{"ask": "leases"}], give_lease))
+    (row,) = told["held"]
+    assert list(row) == ["name", "holder", "token", "duration_ms", "over_in_ms"]
+    assert [row[key] for key in list(row)[:4]] == ["restart", "n0/1", 1, 30_000]
+    assert 0 <= row["over_in_ms"] <= 30_000 and told["waiting"] == {}
+
+
 # ---- Other wires ----
 
 HEADERS = {"host": "x", "request-info": "slots=2", "connection": "close, x-hop", "x-hop": "1"}
@@ -363,6 +420,7 @@
 WORKER = "10.0.1.1:9001"
 WRITTEN = {
     "telling": tellings.write_telling(3, 9, 0.4, ["w0", "w1"]),
+    "telling_long": tellings.write_telling(5, 255, 1.0, [f"w{number}" for number in range(200)]),
     "job": workers.job("POST", "/book/1", HEADERS, b"{}", 1500 * MILLISECOND, WORKER),
     "probe_load": workers.probe(True, WORKER),
     "probe_healthy": workers.probe(False, WORKER),
