--- a/ploverspoke/__main__.py
+++ b/ploverspoke/__main__.py
@@ -7,10 +7,10 @@
 
     command_line(prog_name="ploverspoke")
 else:
-    from .program.early import hold_signals
+    from .service.startup import block_signals
 
-    hold_signals()
+    block_signals()
 
-    from .program.service import main
+    from .service.service import main
 
     sys.exit(main())
--- a/ploverspoke/cli.py
+++ b/ploverspoke/cli.py
@@ -17,7 +17,7 @@
     ),
     "store": ("ploverspoke.store.commands", "store", "Look at a store and change it."),
     "config": (
-        "ploverspoke.distribution.commands",
+        "ploverspoke.config_distribution.commands",
         "config",
         "Carry a change of configuration to every dispatcher.",
     ),
@@ -98,18 +98,18 @@
         if processes > 1 or store is not None:
             raise click.UsageError("--watch goes neither with --processes nor with --store")
         try:
-            from ploverspoke.distribution.daemon import main as watching
+            from ploverspoke.config_distribution.dynamic_config import main as watching
         except ModuleNotFoundError as error:
             raise click.ClickException(f"a watch needs {error.name}: install ploverspoke[daemon]") from None
         sys.exit(watching(watch))
     if processes > 1:
         if store is not None:
             raise click.UsageError("--processes and --store do not go together: a replica is one process")
-        from ploverspoke.supervisor.driver import main as supervise
+        from ploverspoke.supervisor.process_runner import main as supervise
 
         sys.exit(supervise(processes))
     if store is None:
-        from ploverspoke.program.service import main as service
+        from ploverspoke.service.service import main as service
 
         sys.exit(service())
     try:
@@ -148,12 +148,12 @@
     Lists what was changed, dropped or could not be carried over; docs/migration.md has the steps. Exit 0:
     done, or nothing to do. 2: OLD is of no use or NEW exists, and nothing is written.
     """
-    from ploverspoke.program.checked import BadKey
-    from ploverspoke.program.migration import migrate_file
+    from ploverspoke.service.config_reader import ConfigError
+    from ploverspoke.service.migration import migrate_file
 
     try:
         told = migrate_file(old, new, list(peers), dry_run, force)
-    except BadKey as error:
+    except ConfigError as error:
         click.echo(f"ploverspoke: {error}", err=True)
         sys.exit(2)
     if as_json:
@@ -171,20 +171,20 @@
 
     Exit 0: it can be used, and what it says is shown. 2: it cannot, and the key is named.
     """
-    from ploverspoke.program.briefing import read_briefing
-    from ploverspoke.program.checked import BadKey
+    from ploverspoke.service.config import read_config
+    from ploverspoke.service.config_reader import ConfigError
 
     os.environ["RELAY_CONFIG"] = str(configuration)
     try:
-        briefing = read_briefing(os.environ)
-    except BadKey as error:
+        briefing = read_config(os.environ)
+    except ConfigError as error:
         click.echo(f"ploverspoke: {error}", err=True)
         sys.exit(2)
     orders = briefing.orders
     if briefing.peers:
         click.echo(f"tellings: to {len(briefing.peers) - 1} other dispatchers")
     elif briefing.cannot_tell:
-        from ploverspoke.program.service import NO_PEERS
+        from ploverspoke.service.service import NO_PEERS
 
         click.echo(NO_PEERS)
     address = ":".join(map(str, briefing.listen))
--- a/ploverspoke/distribution/asking.py
+++ b/ploverspoke/config_distribution/admin_client.py
@@ -5,16 +5,16 @@
 from concurrent.futures import ThreadPoolExecutor
 from typing import Any, NamedTuple
 
-from ploverspoke.consensus.ask import ask
-from ploverspoke.consensus.frames import BadFrame
+from ploverspoke.consensus.framing import FrameError
+from ploverspoke.consensus.replica_client import send_admin_request
 
-from .orders import ConfigServers
+from .cluster_config import ConfigServers
 
 AGAIN = 0.1  # seconds, between two looks for a leader
 POLL = 0.2  # seconds, between two looks at the fleet
 
 
-class NoServer(Exception):
+class NoServerAvailableError(Exception):
     """None leads, or none answers; says what each did."""
 
 
@@ -33,12 +33,12 @@
 
 
 def ask_all(servers: ConfigServers, question: dict[str, Any]) -> dict[str, Any]:
-    """Each server's answer by its name; an OSError or a BadFrame where it gave none."""
+    """Each server's answer by its name; an OSError or a FrameError where it gave none."""
 
     def one(where: str) -> Any:
         try:
-            return ask(where, servers.secret, question)
-        except (OSError, BadFrame) as error:
+            return send_admin_request(where, servers.secret, question)
+        except (OSError, FrameError) as error:
             return error
 
     with ThreadPoolExecutor(len(servers.peers)) as threads:
@@ -46,22 +46,23 @@
 
 
 def answers(servers: ConfigServers, question: dict[str, Any]) -> dict[str, Any]:
-    """Of those that answered. Raises NoServer where none did."""
+    """Of those that answered. Raises NoServerAvailableError where none did."""
     told = ask_all(servers, question)
     found = {name: answer for name, answer in told.items() if not isinstance(answer, Exception)}
     if not found:
-        raise NoServer("; ".join(f"{name}: {error}" for name, error in told.items()))
+        raise NoServerAvailableError("; ".join(f"{name}: {error}" for name, error in told.items()))
     return found
 
 
 def versions(servers: ConfigServers) -> list[list[Any]]:
-    """Rows of the server that knows the latest. Raises NoServer."""
+    """Rows of the server that knows the latest. Raises NoServerAvailableError."""
     told = answers(servers, {"ask": "versions"}).values()
     return max((rows for rows in told if isinstance(rows, list)), key=_last, default=[])
 
 
 def body_of(servers: ConfigServers, number: int = 0) -> dict[str, Any]:
-    """`{n, body, by}` of a version, 0: the latest; n is 0 where none has it. Raises NoServer."""
+    """`{n, body, by}` of a version, 0: the latest; n is 0 where none has it. Raises
+    NoServerAvailableError."""
     told = answers(servers, {"ask": "version", "n": number}).values()
     return max(
         (row for row in told if isinstance(row, dict)), key=lambda row: row.get("n", 0), default={"n": 0}
@@ -72,7 +73,8 @@
     """Ask the leader to commit a body in the place of version `expect` (None: of whichever is the latest).
 
     The same request is asked again where the answer is lost, under the same id: it is committed once at the
-    most. Gives the answer; where it has "unknown" the request may be committed or not. Raises NoServer.
+    most. Gives the answer; where it has "unknown" the request may be committed or not. Raises
+    NoServerAvailableError.
     """
     request, any_version = secrets.token_hex(12), expect is None
     until = time.monotonic() + within
@@ -80,13 +82,13 @@
     while True:
         leader, why, any_answers = _leader(servers)
         if not any_answers and not unknown:
-            raise NoServer(why)
+            raise NoServerAvailableError(why)
         if leader:
             try:
                 if expect is None:
-                    expect = _last(ask(leader, servers.secret, {"ask": "versions"}))
+                    expect = _last(send_admin_request(leader, servers.secret, {"ask": "versions"}))
                 question = {"ask": "publish", "body": body, "expect": expect, "by": by, "id": request}
-                told: dict[str, Any] = ask(leader, servers.secret, question)
+                told: dict[str, Any] = send_admin_request(leader, servers.secret, question)
                 if told.get("unknown"):
                     unknown = told
                 elif "leader" not in told:
@@ -95,13 +97,13 @@
                     # Another came between the look and the request: it is known not to be committed.
                     expect, request, unknown = None, secrets.token_hex(12), {}
                     continue
-            except (OSError, BadFrame) as error:
+            except (OSError, FrameError) as error:
                 if expect is not None:
                     unknown = {"done": False, "version": 0, "why": f"no answer: {error}", "unknown": True}
         if time.monotonic() > until:
             if unknown:
                 return unknown
-            raise NoServer(why or "the leader changes")
+            raise NoServerAvailableError(why or "the leader changes")
         time.sleep(AGAIN)
 
 
@@ -119,7 +121,8 @@
 
 
 def fleet(servers: ConfigServers, version: int = 0) -> Fleet:
-    """Who has `version` or a later one in force (0: the latest that a server has). Raises NoServer."""
+    """Who has `version` or a later one in force (0: the latest that a server has). Raises
+    NoServerAvailableError."""
     told = answers(servers, {"ask": "watchers"})
     unheard = [name for name in servers.peers if name not in told]
     if not version:
@@ -144,7 +147,8 @@
 
 
 def wait_for(servers: ConfigServers, version: int, within: float) -> Fleet:
-    """Until all that are connected have it in force or refuse it, or time is over. Raises NoServer."""
+    """Until all that are connected have it in force or refuse it, or time is over. Raises
+    NoServerAvailableError."""
     until = time.monotonic() + within
     while True:
         found = fleet(servers, version)
--- a/ploverspoke/distribution/feed.py
+++ b/ploverspoke/config_distribution/broadcaster.py
@@ -10,8 +10,8 @@
 from collections import deque
 from typing import Any, Protocol
 
-from .parcels import Beat, Have, Message, pack
-from .versions import Version, surplus
+from .messages import Heartbeat, Message, WatchStatus, pack
+from .state_machine import Version, surplus
 
 MILLISECOND = 1_000_000
 SECOND = 1000 * MILLISECOND
@@ -28,7 +28,7 @@
 NEVER = 1 << 62
 
 
-class FeedHost(Protocol):
+class BroadcasterEnvironment(Protocol):
     def now(self) -> int:
         """ns of a monotonic clock."""
 
@@ -42,10 +42,10 @@
         """Close its connection; `gone` is not called for it."""
 
 
-class Watcher:
+class ConnectedWatcher:
     """One that is connected and has said what it has."""
 
-    def __init__(self, name: str, have: Have, now: int) -> None:
+    def __init__(self, name: str, have: WatchStatus, now: int) -> None:
         self.name = name
         self.have = have
         self.heard_at = now
@@ -57,14 +57,16 @@
 class Seen:
     """What a name was last known to have."""
 
-    def __init__(self, have: Have, heard_at: int) -> None:
+    def __init__(self, have: WatchStatus, heard_at: int) -> None:
         self.have = have
         self.heard_at = heard_at
         self.connected = True
 
 
-class Feed:
-    def __init__(self, host: FeedHost, cluster: str, most_watchers: int, bytes_a_second: int) -> None:
+class VersionBroadcaster:
+    def __init__(
+        self, host: BroadcasterEnvironment, cluster: str, most_watchers: int, bytes_a_second: int
+    ) -> None:
         self.host = host
         self.cluster = cluster
         self.most_watchers = most_watchers
@@ -74,9 +76,9 @@
         self.packed: dict[
             tuple[int, int], Message
         ] = {}  # by version and the base that it rests on (0: whole)
-        self.watchers: dict[str, Watcher] = {}
-        self.behind: dict[str, Watcher] = {}
-        self.beats: deque[tuple[int, Watcher]] = deque()  # when each is due, in that order
+        self.watchers: dict[str, ConnectedWatcher] = {}
+        self.behind: dict[str, ConnectedWatcher] = {}
+        self.beats: deque[tuple[int, ConnectedWatcher]] = deque()  # when each is due, in that order
         self.seen: dict[str, Seen] = {}
         self.may_send = float(bytes_a_second)
         self.filled_at = host.now()
@@ -109,14 +111,14 @@
 
     def beat(self) -> Message:
         """What a connection hears first, and all of them every second."""
-        return Beat(self.latest.number if self.latest is not None else 0, self.host.is_fresh()).message()
+        return Heartbeat(self.latest.number if self.latest is not None else 0, self.host.is_fresh()).message()
 
-    def said(self, name: str, have: Have) -> None:
+    def said(self, name: str, have: WatchStatus) -> None:
         """A watcher says what it has: its first word makes it one."""
         now = self.host.now()
         watcher = self.watchers.get(name)
         if watcher is None:
-            watcher = self.watchers[name] = Watcher(name, have, now)
+            watcher = self.watchers[name] = ConnectedWatcher(name, have, now)
             self.beats.append((now + BEAT_EVERY, watcher))
             self._wake_by(now + BEAT_EVERY)
         watcher.have, watcher.heard_at = have, now
@@ -157,7 +159,7 @@
             for name, seen in self.seen.items()
         ]
 
-    def _reason(self, have: Have) -> str:
+    def _reason(self, have: WatchStatus) -> str:
         ours = self.known.get(have.number)
         if ours is not None and ours.digest != have.digest:
             return f"it holds another version {have.number} than this server: it was fed by another set"
@@ -165,7 +167,7 @@
 
     # ---- Inside ----
 
-    def _wanted(self, have: Have) -> Version | None:
+    def _wanted(self, have: WatchStatus) -> Version | None:
         """What a watcher is to be given; None where it has all that it can have."""
         if self.latest is None or have.number > self.latest.number:
             return None
@@ -174,7 +176,7 @@
         number = max((n for n in self.known if have.in_force < n < have.refused), default=0)
         return self.known.get(number)
 
-    def _look(self, watcher: Watcher) -> None:
+    def _look(self, watcher: ConnectedWatcher) -> None:
         if self._wanted(watcher.have) is not None:
             self.behind[watcher.name] = watcher
             self._wake_by(self.host.now())
@@ -201,7 +203,7 @@
                 self._push(watcher, now)
                 self._wake_by(watcher.sent_at + PUSH_AGAIN)
 
-    def _push(self, watcher: Watcher, now: int) -> None:
+    def _push(self, watcher: ConnectedWatcher, now: int) -> None:
         version = self._wanted(watcher.have)
         assert version is not None
         if watcher.sent_at:
--- a/ploverspoke/distribution/client.py
+++ b/ploverspoke/config_distribution/client.py
@@ -1,4 +1,5 @@
-"""A watcher on sockets: a thin driver of `Watch`, with the cache of the last version that was taken."""
+"""A watcher on sockets: a thin driver of `ConfigWatcher`, with the cache of the last version that was
+taken."""
 
 import asyncio
 import json
@@ -9,14 +10,14 @@
 from pathlib import Path
 from typing import Any, cast
 
-from ploverspoke.consensus.frames import BadFrame, Frames
-from ploverspoke.transport.log_lines import say
+from ploverspoke.consensus.framing import FrameCodec, FrameError
+from ploverspoke.transport.rate_limited_log import log_line
 
-from .orders import WatchOrders
+from .cluster_config import WatchConfig
+from .messages import Message, greeting, is_number
 from .overlay import LONGEST_BODY
-from .parcels import Message, greeting, is_number
-from .versions import digest_of
-from .watch import NOTHING, Taken, Watch
+from .state_machine import digest_of
+from .watcher import NOTHING, AppliedVersion, ConfigWatcher
 
 LONGEST_NAP = 60.0  # seconds
 CACHE_EVERY = 1.0  # seconds, at the most so often
@@ -30,7 +31,7 @@
     def __init__(self, client: "WatchClient", link: int) -> None:
         self.client = client
         self.link = link
-        self.frames = Frames(client.orders.secret, greeting(client.name, client.orders.cluster))
+        self.frames = FrameCodec(client.orders.secret, greeting(client.name, client.orders.cluster))
         self.transport: asyncio.Transport | None = None
         self.ready = False
         self.over = False
@@ -40,7 +41,7 @@
         if self.over:
             self.transport.abort()
         else:
-            self.transport.write(self.frames.hello())
+            self.transport.write(self.frames.greeting_frame())
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.transport = None
@@ -50,12 +51,12 @@
         if self.over:
             return
         try:
-            messages = self.frames.feed(data)
-        except (BadFrame, KeyError, TypeError, ValueError) as error:
-            say(f"config: a message is refused: {error}")
+            messages = self.frames.decode(data)
+        except (FrameError, KeyError, TypeError, ValueError) as error:
+            log_line(f"config: a message is refused: {error}")
             self.close()
             return
-        if self.frames.other is not None and not self.ready:
+        if self.frames.peer_greeting is not None and not self.ready:
             self.ready = True
             self.client.greeted(self)
         for message in messages:
@@ -67,15 +68,15 @@
 
 
 class WatchClient:
-    """The host of a `Watch`. `take` puts a body in force, or says why not."""
+    """The host of a `ConfigWatcher`. `take` puts a body in force, or says why not."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        orders: WatchOrders,
+        orders: WatchConfig,
         name: str,
         take: Take,
-        taken: Taken = NOTHING,
+        taken: AppliedVersion = NOTHING,
         seed: int | None = None,
     ) -> None:
         """`taken` is what is in force already. `seed`: of its chance; None: the system's."""
@@ -84,14 +85,14 @@
         self.name = name
         self.take_body = take
         self.chance = random.Random(int.from_bytes(os.urandom(8), "big") if seed is None else seed)
-        self.watch = Watch(self, orders.cluster, orders.servers, orders.near, taken)
+        self.watch = ConfigWatcher(self, orders.cluster, orders.servers, orders.near, taken)
         self.connections: dict[int, ServerConnection] = {}
         self.dialling: dict[int, asyncio.Task[None]] = {}
         self.timer: asyncio.TimerHandle | None = None
         self.timer_for = 0
         self.writing: asyncio.TimerHandle | None = None  # from the first that is to be kept to its end
         self.write_after = 0.0  # by the loop's clock
-        self.to_write: Taken | None = None
+        self.to_write: AppliedVersion | None = None
         self.closed = False
 
     def begin(self) -> None:
@@ -110,7 +111,7 @@
             try:
                 write_cache(self.orders, self.to_write)
             except OSError as error:
-                say(f"config: the cache cannot be written: {error}")
+                log_line(f"config: the cache cannot be written: {error}")
 
     # ---- The watch's host ----
 
@@ -120,8 +121,8 @@
     def fraction(self) -> float:
         return self.chance.random()
 
-    def say(self, line: str) -> None:
-        say(line)
+    def log(self, line: str) -> None:
+        log_line(line)
 
     def dial(self, link: int, where: str) -> None:
         connection = self.connections[link] = ServerConnection(self, link)
@@ -140,12 +141,12 @@
         if connection is None or connection.transport is None or not connection.ready:
             return
         if connection.transport.get_write_buffer_size() <= MOST_UNSENT:  # what is left out is said again
-            connection.transport.write(connection.frames.write(message))
+            connection.transport.write(connection.frames.encode(message))
 
     def take(self, number: int, digest: bytes, body: str) -> str:
         reason = self.take_body(number, body)
         if not reason:
-            self._keep(Taken(number, digest, body))
+            self._keep(AppliedVersion(number, digest, body))
         return reason
 
     # ---- What happens ----
@@ -193,7 +194,7 @@
 
     # ---- The cache ----
 
-    def _keep(self, taken: Taken) -> None:
+    def _keep(self, taken: AppliedVersion) -> None:
         """Written at once, but in a burst the latest alone each second."""
         self.to_write = taken
         if self.writing is None and not self.closed:
@@ -210,7 +211,7 @@
     def _written(self, error: BaseException | None) -> None:
         self.writing = None
         if error is not None:
-            say(f"config: the cache cannot be written: {error}")
+            log_line(f"config: the cache cannot be written: {error}")
         if self.to_write is not None:
             self._keep(self.to_write)
 
@@ -232,7 +233,7 @@
         }
 
 
-def write_cache(orders: WatchOrders, taken: Taken) -> None:
+def write_cache(orders: WatchConfig, taken: AppliedVersion) -> None:
     """Replaces the file whole. Raises OSError."""
     told = {
         "format": CACHE_FORMAT,
@@ -247,7 +248,7 @@
     os.replace(new, orders.cache)
 
 
-def read_cache(orders: WatchOrders) -> tuple[Taken, str]:
+def read_cache(orders: WatchConfig) -> tuple[AppliedVersion, str]:
     """The last version that was taken, and why there is none where it is of no use."""
     path: Path = orders.cache
     try:
@@ -267,4 +268,4 @@
         return NOTHING, ""
     except (OSError, ValueError, KeyError, TypeError, AttributeError, RecursionError) as error:
         return NOTHING, f"{type(error).__name__}: {error}"
-    return Taken(number, bytes.fromhex(told["digest"]), body), ""
+    return AppliedVersion(number, bytes.fromhex(told["digest"]), body), ""
--- a/ploverspoke/distribution/commands.py
+++ b/ploverspoke/config_distribution/commands.py
@@ -10,14 +10,14 @@
 
 import click
 
-from ploverspoke.consensus.tools import say
-from ploverspoke.program.briefing import briefing_of
-from ploverspoke.program.checked import BadKey, first_missing
+from ploverspoke.consensus.command_line import print_rows
+from ploverspoke.service.config import parse_config
+from ploverspoke.service.config_reader import ConfigError, first_missing_key
 
-from .asking import Fleet, NoServer, ask_all, body_of, fleet, versions, wait_for
-from .asking import publish as publish_body
-from .orders import ConfigServers, read_config_servers
-from .overlay import lay_on, read_body
+from .admin_client import Fleet, NoServerAvailableError, ask_all, body_of, fleet, versions, wait_for
+from .admin_client import publish as publish_body
+from .cluster_config import ConfigServers, read_config_servers
+from .overlay import apply_overlay, read_body
 
 EXISTS = click.Path(exists=True, dir_okay=False, path_type=Path)
 FILE = click.argument("file", type=EXISTS)
@@ -41,11 +41,11 @@
 def _servers(file: Path) -> ConfigServers:
     try:
         return read_config_servers(file)
-    except BadKey as error:
+    except ConfigError as error:
         raise click.UsageError(str(error)) from None
 
 
-def _end(error: NoServer, as_json: bool) -> NoReturn:
+def _end(error: NoServerAvailableError, as_json: bool) -> NoReturn:
     if as_json:
         click.echo(json.dumps({"done": False, "why": str(error)}))
     click.echo(f"ploverspoke: no config server leads or answers: {error}", err=True)
@@ -62,7 +62,7 @@
     Exit 0: told to end. 2: the file or the disk is of no use, and why is said.
     """
     try:
-        from .serving import main
+        from .daemon import main
     except ModuleNotFoundError as error:
         raise click.ClickException(
             f"a config server needs {error.name}: install ploverspoke[daemon]"
@@ -130,15 +130,15 @@
 
 
 def _check_against(text: str, against: Path) -> None:
-    """As that dispatcher will. Raises BadKey."""
+    """As that dispatcher will. Raises ConfigError."""
     try:
         own = json.loads(against.read_text(encoding="utf-8"))
     except (OSError, ValueError) as error:
-        raise BadKey(f"{against}: {error}") from None
-    briefing = briefing_of(lay_on(own, read_body(text)), os.environ)
-    missing = first_missing({key: value for key, value in own.items() if key != "known"}, briefing.told)
+        raise ConfigError(f"{against}: {error}") from None
+    briefing = parse_config(apply_overlay(own, read_body(text)), os.environ)
+    missing = first_missing_key({key: value for key, value in own.items() if key != "known"}, briefing.told)
     if missing is not None:
-        raise BadKey(f"{missing} is missing: {against} has it")
+        raise ConfigError(f"{missing} is missing: {against} has it")
 
 
 def _publish(
@@ -149,7 +149,7 @@
         if told["done"] and wait > 0:
             found = wait_for(servers, told["version"], wait)
             told |= {"fleet": found._asdict(), "in_force": not found.behind and not found.refused}
-    except NoServer as error:
+    except NoServerAvailableError as error:
         _end(error, as_json)
     if as_json:
         click.echo(json.dumps(told))
@@ -190,15 +190,15 @@
     ]
     try:
         found = fleet(servers)
-    except NoServer as error:
+    except NoServerAvailableError as error:
         if not as_json:
-            say(rows, False)
+            print_rows(rows, False)
         _end(error, as_json)
     if as_json:
         click.echo(json.dumps({"servers": rows, "fleet": found._asdict()}, indent=2))
     else:
         keys = ("name", "role", "why", "version", "fresh", "watchers", "watchers_behind")
-        say([{key: row[key] for key in keys if key in row} for row in rows], False)
+        print_rows([{key: row[key] for key in keys if key in row} for row in rows], False)
         _say_fleet(found)
     sys.exit(NOT_DONE if found.behind or found.refused else 0)
 
@@ -229,9 +229,9 @@
     """The versions that are kept, the latest last."""
     try:
         rows = versions(_servers(file))
-    except NoServer as error:
+    except NoServerAvailableError as error:
         _end(error, as_json)
-    say([{"version": n, "digest": digest, "by": by, "id": i} for n, digest, by, i in rows], as_json)
+    print_rows([{"version": n, "digest": digest, "by": by, "id": i} for n, digest, by, i in rows], as_json)
 
 
 @config.command()
@@ -257,7 +257,7 @@
     if old is None:
         try:
             rows = versions(servers)
-        except NoServer as error:
+        except NoServerAvailableError as error:
             _end(error, False)
         old = rows[-2][0] if len(rows) > 1 else 1
     before, after = (
@@ -272,7 +272,7 @@
     """Ends the call where no server has it."""
     try:
         found: dict[str, Any] = body_of(servers, version)
-    except NoServer as error:
+    except NoServerAvailableError as error:
         _end(error, as_json)
     if not found["n"]:
         click.echo(f"ploverspoke: version {version or 'any'} is not kept", err=True)
--- a/ploverspoke/distribution/daemon.py
+++ b/ploverspoke/config_distribution/dynamic_config.py
@@ -1,4 +1,4 @@
-"""The dispatcher with a watch: the program of `program/service.py`, its configuration laid over by versions.
+"""The dispatcher with a watch: the program of `service/service.py`, its configuration laid over by versions.
 
 What is in force is the dispatcher's own file with the last version laid on that passed the same checks as a
 file does. Where none did, or no server was ever heard, the file alone.
@@ -14,26 +14,26 @@
 
 import uvloop
 
-from ploverspoke.program.briefing import Briefing, briefing_of, read_told
-from ploverspoke.program.checked import BadKey, first_missing
-from ploverspoke.program.early import hold_signals
-from ploverspoke.program.exits import exit_code
-from ploverspoke.program.neighbours import Neighbours
-from ploverspoke.program.passed import passed_socket
-from ploverspoke.program.service import Service
-from ploverspoke.protocol import operators
-from ploverspoke.transport.log_lines import say
+from ploverspoke.protocol import admin
+from ploverspoke.service.config import Config, parse_config, read_config_document
+from ploverspoke.service.config_reader import ConfigError, first_missing_key
+from ploverspoke.service.exit_codes import run_with_exit_code
+from ploverspoke.service.handover import ProcessRegistry
+from ploverspoke.service.inherited_socket import inherited_socket
+from ploverspoke.service.service import Service
+from ploverspoke.service.startup import block_signals
+from ploverspoke.transport.rate_limited_log import log_line
 
 from .client import WatchClient, read_cache
-from .orders import WatchOrders, read_watch_orders
-from .overlay import lay_on, read_body
-from .parcels import LONGEST_NAME, is_name
-from .watch import NOTHING, Taken
+from .cluster_config import WatchConfig, read_watch_config
+from .messages import LONGEST_NAME, is_name
+from .overlay import apply_overlay, read_body
+from .watcher import NOTHING, AppliedVersion
 
 
-def put_together(own: Any, body: str, environment: Mapping[str, str]) -> Briefing:
-    """A dispatcher's own configuration with a version's body laid on ("": none). Raises BadKey."""
-    return briefing_of(lay_on(own, read_body(body)) if body else own, environment)
+def merge_config(own: Any, body: str, environment: Mapping[str, str]) -> Config:
+    """A dispatcher's own configuration with a version's body laid on ("": none). Raises ConfigError."""
+    return parse_config(apply_overlay(own, read_body(body)) if body else own, environment)
 
 
 def without_list(own: Mapping[str, Any]) -> dict[str, Any]:
@@ -41,22 +41,27 @@
     return {key: value for key, value in own.items() if key != "known"}
 
 
-def first_briefing(own: Any, orders: WatchOrders, environment: Mapping[str, str]) -> tuple[Briefing, Taken]:
-    """At start: the file with the version of the cache, or the file alone, and it is said. Raises BadKey."""
-    alone = put_together(own, "", environment)
+def initial_config(
+    own: Any, orders: WatchConfig, environment: Mapping[str, str]
+) -> tuple[Config, AppliedVersion]:
+    """At start: the file with the version of the cache, or the file alone, and it is said. Raises
+    ConfigError."""
+    alone = merge_config(own, "", environment)
     taken, why = read_cache(orders)
     if taken is not NOTHING:
         try:
-            briefing = put_together(own, taken.body, environment)
-            say(f"config: version {taken.number} in force ({taken.digest.hex()[:16]}), from the cache")
+            briefing = merge_config(own, taken.body, environment)
+            log_line(f"config: version {taken.number} in force ({taken.digest.hex()[:16]}), from the cache")
             return briefing, taken
         except ValueError as error:
             why = f"version {taken.number}: {error}"
-    say(f"config: no version in force, the file alone{': the cache is of no use: ' + why if why else ''}")
+    log_line(
+        f"config: no version in force, the file alone{': the cache is of no use: ' + why if why else ''}"
+    )
     return alone, NOTHING
 
 
-class Laying:
+class VersionApplier:
     """Lays versions on one service's own configuration."""
 
     def __init__(
@@ -64,7 +69,7 @@
         service: Service,
         own: Any,
         read_own: Callable[[], Any],
-        taken: Taken,
+        taken: AppliedVersion,
         environment: Mapping[str, str],
     ) -> None:
         self.service = service
@@ -81,7 +86,7 @@
         """
         service, before = self.service, self.service.briefing
         try:
-            new = put_together(self.own, body, self.environment)
+            new = merge_config(self.own, body, self.environment)
             service.briefing = before._replace(told=without_list(self.own))
             service.take_configuration(new)
         except Exception as error:
@@ -93,24 +98,24 @@
         self.body = body
         return ""
 
-    def read(self) -> Briefing:
-        """At SIGHUP: the file again, the version in force laid on. Raises BadKey."""
+    def read(self) -> Config:
+        """At SIGHUP: the file again, the version in force laid on. Raises ConfigError."""
         own = self.read_own()
-        briefing = put_together(own, self.body, self.environment)
-        missing = first_missing(self.service.briefing.told, briefing.told)
+        briefing = merge_config(own, self.body, self.environment)
+        missing = first_missing_key(self.service.briefing.told, briefing.told)
         if missing is not None:
-            raise BadKey(f"{missing} is missing: the configuration in force has it")
+            raise ConfigError(f"{missing} is missing: the configuration in force has it")
         self.own = own  # only what will be taken: the versions after it rest on it
         return briefing
 
 
 def attach(
     service: Service,
-    orders: WatchOrders,
+    orders: WatchConfig,
     own: Any,
     *,
     read_own: Callable[[], Any] | None = None,
-    taken: Taken = NOTHING,
+    taken: AppliedVersion = NOTHING,
     seed: int | None = None,
     environment: Mapping[str, str] | None = None,
     begin: bool = True,
@@ -122,11 +127,11 @@
     watch's chance.
     """
     if not is_name(service.briefing.name):
-        raise BadKey(
+        raise ConfigError(
             f"name is {service.briefing.name!r}: config servers expect 1 to {LONGEST_NAME} characters"
         )
     read = read_own if read_own is not None else lambda: own
-    laying = Laying(service, own, read, taken, environment if environment is not None else {})
+    laying = VersionApplier(service, own, read, taken, environment if environment is not None else {})
     client = WatchClient(service.loop, orders, service.briefing.name, laying.take, taken, seed)
     service.read = laying.read
     service.operators.calls["config"] = partial(answer, client)
@@ -139,26 +144,26 @@
     """To `config` at the operators' door."""
     watch = client.watch
     if watch.reason:
-        return operators.said_no(f"version {watch.came.number} refused: {watch.reason}")
-    lines = [operators.figure(key, value) for key, value in client.figures().items()]
-    return operators.said_yes(f"version {watch.in_force} in force") + operators.figures(lines)[len("+OK\n") :]
+        return admin.said_no(f"version {watch.came.number} refused: {watch.reason}")
+    lines = [admin.figure(key, value) for key, value in client.figures().items()]
+    return admin.said_yes(f"version {watch.in_force} in force") + admin.figures(lines)[len("+OK\n") :]
 
 
 def _run(watch_file: Path) -> None:
-    orders = read_watch_orders(watch_file)
-    own = read_told(os.environ)
-    briefing, taken = first_briefing(own, orders, os.environ)
+    orders = read_watch_config(watch_file)
+    own = read_config_document(os.environ)
+    briefing, taken = initial_config(own, orders, os.environ)
     loop = uvloop.new_event_loop()
     asyncio.set_event_loop(loop)
     service = Service(loop, briefing)
-    service.listening = passed_socket(os.environ)
+    service.listening = inherited_socket(os.environ)
     if service.listening is not None:
-        service.neighbours = Neighbours(os.environ.get("TMPDIR"))
+        service.neighbours = ProcessRegistry(os.environ.get("TMPDIR"))
     client = attach(
         service,
         orders,
         own,
-        read_own=partial(read_told, os.environ),
+        read_own=partial(read_config_document, os.environ),
         taken=taken,
         environment=os.environ,
         begin=False,
@@ -172,5 +177,5 @@
 
 def main(watch_file: Path) -> int:
     """Exit 0: told to end. 2: the configuration or the watch's file cannot be used; says why."""
-    hold_signals()
-    return exit_code(partial(_run, watch_file))
+    block_signals()
+    return run_with_exit_code(partial(_run, watch_file))
--- a/ploverspoke/distribution/parcels.py
+++ b/ploverspoke/config_distribution/messages.py
@@ -9,7 +9,7 @@
 from typing import Any, NamedTuple, TypeGuard
 
 from .overlay import LONGEST_BODY
-from .versions import DIGEST, Version, digest_of
+from .state_machine import DIGEST, Version, digest_of
 
 FORMAT = 1  # of parcels and of what is said around them
 LONGEST_NAME = 128
@@ -20,11 +20,11 @@
 Message = dict[str, Any]
 
 
-class Refused(ValueError):
+class VersionRejectedError(ValueError):
     """A message that is not taken; says why."""
 
 
-class Have(NamedTuple):
+class WatchStatus(NamedTuple):
     """What a watcher says of itself."""
 
     number: int  # the latest version that came to it unharmed; 0: none
@@ -40,7 +40,7 @@
         return told | {"all": True} if self.whole else told
 
 
-class Beat(NamedTuple):
+class Heartbeat(NamedTuple):
     """What a server says once a second: its latest version, and whether it has heard of a leader lately."""
 
     number: int
@@ -73,31 +73,31 @@
 
 
 def unpack(message: Message, cluster: str, base: str) -> tuple[int, bytes, str]:
-    """Number, digest and body of a parcel; `base` is the body that we have. Raises Refused."""
+    """Number, digest and body of a parcel; `base` is the body that we have. Raises VersionRejectedError."""
     if message.get("v") != FORMAT:
-        raise Refused(f"format version {message.get('v')!r:.20}, this release reads {FORMAT}")
+        raise VersionRejectedError(f"format version {message.get('v')!r:.20}, this release reads {FORMAT}")
     if message.get("c") != cluster:
-        raise Refused(f"it is of cluster {message.get('c')!r:.60}, not of {cluster!r}")
+        raise VersionRejectedError(f"it is of cluster {message.get('c')!r:.60}, not of {cluster!r}")
     number, digest, data = message.get("n"), message.get("d"), message.get("z")
     if not is_number(number) or not number or not _is_digest(digest) or not isinstance(data, bytes):
-        raise Refused("a parcel that is none")
+        raise VersionRejectedError("a parcel that is none")
     wants = message.get("b")
     if wants is not None and wants != digest_of(base):
-        raise Refused(f"version {number} rests on a body that is not ours")
+        raise VersionRejectedError(f"version {number} rests on a body that is not ours")
     unpacker = (
         zlib.decompressobj(WINDOW) if wants is None else zlib.decompressobj(WINDOW, zdict=base.encode())
     )
     try:
         told = unpacker.decompress(data, LONGEST_BODY + 1)
         if len(told) > LONGEST_BODY:
-            raise Refused(f"version {number} is over {LONGEST_BODY} bytes")
+            raise VersionRejectedError(f"version {number} is over {LONGEST_BODY} bytes")
         body = told.decode()
     except (zlib.error, UnicodeDecodeError) as error:
-        raise Refused(f"version {number} cannot be unpacked: {error}"[:LONGEST_REASON]) from None
+        raise VersionRejectedError(f"version {number} cannot be unpacked: {error}"[:LONGEST_REASON]) from None
     if not unpacker.eof or unpacker.unused_data:
-        raise Refused(f"version {number} is cut off, or has something behind it")
+        raise VersionRejectedError(f"version {number} is cut off, or has something behind it")
     if digest_of(body) != digest:
-        raise Refused(f"version {number} has the wrong digest")
+        raise VersionRejectedError(f"version {number} has the wrong digest")
     return number, digest, body
 
 
@@ -122,27 +122,27 @@
     return isinstance(value, str) and 0 < len(value) <= LONGEST_NAME and value.isprintable()
 
 
-def read_have(message: Any) -> Have:
-    """Raises Refused."""
+def read_watch_status(message: Any) -> WatchStatus:
+    """Raises VersionRejectedError."""
     if not isinstance(message, dict) or message.get("k") != "have":
-        raise Refused("not what a watcher says")
+        raise VersionRejectedError("not what a watcher says")
     number, digest, in_force = message.get("n"), message.get("d"), message.get("f")
     reason, refused, whole = message.get("w"), message.get("r"), message.get("all", False)
     if not is_number(number) or not is_number(in_force) or not is_number(refused):
-        raise Refused("what a watcher has is no number")
+        raise VersionRejectedError("what a watcher has is no number")
     if not isinstance(reason, str):
-        raise Refused("a reason that is none")
+        raise VersionRejectedError("a reason that is none")
     if not isinstance(digest, bytes) or len(digest) not in (0, DIGEST):
-        raise Refused("a digest that is none")
-    return Have(number, digest, in_force, printable(reason), whole is True, refused)
+        raise VersionRejectedError("a digest that is none")
+    return WatchStatus(number, digest, in_force, printable(reason), whole is True, refused)
 
 
-def read_beat(message: Message) -> Beat:
-    """Raises Refused."""
+def read_heartbeat(message: Message) -> Heartbeat:
+    """Raises VersionRejectedError."""
     number, fresh = message.get("n"), message.get("l")
     if not is_number(number) or not isinstance(fresh, bool):
-        raise Refused("a heartbeat that is none")
-    return Beat(number, fresh)
+        raise VersionRejectedError("a heartbeat that is none")
+    return Heartbeat(number, fresh)
 
 
 def greeting(name: str, cluster: str) -> Message:
@@ -151,12 +151,16 @@
 
 
 def read_greeting(other: Mapping[str, Any], cluster: str) -> str:
-    """The name of who watches. Raises Refused."""
+    """The name of who watches. Raises VersionRejectedError."""
     name, told = other.get("id"), other.get("watch")
     if not is_name(name):
-        raise Refused("a greeting without a name")
+        raise VersionRejectedError("a greeting without a name")
     if told != FORMAT:
-        raise Refused(f"{name} speaks format version {told!r}, this release {FORMAT}"[:LONGEST_REASON])
+        raise VersionRejectedError(
+            f"{name} speaks format version {told!r}, this release {FORMAT}"[:LONGEST_REASON]
+        )
     if other.get("cluster") != cluster:
-        raise Refused(f"{name} watches cluster {other.get('cluster')!r}, not {cluster!r}"[:LONGEST_REASON])
+        raise VersionRejectedError(
+            f"{name} watches cluster {other.get('cluster')!r}, not {cluster!r}"[:LONGEST_REASON]
+        )
     return name
--- a/ploverspoke/distribution/overlay.py
+++ b/ploverspoke/config_distribution/overlay.py
@@ -8,7 +8,7 @@
 from collections.abc import Mapping
 from typing import Any
 
-from ploverspoke.program.checked import BadKey
+from ploverspoke.service.config_reader import ConfigError
 
 SETTINGS, DISCOVERY, ZONES = "settings", "discovery", "zones"
 PARTS = (SETTINGS, DISCOVERY)
@@ -18,31 +18,34 @@
 
 
 def read_body(text: str) -> dict[str, Any]:
-    """A body, its structure checked: what it may speak of, not whether its values are good. Raises BadKey."""
+    """A body, its structure checked: what it may speak of, not whether its values are good. Raises
+    ConfigError."""
     if len(text.encode("utf-8", "surrogatepass")) > LONGEST_BODY:
-        raise BadKey(f"the body: expected {LONGEST_BODY} bytes at the most")
+        raise ConfigError(f"the body: expected {LONGEST_BODY} bytes at the most")
     try:
         body = json.loads(text, parse_constant=_no_number, object_pairs_hook=_once_each)
         text.encode()
-    except BadKey:
+    except ConfigError:
         raise
     except (ValueError, RecursionError) as error:
-        raise BadKey(f"the body is no JSON: {error}"[:200]) from None
+        raise ConfigError(f"the body is no JSON: {error}"[:200]) from None
     if not isinstance(body, dict):
-        raise BadKey("the body: expected an object")
+        raise ConfigError("the body: expected an object")
     for key in body:
         if key not in (*PARTS, ZONES):
-            raise BadKey(f"{key}: a dispatcher's own, expected settings, discovery and zones alone"[:200])
+            raise ConfigError(
+                f"{key}: a dispatcher's own, expected settings, discovery and zones alone"[:200]
+            )
     _check_parts({key: value for key, value in body.items() if key in PARTS}, "")
     zones = body.get(ZONES, {})
     if not isinstance(zones, dict):
-        raise BadKey("zones: expected an object")
+        raise ConfigError("zones: expected an object")
     for name, parts in zones.items():
         if not isinstance(parts, dict):
-            raise BadKey(f"zones.{name}: expected an object"[:200])
+            raise ConfigError(f"zones.{name}: expected an object"[:200])
         for key in parts:
             if key not in PARTS:
-                raise BadKey(f"zones.{name}.{key}: expected settings and discovery alone"[:200])
+                raise ConfigError(f"zones.{name}.{key}: expected settings and discovery alone"[:200])
         _check_parts(parts, f"zones.{name}.")
     return body
 
@@ -65,10 +68,10 @@
     return merged
 
 
-def lay_on(own: Any, body: Mapping[str, Any]) -> Any:
+def apply_overlay(own: Any, body: Mapping[str, Any]) -> Any:
     """A dispatcher's own configuration with a body laid on; the common part first, then that of its zone."""
     if not isinstance(own, Mapping):
-        return own  # `briefing_of` says what is wrong with it
+        return own  # `parse_config` says what is wrong with it
     laid = merge_patch(own, {key: body[key] for key in PARTS if key in body})
     parts = body.get(ZONES, {}).get(zone_of(laid))
     return laid if parts is None else merge_patch(laid, parts)
@@ -87,12 +90,12 @@
 
 def _check_parts(parts: Mapping[str, Any], path: str) -> None:
     if not isinstance(parts.get(SETTINGS, {}), dict):
-        raise BadKey(f"{path}settings: expected an object")
+        raise ConfigError(f"{path}settings: expected an object")
     if not isinstance(parts.get(DISCOVERY, ""), str):
-        raise BadKey(f"{path}discovery: expected a text")
+        raise ConfigError(f"{path}discovery: expected a text")
     for key in OWN_SETTINGS:
         if key in parts.get(SETTINGS, {}):
-            raise BadKey(f"{path}settings.{key}: a dispatcher's own, no version may set it")
+            raise ConfigError(f"{path}settings.{key}: a dispatcher's own, no version may set it")
     _check_depth(parts, path.rstrip(".") or "the body")
 
 
@@ -101,7 +104,7 @@
     while level:
         depth += 1
         if depth > DEEPEST:
-            raise BadKey(f"{path}: expected {DEEPEST} levels at the most"[:200])
+            raise ConfigError(f"{path}: expected {DEEPEST} levels at the most"[:200])
         level = [
             inner
             for one in level
@@ -115,9 +118,9 @@
     if len(found) < len(pairs):
         keys = [key for key, _ in pairs]
         twice = next(key for key in keys if keys.count(key) > 1)
-        raise BadKey(f"{twice}: twice in one object"[:200])
+        raise ConfigError(f"{twice}: twice in one object"[:200])
     return found
 
 
 def _no_number(name: str) -> Any:
-    raise BadKey(f"the body: {name} is no number of JSON")
+    raise ConfigError(f"the body: {name} is no number of JSON")
--- a/ploverspoke/distribution/door.py
+++ b/ploverspoke/config_distribution/server.py
@@ -3,11 +3,11 @@
 import asyncio
 from typing import Any, cast
 
-from ploverspoke.consensus.frames import BadFrame, Frames
-from ploverspoke.transport.log_lines import say
+from ploverspoke.consensus.framing import FrameCodec, FrameError
+from ploverspoke.transport.rate_limited_log import log_line
 
-from .node import ConfigServerNode
-from .parcels import Message, Refused, read_greeting, read_have
+from .messages import Message, VersionRejectedError, read_greeting, read_watch_status
+from .server_node import ConfigServerNode
 
 BACKLOG = 1024
 MOST_UNSENT = 1 << 20  # bytes, towards one that does not read
@@ -16,9 +16,9 @@
 
 
 class WatcherConnection(asyncio.Protocol):
-    def __init__(self, door: "Door") -> None:
+    def __init__(self, door: "ConfigServer") -> None:
         self.door = door
-        self.frames = Frames(door.node.orders.secret, {"id": door.node.me, "store": ""})
+        self.frames = FrameCodec(door.node.orders.secret, {"id": door.node.me, "store": ""})
         self.transport: asyncio.Transport | None = None
         self.name = ""  # once it has greeted
         self.watches = False  # once it has said what it has
@@ -28,7 +28,7 @@
         self.transport = cast(asyncio.Transport, transport)
         self.door.came(self)
         self.late = asyncio.get_running_loop().call_later(SPEAKS_WITHIN, self.close)
-        self.transport.write(self.frames.hello())
+        self.transport.write(self.frames.greeting_frame())
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.transport = None
@@ -40,21 +40,21 @@
         if self.transport is None or self.transport.is_closing():
             return
         try:
-            messages = self.frames.feed(data)
-            if self.frames.other is not None and not self.name:
-                self.name = read_greeting(self.frames.other, self.door.node.orders.cluster)
+            messages = self.frames.decode(data)
+            if self.frames.peer_greeting is not None and not self.name:
+                self.name = read_greeting(self.frames.peer_greeting, self.door.node.orders.cluster)
                 self.write(self.door.node.feed.beat())
             for message in messages:
                 self.door.said(self, message)
-        except Refused as error:
+        except VersionRejectedError as error:
             self.door.refused += 1
-            say(f"config: a message is refused: {error}")
-            if self.frames.other is not None:
+            log_line(f"config: a message is refused: {error}")
+            if self.frames.peer_greeting is not None:
                 self.write({"k": "refused", "w": str(error)})
             self.end()
-        except (BadFrame, KeyError, TypeError, ValueError) as error:
+        except (FrameError, KeyError, TypeError, ValueError) as error:
             self.door.refused += 1
-            say(f"config: a message is refused: {error}")
+            log_line(f"config: a message is refused: {error}")
             self.close()
 
     def write(self, message: Message) -> int:
@@ -64,7 +64,7 @@
         if self.transport.get_write_buffer_size() > MOST_UNSENT:
             self.close()
             return 0
-        data = self.frames.write(message)
+        data = self.frames.encode(message)
         self.transport.write(data)
         return len(data)
 
@@ -78,7 +78,7 @@
             self.transport.abort()
 
 
-class Door:
+class ConfigServer:
     def __init__(self, node: ConfigServerNode) -> None:
         self.node = node
         node.send_watcher = self.send
@@ -108,7 +108,7 @@
             connection.close()
 
     def said(self, connection: WatcherConnection, message: Any) -> None:
-        have, name = read_have(message), connection.name
+        have, name = read_watch_status(message), connection.name
         feed = self.node.feed
         if not connection.watches:
             if not feed.has_room_for(name):
@@ -122,7 +122,7 @@
             self.watching[name] = connection
             if old is not None:
                 feed.gone(name)
-                say(f"config: {name} came again, its older connection is closed")
+                log_line(f"config: {name} came again, its older connection is closed")
                 old.close()
         if self.watching.get(name) is connection:
             feed.said(name, have)
@@ -143,5 +143,5 @@
     def drop(self, name: str, why: str) -> None:
         connection = self.watching.pop(name, None)
         if connection is not None:
-            say(f"config: {name} is let go: {why}")
+            log_line(f"config: {name} is let go: {why}")
             connection.close()
--- a/ploverspoke/distribution/node.py
+++ b/ploverspoke/config_distribution/server_node.py
@@ -1,20 +1,21 @@
-"""A config server on a disk and on sockets: a thin driver of `Feed` on a replica that keeps `Versions`."""
+"""A config server on a disk and on sockets: a thin driver of `VersionBroadcaster` on a replica that keeps
+`ConfigStateMachine`."""
 
 import asyncio
 from collections.abc import Callable
 from typing import Any, cast
 
-from ploverspoke.consensus.disk import Disk
-from ploverspoke.consensus.members import PEERS
-from ploverspoke.consensus.node import Node, Reply
-from ploverspoke.program.checked import BadKey
-from ploverspoke.transport.log_lines import say
+from ploverspoke.consensus.membership import PEERS
+from ploverspoke.consensus.node import ReplicaNode, Reply
+from ploverspoke.consensus.storage import ReplicaStorage
+from ploverspoke.service.config_reader import ConfigError
+from ploverspoke.transport.rate_limited_log import log_line
 
-from .feed import NEVER, Feed
-from .orders import ConfigServerOrders
+from .broadcaster import NEVER, VersionBroadcaster
+from .cluster_config import ConfigServerConfig
+from .messages import Message, is_number
 from .overlay import canonical, read_body
-from .parcels import Message, is_number
-from .versions import Version, Versions, digest_of, publish_command
+from .state_machine import ConfigStateMachine, Version, digest_of, publish_command
 
 COMMITTED = "committed version"  # on this replica's disk, beside the log
 FRESH_ELECTIONS = 3  # without a word of a leader for so many election time-outs a replica says so
@@ -22,12 +23,12 @@
 LONGEST_TEXT = 200  # of who publishes, and of a request's id
 
 
-class ConfigServerNode(Node):
-    def __init__(self, orders: ConfigServerOrders, disk: Disk | None = None) -> None:
-        self.versions = Versions()
+class ConfigServerNode(ReplicaNode):
+    def __init__(self, orders: ConfigServerConfig, disk: ReplicaStorage | None = None) -> None:
+        self.versions = ConfigStateMachine()
         super().__init__(orders.replica, self.versions, disk)
         replica = orders.replica
-        self.feed = Feed(self, replica.cluster, orders.most_watchers, orders.bytes_a_second)
+        self.feed = VersionBroadcaster(self, replica.cluster, orders.most_watchers, orders.bytes_a_second)
         self.send_watcher: Callable[[str, Message], int] = lambda name, message: 0
         self.drop_watcher: Callable[[str, str], None] = lambda name, why: None
         self.fresh_for = max(LEAST_FRESH, FRESH_ELECTIONS * replica.election)
@@ -51,7 +52,7 @@
             self.kept_number = version.number
             v = version
             self.keep(COMMITTED, [v.number, v.body, v.digest, v.canonical, v.by, v.id])
-            say(f"config: version {version.number} is committed ({version.says()})")
+            log_line(f"config: version {version.number} is committed ({version.says()})")
         self.feed_again()
 
     # ---- The feed's host ----
@@ -128,7 +129,7 @@
         try:
             body, expect, by, request = checked_request(question)
             same = digest_of(canonical(read_body(body)))
-        except BadKey as error:
+        except ConfigError as error:
             refusal = {"done": False, "version": self.versions.number(), "why": str(error), "bad": True}
             reply(refusal)
             return
@@ -156,14 +157,14 @@
 
 
 def checked_request(question: dict[str, Any]) -> tuple[str, int, str, str]:
-    """Body, expected version, by whom, and id of a publish request. Raises BadKey."""
+    """Body, expected version, by whom, and id of a publish request. Raises ConfigError."""
     body, expect = question.get("body"), question.get("expect")
     by, request = question.get("by"), question.get("id")
     if not isinstance(body, str):
-        raise BadKey("body: expected a text")
+        raise ConfigError("body: expected a text")
     if not is_number(expect):
-        raise BadKey("expect: expected the number of the version that is to be replaced, 0 for none")
+        raise ConfigError("expect: expected the number of the version that is to be replaced, 0 for none")
     for key, value in (("by", by), ("id", request)):
         if not isinstance(value, str) or not 0 < len(value) <= LONGEST_TEXT:
-            raise BadKey(f"{key}: expected a text of 1 to {LONGEST_TEXT} characters")
+            raise ConfigError(f"{key}: expected a text of 1 to {LONGEST_TEXT} characters")
     return body, expect, str(by), str(request)
--- a/ploverspoke/distribution/versions.py
+++ b/ploverspoke/config_distribution/state_machine.py
@@ -44,7 +44,7 @@
     why: str
 
 
-class Dump(msgspec.Struct, array_like=True):
+class ConfigSnapshot(msgspec.Struct, array_like=True):
     format: int
     versions: list[Version]
     answers: dict[str, Answer]
@@ -63,7 +63,7 @@
     return msgspec.msgpack.encode([PUBLISH, body, same, expect, by, request])
 
 
-class Versions:
+class ConfigStateMachine:
     """The state of the config servers' log."""
 
     def __init__(self) -> None:
@@ -80,10 +80,10 @@
         # A verb that a later release knows changes nothing here.
 
     def dump(self) -> bytes:
-        return msgspec.msgpack.encode(Dump(FORMAT, self.kept, self.answers))
+        return msgspec.msgpack.encode(ConfigSnapshot(FORMAT, self.kept, self.answers))
 
     def load(self, data: bytes) -> None:
-        dump = msgspec.msgpack.decode(data, type=Dump) if data else Dump(FORMAT, [], {})
+        dump = msgspec.msgpack.decode(data, type=ConfigSnapshot) if data else ConfigSnapshot(FORMAT, [], {})
         self.kept, self.answers = dump.versions, dump.answers
         for version in self.kept:
             self.on_version(version)
--- a/ploverspoke/distribution/watch.py
+++ b/ploverspoke/config_distribution/watcher.py
@@ -7,7 +7,7 @@
 
 from typing import Any, NamedTuple, Protocol
 
-from .parcels import Have, Message, Refused, printable, read_beat, unpack
+from .messages import Message, VersionRejectedError, WatchStatus, printable, read_heartbeat, unpack
 
 MILLISECOND = 1_000_000
 SECOND = 1000 * MILLISECOND
@@ -27,7 +27,7 @@
 NEVER = 1 << 62
 
 
-class WatchHost(Protocol):
+class ConfigWatcherEnvironment(Protocol):
     def now(self) -> int:
         """ns of a monotonic clock."""
 
@@ -45,11 +45,11 @@
     def take(self, number: int, digest: bytes, body: str) -> str:
         """Check a version and put it in force; why not, or "" where it is. A ValueError is a reason, too."""
 
-    def say(self, line: str) -> None:
+    def log(self, line: str) -> None:
         """For whoever reads the log."""
 
 
-class Taken(NamedTuple):
+class AppliedVersion(NamedTuple):
     """A version that came unharmed."""
 
     number: int
@@ -57,7 +57,7 @@
     body: str
 
 
-NOTHING = Taken(0, b"", "")
+NOTHING = AppliedVersion(0, b"", "")
 
 
 class Link:
@@ -82,9 +82,14 @@
         return self.heard_at + SILENCE + 1 if self.greeted_at else self.dialled_at + DIAL_WITHIN + 1
 
 
-class Watch:
+class ConfigWatcher:
     def __init__(
-        self, host: WatchHost, cluster: str, servers: list[str], near: list[str], taken: Taken = NOTHING
+        self,
+        host: ConfigWatcherEnvironment,
+        cluster: str,
+        servers: list[str],
+        near: list[str],
+        taken: AppliedVersion = NOTHING,
     ) -> None:
         """`taken` is what is in force at the start, from a cache."""
         self.host = host
@@ -143,12 +148,12 @@
             elif kind == "elsewhere":
                 self._leave(link, now)
             elif kind == "refused":
-                raise Refused(printable(f"the server refuses us: {message.get('w')}"))
+                raise VersionRejectedError(printable(f"the server refuses us: {message.get('w')}"))
             else:
-                raise Refused("not what a server says")
-        except Refused as error:
+                raise VersionRejectedError("not what a server says")
+        except VersionRejectedError as error:
             self.refused_messages += 1
-            self.host.say(f"config: a message is refused: {error} (from {link.where})")
+            self.host.log(f"config: a message is refused: {error} (from {link.where})")
             self._leave(link, now)
 
     def tick(self) -> None:
@@ -157,7 +162,7 @@
         for link in (self.link, self.trial):
             if link is not None and link.is_late(now):
                 if link is self.link and link.greeted_at:
-                    self.host.say(f"config: {link.where} is silent, another server is asked")
+                    self.host.log(f"config: {link.where} is silent, another server is asked")
                 self._leave(link, now)
         if self.link is None:
             if now >= self.next_dial:
@@ -185,7 +190,7 @@
     def connected(self) -> bool:
         return self.link is not None and self.link.server_has >= 0
 
-    # ---- Versions ----
+    # ---- ConfigStateMachine ----
 
     def _push(self, message: Message, now: int) -> None:
         came, number = self.came, message.get("n")
@@ -193,12 +198,12 @@
         if isinstance(number, int) and message.get("v") and 0 < number <= came.number and not skipped:
             if number < self.in_force:
                 self.refused_messages += 1
-                self.host.say(f"config: a message is refused: version {number} is older than {self.in_force}")
+                self.host.log(f"config: a message is refused: version {number} is older than {self.in_force}")
             self._say(now)
             return
         try:
-            found = Taken(*unpack(message, self.cluster, came.body))
-        except Refused:
+            found = AppliedVersion(*unpack(message, self.cluster, came.body))
+        except VersionRejectedError:
             self.wants_whole = True
             raise
         self.wants_whole = False
@@ -211,7 +216,7 @@
             self.refused = found.number  # else it goes on with a row of refused ones
         self._say(now)
 
-    def _take(self, found: Taken) -> str:
+    def _take(self, found: AppliedVersion) -> str:
         """Why it is not in force, or "" """
         try:
             reason = self.host.take(*found)
@@ -223,24 +228,26 @@
         reason = printable(reason)
         if reason:
             self.refused_versions += 1
-            self.host.say(f"config: version {found.number} refused: {reason}")
+            self.host.log(f"config: version {found.number} refused: {reason}")
         else:
             self.taken_versions += 1
             self.in_force = found.number
-            self.host.say(f"config: version {found.number} in force ({found.digest.hex()[:16]})")
+            self.host.log(f"config: version {found.number} in force ({found.digest.hex()[:16]})")
         return reason
 
     def _say(self, now: int) -> None:
         assert self.link is not None
         self.next_say = now + SAY_EVERY
         came = self.came
-        have = Have(came.number, came.digest, self.in_force, self.reason, self.wants_whole, self.refused)
+        have = WatchStatus(
+            came.number, came.digest, self.in_force, self.reason, self.wants_whole, self.refused
+        )
         self.host.send(self.link.number, have.message())
 
     # ---- Servers ----
 
     def _beat(self, link: Link, message: Message, now: int) -> None:
-        link.server_has, fresh = read_beat(message)
+        link.server_has, fresh = read_heartbeat(message)
         link.good = fresh and link.server_has >= self.came.number
         if link.good:
             link.good_at = now
@@ -327,7 +334,7 @@
     def _link(self, number: int) -> Link | None:
         return next((x for x in (self.link, self.trial) if x is not None and x.number == number), None)
 
-    # ---- Chance ----
+    # ---- RandomNumbers ----
 
     def _part_of(self, span: int) -> int:
         return int(self.host.fraction() * span)
--- a/ploverspoke/consensus/clock.py
+++ b/ploverspoke/consensus/clock.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 
 
-class StoreClock:
+class ReplicatedClock:
     def __init__(self, monotonic: Callable[[], int]) -> None:
         self.monotonic = monotonic
         self.base, self.since = 0, monotonic()
--- a/ploverspoke/consensus/tools.py
+++ b/ploverspoke/consensus/command_line.py
@@ -7,31 +7,31 @@
 
 import click
 
-from .ask import ask
-from .disk import Damaged, Disk, DiskTrouble, WrongStore, restore
-from .frames import BadFrame
-from .orders import ReplicaOrders, first_id
+from .cluster_config import ReplicaConfig, initial_replica_id
+from .framing import FrameError
+from .replica_client import send_admin_request
+from .storage import ClusterMismatchError, CorruptionError, ReplicaStorage, StorageError, restore
 
 
-def ask_replica(name: str, where: str, secret: bytes, question: dict[str, Any]) -> Any:
+def call_replica(name: str, where: str, secret: bytes, question: dict[str, Any]) -> Any:
     """Its answer; where there is none, a row that says why."""
     try:
-        return ask(where, secret, question)
-    except (OSError, BadFrame) as error:
+        return send_admin_request(where, secret, question)
+    except (OSError, FrameError) as error:
         return {"name": name, "role": "no answer", "why": str(error)}
 
 
-def restored(orders: ReplicaOrders, backup: Path) -> Disk:
+def restore_backup(orders: ReplicaConfig, backup: Path) -> ReplicaStorage:
     """A backup as the disk of these orders' replica; to be closed. Raises what click says and exits with."""
     try:
-        return restore(orders.folder, backup, first_id(orders.name))
-    except WrongStore as error:
+        return restore(orders.folder, backup, initial_replica_id(orders.name))
+    except ClusterMismatchError as error:
         raise click.UsageError(str(error)) from None
-    except (Damaged, DiskTrouble) as error:
+    except (CorruptionError, StorageError) as error:
         raise click.ClickException(f"the backup cannot be used: {error}") from None
 
 
-def say(told: Any, as_json: bool) -> None:
+def print_rows(told: Any, as_json: bool) -> None:
     """Rows, a line each."""
     if as_json:
         click.echo(json.dumps(told, indent=2, default=str))
@@ -40,7 +40,7 @@
         click.echo("  ".join(f"{key}={value}" for key, value in row.items() if key != "members"))
 
 
-def done(told: dict[str, Any], as_json: bool) -> None:
+def exit_with_result(told: dict[str, Any], as_json: bool) -> None:
     """Whether it was done, and the end: exit 0 or 1."""
     if as_json:
         click.echo(json.dumps(told))
--- a/ploverspoke/consensus/frames.py
+++ b/ploverspoke/consensus/framing.py
@@ -19,11 +19,11 @@
 NONCE = 16
 
 
-class BadFrame(Exception):
+class FrameError(Exception):
     """The other side is not one of ours, or what it sent was changed on its way."""
 
 
-class Frames:
+class FrameCodec:
     """One connection's frames, both ways."""
 
     def __init__(self, secret: bytes, greeting: dict[str, Any]) -> None:
@@ -35,33 +35,33 @@
         self.sent = 0
         self.received = 0
         self.unread = bytearray()
-        self.other: dict[str, Any] | None = None  # its greeting
+        self.peer_greeting: dict[str, Any] | None = None  # its greeting
 
-    def hello(self) -> bytes:
+    def greeting_frame(self) -> bytes:
         """The first bytes to write."""
         return self._framed(self.greeting, self._mac(secret_key(self.secret), 0, self.greeting))
 
-    def write(self, message: Any) -> bytes:
+    def encode(self, message: Any) -> bytes:
         body = msgspec.msgpack.encode(message)
         if len(body) > LONGEST:
-            raise BadFrame("too long to send")
+            raise FrameError("too long to send")
         self.sent += 1
         return self._framed(body, self._mac(self.key_out, self.sent, body))
 
-    def feed(self, data: bytes) -> list[Any]:
-        """The messages that are whole; a greeting is kept in `other` and is none. Raises BadFrame."""
+    def decode(self, data: bytes) -> list[Any]:
+        """The messages that are whole; a greeting is kept in `other` and is none. Raises FrameError."""
         self.unread += data
         found: list[Any] = []
         while len(self.unread) >= 4:
             length = int.from_bytes(self.unread[:4], "big")
-            if length > (LONGEST if self.other is not None else LONGEST_GREETING):
-                raise BadFrame("a frame over the limit")
+            if length > (LONGEST if self.peer_greeting is not None else LONGEST_GREETING):
+                raise FrameError("a frame over the limit")
             whole = 4 + MAC + length
             if len(self.unread) < whole:
                 break
             mac, body = bytes(self.unread[4 : 4 + MAC]), bytes(self.unread[4 + MAC : whole])
             del self.unread[:whole]
-            if self.other is None:
+            if self.peer_greeting is None:
                 self._greeted(mac, body)
             else:
                 self.received += 1
@@ -73,10 +73,10 @@
         self._check(mac, self._mac(secret_key(self.secret), 0, body))
         other = _decoded(body)
         if not isinstance(other, dict) or not isinstance(other.get("nonce"), bytes):
-            raise BadFrame("no greeting")
+            raise FrameError("no greeting")
         if other["nonce"] == self.nonce:
-            raise BadFrame("our own greeting, sent back")
-        self.other = other
+            raise FrameError("our own greeting, sent back")
+        self.peer_greeting = other
         both = self.nonce, other["nonce"]
         self.key_out = secret_key(self.secret, both[0] + both[1])
         self.key_in = secret_key(self.secret, both[1] + both[0])
@@ -92,7 +92,7 @@
     @staticmethod
     def _check(told: bytes, wanted: bytes) -> None:
         if not hmac.compare_digest(told, wanted):
-            raise BadFrame("a wrong MAC: another secret, or the frame was changed")
+            raise FrameError("a wrong MAC: another secret, or the frame was changed")
 
 
 def secret_key(secret: bytes, salt: bytes = b"") -> bytes:
@@ -103,4 +103,4 @@
     try:
         return msgspec.msgpack.decode(body)
     except msgspec.DecodeError as error:
-        raise BadFrame(f"no msgpack: {error}") from None
+        raise FrameError(f"no msgpack: {error}") from None
--- a/ploverspoke/consensus/node.py
+++ b/ploverspoke/consensus/node.py
@@ -11,37 +11,39 @@
 from pathlib import Path
 from typing import Any
 
-from ploverspoke.transport.log_lines import say
+from ploverspoke.transport.rate_limited_log import log_line
 
-from .clock import StoreClock
-from .disk import Damaged, Disk, DiskTrouble, WrongStore
-from .links import Links
-from .members import CLIENTS, NAME, PEERS, Members, fingerprint, voters
-from .orders import ReplicaOrders, first_id
-from .replica import Batch, Replica, State
+from .clock import ReplicatedClock
+from .cluster_config import ReplicaConfig, initial_replica_id
+from .membership import CLIENTS, NAME, PEERS, Members, fingerprint, voters
+from .peer_links import PeerLinks
+from .replica import Replica, StateMachine, WriteBatch
+from .storage import ClusterMismatchError, CorruptionError, ReplicaStorage, StorageError
 
 EMPTY = (
     "a new store begins with --new on all of its replicas; a replica whose disk was lost is removed from the "
     "store and added under another name, and starts with --join"
 )
 TRY_AGAIN = 0.5  # seconds, after the disk could not be written
-Then = Callable[[bool], None]
+CommitCallback = Callable[[bool], None]
 Reply = Callable[[Any], None]
 
 
-class Node:
-    def __init__(self, orders: ReplicaOrders, state: State, disk: Disk | None = None) -> None:
+class ReplicaNode:
+    def __init__(
+        self, orders: ReplicaConfig, state: StateMachine, disk: ReplicaStorage | None = None
+    ) -> None:
         self.orders = orders
-        self.disk = disk or Disk(orders.folder)
+        self.disk = disk or ReplicaStorage(orders.folder)
         self.state = state
-        self.clock = StoreClock(time.monotonic_ns)
+        self.clock = ReplicatedClock(time.monotonic_ns)
         self.replica: Replica | None = None  # None: the disk is in trouble
-        self.links = Links(orders.secret, {}, self._heard, self._asked)
+        self.links = PeerLinks(orders.secret, {}, self._heard, self._asked)
         self.thread = ThreadPoolExecutor(1, thread_name_prefix="store")
         self.writing = False
         self.pumping = False
         self.snapshotting = False
-        self.proposals: list[tuple[list[Any], Then]] = []
+        self.proposals: list[tuple[list[Any], CommitCallback]] = []
         self.on_role: list[Callable[[str, str], None]] = []
         self.timer: asyncio.TimerHandle | None = None
         self.timer_for = 0
@@ -55,26 +57,28 @@
     async def open(self, new: bool = False, join: str = "") -> None:
         """`new`: the first start of a new store; `join`: the mark of the store that is joined.
 
-        Raises WrongStore, Damaged, DiskTrouble or OSError.
+        Raises ClusterMismatchError, CorruptionError, StorageError or OSError.
         """
         self.loop = asyncio.get_running_loop()
         self.disk.open()
         first = self.orders.members()
         mark = join or fingerprint(self.orders.cluster, first)
-        me = first_id(self.orders.name)
+        me = initial_replica_id(self.orders.name)
         if not self.disk.me and (new or join):
             if join:
                 # It stands for nothing until the leader has brought it up to date and made it a voter.
                 first = {who: [*told[:3], False] for who, told in first.items()}
             self.disk.begin(me, mark, first)
         if not self.disk.me:
-            raise WrongStore(f"{self.disk.path} is empty: {EMPTY}")
+            raise ClusterMismatchError(f"{self.disk.path} is empty: {EMPTY}")
         if self.disk.me != me:
-            raise WrongStore(f"{self.disk.path} is the store of {self.disk.me}, not of {me}")
+            raise ClusterMismatchError(f"{self.disk.path} is the store of {self.disk.me}, not of {me}")
         if not new and not join:
             mark = self.disk.fingerprint
         if self.disk.fingerprint != mark:
-            raise WrongStore(f"{self.disk.path} is of a store with another name or with other replicas")
+            raise ClusterMismatchError(
+                f"{self.disk.path} is of a store with another name or with other replicas"
+            )
         self.me = me
         self.links.greeting.update(id=me, store=mark)
         host, _, port = self.orders.replicas[self.orders.name][0].rpartition(":")
@@ -116,13 +120,13 @@
         told = raft.members().get(raft.leader) if raft is not None else None
         return str(told[CLIENTS]) if told is not None else ""
 
-    def propose(self, command: list[Any], then: Then) -> None:
+    def propose(self, command: list[Any], then: CommitCallback) -> None:
         """`then` is told whether it is committed, later and not from in here."""
         if not self.proposals:
             self.loop.call_soon(self._propose_all)
         self.proposals.append((command, then))
 
-    def read(self, then: Then) -> None:
+    def read(self, then: CommitCallback) -> None:
         if self.replica is None:
             self.loop.call_soon(then, False)
         else:
@@ -223,7 +227,7 @@
             members.pop(known, None)
         else:
             votes = bool(question.get("votes"))
-            members[known or first_id(name)] = [name, question["peers"], question["clients"], votes]
+            members[known or initial_replica_id(name)] = [name, question["peers"], question["clients"], votes]
         return self.change_members(members)
 
     def _role_changed(self, role: str, leader: str) -> None:
@@ -279,7 +283,7 @@
         future = self.loop.run_in_executor(self.thread, self.disk.write, batch)
         future.add_done_callback(lambda f: self._wrote(replica, batch, f.exception()))
 
-    def _wrote(self, replica: Replica, batch: Batch, error: BaseException | None) -> None:
+    def _wrote(self, replica: Replica, batch: WriteBatch, error: BaseException | None) -> None:
         self.writing = False
         if self.closed:
             return
@@ -325,7 +329,7 @@
             return
         self.trouble = str(error)
         self.troubles += 1
-        say(f"store: the disk cannot be written, this replica stands aside: {error}")
+        log_line(f"store: the disk cannot be written, this replica stands aside: {error}")
         replica, self.replica = self.replica, None
         replica.role_changed("stopped", "")
         task = self.loop.create_task(self._try_again())
@@ -337,18 +341,18 @@
             await asyncio.sleep(TRY_AGAIN)
             try:
                 await self.loop.run_in_executor(self.thread, self._reopen)
-            except (DiskTrouble, Damaged) as error:
+            except (StorageError, CorruptionError) as error:
                 self.trouble = str(error)
                 continue
             self.trouble = ""
-            say("store: the disk can be written again")
+            log_line("store: the disk can be written again")
             self._begin()
             return
 
     def _reopen(self) -> None:
         self.disk.reopen()
         # A vote that is written once more changes nothing, and shows whether there is room.
-        batch = Batch()
+        batch = WriteBatch()
         batch.vote = (self.disk.term, self.disk.vote)
         self.disk.write(batch)
 
--- a/ploverspoke/consensus/links.py
+++ b/ploverspoke/consensus/peer_links.py
@@ -8,9 +8,9 @@
 from collections.abc import Callable
 from typing import Any, cast
 
-from ploverspoke.transport.log_lines import say
+from ploverspoke.transport.rate_limited_log import log_line
 
-from .frames import BadFrame, Frames
+from .framing import FrameCodec, FrameError
 
 DIAL_AGAIN = 0.1  # seconds
 MOST_UNSENT = 8 * 1024 * 1024  # towards one that does not read
@@ -22,16 +22,16 @@
 class Inbound(asyncio.Protocol):
     """One that another replica has dialled, or a tool that asks."""
 
-    def __init__(self, links: "Links") -> None:
+    def __init__(self, links: "PeerLinks") -> None:
         self.links = links
-        self.frames = Frames(links.secret, links.greeting)
+        self.frames = FrameCodec(links.secret, links.greeting)
         self.transport: asyncio.Transport | None = None
         self.sender = ""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
         self.links.inbound.add(self)
-        self.transport.write(self.frames.hello())
+        self.transport.write(self.frames.greeting_frame())
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.links.inbound.discard(self)
@@ -39,44 +39,44 @@
 
     def data_received(self, data: bytes) -> None:
         try:
-            for message in self.frames.feed(data):
+            for message in self.frames.decode(data):
                 if not self.sender:
                     self._greet()
-                if self.sender == ASKS:
+                if self.sender == ADMIN_CLIENT_ID:
                     self.links.asked(message, self.reply)
                 else:
                     self.links.heard(self.sender, message)
-        except (BadFrame, KeyError, TypeError) as error:
+        except (FrameError, KeyError, TypeError) as error:
             self.links.refused += 1
-            say(f"store: a connection is refused: {error}")
+            log_line(f"store: a connection is refused: {error}")
             self.close()
 
     def _greet(self) -> None:
-        other = self.frames.other
+        other = self.frames.peer_greeting
         assert other is not None
         if other["store"] != self.links.greeting["store"] and other["store"] != "":
-            raise BadFrame(f"{other['id']} belongs to another store, or was started with other replicas")
+            raise FrameError(f"{other['id']} belongs to another store, or was started with other replicas")
         self.sender = str(other["id"])
 
     def reply(self, message: Any) -> None:
         if self.transport is not None:
-            self.transport.write(self.frames.write(message))
+            self.transport.write(self.frames.encode(message))
 
     def close(self) -> None:
         if self.transport is not None:
             self.transport.abort()
 
 
-ASKS = "?"  # the id of a tool
+ADMIN_CLIENT_ID = "?"  # the id of a tool
 
 
 class Outbound(asyncio.Protocol):
     """One that we dialled."""
 
-    def __init__(self, links: "Links", to: str) -> None:
+    def __init__(self, links: "PeerLinks", to: str) -> None:
         self.links = links
         self.to = to
-        self.frames = Frames(links.secret, links.greeting)
+        self.frames = FrameCodec(links.secret, links.greeting)
         self.transport: asyncio.Transport | None = None
         self.ready = False
         self.over = asyncio.Event()
@@ -87,7 +87,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
         self.gone_out_at = asyncio.get_running_loop().time()
-        self._write(self.frames.hello())
+        self._write(self.frames.greeting_frame())
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.transport = None
@@ -96,17 +96,19 @@
 
     def data_received(self, data: bytes) -> None:
         try:
-            self.frames.feed(data)
-            other = self.frames.other
+            self.frames.decode(data)
+            other = self.frames.peer_greeting
             if other is not None and not self.ready:
                 if other["store"] not in (self.links.greeting["store"], ""):
-                    raise BadFrame(f"{self.to} belongs to another store, or was started with other replicas")
+                    raise FrameError(
+                        f"{self.to} belongs to another store, or was started with other replicas"
+                    )
                 self.ready = other["id"] == self.to
                 if not self.ready:
-                    raise BadFrame(f"{other['id']} answers where {self.to} was")
-        except (BadFrame, KeyError) as error:
+                    raise FrameError(f"{other['id']} answers where {self.to} was")
+        except (FrameError, KeyError) as error:
             self.links.refused += 1
-            say(f"store: {error}")
+            log_line(f"store: {error}")
             if self.transport is not None:
                 self.transport.abort()
 
@@ -129,7 +131,7 @@
         if unsent > MOST_UNSENT:
             self.links.dropped += 1
             return
-        self._write(self.frames.write(message))
+        self._write(self.frames.encode(message))
 
     def _write(self, data: bytes) -> None:
         assert self.transport is not None
@@ -137,7 +139,7 @@
         self.transport.write(data)
 
 
-class Links:
+class PeerLinks:
     def __init__(
         self,
         secret: bytes,
--- a/ploverspoke/consensus/raft.py
+++ b/ploverspoke/consensus/raft.py
@@ -21,7 +21,7 @@
 from typing import Any, Protocol
 
 from .log import Entry, Log
-from .members import VOTES, Members, differ_by_one, majority, voters
+from .membership import VOTES, Members, differ_by_one, majority, voters
 
 MILLISECOND = 1_000_000
 Message = dict[str, Any]  # "k" is its kind, "t" its sender's term
@@ -33,7 +33,7 @@
 LEASE_PART = 0.9  # of the shortest election time-out: how far clocks may drift apart within one
 
 
-class RaftHost(Protocol):
+class RaftEnvironment(Protocol):
     def now(self) -> int: ...
 
     def send(self, to: str, message: Message) -> None:
@@ -84,7 +84,7 @@
 class Raft:
     def __init__(
         self,
-        host: RaftHost,
+        host: RaftEnvironment,
         me: str,
         members: Members,
         fraction: Callable[[], float],
--- a/ploverspoke/consensus/replica.py
+++ b/ploverspoke/consensus/replica.py
@@ -1,7 +1,7 @@
 """One replica without I/O: consensus and the ledger, between a driver that writes batches and carries
 messages.
 
-The driver takes a `Batch` when there is one, writes it down in one synced step, and hands it back to
+The driver takes a `WriteBatch` when there is one, writes it down in one synced step, and hands it back to
 `written`:
 only then the messages in it go out. So whatever is said rests on what is on disk, and many events share one
 sync.
@@ -11,11 +11,11 @@
 from typing import Any, Protocol
 
 from .log import Entry, Log
-from .members import Members
+from .membership import Members
 from .raft import Message, Raft
 
 
-class Batch:
+class WriteBatch:
     """What is to be written in one step, and what may be said after it."""
 
     def __init__(self) -> None:
@@ -32,7 +32,7 @@
         return not self.messages and not self.writes()
 
 
-class State(Protocol):
+class StateMachine(Protocol):
     """What the log's entries change."""
 
     def apply(self, index: int, command: Any) -> None: ...
@@ -42,7 +42,7 @@
     def load(self, data: bytes) -> None: ...
 
 
-class Kept(Protocol):
+class PersistedState(Protocol):
     """What a disk gives back at start."""
 
     term: int
@@ -59,8 +59,8 @@
     def __init__(
         self,
         me: str,
-        kept: Kept,
-        state: State,
+        kept: PersistedState,
+        state: StateMachine,
         now: Callable[[], int],
         fraction: Callable[[], float],
         send_now: Callable[[str, Message], None],
@@ -70,7 +70,7 @@
         self.now = now
         self.state = state
         self.send_now = send_now
-        self.batch = Batch()
+        self.batch = WriteBatch()
         self.on_role: list[Callable[[str, str], None]] = []
         self.waiting: dict[
             int, tuple[int, Callable[[bool], None]]
@@ -174,12 +174,12 @@
 
     # ---- What its driver says ----
 
-    def take_batch(self) -> Batch:
+    def take_batch(self) -> WriteBatch:
         """What has gathered since the last one, to be written."""
-        batch, self.batch = self.batch, Batch()
+        batch, self.batch = self.batch, WriteBatch()
         return batch
 
-    def written(self, batch: Batch) -> None:
+    def written(self, batch: WriteBatch) -> None:
         """It is durable: what rests on it may be said."""
         for to, message in batch.messages:
             self.send_now(to, message)
--- a/ploverspoke/consensus/serving.py
+++ b/ploverspoke/consensus/server.py
@@ -5,19 +5,19 @@
 import signal
 from typing import Protocol
 
-from ploverspoke.transport.log_lines import say
+from ploverspoke.transport.rate_limited_log import log_line
 
-from .node import Node
+from .node import ReplicaNode
 
 
-class Door(Protocol):
+class ClientFacingServer(Protocol):
     async def open(self) -> None: ...
 
     def close(self) -> None: ...
 
 
-async def serve(kind: str, node: Node, door: Door, new: bool, join: str) -> None:
-    """`kind` is what log lines begin with. Raises what `Node.open` raises, and OSError."""
+async def serve_replica(kind: str, node: ReplicaNode, door: ClientFacingServer, new: bool, join: str) -> None:
+    """`kind` is what log lines begin with. Raises what `ReplicaNode.open` raises, and OSError."""
     orders = node.orders
     over = asyncio.Event()
     loop = asyncio.get_running_loop()
@@ -28,7 +28,7 @@
         await door.open()
         gc.collect()
         gc.freeze()
-        say(f"{kind}: {orders.name} serves at {orders.replicas[orders.name][1]}")
+        log_line(f"{kind}: {orders.name} serves at {orders.replicas[orders.name][1]}")
         await over.wait()
         if node.leads():
             # The others need not miss it first.
--- a/ploverspoke/consensus/disk.py
+++ b/ploverspoke/consensus/storage.py
@@ -2,8 +2,8 @@
 
 A batch is one transaction with one sync. Entries and the snapshot carry a checksum, the file a version.
 What cannot be
-written is not acknowledged: the caller gets `DiskTrouble` and stops until `reopen` succeeds; what cannot be
-read with its checksum is `Damaged`, and the replica does not start on it.
+written is not acknowledged: the caller gets `StorageError` and stops until `reopen` succeeds; what cannot be
+read with its checksum is `CorruptionError`, and the replica does not start on it.
 """
 
 import secrets
@@ -15,21 +15,21 @@
 import msgspec
 
 from .log import Entry, Log
-from .members import Members
-from .replica import Batch
+from .membership import Members
+from .replica import WriteBatch
 
 FORMAT = 1
 
 
-class DiskTrouble(Exception):
+class StorageError(Exception):
     """Nothing more can be written for now: the disk is full, or failed at a sync."""
 
 
-class Damaged(Exception):
+class CorruptionError(Exception):
     """What is on the disk is not what was written there."""
 
 
-class WrongStore(Exception):
+class ClusterMismatchError(Exception):
     """The folder holds another store, another replica's, or another version's."""
 
 
@@ -41,15 +41,16 @@
 """
 
 
-def restore(folder: Path, backup: Path, me: str) -> "Disk":
+def restore(folder: Path, backup: Path, me: str) -> "ReplicaStorage":
     """Put a backup, of whichever replica, in an empty folder as the disk of `me`; open, to be closed.
 
     It is another disk than the one that was: nobody takes it for what had promised what it has forgotten.
-    Raises WrongStore where the folder is not empty, Damaged, or DiskTrouble; then nothing is left there.
+    Raises ClusterMismatchError where the folder is not empty, CorruptionError, or StorageError; then
+    nothing is left there.
     """
     target = folder / "store.db"
     if target.exists():
-        raise WrongStore(f"{target} exists: it is never written over")
+        raise ClusterMismatchError(f"{target} exists: it is never written over")
     folder.mkdir(parents=True, exist_ok=True)
     try:
         source, copy = sqlite3.connect(backup), sqlite3.connect(target)
@@ -58,19 +59,19 @@
         finally:
             source.close()
             copy.close()
-        disk = Disk(folder)
+        disk = ReplicaStorage(folder)
         disk.open()
         for key, value in (("disk", secrets.token_hex(8)), ("me", me), ("vote", (disk.term + 1, ""))):
             disk.keep(key, value)
         return disk
-    except (Damaged, DiskTrouble, WrongStore, sqlite3.Error) as error:
+    except (CorruptionError, StorageError, ClusterMismatchError, sqlite3.Error) as error:
         target.unlink()
         if isinstance(error, sqlite3.Error):
-            raise Damaged(f"{backup}: {error}") from None
+            raise CorruptionError(f"{backup}: {error}") from None
         raise
 
 
-class Disk:
+class ReplicaStorage:
     """Used by one thread at a time."""
 
     def __init__(self, folder: Path) -> None:
@@ -91,7 +92,7 @@
     # ---- Start ----
 
     def open(self) -> None:
-        """Raises WrongStore, Damaged or DiskTrouble."""
+        """Raises ClusterMismatchError, CorruptionError or StorageError."""
         try:
             self.folder.mkdir(parents=True, exist_ok=True)
             self._connect()
@@ -99,8 +100,8 @@
         except (sqlite3.DatabaseError, OSError) as error:
             self.close()
             if isinstance(error, sqlite3.OperationalError | OSError):
-                raise DiskTrouble(str(error)) from None
-            raise Damaged(f"{self.path}: {error}") from None
+                raise StorageError(str(error)) from None
+            raise CorruptionError(f"{self.path}: {error}") from None
 
     def _connect(self) -> None:
         db = self.db = sqlite3.connect(self.path, isolation_level=None, check_same_thread=False)
@@ -116,7 +117,9 @@
             self._set("disk", secrets.token_hex(8))
             db.execute("commit")
         if self._get("format") != FORMAT:
-            raise WrongStore(f"{self.path}: format {self._get('format')}, this version reads {FORMAT}")
+            raise ClusterMismatchError(
+                f"{self.path}: format {self._get('format')}, this version reads {FORMAT}"
+            )
 
     def _read(self) -> None:
         assert self.db is not None
@@ -131,7 +134,7 @@
         if row is not None:
             at, term, members, state, told = row
             if crc32(state, crc32(members)) != told:
-                raise Damaged(f"{self.path}: the snapshot at {at} fails its checksum")
+                raise CorruptionError(f"{self.path}: the snapshot at {at} fails its checksum")
             self.log = Log(at, term)
             self.members = msgspec.msgpack.decode(members)
             self.state = state
@@ -140,17 +143,17 @@
             if at < wanted:
                 continue
             if at != wanted:
-                raise Damaged(f"{self.path}: entry {wanted} is missing")
+                raise CorruptionError(f"{self.path}: entry {wanted} is missing")
             if crc32(body, at) != told:
-                raise Damaged(f"{self.path}: entry {at} fails its checksum")
+                raise CorruptionError(f"{self.path}: entry {at} fails its checksum")
             kind, data = msgspec.msgpack.decode(body)
             self.log.append([Entry(at, term, kind, data)])
             wanted += 1
 
     def begin(self, me: str, fingerprint: str, members: Members) -> None:
-        """The first start of a store. Raises WrongStore where there is one already."""
+        """The first start of a store. Raises ClusterMismatchError where there is one already."""
         if self.me:
-            raise WrongStore(f"{self.path} is the store of {self.me} already")
+            raise ClusterMismatchError(f"{self.path} is the store of {self.me} already")
         assert self.db is not None
         self.db.execute("begin immediate")
         for key, value in (("me", me), ("fingerprint", fingerprint), ("first members", members)):
@@ -160,10 +163,10 @@
 
     # ---- Writes ----
 
-    def write(self, batch: Batch) -> None:
-        """All of it or nothing, durable when this returns. Raises DiskTrouble."""
+    def write(self, batch: WriteBatch) -> None:
+        """All of it or nothing, durable when this returns. Raises StorageError."""
         if self.db is None:
-            raise DiskTrouble("not open")
+            raise StorageError("not open")
         try:
             self.db.execute("begin immediate")
             if batch.vote is not None:
@@ -177,12 +180,12 @@
             self.db.execute("commit")
         except (sqlite3.Error, OSError) as error:
             self._undo()
-            raise DiskTrouble(str(error)) from None
+            raise StorageError(str(error)) from None
 
     def keep_snapshot(self, at: int, term: int, members: Members, state: bytes) -> None:
-        """A snapshot of our own state: the entries up to it go. Raises DiskTrouble."""
+        """A snapshot of our own state: the entries up to it go. Raises StorageError."""
         if self.db is None:
-            raise DiskTrouble("not open")
+            raise StorageError("not open")
         try:
             self.db.execute("begin immediate")
             self._put_snapshot(at, term, members, state)
@@ -190,17 +193,17 @@
             self.db.execute("commit")
         except (sqlite3.Error, OSError) as error:
             self._undo()
-            raise DiskTrouble(str(error)) from None
+            raise StorageError(str(error)) from None
 
     def keep(self, key: str, value: Any) -> None:
-        """Something of this replica's own. Raises DiskTrouble."""
+        """Something of this replica's own. Raises StorageError."""
         if self.db is None:
-            raise DiskTrouble("not open")
+            raise StorageError("not open")
         try:
             self._set(key, value)
         except (sqlite3.Error, OSError) as error:
             self._undo()
-            raise DiskTrouble(str(error)) from None
+            raise StorageError(str(error)) from None
 
     def kept(self, key: str) -> Any:
         """None where nothing was kept."""
--- a/ploverspoke/decisions/dispatcher.py
+++ b/ploverspoke/decisions/dispatcher.py
@@ -2,8 +2,8 @@
 
 A host builds one `Dispatcher` with itself, a seed and the standing orders (a plain map of names to values,
 times in nanoseconds), then calls one method for each thing that happens, under "What can happen" below. The
-dispatcher acts by calling the host, whose interface is `ploverspoke/decisions/host.py`; `docs/design.md` says
-where each part comes from. Nothing here knows a wire; two dispatchers share nothing but what they tell.
+dispatcher acts by calling the host, whose interface is `ploverspoke/decisions/interface.py`; `docs/design.md`
+says where each part comes from. Nothing here knows a wire; two dispatchers share nothing but what they tell.
 """
 
 from bisect import insort
@@ -14,8 +14,8 @@
 from typing import Any
 from zlib import crc32
 
-from .chance import Chance
-from .host import Host, Listing, Load, StandingOrders, never_ran
+from .interface import DispatchActions, Endpoint, Load, Settings, never_ran
+from .random_numbers import RandomNumbers
 
 MILLISECOND = 1_000_000
 SECOND = 1_000_000_000
@@ -68,7 +68,7 @@
 class Worker:
     """What this dispatcher knows of one worker."""
 
-    def __init__(self, listing: Listing) -> None:
+    def __init__(self, listing: Endpoint) -> None:
         self.name = listing.worker
         self.listing = listing
         self.ready = False
@@ -79,7 +79,7 @@
         self.room_before_cut = FIRST_ROOM
         self.room_at = 0  # when the room last drifted
         self.drift_time = 1.0 * SECOND  # in which it drifts by one slot
-        self.out: dict[int, Submission] = {}  # our hand-offs there, by submission
+        self.out: dict[int, Request] = {}  # our hand-offs there, by submission
         self.unstarted: dict[int, int] = {}  # those of which no start is known, and when they were sent
         self.started_sent_at = 0  # when the latest of ours that has started was sent
         self.running = 0.0  # slots of ours known to have started
@@ -104,7 +104,7 @@
     def __init__(self, slots: float, machine_kind: int) -> None:
         self.slots = slots
         self.machine_kind = machine_kind
-        self.queue: deque[Submission] = deque()
+        self.queue: deque[Request] = deque()
         self.running_times: deque[int] = deque(maxlen=16)
         self.barren_until = 0  # no worker was roomy for it a moment ago
         self.asked: list[Worker] = []  # who was asked for room for the head
@@ -114,7 +114,7 @@
         return sum(self.running_times) // len(self.running_times) if self.running_times else 0
 
 
-class Submission:
+class Request:
     """One submission taken and not yet answered."""
 
     def __init__(self, number: int, grade: int, job_type: JobType, arrived: int, abandon_at: int) -> None:
@@ -143,13 +143,13 @@
 
 
 class Dispatcher:
-    def __init__(self, host: Host, seed: int, standing_orders: StandingOrders) -> None:
+    def __init__(self, host: DispatchActions, seed: int, standing_orders: Settings) -> None:
         self.host = host
         self._take_orders(standing_orders)
-        self.chance = Chance(seed)
+        self.chance = RandomNumbers(seed)
         self.workers: dict[str, Worker] = {}
         self.types: dict[tuple[float, int], JobType] = {}
-        self.open: dict[int, Submission] = {}
+        self.open: dict[int, Request] = {}
         # Hand-offs spent, where it may have run, since when.
         self.resumed: dict[int, tuple[int, str, int]] = {}
         self.warm_load = 0.0  # slots of ours running on a warm worker, on average
@@ -182,10 +182,10 @@
         self.last_telling: list[str] = []
         self.told_at = -TELL_AGAIN
         self.telling_at = 0  # when the next is due; 0: none is
-        self.due: dict[int, Submission | Worker | JobType | str] = {}
+        self.due: dict[int, Request | Worker | JobType | str] = {}
         self.next_token = 1
 
-    def _take_orders(self, standing_orders: StandingOrders) -> None:
+    def _take_orders(self, standing_orders: Settings) -> None:
         """With what follows from them; grades that are no longer in force have no part in that."""
         self.orders: Mapping[str, Any] = standing_orders
         in_force = standing_orders["grades"]
@@ -202,7 +202,7 @@
 
     # ---- What can happen ----
 
-    def begun(self) -> None:
+    def started(self) -> None:
         """All that is known at the start has been told; from now on the roster is followed.
 
         Who knows of workers calls at a random moment: dispatchers that were started together would find
@@ -214,9 +214,9 @@
         if self.orders["roster_must_be_asked"] and self.workers:
             self._wake("watch", self.host.now() + int(self.chance.fraction() * self._calls_of_all()))
         elif self.orders["roster_must_be_asked"]:
-            self.host.watch_roster()
+            self.host.watch_endpoints()
 
-    def orders_changed(self, standing_orders: StandingOrders, takes_over: Mapping[int, int]) -> None:
+    def settings_changed(self, standing_orders: Settings, takes_over: Mapping[int, int]) -> None:
         """They bind what arrives from now on; a new grade number may take over the times known of another."""
         for grade in set(standing_orders["grades"]) - set(self.orders["grades"]):
             known = self.grade_running_times[takes_over[grade]] if grade in takes_over else ()
@@ -226,7 +226,7 @@
         self._take_orders(standing_orders)
         self.tiers.clear()
 
-    def submission_arrived(
+    def request_arrived(
         self, submission_id: int, grade: int, slots: float, abandon_at: int, work_hint: int, subject: str
     ) -> None:
         """The ordinary path, from top to bottom."""
@@ -236,7 +236,7 @@
         self.may_ask = min(self.may_ask + self.asks_each, SAVED_ASKING * self.asks_each)
         self.may_recall = min(self.may_recall + self.recalls_each, SAVED_ASKING * (1 + self.recalls_each))
         job_type = self._job_type(slots, self.orders["machine_kind_needed"][grade])
-        job = Submission(submission_id, grade, job_type, now, abandon_at)
+        job = Request(submission_id, grade, job_type, now, abandon_at)
         job.subject = subject
         if subject:
             self.subjects.append(subject)
@@ -267,12 +267,12 @@
         self._wake(job, min(job.last_start, job.last_chance) if now < job.last_start else job.last_chance)
         self._run_clock(now)
 
-    def submission_resumes(self, submission_id: int, hand_offs: int, ran_at: str, sent_at: int) -> None:
+    def request_resumed(self, submission_id: int, hand_offs: int, ran_at: str, sent_at: int) -> None:
         """The one that arrives next under this id was another's before, which handed it off so many times;
         `ran_at` is the first worker that may have run it, "" where none may."""
         self.resumed[submission_id] = (hand_offs, ran_at, sent_at)
 
-    def hand_off_started(self, submission_id: int, hand_off: int) -> None:
+    def attempt_started(self, submission_id: int, hand_off: int) -> None:
         job = self.open.get(submission_id)
         if job is None or job.at is None or job.started_at or hand_off != job.hand_offs - 1:
             return
@@ -296,12 +296,12 @@
         self.start_lags[worker.listing.zone].append(wait)
         self.late_starts.append(min(1.0, wait / self._shortest_slack()))
 
-    def hand_off_progressed(self, submission_id: int, hand_off: int, share_done: float) -> None:
+    def attempt_progressed(self, submission_id: int, hand_off: int, share_done: float) -> None:
         job = self.open.get(submission_id)
         if job is not None and job.at is not None and hand_off == job.hand_offs - 1:
             job.heard_at = job.at.heard_at = self.host.now()
 
-    def hand_off_ended(
+    def attempt_ended(
         self, submission_id: int, hand_off: int, name: str, outcome: str, took: int, over: bool, load: Load
     ) -> None:
         now = self.host.now()
@@ -349,24 +349,24 @@
         if outcome == "satisfied" and not job.waited_too_long:
             self._replace(job.type, worker, now)
 
-    def client_left(self, submission_id: int) -> None:
+    def client_disconnected(self, submission_id: int) -> None:
         job = self.open.pop(submission_id, None)
         if job is not None and job.at is None and job in job.type.queue:
             job.type.queue.remove(job)
 
-    def roster_complete(self, listings: Iterable[Listing]) -> None:
+    def endpoint_list_received(self, listings: Iterable[Endpoint]) -> None:
         listings = list(listings)
-        self.roster_changed(listings)
+        self.endpoints_changed(listings)
         shown = {listing.worker for listing in listings}
-        absent = [w.listing for w in self.listed() if w.name not in shown]
-        self.roster_changed([listing._replace(condition="gone") for listing in absent])
+        absent = [w.listing for w in self.listed_workers() if w.name not in shown]
+        self.endpoints_changed([listing._replace(condition="gone") for listing in absent])
 
-    def roster_changed(self, listings: Iterable[Listing]) -> None:
+    def endpoints_changed(self, listings: Iterable[Endpoint]) -> None:
         self.roster_failures = 0
         for listing in listings:
             self._list(listing)
 
-    def roster_lost(self, turned_away: bool = False) -> None:
+    def endpoint_watch_failed(self, turned_away: bool = False) -> None:
         """Watch again, after a wait that grows; turned away, one that leaves it time for the calls of all."""
         self.roster_failures += 1
         self._say(f"roster lost, {self.roster_failures} in a row; asking again")
@@ -380,7 +380,7 @@
         """In which the roster can work through one call of each dispatcher."""
         return int(min(self.orders["dispatchers"] * ROSTER_CALL, self.orders["roster_ask_within"] // 2))
 
-    def probe_answered(self, worker_name: str, outcome: str, took: int, load: Load) -> None:
+    def probe_completed(self, worker_name: str, outcome: str, took: int, load: Load) -> None:
         now = self.host.now()
         worker = self.workers[worker_name]
         probed_for, worker.probed_for = worker.probed_for, ""
@@ -398,10 +398,10 @@
         elif worker.aside:
             self._wake(worker, now + self._aside_time())
 
-    def woken(self, token: int) -> None:
+    def timer_fired(self, token: int) -> None:
         what = self.due.pop(token, None)
         if what == "watch":
-            self.host.watch_roster()
+            self.host.watch_endpoints()
         elif what in ("tell", "tell all"):
             self._tell(self.host.now(), to_all=what == "tell all")
         elif what == "tick":
@@ -418,7 +418,7 @@
                 self.host.probe(what.name)
             else:
                 self._take_back(what)
-        elif isinstance(what, Submission) and what.id in self.open:
+        elif isinstance(what, Request) and what.id in self.open:
             now = self.host.now()
             if what.at is not None:
                 self._look_after(what, what.at, now)
@@ -430,7 +430,7 @@
             else:
                 self._wake(what, what.last_chance)
 
-    def told_of(self, teller: int, zone: int, number: int, lateness: float, held: list[str]) -> None:
+    def gossip_received(self, teller: int, zone: int, number: int, lateness: float, held: list[str]) -> None:
         """Another dispatcher tells where it has slots in flight, each named once: a hint and no more."""
         now = self.host.now()
         known = self.told_by.get(teller)
@@ -453,7 +453,7 @@
 
     # ---- What can be asked ----
 
-    def listed(self) -> list[Worker]:
+    def listed_workers(self) -> list[Worker]:
         """Those that the roster shows, ready or draining."""
         return [w for w in self.workers.values() if w.listing.condition != "gone"]
 
@@ -497,7 +497,7 @@
                 return
         job_type.barren_until = now + LOOK_AT_ALL_EVERY
 
-    def _heads(self, job_type: JobType) -> list[Submission]:
+    def _heads(self, job_type: JobType) -> list[Request]:
         """The head of a queue: those bound to a rack, up to the first that may go anywhere."""
         heads = []
         for job in islice(job_type.queue, NEAR_HEAD):
@@ -545,7 +545,7 @@
                 self._hand_off(job, worker, now)
                 return
 
-    def _draw_two(self, job_type: JobType, now: int, job: Submission | None) -> list[Worker]:
+    def _draw_two(self, job_type: JobType, now: int, job: Request | None) -> list[Worker]:
         """Two drawn at random among the roomy of the first tier that has any; one, if it has no more."""
         # A look at a large fleet that found none is not repeated at once: in a backlog that was most work.
         bound = job is not None and (job.group is not None or job.subject != "")
@@ -578,7 +578,7 @@
         share = max(0, self.subjects.count(subject) - 1) / max(SHARE_KNOWN, len(self.subjects))
         return max(1, ceil(share * len(self.workers) / HOME_LOAD - 0.3))
 
-    def _tiers(self, machine_kind: int, job: Submission | None) -> list[list[Worker]]:
+    def _tiers(self, machine_kind: int, job: Request | None) -> list[list[Worker]]:
         """Those that may be drawn, best first.
 
         Machines that some grade cannot do without are left to it while others have room; crossing zones has a
@@ -607,7 +607,7 @@
             self.tiers[machine_kind, near, subject, homes] = found
         return found
 
-    def _better(self, drawn: list[Worker], job: Submission | None) -> Worker:
+    def _better(self, drawn: list[Worker], job: Request | None) -> Worker:
         """The one with fewer of our slots in flight; of equals the faster, or the first by the hash.
 
         Not the one that it comes back from, though: that one may break whatever it is sent.
@@ -615,7 +615,7 @@
         back_from = None if job is None else job.back_from
         return min(drawn, key=lambda w: (w is back_from, w.in_flight + self._others(w), self._pace(w)))
 
-    def _is_roomy(self, worker: Worker, job_type: JobType, now: int, job: Submission | None) -> bool:
+    def _is_roomy(self, worker: Worker, job_type: JobType, now: int, job: Request | None) -> bool:
         if job is not None and job.group is not None and job.group != self._group_of(job, worker):
             return False
         return (
@@ -627,7 +627,7 @@
 
     # ---- Refusing ----
 
-    def _refuses(self, job: Submission, now: int) -> bool:
+    def _refuses(self, job: Request, now: int) -> bool:
         """Whether it is refused on arrival, by chance alike for all grades, as no worker tells its queue."""
         if self.orders["probing_permitted"] or job.group is not None:
             return False
@@ -654,7 +654,7 @@
 
     # ---- Asking ----
 
-    def _asks(self, job: Submission, drawn: list[Worker], now: int) -> bool:
+    def _asks(self, job: Request, drawn: list[Worker], now: int) -> bool:
         """Whether the workers drawn are asked for room before the job goes to one.
 
         Among many dispatchers each meets a worker so seldom that nought against nought slots in flight says
@@ -670,7 +670,7 @@
         unknown = any(now - w.heard_at >= KNOWN or (w.errors and w.errors[-1]) for w in drawn)
         return self.asks_each >= len(drawn) and unknown
 
-    def _ask(self, job: Submission, drawn: list[Worker], now: int) -> bool:
+    def _ask(self, job: Request, drawn: list[Worker], now: int) -> bool:
         """Ask them, as far as the credit goes that comes with submissions and with time."""
         since, self.asked_at = now - self.asked_at, now
         self.may_ask = min(self.may_ask + self.asks_each * since / SECOND, SAVED_ASKING * self.asks_each)
@@ -782,7 +782,7 @@
             ring = [*(n for n in self.near if n > own), *(n for n in self.near if n < own)]
             drawn = [self.far[self.chance.below(len(self.far))] for _ in range(FAR_TOLD) if self.far]
             to = None if to_all else ring[: self.tells] + drawn
-            self.host.tell_others(to, self.orders["zone"], self.told, self._lateness(now), held)
+            self.host.send_gossip(to, self.orders["zone"], self.told, self._lateness(now), held)
             self.last_telling, self.told_at, self.told = held, now, self.told % 255 + 1
         self.telling_at = self.told_at + TELL_AGAIN if held else 0
         if held:
@@ -862,7 +862,7 @@
 
     # ---- Hand-offs and answers ----
 
-    def _allowed(self, worker: Worker, job_type: JobType, now: int, job: Submission | None) -> bool:
+    def _allowed(self, worker: Worker, job_type: JobType, now: int, job: Request | None) -> bool:
         """Whether the rules and the job's needs let it go there."""
         listing = worker.listing
         if not worker.ready or job_type.machine_kind not in (-1, listing.machine_kind):
@@ -875,11 +875,11 @@
             return now < job.last_chance and job.group == self._group_of(job, worker)
         return True
 
-    def _must_not_repeat(self, job: Submission | None) -> bool:
+    def _must_not_repeat(self, job: Request | None) -> bool:
         """An irreversible one is lost with its worker, so others try a worker that has just returned."""
         return job is not None and self.some_repeat and self.orders["repeat"][job.grade] == "irreversible"
 
-    def _hand_off(self, job: Submission, worker: Worker, now: int) -> None:
+    def _hand_off(self, job: Request, worker: Worker, now: int) -> None:
         job.hand_offs += 1
         job.at = worker
         job.sent_at = now
@@ -895,12 +895,12 @@
         self._news(now)
         if worker.warm_at > now:
             worker.cold_credit -= self._cost(job.type)
-        self.host.hand_off(job.id, worker.name, max(1, job.abandon_at - self.orders["round"] - now))
+        self.host.start_attempt(job.id, worker.name, max(1, job.abandon_at - self.orders["round"] - now))
         job.look_at = now + 1 + min(self._allowance(job, worker), self.orders["progress_every"] * 3 // 2)
         if self.orders["progress_every"]:
             self._wake(job, job.look_at)
 
-    def _decide_again(self, job: Submission, worker: Worker, outcome: str, now: int) -> None:
+    def _decide_again(self, job: Request, worker: Worker, outcome: str, now: int) -> None:
         """A hand-off ended without satisfying: try again where the grade and the time left allow it."""
         if outcome not in self.never_ran and job.group is None:
             job.group = self._bound_to(job, worker)
@@ -916,7 +916,7 @@
         self._wake(job, job.last_chance)
         self._run_clock(now)
 
-    def _resume(self, job: Submission, hand_offs: int, ran_at: str, sent_at: int) -> None:
+    def _resume(self, job: Request, hand_offs: int, ran_at: str, sent_at: int) -> None:
         job.hand_offs = hand_offs
         if hand_offs >= self.orders["most_hand_offs"][job.grade]:
             job.last_chance = 0  # none is left
@@ -927,7 +927,7 @@
             window = self.orders["repeat_window"][job.grade] if job.group != ("none", 0) else 0
             job.last_chance = min(job.last_chance, sent_at + window)
 
-    def _last_timely_start(self, job: Submission, now: int, work_hint: int) -> int:
+    def _last_timely_start(self, job: Request, now: int, work_hint: int) -> int:
         """When it must start to be answered within its expected time, counted from the client's first try."""
         asked = self.asked_times[job.grade]
         asked.append(job.abandon_at - now)
@@ -944,7 +944,7 @@
         job.timely_until = int(first_asked + max(0, slack))
         return int(first_asked + PATIENCE * rank * max(0, slack))
 
-    def _gives_way(self, job: Submission) -> bool:
+    def _gives_way(self, job: Request) -> bool:
         """Whether a waiting submission past its last timely start should be answered at once.
 
         After a burst a first-come queue would go on serving everybody late; those that can no longer be in
@@ -956,20 +956,20 @@
             return True
         return any(len(t.queue) > (t is job.type) for t in self.types.values())
 
-    def _give_up_waiting(self, job: Submission) -> None:
+    def _give_up_waiting(self, job: Request) -> None:
         job.type.queue.remove(job)
         self._finish_unsatisfied(job)
 
-    def _finish_unsatisfied(self, job: Submission) -> None:
+    def _finish_unsatisfied(self, job: Request) -> None:
         del self.open[job.id]
         redoable = self.orders["repeat"][job.grade] == "redoable"
         if redoable or job.group is None or job.group == ("all", 0):
             advice = self.orders["longest_come_back"] if self.orders["come_back_advice"] else 0
-            self.host.nack(job.id, advice)
+            self.host.reject(job.id, advice)
         else:
-            self.host.abandon(job.id)
+            self.host.fail(job.id)
 
-    def _group_of(self, job: Submission, worker: Worker) -> tuple[str, int]:
+    def _group_of(self, job: Request, worker: Worker) -> tuple[str, int]:
         scope = self.orders["repeat_group"][job.grade]
         if scope == "zone":
             return scope, worker.listing.zone
@@ -977,7 +977,7 @@
 
     # ---- Health ----
 
-    def _look_after(self, job: Submission, worker: Worker, now: int) -> None:
+    def _look_after(self, job: Request, worker: Worker, now: int) -> None:
         """See whether the worker has gone silent on the job, and rescue what may run again."""
         if now < job.look_at:
             return
@@ -1000,13 +1000,13 @@
             job.look_at = min(job.look_at, now + max(LOOK_AGAIN, (now - job.sent_at) // 4))
         self._wake(job, job.look_at)
 
-    def _rescue(self, jobs: list[Submission], worker: Worker, silent: bool, now: int) -> None:
+    def _rescue(self, jobs: list[Request], worker: Worker, silent: bool, now: int) -> None:
         for job in jobs:
             if self._rescuable(job, worker, silent, now):
-                self.host.recall(job.id, job.hand_offs - 1)
+                self.host.cancel_attempt(job.id, job.hand_offs - 1)
                 job.recalled = True
 
-    def _may_rescue(self, job: Submission) -> bool:
+    def _may_rescue(self, job: Request) -> bool:
         return (
             self.orders["recall_permitted"]
             and not job.recalled
@@ -1015,7 +1015,7 @@
             and job.hand_offs < self.orders["most_hand_offs"][job.grade]
         )
 
-    def _allowance(self, job: Submission, worker: Worker) -> int:
+    def _allowance(self, job: Request, worker: Worker) -> int:
         """How long it may wait for its start before it is taken back."""
         if not self._may_rescue(job):
             return LONGEST_DRIFT
@@ -1024,7 +1024,7 @@
         bound = (self._bound_to(job, worker) or ("all", 0)) != ("all", 0)
         return max(allowance, self._grade_running_time(job.grade)) if bound else allowance
 
-    def _rescuable(self, job: Submission, worker: Worker, silent: bool, now: int) -> bool:
+    def _rescuable(self, job: Request, worker: Worker, silent: bool, now: int) -> bool:
         """Whether to take a submission back from a worker that does not get on with it."""
         may = self._may_rescue(job)
         if silent or not may:
@@ -1037,7 +1037,7 @@
         job.group, self.may_recall = held, self.may_recall - takes
         return takes
 
-    def _bound_to(self, job: Submission, worker: Worker) -> tuple[str, int] | None:
+    def _bound_to(self, job: Request, worker: Worker) -> tuple[str, int] | None:
         """Where a repeat must stay after a hand-off there that may have run."""
         repeat = self.orders["repeat"][job.grade]
         if job.group is not None or repeat == "redoable":
@@ -1086,7 +1086,7 @@
 
     # ---- Workers and the roster ----
 
-    def _list(self, listing: Listing) -> None:
+    def _list(self, listing: Endpoint) -> None:
         worker = self.workers.get(listing.worker)
         if worker is None:
             worker = self.workers[listing.worker] = Worker(listing)
@@ -1164,7 +1164,7 @@
             self.lines_left -= 1
             self.host.log(line)
 
-    def _wake(self, what: Submission | Worker | JobType | str, when: int) -> None:
+    def _wake(self, what: Request | Worker | JobType | str, when: int) -> None:
         self.due[self.next_token] = what
         self.host.wake_at(self.next_token, when)
         self.next_token += 1
--- a/ploverspoke/decisions/host.py
+++ b/ploverspoke/decisions/interface.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable, Mapping
 from typing import Any, NamedTuple, Protocol
 
-StandingOrders = Mapping[str, Any]
+Settings = Mapping[str, Any]
 Load = Mapping[str, float] | None  # what a worker reports of itself
 NEVER_RAN = frozenset({"full", "unreachable", "not_sent"})  # outcomes of hand-offs that are known not to have
 
@@ -17,7 +17,7 @@
     return NEVER_RAN - {"full"} if full_may_have_run else NEVER_RAN
 
 
-class Listing(NamedTuple):
+class Endpoint(NamedTuple):
     """One worker as the roster shows it."""
 
     worker: str
@@ -29,37 +29,37 @@
     started_at: int  # 0: long past
 
 
-class Host(Protocol):
+class DispatchActions(Protocol):
     """The actions open to a dispatcher."""
 
     def now(self) -> int:
         """The clock."""
 
-    def hand_off(self, submission_id: int, worker: str, time_out: int) -> None:
+    def start_attempt(self, submission_id: int, worker: str, time_out: int) -> None:
         """Send the submission to the worker and wait at most `time_out` for its answer."""
 
-    def recall(self, submission_id: int, hand_off: int) -> None:
+    def cancel_attempt(self, submission_id: int, hand_off: int) -> None:
         """Stop waiting for one hand-off, counted from 0; its end is still reported, once."""
 
-    def nack(self, submission_id: int, come_back_after: int) -> None:
+    def reject(self, submission_id: int, come_back_after: int) -> None:
         """Final answer: not done, and trying again is harmless; 0 gives no advice on when."""
 
-    def abandon(self, submission_id: int) -> None:
+    def fail(self, submission_id: int) -> None:
         """Final answer: not done as far as is known, with no promise about its effect."""
 
     def wake_at(self, token: int, when: int) -> None:
-        """Call `woken(token)` at that time or as soon as possible after it."""
+        """Call `timer_fired(token)` at that time or as soon as possible after it."""
 
     def probe(self, worker: str) -> None:
         """Ask a worker for its load."""
 
-    def tell_others(
+    def send_gossip(
         self, to: Iterable[int] | None, zone: int, number: int, lateness: float, held: Iterable[str]
     ) -> None:
         """Tell other dispatchers, None: all of them, where we have slots in flight and how late our starts
         were, 0 to 1; it may not arrive."""
 
-    def watch_roster(self) -> None:
+    def watch_endpoints(self) -> None:
         """Subscribe to the roster; answered by one roster call, and then by one for each change."""
 
     def log(self, line: str) -> None:
--- a/ploverspoke/decisions/chance.py
+++ b/ploverspoke/decisions/random_numbers.py
@@ -1,7 +1,7 @@
 """The chance that the decisions draw from: the same seed gives the same draws."""
 
 
-class Chance:
+class RandomNumbers:
     """A linear congruential generator; only the high bits are used."""
 
     def __init__(self, seed: int) -> None:
--- a/ploverspoke/leases/client.py
+++ b/ploverspoke/leases/client.py
@@ -1,4 +1,4 @@
-"""A holder on sockets: a thin driver of `Holder` that speaks with one keeper at a time."""
+"""A holder on sockets: a thin driver of `LeaseHolder` that speaks with one keeper at a time."""
 
 import asyncio
 import contextlib
@@ -6,27 +6,27 @@
 import time
 from typing import Any, cast
 
-from ploverspoke.consensus.frames import BadFrame, Frames
-from ploverspoke.transport.log_lines import say
+from ploverspoke.consensus.framing import FrameCodec, FrameError
+from ploverspoke.transport.rate_limited_log import log_line
 
-from .holder import NEVER, Holder, Lease, Message
-from .orders import Keepers
+from .config import LeaseServers
+from .holder import NEVER, Lease, LeaseHolder, Message
 
 DIAL_WITHIN = 1.0  # seconds
 SAYS_GOODBYE = 0.05  # seconds, for a last message
 LONGEST_NAP = 60.0
 
 
-class KeeperConnection(asyncio.Protocol):
+class LeaseServerConnection(asyncio.Protocol):
     def __init__(self, client: "LeaseClient") -> None:
         self.client = client
-        self.frames = Frames(client.keepers.secret, {"id": client.me, "store": ""})
+        self.frames = FrameCodec(client.keepers.secret, {"id": client.me, "store": ""})
         self.transport: asyncio.Transport | None = None
         self.ready = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self.transport.write(self.frames.hello())
+        self.transport.write(self.frames.greeting_frame())
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.transport = None
@@ -34,14 +34,14 @@
 
     def data_received(self, data: bytes) -> None:
         try:
-            messages = self.frames.feed(data)
-            if self.frames.other is not None and not self.ready:
+            messages = self.frames.decode(data)
+            if self.frames.peer_greeting is not None and not self.ready:
                 self.ready = True
                 self.client.connected(self)
             for message in messages:
                 self.client.told(self, message)
-        except (BadFrame, KeyError, TypeError, ValueError) as error:
-            say(f"leases: a keeper's answer is refused: {error}")
+        except (FrameError, KeyError, TypeError, ValueError) as error:
+            log_line(f"leases: a keeper's answer is refused: {error}")
             self.close()
 
     def close(self) -> None:
@@ -50,15 +50,16 @@
 
 
 class LeaseClient:
-    """The host of a `Holder`. Its id is new with each start: a process never takes its old self's word."""
+    """The host of a `LeaseHolder`. Its id is new with each start: a process never takes its old self's
+    word."""
 
-    def __init__(self, keepers: Keepers, name: str, start: str = "") -> None:
+    def __init__(self, keepers: LeaseServers, name: str, start: str = "") -> None:
         self.keepers = keepers
         self.me = f"{name}/{start or os.urandom(6).hex()}"
-        self.holder = Holder(self)
+        self.holder = LeaseHolder(self)
         self.loop = asyncio.get_running_loop()
         self.at = int.from_bytes(os.urandom(2), "big") % len(keepers.clients)  # not all at the first
-        self.connection: KeeperConnection | None = None
+        self.connection: LeaseServerConnection | None = None
         self.dialling: asyncio.Task[None] | None = None
         self.timer: asyncio.TimerHandle | None = None
         self.closed = False
@@ -67,7 +68,7 @@
     # ---- What its user asks ----
 
     def want(self, name: str, duration: int) -> Lease:
-        """`duration` in ns. Renewed until it is released. See `Holder`."""
+        """`duration` in ns. Renewed until it is released. See `LeaseHolder`."""
         lease = self.holder.want(name, duration)
         self._after()
         return lease
@@ -131,7 +132,7 @@
     def send(self, message: Message) -> None:
         connection = self.connection
         if connection is not None and connection.ready and connection.transport is not None:
-            connection.transport.write(connection.frames.write(message))
+            connection.transport.write(connection.frames.encode(message))
         elif self.dialling is None:
             self._dial()
 
@@ -141,12 +142,12 @@
 
     # ---- What happens ----
 
-    def connected(self, connection: KeeperConnection) -> None:
+    def connected(self, connection: LeaseServerConnection) -> None:
         if connection is self.connection:
             self.holder.connected()
             self._after()
 
-    def told(self, connection: KeeperConnection, message: Any) -> None:
+    def told(self, connection: LeaseServerConnection, message: Any) -> None:
         if connection is not self.connection:
             return
         if "elsewhere" in message:
@@ -160,7 +161,7 @@
         self.changed.set()
         self._after()
 
-    def lost(self, connection: KeeperConnection) -> None:
+    def lost(self, connection: LeaseServerConnection) -> None:
         if connection is self.connection:
             self.connection = None
 
@@ -178,7 +179,7 @@
 
     async def _connect(self, where: str) -> None:
         host, _, port = where.rpartition(":")
-        connection = KeeperConnection(self)
+        connection = LeaseServerConnection(self)
         try:
             async with asyncio.timeout(DIAL_WITHIN):
                 await self.loop.create_connection(lambda: connection, host.strip("[]"), int(port))
--- a/ploverspoke/leases/commands.py
+++ b/ploverspoke/leases/commands.py
@@ -16,16 +16,16 @@
 
 import click
 
-from ploverspoke.consensus.ask import ask
-from ploverspoke.consensus.frames import BadFrame
-from ploverspoke.consensus.tools import ask_replica, done, restored, say
-from ploverspoke.program.checked import BadKey
+from ploverspoke.consensus.command_line import call_replica, exit_with_result, print_rows, restore_backup
+from ploverspoke.consensus.framing import FrameError
+from ploverspoke.consensus.replica_client import send_admin_request
+from ploverspoke.service.config_reader import ConfigError
 
 from .client import LeaseClient
-from .node import ERA_KEPT
-from .orders import Keepers, read_keeper_orders, read_keepers
-from .tasks import is_back, summarise
-from .tasks import publish as publish_task
+from .config import LeaseServers, read_lease_server_config, read_lease_servers
+from .fleet_tasks import is_back, summarise
+from .fleet_tasks import publish as publish_task
+from .server_node import EPOCH_KEY
 
 FILE = click.argument("file", type=click.Path(exists=True, dir_okay=False, path_type=Path))
 JSON = click.option("--json", "as_json", is_flag=True, help="For tools.")
@@ -45,20 +45,20 @@
     """
 
 
-def _keepers(file: Path) -> Keepers:
+def _keepers(file: Path) -> LeaseServers:
     try:
-        return read_keepers(file)
-    except BadKey as error:
+        return read_lease_servers(file)
+    except ConfigError as error:
         raise click.UsageError(str(error)) from None
 
 
-def _ask_leader(keepers: Keepers) -> dict[str, Any]:
+def _ask_leader(keepers: LeaseServers) -> dict[str, Any]:
     """What the leading keeper knows. Ends the call with 3 where none leads."""
     why = []
     for name, where in keepers.peers.items():
         try:
-            told = ask(where, keepers.secret, {"ask": "leases"})
-        except (OSError, BadFrame) as error:
+            told = send_admin_request(where, keepers.secret, {"ask": "leases"})
+        except (OSError, FrameError) as error:
             why.append(f"{name}: {error}")
             continue
         if told.get("leads"):
@@ -139,7 +139,7 @@
 
 
 def _with_client(
-    keepers: Keepers, holder: str, start: str, use: Callable[[LeaseClient], Coroutine[Any, Any, int]]
+    keepers: LeaseServers, holder: str, start: str, use: Callable[[LeaseClient], Coroutine[Any, Any, int]]
 ) -> int:
     async def whole() -> int:
         client = LeaseClient(keepers, holder, start)
@@ -433,9 +433,9 @@
     """What each keeper says of itself. Exit 3 where none leads."""
     keepers = _keepers(file)
     rows = [
-        ask_replica(name, where, keepers.secret, {"ask": "status"}) for name, where in keepers.peers.items()
+        call_replica(name, where, keepers.secret, {"ask": "status"}) for name, where in keepers.peers.items()
     ]
-    say(rows, as_json)
+    print_rows(rows, as_json)
     sys.exit(0 if any(row.get("leading") for row in rows) else NO_KEEPER)
 
 
@@ -446,11 +446,13 @@
 def backup(file: Path, path: Path, as_json: bool) -> None:
     """Copy what the keeper of this FILE keeps, while it runs, to PATH on its machine. Exit 1: not done."""
     try:
-        orders = read_keeper_orders(file).replica
-    except BadKey as error:
+        orders = read_lease_server_config(file).replica
+    except ConfigError as error:
         raise click.UsageError(str(error)) from None
     question = {"ask": "backup", "path": str(path.absolute())}
-    done(ask_replica(orders.name, orders.replicas[orders.name][0], orders.secret, question), as_json)
+    exit_with_result(
+        call_replica(orders.name, orders.replicas[orders.name][0], orders.secret, question), as_json
+    )
 
 
 @lease.command()
@@ -463,12 +465,12 @@
     is given until the longest lease is over.
     """
     try:
-        orders = read_keeper_orders(file).replica
-    except BadKey as error:
+        orders = read_lease_server_config(file).replica
+    except ConfigError as error:
         raise click.UsageError(str(error)) from None
-    disk = restored(orders, path)
+    disk = restore_backup(orders, path)
     # Above every era that was begun before, as long as clocks do not go back between two restores.
-    era = max((disk.kept(ERA_KEPT) or 0) + 1, int(time.time()))
-    disk.keep(ERA_KEPT, era)
+    era = max((disk.kept(EPOCH_KEY) or 0) + 1, int(time.time()))
+    disk.keep(EPOCH_KEY, era)
     disk.close()
     click.echo(f"restored {disk.path}, era {era}")
--- a/ploverspoke/leases/daemon.py
+++ b/ploverspoke/leases/daemon.py
@@ -4,19 +4,19 @@
 
 import uvloop
 
-from ploverspoke.consensus.disk import Damaged, DiskTrouble, WrongStore
-from ploverspoke.consensus.serving import serve
-from ploverspoke.program.exits import exit_code
+from ploverspoke.consensus.server import serve_replica
+from ploverspoke.consensus.storage import ClusterMismatchError, CorruptionError, StorageError
+from ploverspoke.service.exit_codes import run_with_exit_code
 
-from .door import Door
-from .node import KeeperNode
-from .orders import read_keeper_orders
+from .config import read_lease_server_config
+from .server import LeaseServer
+from .server_node import LeaseServerNode
 
 
 async def keep(path: Path, new: bool, join: str) -> None:
-    """Until it is told to end. Raises BadKey, and what `serve` raises."""
-    node = KeeperNode(read_keeper_orders(path))
-    await serve("keeper", node, Door(node), new, join)
+    """Until it is told to end. Raises ConfigError, and what `serve` raises."""
+    node = LeaseServerNode(read_lease_server_config(path))
+    await serve_replica("keeper", node, LeaseServer(node), new, join)
 
 
 def main(path: Path, new: bool = False, join: str = "") -> int:
@@ -25,4 +25,4 @@
     def run() -> None:
         uvloop.run(keep(path, new, join))
 
-    return exit_code(run, WrongStore, Damaged, DiskTrouble)
+    return run_with_exit_code(run, ClusterMismatchError, CorruptionError, StorageError)
--- a/ploverspoke/leases/rules.py
+++ b/ploverspoke/leases/definitions.py
@@ -3,7 +3,7 @@
 import re
 from typing import Any, NamedTuple
 
-from ploverspoke.program.checked import BadKey, Checked
+from ploverspoke.service.config_reader import ConfigError, ConfigSection
 
 MILLISECOND = 1_000_000
 NAME = re.compile(r"[a-z0-9][a-z0-9._/-]{0,63}\*?")
@@ -12,13 +12,13 @@
 LONGEST = 3600 * 1000  # ms
 
 
-class Rule(NamedTuple):
+class LeaseDefinition(NamedTuple):
     places: int  # how many may hold it at once
     longest: int  # ns, of a duration
 
 
-class Rules:
-    def __init__(self, rules: dict[str, Rule], least: int) -> None:
+class LeaseDefinitions:
+    def __init__(self, rules: dict[str, LeaseDefinition], least: int) -> None:
         """`least` is the shortest duration, ns."""
         self.exact = {name: rule for name, rule in rules.items() if not name.endswith("*")}
         starts = [(name[:-1], rule) for name, rule in rules.items() if name.endswith("*")]
@@ -26,7 +26,7 @@
         self.least = least
         self.longest = max((rule.longest for rule in rules.values()), default=0)
 
-    def of(self, name: str) -> Rule | None:
+    def of(self, name: str) -> LeaseDefinition | None:
         found = self.exact.get(name)
         if found is None:
             found = next((rule for start, rule in self.starts if name.startswith(start)), None)
@@ -47,27 +47,29 @@
         return ""
 
 
-def read_rules(top: Checked, election: int) -> Rules:
-    """From the key `leases`. Raises BadKey, naming the key."""
+def read_definitions(top: ConfigSection, election: int) -> LeaseDefinitions:
+    """From the key `leases`. Raises ConfigError, naming the key."""
     leases = top.part("leases")
     least = LEAST_ELECTIONS * election
     found = {}
     for name in leases.value:
         if not NAME.fullmatch(name):
-            raise BadKey(
+            raise ConfigError(
                 f"leases.{name}: expected small letters, digits and . _ / -, and * at the end at most"
             )
         one = leases.part(name)
         places = one.whole("places", 1, least=1)
-        found[name] = Rule(places, one.whole("longest_ms", 60_000, least=least // MILLISECOND) * MILLISECOND)
+        found[name] = LeaseDefinition(
+            places, one.whole("longest_ms", 60_000, least=least // MILLISECOND) * MILLISECOND
+        )
         if found[name].longest > LONGEST * MILLISECOND:
             raise one.bad("longest_ms", f"at most {LONGEST}")
     if not found:
         raise top.bad("leases", "at least one lease")
-    return Rules(found, least)
+    return LeaseDefinitions(found, least)
 
 
-def told(rules: Rules) -> dict[str, Any]:
+def told(rules: LeaseDefinitions) -> dict[str, Any]:
     rows = {**rules.exact, **{f"{start}*": rule for start, rule in rules.starts}}
     return {
         name: {"places": rule.places, "longest_ms": rule.longest // MILLISECOND}
--- a/ploverspoke/leases/fence.py
+++ b/ploverspoke/leases/fencing.py
@@ -5,7 +5,7 @@
 MOST_NAMES = 100_000
 
 
-class Fence:
+class FencingTokenGuard:
     """Kept in memory. What must outlive its process is written down by whoever uses it, through `seen`."""
 
     def __init__(self, most: int = MOST_NAMES) -> None:
--- a/ploverspoke/leases/tasks.py
+++ b/ploverspoke/leases/fleet_tasks.py
@@ -13,8 +13,8 @@
 from pathlib import Path
 from typing import Any
 
-from .acting import Step, act
 from .client import LeaseClient
+from .guarded_task import GuardedStep, act
 
 SECOND = 1_000_000_000
 CALL_WITHIN = 2.0  # seconds, at an operators' door
@@ -25,12 +25,12 @@
 LAST_LINE = "."
 
 
-class NoAnswer(OSError):
+class NoReplyError(OSError):
     """An operators' door did not answer, or not with +OK."""
 
 
 async def call(where: str, line: str) -> list[str]:
-    """The lines behind +OK of an operators' door, the first line's rest included. Raises NoAnswer."""
+    """The lines behind +OK of an operators' door, the first line's rest included. Raises NoReplyError."""
     host, _, port = where.rpartition(":")
     try:
         async with asyncio.timeout(CALL_WITHIN):
@@ -39,10 +39,10 @@
             answer = (await reader.read(LONGEST_ANSWER)).decode("ascii", "replace")
             writer.close()
     except (OSError, TimeoutError, ValueError) as error:
-        raise NoAnswer(f"{where}: {error or 'no answer in time'}") from None
+        raise NoReplyError(f"{where}: {error or 'no answer in time'}") from None
     lines = answer.splitlines()
     if not lines or not lines[0].startswith("+OK"):
-        raise NoAnswer(f"{where}: {lines[0] if lines else 'nothing said'}")
+        raise NoReplyError(f"{where}: {lines[0] if lines else 'nothing said'}")
     return [lines[0].removeprefix("+OK").strip(), *(row for row in lines[1:] if row != LAST_LINE)]
 
 
@@ -54,7 +54,7 @@
         try:
             await call(where, "check")
             well += 1
-        except NoAnswer:
+        except NoReplyError:
             well = 0
         if well == TWICE:
             return True
@@ -85,7 +85,7 @@
         told.clear()
         told.update(await asyncio.to_thread(ask_leader, question))
 
-    await act(client, name, [Step(int(takes * SECOND), commit)])
+    await act(client, name, [GuardedStep(int(takes * SECOND), commit)])
     return told
 
 
@@ -100,7 +100,7 @@
         async with turns:
             try:
                 return where, figures(await call(where, "vars"))
-            except NoAnswer as error:
+            except NoReplyError as error:
                 return where, str(error)
 
     found = dict(await asyncio.gather(*(one(where) for where in doors)))
@@ -177,5 +177,5 @@
 
         # Doors are asked in turns, and a silent one costs a call's time; half of what is left has to do.
         reading = min(int(CALL_WITHIN * (1 + len(doors) // AT_ONCE) * SECOND), client.left(name) // 2)
-        await act(client, name, [Step(reading, read), Step(SECOND // 10, write)])
+        await act(client, name, [GuardedStep(reading, read), GuardedStep(SECOND // 10, write)])
         await asyncio.sleep(max(0.0, every - (time.monotonic() - began)))
--- a/ploverspoke/leases/acting.py
+++ b/ploverspoke/leases/guarded_task.py
@@ -16,12 +16,12 @@
     def token(self, name: str) -> int: ...
 
 
-class Step(NamedTuple):
+class GuardedStep(NamedTuple):
     takes: int  # ns at the most: past that it is called off
     do: Callable[[int], Awaitable[None]]  # with the token
 
 
-async def act(holder: Left, name: str, steps: Iterable[Step]) -> bool:
+async def act(holder: Left, name: str, steps: Iterable[GuardedStep]) -> bool:
     """Do the steps in their order; False where the lease did not last, and the rest is not begun.
 
     A step that does not end in its time is cancelled and ends the task with False, too. What a step raises is
--- a/ploverspoke/leases/holder.py
+++ b/ploverspoke/leases/holder.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from .rules import DRIFT
+from .definitions import DRIFT
 
 ASK_PART = 3  # it asks again when a third of the shortest duration is over
 AGAIN_PART = 15  # and where no answer came after a fifteenth
@@ -17,7 +17,7 @@
 Message = dict[str, Any]
 
 
-class HolderHost(Protocol):
+class LeaseHolderEnvironment(Protocol):
     def now(self) -> int:
         """ns of a monotonic clock."""
 
@@ -44,8 +44,8 @@
         self.on_lost: Callable[[str], None] = lambda why: None  # held no more, or refused
 
 
-class Holder:
-    def __init__(self, host: HolderHost) -> None:
+class LeaseHolder:
+    def __init__(self, host: LeaseHolderEnvironment) -> None:
         self.host = host
         self.leases: dict[str, Lease] = {}
         self.releasing: dict[
--- a/ploverspoke/leases/keeper.py
+++ b/ploverspoke/leases/manager.py
@@ -15,8 +15,8 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from .rules import Rules
-from .terms import ERA, GRANT, RELEASE, Held, Terms
+from .definitions import LeaseDefinitions
+from .state_machine import ERA, GRANT, RELEASE, LeaseGrant, LeaseStateMachine
 
 STALE_PART = 0.6  # of a duration: who has not been heard for so long is passed over
 MOST_WANTS = 1000  # of one holder
@@ -24,7 +24,7 @@
 Message = dict[str, Any]
 
 
-class KeeperHost(Protocol):
+class LeaseManagerEnvironment(Protocol):
     def now(self) -> int:
         """ns of a monotonic clock."""
 
@@ -46,8 +46,10 @@
         self.heard_at = heard_at
 
 
-class Keeper:
-    def __init__(self, host: KeeperHost, terms: Terms, rules: Rules) -> None:
+class LeaseManager:
+    def __init__(
+        self, host: LeaseManagerEnvironment, terms: LeaseStateMachine, rules: LeaseDefinitions
+    ) -> None:
         self.host = host
         self.terms = terms
         self.rules = rules
@@ -172,7 +174,7 @@
                 self.lost += 1
         self.host.tell(holder, {"n": message["n"], "has": has, "lost": lost, "refused": refused})
 
-    def _granted(self, name: str, held: Held) -> None:
+    def _granted(self, name: str, held: LeaseGrant) -> None:
         if not self.leading:
             return
         self.granted += 1
@@ -187,7 +189,7 @@
             )
         self._try(name)
 
-    def _over(self, name: str, held: Held) -> None:
+    def _over(self, name: str, held: LeaseGrant) -> None:
         self.deadlines.pop(held.token, None)
         self.ended.discard(held.token)
         if self.leading:
--- a/ploverspoke/leases/door.py
+++ b/ploverspoke/leases/server.py
@@ -3,11 +3,11 @@
 import asyncio
 from typing import Any, cast
 
-from ploverspoke.consensus.frames import BadFrame, Frames
-from ploverspoke.transport.log_lines import say
+from ploverspoke.consensus.framing import FrameCodec, FrameError
+from ploverspoke.transport.rate_limited_log import log_line
 
-from .keeper import Message
-from .node import KeeperNode
+from .manager import Message
+from .server_node import LeaseServerNode
 
 BACKLOG = 1024
 MOST_UNSENT = 1 << 20  # bytes, towards one that does not read
@@ -15,16 +15,16 @@
 
 
 class HolderConnection(asyncio.Protocol):
-    def __init__(self, door: "Door") -> None:
+    def __init__(self, door: "LeaseServer") -> None:
         self.door = door
-        self.frames = Frames(door.node.orders.secret, {"id": door.node.me, "store": ""})
+        self.frames = FrameCodec(door.node.orders.secret, {"id": door.node.me, "store": ""})
         self.transport: asyncio.Transport | None = None
         self.holder = ""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
         self.door.all.add(self)
-        self.transport.write(self.frames.hello())
+        self.transport.write(self.frames.greeting_frame())
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.transport = None
@@ -32,20 +32,20 @@
 
     def data_received(self, data: bytes) -> None:
         try:
-            for message in self.frames.feed(data):
+            for message in self.frames.decode(data):
                 if not self.holder:
                     self._greet()
                 self.door.came(self, checked(message))
-        except (BadFrame, BadMessage, KeyError) as error:
+        except (FrameError, MessageError, KeyError) as error:
             self.door.refused += 1
-            say(f"keeper: a holder's connection is refused: {error}")
+            log_line(f"keeper: a holder's connection is refused: {error}")
             self.close()
 
     def _greet(self) -> None:
-        assert self.frames.other is not None
-        holder = self.frames.other["id"]
+        assert self.frames.peer_greeting is not None
+        holder = self.frames.peer_greeting["id"]
         if not isinstance(holder, str) or not 0 < len(holder) <= LONGEST_ID:
-            raise BadMessage("no holder's id")
+            raise MessageError("no holder's id")
         self.holder = holder
         self.door.greeted(self)
 
@@ -55,29 +55,29 @@
         if self.transport.get_write_buffer_size() > MOST_UNSENT:
             self.close()
         else:
-            self.transport.write(self.frames.write(message))
+            self.transport.write(self.frames.encode(message))
 
     def close(self) -> None:
         if self.transport is not None:
             self.transport.abort()
 
 
-class BadMessage(ValueError):
+class MessageError(ValueError):
     """A holder's message has not the form that it should have."""
 
 
 def checked(message: Any) -> Message:
-    """A holder's message, as `Keeper.asked` takes it. Raises BadMessage."""
+    """A holder's message, as `LeaseManager.asked` takes it. Raises MessageError."""
     if not isinstance(message, dict) or not _whole(message.get("n")):
-        raise BadMessage("no message")
+        raise MessageError("no message")
     want, release = message.get("want"), message.get("release")
     if not isinstance(want, list) or not isinstance(release, list):
-        raise BadMessage("neither wants nor releases")
+        raise MessageError("neither wants nor releases")
     for row in want:
         if not (
             isinstance(row, list) and len(row) == 4 and isinstance(row[0], str) and all(map(_whole, row[1:]))
         ):
-            raise BadMessage("a want that is none")
+            raise MessageError("a want that is none")
     for row in release:
         if not (
             isinstance(row, list)
@@ -86,7 +86,7 @@
             and _whole(row[1])
             and isinstance(row[2], str)
         ):
-            raise BadMessage("a release that is none")
+            raise MessageError("a release that is none")
     return message
 
 
@@ -94,8 +94,8 @@
     return isinstance(value, int) and not isinstance(value, bool) and 0 <= value < 1 << 62
 
 
-class Door:
-    def __init__(self, node: KeeperNode) -> None:
+class LeaseServer:
+    def __init__(self, node: LeaseServerNode) -> None:
         self.node = node
         node.tell_holder = self.tell
         self.connections: dict[str, HolderConnection] = {}  # the latest of each holder
--- a/ploverspoke/leases/node.py
+++ b/ploverspoke/leases/server_node.py
@@ -1,26 +1,27 @@
-"""A keeper on a disk and on sockets: a thin driver of `Keeper` on a replica whose state is `Terms`."""
+"""A keeper on a disk and on sockets: a thin driver of `LeaseManager` on a replica whose state is
+`LeaseStateMachine`."""
 
 from collections.abc import Callable
 from typing import Any
 
-from ploverspoke.consensus.node import Node, Reply
-from ploverspoke.transport.log_lines import say
+from ploverspoke.consensus.node import ReplicaNode, Reply
+from ploverspoke.transport.rate_limited_log import log_line
 
-from .keeper import Keeper, Message
-from .orders import KeeperOrders
-from .rules import told
-from .terms import Terms
+from .config import LeaseServerConfig
+from .definitions import told
+from .manager import LeaseManager, Message
+from .state_machine import LeaseStateMachine
 
-ERA_KEPT = "era"  # on the disk of this replica: from the latest restore on
+EPOCH_KEY = "era"  # on the disk of this replica: from the latest restore on
 TICKS_EVERY = 0.02  # seconds, while it leads
 
 
-class KeeperNode(Node):
-    def __init__(self, orders: KeeperOrders) -> None:
-        self.terms = Terms()
+class LeaseServerNode(ReplicaNode):
+    def __init__(self, orders: LeaseServerConfig) -> None:
+        self.terms = LeaseStateMachine()
         super().__init__(orders.replica, self.terms)
         self.rules = orders.rules
-        self.keeper = Keeper(self, self.terms, self.rules)
+        self.keeper = LeaseManager(self, self.terms, self.rules)
         self.tell_holder: Callable[[str, Message], None] = lambda holder, message: None
         self.ticking = False
 
@@ -46,17 +47,17 @@
             self.loop.call_soon(self.read, self._took_over)
         elif self.keeper.leading:
             self.keeper.leads_no_more()
-            say(f"keeper: {self.orders.name} leads no more")
+            log_line(f"keeper: {self.orders.name} leads no more")
         super()._role_changed(role, leader)
 
     def _took_over(self, yes: bool) -> None:
         """All that was committed before is applied here."""
         if not yes or self.replica is None or self.replica.raft.role != "leader" or self.keeper.leading:
             return
-        era = self.disk.kept(ERA_KEPT) or 0
+        era = self.disk.kept(EPOCH_KEY) or 0
         self.keeper.leads(era)
         held = sum(len(row) for row in self.terms.names.values())
-        say(
+        log_line(
             f"keeper: {self.orders.name} leads; {held} leases are held"
             + " (restored)" * self.keeper.is_restored()
         )
--- a/ploverspoke/leases/terms.py
+++ b/ploverspoke/leases/state_machine.py
@@ -22,28 +22,28 @@
 ERA = "era"  # number
 
 
-class Held(msgspec.Struct, array_like=True):
+class LeaseGrant(msgspec.Struct, array_like=True):
     holder: str
     token: int
     duration: int  # ns
 
 
-class Dump(msgspec.Struct, array_like=True):
+class LeaseSnapshot(msgspec.Struct, array_like=True):
     format: int
     last: int
     era: int
-    names: dict[str, list[Held]]
+    names: dict[str, list[LeaseGrant]]
 
 
-class Terms:
+class LeaseStateMachine:
     """The state of the keepers' log."""
 
     def __init__(self) -> None:
         self.last = 0  # the latest token
         self.era = 0
-        self.names: dict[str, list[Held]] = {}  # only those that are held
-        self.on_granted: Callable[[str, Held], None] = lambda name, held: None
-        self.on_over: Callable[[str, Held], None] = lambda name, held: None
+        self.names: dict[str, list[LeaseGrant]] = {}  # only those that are held
+        self.on_granted: Callable[[str, LeaseGrant], None] = lambda name, held: None
+        self.on_over: Callable[[str, LeaseGrant], None] = lambda name, held: None
 
     # ---- The state of the log ----
 
@@ -61,10 +61,10 @@
                 self._over(name, {one.token for one in held})
 
     def dump(self) -> bytes:
-        return msgspec.msgpack.encode(Dump(FORMAT, self.last, self.era, self.names))
+        return msgspec.msgpack.encode(LeaseSnapshot(FORMAT, self.last, self.era, self.names))
 
     def load(self, data: bytes) -> None:
-        dump = msgspec.msgpack.decode(data, type=Dump) if data else Dump(FORMAT, 0, 0, {})
+        dump = msgspec.msgpack.decode(data, type=LeaseSnapshot) if data else LeaseSnapshot(FORMAT, 0, 0, {})
         self.last, self.era, self.names = dump.last, dump.era, dump.names
 
     # ---- Verbs ----
@@ -75,7 +75,7 @@
         if len(held) >= places or any(one.holder == holder for one in held):
             return
         self.last = self.next_token()
-        granted = Held(holder, self.last, duration)
+        granted = LeaseGrant(holder, self.last, duration)
         self.names.setdefault(name, []).append(granted)
         self.on_granted(name, granted)
 
@@ -97,5 +97,5 @@
 
     # ---- What is asked ----
 
-    def held(self, name: str, holder: str) -> Held | None:
+    def held(self, name: str, holder: str) -> LeaseGrant | None:
         return next((one for one in self.names.get(name, ()) if one.holder == holder), None)
--- a/ploverspoke/protocol/operators.py
+++ b/ploverspoke/protocol/admin.py
@@ -5,7 +5,7 @@
 LONGEST_CALL = 64  # bytes, its end included
 
 
-class BadCall(Exception):
+class AdminCallError(Exception):
     """What came is no call; says why, in words that are safe to send back."""
 
 
@@ -16,18 +16,18 @@
         self.line = bytearray()
 
     def feed(self, data: memoryview) -> str | None:
-        """The call, once its line has ended; None before that. Raises BadCall."""
+        """The call, once its line has ended; None before that. Raises AdminCallError."""
         self.line += data[: LONGEST_CALL + 1 - len(self.line)]
         line, newline, rest = bytes(self.line).partition(b"\n")
         if not newline:
             if len(self.line) > LONGEST_CALL:
-                raise BadCall("the line is too long")
+                raise AdminCallError("the line is too long")
             return None
         if rest or len(self.line) > LONGEST_CALL:
-            raise BadCall("one line a connection")
+            raise AdminCallError("one line a connection")
         call = line.removesuffix(b"\r")
         if not all(0x20 <= byte < 0x7F for byte in call):
-            raise BadCall("not plain ASCII")
+            raise AdminCallError("not plain ASCII")
         return call.decode("ascii")
 
 
--- a/ploverspoke/protocol/clients.py
+++ b/ploverspoke/protocol/clients.py
@@ -6,7 +6,7 @@
 
 from ploverspoke.transport.units import MICROSECOND, MILLISECOND, SECOND
 
-from .heads import LONGEST_BODY, Garbled, Message, head
+from .http_messages import LONGEST_BODY, HttpSyntaxError, Message, head
 
 REASONS = {
     200: "OK",
@@ -24,21 +24,21 @@
 MOST_SLOTS = 1e6
 
 
-class TooLong(Garbled):
+class MessageTooLongError(HttpSyntaxError):
     """A body over the limit."""
 
     status = 413
 
 
-class UnknownGrade(Garbled):
+class UnknownRequestClassError(HttpSyntaxError):
     status = 404
 
 
-class WrongMethod(Garbled):
+class MethodNotAllowedError(HttpSyntaxError):
     status = 405
 
 
-class IdInUse(Garbled):
+class RequestIdInUseError(HttpSyntaxError):
     """An id names one submission only: sent on again it would be a second copy of that one."""
 
     status = 409
@@ -46,7 +46,7 @@
 
 class RequestListener(Protocol):
     def head_came(self, method: str, target: str, headers: dict[str, str]) -> None:
-        """Raises Garbled where the rest need not be read."""
+        """Raises HttpSyntaxError where the rest need not be read."""
 
     def request_came(
         self, method: str, target: str, headers: dict[str, str], body: bytes, keep_alive: bool
@@ -80,12 +80,12 @@
         coding = self.headers.get("transfer-encoding")
         if coding is not None and (length is not None or coding.lower() != "chunked"):
             # Read one way here and another way there, its body may hide a request.
-            self.fail(Garbled("the length of the body is not clear"))
+            self.fail(HttpSyntaxError("the length of the body is not clear"))
         if length is not None and (len(length) > 18 or int(length) > LONGEST_BODY):
-            self.fail(TooLong("body too long"))
+            self.fail(MessageTooLongError("body too long"))
         try:
             self.listener.head_came(self.method(), self.target.decode("latin-1"), self.headers)
-        except Garbled as error:
+        except HttpSyntaxError as error:
             self.fail(error)
         if self.headers.get("expect", "").lower() == "100-continue":
             self.listener.body_awaited()
@@ -94,7 +94,7 @@
         return self.parser.get_method().decode("latin-1")
 
     def body_too_long(self) -> NoReturn:
-        self.fail(TooLong("body too long"))
+        self.fail(MessageTooLongError("body too long"))
 
     def on_message_complete(self) -> None:
         self.inside = False
@@ -120,7 +120,7 @@
     if text is None:
         return None
     if not text.isascii() or not text.isdigit() or len(text) > 15:
-        raise Garbled(f"{name} is no whole number")
+        raise HttpSyntaxError(f"{name} is no whole number")
     return int(text)
 
 
@@ -144,7 +144,7 @@
             except ValueError:
                 number = 0.0
             if not 0 < number < MOST_SLOTS:
-                raise Garbled("request-info: slots is no number above 0")
+                raise HttpSyntaxError("request-info: slots is no number above 0")
             return number
     return 1.0
 
--- a/ploverspoke/protocol/discovery.py
+++ b/ploverspoke/protocol/discovery.py
@@ -7,8 +7,8 @@
 
 from ploverspoke.transport.units import MILLISECOND
 
-from .heads import Garbled, Message, head
-from .values import is_finite, parse
+from .http_messages import HttpSyntaxError, Message, head
+from .json_values import is_finite, parse
 
 LONGEST_LIST = 1024 * 1024  # read, it takes ten times that
 
@@ -21,7 +21,7 @@
     return head(f"GET {target} HTTP/1.1", {"Host": address})
 
 
-class TurnedAway(Garbled):
+class WatchRejectedError(HttpSyntaxError):
     """Discovery has more calls than it can work through in time."""
 
 
@@ -39,33 +39,33 @@
         if status < 200:
             return
         if status in (429, 503):
-            self.fail(TurnedAway(f"answered {status}"))
+            self.fail(WatchRejectedError(f"answered {status}"))
         elif status != 200:
-            self.fail(Garbled(f"answered {status}"))
+            self.fail(HttpSyntaxError(f"answered {status}"))
         self.complete(bytes(self.body), self.lasts())
 
 
 def read_list(body: bytes, enter: Callable[..., None]) -> tuple[int, bool]:
-    """Enter each worker of a list; gives its version and whether it is whole. Raises Garbled."""
+    """Enter each worker of a list; gives its version and whether it is whole. Raises HttpSyntaxError."""
     return enter_list(parse(body), enter)
 
 
 def enter_list(told: Any, enter: Callable[..., None]) -> tuple[int, bool]:
     if not isinstance(told, Mapping):
-        raise Garbled("the list is no JSON object")
+        raise HttpSyntaxError("the list is no JSON object")
     version, whole, servers = told.get("version"), told.get("full"), told.get("servers")
     if not isinstance(version, int) or not isinstance(whole, bool) or not isinstance(servers, list):
-        raise Garbled("the list lacks version, full or servers")
+        raise HttpSyntaxError("the list lacks version, full or servers")
     for entry in servers:
         if not isinstance(entry, Mapping):
-            raise Garbled("an entry of the list is no object")
+            raise HttpSyntaxError("an entry of the list is no object")
         worker, address = entry.get("id"), entry.get("addr", "")
         if not isinstance(worker, str) or not isinstance(address, str):
-            raise Garbled("an entry of the list lacks id or addr")
+            raise HttpSyntaxError("an entry of the list lacks id or addr")
         weight, started = entry.get("weight", 1.0), entry.get("started_ms", 0)
         rack = entry.get("cell", 0)
         if not is_finite(weight) or not is_finite(started):
-            raise Garbled(f"weight or started_ms of {worker} is no number")
+            raise HttpSyntaxError(f"weight or started_ms of {worker} is no number")
         enter(
             worker,
             address,
--- a/ploverspoke/protocol/tellings.py
+++ b/ploverspoke/protocol/gossip_messages.py
@@ -5,7 +5,7 @@
 from struct import unpack_from
 from zlib import crc32
 
-from .heads import Garbled
+from .http_messages import HttpSyntaxError
 
 VERSION = 1
 MOST_BYTES = 255  # 256 may be sent; five and twice as many as fit
@@ -24,22 +24,22 @@
     return {mark_of(name): name for name in names if often[mark_of(name)] == 1}
 
 
-def write_telling(zone: int, number: int, lateness: float, held: Iterable[str]) -> bytes:
+def write_gossip(zone: int, number: int, lateness: float, held: Iterable[str]) -> bytes:
     """What does not fit is left out."""
     marks = b"".join(mark_of(worker).to_bytes(2) for worker in held)
     rest = bytes((zone & 0xFF, number, round(255 * lateness))) + marks[: MOST_BYTES - HEAD]
     return bytes((VERSION, _check(rest))) + rest
 
 
-def read_telling(octets: bytes, marks: dict[int, str]) -> tuple[int, int, float, list[str]]:
+def read_gossip(octets: bytes, marks: dict[int, str]) -> tuple[int, int, float, list[str]]:
     """The sender's zone, the telling's number, the lateness and the workers, but for unknown ones.
 
-    Raises Garbled.
+    Raises HttpSyntaxError.
     """
     if not HEAD <= len(octets) <= MOST_BYTES or (len(octets) - HEAD) % 2:
-        raise Garbled(f"a telling of {len(octets)} bytes")
+        raise HttpSyntaxError(f"a telling of {len(octets)} bytes")
     if octets[0] != VERSION or octets[1] != _check(octets[2:]):
-        raise Garbled("a telling of another version, or spoilt")
+        raise HttpSyntaxError("a telling of another version, or spoilt")
     named = unpack_from(f">{(len(octets) - HEAD) // 2}H", octets, HEAD)
     return octets[2], octets[3], octets[4] / 255, [marks[mark] for mark in named if mark in marks]
 
@@ -56,8 +56,8 @@
         self.known = 0  # workers are added and never taken out
 
     def read(self, octets: bytes, workers: Collection[str]) -> tuple[int, int, float, list[str]]:
-        """Raises Garbled."""
+        """Raises HttpSyntaxError."""
         if self.known != len(workers):
             self.known = len(workers)
             self.marks = marks_of(workers)
-        return read_telling(octets, self.marks)
+        return read_gossip(octets, self.marks)
--- a/ploverspoke/protocol/heads.py
+++ b/ploverspoke/protocol/http_messages.py
@@ -10,7 +10,7 @@
 CHUNKING = 8  # a body in the smallest chunks takes so many bytes for each of its own
 
 
-class Garbled(Exception):
+class HttpSyntaxError(Exception):
     """What came is not what the protocol promises."""
 
     status = 400  # for a client that sent it
@@ -31,22 +31,22 @@
         self.head_size = 0
         self.in_head = True
         self.fed = 0  # bytes, in this message
-        self.failure: Garbled | None = None
+        self.failure: HttpSyntaxError | None = None
 
     def feed(self, data: memoryview) -> None:
-        """Raises Garbled, after which nothing more can be read."""
+        """Raises HttpSyntaxError, after which nothing more can be read."""
         self.fed += len(data)
         # The parser keeps what it has of one header; a line without end would be kept without end.
         if self.fed > 2 * LONGEST_HEAD + (0 if self.in_head else CHUNKING * self.longest_body):
-            raise Garbled("head too long" if self.in_head else "message too long")
+            raise HttpSyntaxError("head too long" if self.in_head else "message too long")
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade:
             pass  # no other protocol is spoken here; what follows is not read
         except httptools.HttpParserError as error:
-            raise self.failure or Garbled(str(error)) from None
+            raise self.failure or HttpSyntaxError(str(error)) from None
 
-    def fail(self, failure: Garbled) -> NoReturn:
+    def fail(self, failure: HttpSyntaxError) -> NoReturn:
         """Out of a callback, through the parser, to who feeds it."""
         self.failure = failure
         raise failure
@@ -71,12 +71,12 @@
         key, text = name.decode("latin-1").lower(), value.decode("latin-1").strip(" \t")
         self.headers[key] = f"{self.headers[key]}, {text}" if key in self.headers else text
         if len(self.headers) > MOST_HEADERS:
-            self.fail(Garbled("head too long"))
+            self.fail(HttpSyntaxError("head too long"))
 
     def grow_head(self, size: int) -> None:
         self.head_size += size
         if self.head_size > LONGEST_HEAD:
-            self.fail(Garbled("head too long"))
+            self.fail(HttpSyntaxError("head too long"))
 
     def on_body(self, part: bytes) -> None:
         if len(self.body) + len(part) > self.longest_body:
@@ -84,7 +84,7 @@
         self.body += part
 
     def body_too_long(self) -> NoReturn:
-        self.fail(Garbled("body too long"))
+        self.fail(HttpSyntaxError("body too long"))
 
 
 def head(first_line: str, headers: dict[str, str]) -> bytes:
--- a/ploverspoke/protocol/workers.py
+++ b/ploverspoke/protocol/workers.py
@@ -5,12 +5,12 @@
 
 import httptools
 
-from ploverspoke.transport.ends import End
+from ploverspoke.transport.outcomes import ExchangeOutcome
 from ploverspoke.transport.units import MILLISECOND
 
-from .heads import LONGEST_BODY, Garbled, Message, head
-from .values import is_finite, parse
-from .words import LOAD_NAMES
+from .http_messages import LONGEST_BODY, HttpSyntaxError, Message, head
+from .json_values import is_finite, parse
+from .wire_names import LOAD_NAMES
 
 LONGEST_LINE = LONGEST_BODY + 4 * 1024  # a whole result and what stands round it
 
@@ -22,7 +22,7 @@
 
     def progressed(self, share_done: float) -> None: ...
 
-    def ended(self, end: End, result: str, load: Load | None) -> None:
+    def ended(self, end: ExchangeOutcome, result: str, load: Load | None) -> None:
         """The outcome is known; said at most once."""
 
     def message_over(self, reusable: bool) -> None:
@@ -82,7 +82,7 @@
         self.has_ended = False
         self.over = False
 
-    def end(self, end: End, result: str = "", load: Load | None = None) -> None:
+    def end(self, end: ExchangeOutcome, result: str = "", load: Load | None = None) -> None:
         if not self.has_ended:
             self.has_ended = True
             self.listener.ended(end, result, load)
@@ -93,7 +93,7 @@
 
     def on_message_begin(self) -> None:
         if self.over:
-            self.fail(Garbled("more than one answer"))
+            self.fail(HttpSyntaxError("more than one answer"))
         super().on_message_begin()
 
     def on_headers_complete(self) -> None:
@@ -122,8 +122,8 @@
         if self.status < 200 or self.status == 200:
             return
         unstarted = self.status in (503, 504) and self.headers.get("not-started", "").strip() == "1"
-        failed = End.REJECTED if 400 <= self.status < 500 else End.FAILED
-        self.end(End.RETURNED if unstarted else failed, load=self.header_load())
+        failed = ExchangeOutcome.REJECTED if 400 <= self.status < 500 else ExchangeOutcome.FAILED
+        self.end(ExchangeOutcome.RETURNED if unstarted else failed, load=self.header_load())
 
     def on_body(self, part: bytes) -> None:
         if self.status != 200 or self.has_ended:
@@ -136,19 +136,19 @@
             self.body = rest
             self.line(line)
         if len(self.body) > LONGEST_LINE:
-            self.end(End.GARBLED)
+            self.end(ExchangeOutcome.GARBLED)
 
     def complete(self) -> None:
         if self.status == 200 and not self.has_ended and self.body.strip():
             self.line(self.body)
-        self.end(End.BROKEN)
+        self.end(ExchangeOutcome.BROKEN)
 
     def line(self, text: bytearray) -> None:
         if not text.strip():
             return
         said = parse(text)
         if not isinstance(said, dict) or said.get("id") != self.request_id:
-            self.end(End.GARBLED)
+            self.end(ExchangeOutcome.GARBLED)
             return
         state, load = said.get("state"), load_report(said.get("load"), self.x0) or self.header_load()
         if state == "started":
@@ -159,14 +159,14 @@
                 float(share) if isinstance(share, int | float) and 0 <= share <= 1 else 0.0
             )
         elif state == "done" and isinstance(said.get("result"), str):
-            self.end(End.SERVED, said["result"], load)
+            self.end(ExchangeOutcome.SERVED, said["result"], load)
         elif state in ENDS:
             self.end(ENDS[state], load=load)
         else:
-            self.end(End.GARBLED)
+            self.end(ExchangeOutcome.GARBLED)
 
 
-ENDS = {"failed": End.FAILED, "returned": End.RETURNED, "lost": End.LOST}
+ENDS = {"failed": ExchangeOutcome.FAILED, "returned": ExchangeOutcome.RETURNED, "lost": ExchangeOutcome.LOST}
 
 
 class ProbeAnswer(Answer):
@@ -174,4 +174,4 @@
 
     def complete(self) -> None:
         load = load_report(parse(self.body), self.x0) or self.header_load()
-        self.end(End.SERVED if self.status == 200 else End.FAILED, load=load)
+        self.end(ExchangeOutcome.SERVED if self.status == 200 else ExchangeOutcome.FAILED, load=load)
--- a/ploverspoke/routing/operators.py
+++ b/ploverspoke/routing/admin_server.py
@@ -4,29 +4,29 @@
 import traceback
 from collections.abc import Callable, Iterator
 
-from ploverspoke.protocol import operators
-from ploverspoke.protocol.operators import BadCall
+from ploverspoke.protocol import admin
+from ploverspoke.protocol.admin import AdminCallError
 from ploverspoke.transport.connections import Connection
 from ploverspoke.transport.deadlines import Deadlines
 from ploverspoke.transport.listener import SPEAKS_WITHIN, Listener
-from ploverspoke.transport.log_lines import say
-from ploverspoke.transport.slots import SlotTable
+from ploverspoke.transport.rate_limited_log import log_line
+from ploverspoke.transport.slot_table import SlotTable
 from ploverspoke.transport.units import SECOND
 
-from .door import Door
+from .client_server import ClientServer
 from .router import Router
 
-MOST_CALLERS = 16  # of the descriptors that transport/shares.py keeps back
+MOST_CALLERS = 16  # of the descriptors that transport/resource_limits.py keeps back
 CALL_WITHIN = 2 * SECOND  # for the line to come whole, and for the answer to be read
 
 
-class Caller:
+class AdminConnection:
     """One connection of the door: one line, one answer, the end."""
 
-    def __init__(self, door: "OperatorsDoor", connection: Connection) -> None:
+    def __init__(self, door: "AdminServer", connection: Connection) -> None:
         self.door = door
         self.connection = connection
-        self.reader = operators.CallReader()
+        self.reader = admin.CallReader()
         self.since = door.deadlines.now()
         self.answered = False
         self.late = door.deadlines.at(self.since + CALL_WITHIN, self._too_slow)
@@ -40,8 +40,8 @@
         data = self.connection.buffer.unread()
         try:
             call = self.reader.feed(data)
-        except BadCall as error:
-            self._answer(operators.said_no(str(error)))
+        except AdminCallError as error:
+            self._answer(admin.said_no(str(error)))
             return
         finally:
             self.connection.buffer.read(len(data))
@@ -58,7 +58,7 @@
         if self.answered:
             self.connection.abort()
         else:
-            self._answer(operators.said_no("no whole line came"))
+            self._answer(admin.said_no("no whole line came"))
             self.late = self.door.deadlines.at(self.door.deadlines.now() + CALL_WITHIN, self._too_slow)
 
     def connection_ended(self) -> None:
@@ -69,19 +69,19 @@
         pass
 
 
-class OperatorsDoor:
+class AdminServer:
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, deadlines: Deadlines, door: Door, router: Router
+        self, loop: asyncio.AbstractEventLoop, deadlines: Deadlines, door: ClientServer, router: Router
     ) -> None:
         self.deadlines = deadlines
         self.door = door
         self.router = router
         self.calls: dict[str, Callable[[], bytes]] = {
             "check": self._check,
-            "vars": lambda: operators.figures(self._figures()),
+            "vars": lambda: admin.figures(self._figures()),
         }
         self.connections: SlotTable[Connection] = SlotTable()
-        self.callers: dict[int, Caller] = {}  # by their connection's number, oldest first
+        self.callers: dict[int, AdminConnection] = {}  # by their connection's number, oldest first
         self.listener = Listener(
             loop, deadlines, lambda: Connection(self.connections, self._came), self._has_room
         )
@@ -89,34 +89,34 @@
     def answer(self, call: str) -> bytes:
         answer = self.calls.get(call)
         if answer is None:
-            return operators.said_no("expected one of " + ", ".join(self.calls))
+            return admin.said_no("expected one of " + ", ".join(self.calls))
         try:
             return answer()
         except Exception:
-            say(f"a call at the operators' door failed: {traceback.format_exc()}")
-            return operators.said_no("a fault of ours")
+            log_line(f"a call at the operators' door failed: {traceback.format_exc()}")
+            return admin.said_no("a fault of ours")
 
     def _check(self) -> bytes:
         if self.door.leaving:
-            return operators.said_no("leaving")
+            return admin.said_no("leaving")
         if self.door.listener.socket is None:
-            return operators.said_no("not listening yet")
-        if not self.router.dispatcher.listed():
-            return operators.said_no("no list of workers")
-        return operators.said_yes("ready")
+            return admin.said_no("not listening yet")
+        if not self.router.dispatcher.listed_workers():
+            return admin.said_no("no list of workers")
+        return admin.said_yes("ready")
 
     def _figures(self) -> Iterator[str]:
         dispatcher, figures = self.router.dispatcher, self.router.figures
-        listed = dispatcher.listed()
+        listed = dispatcher.listed_workers()
         yield from figures.operations()
-        yield operators.figure("open_requests", self.router.open_now())
-        yield operators.figure("registry_entries", len(listed))
-        yield operators.figure("out_of_rotation", sum(dispatcher.avoids(w) for w in listed))
-        yield operators.figure("cfg_accepted", figures.accepted)
-        yield operators.figure("cfg_invalid", figures.invalid)
+        yield admin.figure("open_requests", self.router.open_now())
+        yield admin.figure("registry_entries", len(listed))
+        yield admin.figure("out_of_rotation", sum(dispatcher.avoids(w) for w in listed))
+        yield admin.figure("cfg_accepted", figures.accepted)
+        yield admin.figure("cfg_invalid", figures.invalid)
 
     def _came(self, connection: Connection) -> None:
-        Caller(self, connection)
+        AdminConnection(self, connection)
 
     def _has_room(self, coming: int) -> bool:
         """Who has said nothing for a while makes way first; nobody's answer waits for the silent ones."""
--- a/ploverspoke/routing/door.py
+++ b/ploverspoke/routing/client_server.py
@@ -5,16 +5,16 @@
 from collections import deque
 
 from ploverspoke.protocol import clients
-from ploverspoke.protocol.heads import Garbled
+from ploverspoke.protocol.http_messages import HttpSyntaxError
 from ploverspoke.transport.connections import Connection
 from ploverspoke.transport.deadlines import Deadline, Deadlines
 from ploverspoke.transport.listener import SPEAKS_WITHIN, Listener
-from ploverspoke.transport.log_lines import say
-from ploverspoke.transport.slots import SlotTable
+from ploverspoke.transport.rate_limited_log import log_line
+from ploverspoke.transport.slot_table import SlotTable
 from ploverspoke.transport.units import MILLISECOND, SECOND
 
+from .requests import Request
 from .router import Router
-from .submissions import Submission
 
 SLOW_REQUEST = 2500 * MILLISECOND  # for one to come whole, the first from the connecting on
 SLOW_READER = 10 * SECOND  # for an answer to be read
@@ -29,16 +29,16 @@
 class ClientSession:
     """One client's connection."""
 
-    def __init__(self, door: "Door", connection: Connection) -> None:
+    def __init__(self, door: "ClientServer", connection: Connection) -> None:
         self.door = door
         self.connection = connection
         self.reader = clients.RequestReader(self)
         self.waiting: deque[tuple[str, str, dict[str, str], bytes, bool]] = deque()
-        self.submission: Submission | None = None
+        self.submission: Request | None = None
         self.answering = False  # a request is being handled
         self.keep = True
         self.closing = False
-        self.failure: Garbled | None = None  # of the reader; told when all before it is answered
+        self.failure: HttpSyntaxError | None = None  # of the reader; told when all before it is answered
         self.thrown_away = 0  # bytes beyond what may be sent ahead
         self.held = 0  # bytes of requests, read and not yet taken
         self.served = False  # a submission of its was taken
@@ -74,7 +74,7 @@
         self.waiting.clear()
         submission, self.submission = self.submission, None
         if submission is not None:
-            self.door.router.client_left(submission, self)
+            self.door.router.client_disconnected(submission, self)
 
     def _keep_ahead(self) -> None:
         self._weigh()
@@ -127,7 +127,7 @@
     def _feed(self) -> None:
         try:
             self.connection.feed(self.reader)
-        except Garbled as error:
+        except HttpSyntaxError as error:
             self.failure = error
         self._weigh()
         if self.door.is_full():
@@ -172,10 +172,10 @@
                 self.door.unserved.pop(self.connection.number, None)
                 if self.answering:
                     self.submission = submission
-        except Garbled as error:
+        except HttpSyntaxError as error:
             self._answer(error.status, str(error).encode())
         except Exception:
-            say(f"a request could not be taken: {traceback.format_exc()}")
+            log_line(f"a request could not be taken: {traceback.format_exc()}")
             self._answer(500, b"a fault of ours")
 
     def _send_on(self, address: str, target: str) -> None:
@@ -247,7 +247,7 @@
         self.waiting.clear()
         buffer = self.connection.buffer
         buffer.read(len(buffer))
-        if isinstance(self.failure, clients.TooLong):
+        if isinstance(self.failure, clients.MessageTooLongError):
             self.connection.hold_reading(True)  # it may have much more to send
         self.connection.finish()
         self.door.deadlines.call_off(self.late)
@@ -282,7 +282,7 @@
             self._answer(408, b"the request did not come whole")
 
 
-class Door:
+class ClientServer:
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
@@ -343,7 +343,7 @@
     def _came(self, connection: Connection) -> None:
         newest = ClientSession(self, connection)
         if len(self.sessions) > self.most_sessions:
-            say(f"{len(self.sessions)} client connections and none idle: turning the newest away")
+            log_line(f"{len(self.sessions)} client connections and none idle: turning the newest away")
             newest.unwelcome = True
 
     def leave(self, handing_over: bool = False) -> None:
--- a/ploverspoke/routing/figures.py
+++ b/ploverspoke/routing/counters.py
@@ -3,7 +3,7 @@
 from collections import Counter
 from collections.abc import Iterable, Iterator
 
-from ploverspoke.protocol import operators
+from ploverspoke.protocol import admin
 
 # How a submission can end, and what the operators' page calls that. Who left got no answer and is not shown.
 SHOWN_AS = {"satisfied": "fulfilled", "nacked": "throttled", "abandoned": "faulted", "rejected": "faulted"}
@@ -11,7 +11,7 @@
 LEFT, DROPPED = "left", "dropped"  # the client left; its answer is another replica's to give
 
 
-class Figures:
+class Counters:
     """Counts by the name of the service grade: a grade that was dropped keeps its own."""
 
     def __init__(self) -> None:
@@ -50,5 +50,5 @@
                 if how in SHOWN_AS:
                     shown[SHOWN_AS[how]] += count
             for status in STATUSES:
-                yield operators.operations(grade, status, shown[status])
-            yield operators.operations(grade, "relayed", self.written[grade])
+                yield admin.operations(grade, status, shown[status])
+            yield admin.operations(grade, "relayed", self.written[grade])
--- a/ploverspoke/routing/roster.py
+++ b/ploverspoke/routing/endpoint_watch.py
@@ -4,12 +4,12 @@
 from collections.abc import Callable
 
 from ploverspoke.protocol import discovery
-from ploverspoke.protocol.heads import Garbled
+from ploverspoke.protocol.http_messages import HttpSyntaxError
+from ploverspoke.transport.connection_pool import Opening, Pool
 from ploverspoke.transport.connections import Connection
 from ploverspoke.transport.deadlines import Deadline, Deadlines
-from ploverspoke.transport.ends import End
-from ploverspoke.transport.log_lines import say
-from ploverspoke.transport.pools import Opening, Pool
+from ploverspoke.transport.outcomes import ExchangeOutcome
+from ploverspoke.transport.rate_limited_log import log_line
 from ploverspoke.transport.units import MILLISECOND, SECOND
 
 CONNECT_TIME = 2 * SECOND
@@ -25,7 +25,7 @@
 class Call:
     """One call, from its connection to its end. Whatever comes once the watch is at another is not heard."""
 
-    def __init__(self, watch: "RosterWatch") -> None:
+    def __init__(self, watch: "EndpointWatch") -> None:
         self.watch = watch
         self.version = watch.version  # newer than that is asked for; None: the whole list
         self.connection: Connection | None = None
@@ -49,7 +49,7 @@
         self.late = watch.deadlines.at(watch.deadlines.now() + limit, self._silent)
         connection.write(discovery.watch(self.version, watch.hold, watch.address))
 
-    def not_connected(self, end: End) -> None:
+    def not_connected(self, end: ExchangeOutcome) -> None:
         self.opening = None
         self.watch.failed(self, False)
 
@@ -59,9 +59,9 @@
         turned_away, wrong = False, False
         try:
             self.connection.feed(self.answer)
-        except Garbled as error:
-            say(f"discovery: {error}")
-            turned_away, wrong = isinstance(error, discovery.TurnedAway), True
+        except HttpSyntaxError as error:
+            log_line(f"discovery: {error}")
+            turned_away, wrong = isinstance(error, discovery.WatchRejectedError), True
         # A whole list is told, whatever comes behind it.
         told = self.body is None or self.watch.take(self.body, self.version)
         if wrong or not told:
@@ -71,7 +71,7 @@
 
     def _complete(self, body: bytes, lasts: bool) -> None:
         if self.body is not None:
-            self.answer.fail(Garbled("more than one answer"))
+            self.answer.fail(HttpSyntaxError("more than one answer"))
         self.body, self.lasts = body, lasts
 
     def connection_ended(self) -> None:
@@ -106,14 +106,16 @@
             connection.abort()
 
 
-class RosterWatch:
+class EndpointWatch:
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         deadlines: Deadlines,
         address: str,
         hold: int,
-        told: Callable[[bytes], tuple[int, bool]],  # gives version and whether it was whole; raises Garbled
+        told: Callable[
+            [bytes], tuple[int, bool]
+        ],  # gives version and whether it was whole; raises HttpSyntaxError
         lost: Callable[[bool], None],  # whether it has too many calls
         pushed: bool = False,
     ) -> None:
@@ -154,7 +156,7 @@
             version, whole = self.told(body)
         except Exception as error:
             # Whatever a list holds, it must not end the watch for good.
-            say(f"discovery: {type(error).__name__}: {error}")
+            log_line(f"discovery: {type(error).__name__}: {error}")
             return False
         # Numbers that went back are those of a discovery that was started anew: of what it changed before
         # the number that we know it would say nothing.
@@ -182,7 +184,7 @@
         """
         self.silences += 1
         if self.silences == 1:
-            say("discovery: a call got no answer in its time; asking anew")
+            log_line("discovery: a call got no answer in its time; asking anew")
         call.hang_up()
         if self.call is call:
             self.call = Call(self)
--- a/ploverspoke/routing/peers.py
+++ b/ploverspoke/routing/load_gossip.py
@@ -3,14 +3,14 @@
 import asyncio
 from collections.abc import Callable, Collection, Iterable, Sequence
 
-from ploverspoke.protocol.heads import Garbled
-from ploverspoke.protocol.tellings import Reader, write_telling
+from ploverspoke.protocol.gossip_messages import Reader, write_gossip
+from ploverspoke.protocol.http_messages import HttpSyntaxError
 
 Address = tuple[str, int]
 Hear = Callable[[int, int, int, float, list[str]], None]
 
 
-class Peers(asyncio.DatagramProtocol):
+class GossipSocket(asyncio.DatagramProtocol):
     """A telling may be lost, late, doubled or spoilt; what cannot be read is no word of anybody's."""
 
     def __init__(
@@ -44,7 +44,7 @@
     ) -> None:
         if self.transport is None:
             return
-        octets = write_telling(zone, number, lateness, held)
+        octets = write_gossip(zone, number, lateness, held)
         for peer in range(len(self.addresses)) if to is None else to:
             if peer != self.own and peer < len(self.addresses):
                 self.transport.sendto(octets, self.addresses[peer])
@@ -55,7 +55,7 @@
             return
         try:
             told = self.reader.read(data, self.workers())
-        except Garbled:
+        except HttpSyntaxError:
             return
         self.hear(teller, *told)
 
--- a/ploverspoke/routing/rows.py
+++ b/ploverspoke/routing/request_classes.py
@@ -21,7 +21,7 @@
 )
 
 
-class Rows:
+class RequestClassTable:
     def __init__(self, grades: list[str]) -> None:
         self.numbers = {grade: number for number, grade in enumerate(grades)}  # those in force
         self.names = list(grades)  # by number, also of those no longer in force
--- a/ploverspoke/routing/scribe.py
+++ b/ploverspoke/routing/request_log.py
@@ -6,10 +6,10 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple, Protocol
 
-Then = Callable[[bool], None]  # told whether it is committed; not from inside the call
+CommitCallback = Callable[[bool], None]  # told whether it is committed; not from inside the call
 
 
-class Past(NamedTuple):
+class PreviousOutcome(NamedTuple):
     """What the store knows of an id from before."""
 
     answer: tuple[str, str] | None  # how and result, where it is answered
@@ -19,7 +19,7 @@
     bound_for: int  # ns since it was sent there
 
 
-class Scribe(Protocol):
+class RequestLog(Protocol):
     def leads(self) -> bool:
         """Whether this replica may act: no other can lead now."""
 
@@ -29,19 +29,19 @@
     def digest(self, method: str, target: str, body: bytes) -> bytes:
         """Tells two requests under one id apart."""
 
-    def past(self, request_id: str) -> Past | None: ...
+    def past(self, request_id: str) -> PreviousOutcome | None: ...
 
-    def take(self, request_id: str, grade: int, digest: bytes, left: int, then: Then) -> None:
+    def take(self, request_id: str, grade: int, digest: bytes, left: int, then: CommitCallback) -> None:
         """`left` is ns until its abandon time."""
 
-    def intend(self, request_id: str, worker: str, index: int, then: Then) -> None: ...
+    def intend(self, request_id: str, worker: str, index: int, then: CommitCallback) -> None: ...
 
     def outcome(self, request_id: str, index: int, outcome: str) -> None: ...
 
-    def answer(self, request_id: str, how: str, result: str, digest: bytes, then: Then) -> None: ...
+    def answer(self, request_id: str, how: str, result: str, digest: bytes, then: CommitCallback) -> None: ...
 
 
-class Intended:
+class PendingAttempt:
     """A hand-off whose intent is on its way to be committed; in the place of its errand until then."""
 
     def __init__(self) -> None:
@@ -54,7 +54,7 @@
         self.called_off = True
 
 
-class Waiters:
+class WaitingClients:
     """All clients that wait for one submission; a client that comes back with its id joins the others."""
 
     def __init__(self, first: Any) -> None:
--- a/ploverspoke/routing/submissions.py
+++ b/ploverspoke/routing/requests.py
@@ -4,8 +4,8 @@
 
 from ploverspoke.transport.deadlines import Deadline
 
-from .errands import Errand
-from .scribe import Intended, Waiters
+from .request_log import PendingAttempt, WaitingClients
+from .worker_calls import WorkerCall
 
 
 class Client(Protocol):
@@ -27,7 +27,7 @@
         """No answer can be given here: another replica has it, or will have."""
 
 
-class Submission:
+class Request:
     def __init__(
         self,
         client: Client,
@@ -48,11 +48,11 @@
         self.body = body
         self.abandon_at = abandon_at
         self.digest = b""  # of the request, where a store keeps it
-        self.waiters: Waiters | None = (
+        self.waiters: WaitingClients | None = (
             None  # the same client and those that came back, where there is a store
         )
         self.sent = False  # something of it was written to a worker
-        self.hand_offs: list[Errand | Intended | None] = []  # None: ended
+        self.hand_offs: list[WorkerCall | PendingAttempt | None] = []  # None: ended
         self.last_answer: Deadline | None = None
 
     def out(self) -> bool:
