--- a/ploverspoke/routing/router.py
+++ b/ploverspoke/routing/router.py
@@ -9,26 +9,26 @@
 from typing import Any
 
 from ploverspoke.decisions.dispatcher import Dispatcher
-from ploverspoke.decisions.host import Listing, StandingOrders
+from ploverspoke.decisions.interface import Endpoint, Settings
 from ploverspoke.protocol import clients, discovery, workers
-from ploverspoke.protocol.heads import Garbled
-from ploverspoke.protocol.words import CONDITIONS
+from ploverspoke.protocol.http_messages import HttpSyntaxError
+from ploverspoke.protocol.wire_names import CONDITIONS
 from ploverspoke.protocol.workers import Load
+from ploverspoke.transport.connection_pool import Pool
 from ploverspoke.transport.deadlines import Deadlines
-from ploverspoke.transport.ends import End
-from ploverspoke.transport.log_lines import say
-from ploverspoke.transport.pools import Pool
-from ploverspoke.transport.slots import SlotTable
+from ploverspoke.transport.outcomes import ExchangeOutcome
+from ploverspoke.transport.rate_limited_log import log_line
+from ploverspoke.transport.slot_table import SlotTable
 from ploverspoke.transport.units import MILLISECOND, SECOND
 
-from .errands import Errand
-from .figures import DROPPED, LEFT, Figures
+from .counters import DROPPED, LEFT, Counters
+from .endpoint_watch import EndpointWatch
+from .load_gossip import GossipSocket
 from .outcomes import OUTCOMES
-from .peers import Peers
-from .roster import RosterWatch
-from .rows import Rows
-from .scribe import Intended, Past, Scribe, Waiters
-from .submissions import Client, Submission
+from .request_classes import RequestClassTable
+from .request_log import PendingAttempt, PreviousOutcome, RequestLog, WaitingClients
+from .requests import Client, Request
+from .worker_calls import WorkerCall
 
 PROBE_TIME_OUT = 250 * MILLISECOND
 IDS_KEPT = 4096  # of the latest submissions
@@ -38,16 +38,16 @@
 Event = Callable[..., None]
 
 
-def x0_in(orders: StandingOrders) -> str:
+def x0_in(orders: Settings) -> str:
     """What this deployment's reports mean by x0."""
     return "free_slots" if "free_slots" in orders["load_fields"] else "x0"
 
 
-def hold_in(orders: StandingOrders) -> int:
+def hold_in(orders: Settings) -> int:
     return min(LONGEST_HOLD, int(orders["roster_ask_within"]))
 
 
-def is_pushed(orders: StandingOrders) -> bool:
+def is_pushed(orders: Settings) -> bool:
     """Whether changes of the roster count as told without being asked for."""
     return not orders["roster_must_be_asked"]
 
@@ -64,10 +64,10 @@
         client.abandoned()
 
 
-class HandOff:
+class AttemptCall:
     """Tells the router what becomes of one hand-off."""
 
-    def __init__(self, router: "Router", submission: Submission, index: int, worker: str) -> None:
+    def __init__(self, router: "Router", submission: Request, index: int, worker: str) -> None:
         self.router = router
         self.submission = submission
         self.index = index
@@ -78,17 +78,17 @@
         self.router.figures.wrote(self.router.rows.names[self.submission.grade])
 
     def errand_started(self) -> None:
-        self.router.tell(self.router.dispatcher.hand_off_started, self.submission.number, self.index)
+        self.router.tell(self.router.dispatcher.attempt_started, self.submission.number, self.index)
 
     def errand_progressed(self, share_done: float) -> None:
-        event = self.router.dispatcher.hand_off_progressed
+        event = self.router.dispatcher.attempt_progressed
         self.router.tell(event, self.submission.number, self.index, share_done)
 
-    def errand_ended(self, end: End, result: str, load: Load | None) -> None:
-        self.router.hand_off_ended(self, end, result, load)
+    def errand_ended(self, end: ExchangeOutcome, result: str, load: Load | None) -> None:
+        self.router.attempt_ended(self, end, result, load)
 
 
-class Probe:
+class HealthCheckCall:
     """Tells the router what becomes of one probe."""
 
     def __init__(self, router: "Router", worker: str) -> None:
@@ -106,14 +106,14 @@
     def errand_progressed(self, share_done: float) -> None:
         pass
 
-    def errand_ended(self, end: End, result: str, load: Load | None) -> None:
-        if end in (End.BROKEN, End.UNSENT) and not self.repeated:
+    def errand_ended(self, end: ExchangeOutcome, result: str, load: Load | None) -> None:
+        if end in (ExchangeOutcome.BROKEN, ExchangeOutcome.UNSENT) and not self.repeated:
             # A connection that breaks says little of its worker, and a probe may be sent twice.
             self.repeated = True
             self.router.send_probe(self)
             return
         took = self.router.now() - self.sent_at
-        event = self.router.dispatcher.probe_answered
+        event = self.router.dispatcher.probe_completed
         self.router.tell(event, self.worker, OUTCOMES[end], took, load)
 
 
@@ -125,18 +125,18 @@
         pool: Pool,
         discovery_address: str,
         seed: int,
-        orders: StandingOrders,
+        orders: Settings,
         names: Mapping[str, list[str]],
-        scribe: Scribe | None = None,
+        scribe: RequestLog | None = None,
     ) -> None:
         self.deadlines = deadlines
         self.pool = pool
         self.orders = orders
         self.scribe = scribe
         self.on_roster: Callable[[bytes], None] | None = None  # told what discovery told
-        self.by_id: dict[str, Submission] = {}  # those in flight, where there is a store
-        self.rows = Rows(names["grades"])
-        self.figures = Figures()
+        self.by_id: dict[str, Request] = {}  # those in flight, where there is a store
+        self.rows = RequestClassTable(names["grades"])
+        self.figures = Counters()
         self.figures.name(names["grades"])
         self.zones = {name: number for number, name in enumerate(names["zones"])}
         self.machine_kinds = {name: number for number, name in enumerate(names["machine_kinds"])}
@@ -144,14 +144,14 @@
         # Workers' starts are told in Unix time; one difference, taken once, puts them all on our clock.
         self.clock_ahead = time.time_ns() - time.monotonic_ns()
         self.addresses: dict[str, str] = {}
-        self.submissions: SlotTable[Submission] = SlotTable()
+        self.submissions: SlotTable[Request] = SlotTable()
         self.body_bytes = 0
         self.ids: set[str] = set()
         self.latest_ids: deque[str] = deque()
         self.events: deque[tuple[Event, tuple[Any, ...]]] = deque()
         self.telling = False
         self.lists_told = 0  # by discovery, since the start
-        self.peers: Peers | None = None  # the other dispatchers, where there are addresses for them
+        self.peers: GossipSocket | None = None  # the other dispatchers, where there are addresses for them
         self.loop = loop
         self.roster = self._watch_on(discovery_address)
         self.dispatcher = Dispatcher(self, seed, orders)
@@ -162,16 +162,16 @@
         From the known list on discovery says only what is newer, when that comes; else at once all it has.
         """
         if known is not None:
-            listings: list[Listing] = []
+            listings: list[Endpoint] = []
             version, _ = discovery.enter_list(known, partial(self._enter, listings))
             self.roster.version = version if from_known else None
             self._roster_changed(listings, True)
-        self.tell(self.dispatcher.begun)
+        self.tell(self.dispatcher.started)
         if is_pushed(self.orders):
             # Where changes are to come unprompted, nothing but this watch makes them come on sockets.
             self.roster.start()
 
-    def orders_changed(self, orders: StandingOrders, names: Mapping[str, list[str]]) -> None:
+    def settings_changed(self, orders: Settings, names: Mapping[str, list[str]]) -> None:
         """Other settings, checked: they bind what is taken from now on; what is open keeps its rules."""
         translated = dict(orders)
         own, sought = orders["zone"], orders["machine_kind_needed"]
@@ -185,7 +185,7 @@
         self.figures.name(names["grades"])
         self.x0 = x0_in(self.orders)
         self.roster.hold, self.roster.pushed = hold_in(self.orders), is_pushed(self.orders)
-        self.tell(self.dispatcher.orders_changed, self.orders, takes_over)
+        self.tell(self.dispatcher.settings_changed, self.orders, takes_over)
 
     def _machine_kind(self, kind: int, names: list[str]) -> int:
         """The number by which workers of that kind are known here, whatever place its name has now."""
@@ -196,26 +196,27 @@
     # ---- From clients ----
 
     def check(self, method: str, target: str, headers: dict[str, str]) -> None:
-        """Whether a request with this head can be taken at all. Raises Garbled."""
+        """Whether a request with this head can be taken at all. Raises HttpSyntaxError."""
         if clients.grade_name(target) not in self.rows.numbers:
-            raise clients.UnknownGrade("no such service grade")
+            raise clients.UnknownRequestClassError("no such service grade")
         if method != "POST":
-            raise clients.WrongMethod("submissions come by POST")
+            raise clients.MethodNotAllowedError("submissions come by POST")
         if not headers.get("request-id"):
-            raise Garbled("request-id is missing")
+            raise HttpSyntaxError("request-id is missing")
         self._must_be_new(headers["request-id"])
         for read in (clients.patience, clients.slots, clients.work_hint):
             read(headers)
 
     def take(
         self, client: Client, method: str, target: str, headers: dict[str, str], body: bytes
-    ) -> Submission | None:
-        """Take a submission whose head was checked; None where there is no room for it. Raises Garbled."""
+    ) -> Request | None:
+        """Take a submission whose head was checked; None where there is no room for it. Raises
+        HttpSyntaxError."""
         # Once more, since another with its id may have been taken while its body came.
         self._must_be_new(headers["request-id"])
         grade = self.rows.numbers.get(clients.grade_name(target))
         if grade is None:
-            raise clients.UnknownGrade("no such service grade")  # dropped while the body came
+            raise clients.UnknownRequestClassError("no such service grade")  # dropped while the body came
         longest: int = self.orders["abandon_time"][grade]
         stated = clients.patience(headers)
         patience = longest if stated is None else min(stated, longest)
@@ -229,7 +230,7 @@
             return None
         # What waited for us to be read, and the way back, are time that the client has not.
         abandon_at = self.now() + patience - min(ANSWER_EARLY, patience // 10)
-        submission = Submission(client, grade, method, target, headers, body, abandon_at)
+        submission = Request(client, grade, method, target, headers, body, abandon_at)
         submission.number = self.submissions.add(submission)
         self.figures.took()
         self.body_bytes += len(body)
@@ -238,7 +239,7 @@
         submission.last_answer = self.deadlines.at(abandon_at, partial(self._overdue, submission))
         arrived = partial(
             self.tell,
-            self.dispatcher.submission_arrived,
+            self.dispatcher.request_arrived,
             submission.number,
             grade,
             slots,
@@ -262,19 +263,19 @@
 
     def _known(
         self,
-        scribe: Scribe,
+        scribe: RequestLog,
         client: Client,
         method: str,
         target: str,
         headers: dict[str, str],
         body: bytes,
-    ) -> Submission | None:
+    ) -> Request | None:
         """An id that was here before: its client waits with the others, or gets the same answer again."""
         request_id, digest = headers["request-id"], scribe.digest(method, target, body)
         flying, past = self.by_id.get(request_id), scribe.past(request_id)
         told = flying.digest if flying is not None else past.digest if past is not None else digest
         if told != digest:
-            raise clients.IdInUse("request-id is in use")
+            raise clients.RequestIdInUseError("request-id is in use")
         if flying is not None and flying.waiters is not None:
             # Also while its answer is on its way to be committed: taken for a new one it was handed off
             # again.
@@ -282,17 +283,17 @@
             return flying
         if past is not None and past.answer is not None:
             how, result = past.answer
-            answered = Submission(client, 0, method, target, headers, b"", 0)
+            answered = Request(client, 0, method, target, headers, b"", 0)
             give(client, how, result)
             return answered
         return None
 
-    def _write_down(self, scribe: Scribe, submission: Submission, arrived: Callable[[], None]) -> None:
+    def _write_down(self, scribe: RequestLog, submission: Request, arrived: Callable[[], None]) -> None:
         """The decisions hear of it when it is committed that we have it; redoable ones need not wait for
         that.
         """
         submission.digest = scribe.digest(submission.method, submission.target, submission.body)
-        submission.client = submission.waiters = Waiters(submission.client)
+        submission.client = submission.waiters = WaitingClients(submission.client)
         self.by_id[submission.request_id] = submission
         if self.orders["repeat"][submission.grade] == "redoable":
             arrived()
@@ -315,18 +316,18 @@
         left = submission.abandon_at - self.now()
         scribe.take(submission.request_id, submission.grade, submission.digest, left, committed)
 
-    def _resume(self, submission: Submission, past: Past) -> None:
+    def _resume(self, submission: Request, past: PreviousOutcome) -> None:
         """Another replica had it: its hand-offs count, and it is bound by the first that may have run."""
         submission.hand_offs = [None] * past.hand_offs
         submission.sent = past.hand_offs > 0
         sent_at = self.now() - past.bound_for
         number = submission.number
-        self.tell(self.dispatcher.submission_resumes, number, past.hand_offs, past.bound_to, sent_at)
+        self.tell(self.dispatcher.request_resumed, number, past.hand_offs, past.bound_to, sent_at)
 
-    def _intend(self, scribe: Scribe, hand_off: HandOff, time_out: int) -> None:
+    def _intend(self, scribe: RequestLog, hand_off: AttemptCall, time_out: int) -> None:
         """Nothing that must not run twice leaves before it is committed that it may."""
         submission, index, until = hand_off.submission, hand_off.index, self.now() + time_out
-        pending = submission.hand_offs[index] = Intended()
+        pending = submission.hand_offs[index] = PendingAttempt()
 
         def committed(yes: bool) -> None:
             if submission.hand_offs[index] is not pending:
@@ -335,7 +336,7 @@
             if yes and left > 0 and not pending.called_off:
                 self._send(hand_off, left)
             else:
-                self.hand_off_ended(hand_off, End.WITHHELD, "", None)
+                self.attempt_ended(hand_off, ExchangeOutcome.WITHHELD, "", None)
 
         scribe.intend(submission.request_id, hand_off.worker, index, committed)
 
@@ -344,9 +345,9 @@
         for submission in self.submissions:
             if submission.client is not None:
                 self._drop(submission)
-                self.tell(self.dispatcher.client_left, submission.number)
+                self.tell(self.dispatcher.client_disconnected, submission.number)
 
-    def _drop(self, submission: Submission) -> None:
+    def _drop(self, submission: Request) -> None:
         """Its answer is another replica's to give."""
         client = submission.client
         if client is not None:
@@ -358,7 +359,7 @@
 
     def _must_be_new(self, request_id: str) -> None:
         if request_id in self.ids and self.scribe is None:
-            raise clients.IdInUse("request-id is in use")
+            raise clients.RequestIdInUseError("request-id is in use")
 
     def _remember(self, request_id: str) -> None:
         """Of those that have ended, too: a copy may come when the first is just answered."""
@@ -376,7 +377,7 @@
     def open_now(self) -> int:
         return sum(submission.client is not None for submission in self.submissions)
 
-    def client_left(self, submission: Submission, client: Client) -> None:
+    def client_disconnected(self, submission: Request, client: Client) -> None:
         if submission.waiters is not None:
             # It may come back for its answer, here or at another replica.
             if client in submission.waiters.clients:
@@ -384,10 +385,10 @@
             self._end_unsent(submission)
         elif submission.client is not None:
             self._close(submission, LEFT)
-            self.tell(self.dispatcher.client_left, submission.number)
+            self.tell(self.dispatcher.client_disconnected, submission.number)
             self._forget(submission)
 
-    def _end_unsent(self, submission: Submission) -> None:
+    def _end_unsent(self, submission: Request) -> None:
         """Where the last that waited has left and no worker has had or may get it: who comes back hears
         that it has not run.
         """
@@ -396,7 +397,7 @@
             return
         if submission.client is not None:
             self._answer(submission, "nacked")
-            self.tell(self.dispatcher.client_left, submission.number)
+            self.tell(self.dispatcher.client_disconnected, submission.number)
 
     def answer_all(self) -> None:
         """The end of the program: nobody is left without an answer."""
@@ -416,25 +417,29 @@
             try:
                 event(*what)
             except Exception:
-                say(f"a decision failed in {getattr(event, '__name__', event)}: {traceback.format_exc()}")
+                log_line(
+                    f"a decision failed in {getattr(event, '__name__', event)}: {traceback.format_exc()}"
+                )
                 submission = self.submissions.get(what[0]) if what and isinstance(what[0], int) else None
-                if submission is not None and event != self.dispatcher.woken:
+                if submission is not None and event != self.dispatcher.timer_fired:
                     self._answer_for_decisions(submission)
         self.telling = False
 
-    def hand_off_ended(self, hand_off: HandOff, end: End, result: str, load: Load | None) -> None:
+    def attempt_ended(
+        self, hand_off: AttemptCall, end: ExchangeOutcome, result: str, load: Load | None
+    ) -> None:
         submission = hand_off.submission
         submission.hand_offs[hand_off.index] = None
         self._end_unsent(submission)
         if self.scribe is not None and self._is_kept(submission):
             self.scribe.outcome(submission.request_id, hand_off.index, OUTCOMES[end])
-        if end is End.SERVED:
+        if end is ExchangeOutcome.SERVED:
             self._answer(submission, "satisfied", result)
-        elif end is End.REJECTED:
+        elif end is ExchangeOutcome.REJECTED:
             # Sent to one worker after the other it set them aside, one by one.
             self._answer(submission, "rejected")
         self.tell(
-            self.dispatcher.hand_off_ended,
+            self.dispatcher.attempt_ended,
             submission.number,
             hand_off.index,
             hand_off.worker,
@@ -446,7 +451,7 @@
         self._forget(submission)
 
     def _roster_told(self, body: bytes) -> tuple[int, bool]:
-        listings: list[Listing] = []
+        listings: list[Endpoint] = []
         version, whole = discovery.read_list(body, partial(self._enter, listings))
         self._roster_changed(listings, whole)
         self.lists_told += 1
@@ -460,21 +465,21 @@
         self.roster = self._watch_on(address)
         self.roster.start()
 
-    def _watch_on(self, address: str) -> RosterWatch:
+    def _watch_on(self, address: str) -> EndpointWatch:
         hold, pushed = hold_in(self.orders), is_pushed(self.orders)
         told, lost = self._roster_told, self._roster_lost
-        return RosterWatch(self.loop, self.deadlines, address, hold, told, lost, pushed)
+        return EndpointWatch(self.loop, self.deadlines, address, hold, told, lost, pushed)
 
-    def _roster_changed(self, listings: list[Listing], whole: bool) -> None:
+    def _roster_changed(self, listings: list[Endpoint], whole: bool) -> None:
         dispatcher = self.dispatcher
-        self.tell(dispatcher.roster_complete if whole else dispatcher.roster_changed, listings)
+        self.tell(dispatcher.endpoint_list_received if whole else dispatcher.endpoints_changed, listings)
 
     def _roster_lost(self, turned_away: bool) -> None:
-        self.tell(self.dispatcher.roster_lost, turned_away)
+        self.tell(self.dispatcher.endpoint_watch_failed, turned_away)
 
     def _enter(
         self,
-        listings: list[Listing],
+        listings: list[Endpoint],
         worker: str,
         address: str,
         zone: Any,
@@ -494,37 +499,39 @@
         started = max(1, started_ms * MILLISECOND - self.clock_ahead) if started_ms else 0
         zone_number = self.zones.setdefault(str(zone), len(self.zones))
         kind_number = self.machine_kinds.setdefault(str(machine_kind), len(self.machine_kinds))
-        listings.append(Listing(worker, zone_number, kind_number, rack, condition, weight, started))
+        listings.append(Endpoint(worker, zone_number, kind_number, rack, condition, weight, started))
 
     # ---- What the decisions ask for ----
 
     def now(self) -> int:
         return self.deadlines.now()
 
-    def hand_off(self, submission_id: int, worker: str, time_out: int) -> None:
+    def start_attempt(self, submission_id: int, worker: str, time_out: int) -> None:
         submission, address = self.submissions.get(submission_id), self.addresses.get(worker)
         if submission is None or submission.client is None or address is None:
             closed = submission is None or submission.client is None
             index = 0 if submission is None else len(submission.hand_offs)
             if submission is not None:
                 submission.hand_offs.append(None)
-            event = self.dispatcher.hand_off_ended
-            self.tell(event, submission_id, index, worker, OUTCOMES[End.WITHHELD], 0, closed, None)
+            event = self.dispatcher.attempt_ended
+            self.tell(
+                event, submission_id, index, worker, OUTCOMES[ExchangeOutcome.WITHHELD], 0, closed, None
+            )
             return
-        hand_off = HandOff(self, submission, len(submission.hand_offs), worker)
+        hand_off = AttemptCall(self, submission, len(submission.hand_offs), worker)
         submission.hand_offs.append(None)
         if self.scribe is not None and self._is_kept(submission):
             self._intend(self.scribe, hand_off, time_out)
         else:
             self._send(hand_off, time_out)
 
-    def _is_kept(self, submission: Submission) -> bool:
+    def _is_kept(self, submission: Request) -> bool:
         """Whether the store keeps its hand-offs: what may be run twice needs no keeping."""
         return bool(self.orders["repeat"][submission.grade] != "redoable")
 
-    def _send(self, hand_off: HandOff, time_out: int) -> None:
+    def _send(self, hand_off: AttemptCall, time_out: int) -> None:
         submission, address = hand_off.submission, self.addresses[hand_off.worker]
-        submission.hand_offs[hand_off.index] = Errand(
+        submission.hand_offs[hand_off.index] = WorkerCall(
             self.pool,
             address,
             lambda left: workers.job(
@@ -542,7 +549,7 @@
             may_go=partial(self._lets_go, hand_off, address),
         )
 
-    def _lets_go(self, hand_off: HandOff, address: str) -> bool:
+    def _lets_go(self, hand_off: AttemptCall, address: str) -> bool:
         """Whether a hand-off may still be written. Every one passes here last, whatever it waited for since
         its worker was chosen: a connection, a commit, this process.
         """
@@ -557,28 +564,28 @@
         submission.sent = submission.sent or may
         return may
 
-    def recall(self, submission_id: int, hand_off: int) -> None:
+    def cancel_attempt(self, submission_id: int, hand_off: int) -> None:
         submission = self.submissions.get(submission_id)
         errand = submission.hand_offs[hand_off] if submission is not None else None
         if errand is not None:
             errand.give_up()
 
-    def nack(self, submission_id: int, come_back_after: int) -> None:
+    def reject(self, submission_id: int, come_back_after: int) -> None:
         self._answer(self.submissions.get(submission_id), "nacked", "", come_back_after)
 
-    def abandon(self, submission_id: int) -> None:
+    def fail(self, submission_id: int) -> None:
         self._answer(self.submissions.get(submission_id), "abandoned")
 
     def wake_at(self, token: int, when: int) -> None:
-        self.deadlines.at(when, lambda: self.tell(self.dispatcher.woken, token))
+        self.deadlines.at(when, lambda: self.tell(self.dispatcher.timer_fired, token))
 
     def probe(self, worker: str) -> None:
-        self.send_probe(Probe(self, worker))
+        self.send_probe(HealthCheckCall(self, worker))
 
-    def send_probe(self, probe: Probe) -> None:
+    def send_probe(self, probe: HealthCheckCall) -> None:
         address = self.addresses.get(probe.worker, "")
         with_load = self.orders["load_reports"] != "none"
-        Errand(
+        WorkerCall(
             self.pool,
             address,
             lambda left: workers.probe(with_load, address),
@@ -588,28 +595,28 @@
             fresh=probe.repeated,
         )
 
-    def tell_others(
+    def send_gossip(
         self, to: Iterable[int] | None, zone: int, number: int, lateness: float, held: Iterable[str]
     ) -> None:
         if self.peers is not None:
             self.peers.send(to, zone, number, lateness, held)
 
     def heard(self, teller: int, zone: int, number: int, lateness: float, held: list[str]) -> None:
-        self.tell(self.dispatcher.told_of, teller, zone, number, lateness, held)
+        self.tell(self.dispatcher.gossip_received, teller, zone, number, lateness, held)
 
     def known_workers(self) -> Collection[str]:
         return self.dispatcher.workers
 
-    def watch_roster(self) -> None:
+    def watch_endpoints(self) -> None:
         self.roster.start()
 
     def log(self, line: str) -> None:
-        say(line)
+        log_line(line)
 
     # ---- The life of a submission ----
 
     def _answer(
-        self, submission: Submission | None, how: str, result: str = "", come_back_after: int = 0
+        self, submission: Request | None, how: str, result: str = "", come_back_after: int = 0
     ) -> None:
         """Its one final answer, unless it has had that or its client has left."""
         if submission is None or submission.client is None:
@@ -630,7 +637,7 @@
             self.scribe.answer(submission.request_id, how, result, submission.digest, committed)
         self._forget(submission)
 
-    def _close(self, submission: Submission, how: str) -> None:
+    def _close(self, submission: Request, how: str) -> None:
         """It gets its answer now, or wants none any more: nothing is sent for it from here on."""
         submission.client = None
         self.figures.ended(self.rows.names[submission.grade], how)
@@ -639,22 +646,22 @@
             if errand is not None:
                 errand.withhold()
 
-    def _forget(self, submission: Submission) -> None:
+    def _forget(self, submission: Request) -> None:
         closed = submission.client is None and not submission.out()
         if closed and self.submissions.remove(submission.number) is not None:
             self.body_bytes -= len(submission.body)
 
-    def _overdue(self, submission: Submission) -> None:
+    def _overdue(self, submission: Request) -> None:
         if submission.client is not None:
-            say(f"submission {submission.request_id} was not answered in time by the decisions")
+            log_line(f"submission {submission.request_id} was not answered in time by the decisions")
             self._answer_for_decisions(submission)
 
-    def _answer_for_decisions(self, submission: Submission) -> None:
+    def _answer_for_decisions(self, submission: Request) -> None:
         """A fault or the end: what was never handed off or is redoable is nacked, the rest abandoned."""
         if submission.client is None:
             return
         if submission.hand_offs and self.orders["repeat"][submission.grade] != "redoable":
-            self.abandon(submission.number)
+            self.fail(submission.number)
         else:
-            self.nack(submission.number, 0)
-        self.tell(self.dispatcher.client_left, submission.number)
+            self.reject(submission.number, 0)
+        self.tell(self.dispatcher.client_disconnected, submission.number)
--- a/ploverspoke/routing/errands.py
+++ b/ploverspoke/routing/worker_calls.py
@@ -3,11 +3,11 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from ploverspoke.protocol.heads import Garbled
+from ploverspoke.protocol.http_messages import HttpSyntaxError
 from ploverspoke.protocol.workers import Answer, AnswerListener, Load
+from ploverspoke.transport.connection_pool import Opening, Pool
 from ploverspoke.transport.connections import Connection
-from ploverspoke.transport.ends import End
-from ploverspoke.transport.pools import Opening, Pool
+from ploverspoke.transport.outcomes import ExchangeOutcome
 from ploverspoke.transport.units import MILLISECOND
 
 LINGER = 500 * MILLISECOND  # for the rest of an answer whose outcome is known
@@ -25,11 +25,11 @@
 
     def errand_progressed(self, share_done: float) -> None: ...
 
-    def errand_ended(self, end: End, result: str, load: Load | None) -> None:
+    def errand_ended(self, end: ExchangeOutcome, result: str, load: Load | None) -> None:
         """Said exactly once, and never from inside a call of the sender's."""
 
 
-class Errand:
+class WorkerCall:
     def __init__(
         self,
         pool: Pool,
@@ -54,7 +54,7 @@
         self.sender: Sender | None = sender
         self.connection: Connection | None = None
         self.opening: Opening | None = None
-        self.cause: End | None = None  # why we closed the connection
+        self.cause: ExchangeOutcome | None = None  # why we closed the connection
         self.reusable = False
         self.in_two = in_two
         self.may_go = may_go
@@ -65,12 +65,12 @@
 
     def give_up(self) -> None:
         """Stop waiting: the connection is closed, and what was not sent yet is not sent."""
-        self._stop(End.RECALLED, End.WITHHELD)
+        self._stop(ExchangeOutcome.RECALLED, ExchangeOutcome.WITHHELD)
 
     def withhold(self) -> None:
         """Do not send it if it has not been sent whole; else wait on for its end."""
         if self.connection is None or self.last_byte is not None:
-            self._stop(End.WITHHELD, End.WITHHELD)
+            self._stop(ExchangeOutcome.WITHHELD, ExchangeOutcome.WITHHELD)
 
     # ---- The connection ----
 
@@ -78,7 +78,7 @@
         self.opening = None
         if not self._may_still_go():
             self.pool.rest(connection, unused=True)
-            self._end(End.WITHHELD)
+            self._end(ExchangeOutcome.WITHHELD)
             return
         self.connection = connection
         message = self.message(self.until - self.deadlines.now())
@@ -97,7 +97,7 @@
             self.deadlines.at(self.deadlines.now(), self._write_last)
             return
         if not self._may_still_go():
-            self._stop(End.WITHHELD, End.WITHHELD)
+            self._stop(ExchangeOutcome.WITHHELD, ExchangeOutcome.WITHHELD)
             return
         last, self.last_byte = self.last_byte, None
         self._write_to_the_end(self.connection, last)
@@ -111,7 +111,7 @@
         """A process that was stopped wakes up with its deadlines past, and with much else changed."""
         return self.deadlines.now() < self.until and (self.may_go is None or self.may_go())
 
-    def not_connected(self, end: End) -> None:
+    def not_connected(self, end: ExchangeOutcome) -> None:
         self.opening = None
         self._end(end)
 
@@ -120,12 +120,12 @@
             return
         if self.last_byte is not None and self.connection.rested is not None:
             # It has no whole request of ours: this answers the one before, once more and late.
-            self._stop(End.UNSENT, End.UNSENT)
+            self._stop(ExchangeOutcome.UNSENT, ExchangeOutcome.UNSENT)
             return
         try:
             self.connection.feed(self.answer)
-        except Garbled:
-            self.cause = End.GARBLED
+        except HttpSyntaxError:
+            self.cause = ExchangeOutcome.GARBLED
         if self.cause is not None:
             self.connection.abort()
         elif self.answer.over:
@@ -145,7 +145,7 @@
         if self.cause is None and not self.answer.status:
             self.pool.broke(self.connection)
         self.connection = self.last_byte = None
-        self._end(self.cause or (End.UNSENT if unsent else End.BROKEN))
+        self._end(self.cause or (ExchangeOutcome.UNSENT if unsent else ExchangeOutcome.BROKEN))
 
     def all_written(self) -> None:
         if self.last_byte is None and self.cause is None and self.sender is not None:
@@ -161,8 +161,8 @@
         if self.sender is not None and self.cause is None:
             self.sender.errand_progressed(share_done)
 
-    def ended(self, end: End, result: str, load: Load | None) -> None:
-        if end is End.GARBLED or self.last_byte is not None:
+    def ended(self, end: ExchangeOutcome, result: str, load: Load | None) -> None:
+        if end is ExchangeOutcome.GARBLED or self.last_byte is not None:
             # Answered before it was whole: the rest is not written any more.
             self.cause, self.last_byte = end, None
         self._end(end, result, load)
@@ -174,9 +174,9 @@
 
     def _too_late(self) -> None:
         # With little time left a connection that is not up yet says nothing of its worker.
-        self._stop(End.TIMED_OUT, End.WITHHELD)
+        self._stop(ExchangeOutcome.TIMED_OUT, ExchangeOutcome.WITHHELD)
 
-    def _stop(self, sent: End, unsent: End) -> None:
+    def _stop(self, sent: ExchangeOutcome, unsent: ExchangeOutcome) -> None:
         if self.connection is not None:
             # The end is told when the connection is closed: no second copy may be out beside an open one.
             self.cause = self.cause or (sent if self.last_byte is None else unsent)
@@ -188,7 +188,7 @@
                 self.opening = None
             self._end(unsent)
 
-    def _end(self, end: End, result: str = "", load: Load | None = None) -> None:
+    def _end(self, end: ExchangeOutcome, result: str = "", load: Load | None = None) -> None:
         sender, self.sender = self.sender, None
         if sender is None:
             return
--- a/ploverspoke/program/briefing.py
+++ b/ploverspoke/service/config.py
@@ -6,17 +6,17 @@
 from typing import Any, NamedTuple
 
 from ploverspoke.protocol.discovery import enter_list
-from ploverspoke.protocol.heads import Garbled
+from ploverspoke.protocol.http_messages import HttpSyntaxError
 from ploverspoke.transport.units import MEBIBYTE
 
-from .checked import BadKey, Checked
-from .standing_orders import names, standing_orders
+from .config_reader import ConfigError, ConfigSection
+from .settings import names, standing_orders
 
 FEWEST_SOCKETS = 64
 LEAST_MEMORY_MB = 32
 
 
-class Briefing(NamedTuple):
+class Config(NamedTuple):
     name: str
     listen: tuple[str, int]
     admin: tuple[str, int] | None  # where operators call; None: nowhere
@@ -32,29 +32,30 @@
     cannot_tell: bool = False  # messages to others are permitted, and there are no addresses
 
 
-def read_briefing(environment: Mapping[str, str]) -> Briefing:
-    """Raises BadKey."""
-    return briefing_of(read_told(environment), environment)
+def read_config(environment: Mapping[str, str]) -> Config:
+    """Raises ConfigError."""
+    return parse_config(read_config_document(environment), environment)
 
 
-def read_told(environment: Mapping[str, str]) -> Any:
-    """From the file that RELAY_CONFIG names; what it leaves out, from the other variables. Raises BadKey."""
+def read_config_document(environment: Mapping[str, str]) -> Any:
+    """From the file that RELAY_CONFIG names; what it leaves out, from the other variables. Raises
+    ConfigError."""
     path = environment.get("RELAY_CONFIG")
     if not path:
-        raise BadKey("RELAY_CONFIG is not set: expected the path of the configuration")
+        raise ConfigError("RELAY_CONFIG is not set: expected the path of the configuration")
     try:
         with open(path, encoding="utf-8") as file:
             told = json.load(file)
     except OSError as error:
-        raise BadKey(f"RELAY_CONFIG: {path} cannot be read: {error.strerror}") from None
+        raise ConfigError(f"RELAY_CONFIG: {path} cannot be read: {error.strerror}") from None
     except (ValueError, RecursionError) as error:
-        raise BadKey(f"RELAY_CONFIG: {path} is no JSON: {error}") from None
+        raise ConfigError(f"RELAY_CONFIG: {path} is no JSON: {error}") from None
     return told
 
 
-def briefing_of(told: Any, environment: Mapping[str, str]) -> Briefing:
-    """What a configuration says, checked. Raises BadKey."""
-    top = Checked(told)
+def parse_config(told: Any, environment: Mapping[str, str]) -> Config:
+    """What a configuration says, checked. Raises ConfigError."""
+    top = ConfigSection(told)
     if "settings" not in top.value:
         raise top.bad("settings", "an object")
     listen = address(top, "listen", environment.get("RELAY_LISTEN"))
@@ -70,7 +71,7 @@
     if known is not None:
         try:
             enter_list(known, lambda *entry: None)
-        except Garbled as error:
+        except HttpSyntaxError as error:
             raise top.bad("known", f"a list in discovery's form ({error})") from None
     limits = top.part("limits")
     orders = standing_orders(top.value["settings"], "settings")
@@ -78,7 +79,7 @@
     # Nothing is told where there is no way to.
     cannot_tell = orders["telling_permitted"] and not peers
     orders["telling_permitted"] = bool(peers)
-    return Briefing(
+    return Config(
         top.text("name", environment.get("RELAY_NAME", "dispatcher")),
         listen,
         address(top, "admin_addr", admin) if has_admin else None,
@@ -95,22 +96,22 @@
     )
 
 
-def _peers(top: Checked, orders: Mapping[str, Any]) -> list[tuple[str, int]]:
+def _peers(top: ConfigSection, orders: Mapping[str, Any]) -> list[tuple[str, int]]:
     """One address for each dispatcher; told to others only where the settings permit messages, too."""
     texts = top.row("peers", [], str)
     if not texts:
         return []
     if not orders["telling_permitted"]:
-        raise BadKey("settings.Limits.Peers is not true: expected that beside peers")
+        raise ConfigError("settings.Limits.Peers is not true: expected that beside peers")
     if len(texts) != orders["dispatchers"] or orders["dispatcher_number"] >= len(texts):
         raise top.bad("peers", "an address for each of settings.PeersTotal, settings.SlotNo among them")
-    found = [address(Checked({"peers": text}), "peers", None) for text in texts]
+    found = [address(ConfigSection({"peers": text}), "peers", None) for text in texts]
     if len(set(found)) < len(found):
         raise top.bad("peers", "addresses that differ")
     return found
 
 
-def address(top: Checked, name: str, default: str | None) -> tuple[str, int]:
+def address(top: ConfigSection, name: str, default: str | None) -> tuple[str, int]:
     host, _, port = top.text(name, default).rpartition(":")
     try:
         ipaddress.ip_address(host.strip("[]"))
--- a/ploverspoke/program/checked.py
+++ b/ploverspoke/service/config_reader.py
@@ -3,61 +3,61 @@
 from collections.abc import Mapping
 from typing import Any
 
-from ploverspoke.protocol.values import is_finite
+from ploverspoke.protocol.json_values import is_finite
 from ploverspoke.transport.units import MICROSECOND
 
 
-class BadKey(ValueError):
+class ConfigError(ValueError):
     """A value is missing or is not what it should be; says at which key."""
 
 
-def first_missing(before: Any, now: Any, path: str = "") -> str | None:
+def first_missing_key(before: Any, now: Any, path: str = "") -> str | None:
     """The key that the one has and the other lacks; of objects in a list, what all of them had."""
     if isinstance(before, Mapping) and isinstance(now, Mapping):
         for key, value in before.items():
             at = f"{path}.{key}" if path else key
-            found = at if key not in now else first_missing(value, now[key], at)
+            found = at if key not in now else first_missing_key(value, now[key], at)
             if found is not None:
                 return found
     if isinstance(before, list) and isinstance(now, list) and before:
         shapes = [value for value in before if isinstance(value, Mapping)]
         common = dict.fromkeys(k for k in shapes[0] if all(k in s for s in shapes)) if shapes else {}
         for at, value in enumerate(now):
-            found = first_missing(common, value, f"{path}[{at}]") if isinstance(value, Mapping) else None
+            found = first_missing_key(common, value, f"{path}[{at}]") if isinstance(value, Mapping) else None
             if found is not None:
                 return found
     return None
 
 
-class Checked:
+class ConfigSection:
     """One object of the configuration, and the way to it."""
 
     def __init__(self, value: Any, path: str = "") -> None:
         if not isinstance(value, Mapping):
-            raise BadKey(f"{path or 'the whole'}: expected an object")
+            raise ConfigError(f"{path or 'the whole'}: expected an object")
         self.value = value
         self.path = path
 
     def key(self, name: str) -> str:
         return f"{self.path}.{name}" if self.path else name
 
-    def bad(self, name: str, expected: str) -> BadKey:
+    def bad(self, name: str, expected: str) -> ConfigError:
         found = "is missing" if name not in self.value else f"is {self.value[name]!r}"
-        return BadKey(f"{self.key(name)} {found}: expected {expected}"[:300])
+        return ConfigError(f"{self.key(name)} {found}: expected {expected}"[:300])
 
     def _get(self, name: str, default: Any) -> Any:
         found = self.value.get(name)
         return default if found is None else found
 
-    def part(self, name: str) -> "Checked":
+    def part(self, name: str) -> "ConfigSection":
         """An object that may be left out."""
-        return Checked(self._get(name, {}), self.key(name))
+        return ConfigSection(self._get(name, {}), self.key(name))
 
-    def parts(self, name: str, least: int = 0) -> list["Checked"]:
+    def parts(self, name: str, least: int = 0) -> list["ConfigSection"]:
         found = self._get(name, [])
         if not isinstance(found, list) or len(found) < least:
             raise self.bad(name, f"a list of {least} objects or more")
-        return [Checked(value, f"{self.key(name)}[{at}]") for at, value in enumerate(found)]
+        return [ConfigSection(value, f"{self.key(name)}[{at}]") for at, value in enumerate(found)]
 
     def row(self, name: str, default: list[Any], kinds: type | tuple[type, ...]) -> list[Any]:
         found = self._get(name, default)
--- a/ploverspoke/program/exits.py
+++ b/ploverspoke/service/exit_codes.py
@@ -3,12 +3,12 @@
 import sys
 from collections.abc import Callable
 
-from .checked import BadKey
+from .config_reader import ConfigError
 
 
-def exit_code(run: Callable[[], int | None], *unusable: type[Exception]) -> int:
+def run_with_exit_code(run: Callable[[], int | None], *unusable: type[Exception]) -> int:
     """What `run` gives, or 0; 2 where the configuration, or what else is named, is of no use: why is said."""
-    wrong: tuple[type[Exception], ...] = (BadKey, *unusable)
+    wrong: tuple[type[Exception], ...] = (ConfigError, *unusable)
     try:
         return run() or 0
     except wrong as error:
--- a/ploverspoke/program/neighbours.py
+++ b/ploverspoke/service/handover.py
@@ -8,12 +8,12 @@
 import os
 from pathlib import Path
 
-from ploverspoke.transport.log_lines import say
+from ploverspoke.transport.rate_limited_log import log_line
 
 PREFIX = "ploverspoke-"
 
 
-class Neighbours:
+class ProcessRegistry:
     def __init__(self, folder: str | None) -> None:
         self.folder = Path(folder) if folder else None
         self.own = -1  # our file's descriptor, as long as we live
@@ -31,7 +31,7 @@
             # Locked before it can be seen: else the other takes it for a dead one's.
             unseen.rename(self.folder / name)
         except OSError as error:
-            say(f"neighbours: no file in {self.folder}: {error.strerror}")
+            log_line(f"neighbours: no file in {self.folder}: {error.strerror}")
             return False
         self.name = name
         return True
--- a/ploverspoke/program/passed.py
+++ b/ploverspoke/service/inherited_socket.py
@@ -3,17 +3,19 @@
 import socket
 from collections.abc import Mapping
 
-from .checked import BadKey
+from .config_reader import ConfigError
 
 NAMED_IN = "RELAY_PASSED_SOCKET"
 
 
-def passed_socket(environment: Mapping[str, str]) -> socket.socket | None:
-    """None where none is named. It is shared: to be closed, never shut down. Raises BadKey."""
+def inherited_socket(environment: Mapping[str, str]) -> socket.socket | None:
+    """None where none is named. It is shared: to be closed, never shut down. Raises ConfigError."""
     named = environment.get(NAMED_IN)
     if not named:
         return None
-    fault = BadKey(f"{NAMED_IN} is {named!r}: expected the number of a descriptor that listens for TCP"[:200])
+    fault = ConfigError(
+        f"{NAMED_IN} is {named!r}: expected the number of a descriptor that listens for TCP"[:200]
+    )
     if not (named.isascii() and named.isdigit() and len(named) < 8):
         raise fault
     try:
--- a/ploverspoke/program/migration.py
+++ b/ploverspoke/service/migration.py
@@ -7,8 +7,8 @@
 from pathlib import Path
 from typing import Any
 
-from .briefing import briefing_of, read_told
-from .checked import BadKey
+from .config import parse_config, read_config_document
+from .config_reader import ConfigError
 
 Notes = list[dict[str, str]]
 
@@ -100,10 +100,10 @@
 
 
 def migrate_file(old: Path, new: Path, peers: list[str], dry_run: bool, force: bool) -> dict[str, Any]:
-    """Raises BadKey, with nothing written, where `old` cannot be used or `new` is in the way."""
-    told = read_told({"RELAY_CONFIG": str(old)})
+    """Raises ConfigError, with nothing written, where `old` cannot be used or `new` is in the way."""
+    told = read_config_document({"RELAY_CONFIG": str(old)})
     seen = Seen(told) if isinstance(told, Mapping) else told
-    briefing_of(seen, {})
+    parse_config(seen, {})
     made, notes = migrate(told, peers)
     changed = bool(notes)
     notes += [
@@ -113,7 +113,7 @@
     notes += to_supply(made)
     if not changed:
         return {"notes": notes, "result": f"{old} has the new shape already: nothing to do", "written": None}
-    briefing_of(made, {})
+    parse_config(made, {})
     if not dry_run:
         _write(new, json.dumps(made, indent=2) + "\n", force)
     result = f"{new} would be written" if dry_run else f"{new} is written"
@@ -130,8 +130,8 @@
         else:
             os.link(unfinished, path)
     except FileExistsError:
-        raise BadKey(f"{path} exists already: --force replaces it") from None
+        raise ConfigError(f"{path} exists already: --force replaces it") from None
     except OSError as error:
-        raise BadKey(f"{path} cannot be written: {error.strerror}") from None
+        raise ConfigError(f"{path} cannot be written: {error.strerror}") from None
     finally:
         unfinished.unlink(missing_ok=True)
--- a/ploverspoke/program/service.py
+++ b/ploverspoke/service/service.py
@@ -12,24 +12,24 @@
 
 import uvloop
 
-from ploverspoke.decisions.host import StandingOrders
-from ploverspoke.routing.door import Door
-from ploverspoke.routing.operators import OperatorsDoor
-from ploverspoke.routing.peers import Peers
+from ploverspoke.decisions.interface import Settings
+from ploverspoke.routing.admin_server import AdminServer
+from ploverspoke.routing.client_server import ClientServer
+from ploverspoke.routing.load_gossip import GossipSocket
+from ploverspoke.routing.request_log import RequestLog
 from ploverspoke.routing.router import Router
-from ploverspoke.routing.scribe import Scribe
+from ploverspoke.transport.connection_pool import Pool, kept_for
 from ploverspoke.transport.deadlines import Deadlines
-from ploverspoke.transport.log_lines import say
-from ploverspoke.transport.pools import Pool, kept_for
-from ploverspoke.transport.shares import share_out
+from ploverspoke.transport.rate_limited_log import log_line
+from ploverspoke.transport.resource_limits import split_resources
 from ploverspoke.transport.units import MILLISECOND, SECOND
 
-from .briefing import Briefing, read_briefing
-from .checked import BadKey, first_missing
-from .early import HELD_SIGNALS, hold_signals
-from .exits import exit_code
-from .neighbours import Neighbours
-from .passed import passed_socket
+from .config import Config, read_config
+from .config_reader import ConfigError, first_missing_key
+from .exit_codes import run_with_exit_code
+from .handover import ProcessRegistry
+from .inherited_socket import inherited_socket
+from .startup import BLOCKED_SIGNALS, block_signals
 
 STILL_COMING = 700 * MILLISECOND  # after the signal to end, connections may go on coming for so long
 LONGEST_TO_FINISH = 3 * SECOND  # then what was taken has the longest abandon time to end in, but no more
@@ -42,19 +42,19 @@
 
 class Service:
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, briefing: Briefing, scribe: Scribe | None = None
+        self, loop: asyncio.AbstractEventLoop, briefing: Config, scribe: RequestLog | None = None
     ) -> None:
         self.loop = loop
         self.briefing = briefing
-        self.read: Callable[[], Briefing] = partial(
-            read_briefing, os.environ
+        self.read: Callable[[], Config] = partial(
+            read_config, os.environ
         )  # where a new configuration comes from
         self.deadlines = Deadlines(loop)
         allowed = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
         told = briefing.sockets
         self.sockets = told if allowed == resource.RLIM_INFINITY else min(told, allowed)
         self.processes = 1  # of this dispatcher, with us
-        shares = share_out(self.sockets, briefing.memory)
+        shares = split_resources(self.sockets, briefing.memory)
         orders = briefing.orders
         self.pool = Pool(
             loop, self.deadlines, shares.workers, orders["idle_limit"], orders["connect_time_out"]
@@ -64,12 +64,14 @@
         )
         if briefing.peers:
             own = orders["dispatcher_number"]
-            self.router.peers = Peers(briefing.peers, own, self.router.known_workers, self.router.heard)
-        self.door = Door(loop, self.deadlines, self.router, shares.clients, shares.buffered)
-        self.operators = OperatorsDoor(loop, self.deadlines, self.door, self.router)
+            self.router.peers = GossipSocket(
+                briefing.peers, own, self.router.known_workers, self.router.heard
+            )
+        self.door = ClientServer(loop, self.deadlines, self.router, shares.clients, shares.buffered)
+        self.operators = AdminServer(loop, self.deadlines, self.door, self.router)
         self.leaving_since = 0
         self.listening: socket.socket | None = None  # inherited, in place of one of its own
-        self.neighbours = Neighbours(None)
+        self.neighbours = ProcessRegistry(None)
         self.on_ready: Callable[[], None] = lambda: None
         self.over = asyncio.Event()
 
@@ -77,7 +79,7 @@
         for number in (signal.SIGTERM, signal.SIGINT):
             self.loop.add_signal_handler(number, self._leave)
         self.loop.add_signal_handler(signal.SIGHUP, self._read_again)
-        signal.pthread_sigmask(signal.SIG_UNBLOCK, HELD_SIGNALS)
+        signal.pthread_sigmask(signal.SIG_UNBLOCK, BLOCKED_SIGNALS)
         if self.briefing.admin is not None:
             self.operators.listener.open(*self.briefing.admin)
         if self.neighbours.enter():
@@ -85,7 +87,7 @@
         if self.router.peers is not None:
             await self.router.peers.open(self.loop)
         elif self.briefing.cannot_tell:
-            say(NO_PEERS)
+            log_line(NO_PEERS)
         replaces = self.processes > 1
         self.router.begin(self.briefing.known, from_known=not replaces)
         if replaces:
@@ -95,7 +97,7 @@
                 self.door.listener.adopt(self.listening)
             else:
                 self.door.listener.open(*self.briefing.listen)
-            say(f"{self.briefing.name} serves at {':'.join(map(str, self.briefing.listen))}")
+            log_line(f"{self.briefing.name} serves at {':'.join(map(str, self.briefing.listen))}")
             self.on_ready()
         await self.over.wait()
         self.neighbours.leave()
@@ -110,9 +112,9 @@
         """To limits we are one dispatcher, however many processes are there for the moment."""
         processes = 1 + self.neighbours.others()
         if processes != self.processes:
-            say(f"processes={processes}: each has its part of the descriptors and of the memory")
+            log_line(f"processes={processes}: each has its part of the descriptors and of the memory")
             self.processes = processes
-            shares = share_out(self.sockets, self.briefing.memory, processes)
+            shares = split_resources(self.sockets, self.briefing.memory, processes)
             self.pool.hold_at_most(shares.workers)
             self.door.most_sessions, self.door.most_buffered = shares.clients, shares.buffered
         self.deadlines.at(self.deadlines.now() + NEIGHBOURS_EVERY, self._look_at_neighbours)
@@ -124,19 +126,19 @@
         try:
             self.take_configuration(self.read())
             self.router.figures.accepted += 1
-        except BadKey as error:
+        except ConfigError as error:
             self.router.figures.invalid += 1
-            say(f"new configuration not taken, the old one goes on: {error}")
+            log_line(f"new configuration not taken, the old one goes on: {error}")
 
-    def take_configuration(self, new: Briefing) -> None:
-        """Raises BadKey, with nothing changed, where it lacks what the one in force has."""
+    def take_configuration(self, new: Config) -> None:
+        """Raises ConfigError, with nothing changed, where it lacks what the one in force has."""
         old = self.briefing
         if self.router.peers is None:
             # Addresses wait for the next start, and so do messages.
             new = new._replace(orders={**new.orders, "telling_permitted": False})
-        missing = first_missing(old.told, new.told)
+        missing = first_missing_key(old.told, new.told)
         if missing is not None:
-            raise BadKey(f"{missing} is missing: the configuration in force has it")
+            raise ConfigError(f"{missing} is missing: the configuration in force has it")
         differ = new.orders != old.orders or new.names != old.names
         for key, changed in (
             ("name", new.name != old.name),
@@ -147,15 +149,15 @@
             ("settings", differ and self.router.scribe is not None),
         ):
             if changed:
-                say(f"new configuration: {key} stays as it was until the next start")
+                log_line(f"new configuration: {key} stays as it was until the next start")
         if new.discovery != old.discovery:
-            say(f"new configuration: discovery is at {new.discovery} now")
+            log_line(f"new configuration: discovery is at {new.discovery} now")
             self.router.move_roster(new.discovery)
         self.briefing = old._replace(discovery=new.discovery)
         # What a store keeps of submissions goes by the grades' numbers: there they must not change.
         if differ and self.router.scribe is None:
-            say(f"new configuration: settings taken, grades={','.join(new.names['grades'])}")
-            self.router.orders_changed(new.orders, new.names)
+            log_line(f"new configuration: settings taken, grades={','.join(new.names['grades'])}")
+            self.router.settings_changed(new.orders, new.names)
             self.pool.keep_for = kept_for(new.orders["idle_limit"])
             self.pool.connect_time_out = new.orders["connect_time_out"]
             self.briefing = self.briefing._replace(orders=new.orders, names=new.names, told=new.told)
@@ -165,7 +167,7 @@
     def _leave(self) -> None:
         """Take what still comes, finish what was taken, then end."""
         if not self.leaving_since:
-            say("told to end: finishing what was taken")
+            log_line("told to end: finishing what was taken")
             self.leaving_since = self.deadlines.now()
             if self.router.peers is not None:
                 self.router.peers.close()  # what others tell is for the process that comes after
@@ -195,7 +197,7 @@
     look_every: int
 
 
-def times_to_end(orders: StandingOrders, shared: bool) -> TimesToEnd:
+def times_to_end(orders: Settings, shared: bool) -> TimesToEnd:
     """We may be killed once what came last has had the longest abandon time in force: all is over before.
 
     Where another process has the socket, clients are sent over to it with each answer.
@@ -211,18 +213,18 @@
 
 
 def _run() -> None:
-    briefing = read_briefing(os.environ)
+    briefing = read_config(os.environ)
     loop = uvloop.new_event_loop()
     asyncio.set_event_loop(loop)
     service = Service(loop, briefing)
-    service.listening = passed_socket(os.environ)
+    service.listening = inherited_socket(os.environ)
     if service.listening is not None:
-        service.neighbours = Neighbours(os.environ.get("TMPDIR"))
+        service.neighbours = ProcessRegistry(os.environ.get("TMPDIR"))
     gc.collect()
     gc.freeze()
     loop.run_until_complete(service.run())
 
 
 def main() -> int:
-    hold_signals()
-    return exit_code(_run)
+    block_signals()
+    return run_with_exit_code(_run)
--- a/ploverspoke/program/standing_orders.py
+++ b/ploverspoke/service/settings.py
@@ -3,10 +3,10 @@
 from collections.abc import Mapping
 from typing import Any
 
-from ploverspoke.protocol.words import GROUPS, LOAD_NAMES, REPEATS
+from ploverspoke.protocol.wire_names import GROUPS, LOAD_NAMES, REPEATS
 from ploverspoke.transport.units import MILLISECOND, SECOND
 
-from .checked import Checked
+from .config_reader import ConfigSection
 
 ROSTER_ASK_WITHIN = 10 * SECOND  # where no rule says it: retries of a lost watch are no rarer
 LEAST_ASK_WITHIN = 200 * MILLISECOND  # waits follow from it: without any, calls would follow on one another
@@ -14,8 +14,8 @@
 
 
 def standing_orders(settings: Mapping[str, Any], path: str = "") -> dict[str, Any]:
-    """One plain map of the settings, checked. Raises BadKey."""
-    profile = Checked(settings, path)
+    """One plain map of the settings, checked. Raises ConfigError."""
+    profile = ConfigSection(settings, path)
     grades = profile.parts("ServiceGrades", least=1)
     limits, rules, domain = profile.part("Limits"), profile.part("Invariants"), profile.part("Domain")
     report, prices = profile.part("Report"), profile.part("Tariffs")
@@ -77,7 +77,7 @@
 
 def names(settings: Mapping[str, Any], path: str = "") -> dict[str, list[str]]:
     """What clients and discovery call things, in the order in which the standing orders number them."""
-    profile = Checked(settings, path)
+    profile = ConfigSection(settings, path)
     grades: list[str] = []
     for grade in profile.parts("ServiceGrades", least=1):
         name = grade.text("Name")
--- a/ploverspoke/program/early.py
+++ b/ploverspoke/service/startup.py
@@ -2,11 +2,11 @@
 
 import signal
 
-HELD_SIGNALS = (signal.SIGHUP, signal.SIGTERM)
+BLOCKED_SIGNALS = (signal.SIGHUP, signal.SIGTERM)
 
 
-def hold_signals() -> None:
+def block_signals() -> None:
     """They wait until there is somebody to take them: a new configuration that was told of during the start
     ended the program instead. The loop's handlers let them in again, in `Service.run`.
     """
-    signal.pthread_sigmask(signal.SIG_BLOCK, HELD_SIGNALS)
+    signal.pthread_sigmask(signal.SIG_BLOCK, BLOCKED_SIGNALS)
--- a/ploverspoke/simwire/adapter.py
+++ b/ploverspoke/simulator/adapter.py
@@ -9,15 +9,15 @@
 from typing import TextIO
 
 from ploverspoke.decisions.dispatcher import Dispatcher
-from ploverspoke.decisions.host import Listing
-from ploverspoke.program.checked import BadKey
-from ploverspoke.program.standing_orders import standing_orders
-from ploverspoke.protocol.heads import Garbled
-from ploverspoke.protocol.tellings import Reader, write_telling
-from ploverspoke.protocol.words import CONDITIONS
+from ploverspoke.decisions.interface import Endpoint
+from ploverspoke.protocol.gossip_messages import Reader, write_gossip
+from ploverspoke.protocol.http_messages import HttpSyntaxError
+from ploverspoke.protocol.wire_names import CONDITIONS
+from ploverspoke.service.config_reader import ConfigError
+from ploverspoke.service.settings import standing_orders
 from ploverspoke.transport.units import MICROSECOND
 
-from .codec import Fields, Malformed, read_line, write_line
+from .codec import CodecError, Fields, read_line, write_line
 
 OUTCOMES = {
     "delivered": "satisfied",
@@ -39,12 +39,12 @@
         self.adapter = adapter
         try:
             orders = standing_orders(start.mapping("ProfileData"))
-        except BadKey as error:
-            raise Malformed(str(error)) from None
+        except ConfigError as error:
+            raise CodecError(str(error)) from None
         self.load_fields: list[str] = orders["load_fields"]
         self.reader = Reader()
         self.dispatcher = Dispatcher(self, start.whole("RandomSeed"), orders)
-        self.dispatcher.begun()
+        self.dispatcher.started()
 
     def now(self) -> int:
         return self.adapter.now
@@ -52,16 +52,16 @@
     def _act(self, name: str, **fields: int | str) -> None:
         self.adapter.reply.append(write_line(name, Who=self.number, **fields))
 
-    def hand_off(self, submission_id: int, worker: str, time_out: int) -> None:
+    def start_attempt(self, submission_id: int, worker: str, time_out: int) -> None:
         self._act("FORWARD", RequestId=submission_id, Worker=worker, AllowForUs=time_out // MICROSECOND)
 
-    def recall(self, submission_id: int, hand_off: int) -> None:
+    def cancel_attempt(self, submission_id: int, hand_off: int) -> None:
         self._act("REVOKE", RequestId=submission_id, Go=hand_off)
 
-    def nack(self, submission_id: int, come_back_after: int) -> None:
+    def reject(self, submission_id: int, come_back_after: int) -> None:
         self._act("BUSY", RequestId=submission_id, StayAwayUs=come_back_after // MICROSECOND)
 
-    def abandon(self, submission_id: int) -> None:
+    def fail(self, submission_id: int) -> None:
         self._act("GIVE_UP", RequestId=submission_id)
 
     def wake_at(self, token: int, when: int) -> None:
@@ -70,14 +70,14 @@
     def probe(self, worker: str) -> None:
         self._act("SOUND_OUT", Worker=worker)
 
-    def tell_others(
+    def send_gossip(
         self, to: Iterable[int] | None, zone: int, number: int, lateness: float, held: Iterable[str]
     ) -> None:
-        octets = b64encode(write_telling(zone, number, lateness, held)).decode()
+        octets = b64encode(write_gossip(zone, number, lateness, held)).decode()
         for target in ["all"] if to is None else to:
             self._act("BROADCAST_TO", Target=target, Octets=octets)
 
-    def watch_roster(self) -> None:
+    def watch_endpoints(self) -> None:
         self._act("KEEP_INFORMED", Active=1)
 
     def log(self, line: str) -> None:
@@ -86,7 +86,7 @@
     # ---- Events ----
 
     def request(self, f: Fields) -> None:
-        self.dispatcher.submission_arrived(
+        self.dispatcher.request_arrived(
             f.whole("RequestId"),
             f.whole("Kind"),
             f.number("Slots", 1.0),
@@ -98,12 +98,12 @@
     def note(self, f: Fields) -> None:
         what = f.whole("What")
         if what == 1:
-            self.dispatcher.hand_off_started(f.whole("RequestId"), f.whole("Go"))
+            self.dispatcher.attempt_started(f.whole("RequestId"), f.whole("Go"))
         elif what == 2:
-            self.dispatcher.hand_off_progressed(f.whole("RequestId"), f.whole("Go"), f.number("Level", 0.0))
+            self.dispatcher.attempt_progressed(f.whole("RequestId"), f.whole("Go"), f.number("Level", 0.0))
 
     def outcome(self, f: Fields) -> None:
-        self.dispatcher.hand_off_ended(
+        self.dispatcher.attempt_ended(
             f.whole("RequestId"),
             f.whole("Go"),
             f["Worker"],
@@ -113,49 +113,49 @@
             self._load(f),
         )
 
-    def client_left(self, f: Fields) -> None:
-        self.dispatcher.client_left(f.whole("RequestId"))
+    def client_disconnected(self, f: Fields) -> None:
+        self.dispatcher.client_disconnected(f.whole("RequestId"))
 
     def reminder(self, f: Fields) -> None:
-        self.dispatcher.woken(f.whole("Token"))
+        self.dispatcher.timer_fired(f.whole("Token"))
 
     def probed(self, f: Fields) -> None:
-        self.dispatcher.probe_answered(
+        self.dispatcher.probe_completed(
             f["Worker"], self._outcome_word(f), f.whole("DelaySeenUs") * MICROSECOND, self._load(f)
         )
 
     def under_way(self, f: Fields) -> None:
         """A streamed answer; the wire itself takes none of those back."""
-        self.dispatcher.hand_off_started(f.whole("RequestId"), f.whole("Go"))
+        self.dispatcher.attempt_started(f.whole("RequestId"), f.whole("Go"))
 
     def heard(self, f: Fields) -> None:
         """What another dispatcher tells; what cannot be read is no word of it."""
         try:
             told = self.reader.read(a2b_base64(f["Octets"]), self.dispatcher.workers)
-        except (Garbled, ValueError):
+        except (HttpSyntaxError, ValueError):
             return
-        self.dispatcher.told_of(f.whole("Author"), *told)
+        self.dispatcher.gossip_received(f.whole("Author"), *told)
 
     def peers(self, f: Fields) -> None:
         scope = f["Scope"]
         if scope == "lost":
-            self.dispatcher.roster_lost()
+            self.dispatcher.endpoint_watch_failed()
             return
         number = f.whole("SetId")
         if number not in self.adapter.tables:
-            raise Malformed(f"list {number} was not sent")
+            raise CodecError(f"list {number} was not sent")
         listings = self.adapter.tables[number]
         if scope == "incr":
-            self.dispatcher.roster_changed(listings)
+            self.dispatcher.endpoints_changed(listings)
         elif scope in ("total", "warm_copy"):
-            self.dispatcher.roster_complete(listings)
+            self.dispatcher.endpoint_list_received(listings)
         else:
-            raise Malformed(f"unknown scope {scope!r}")
+            raise CodecError(f"unknown scope {scope!r}")
 
     def _outcome_word(self, f: Fields) -> str:
         reason = f["Reason"]
         if reason not in OUTCOMES:
-            raise Malformed(f"unknown outcome {reason!r}")
+            raise CodecError(f"unknown outcome {reason!r}")
         return OUTCOMES[reason]
 
     def _load(self, f: Fields) -> dict[str, float] | None:
@@ -168,7 +168,7 @@
     "NOTE": Instance.note,
     "CLOSED_ATTEMPT": Instance.outcome,
     "REMINDER": Instance.reminder,
-    "CLIENT_LEFT": Instance.client_left,
+    "CLIENT_LEFT": Instance.client_disconnected,
     "CHECKED": Instance.probed,
     "PEERS_KNOWN": Instance.peers,
     "UNDER_WAY": Instance.under_way,
@@ -185,7 +185,7 @@
         self.now = 0
         self.reply: list[str] = []
         self.instances: dict[int, Instance] = {}
-        self.tables: dict[int, list[Listing]] = {}
+        self.tables: dict[int, list[Endpoint]] = {}
         self.line_number = 0
 
     def run(self) -> None:
@@ -195,7 +195,7 @@
             name, fields = read_line(line)
             if serial is None:
                 if name != "MARK":
-                    raise Malformed(f"expected MARK, got {name}")
+                    raise CodecError(f"expected MARK, got {name}")
                 self.now = fields.whole("AtTimeUs") * MICROSECOND
                 serial = str(fields.whole("serial"))
             elif name == "GO":
@@ -209,7 +209,7 @@
             else:
                 self._event(name, fields)
         if serial is not None:
-            raise Malformed("the input ends inside a batch")
+            raise CodecError("the input ends inside a batch")
 
     def _next_line(self) -> str:
         line = self.source.readline()
@@ -223,11 +223,11 @@
         for _ in range(fields.whole("Members")):
             name, entry = read_line(self._next_line() or " ")
             if name != "ENTRY":
-                raise Malformed(f"expected ENTRY, got {name}")
+                raise CodecError(f"expected ENTRY, got {name}")
             if entry["Condition"] not in CONDITIONS:
-                raise Malformed(f"unknown condition {entry['Condition']!r}")
+                raise CodecError(f"unknown condition {entry['Condition']!r}")
             listings.append(
-                Listing(
+                Endpoint(
                     entry["Worker"],
                     entry.whole("Dc", 0),
                     entry.whole("Model", 0),
@@ -246,15 +246,15 @@
             return
         handle = EVENTS.get(name)
         if handle is None and name != "UP":
-            raise Malformed(f"unknown message {name}")
+            raise CodecError(f"unknown message {name}")
         try:
             if handle is None:
                 self.instances[who] = Instance(who, self, fields)
             elif who in self.instances:
                 handle(self.instances[who], fields)
             else:
-                raise Malformed(f"{name} for dispatcher {who}, which is not up")
-        except Malformed:
+                raise CodecError(f"{name} for dispatcher {who}, which is not up")
+        except CodecError:
             raise
         except Exception as error:
             traceback.print_exc(file=sys.stderr)
@@ -268,7 +268,7 @@
     adapter = Adapter(sys.stdin, sys.stdout)
     try:
         adapter.run()
-    except Malformed as error:
+    except CodecError as error:
         print(f"ploverspoke: input line {adapter.line_number}: {error}", file=sys.stderr)
         return 2
     return 0
--- a/ploverspoke/simwire/codec.py
+++ b/ploverspoke/simulator/codec.py
@@ -7,7 +7,7 @@
 TEXT_FIELDS = ("ProfileData", "Line")
 
 
-class Malformed(Exception):
+class CodecError(Exception):
     """The input is not what the wire promises."""
 
 
@@ -15,7 +15,7 @@
     """The fields of one line, read with the type that the wire gives them."""
 
     def __missing__(self, name: str) -> str:
-        raise Malformed(f"required field {name} is missing")
+        raise CodecError(f"required field {name} is missing")
 
     def whole(self, name: str, absent: int | None = None) -> int:
         if absent is not None and name not in self:
@@ -24,7 +24,7 @@
         try:
             return int(text)
         except ValueError:
-            raise Malformed(f"field {name} is no whole number: {text!r}") from None
+            raise CodecError(f"field {name} is no whole number: {text!r}") from None
 
     def number(self, name: str, absent: float | None = None) -> float:
         if absent is not None and name not in self:
@@ -33,12 +33,12 @@
         try:
             return float(text)
         except ValueError:
-            raise Malformed(f"field {name} is no number: {text!r}") from None
+            raise CodecError(f"field {name} is no number: {text!r}") from None
 
     def flag(self, name: str) -> bool:
         text = self.get(name, "0")
         if text not in ("0", "1"):
-            raise Malformed(f"field {name} is neither 0 nor 1: {text!r}")
+            raise CodecError(f"field {name} is neither 0 nor 1: {text!r}")
         return text == "1"
 
     def numbers(self, name: str) -> list[float] | None:
@@ -48,15 +48,15 @@
         try:
             return [float(part) for part in text.split(",")]
         except ValueError:
-            raise Malformed(f"field {name} is no row of numbers: {text!r}") from None
+            raise CodecError(f"field {name} is no row of numbers: {text!r}") from None
 
     def mapping(self, name: str) -> dict[str, Any]:
         try:
             value = json.loads(self[name])
         except json.JSONDecodeError as error:
-            raise Malformed(f"field {name} is no JSON: {error}") from None
+            raise CodecError(f"field {name} is no JSON: {error}") from None
         if not isinstance(value, dict):
-            raise Malformed(f"field {name} is no JSON object")
+            raise CodecError(f"field {name} is no JSON object")
         return value
 
 
@@ -64,12 +64,12 @@
     """Split one line into its name and its fields."""
     name, _, rest = line.partition(" ")
     if not name:
-        raise Malformed("empty line")
+        raise CodecError("empty line")
     fields = Fields()
     while rest:
         key, equals, rest = rest.partition("=")
         if not equals or not key or " " in key:
-            raise Malformed(f"expected name=value at {key[:40]!r}")
+            raise CodecError(f"expected name=value at {key[:40]!r}")
         if key in TEXT_FIELDS:
             fields[key] = rest
             break
--- a/ploverspoke/store/commands.py
+++ b/ploverspoke/store/commands.py
@@ -8,13 +8,13 @@
 
 import click
 
-from ploverspoke.consensus.disk import Damaged, Disk, DiskTrouble, WrongStore
-from ploverspoke.consensus.orders import ReplicaOrders, read_replica_orders
-from ploverspoke.consensus.tools import ask_replica, done, restored, say
-from ploverspoke.program.checked import BadKey
+from ploverspoke.consensus.cluster_config import ReplicaConfig, read_replica_config
+from ploverspoke.consensus.command_line import call_replica, exit_with_result, print_rows, restore_backup
+from ploverspoke.consensus.storage import ClusterMismatchError, CorruptionError, ReplicaStorage, StorageError
+from ploverspoke.service.config_reader import ConfigError
 
-from .daemon import put_together
-from .ledger import Ledger
+from .daemon import merge_config
+from .state_machine import RequestStateMachine
 
 FILE = click.argument("file", type=click.Path(exists=True, dir_okay=False, path_type=Path))
 JSON = click.option("--json", "as_json", is_flag=True, help="For tools.")
@@ -25,18 +25,18 @@
     """Look at a store and change it. FILE is the store file of any of its replicas."""
 
 
-def _orders(file: Path) -> ReplicaOrders:
+def _orders(file: Path) -> ReplicaConfig:
     try:
-        return read_replica_orders(file)
-    except BadKey as error:
+        return read_replica_config(file)
+    except ConfigError as error:
         raise click.UsageError(str(error)) from None
 
 
-def _ask(orders: ReplicaOrders, name: str, question: dict[str, Any]) -> Any:
-    return ask_replica(name, orders.replicas[name][0], orders.secret, question)
+def _ask(orders: ReplicaConfig, name: str, question: dict[str, Any]) -> Any:
+    return call_replica(name, orders.replicas[name][0], orders.secret, question)
 
 
-def _leader(orders: ReplicaOrders) -> str:
+def _leader(orders: ReplicaConfig) -> str:
     """The name of the one that leads. Raises ClickException where none does."""
     for name in orders.replicas:
         told = _ask(orders, name, {"ask": "status"})
@@ -45,18 +45,18 @@
     raise click.ClickException("no replica leads just now")
 
 
-def ask_leader(orders: ReplicaOrders, question: dict[str, Any]) -> Any:
+def ask_leader(orders: ReplicaConfig, question: dict[str, Any]) -> Any:
     """Raises ClickException where none leads."""
     return _ask(orders, _leader(orders), question)
 
 
-def read_configuration(file: Path, configuration: Path) -> tuple[ReplicaOrders, str]:
+def read_configuration(file: Path, configuration: Path) -> tuple[ReplicaConfig, str]:
     """The orders of a store's FILE and a configuration's text, checked for it. Raises UsageError."""
     orders = _orders(file)
     try:
         body = configuration.read_text(encoding="utf-8")
-        put_together(json.loads(body), "", orders, None)
-    except (BadKey, ValueError, OSError) as error:
+        merge_config(json.loads(body), "", orders, None)
+    except (ConfigError, ValueError, OSError) as error:
         raise click.UsageError(f"{configuration}: {error}") from None
     return orders, body
 
@@ -68,7 +68,7 @@
     """What each replica says of itself. Exit 1 where none leads."""
     orders = _orders(file)
     told = [_ask(orders, name, {"ask": "status"}) for name in orders.replicas]
-    say(told, as_json)
+    print_rows(told, as_json)
     sys.exit(0 if any(one.get("leads") for one in told) else 1)
 
 
@@ -88,7 +88,7 @@
     """Add a replica that learns, or make one that has learned a voter."""
     orders = _orders(file)
     question = {"ask": "members", "name": name, "peers": peers, "clients": clients, "votes": votes}
-    done(_ask(orders, _leader(orders), question), as_json)
+    exit_with_result(_ask(orders, _leader(orders), question), as_json)
 
 
 @members.command()
@@ -98,7 +98,7 @@
 def remove(file: Path, name: str, as_json: bool) -> None:
     """Remove a replica."""
     orders = _orders(file)
-    done(_ask(orders, _leader(orders), {"ask": "members", "name": name, "remove": True}), as_json)
+    exit_with_result(_ask(orders, _leader(orders), {"ask": "members", "name": name, "remove": True}), as_json)
 
 
 @store.command()
@@ -108,7 +108,7 @@
 def transfer(file: Path, to: str, as_json: bool) -> None:
     """Hand leadership to the replica of that name."""
     orders = _orders(file)
-    done(_ask(orders, _leader(orders), {"ask": "transfer", "to": to}), as_json)
+    exit_with_result(_ask(orders, _leader(orders), {"ask": "transfer", "to": to}), as_json)
 
 
 @store.command()
@@ -121,7 +121,7 @@
     A new discovery is watched at once; what else differs waits for each replica's next start.
     """
     orders, body = read_configuration(file, configuration)
-    done(ask_leader(orders, {"ask": "configure", "body": body, "by": getpass.getuser()}), as_json)
+    exit_with_result(ask_leader(orders, {"ask": "configure", "body": body, "by": getpass.getuser()}), as_json)
 
 
 @store.command()
@@ -134,7 +134,7 @@
     if isinstance(found, dict):
         raise click.ClickException(str(found.get("why")))
     rows = [{"version": v, "by": by, "at": at, "bytes": len(body)} for v, by, at, body in found]
-    say(rows, as_json)
+    print_rows(rows, as_json)
 
 
 @store.command()
@@ -144,7 +144,7 @@
 def backup(file: Path, path: Path, as_json: bool) -> None:
     """Copy the store of this file's replica, while it runs, to PATH on its machine."""
     orders = _orders(file)
-    done(_ask(orders, orders.name, {"ask": "backup", "path": str(path.absolute())}), as_json)
+    exit_with_result(_ask(orders, orders.name, {"ask": "backup", "path": str(path.absolute())}), as_json)
 
 
 @store.command()
@@ -156,7 +156,7 @@
     What was committed after the backup is gone: only for all replicas together, from one backup.
     """
     orders = _orders(file)
-    disk = restored(orders, path)
+    disk = restore_backup(orders, path)
     disk.close()
     click.echo(f"restored {disk.path}")
 
@@ -167,12 +167,12 @@
 def inspect(file: Path, as_json: bool) -> None:
     """What the store on this machine holds; its replica must not run. Checksums are looked at."""
     orders = _orders(file)
-    disk = Disk(orders.folder)
+    disk = ReplicaStorage(orders.folder)
     try:
         disk.open()
-    except (Damaged, DiskTrouble, WrongStore) as error:
+    except (CorruptionError, StorageError, ClusterMismatchError) as error:
         raise click.ClickException(str(error)) from None
-    ledger = Ledger()
+    ledger = RequestStateMachine()
     ledger.load(disk.state)
     for entry in disk.log.entries:
         if entry.kind == "data":
@@ -194,4 +194,4 @@
         },
     }
     disk.close()
-    say(told, as_json)
+    print_rows(told, as_json)
--- a/ploverspoke/store/memory.py
+++ b/ploverspoke/store/endpoint_cache.py
@@ -10,7 +10,7 @@
 KEEP_EVERY = 1.0  # seconds, at the most
 
 
-class RosterMemory:
+class EndpointCache:
     """Puts discovery's answers together into one list; `keep` is handed it whole, now and then."""
 
     def __init__(
--- a/ploverspoke/store/node.py
+++ b/ploverspoke/store/node.py
@@ -4,18 +4,18 @@
 from collections.abc import Callable
 from typing import Any
 
-from ploverspoke.consensus.disk import Disk
-from ploverspoke.consensus.node import Node, Reply
-from ploverspoke.consensus.orders import ReplicaOrders
+from ploverspoke.consensus.cluster_config import ReplicaConfig
+from ploverspoke.consensus.node import ReplicaNode, Reply
+from ploverspoke.consensus.storage import ReplicaStorage
 
-from .ledger import CONFIGURE, Configuration, Ledger
+from .state_machine import CONFIGURE, Configuration, RequestStateMachine
 
 CONFIGURATION, ROSTER = "configuration", "roster"  # what is kept of this replica's own
 
 
-class StoreNode(Node):
-    def __init__(self, orders: ReplicaOrders, disk: Disk | None = None) -> None:
-        self.ledger = Ledger()
+class StoreNode(ReplicaNode):
+    def __init__(self, orders: ReplicaConfig, disk: ReplicaStorage | None = None) -> None:
+        self.ledger = RequestStateMachine()
         super().__init__(orders, self.ledger, disk)
         self.ledger.on_time = self.clock.seen
         self.on_configuration: Callable[[Configuration], None] | None = None
--- a/ploverspoke/store/recovery.py
+++ b/ploverspoke/store/recovery.py
@@ -7,9 +7,9 @@
 from enum import Enum, auto
 from typing import NamedTuple
 
-from ploverspoke.decisions.host import never_ran
+from ploverspoke.decisions.interface import never_ran
 
-from .ledger import Intent, Open
+from .state_machine import Intent, Open
 
 
 class Fate(Enum):
--- a/ploverspoke/store/scribe.py
+++ b/ploverspoke/store/request_log.py
@@ -5,18 +5,18 @@
 from collections.abc import Callable
 from hashlib import blake2b
 
-from ploverspoke.routing.scribe import Past, Then
-from ploverspoke.transport.log_lines import say
+from ploverspoke.routing.request_log import CommitCallback, PreviousOutcome
+from ploverspoke.transport.rate_limited_log import log_line
 
-from . import ledger
+from . import state_machine
 from .node import StoreNode
 from .recovery import Fate, answer_when_over, fate
 
 AFTER_ABANDON = 0.05  # seconds past the abandon time, in which its own answer may still be on its way
 
 
-class StoreScribe:
-    """The `Scribe` of one replica."""
+class ReplicatedRequestLog:
+    """The `RequestLog` of one replica."""
 
     def __init__(
         self, node: StoreNode, repeats: list[str], groups: list[str], full_may_have_run: bool = False
@@ -43,41 +43,43 @@
         head = f"{method} {target}\n".encode("utf-8", "surrogatepass")
         return blake2b(head + body, digest_size=16).digest()
 
-    def past(self, request_id: str) -> Past | None:
+    def past(self, request_id: str) -> PreviousOutcome | None:
         answered = self.node.ledger.answered.get(request_id)
         if answered is not None:
-            return Past((answered.how, answered.result), answered.digest, 0, "", 0)
+            return PreviousOutcome((answered.how, answered.result), answered.digest, 0, "", 0)
         job = self.node.ledger.open.get(request_id)
         if job is None:
             return None
         found = fate(job, self.repeats[job.grade], self.full_may_have_run)
         first = found.may_have_run
         if first is None:
-            return Past(None, job.digest, found.hand_offs, "", 0)
+            return PreviousOutcome(None, job.digest, found.hand_offs, "", 0)
         # The store's clock stood still while no replica ran, a wall clock may have been set back: the longer
         # time counts, since past its window nothing runs again.
         now = self.node.clock.now()
         since = max(now - first.at, time.time_ns() - (first.wall or first.at))
-        return Past(None, job.digest, found.hand_offs, first.worker, since)
+        return PreviousOutcome(None, job.digest, found.hand_offs, first.worker, since)
 
-    def take(self, request_id: str, grade: int, digest: bytes, left: int, then: Then) -> None:
+    def take(self, request_id: str, grade: int, digest: bytes, left: int, then: CommitCallback) -> None:
         now = self.node.clock.now()
-        self.node.propose([ledger.TAKE, request_id, grade, digest, now + left, now], then)
+        self.node.propose([state_machine.TAKE, request_id, grade, digest, now + left, now], then)
 
-    def intend(self, request_id: str, worker: str, index: int, then: Then) -> None:
-        command = [ledger.INTEND, request_id, worker, index, self.node.clock.now(), time.time_ns()]
+    def intend(self, request_id: str, worker: str, index: int, then: CommitCallback) -> None:
+        command = [state_machine.INTEND, request_id, worker, index, self.node.clock.now(), time.time_ns()]
         self.node.propose(command, then)
 
     def outcome(self, request_id: str, index: int, outcome: str) -> None:
-        self.node.propose([ledger.OUTCOME, request_id, index, outcome], _nobody)
+        self.node.propose([state_machine.OUTCOME, request_id, index, outcome], _nobody)
 
-    def answer(self, request_id: str, how: str, result: str, digest: bytes, then: Then) -> None:
+    def answer(self, request_id: str, how: str, result: str, digest: bytes, then: CommitCallback) -> None:
         def told(yes: bool) -> None:
             # Another answer may have been committed first: then that one stands, and ours is not given.
             kept = self.node.ledger.answered.get(request_id)
             then(yes and kept is not None and (kept.how, kept.result) == (how, result))
 
-        self.node.propose([ledger.ANSWER, request_id, how, result, digest, self.node.clock.now()], told)
+        self.node.propose(
+            [state_machine.ANSWER, request_id, how, result, digest, self.node.clock.now()], told
+        )
 
     # ---- Taking over ----
 
@@ -86,7 +88,7 @@
             self.node.read(self._took_over)
         elif self.led:
             self.led = False
-            say(f"store: {self.node.orders.name} leads no more")
+            log_line(f"store: {self.node.orders.name} leads no more")
             self.on_lost()
 
     def _took_over(self, yes: bool) -> None:
@@ -95,7 +97,7 @@
             return
         self.led = True
         left = list(self.node.ledger.open.items())
-        say(f"store: {self.node.orders.name} leads; {len(left)} submissions were open")
+        log_line(f"store: {self.node.orders.name} leads; {len(left)} submissions were open")
         for name, job in left:
             self.recovered += 1
             if fate(job, self.repeats[job.grade], self.full_may_have_run).fate is Fate.LOST:
@@ -111,7 +113,7 @@
             self._end(name, answer_when_over(job, repeat, to_all, self.full_may_have_run))
 
     def _end(self, name: str, how: str) -> None:
-        self.node.propose([ledger.ANSWER, name, how, "", b"", self.node.clock.now()], _nobody)
+        self.node.propose([state_machine.ANSWER, name, how, "", b"", self.node.clock.now()], _nobody)
 
 
 def _nobody(yes: bool) -> None:
--- a/ploverspoke/store/ledger.py
+++ b/ploverspoke/store/state_machine.py
@@ -60,7 +60,7 @@
     at: int
 
 
-class Dump(msgspec.Struct, array_like=True):
+class RequestSnapshot(msgspec.Struct, array_like=True):
     format: int
     open: dict[str, Open]
     answered: dict[str, Answered]
@@ -69,7 +69,7 @@
     configured_under: int = 0
 
 
-class Ledger:
+class RequestStateMachine:
     def __init__(self, most_answers: int = MOST_ANSWERS, most_bytes: int = MOST_RESULT_BYTES) -> None:
         self.most_answers = most_answers
         self.most_bytes = most_bytes
@@ -101,11 +101,17 @@
 
     def dump(self) -> bytes:
         return msgspec.msgpack.encode(
-            Dump(FORMAT, self.open, dict(self.answered), self.configurations, self.now, self.configured_under)
+            RequestSnapshot(
+                FORMAT, self.open, dict(self.answered), self.configurations, self.now, self.configured_under
+            )
         )
 
     def load(self, data: bytes) -> None:
-        dump: Dump = msgspec.msgpack.decode(data, type=Dump) if data else Dump(FORMAT, {}, {}, [])
+        dump: RequestSnapshot = (
+            msgspec.msgpack.decode(data, type=RequestSnapshot)
+            if data
+            else RequestSnapshot(FORMAT, {}, {}, [])
+        )
         self.open = dump.open
         self.answered = OrderedDict(dump.answered)
         self.result_bytes = sum(len(a.result) for a in self.answered.values())
--- a/ploverspoke/supervisor/child.py
+++ b/ploverspoke/supervisor/child.py
@@ -10,26 +10,26 @@
 
 import uvloop
 
-from ploverspoke.program.briefing import Briefing, read_briefing
-from ploverspoke.program.checked import BadKey
-from ploverspoke.program.early import hold_signals
-from ploverspoke.program.service import Service
+from ploverspoke.service.config import Config, read_config
+from ploverspoke.service.config_reader import ConfigError
+from ploverspoke.service.service import Service
+from ploverspoke.service.startup import block_signals
 
-from .shares import child_briefing
+from .resource_split import child_config
 
 
 def main() -> int:
-    hold_signals()
+    block_signals()
     place, count, number = map(int, os.environ["PLOVERSPOKE_CHILD"].split(","))
     allowed = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
     descriptors = None if allowed == resource.RLIM_INFINITY else allowed
 
-    def read() -> Briefing:
-        return child_briefing(read_briefing(os.environ), place, count, descriptors)
+    def read() -> Config:
+        return child_config(read_config(os.environ), place, count, descriptors)
 
     try:
         briefing = read()
-    except BadKey as error:
+    except ConfigError as error:
         print(f"ploverspoke: {error}", file=sys.stderr)
         return 2
     loop = uvloop.new_event_loop()
--- a/ploverspoke/supervisor/driver.py
+++ b/ploverspoke/supervisor/process_runner.py
@@ -14,20 +14,20 @@
 
 import uvloop
 
-from ploverspoke.program.briefing import Briefing, read_briefing
-from ploverspoke.program.checked import BadKey
-from ploverspoke.program.exits import exit_code
+from ploverspoke.service.config import Config, read_config
+from ploverspoke.service.config_reader import ConfigError
+from ploverspoke.service.exit_codes import run_with_exit_code
 from ploverspoke.transport.listener import BACKLOG
-from ploverspoke.transport.log_lines import say
+from ploverspoke.transport.rate_limited_log import log_line
 
-from .shares import child_briefing
-from .watch import Watch
+from .resource_split import child_config
+from .supervisor import ProcessSupervisor
 
 MOST_PROCESSES = 64
 
 
-class Driver:
-    def __init__(self, briefing: Briefing, count: int) -> None:
+class ProcessRunner:
+    def __init__(self, briefing: Config, count: int) -> None:
         self.loop = asyncio.get_running_loop()
         self.count = count
         self.briefing = briefing
@@ -35,7 +35,7 @@
         self.tasks: set[asyncio.Task[None]] = set()
         self.timer: asyncio.TimerHandle | None = None
         self.finished: asyncio.Future[bool] = self.loop.create_future()
-        self.watch = Watch(self, count)
+        self.watch = ProcessSupervisor(self, count)
         host, port = briefing.listen
         self.socket = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET)
         self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -48,7 +48,7 @@
             self.loop.add_signal_handler(number, self._told, self.watch.told_to_end)
         self.loop.add_signal_handler(signal.SIGHUP, self._read_again)
         address = ":".join(map(str, self.briefing.listen))
-        say(f"{self.briefing.name}: {self.count} processes at {address}")
+        log_line(f"{self.briefing.name}: {self.count} processes at {address}")
         self.watch.begin()
         self._arm()
         try:
@@ -58,15 +58,15 @@
 
     def _read_again(self) -> None:
         try:
-            new = read_briefing(os.environ)
+            new = read_config(os.environ)
             for place in range(self.count):
-                child_briefing(new, place, self.count)
-        except BadKey as error:
-            say(f"new configuration not taken, the old one goes on: {error}")
+                child_config(new, place, self.count)
+        except ConfigError as error:
+            log_line(f"new configuration not taken, the old one goes on: {error}")
             return
         if new.listen != self.briefing.listen:
-            say("new configuration: listen stays as it was until the next start")
-        say("new configuration: it goes through the processes one by one")
+            log_line("new configuration: listen stays as it was until the next start")
+        log_line("new configuration: it goes through the processes one by one")
         self._told(self.watch.new_configuration)
 
     def _told(self, event: object) -> None:
@@ -105,7 +105,7 @@
                 pass_fds=(self.socket.fileno(),),
             )
         except OSError as error:
-            say(f"child {place} cannot be started: {error.strerror}")
+            log_line(f"child {place} cannot be started: {error.strerror}")
             self.watch.ended(place, -1)
             self._arm()
             return
@@ -128,8 +128,8 @@
         if process is not None and process.returncode is None:
             process.send_signal(number)
 
-    def say(self, line: str) -> None:
-        say(line)
+    def log(self, line: str) -> None:
+        log_line(line)
 
     def over(self, crashed: bool) -> None:
         if not self.finished.done():
@@ -137,13 +137,13 @@
 
 
 async def _run(count: int) -> int:
-    briefing = read_briefing(os.environ)
+    briefing = read_config(os.environ)
     allowed = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
     for place in range(count):
-        child_briefing(briefing, place, count, None if allowed == resource.RLIM_INFINITY else allowed)
-    return await Driver(briefing, count).run()
+        child_config(briefing, place, count, None if allowed == resource.RLIM_INFINITY else allowed)
+    return await ProcessRunner(briefing, count).run()
 
 
 def main(count: int) -> int:
     """Exit 0: told to end, and all children did. 1: one had to be killed. 2: bad configuration."""
-    return exit_code(lambda: uvloop.run(_run(count)))
+    return run_with_exit_code(lambda: uvloop.run(_run(count)))
--- a/ploverspoke/supervisor/shares.py
+++ b/ploverspoke/supervisor/resource_split.py
@@ -2,24 +2,25 @@
 times as many.
 """
 
-from ploverspoke.program.briefing import FEWEST_SOCKETS, LEAST_MEMORY_MB, Briefing
-from ploverspoke.program.checked import BadKey
+from ploverspoke.service.config import FEWEST_SOCKETS, LEAST_MEMORY_MB, Config
+from ploverspoke.service.config_reader import ConfigError
 from ploverspoke.transport.units import MEBIBYTE
 
 KEPT_SOCKETS, KEPT_MEMORY = 16, 12 * MEBIBYTE  # for the supervisor
 SEEDS_APART = 0x9E3779B97F4A7C15
 
 
-def child_briefing(whole: Briefing, place: int, count: int, descriptors: int | None = None) -> Briefing:
-    """Raises BadKey where a share would be too small. `descriptors`: what one process may hold at all."""
+def child_config(whole: Config, place: int, count: int, descriptors: int | None = None) -> Config:
+    """Raises ConfigError where a share would be too small. `descriptors`: what one process may hold at
+    all."""
     sockets = (whole.sockets - KEPT_SOCKETS) // count
     if descriptors is not None:
         sockets = min(sockets, descriptors)
     memory = (whole.memory - KEPT_MEMORY) // count
     if sockets < FEWEST_SOCKETS:
-        raise BadKey(f"limits.sockets: {whole.sockets} are too few for {count} processes")
+        raise ConfigError(f"limits.sockets: {whole.sockets} are too few for {count} processes")
     if memory < LEAST_MEMORY_MB * MEBIBYTE:
-        raise BadKey(f"limits.memory_mb: {whole.memory // MEBIBYTE} are too few for {count} processes")
+        raise ConfigError(f"limits.memory_mb: {whole.memory // MEBIBYTE} are too few for {count} processes")
     orders = {
         **whole.orders,
         "dispatchers": whole.orders["dispatchers"] * count,
--- a/ploverspoke/supervisor/watch.py
+++ b/ploverspoke/supervisor/supervisor.py
@@ -22,7 +22,7 @@
 ENDS_WITHIN = 6 * SECOND  # of being told to, else it is killed
 
 
-class State(Enum):
+class ChildState(Enum):
     WAITING = auto()  # empty, to be started at `until`
     STARTING = auto()
     READY = auto()
@@ -30,7 +30,7 @@
     EMPTY = auto()  # ended, and nothing is to be started
 
 
-class Host(Protocol):
+class SupervisorActions(Protocol):
     def now(self) -> int: ...
 
     def start(self, place: int) -> None:
@@ -41,15 +41,15 @@
 
     def kill(self, place: int) -> None: ...
 
-    def say(self, line: str) -> None: ...
+    def log(self, line: str) -> None: ...
 
     def over(self, crashed: bool) -> None:
         """All children have ended, after we were told to."""
 
 
-class Place:
+class ChildSlot:
     def __init__(self) -> None:
-        self.state = State.WAITING
+        self.state = ChildState.WAITING
         self.until = 0  # when something is to be done if nothing has happened
         self.started_at = 0
         self.wait = FIRST_WAIT
@@ -59,10 +59,10 @@
         self.killed = False
 
 
-class Watch:
-    def __init__(self, host: Host, count: int) -> None:
+class ProcessSupervisor:
+    def __init__(self, host: SupervisorActions, count: int) -> None:
         self.host = host
-        self.places = [Place() for _ in range(count)]
+        self.places = [ChildSlot() for _ in range(count)]
         self.ending = False
         self.killed_any = False
 
@@ -74,16 +74,16 @@
 
     def ready(self, place: int) -> None:
         p = self.places[place]
-        if p.state is State.STARTING:
-            p.state = State.READY
+        if p.state is ChildState.STARTING:
+            p.state = ChildState.READY
             self._roll()
 
     def ended(self, place: int, status: int) -> None:
         """Its process is gone. Status as the system gives it: 0, an exit code, or less than 0, a signal."""
         p, now = self.places[place], self.host.now()
-        expected, p.killed, p.old = p.state is State.ENDING, False, False
+        expected, p.killed, p.old = p.state is ChildState.ENDING, False, False
         if self.ending:
-            p.state = State.EMPTY
+            p.state = ChildState.EMPTY
             self._whether_over()
         elif expected:
             self._start(place)
@@ -95,16 +95,16 @@
             return
         self.ending = True
         for place, p in enumerate(self.places):
-            if p.state in (State.STARTING, State.READY):
+            if p.state in (ChildState.STARTING, ChildState.READY):
                 self._tell_to_end(place)
-            elif p.state is State.WAITING:
-                p.state = State.EMPTY
+            elif p.state is ChildState.WAITING:
+                p.state = ChildState.EMPTY
         self._whether_over()
 
     def new_configuration(self) -> None:
         """It was checked: it goes through the children one by one, so that the others serve meanwhile."""
         for p in self.places:
-            p.old = p.state in (State.STARTING, State.READY)
+            p.old = p.state in (ChildState.STARTING, ChildState.READY)
         self._roll()
 
     def tick(self) -> None:
@@ -112,29 +112,29 @@
         for place, p in enumerate(self.places):
             if now < p.until:
                 continue
-            if p.state is State.WAITING:
+            if p.state is ChildState.WAITING:
                 self._start(place)
-            elif p.state in (State.STARTING, State.ENDING) and not p.killed:
-                self.host.say(
-                    f"child {place} did not {'end' if p.state is State.ENDING else 'come up'}: killed"
+            elif p.state in (ChildState.STARTING, ChildState.ENDING) and not p.killed:
+                self.host.log(
+                    f"child {place} did not {'end' if p.state is ChildState.ENDING else 'come up'}: killed"
                 )
                 p.killed = self.killed_any = True
                 self.host.kill(place)
 
     def next_tick(self) -> int | None:
-        timed = (State.WAITING, State.STARTING, State.ENDING)
+        timed = (ChildState.WAITING, ChildState.STARTING, ChildState.ENDING)
         return min((p.until for p in self.places if p.state in timed and not p.killed), default=None)
 
     # ---- Inside ----
 
     def _start(self, place: int) -> None:
         p, now = self.places[place], self.host.now()
-        p.state, p.started_at, p.until = State.STARTING, now, now + READY_WITHIN
+        p.state, p.started_at, p.until = ChildState.STARTING, now, now + READY_WITHIN
         p.old = p.killed = False
         try:
             self.host.start(place)
         except OSError as error:
-            self.host.say(f"child {place} cannot be started: {error}")
+            self.host.log(f"child {place} cannot be started: {error}")
             self._wait(p, now)
 
     def _died(self, place: int, status: int, now: int) -> None:
@@ -146,22 +146,22 @@
         p.deaths.append(now)
         if len(p.deaths) == LOOP_DEATHS and now - p.deaths[0] <= LOOP_WITHIN:
             if not p.looping:
-                self.host.say(
+                self.host.log(
                     f"CRASH LOOP: child {place} died {LOOP_DEATHS} times within a minute, last with {status}"
                 )
             p.looping = True
         elif not p.looping:
-            self.host.say(f"child {place} died with {status} after {lived / SECOND:.1f} s")
+            self.host.log(f"child {place} died with {status} after {lived / SECOND:.1f} s")
         self._wait(p, now)
         self._roll()
 
-    def _wait(self, p: Place, now: int) -> None:
-        p.state, p.until = State.WAITING, now + p.wait
+    def _wait(self, p: ChildSlot, now: int) -> None:
+        p.state, p.until = ChildState.WAITING, now + p.wait
         p.wait = min(2 * p.wait, LONGEST_WAIT)
 
     def _tell_to_end(self, place: int) -> None:
         p = self.places[place]
-        p.state, p.until, p.killed = State.ENDING, self.host.now() + ENDS_WITHIN, False
+        p.state, p.until, p.killed = ChildState.ENDING, self.host.now() + ENDS_WITHIN, False
         self.host.end(place)
 
     def _roll(self) -> None:
@@ -171,7 +171,7 @@
         if self.ending:
             return
         old = [n for n, p in enumerate(self.places) if p.old]
-        busy = any(p.state in (State.STARTING, State.ENDING) and not p.old for p in self.places)
+        busy = any(p.state in (ChildState.STARTING, ChildState.ENDING) and not p.old for p in self.places)
         if not old or busy:
             return
         # One that is still coming up with the old configuration is replaced like any other.
@@ -179,5 +179,5 @@
         self._tell_to_end(old[0])
 
     def _whether_over(self) -> None:
-        if all(p.state is State.EMPTY for p in self.places):
+        if all(p.state is ChildState.EMPTY for p in self.places):
             self.host.over(self.killed_any)
--- a/ploverspoke/testbed/baselines.py
+++ b/ploverspoke/testbed/baselines.py
@@ -1,4 +1,4 @@
-"""Policies to compare with, behind the same Host as the decisions. Never in the product's path.
+"""Policies to compare with, behind the same DispatchActions as the decisions. Never in the product's path.
 
 They share one frame: a submission goes to a worker at once, again where its grade allows that, and is
 nacked or
@@ -8,9 +8,9 @@
 from collections.abc import Callable, Iterable, Mapping
 from typing import Any
 
-from ploverspoke.decisions.chance import Chance
 from ploverspoke.decisions.dispatcher import Dispatcher
-from ploverspoke.decisions.host import NEVER_RAN, Host, Listing, StandingOrders
+from ploverspoke.decisions.interface import NEVER_RAN, DispatchActions, Endpoint, Settings
+from ploverspoke.decisions.random_numbers import RandomNumbers
 
 SECOND = 1_000_000_000
 TrueLoad = Callable[[str], float]
@@ -35,31 +35,31 @@
     """The frame; `choose` says which of the workers that may be sent to."""
 
     def __init__(
-        self, host: Host, seed: int, orders: StandingOrders, true_load: TrueLoad | None = None
+        self, host: DispatchActions, seed: int, orders: Settings, true_load: TrueLoad | None = None
     ) -> None:
         self.host = host
         self.orders = orders
-        self.chance = Chance(seed)
+        self.chance = RandomNumbers(seed)
         self.true_load = true_load
-        self.workers: dict[str, Listing] = {}
+        self.workers: dict[str, Endpoint] = {}
         self.in_flight: dict[str, float] = {}
         self.open: dict[int, Open] = {}
         self.turn = 0
         self.failures = 0
 
-    def orders_changed(self, orders: StandingOrders, takes_over: Mapping[int, int]) -> None:
+    def settings_changed(self, orders: Settings, takes_over: Mapping[int, int]) -> None:
         self.orders = orders
 
-    def begun(self) -> None:
+    def started(self) -> None:
         if self.orders["roster_must_be_asked"]:
-            self.host.watch_roster()
+            self.host.watch_endpoints()
 
     def choose(self, among: list[str]) -> str:
         raise NotImplementedError
 
     # ---- What can happen ----
 
-    def submission_arrived(
+    def request_arrived(
         self,
         submission_id: int,
         grade: int,
@@ -71,11 +71,11 @@
         job = self.open[submission_id] = Open(submission_id, grade, slots, abandon_at)
         self.send(job)
 
-    def hand_off_started(self, submission_id: int, hand_off: int) -> None: ...
+    def attempt_started(self, submission_id: int, hand_off: int) -> None: ...
 
-    def hand_off_progressed(self, submission_id: int, hand_off: int, share_done: float) -> None: ...
+    def attempt_progressed(self, submission_id: int, hand_off: int, share_done: float) -> None: ...
 
-    def hand_off_ended(
+    def attempt_ended(
         self,
         submission_id: int,
         hand_off: int,
@@ -98,32 +98,32 @@
             job.bound_until = self.host.now() - took + self.orders["repeat_window"][job.grade]
         self.send(job)
 
-    def client_left(self, submission_id: int) -> None:
+    def client_disconnected(self, submission_id: int) -> None:
         job = self.open.get(submission_id)
         if job is not None and not job.at:
             del self.open[submission_id]
 
-    def roster_complete(self, listings: Iterable[Listing]) -> None:
+    def endpoint_list_received(self, listings: Iterable[Endpoint]) -> None:
         self.failures = 0
         self.workers.clear()
-        self.roster_changed(listings)
+        self.endpoints_changed(listings)
 
-    def roster_changed(self, listings: Iterable[Listing]) -> None:
+    def endpoints_changed(self, listings: Iterable[Endpoint]) -> None:
         self.failures = 0
         for listing in listings:
             self.workers[listing.worker] = listing
             self.in_flight.setdefault(listing.worker, 0.0)
 
-    def roster_lost(self, turned_away: bool = False) -> None:
+    def endpoint_watch_failed(self, turned_away: bool = False) -> None:
         self.failures += 1
         self.host.wake_at(0, self.host.now() + SECOND // 4 * min(8, self.failures))
 
-    def probe_answered(
+    def probe_completed(
         self, worker_name: str, outcome: str, took: int, load: Mapping[str, float] | None
     ) -> None: ...
 
-    def woken(self, token: int) -> None:
-        self.host.watch_roster()
+    def timer_fired(self, token: int) -> None:
+        self.host.watch_endpoints()
 
     # ---- Inside ----
 
@@ -138,7 +138,7 @@
         job.hand_offs += 1
         job.at = worker
         self.in_flight[worker] += job.slots
-        self.host.hand_off(job.id, worker, job.abandon_at - self.orders["round"] - now)
+        self.host.start_attempt(job.id, worker, job.abandon_at - self.orders["round"] - now)
 
     def _allowed(self, job: Open, now: int) -> list[str]:
         if now >= job.abandon_at - self.orders["round"]:
@@ -169,9 +169,9 @@
         del self.open[job.id]
         redoable = self.orders["repeat"][job.grade] == "redoable"
         if redoable or not job.may_have_run:
-            self.host.nack(job.id, 0)
+            self.host.reject(job.id, 0)
         else:
-            self.host.abandon(job.id)
+            self.host.fail(job.id)
 
 
 class RandomPick(Baseline):
@@ -208,7 +208,7 @@
     """The decisions themselves, which see no true load."""
 
     def __init__(
-        self, host: Host, seed: int, orders: StandingOrders, true_load: TrueLoad | None = None
+        self, host: DispatchActions, seed: int, orders: Settings, true_load: TrueLoad | None = None
     ) -> None:
         super().__init__(host, seed, orders)
 
--- a/ploverspoke/testbed/bench.py
+++ b/ploverspoke/testbed/bench.py
@@ -31,8 +31,8 @@
 OPEN_SHARE = 0.6  # of the smaller of both throughputs: the rate of the open loop
 FLEETS = (10, 100, 300, 1000)
 EVENTS = (
-    "submission_arrived", "hand_off_started", "hand_off_progressed", "hand_off_ended", "probe_answered",
-    "woken", "roster_complete", "roster_changed", "client_left",
+    "request_arrived", "attempt_started", "attempt_progressed", "attempt_ended", "probe_completed",
+    "timer_fired", "endpoint_list_received", "endpoints_changed", "client_disconnected",
 )  # fmt: skip
 Say = Callable[[str], None]
 
--- a/ploverspoke/testbed/capacity/config_server.py
+++ b/ploverspoke/testbed/capacity/config_server.py
@@ -19,12 +19,12 @@
 import msgspec
 import numpy as np
 
-from ploverspoke.consensus.ask import ask
-from ploverspoke.consensus.frames import BadFrame
-from ploverspoke.distribution.asking import NoServer
-from ploverspoke.distribution.asking import publish as publish_body
-from ploverspoke.distribution.client import WatchClient
-from ploverspoke.distribution.orders import ConfigServers, WatchOrders
+from ploverspoke.config_distribution.admin_client import NoServerAvailableError
+from ploverspoke.config_distribution.admin_client import publish as publish_body
+from ploverspoke.config_distribution.client import WatchClient
+from ploverspoke.config_distribution.cluster_config import ConfigServers, WatchConfig
+from ploverspoke.consensus.framing import FrameError
+from ploverspoke.consensus.replica_client import send_admin_request
 
 from .. import experiment as ex
 from ..processes.relay import OUTSIDE
@@ -103,8 +103,10 @@
         until = time.monotonic() + LEADS_WITHIN
         while time.monotonic() < until:
             for place in self.places:
-                with contextlib.suppress(OSError, BadFrame):
-                    said = await asyncio.to_thread(ask, place.at("peers"), SECRET.encode(), {"ask": "status"})
+                with contextlib.suppress(OSError, FrameError):
+                    said = await asyncio.to_thread(
+                        send_admin_request, place.at("peers"), SECRET.encode(), {"ask": "status"}
+                    )
                     if said.get("leads"):
                         return place
             await asyncio.sleep(0.1)
@@ -117,7 +119,7 @@
         self.number += 1
         try:
             said = await asyncio.to_thread(publish_body, servers, body, None, "slopes", 5.0)
-        except NoServer as error:
+        except NoServerAvailableError as error:
             raise NotStarted(f"a version could not be published: {error}") from None
         if not said["done"]:
             raise NotStarted(f"a version was not taken: {said['why']}")
@@ -144,7 +146,7 @@
             async with Rig(Path(name), SEED) as rig:
                 found = await _measure(rig, watchers, changes, body, asked)
                 void = rig.void()
-        except (NotStarted, OSError, BadFrame) as error:
+        except (NotStarted, OSError, FrameError) as error:
             found, void = {}, str(error) or "not ready in time"
     shown = void or f"core {found['core_share']:.2%}"
     asked.say(f"config server, {watchers} watchers, {changes} changes a minute of {body} bytes: {shown}")
@@ -166,7 +168,7 @@
     clients = []
     for n in range(watchers):
         cache = rig.folder / f"cache-{n}.json"
-        orders = WatchOrders(CLUSTER, [place.through("clients")], [], SECRET.encode(), cache)
+        orders = WatchConfig(CLUSTER, [place.through("clients")], [], SECRET.encode(), cache)
         clients.append(WatchClient(loop, orders, f"d{n}", take, seed=n))
     try:
         for client in clients:
@@ -294,7 +296,7 @@
                 watch = servers.watch_file(place)
                 _, reading = await played(e, SEED, over.settled * SECOND, acts, watch=watch)
                 void = reading.void or rig.void()
-        except (NotStarted, OSError, BadFrame) as error:
+        except (NotStarted, OSError, FrameError) as error:
             return float(changes), {}, str(error) or "not ready in time"
     if not void and len(octets) < 2:
         void = "too little was seen at the config servers"
@@ -357,7 +359,7 @@
                     path.write_text(body_of(body, 0))
                     words = ["config", "publish", str(rig.folder / f"{place.name}.json"), str(path)]
                     figures, void = await asyncio.to_thread(run_command, words), ""
-            except (NotStarted, OSError, BadFrame) as error:
+            except (NotStarted, OSError, FrameError) as error:
                 void = str(error) or "not ready in time"
         asked.say(f"configuration publisher, {body} bytes: {void or figures['processor_seconds']}")
         seen.append((float(body), figures, void))
--- a/ploverspoke/testbed/capacity/keeper.py
+++ b/ploverspoke/testbed/capacity/keeper.py
@@ -15,9 +15,9 @@
 
 import numpy as np
 
-from ploverspoke.consensus.ask import ask
+from ploverspoke.consensus.replica_client import send_admin_request
 from ploverspoke.leases.client import LeaseClient
-from ploverspoke.leases.orders import Keepers, read_keepers
+from ploverspoke.leases.config import LeaseServers, read_lease_servers
 
 from ..processes.lease_run import Leases, Plan
 from ..processes.relay import OUTSIDE
@@ -64,7 +64,9 @@
     while time.monotonic() < until:
         for place in leases.keepers:
             with contextlib.suppress(OSError):
-                told = await asyncio.to_thread(ask, place.at("peers"), secret, {"ask": "status"})
+                told = await asyncio.to_thread(
+                    send_admin_request, place.at("peers"), secret, {"ask": "status"}
+                )
                 if told.get("leading"):
                     return place.name
         await asyncio.sleep(0.1)
@@ -95,7 +97,7 @@
     return counts.get(f"{others}>{name}", 0), counts.get(f"{name}>{others}", 0)
 
 
-async def _world(size: int, value: float, load_of: Callable[[Keepers], Load], asked: Asked) -> Seen:
+async def _world(size: int, value: float, load_of: Callable[[LeaseServers], Load], asked: Asked) -> Seen:
     with tempfile.TemporaryDirectory(prefix="ploverspoke-slopes-", dir=in_memory()) as name:
         try:
             async with Rig(Path(name), 1) as rig:
@@ -105,17 +107,17 @@
 
 
 async def _measure(
-    rig: Rig, size: int, value: float, load_of: Callable[[Keepers], Load], asked: Asked
+    rig: Rig, size: int, value: float, load_of: Callable[[LeaseServers], Load], asked: Asked
 ) -> Seen:
     settled, stretch = (QUICK_SETTLED, QUICK_STRETCH) if asked.quick else (SETTLED, STRETCH)
     leases = Leases(
         rig, Plan(keepers=size, contenders=0, names={"team-*": 1}, duration=Span(DURATION * SECOND))
     )
     await leases.start()
-    secret = read_keepers(leases.file).secret
+    secret = read_lease_servers(leases.file).secret
     leader = await _leader(leases, secret)
     place = rig.places[leader]
-    load = load_of(Keepers({}, [place.through("clients")], secret))
+    load = load_of(LeaseServers({}, [place.through("clients")], secret))
     for n, client in enumerate(load.clients):
         for k in range(load.names):
             client.want(f"team-h{n}-{k}", DURATION * SECOND)
@@ -190,7 +192,11 @@
 
 
 async def _series(
-    size: str, values: tuple[float, ...], load_of: Callable[[Keepers, float], Load], asked: Asked, still: Any
+    size: str,
+    values: tuple[float, ...],
+    load_of: Callable[[LeaseServers, float], Load],
+    asked: Asked,
+    still: Any,
 ) -> Found:
     found = Found([], [])
     for keepers in SIZES:
@@ -209,30 +215,30 @@
     return found
 
 
-def _loaded(load_of: Callable[[Keepers, float], Load], value: float, keepers: Keepers) -> Load:
+def _loaded(load_of: Callable[[LeaseServers, float], Load], value: float, keepers: LeaseServers) -> Load:
     return load_of(keepers, value)
 
 
-def _clients(keepers: Keepers, count: int) -> list[LeaseClient]:
+def _clients(keepers: LeaseServers, count: int) -> list[LeaseClient]:
     return [LeaseClient(keepers, f"h{number}") for number in range(count)]
 
 
 async def holders(asked: Asked) -> Found:
-    def load(keepers: Keepers, value: float) -> Load:
+    def load(keepers: LeaseServers, value: float) -> Load:
         return Load(_clients(keepers, int(value)), 1)
 
     return await _series("holders", (50, 150, 300, 980), load, asked, {"names_each": 1.0})
 
 
 async def names(asked: Asked) -> Found:
-    def load(keepers: Keepers, value: float) -> Load:
+    def load(keepers: LeaseServers, value: float) -> Load:
         return Load(_clients(keepers, NAMES_BY), int(value) // NAMES_BY)
 
     return await _series("names", (100, 400, 1000), load, asked, {"holders": float(NAMES_BY)})
 
 
 async def changes(asked: Asked) -> Found:
-    def load(keepers: Keepers, value: float) -> Load:
+    def load(keepers: LeaseServers, value: float) -> Load:
         return Load(_clients(keepers, CHANGES_BY), 1, value)
 
     still = {"holders": float(CHANGES_BY), "names_each": 1.0}
--- a/ploverspoke/testbed/capacity/kept.py
+++ b/ploverspoke/testbed/capacity/kept.py
@@ -10,15 +10,15 @@
 
 import msgspec
 
-from ploverspoke.consensus.disk import Disk
-from ploverspoke.store.ledger import ANSWER, INTEND, OUTCOME, TAKE, Ledger
+from ploverspoke.consensus.storage import ReplicaStorage
+from ploverspoke.store.state_machine import ANSWER, INTEND, OUTCOME, TAKE, RequestStateMachine
 
 from .process import used
 
 RESULT = "x" * 64
 
 
-def fill(ledger: Ledger, count: int) -> int:
+def fill(ledger: RequestStateMachine, count: int) -> int:
     """So many submissions taken, handed off once and answered; gives the entries."""
     at = 0
     for n in range(count):
@@ -36,7 +36,7 @@
 
 def main() -> None:
     count, folder = int(sys.argv[1]), Path(sys.argv[2])
-    disk, ledger = Disk(folder), Ledger()
+    disk, ledger = ReplicaStorage(folder), RequestStateMachine()
     disk.open()
     disk.begin("r0.1", "slopes", {})
     before = used(os.getpid()).memory
@@ -49,7 +49,7 @@
     size = disk.size()
     disk.close()
     began = time.perf_counter()
-    again, loaded = Disk(folder), Ledger()
+    again, loaded = ReplicaStorage(folder), RequestStateMachine()
     again.open()
     loaded.load(again.state)
     read = time.perf_counter() - began
--- a/ploverspoke/testbed/capacity/rows.py
+++ b/ploverspoke/testbed/capacity/rows.py
@@ -196,7 +196,7 @@
         line=f"{workers} workers",
         demand=f"each dispatcher knows and may use all {workers}",
         gives=f"the whole list at each; one dispatcher measured to {to:.3g} listed; {played}",
-        mechanism="`routing/roster.py`, `docs/architecture.md`",
+        mechanism="`routing/endpoint_watch.py`, `docs/architecture.md`",
         verdict=verdict,
         basis=basis,
         letter="a",
@@ -237,7 +237,7 @@
         demand=f"{each:.3g} at one of {facts.fewest} dispatchers, {slots:.2g} at a worker; each runs for "
         f"{running_time(facts.fleet):.3g} s, where the peak lasts",
         gives=f"one errand and one connection for each; one dispatcher measured to {to:.3g}; {played}",
-        mechanism="`routing/errands.py`, `docs/architecture.md`",
+        mechanism="`routing/worker_calls.py`, `docs/architecture.md`",
         verdict=verdict,
         basis=basis,
         letter="a",
@@ -312,7 +312,7 @@
         key="changes",
         line=f"{size.configuration_changes_a_day} changes of configuration a day, in force within {soon:g} s",
         demand=f"{busiest:.2g} a minute in the busiest hour (assumed), at every dispatcher",
-        gives="each reads a file of its own at SIGHUP (`program/service.py`); `lease publish` commits to a "
+        gives="each reads a file of its own at SIGHUP (`service/service.py`); `lease publish` commits to a "
         "store, which its own replicas alone take; nothing tells dispatchers, or what is in force where",
         mechanism=NONE,
         verdict=MISSING,
@@ -328,7 +328,7 @@
         row,
         gives="config servers agree on versions and tell every dispatcher that watches; with fewer of them "
         f"it was measured (`docs/distribution.md`); {played}; {costs}",
-        mechanism="`distribution/`, `docs/distribution.md`",
+        mechanism="`config_distribution/`, `docs/distribution.md`",
         verdict=verdict,
         basis=PLAYED,
         stops=NOT_MEASURED if verdict == NOT_MEASURED else BEYOND,
@@ -401,7 +401,7 @@
         line="a dispatcher within that, progress reports counted",
         demand=f"a report a second of each task that runs{', and configuration watched' * watches}",
         gives=f"{told}; {played}",
-        mechanism="`ProgressUs`, one interval for all tasks (`program/standing_orders.py`)",
+        mechanism="`ProgressUs`, one interval for all tasks (`service/settings.py`)",
         verdict=verdict,
         basis=SLOPES,
         letter="b",
@@ -466,7 +466,7 @@
             f"{failures.restarts_a_day:g} are restarted or replaced a day",
             "workers drain by the list; dispatchers a few at a time under a lease, or replaced over a "
             "passed socket",
-            "`leases/commands.py` (`restart`), `program/passed.py`, `docs/operating-leases.md`",
+            "`leases/commands.py` (`restart`), `service/inherited_socket.py`, `docs/operating-leases.md`",
             "restart",
         ),
         (
@@ -519,7 +519,7 @@
         gives="dispatchers keep the last list and set aside what they cannot reach; a configuration names "
         f"one discovery, and {by}; the side with fewer voters gets no lease and commits nothing; "
         f"what config servers hold for one that is silent: `docs/distribution.md`; {played}",
-        mechanism="`routing/roster.py`, `leases/keeper.py`, `docs/leases.md`",
+        mechanism="`routing/endpoint_watch.py`, `leases/manager.py`, `docs/leases.md`",
         verdict=verdict,
         basis=PLAYED,
         letter="c",
@@ -539,7 +539,7 @@
         demand=f"the other goes on: {left} of {fleet.size.zones} zones may be all that is left",
         gives=f"without {ends} the {VOTERS} voters have no majority, and no split over two regions bears "
         f"the loss of either; one voter at a third site would{'' if third_site() else ' not'}",
-        mechanism="members are changed by hand (`consensus/members.py`, `docs/operating-the-store.md`)",
+        mechanism="members are changed by hand (`consensus/membership.py`, `docs/operating-the-store.md`)",
         verdict=MISSING if ends else HOLDS,
         basis=WORKED,
         letter="c",
--- a/ploverspoke/testbed/capacity/store_replica.py
+++ b/ploverspoke/testbed/capacity/store_replica.py
@@ -11,7 +11,7 @@
 import msgspec
 import numpy as np
 
-from ploverspoke.consensus.ask import ask
+from ploverspoke.consensus.replica_client import send_admin_request
 
 from .. import experiment as ex
 from ..processes.room import in_memory
@@ -66,7 +66,9 @@
 
 async def _status(world: World, number: int) -> dict[str, Any]:
     place = world.rig.places[f"d{number}"]
-    told: dict[str, Any] = await asyncio.to_thread(ask, place.at("peers"), SECRET, {"ask": "status"})
+    told: dict[str, Any] = await asyncio.to_thread(
+        send_admin_request, place.at("peers"), SECRET, {"ask": "status"}
+    )
     return told
 
 
--- a/ploverspoke/testbed/capacity/table.py
+++ b/ploverspoke/testbed/capacity/table.py
@@ -22,16 +22,18 @@
 # Who carries each role: module and page.
 ROLES = {
     "dispatcher": "`routing/`, `decisions/` (`docs/architecture.md`)",
-    WATCHING: "`distribution/watch.py` (`docs/distribution.md`); a whole one, idle",
-    "discovery": "the platform's; `routing/roster.py` asks it (`docs/architecture.md`)",
-    "worker": "the platform's; `routing/errands.py` asks it (`docs/architecture.md`)",
-    "keeper": "`leases/keeper.py` (`docs/leases.md`)",
+    WATCHING: "`config_distribution/watcher.py` (`docs/distribution.md`); a whole one, idle",
+    "discovery": "the platform's; `routing/endpoint_watch.py` asks it (`docs/architecture.md`)",
+    "worker": "the platform's; `routing/worker_calls.py` asks it (`docs/architecture.md`)",
+    "keeper": "`leases/manager.py` (`docs/leases.md`)",
     "store replica": "`store/node.py` (`docs/store.md`)",
-    SERVER: "`distribution/feed.py` (`docs/distribution.md`)",
-    "configuration publisher": "`distribution/commands.py` (`docs/distribution.md`), `leases/tasks.py`",
-    "fleet summary": "`leases/tasks.py`, `summarise` (`docs/operating-leases.md`)",
+    SERVER: "`config_distribution/broadcaster.py` (`docs/distribution.md`)",
+    "configuration publisher": (
+        "`config_distribution/commands.py` (`docs/distribution.md`), `leases/fleet_tasks.py`"
+    ),
+    "fleet summary": "`leases/fleet_tasks.py`, `summarise` (`docs/operating-leases.md`)",
     "rolling restart": "`leases/commands.py`, `restart` (`docs/operating-leases.md`)",
-    "supervisor": "`supervisor/watch.py` (`docs/processes.md`)",
+    "supervisor": "`supervisor/supervisor.py` (`docs/processes.md`)",
 }
 
 
--- a/ploverspoke/testbed/capacity/tools.py
+++ b/ploverspoke/testbed/capacity/tools.py
@@ -81,7 +81,7 @@
 
 @asynccontextmanager
 async def _world(keepers: int, doors: int) -> AsyncIterator[tuple[Leases, list[str]]]:
-    """Keepers, and dispatchers with an operators' door each. Raises NotStarted."""
+    """LeaseServers, and dispatchers with an operators' door each. Raises NotStarted."""
     with tempfile.TemporaryDirectory(prefix="ploverspoke-slopes-", dir=in_memory()) as name:
         async with Rig(Path(name), SEED) as rig:
             plan = Plan(keepers=keepers, contenders=0, names={"team-*": 1}, duration=Span(10 * SECOND))
--- a/ploverspoke/testbed/capacity/world.py
+++ b/ploverspoke/testbed/capacity/world.py
@@ -16,7 +16,7 @@
 import msgspec
 import numpy as np
 
-from ploverspoke.consensus.frames import BadFrame
+from ploverspoke.consensus.framing import FrameError
 
 from .. import experiment as ex
 from ..processes.child import Child
@@ -140,7 +140,7 @@
                 doing = act(self)
                 if doing is not None:
                     await doing
-            except (OSError, NotStarted, BadFrame) as error:
+            except (OSError, NotStarted, FrameError) as error:
                 self.rig.faults.append(f"what was to be done could not be: {error}")
 
     # ---- What it was ----
--- a/ploverspoke/testbed/chances.py
+++ b/ploverspoke/testbed/chances.py
@@ -1,4 +1,4 @@
-"""Chance for the models: numpy Generator streams, one for each concern, all from one seed.
+"""RandomNumbers for the models: numpy Generator streams, one for each concern, all from one seed.
 
 A stream depends on the seed and its own name only, so one concern that draws more or less shifts no other.
 """
--- a/ploverspoke/testbed/commands.py
+++ b/ploverspoke/testbed/commands.py
@@ -109,7 +109,8 @@
 
 
 def _run_processes(told: dict[str, Any], seeds: tuple[int, ...], out: Path | None) -> NoReturn:
-    """Keepers and contenders, or config servers and dispatchers, in real time; a void run is no green one."""
+    """LeaseServers and contenders, or config servers and dispatchers, in real time; a void run is no green
+    one."""
     from .processes.distribution_run import read_distribution_experiment, run_distribution
     from .processes.lease_run import read_lease_experiment, run_leases
     from .processes.timeline import BadTimeline
--- a/ploverspoke/testbed/hollow/changing.py
+++ b/ploverspoke/testbed/hollow/changing.py
@@ -143,8 +143,8 @@
 
     async def bring(self, number: int) -> None:
         """One version, published as an operator's tool does."""
-        from ploverspoke.distribution.asking import NoServer, publish
-        from ploverspoke.distribution.orders import ConfigServers
+        from ploverspoke.config_distribution.admin_client import NoServerAvailableError, publish
+        from ploverspoke.config_distribution.cluster_config import ConfigServers
 
         told = self.changed(number, 0)
         body = {"settings": {key: told[key] for key in ("ServiceGrades", "Domain")}}
@@ -152,7 +152,7 @@
         text = msgspec.json.encode(body).decode()
         try:
             found = await asyncio.to_thread(publish, servers, text, None, "testbed", FIRST_ANSWER)
-        except NoServer as error:
+        except NoServerAvailableError as error:
             raise NotStarted(f"no config server leads: {error}") from None
         if not found["done"]:
             raise NotStarted(f"version {number} is not published: {found['why']}")
--- a/ploverspoke/testbed/hollow/dispatcher.py
+++ b/ploverspoke/testbed/hollow/dispatcher.py
@@ -10,9 +10,9 @@
 from pathlib import Path
 from typing import Any, NamedTuple, cast
 
-from ploverspoke.program.briefing import read_briefing, read_told
-from ploverspoke.program.checked import BadKey
-from ploverspoke.program.service import Service
+from ploverspoke.service.config import read_config, read_config_document
+from ploverspoke.service.config_reader import ConfigError
+from ploverspoke.service.service import Service
 from ploverspoke.transport.connections import Connection
 
 from .loops import OwnLoop
@@ -53,14 +53,14 @@
         why = ""
         try:
             # Its own configuration, by the program's own reading: nothing of it comes from this process's.
-            read = partial(read_briefing, {"RELAY_CONFIG": self.place.config})
+            read = partial(read_config, {"RELAY_CONFIG": self.place.config})
             self.service = Service(cast(asyncio.AbstractEventLoop, self.loop), read())
             self.service.read = read
             if self.place.watch:
                 self._watch(self.service)
             self.service.on_ready = self._ready
             await self.service.run()
-        except (BadKey, OSError) as error:
+        except (ConfigError, OSError) as error:
             why = str(error)
         self.serves = False
         self._drop(reset=False)
@@ -68,15 +68,15 @@
 
     def _watch(self, service: Service) -> None:
         """Only where it is asked for: changes from config servers, as `serve --watch` has them."""
-        from ploverspoke.distribution.daemon import attach
-        from ploverspoke.distribution.orders import read_watch_orders
+        from ploverspoke.config_distribution.cluster_config import read_watch_config
+        from ploverspoke.config_distribution.dynamic_config import attach
 
         environment = {"RELAY_CONFIG": self.place.config}
         self.watching = attach(
             service,
-            read_watch_orders(Path(self.place.watch)),
-            read_told(environment),
-            read_own=partial(read_told, environment),
+            read_watch_config(Path(self.place.watch)),
+            read_config_document(environment),
+            read_own=partial(read_config_document, environment),
             seed=self.place.number,
             environment=environment,
             begin=False,
--- a/ploverspoke/testbed/hollow/said.py
+++ b/ploverspoke/testbed/hollow/said.py
@@ -3,10 +3,10 @@
 import sys
 from contextvars import ContextVar
 
-from ploverspoke.transport import log_lines
+from ploverspoke.transport import rate_limited_log
 
 
-class Said(log_lines.LogLines):
+class Said(rate_limited_log.RateLimitedLog):
     """One dispatcher's lines, with its name before them."""
 
     def __init__(self, name: str) -> None:
@@ -14,22 +14,22 @@
         self.name = name
         self.count = 0  # asked to be said, held back ones too
 
-    def say(self, line: str) -> None:
+    def write(self, line: str) -> None:
         self.count += 1
-        super().say(f"{self.name}: {line}")
+        super().write(f"{self.name}: {line}")
 
 
 WHOSE: ContextVar[Said] = ContextVar("whose log lines")
 _nobody = Said("nobody")
 
 
-def say(line: str) -> None:
+def log_line(line: str) -> None:
     """The loop calls everything in the context in which it was asked for: so it is known whose line it is."""
-    WHOSE.get(_nobody).say(line)
+    WHOSE.get(_nobody).write(line)
 
 
 def install() -> None:
     """Before the program is imported: what is imported later takes this one."""
-    if any(name.startswith("ploverspoke.program") for name in sys.modules):
+    if any(name.startswith("ploverspoke.service") for name in sys.modules):
         raise RuntimeError("the program was imported before its log lines could be told apart")
-    log_lines.say = say
+    rate_limited_log.log_line = log_line
--- a/ploverspoke/testbed/lease_bench.py
+++ b/ploverspoke/testbed/lease_bench.py
@@ -15,10 +15,10 @@
 import msgspec
 from rich.table import Table
 
-from ploverspoke.consensus.ask import ask
-from ploverspoke.consensus.frames import Frames
+from ploverspoke.consensus.framing import FrameCodec
+from ploverspoke.consensus.replica_client import send_admin_request
 from ploverspoke.leases.client import LeaseClient
-from ploverspoke.leases.orders import Keepers, read_keepers
+from ploverspoke.leases.config import LeaseServers, read_lease_servers
 
 from .processes.lease_run import Leases, Plan
 from .processes.rig import Rig
@@ -42,7 +42,9 @@
 
     def __init__(self, load: "Load", number: int) -> None:
         self.load, self.n = load, 0
-        self.frames = Frames(load.keepers.secret, {"id": f"load/{os.urandom(4).hex()}{number}", "store": ""})
+        self.frames = FrameCodec(
+            load.keepers.secret, {"id": f"load/{os.urandom(4).hex()}{number}", "store": ""}
+        )
         # Names of its own: what an earlier load has left held is over by its time only.
         self.prefix = f"team-{'r' if load.renews else 'g'}{number}"
         self.tokens = {f"{self.prefix}-{k}": 0 for k in range(NAMES if load.renews else 1)}
@@ -51,12 +53,12 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self.transport.write(self.frames.hello())
+        self.transport.write(self.frames.greeting_frame())
 
     def data_received(self, data: bytes) -> None:
-        messages = self.frames.feed(data)
+        messages = self.frames.decode(data)
         self.load.octets += len(data)
-        if not self.greeted and self.frames.other is not None:
+        if not self.greeted and self.frames.peer_greeting is not None:
             self.greeted = True
             self._ask()
         for message in messages:
@@ -78,13 +80,13 @@
             release = [[name, token, ""] for name, token in self.tokens.items()]
             self.tokens = {f"{self.prefix}-{self.n}": 0}
         want = [[name, 10 * SECOND, token, 0] for name, token in self.tokens.items()]
-        data = self.frames.write({"n": self.n, "want": want, "release": release})
+        data = self.frames.encode({"n": self.n, "want": want, "release": release})
         self.load.octets += len(data)
         self.transport.write(data)
 
 
 class Load:
-    def __init__(self, keepers: Keepers, renews: bool) -> None:
+    def __init__(self, keepers: LeaseServers, renews: bool) -> None:
         self.keepers, self.renews = keepers, renews
         self.renewed = self.granted = self.octets = 0
         self.over = False
@@ -120,11 +122,13 @@
     return 0.0
 
 
-async def _leader(leases: Leases, keepers: Keepers) -> tuple[str, int]:
+async def _leader(leases: Leases, keepers: LeaseServers) -> tuple[str, int]:
     """Its address for holders, past the relays, and its process."""
     while True:
         for place in leases.keepers:
-            told = await asyncio.to_thread(ask, place.at("peers"), keepers.secret, {"ask": "status"})
+            told = await asyncio.to_thread(
+                send_admin_request, place.at("peers"), keepers.secret, {"ask": "status"}
+            )
             process = leases.rig.running[place.name].process
             if told.get("leading") and process is not None:
                 return place.at("clients"), process.pid
@@ -136,7 +140,7 @@
     async with Rig(folder, 1) as rig:
         leases = Leases(rig, plan)
         await leases.start()
-        keepers = read_keepers(leases.file)
+        keepers = read_lease_servers(leases.file)
         where, pid = await _leader(leases, keepers)
         row: dict[str, Any] = {"keepers": size}
         for what, renews in (("renewals", True), ("grants", False)):
@@ -147,7 +151,7 @@
             if renews:
                 row[f"octets_for_{NAMES}_names"] = found["octets"] * NAMES / max(1.0, found[what])
             say(f"{size} keepers: {found[what]:,.0f} {what} a second, leader {core:.0%} of a core")
-        direct = Keepers({}, [where], keepers.secret)
+        direct = LeaseServers({}, [where], keepers.secret)
         clients = [LeaseClient(direct, f"h{number}") for number in range(HOLDERS)]
         for number, client in enumerate(clients):
             client.want(f"team-h{number}", HOLD * SECOND)
@@ -173,7 +177,7 @@
 
 
 def lease_tables(found: LeaseFigures) -> list[Table]:
-    table = Table(title=f"Keepers: {CONNECTIONS} connections that ask at once, {NAMES} names each")
+    table = Table(title=f"LeaseServers: {CONNECTIONS} connections that ask at once, {NAMES} names each")
     keys = list(found.rows[0])
     for key in keys:
         table.add_column(key.replace("_", " "), justify="right")
--- a/ploverspoke/testbed/processes/contender.py
+++ b/ploverspoke/testbed/processes/contender.py
@@ -14,9 +14,9 @@
 import msgspec
 import uvloop
 
-from ploverspoke.leases import acting, holder
+from ploverspoke.leases import guarded_task, holder
 from ploverspoke.leases.client import LeaseClient
-from ploverspoke.leases.orders import read_keepers
+from ploverspoke.leases.config import read_lease_servers
 
 from .history import History, true_now
 
@@ -58,7 +58,7 @@
         self.spec = spec
         self.history = History(Path(spec.history), spec.name)
         self.chance = random.Random(f"{spec.seed} {spec.name} {true_now()}")
-        self.client = LeaseClient(read_keepers(Path(spec.keepers)), spec.name)
+        self.client = LeaseClient(read_lease_servers(Path(spec.keepers)), spec.name)
         self.streams: dict[str, tuple[asyncio.StreamReader, asyncio.StreamWriter]] = {}  # by lease
 
     async def run(self) -> None:
@@ -77,8 +77,8 @@
             began = true_now()
             while client.token(name) == token and (true_now() - began) / 1e9 < until:
                 looks = Looks(client)
-                step = acting.Step(spec.step, partial(self.effect, looks, name))
-                if not await acting.act(looks, name, [step]):
+                step = guarded_task.GuardedStep(spec.step, partial(self.effect, looks, name))
+                if not await guarded_task.act(looks, name, [step]):
                     break
                 await asyncio.sleep(spec.rest)
             self.history.add("stops", [name, token, client.left(name)])
--- a/ploverspoke/testbed/processes/distribution_clients.py
+++ b/ploverspoke/testbed/processes/distribution_clients.py
@@ -21,8 +21,8 @@
 import msgspec
 import uvloop
 
-from ploverspoke.consensus.ask import ask
-from ploverspoke.consensus.frames import BadFrame
+from ploverspoke.consensus.framing import FrameError
+from ploverspoke.consensus.replica_client import send_admin_request
 
 from ..spans import SECOND
 from ..standins.process import say
@@ -141,10 +141,10 @@
 
     async def ask(self, server: str, question: dict[str, Any]) -> Any:
         """None where nobody answers in time. The thread goes on: what it asked for may yet be done."""
-        work = asyncio.to_thread(ask, self.spec.servers[server], self.secret, question)
+        work = asyncio.to_thread(send_admin_request, self.spec.servers[server], self.secret, question)
         try:
             return await asyncio.wait_for(work, ASKED_FOR)
-        except (OSError, TimeoutError, BadFrame, msgspec.MsgspecError):
+        except (OSError, TimeoutError, FrameError, msgspec.MsgspecError):
             return None
 
     def leave(self, server: str) -> None:
--- a/ploverspoke/testbed/processes/distribution_run.py
+++ b/ploverspoke/testbed/processes/distribution_run.py
@@ -13,8 +13,8 @@
 
 import msgspec
 
-from ploverspoke.consensus.ask import ask
-from ploverspoke.consensus.frames import BadFrame
+from ploverspoke.consensus.framing import FrameError
+from ploverspoke.consensus.replica_client import send_admin_request
 
 from ..spans import MILLISECOND, SECOND, Span, read_span, write_span
 from .child import Child
@@ -337,8 +337,10 @@
         """ "" where none is sure to lead."""
         for place in self.servers:
             try:
-                told = await asyncio.to_thread(ask, place.at("peers"), SECRET.encode(), {"ask": "status"})
-            except (OSError, BadFrame):
+                told = await asyncio.to_thread(
+                    send_admin_request, place.at("peers"), SECRET.encode(), {"ask": "status"}
+                )
+            except (OSError, FrameError):
                 continue
             if told.get("leads"):
                 return place.name
--- a/ploverspoke/testbed/processes/starter.py
+++ b/ploverspoke/testbed/processes/starter.py
@@ -137,15 +137,15 @@
         return connect(path, factory=disk, **more)
 
     sqlite3.connect = with_faults  # type: ignore[assignment]
-    from ploverspoke.transport import log_lines
+    from ploverspoke.transport import rate_limited_log
 
-    said: Callable[[str], None] = log_lines.say
+    said: Callable[[str], None] = rate_limited_log.log_line
 
     def say(line: str) -> None:
         history.add("says", line)
         said(line)
 
-    log_lines.say = say
+    rate_limited_log.log_line = say
 
 
 def main() -> None:
--- a/ploverspoke/testbed/relay.py
+++ b/ploverspoke/testbed/relay.py
@@ -8,14 +8,14 @@
 
 import uvloop
 
-from ploverspoke.program.briefing import read_briefing
-from ploverspoke.program.service import Service
+from ploverspoke.service.config import read_config
+from ploverspoke.service.service import Service
 
 from .baselines import RandomPick
 
 
 def main() -> None:
-    briefing = read_briefing(os.environ)
+    briefing = read_config(os.environ)
     loop = uvloop.new_event_loop()
     asyncio.set_event_loop(loop)
     service = Service(loop, briefing)
--- a/ploverspoke/testbed/store_bench.py
+++ b/ploverspoke/testbed/store_bench.py
@@ -18,12 +18,12 @@
 import msgspec
 from rich.table import Table
 
-from ploverspoke.consensus.ask import ask
-from ploverspoke.consensus.disk import Disk
-from ploverspoke.consensus.frames import BadFrame
+from ploverspoke.consensus.framing import FrameError
 from ploverspoke.consensus.log import Entry
-from ploverspoke.consensus.replica import Batch
-from ploverspoke.store.ledger import ANSWER, INTEND, OUTCOME, TAKE, Ledger
+from ploverspoke.consensus.replica import WriteBatch
+from ploverspoke.consensus.replica_client import send_admin_request
+from ploverspoke.consensus.storage import ReplicaStorage
+from ploverspoke.store.state_machine import ANSWER, INTEND, OUTCOME, TAKE, RequestStateMachine
 
 from .bench import WORKERS, Process
 from .experiment import experiment_of
@@ -108,9 +108,11 @@
                         return n
                     continue
                 try:
-                    if ask(f"127.0.0.1:{self.peers[n]}", SECRET, {"ask": "status"}).get("leads"):
+                    if send_admin_request(f"127.0.0.1:{self.peers[n]}", SECRET, {"ask": "status"}).get(
+                        "leads"
+                    ):
                         return n
-                except (OSError, BadFrame):
+                except (OSError, FrameError):
                     continue
             time.sleep(0.02)
         raise RuntimeError("no replica leads")
@@ -239,12 +241,12 @@
 def _million(submissions: int) -> dict[str, float]:
     """Every submission irreversible, one hand-off each; a snapshot every 20,000 entries, as in service."""
     with tempfile.TemporaryDirectory(prefix="ploverspoke-store-bench-") as folder:
-        disk, ledger = Disk(Path(folder)), Ledger()
+        disk, ledger = ReplicaStorage(Path(folder)), RequestStateMachine()
         disk.open()
         disk.begin("r0.1", "bench", {})
         at = since = largest = 0
         for first in range(0, submissions, 250):
-            batch = Batch()
+            batch = WriteBatch()
             for n in range(first, min(first + 250, submissions)):
                 name, now = f"{n:016x}", n * 1_000_000
                 for command in (
@@ -268,7 +270,7 @@
 
 def _start_from_snapshot(count: int) -> dict[str, float]:
     with tempfile.TemporaryDirectory(prefix="ploverspoke-store-bench-") as folder:
-        disk, ledger = Disk(Path(folder)), Ledger()
+        disk, ledger = ReplicaStorage(Path(folder)), RequestStateMachine()
         disk.open()
         disk.begin("r0.1", "bench", {})
         for n in range(count):
@@ -277,7 +279,7 @@
         disk.keep_snapshot(2 * count, 1, {}, ledger.dump())
         disk.close()
         began = time.perf_counter()
-        again, loaded = Disk(Path(folder)), Ledger()
+        again, loaded = ReplicaStorage(Path(folder)), RequestStateMachine()
         again.open()
         loaded.load(again.state)
         took = time.perf_counter() - began
--- a/ploverspoke/testbed/virtual.py
+++ b/ploverspoke/testbed/virtual.py
@@ -4,9 +4,9 @@
 from functools import partial, wraps
 from typing import Any
 
-from ploverspoke.decisions.host import Listing
-from ploverspoke.program.standing_orders import standing_orders
-from ploverspoke.routing.rows import Rows
+from ploverspoke.decisions.interface import Endpoint
+from ploverspoke.routing.request_classes import RequestClassTable
+from ploverspoke.service.settings import standing_orders
 
 from . import experiment as ex
 from . import records
@@ -116,15 +116,15 @@
         seed = world.streams.seed * 1_000_003 + number * 7919 + start
         true_load = partial(world.true_load, self.zone) if policy == "all-seeing" else None
         self.orders = world.orders[self.zone]
-        self.rows = Rows([g.name for g in world.e.grades])
+        self.rows = RequestClassTable([g.name for g in world.e.grades])
         self.decisions = POLICIES[policy](self, seed, self.orders, true_load)
         self._tell_roster(world.first_list)
-        self.decisions.begun()
+        self.decisions.started()
 
-    def orders_changed(self, orders: dict[str, Any]) -> None:
+    def settings_changed(self, orders: dict[str, Any]) -> None:
         names, in_use = [g.name for g in self.world.e.grades], {t.grade for t in self.taken.values()}
         self.orders, takes_over = self.rows.follow(self.orders, orders, names, in_use)
-        self.decisions.orders_changed(self.orders, takes_over)
+        self.decisions.settings_changed(self.orders, takes_over)
 
     # ---- From clients ----
 
@@ -137,14 +137,14 @@
         self.taken[taken.number] = taken
         patience = request.abandon_at - self.clock.time
         abandon_at = request.abandon_at - min(ANSWER_EARLY, max(0, patience) // 10)
-        self.decisions.submission_arrived(taken.number, grade, job.slots, abandon_at, 0, job.subject)
+        self.decisions.request_arrived(taken.number, grade, job.slots, abandon_at, 0, job.subject)
 
     @held_while_paused
     def left(self, request: Request) -> None:
         for taken in self.taken.values():
             if taken.request is request and not taken.answered:
                 taken.answered = True
-                self.decisions.client_left(taken.number)
+                self.decisions.client_disconnected(taken.number)
                 self._forget(taken)
                 return
 
@@ -153,7 +153,7 @@
     def now(self) -> int:
         return self.clock.time
 
-    def hand_off(self, submission_id: int, worker: str, time_out: int) -> None:
+    def start_attempt(self, submission_id: int, worker: str, time_out: int) -> None:
         taken = self.taken.get(submission_id)
         if taken is None or taken.answered:
             return
@@ -204,17 +204,17 @@
             self._cancel_there(hand_off)
             self.ended(hand_off, "broken_off")
 
-    def recall(self, submission_id: int, hand_off: int) -> None:
+    def cancel_attempt(self, submission_id: int, hand_off: int) -> None:
         taken = self.taken.get(submission_id)
         out = taken.hand_offs[hand_off] if taken is not None else None
         if out is not None:
             self._close(out)
             self.clock.at(self.clock.time, self._tell_end, out, "recalled" if out.reached else "not_sent")
 
-    def nack(self, submission_id: int, come_back_after: int) -> None:
+    def reject(self, submission_id: int, come_back_after: int) -> None:
         self._answer(submission_id, "nacked", come_back_after)
 
-    def abandon(self, submission_id: int) -> None:
+    def fail(self, submission_id: int) -> None:
         self._answer(submission_id, "abandoned")
 
     def wake_at(self, token: int, when: int) -> None:
@@ -223,7 +223,7 @@
     @held_while_paused
     def _woken(self, token: int) -> None:
         if self.alive:
-            self.decisions.woken(token)
+            self.decisions.timer_fired(token)
 
     def probe(self, worker: str) -> None:
         there = self.world.fleet.workers[worker]
@@ -245,9 +245,9 @@
         if self.alive:
             told = self.world.fleet.workers[worker].report() if reports else None
             load = None if told is None else {"waiting": told["backlog"], "free_slots": told["x0"]}
-            self.decisions.probe_answered(worker, outcome, self.clock.time - sent_at, load)
+            self.decisions.probe_completed(worker, outcome, self.clock.time - sent_at, load)
 
-    def watch_roster(self) -> None:
+    def watch_endpoints(self) -> None:
         self.clock.at(self.clock.time + self.world.e.network.near, self._call_roster)
 
     @held_while_paused
@@ -265,17 +265,17 @@
             return
         if told is None:
             self.version = None
-            self.decisions.roster_lost()
+            self.decisions.endpoint_watch_failed()
             return
         first = self.version is None and told is self.world.first_list
         self.version, whole, entries = told
         listings = [
-            Listing(e.worker, e.zone, e.kind, e.rack, e.condition, 1.0, e.started_at) for e in entries
+            Endpoint(e.worker, e.zone, e.kind, e.rack, e.condition, 1.0, e.started_at) for e in entries
         ]
         if whole:
-            self.decisions.roster_complete(listings)
+            self.decisions.endpoint_list_received(listings)
         else:
-            self.decisions.roster_changed(listings)
+            self.decisions.endpoints_changed(listings)
         if not first:
             self._call_roster()
 
@@ -287,12 +287,12 @@
     @held_while_paused
     def started(self, hand_off: HandOff) -> None:
         if hand_off.open and self.alive:
-            self.decisions.hand_off_started(hand_off.submission.number, hand_off.index)
+            self.decisions.attempt_started(hand_off.submission.number, hand_off.index)
 
     @held_while_paused
     def progressed(self, hand_off: HandOff, share: float) -> None:
         if hand_off.open and self.alive:
-            self.decisions.hand_off_progressed(hand_off.submission.number, hand_off.index, share)
+            self.decisions.attempt_progressed(hand_off.submission.number, hand_off.index, share)
 
     @held_while_paused
     def ended(self, hand_off: HandOff, outcome: str) -> None:
@@ -316,7 +316,7 @@
         if outcome == "satisfied":
             self._answer(taken.number, "satisfied")
         took = self.clock.time - hand_off.sent_at
-        self.decisions.hand_off_ended(
+        self.decisions.attempt_ended(
             taken.number, hand_off.index, hand_off.worker.name, outcome, took, taken.answered, None
         )
         self._forget(taken)
@@ -361,7 +361,7 @@
         self.world.answer(taken.request, how, come_back_after)
         for hand_off in taken.hand_offs:
             if hand_off is not None and not hand_off.reached:
-                self.recall(number, hand_off.index)
+                self.cancel_attempt(number, hand_off.index)
         self._forget(taken)
 
     def _forget(self, taken: Taken) -> None:
@@ -563,7 +563,7 @@
         self.orders = self._orders_now()
         for process in self._processes():
             if process.alive:
-                process.orders_changed(self.orders[process.zone])
+                process.settings_changed(self.orders[process.zone])
 
     def _restart(self, number: int) -> None:
         old = self.dispatchers[number]
--- a/ploverspoke/transport/pools.py
+++ b/ploverspoke/transport/connection_pool.py
@@ -9,9 +9,9 @@
 
 from .connections import Connection, ConnectionUser
 from .deadlines import Deadline, Deadlines
-from .ends import End
-from .log_lines import say
-from .slots import SlotTable
+from .outcomes import ExchangeOutcome
+from .rate_limited_log import log_line
+from .slot_table import SlotTable
 from .units import MILLISECOND, SECOND
 
 KEPT_SHARE = 0.7  # of the time after which workers close an idle connection: a late use would be reset
@@ -25,15 +25,15 @@
     return int(idle_limit * KEPT_SHARE)
 
 
-class Caller(ConnectionUser, Protocol):
+class PoolUser(ConnectionUser, Protocol):
     """Who asks for a connection."""
 
     def connected(self, connection: Connection) -> None: ...
 
-    def not_connected(self, end: End) -> None: ...
+    def not_connected(self, end: ExchangeOutcome) -> None: ...
 
 
-class AtRest:
+class IdleConnection:
     """Who has a connection while it rests: a word from the other side then means no good."""
 
     def __init__(self, connection: Connection) -> None:
@@ -53,28 +53,28 @@
 class Opening:
     """A connection on its way up."""
 
-    def __init__(self, pool: "Pool", address: str, caller: Caller, time_out: int) -> None:
+    def __init__(self, pool: "Pool", address: str, caller: PoolUser, time_out: int) -> None:
         self.pool = pool
         self.connection = pool.make(address)
-        self.caller: Caller | None = caller
+        self.caller: PoolUser | None = caller
         self.late = pool.deadlines.at(pool.deadlines.now() + time_out, self.too_late)
         self.task = pool.loop.create_task(self.open(address))
 
     async def open(self, address: str) -> None:
         host, _, port = address.rpartition(":")
-        end = End.UNSENT
+        end = ExchangeOutcome.UNSENT
         try:
             await self.pool.loop.create_connection(lambda: self.connection, host.strip("[]"), int(port))
         except ConnectionRefusedError:
-            end = End.REFUSED
+            end = ExchangeOutcome.REFUSED
         except OSError as error:
             if error.errno in (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM):
-                end = End.NO_SOCKET
+                end = ExchangeOutcome.NO_SOCKET
             elif error.errno != errno.ECONNRESET:
-                end = End.NEVER_UP
+                end = ExchangeOutcome.NEVER_UP
         except ValueError:
-            end = End.NEVER_UP
-            say(f"a worker's address is none: {address!r}")
+            end = ExchangeOutcome.NEVER_UP
+            log_line(f"a worker's address is none: {address!r}")
         self.pool.deadlines.call_off(self.late)
         if not self.connection.open:
             self._fail(end)
@@ -88,7 +88,7 @@
 
     def too_late(self) -> None:
         self._call_off()
-        self._fail(End.NEVER_UP)
+        self._fail(ExchangeOutcome.NEVER_UP)
 
     def give_up(self) -> None:
         """Nobody waits for it any more."""
@@ -102,7 +102,7 @@
         self.task.cancel()
         self.connection.discard()
 
-    def _fail(self, end: End) -> None:
+    def _fail(self, end: ExchangeOutcome) -> None:
         caller, self.caller = self.caller, None
         if caller is not None:
             self.pool.opening -= 1
@@ -138,7 +138,7 @@
         while self.held() > most_open and self._close_longest_at_rest():
             pass
 
-    def call(self, address: str, caller: Caller, longest_rest: int | None = None) -> Opening | None:
+    def call(self, address: str, caller: PoolUser, longest_rest: int | None = None) -> Opening | None:
         """Give the caller a connection there: one that rested, for no longer than it may, or a new one."""
         now = self.deadlines.now()
         resting = self.resting.get(address)
@@ -153,7 +153,7 @@
                 return None
             self._close(number)
         if self.held() >= self.most_open and not self._close_longest_at_rest():
-            caller.not_connected(End.NO_SOCKET)
+            caller.not_connected(ExchangeOutcome.NO_SOCKET)
             return None
         self.opening += 1
         return Opening(self, address, caller, self.connect_time_out)
@@ -184,7 +184,7 @@
         if connection.unwanted:
             self._close(connection.number)
             return
-        connection.user = AtRest(connection)
+        connection.user = IdleConnection(connection)
         insort(self.resting[connection.address], (connection.number, since), key=itemgetter(1))
         if self.sweep is None:
             self.sweep = self.deadlines.at(since + self.keep_for, self._drop_stale)
--- a/ploverspoke/transport/connections.py
+++ b/ploverspoke/transport/connections.py
@@ -6,7 +6,7 @@
 from typing import Protocol, cast
 
 from .buffers import ReadBuffer
-from .slots import SlotTable
+from .slot_table import SlotTable
 
 
 class ConnectionUser(Protocol):
--- a/ploverspoke/transport/deadlines.py
+++ b/ploverspoke/transport/deadlines.py
@@ -6,7 +6,7 @@
 import traceback
 from collections.abc import Callable
 
-from .log_lines import say
+from .rate_limited_log import log_line
 from .units import SECOND
 
 FEWEST_TO_CLEAR = 256
@@ -84,5 +84,5 @@
             try:
                 deadline.call()
             except Exception:
-                say("a deadline's call failed: " + traceback.format_exc())
+                log_line("a deadline's call failed: " + traceback.format_exc())
         self._arm()
--- a/ploverspoke/transport/listener.py
+++ b/ploverspoke/transport/listener.py
@@ -6,7 +6,7 @@
 
 from .connections import Connection
 from .deadlines import Deadlines
-from .log_lines import say
+from .rate_limited_log import log_line
 from .units import MILLISECOND
 
 BACKLOG = 512
@@ -67,7 +67,7 @@
             except (BlockingIOError, InterruptedError):
                 return
             except OSError as error:
-                say(f"a connection could not be taken: {error.strerror}")
+                log_line(f"a connection could not be taken: {error.strerror}")
                 self._pause(self.socket)
                 return
             task = self.loop.create_task(self._seat(accepted))
--- a/ploverspoke/transport/ends.py
+++ b/ploverspoke/transport/outcomes.py
@@ -3,7 +3,7 @@
 from enum import Enum, auto
 
 
-class End(Enum):
+class ExchangeOutcome(Enum):
     # The worker said so.
     SERVED = auto()
     FAILED = auto()
--- a/ploverspoke/transport/log_lines.py
+++ b/ploverspoke/transport/rate_limited_log.py
@@ -7,13 +7,13 @@
 LINES_A_SECOND = 5.0
 
 
-class LogLines:
+class RateLimitedLog:
     def __init__(self) -> None:
         self.may_print = float(LINES_AT_ONCE)
         self.at = time.monotonic()
         self.held_back = 0
 
-    def say(self, line: str) -> None:
+    def write(self, line: str) -> None:
         now = time.monotonic()
         self.may_print = min(LINES_AT_ONCE, self.may_print + (now - self.at) * LINES_A_SECOND)
         self.at = now
@@ -31,5 +31,5 @@
             self.held_back += 1
 
 
-_lines = LogLines()
-say = _lines.say
+_limiter = RateLimitedLog()
+log_line = _limiter.write
--- a/ploverspoke/transport/shares.py
+++ b/ploverspoke/transport/resource_limits.py
@@ -13,16 +13,16 @@
 LEAST_BUFFERED = MEBIBYTE // 2  # while two processes share the least memory, a few bodies each
 
 
-class Shares(NamedTuple):
+class ResourceLimits(NamedTuple):
     workers: int  # connections to workers
     clients: int  # connections from clients
     buffered: int  # bytes of requests, whole or in part
 
 
-def share_out(descriptors: int, memory: int, processes: int = 1) -> Shares:
+def split_resources(descriptors: int, memory: int, processes: int = 1) -> ResourceLimits:
     """What each of so many processes may take of what one dispatcher has."""
     descriptors, memory = descriptors // processes, memory // processes
     left = max(0, descriptors - KEPT)
     workers = int(left * WORKERS_SHARE)
     buffered = min(MOST_BUFFERED, max(LEAST_BUFFERED, int((memory - PROGRAM_NEEDS) * BUFFERS_SHARE)))
-    return Shares(workers, int((left - workers) * CLIENTS_SHARE), buffered)
+    return ResourceLimits(workers, int((left - workers) * CLIENTS_SHARE), buffered)
--- a/tests/compatibility/make_data.py
+++ b/tests/compatibility/make_data.py
@@ -22,16 +22,11 @@
 
 import msgspec
 from click.testing import CliRunner
-
-from ploverspoke.cli import main as command_line
-from ploverspoke.consensus import raft
 from ploverspoke.consensus.disk import Disk
 from ploverspoke.consensus.frames import Frames
 from ploverspoke.consensus.links import ASKS, Links
-from ploverspoke.consensus.log import Entry
 from ploverspoke.consensus.members import fingerprint
 from ploverspoke.consensus.orders import read_replica_orders
-from ploverspoke.consensus.replica import Batch
 from ploverspoke.distribution.client import ServerConnection, write_cache
 from ploverspoke.distribution.door import Door as WatcherDoor
 from ploverspoke.distribution.door import WatcherConnection
@@ -42,22 +37,27 @@
 from ploverspoke.distribution.parcels import read_have
 from ploverspoke.distribution.versions import Version, Versions, digest_of, publish_command
 from ploverspoke.distribution.watch import Taken, Watch
-from ploverspoke.leases.client import KeeperConnection
 from ploverspoke.leases.door import Door as HolderDoor
 from ploverspoke.leases.door import HolderConnection
-from ploverspoke.leases.holder import Holder
 from ploverspoke.leases.keeper import Keeper
 from ploverspoke.leases.node import ERA_KEPT, KeeperNode
 from ploverspoke.leases.orders import read_keeper_orders
 from ploverspoke.leases.rules import Rule, Rules
 from ploverspoke.leases.terms import Terms
-from ploverspoke.protocol import clients, discovery, heads, operators, tellings, workers
-from ploverspoke.routing.outcomes import OUTCOMES
 from ploverspoke.store.ledger import Ledger
 from ploverspoke.store.memory import RosterMemory
-from ploverspoke.store.node import CONFIGURATION, ROSTER, StoreNode
 from ploverspoke.store.scribe import StoreScribe
 
+from ploverspoke.cli import main as command_line
+from ploverspoke.consensus import raft
+from ploverspoke.consensus.log import Entry
+from ploverspoke.consensus.replica import Batch
+from ploverspoke.leases.client import KeeperConnection
+from ploverspoke.leases.holder import Holder
+from ploverspoke.protocol import clients, discovery, heads, operators, tellings, workers
+from ploverspoke.routing.outcomes import OUTCOMES
+from ploverspoke.store.node import CONFIGURATION, ROSTER, StoreNode
+
 MILLISECOND = 1_000_000
 SECOND = 1000 * MILLISECOND
 SECRET = b"a secret of twenty-four."
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -12,36 +12,45 @@
 
 import pytest
 
-from ploverspoke.consensus.disk import Disk, restore
-from ploverspoke.consensus.links import Links
-from ploverspoke.consensus.log import Entry
-from ploverspoke.consensus.members import fingerprint
-from ploverspoke.consensus.orders import read_replica_orders
-from ploverspoke.consensus.replica import Batch
-from ploverspoke.distribution.client import read_cache, write_cache
-from ploverspoke.distribution.node import COMMITTED, ConfigServerNode
-from ploverspoke.distribution.orders import (
-    WatchOrders,
-    read_config_server_orders,
+from ploverspoke.config_distribution.client import read_cache, write_cache
+from ploverspoke.config_distribution.cluster_config import (
+    WatchConfig,
+    read_config_server_config,
     read_config_servers,
-    read_watch_orders,
+    read_watch_config,
+)
+from ploverspoke.config_distribution.overlay import canonical
+from ploverspoke.config_distribution.server_node import COMMITTED, ConfigServerNode
+from ploverspoke.config_distribution.state_machine import (
+    ConfigStateMachine,
+    Version,
+    digest_of,
+    publish_command,
 )
-from ploverspoke.distribution.overlay import canonical
-from ploverspoke.distribution.versions import Version, Versions, digest_of, publish_command
-from ploverspoke.distribution.watch import Taken
-from ploverspoke.leases.node import ERA_KEPT
-from ploverspoke.leases.orders import read_keeper_orders, read_keepers
-from ploverspoke.leases.terms import Terms
-from ploverspoke.program.briefing import read_briefing
+from ploverspoke.config_distribution.watcher import AppliedVersion
+from ploverspoke.consensus.cluster_config import read_replica_config
+from ploverspoke.consensus.log import Entry
+from ploverspoke.consensus.membership import fingerprint
+from ploverspoke.consensus.peer_links import PeerLinks
+from ploverspoke.consensus.replica import WriteBatch
+from ploverspoke.consensus.storage import ReplicaStorage, restore
+from ploverspoke.leases.config import read_lease_server_config, read_lease_servers
+from ploverspoke.leases.server_node import EPOCH_KEY
+from ploverspoke.leases.state_machine import LeaseStateMachine
 from ploverspoke.routing.outcomes import OUTCOMES
-from ploverspoke.store.ledger import Ledger
-from ploverspoke.store.memory import RosterMemory
+from ploverspoke.service.config import read_config
+from ploverspoke.store.endpoint_cache import EndpointCache
 from ploverspoke.store.node import CONFIGURATION, ROSTER
-from ploverspoke.store.scribe import StoreScribe
+from ploverspoke.store.request_log import ReplicatedRequestLog
+from ploverspoke.store.state_machine import RequestStateMachine
 
 from .data_files import DATA, SECOND, decoded, encoded, read_json
 
-STATES: dict[str, type] = {"store": Ledger, "leases": Terms, "config": Versions}
+STATES: dict[str, type] = {
+    "store": RequestStateMachine,
+    "leases": LeaseStateMachine,
+    "config": ConfigStateMachine,
+}
 BODIES = ['{"settings": {"RoundUs": 2000}}', '{"settings": {"RoundUs": 3000}, "zones": {"a": {}}}']
 DIGEST = bytes(range(16))
 SECRET = b"a secret of twenty-four."
@@ -52,8 +61,8 @@
 # ---- What touches the names of the product ----
 
 
-def open_storage(folder: Path) -> Disk:
-    disk = Disk(folder)
+def open_storage(folder: Path) -> ReplicaStorage:
+    disk = ReplicaStorage(folder)
     disk.open()
     return disk
 
@@ -74,7 +83,7 @@
     disk = open_storage(folder)
     disk.keep("disk", told["disk"])
     disk.begin(told["me"], told["fingerprint"], told["members"])
-    batch = Batch()
+    batch = WriteBatch()
     batch.vote = (told["vote"][0], told["vote"][1])
     batch.entries = [Entry(at, term, kind, decoded(data)) for at, term, kind, data in told["entries"]]
     disk.write(batch)
@@ -89,7 +98,7 @@
     proposed: list[str] = []
     node: Any = SimpleNamespace(clock=SimpleNamespace(now=lambda: 5 * SECOND), on_role=[])
     node.propose = lambda command, then: proposed.append(encoded(command))
-    scribe = StoreScribe(node, [], [])
+    scribe = ReplicatedRequestLog(node, [], [])
     digest = scribe.digest("POST", "/book/1", b"{}")
     scribe.take("job-1", 1, digest, 7 * SECOND, lambda yes: None)
     scribe.intend("job-1", "w0", 1, lambda yes: None)
@@ -100,7 +109,7 @@
 
 async def latest_served(node: ConfigServerNode) -> Version | None:
     """What a config server offers its watchers after its start, before it has heard of a leader."""
-    with mock.patch.object(Links, "open", mock.AsyncMock()):
+    with mock.patch.object(PeerLinks, "open", mock.AsyncMock()):
         await node.open()
     assert node.versions.number() == 1
     latest = node.feed.latest
@@ -159,13 +168,13 @@
 
 def test_the_keys_of_kept_values_are_the_same() -> None:
     assert list(read_json("store/written.json")["kept"]) == [CONFIGURATION, ROSTER]
-    assert list(read_json("leases/written.json")["kept"]) == [ERA_KEPT]
+    assert list(read_json("leases/written.json")["kept"]) == [EPOCH_KEY]
     assert list(read_json("config/written.json")["kept"]) == [COMMITTED]
 
 
 def test_a_config_server_serves_the_version_that_its_old_store_knew_committed(tmp_path: Path) -> None:
     """The log holds version 2 behind the snapshot; that it is committed stands in a kept value alone."""
-    orders = read_config_server_orders(DATA / "files" / "config-servers.json")
+    orders = read_config_server_config(DATA / "files" / "config-servers.json")
     replica = orders.replica._replace(folder=copy_of("config", tmp_path))
     latest = asyncio.run(latest_served(ConfigServerNode(orders._replace(replica=replica))))
     assert latest is not None and (latest.number, latest.body, latest.by) == (2, BODIES[1], "ben")
@@ -174,8 +183,8 @@
 def test_a_kept_list_of_workers_is_read_and_written_again() -> None:
     kept: list[Any] = []
     told = decoded(read_json("store/written.json")["kept"]["roster"])
-    RosterMemory(kept.append).told(read_json("scribe.json")["roster_body"].encode())
-    RosterMemory(kept.append, told).told(b'{"version": 4, "full": false, "servers": []}')
+    EndpointCache(kept.append).told(read_json("scribe.json")["roster_body"].encode())
+    EndpointCache(kept.append, told).told(b'{"version": 4, "full": false, "servers": []}')
     assert [encoded(one) for one in kept] == [encoded(told)] * 2
 
 
@@ -284,14 +293,14 @@
 
 def test_a_cached_version_is_read_and_written_again(tmp_path: Path) -> None:
     old = DATA / "config" / "cache.json"
-    taken = Taken(2, digest_of(BODIES[1]), BODIES[1])
-    assert read_cache(WatchOrders("fleet", [], [], SECRET, old)) == (taken, "")
-    write_cache(WatchOrders("fleet", [], [], SECRET, tmp_path / "cache.json"), taken)
+    taken = AppliedVersion(2, digest_of(BODIES[1]), BODIES[1])
+    assert read_cache(WatchConfig("fleet", [], [], SECRET, old)) == (taken, "")
+    write_cache(WatchConfig("fleet", [], [], SECRET, tmp_path / "cache.json"), taken)
     assert (tmp_path / "cache.json").read_bytes() == old.read_bytes()
 
 
 def test_a_replica_s_file_has_its_values() -> None:
-    orders = read_replica_orders(DATA / "files" / "store.json")
+    orders = read_replica_config(DATA / "files" / "store.json")
     assert (orders.cluster, orders.name, orders.folder) == ("fleet", "r1", DATA / "files" / "r1-store")
     assert (orders.secret, orders.replicas) == (SECRET, REPLICAS)
     assert (orders.election, orders.snapshot_every) == (400_000_000, 500)
@@ -300,8 +309,8 @@
 
 def test_a_lease_server_s_file_has_its_values() -> None:
     path = DATA / "files" / "keepers.json"
-    orders, servers = read_keeper_orders(path), read_keepers(path)
-    assert orders.replica == read_replica_orders(DATA / "files" / "store.json")
+    orders, servers = read_lease_server_config(path), read_lease_servers(path)
+    assert orders.replica == read_replica_config(DATA / "files" / "store.json")
     rules = [tuple(orders.rules.of(name) or ()) for name in ("restart", "team-a", "other")]
     assert rules == [(3, 120 * SECOND), (1, 60 * SECOND), ()] and orders.rules.least == 2 * SECOND
     assert tuple(servers) == ({"r1": "10.0.0.1:7001"}, ["10.0.0.1:8081"], SECRET)
@@ -309,8 +318,8 @@
 
 def test_a_config_server_s_file_has_its_values() -> None:
     path = DATA / "files" / "config-servers.json"
-    orders = read_config_server_orders(path)
-    assert orders.replica == read_replica_orders(DATA / "files" / "store.json")
+    orders = read_config_server_config(path)
+    assert orders.replica == read_replica_config(DATA / "files" / "store.json")
     assert (orders.most_watchers, orders.bytes_a_second) == (99, 200_000)
     assert tuple(read_config_servers(path)) == ({"r1": "10.0.0.1:7001"}, SECRET)
 
@@ -318,12 +327,12 @@
 def test_a_watcher_s_file_has_its_values() -> None:
     servers = ["10.0.0.1:8081", "10.0.0.2:8081"]
     cache = DATA / "files" / "n0-config.json"
-    found = tuple(read_watch_orders(DATA / "files" / "watch.json"))
+    found = tuple(read_watch_config(DATA / "files" / "watch.json"))
     assert found == ("fleet", servers, servers[:1], SECRET, cache)
 
 
 def test_a_dispatcher_s_file_has_its_values() -> None:
-    told = read_briefing({"RELAY_CONFIG": str(DATA / "files" / "example.json")})
+    told = read_config({"RELAY_CONFIG": str(DATA / "files" / "example.json")})
     assert (told.name, told.listen, told.discovery) == ("n0", ("127.0.0.1", 8081), "127.0.0.1:8500")
     assert (told.seed, told.sockets, told.memory) == (0x8C1F30D27A5BE964, 1024, 192 << 20)
     assert told.known is not None and told.known["servers"][0]["id"] == "w0"
--- a/tests/compatibility/test_wire_bytes.py
+++ b/tests/compatibility/test_wire_bytes.py
@@ -15,29 +15,27 @@
 from click.testing import CliRunner
 
 from ploverspoke.cli import main as command_line
+from ploverspoke.config_distribution.broadcaster import VersionBroadcaster
+from ploverspoke.config_distribution.client import ServerConnection
+from ploverspoke.config_distribution.cluster_config import read_config_server_config
+from ploverspoke.config_distribution.messages import read_watch_status
+from ploverspoke.config_distribution.server import ConfigServer, WatcherConnection
+from ploverspoke.config_distribution.server_node import ConfigServerNode
+from ploverspoke.config_distribution.state_machine import Version, digest_of
+from ploverspoke.config_distribution.watcher import ConfigWatcher
 from ploverspoke.consensus import raft
-from ploverspoke.consensus.frames import BadFrame, Frames
-from ploverspoke.consensus.links import ASKS, Links
-from ploverspoke.consensus.orders import read_replica_orders
-from ploverspoke.distribution.client import ServerConnection
-from ploverspoke.distribution.door import Door as WatcherDoor
-from ploverspoke.distribution.door import WatcherConnection
-from ploverspoke.distribution.feed import Feed
-from ploverspoke.distribution.node import ConfigServerNode
-from ploverspoke.distribution.orders import read_config_server_orders
-from ploverspoke.distribution.parcels import read_have
-from ploverspoke.distribution.versions import Version, digest_of
-from ploverspoke.distribution.watch import Watch
-from ploverspoke.leases.client import KeeperConnection
-from ploverspoke.leases.door import Door as HolderDoor
-from ploverspoke.leases.door import HolderConnection
-from ploverspoke.leases.holder import Holder
-from ploverspoke.leases.keeper import Keeper
-from ploverspoke.leases.node import KeeperNode
-from ploverspoke.leases.orders import read_keeper_orders
-from ploverspoke.leases.rules import Rule, Rules
-from ploverspoke.leases.terms import Terms
-from ploverspoke.protocol import clients, discovery, heads, operators, tellings, workers
+from ploverspoke.consensus.cluster_config import read_replica_config
+from ploverspoke.consensus.framing import FrameCodec, FrameError
+from ploverspoke.consensus.peer_links import ADMIN_CLIENT_ID, PeerLinks
+from ploverspoke.leases.client import LeaseServerConnection
+from ploverspoke.leases.config import read_lease_server_config
+from ploverspoke.leases.definitions import LeaseDefinition, LeaseDefinitions
+from ploverspoke.leases.holder import LeaseHolder
+from ploverspoke.leases.manager import LeaseManager
+from ploverspoke.leases.server import HolderConnection, LeaseServer
+from ploverspoke.leases.server_node import LeaseServerNode
+from ploverspoke.leases.state_machine import LeaseStateMachine
+from ploverspoke.protocol import admin, clients, discovery, gossip_messages, http_messages, workers
 from ploverspoke.store.node import StoreNode
 
 from .data_files import DATA, SECOND, decoded, encoded, read_json
@@ -95,7 +93,7 @@
 
 
 def keeper_calls(run: Run) -> Calls:
-    terms = Terms()
+    terms = LeaseStateMachine()
     proposed: list[tuple[Any, Callable[[bool], None]]] = []
     confirms: list[Callable[[bool], None]] = []
 
@@ -113,7 +111,7 @@
 
     host: Any = SimpleNamespace(now=lambda: run.now, propose=propose, confirm=confirms.append)
     host.tell = lambda holder, message: run.emit("tell", holder, message)
-    keeper = Keeper(host, terms, Rules({"summary": Rule(1, 30 * SECOND)}, SECOND))
+    keeper = LeaseManager(host, terms, LeaseDefinitions({"summary": LeaseDefinition(1, 30 * SECOND)}, SECOND))
     return {
         "leads": keeper.leads,
         "asked": lambda holder, data: keeper.asked(holder, decoded(data)),
@@ -125,18 +123,18 @@
 def holder_calls(run: Run) -> Calls:
     host: Any = SimpleNamespace(now=lambda: run.now, go_elsewhere=lambda: None)
     host.send = lambda message: run.emit("send", "keeper", message)
-    holder = Holder(host)
+    holder = LeaseHolder(host)
     told = lambda data: holder.told(decoded(data))  # noqa: E731
     return {"want": holder.want, "release": holder.release, "tick": holder.tick, "told": told}
 
 
 def watch_calls(run: Run) -> Calls:
-    host: Any = SimpleNamespace(now=lambda: run.now, fraction=lambda: 0.5, say=lambda line: None)
+    host: Any = SimpleNamespace(now=lambda: run.now, fraction=lambda: 0.5, log=lambda line: None)
     host.dial = lambda link, where: run.emit("dial", where, link)
     host.hang_up = lambda link: run.emit("hang up", "", link)
     host.send = lambda link, message: run.emit("send", "", message)
     host.take = lambda number, digest, body: "RoundUs: too large" if number == 3 else ""
-    watch = Watch(host, CLUSTER, ["10.0.0.1:8081"], [])
+    watch = ConfigWatcher(host, CLUSTER, ["10.0.0.1:8081"], [])
     told = lambda link, data: watch.told(link, decoded(data))  # noqa: E731
     return {"begin": watch.begin, "tick": watch.tick, "greeted": watch.greeted, "told": told}
 
@@ -144,14 +142,14 @@
 def feed_calls(run: Run) -> Calls:
     host: Any = SimpleNamespace(now=lambda: run.now, is_fresh=lambda: True, drop=lambda name, why: None)
     host.send = lambda name, message: run.emit("send", name, message)
-    feed = Feed(host, CLUSTER, 10, 1_000_000)
+    feed = VersionBroadcaster(host, CLUSTER, 10, 1_000_000)
 
     def offer(number: int, body: str) -> None:
         feed.offer(Version(number, body, digest_of(body), digest_of(body), "anna", f"request-{number}"))
 
     return {
         "offer": offer,
-        "said": lambda name, data: feed.said(name, read_have(decoded(data))),
+        "said": lambda name, data: feed.said(name, read_watch_status(decoded(data))),
         "tick": feed.tick,
         "beat": lambda: run.emit("send", "n0", feed.beat()),
         "rows": lambda: run.emit("rows", "", feed.rows()),
@@ -185,7 +183,7 @@
     run.repeat("watch-run.json")
 
 
-# ---- Frames on connections ----
+# ---- FrameCodec on connections ----
 
 
 class Transport(mock.MagicMock):
@@ -215,74 +213,74 @@
     return node
 
 
-def watcher_frames(cluster: str) -> Frames:
+def watcher_frames(cluster: str) -> FrameCodec:
     user: Any = SimpleNamespace(orders=SimpleNamespace(secret=SECRET, cluster=cluster), name="n0")
-    found: Frames = with_nonce(lambda: ServerConnection(user, 1), "w").frames
+    found: FrameCodec = with_nonce(lambda: ServerConnection(user, 1), "w").frames
     return found
 
 
-def holder_frames() -> Frames:
+def holder_frames() -> FrameCodec:
     user: Any = SimpleNamespace(keepers=SimpleNamespace(secret=SECRET), me="n0/1")
-    found: Frames = with_nonce(lambda: KeeperConnection(user), "h").frames
+    found: FrameCodec = with_nonce(lambda: LeaseServerConnection(user), "h").frames
     return found
 
 
-def replica_frames(told: dict[str, Any], me: str, letter: str) -> Frames:
+def replica_frames(told: dict[str, Any], me: str, letter: str) -> FrameCodec:
     greeting = {"id": me, "store": read_json("store/written.json")["fingerprint"]}
-    return with_nonce(lambda: Frames(bytes.fromhex(told["secret"]), greeting), letter)
+    return with_nonce(lambda: FrameCodec(bytes.fromhex(told["secret"]), greeting), letter)
 
 
 def test_frames_between_replicas_are_written_and_read() -> None:
     told = read_json("frames.json")
     a, b = replica_frames(told, "r1.1", "a"), replica_frames(told, "r2.1", "b")
-    assert [a.hello().hex(), b.hello().hex()] == told["replica_hellos"]
+    assert [a.greeting_frame().hex(), b.greeting_frame().hex()] == told["replica_hellos"]
     for frames, hello in zip((a, b), reversed(told["replica_hellos"]), strict=True):
-        assert frames.feed(bytes.fromhex(hello)) == []
+        assert frames.decode(bytes.fromhex(hello)) == []
     bodies = [decoded(body) for body in told["replica_bodies"]]
-    assert [a.write(body).hex() for body in bodies] == told["replica_frames"]
-    assert b.feed(bytes.fromhex("".join(told["replica_frames"]))) == bodies
+    assert [a.encode(body).hex() for body in bodies] == told["replica_frames"]
+    assert b.decode(bytes.fromhex("".join(told["replica_frames"]))) == bodies
 
 
 def test_a_changed_frame_is_refused() -> None:
     told = read_json("frames.json")
     b = replica_frames(told, "r2.1", "b")
-    b.feed(bytes.fromhex(told["replica_hellos"][0]))
+    b.decode(bytes.fromhex(told["replica_hellos"][0]))
     changed = bytearray.fromhex(told["replica_frames"][0])
     changed[-1] ^= 1
-    with pytest.raises(BadFrame):
-        b.feed(bytes(changed))
+    with pytest.raises(FrameError):
+        b.decode(bytes(changed))
 
 
 def test_greetings_are_the_same() -> None:
     told = read_json("frames.json")
-    tool = with_nonce(lambda: Frames(SECRET, {"id": ASKS, "store": ""}), "t")
+    tool = with_nonce(lambda: FrameCodec(SECRET, {"id": ADMIN_CLIENT_ID, "store": ""}), "t")
     hellos = [tool, holder_frames(), watcher_frames(CLUSTER), watcher_frames("other")]
     names = ["tool", "holder", "watcher", "stranger"]
-    assert [one.hello().hex() for one in hellos] == [told[f"{name}_hello"] for name in names]
+    assert [one.greeting_frame().hex() for one in hellos] == [told[f"{name}_hello"] for name in names]
 
 
 def test_a_holder_is_sent_to_the_leader() -> None:
     told = read_json("frames.json")
-    server = with_nonce(lambda: HolderConnection(HolderDoor(server_node())), "k")
+    server = with_nonce(lambda: HolderConnection(LeaseServer(server_node())), "k")
     server.transport = Transport()
     holder = holder_frames()
-    holder.feed(server.frames.hello())
+    holder.decode(server.frames.greeting_frame())
     server.data_received(bytes.fromhex(told["holder_hello"] + told["holder_request"]))
     assert server.transport.written == told["keeper_elsewhere"]
-    assert holder.feed(bytes.fromhex(told["keeper_elsewhere"][0])) == [{"elsewhere": "10.0.0.2:8081"}]
+    assert holder.decode(bytes.fromhex(told["keeper_elsewhere"][0])) == [{"elsewhere": "10.0.0.2:8081"}]
 
 
 @pytest.mark.parametrize(("name", "cluster"), [("elsewhere", CLUSTER), ("refused", "other")])
 def test_a_watcher_is_sent_elsewhere_or_refused(name: str, cluster: str) -> None:
     told = read_json("frames.json")
-    server = with_nonce(lambda: WatcherConnection(WatcherDoor(server_node())), "s")
+    server = with_nonce(lambda: WatcherConnection(ConfigServer(server_node())), "s")
     server.transport = Transport()
     watcher = watcher_frames(cluster)
-    watcher.feed(server.frames.hello())
-    have = watcher.write({"k": "have", "n": 0, "d": b"", "f": 0, "w": "", "r": 0})
-    server.data_received(watcher.hello() + (have if name == "elsewhere" else b""))
+    watcher.decode(server.frames.greeting_frame())
+    have = watcher.encode({"k": "have", "n": 0, "d": b"", "f": 0, "w": "", "r": 0})
+    server.data_received(watcher.greeting_frame() + (have if name == "elsewhere" else b""))
     assert server.transport.written == told[f"server_{name}"]
-    messages = watcher.feed(bytes.fromhex("".join(told[f"server_{name}"])))
+    messages = watcher.decode(bytes.fromhex("".join(told[f"server_{name}"])))
     assert messages[-1]["k"] == name
 
 
@@ -295,8 +293,8 @@
     def __init__(self, asked: list[str], answers: dict[str, Any]) -> None:
         self.asked = asked
         self.answers = answers
-        self.frames = Frames(SECRET, {"id": "r1.1", "store": ""})
-        self.unread = [self.frames.hello()]
+        self.frames = FrameCodec(SECRET, {"id": "r1.1", "store": ""})
+        self.unread = [self.frames.greeting_frame()]
 
     def __enter__(self) -> "FakeReplica":
         return self
@@ -306,9 +304,9 @@
     def settimeout(self, seconds: float) -> None: ...
 
     def sendall(self, data: bytes) -> None:
-        for question in self.frames.feed(data):
+        for question in self.frames.decode(data):
             self.asked.append(encoded(question))
-            self.unread.append(self.frames.write(self.answers.get(question["ask"], {"done": True})))
+            self.unread.append(self.frames.encode(self.answers.get(question["ask"], {"done": True})))
 
     def recv(self, most: int) -> bytes:
         return self.unread.pop(0)
@@ -329,18 +327,18 @@
 
 def make_node(name: str, folder: Path) -> Any:
     files = DATA / "files"
-    there = read_replica_orders(files / "store.json")._replace(folder=folder)
+    there = read_replica_config(files / "store.json")._replace(folder=folder)
     if name == "store":
         return StoreNode(there)
     if name == "leases":
-        return KeeperNode(read_keeper_orders(files / "keepers.json")._replace(replica=there))
-    return ConfigServerNode(read_config_server_orders(files / "config-servers.json")._replace(replica=there))
+        return LeaseServerNode(read_lease_server_config(files / "keepers.json")._replace(replica=there))
+    return ConfigServerNode(read_config_server_config(files / "config-servers.json")._replace(replica=there))
 
 
 async def answers_of_follower(node: Any, questions: list[Any]) -> list[Any]:
     """Of the only replica before it stands, without a socket."""
     replies: list[Any] = []
-    with mock.patch.object(Links, "open", mock.AsyncMock()):
+    with mock.patch.object(PeerLinks, "open", mock.AsyncMock()):
         await node.open(new=True)
     for question in questions:
         node.links.asked(question, replies.append)
@@ -360,7 +358,7 @@
 ) -> list[Any]:
     """Of the only replica, which stands at once and leads, without a socket; `first` is done before."""
     loop = asyncio.get_running_loop()
-    with mock.patch.object(Links, "open", mock.AsyncMock()):
+    with mock.patch.object(PeerLinks, "open", mock.AsyncMock()):
         await node.open(new=True)
     node.replica.raft.next_election = 0
     node.replica.raft.tick()
@@ -416,11 +414,11 @@
 
 HEADERS = {"host": "x", "request-info": "slots=2", "connection": "close, x-hop", "x-hop": "1"}
 HEADERS |= {"idempotency-key": "job-1", "request-timeout-ms": "900"}
-VARS = [operators.operations('look "up"', "ok", 4), operators.figure("open_requests", 2)]
+VARS = [admin.operations('look "up"', "ok", 4), admin.figure("open_requests", 2)]
 WORKER = "10.0.1.1:9001"
 WRITTEN = {
-    "telling": tellings.write_telling(3, 9, 0.4, ["w0", "w1"]),
-    "telling_long": tellings.write_telling(5, 255, 1.0, [f"w{number}" for number in range(200)]),
+    "telling": gossip_messages.write_gossip(3, 9, 0.4, ["w0", "w1"]),
+    "telling_long": gossip_messages.write_gossip(5, 255, 1.0, [f"w{number}" for number in range(200)]),
     "job": workers.job("POST", "/book/1", HEADERS, b"{}", 1500 * MILLISECOND, WORKER),
     "probe_load": workers.probe(True, WORKER),
     "probe_healthy": workers.probe(False, WORKER),
@@ -428,12 +426,12 @@
     "answer_busy": clients.answer(503, b"later", False, come_back_after=1500 * MILLISECOND),
     "answer_elsewhere": clients.answer(307, b"", True, location="http://10.0.0.2:8081/book/1"),
     "continue": clients.CONTINUE,
-    "head": heads.head("GET / HTTP/1.1", {"Host": "a", "X": "1"}),
+    "head": http_messages.head("GET / HTTP/1.1", {"Host": "a", "X": "1"}),
     "discovery_whole": discovery.watch(None, 0, "10.0.2.1:8500"),
     "discovery_from": discovery.watch(7, 20 * SECOND, "10.0.2.1:8500"),
-    "admin_yes": operators.said_yes("ready"),
-    "admin_no": operators.said_no("leaving"),
-    "admin_vars": operators.figures(VARS),
+    "admin_yes": admin.said_yes("ready"),
+    "admin_no": admin.said_no("leaving"),
+    "admin_vars": admin.figures(VARS),
 }
 
 
@@ -448,5 +446,7 @@
 
 def test_a_gossip_message_is_read() -> None:
     octets = read_json("other-wires.json")["telling"].encode("latin-1")
-    zone, number, lateness, held = tellings.read_telling(octets, tellings.marks_of(["w0", "w1", "w2"]))
+    zone, number, lateness, held = gossip_messages.read_gossip(
+        octets, gossip_messages.marks_of(["w0", "w1", "w2"])
+    )
     assert (zone, number, lateness, held) == (3, 9, 102 / 255, ["w0", "w1"])
