--- a/tests/test_distribution_commands.py
+++ b/tests/config_distribution/test_commands.py
@@ -15,21 +15,25 @@
 from click.testing import CliRunner
 
 from ploverspoke.cli import main as command_line
-from ploverspoke.consensus.ask import ask
-from ploverspoke.consensus.frames import Frames
-from ploverspoke.distribution.client import read_cache, write_cache
-from ploverspoke.distribution.daemon import Laying, first_briefing, put_together
-from ploverspoke.distribution.orders import read_config_server_orders, read_config_servers, read_watch_orders
-from ploverspoke.distribution.parcels import Have, greeting
-from ploverspoke.distribution.versions import digest_of
-from ploverspoke.distribution.watch import NOTHING, Taken
-from ploverspoke.program.briefing import Briefing
-from ploverspoke.program.checked import BadKey
+from ploverspoke.config_distribution.client import read_cache, write_cache
+from ploverspoke.config_distribution.cluster_config import (
+    read_config_server_config,
+    read_config_servers,
+    read_watch_config,
+)
+from ploverspoke.config_distribution.dynamic_config import VersionApplier, initial_config, merge_config
+from ploverspoke.config_distribution.messages import WatchStatus, greeting
+from ploverspoke.config_distribution.state_machine import digest_of
+from ploverspoke.config_distribution.watcher import NOTHING, AppliedVersion
+from ploverspoke.consensus.framing import FrameCodec
+from ploverspoke.consensus.replica_client import send_admin_request
+from ploverspoke.service.config import Config
+from ploverspoke.service.config_reader import ConfigError
 from ploverspoke.testbed.processes.addresses import held_ports
 
 SECRET = b"0123456789abcdef0123"
 SERVERS = ("c1", "c2", "c3")
-EXAMPLE = json.loads((Path(__file__).parent.parent / "deploy" / "example.json").read_text())
+EXAMPLE = json.loads((Path(__file__).parents[2] / "deploy" / "example.json").read_text())
 GRADE = EXAMPLE["settings"]["ServiceGrades"][0]
 
 
@@ -54,12 +58,12 @@
 
     def __init__(self, where: str, name: str) -> None:
         host, port = where.split(":")
-        self.frames = Frames(SECRET, greeting(name, "fleet"))
+        self.frames = FrameCodec(SECRET, greeting(name, "fleet"))
         self.unread: list[Any] = []
         self.socket = socket.create_connection((host, int(port)), 10)
-        self.socket.sendall(self.frames.hello())
+        self.socket.sendall(self.frames.greeting_frame())
         assert self.hears()["k"] == "beat"
-        self.socket.sendall(self.frames.write(Have(0, b"", 0, "", False).message()))
+        self.socket.sendall(self.frames.encode(WatchStatus(0, b"", 0, "", False).message()))
 
     def hears(self) -> Any:
         """The next message, heartbeats among them; None where the connection is over."""
@@ -70,7 +74,7 @@
                 return None
             if not data:
                 return None
-            self.unread += self.frames.feed(data)
+            self.unread += self.frames.decode(data)
         return self.unread.pop(0)
 
 
@@ -218,7 +222,8 @@
         code, out = await fleet.config("rollback", "1", "--wait", "20")
         assert (code, out.splitlines()[0]) == (0, "version 3"), out
         assert (await fleet.config("status"))[0] == 0
-        # Refused by first_missing, as from a file; and a key that only a version has brought goes with it.
+        # VersionRejectedError by first_missing_key, as from a file; and a key that only a version has
+        # brought goes with it.
         code, out = await fleet.publish(own_key, "--wait", "20")
         assert code == 1 and "refused at n0: settings.Limits.Cancel is missing" in out
         assert (await fleet.publish('{"settings": {"RoundUs": 4000, "PeersTotal": 7}}', "--wait", "20"))[
@@ -255,7 +260,7 @@
         assert (await fleet.publish(with_grades("g01")))[0] == 0
 
         def asked(question: dict[str, Any]) -> list[Any]:
-            return [ask(where, SECRET, question) for where in fleet.peers.values()]
+            return [send_admin_request(where, SECRET, question) for where in fleet.peers.values()]
 
         async def led(question: dict[str, Any]) -> Any:
             """What the leader answers, as soon as there is one."""
@@ -283,12 +288,14 @@
             (SECRET, "fleet", b"\xff" * 40),
         ):
             with socket.create_connection((host, int(port)), 10) as stranger:
-                frames = Frames(secret, greeting("n9", cluster))
-                stranger.sendall(frames.hello() + harm)
+                frames = FrameCodec(secret, greeting("n9", cluster))
+                stranger.sendall(frames.greeting_frame() + harm)
                 while stranger.recv(65536):
                     pass
         await fleet.said("c1", "config: a message is refused:", times=4)
-        assert all(row[0] != "n9" for row in ask(fleet.peers["c1"], SECRET, {"ask": "watchers"}))
+        assert all(
+            row[0] != "n9" for row in send_admin_request(fleet.peers["c1"], SECRET, {"ask": "watchers"})
+        )
         # The same name again takes the place of the first, and who is too many is sent on.
         first, other = Stranger(fleet.clients["c2"], "n8"), Stranger(fleet.clients["c2"], "n9")
         assert (first.hears()["n"], other.hears()["n"]) == (2, 2)
@@ -314,16 +321,16 @@
     replicas = {"c1": {"peers": "127.0.0.1:1", "clients": "127.0.0.1:2"}}
     good = {"cluster": "c", "name": "c1", "folder": "c1", "secret_file": "secret", "replicas": replicas}
     readers: list[tuple[Callable[[Path], Any], dict[str, Any], str, Any]] = [
-        (read_watch_orders, good_watch, "cluster", None),
-        (read_watch_orders, good_watch, "servers", []),
-        (read_watch_orders, good_watch, "servers", ["nowhere"]),
-        (read_watch_orders, good_watch, "near", ["127.0.0.1:9"]),
-        (read_watch_orders, good_watch, "secret_file", "none"),
-        (read_watch_orders, good_watch, "cache", ""),
-        (read_config_server_orders, good, "name", "c9"),
-        (read_config_server_orders, good, "most_watchers", 0),
-        (read_config_server_orders, good, "bytes_a_second", 1),
-        (read_config_server_orders, good, "snapshot_every", 1),
+        (read_watch_config, good_watch, "cluster", None),
+        (read_watch_config, good_watch, "servers", []),
+        (read_watch_config, good_watch, "servers", ["nowhere"]),
+        (read_watch_config, good_watch, "near", ["127.0.0.1:9"]),
+        (read_watch_config, good_watch, "secret_file", "none"),
+        (read_watch_config, good_watch, "cache", ""),
+        (read_config_server_config, good, "name", "c9"),
+        (read_config_server_config, good, "most_watchers", 0),
+        (read_config_server_config, good, "bytes_a_second", 1),
+        (read_config_server_config, good, "snapshot_every", 1),
         (read_config_servers, good, "replicas", {}),
     ]
     path = tmp_path / "file.json"
@@ -331,7 +338,7 @@
         path.write_text(json.dumps(told))
         read(path)
         path.write_text(json.dumps({**told, key: value}))
-        with pytest.raises(BadKey, match=key):
+        with pytest.raises(ConfigError, match=key):
             read(path)
 
 
@@ -342,14 +349,14 @@
     told = {"cluster": "c", "servers": ["127.0.0.1:1"], "secret_file": "secret", "cache": "n0.cache"}
     path = tmp_path / "watch.json"
     path.write_text(json.dumps(told))
-    orders = read_watch_orders(path)
+    orders = read_watch_config(path)
     own = json.loads(own_file(tmp_path, [1, 2]).read_text())
     assert read_cache(orders) == (NOTHING, "")
     body = with_grades("g01")
-    taken = Taken(7, digest_of(body), body)
+    taken = AppliedVersion(7, digest_of(body), body)
     write_cache(orders, taken)
     assert read_cache(orders) == (taken, "")
-    briefing, found = first_briefing(own, orders, {})
+    briefing, found = initial_config(own, orders, {})
     assert briefing.names["grades"] == ["look-up", "g01"] and found == taken
     whole = orders.cache.read_text()
     for harmed, says in (
@@ -361,13 +368,13 @@
         (whole.replace('"version": 7', '"version": "7"'), "version '7'"),
     ):
         orders.cache.write_text(harmed)
-        briefing, found = first_briefing(own, orders, {})
+        briefing, found = initial_config(own, orders, {})
         assert found is NOTHING and briefing.names["grades"] == ["look-up"]
         assert says in capsys.readouterr().err
     # One that does not go with the file any more.
     wrong = '{"settings": {"RoundUs": -4}}'
-    write_cache(orders, Taken(8, digest_of(wrong), wrong))
-    assert first_briefing(own, orders, {})[1] is NOTHING
+    write_cache(orders, AppliedVersion(8, digest_of(wrong), wrong))
+    assert initial_config(own, orders, {})[1] is NOTHING
     assert "version 8: settings.RoundUs is -4" in capsys.readouterr().err
 
 
@@ -375,24 +382,24 @@
     own = json.loads(own_file(tmp_path, [1, 2]).read_text())
 
     class Serving:
-        briefing = put_together(own, "", {})
+        briefing = merge_config(own, "", {})
 
-        def take_configuration(self, new: Briefing) -> None:
+        def take_configuration(self, new: Config) -> None:
             if new.orders["round"] == 4_000_000:
-                raise BadKey("settings.RoundUs")
+                raise ConfigError("settings.RoundUs")
             self.briefing = new
 
     service: Any = Serving()
-    before, laying = service.briefing, Laying(service, own, lambda: own, NOTHING, {})
+    before, laying = service.briefing, VersionApplier(service, own, lambda: own, NOTHING, {})
     assert laying.take(1, '{"settings": {"RoundUs": 4000}}') == "settings.RoundUs"
     assert service.briefing is before and laying.body == ""
     assert laying.take(2, with_grades("g02")) == "" and service.briefing.names["grades"][1] == "g02"
 
 
 def test_who_serves_without_a_watch_imports_none_of_it(tmp_path: Path) -> None:
-    program = "import sys, ploverspoke.cli, ploverspoke.program.service; print(*sys.modules)"
+    program = "import sys, ploverspoke.cli, ploverspoke.service.service; print(*sys.modules)"
     out = subprocess.run([sys.executable, "-c", program], capture_output=True, check=True).stdout.decode()
-    assert "ploverspoke.program.service" in out.split() and "ploverspoke.distribution" not in out
+    assert "ploverspoke.service.service" in out.split() and "ploverspoke.config_distribution" not in out
     own = own_file(tmp_path, [1, 2])
     for words in (["--processes", "2"], ["--store", str(own)]):
         command = [sys.executable, "-m", "ploverspoke", "serve", str(own), "--watch", str(own), *words]
--- a/tests/test_distribution_parts.py
+++ b/tests/config_distribution/test_parts.py
@@ -1,4 +1,5 @@
-"""Versions, overlays, parcels, the feed and the watch: event by event, on virtual time, with failures."""
+"""ConfigStateMachine, overlays, parcels, the feed and the watch: event by event, on virtual time, with
+failures."""
 
 import heapq
 import json
@@ -9,26 +10,45 @@
 
 import pytest
 
-from ploverspoke.distribution.feed import AT_A_TURN, MOST_SEEN, PUSH_AGAIN, PUSH_EVERY, SILENT, Feed
-from ploverspoke.distribution.overlay import LONGEST_BODY, canonical, lay_on, merge_patch, read_body
-from ploverspoke.distribution.parcels import (
-    Beat,
-    Have,
+from ploverspoke.config_distribution.broadcaster import (
+    AT_A_TURN,
+    MOST_SEEN,
+    PUSH_AGAIN,
+    PUSH_EVERY,
+    SILENT,
+    VersionBroadcaster,
+)
+from ploverspoke.config_distribution.messages import (
+    Heartbeat,
     Message,
-    Refused,
+    VersionRejectedError,
+    WatchStatus,
     pack,
-    read_beat,
     read_greeting,
-    read_have,
+    read_heartbeat,
+    read_watch_status,
     unpack,
 )
-from ploverspoke.distribution.versions import KEPT, Version, Versions, digest_of, publish_command
-from ploverspoke.distribution.watch import Taken, Watch
-from ploverspoke.program.checked import BadKey
+from ploverspoke.config_distribution.overlay import (
+    LONGEST_BODY,
+    apply_overlay,
+    canonical,
+    merge_patch,
+    read_body,
+)
+from ploverspoke.config_distribution.state_machine import (
+    KEPT,
+    ConfigStateMachine,
+    Version,
+    digest_of,
+    publish_command,
+)
+from ploverspoke.config_distribution.watcher import AppliedVersion, ConfigWatcher
+from ploverspoke.service.config_reader import ConfigError
 
 MS = 1_000_000
 S = 1000 * MS
-NOBODY = Have(0, b"", 0, "", False)
+NOBODY = WatchStatus(0, b"", 0, "", False)
 
 
 def body(number: int) -> str:
@@ -40,8 +60,8 @@
     return Version(number, text, digest_of(text), digest_of(canonical(json.loads(text))), "me", f"id{number}")
 
 
-def has(number: int) -> Have:
-    return Have(number, version(number).digest, number, "", False)
+def has(number: int) -> WatchStatus:
+    return WatchStatus(number, version(number).digest, number, "", False)
 
 
 # ---- Overlays ----
@@ -65,13 +85,13 @@
             "b": {"discovery": "b:1", "settings": {"Limits": {"MaxOpen": 3}}},
         },
     }
-    laid = lay_on(own, read_body(json.dumps(told)))
+    laid = apply_overlay(own, read_body(json.dumps(told)))
     assert laid["settings"] == {
         **{"SlotNo": 7, "Zone": 1, "Localities": ["a", "b"]},
         **{"Limits": {"MaxOpen": 3}, "Round": [1, 2]},
     }
     assert (laid["name"], laid["discovery"], own["discovery"]) == ("n7", "b:1", "a:1")
-    assert lay_on({**own, "settings": {"Zone": 5}}, told)["discovery"] == "a:1"
+    assert apply_overlay({**own, "settings": {"Zone": 5}}, told)["discovery"] == "a:1"
     # Of RFC 7386, appendix A.
     for target, patch, result in (
         ({"a": "b"}, {"a": None}, {}),
@@ -105,21 +125,21 @@
     ],
 )
 def test_what_no_version_may_say_is_refused_and_the_key_is_named(text: str, says: str) -> None:
-    with pytest.raises(BadKey, match=says):
+    with pytest.raises(ConfigError, match=says):
         read_body(text)
 
 
-# ---- Versions ----
+# ---- ConfigStateMachine ----
 
 
-def publish(state: Versions, text: str, expect: int, request: str) -> tuple[bool, int, str]:
+def publish(state: ConfigStateMachine, text: str, expect: int, request: str) -> tuple[bool, int, str]:
     state.apply(0, publish_command(text, digest_of(canonical(json.loads(text))), expect, "me", request))
     answer = state.answers[request]
     return answer.done, answer.version, answer.why
 
 
 def test_a_version_is_published_once_and_only_in_the_place_of_the_one_that_was_seen() -> None:
-    state, seen = Versions(), []
+    state, seen = ConfigStateMachine(), []
     state.on_version = lambda one: seen.append(one.number)
     assert publish(state, body(1), 0, "a") == (True, 1, "")
     assert publish(state, body(2), 0, "b") == (False, 1, "version 1 is in force, and 0 was expected")
@@ -130,7 +150,7 @@
     assert publish(state, same, 2, "d") == (True, 2, "version 2 says the same")
     state.apply(0, b"\x91\xa4what")  # a verb of a later release
     assert seen == [1, 2]
-    other = Versions()
+    other = ConfigStateMachine()
     other.load(state.dump())
     assert other.rows() == state.rows() and other.answers == state.answers
     for number in range(3, 2 * KEPT):
@@ -175,37 +195,39 @@
     ],
 )
 def test_a_parcel_that_is_harmed_or_foreign_is_refused(message: Message, says: str) -> None:
-    with pytest.raises(Refused, match=says):
+    with pytest.raises(VersionRejectedError, match=says):
         unpack(message, "fleet", body(1))
 
 
 def test_what_the_two_sides_say_is_read_strictly() -> None:
-    whole = Have(3, digest_of("x"), 2, "settings.X is missing", True)
-    assert read_have(whole.message()) == whole and read_beat(Beat(4, True).message()) == Beat(4, True)
+    whole = WatchStatus(3, digest_of("x"), 2, "settings.X is missing", True)
+    assert read_watch_status(whole.message()) == whole and read_heartbeat(
+        Heartbeat(4, True).message()
+    ) == Heartbeat(4, True)
     good = has(1).message()
     bad = [None, [], {}, {**good, "k": "beat"}, {**good, "n": "1"}, {**good, "f": -1}, {**good, "w": None}]
     for message in [*bad, {**good, "d": "text"}, {**good, "d": b"x"}, {**good, "n": 1 << 60}]:
-        with pytest.raises(Refused):
-            read_have(message)
-    with pytest.raises(Refused):
-        read_beat({"k": "beat", "n": 1, "l": 1})
+        with pytest.raises(VersionRejectedError):
+            read_watch_status(message)
+    with pytest.raises(VersionRejectedError):
+        read_heartbeat({"k": "beat", "n": 1, "l": 1})
     greets = {"id": "n1", "store": "", "watch": 1, "cluster": "fleet"}
     assert read_greeting(greets, "fleet") == "n1"
     for other in ({"id": ""}, {"id": 7}, {"id": "a\nb"}, {"id": "n" * 200}, {"watch": 2}, {"cluster": "x"}):
-        with pytest.raises(Refused):
+        with pytest.raises(VersionRejectedError):
             read_greeting({**greets, **other}, "fleet")
 
 
 # ---- The feed ----
 
 
-class FeedHost:
+class BroadcasterEnvironment:
     def __init__(self, most: int = 2000, bytes_a_second: int = 4_000_000, size: int = 200) -> None:
         self.clock = 100 * S
         self.size = size
         self.sent: list[tuple[str, Message]] = []
         self.dropped: list[str] = []
-        self.feed = Feed(self, "fleet", most, bytes_a_second)
+        self.feed = VersionBroadcaster(self, "fleet", most, bytes_a_second)
 
     def now(self) -> int:
         return self.clock
@@ -233,7 +255,7 @@
 
 
 def test_one_parcel_at_a_time_and_a_watcher_that_is_behind_gets_the_latest_alone() -> None:
-    host = FeedHost()
+    host = BroadcasterEnvironment()
     host.feed.offer(version(1))
     host.feed.said("n1", has(1))
     assert not host.pushes(100 * MS)
@@ -249,14 +271,14 @@
     host.feed.said("n1", has(30))
     host.feed.offer(version(31))
     assert not host.pushes(PUSH_EVERY - 20 * MS) and len(host.pushes(20 * MS)) == 1  # paced
-    host.feed.said("n1", Have(31, version(31).digest, 30, "settings.X", False))
+    host.feed.said("n1", WatchStatus(31, version(31).digest, 30, "settings.X", False))
     host.feed.offer(version(31))
     assert not host.pushes(2 * S)  # what it refuses is not sent again
     assert host.feed.rows()[0][:4] == ["n1", 30, 31, "settings.X"]
 
 
 def test_where_nothing_is_said_to_a_parcel_it_goes_again_whole_and_who_is_silent_is_let_go() -> None:
-    host = FeedHost()
+    host = BroadcasterEnvironment()
     host.feed.offer(version(1))
     host.feed.said("n1", has(1))
     host.feed.offer(version(2))
@@ -270,21 +292,21 @@
 
 
 def test_a_base_that_the_server_does_not_have_gets_the_whole() -> None:
-    host = FeedHost()
+    host = BroadcasterEnvironment()
     host.feed.offer(version(3))
     host.feed.offer(version(5))
-    host.feed.said("n0", Have(3, digest_of("another"), 3, "", False))
-    host.feed.said("n1", Have(4, version(4).digest, 4, "", False))
-    host.feed.said("n2", Have(5, digest_of("another"), 5, "", False))
-    host.feed.said("n3", Have(9, digest_of("later"), 9, "", False))
-    host.feed.said("n4", Have(2, b"", 0, "", True))
+    host.feed.said("n0", WatchStatus(3, digest_of("another"), 3, "", False))
+    host.feed.said("n1", WatchStatus(4, version(4).digest, 4, "", False))
+    host.feed.said("n2", WatchStatus(5, digest_of("another"), 5, "", False))
+    host.feed.said("n3", WatchStatus(9, digest_of("later"), 9, "", False))
+    host.feed.said("n4", WatchStatus(2, b"", 0, "", True))
     assert [(name, m["b"]) for name, m in host.pushes(100 * MS)] == [("n0", None), ("n1", None), ("n4", None)]
     told = {row[0]: row[3] for row in host.feed.rows()}
     assert "another version 5" in told["n2"] and not told["n3"]
 
 
 def test_a_change_goes_out_a_few_at_a_turn_and_within_the_bytes_of_a_server() -> None:
-    host = FeedHost(bytes_a_second=400_000, size=1000)
+    host = BroadcasterEnvironment(bytes_a_second=400_000, size=1000)
     host.feed.offer(version(1))
     for number in range(400):
         host.feed.said(f"n{number}", has(1))
@@ -298,7 +320,7 @@
 
 
 def test_a_server_takes_as_many_watchers_as_it_may_and_remembers_a_bounded_number_of_names() -> None:
-    host = FeedHost(most=2)
+    host = BroadcasterEnvironment(most=2)
     for name in ("n1", "n2"):
         assert host.feed.has_room_for(name)
         host.feed.said(name, NOBODY)
@@ -363,7 +385,7 @@
     def start(self) -> None:
         self.up = True
         self.links: dict[str, tuple[Watcher, int]] = {}
-        self.feed = Feed(self, "fleet", 1000, 4_000_000)
+        self.feed = VersionBroadcaster(self, "fleet", 1000, 4_000_000)
         self.armed = 0
 
     def now(self) -> int:
@@ -387,7 +409,7 @@
             self.armed = feed.next_wake
             self.world.after(max(0, feed.next_wake - self.world.clock), lambda: self.ring(feed))
 
-    def ring(self, feed: Feed) -> None:
+    def ring(self, feed: VersionBroadcaster) -> None:
         if feed is self.feed and self.up:
             self.armed = 0
             feed.tick()
@@ -404,7 +426,7 @@
     def __init__(self, world: World, number: int, near: list[str]) -> None:
         self.world, self.name = world, f"n{number}"
         self.chance = random.Random(world.seed * 1000 + number)
-        self.watch = Watch(self, "fleet", world.names, near)
+        self.watch = ConfigWatcher(self, "fleet", world.names, near)
         self.open: dict[int, str] = {}
         self.dialled: list[tuple[int, str]] = []
         self.refuses: set[int] = set()
@@ -419,7 +441,7 @@
     def fraction(self) -> float:
         return self.chance.random()
 
-    def say(self, line: str) -> None:
+    def log(self, line: str) -> None:
         self.said.append(line)
 
     def take(self, number: int, digest: bytes, body: str) -> str:
@@ -463,7 +485,7 @@
     def arrives(self, link: int, server: Server, message: Message) -> None:
         if server.up and link in self.open:
             server.links[self.name] = (self, link)
-            server.feed.said(self.name, read_have(message))
+            server.feed.said(self.name, read_watch_status(message))
             server.arm()
 
     def heard(self, link: int, server: Server, message: Message) -> None:
@@ -697,7 +719,9 @@
     assert watcher.watch.link is not None and watcher.watch.link.number != link
     world.offer(2)
     again = Watcher(world, 7, [])
-    again.watch = Watch(again, "fleet", world.names, [], Taken(1, version(1).digest, body(1)))
+    again.watch = ConfigWatcher(
+        again, "fleet", world.names, [], AppliedVersion(1, version(1).digest, body(1))
+    )
     again.watch.begin()
     again.arm()
     before = sum(server.feed.whole_pushes for server in world.servers.values())
--- a/tests/test_distribution_processes.py
+++ b/tests/config_distribution/test_processes.py
@@ -19,8 +19,10 @@
 from ploverspoke.testbed.processes.timeline import ON_LINKS, BadTimeline, Step
 from ploverspoke.testbed.spans import MILLISECOND, SECOND, Span
 
+RUNS_LONG = True  # scheduled first: see tests/conftest.py
+
 MS = MILLISECOND
-PLANTED = "tests.planted_distribution"
+PLANTED = "tests.config_distribution.faulty_distribution"
 
 
 def found(outcome: Outcome) -> list[str]:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -12,23 +12,10 @@
 import pytest
 
 from ploverspoke.testbed.processes.room import in_memory
-
-from .known_red import KnownRed
+from tests.expected_failures import ExpectedFailures
 
 WORKERS = 4  # most tests wait for processes and sockets; the explorers have processes of their own
-# Begun first, so that none is left when the others are done. One that is missing here costs time only.
-LONG = (
-    "test_leases_explored.py",
-    "test_leases_processes.py",
-    "test_distribution_processes.py",
-    "test_service.py",
-    "test_leases_commands.py",
-    "test_leases_tasks.py",
-    "test_store_consensus.py",
-    "test_store_router.py",
-    "test_processes_rig.py",
-    "test_hollow.py",
-)
+RUNS_LONG = "RUNS_LONG"  # attribute of a test module that takes over 20 s: it is scheduled first
 
 
 def pytest_configure(config: pytest.Config) -> None:
@@ -37,7 +24,7 @@
         folder = tempfile.mkdtemp(prefix="ploverspoke-tests-", dir=where)
         config.add_cleanup(lambda: shutil.rmtree(folder, ignore_errors=True))
         config.option.basetemp = Path(folder) / "tests"
-    config.pluginmanager.register(KnownRed(config), "known red")
+    config.pluginmanager.register(ExpectedFailures(config), "expected failures")
 
 
 def pytest_xdist_auto_num_workers(config: pytest.Config) -> int:
@@ -47,5 +34,5 @@
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    rank = {name: number for number, name in enumerate(LONG)}
-    items.sort(key=lambda item: rank.get(item.path.name, len(LONG)))
+    """Schedule long modules first, so that none is left when the others are done."""
+    items.sort(key=lambda item: not getattr(getattr(item, "module", None), RUNS_LONG, False))
--- a/tests/explorer.py
+++ b/tests/consensus/raft_simulation.py
@@ -11,9 +11,9 @@
 from typing import Any
 
 from ploverspoke.consensus.log import Entry, Log
-from ploverspoke.consensus.members import Members, majority, voters
+from ploverspoke.consensus.membership import Members, majority, voters
 from ploverspoke.consensus.raft import Message, Raft
-from ploverspoke.consensus.replica import Batch, Replica
+from ploverspoke.consensus.replica import Replica, WriteBatch
 
 MS = 1_000_000
 PROCESSES = max(1, len(sched_getaffinity(0)) // 2)  # of a sweep: the other cores are for tests beside it
@@ -28,7 +28,7 @@
         raise Broken(what)
 
 
-class Disk:
+class ReplicaStorage:
     """What a machine gets back after a crash: whole batches or nothing."""
 
     def __init__(self, members: Members, name: str) -> None:
@@ -46,7 +46,7 @@
         log.append(list(self.entries))
         return log
 
-    def write(self, batch: Batch) -> None:
+    def write(self, batch: WriteBatch) -> None:
         if batch.vote is not None:
             self.term, self.vote = batch.vote
         if batch.snapshot is not None:
@@ -91,10 +91,10 @@
     def __init__(self, world: "World", name: str) -> None:
         self.world = world
         self.name = name
-        self.disk = Disk(world.members, f"disk of {name}")
+        self.disk = ReplicaStorage(world.members, f"disk of {name}")
         self.boots = 0
         self.up = False
-        self.writing: Batch | None = None
+        self.writing: WriteBatch | None = None
         self.start()
 
     def start(self) -> None:
--- a/tests/test_store_consensus.py
+++ b/tests/consensus/test_raft_simulation.py
@@ -10,8 +10,9 @@
 
 from ploverspoke.consensus import raft
 from ploverspoke.consensus.raft import Message, Raft
+from tests.consensus.raft_simulation import MS, PROCESSES, Broken, World, explore, sweep
 
-from .explorer import MS, PROCESSES, Broken, World, explore, sweep
+RUNS_LONG = True  # scheduled first: see tests/conftest.py
 
 EACH = 250  # schedules of one job
 KINDS = [(3, 300, 0, False), (5, 300, 0, False), (3, 300, 1, False), (3, 300, 0, True)]
--- a/tests/test_store_parts.py
+++ b/tests/consensus/test_storage.py
@@ -7,30 +7,30 @@
 import msgspec
 import pytest
 
-from ploverspoke.consensus.clock import StoreClock
-from ploverspoke.consensus.disk import Damaged, Disk, DiskTrouble, WrongStore
-from ploverspoke.consensus.frames import LONGEST, BadFrame, Frames
+from ploverspoke.consensus.clock import ReplicatedClock
+from ploverspoke.consensus.framing import LONGEST, FrameCodec, FrameError
 from ploverspoke.consensus.log import Entry
-from ploverspoke.consensus.members import Members, differ_by_one, fingerprint
-from ploverspoke.consensus.replica import Batch
-from ploverspoke.store import ledger as ledger_module
-from ploverspoke.store.ledger import ANSWER, CONFIGURE, INTEND, OUTCOME, TAKE, Ledger
+from ploverspoke.consensus.membership import Members, differ_by_one, fingerprint
+from ploverspoke.consensus.replica import WriteBatch
+from ploverspoke.consensus.storage import ClusterMismatchError, CorruptionError, ReplicaStorage, StorageError
+from ploverspoke.store import state_machine as ledger_module
 from ploverspoke.store.recovery import Fate, answer_when_over, fate
+from ploverspoke.store.state_machine import ANSWER, CONFIGURE, INTEND, OUTCOME, TAKE, RequestStateMachine
 
 MEMBERS: Members = {"a.1": ["a", "", "", True], "b.1": ["b", "", "", True], "c.1": ["c", "", "", True]}
 SECRET = b"sixteen bytes it has"
 
 
-def disk_at(folder: Path) -> Disk:
-    disk = Disk(folder)
+def disk_at(folder: Path) -> ReplicaStorage:
+    disk = ReplicaStorage(folder)
     disk.open()
     if not disk.me:
         disk.begin("a.1", "mark", MEMBERS)
     return disk
 
 
-def batch(first: int, count: int, size: int = 10, **more: Any) -> Batch:
-    made = Batch()
+def batch(first: int, count: int, size: int = 10, **more: Any) -> WriteBatch:
+    made = WriteBatch()
     made.entries = [Entry(first + n, 1, "data", [f"e{first + n}", "x" * size]) for n in range(count)]
     for key, value in more.items():
         setattr(made, key, value)
@@ -67,11 +67,11 @@
         (folder / "store.db").write_bytes(base)
         (folder / "store.db-wal").write_bytes(kept[:cut])
         try:
-            torn = Disk(folder)
+            torn = ReplicaStorage(folder)
             torn.open()
             found.add(torn.log.last_index())
             torn.close()
-        except (Damaged, DiskTrouble):
+        except (CorruptionError, StorageError):
             found.add(0)
     assert found <= {203, 3, 0} and 203 in found and 3 in found
 
@@ -85,8 +85,8 @@
     disk.close()
     with sqlite3.connect(tmp_path / "store.db") as db:
         db.execute(what)
-    with pytest.raises(Damaged):
-        Disk(tmp_path).open()
+    with pytest.raises(CorruptionError):
+        ReplicaStorage(tmp_path).open()
 
 
 def test_a_full_disk_acknowledges_nothing_and_serves_again_when_there_is_room(tmp_path: Path) -> None:
@@ -94,7 +94,7 @@
     disk.most_pages = 40
     disk.reopen()
     written = 0
-    with pytest.raises(DiskTrouble):
+    with pytest.raises(StorageError):
         while True:
             disk.write(batch(written + 1, 10, size=2000))
             written += 10
@@ -105,53 +105,53 @@
     assert disk_last(disk, tmp_path) == written + 10
 
 
-def disk_last(disk: Disk, folder: Path) -> int:
+def disk_last(disk: ReplicaStorage, folder: Path) -> int:
     disk.close()
     return disk_at(folder).log.last_index()
 
 
 def test_another_replicas_folder_is_refused(tmp_path: Path) -> None:
     disk = disk_at(tmp_path)
-    with pytest.raises(WrongStore):
+    with pytest.raises(ClusterMismatchError):
         disk.begin("b.1", "mark", MEMBERS)
 
 
-# ---- Frames ----
+# ---- FrameCodec ----
 
 
-def pair(other_secret: bytes = SECRET) -> tuple[Frames, Frames]:
+def pair(other_secret: bytes = SECRET) -> tuple[FrameCodec, FrameCodec]:
     one, other = (
-        Frames(SECRET, {"id": "a.1", "store": "s"}),
-        Frames(other_secret, {"id": "b.1", "store": "s"}),
+        FrameCodec(SECRET, {"id": "a.1", "store": "s"}),
+        FrameCodec(other_secret, {"id": "b.1", "store": "s"}),
     )
-    other.feed(one.hello())
-    one.feed(other.hello())
+    other.decode(one.greeting_frame())
+    one.decode(other.greeting_frame())
     return one, other
 
 
 def test_frames_arrive_whole_however_they_are_cut() -> None:
     one, other = pair()
     sent = [{"n": n, "d": b"x" * n} for n in range(40)]
-    data = b"".join(one.write(message) for message in sent)
-    assert [m for at in range(0, len(data), 7) for m in other.feed(data[at : at + 7])] == sent
-    assert other.other is not None and other.other["id"] == "a.1"
+    data = b"".join(one.encode(message) for message in sent)
+    assert [m for at in range(0, len(data), 7) for m in other.decode(data[at : at + 7])] == sent
+    assert other.peer_greeting is not None and other.peer_greeting["id"] == "a.1"
 
 
 def test_forged_changed_repeated_and_left_out_frames_are_refused() -> None:
-    with pytest.raises(BadFrame):
+    with pytest.raises(FrameError):
         pair(b"another secret, as long")
     one, other = pair()
-    first, second = one.write([1]), one.write([2])
+    first, second = one.encode([1]), one.encode([2])
     for data in (first[:-1] + b"\xff", second, (LONGEST + 1).to_bytes(4, "big") + bytes(40)):
         _, fresh = pair()
-        with pytest.raises(BadFrame):
-            fresh.feed(data)
-    other.feed(first)
-    with pytest.raises(BadFrame):
-        other.feed(first)
-    mirror = Frames(SECRET, {"id": "a.1", "store": "s"})
-    with pytest.raises(BadFrame):
-        mirror.feed(mirror.hello())
+        with pytest.raises(FrameError):
+            fresh.decode(data)
+    other.decode(first)
+    with pytest.raises(FrameError):
+        other.decode(first)
+    mirror = FrameCodec(SECRET, {"id": "a.1", "store": "s"})
+    with pytest.raises(FrameError):
+        mirror.decode(mirror.greeting_frame())
 
 
 # ---- Members, ledger, recovery ----
@@ -164,8 +164,8 @@
     assert fingerprint("x", MEMBERS) != fingerprint("x", {"a.1": MEMBERS["a.1"], "b.1": MEMBERS["b.1"]})
 
 
-def filled(*commands: list[Any]) -> Ledger:
-    ledger = Ledger()
+def filled(*commands: list[Any]) -> RequestStateMachine:
+    ledger = RequestStateMachine()
     for at, command in enumerate(commands):
         ledger.apply(at, command)
     return ledger
@@ -180,14 +180,14 @@
         [CONFIGURE, "{}", "me", 5],
         ["a verb of a later version", 1, 2],
     )
-    again = Ledger()
+    again = RequestStateMachine()
     again.load(ledger.dump())
     assert (again.answered["r1"].how, again.open, again.configurations[-1].version) == ("satisfied", {}, 1)
     assert msgspec.msgpack.encode(ledger.answered["r1"]) == msgspec.msgpack.encode(again.answered["r1"])
 
 
 def test_answers_are_bounded_and_open_ones_never_dropped() -> None:
-    ledger = Ledger(most_answers=10, most_bytes=100)
+    ledger = RequestStateMachine(most_answers=10, most_bytes=100)
     ledger.apply(0, [TAKE, "open", 0, b"", 1 << 60, 0])
     for n in range(30):
         ledger.apply(n, [ANSWER, f"r{n}", "satisfied", "x" * 20, b"", n])
@@ -199,8 +199,8 @@
 
 def test_the_stores_time_goes_on_with_each_replica_and_never_jumps() -> None:
     here = [1_000, 5]
-    clocks = [StoreClock(lambda n=n: here[n]) for n in range(2)]  # type: ignore[misc]
-    ledgers = [Ledger(), Ledger()]
+    clocks = [ReplicatedClock(lambda n=n: here[n]) for n in range(2)]  # type: ignore[misc]
+    ledgers = [RequestStateMachine(), RequestStateMachine()]
     for ledger, clock in zip(ledgers, clocks, strict=True):
         ledger.on_time = clock.seen
     here[0] += 40  # the leader has run for longer
@@ -212,7 +212,7 @@
     assert clocks[1].now() == 50 and clocks[0].now() == 40
     ledgers[0].apply(3, [ANSWER, "r", "abandoned", "", b"", clocks[1].now()])
     assert clocks[0].now() == 50
-    again, late = Ledger(), StoreClock(lambda: 0)
+    again, late = RequestStateMachine(), ReplicatedClock(lambda: 0)
     again.on_time = late.seen
     again.load(ledgers[0].dump())
     assert late.now() == 50
--- a/tests/stage.py
+++ b/tests/decisions/harness.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from ploverspoke.decisions.dispatcher import SECOND, Dispatcher
-from ploverspoke.decisions.host import NEVER_RAN, Listing
+from ploverspoke.decisions.interface import NEVER_RAN, Endpoint
 
 MS = 1_000_000
 ORDERS: dict[str, Any] = {
@@ -72,14 +72,14 @@
 }
 
 
-def listing(name: str, condition: str = "ready", kind: int = 0, rack: int = 0, started: int = 0) -> Listing:
-    return Listing(name, 0, kind, rack, condition, 1.0, started)
+def listing(name: str, condition: str = "ready", kind: int = 0, rack: int = 0, started: int = 0) -> Endpoint:
+    return Endpoint(name, 0, kind, rack, condition, 1.0, started)
 
 
 class Stage:
     """Hosts one dispatcher; every action is checked against the rules as it is made."""
 
-    def __init__(self, workers: list[Listing], seed: int = 1, **orders: Any) -> None:
+    def __init__(self, workers: list[Endpoint], seed: int = 1, **orders: Any) -> None:
         self.clock = 100 * SECOND
         self.orders = {**ORDERS, **orders}
         self.grade: dict[int, int] = {}
@@ -94,15 +94,15 @@
         self.listed = {w.worker: w for w in workers}
         self.closed_at: dict[str, int] = {}
         self.dispatcher = Dispatcher(self, seed, self.orders)
-        self.dispatcher.roster_complete(workers)
-        self.dispatcher.begun()
+        self.dispatcher.endpoint_list_received(workers)
+        self.dispatcher.started()
 
     # ---- The host interface ----
 
     def now(self) -> int:
         return self.clock
 
-    def hand_off(self, submission_id: int, worker: str, time_out: int) -> None:
+    def start_attempt(self, submission_id: int, worker: str, time_out: int) -> None:
         tries, grade = self.tries[submission_id], self.grade[submission_id]
         assert submission_id not in self.answers and self.clock < self.abandon_at[submission_id]
         assert self.clock + time_out <= self.abandon_at[submission_id] and time_out > 0
@@ -119,17 +119,17 @@
         shed = hand_off["outcome"] == "full" and self.orders["full_may_have_run"]
         return shed or hand_off["outcome"] not in NEVER_RAN
 
-    def recall(self, submission_id: int, hand_off: int) -> None:
+    def cancel_attempt(self, submission_id: int, hand_off: int) -> None:
         assert self.tries[submission_id][hand_off]["outcome"] is None
         self.tries[submission_id][hand_off]["until"] = self.clock
         self.tries[submission_id][hand_off]["recalled"] = True
 
-    def nack(self, submission_id: int, come_back_after: int) -> None:
+    def reject(self, submission_id: int, come_back_after: int) -> None:
         if self.orders["repeat"][self.grade[submission_id]] != "redoable":
             assert not any(self.may_have_run(t) for t in self.tries[submission_id])
         self._answer(submission_id, "nacked")
 
-    def abandon(self, submission_id: int) -> None:
+    def fail(self, submission_id: int) -> None:
         self._answer(submission_id, "abandoned")
 
     def _answer(self, submission_id: int, answer: str) -> None:
@@ -143,11 +143,11 @@
     def probe(self, worker: str) -> None:
         self.probes.append(worker)
 
-    def tell_others(self, *telling: Any) -> None:
+    def send_gossip(self, *telling: Any) -> None:
         assert self.orders["telling_permitted"]
         self.tellings.append(telling)
 
-    def watch_roster(self) -> None:
+    def watch_endpoints(self) -> None:
         self.watches += 1
 
     def log(self, line: str) -> None:
@@ -161,13 +161,11 @@
         self.abandon_at[submission_id] = self.clock + extra.pop("abandon_in", 3 * SECOND)
         self.tries[submission_id] = []
         given: Mapping[str, Any] = {"work_hint": 0, "subject": "", **extra}
-        self.dispatcher.submission_arrived(
-            submission_id, grade, slots, self.abandon_at[submission_id], **given
-        )
+        self.dispatcher.request_arrived(submission_id, grade, slots, self.abandon_at[submission_id], **given)
 
     def start(self, submission_id: int) -> None:
         self.tries[submission_id][-1]["started"] = True
-        self.dispatcher.hand_off_started(submission_id, len(self.tries[submission_id]) - 1)
+        self.dispatcher.attempt_started(submission_id, len(self.tries[submission_id]) - 1)
 
     def end(self, submission_id: int, outcome: str) -> None:
         last = self.tries[submission_id][-1]
@@ -177,11 +175,11 @@
             self.answers[submission_id] = outcome
         number = len(self.tries[submission_id]) - 1
         took = self.clock - last["sent"]
-        self.dispatcher.hand_off_ended(submission_id, number, last["worker"], outcome, took, finished, None)
+        self.dispatcher.attempt_ended(submission_id, number, last["worker"], outcome, took, finished, None)
 
     def leave(self, submission_id: int) -> None:
         self.answers[submission_id] = "left"
-        self.dispatcher.client_left(submission_id)
+        self.dispatcher.client_disconnected(submission_id)
 
     def pass_time(self, span: int) -> None:
         """Let time pass; due timers and time-outs fire in order."""
@@ -203,7 +201,7 @@
                 self.end(first[2], "recalled" if self.tries[first[2]][-1].get("recalled") else "timed_out")
             else:
                 self.timers.remove((first[0], first[2]))
-                self.dispatcher.woken(first[2])
+                self.dispatcher.timer_fired(first[2])
         self.clock = end
 
     def where(self, submission_id: int) -> str | None:
@@ -250,11 +248,11 @@
         elif roll < 0.9 and stage.dispatcher.open:
             stage.leave(chance.choice(list(stage.dispatcher.open)))
         elif roll < 0.92:
-            stage.dispatcher.roster_lost()
+            stage.dispatcher.endpoint_watch_failed()
         elif roll < 0.96 and stage.probes:
             took = chance.choice([MS, SECOND])
             outcome = chance.choice(["satisfied", "timed_out"])
-            stage.dispatcher.probe_answered(stage.probes.pop(), outcome, took, None)
+            stage.dispatcher.probe_completed(stage.probes.pop(), outcome, took, None)
         else:
             name = chance.choice(names)
             state = chance.choice(["ready", "ready", "draining", "gone"])
@@ -264,7 +262,7 @@
             binds = not stage.orders["only_draining_binds"] or was_closed
             if state == "draining" or (state == "gone" and binds):
                 stage.closed_at[name] = stage.clock
-            stage.dispatcher.roster_changed([stage.listed[name]])
+            stage.dispatcher.endpoints_changed([stage.listed[name]])
         stage.check_books()
     stage.pass_time(10 * SECOND)
     stage.check_books()
--- a/tests/test_fleet.py
+++ b/tests/decisions/test_fleet.py
@@ -1,7 +1,7 @@
 """Many dispatchers at once: what is harmless in one of them, and harmful in the sum of all."""
 
-from .stage import MS, SECOND, Stage, listing
-from .test_asking import ASKING
+from tests.decisions.harness import MS, SECOND, Stage, listing
+from tests.decisions.test_load_probes import ASKING
 
 CALL_TAKES = 140 * MS  # of the roster's time, also for one that has been turned away meanwhile
 TURNED_AWAY_AFTER = 2 * SECOND
@@ -25,7 +25,7 @@
                 lost.append((stage.clock + TURNED_AWAY_AFTER, number))
         for due in [x for x in lost if x[0] <= stages[0].clock]:
             lost.remove(due)
-            stages[due[1]].dispatcher.roster_lost(turned_away=True)
+            stages[due[1]].dispatcher.endpoint_watch_failed(turned_away=True)
     return since
 
 
@@ -48,14 +48,14 @@
     for submission_id in range(40):
         stage.submit(submission_id, grade=2)
         for name in stage.probes:
-            stage.dispatcher.probe_answered(name, "worker_error" if name == "a" else "satisfied", MS, {})
+            stage.dispatcher.probe_completed(name, "worker_error" if name == "a" else "satisfied", MS, {})
         stage.probes.clear()
         if stage.where(submission_id):
             stage.end(submission_id, "satisfied")
         stage.pass_time(100 * MS)
     assert "a" not in {t["worker"] for tries in stage.tries.values() for t in tries}
     assert stage.dispatcher.workers["a"].aside
-    stage.dispatcher.roster_changed([listing("a", started=stage.clock)])
+    stage.dispatcher.endpoints_changed([listing("a", started=stage.clock)])
     assert not stage.dispatcher.workers["a"].aside, "another one has started in its place"
 
 
--- a/tests/test_tellings.py
+++ b/tests/decisions/test_load_gossip.py
@@ -7,14 +7,13 @@
 
 import pytest
 
-from ploverspoke.program.briefing import briefing_of
-from ploverspoke.program.service import Service
-from ploverspoke.protocol.heads import Garbled
-from ploverspoke.protocol.tellings import MOST_BYTES, Reader, mark_of, marks_of, write_telling
-from ploverspoke.routing.peers import Peers
+from ploverspoke.protocol.gossip_messages import MOST_BYTES, Reader, mark_of, marks_of, write_gossip
+from ploverspoke.protocol.http_messages import HttpSyntaxError
+from ploverspoke.routing.load_gossip import GossipSocket
+from ploverspoke.service.config import parse_config
+from ploverspoke.service.service import Service
 from ploverspoke.testbed.processes.addresses import held_ports
-
-from .stage import MS, SECOND, SETTINGS, Stage, listing, random_run
+from tests.decisions.harness import MS, SECOND, SETTINGS, Stage, listing, random_run
 
 TELLING = {"telling_permitted": True, "telling_price": 0.01, "probing_permitted": False, "dispatchers": 9}
 FULL = ["a", "a"]
@@ -23,7 +22,7 @@
 def test_a_worker_that_others_fill_is_left_alone_until_that_fades() -> None:
     stage = Stage([listing("a"), listing("b")], **TELLING)
     for teller, held in ((1, FULL), (2, ["a"])):
-        stage.dispatcher.told_of(teller, 0, 1, 0.0, held)
+        stage.dispatcher.gossip_received(teller, 0, 1, 0.0, held)
     stage.submit(1)
     stage.submit(2)
     assert stage.where(1) == stage.where(2) == "b"
@@ -34,7 +33,7 @@
 
 def test_late_doubled_and_foreign_tellings_change_nothing() -> None:
     stage = Stage([listing("a")], **TELLING)
-    told = stage.dispatcher.told_of
+    told = stage.dispatcher.gossip_received
     told(1, 0, 7, 0.0, ["a"])
     told(1, 0, 6, 0.0, FULL)  # late
     told(1, 0, 7, 0.0, FULL)  # twice
@@ -47,15 +46,15 @@
 
 def test_a_telling_lifts_no_drain() -> None:
     stage = Stage([listing("a")], **TELLING)
-    stage.dispatcher.roster_changed([listing("a", "draining")])
-    stage.dispatcher.told_of(1, 0, 1, 0.0, ["a"])
+    stage.dispatcher.endpoints_changed([listing("a", "draining")])
+    stage.dispatcher.gossip_received(1, 0, 1, 0.0, ["a"])
     stage.submit(1)
     assert stage.where(1) is None
 
 
 def test_without_permission_nothing_is_told_or_heard() -> None:
     stage = Stage([listing("a")])
-    stage.dispatcher.told_of(1, 0, 1, 1.0, FULL)
+    stage.dispatcher.gossip_received(1, 0, 1, 1.0, FULL)
     stage.submit(1)
     stage.pass_time(SECOND)
     assert not stage.tellings and stage.dispatcher.workers["a"].others == 0
@@ -64,7 +63,7 @@
 def test_the_ring_of_the_zone_is_told_of_changes_only() -> None:
     stage = Stage([listing("a")], **TELLING)
     for teller, zone in ((5, 0), (3, 0), (4, 1)):
-        stage.dispatcher.told_of(teller, zone, 1, 0.0, [])
+        stage.dispatcher.gossip_received(teller, zone, 1, 0.0, [])
     stage.pass_time(2 * SECOND)
     stage.tellings.clear()
     stage.submit(1)
@@ -79,10 +78,10 @@
     far = listing("f")._replace(zone=1)
     for own, other, where in ((0.8, 0.1, "f"), (0.8, 0.6, None), (0.8, None, None)):
         stage = Stage([listing("a"), far], zone_crossing_price=0.02, **TELLING)
-        stage.dispatcher.told_of(1, 0, 1, own, ["a"] * 9)
+        stage.dispatcher.gossip_received(1, 0, 1, own, ["a"] * 9)
         stage.dispatcher.late_starts.extend([own] * 16)
         if other is not None:
-            stage.dispatcher.told_of(2, 1, 1, other, [])
+            stage.dispatcher.gossip_received(2, 1, 1, other, [])
         stage.dispatcher._refuses = lambda job, now: False  # type: ignore[method-assign]
         stage.submit(1)
         assert stage.where(1) == where
@@ -96,7 +95,7 @@
     refused = sum(answer == "nacked" for answer in stage.answers.values())
     assert 60 < refused < 95
     for teller in range(1, 9):
-        stage.dispatcher.told_of(teller, 0, 1, 0.0, [])
+        stage.dispatcher.gossip_received(teller, 0, 1, 0.0, [])
     for number in range(100, 200):
         stage.submit(number, grade=2, abandon_in=30 * SECOND)
     assert sum(answer == "nacked" for answer in stage.answers.values()) == refused
@@ -110,7 +109,9 @@
 
     def submit(self: Stage, *what: object, **more: object) -> None:
         held = [chance.choice(["w0", "w1", "w2", "?"]) for _ in range(chance.randrange(9))]
-        self.dispatcher.told_of(chance.randrange(99), chance.randrange(2), chance.randrange(256), 0.3, held)
+        self.dispatcher.gossip_received(
+            chance.randrange(99), chance.randrange(2), chance.randrange(256), 0.3, held
+        )
         submitted(self, *what, **more)  # type: ignore[arg-type]
 
     with pytest.MonkeyPatch.context() as patch:
@@ -121,12 +122,12 @@
 
 def test_bytes_are_read_back_and_spoilt_ones_refused() -> None:
     reader, workers = Reader(), ["10.0.0.1:80", "10.0.0.2:80"]
-    octets = write_telling(2, 9, 0.5, [workers[1], "elsewhere:1", workers[1]])
+    octets = write_gossip(2, 9, 0.5, [workers[1], "elsewhere:1", workers[1]])
     assert reader.read(octets, workers) == (2, 9, 128 / 255, [workers[1], workers[1]])
-    assert len(write_telling(0, 0, 1.0, workers * 200)) == MOST_BYTES
+    assert len(write_gossip(0, 0, 1.0, workers * 200)) == MOST_BYTES
     spoilt = [octets[:at] + bytes((octets[at] ^ 1,)) + octets[at + 1 :] for at in range(len(octets))]
     for bad in (b"", octets[:-1], octets[:4], b"\x02" + octets[1:], bytes(300), *spoilt):
-        with pytest.raises(Garbled):
+        with pytest.raises(HttpSyntaxError):
             reader.read(bad, workers)
 
 
@@ -151,15 +152,17 @@
         for each in probes:
             each.close()
         heard: list[tuple[object, ...]] = []
-        peers = [Peers(addresses, n, lambda: ["a"], lambda *told: heard.append(told)) for n in range(2)]
-        old = Peers(addresses, 1, lambda: [], lambda *told: None)
+        peers = [
+            GossipSocket(addresses, n, lambda: ["a"], lambda *told: heard.append(told)) for n in range(2)
+        ]
+        old = GossipSocket(addresses, 1, lambda: [], lambda *told: None)
         for each in (old, *peers):  # a process that replaces another opens the address while that has it
             await each.open(loop)
         old.close()
         await asyncio.sleep(0.01)
         peers[0].send(None, 1, 3, 0.0, ["a"])
         stranger = socket.socket(type=socket.SOCK_DGRAM)
-        stranger.sendto(write_telling(1, 4, 0.0, ["a"]), addresses[1])
+        stranger.sendto(write_gossip(1, 4, 0.0, ["a"]), addresses[1])
         peers[0].transport.sendto(b"garbage", addresses[1])
         for _ in range(100):
             await asyncio.sleep(0.01)
@@ -186,15 +189,15 @@
         ports = held_ports(2)
         told["listen"] = f"127.0.0.1:{ports[0]}"
         peers = [f"127.0.0.1:{ports[1]}", f"127.0.0.1:{other.getsockname()[1]}"]
-        service = Service(loop, briefing_of({**told, "peers": peers}, {}))
+        service = Service(loop, parse_config({**told, "peers": peers}, {}))
         running = loop.create_task(service.run())
         octets = await asyncio.wait_for(loop.sock_recv(other, 999), 5)
         assert Reader().read(octets, []) == (0, 0, 0.0, [])
         service._leave()
         await asyncio.wait_for(running, 5)
         other.close()
-        silent = Service(loop, briefing_of(told, {}))
-        silent.take_configuration(briefing_of({**told, "peers": peers}, {}))
+        silent = Service(loop, parse_config(told, {}))
+        silent.take_configuration(parse_config({**told, "peers": peers}, {}))
         assert not silent.router.orders["telling_permitted"]
 
     asyncio.run(run())
--- a/tests/test_asking.py
+++ b/tests/decisions/test_load_probes.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from .stage import MS, SECOND, Stage, listing
+from tests.decisions.harness import MS, SECOND, Stage, listing
 
 ASKING = {"probe_price": 0.001, "machine_kind_needed": [-1, -1, -1]}
 
@@ -10,7 +10,7 @@
 def answer(stage: Stage, worker: str, free: float, waiting: float, outcome: str = "satisfied") -> None:
     stage.probes.remove(worker)
     load = {"free_slots": free, "waiting": waiting} if outcome == "satisfied" else None
-    stage.dispatcher.probe_answered(worker, outcome, MS, load)
+    stage.dispatcher.probe_completed(worker, outcome, MS, load)
 
 
 def test_an_irreversible_one_goes_where_the_report_shows_less() -> None:
@@ -30,7 +30,7 @@
     asked = list(stage.probes)
     for worker in asked:
         stage.probes.remove(worker)
-        stage.dispatcher.probe_answered(worker, "satisfied", MS, None)
+        stage.dispatcher.probe_completed(worker, "satisfied", MS, None)
     assert stage.where(1) and stage.where(2) and not stage.probes
 
 
--- a/tests/test_mechanism.py
+++ b/tests/decisions/test_mechanism.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from .stage import MS, SECOND, Stage, listing
+from tests.decisions.harness import MS, SECOND, Stage, listing
 
 
 def test_a_placeholder_gives_its_place_to_an_arrival() -> None:
@@ -92,7 +92,7 @@
     stage.end(1, "timed_out")
     stage.submit(2)
     stage.dispatcher.workers["a"].ready = False
-    stage.dispatcher.roster_changed([listing("b", rack=2)])
+    stage.dispatcher.endpoints_changed([listing("b", rack=2)])
     stage.listed["b"] = listing("b", rack=2)
     for _ in range(20):
         stage.dispatcher._tick(stage.clock)
@@ -107,7 +107,7 @@
     stage.submit(2, grade=2, abandon_in=9 * SECOND)
     stage.pass_time(1900 * MS)
     assert stage.tries[1][0]["outcome"] == "recalled" and first in stage.probes
-    stage.dispatcher.probe_answered(first, "timed_out", 250 * MS, None)
+    stage.dispatcher.probe_completed(first, "timed_out", 250 * MS, None)
     assert stage.dispatcher.workers[first].aside
 
 
@@ -119,7 +119,7 @@
     first = stage.where(1)
     stage.pass_time(1900 * MS)
     assert stage.probes == [first]
-    stage.dispatcher.probe_answered(first, "satisfied", MS, None)
+    stage.dispatcher.probe_completed(first, "satisfied", MS, None)
     assert not stage.dispatcher.workers[first].aside and stage.tries[1][0]["outcome"] == "recalled"
 
 
@@ -128,13 +128,13 @@
     stage.submit(1)
     worker = stage.dispatcher.workers[stage.where(1)]
     stage.end(1, "unreachable")
-    stage.dispatcher.probe_answered(stage.probes.pop(), "unreachable", MS, None)
+    stage.dispatcher.probe_completed(stage.probes.pop(), "unreachable", MS, None)
     assert worker.aside
     stage.pass_time(13 * SECOND)
     assert stage.probes == [worker.name]
-    stage.dispatcher.probe_answered(worker.name, "timed_out", SECOND, None)
+    stage.dispatcher.probe_completed(worker.name, "timed_out", SECOND, None)
     assert worker.aside
-    stage.dispatcher.probe_answered(worker.name, "satisfied", MS, None)
+    stage.dispatcher.probe_completed(worker.name, "satisfied", MS, None)
     assert not worker.aside
 
 
@@ -149,7 +149,7 @@
     if probing:
         stage.submit(1)
         assert stage.probes == [worker.name] and stage.where(1) != worker.name
-        stage.dispatcher.probe_answered(stage.probes.pop(), "satisfied", MS, None)
+        stage.dispatcher.probe_completed(stage.probes.pop(), "satisfied", MS, None)
     assert not any(w.aside for w in stage.dispatcher.workers.values())
     alone = Stage([listing("a")], probing_permitted=probing)
     for number in range(2):
@@ -157,7 +157,7 @@
     alone.end(0, outcome)
     alone.end(1, outcome)
     if probing:
-        alone.dispatcher.probe_answered(alone.probes.pop(), "broken_off", MS, None)
+        alone.dispatcher.probe_completed(alone.probes.pop(), "broken_off", MS, None)
     assert alone.dispatcher.workers["a"].aside
 
 
@@ -182,7 +182,7 @@
     stage.submit(1)
     while stage.tries[1] and stage.where(1):
         stage.end(1, "unreachable")
-        stage.dispatcher.probe_answered(stage.probes.pop(), "unreachable", MS, None)
+        stage.dispatcher.probe_completed(stage.probes.pop(), "unreachable", MS, None)
         stage.pass_time(100 * MS)
     assert sum(w.aside for w in stage.dispatcher.workers.values()) == len(stage.tries[1]) > 1
 
--- a/tests/test_rules.py
+++ b/tests/decisions/test_rules.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from .stage import MS, SECOND, Stage, listing, random_run
+from tests.decisions.harness import MS, SECOND, Stage, listing, random_run
 
 
 @pytest.mark.parametrize("seed", range(40))
@@ -35,14 +35,14 @@
 
 def test_nothing_new_goes_to_a_draining_worker() -> None:
     stage = Stage([listing("a")])
-    stage.dispatcher.roster_changed([listing("a", "draining")])
+    stage.dispatcher.endpoints_changed([listing("a", "draining")])
     stage.submit(1)
     assert stage.where(1) is None
 
 
 def test_an_absent_worker_is_gone() -> None:
     stage = Stage([listing("a"), listing("b")])
-    stage.dispatcher.roster_complete([listing("b")])
+    stage.dispatcher.endpoint_list_received([listing("b")])
     for submission_id in range(4):
         stage.submit(submission_id)
         assert stage.where(submission_id) in ("b", None)
@@ -79,7 +79,7 @@
     waits = []
     for _ in range(3):
         before = stage.clock
-        stage.dispatcher.roster_lost()
+        stage.dispatcher.endpoint_watch_failed()
         watches = stage.watches
         while stage.watches == watches:
             stage.pass_time(10 * MS)
@@ -109,10 +109,10 @@
 def test_gone_binds_only_where_no_drain_is_needed() -> None:
     for only_draining in (False, True):
         stage = Stage([listing("a")], only_draining_binds=only_draining)
-        stage.dispatcher.roster_complete([])
+        stage.dispatcher.endpoint_list_received([])
         assert stage.probes == (["a"] if only_draining else []), "one that is called gone is asked"
         if only_draining:
-            stage.dispatcher.probe_answered("a", "satisfied", MS, {"free_slots": 2.0})
+            stage.dispatcher.probe_completed("a", "satisfied", MS, {"free_slots": 2.0})
         stage.submit(1)
         assert stage.where(1) == ("a" if only_draining else None)
 
@@ -120,9 +120,9 @@
 def test_a_drain_binds_beyond_its_end() -> None:
     stage = Stage([listing("a")], only_draining_binds=True)
     for condition in ("draining", "gone"):
-        stage.dispatcher.roster_changed([listing("a", condition)])
+        stage.dispatcher.endpoints_changed([listing("a", condition)])
         stage.submit(len(stage.tries))
     assert not stage.probes and not any(stage.tries.values())
-    stage.dispatcher.roster_changed([listing("a")])
-    stage.dispatcher.roster_changed([listing("a", "gone")])
+    stage.dispatcher.endpoints_changed([listing("a")])
+    stage.dispatcher.endpoints_changed([listing("a", "gone")])
     assert stage.probes == ["a"], "back since, it is gone without a drain"
--- a/tests/known_red.py
+++ b/tests/expected_failures.py
@@ -10,18 +10,18 @@
 import pytest
 
 FILE, MOST = "KNOWN-RED.txt", 3
-OUTPUT = "known_red_unknown"  # what a worker process tells the one that reports
+OUTPUT = "unknown_expected_failures"  # what a worker process tells the one that reports
 
 
-class Red(NamedTuple):
+class ExpectedFailure(NamedTuple):
     test: str  # as pytest writes it, with its parameters
     cause: str
     issue: str
 
 
-def read_known_red(path: Path) -> list[Red]:
+def read_expected_failures(path: Path) -> list[ExpectedFailure]:
     """The tests listed there, none where there is no such file. Raises UsageError with the line at fault."""
-    listed: list[Red] = []
+    listed: list[ExpectedFailure] = []
     lines = path.read_text().splitlines() if path.exists() else []
     for number, line in enumerate(lines, 1):
         if not line.strip():
@@ -29,7 +29,7 @@
         parts = [part.strip() for part in line.split(" | ")]
         if len(parts) != 3 or not all(parts) or "::" not in parts[0]:
             raise pytest.UsageError(f"{FILE}:{number}: expected 'test id | cause | issue'")
-        listed.append(Red(*parts))
+        listed.append(ExpectedFailure(*parts))
     tests = {red.test for red in listed}
     if len(tests) < len(listed):
         raise pytest.UsageError(f"{FILE}: a test is listed twice")
@@ -38,13 +38,13 @@
     return listed
 
 
-class KnownRed:
+class ExpectedFailures:
     """Plugin of one run; in a parallel one of each worker process, too."""
 
     def __init__(self, config: pytest.Config) -> None:
         """Raises UsageError where the file cannot be used."""
         self.config = config
-        self.listed = {" | ".join(red): red for red in read_known_red(config.rootpath / FILE)}
+        self.listed = {" | ".join(red): red for red in read_expected_failures(config.rootpath / FILE)}
         self.unknown: set[str] = set()
 
     def _should_be_there(self, test: str) -> bool:
--- a/tests/lease_explorer.py
+++ b/tests/leases/lease_simulation.py
@@ -12,12 +12,11 @@
 
 import msgspec
 
-from ploverspoke.leases.holder import Holder
-from ploverspoke.leases.keeper import Keeper
-from ploverspoke.leases.rules import Rule, Rules
-from ploverspoke.leases.terms import Terms
-
-from . import explorer as consensus
+from ploverspoke.leases.definitions import LeaseDefinition, LeaseDefinitions
+from ploverspoke.leases.holder import LeaseHolder
+from ploverspoke.leases.manager import LeaseManager
+from ploverspoke.leases.state_machine import LeaseStateMachine
+from tests.consensus import raft_simulation as consensus
 
 MS = 1_000_000
 LEAST, LASTS = 1000 * MS, 2000 * MS
@@ -28,7 +27,7 @@
     """An invariant does not hold."""
 
 
-class Fence:
+class FencingTokenGuard:
     """The receiving side of effects."""
 
     def __init__(self) -> None:
@@ -46,10 +45,10 @@
 
     def __init__(
         self,
-        keeper: type[Keeper] = Keeper,
-        holder: type[Holder] = Holder,
-        terms: type[Terms] = Terms,
-        fence: type[Fence] = Fence,
+        keeper: type[LeaseManager] = LeaseManager,
+        holder: type[LeaseHolder] = LeaseHolder,
+        terms: type[LeaseStateMachine] = LeaseStateMachine,
+        fence: type[FencingTokenGuard] = FencingTokenGuard,
         hears_late: bool = False,  # a keeper applies another's entries before it hears that it leads no more
     ) -> None:
         self.hears_late = hears_late
@@ -66,7 +65,7 @@
         return int(self.world.time * self.rate) + self.ahead
 
 
-class KeeperNode(Clock):
+class LeaseServerNode(Clock):
     """The host of one keeper, and its place in the model of consensus."""
 
     def __init__(self, world: "World", number: int) -> None:
@@ -126,15 +125,15 @@
     ) -> None:
         self.chance = random.Random(seed)
         self.parts = parts or Parts()
-        self.rules = Rules({NAME: Rule(places, LASTS)}, LEAST)
+        self.rules = LeaseDefinitions({NAME: LeaseDefinition(places, LASTS)}, LEAST)
         self.places = places
         self.time = 10_000 * MS  # the true one
         self.epoch = 0
         self.log: list[list[Any]] = []
         self.snapshot = b""
         self.backups: list[tuple[list[list[Any]], bytes]] = []
-        self.leader: KeeperNode | None = None
-        self.keepers = [KeeperNode(self, n) for n in range(keepers)]
+        self.leader: LeaseServerNode | None = None
+        self.keepers = [LeaseServerNode(self, n) for n in range(keepers)]
         self.holders = [HolderNode(self, n) for n in range(holders)]
         self.asks: list[tuple[int, int, dict[str, Any]]] = []
         self.post: list[tuple[int, int, dict[str, Any]]] = []
@@ -162,7 +161,7 @@
 
     # ---- What can happen ----
 
-    def elect(self, node: KeeperNode, keep: float = 0.5) -> None:
+    def elect(self, node: LeaseServerNode, keep: float = 0.5) -> None:
         """The old leader's proposals are committed up to some point; it may not know that it is deposed."""
         old = self.leader
         if old is not None:
@@ -187,7 +186,7 @@
                     then(False)
                 node.reads.clear()
 
-    def _commit(self, node: KeeperNode, tell: bool = True) -> None:
+    def _commit(self, node: LeaseServerNode, tell: bool = True) -> None:
         command, then = node.pending.pop(0)
         self.log.append(command)
         if tell:
@@ -198,13 +197,13 @@
         if self.leader is not None and self.leader.pending:
             self._commit(self.leader)
 
-    def prove(self, node: KeeperNode) -> None:
+    def prove(self, node: LeaseServerNode) -> None:
         """A majority answers those rounds that were sent while it led, and it leads still."""
         if node is self.leader and node.keeper.leading:
             node.proved += [then for epoch, then in node.reads if epoch == self.epoch]
             node.reads = [row for row in node.reads if row[0] != self.epoch]
 
-    def answer_reads(self, node: KeeperNode) -> None:
+    def answer_reads(self, node: LeaseServerNode) -> None:
         proved, node.proved = node.proved, []
         for then in proved:
             then(True)
@@ -251,7 +250,7 @@
                 node.era = era
                 node.restart()
 
-    def crash(self, node: KeeperNode) -> None:
+    def crash(self, node: LeaseServerNode) -> None:
         if node is self.leader:
             self.leader = None
             self.epoch += 1
@@ -380,10 +379,10 @@
 
 
 class Applied:
-    """Terms, with the count of entries that the consensus explorer asks for."""
+    """LeaseStateMachine, with the count of entries that the consensus explorer asks for."""
 
     def __init__(self) -> None:
-        self.terms = Terms()
+        self.terms = LeaseStateMachine()
         self.values: list[Any] = []
 
     def apply(self, index: int, command: list[Any]) -> None:
@@ -462,7 +461,7 @@
 
     def __init__(self, seed: int, parts: Parts | None = None) -> None:
         self.parts = parts or Parts()
-        self.rules = Rules({NAME: Rule(1, LASTS)}, LEAST)
+        self.rules = LeaseDefinitions({NAME: LeaseDefinition(1, LASTS)}, LEAST)
         self.later: list[tuple[RaftNode, int, Callable[[], None]]] = []  # what a loop would do next
         self.told: list[tuple[int, dict[str, Any]]] = []
         self.asked: list[tuple[str, str, dict[str, Any]]] = []
--- a/tests/test_leases_commands.py
+++ b/tests/leases/test_commands.py
@@ -1,4 +1,4 @@
-"""Keepers as operators start them, and `ploverspoke lease`; bad files and callers."""
+"""LeaseServers as operators start them, and `ploverspoke lease`; bad files and callers."""
 
 import asyncio
 import json
@@ -13,14 +13,16 @@
 
 import pytest
 
-from ploverspoke.consensus.frames import Frames
-from ploverspoke.leases.door import BadMessage, checked
-from ploverspoke.leases.orders import read_keeper_orders
-from ploverspoke.program.checked import BadKey
+from ploverspoke.consensus.framing import FrameCodec
+from ploverspoke.leases.config import read_lease_server_config
+from ploverspoke.leases.server import MessageError, checked
+from ploverspoke.service.config_reader import ConfigError
 from ploverspoke.testbed.processes.lease_run import Leases, Plan
 from ploverspoke.testbed.processes.rig import Rig
 from ploverspoke.testbed.spans import SECOND, Span
 
+RUNS_LONG = True  # scheduled first: see tests/conftest.py
+
 Call = Callable[..., Awaitable[tuple[int, str]]]
 
 
@@ -165,13 +167,13 @@
             (b"another secret than theirs", None),
             (b"a secret of the testbed's own", {"n": "x"}),
         ):
-            frames = Frames(secret, {"id": "stranger/1", "store": ""})
+            frames = FrameCodec(secret, {"id": "stranger/1", "store": ""})
             with socket.create_connection((place.own, place.ports["clients"]), 5) as connection:
-                connection.sendall(frames.hello())
+                connection.sendall(frames.greeting_frame())
                 if said is not None:
-                    while frames.other is None:
-                        frames.feed(connection.recv(4096))
-                    connection.sendall(frames.write(said))
+                    while frames.peer_greeting is None:
+                        frames.decode(connection.recv(4096))
+                    connection.sendall(frames.encode(said))
                 while connection.recv(4096):  # until it is closed on us
                     pass
         assert leases.rig.running["k0"].lives() and (await call("status"))[0] == 0
@@ -196,7 +198,7 @@
     ],
 )
 def test_a_message_of_another_form_is_refused(message: Any) -> None:
-    with pytest.raises(BadMessage):
+    with pytest.raises(MessageError):
         checked(message)
 
 
@@ -227,9 +229,9 @@
     (tmp_path / "secret").write_text("a secret that is long enough")
     file = tmp_path / "k1.json"
     file.write_text(json.dumps(GOOD))
-    rules = read_keeper_orders(file).rules
+    rules = read_lease_server_config(file).rules
     assert rules.of("restart-a") == rules.of("restart-") != rules.of("sweep") and rules.of("other") is None
     file.write_text(json.dumps({**GOOD, **change}))
-    with pytest.raises(BadKey) as caught:
-        read_keeper_orders(file)
+    with pytest.raises(ConfigError) as caught:
+        read_lease_server_config(file)
     assert str(caught.value).startswith(key)
--- a/tests/test_leases_tasks.py
+++ b/tests/leases/test_fleet_tasks.py
@@ -11,20 +11,21 @@
 import msgspec
 import pytest
 
-from ploverspoke.leases.acting import Step, act
-from ploverspoke.leases.fence import Fence
-from ploverspoke.leases.tasks import figures, put_whole, written_under
-from ploverspoke.store.ledger import CONFIGURE, Ledger
+from ploverspoke.leases.fencing import FencingTokenGuard
+from ploverspoke.leases.fleet_tasks import figures, put_whole, written_under
+from ploverspoke.leases.guarded_task import GuardedStep, act
+from ploverspoke.store.state_machine import CONFIGURE, RequestStateMachine
 from ploverspoke.testbed.processes.addresses import held_ports
 from ploverspoke.testbed.processes.lease_run import Leases
 from ploverspoke.testbed.processes.rig import listens
+from tests.leases.test_commands import Call, with_keepers
 
-from .test_leases_commands import Call, with_keepers
+RUNS_LONG = True  # scheduled first: see tests/conftest.py
 
 COUNT, PLACES = 6, 2
 
 
-class Door:
+class LeaseServer:
     """A stand-in dispatcher's operators' door. `restart` takes it out for a while, `break` for good."""
 
     def __init__(self) -> None:
@@ -66,11 +67,11 @@
     tmp_path: Path,
 ) -> None:
     async def script(leases: Leases, call: Call) -> None:
-        doors = [Door() for _ in range(COUNT)]
+        doors = [LeaseServer() for _ in range(COUNT)]
         for door in doors:
             await door.open()
 
-        async def restart(door: Door, verb: str) -> int:
+        async def restart(door: LeaseServer, verb: str) -> int:
             words = ["--ready", f"127.0.0.1:{door.port}", "--for", "1.5", "--within", "2"]
             command = ["--", sys.executable, "-c", TELLS, str(door.port), verb]
             return (await call("restart", "both", *words, *command))[0]
@@ -91,7 +92,7 @@
 
 def test_the_summary_is_one_process_s_at_a_time_and_goes_on_when_that_is_killed(tmp_path: Path) -> None:
     async def script(leases: Leases, call: Call) -> None:
-        doors = [Door() for _ in range(3)]
+        doors = [LeaseServer() for _ in range(3)]
         for door in doors:
             await door.open()
         nobody = held_ports(1)[0]
@@ -148,7 +149,7 @@
     async def script(leases: Leases, call: Call) -> None:
         rig = leases.rig
         place = rig.place("store", [], direct=["peers", "clients"])
-        example = Path(__file__).parents[1] / "deploy" / "example.json"
+        example = Path(__file__).parents[2] / "deploy" / "example.json"
         told = {"cluster": "s", "name": "r1", "folder": "store", "secret_file": "secret"}
         replicas = {"r1": {"peers": place.at("peers"), "clients": place.at("clients")}}
         store = tmp_path / "store.json"
@@ -187,10 +188,10 @@
 
 
 def test_a_store_takes_no_configuration_under_an_older_token() -> None:
-    ledger = Ledger()
+    ledger = RequestStateMachine()
     for body, token in (("a", 0), ("b", 7), ("late", 6), ("without", 0), ("c", 7), ("d", 9)):
         ledger.apply(1, [CONFIGURE, body, "me", 1, token])
-    again = Ledger()
+    again = RequestStateMachine()
     again.load(ledger.dump())
     again.apply(1, [CONFIGURE, "late", "me", 1, 8])
     assert [c.body for c in again.configurations] == ["a", "b", "c", "d"]
@@ -224,12 +225,12 @@
         await asyncio.sleep(0.02)
         did.append(token)
 
-    assert asyncio.run(act(Clocked(*lefts), "n", [Step(takes, step)] * 2)) is whole
+    assert asyncio.run(act(Clocked(*lefts), "n", [GuardedStep(takes, step)] * 2)) is whole
     assert did == [5] * done
 
 
 def test_old_tokens_are_refused_by_a_fence_and_by_the_summary(tmp_path: Path) -> None:
-    fence = Fence(most=2)
+    fence = FencingTokenGuard(most=2)
     assert [fence.takes("a", t) for t in (1, 3, 2, 3, 0, 4)] == [True, True, False, True, False, True]
     assert fence.takes("b", 1) and fence.takes("c", 1) and len(fence.seen) == 2 and fence.refused == 2
     path = tmp_path / "s.json"
--- a/tests/test_leases_explored.py
+++ b/tests/leases/test_lease_simulation.py
@@ -8,14 +8,23 @@
 import pytest
 
 from ploverspoke.leases import holder as holder_module
-from ploverspoke.leases.holder import Holder, Lease
-from ploverspoke.leases.keeper import Keeper
-from ploverspoke.leases.rules import DRIFT
-from ploverspoke.leases.terms import RELEASE, Terms
-
-from . import explorer as consensus
-from .explorer import PROCESSES
-from .lease_explorer import CHOICES, Broken, Fence, Parts, by_choices, explore, explore_raft
+from ploverspoke.leases.definitions import DRIFT
+from ploverspoke.leases.holder import Lease, LeaseHolder
+from ploverspoke.leases.manager import LeaseManager
+from ploverspoke.leases.state_machine import RELEASE, LeaseStateMachine
+from tests.consensus import raft_simulation as consensus
+from tests.consensus.raft_simulation import PROCESSES
+from tests.leases.lease_simulation import (
+    CHOICES,
+    Broken,
+    FencingTokenGuard,
+    Parts,
+    by_choices,
+    explore,
+    explore_raft,
+)
+
+RUNS_LONG = True  # scheduled first: see tests/conftest.py
 
 SCHEDULES, DEPTH = 20_000, 5
 ON_RAFT = 2_000
@@ -53,43 +62,43 @@
     assert changes > 2 * SCHEDULES and refused > 50 and changes_on_raft > ON_RAFT
 
 
-class CountsFromTheAnswer(Holder):
+class CountsFromTheAnswer(LeaseHolder):
     def told(self, message: dict[str, Any]) -> None:
         if message["n"] in self.sent:
             self.sent[message["n"]] = self.host.now()
         super().told(message)
 
 
-class NoMargin(Holder):
+class NoMargin(LeaseHolder):
     def told(self, message: dict[str, Any]) -> None:
         rows = [[name, token, int(span / (1 - DRIFT))] for name, token, span in message["has"]]
         super().told({**message, "has": rows})
 
 
-class HearsOldAnswers(Holder):
+class HearsOldAnswers(LeaseHolder):
     def want(self, name: str, duration: int) -> Lease:
         lease = super().want(name, duration)
         lease.first = 0
         return lease
 
 
-class GrantsAtOnce(Keeper):
+class GrantsAtOnce(LeaseManager):
     def leads(self, era: int = 0) -> None:
         super().leads(era)
         self.deadlines = dict.fromkeys(self.deadlines, self.host.now())
 
 
-class BeginsAgain(Terms):
+class BeginsAgain(LeaseStateMachine):
     def next_token(self) -> int:
         return self.last + 1
 
 
-class ForgetsTheRestore(Keeper):
+class ForgetsTheRestore(LeaseManager):
     def leads(self, era: int = 0) -> None:
         super().leads(self.terms.era)
 
 
-class RenewsWhatIsOver(Keeper):
+class RenewsWhatIsOver(LeaseManager):
     """What has been said to be over is renewed as long as the log does not say so, and once more after."""
 
     def _answer(self, holder: str, message: dict[str, Any]) -> None:
@@ -97,7 +106,7 @@
         self.host.tell(holder, {"n": message["n"], "has": rows, "lost": [], "refused": []})
 
 
-class ReleasesForAnybody(Keeper):
+class ReleasesForAnybody(LeaseManager):
     def _released(self, holder: str, rows: Any) -> None:
         """An old holder's word, or an old word, ends what another has by now."""
         found = [[name, one.token] for name, _, _ in rows for one in self.terms.names.get(name, ())]
@@ -105,12 +114,12 @@
             self.host.propose([RELEASE, found], lambda yes: None)
 
 
-class TakesAll(Fence):
+class TakesAll(FencingTokenGuard):
     def takes(self, token: int) -> bool:
         return True
 
 
-class ProvesNothing(Keeper):
+class ProvesNothing(LeaseManager):
     """Answers renewals without a majority's word."""
 
     def _confirm(self) -> None:
--- a/tests/test_leases_parts.py
+++ b/tests/leases/test_manager.py
@@ -1,17 +1,24 @@
-"""Keepers and holders event by event: order of waiting, no herd, handing over, what is left out."""
+"""LeaseServers and holders event by event: order of waiting, no herd, handing over, what is left out."""
 
 from collections.abc import Callable
 from typing import Any
 
 import pytest
 
-from ploverspoke.leases.holder import Holder
-from ploverspoke.leases.keeper import Keeper
-from ploverspoke.leases.rules import Rule, Rules
-from ploverspoke.leases.terms import Terms
+from ploverspoke.leases.definitions import LeaseDefinition, LeaseDefinitions
+from ploverspoke.leases.holder import LeaseHolder
+from ploverspoke.leases.manager import LeaseManager
+from ploverspoke.leases.state_machine import LeaseStateMachine
 
 S = 1_000_000_000
-RULES = Rules({"one": Rule(1, 10 * S), "three": Rule(3, 10 * S), "team-*": Rule(1, 10 * S)}, S)
+RULES = LeaseDefinitions(
+    {
+        "one": LeaseDefinition(1, 10 * S),
+        "three": LeaseDefinition(3, 10 * S),
+        "team-*": LeaseDefinition(1, 10 * S),
+    },
+    S,
+)
 
 
 class Host:
@@ -19,11 +26,11 @@
 
     def __init__(self) -> None:
         self.clock = 100 * S
-        self.terms = Terms()
+        self.terms = LeaseStateMachine()
         self.told: list[tuple[str, dict[str, Any]]] = []
         self.proposed: list[tuple[list[Any], Callable[[bool], None]]] = []
         self.commands = 0
-        self.keeper = Keeper(self, self.terms, RULES)
+        self.keeper = LeaseManager(self, self.terms, RULES)
         self.keeper.leads()
         self.number = 0
 
@@ -136,7 +143,7 @@
         self.clock = 50 * S
         self.sent: list[dict[str, Any]] = []
         self.elsewhere = 0
-        self.holder = Holder(self)
+        self.holder = LeaseHolder(self)
 
     def now(self) -> int:
         return self.clock
--- a/tests/test_leases_processes.py
+++ b/tests/leases/test_processes.py
@@ -1,4 +1,5 @@
-"""Keepers and contenders as real processes, killed, paused and cut off; what a resource saw is judged."""
+"""LeaseServers and contenders as real processes, killed, paused and cut off; what a resource saw is
+judged."""
 
 import pytest
 
@@ -8,6 +9,8 @@
 from ploverspoke.testbed.processes.timeline import Step
 from ploverspoke.testbed.spans import MILLISECOND, SECOND, Span
 
+RUNS_LONG = True  # scheduled first: see tests/conftest.py
+
 MS = MILLISECOND
 
 
--- a/tests/test_protocol.py
+++ b/tests/protocol/test_protocol.py
@@ -8,8 +8,8 @@
 import pytest
 
 from ploverspoke.protocol import clients, discovery, workers
-from ploverspoke.protocol.heads import Garbled
-from ploverspoke.transport.ends import End
+from ploverspoke.protocol.http_messages import HttpSyntaxError
+from ploverspoke.transport.outcomes import ExchangeOutcome
 
 
 def test_a_job_keeps_all_that_its_client_said_of_it() -> None:
@@ -59,7 +59,7 @@
     def progressed(self, share_done: float) -> None:
         self.said.append(share_done)
 
-    def ended(self, end: End, result: str, load: Any) -> None:
+    def ended(self, end: ExchangeOutcome, result: str, load: Any) -> None:
         self.said.append((end, result, load))
 
     def message_over(self, reusable: bool) -> None:
@@ -88,7 +88,7 @@
     answer += b"%x\r\n" % len(lines) + lines + b"\r\n0\r\n\r\n"
     in_pieces(chance, answer, workers.JobAnswer(heard, "free_slots", "7").feed)
     load = {"waiting": 2.0, "free_slots": 1.0}
-    assert heard.said == ["started", 0.5, (End.SERVED, "ok", load), True]
+    assert heard.said == ["started", 0.5, (ExchangeOutcome.SERVED, "ok", load), True]
 
 
 @pytest.mark.parametrize("seed", range(30))
@@ -110,11 +110,11 @@
         discovery.ListAnswer(lambda body, lasts: None),
     ]
     for reader in readers:
-        with contextlib.suppress(Garbled):
+        with contextlib.suppress(HttpSyntaxError):
             reader.feed(
                 memoryview(chance.choice([b"", head + b"%x\r\n" % len(line) + line]) + chance.randbytes(99))
             )
-    assert not [said for said in heard.said if said[0] is End.SERVED]
+    assert not [said for said in heard.said if said[0] is ExchangeOutcome.SERVED]
 
 
 @pytest.mark.parametrize(
@@ -130,7 +130,7 @@
     ],
 )
 def test_a_list_that_is_none_is_garbled(told: bytes) -> None:
-    with pytest.raises(Garbled):
+    with pytest.raises(HttpSyntaxError):
         discovery.read_list(told, lambda *entry: None)
 
 
@@ -170,7 +170,7 @@
     ("message", "read", "last"),
     [
         (REQUEST, read_request, None),
-        (WORKER, read_answer, (End.SERVED, "abc", {})),
+        (WORKER, read_answer, (ExchangeOutcome.SERVED, "abc", {})),
         (ROSTER, read_roster, (ROSTER[-42:], True)),
     ],
 )
--- a/tests/test_terms.py
+++ b/tests/routing/test_acceptance_rules.py
@@ -21,9 +21,8 @@
 from ploverspoke.testbed.records import CAME, UP
 from ploverspoke.testbed.virtual import World as VirtualWorld
 from ploverspoke.testbed.worker import Worker
-
-from .stage import SETTINGS
-from .test_crossings import (
+from tests.decisions.harness import SETTINGS
+from tests.routing.test_race_conditions import (
     CALM,
     GRADES,
     Clock,
@@ -38,7 +37,7 @@
     turns,
     until,
 )
-from .test_service import World, listed, message, play
+from tests.routing.test_service import World, listed, message, play
 
 MS, SECOND = 1_000_000, 1_000_000_000
 
--- a/tests/test_operators.py
+++ b/tests/routing/test_admin_server.py
@@ -6,20 +6,19 @@
 
 import pytest
 
-from ploverspoke.protocol.operators import BadCall, CallReader, label
-from ploverspoke.routing.operators import MOST_CALLERS
-
-from .test_service import WAYS, World, message, play
+from ploverspoke.protocol.admin import AdminCallError, CallReader, label
+from ploverspoke.routing.admin_server import MOST_CALLERS
+from tests.routing.test_service import WAYS, World, message, play
 
 
 @pytest.mark.parametrize(
     ("said", "call"),
-    [(b"check\n", "check"), (b"vars\r\n", "vars"), (b"\n", ""), (b"chec", None), (b"x" * 65, BadCall)]
+    [(b"check\n", "check"), (b"vars\r\n", "vars"), (b"\n", ""), (b"chec", None), (b"x" * 65, AdminCallError)]
     + [
-        (b"check\nvars\n", BadCall),
-        ("čeka\n".encode(), BadCall),
-        (b"a\x00b\n", BadCall),
-        (b"a\rb\n", BadCall),
+        (b"check\nvars\n", AdminCallError),
+        ("čeka\n".encode(), AdminCallError),
+        (b"a\x00b\n", AdminCallError),
+        (b"a\rb\n", AdminCallError),
     ],
 )
 def test_a_call_reads_the_same_cut_anywhere(said: bytes, call: Any) -> None:
@@ -29,8 +28,8 @@
             for part in (said[:cut], said[cut:]):
                 found = found if found is not None else reader.feed(memoryview(part))
             got: Any = found
-        except BadCall:
-            got = BadCall
+        except AdminCallError:
+            got = AdminCallError
         assert got == call or (
             b"\n" in said[:cut] and cut < len(said)
         )  # what follows a whole call is not read
--- a/tests/test_crossings.py
+++ b/tests/routing/test_race_conditions.py
@@ -22,20 +22,19 @@
 import pytest
 import uvloop
 
-from ploverspoke.program.standing_orders import names, standing_orders
 from ploverspoke.protocol.discovery import read_list
 from ploverspoke.protocol.workers import JobAnswer
-from ploverspoke.routing.door import ClientSession
-from ploverspoke.routing.errands import Errand
-from ploverspoke.routing.roster import RosterWatch
+from ploverspoke.routing.client_server import ClientSession
+from ploverspoke.routing.endpoint_watch import EndpointWatch
+from ploverspoke.routing.worker_calls import WorkerCall
+from ploverspoke.service.settings import names, standing_orders
 from ploverspoke.testbed.processes.addresses import held_ports
+from ploverspoke.transport.connection_pool import Pool
 from ploverspoke.transport.deadlines import Deadlines
-from ploverspoke.transport.ends import End
-from ploverspoke.transport.pools import Pool
-
-from .stage import SETTINGS
-from .test_service import World, chunk, listed, play
-from .test_transport import Caller
+from ploverspoke.transport.outcomes import ExchangeOutcome
+from tests.decisions.harness import SETTINGS
+from tests.routing.test_service import World, chunk, listed, play
+from tests.transport.test_transport import PoolUser
 
 MS, SECOND = 1_000_000, 1_000_000_000
 # No probes: which worker is asked first is not what these tests are about. Nothing is late by itself.
@@ -367,7 +366,7 @@
         await answered(world)
         pool, address = world.service.pool, world.entries[0]["addr"]
         rested = next(iter(pool.connections))
-        next_one = Caller()
+        next_one = PoolUser()
         assert rested.user is not None
         rested.user.bytes_came()
         pool.call(address, next_one)
@@ -445,7 +444,7 @@
 def test_a_connection_given_up_while_it_comes_up_is_closed_and_counted_once(after: int, way: str) -> None:
     async def script() -> None:
         loop = asyncio.get_running_loop()
-        worker, pool, told = HeldWorker(), Pool(loop, Deadlines(loop), 4, SECOND, 60 * SECOND), Caller()
+        worker, pool, told = HeldWorker(), Pool(loop, Deadlines(loop), 4, SECOND, 60 * SECOND), PoolUser()
 
         opening = pool.call(f"127.0.0.1:{worker.port}", told)
         assert opening is not None
@@ -496,12 +495,12 @@
 
             def errand_progressed(self, share_done: float) -> None: ...
 
-            def errand_ended(self, end: End, result: str, load: Any) -> None:
+            def errand_ended(self, end: ExchangeOutcome, result: str, load: Any) -> None:
                 # A second copy may go out now: the first must be at its end.
                 ends.append((end, bool(errand.answer.over) or errand.connection is None))
 
         address = f"127.0.0.1:{worker.port}"
-        errand = Errand(
+        errand = WorkerCall(
             pool,
             address,
             lambda left: b"POST /book HTTP/1.1\r\nrequest-id: r\r\n\r\nx",
@@ -527,7 +526,7 @@
         await until(lambda: pool.held() == len(pool.resting[address]))
         assert len(ends) == 1 and ends[0][1]
         if state != "written":
-            never_ran = {End.WITHHELD, End.UNSENT}
+            never_ran = {ExchangeOutcome.WITHHELD, ExchangeOutcome.UNSENT}
             assert ends[0][0] in never_ran or not worker.peers[0].requests()
             assert sum(p.requests() for p in worker.called()) == 0
 
@@ -546,7 +545,7 @@
         self.clock, self.lists, self.lost = Clock(deadlines), list[int](), list[bool]()
         self.clock.hold()
         address, lost = f"127.0.0.1:{self.discovery.port}", self.lost.append
-        self.watch = RosterWatch(loop, deadlines, address, 10 * SECOND, self.told, lost, pushed)
+        self.watch = EndpointWatch(loop, deadlines, address, 10 * SECOND, self.told, lost, pushed)
 
     def told(self, body: bytes) -> tuple[int, bool]:
         version, whole = read_list(body, lambda *entry: None)
@@ -705,7 +704,7 @@
     async def script(world: World) -> None:
         clock, pushed = Clock(world.service.deadlines), {**SETTINGS, **CALM, "Discovery": "push"}
         await until(lambda: world.watches)
-        world.service.router.orders_changed(standing_orders(pushed), names(pushed))
+        world.service.router.settings_changed(standing_orders(pushed), names(pushed))
         clock.hold()  # a pause never ends now
         asked = world.watches
         world.told[-1][1].transport.abort()
--- a/tests/test_service.py
+++ b/tests/routing/test_service.py
@@ -16,13 +16,14 @@
 import pytest
 import uvloop
 
-from ploverspoke.program.briefing import Briefing
-from ploverspoke.program.service import Service
-from ploverspoke.program.standing_orders import names, standing_orders
-from ploverspoke.routing import errands
+from ploverspoke.routing import worker_calls
+from ploverspoke.service.config import Config
+from ploverspoke.service.service import Service
+from ploverspoke.service.settings import names, standing_orders
 from ploverspoke.testbed.processes.addresses import held_ports
+from tests.decisions.harness import SETTINGS
 
-from .stage import SETTINGS
+RUNS_LONG = True  # scheduled first: see tests/conftest.py
 
 Told = Callable[[asyncio.StreamReader, asyncio.StreamWriter, dict[str, str], bytes], Awaitable[None]]
 
@@ -67,7 +68,7 @@
         told = {**SETTINGS, **settings}
         self.service = Service(
             asyncio.get_running_loop(),
-            Briefing(
+            Config(
                 "n0",
                 ("127.0.0.1", self.port),
                 ("127.0.0.1", self.admin_port),
@@ -504,7 +505,7 @@
 def test_a_connection_dropped_under_a_job_has_not_run_it(monkeypatch: pytest.MonkeyPatch) -> None:
     # Workers drop resting connections unseen, or reset new ones: irreversible jobs were lost with each.
     # The stand-in shares our loop: on a busy machine it may read what we wrote some ms later.
-    monkeypatch.setattr(errands, "LAST_BYTE_AFTER", 100_000_000)
+    monkeypatch.setattr(worker_calls, "LAST_BYTE_AFTER", 100_000_000)
 
     async def script(world: World) -> None:
         async def drop_jobs(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -550,7 +551,7 @@
         def fault(*what: Any) -> None:
             raise ZeroDivisionError("a fault in the decisions")
 
-        world.service.router.dispatcher.hand_off_ended = fault  # type: ignore[method-assign]
+        world.service.router.dispatcher.attempt_ended = fault  # type: ignore[method-assign]
         world.behave = {"w0": fail, "w1": fail}
         assert (await world.ask(world.request("r", "book")))[0] == 504
         assert (await world.ask(b"GET /-/ready HTTP/1.1\r\n\r\n"))[0] == 200
--- a/tests/test_briefing.py
+++ b/tests/service/test_config.py
@@ -7,10 +7,9 @@
 
 import pytest
 
-from ploverspoke.program.briefing import read_briefing
-from ploverspoke.program.checked import BadKey
-
-from .stage import SETTINGS
+from ploverspoke.service.config import read_config
+from ploverspoke.service.config_reader import ConfigError
+from tests.decisions.harness import SETTINGS
 
 GOOD: dict[str, Any] = {
     "name": "n3",
@@ -25,7 +24,7 @@
 def read(told: Any, folder: Path, **environment: str) -> Any:
     path = folder / "config.json"
     path.write_text(told if isinstance(told, str) else json.dumps(told))
-    return read_briefing({"RELAY_CONFIG": str(path), **environment})
+    return read_config({"RELAY_CONFIG": str(path), **environment})
 
 
 def test_what_is_left_out_gets_its_default(tmp_path: Path) -> None:
@@ -69,16 +68,16 @@
     for step in path[:-1]:
         table = table[step]
     table[path[-1]] = value
-    with pytest.raises(BadKey, match=complaint):
+    with pytest.raises(ConfigError, match=complaint):
         read(told, tmp_path)
 
 
 def test_a_file_that_is_none_is_named(tmp_path: Path) -> None:
-    with pytest.raises(BadKey, match="RELAY_CONFIG is not set"):
-        read_briefing({})
-    with pytest.raises(BadKey, match="cannot be read"):
-        read_briefing({"RELAY_CONFIG": str(tmp_path / "none")})
-    with pytest.raises(BadKey, match="no JSON"):
+    with pytest.raises(ConfigError, match="RELAY_CONFIG is not set"):
+        read_config({})
+    with pytest.raises(ConfigError, match="cannot be read"):
+        read_config({"RELAY_CONFIG": str(tmp_path / "none")})
+    with pytest.raises(ConfigError, match="no JSON"):
         read("{", tmp_path)
 
 
--- a/tests/test_upgrade.py
+++ b/tests/service/test_handover.py
@@ -14,16 +14,15 @@
 import pytest
 import uvloop
 
-from ploverspoke.program.checked import BadKey
-from ploverspoke.program.neighbours import Neighbours
-from ploverspoke.program.passed import passed_socket
+from ploverspoke.service.config_reader import ConfigError
+from ploverspoke.service.handover import ProcessRegistry
+from ploverspoke.service.inherited_socket import inherited_socket
 from ploverspoke.testbed.processes.addresses import held_ports
-from ploverspoke.transport.shares import share_out
+from ploverspoke.transport.resource_limits import split_resources
 from ploverspoke.transport.units import MEBIBYTE
-
-from .stage import SETTINGS
-from .test_operators import call, figures, operations
-from .test_service import World, message
+from tests.decisions.harness import SETTINGS
+from tests.routing.test_admin_server import call, figures, operations
+from tests.routing.test_service import World, message
 
 
 @pytest.fixture
@@ -35,19 +34,23 @@
 
 
 def test_only_a_listening_socket_is_taken(listening: socket.socket, tmp_path: Path) -> None:
-    assert passed_socket({}) is None
-    taken = passed_socket({"RELAY_PASSED_SOCKET": str(os.dup(listening.fileno()))})
+    assert inherited_socket({}) is None
+    taken = inherited_socket({"RELAY_PASSED_SOCKET": str(os.dup(listening.fileno()))})
     assert taken is not None and taken.getsockname() == listening.getsockname()
     taken.close()
     with socket.socket() as deaf, (tmp_path / "file").open("w") as file:
         for named in ("five", "-1", "9999", str(deaf.fileno()), str(file.fileno())):
-            with pytest.raises(BadKey, match="RELAY_PASSED_SOCKET"):
-                passed_socket({"RELAY_PASSED_SOCKET": named})
+            with pytest.raises(ConfigError, match="RELAY_PASSED_SOCKET"):
+                inherited_socket({"RELAY_PASSED_SOCKET": named})
         deaf.getsockname()  # and is left open
 
 
 def test_neighbours_see_the_living_only(tmp_path: Path) -> None:
-    first, second, blind = Neighbours(str(tmp_path)), Neighbours(str(tmp_path)), Neighbours("/nowhere")
+    first, second, blind = (
+        ProcessRegistry(str(tmp_path)),
+        ProcessRegistry(str(tmp_path)),
+        ProcessRegistry("/nowhere"),
+    )
     for each in (first, second, blind):
         each.enter()
     (tmp_path / "ploverspoke-1-dead").touch()
@@ -59,7 +62,7 @@
 
 def test_two_processes_hold_no_more_than_one_may() -> None:
     for sockets, memory in ((256, 32), (384, 80), (1024, 192)):
-        one, half = (share_out(sockets, memory * MEBIBYTE, n) for n in (1, 2))
+        one, half = (split_resources(sockets, memory * MEBIBYTE, n) for n in (1, 2))
         assert half.workers * 2 <= one.workers and half.clients * 2 <= one.clients
         assert half.workers > 0 and half.clients > 0 and half.buffered >= 4 * 65536
 
--- a/tests/test_migration.py
+++ b/tests/service/test_migration.py
@@ -9,10 +9,9 @@
 from click.testing import CliRunner
 
 from ploverspoke.cli import main
-from ploverspoke.program.briefing import briefing_of
-from ploverspoke.program.checked import BadKey
-
-from .test_briefing import GOOD
+from ploverspoke.service.config import parse_config
+from ploverspoke.service.config_reader import ConfigError
+from tests.service.test_config import GOOD
 
 PEERS = ["127.0.0.1:9301", "127.0.0.1:9302"]
 
@@ -43,7 +42,7 @@
     assert notes["settings.Tariffs.Peer"] == "to supply"
     made = json.loads(new.read_text())
     assert made["settings"]["Surprise"] == 1 and json.loads(old.read_text()) == told
-    briefing = briefing_of(made, {})
+    briefing = parse_config(made, {})
     assert len(briefing.peers) == 2 and briefing.orders["telling_permitted"]
     assert not briefing.orders["probing_permitted"] and briefing.orders["load_reports"] == "none"
     assert call(old, new)[0] == 2 and json.loads(new.read_text()) == made
@@ -83,8 +82,8 @@
 def test_wrong_addresses_of_peers_end_the_start(peers: list[str], limits: Any, key: str) -> None:
     settings = {**GOOD["settings"], "PeersTotal": 2}
     settings["Limits"] = {**settings["Limits"], **limits}
-    with pytest.raises(BadKey, match=key):
-        briefing_of({**GOOD, "settings": settings, "peers": peers}, {})
+    with pytest.raises(ConfigError, match=key):
+        parse_config({**GOOD, "settings": settings, "peers": peers}, {})
 
 
 def test_permitted_messages_without_addresses_are_said(tmp_path: Path) -> None:
@@ -92,12 +91,12 @@
     path = put(tmp_path / "c.json", {**GOOD, "settings": settings})
     result = CliRunner().invoke(main, ["check", str(path)])
     assert result.exit_code == 0 and "cannot be sent" in result.output
-    briefing = briefing_of(json.loads(path.read_text()), {})
+    briefing = parse_config(json.loads(path.read_text()), {})
     assert briefing.cannot_tell and not briefing.orders["telling_permitted"]
 
 
 def test_a_fleet_that_cannot_be_asked_keeps_its_rules() -> None:
     # A hung, a slow and two pausing workers, a fleet that shrinks, four in ten dispatchers gone and back.
-    file = Path(__file__).parents[1] / "experiments" / "unasked.toml"
+    file = Path(__file__).parents[2] / "experiments" / "unasked.toml"
     result = CliRunner().invoke(main, ["testbed", "run", str(file), "--seed", "1", "--policy", "ours"])
     assert result.exit_code == 0, result.output
--- a/tests/test_settings_change.py
+++ b/tests/service/test_settings_change.py
@@ -9,13 +9,12 @@
 
 import pytest
 
-from ploverspoke.program.briefing import read_briefing
-from ploverspoke.program.standing_orders import names, standing_orders
-from ploverspoke.routing.rows import EACH_GRADE, Rows
-
-from .stage import MS, SETTINGS, Stage, listing
-from .test_operators import figures
-from .test_service import World, play, turn_away
+from ploverspoke.routing.request_classes import EACH_GRADE, RequestClassTable
+from ploverspoke.service.config import read_config
+from ploverspoke.service.settings import names, standing_orders
+from tests.decisions.harness import MS, SETTINGS, Stage, listing
+from tests.routing.test_admin_server import figures
+from tests.routing.test_service import World, play, turn_away
 
 GRADES = SETTINGS["ServiceGrades"]
 
@@ -35,7 +34,7 @@
     }
     assert for_each == {*EACH_GRADE, "grades"}, "a value for each grade that is not numbered anew"
     orders = standing_orders(settings())
-    rows, open_now = Rows(["look", "book"]), list[tuple[int, dict[str, Any]]]()
+    rows, open_now = RequestClassTable(["look", "book"]), list[tuple[int, dict[str, Any]]]()
     for _ in range(200):
         grades = [
             {**GRADES[rng.randrange(2)], "Name": each}
@@ -65,7 +64,7 @@
     for row in EACH_GRADE:
         if row != "most_hand_offs":
             orders[row] = [*stage.orders[row], stage.orders[row][2]]
-    stage.dispatcher.orders_changed(orders, {3: 0})
+    stage.dispatcher.settings_changed(orders, {3: 0})
     assert stage.dispatcher.highest_benefit == stage.orders["benefit"][2] and not stage.dispatcher.some_repeat
     assert stage.dispatcher.kinds_sought == {1}
     for spent in range(1, 4):
@@ -99,7 +98,7 @@
         service = world.service
         base = {"listen": f"127.0.0.1:{world.port}", "discovery": "127.0.0.1:9", "settings": settings()}
         base["admin_addr"] = f"127.0.0.1:{world.admin_port}"
-        service.read = lambda: read_briefing({"RELAY_CONFIG": str(path)})
+        service.read = lambda: read_config({"RELAY_CONFIG": str(path)})
         service.briefing = service.briefing._replace(told=base, discovery="127.0.0.1:9")
         before = (service.briefing, service.router.orders, dict(service.router.rows.numbers))
         bad = copy.deepcopy(base)
@@ -121,7 +120,7 @@
     async def script(world: World) -> None:
         service = world.service
         base = {"listen": f"127.0.0.1:{world.port}", "discovery": service.briefing.discovery}
-        service.read = lambda: read_briefing({"RELAY_CONFIG": str(path), "RELAY_ADMIN_ADDR": "127.0.0.1:1"})
+        service.read = lambda: read_config({"RELAY_CONFIG": str(path), "RELAY_ADMIN_ADDR": "127.0.0.1:1"})
 
         def signalled(told: Any) -> None:
             path.write_text(told if isinstance(told, str) else json.dumps({**base, "settings": told}))
--- a/tests/test_simwire.py
+++ b/tests/simulator/test_simulator.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from ploverspoke.simwire.adapter import Adapter
-from ploverspoke.simwire.codec import Malformed, read_line
+from ploverspoke.simulator.adapter import Adapter
+from ploverspoke.simulator.codec import CodecError, read_line
 
 
 def play(text: str) -> str:
@@ -35,10 +35,10 @@
     ],
 )
 def test_malformed_input_ends_with_a_plain_complaint(line: str, complaint: str) -> None:
-    with pytest.raises(Malformed, match=complaint):
+    with pytest.raises(CodecError, match=complaint):
         play(f"MARK AtTimeUs=1 serial=1\n{line}\nGO\n")
 
 
 def test_an_input_that_ends_inside_a_batch_is_malformed() -> None:
-    with pytest.raises(Malformed, match="inside a batch"):
+    with pytest.raises(CodecError, match="inside a batch"):
         play("MARK AtTimeUs=1 serial=1\n")
--- a/tests/test_store_router.py
+++ b/tests/store/test_request_log.py
@@ -5,24 +5,25 @@
 
 import pytest
 
-from ploverspoke.routing.scribe import Past, Then
+from ploverspoke.routing.request_log import CommitCallback, PreviousOutcome
 from ploverspoke.testbed.audit import SOCKETS_SLACK, audit
 from ploverspoke.testbed.experiment import experiment_of
 from ploverspoke.testbed.records import DISPATCHER_DOWN
 from ploverspoke.testbed.sockets import play_on_sockets
+from tests.decisions.harness import SECOND, SETTINGS, Stage, listing
+from tests.routing.test_service import World, message, play
+from tests.testbed.test_model import WORLD
 
-from .stage import SECOND, SETTINGS, Stage, listing
-from .test_service import World, message, play
-from .test_testbed_model import WORLD
+RUNS_LONG = True  # scheduled first: see tests/conftest.py
 
 
-class Scribe:
+class RequestLog:
     def __init__(self) -> None:
         self.leading = True
-        self.held: list[tuple[str, Then]] = []  # verbs that wait for their commit
+        self.held: list[tuple[str, CommitCallback]] = []  # verbs that wait for their commit
         self.holds: set[str] = set()
         self.outcomes: list[tuple[str, int, str]] = []
-        self.kept: dict[str, Past] = {}
+        self.kept: dict[str, PreviousOutcome] = {}
 
     def leads(self) -> bool:
         return self.leading
@@ -33,41 +34,41 @@
     def digest(self, method: str, target: str, body: bytes) -> bytes:
         return target.encode() + body
 
-    def past(self, request_id: str) -> Past | None:
+    def past(self, request_id: str) -> PreviousOutcome | None:
         return self.kept.get(request_id)
 
-    def take(self, request_id: str, grade: int, digest: bytes, left: int, then: Then) -> None:
+    def take(self, request_id: str, grade: int, digest: bytes, left: int, then: CommitCallback) -> None:
         self._commit("take", then)
 
-    def intend(self, request_id: str, worker: str, index: int, then: Then) -> None:
+    def intend(self, request_id: str, worker: str, index: int, then: CommitCallback) -> None:
         self._commit("intend", then)
 
     def outcome(self, request_id: str, index: int, outcome: str) -> None:
         self.outcomes.append((request_id, index, outcome))
 
-    def answer(self, request_id: str, how: str, result: str, digest: bytes, then: Then) -> None:
+    def answer(self, request_id: str, how: str, result: str, digest: bytes, then: CommitCallback) -> None:
         def told(yes: bool) -> None:
             if yes:
-                self.kept[request_id] = Past((how, result), digest, 0, "", 0)
+                self.kept[request_id] = PreviousOutcome((how, result), digest, 0, "", 0)
             then(yes)
 
         self._commit("answer", told)
 
-    def _commit(self, verb: str, then: Then) -> None:
+    def _commit(self, verb: str, then: CommitCallback) -> None:
         if verb in self.holds:
             self.held.append((verb, then))
         else:
             asyncio.get_running_loop().call_soon(then, True)
 
-    async def wait_for(self, verb: str) -> Then:
+    async def wait_for(self, verb: str) -> CommitCallback:
         while not self.held:
             await asyncio.sleep(0.001)
         assert self.held[0][0] == verb
         return self.held.pop(0)[1]
 
 
-def with_scribe(script: Any, *holds: str, **settings: Any) -> Scribe:
-    scribe = Scribe()
+def with_scribe(script: Any, *holds: str, **settings: Any) -> RequestLog:
+    scribe = RequestLog()
     scribe.holds = set(holds)
 
     async def run(world: World) -> None:
@@ -79,7 +80,7 @@
 
 @pytest.mark.parametrize("verb", ["take", "intend"])
 def test_nothing_irreversible_leaves_before_it_is_committed(verb: str) -> None:
-    async def script(world: World, scribe: Scribe) -> None:
+    async def script(world: World, scribe: RequestLog) -> None:
         asked = asyncio.create_task(world.ask(world.request("r1", "book")))
         commit = await scribe.wait_for(verb)
         await asyncio.sleep(0.05)
@@ -92,7 +93,7 @@
 
 @pytest.mark.parametrize("lost", ["leadership", "commit"])
 def test_an_intent_that_came_too_late_sends_nothing(lost: str) -> None:
-    async def script(world: World, scribe: Scribe) -> None:
+    async def script(world: World, scribe: RequestLog) -> None:
         asked = asyncio.create_task(world.ask(world.request("r1", "book")))
         commit = await scribe.wait_for("intend")
         if lost == "leadership":
@@ -111,7 +112,7 @@
 def test_a_leader_that_was_stopped_in_the_middle_of_a_send_does_not_finish_it() -> None:
     # On sockets a paused replica wrote the last byte when it woke, a second after another had abandoned the
     # job.
-    async def script(world: World, scribe: Scribe) -> None:
+    async def script(world: World, scribe: RequestLog) -> None:
         asked = asyncio.create_task(world.ask(world.request("r1", "book")))
         commit = await scribe.wait_for("intend")
         commit(True)
@@ -128,7 +129,7 @@
 
 
 def test_an_answer_is_given_when_it_is_committed_and_to_all_who_asked_for_it() -> None:
-    async def script(world: World, scribe: Scribe) -> None:
+    async def script(world: World, scribe: RequestLog) -> None:
         first = asyncio.create_task(world.ask(world.request("r1", "book")))
         commit = await scribe.wait_for("answer")
         # Its answer is on its way to be committed: taken for a new one it would be handed off again.
@@ -145,7 +146,7 @@
 
 
 def test_a_client_that_comes_back_waits_for_what_is_in_flight() -> None:
-    async def script(world: World, scribe: Scribe) -> None:
+    async def script(world: World, scribe: RequestLog) -> None:
         reader, writer = await world.connect()
         writer.write(world.request("r1", "book"))
         commit = await scribe.wait_for("intend")
@@ -162,7 +163,7 @@
 @pytest.mark.parametrize("comes_back", [False, True])
 def test_what_nobody_waits_for_and_nobody_was_sent_is_nacked(comes_back: bool) -> None:
     # The last had left while it waited for a worker, and it was sent on all the same, whenever one was ready.
-    async def script(world: World, scribe: Scribe) -> None:
+    async def script(world: World, scribe: RequestLog) -> None:
         ready = world.entries
         await world.tell([{**entry, "state": "Terminating"} for entry in ready])
         _, writer = await world.connect()
@@ -185,7 +186,7 @@
 
 
 def test_clients_are_sent_on_to_the_leader() -> None:
-    async def script(world: World, scribe: Scribe) -> None:
+    async def script(world: World, scribe: RequestLog) -> None:
         scribe.leading = False
         status, headers, _ = await world.ask(world.request("r1", "book"))
         assert status == 307 and headers["location"] == "http://127.0.0.1:9/book/1?a=b"
@@ -198,11 +199,11 @@
 
 
 def test_a_lost_one_is_not_sent_again_and_a_free_one_is() -> None:
-    async def script(world: World, scribe: Scribe) -> None:
+    async def script(world: World, scribe: RequestLog) -> None:
         digest = scribe.digest("POST", "/book/1?a=b", b"x")
-        scribe.kept["lost"] = Past(None, digest, 1, "w0", 5 * SECOND)
-        scribe.kept["free"] = Past(None, digest, 1, "", 0)
-        scribe.kept["spent"] = Past(None, digest, 6, "", 0)
+        scribe.kept["lost"] = PreviousOutcome(None, digest, 1, "w0", 5 * SECOND)
+        scribe.kept["free"] = PreviousOutcome(None, digest, 1, "", 0)
+        scribe.kept["spent"] = PreviousOutcome(None, digest, 6, "", 0)
         assert (await world.ask(world.request("lost", "book")))[0] == 504
         assert (await world.ask(world.request("spent", "book")))[0] == 503
         assert (await world.ask(world.request("free", "book")))[0] == 200
@@ -216,7 +217,7 @@
         stage = Stage([listing("a", rack=1), listing("gone", rack=1), listing("b", rack=2)])
         stage.dispatcher.workers["gone"].ready = False
         stage.dispatcher.workers["gone"].listing = listing("gone", rack=rack if rack == 1 else 3)
-        stage.dispatcher.submission_resumes(1, 0, "gone", stage.clock - spent)
+        stage.dispatcher.request_resumed(1, 0, "gone", stage.clock - spent)
         stage.submit(1, grade=1)
         assert stage.where(1) == place
 
--- a/tests/test_store_node.py
+++ b/tests/store/test_store_node.py
@@ -14,15 +14,15 @@
 from click.testing import CliRunner
 
 from ploverspoke.cli import main
-from ploverspoke.consensus import links
-from ploverspoke.consensus.disk import WrongStore
-from ploverspoke.consensus.frames import Frames
-from ploverspoke.consensus.members import Members
-from ploverspoke.consensus.orders import read_replica_orders
-from ploverspoke.program.checked import BadKey
-from ploverspoke.store.ledger import CONFIGURE
-from ploverspoke.store.memory import RosterMemory
+from ploverspoke.consensus import peer_links
+from ploverspoke.consensus.cluster_config import read_replica_config
+from ploverspoke.consensus.framing import FrameCodec
+from ploverspoke.consensus.membership import Members
+from ploverspoke.consensus.storage import ClusterMismatchError
+from ploverspoke.service.config_reader import ConfigError
+from ploverspoke.store.endpoint_cache import EndpointCache
 from ploverspoke.store.node import StoreNode
+from ploverspoke.store.state_machine import CONFIGURE
 from ploverspoke.testbed.processes.addresses import held_ports
 
 
@@ -52,7 +52,7 @@
         return path
 
     async def start(self, name: str, new: bool = False, join: str = "", **changes: Any) -> StoreNode:
-        node = self.nodes[name] = StoreNode(read_replica_orders(self.file(name, **changes)))
+        node = self.nodes[name] = StoreNode(read_replica_config(self.file(name, **changes)))
         await node.open(new, join)
         return node
 
@@ -205,7 +205,7 @@
         await cluster.stop(lost)
         for path in (tmp_path / lost).iterdir():
             path.unlink()
-        with pytest.raises(WrongStore, match="--join"):
+        with pytest.raises(ClusterMismatchError, match="--join"):
             await cluster.start(lost)
         cluster.nodes.pop(lost)
         mark = leader.status()["store"]
@@ -249,14 +249,14 @@
         ({"election_ms": 1}, "election_ms"),
     ]
     for change, key in bad:
-        with pytest.raises(BadKey, match=key):
-            read_replica_orders(cluster.file("r0", **change))
+        with pytest.raises(ConfigError, match=key):
+            read_replica_config(cluster.file("r0", **change))
 
 
 def test_the_roster_is_put_together_from_what_discovery_told() -> None:
     kept: list[Any] = []
     clock = [0.0]
-    memory = RosterMemory(kept.append, None, lambda: clock[0])
+    memory = EndpointCache(kept.append, None, lambda: clock[0])
 
     def tell(version: int, full: bool, *servers: tuple[str, str]) -> None:
         entries = [{"id": who, "state": state} for who, state in servers]
@@ -271,7 +271,7 @@
     # A restart goes on from what was kept; changes alone are not taken for the whole.
     for known, wanted in ((kept[-1], ["a", "c"]), (None, None)):
         later: list[Any] = []
-        again = RosterMemory(later.append, known, lambda: 9.0)
+        again = EndpointCache(later.append, known, lambda: 9.0)
         again.told(b'{"version": 4, "full": false, "servers": []}')
         assert [[s["id"] for s in one["servers"]] for one in later] == ([wanted] if wanted else [])
 
@@ -279,7 +279,7 @@
 def test_a_configuration_is_the_same_on_all_replicas_and_after_a_restart(tmp_path: Path) -> None:
     """The real program, three times: one version is committed, a bad one refused, and a restart knows it."""
     cluster = Cluster(tmp_path, 3)
-    example = json.loads((Path(__file__).parents[1] / "deploy" / "example.json").read_text())
+    example = json.loads((Path(__file__).parents[2] / "deploy" / "example.json").read_text())
     told = {k: v for k, v in example.items() if k != "known"}
     (tmp_path / "c.json").write_text(json.dumps(told))
     run = CliRunner()
@@ -325,8 +325,8 @@
         for process in running.values():
             process.kill()
             process.wait()
-    told_of = run.invoke(main, ["store", "inspect", str(files["r1"]), "--json"])
-    assert json.loads(told_of.output)["configurations"] == [1]
+    gossip_received = run.invoke(main, ["store", "inspect", str(files["r1"]), "--json"])
+    assert json.loads(gossip_received.output)["configurations"] == [1]
     fresh = cluster.file("r1", folder="restored")
     assert run.invoke(main, ["store", "restore", str(fresh), str(copy)]).exit_code == 0
     assert run.invoke(main, ["store", "restore", str(fresh), str(copy)]).exit_code == 2
@@ -337,20 +337,20 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A replica that is cut off: what waits for it is stale, and must not go out before anything new."""
-    monkeypatch.setattr(links, "STUCK_FOR", 0.2)
+    monkeypatch.setattr(peer_links, "STUCK_FOR", 0.2)
     secret, greeting = b"a secret of the test", {"id": "b.1", "store": "s"}
     dialled: list[asyncio.Transport] = []
 
     class Deaf(asyncio.Protocol):
         def connection_made(self, transport: Any) -> None:
-            transport.write(Frames(secret, greeting).hello())
+            transport.write(FrameCodec(secret, greeting).greeting_frame())
             asyncio.get_running_loop().call_soon(transport.pause_reading)
             dialled.append(transport)
 
     async def scene() -> None:
         loop = asyncio.get_running_loop()
         server = await loop.create_server(Deaf, "127.0.0.1", 0)
-        told = links.Links(secret, {"id": "a.1", "store": "s"}, lambda *_: None, lambda *_: None)
+        told = peer_links.PeerLinks(secret, {"id": "a.1", "store": "s"}, lambda *_: None, lambda *_: None)
         told.set_peers({"b.1": f"127.0.0.1:{server.sockets[0].getsockname()[1]}"})
         await until(lambda: "b.1" in told.outbound and told.outbound["b.1"].ready)
         first = told.outbound["b.1"]
@@ -361,7 +361,8 @@
 
         await until(is_stuck)
         assert (
-            first.transport is None or first.transport.get_write_buffer_size() <= links.MOST_UNSENT + 70_000
+            first.transport is None
+            or first.transport.get_write_buffer_size() <= peer_links.MOST_UNSENT + 70_000
         )
         await until(lambda: len(dialled) > 1 and told.outbound["b.1"] is not first)
         told.close()
--- a/tests/test_supervisor.py
+++ b/tests/supervisor/test_supervisor.py
@@ -17,23 +17,22 @@
 import pytest
 import uvloop
 
-from ploverspoke.program.briefing import briefing_of
-from ploverspoke.program.checked import BadKey
-from ploverspoke.supervisor.shares import child_briefing
-from ploverspoke.supervisor.watch import (
+from ploverspoke.service.config import parse_config
+from ploverspoke.service.config_reader import ConfigError
+from ploverspoke.supervisor.resource_split import child_config
+from ploverspoke.supervisor.supervisor import (
     ENDS_WITHIN,
     LONGEST_WAIT,
     LOOP_DEATHS,
     READY_WITHIN,
     SECOND,
-    State,
-    Watch,
+    ChildState,
+    ProcessSupervisor,
 )
 from ploverspoke.testbed.processes.addresses import held_ports
+from tests.routing.test_service import World, message
 
-from .test_service import World, message
-
-EXAMPLE = json.loads((Path(__file__).parents[1] / "deploy" / "example.json").read_text())
+EXAMPLE = json.loads((Path(__file__).parents[2] / "deploy" / "example.json").read_text())
 
 
 class Machine:
@@ -48,7 +47,7 @@
         self.starts: list[tuple[int, int]] = []
         self.finished: bool | None = None
         self.fails = False
-        self.watch = Watch(self, count)
+        self.watch = ProcessSupervisor(self, count)
 
     def now(self) -> int:
         return self.clock
@@ -68,7 +67,7 @@
         self.killed.append(place)
         self.gone(place, -9)
 
-    def say(self, line: str) -> None:
+    def log(self, line: str) -> None:
         self.lines.append(line)
 
     def over(self, crashed: bool) -> None:
@@ -182,7 +181,7 @@
             machine.watch.new_configuration()
         else:
             machine.pass_time(int(chance.random() * 4 * SECOND))
-        empty = (State.WAITING, State.EMPTY)
+        empty = (ChildState.WAITING, ChildState.EMPTY)
         taken = [at for at, place in enumerate(machine.watch.places) if place.state not in empty]
         assert taken == sorted(machine.alive)
     machine.watch.told_to_end()
@@ -194,14 +193,14 @@
 
 
 def test_limits_are_shared_out_and_each_is_told_how_many_there_are() -> None:
-    whole = briefing_of({**EXAMPLE, "limits": {"sockets": 1024, "memory_mb": 192}}, {})
-    shares = [child_briefing(whole, place, 4) for place in range(4)]
+    whole = parse_config({**EXAMPLE, "limits": {"sockets": 1024, "memory_mb": 192}}, {})
+    shares = [child_config(whole, place, 4) for place in range(4)]
     assert sum(s.sockets for s in shares) <= 1024 and sum(s.memory for s in shares) <= 192 << 20
     assert {s.orders["dispatchers"] for s in shares} == {4} and len({s.seed for s in shares}) == 4
-    assert child_briefing(whole, 0, 2, descriptors=100).sockets == 100
+    assert child_config(whole, 0, 2, descriptors=100).sockets == 100
     for limits, key in (({"sockets": 256}, "limits.sockets"), ({"memory_mb": 64}, "limits.memory_mb")):
-        with pytest.raises(BadKey, match=key):
-            child_briefing(briefing_of({**EXAMPLE, "limits": limits}, {}), 0, 8)
+        with pytest.raises(ConfigError, match=key):
+            child_config(parse_config({**EXAMPLE, "limits": limits}, {}), 0, 8)
 
 
 class Supervised:
--- a/tests/test_known_red.py
+++ b/tests/test_expected_failures.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from .known_red import read_known_red
+from tests.expected_failures import read_expected_failures
 
 ROOT = Path(__file__).parents[1]
 TESTS = """
@@ -90,7 +90,7 @@
 def test_a_file_that_cannot_be_used_is_refused(listed: list[str], said: str, tmp_path: Path) -> None:
     (tmp_path / "KNOWN-RED.txt").write_text("\n".join(listed))
     with pytest.raises(pytest.UsageError) as refused:
-        read_known_red(tmp_path / "KNOWN-RED.txt")
+        read_expected_failures(tmp_path / "KNOWN-RED.txt")
     assert said in str(refused.value)
 
 
--- a/tests/test_testbed_audit.py
+++ b/tests/testbed/test_audit.py
@@ -5,13 +5,12 @@
 
 import pytest
 
-from ploverspoke.decisions.host import Listing
+from ploverspoke.decisions.interface import Endpoint
 from ploverspoke.testbed.audit import VIRTUAL_SLACK, Finding, audit
 from ploverspoke.testbed.baselines import POLICIES, Open, TwoChoices
 from ploverspoke.testbed.records import Event
 from ploverspoke.testbed.virtual import play
-
-from .test_testbed_model import MS, world
+from tests.testbed.test_model import MS, world
 
 CRASH = {"what": "crash", "at": "1s", "lasts": "2s", "workers": ["w0"]}
 DRAIN = {"what": "drain", "at": "1s", "lasts": "4s", "workers": ["w0"]}
@@ -19,23 +18,23 @@
 
 
 class AnswersTwice(TwoChoices):
-    def submission_arrived(self, submission_id: int, *what: Any) -> None:
+    def request_arrived(self, submission_id: int, *what: Any) -> None:
         if submission_id % 40 == 0:
             request = self.host.taken[submission_id].request  # type: ignore[attr-defined]
             self.host.world.answer(request, "nacked", 0)  # type: ignore[attr-defined]
-        super().submission_arrived(submission_id, *what)
+        super().request_arrived(submission_id, *what)
 
 
 class LosesOne(TwoChoices):
-    def submission_arrived(self, submission_id: int, *what: Any) -> None:
+    def request_arrived(self, submission_id: int, *what: Any) -> None:
         if submission_id != 50:
-            super().submission_arrived(submission_id, *what)
+            super().request_arrived(submission_id, *what)
 
 
 class RepeatsIrreversible(TwoChoices):
     """Takes an error for a promise that it did not run."""
 
-    def hand_off_ended(
+    def attempt_ended(
         self,
         submission_id: int,
         hand_off: int,
@@ -46,15 +45,15 @@
         load: Mapping[str, float] | None,
     ) -> None:
         outcome = "full" if outcome == "worker_error" else outcome
-        super().hand_off_ended(submission_id, hand_off, worker_name, outcome, took, finished, load)
+        super().attempt_ended(submission_id, hand_off, worker_name, outcome, took, finished, load)
 
 
 class SendsAfterDrain(TwoChoices):
-    def roster_complete(self, listings: Iterable[Listing]) -> None:
-        self.roster_changed(listings)
+    def endpoint_list_received(self, listings: Iterable[Endpoint]) -> None:
+        self.endpoints_changed(listings)
 
-    def roster_changed(self, listings: Iterable[Listing]) -> None:
-        super().roster_changed(shown._replace(condition="ready") for shown in listings)
+    def endpoints_changed(self, listings: Iterable[Endpoint]) -> None:
+        super().endpoints_changed(shown._replace(condition="ready") for shown in listings)
 
 
 class TipsTheCold(TwoChoices):
@@ -82,13 +81,13 @@
 class KeepsItsAttempts(TwoChoices):
     """Takes new settings, but not how often it may send."""
 
-    def orders_changed(self, orders: Mapping[str, Any], takes_over: Mapping[int, int]) -> None:
-        super().orders_changed({**orders, "most_hand_offs": [6] * len(orders["repeat"])}, takes_over)
+    def settings_changed(self, orders: Mapping[str, Any], takes_over: Mapping[int, int]) -> None:
+        super().settings_changed({**orders, "most_hand_offs": [6] * len(orders["repeat"])}, takes_over)
 
 
 class KeepsItsRepeats(TwoChoices):
-    def orders_changed(self, orders: Mapping[str, Any], takes_over: Mapping[int, int]) -> None:
-        super().orders_changed({**orders, "repeat": ["redoable"] * len(orders["repeat"])}, takes_over)
+    def settings_changed(self, orders: Mapping[str, Any], takes_over: Mapping[int, int]) -> None:
+        super().settings_changed({**orders, "repeat": ["redoable"] * len(orders["repeat"])}, takes_over)
 
 
 EVERYWHERE = {**ERRORS, "workers": ["w0", "w1", "w2", "w3"], "errors": 0.7}
--- a/tests/test_capacity_table.py
+++ b/tests/testbed/test_capacity_table.py
@@ -21,7 +21,7 @@
 from ploverspoke.testbed.capacity.slopes import Line, Slopes, read_slopes, write_slopes
 from ploverspoke.testbed.capacity.table import Table, choose, make_table
 
-ROOT = Path(__file__).parents[1]
+ROOT = Path(__file__).parents[2]
 FLEET = ROOT / "experiments/fleet-ahead.toml"
 SLOPES = ROOT / "experiments/fleet-ahead-slopes.json"
 PLAYS = ROOT / "experiments/fleet-ahead-plays.json"
--- a/tests/test_testbed_files.py
+++ b/tests/testbed/test_files.py
@@ -19,10 +19,9 @@
 from ploverspoke.testbed.processes.timeline import BadTimeline
 from ploverspoke.testbed.runner import read_result, run_experiment
 from ploverspoke.testbed.scores import merged_histogram
+from tests.testbed.test_model import WORLD, world
 
-from .test_testbed_model import WORLD, world
-
-SHIPPED = sorted((Path(__file__).parents[1] / "experiments").glob("*.toml"))
+SHIPPED = sorted((Path(__file__).parents[2] / "experiments").glob("*.toml"))
 
 
 @pytest.mark.parametrize("path", SHIPPED, ids=lambda p: p.stem)
@@ -139,7 +138,7 @@
 
 def test_check_names_the_key_of_a_wrong_configuration(tmp_path: Path) -> None:
     run = CliRunner()
-    example = Path(__file__).parents[1] / "deploy" / "example.json"
+    example = Path(__file__).parents[2] / "deploy" / "example.json"
     assert run.invoke(main, ["check", str(example)]).exit_code == 0
     wrong = write(tmp_path / "wrong.json", example.read_text().replace('"free"', '"often"'))
     told = run.invoke(main, ["check", wrong])
@@ -147,7 +146,7 @@
 
 
 def test_the_platforms_start_imports_none_of_it() -> None:
-    program = "import sys, ploverspoke.program.service; print(*sys.modules)"
+    program = "import sys, ploverspoke.service.service; print(*sys.modules)"
     modules = subprocess.run([sys.executable, "-c", program], capture_output=True, text=True, check=True)
     found = set(modules.stdout.split())
     for heavy in ("click", "msgspec", "numpy", "rich", "matplotlib"):
@@ -155,9 +154,9 @@
     # Nothing beside what it is made of: no store, no leases, no consensus.
     assert {name.split(".")[1] for name in found if name.startswith("ploverspoke.")} == {
         "decisions",
-        "program",
         "protocol",
         "routing",
+        "service",
         "transport",
     }
 
--- a/tests/test_hollow.py
+++ b/tests/testbed/test_hollow.py
@@ -32,8 +32,9 @@
 from ploverspoke.testbed.sockets import MOST_BEHIND
 from ploverspoke.testbed.spans import Span
 from ploverspoke.testbed.virtual import play
+from tests.testbed.test_model import SECOND, world
 
-from .test_testbed_model import SECOND, world
+RUNS_LONG = True  # scheduled first: see tests/conftest.py
 
 REGIONS = {"far": "1ms", "farther": "5ms", "regions": [["a", "b"], ["c"]]}
 THREE_ZONES = [{"count": 3, "zone": zone} for zone in "abc"]
--- a/tests/test_processes_rig.py
+++ b/tests/testbed/test_processes_rig.py
@@ -25,8 +25,9 @@
 from ploverspoke.testbed.runner import run_virtual
 from ploverspoke.testbed.sockets import play_on_sockets
 from ploverspoke.testbed.spans import SECOND, Span
+from tests.testbed.test_model import WORLD, world
 
-from .test_testbed_model import WORLD, world
+RUNS_LONG = True  # scheduled first: see tests/conftest.py
 
 MS = 1_000_000
 
@@ -237,7 +238,7 @@
         async with Rig(tmp_path, 1) as rig:
             for name, rate in (("true", 1.0), ("fast", 2.0), ("slow", 0.5)):
                 place = rig.place(name)
-                process = rig.add(place, "tests.probe", ["127.0.0.1", port, "0.4"])
+                process = rig.add(place, "tests.testbed.probe", ["127.0.0.1", port, "0.4"])
                 process.rate = rate
                 process.wall_jumps(3600 * SECOND if name == "slow" else 0)
             await rig.start()
@@ -266,8 +267,8 @@
 def test_nothing_is_left_running_when_a_process_of_the_rig_does_not_come_up(tmp_path: Path) -> None:
     async def scene() -> list[Running]:
         async with Rig(tmp_path, 1) as rig:
-            rig.add(rig.place("a"), "tests.probe", ["127.0.0.1", str(held_ports(1)[0]), "1"])
-            bad = rig.add(rig.place("b"), "tests.probe", ["no number"])
+            rig.add(rig.place("a"), "tests.testbed.probe", ["127.0.0.1", str(held_ports(1)[0]), "1"])
+            bad = rig.add(rig.place("b"), "tests.testbed.probe", ["no number"])
 
             async def never() -> bool:
                 return False
--- a/tests/test_testbed_sockets.py
+++ b/tests/testbed/test_sockets.py
@@ -9,8 +9,7 @@
 from ploverspoke.testbed.scores import score
 from ploverspoke.testbed.sockets import play_on_sockets
 from ploverspoke.testbed.standins.wire import BadWire, Reader, answer, chunk
-
-from .test_testbed_model import world
+from tests.testbed.test_model import world
 
 
 def test_a_short_experiment_on_sockets_keeps_the_rules() -> None:
--- a/tests/test_transport.py
+++ b/tests/transport/test_transport.py
@@ -8,11 +8,11 @@
 import pytest
 
 from ploverspoke.transport.buffers import FIRST_SIZE, LEAST_SPACE, ReadBuffer
+from ploverspoke.transport.connection_pool import Pool
 from ploverspoke.transport.connections import Connection
 from ploverspoke.transport.deadlines import Deadline, Deadlines
-from ploverspoke.transport.ends import End
-from ploverspoke.transport.pools import Pool
-from ploverspoke.transport.slots import SlotTable
+from ploverspoke.transport.outcomes import ExchangeOutcome
+from ploverspoke.transport.slot_table import SlotTable
 
 MS = 1_000_000
 
@@ -87,15 +87,15 @@
     assert len(buffer.data) == FIRST_SIZE
 
 
-class Caller:
+class PoolUser:
     def __init__(self) -> None:
         self.connection: Connection | None = None
-        self.end: End | None = None
+        self.end: ExchangeOutcome | None = None
 
     def connected(self, connection: Connection) -> None:
         self.connection = connection
 
-    def not_connected(self, end: End) -> None:
+    def not_connected(self, end: ExchangeOutcome) -> None:
         self.end = end
 
     def bytes_came(self) -> None:
@@ -123,8 +123,8 @@
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
         pool = Pool(loop, Deadlines(loop), 2, 300 * MS, 500 * MS)
 
-        async def call(where: str) -> Caller:
-            caller = Caller()
+        async def call(where: str) -> PoolUser:
+            caller = PoolUser()
             pool.call(where, caller)
             while caller.connection is None and caller.end is None:
                 await asyncio.sleep(0.001)
@@ -132,11 +132,11 @@
 
         first, second = await call(address), await call(address)
         assert first.connection is not None and second.connection is not None
-        assert (await call(address)).end is End.NO_SOCKET
+        assert (await call(address)).end is ExchangeOutcome.NO_SOCKET
         pool.rest(first.connection)
         assert (await call(address)).connection is first.connection and len(served) == 2
         pool.rest(first.connection)
-        assert (await call("127.0.0.1:1")).end is End.REFUSED  # the one at rest made way
+        assert (await call("127.0.0.1:1")).end is ExchangeOutcome.REFUSED  # the one at rest made way
         pool.rest(second.connection)
         await asyncio.sleep(1)
         # Dropped before the other side's limit: a request that crosses its close would be a reset.
@@ -169,7 +169,7 @@
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
 
         async def call(longest_rest: int | None) -> Connection:
-            caller = Caller()
+            caller = PoolUser()
             pool.call(address, caller, longest_rest)
             while caller.connection is None:
                 await asyncio.sleep(0.001)
