--- a/ploverspoke/cli.py
+++ b/ploverspoke/cli.py
@@ -180,7 +180,6 @@
     except ConfigError as error:
         click.echo(f"ploverspoke: {error}", err=True)
         sys.exit(2)
-    orders = briefing.orders
     if briefing.peers:
         click.echo(f"tellings: to {len(briefing.peers) - 1} other dispatchers")
     elif briefing.cannot_tell:
@@ -190,7 +189,8 @@
     address = ":".join(map(str, briefing.listen))
     click.echo(f"{briefing.name} would listen on {address}, discovery {briefing.discovery}")
     click.echo(f"limits: {briefing.sockets} descriptors, {briefing.memory >> 20} MiB")
-    for number, grade in enumerate(briefing.names["grades"]):
-        expected, abandon = orders["expected_time"][number] / 1e9, orders["abandon_time"][number] / 1e9
-        repeat = orders["repeat"][number]
+    for number, grade in enumerate(briefing.names.request_classes):
+        rules = briefing.settings.classes[number]
+        expected, abandon = rules.latency_objective / 1e9, rules.deadline / 1e9
+        repeat = rules.idempotency.value
         click.echo(f"grade {grade}: {repeat}, expected in {expected:g} s, abandoned at {abandon:g} s")
--- a/ploverspoke/config_distribution/commands.py
+++ b/ploverspoke/config_distribution/commands.py
@@ -136,7 +136,9 @@
     except (OSError, ValueError) as error:
         raise ConfigError(f"{against}: {error}") from None
     briefing = parse_config(apply_overlay(own, read_body(text)), os.environ)
-    missing = first_missing_key({key: value for key, value in own.items() if key != "known"}, briefing.told)
+    missing = first_missing_key(
+        {key: value for key, value in own.items() if key != "known"}, briefing.document
+    )
     if missing is not None:
         raise ConfigError(f"{missing} is missing: {against} has it")
 
--- a/ploverspoke/config_distribution/dynamic_config.py
+++ b/ploverspoke/config_distribution/dynamic_config.py
@@ -87,14 +87,14 @@
         service, before = self.service, self.service.briefing
         try:
             new = merge_config(self.own, body, self.environment)
-            service.briefing = before._replace(told=without_list(self.own))
+            service.briefing = before._replace(document=without_list(self.own))
             service.take_configuration(new)
         except Exception as error:
             service.briefing = before
             if isinstance(error, ValueError):
                 return str(error)
             raise
-        service.briefing = service.briefing._replace(told=new.told)
+        service.briefing = service.briefing._replace(document=new.document)
         self.body = body
         return ""
 
@@ -102,7 +102,7 @@
         """At SIGHUP: the file again, the version in force laid on. Raises ConfigError."""
         own = self.read_own()
         briefing = merge_config(own, self.body, self.environment)
-        missing = first_missing_key(self.service.briefing.told, briefing.told)
+        missing = first_missing_key(self.service.briefing.document, briefing.document)
         if missing is not None:
             raise ConfigError(f"{missing} is missing: the configuration in force has it")
         self.own = own  # only what will be taken: the versions after it rest on it
--- a/ploverspoke/decisions/dispatcher.py
+++ b/ploverspoke/decisions/dispatcher.py
@@ -1,9 +1,9 @@
 """Every decision of one dispatcher.
 
-A host builds one `Dispatcher` with itself, a seed and the standing orders (a plain map of names to values,
-times in nanoseconds), then calls one method for each thing that happens, under "What can happen" below. The
-dispatcher acts by calling the host, whose interface is `ploverspoke/decisions/interface.py`; `docs/design.md`
-says where each part comes from. Nothing here knows a wire; two dispatchers share nothing but what they tell.
+A host builds one `Dispatcher` with itself, a seed and the settings, then calls one method for each thing that
+happens, under "What can happen" below. The dispatcher acts by calling the host, whose interface is
+`ploverspoke/decisions/interface.py`; `docs/design.md` says where each part comes from. Nothing here knows a
+wire; two dispatchers share nothing but what they tell.
 """
 
 from bisect import insort
@@ -14,8 +14,9 @@
 from typing import Any
 from zlib import crc32
 
-from .interface import DispatchActions, Endpoint, Load, Settings, never_ran
+from .interface import DispatchActions, Endpoint, Load, never_ran
 from .random_numbers import RandomNumbers
+from .settings import Idempotency, RetryScope, Settings
 
 MILLISECOND = 1_000_000
 SECOND = 1_000_000_000
@@ -143,9 +144,9 @@
 
 
 class Dispatcher:
-    def __init__(self, host: DispatchActions, seed: int, standing_orders: Settings) -> None:
+    def __init__(self, host: DispatchActions, seed: int, settings: Settings) -> None:
         self.host = host
-        self._take_orders(standing_orders)
+        self._apply_settings(settings)
         self.chance = RandomNumbers(seed)
         self.workers: dict[str, Worker] = {}
         self.types: dict[tuple[float, int], JobType] = {}
@@ -185,20 +186,24 @@
         self.due: dict[int, Request | Worker | JobType | str] = {}
         self.next_token = 1
 
-    def _take_orders(self, standing_orders: Settings) -> None:
+    def _apply_settings(self, settings: Settings) -> None:
         """With what follows from them; grades that are no longer in force have no part in that."""
-        self.orders: Mapping[str, Any] = standing_orders
-        in_force = standing_orders["grades"]
-        self.highest_benefit = max(self.orders["benefit"][g] for g in in_force) or 1.0
-        self.shortest_expected_time = max(MILLISECOND, min(self.orders["expected_time"][g] for g in in_force))
-        self.kinds_sought = {self.orders["machine_kind_needed"][g] for g in in_force}
-        self.never_ran = never_ran(self.orders["full_may_have_run"])
-        self.some_repeat = any(self.orders["repeat"][g] != "irreversible" for g in in_force)
+        self.settings = settings
+        in_force = settings.active_classes
+        self.highest_benefit = max(self.settings.classes[g].priority_weight for g in in_force) or 1.0
+        self.shortest_expected_time = max(
+            MILLISECOND, min(self.settings.classes[g].latency_objective for g in in_force)
+        )
+        self.kinds_sought = {self.settings.classes[g].machine_kind for g in in_force}
+        self.never_ran = never_ran(self.settings.full_may_have_run)
+        self.some_repeat = any(
+            self.settings.classes[g].idempotency is not Idempotency.NON_IDEMPOTENT for g in in_force
+        )
         # Each receiver is paid for: a telling goes to so many next ones in the ring of our zone's
         # dispatchers, and the others' slots are taken for as many times those that are heard of.
-        self.tells = max(1, int(TELLING_COST / max(1e-6, TELLING_PART * self.orders["telling_price"])))
-        self.asks_each = min(MOST_ASKED, ASKING_COST / max(1e-9, self.orders["probe_price"]))  # submission
-        self.recalls_each = RECALLING_COST / max(1e-9, self.orders["waste_price"])  # submission
+        self.tells = max(1, int(TELLING_COST / max(1e-6, TELLING_PART * self.settings.gossip_cost)))
+        self.asks_each = min(MOST_ASKED, ASKING_COST / max(1e-9, self.settings.probe_cost))  # submission
+        self.recalls_each = RECALLING_COST / max(1e-9, self.settings.waste_cost)  # submission
 
     # ---- What can happen ----
 
@@ -208,22 +213,22 @@
         Who knows of workers calls at a random moment: dispatchers that were started together would find
         one another in the roster's queue, and a call that is turned away there has taken its time too.
         """
-        if self.orders["telling_permitted"]:
+        if self.settings.gossip_allowed:
             self._tell(self.host.now(), to_all=True)
             self._wake("tell all", self.host.now() + TELL_AGAIN)
-        if self.orders["roster_must_be_asked"] and self.workers:
+        if self.settings.discovery_polling and self.workers:
             self._wake("watch", self.host.now() + int(self.chance.fraction() * self._calls_of_all()))
-        elif self.orders["roster_must_be_asked"]:
+        elif self.settings.discovery_polling:
             self.host.watch_endpoints()
 
-    def settings_changed(self, standing_orders: Settings, takes_over: Mapping[int, int]) -> None:
+    def settings_changed(self, settings: Settings, takes_over: Mapping[int, int]) -> None:
         """They bind what arrives from now on; a new grade number may take over the times known of another."""
-        for grade in set(standing_orders["grades"]) - set(self.orders["grades"]):
+        for grade in set(settings.active_classes) - set(self.settings.active_classes):
             known = self.grade_running_times[takes_over[grade]] if grade in takes_over else ()
             self.grade_running_times[grade] = deque(known, maxlen=32)
             self.asked_times.pop(grade, None)
             self.calm.pop(grade, None)
-        self._take_orders(standing_orders)
+        self._apply_settings(settings)
         self.tiers.clear()
 
     def request_arrived(
@@ -235,12 +240,12 @@
         self._fade(now)
         self.may_ask = min(self.may_ask + self.asks_each, SAVED_ASKING * self.asks_each)
         self.may_recall = min(self.may_recall + self.recalls_each, SAVED_ASKING * (1 + self.recalls_each))
-        job_type = self._job_type(slots, self.orders["machine_kind_needed"][grade])
+        job_type = self._job_type(slots, self.settings.classes[grade].machine_kind)
         job = Request(submission_id, grade, job_type, now, abandon_at)
         job.subject = subject
         if subject:
             self.subjects.append(subject)
-        job.last_chance = abandon_at - self.orders["round"]
+        job.last_chance = abandon_at - self.settings.batch_interval
         job.last_start = self._last_timely_start(job, now, work_hint)
         self.open[submission_id] = job
         if submission_id in self.resumed:
@@ -370,7 +375,7 @@
         """Watch again, after a wait that grows; turned away, one that leaves it time for the calls of all."""
         self.roster_failures += 1
         self._say(f"roster lost, {self.roster_failures} in a row; asking again")
-        lost, longest = min(self.roster_failures, 5), self.orders["roster_ask_within"]
+        lost, longest = min(self.roster_failures, 5), self.settings.discovery_poll_interval
         all_in = self._calls_of_all() if turned_away else 0
         wait = max(min(250 * MILLISECOND << lost, longest // 4), min(all_in << lost - 1, longest * 2 // 3))
         wait = max(all_in, min(wait, LONGEST_PAUSE))
@@ -378,7 +383,9 @@
 
     def _calls_of_all(self) -> int:
         """In which the roster can work through one call of each dispatcher."""
-        return int(min(self.orders["dispatchers"] * ROSTER_CALL, self.orders["roster_ask_within"] // 2))
+        return int(
+            min(self.settings.dispatcher_count * ROSTER_CALL, self.settings.discovery_poll_interval // 2)
+        )
 
     def probe_completed(self, worker_name: str, outcome: str, took: int, load: Load) -> None:
         now = self.host.now()
@@ -413,7 +420,7 @@
                 self._settle(what, self.host.now())
         elif isinstance(what, Worker) and what.aside:
             # Set aside long enough: a probe, where permitted, spares the first job sent there again.
-            if self.orders["probing_permitted"] and what.ready:
+            if self.settings.probing_allowed and what.ready:
                 what.probed_for = "return"
                 self.host.probe(what.name)
             else:
@@ -434,7 +441,7 @@
         """Another dispatcher tells where it has slots in flight, each named once: a hint and no more."""
         now = self.host.now()
         known = self.told_by.get(teller)
-        if not self.orders["telling_permitted"] or teller == self.orders["dispatcher_number"]:
+        if not self.settings.gossip_allowed or teller == self.settings.dispatcher_index:
             return
         # Late ones and those that come twice: 0 is the first after a start, 255 is followed by 1.
         if known is not None and number and not 0 < (number - known[0]) % 255 < 128:
@@ -444,7 +451,7 @@
         for worker in named:
             worker.others += 1
         self.told_by[teller] = number, now, named, lateness, zone
-        seen = self.near if zone == self.orders["zone"] else self.far
+        seen = self.near if zone == self.settings.zone else self.far
         if teller not in seen:
             insort(seen, teller)
         if not number and teller in self.near:
@@ -553,11 +560,11 @@
             return []
         for tier in self._tiers(job_type.machine_kind, job):
             found: list[Worker] = []
-            if self.orders["telling_permitted"]:
+            if self.settings.gossip_allowed:
                 # Other zones' queues are not told to us: one is better only where starts are far less late.
-                most = MUCH_LESS * self._zone_lateness(self.orders["zone"], now)
+                most = MUCH_LESS * self._zone_lateness(self.settings.zone, now)
                 zones = {w.listing.zone for w in tier}
-                less = {z for z in zones if z == self.orders["zone"] or self._zone_lateness(z, now) < most}
+                less = {z for z in zones if z == self.settings.zone or self._zone_lateness(z, now) < most}
                 tier = [w for w in tier if w.listing.zone in less]
             # Drawing until two are roomy gives the same pairs as a list of all the roomy, for less work.
             left = list(tier)
@@ -585,7 +592,7 @@
         price, so the own zone comes first, but not again once workers asked for the job there had no room.
         """
         subject = job.subject if job is not None else ""
-        near = bool(self.orders["zone_crossing_price"]) and not subject and (job is None or not job.far)
+        near = bool(self.settings.cross_zone_cost) and not subject and (job is None or not job.far)
         homes = self._homes(subject)
         found = self.tiers.get((machine_kind, near, subject, homes))
         if found is None:
@@ -594,7 +601,7 @@
             for w in self.workers.values():
                 if w.ready and not w.aside and machine_kind in (-1, w.listing.machine_kind):
                     spare = machine_kind == -1 and w.listing.machine_kind in sought
-                    tiers[spare, near and w.listing.zone != self.orders["zone"]].append(w)
+                    tiers[spare, near and w.listing.zone != self.settings.zone].append(w)
             found = [tiers[key] for key in sorted(tiers)]
             if subject:
                 # What it needs is fetched where it is not kept: by the hash each dispatcher sends it to the
@@ -629,15 +636,15 @@
 
     def _refuses(self, job: Request, now: int) -> bool:
         """Whether it is refused on arrival, by chance alike for all grades, as no worker tells its queue."""
-        if self.orders["probing_permitted"] or job.group is not None:
+        if self.settings.probing_allowed or job.group is not None:
             return False
-        chance = min(MOST_REFUSED, self._zone_lateness(self.orders["zone"], now) - LATENESS_BORNE)
+        chance = min(MOST_REFUSED, self._zone_lateness(self.settings.zone, now) - LATENESS_BORNE)
         return chance > 0 and self.chance.fraction() < chance
 
     def _zone_lateness(self, zone: int, now: int) -> float:
         """As told by its dispatchers; of a zone that nothing is heard of the worst is believed."""
         late = [told[3] for told in self.told_by.values() if told[4] == zone]
-        late += [self._lateness(now)] if zone == self.orders["zone"] else []
+        late += [self._lateness(now)] if zone == self.settings.zone else []
         return sum(late) / len(late) if late else 1.0
 
     def _lateness(self, now: int) -> float:
@@ -648,8 +655,11 @@
 
     def _shortest_slack(self) -> int:
         """The wait that a mean job of the most hurried grade can bear."""
-        expected, stretch = self.orders["expected_time"], self.orders["running_time_stretch"]
-        slacks = (expected[g] + int((stretch[g] - 1) * self.calm.get(g, 0)) for g in self.orders["grades"])
+        classes = self.settings.classes
+        slacks = (
+            classes[g].latency_objective + int((classes[g].latency_stretch - 1) * self.calm.get(g, 0))
+            for g in self.settings.active_classes
+        )
         return int(max(MILLISECOND, min(slacks)))
 
     # ---- Asking ----
@@ -661,10 +671,12 @@
         nothing. One that can be taken back from a queue finds out by trying; an irreversible one can not, so
         workers not heard of lately are probed first. So for a labelled one where "full" is no proof.
         """
-        if not drawn or not self.orders["probing_permitted"] or job.subject:
+        if not drawn or not self.settings.probing_allowed or job.subject:
             return False
-        bound = {"irreversible", "labelled"} if self.orders["full_may_have_run"] else {"irreversible"}
-        if self.orders["repeat"][job.grade] not in bound and self.orders["recall_permitted"]:
+        bound = {Idempotency.NON_IDEMPOTENT}
+        if self.settings.full_may_have_run:
+            bound.add(Idempotency.IDEMPOTENT_WITH_KEY)
+        if self.settings.classes[job.grade].idempotency not in bound and self.settings.cancel_allowed:
             return False
         # One whose last word was an error answers quickly, and is no better known for that.
         unknown = any(now - w.heard_at >= KNOWN or (w.errors and w.errors[-1]) for w in drawn)
@@ -768,7 +780,7 @@
 
     def _news(self, now: int) -> None:
         """What we have in flight has changed: the dispatchers of our zone are told soon."""
-        if self.orders["telling_permitted"] and not now < self.telling_at <= now + TELL_AFTER:
+        if self.settings.gossip_allowed and not now < self.telling_at <= now + TELL_AFTER:
             self.telling_at = now + TELL_AFTER
             self._wake("tell", self.telling_at)
 
@@ -778,11 +790,11 @@
             return
         held = [w.name for w in self.busy.values() for _ in range(ceil(w.in_flight))]
         if to_all or held != self.last_telling or now - self.told_at >= TELL_AGAIN:
-            own = self.orders["dispatcher_number"]
+            own = self.settings.dispatcher_index
             ring = [*(n for n in self.near if n > own), *(n for n in self.near if n < own)]
             drawn = [self.far[self.chance.below(len(self.far))] for _ in range(FAR_TOLD) if self.far]
             to = None if to_all else ring[: self.tells] + drawn
-            self.host.send_gossip(to, self.orders["zone"], self.told, self._lateness(now), held)
+            self.host.send_gossip(to, self.settings.zone, self.told, self._lateness(now), held)
             self.last_telling, self.told_at, self.told = held, now, self.told % 255 + 1
         self.telling_at = self.told_at + TELL_AGAIN if held else 0
         if held:
@@ -804,7 +816,7 @@
 
     def _has_waiting(self, worker: Worker, now: int) -> bool:
         """Whether a job of ours has not started there at once: then it is full, whatever we have there."""
-        if not worker.unstarted or not self.orders["tells_start"]:
+        if not worker.unstarted or not self.settings.workers_report_start:
             return False
         now_due = now - self._prompt_start(worker)
         # One that a later one has overtaken, or that waits on and on, may be lost: no sign of a full worker.
@@ -877,7 +889,11 @@
 
     def _must_not_repeat(self, job: Request | None) -> bool:
         """An irreversible one is lost with its worker, so others try a worker that has just returned."""
-        return job is not None and self.some_repeat and self.orders["repeat"][job.grade] == "irreversible"
+        return (
+            job is not None
+            and self.some_repeat
+            and self.settings.classes[job.grade].idempotency is Idempotency.NON_IDEMPOTENT
+        )
 
     def _hand_off(self, job: Request, worker: Worker, now: int) -> None:
         job.hand_offs += 1
@@ -895,9 +911,11 @@
         self._news(now)
         if worker.warm_at > now:
             worker.cold_credit -= self._cost(job.type)
-        self.host.start_attempt(job.id, worker.name, max(1, job.abandon_at - self.orders["round"] - now))
-        job.look_at = now + 1 + min(self._allowance(job, worker), self.orders["progress_every"] * 3 // 2)
-        if self.orders["progress_every"]:
+        self.host.start_attempt(
+            job.id, worker.name, max(1, job.abandon_at - self.settings.batch_interval - now)
+        )
+        job.look_at = now + 1 + min(self._allowance(job, worker), self.settings.progress_interval * 3 // 2)
+        if self.settings.progress_interval:
             self._wake(job, job.look_at)
 
     def _decide_again(self, job: Request, worker: Worker, outcome: str, now: int) -> None:
@@ -906,9 +924,9 @@
             job.group = self._bound_to(job, worker)
             if job.group is not None:
                 # Its rack forgets it: past that time a repeat would run again.
-                window = self.orders["repeat_window"][job.grade] if job.group[0] != "none" else 0
+                window = self.settings.classes[job.grade].retry_window if job.group[0] != "none" else 0
                 job.last_chance = min(job.last_chance, job.sent_at + window)
-        if now >= job.last_chance or job.hand_offs >= self.orders["most_hand_offs"][job.grade]:
+        if now >= job.last_chance or job.hand_offs >= self.settings.classes[job.grade].max_attempts:
             self._finish_unsatisfied(job)
             return
         job.back_from = worker
@@ -918,13 +936,13 @@
 
     def _resume(self, job: Request, hand_offs: int, ran_at: str, sent_at: int) -> None:
         job.hand_offs = hand_offs
-        if hand_offs >= self.orders["most_hand_offs"][job.grade]:
+        if hand_offs >= self.settings.classes[job.grade].max_attempts:
             job.last_chance = 0  # none is left
-        if ran_at and self.orders["repeat"][job.grade] != "redoable":
+        if ran_at and self.settings.classes[job.grade].idempotency is not Idempotency.IDEMPOTENT:
             worker = self.workers.get(ran_at)
             # Of a worker that nobody shows any more the group is not known: it goes nowhere.
             job.group = ("none", 0) if worker is None else self._bound_to(job, worker)
-            window = self.orders["repeat_window"][job.grade] if job.group != ("none", 0) else 0
+            window = self.settings.classes[job.grade].retry_window if job.group != ("none", 0) else 0
             job.last_chance = min(job.last_chance, sent_at + window)
 
     def _last_timely_start(self, job: Request, now: int, work_hint: int) -> int:
@@ -937,10 +955,10 @@
         calm = self.calm[job.grade] = min(self.calm.get(job.grade) or running_time, running_time)
         if work_hint:
             calm = running_time = work_hint
-        stretch = self.orders["running_time_stretch"][job.grade]
-        slack = self.orders["expected_time"][job.grade] + stretch * calm - running_time
+        stretch = self.settings.classes[job.grade].latency_stretch
+        slack = self.settings.classes[job.grade].latency_objective + stretch * calm - running_time
         # When not all can be in time, those of little benefit make way first: they wait for less.
-        rank = self.orders["benefit"][job.grade] / self.highest_benefit
+        rank = self.settings.classes[job.grade].priority_weight / self.highest_benefit
         job.timely_until = int(first_asked + max(0, slack))
         return int(first_asked + PATIENCE * rank * max(0, slack))
 
@@ -952,7 +970,7 @@
         """
         if job.group is not None and job.group[0] != "none":
             return False
-        if not self.orders["overdue_benefit"][job.grade]:
+        if not self.settings.classes[job.grade].overdue_weight:
             return True
         return any(len(t.queue) > (t is job.type) for t in self.types.values())
 
@@ -962,18 +980,18 @@
 
     def _finish_unsatisfied(self, job: Request) -> None:
         del self.open[job.id]
-        redoable = self.orders["repeat"][job.grade] == "redoable"
+        redoable = self.settings.classes[job.grade].idempotency is Idempotency.IDEMPOTENT
         if redoable or job.group is None or job.group == ("all", 0):
-            advice = self.orders["longest_come_back"] if self.orders["come_back_advice"] else 0
+            advice = self.settings.max_retry_after if self.settings.send_retry_after else 0
             self.host.reject(job.id, advice)
         else:
             self.host.fail(job.id)
 
     def _group_of(self, job: Request, worker: Worker) -> tuple[str, int]:
-        scope = self.orders["repeat_group"][job.grade]
-        if scope == "zone":
-            return scope, worker.listing.zone
-        return (scope, worker.listing.rack) if scope == "rack" else ("all", 0)
+        scope = self.settings.classes[job.grade].retry_scope
+        if scope is RetryScope.ZONE:
+            return "zone", worker.listing.zone
+        return ("rack", worker.listing.rack) if scope is RetryScope.RACK else ("all", 0)
 
     # ---- Health ----
 
@@ -981,14 +999,14 @@
         """See whether the worker has gone silent on the job, and rescue what may run again."""
         if now < job.look_at:
             return
-        silence = self.orders["progress_every"] * 3 // 2
+        silence = self.settings.progress_interval * 3 // 2
         # A started job owes word at each interval. Where none has started, no word at all is the sign.
         heard = job.heard_at if job.started_at else max(worker.heard_at, job.sent_at)
         if not job.started_at:
             # In a jam starts come late everywhere: only one far later than the others' tells a hung worker.
             silence = max(silence, WAIT_OVER_LATEST * max(self.start_lags[worker.listing.zone], default=0))
         silent = now - heard >= silence
-        if silent and self.orders["probing_permitted"]:
+        if silent and self.settings.probing_allowed:
             # Silence on one connection may be that connection's: a probe tells whether it is the worker's.
             self._doubt(worker, now)
         elif silent:
@@ -1008,11 +1026,11 @@
 
     def _may_rescue(self, job: Request) -> bool:
         return (
-            self.orders["recall_permitted"]
+            self.settings.cancel_allowed
             and not job.recalled
             and job.id in self.open
-            and self.orders["repeat"][job.grade] != "irreversible"
-            and job.hand_offs < self.orders["most_hand_offs"][job.grade]
+            and self.settings.classes[job.grade].idempotency is not Idempotency.NON_IDEMPOTENT
+            and job.hand_offs < self.settings.classes[job.grade].max_attempts
         )
 
     def _allowance(self, job: Request, worker: Worker) -> int:
@@ -1039,10 +1057,10 @@
 
     def _bound_to(self, job: Request, worker: Worker) -> tuple[str, int] | None:
         """Where a repeat must stay after a hand-off there that may have run."""
-        repeat = self.orders["repeat"][job.grade]
-        if job.group is not None or repeat == "redoable":
+        repeat = self.settings.classes[job.grade].idempotency
+        if job.group is not None or repeat is Idempotency.IDEMPOTENT:
             return job.group
-        return ("none", 0) if repeat == "irreversible" else self._group_of(job, worker)
+        return ("none", 0) if repeat is Idempotency.NON_IDEMPOTENT else self._group_of(job, worker)
 
     def _doubt(self, worker: Worker, now: int) -> None:
         """A connection to it broke, did not come up or fell silent.
@@ -1050,7 +1068,7 @@
         One break is no proof: where connections are reset now and then, each set a good worker aside until
         none was left. A probe tells, and until its answer nothing goes there; else a second break does.
         """
-        if self.orders["probing_permitted"]:
+        if self.settings.probing_allowed:
             if not worker.aside and not worker.probed_for:
                 worker.probed_for = "life"
                 self.host.probe(worker.name)
@@ -1091,7 +1109,7 @@
         if worker is None:
             worker = self.workers[listing.worker] = Worker(listing)
         if listing.started_at > worker.listing.started_at or (listing.started_at and not worker.warm_at):
-            worker.warm_at = listing.started_at + self.orders["warm_within"]
+            worker.warm_at = listing.started_at + self.settings.warmup_period
             worker.room = worker.room_before_cut = FIRST_ROOM
             # What was held against the one before it is nothing to the one that has started.
             worker.aside = False
@@ -1103,7 +1121,7 @@
         gone = listing.condition == "gone"
         worker.drained = listing.condition == "draining" or (worker.drained and gone)
         # Where only a drain binds, the list does not tell who is up: one that is called gone is asked.
-        asked = gone and not worker.drained and self.orders["only_draining_binds"]
+        asked = gone and not worker.drained and self.settings.only_draining_is_binding
         ready = listing.condition == "ready" or asked
         if ready != worker.ready or listing[1:3] != worker.listing[1:3]:
             self.tiers.clear()
@@ -1118,19 +1136,19 @@
         What all dispatchers give it adds up to the same part of what they give a warm one, however many they
         are. It starts at a random part of a job, so that they do not all send their first one at once.
         """
-        span = self.orders["warm_within"]
+        span = self.settings.warmup_period
         warmth = min(1.0, max(0.0, 1 - (worker.warm_at - now) / span))
-        share = self.orders["cold_share"] + (1 - self.orders["cold_share"]) * warmth
+        share = self.settings.warmup_share + (1 - self.settings.warmup_share) * warmth
         if now - self.warm_load_at > LOOK_AT_ALL_EVERY:
             warm = [w for w in self.workers.values() if w.ready and w.warm_at <= now]
             self.warm_load = (
-                sum(w.running for w in warm) / len(warm) if warm else 1 / self.orders["dispatchers"]
+                sum(w.running for w in warm) / len(warm) if warm else 1 / self.settings.dispatcher_count
             )
             self.warm_load_at = now
-        rate = COLD_PART * self.orders["tip_multiple"] * share * self.warm_load
+        rate = COLD_PART * self.settings.overload_multiple * share * self.warm_load
         cost = self._cost(job_type)
         worker.cold_credit += rate * (now - worker.cold_credit_at)
-        worker.cold_credit = min(worker.cold_credit, max(cost, rate * self.orders["fall_within"]))
+        worker.cold_credit = min(worker.cold_credit, max(cost, rate * self.settings.overload_window))
         worker.cold_credit_at = now
         return worker.cold_credit >= cost
 
--- a/ploverspoke/decisions/interface.py
+++ b/ploverspoke/decisions/interface.py
@@ -5,9 +5,8 @@
 """
 
 from collections.abc import Iterable, Mapping
-from typing import Any, NamedTuple, Protocol
+from typing import NamedTuple, Protocol
 
-Settings = Mapping[str, Any]
 Load = Mapping[str, float] | None  # what a worker reports of itself
 NEVER_RAN = frozenset({"full", "unreachable", "not_sent"})  # outcomes of hand-offs that are known not to have
 
--- a/ploverspoke/protocol/wire_names.py
+++ b/ploverspoke/protocol/wire_names.py
@@ -1,8 +1,6 @@
 """What the wires call things, and what we call them."""
 
 CONDITIONS = {"Ready": "ready", "Terminating": "draining", "Gone": "gone"}
-REPEATS = {"free": "redoable", "guarded": "labelled", "single_shot": "irreversible"}
-GROUPS = {"all": "all", "zone": "zone", "cell": "rack"}
 LOAD_NAMES = {
     "outstanding": "in_hand",
     "inflight": "in_hand",
--- a/ploverspoke/routing/request_classes.py
+++ b/ploverspoke/routing/request_classes.py
@@ -4,31 +4,20 @@
 dropped or changed keeps its values until the last of them has ended; only then it is given out again.
 """
 
-from collections.abc import Collection, Mapping
-from typing import Any
+from collections.abc import Collection, Sequence
+from dataclasses import replace
 
-EACH_GRADE = (
-    "expected_time",
-    "abandon_time",
-    "benefit",
-    "overdue_benefit",
-    "repeat",
-    "repeat_group",
-    "repeat_window",
-    "machine_kind_needed",
-    "running_time_stretch",
-    "most_hand_offs",
-)
+from ploverspoke.decisions.settings import Settings
 
 
 class RequestClassTable:
-    def __init__(self, grades: list[str]) -> None:
+    def __init__(self, grades: Sequence[str]) -> None:
         self.numbers = {grade: number for number, grade in enumerate(grades)}  # those in force
         self.names = list(grades)  # by number, also of those no longer in force
 
     def follow(
-        self, old: Mapping[str, Any], new: Mapping[str, Any], grades: list[str], in_use: Collection[int]
-    ) -> tuple[dict[str, Any], dict[int, int]]:
+        self, old: Settings, new: Settings, grades: Sequence[str], in_use: Collection[int]
+    ) -> tuple[Settings, dict[int, int]]:
         """New orders in these numbers, and which number takes over the samples of which.
 
         `new` is numbered as `grades` are; `in_use`: the numbers that open submissions have.
@@ -38,7 +27,7 @@
         takes_over: dict[int, int] = {}
         for place, grade in enumerate(grades):
             before = self.numbers.get(grade)
-            if before is not None and all(old[row][before] == new[row][place] for row in EACH_GRADE):
+            if before is not None and old.classes[before] == new.classes[place]:
                 numbers[grade] = before
                 continue
             if vacant:
@@ -50,12 +39,9 @@
             numbers[grade] = number
             if before is not None:
                 takes_over[number] = before
-        orders = dict(new)
-        for row in EACH_GRADE:
-            values = list(old[row]) + [None] * (len(self.names) - len(old[row]))
-            for place, grade in enumerate(grades):
-                values[numbers[grade]] = new[row][place]
-            orders[row] = values
+        classes = list(old.classes) + [new.classes[0]] * (len(self.names) - len(old.classes))
+        for place, grade in enumerate(grades):
+            classes[numbers[grade]] = new.classes[place]
         self.numbers = numbers
-        orders["grades"] = sorted(numbers.values())
-        return orders, takes_over
+        active = tuple(sorted(numbers.values()))
+        return replace(new, classes=tuple(classes), active_classes=active), takes_over
--- a/ploverspoke/routing/router.py
+++ b/ploverspoke/routing/router.py
@@ -4,12 +4,14 @@
 import time
 import traceback
 from collections import deque
-from collections.abc import Callable, Collection, Iterable, Mapping
+from collections.abc import Callable, Collection, Iterable, Sequence
+from dataclasses import replace
 from functools import partial
 from typing import Any
 
 from ploverspoke.decisions.dispatcher import Dispatcher
-from ploverspoke.decisions.interface import Endpoint, Settings
+from ploverspoke.decisions.interface import Endpoint
+from ploverspoke.decisions.settings import DeploymentNames, Idempotency, LoadReporting, Settings
 from ploverspoke.protocol import clients, discovery, workers
 from ploverspoke.protocol.http_messages import HttpSyntaxError
 from ploverspoke.protocol.wire_names import CONDITIONS
@@ -38,18 +40,18 @@
 Event = Callable[..., None]
 
 
-def x0_in(orders: Settings) -> str:
+def x0_in(settings: Settings) -> str:
     """What this deployment's reports mean by x0."""
-    return "free_slots" if "free_slots" in orders["load_fields"] else "x0"
+    return "free_slots" if "free_slots" in settings.load_fields else "x0"
 
 
-def hold_in(orders: Settings) -> int:
-    return min(LONGEST_HOLD, int(orders["roster_ask_within"]))
+def hold_in(settings: Settings) -> int:
+    return min(LONGEST_HOLD, int(settings.discovery_poll_interval))
 
 
-def is_pushed(orders: Settings) -> bool:
+def is_pushed(settings: Settings) -> bool:
     """Whether changes of the roster count as told without being asked for."""
-    return not orders["roster_must_be_asked"]
+    return not settings.discovery_polling
 
 
 def give(client: Client, how: str, result: str, come_back_after: int = 0) -> None:
@@ -125,22 +127,22 @@
         pool: Pool,
         discovery_address: str,
         seed: int,
-        orders: Settings,
-        names: Mapping[str, list[str]],
+        settings: Settings,
+        names: DeploymentNames,
         scribe: RequestLog | None = None,
     ) -> None:
         self.deadlines = deadlines
         self.pool = pool
-        self.orders = orders
+        self.settings = settings
         self.scribe = scribe
         self.on_roster: Callable[[bytes], None] | None = None  # told what discovery told
         self.by_id: dict[str, Request] = {}  # those in flight, where there is a store
-        self.rows = RequestClassTable(names["grades"])
+        self.rows = RequestClassTable(names.request_classes)
         self.figures = Counters()
-        self.figures.name(names["grades"])
-        self.zones = {name: number for number, name in enumerate(names["zones"])}
-        self.machine_kinds = {name: number for number, name in enumerate(names["machine_kinds"])}
-        self.x0 = x0_in(orders)
+        self.figures.name(names.request_classes)
+        self.zones = {name: number for number, name in enumerate(names.zones)}
+        self.machine_kinds = {name: number for number, name in enumerate(names.machine_kinds)}
+        self.x0 = x0_in(settings)
         # Workers' starts are told in Unix time; one difference, taken once, puts them all on our clock.
         self.clock_ahead = time.time_ns() - time.monotonic_ns()
         self.addresses: dict[str, str] = {}
@@ -154,7 +156,7 @@
         self.peers: GossipSocket | None = None  # the other dispatchers, where there are addresses for them
         self.loop = loop
         self.roster = self._watch_on(discovery_address)
-        self.dispatcher = Dispatcher(self, seed, orders)
+        self.dispatcher = Dispatcher(self, seed, settings)
 
     def begin(self, known: Any = None, from_known: bool = True) -> None:
         """Follow the roster, from the list as we last had it, if any; it was checked where it was read.
@@ -167,27 +169,28 @@
             self.roster.version = version if from_known else None
             self._roster_changed(listings, True)
         self.tell(self.dispatcher.started)
-        if is_pushed(self.orders):
+        if is_pushed(self.settings):
             # Where changes are to come unprompted, nothing but this watch makes them come on sockets.
             self.roster.start()
 
-    def settings_changed(self, orders: Settings, names: Mapping[str, list[str]]) -> None:
+    def settings_changed(self, settings: Settings, names: DeploymentNames) -> None:
         """Other settings, checked: they bind what is taken from now on; what is open keeps its rules."""
-        translated = dict(orders)
-        own, sought = orders["zone"], orders["machine_kind_needed"]
-        if own < len(names["zones"]):
-            translated["zone"] = self.zones.setdefault(names["zones"][own], len(self.zones))
-        translated["machine_kind_needed"] = [
-            self._machine_kind(kind, names["machine_kinds"]) for kind in sought
-        ]
+        zone = settings.zone
+        if zone < len(names.zones):
+            zone = self.zones.setdefault(names.zones[zone], len(self.zones))
+        classes = tuple(
+            replace(each, machine_kind=self._machine_kind(each.machine_kind, names.machine_kinds))
+            for each in settings.classes
+        )
+        translated = replace(settings, zone=zone, classes=classes)
         in_use = {submission.grade for submission in self.submissions}
-        self.orders, takes_over = self.rows.follow(self.orders, translated, names["grades"], in_use)
-        self.figures.name(names["grades"])
-        self.x0 = x0_in(self.orders)
-        self.roster.hold, self.roster.pushed = hold_in(self.orders), is_pushed(self.orders)
-        self.tell(self.dispatcher.settings_changed, self.orders, takes_over)
+        self.settings, takes_over = self.rows.follow(self.settings, translated, names.request_classes, in_use)
+        self.figures.name(names.request_classes)
+        self.x0 = x0_in(self.settings)
+        self.roster.hold, self.roster.pushed = hold_in(self.settings), is_pushed(self.settings)
+        self.tell(self.dispatcher.settings_changed, self.settings, takes_over)
 
-    def _machine_kind(self, kind: int, names: list[str]) -> int:
+    def _machine_kind(self, kind: int, names: Sequence[str]) -> int:
         """The number by which workers of that kind are known here, whatever place its name has now."""
         if not 0 <= kind < len(names):
             return kind
@@ -217,7 +220,7 @@
         grade = self.rows.numbers.get(clients.grade_name(target))
         if grade is None:
             raise clients.UnknownRequestClassError("no such service grade")  # dropped while the body came
-        longest: int = self.orders["abandon_time"][grade]
+        longest: int = self.settings.classes[grade].deadline
         stated = clients.patience(headers)
         patience = longest if stated is None else min(stated, longest)
         slots, hint = clients.slots(headers), clients.work_hint(headers)
@@ -225,7 +228,7 @@
             known = self._known(self.scribe, client, method, target, headers, body)
             if known is not None:
                 return known
-        if len(self.submissions) >= self.orders["most_open"]:
+        if len(self.submissions) >= self.settings.max_open_requests:
             self.figures.turned_away(self.rows.names[grade])
             return None
         # What waited for us to be read, and the way back, are time that the client has not.
@@ -295,7 +298,7 @@
         submission.digest = scribe.digest(submission.method, submission.target, submission.body)
         submission.client = submission.waiters = WaitingClients(submission.client)
         self.by_id[submission.request_id] = submission
-        if self.orders["repeat"][submission.grade] == "redoable":
+        if self.settings.classes[submission.grade].idempotency is Idempotency.IDEMPOTENT:
             arrived()
             return
         past = scribe.past(submission.request_id)
@@ -466,7 +469,7 @@
         self.roster.start()
 
     def _watch_on(self, address: str) -> EndpointWatch:
-        hold, pushed = hold_in(self.orders), is_pushed(self.orders)
+        hold, pushed = hold_in(self.settings), is_pushed(self.settings)
         told, lost = self._roster_told, self._roster_lost
         return EndpointWatch(self.loop, self.deadlines, address, hold, told, lost, pushed)
 
@@ -527,7 +530,7 @@
 
     def _is_kept(self, submission: Request) -> bool:
         """Whether the store keeps its hand-offs: what may be run twice needs no keeping."""
-        return bool(self.orders["repeat"][submission.grade] != "redoable")
+        return bool(self.settings.classes[submission.grade].idempotency is not Idempotency.IDEMPOTENT)
 
     def _send(self, hand_off: AttemptCall, time_out: int) -> None:
         submission, address = hand_off.submission, self.addresses[hand_off.worker]
@@ -545,7 +548,7 @@
             partial(workers.JobAnswer, x0=self.x0, request_id=submission.request_id),
             time_out,
             hand_off,
-            in_two=self.orders["repeat"][submission.grade] == "irreversible",
+            in_two=self.settings.classes[submission.grade].idempotency is Idempotency.NON_IDEMPOTENT,
             may_go=partial(self._lets_go, hand_off, address),
         )
 
@@ -584,7 +587,7 @@
 
     def send_probe(self, probe: HealthCheckCall) -> None:
         address = self.addresses.get(probe.worker, "")
-        with_load = self.orders["load_reports"] != "none"
+        with_load = self.settings.load_reporting is not LoadReporting.NONE
         WorkerCall(
             self.pool,
             address,
@@ -660,7 +663,10 @@
         """A fault or the end: what was never handed off or is redoable is nacked, the rest abandoned."""
         if submission.client is None:
             return
-        if submission.hand_offs and self.orders["repeat"][submission.grade] != "redoable":
+        if (
+            submission.hand_offs
+            and self.settings.classes[submission.grade].idempotency is not Idempotency.IDEMPOTENT
+        ):
             self.fail(submission.number)
         else:
             self.reject(submission.number, 0)
--- a/ploverspoke/service/config.py
+++ b/ploverspoke/service/config.py
@@ -3,14 +3,16 @@
 import ipaddress
 import json
 from collections.abc import Mapping, Sequence
+from dataclasses import replace
 from typing import Any, NamedTuple
 
+from ploverspoke.decisions.settings import DeploymentNames, Settings
 from ploverspoke.protocol.discovery import enter_list
 from ploverspoke.protocol.http_messages import HttpSyntaxError
 from ploverspoke.transport.units import MEBIBYTE
 
 from .config_reader import ConfigError, ConfigSection
-from .settings import names, standing_orders
+from .settings import parse_names, parse_settings
 
 FEWEST_SOCKETS = 64
 LEAST_MEMORY_MB = 32
@@ -25,9 +27,9 @@
     sockets: int  # descriptors that the whole program may hold
     memory: int  # bytes that it may take
     known: Mapping[str, Any] | None  # the list of workers as it was last had, in discovery's form
-    orders: dict[str, Any]
-    names: dict[str, list[str]]
-    told: Mapping[str, Any] = {}  # all of it as it stood there, but for the list of workers
+    settings: Settings
+    names: DeploymentNames
+    document: Mapping[str, Any] = {}  # all of it as it stood there, but for the list of workers
     peers: Sequence[tuple[str, int]] = ()  # where each dispatcher hears the others, by its number
     cannot_tell: bool = False  # messages to others are permitted, and there are no addresses
 
@@ -74,11 +76,11 @@
         except HttpSyntaxError as error:
             raise top.bad("known", f"a list in discovery's form ({error})") from None
     limits = top.part("limits")
-    orders = standing_orders(top.value["settings"], "settings")
-    peers = _peers(top, orders)
+    settings = parse_settings(top.value["settings"], "settings")
+    peers = _peers(top, settings)
     # Nothing is told where there is no way to.
-    cannot_tell = orders["telling_permitted"] and not peers
-    orders["telling_permitted"] = bool(peers)
+    cannot_tell = settings.gossip_allowed and not peers
+    settings = replace(settings, gossip_allowed=bool(peers))
     return Config(
         top.text("name", environment.get("RELAY_NAME", "dispatcher")),
         listen,
@@ -88,22 +90,22 @@
         limits.whole("sockets", 1024, least=FEWEST_SOCKETS),
         limits.whole("memory_mb", 192, least=LEAST_MEMORY_MB) * MEBIBYTE,
         known,
-        orders,
-        names(top.value["settings"], "settings"),
+        settings,
+        parse_names(top.value["settings"], "settings"),
         {key: value for key, value in top.value.items() if key != "known"},
         peers,
         cannot_tell,
     )
 
 
-def _peers(top: ConfigSection, orders: Mapping[str, Any]) -> list[tuple[str, int]]:
+def _peers(top: ConfigSection, settings: Settings) -> list[tuple[str, int]]:
     """One address for each dispatcher; told to others only where the settings permit messages, too."""
     texts = top.row("peers", [], str)
     if not texts:
         return []
-    if not orders["telling_permitted"]:
+    if not settings.gossip_allowed:
         raise ConfigError("settings.Limits.Peers is not true: expected that beside peers")
-    if len(texts) != orders["dispatchers"] or orders["dispatcher_number"] >= len(texts):
+    if len(texts) != settings.dispatcher_count or settings.dispatcher_index >= len(texts):
         raise top.bad("peers", "an address for each of settings.PeersTotal, settings.SlotNo among them")
     found = [address(ConfigSection({"peers": text}), "peers", None) for text in texts]
     if len(set(found)) < len(found):
--- a/ploverspoke/service/config_reader.py
+++ b/ploverspoke/service/config_reader.py
@@ -1,11 +1,13 @@
 """What is read at start, key by key: a fault names the key, a missing value gets its default."""
 
 from collections.abc import Mapping
-from typing import Any
+from typing import Any, TypeVar
 
 from ploverspoke.protocol.json_values import is_finite
 from ploverspoke.transport.units import MICROSECOND
 
+Choice = TypeVar("Choice")
+
 
 class ConfigError(ValueError):
     """A value is missing or is not what it should be; says at which key."""
@@ -99,7 +101,7 @@
             raise self.bad(name, "a text")
         return found
 
-    def word(self, name: str, table: Mapping[str, str], default: str | None = None) -> str:
+    def word(self, name: str, table: Mapping[str, Choice], default: str | None = None) -> Choice:
         found = self.text(name, default)
         if found not in table:
             raise self.bad(name, "one of " + ", ".join(table))
--- a/ploverspoke/service/service.py
+++ b/ploverspoke/service/service.py
@@ -7,12 +7,13 @@
 import signal
 import socket
 from collections.abc import Callable
+from dataclasses import replace
 from functools import partial
 from typing import NamedTuple
 
 import uvloop
 
-from ploverspoke.decisions.interface import Settings
+from ploverspoke.decisions.settings import Settings
 from ploverspoke.routing.admin_server import AdminServer
 from ploverspoke.routing.client_server import ClientServer
 from ploverspoke.routing.load_gossip import GossipSocket
@@ -55,15 +56,22 @@
         self.sockets = told if allowed == resource.RLIM_INFINITY else min(told, allowed)
         self.processes = 1  # of this dispatcher, with us
         shares = split_resources(self.sockets, briefing.memory)
-        orders = briefing.orders
+        settings = briefing.settings
         self.pool = Pool(
-            loop, self.deadlines, shares.workers, orders["idle_limit"], orders["connect_time_out"]
+            loop, self.deadlines, shares.workers, settings.idle_timeout, settings.connect_timeout
         )
         self.router = Router(
-            loop, self.deadlines, self.pool, briefing.discovery, briefing.seed, orders, briefing.names, scribe
+            loop,
+            self.deadlines,
+            self.pool,
+            briefing.discovery,
+            briefing.seed,
+            settings,
+            briefing.names,
+            scribe,
         )
         if briefing.peers:
-            own = orders["dispatcher_number"]
+            own = settings.dispatcher_index
             self.router.peers = GossipSocket(
                 briefing.peers, own, self.router.known_workers, self.router.heard
             )
@@ -135,11 +143,11 @@
         old = self.briefing
         if self.router.peers is None:
             # Addresses wait for the next start, and so do messages.
-            new = new._replace(orders={**new.orders, "telling_permitted": False})
-        missing = first_missing_key(old.told, new.told)
+            new = new._replace(settings=replace(new.settings, gossip_allowed=False))
+        missing = first_missing_key(old.document, new.document)
         if missing is not None:
             raise ConfigError(f"{missing} is missing: the configuration in force has it")
-        differ = new.orders != old.orders or new.names != old.names
+        differ = new.settings != old.settings or new.names != old.names
         for key, changed in (
             ("name", new.name != old.name),
             ("listen", new.listen != old.listen),
@@ -156,11 +164,13 @@
         self.briefing = old._replace(discovery=new.discovery)
         # What a store keeps of submissions goes by the grades' numbers: there they must not change.
         if differ and self.router.scribe is None:
-            log_line(f"new configuration: settings taken, grades={','.join(new.names['grades'])}")
-            self.router.settings_changed(new.orders, new.names)
-            self.pool.keep_for = kept_for(new.orders["idle_limit"])
-            self.pool.connect_time_out = new.orders["connect_time_out"]
-            self.briefing = self.briefing._replace(orders=new.orders, names=new.names, told=new.told)
+            log_line(f"new configuration: settings taken, grades={','.join(new.names.request_classes)}")
+            self.router.settings_changed(new.settings, new.names)
+            self.pool.keep_for = kept_for(new.settings.idle_timeout)
+            self.pool.connect_time_out = new.settings.connect_timeout
+            self.briefing = self.briefing._replace(
+                settings=new.settings, names=new.names, document=new.document
+            )
 
     # ---- The end ----
 
@@ -172,7 +182,7 @@
             if self.router.peers is not None:
                 self.router.peers.close()  # what others tell is for the process that comes after
             self.door.leave(handing_over=self.listening is not None)
-            self._look_whether_over(times_to_end(self.router.orders, self.listening is not None))
+            self._look_whether_over(times_to_end(self.router.settings, self.listening is not None))
 
     def _look_whether_over(self, end: "TimesToEnd") -> None:
         now = self.deadlines.now()
@@ -197,12 +207,14 @@
     look_every: int
 
 
-def times_to_end(orders: Settings, shared: bool) -> TimesToEnd:
+def times_to_end(settings: Settings, shared: bool) -> TimesToEnd:
     """We may be killed once what came last has had the longest abandon time in force: all is over before.
 
     Where another process has the socket, clients are sent over to it with each answer.
     """
-    finish = min(LONGEST_TO_FINISH, max(orders["abandon_time"][grade] for grade in orders["grades"]))
+    finish = min(
+        LONGEST_TO_FINISH, max(settings.classes[grade].deadline for grade in settings.active_classes)
+    )
     return TimesToEnd(
         0 if shared else STILL_COMING,
         HANDED_OVER if shared else STILL_COMING + finish // 2,
--- a/ploverspoke/simulator/adapter.py
+++ b/ploverspoke/simulator/adapter.py
@@ -14,7 +14,7 @@
 from ploverspoke.protocol.http_messages import HttpSyntaxError
 from ploverspoke.protocol.wire_names import CONDITIONS
 from ploverspoke.service.config_reader import ConfigError
-from ploverspoke.service.settings import standing_orders
+from ploverspoke.service.settings import parse_settings
 from ploverspoke.transport.units import MICROSECOND
 
 from .codec import CodecError, Fields, read_line, write_line
@@ -38,12 +38,12 @@
         self.number = number
         self.adapter = adapter
         try:
-            orders = standing_orders(start.mapping("ProfileData"))
+            settings = parse_settings(start.mapping("ProfileData"))
         except ConfigError as error:
             raise CodecError(str(error)) from None
-        self.load_fields: list[str] = orders["load_fields"]
+        self.load_fields = settings.load_fields
         self.reader = Reader()
-        self.dispatcher = Dispatcher(self, start.whole("RandomSeed"), orders)
+        self.dispatcher = Dispatcher(self, start.whole("RandomSeed"), settings)
         self.dispatcher.started()
 
     def now(self) -> int:
--- a/ploverspoke/store/daemon.py
+++ b/ploverspoke/store/daemon.py
@@ -16,6 +16,7 @@
 
 from ploverspoke.consensus.cluster_config import ReplicaConfig, read_replica_config
 from ploverspoke.consensus.storage import ClusterMismatchError, CorruptionError, StorageError
+from ploverspoke.decisions.settings import Idempotency
 from ploverspoke.service.config import Config, address, parse_config, read_config_document
 from ploverspoke.service.config_reader import ConfigError, ConfigSection
 from ploverspoke.service.exit_codes import run_with_exit_code
@@ -27,6 +28,11 @@
 from .request_log import ReplicatedRequestLog
 from .state_machine import Configuration
 
+REPEATS = {
+    Idempotency.IDEMPOTENT: "redoable",
+    Idempotency.IDEMPOTENT_WITH_KEY: "labelled",
+    Idempotency.NON_IDEMPOTENT: "irreversible",
+}
 SHARED = ("settings", "discovery")
 
 
@@ -55,9 +61,12 @@
             kept = self.node.disk.kept(CONFIGURATION)
             self.shared = kept[1] if kept is not None else ""
             briefing = self.read()
-            orders = briefing.orders
+            settings = briefing.settings
             scribe = ReplicatedRequestLog(
-                self.node, orders["repeat"], orders["repeat_group"], orders["full_may_have_run"]
+                self.node,
+                [REPEATS[each.idempotency] for each in settings.classes],
+                [each.retry_scope.value for each in settings.classes],
+                settings.full_may_have_run,
             )
             self.service = Service(asyncio.get_running_loop(), briefing, scribe)
             self.service.read = self.read
--- a/ploverspoke/supervisor/resource_split.py
+++ b/ploverspoke/supervisor/resource_split.py
@@ -2,6 +2,8 @@
 times as many.
 """
 
+from dataclasses import replace
+
 from ploverspoke.service.config import FEWEST_SOCKETS, LEAST_MEMORY_MB, Config
 from ploverspoke.service.config_reader import ConfigError
 from ploverspoke.transport.units import MEBIBYTE
@@ -21,11 +23,11 @@
         raise ConfigError(f"limits.sockets: {whole.sockets} are too few for {count} processes")
     if memory < LEAST_MEMORY_MB * MEBIBYTE:
         raise ConfigError(f"limits.memory_mb: {whole.memory // MEBIBYTE} are too few for {count} processes")
-    orders = {
-        **whole.orders,
-        "dispatchers": whole.orders["dispatchers"] * count,
-        "dispatcher_number": whole.orders["dispatcher_number"] * count + place,
-    }
+    settings = replace(
+        whole.settings,
+        dispatcher_count=whole.settings.dispatcher_count * count,
+        dispatcher_index=whole.settings.dispatcher_index * count + place,
+    )
     # Operators call each process at a port of its own: one address for all would answer for any of them.
     admin = None if whole.admin is None else (whole.admin[0], whole.admin[1] + place)
     seed = whole.seed + place * SEEDS_APART
@@ -35,5 +37,5 @@
         seed=seed,
         sockets=sockets,
         memory=memory,
-        orders=orders,
+        settings=settings,
     )
--- a/ploverspoke/testbed/baselines.py
+++ b/ploverspoke/testbed/baselines.py
@@ -9,8 +9,9 @@
 from typing import Any
 
 from ploverspoke.decisions.dispatcher import Dispatcher
-from ploverspoke.decisions.interface import NEVER_RAN, DispatchActions, Endpoint, Settings
+from ploverspoke.decisions.interface import NEVER_RAN, DispatchActions, Endpoint
 from ploverspoke.decisions.random_numbers import RandomNumbers
+from ploverspoke.decisions.settings import Idempotency, RetryScope, Settings
 
 SECOND = 1_000_000_000
 TrueLoad = Callable[[str], float]
@@ -35,10 +36,10 @@
     """The frame; `choose` says which of the workers that may be sent to."""
 
     def __init__(
-        self, host: DispatchActions, seed: int, orders: Settings, true_load: TrueLoad | None = None
+        self, host: DispatchActions, seed: int, settings: Settings, true_load: TrueLoad | None = None
     ) -> None:
         self.host = host
-        self.orders = orders
+        self.settings = settings
         self.chance = RandomNumbers(seed)
         self.true_load = true_load
         self.workers: dict[str, Endpoint] = {}
@@ -47,11 +48,11 @@
         self.turn = 0
         self.failures = 0
 
-    def settings_changed(self, orders: Settings, takes_over: Mapping[int, int]) -> None:
-        self.orders = orders
+    def settings_changed(self, settings: Settings, takes_over: Mapping[int, int]) -> None:
+        self.settings = settings
 
     def started(self) -> None:
-        if self.orders["roster_must_be_asked"]:
+        if self.settings.discovery_polling:
             self.host.watch_endpoints()
 
     def choose(self, among: list[str]) -> str:
@@ -95,7 +96,7 @@
         job.failed_at.append(worker_name)
         if outcome not in NEVER_RAN and not job.may_have_run:
             job.may_have_run = worker_name
-            job.bound_until = self.host.now() - took + self.orders["repeat_window"][job.grade]
+            job.bound_until = self.host.now() - took + self.settings.classes[job.grade].retry_window
         self.send(job)
 
     def client_disconnected(self, submission_id: int) -> None:
@@ -130,7 +131,7 @@
     def send(self, job: Open) -> None:
         now = self.host.now()
         among = self._allowed(job, now)
-        if not among or job.hand_offs >= self.orders["most_hand_offs"][job.grade]:
+        if not among or job.hand_offs >= self.settings.classes[job.grade].max_attempts:
             self._finish(job)
             return
         fresh = [w for w in among if w not in job.failed_at]
@@ -138,36 +139,36 @@
         job.hand_offs += 1
         job.at = worker
         self.in_flight[worker] += job.slots
-        self.host.start_attempt(job.id, worker, job.abandon_at - self.orders["round"] - now)
+        self.host.start_attempt(job.id, worker, job.abandon_at - self.settings.batch_interval - now)
 
     def _allowed(self, job: Open, now: int) -> list[str]:
-        if now >= job.abandon_at - self.orders["round"]:
+        if now >= job.abandon_at - self.settings.batch_interval:
             return []
-        kind = self.orders["machine_kind_needed"][job.grade]
+        kind = self.settings.classes[job.grade].machine_kind
         among = [
             w
             for w, shown in self.workers.items()
             if shown.condition == "ready" and kind in (-1, shown.machine_kind)
         ]
-        repeat = self.orders["repeat"][job.grade]
-        if not job.may_have_run or repeat == "redoable":
+        repeat = self.settings.classes[job.grade].idempotency
+        if not job.may_have_run or repeat is Idempotency.IDEMPOTENT:
             return among
-        if repeat == "irreversible" or now >= job.bound_until:
+        if repeat is Idempotency.NON_IDEMPOTENT or now >= job.bound_until:
             return []
         return [w for w in among if self._same_group(job, w)]
 
     def _same_group(self, job: Open, worker: str) -> bool:
-        group = self.orders["repeat_group"][job.grade]
+        group = self.settings.classes[job.grade].retry_scope
         first, other = self.workers.get(job.may_have_run), self.workers[worker]
-        if group == "all":
+        if group is RetryScope.ALL:
             return True
         return first is not None and (
-            first.zone == other.zone if group == "zone" else first.rack == other.rack
+            first.zone == other.zone if group is RetryScope.ZONE else first.rack == other.rack
         )
 
     def _finish(self, job: Open) -> None:
         del self.open[job.id]
-        redoable = self.orders["repeat"][job.grade] == "redoable"
+        redoable = self.settings.classes[job.grade].idempotency is Idempotency.IDEMPOTENT
         if redoable or not job.may_have_run:
             self.host.reject(job.id, 0)
         else:
@@ -208,9 +209,9 @@
     """The decisions themselves, which see no true load."""
 
     def __init__(
-        self, host: DispatchActions, seed: int, orders: Settings, true_load: TrueLoad | None = None
+        self, host: DispatchActions, seed: int, settings: Settings, true_load: TrueLoad | None = None
     ) -> None:
-        super().__init__(host, seed, orders)
+        super().__init__(host, seed, settings)
 
 
 POLICIES: dict[str, Callable[..., Any]] = {
--- a/ploverspoke/testbed/bench.py
+++ b/ploverspoke/testbed/bench.py
@@ -223,8 +223,8 @@
     spent = 0.0
     host_spent = 0.0
 
-    def __init__(self, host: Any, seed: int, orders: Any, true_load: Any = None) -> None:
-        super().__init__(TimedHost(host), seed, orders)
+    def __init__(self, host: Any, seed: int, settings: Any, true_load: Any = None) -> None:
+        super().__init__(TimedHost(host), seed, settings)
 
 
 def _timed(name: str) -> Callable[..., None]:
--- a/ploverspoke/testbed/relay.py
+++ b/ploverspoke/testbed/relay.py
@@ -19,7 +19,7 @@
     loop = uvloop.new_event_loop()
     asyncio.set_event_loop(loop)
     service = Service(loop, briefing)
-    service.router.dispatcher = RandomPick(service.router, briefing.seed, briefing.orders)  # type: ignore[assignment]
+    service.router.dispatcher = RandomPick(service.router, briefing.seed, briefing.settings)  # type: ignore[assignment]
     loop.run_until_complete(service.run())
 
 
--- a/ploverspoke/testbed/virtual.py
+++ b/ploverspoke/testbed/virtual.py
@@ -5,8 +5,9 @@
 from typing import Any
 
 from ploverspoke.decisions.interface import Endpoint
+from ploverspoke.decisions.settings import Settings
 from ploverspoke.routing.request_classes import RequestClassTable
-from ploverspoke.service.settings import standing_orders
+from ploverspoke.service.settings import parse_settings
 
 from . import experiment as ex
 from . import records
@@ -115,16 +116,16 @@
         self.draws: Draws = world.streams.draws(f"network {number} {start}")
         seed = world.streams.seed * 1_000_003 + number * 7919 + start
         true_load = partial(world.true_load, self.zone) if policy == "all-seeing" else None
-        self.orders = world.orders[self.zone]
+        self.settings = world.settings[self.zone]
         self.rows = RequestClassTable([g.name for g in world.e.grades])
-        self.decisions = POLICIES[policy](self, seed, self.orders, true_load)
+        self.decisions = POLICIES[policy](self, seed, self.settings, true_load)
         self._tell_roster(world.first_list)
         self.decisions.started()
 
-    def settings_changed(self, orders: dict[str, Any]) -> None:
+    def settings_changed(self, settings: Settings) -> None:
         names, in_use = [g.name for g in self.world.e.grades], {t.grade for t in self.taken.values()}
-        self.orders, takes_over = self.rows.follow(self.orders, orders, names, in_use)
-        self.decisions.settings_changed(self.orders, takes_over)
+        self.settings, takes_over = self.rows.follow(self.settings, settings, names, in_use)
+        self.decisions.settings_changed(self.settings, takes_over)
 
     # ---- From clients ----
 
@@ -412,7 +413,7 @@
         self.cuts = Cuts(e, self.clock)
         self.roster.unreached = lambda dispatcher: not self.cuts.reaches_discovery(dispatcher % len(zones))
         self.latency = [[e.one_way(a, b) for b in range(len(zones))] for a in range(len(zones))]
-        self.orders = self._orders_now()
+        self.settings = self._current_settings()
         for t in e.troubles:
             if isinstance(t, ex.SettingsChanged):
                 self.clock.at(t.at, self._change_settings)
@@ -555,15 +556,15 @@
         self.outgoing.remove(first)
         first.die()
 
-    def _orders_now(self) -> list[dict[str, Any]]:
+    def _current_settings(self) -> list[Settings]:
         told = range(min(len(self.e.zones()), self.e.dispatchers.count))
-        return [standing_orders(settings_of(self.e, n, self.clock.time)) for n in told]
+        return [parse_settings(settings_of(self.e, n, self.clock.time)) for n in told]
 
     def _change_settings(self) -> None:
-        self.orders = self._orders_now()
+        self.settings = self._current_settings()
         for process in self._processes():
             if process.alive:
-                process.settings_changed(self.orders[process.zone])
+                process.settings_changed(self.settings[process.zone])
 
     def _restart(self, number: int) -> None:
         old = self.dispatchers[number]
--- a/tests/config_distribution/test_commands.py
+++ b/tests/config_distribution/test_commands.py
@@ -385,7 +385,7 @@
         briefing = merge_config(own, "", {})
 
         def take_configuration(self, new: Config) -> None:
-            if new.orders["round"] == 4_000_000:
+            if new.orders.batch_interval == 4_000_000:
                 raise ConfigError("settings.RoundUs")
             self.briefing = new
 
--- a/tests/decisions/harness.py
+++ b/tests/decisions/harness.py
@@ -2,50 +2,100 @@
 
 import random
 from collections.abc import Mapping
+from dataclasses import fields, replace
 from typing import Any
 
 from ploverspoke.decisions.dispatcher import SECOND, Dispatcher
 from ploverspoke.decisions.interface import NEVER_RAN, Endpoint
+from ploverspoke.decisions.settings import (
+    Idempotency,
+    LoadReporting,
+    RequestClass,
+    RetryScope,
+    Settings,
+)
 
 MS = 1_000_000
-ORDERS: dict[str, Any] = {
-    "round": 2 * MS,
-    "dispatchers": 2,
-    "zone": 0,
-    "roster_must_be_asked": True,
-    "roster_ask_within": 10 * SECOND,
-    "expected_time": [100 * MS, 300 * MS, 300 * MS],
-    "abandon_time": [3 * SECOND] * 3,
-    "benefit": [1.0, 2.0, 3.0],
-    "overdue_benefit": [0.25, 0.0, 0.5],
-    "repeat": ["redoable", "labelled", "irreversible"],
-    "repeat_group": ["all", "rack", "all"],
-    "repeat_window": [SECOND] * 3,
-    "machine_kind_needed": [-1, -1, 1],
-    "running_time_stretch": [2.0] * 3,
-    "tells_start": True,
-    "progress_every": SECOND,
-    "load_reports": "none",
-    "grades": [0, 1, 2],
-    "most_hand_offs": [4] * 3,
-    "recall_permitted": True,
-    "probing_permitted": True,
-    "come_back_advice": True,
-    "longest_come_back": SECOND,
-    "stop_sending_within": 500 * MS,
-    "full_may_have_run": False,
-    "only_draining_binds": False,
-    "cold_share": 0.3,
-    "warm_within": 5 * SECOND,
-    "tip_multiple": 3.0,
-    "fall_within": 2 * SECOND,
-    "zone_crossing_price": 0.0,
-    "probe_price": 1.0,
-    "waste_price": 0.0,
-    "telling_permitted": False,
-    "telling_price": 0.0,
-    "dispatcher_number": 0,
-}
+SETTINGS_OF_DECISIONS = Settings(
+    classes=(
+        RequestClass(
+            latency_objective=100 * MS,
+            deadline=3 * SECOND,
+            priority_weight=1.0,
+            overdue_weight=0.25,
+            idempotency=Idempotency.IDEMPOTENT,
+            retry_scope=RetryScope.ALL,
+            retry_window=SECOND,
+            machine_kind=-1,
+            latency_stretch=2.0,
+            max_attempts=4,
+        ),
+        RequestClass(
+            latency_objective=300 * MS,
+            deadline=3 * SECOND,
+            priority_weight=2.0,
+            overdue_weight=0.0,
+            idempotency=Idempotency.IDEMPOTENT_WITH_KEY,
+            retry_scope=RetryScope.RACK,
+            retry_window=SECOND,
+            machine_kind=-1,
+            latency_stretch=2.0,
+            max_attempts=4,
+        ),
+        RequestClass(
+            latency_objective=300 * MS,
+            deadline=3 * SECOND,
+            priority_weight=3.0,
+            overdue_weight=0.5,
+            idempotency=Idempotency.NON_IDEMPOTENT,
+            retry_scope=RetryScope.ALL,
+            retry_window=SECOND,
+            machine_kind=1,
+            latency_stretch=2.0,
+            max_attempts=4,
+        ),
+    ),
+    active_classes=(0, 1, 2),
+    batch_interval=2 * MS,
+    dispatcher_count=2,
+    dispatcher_index=0,
+    zone=0,
+    discovery_polling=True,
+    discovery_poll_interval=10 * SECOND,
+    workers_report_start=True,
+    progress_interval=SECOND,
+    load_reporting=LoadReporting.NONE,
+    load_fields=(),
+    cancel_allowed=True,
+    probing_allowed=True,
+    gossip_allowed=False,
+    send_retry_after=True,
+    max_retry_after=SECOND,
+    connect_timeout=SECOND,
+    idle_timeout=30 * SECOND,
+    max_open_requests=10_000,
+    full_may_have_run=False,
+    only_draining_is_binding=False,
+    warmup_share=0.3,
+    warmup_period=5 * SECOND,
+    overload_multiple=3.0,
+    overload_window=2 * SECOND,
+    cross_zone_cost=0.0,
+    probe_cost=1.0,
+    waste_cost=0.0,
+    gossip_cost=0.0,
+)
+CLASS_FIELDS = {field.name for field in fields(RequestClass)}
+
+
+def settings_with(**overrides: Any) -> Settings:
+    """The settings above with other values; a field of the classes takes one value for each class."""
+    classes = SETTINGS_OF_DECISIONS.classes
+    for name in CLASS_FIELDS & set(overrides):
+        values = overrides.pop(name)
+        classes = tuple(replace(each, **{name: value}) for each, value in zip(classes, values, strict=True))
+    return replace(SETTINGS_OF_DECISIONS, classes=classes, **overrides)
+
 
 # A deployment's settings, as a service reads them.
 SETTINGS: dict[str, Any] = {
@@ -79,9 +129,9 @@
 class Stage:
     """Hosts one dispatcher; every action is checked against the rules as it is made."""
 
-    def __init__(self, workers: list[Endpoint], seed: int = 1, **orders: Any) -> None:
+    def __init__(self, workers: list[Endpoint], seed: int = 1, **overrides: Any) -> None:
         self.clock = 100 * SECOND
-        self.orders = {**ORDERS, **orders}
+        self.settings = settings_with(**overrides)
         self.grade: dict[int, int] = {}
         self.abandon_at: dict[int, int] = {}
         self.arrived: dict[int, int] = {}
@@ -93,7 +143,7 @@
         self.tellings: list[tuple[Any, ...]] = []
         self.listed = {w.worker: w for w in workers}
         self.closed_at: dict[str, int] = {}
-        self.dispatcher = Dispatcher(self, seed, self.orders)
+        self.dispatcher = Dispatcher(self, seed, self.settings)
         self.dispatcher.endpoint_list_received(workers)
         self.dispatcher.started()
 
@@ -109,14 +159,16 @@
         assert worker in self.listed and worker not in self.closed_at, "drains are kept"
         assert all(t["outcome"] for t in tries), "never two at once"
         for t in [t for t in tries if self.may_have_run(t)]:
-            assert self.orders["repeat"][grade] != "irreversible", "no effect twice"
-            if self.orders["repeat"][grade] == "labelled":
+            assert self.settings.classes[grade].idempotency is not Idempotency.NON_IDEMPOTENT, (
+                "no effect twice"
+            )
+            if self.settings.classes[grade].idempotency is Idempotency.IDEMPOTENT_WITH_KEY:
                 assert self.listed[t["worker"]].rack == self.listed[worker].rack
-                assert self.clock < t["sent"] + self.orders["repeat_window"][grade]
+                assert self.clock < t["sent"] + self.settings.classes[grade].retry_window
         tries.append({"worker": worker, "sent": self.clock, "until": self.clock + time_out, "outcome": None})
 
     def may_have_run(self, hand_off: dict[str, Any]) -> bool:
-        shed = hand_off["outcome"] == "full" and self.orders["full_may_have_run"]
+        shed = hand_off["outcome"] == "full" and self.settings.full_may_have_run
         return shed or hand_off["outcome"] not in NEVER_RAN
 
     def cancel_attempt(self, submission_id: int, hand_off: int) -> None:
@@ -125,7 +177,7 @@
         self.tries[submission_id][hand_off]["recalled"] = True
 
     def reject(self, submission_id: int, come_back_after: int) -> None:
-        if self.orders["repeat"][self.grade[submission_id]] != "redoable":
+        if self.settings.classes[self.grade[submission_id]].idempotency is not Idempotency.IDEMPOTENT:
             assert not any(self.may_have_run(t) for t in self.tries[submission_id])
         self._answer(submission_id, "nacked")
 
@@ -144,7 +196,7 @@
         self.probes.append(worker)
 
     def send_gossip(self, *telling: Any) -> None:
-        assert self.orders["telling_permitted"]
+        assert self.settings.gossip_allowed
         self.tellings.append(telling)
 
     def watch_endpoints(self) -> None:
@@ -220,12 +272,12 @@
             assert (job.at is None) == (job in job.type.queue)
 
 
-def random_run(seed: int, steps: int, **orders: Any) -> Stage:
+def random_run(seed: int, steps: int, **overrides: Any) -> Stage:
     """Random arrivals, notes, ends, departures and roster changes, with the books checked at each step."""
     chance = random.Random(seed)
     names = [f"w{i}" for i in range(chance.randint(1, 7))]
     listed = [listing(n, kind=i % 2, rack=i % 3) for i, n in enumerate(names)]
-    stage = Stage(listed, seed, **orders)
+    stage = Stage(listed, seed, **overrides)
     ends = ["satisfied"] * 6 + ["worker_error", "full", "timed_out", "unreachable", "broken_off", "not_sent"]
     for step in range(steps):
         stage.pass_time(chance.choice([0, 1, 5, 30, 200]) * MS)
@@ -259,7 +311,7 @@
             old = stage.listed[name]
             stage.listed[name] = old._replace(condition=state, started_at=stage.clock)
             was_closed = stage.closed_at.pop(name, None) is not None
-            binds = not stage.orders["only_draining_binds"] or was_closed
+            binds = not stage.settings.only_draining_is_binding or was_closed
             if state == "draining" or (state == "gone" and binds):
                 stage.closed_at[name] = stage.clock
             stage.dispatcher.endpoints_changed([stage.listed[name]])
--- a/tests/decisions/test_fleet.py
+++ b/tests/decisions/test_fleet.py
@@ -31,14 +31,14 @@
 
 def test_dispatchers_started_together_do_not_jam_the_roster() -> None:
     workers = [listing(f"w{n}") for n in range(3)]
-    since = watched([Stage(workers, seed, dispatchers=40) for seed in range(40)], 8 * SECOND)
+    since = watched([Stage(workers, seed, dispatcher_count=40) for seed in range(40)], 8 * SECOND)
     assert all(since) and max(since) < 8 * SECOND
 
 
 def test_those_turned_away_find_the_roster_free_later() -> None:
     # Without a list nothing can be sent, so all call at once; what is turned away must not fill the next
     # seconds.
-    since = watched([Stage([], seed, dispatchers=40) for seed in range(40)], 25 * SECOND)
+    since = watched([Stage([], seed, dispatcher_count=40) for seed in range(40)], 25 * SECOND)
     assert all(since)
 
 
--- a/tests/decisions/test_load_gossip.py
+++ b/tests/decisions/test_load_gossip.py
@@ -15,7 +15,7 @@
 from ploverspoke.testbed.processes.addresses import held_ports
 from tests.decisions.harness import MS, SECOND, SETTINGS, Stage, listing, random_run
 
-TELLING = {"telling_permitted": True, "telling_price": 0.01, "probing_permitted": False, "dispatchers": 9}
+TELLING = {"gossip_allowed": True, "gossip_cost": 0.01, "probing_allowed": False, "dispatcher_count": 9}
 FULL = ["a", "a"]
 
 
@@ -77,7 +77,7 @@
 def test_another_zone_is_sent_to_only_where_starts_are_far_less_late() -> None:
     far = listing("f")._replace(zone=1)
     for own, other, where in ((0.8, 0.1, "f"), (0.8, 0.6, None), (0.8, None, None)):
-        stage = Stage([listing("a"), far], zone_crossing_price=0.02, **TELLING)
+        stage = Stage([listing("a"), far], cross_zone_cost=0.02, **TELLING)
         stage.dispatcher.gossip_received(1, 0, 1, own, ["a"] * 9)
         stage.dispatcher.late_starts.extend([own] * 16)
         if other is not None:
@@ -198,6 +198,6 @@
         other.close()
         silent = Service(loop, parse_config(told, {}))
         silent.take_configuration(parse_config({**told, "peers": peers}, {}))
-        assert not silent.router.orders["telling_permitted"]
+        assert not silent.router.settings.gossip_allowed
 
     asyncio.run(run())
--- a/tests/decisions/test_load_probes.py
+++ b/tests/decisions/test_load_probes.py
@@ -4,7 +4,7 @@
 
 from tests.decisions.harness import MS, SECOND, Stage, listing
 
-ASKING = {"probe_price": 0.001, "machine_kind_needed": [-1, -1, -1]}
+ASKING = {"probe_cost": 0.001, "machine_kind": [-1, -1, -1]}
 
 
 def answer(stage: Stage, worker: str, free: float, waiting: float, outcome: str = "satisfied") -> None:
@@ -79,7 +79,7 @@
 
 def test_one_that_is_late_by_now_is_sent_behind_no_queue() -> None:
     # In a jam the slack was gone for all, and all were sent whatever the wait: the jam stayed for good.
-    soon = {"expected_time": [MS] * 3, "running_time_stretch": [0.0] * 3, **ASKING}
+    soon = {"latency_objective": [MS] * 3, "latency_stretch": [0.0] * 3, **ASKING}
     for waiting in (0.0, 3.0):
         stage = Stage([listing("a")], **soon)
         stage.submit(1, grade=2)
@@ -91,7 +91,7 @@
 
 def test_nobody_is_given_up_while_answers_are_awaited() -> None:
     stage = Stage(
-        [listing("a"), listing("b")], overdue_benefit=[0.0] * 3, expected_time=[40 * MS] * 3, **ASKING
+        [listing("a"), listing("b")], overdue_weight=[0.0] * 3, latency_objective=[40 * MS] * 3, **ASKING
     )
     stage.submit(1, grade=2)
     stage.pass_time(30 * MS)
@@ -99,7 +99,7 @@
 
 
 def test_probes_are_bounded_by_their_price() -> None:
-    stage = Stage([listing(f"w{i}") for i in range(200)], **{**ASKING, "probe_price": 0.003})
+    stage = Stage([listing(f"w{i}") for i in range(200)], **{**ASKING, "probe_cost": 0.003})
     asked = 0
     for submission_id in range(50):
         stage.submit(submission_id, grade=2)
@@ -126,7 +126,7 @@
 def test_many_dispatchers_together_give_a_cold_worker_work_from_the_start() -> None:
     may_send = 0
     for seed in range(200):
-        stage = Stage([listing("a"), listing("b", started=100 * SECOND)], seed, dispatchers=200)
+        stage = Stage([listing("a"), listing("b", started=100 * SECOND)], seed, dispatcher_count=200)
         dispatcher, stage.clock = stage.dispatcher, stage.clock + 4 * SECOND
         dispatcher.warm_load, dispatcher.warm_load_at = 0.02, stage.clock
         job_type = dispatcher._job_type(1.0, -1)
@@ -135,7 +135,7 @@
 
 
 def test_a_wait_is_no_silence_where_starts_come_late() -> None:
-    stage = Stage([listing(n, kind=1) for n in "abcd"], abandon_time=[9 * SECOND] * 3)
+    stage = Stage([listing(n, kind=1) for n in "abcd"], deadline=[9 * SECOND] * 3)
     stage.dispatcher.start_lags[0].extend([MS, 3 * SECOND])
     stage.submit(1, grade=2, abandon_in=9 * SECOND)
     waits_at = stage.dispatcher.workers[stage.where(1)]
@@ -162,7 +162,7 @@
     waste_price: float, least: int, most: int
 ) -> None:
     # Workers that take no notice ran all that was taken back, and many dispatchers filled half of them so.
-    stage = Stage([listing(f"w{i}") for i in range(40)], waste_price=waste_price)
+    stage = Stage([listing(f"w{i}") for i in range(40)], waste_cost=waste_price)
     for number in range(40):
         stage.submit(number)  # none of them starts
         stage.pass_time(20 * MS)
--- a/tests/decisions/test_mechanism.py
+++ b/tests/decisions/test_mechanism.py
@@ -142,7 +142,7 @@
 @pytest.mark.parametrize("outcome", ["unreachable", "broken_off"])
 def test_one_broken_connection_dismisses_no_worker(outcome: str, probing: bool) -> None:
     # Where connections are reset now and then all workers were set aside within seconds.
-    stage = Stage([listing(n) for n in "abc"], probing_permitted=probing)
+    stage = Stage([listing(n) for n in "abc"], probing_allowed=probing)
     stage.submit(0)
     worker = stage.dispatcher.workers[stage.where(0)]
     stage.end(0, outcome)
@@ -151,7 +151,7 @@
         assert stage.probes == [worker.name] and stage.where(1) != worker.name
         stage.dispatcher.probe_completed(stage.probes.pop(), "satisfied", MS, None)
     assert not any(w.aside for w in stage.dispatcher.workers.values())
-    alone = Stage([listing("a")], probing_permitted=probing)
+    alone = Stage([listing("a")], probing_allowed=probing)
     for number in range(2):
         alone.submit(number)
     alone.end(0, outcome)
--- a/tests/decisions/test_rules.py
+++ b/tests/decisions/test_rules.py
@@ -7,12 +7,12 @@
 
 @pytest.mark.parametrize("seed", range(40))
 def test_rules_hold_in_random_runs(seed: int) -> None:
-    random_run(seed, 400, probe_price=seed % 2 * 0.002)
+    random_run(seed, 400, probe_cost=seed % 2 * 0.002)
 
 
 @pytest.mark.parametrize("seed", range(10))
 def test_rules_hold_with_subjects_and_zones(seed: int) -> None:
-    random_run(1000 + seed, 300, zone_crossing_price=0.02, probing_permitted=False)
+    random_run(1000 + seed, 300, cross_zone_cost=0.02, probing_allowed=False)
 
 
 def test_same_events_same_actions() -> None:
@@ -61,7 +61,7 @@
 
 
 def test_a_cold_worker_gets_some_work_however_many_dispatchers_there_are() -> None:
-    stage = Stage([listing("a"), listing("b", started=100 * SECOND)], dispatchers=20)
+    stage = Stage([listing("a"), listing("b", started=100 * SECOND)], dispatcher_count=20)
     given = []
     for submission_id in range(60):
         stage.submit(submission_id)
@@ -89,8 +89,8 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_rules_hold_where_full_is_no_proof(seed: int) -> None:
-    drains = {"only_draining_binds": seed % 3 == 0}
-    random_run(3000 + seed, 300, full_may_have_run=True, probe_price=seed % 2 * 0.002, **drains)
+    drains = {"only_draining_is_binding": seed % 3 == 0}
+    random_run(3000 + seed, 300, full_may_have_run=True, probe_cost=seed % 2 * 0.002, **drains)
 
 
 @pytest.mark.parametrize(
@@ -108,7 +108,7 @@
 
 def test_gone_binds_only_where_no_drain_is_needed() -> None:
     for only_draining in (False, True):
-        stage = Stage([listing("a")], only_draining_binds=only_draining)
+        stage = Stage([listing("a")], only_draining_is_binding=only_draining)
         stage.dispatcher.endpoint_list_received([])
         assert stage.probes == (["a"] if only_draining else []), "one that is called gone is asked"
         if only_draining:
@@ -118,7 +118,7 @@
 
 
 def test_a_drain_binds_beyond_its_end() -> None:
-    stage = Stage([listing("a")], only_draining_binds=True)
+    stage = Stage([listing("a")], only_draining_is_binding=True)
     for condition in ("draining", "gone"):
         stage.dispatcher.endpoints_changed([listing("a", condition)])
         stage.submit(len(stage.tries))
--- a/tests/routing/test_race_conditions.py
+++ b/tests/routing/test_race_conditions.py
@@ -27,7 +27,7 @@
 from ploverspoke.routing.client_server import ClientSession
 from ploverspoke.routing.endpoint_watch import EndpointWatch
 from ploverspoke.routing.worker_calls import WorkerCall
-from ploverspoke.service.settings import names, standing_orders
+from ploverspoke.service.settings import parse_names, parse_settings
 from ploverspoke.testbed.processes.addresses import held_ports
 from ploverspoke.transport.connection_pool import Pool
 from ploverspoke.transport.deadlines import Deadlines
@@ -704,7 +704,7 @@
     async def script(world: World) -> None:
         clock, pushed = Clock(world.service.deadlines), {**SETTINGS, **CALM, "Discovery": "push"}
         await until(lambda: world.watches)
-        world.service.router.settings_changed(standing_orders(pushed), names(pushed))
+        world.service.router.settings_changed(parse_settings(pushed), parse_names(pushed))
         clock.hold()  # a pause never ends now
         asked = world.watches
         world.told[-1][1].transport.abort()
--- a/tests/routing/test_service.py
+++ b/tests/routing/test_service.py
@@ -19,7 +19,7 @@
 from ploverspoke.routing import worker_calls
 from ploverspoke.service.config import Config
 from ploverspoke.service.service import Service
-from ploverspoke.service.settings import names, standing_orders
+from ploverspoke.service.settings import parse_names, parse_settings
 from ploverspoke.testbed.processes.addresses import held_ports
 from tests.decisions.harness import SETTINGS
 
@@ -77,8 +77,8 @@
                 sockets,
                 memory_mb * 1024 * 1024,
                 {"version": 1, "full": True, "servers": self.entries},
-                standing_orders(told),
-                names(told),
+                parse_settings(told),
+                parse_names(told),
             ),
             scribe,
         )
--- a/tests/service/test_config.py
+++ b/tests/service/test_config.py
@@ -7,6 +7,7 @@
 
 import pytest
 
+from ploverspoke.decisions.settings import Idempotency
 from ploverspoke.service.config import read_config
 from ploverspoke.service.config_reader import ConfigError
 from tests.decisions.harness import SETTINGS
@@ -31,8 +32,11 @@
     briefing = read(GOOD, tmp_path)
     assert briefing.listen == ("127.0.0.1", 8081) and briefing.seed == 0x8C1F30D27A5BE964
     assert briefing.sockets == 4096 and briefing.memory == 2048 * 1024 * 1024
-    assert briefing.orders["idle_limit"] == 30_000_000_000
-    assert briefing.orders["repeat"] == ["redoable", "irreversible"]
+    assert briefing.settings.idle_timeout == 30_000_000_000
+    assert [each.idempotency for each in briefing.settings.classes] == [
+        Idempotency.IDEMPOTENT,
+        Idempotency.NON_IDEMPOTENT,
+    ]
     less = {key: value for key, value in GOOD.items() if key not in ("listen", "limits", "name")}
     briefing = read(less, tmp_path, RELAY_LISTEN="127.0.0.1:99", RELAY_NAME="n4")
     assert briefing.listen == ("127.0.0.1", 99) and briefing.name == "n4" and briefing.sockets == 1024
@@ -82,19 +86,19 @@
 
 
 @pytest.mark.parametrize(
-    ("part", "name", "value", "order", "becomes"),
+    ("part", "name", "value", "setting", "becomes"),
     [
-        ("Limits", "ConnectTimeoutUs", 0, "connect_time_out", 1_000_000_000),
-        ("Limits", "ConnectTimeoutUs", 1, "connect_time_out", 1_000),
-        ("Invariants", "MustAskInUs", 0, "roster_ask_within", 10_000_000_000),
-        ("Invariants", "MustAskInUs", 1, "roster_ask_within", 200_000_000),
-        ("Limits", "IdleCloseUs", 0, "idle_limit", 0),
+        ("Limits", "ConnectTimeoutUs", 0, "connect_timeout", 1_000_000_000),
+        ("Limits", "ConnectTimeoutUs", 1, "connect_timeout", 1_000),
+        ("Invariants", "MustAskInUs", 0, "discovery_poll_interval", 10_000_000_000),
+        ("Invariants", "MustAskInUs", 1, "discovery_poll_interval", 200_000_000),
+        ("Limits", "IdleCloseUs", 0, "idle_timeout", 0),
     ],
 )
 def test_times_of_nought_and_next_to_it_do_no_harm(
-    part: str, name: str, value: int, order: str, becomes: int, tmp_path: Path
+    part: str, name: str, value: int, setting: str, becomes: int, tmp_path: Path
 ) -> None:
     # No connection ever came up in no time, and calls of the watch followed on one another without a pause.
     told = json.loads(json.dumps(GOOD))
     told["settings"].setdefault(part, {})[name] = value
-    assert read(told, tmp_path).orders[order] == becomes
+    assert getattr(read(told, tmp_path).settings, setting) == becomes
--- a/tests/service/test_migration.py
+++ b/tests/service/test_migration.py
@@ -9,6 +9,7 @@
 from click.testing import CliRunner
 
 from ploverspoke.cli import main
+from ploverspoke.decisions.settings import LoadReporting
 from ploverspoke.service.config import parse_config
 from ploverspoke.service.config_reader import ConfigError
 from tests.service.test_config import GOOD
@@ -43,8 +44,8 @@
     made = json.loads(new.read_text())
     assert made["settings"]["Surprise"] == 1 and json.loads(old.read_text()) == told
     briefing = parse_config(made, {})
-    assert len(briefing.peers) == 2 and briefing.orders["telling_permitted"]
-    assert not briefing.orders["probing_permitted"] and briefing.orders["load_reports"] == "none"
+    assert len(briefing.peers) == 2 and briefing.settings.gossip_allowed
+    assert not briefing.settings.probing_allowed and briefing.settings.load_reporting is LoadReporting.NONE
     assert call(old, new)[0] == 2 and json.loads(new.read_text()) == made
     code, said = call(new, tmp_path / "again.json")
     assert code == 0 and "nothing to do" in said and not (tmp_path / "again.json").exists()
@@ -92,7 +93,7 @@
     result = CliRunner().invoke(main, ["check", str(path)])
     assert result.exit_code == 0 and "cannot be sent" in result.output
     briefing = parse_config(json.loads(path.read_text()), {})
-    assert briefing.cannot_tell and not briefing.orders["telling_permitted"]
+    assert briefing.cannot_tell and not briefing.settings.gossip_allowed
 
 
 def test_a_fleet_that_cannot_be_asked_keeps_its_rules() -> None:
--- a/tests/service/test_settings_change.py
+++ b/tests/service/test_settings_change.py
@@ -4,14 +4,16 @@
 import copy
 import json
 import random
+from dataclasses import fields, replace
 from pathlib import Path
 from typing import Any
 
 import pytest
 
-from ploverspoke.routing.request_classes import EACH_GRADE, RequestClassTable
+from ploverspoke.decisions.settings import RequestClass
+from ploverspoke.routing.request_classes import RequestClassTable
 from ploverspoke.service.config import read_config
-from ploverspoke.service.settings import names, standing_orders
+from ploverspoke.service.settings import parse_names, parse_settings
 from tests.decisions.harness import MS, SETTINGS, Stage, listing
 from tests.routing.test_admin_server import figures
 from tests.routing.test_service import World, play, turn_away
@@ -28,31 +30,31 @@
 
 def test_a_number_stands_for_one_grade_under_one_set_of_rules() -> None:
     rng, name = random.Random(3), "abcdef"
-    orders = standing_orders(settings(*({**GRADES[0], "Name": each} for each in name)))
-    for_each = {
-        row for row, values in orders.items() if isinstance(values, list) and len(values) == len(name)
-    }
-    assert for_each == {*EACH_GRADE, "grades"}, "a value for each grade that is not numbered anew"
-    orders = standing_orders(settings())
-    rows, open_now = RequestClassTable(["look", "book"]), list[tuple[int, dict[str, Any]]]()
+    current = parse_settings(settings(*({**GRADES[0], "Name": each} for each in name)))
+    values = {field.name: getattr(current, field.name) for field in fields(current)}
+    for_each = {key for key, row in values.items() if isinstance(row, tuple) and len(row) == len(name)}
+    assert for_each == {"classes", "active_classes"}, "a value for each class that is not numbered anew"
+    current = parse_settings(settings())
+    rows, open_now = RequestClassTable(["look", "book"]), list[tuple[int, RequestClass]]()
     for _ in range(200):
         grades = [
             {**GRADES[rng.randrange(2)], "Name": each}
             for each in rng.sample(["look", "book", *name], rng.randrange(1, 5))
         ]
         told = settings(*grades, MaxHandOffs=rng.randrange(1, 3))
-        new = standing_orders(told)
-        listed = names(told)["grades"]
-        orders, takes_over = rows.follow(orders, new, listed, {number for number, _ in open_now})
-        assert list(rows.numbers) == listed and sorted(rows.numbers.values()) == orders["grades"]
+        new = parse_settings(told)
+        listed = parse_names(told).request_classes
+        current, takes_over = rows.follow(current, new, listed, {number for number, _ in open_now})
+        assert tuple(rows.numbers) == listed
+        assert tuple(sorted(rows.numbers.values())) == current.active_classes
         for place, each in enumerate(listed):
             number = rows.numbers[each]
             assert rows.names[number] == each
-            assert all(orders[row][number] == new[row][place] for row in EACH_GRADE)
-            open_now.append((number, {row: orders[row][number] for row in EACH_GRADE}))
+            assert current.classes[number] == new.classes[place]
+            open_now.append((number, current.classes[number]))
         # Whatever is open keeps the rules that it was taken under.
         open_now = rng.sample(open_now, min(len(open_now), 6))
-        assert all(orders[row][number] == value for number, kept in open_now for row, value in kept.items())
+        assert all(current.classes[number] == kept for number, kept in open_now)
         assert all(rows.names[new] == rows.names[old] for new, old in takes_over.items())
     assert len(rows.names) < 25, "numbers are given out again"
 
@@ -60,12 +62,13 @@
 def test_an_open_submission_keeps_its_hand_offs_and_its_repeat() -> None:
     stage = Stage([listing(name) for name in "abcdefgh"])
     stage.submit(0)
-    orders = {**stage.orders, "grades": [3], "most_hand_offs": [4, 4, 4, 1]}
-    for row in EACH_GRADE:
-        if row != "most_hand_offs":
-            orders[row] = [*stage.orders[row], stage.orders[row][2]]
-    stage.dispatcher.settings_changed(orders, {3: 0})
-    assert stage.dispatcher.highest_benefit == stage.orders["benefit"][2] and not stage.dispatcher.some_repeat
+    fewer = replace(stage.settings.classes[2], max_attempts=1)
+    changed = replace(stage.settings, active_classes=(3,), classes=(*stage.settings.classes, fewer))
+    stage.dispatcher.settings_changed(changed, {3: 0})
+    assert (
+        stage.dispatcher.highest_benefit == stage.settings.classes[2].priority_weight
+        and not stage.dispatcher.some_repeat
+    )
     assert stage.dispatcher.kinds_sought == {1}
     for spent in range(1, 4):
         assert stage.dispatcher.open[0].hand_offs == spent
@@ -99,15 +102,15 @@
         base = {"listen": f"127.0.0.1:{world.port}", "discovery": "127.0.0.1:9", "settings": settings()}
         base["admin_addr"] = f"127.0.0.1:{world.admin_port}"
         service.read = lambda: read_config({"RELAY_CONFIG": str(path)})
-        service.briefing = service.briefing._replace(told=base, discovery="127.0.0.1:9")
-        before = (service.briefing, service.router.orders, dict(service.router.rows.numbers))
+        service.briefing = service.briefing._replace(document=base, discovery="127.0.0.1:9")
+        before = (service.briefing, service.router.settings, dict(service.router.rows.numbers))
         bad = copy.deepcopy(base)
         bad["settings"] = settings({**GRADES[0], "Name": "other"}, GRADES[1])
         bad["discovery"] = "127.0.0.1:10"
         spoilt = spoil(bad)
         path.write_text(spoilt if isinstance(spoilt, str) else json.dumps(spoilt))
         service._read_again()
-        assert (service.briefing, service.router.orders, service.router.rows.numbers) == before
+        assert (service.briefing, service.router.settings, service.router.rows.numbers) == before
         shown = await figures(world)
         assert shown["dispatcher_cfg_invalid"] == 1 and shown["dispatcher_cfg_accepted"] == 0
 
@@ -129,7 +132,7 @@
         signalled(settings({**GRADES[0], "AbandonTimeUs": 700_000}, GRADES[1]))
         for number in range(6):
             assert (await world.ask(world.request(f"r{number}", "look")))[0] == 200
-        assert service.router.orders["abandon_time"][service.router.rows.numbers["look"]] == 700 * MS
+        assert service.router.settings.classes[service.router.rows.numbers["look"]].deadline == 700 * MS
 
         async def turn_away_late(*exchange: Any) -> None:
             await asyncio.sleep(0.1)
--- a/tests/supervisor/test_supervisor.py
+++ b/tests/supervisor/test_supervisor.py
@@ -196,7 +196,7 @@
     whole = parse_config({**EXAMPLE, "limits": {"sockets": 1024, "memory_mb": 192}}, {})
     shares = [child_config(whole, place, 4) for place in range(4)]
     assert sum(s.sockets for s in shares) <= 1024 and sum(s.memory for s in shares) <= 192 << 20
-    assert {s.orders["dispatchers"] for s in shares} == {4} and len({s.seed for s in shares}) == 4
+    assert {s.settings.dispatcher_count for s in shares} == {4} and len({s.seed for s in shares}) == 4
     assert child_config(whole, 0, 2, descriptors=100).sockets == 100
     for limits, key in (({"sockets": 256}, "limits.sockets"), ({"memory_mb": 64}, "limits.memory_mb")):
         with pytest.raises(ConfigError, match=key):
--- a/tests/testbed/test_audit.py
+++ b/tests/testbed/test_audit.py
@@ -1,11 +1,13 @@
 """Each rule's check is able to fail: small faulty dispatchers, each caught by exactly its rule."""
 
 from collections.abc import Iterable, Mapping
+from dataclasses import replace
 from typing import Any
 
 import pytest
 
 from ploverspoke.decisions.interface import Endpoint
+from ploverspoke.decisions.settings import Idempotency, Settings
 from ploverspoke.testbed.audit import VIRTUAL_SLACK, Finding, audit
 from ploverspoke.testbed.baselines import POLICIES, Open, TwoChoices
 from ploverspoke.testbed.records import Event
@@ -70,24 +72,28 @@
             super().send(job)
 
 
+def with_each_class(settings: Settings, **changes: Any) -> Settings:
+    return replace(settings, classes=tuple(replace(each, **changes) for each in settings.classes))
+
+
 class NeverStops(TwoChoices):
     """Sends on and on, whatever it is allowed."""
 
     def send(self, job: Open) -> None:
-        self.orders = {**self.orders, "most_hand_offs": [99] * len(self.orders["grades"])}
+        self.settings = with_each_class(self.settings, max_attempts=99)
         super().send(job)
 
 
 class KeepsItsAttempts(TwoChoices):
     """Takes new settings, but not how often it may send."""
 
-    def settings_changed(self, orders: Mapping[str, Any], takes_over: Mapping[int, int]) -> None:
-        super().settings_changed({**orders, "most_hand_offs": [6] * len(orders["repeat"])}, takes_over)
+    def settings_changed(self, settings: Settings, takes_over: Mapping[int, int]) -> None:
+        super().settings_changed(with_each_class(settings, max_attempts=6), takes_over)
 
 
 class KeepsItsRepeats(TwoChoices):
-    def settings_changed(self, orders: Mapping[str, Any], takes_over: Mapping[int, int]) -> None:
-        super().settings_changed({**orders, "repeat": ["redoable"] * len(orders["repeat"])}, takes_over)
+    def settings_changed(self, settings: Settings, takes_over: Mapping[int, int]) -> None:
+        super().settings_changed(with_each_class(settings, idempotency=Idempotency.IDEMPOTENT), takes_over)
 
 
 EVERYWHERE = {**ERRORS, "workers": ["w0", "w1", "w2", "w3"], "errors": 0.7}
