--- a/ploverspoke/decisions/dispatcher.py
+++ b/ploverspoke/decisions/dispatcher.py
@@ -14,7 +14,16 @@
 from typing import Any
 from zlib import crc32
 
-from .interface import DispatchActions, Endpoint, Load, never_ran
+from .interface import (
+    AttemptOutcome,
+    AttemptResult,
+    DispatchActions,
+    Endpoint,
+    EndpointCondition,
+    LoadGossip,
+    LoadReport,
+    never_ran,
+)
 from .random_numbers import RandomNumbers
 from .settings import Idempotency, RetryScope, Settings
 
@@ -71,7 +80,7 @@
 
     def __init__(self, listing: Endpoint) -> None:
         self.name = listing.worker
-        self.listing = listing
+        self.endpoint = listing
         self.ready = False
         self.drained = False  # shown draining since it was last ready
         self.in_flight = 0.0  # slots of ours
@@ -85,7 +94,7 @@
         self.started_sent_at = 0  # when the latest of ours that has started was sent
         self.running = 0.0  # slots of ours known to have started
         self.placeholders: deque[tuple[JobType, int]] = deque()  # type and end
-        self.aside = False
+        self.ejected = False
         self.proven = False  # set aside not by a guess: it could not be reached
         self.trial_until = 0  # back from being set aside, with no start seen since
         self.heard_at = 0  # its last word on any hand-off of ours
@@ -128,7 +137,7 @@
         self.timely_until = abandon_at  # started later it is expected to be overdue
         self.last_start = abandon_at  # the patience with which it waits for that
         self.last_chance = abandon_at  # nothing is sent from here on; a bound repeat must be sent before it
-        self.hand_offs = 0
+        self.attempts = 0
         self.at: Worker | None = None  # where it is out now
         self.back_from: Worker | None = None  # where its last hand-off failed
         self.sent_at = 0
@@ -147,10 +156,10 @@
     def __init__(self, host: DispatchActions, seed: int, settings: Settings) -> None:
         self.host = host
         self._apply_settings(settings)
-        self.chance = RandomNumbers(seed)
+        self.random = RandomNumbers(seed)
         self.workers: dict[str, Worker] = {}
         self.types: dict[tuple[float, int], JobType] = {}
-        self.open: dict[int, Request] = {}
+        self.open_requests: dict[int, Request] = {}
         # Hand-offs spent, where it may have run, since when.
         self.resumed: dict[int, tuple[int, str, int]] = {}
         self.warm_load = 0.0  # slots of ours running on a warm worker, on average
@@ -190,13 +199,13 @@
         """With what follows from them; grades that are no longer in force have no part in that."""
         self.settings = settings
         in_force = settings.active_classes
-        self.highest_benefit = max(self.settings.classes[g].priority_weight for g in in_force) or 1.0
+        self.highest_weight = max(self.settings.classes[g].priority_weight for g in in_force) or 1.0
         self.shortest_expected_time = max(
             MILLISECOND, min(self.settings.classes[g].latency_objective for g in in_force)
         )
-        self.kinds_sought = {self.settings.classes[g].machine_kind for g in in_force}
+        self.needed_kinds = {self.settings.classes[g].machine_kind for g in in_force}
         self.never_ran = never_ran(self.settings.full_may_have_run)
-        self.some_repeat = any(
+        self.any_idempotent = any(
             self.settings.classes[g].idempotency is not Idempotency.NON_IDEMPOTENT for g in in_force
         )
         # Each receiver is paid for: a telling goes to so many next ones in the ring of our zone's
@@ -217,7 +226,7 @@
             self._tell(self.host.now(), to_all=True)
             self._wake("tell all", self.host.now() + TELL_AGAIN)
         if self.settings.discovery_polling and self.workers:
-            self._wake("watch", self.host.now() + int(self.chance.fraction() * self._calls_of_all()))
+            self._wake("watch", self.host.now() + int(self.random.fraction() * self._calls_of_all()))
         elif self.settings.discovery_polling:
             self.host.watch_endpoints()
 
@@ -232,24 +241,31 @@
         self.tiers.clear()
 
     def request_arrived(
-        self, submission_id: int, grade: int, slots: float, abandon_at: int, work_hint: int, subject: str
+        self,
+        request_id: int,
+        request_class: int,
+        slots: float,
+        deadline: int,
+        work_hint: int,
+        affinity_key: str,
     ) -> None:
         """The ordinary path, from top to bottom."""
+        grade, abandon_at, subject = request_class, deadline, affinity_key
         now = self.host.now()
         self.arrivals.append(now)
         self._fade(now)
         self.may_ask = min(self.may_ask + self.asks_each, SAVED_ASKING * self.asks_each)
         self.may_recall = min(self.may_recall + self.recalls_each, SAVED_ASKING * (1 + self.recalls_each))
         job_type = self._job_type(slots, self.settings.classes[grade].machine_kind)
-        job = Request(submission_id, grade, job_type, now, abandon_at)
+        job = Request(request_id, grade, job_type, now, abandon_at)
         job.subject = subject
         if subject:
             self.subjects.append(subject)
         job.last_chance = abandon_at - self.settings.batch_interval
         job.last_start = self._last_timely_start(job, now, work_hint)
-        self.open[submission_id] = job
-        if submission_id in self.resumed:
-            self._resume(job, *self.resumed.pop(submission_id))
+        self.open_requests[request_id] = job
+        if request_id in self.resumed:
+            self._resume(job, *self.resumed.pop(request_id))
         if now >= job.last_chance or self._refuses(job, now):
             self._finish_unsatisfied(job)
             return
@@ -272,14 +288,14 @@
         self._wake(job, min(job.last_start, job.last_chance) if now < job.last_start else job.last_chance)
         self._run_clock(now)
 
-    def request_resumed(self, submission_id: int, hand_offs: int, ran_at: str, sent_at: int) -> None:
+    def request_resumed(self, request_id: int, attempts: int, may_have_run_on: str, sent_at: int) -> None:
         """The one that arrives next under this id was another's before, which handed it off so many times;
-        `ran_at` is the first worker that may have run it, "" where none may."""
-        self.resumed[submission_id] = (hand_offs, ran_at, sent_at)
+        `may_have_run_on` is the first worker that may have run it, "" where none may."""
+        self.resumed[request_id] = (attempts, may_have_run_on, sent_at)
 
-    def attempt_started(self, submission_id: int, hand_off: int) -> None:
-        job = self.open.get(submission_id)
-        if job is None or job.at is None or job.started_at or hand_off != job.hand_offs - 1:
+    def attempt_started(self, request_id: int, attempt: int) -> None:
+        job = self.open_requests.get(request_id)
+        if job is None or job.at is None or job.started_at or attempt != job.attempts - 1:
             return
         now = self.host.now()
         job.started_at = job.heard_at = now
@@ -297,24 +313,22 @@
             self._cut_room(worker, worker.running + self._others(worker), away, now)
         worker.running += job.type.slots
         worker.started_sent_at = max(worker.started_sent_at, job.sent_at)
-        worker.unstarted.pop(submission_id, None)
-        self.start_lags[worker.listing.zone].append(wait)
+        worker.unstarted.pop(request_id, None)
+        self.start_lags[worker.endpoint.zone].append(wait)
         self.late_starts.append(min(1.0, wait / self._shortest_slack()))
 
-    def attempt_progressed(self, submission_id: int, hand_off: int, share_done: float) -> None:
-        job = self.open.get(submission_id)
-        if job is not None and job.at is not None and hand_off == job.hand_offs - 1:
+    def attempt_progressed(self, request_id: int, attempt: int, share_done: float) -> None:
+        job = self.open_requests.get(request_id)
+        if job is not None and job.at is not None and attempt == job.attempts - 1:
             job.heard_at = job.at.heard_at = self.host.now()
 
-    def attempt_ended(
-        self, submission_id: int, hand_off: int, name: str, outcome: str, took: int, over: bool, load: Load
-    ) -> None:
+    def attempt_ended(self, request_id: int, attempt: int, result: AttemptResult) -> None:
         now = self.host.now()
-        worker = self.workers[name]
-        job = worker.out.pop(submission_id, None)
+        worker, outcome = self.workers[result.worker], result.outcome
+        job = worker.out.pop(request_id, None)
         if job is None:
             return
-        if outcome in ("satisfied", "worker_error", "full"):
+        if outcome in (AttemptOutcome.SUCCEEDED, AttemptOutcome.WORKER_ERROR, AttemptOutcome.FULL):
             worker.heard_at = now
         worker.in_flight -= job.type.slots
         if not worker.out:
@@ -322,40 +336,40 @@
         self._news(now)
         if job.started_at:
             worker.running -= job.type.slots
-        worker.unstarted.pop(submission_id, None)
+        worker.unstarted.pop(request_id, None)
         job.at = None
-        if outcome == "satisfied":
-            running_time = now - job.started_at if job.started_at else took
+        if outcome is AttemptOutcome.SUCCEEDED:
+            running_time = now - job.started_at if job.started_at else result.elapsed
             job.type.running_times.append(running_time)
             self.mean_running_time = 0
             if job.started_at:
                 pace = min(4.0, running_time / (self._grade_running_time(job.grade) or running_time or 1))
                 worker.paces.append(pace)
-                self.kind_paces[worker.listing.machine_kind].append(pace)
+                self.kind_paces[worker.endpoint.machine_kind].append(pace)
                 self.grade_running_times[job.grade].append(running_time)
             else:
                 self._accepted(worker, job.in_use)
-        elif outcome == "full":
+        elif outcome is AttemptOutcome.FULL:
             self._cut_room(worker, worker.in_flight + self._others(worker), 2 * worker.drift_time, now)
-        elif outcome == "recalled" and not job.started_at and self._bound_to(job, worker):
+        elif outcome is AttemptOutcome.CANCELLED and not job.started_at and self._bound_to(job, worker):
             # It must stay in its group: its worker, as full as it was, got a copy of it again and again.
             self._cut_room(worker, worker.running, 0, now)
-        elif outcome in ("unreachable", "broken_off"):
+        elif outcome in (AttemptOutcome.UNREACHABLE, AttemptOutcome.BROKEN_OFF):
             self._doubt(worker, now)
-        if outcome in ("satisfied", "worker_error"):
-            worker.errors.append(outcome == "worker_error")
-        if outcome == "worker_error" and sum(worker.errors) >= ERRORS_BAD:
+        if outcome in (AttemptOutcome.SUCCEEDED, AttemptOutcome.WORKER_ERROR):
+            worker.errors.append(outcome is AttemptOutcome.WORKER_ERROR)
+        if outcome is AttemptOutcome.WORKER_ERROR and sum(worker.errors) >= ERRORS_BAD:
             self._set_aside(worker, now)
-        if over:
-            self.open.pop(submission_id, None)
-        if submission_id in self.open:
+        if result.is_closed:
+            self.open_requests.pop(request_id, None)
+        if request_id in self.open_requests:
             self._decide_again(job, worker, outcome, now)
         # Where many dispatchers each keep one waiting, replacement would keep the queue long for good.
-        if outcome == "satisfied" and not job.waited_too_long:
+        if outcome is AttemptOutcome.SUCCEEDED and not job.waited_too_long:
             self._replace(job.type, worker, now)
 
-    def client_disconnected(self, submission_id: int) -> None:
-        job = self.open.pop(submission_id, None)
+    def client_disconnected(self, request_id: int) -> None:
+        job = self.open_requests.pop(request_id, None)
         if job is not None and job.at is None and job in job.type.queue:
             job.type.queue.remove(job)
 
@@ -363,23 +377,23 @@
         listings = list(listings)
         self.endpoints_changed(listings)
         shown = {listing.worker for listing in listings}
-        absent = [w.listing for w in self.listed_workers() if w.name not in shown]
-        self.endpoints_changed([listing._replace(condition="gone") for listing in absent])
+        absent = [w.endpoint for w in self.listed_workers() if w.name not in shown]
+        self.endpoints_changed([listing._replace(condition=EndpointCondition.GONE) for listing in absent])
 
     def endpoints_changed(self, listings: Iterable[Endpoint]) -> None:
         self.roster_failures = 0
         for listing in listings:
             self._list(listing)
 
-    def endpoint_watch_failed(self, turned_away: bool = False) -> None:
-        """Watch again, after a wait that grows; turned away, one that leaves it time for the calls of all."""
+    def endpoint_watch_failed(self, is_rejected: bool = False) -> None:
+        """Watch again after a wait that grows; after a rejection it leaves time for the calls of all."""
         self.roster_failures += 1
         self._say(f"roster lost, {self.roster_failures} in a row; asking again")
         lost, longest = min(self.roster_failures, 5), self.settings.discovery_poll_interval
-        all_in = self._calls_of_all() if turned_away else 0
+        all_in = self._calls_of_all() if is_rejected else 0
         wait = max(min(250 * MILLISECOND << lost, longest // 4), min(all_in << lost - 1, longest * 2 // 3))
         wait = max(all_in, min(wait, LONGEST_PAUSE))
-        self._wake("watch", self.host.now() + int(wait * (0.5 + self.chance.fraction())))
+        self._wake("watch", self.host.now() + int(wait * (0.5 + self.random.fraction())))
 
     def _calls_of_all(self) -> int:
         """In which the roster can work through one call of each dispatcher."""
@@ -387,22 +401,28 @@
             min(self.settings.dispatcher_count * ROSTER_CALL, self.settings.discovery_poll_interval // 2)
         )
 
-    def probe_completed(self, worker_name: str, outcome: str, took: int, load: Load) -> None:
+    def probe_completed(
+        self, worker_name: str, outcome: AttemptOutcome, elapsed: int, load: LoadReport | None
+    ) -> None:
         now = self.host.now()
         worker = self.workers[worker_name]
         probed_for, worker.probed_for = worker.probed_for, ""
-        if outcome == "satisfied" and load:
+        if outcome is AttemptOutcome.SUCCEEDED and load:
             self._reported(worker, load, now)
-        elif outcome == "satisfied":
+        elif outcome is AttemptOutcome.SUCCEEDED:
             worker.heard_at = now
         if probed_for == "room":
-            self._answered(worker, outcome, took, now)
-        elif probed_for == "life" and outcome in ("unreachable", "broken_off", "timed_out"):
-            self._set_aside(worker, now, bounded=outcome == "timed_out")
-            self._rescue(list(worker.out.values()), worker, worker.aside, now)
-        elif worker.aside and outcome == "satisfied":
+            self._answered(worker, outcome, elapsed, now)
+        elif probed_for == "life" and outcome in (
+            AttemptOutcome.UNREACHABLE,
+            AttemptOutcome.BROKEN_OFF,
+            AttemptOutcome.TIMED_OUT,
+        ):
+            self._set_aside(worker, now, bounded=outcome is AttemptOutcome.TIMED_OUT)
+            self._rescue(list(worker.out.values()), worker, worker.ejected, now)
+        elif worker.ejected and outcome is AttemptOutcome.SUCCEEDED:
             self._take_back(worker)
-        elif worker.aside:
+        elif worker.ejected:
             self._wake(worker, now + self._aside_time())
 
     def timer_fired(self, token: int) -> None:
@@ -418,14 +438,14 @@
             # Some that were asked have not answered in time, or none had to be asked again.
             if what.asked and self.host.now() >= what.asked_until:
                 self._settle(what, self.host.now())
-        elif isinstance(what, Worker) and what.aside:
+        elif isinstance(what, Worker) and what.ejected:
             # Set aside long enough: a probe, where permitted, spares the first job sent there again.
             if self.settings.probing_allowed and what.ready:
                 what.probed_for = "return"
                 self.host.probe(what.name)
             else:
                 self._take_back(what)
-        elif isinstance(what, Request) and what.id in self.open:
+        elif isinstance(what, Request) and what.id in self.open_requests:
             now = self.host.now()
             if what.at is not None:
                 self._look_after(what, what.at, now)
@@ -437,8 +457,9 @@
             else:
                 self._wake(what, what.last_chance)
 
-    def gossip_received(self, teller: int, zone: int, number: int, lateness: float, held: list[str]) -> None:
+    def gossip_received(self, peer: int, gossip: LoadGossip) -> None:
         """Another dispatcher tells where it has slots in flight, each named once: a hint and no more."""
+        teller, zone, number, lateness, held = peer, *gossip
         now = self.host.now()
         known = self.told_by.get(teller)
         if not self.settings.gossip_allowed or teller == self.settings.dispatcher_index:
@@ -462,11 +483,11 @@
 
     def listed_workers(self) -> list[Worker]:
         """Those that the roster shows, ready or draining."""
-        return [w for w in self.workers.values() if w.listing.condition != "gone"]
+        return [w for w in self.workers.values() if w.endpoint.condition is not EndpointCondition.GONE]
 
-    def avoids(self, worker: Worker) -> bool:
+    def is_out_of_rotation(self, worker: Worker) -> bool:
         """Whether nothing would be handed to it now, had it room."""
-        return not worker.ready or worker.aside
+        return not worker.ready or worker.ejected
 
     # ---- The mechanism ----
 
@@ -474,7 +495,7 @@
         """Draw a type by exp(w); its head goes to a roomy worker, or an idle type leaves a placeholder."""
         weights = self._weights()
         shares = [exp(w) for w in weights]
-        draw, drawn = self.chance.fraction() * sum(shares), 0
+        draw, drawn = self.random.fraction() * sum(shares), 0
         while drawn < len(shares) - 1 and draw >= shares[drawn]:
             draw -= shares[drawn]
             drawn += 1
@@ -521,7 +542,7 @@
         # With a submission every few seconds the arrivals alone would set a clock too slow for any of them.
         least = TICKS_IN_EXPECTED * SECOND / self.shortest_expected_time
         rate = max(TICKS_PER_ARRIVAL * self._arrival_rate(now), least)
-        gap = -log(1.0 - self.chance.fraction()) / rate
+        gap = -log(1.0 - self.random.fraction()) / rate
         self._wake("tick", now + min(int(gap * SECOND), SECOND))
 
     def _weights(self) -> list[float]:
@@ -533,10 +554,10 @@
 
     def _replace(self, job_type: JobType, worker: Worker, now: int) -> None:
         """Our job was served: another of its type takes the place with chance 1 - exp(-w)."""
-        if not worker.ready or worker.aside or not any(t.queue for t in self.types.values()):
+        if not worker.ready or worker.ejected or not any(t.queue for t in self.types.values()):
             return
         weight = self._weights()[list(self.types.values()).index(job_type)]
-        if self.chance.fraction() >= 1 - exp(-weight):
+        if self.random.fraction() >= 1 - exp(-weight):
             return
         if not job_type.queue:
             worker.placeholders.append((job_type, now + job_type.mean_running_time()))
@@ -563,13 +584,13 @@
             if self.settings.gossip_allowed:
                 # Other zones' queues are not told to us: one is better only where starts are far less late.
                 most = MUCH_LESS * self._zone_lateness(self.settings.zone, now)
-                zones = {w.listing.zone for w in tier}
+                zones = {w.endpoint.zone for w in tier}
                 less = {z for z in zones if z == self.settings.zone or self._zone_lateness(z, now) < most}
-                tier = [w for w in tier if w.listing.zone in less]
+                tier = [w for w in tier if w.endpoint.zone in less]
             # Drawing until two are roomy gives the same pairs as a list of all the roomy, for less work.
             left = list(tier)
             while left and len(found) < 2:
-                worker = left.pop(self.chance.below(len(left)))
+                worker = left.pop(self.random.below(len(left)))
                 if self._is_roomy(worker, job_type, now, job):
                     found.append(worker)
             if found:
@@ -596,12 +617,12 @@
         homes = self._homes(subject)
         found = self.tiers.get((machine_kind, near, subject, homes))
         if found is None:
-            sought = self.kinds_sought
+            sought = self.needed_kinds
             tiers: dict[tuple[bool, bool], list[Worker]] = defaultdict(list)
             for w in self.workers.values():
-                if w.ready and not w.aside and machine_kind in (-1, w.listing.machine_kind):
-                    spare = machine_kind == -1 and w.listing.machine_kind in sought
-                    tiers[spare, near and w.listing.zone != self.settings.zone].append(w)
+                if w.ready and not w.ejected and machine_kind in (-1, w.endpoint.machine_kind):
+                    spare = machine_kind == -1 and w.endpoint.machine_kind in sought
+                    tiers[spare, near and w.endpoint.zone != self.settings.zone].append(w)
             found = [tiers[key] for key in sorted(tiers)]
             if subject:
                 # What it needs is fetched where it is not kept: by the hash each dispatcher sends it to the
@@ -639,7 +660,7 @@
         if self.settings.probing_allowed or job.group is not None:
             return False
         chance = min(MOST_REFUSED, self._zone_lateness(self.settings.zone, now) - LATENESS_BORNE)
-        return chance > 0 and self.chance.fraction() < chance
+        return chance > 0 and self.random.fraction() < chance
 
     def _zone_lateness(self, zone: int, now: int) -> float:
         """As told by its dispatchers; of a zone that nothing is heard of the worst is believed."""
@@ -650,7 +671,11 @@
     def _lateness(self, now: int) -> float:
         """What our latest starts waited, and those to come until now, in parts of what can be borne."""
         slack = self._shortest_slack()
-        waits = [min(1.0, (now - j.sent_at) / slack) for j in self.open.values() if j.at and not j.started_at]
+        waits = [
+            min(1.0, (now - j.sent_at) / slack)
+            for j in self.open_requests.values()
+            if j.at and not j.started_at
+        ]
         return (sum(waits) + sum(self.late_starts)) / max(LATE_STARTS, len(waits) + len(self.late_starts))
 
     def _shortest_slack(self) -> int:
@@ -696,26 +721,26 @@
             worker.probed_for = "room"
             self.host.probe(worker.name)
         # By a wake even when none is stale: with many fresh reports a long queue would nest too deep.
-        prompt = [self._prompt(self.answer_times[w.listing.zone], PROMPT_ANSWER) for w in stale]
+        prompt = [self._prompt(self.answer_times[w.endpoint.zone], PROMPT_ANSWER) for w in stale]
         job.type.asked_until = now + max(prompt, default=0)
         self._wake(job.type, job.type.asked_until)
         return True
 
-    def _reported(self, worker: Worker, load: Mapping[str, float], now: int) -> None:
+    def _reported(self, worker: Worker, load: LoadReport, now: int) -> None:
         worker.reported_at = now
         worker.free = load.get("free_slots", 0.0)
-        kind = worker.listing.machine_kind
+        kind = worker.endpoint.machine_kind
         self.most_free[kind] = max(self.most_free[kind], worker.free, 1.0)
         worker.waiting = load.get("waiting", max(0.0, load.get("in_hand", 0.0) - self.most_free[kind]))
 
-    def _answered(self, worker: Worker, outcome: str, took: int, now: int) -> None:
-        if outcome == "satisfied":
-            self.answer_times[worker.listing.zone].append(took)
-        elif outcome in ("unreachable", "broken_off"):
+    def _answered(self, worker: Worker, outcome: AttemptOutcome, took: int, now: int) -> None:
+        if outcome is AttemptOutcome.SUCCEEDED:
+            self.answer_times[worker.endpoint.zone].append(took)
+        elif outcome in (AttemptOutcome.UNREACHABLE, AttemptOutcome.BROKEN_OFF):
             self._set_aside(worker, now, bounded=False)
         else:
             self._cut_room(worker, worker.running, 0, now)
-            if outcome == "worker_error":
+            if outcome is AttemptOutcome.WORKER_ERROR:
                 # Its own word that it is not well, or that it drains, long before the roster tells us.
                 self._set_aside(worker, now)
         for job_type in self.types.values():
@@ -724,7 +749,7 @@
 
     def _settle(self, job_type: JobType, now: int) -> None:
         """The head goes to the better of those that answered, or to none where all may wait too long."""
-        there = [w for w in job_type.asked if not w.probed_for and not w.aside]
+        there = [w for w in job_type.asked if not w.probed_for and not w.ejected]
         answered = [w for w in there if now - w.reported_at <= FRESH]
         # A worker that has just started has no report yet. Asked on and on, the head would block its queue.
         silent_on_load = [] if answered else [w for w in there if now - w.heard_at < KNOWN]
@@ -748,7 +773,7 @@
             # A report is late, so all that read it must not decide alike: the longer the wait beside what
             # the job can bear, the fewer go. One that is late by now goes only where it need not wait.
             wait = self._expected_wait(best, job_type, now)
-            if wait and wait >= self.chance.fraction() * max(0, job.timely_until - now):
+            if wait and wait >= self.random.fraction() * max(0, job.timely_until - now):
                 for worker in fit:
                     self._cut_room(worker, worker.running, 0, now)
                 return
@@ -763,7 +788,7 @@
         return int(beyond * self._mean_running_time() * self._pace(worker))
 
     def _slots_of(self, worker: Worker) -> float:
-        return self.most_free[worker.listing.machine_kind] or 1.0
+        return self.most_free[worker.endpoint.machine_kind] or 1.0
 
     def _load(self, worker: Worker, now: int) -> float:
         """Slots wanted there over those it has, as reported and with what we sent since."""
@@ -772,7 +797,7 @@
 
     def _pace(self, worker: Worker) -> float:
         """Running times there over the grade's mean: its own few, and those of its kind beside them."""
-        kind = self.kind_paces[worker.listing.machine_kind]
+        kind = self.kind_paces[worker.endpoint.machine_kind]
         usual = sum(kind) / len(kind) if kind else 1.0
         return (sum(worker.paces) + PACES_OF_KIND * usual) / (len(worker.paces) + PACES_OF_KIND)
 
@@ -792,9 +817,10 @@
         if to_all or held != self.last_telling or now - self.told_at >= TELL_AGAIN:
             own = self.settings.dispatcher_index
             ring = [*(n for n in self.near if n > own), *(n for n in self.near if n < own)]
-            drawn = [self.far[self.chance.below(len(self.far))] for _ in range(FAR_TOLD) if self.far]
+            drawn = [self.far[self.random.below(len(self.far))] for _ in range(FAR_TOLD) if self.far]
             to = None if to_all else ring[: self.tells] + drawn
-            self.host.send_gossip(to, self.settings.zone, self.told, self._lateness(now), held)
+            gossip = LoadGossip(self.settings.zone, self.told, self._lateness(now), held)
+            self.host.send_gossip(to, gossip)
             self.last_telling, self.told_at, self.told = held, now, self.told % 255 + 1
         self.telling_at = self.told_at + TELL_AGAIN if held else 0
         if held:
@@ -824,14 +850,14 @@
         return any(given_up < sent_at < now_due for sent_at in worker.unstarted.values())
 
     def _prompt_start(self, worker: Worker) -> int:
-        return self._prompt(self.start_lags[worker.listing.zone], SECOND)
+        return self._prompt(self.start_lags[worker.endpoint.zone], SECOND)
 
     def _prompt(self, times: deque[int], unknown: int) -> int:
         return PROMPT_START * min(times) + PROMPT_START_SLACK if times else unknown
 
     def _worker_with_placeholder(self, job_type: JobType, now: int) -> list[Worker]:
         for worker in self.workers.values():
-            if worker.placeholders and worker.ready and not worker.aside:
+            if worker.placeholders and worker.ready and not worker.ejected:
                 self._expire_placeholders(worker, now)
                 for held in worker.placeholders:
                     if held[0] is job_type and self._allowed(worker, job_type, now, None):
@@ -876,7 +902,7 @@
 
     def _allowed(self, worker: Worker, job_type: JobType, now: int, job: Request | None) -> bool:
         """Whether the rules and the job's needs let it go there."""
-        listing = worker.listing
+        listing = worker.endpoint
         if not worker.ready or job_type.machine_kind not in (-1, listing.machine_kind):
             return False
         if worker.trial_until > now and self._must_not_repeat(job):
@@ -891,12 +917,12 @@
         """An irreversible one is lost with its worker, so others try a worker that has just returned."""
         return (
             job is not None
-            and self.some_repeat
+            and self.any_idempotent
             and self.settings.classes[job.grade].idempotency is Idempotency.NON_IDEMPOTENT
         )
 
     def _hand_off(self, job: Request, worker: Worker, now: int) -> None:
-        job.hand_offs += 1
+        job.attempts += 1
         job.at = worker
         job.sent_at = now
         job.started_at = 0
@@ -918,7 +944,7 @@
         if self.settings.progress_interval:
             self._wake(job, job.look_at)
 
-    def _decide_again(self, job: Request, worker: Worker, outcome: str, now: int) -> None:
+    def _decide_again(self, job: Request, worker: Worker, outcome: AttemptOutcome, now: int) -> None:
         """A hand-off ended without satisfying: try again where the grade and the time left allow it."""
         if outcome not in self.never_ran and job.group is None:
             job.group = self._bound_to(job, worker)
@@ -926,7 +952,7 @@
                 # Its rack forgets it: past that time a repeat would run again.
                 window = self.settings.classes[job.grade].retry_window if job.group[0] != "none" else 0
                 job.last_chance = min(job.last_chance, job.sent_at + window)
-        if now >= job.last_chance or job.hand_offs >= self.settings.classes[job.grade].max_attempts:
+        if now >= job.last_chance or job.attempts >= self.settings.classes[job.grade].max_attempts:
             self._finish_unsatisfied(job)
             return
         job.back_from = worker
@@ -935,7 +961,7 @@
         self._run_clock(now)
 
     def _resume(self, job: Request, hand_offs: int, ran_at: str, sent_at: int) -> None:
-        job.hand_offs = hand_offs
+        job.attempts = hand_offs
         if hand_offs >= self.settings.classes[job.grade].max_attempts:
             job.last_chance = 0  # none is left
         if ran_at and self.settings.classes[job.grade].idempotency is not Idempotency.IDEMPOTENT:
@@ -958,7 +984,7 @@
         stretch = self.settings.classes[job.grade].latency_stretch
         slack = self.settings.classes[job.grade].latency_objective + stretch * calm - running_time
         # When not all can be in time, those of little benefit make way first: they wait for less.
-        rank = self.settings.classes[job.grade].priority_weight / self.highest_benefit
+        rank = self.settings.classes[job.grade].priority_weight / self.highest_weight
         job.timely_until = int(first_asked + max(0, slack))
         return int(first_asked + PATIENCE * rank * max(0, slack))
 
@@ -979,7 +1005,7 @@
         self._finish_unsatisfied(job)
 
     def _finish_unsatisfied(self, job: Request) -> None:
-        del self.open[job.id]
+        del self.open_requests[job.id]
         redoable = self.settings.classes[job.grade].idempotency is Idempotency.IDEMPOTENT
         if redoable or job.group is None or job.group == ("all", 0):
             advice = self.settings.max_retry_after if self.settings.send_retry_after else 0
@@ -990,8 +1016,8 @@
     def _group_of(self, job: Request, worker: Worker) -> tuple[str, int]:
         scope = self.settings.classes[job.grade].retry_scope
         if scope is RetryScope.ZONE:
-            return "zone", worker.listing.zone
-        return ("rack", worker.listing.rack) if scope is RetryScope.RACK else ("all", 0)
+            return "zone", worker.endpoint.zone
+        return ("rack", worker.endpoint.rack) if scope is RetryScope.RACK else ("all", 0)
 
     # ---- Health ----
 
@@ -1004,14 +1030,14 @@
         heard = job.heard_at if job.started_at else max(worker.heard_at, job.sent_at)
         if not job.started_at:
             # In a jam starts come late everywhere: only one far later than the others' tells a hung worker.
-            silence = max(silence, WAIT_OVER_LATEST * max(self.start_lags[worker.listing.zone], default=0))
+            silence = max(silence, WAIT_OVER_LATEST * max(self.start_lags[worker.endpoint.zone], default=0))
         silent = now - heard >= silence
         if silent and self.settings.probing_allowed:
             # Silence on one connection may be that connection's: a probe tells whether it is the worker's.
             self._doubt(worker, now)
         elif silent:
             self._set_aside(worker, now)
-        self._rescue(list(worker.out.values()) if worker.aside else [job], worker, silent, now)
+        self._rescue(list(worker.out.values()) if worker.ejected else [job], worker, silent, now)
         job.look_at = now + silence if silent else heard + silence
         if not job.started_at and self._may_rescue(job):
             # In a jam all wait long: looks grow rarer with the wait, or they alone would use up our CPU.
@@ -1021,16 +1047,16 @@
     def _rescue(self, jobs: list[Request], worker: Worker, silent: bool, now: int) -> None:
         for job in jobs:
             if self._rescuable(job, worker, silent, now):
-                self.host.cancel_attempt(job.id, job.hand_offs - 1)
+                self.host.cancel_attempt(job.id, job.attempts - 1)
                 job.recalled = True
 
     def _may_rescue(self, job: Request) -> bool:
         return (
             self.settings.cancel_allowed
             and not job.recalled
-            and job.id in self.open
+            and job.id in self.open_requests
             and self.settings.classes[job.grade].idempotency is not Idempotency.NON_IDEMPOTENT
-            and job.hand_offs < self.settings.classes[job.grade].max_attempts
+            and job.attempts < self.settings.classes[job.grade].max_attempts
         )
 
     def _allowance(self, job: Request, worker: Worker) -> int:
@@ -1069,7 +1095,7 @@
         none was left. A probe tells, and until its answer nothing goes there; else a second break does.
         """
         if self.settings.probing_allowed:
-            if not worker.aside and not worker.probed_for:
+            if not worker.ejected and not worker.probed_for:
                 worker.probed_for = "life"
                 self.host.probe(worker.name)
             return
@@ -1081,26 +1107,26 @@
     def _set_aside(self, worker: Worker, now: int, bounded: bool = True) -> None:
         """Send nothing there for a while. Where many look bad at once, the reading is usually wrong."""
         # Of a lost zone nothing is guessed: it must not use up the bound on guesses among the others.
-        left = [w.aside for w in self.workers.values() if w.ready and not (w.aside and w.proven)]
+        left = [w.ejected for w in self.workers.values() if w.ready and not (w.ejected and w.proven)]
         crowded = (sum(left) + 1) * ASIDE_SHARE > len(left)
-        if worker.aside or (bounded and crowded):
+        if worker.ejected or (bounded and crowded):
             return
-        worker.aside, worker.proven = True, not bounded
+        worker.ejected, worker.proven = True, not bounded
         self.tiers.clear()
-        aside = sum(w.aside for w in self.workers.values() if w.ready)
+        aside = sum(w.ejected for w in self.workers.values() if w.ready)
         self._say(f"{worker.name} set aside: {'suspected' if bounded else 'unreachable'}; {aside} are now")
         worker.placeholders.clear()
         self._wake(worker, now + self._aside_time())
 
     def _take_back(self, worker: Worker) -> None:
         """A worker returns with room for little, and one more error sets it aside again."""
-        worker.aside = False
+        worker.ejected = False
         self.tiers.clear()
         worker.trial_until = self.host.now() + SET_ASIDE
         worker.room = worker.room_before_cut = 1.0
 
     def _aside_time(self) -> int:
-        return int(SET_ASIDE * (1 + self.chance.fraction() / 2))
+        return int(SET_ASIDE * (1 + self.random.fraction() / 2))
 
     # ---- Workers and the roster ----
 
@@ -1108,24 +1134,24 @@
         worker = self.workers.get(listing.worker)
         if worker is None:
             worker = self.workers[listing.worker] = Worker(listing)
-        if listing.started_at > worker.listing.started_at or (listing.started_at and not worker.warm_at):
+        if listing.started_at > worker.endpoint.started_at or (listing.started_at and not worker.warm_at):
             worker.warm_at = listing.started_at + self.settings.warmup_period
             worker.room = worker.room_before_cut = FIRST_ROOM
             # What was held against the one before it is nothing to the one that has started.
-            worker.aside = False
+            worker.ejected = False
             worker.errors.clear()
             self.tiers.clear()
             # From a random part of one job on, the first jobs of many dispatchers come spread over time.
-            worker.cold_credit = self.chance.fraction() * self._mean_running_time()
+            worker.cold_credit = self.random.fraction() * self._mean_running_time()
             worker.cold_credit_at = self.host.now()
-        gone = listing.condition == "gone"
-        worker.drained = listing.condition == "draining" or (worker.drained and gone)
+        gone = listing.condition is EndpointCondition.GONE
+        worker.drained = listing.condition is EndpointCondition.DRAINING or (worker.drained and gone)
         # Where only a drain binds, the list does not tell who is up: one that is called gone is asked.
         asked = gone and not worker.drained and self.settings.only_draining_is_binding
-        ready = listing.condition == "ready" or asked
-        if ready != worker.ready or listing[1:3] != worker.listing[1:3]:
+        ready = listing.condition is EndpointCondition.READY or asked
+        if ready != worker.ready or listing[1:3] != worker.endpoint[1:3]:
             self.tiers.clear()
-        worker.listing = listing
+        worker.endpoint = listing
         worker.ready = ready
         if asked:
             self._doubt(worker, self.host.now())
--- a/ploverspoke/decisions/interface.py
+++ b/ploverspoke/decisions/interface.py
@@ -1,65 +1,106 @@
-"""What the decisions ask of whoever runs them.
+"""Interface between the dispatch decisions and the code that runs them.
 
-A host calls one method of `dispatcher.Dispatcher` for each thing that happens, and the dispatcher acts by
-calling the methods below before it returns. Times are whole nanoseconds of one monotonic clock.
+The caller reports each event by one method of `dispatcher.Dispatcher`; the dispatcher acts by calling the
+methods of `DispatchActions` before that method returns. Times are whole nanoseconds of one monotonic clock.
 """
 
 from collections.abc import Iterable, Mapping
+from enum import Enum, StrEnum
 from typing import NamedTuple, Protocol
 
-Load = Mapping[str, float] | None  # what a worker reports of itself
-NEVER_RAN = frozenset({"full", "unreachable", "not_sent"})  # outcomes of hand-offs that are known not to have
+LoadReport = Mapping[str, float]  # fields that a worker reports of its own load, by name
 
 
-def never_ran(full_may_have_run: bool) -> frozenset[str]:
-    """Where workers also shed what they had begun, "full" is no proof."""
-    return NEVER_RAN - {"full"} if full_may_have_run else NEVER_RAN
+class AttemptOutcome(StrEnum):
+    """How an attempt or a probe ended. The values are those of stored data and must not change."""
+
+    SUCCEEDED = "satisfied"
+    WORKER_ERROR = "worker_error"
+    FULL = "full"  # returned by the worker
+    REJECTED = "rejected"  # the request itself is at fault
+    BROKEN_OFF = "broken_off"  # the connection broke, or what came over it could not be read
+    UNREACHABLE = "unreachable"
+    TIMED_OUT = "timed_out"
+    CANCELLED = "recalled"
+    NOT_SENT = "not_sent"
+
+
+NEVER_RAN = frozenset({AttemptOutcome.FULL, AttemptOutcome.UNREACHABLE, AttemptOutcome.NOT_SENT})
+
+
+def never_ran(full_may_have_run: bool) -> frozenset[AttemptOutcome]:
+    """Outcomes that prove that a request never ran; FULL does not where workers return started work too."""
+    return NEVER_RAN - {AttemptOutcome.FULL} if full_may_have_run else NEVER_RAN
+
+
+class EndpointCondition(Enum):
+    """Condition of a worker as service discovery shows it."""
+
+    READY = "ready"
+    DRAINING = "draining"
+    GONE = "gone"
 
 
 class Endpoint(NamedTuple):
-    """One worker as the roster shows it."""
+    """One worker as service discovery shows it."""
 
     worker: str
     zone: int
     machine_kind: int
     rack: int
-    condition: str  # "ready", "draining" or "gone"
+    condition: EndpointCondition
     weight: float
     started_at: int  # 0: long past
 
 
+class AttemptResult(NamedTuple):
+    """What is known when an attempt has ended."""
+
+    worker: str
+    outcome: AttemptOutcome
+    elapsed: int  # ns since it was sent
+    is_closed: bool  # the request has its final answer, or its client has left
+    load: LoadReport | None = None
+
+
+class LoadGossip(NamedTuple):
+    """What a dispatcher tells its peers of its own load."""
+
+    zone: int
+    sequence: int  # 0: first after a start; then 1 to 255, and 1 again
+    lateness: float  # how late its attempts started, 0 to 1
+    workers: Iterable[str]  # one entry for each slot that it has in flight there
+
+
 class DispatchActions(Protocol):
-    """The actions open to a dispatcher."""
+    """Actions of a dispatcher."""
 
     def now(self) -> int:
-        """The clock."""
+        """Time of the monotonic clock."""
 
-    def start_attempt(self, submission_id: int, worker: str, time_out: int) -> None:
-        """Send the submission to the worker and wait at most `time_out` for its answer."""
+    def start_attempt(self, request_id: int, worker: str, timeout: int) -> None:
+        """Send the request to the worker and wait at most `timeout` ns for its answer."""
 
-    def cancel_attempt(self, submission_id: int, hand_off: int) -> None:
-        """Stop waiting for one hand-off, counted from 0; its end is still reported, once."""
+    def cancel_attempt(self, request_id: int, attempt: int) -> None:
+        """Stop waiting for one attempt, counted from 0; its end is still reported, once."""
 
-    def reject(self, submission_id: int, come_back_after: int) -> None:
-        """Final answer: not done, and trying again is harmless; 0 gives no advice on when."""
+    def reject(self, request_id: int, retry_after: int) -> None:
+        """Final answer: not done, and a retry is harmless, after so many ns; 0 gives no advice on when."""
 
-    def fail(self, submission_id: int) -> None:
+    def fail(self, request_id: int) -> None:
         """Final answer: not done as far as is known, with no promise about its effect."""
 
     def wake_at(self, token: int, when: int) -> None:
         """Call `timer_fired(token)` at that time or as soon as possible after it."""
 
     def probe(self, worker: str) -> None:
-        """Ask a worker for its load."""
+        """Ask a worker for its health and load; answered by `probe_completed`."""
 
-    def send_gossip(
-        self, to: Iterable[int] | None, zone: int, number: int, lateness: float, held: Iterable[str]
-    ) -> None:
-        """Tell other dispatchers, None: all of them, where we have slots in flight and how late our starts
-        were, 0 to 1; it may not arrive."""
+    def send_gossip(self, peers: Iterable[int] | None, gossip: LoadGossip) -> None:
+        """Send to these peers, None: to all; it may be lost."""
 
     def watch_endpoints(self) -> None:
-        """Subscribe to the roster; answered by one roster call, and then by one for each change."""
+        """Subscribe to the endpoint list; answered by the whole list and then by each change."""
 
     def log(self, line: str) -> None:
-        """Say something to the person on call."""
+        """Write a line for the person on call."""
--- a/ploverspoke/routing/admin_server.py
+++ b/ploverspoke/routing/admin_server.py
@@ -111,7 +111,7 @@
         yield from figures.operations()
         yield admin.figure("open_requests", self.router.open_now())
         yield admin.figure("registry_entries", len(listed))
-        yield admin.figure("out_of_rotation", sum(dispatcher.avoids(w) for w in listed))
+        yield admin.figure("out_of_rotation", sum(dispatcher.is_out_of_rotation(w) for w in listed))
         yield admin.figure("cfg_accepted", figures.accepted)
         yield admin.figure("cfg_invalid", figures.invalid)
 
--- a/ploverspoke/routing/router.py
+++ b/ploverspoke/routing/router.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from ploverspoke.decisions.dispatcher import Dispatcher
-from ploverspoke.decisions.interface import Endpoint
+from ploverspoke.decisions.interface import AttemptResult, Endpoint, EndpointCondition, LoadGossip
 from ploverspoke.decisions.settings import DeploymentNames, Idempotency, LoadReporting, Settings
 from ploverspoke.protocol import clients, discovery, workers
 from ploverspoke.protocol.http_messages import HttpSyntaxError
@@ -435,7 +435,7 @@
         submission.hand_offs[hand_off.index] = None
         self._end_unsent(submission)
         if self.scribe is not None and self._is_kept(submission):
-            self.scribe.outcome(submission.request_id, hand_off.index, OUTCOMES[end])
+            self.scribe.outcome(submission.request_id, hand_off.index, OUTCOMES[end].value)
         if end is ExchangeOutcome.SERVED:
             self._answer(submission, "satisfied", result)
         elif end is ExchangeOutcome.REJECTED:
@@ -445,11 +445,13 @@
             self.dispatcher.attempt_ended,
             submission.number,
             hand_off.index,
-            hand_off.worker,
-            OUTCOMES[end],
-            self.now() - hand_off.sent_at,
-            submission.client is None,
-            load,
+            AttemptResult(
+                hand_off.worker,
+                OUTCOMES[end],
+                self.now() - hand_off.sent_at,
+                submission.client is None,
+                load,
+            ),
         )
         self._forget(submission)
 
@@ -493,9 +495,9 @@
         started_ms: int,
     ) -> None:
         # A state that we do not know is no invitation.
-        condition = CONDITIONS.get(str(state), "draining")
+        condition = EndpointCondition(CONDITIONS.get(str(state), "draining"))
         before = self.addresses.get(worker)
-        if before is not None and (condition == "gone" or address != before):
+        if before is not None and (condition is EndpointCondition.GONE or address != before):
             self.pool.drop(before)
         if address:
             self.addresses[worker] = address
@@ -509,24 +511,22 @@
     def now(self) -> int:
         return self.deadlines.now()
 
-    def start_attempt(self, submission_id: int, worker: str, time_out: int) -> None:
-        submission, address = self.submissions.get(submission_id), self.addresses.get(worker)
+    def start_attempt(self, request_id: int, worker: str, timeout: int) -> None:
+        submission, address = self.submissions.get(request_id), self.addresses.get(worker)
         if submission is None or submission.client is None or address is None:
             closed = submission is None or submission.client is None
             index = 0 if submission is None else len(submission.hand_offs)
             if submission is not None:
                 submission.hand_offs.append(None)
-            event = self.dispatcher.attempt_ended
-            self.tell(
-                event, submission_id, index, worker, OUTCOMES[ExchangeOutcome.WITHHELD], 0, closed, None
-            )
+            result = AttemptResult(worker, OUTCOMES[ExchangeOutcome.WITHHELD], 0, closed)
+            self.tell(self.dispatcher.attempt_ended, request_id, index, result)
             return
         hand_off = AttemptCall(self, submission, len(submission.hand_offs), worker)
         submission.hand_offs.append(None)
         if self.scribe is not None and self._is_kept(submission):
-            self._intend(self.scribe, hand_off, time_out)
+            self._intend(self.scribe, hand_off, timeout)
         else:
-            self._send(hand_off, time_out)
+            self._send(hand_off, timeout)
 
     def _is_kept(self, submission: Request) -> bool:
         """Whether the store keeps its hand-offs: what may be run twice needs no keeping."""
@@ -567,17 +567,17 @@
         submission.sent = submission.sent or may
         return may
 
-    def cancel_attempt(self, submission_id: int, hand_off: int) -> None:
-        submission = self.submissions.get(submission_id)
-        errand = submission.hand_offs[hand_off] if submission is not None else None
+    def cancel_attempt(self, request_id: int, attempt: int) -> None:
+        submission = self.submissions.get(request_id)
+        errand = submission.hand_offs[attempt] if submission is not None else None
         if errand is not None:
             errand.give_up()
 
-    def reject(self, submission_id: int, come_back_after: int) -> None:
-        self._answer(self.submissions.get(submission_id), "nacked", "", come_back_after)
+    def reject(self, request_id: int, retry_after: int) -> None:
+        self._answer(self.submissions.get(request_id), "nacked", "", retry_after)
 
-    def fail(self, submission_id: int) -> None:
-        self._answer(self.submissions.get(submission_id), "abandoned")
+    def fail(self, request_id: int) -> None:
+        self._answer(self.submissions.get(request_id), "abandoned")
 
     def wake_at(self, token: int, when: int) -> None:
         self.deadlines.at(when, lambda: self.tell(self.dispatcher.timer_fired, token))
@@ -598,14 +598,12 @@
             fresh=probe.repeated,
         )
 
-    def send_gossip(
-        self, to: Iterable[int] | None, zone: int, number: int, lateness: float, held: Iterable[str]
-    ) -> None:
+    def send_gossip(self, peers: Iterable[int] | None, gossip: LoadGossip) -> None:
         if self.peers is not None:
-            self.peers.send(to, zone, number, lateness, held)
+            self.peers.send(peers, *gossip)
 
     def heard(self, teller: int, zone: int, number: int, lateness: float, held: list[str]) -> None:
-        self.tell(self.dispatcher.gossip_received, teller, zone, number, lateness, held)
+        self.tell(self.dispatcher.gossip_received, teller, LoadGossip(zone, number, lateness, held))
 
     def known_workers(self) -> Collection[str]:
         return self.dispatcher.workers
--- a/ploverspoke/simulator/adapter.py
+++ b/ploverspoke/simulator/adapter.py
@@ -9,7 +9,13 @@
 from typing import TextIO
 
 from ploverspoke.decisions.dispatcher import Dispatcher
-from ploverspoke.decisions.interface import Endpoint
+from ploverspoke.decisions.interface import (
+    AttemptOutcome,
+    AttemptResult,
+    Endpoint,
+    EndpointCondition,
+    LoadGossip,
+)
 from ploverspoke.protocol.gossip_messages import Reader, write_gossip
 from ploverspoke.protocol.http_messages import HttpSyntaxError
 from ploverspoke.protocol.wire_names import CONDITIONS
@@ -20,14 +26,14 @@
 from .codec import CodecError, Fields, read_line, write_line
 
 OUTCOMES = {
-    "delivered": "satisfied",
-    "app_error": "worker_error",
-    "shed": "full",
-    "expired": "timed_out",
-    "dial_failed": "unreachable",
-    "dropped": "broken_off",
-    "revoked": "recalled",
-    "unused": "not_sent",
+    "delivered": AttemptOutcome.SUCCEEDED,
+    "app_error": AttemptOutcome.WORKER_ERROR,
+    "shed": AttemptOutcome.FULL,
+    "expired": AttemptOutcome.TIMED_OUT,
+    "dial_failed": AttemptOutcome.UNREACHABLE,
+    "dropped": AttemptOutcome.BROKEN_OFF,
+    "revoked": AttemptOutcome.CANCELLED,
+    "unused": AttemptOutcome.NOT_SENT,
 }
 
 
@@ -52,17 +58,17 @@
     def _act(self, name: str, **fields: int | str) -> None:
         self.adapter.reply.append(write_line(name, Who=self.number, **fields))
 
-    def start_attempt(self, submission_id: int, worker: str, time_out: int) -> None:
-        self._act("FORWARD", RequestId=submission_id, Worker=worker, AllowForUs=time_out // MICROSECOND)
+    def start_attempt(self, request_id: int, worker: str, timeout: int) -> None:
+        self._act("FORWARD", RequestId=request_id, Worker=worker, AllowForUs=timeout // MICROSECOND)
 
-    def cancel_attempt(self, submission_id: int, hand_off: int) -> None:
-        self._act("REVOKE", RequestId=submission_id, Go=hand_off)
+    def cancel_attempt(self, request_id: int, attempt: int) -> None:
+        self._act("REVOKE", RequestId=request_id, Go=attempt)
 
-    def reject(self, submission_id: int, come_back_after: int) -> None:
-        self._act("BUSY", RequestId=submission_id, StayAwayUs=come_back_after // MICROSECOND)
+    def reject(self, request_id: int, retry_after: int) -> None:
+        self._act("BUSY", RequestId=request_id, StayAwayUs=retry_after // MICROSECOND)
 
-    def fail(self, submission_id: int) -> None:
-        self._act("GIVE_UP", RequestId=submission_id)
+    def fail(self, request_id: int) -> None:
+        self._act("GIVE_UP", RequestId=request_id)
 
     def wake_at(self, token: int, when: int) -> None:
         self._act("SLEEP", Token=token, WhenUs=-(-when // MICROSECOND))
@@ -70,11 +76,9 @@
     def probe(self, worker: str) -> None:
         self._act("SOUND_OUT", Worker=worker)
 
-    def send_gossip(
-        self, to: Iterable[int] | None, zone: int, number: int, lateness: float, held: Iterable[str]
-    ) -> None:
-        octets = b64encode(write_gossip(zone, number, lateness, held)).decode()
-        for target in ["all"] if to is None else to:
+    def send_gossip(self, peers: Iterable[int] | None, gossip: LoadGossip) -> None:
+        octets = b64encode(write_gossip(*gossip)).decode()
+        for target in ["all"] if peers is None else peers:
             self._act("BROADCAST_TO", Target=target, Octets=octets)
 
     def watch_endpoints(self) -> None:
@@ -106,11 +110,13 @@
         self.dispatcher.attempt_ended(
             f.whole("RequestId"),
             f.whole("Go"),
-            f["Worker"],
-            self._outcome_word(f),
-            f.whole("DelaySeenUs") * MICROSECOND,
-            f.flag("Finished"),
-            self._load(f),
+            AttemptResult(
+                f["Worker"],
+                self._outcome(f),
+                f.whole("DelaySeenUs") * MICROSECOND,
+                f.flag("Finished"),
+                self._load(f),
+            ),
         )
 
     def client_disconnected(self, f: Fields) -> None:
@@ -121,7 +127,7 @@
 
     def probed(self, f: Fields) -> None:
         self.dispatcher.probe_completed(
-            f["Worker"], self._outcome_word(f), f.whole("DelaySeenUs") * MICROSECOND, self._load(f)
+            f["Worker"], self._outcome(f), f.whole("DelaySeenUs") * MICROSECOND, self._load(f)
         )
 
     def under_way(self, f: Fields) -> None:
@@ -134,7 +140,7 @@
             told = self.reader.read(a2b_base64(f["Octets"]), self.dispatcher.workers)
         except (HttpSyntaxError, ValueError):
             return
-        self.dispatcher.gossip_received(f.whole("Author"), *told)
+        self.dispatcher.gossip_received(f.whole("Author"), LoadGossip(*told))
 
     def peers(self, f: Fields) -> None:
         scope = f["Scope"]
@@ -152,7 +158,7 @@
         else:
             raise CodecError(f"unknown scope {scope!r}")
 
-    def _outcome_word(self, f: Fields) -> str:
+    def _outcome(self, f: Fields) -> AttemptOutcome:
         reason = f["Reason"]
         if reason not in OUTCOMES:
             raise CodecError(f"unknown outcome {reason!r}")
@@ -232,7 +238,7 @@
                     entry.whole("Dc", 0),
                     entry.whole("Model", 0),
                     entry.whole("Block", 0),
-                    CONDITIONS[entry["Condition"]],
+                    EndpointCondition(CONDITIONS[entry["Condition"]]),
                     entry.number("Heft", 1.0),
                     entry.whole("UpSinceUs", 0) * MICROSECOND,
                 )
--- a/ploverspoke/testbed/baselines.py
+++ b/ploverspoke/testbed/baselines.py
@@ -9,7 +9,15 @@
 from typing import Any
 
 from ploverspoke.decisions.dispatcher import Dispatcher
-from ploverspoke.decisions.interface import NEVER_RAN, DispatchActions, Endpoint
+from ploverspoke.decisions.interface import (
+    NEVER_RAN,
+    AttemptOutcome,
+    AttemptResult,
+    DispatchActions,
+    Endpoint,
+    EndpointCondition,
+    LoadReport,
+)
 from ploverspoke.decisions.random_numbers import RandomNumbers
 from ploverspoke.decisions.settings import Idempotency, RetryScope, Settings
 
@@ -62,47 +70,39 @@
 
     def request_arrived(
         self,
-        submission_id: int,
-        grade: int,
+        request_id: int,
+        request_class: int,
         slots: float,
-        abandon_at: int,
+        deadline: int,
         work_hint: int,
-        subject: str,
+        affinity_key: str,
     ) -> None:
-        job = self.open[submission_id] = Open(submission_id, grade, slots, abandon_at)
+        job = self.open[request_id] = Open(request_id, request_class, slots, deadline)
         self.send(job)
 
-    def attempt_started(self, submission_id: int, hand_off: int) -> None: ...
+    def attempt_started(self, request_id: int, attempt: int) -> None: ...
 
-    def attempt_progressed(self, submission_id: int, hand_off: int, share_done: float) -> None: ...
+    def attempt_progressed(self, request_id: int, attempt: int, share_done: float) -> None: ...
 
-    def attempt_ended(
-        self,
-        submission_id: int,
-        hand_off: int,
-        worker_name: str,
-        outcome: str,
-        took: int,
-        finished: bool,
-        load: Mapping[str, float] | None,
-    ) -> None:
-        job = self.open.get(submission_id)
-        if job is None or hand_off != job.hand_offs - 1:
+    def attempt_ended(self, request_id: int, attempt: int, result: AttemptResult) -> None:
+        worker_name = result.worker
+        job = self.open.get(request_id)
+        if job is None or attempt != job.hand_offs - 1:
             return
         self.in_flight[worker_name] -= job.slots
-        if finished:
-            del self.open[submission_id]
+        if result.is_closed:
+            del self.open[request_id]
             return
         job.failed_at.append(worker_name)
-        if outcome not in NEVER_RAN and not job.may_have_run:
+        if result.outcome not in NEVER_RAN and not job.may_have_run:
             job.may_have_run = worker_name
-            job.bound_until = self.host.now() - took + self.settings.classes[job.grade].retry_window
+            job.bound_until = self.host.now() - result.elapsed + self.settings.classes[job.grade].retry_window
         self.send(job)
 
-    def client_disconnected(self, submission_id: int) -> None:
-        job = self.open.get(submission_id)
+    def client_disconnected(self, request_id: int) -> None:
+        job = self.open.get(request_id)
         if job is not None and not job.at:
-            del self.open[submission_id]
+            del self.open[request_id]
 
     def endpoint_list_received(self, listings: Iterable[Endpoint]) -> None:
         self.failures = 0
@@ -115,12 +115,12 @@
             self.workers[listing.worker] = listing
             self.in_flight.setdefault(listing.worker, 0.0)
 
-    def endpoint_watch_failed(self, turned_away: bool = False) -> None:
+    def endpoint_watch_failed(self, is_rejected: bool = False) -> None:
         self.failures += 1
         self.host.wake_at(0, self.host.now() + SECOND // 4 * min(8, self.failures))
 
     def probe_completed(
-        self, worker_name: str, outcome: str, took: int, load: Mapping[str, float] | None
+        self, worker_name: str, outcome: AttemptOutcome, elapsed: int, load: LoadReport | None
     ) -> None: ...
 
     def timer_fired(self, token: int) -> None:
@@ -148,7 +148,7 @@
         among = [
             w
             for w, shown in self.workers.items()
-            if shown.condition == "ready" and kind in (-1, shown.machine_kind)
+            if shown.condition is EndpointCondition.READY and kind in (-1, shown.machine_kind)
         ]
         repeat = self.settings.classes[job.grade].idempotency
         if not job.may_have_run or repeat is Idempotency.IDEMPOTENT:
--- a/ploverspoke/testbed/virtual.py
+++ b/ploverspoke/testbed/virtual.py
@@ -4,7 +4,7 @@
 from functools import partial, wraps
 from typing import Any
 
-from ploverspoke.decisions.interface import Endpoint
+from ploverspoke.decisions.interface import AttemptOutcome, AttemptResult, Endpoint, EndpointCondition
 from ploverspoke.decisions.settings import Settings
 from ploverspoke.routing.request_classes import RequestClassTable
 from ploverspoke.service.settings import parse_settings
@@ -32,6 +32,11 @@
 FINAL_CALM = 2 * SECOND  # after the last abandon time
 
 
+def _endpoint(entry: Entry) -> Endpoint:
+    condition = EndpointCondition(entry.condition)
+    return Endpoint(entry.worker, entry.zone, entry.kind, entry.rack, condition, 1.0, entry.started_at)
+
+
 class HandOff:
     """One hand-off of one dispatcher, from the choice to its end."""
 
@@ -246,7 +251,7 @@
         if self.alive:
             told = self.world.fleet.workers[worker].report() if reports else None
             load = None if told is None else {"waiting": told["backlog"], "free_slots": told["x0"]}
-            self.decisions.probe_completed(worker, outcome, self.clock.time - sent_at, load)
+            self.decisions.probe_completed(worker, AttemptOutcome(outcome), self.clock.time - sent_at, load)
 
     def watch_endpoints(self) -> None:
         self.clock.at(self.clock.time + self.world.e.network.near, self._call_roster)
@@ -270,9 +275,7 @@
             return
         first = self.version is None and told is self.world.first_list
         self.version, whole, entries = told
-        listings = [
-            Endpoint(e.worker, e.zone, e.kind, e.rack, e.condition, 1.0, e.started_at) for e in entries
-        ]
+        listings = [_endpoint(entry) for entry in entries]
         if whole:
             self.decisions.endpoint_list_received(listings)
         else:
@@ -316,10 +319,9 @@
         taken.hand_offs[hand_off.index] = None
         if outcome == "satisfied":
             self._answer(taken.number, "satisfied")
-        took = self.clock.time - hand_off.sent_at
-        self.decisions.attempt_ended(
-            taken.number, hand_off.index, hand_off.worker.name, outcome, took, taken.answered, None
-        )
+        elapsed = self.clock.time - hand_off.sent_at
+        result = AttemptResult(hand_off.worker.name, AttemptOutcome(outcome), elapsed, taken.answered)
+        self.decisions.attempt_ended(taken.number, hand_off.index, result)
         self._forget(taken)
 
     def _close(self, hand_off: HandOff) -> None:
--- a/tests/decisions/harness.py
+++ b/tests/decisions/harness.py
@@ -1,12 +1,20 @@
-"""A stand-in host that keeps books on the four rules and plays workers at random; a deployment's settings."""
+"""Runs a dispatcher in simulated time, checks the four rules on each action, and plays random workers."""
 
 import random
-from collections.abc import Mapping
-from dataclasses import fields, replace
+from collections.abc import Iterable
+from dataclasses import dataclass, fields, replace
+from enum import Enum, auto
 from typing import Any
 
 from ploverspoke.decisions.dispatcher import SECOND, Dispatcher
-from ploverspoke.decisions.interface import NEVER_RAN, Endpoint
+from ploverspoke.decisions.interface import (
+    NEVER_RAN,
+    AttemptOutcome,
+    AttemptResult,
+    Endpoint,
+    EndpointCondition,
+    LoadGossip,
+)
 from ploverspoke.decisions.settings import (
     Idempotency,
     LoadReporting,
@@ -16,7 +24,7 @@
 )
 
 MS = 1_000_000
-SETTINGS_OF_DECISIONS = Settings(
+DECISION_SETTINGS = Settings(
     classes=(
         RequestClass(
             latency_objective=100 * MS,
@@ -90,14 +98,14 @@
 
 def settings_with(**overrides: Any) -> Settings:
     """The settings above with other values; a field of the classes takes one value for each class."""
-    classes = SETTINGS_OF_DECISIONS.classes
+    classes = DECISION_SETTINGS.classes
     for name in CLASS_FIELDS & set(overrides):
         values = overrides.pop(name)
         classes = tuple(replace(each, **{name: value}) for each, value in zip(classes, values, strict=True))
-    return replace(SETTINGS_OF_DECISIONS, classes=classes, **overrides)
+    return replace(DECISION_SETTINGS, classes=classes, **overrides)
 
 
-# A deployment's settings, as a service reads them.
+# Settings of a deployment, as the service reads them.
 SETTINGS: dict[str, Any] = {
     "Discovery": "ask",
     "Domain": {"ProgressUs": 1_000_000, "TellsStart": True, "ReportX0": "free slots"},
@@ -122,72 +130,96 @@
 }
 
 
-def listing(name: str, condition: str = "ready", kind: int = 0, rack: int = 0, started: int = 0) -> Endpoint:
-    return Endpoint(name, 0, kind, rack, condition, 1.0, started)
+def endpoint(
+    name: str,
+    condition: EndpointCondition = EndpointCondition.READY,
+    kind: int = 0,
+    rack: int = 0,
+    started_at: int = 0,
+) -> Endpoint:
+    return Endpoint(name, 0, kind, rack, condition, 1.0, started_at)
+
+
+class Answer(Enum):
+    """What has become of a request, as its client sees it."""
+
+    SUCCEEDED = auto()
+    REJECTED = auto()
+    FAILED = auto()
+    DISCONNECTED = auto()  # the client has left
 
 
-class Stage:
-    """Hosts one dispatcher; every action is checked against the rules as it is made."""
+@dataclass
+class RecordedAttempt:
+    worker: str
+    sent_at: int
+    times_out_at: int
+    outcome: AttemptOutcome | None = None  # None: in flight
+    started: bool = False
+    cancelled: bool = False
 
-    def __init__(self, workers: list[Endpoint], seed: int = 1, **overrides: Any) -> None:
+
+class DispatchHarness:
+    """Runs one dispatcher; every action is checked against the rules as it is made."""
+
+    def __init__(self, endpoints: list[Endpoint], seed: int = 1, **overrides: Any) -> None:
         self.clock = 100 * SECOND
         self.settings = settings_with(**overrides)
-        self.grade: dict[int, int] = {}
-        self.abandon_at: dict[int, int] = {}
-        self.arrived: dict[int, int] = {}
-        self.tries: dict[int, list[dict[str, Any]]] = {}
-        self.answers: dict[int, str] = {}
+        self.class_of: dict[int, int] = {}
+        self.deadline: dict[int, int] = {}
+        self.arrived_at: dict[int, int] = {}
+        self.attempts: dict[int, list[RecordedAttempt]] = {}
+        self.answers: dict[int, Answer] = {}
         self.timers: list[tuple[int, int]] = []
         self.probes: list[str] = []
-        self.watches = 0
-        self.tellings: list[tuple[Any, ...]] = []
-        self.listed = {w.worker: w for w in workers}
+        self.watch_calls = 0
+        self.gossip_sent: list[tuple[list[int] | None, LoadGossip]] = []
+        self.endpoints = {each.worker: each for each in endpoints}
         self.closed_at: dict[str, int] = {}
         self.dispatcher = Dispatcher(self, seed, self.settings)
-        self.dispatcher.endpoint_list_received(workers)
+        self.dispatcher.endpoint_list_received(endpoints)
         self.dispatcher.started()
 
-    # ---- The host interface ----
+    # ---- Actions of the dispatcher ----
 
     def now(self) -> int:
         return self.clock
 
-    def start_attempt(self, submission_id: int, worker: str, time_out: int) -> None:
-        tries, grade = self.tries[submission_id], self.grade[submission_id]
-        assert submission_id not in self.answers and self.clock < self.abandon_at[submission_id]
-        assert self.clock + time_out <= self.abandon_at[submission_id] and time_out > 0
-        assert worker in self.listed and worker not in self.closed_at, "drains are kept"
-        assert all(t["outcome"] for t in tries), "never two at once"
-        for t in [t for t in tries if self.may_have_run(t)]:
-            assert self.settings.classes[grade].idempotency is not Idempotency.NON_IDEMPOTENT, (
-                "no effect twice"
-            )
-            if self.settings.classes[grade].idempotency is Idempotency.IDEMPOTENT_WITH_KEY:
-                assert self.listed[t["worker"]].rack == self.listed[worker].rack
-                assert self.clock < t["sent"] + self.settings.classes[grade].retry_window
-        tries.append({"worker": worker, "sent": self.clock, "until": self.clock + time_out, "outcome": None})
-
-    def may_have_run(self, hand_off: dict[str, Any]) -> bool:
-        shed = hand_off["outcome"] == "full" and self.settings.full_may_have_run
-        return shed or hand_off["outcome"] not in NEVER_RAN
-
-    def cancel_attempt(self, submission_id: int, hand_off: int) -> None:
-        assert self.tries[submission_id][hand_off]["outcome"] is None
-        self.tries[submission_id][hand_off]["until"] = self.clock
-        self.tries[submission_id][hand_off]["recalled"] = True
-
-    def reject(self, submission_id: int, come_back_after: int) -> None:
-        if self.settings.classes[self.grade[submission_id]].idempotency is not Idempotency.IDEMPOTENT:
-            assert not any(self.may_have_run(t) for t in self.tries[submission_id])
-        self._answer(submission_id, "nacked")
-
-    def fail(self, submission_id: int) -> None:
-        self._answer(submission_id, "abandoned")
-
-    def _answer(self, submission_id: int, answer: str) -> None:
-        assert submission_id not in self.answers, "one final answer"
-        assert self.clock <= max(self.abandon_at[submission_id], self.arrived[submission_id])
-        self.answers[submission_id] = answer
+    def start_attempt(self, request_id: int, worker: str, timeout: int) -> None:
+        attempts = self.attempts[request_id]
+        request_class = self.settings.classes[self.class_of[request_id]]
+        assert request_id not in self.answers and self.clock < self.deadline[request_id]
+        assert self.clock + timeout <= self.deadline[request_id] and timeout > 0
+        assert worker in self.endpoints and worker not in self.closed_at, "drains are respected"
+        assert all(each.outcome for each in attempts), "never two attempts at once"
+        for earlier in [each for each in attempts if self.may_have_run(each)]:
+            assert request_class.idempotency is not Idempotency.NON_IDEMPOTENT, "no effect twice"
+            if request_class.idempotency is Idempotency.IDEMPOTENT_WITH_KEY:
+                assert self.endpoints[earlier.worker].rack == self.endpoints[worker].rack
+                assert self.clock < earlier.sent_at + request_class.retry_window
+        attempts.append(RecordedAttempt(worker, self.clock, self.clock + timeout))
+
+    def may_have_run(self, attempt: RecordedAttempt) -> bool:
+        is_no_proof = attempt.outcome is AttemptOutcome.FULL and self.settings.full_may_have_run
+        return is_no_proof or attempt.outcome not in NEVER_RAN
+
+    def cancel_attempt(self, request_id: int, attempt: int) -> None:
+        assert self.attempts[request_id][attempt].outcome is None
+        self.attempts[request_id][attempt].times_out_at = self.clock
+        self.attempts[request_id][attempt].cancelled = True
+
+    def reject(self, request_id: int, retry_after: int) -> None:
+        if self.settings.classes[self.class_of[request_id]].idempotency is not Idempotency.IDEMPOTENT:
+            assert not any(self.may_have_run(each) for each in self.attempts[request_id])
+        self._answer(request_id, Answer.REJECTED)
+
+    def fail(self, request_id: int) -> None:
+        self._answer(request_id, Answer.FAILED)
+
+    def _answer(self, request_id: int, answer: Answer) -> None:
+        assert request_id not in self.answers, "one final answer"
+        assert self.clock <= max(self.deadline[request_id], self.arrived_at[request_id])
+        self.answers[request_id] = answer
 
     def wake_at(self, token: int, when: int) -> None:
         self.timers.append((when, token))
@@ -195,128 +227,162 @@
     def probe(self, worker: str) -> None:
         self.probes.append(worker)
 
-    def send_gossip(self, *telling: Any) -> None:
+    def send_gossip(self, peers: Iterable[int] | None, gossip: LoadGossip) -> None:
         assert self.settings.gossip_allowed
-        self.tellings.append(telling)
+        self.gossip_sent.append((None if peers is None else list(peers), gossip))
 
     def watch_endpoints(self) -> None:
-        self.watches += 1
+        self.watch_calls += 1
 
     def log(self, line: str) -> None:
         pass
 
-    # ---- What a test makes happen ----
-
-    def submit(self, submission_id: int, grade: int = 0, slots: float = 1.0, **extra: Any) -> None:
-        self.grade[submission_id] = grade
-        self.arrived[submission_id] = self.clock
-        self.abandon_at[submission_id] = self.clock + extra.pop("abandon_in", 3 * SECOND)
-        self.tries[submission_id] = []
-        given: Mapping[str, Any] = {"work_hint": 0, "subject": "", **extra}
-        self.dispatcher.request_arrived(submission_id, grade, slots, self.abandon_at[submission_id], **given)
-
-    def start(self, submission_id: int) -> None:
-        self.tries[submission_id][-1]["started"] = True
-        self.dispatcher.attempt_started(submission_id, len(self.tries[submission_id]) - 1)
-
-    def end(self, submission_id: int, outcome: str) -> None:
-        last = self.tries[submission_id][-1]
-        last["outcome"] = outcome
-        finished = submission_id in self.answers or outcome == "satisfied"
-        if outcome == "satisfied" and submission_id not in self.answers:
-            self.answers[submission_id] = outcome
-        number = len(self.tries[submission_id]) - 1
-        took = self.clock - last["sent"]
-        self.dispatcher.attempt_ended(submission_id, number, last["worker"], outcome, took, finished, None)
-
-    def leave(self, submission_id: int) -> None:
-        self.answers[submission_id] = "left"
-        self.dispatcher.client_disconnected(submission_id)
-
-    def pass_time(self, span: int) -> None:
-        """Let time pass; due timers and time-outs fire in order."""
-        end = self.clock + span
+    # ---- Events that a test causes ----
+
+    def send_request(
+        self,
+        request_id: int,
+        request_class: int = 0,
+        slots: float = 1.0,
+        deadline_in: int = 3 * SECOND,
+        affinity_key: str = "",
+    ) -> None:
+        deadline = self.clock + deadline_in
+        self.class_of[request_id] = request_class
+        self.arrived_at[request_id] = self.clock
+        self.deadline[request_id] = deadline
+        self.attempts[request_id] = []
+        self.dispatcher.request_arrived(request_id, request_class, slots, deadline, 0, affinity_key)
+
+    def report_start(self, request_id: int) -> None:
+        self.attempts[request_id][-1].started = True
+        self.dispatcher.attempt_started(request_id, len(self.attempts[request_id]) - 1)
+
+    def end_attempt(self, request_id: int, outcome: AttemptOutcome) -> None:
+        last = self.attempts[request_id][-1]
+        last.outcome = outcome
+        succeeded = outcome is AttemptOutcome.SUCCEEDED
+        is_closed = request_id in self.answers or succeeded
+        if succeeded and request_id not in self.answers:
+            self.answers[request_id] = Answer.SUCCEEDED
+        index = len(self.attempts[request_id]) - 1
+        elapsed = self.clock - last.sent_at
+        result = AttemptResult(last.worker, outcome, elapsed, is_closed)
+        self.dispatcher.attempt_ended(request_id, index, result)
+
+    def disconnect(self, request_id: int) -> None:
+        self.answers[request_id] = Answer.DISCONNECTED
+        self.dispatcher.client_disconnected(request_id)
+
+    def advance(self, duration: int) -> None:
+        """Let time pass; due timers and timeouts fire in order, timers before timeouts."""
+        end = self.clock + duration
         while True:
-            out = [
-                (t["until"], s)
-                for s, tries in self.tries.items()
-                for t in tries[-1:]
-                if t["outcome"] is None and t["until"] <= end
+            in_flight = [
+                (attempts[-1].times_out_at, request_id)
+                for request_id, attempts in self.attempts.items()
+                if attempts and attempts[-1].outcome is None and attempts[-1].times_out_at <= end
             ]
-            due = min([(when, 0, token) for when, token in self.timers if when <= end], default=None)
-            late = min([(when, 1, s) for when, s in out], default=None)
-            first = min([x for x in (due, late) if x is not None], default=None)
+            timer = min([(when, 0, token) for when, token in self.timers if when <= end], default=None)
+            timeout = min([(when, 1, request_id) for when, request_id in in_flight], default=None)
+            first = min([each for each in (timer, timeout) if each is not None], default=None)
             if first is None:
                 break
             self.clock = max(self.clock, first[0])
             if first[1]:
-                self.end(first[2], "recalled" if self.tries[first[2]][-1].get("recalled") else "timed_out")
+                cancelled = self.attempts[first[2]][-1].cancelled
+                outcome = AttemptOutcome.CANCELLED if cancelled else AttemptOutcome.TIMED_OUT
+                self.end_attempt(first[2], outcome)
             else:
                 self.timers.remove((first[0], first[2]))
                 self.dispatcher.timer_fired(first[2])
         self.clock = end
 
-    def where(self, submission_id: int) -> str | None:
-        tries = self.tries[submission_id]
-        return tries[-1]["worker"] if tries and tries[-1]["outcome"] is None else None
+    def worker_of(self, request_id: int) -> str | None:
+        """The worker that has the request now."""
+        attempts = self.attempts[request_id]
+        return attempts[-1].worker if attempts and attempts[-1].outcome is None else None
 
-    def check_books(self) -> None:
-        """The dispatcher's slots in flight are just those of the hand-offs that are out."""
+    def check_accounting(self) -> None:
+        """The slots that the dispatcher counts as in flight are those of the attempts that are."""
         for worker in self.dispatcher.workers.values():
             out = [job for job in worker.out.values()]
             assert worker.in_flight == sum(job.type.slots for job in out) >= worker.running >= 0
-            assert all(self.where(job.id) == worker.name for job in out)
+            assert all(self.worker_of(job.id) == worker.name for job in out)
             assert set(worker.unstarted) <= set(worker.out)
-        for job in self.dispatcher.open.values():
+        for job in self.dispatcher.open_requests.values():
             assert job.id not in self.answers
             assert (job.at is None) == (job in job.type.queue)
 
 
-def random_run(seed: int, steps: int, **overrides: Any) -> Stage:
-    """Random arrivals, notes, ends, departures and roster changes, with the books checked at each step."""
-    chance = random.Random(seed)
-    names = [f"w{i}" for i in range(chance.randint(1, 7))]
-    listed = [listing(n, kind=i % 2, rack=i % 3) for i, n in enumerate(names)]
-    stage = Stage(listed, seed, **overrides)
-    ends = ["satisfied"] * 6 + ["worker_error", "full", "timed_out", "unreachable", "broken_off", "not_sent"]
+RANDOM_OUTCOMES = [AttemptOutcome.SUCCEEDED] * 6 + [
+    AttemptOutcome.WORKER_ERROR,
+    AttemptOutcome.FULL,
+    AttemptOutcome.TIMED_OUT,
+    AttemptOutcome.UNREACHABLE,
+    AttemptOutcome.BROKEN_OFF,
+    AttemptOutcome.NOT_SENT,
+]
+
+
+def random_run(seed: int, steps: int, **overrides: Any) -> DispatchHarness:
+    """Random arrivals, starts, ends, departures and endpoint changes, the accounts checked at each step."""
+    randomness = random.Random(seed)
+    names = [f"w{i}" for i in range(randomness.randint(1, 7))]
+    endpoints = [endpoint(name, kind=i % 2, rack=i % 3) for i, name in enumerate(names)]
+    harness = DispatchHarness(endpoints, seed, **overrides)
     for step in range(steps):
-        stage.pass_time(chance.choice([0, 1, 5, 30, 200]) * MS)
-        out = [s for s in stage.tries if stage.where(s) is not None]
-        roll = chance.random()
-        if roll < 0.45:
-            stage.submit(
-                step,
-                chance.randrange(3),
-                chance.choice([1.0, 1.0, 2.0]),
-                subject=chance.choice(["", "a", "b"]),
-                abandon_in=chance.choice([-1, 0, 100 * MS, 3 * SECOND]),
-            )
-        elif roll < 0.6 and out:
-            waiting = [s for s in out if not stage.tries[s][-1].get("started")]
-            if waiting:
-                stage.start(chance.choice(waiting))
-        elif roll < 0.88 and out:
-            stage.end(chance.choice(out), chance.choice(ends))
-        elif roll < 0.9 and stage.dispatcher.open:
-            stage.leave(chance.choice(list(stage.dispatcher.open)))
-        elif roll < 0.92:
-            stage.dispatcher.endpoint_watch_failed()
-        elif roll < 0.96 and stage.probes:
-            took = chance.choice([MS, SECOND])
-            outcome = chance.choice(["satisfied", "timed_out"])
-            stage.dispatcher.probe_completed(stage.probes.pop(), outcome, took, None)
-        else:
-            name = chance.choice(names)
-            state = chance.choice(["ready", "ready", "draining", "gone"])
-            old = stage.listed[name]
-            stage.listed[name] = old._replace(condition=state, started_at=stage.clock)
-            was_closed = stage.closed_at.pop(name, None) is not None
-            binds = not stage.settings.only_draining_is_binding or was_closed
-            if state == "draining" or (state == "gone" and binds):
-                stage.closed_at[name] = stage.clock
-            stage.dispatcher.endpoints_changed([stage.listed[name]])
-        stage.check_books()
-    stage.pass_time(10 * SECOND)
-    stage.check_books()
-    assert set(stage.answers) == set(stage.tries), "every submission is answered"
-    return stage
+        harness.advance(randomness.choice([0, 1, 5, 30, 200]) * MS)
+        random_event(harness, randomness, step, names)
+        harness.check_accounting()
+    harness.advance(10 * SECOND)
+    harness.check_accounting()
+    assert set(harness.answers) == set(harness.attempts), "every request is answered"
+    return harness
+
+
+def random_event(harness: DispatchHarness, randomness: random.Random, step: int, names: list[str]) -> None:
+    out = [request_id for request_id in harness.attempts if harness.worker_of(request_id) is not None]
+    roll = randomness.random()
+    if roll < 0.45:
+        harness.send_request(
+            step,
+            randomness.randrange(3),
+            randomness.choice([1.0, 1.0, 2.0]),
+            affinity_key=randomness.choice(["", "a", "b"]),
+            deadline_in=randomness.choice([-1, 0, 100 * MS, 3 * SECOND]),
+        )
+    elif roll < 0.6 and out:
+        waiting = [request_id for request_id in out if not harness.attempts[request_id][-1].started]
+        if waiting:
+            harness.report_start(randomness.choice(waiting))
+    elif roll < 0.88 and out:
+        harness.end_attempt(randomness.choice(out), randomness.choice(RANDOM_OUTCOMES))
+    elif roll < 0.9 and harness.dispatcher.open_requests:
+        harness.disconnect(randomness.choice(list(harness.dispatcher.open_requests)))
+    elif roll < 0.92:
+        harness.dispatcher.endpoint_watch_failed()
+    elif roll < 0.96 and harness.probes:
+        elapsed = randomness.choice([MS, SECOND])
+        outcome = randomness.choice([AttemptOutcome.SUCCEEDED, AttemptOutcome.TIMED_OUT])
+        harness.dispatcher.probe_completed(harness.probes.pop(), outcome, elapsed, None)
+    else:
+        random_endpoint_change(harness, randomness, randomness.choice(names))
+
+
+def random_endpoint_change(harness: DispatchHarness, randomness: random.Random, name: str) -> None:
+    condition = randomness.choice(
+        [
+            EndpointCondition.READY,
+            EndpointCondition.READY,
+            EndpointCondition.DRAINING,
+            EndpointCondition.GONE,
+        ]
+    )
+    before = harness.endpoints[name]
+    harness.endpoints[name] = before._replace(condition=condition, started_at=harness.clock)
+    was_closed = harness.closed_at.pop(name, None) is not None
+    gone_is_binding = not harness.settings.only_draining_is_binding or was_closed
+    if condition is EndpointCondition.DRAINING or (condition is EndpointCondition.GONE and gone_is_binding):
+        harness.closed_at[name] = harness.clock
+    harness.dispatcher.endpoints_changed([harness.endpoints[name]])
--- a/tests/decisions/test_load_gossip.py
+++ b/tests/decisions/test_load_gossip.py
@@ -7,117 +7,117 @@
 
 import pytest
 
+from ploverspoke.decisions.interface import EndpointCondition, LoadGossip
 from ploverspoke.protocol.gossip_messages import MOST_BYTES, Reader, mark_of, marks_of, write_gossip
 from ploverspoke.protocol.http_messages import HttpSyntaxError
 from ploverspoke.routing.load_gossip import GossipSocket
 from ploverspoke.service.config import parse_config
 from ploverspoke.service.service import Service
 from ploverspoke.testbed.processes.addresses import held_ports
-from tests.decisions.harness import MS, SECOND, SETTINGS, Stage, listing, random_run
+from tests.decisions.harness import MS, SECOND, SETTINGS, Answer, DispatchHarness, endpoint, random_run
 
 TELLING = {"gossip_allowed": True, "gossip_cost": 0.01, "probing_allowed": False, "dispatcher_count": 9}
 FULL = ["a", "a"]
 
 
 def test_a_worker_that_others_fill_is_left_alone_until_that_fades() -> None:
-    stage = Stage([listing("a"), listing("b")], **TELLING)
+    harness = DispatchHarness([endpoint("a"), endpoint("b")], **TELLING)
     for teller, held in ((1, FULL), (2, ["a"])):
-        stage.dispatcher.gossip_received(teller, 0, 1, 0.0, held)
-    stage.submit(1)
-    stage.submit(2)
-    assert stage.where(1) == stage.where(2) == "b"
-    stage.pass_time(6 * SECOND)
-    stage.submit(3)
-    assert stage.dispatcher.workers["a"].others == 0
+        harness.dispatcher.gossip_received(teller, LoadGossip(0, 1, 0.0, held))
+    harness.send_request(1)
+    harness.send_request(2)
+    assert harness.worker_of(1) == harness.worker_of(2) == "b"
+    harness.advance(6 * SECOND)
+    harness.send_request(3)
+    assert harness.dispatcher.workers["a"].others == 0
 
 
 def test_late_doubled_and_foreign_tellings_change_nothing() -> None:
-    stage = Stage([listing("a")], **TELLING)
-    told = stage.dispatcher.gossip_received
-    told(1, 0, 7, 0.0, ["a"])
-    told(1, 0, 6, 0.0, FULL)  # late
-    told(1, 0, 7, 0.0, FULL)  # twice
-    told(0, 0, 8, 0.0, FULL)  # from ourselves
-    told(1, 0, 8, 0.0, ["nobody"])
-    assert stage.dispatcher.workers["a"].others == 0 and set(stage.dispatcher.workers) == {"a"}
-    told(1, 0, 0, 0.0, FULL)  # a new start
-    assert stage.dispatcher.workers["a"].others == 2
+    harness = DispatchHarness([endpoint("a")], **TELLING)
+    told = harness.dispatcher.gossip_received
+    told(1, LoadGossip(0, 7, 0.0, ["a"]))
+    told(1, LoadGossip(0, 6, 0.0, FULL))  # late
+    told(1, LoadGossip(0, 7, 0.0, FULL))  # twice
+    told(0, LoadGossip(0, 8, 0.0, FULL))  # from ourselves
+    told(1, LoadGossip(0, 8, 0.0, ["nobody"]))
+    assert harness.dispatcher.workers["a"].others == 0 and set(harness.dispatcher.workers) == {"a"}
+    told(1, LoadGossip(0, 0, 0.0, FULL))  # a new start
+    assert harness.dispatcher.workers["a"].others == 2
 
 
 def test_a_telling_lifts_no_drain() -> None:
-    stage = Stage([listing("a")], **TELLING)
-    stage.dispatcher.endpoints_changed([listing("a", "draining")])
-    stage.dispatcher.gossip_received(1, 0, 1, 0.0, ["a"])
-    stage.submit(1)
-    assert stage.where(1) is None
+    harness = DispatchHarness([endpoint("a")], **TELLING)
+    harness.dispatcher.endpoints_changed([endpoint("a", EndpointCondition.DRAINING)])
+    harness.dispatcher.gossip_received(1, LoadGossip(0, 1, 0.0, ["a"]))
+    harness.send_request(1)
+    assert harness.worker_of(1) is None
 
 
 def test_without_permission_nothing_is_told_or_heard() -> None:
-    stage = Stage([listing("a")])
-    stage.dispatcher.gossip_received(1, 0, 1, 1.0, FULL)
-    stage.submit(1)
-    stage.pass_time(SECOND)
-    assert not stage.tellings and stage.dispatcher.workers["a"].others == 0
+    harness = DispatchHarness([endpoint("a")])
+    harness.dispatcher.gossip_received(1, LoadGossip(0, 1, 1.0, FULL))
+    harness.send_request(1)
+    harness.advance(SECOND)
+    assert not harness.gossip_sent and harness.dispatcher.workers["a"].others == 0
 
 
 def test_the_ring_of_the_zone_is_told_of_changes_only() -> None:
-    stage = Stage([listing("a")], **TELLING)
+    harness = DispatchHarness([endpoint("a")], **TELLING)
     for teller, zone in ((5, 0), (3, 0), (4, 1)):
-        stage.dispatcher.gossip_received(teller, zone, 1, 0.0, [])
-    stage.pass_time(2 * SECOND)
-    stage.tellings.clear()
-    stage.submit(1)
-    stage.pass_time(30 * MS)
-    assert not stage.tellings
-    stage.pass_time(70 * MS)
-    (to, zone, _, _, held) = stage.tellings[0]
-    assert (to, zone, held) == ([3, 5, 4, 4], 0, ["a"]) and len(stage.tellings) == 1
+        harness.dispatcher.gossip_received(teller, LoadGossip(zone, 1, 0.0, []))
+    harness.advance(2 * SECOND)
+    harness.gossip_sent.clear()
+    harness.send_request(1)
+    harness.advance(30 * MS)
+    assert not harness.gossip_sent
+    harness.advance(70 * MS)
+    peers, gossip = harness.gossip_sent[0]
+    assert (peers, gossip.zone, gossip.workers) == ([3, 5, 4, 4], 0, ["a"]) and len(harness.gossip_sent) == 1
 
 
 def test_another_zone_is_sent_to_only_where_starts_are_far_less_late() -> None:
-    far = listing("f")._replace(zone=1)
+    far = endpoint("f")._replace(zone=1)
     for own, other, where in ((0.8, 0.1, "f"), (0.8, 0.6, None), (0.8, None, None)):
-        stage = Stage([listing("a"), far], cross_zone_cost=0.02, **TELLING)
-        stage.dispatcher.gossip_received(1, 0, 1, own, ["a"] * 9)
-        stage.dispatcher.late_starts.extend([own] * 16)
+        harness = DispatchHarness([endpoint("a"), far], cross_zone_cost=0.02, **TELLING)
+        harness.dispatcher.gossip_received(1, LoadGossip(0, 1, own, ["a"] * 9))
+        harness.dispatcher.late_starts.extend([own] * 16)
         if other is not None:
-            stage.dispatcher.gossip_received(2, 1, 1, other, [])
-        stage.dispatcher._refuses = lambda job, now: False  # type: ignore[method-assign]
-        stage.submit(1)
-        assert stage.where(1) == where
+            harness.dispatcher.gossip_received(2, LoadGossip(1, 1, other, []))
+        harness.dispatcher._refuses = lambda job, now: False  # type: ignore[method-assign]
+        harness.send_request(1)
+        assert harness.worker_of(1) == where
 
 
 def test_refusals_follow_what_starts_have_waited() -> None:
-    stage = Stage([listing("a")], **TELLING)
-    stage.dispatcher.late_starts.extend([1.0] * 16)
+    harness = DispatchHarness([endpoint("a")], **TELLING)
+    harness.dispatcher.late_starts.extend([1.0] * 16)
     for number in range(100):
-        stage.submit(number, grade=2, abandon_in=30 * SECOND)
-    refused = sum(answer == "nacked" for answer in stage.answers.values())
+        harness.send_request(number, request_class=2, deadline_in=30 * SECOND)
+    refused = sum(answer is Answer.REJECTED for answer in harness.answers.values())
     assert 60 < refused < 95
     for teller in range(1, 9):
-        stage.dispatcher.gossip_received(teller, 0, 1, 0.0, [])
+        harness.dispatcher.gossip_received(teller, LoadGossip(0, 1, 0.0, []))
     for number in range(100, 200):
-        stage.submit(number, grade=2, abandon_in=30 * SECOND)
-    assert sum(answer == "nacked" for answer in stage.answers.values()) == refused
+        harness.send_request(number, request_class=2, deadline_in=30 * SECOND)
+    assert sum(answer is Answer.REJECTED for answer in harness.answers.values()) == refused
 
 
 @pytest.mark.parametrize("seed", range(12))
 def test_rules_hold_whatever_is_told(seed: int) -> None:
     """Also false tellings: of fleets that are full, late, doubled, of unknown workers and dispatchers."""
     chance = random.Random(seed)
-    submitted = Stage.submit
+    sent = DispatchHarness.send_request
 
-    def submit(self: Stage, *what: object, **more: object) -> None:
+    def send_request(self: DispatchHarness, *what: object, **more: object) -> None:
         held = [chance.choice(["w0", "w1", "w2", "?"]) for _ in range(chance.randrange(9))]
-        self.dispatcher.gossip_received(
-            chance.randrange(99), chance.randrange(2), chance.randrange(256), 0.3, held
-        )
-        submitted(self, *what, **more)  # type: ignore[arg-type]
+        peer, zone, sequence = chance.randrange(99), chance.randrange(2), chance.randrange(256)
+        self.dispatcher.gossip_received(peer, LoadGossip(zone, sequence, 0.3, held))
+        sent(self, *what, **more)  # type: ignore[arg-type]
 
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(Stage, "submit", submit)
-        stage = random_run(5000 + seed, 300, **TELLING)
-    assert all(worker.others >= 0 for worker in stage.dispatcher.workers.values())
+        patch.setattr(DispatchHarness, "send_request", send_request)
+        harness = random_run(5000 + seed, 300, **TELLING)
+    assert all(worker.others >= 0 for worker in harness.dispatcher.workers.values())
 
 
 def test_bytes_are_read_back_and_spoilt_ones_refused() -> None:
--- a/tests/routing/test_acceptance_rules.py
+++ b/tests/routing/test_acceptance_rules.py
@@ -155,7 +155,7 @@
         watch.failed = self.counted(watch.failed)  # type: ignore[method-assign]
         watch.silent = self.counted(watch.silent)  # type: ignore[method-assign]
         # The longest of all pauses that chance may give.
-        self.chance = self.router.dispatcher.chance
+        self.chance = self.router.dispatcher.random
         self.drawn = self.chance.fraction
         self.chance.fraction = lambda: 1 - 1e-9  # type: ignore[method-assign]
 
--- a/tests/routing/test_service.py
+++ b/tests/routing/test_service.py
@@ -401,7 +401,7 @@
             status, headers, _ = await world.ask(world.request(f"r{number}"))
             assert status == 400 and headers["connection"] == "close"
         assert len(world.sent) == 6
-        assert not any(w.aside for w in world.service.router.dispatcher.workers.values())
+        assert not any(w.ejected for w in world.service.router.dispatcher.workers.values())
 
     play(script)
 
@@ -522,7 +522,7 @@
         await world.tell([{**world.entries[0], "addr": f"127.0.0.1:{port}"}, world.entries[1]])
         statuses = [(await world.ask(world.request(f"r{n}", "book")))[0] for n in range(12)]
         assert statuses == [200] * 12 and dropped and set(world.ran.values()) == {1}
-        assert not world.service.router.dispatcher.workers["w0"].aside, "its probes were answered"
+        assert not world.service.router.dispatcher.workers["w0"].ejected, "its probes were answered"
 
     play(script)
 
@@ -541,7 +541,7 @@
             await world.tell([mute, world.entries[1]])
             answers = [world.ask(world.request(f"r{n}", "book")) for n in range(4)]
             assert [status for status, _, _ in await asyncio.gather(*answers)] == [200] * 4
-            assert set(world.ran.values()) == {1} and world.service.router.dispatcher.workers["w0"].aside
+            assert set(world.ran.values()) == {1} and world.service.router.dispatcher.workers["w0"].ejected
 
     play(script, Limits={**SETTINGS["Limits"], "Probing": False})
 
--- a/tests/service/test_settings_change.py
+++ b/tests/service/test_settings_change.py
@@ -10,11 +10,12 @@
 
 import pytest
 
+from ploverspoke.decisions.interface import AttemptOutcome
 from ploverspoke.decisions.settings import RequestClass
 from ploverspoke.routing.request_classes import RequestClassTable
 from ploverspoke.service.config import read_config
 from ploverspoke.service.settings import parse_names, parse_settings
-from tests.decisions.harness import MS, SETTINGS, Stage, listing
+from tests.decisions.harness import MS, SETTINGS, DispatchHarness, endpoint
 from tests.routing.test_admin_server import figures
 from tests.routing.test_service import World, play, turn_away
 
@@ -60,21 +61,21 @@
 
 
 def test_an_open_submission_keeps_its_hand_offs_and_its_repeat() -> None:
-    stage = Stage([listing(name) for name in "abcdefgh"])
-    stage.submit(0)
-    fewer = replace(stage.settings.classes[2], max_attempts=1)
-    changed = replace(stage.settings, active_classes=(3,), classes=(*stage.settings.classes, fewer))
-    stage.dispatcher.settings_changed(changed, {3: 0})
+    harness = DispatchHarness([endpoint(name) for name in "abcdefgh"])
+    harness.send_request(0)
+    fewer = replace(harness.settings.classes[2], max_attempts=1)
+    changed = replace(harness.settings, active_classes=(3,), classes=(*harness.settings.classes, fewer))
+    harness.dispatcher.settings_changed(changed, {3: 0})
     assert (
-        stage.dispatcher.highest_benefit == stage.settings.classes[2].priority_weight
-        and not stage.dispatcher.some_repeat
+        harness.dispatcher.highest_weight == harness.settings.classes[2].priority_weight
+        and not harness.dispatcher.any_idempotent
     )
-    assert stage.dispatcher.kinds_sought == {1}
+    assert harness.dispatcher.needed_kinds == {1}
     for spent in range(1, 4):
-        assert stage.dispatcher.open[0].hand_offs == spent
-        stage.end(0, "full")
-        stage.pass_time(100 * MS)
-    assert stage.dispatcher.open[0].hand_offs == 4
+        assert harness.dispatcher.open_requests[0].attempts == spent
+        harness.end_attempt(0, AttemptOutcome.FULL)
+        harness.advance(100 * MS)
+    assert harness.dispatcher.open_requests[0].attempts == 4
 
 
 BAD: list[tuple[str, Any]] = [
--- a/tests/store/test_request_log.py
+++ b/tests/store/test_request_log.py
@@ -10,7 +10,7 @@
 from ploverspoke.testbed.experiment import experiment_of
 from ploverspoke.testbed.records import DISPATCHER_DOWN
 from ploverspoke.testbed.sockets import play_on_sockets
-from tests.decisions.harness import SECOND, SETTINGS, Stage, listing
+from tests.decisions.harness import SECOND, SETTINGS, DispatchHarness, endpoint
 from tests.routing.test_service import World, message, play
 from tests.testbed.test_model import WORLD
 
@@ -214,12 +214,12 @@
 
 def test_a_labelled_one_resumes_only_in_its_rack_and_window() -> None:
     for spent, rack, place in ((0, 1, "a"), (0, 2, None), (2 * SECOND, 1, None)):
-        stage = Stage([listing("a", rack=1), listing("gone", rack=1), listing("b", rack=2)])
-        stage.dispatcher.workers["gone"].ready = False
-        stage.dispatcher.workers["gone"].listing = listing("gone", rack=rack if rack == 1 else 3)
-        stage.dispatcher.request_resumed(1, 0, "gone", stage.clock - spent)
-        stage.submit(1, grade=1)
-        assert stage.where(1) == place
+        harness = DispatchHarness([endpoint("a", rack=1), endpoint("gone", rack=1), endpoint("b", rack=2)])
+        harness.dispatcher.workers["gone"].ready = False
+        harness.dispatcher.workers["gone"].endpoint = endpoint("gone", rack=rack if rack == 1 else 3)
+        harness.dispatcher.request_resumed(1, 0, "gone", harness.clock - spent)
+        harness.send_request(1, request_class=1)
+        assert harness.worker_of(1) == place
 
 
 def test_replicas_killed_and_paused_run_nothing_twice_and_answer_all() -> None:
--- a/tests/testbed/test_audit.py
+++ b/tests/testbed/test_audit.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from ploverspoke.decisions.interface import Endpoint
+from ploverspoke.decisions.interface import AttemptOutcome, AttemptResult, Endpoint, EndpointCondition
 from ploverspoke.decisions.settings import Idempotency, Settings
 from ploverspoke.testbed.audit import VIRTUAL_SLACK, Finding, audit
 from ploverspoke.testbed.baselines import POLICIES, Open, TwoChoices
@@ -20,34 +20,26 @@
 
 
 class AnswersTwice(TwoChoices):
-    def request_arrived(self, submission_id: int, *what: Any) -> None:
-        if submission_id % 40 == 0:
-            request = self.host.taken[submission_id].request  # type: ignore[attr-defined]
+    def request_arrived(self, request_id: int, *what: Any) -> None:
+        if request_id % 40 == 0:
+            request = self.host.taken[request_id].request  # type: ignore[attr-defined]
             self.host.world.answer(request, "nacked", 0)  # type: ignore[attr-defined]
-        super().request_arrived(submission_id, *what)
+        super().request_arrived(request_id, *what)
 
 
 class LosesOne(TwoChoices):
-    def request_arrived(self, submission_id: int, *what: Any) -> None:
-        if submission_id != 50:
-            super().request_arrived(submission_id, *what)
+    def request_arrived(self, request_id: int, *what: Any) -> None:
+        if request_id != 50:
+            super().request_arrived(request_id, *what)
 
 
 class RepeatsIrreversible(TwoChoices):
     """Takes an error for a promise that it did not run."""
 
-    def attempt_ended(
-        self,
-        submission_id: int,
-        hand_off: int,
-        worker_name: str,
-        outcome: str,
-        took: int,
-        finished: bool,
-        load: Mapping[str, float] | None,
-    ) -> None:
-        outcome = "full" if outcome == "worker_error" else outcome
-        super().attempt_ended(submission_id, hand_off, worker_name, outcome, took, finished, load)
+    def attempt_ended(self, request_id: int, attempt: int, result: AttemptResult) -> None:
+        if result.outcome is AttemptOutcome.WORKER_ERROR:
+            result = result._replace(outcome=AttemptOutcome.FULL)
+        super().attempt_ended(request_id, attempt, result)
 
 
 class SendsAfterDrain(TwoChoices):
@@ -55,7 +47,7 @@
         self.endpoints_changed(listings)
 
     def endpoints_changed(self, listings: Iterable[Endpoint]) -> None:
-        super().endpoints_changed(shown._replace(condition="ready") for shown in listings)
+        super().endpoints_changed(shown._replace(condition=EndpointCondition.READY) for shown in listings)
 
 
 class TipsTheCold(TwoChoices):
