--- a/ploverspoke/config_distribution/cluster_config.py
+++ b/ploverspoke/config_distribution/cluster_config.py
@@ -6,8 +6,8 @@
 from ploverspoke.consensus.cluster_config import (
     ReplicaConfig,
     parse_replica_config,
+    read_cluster_servers,
     read_json_file,
-    read_replica_addresses,
     read_shared_secret,
 )
 from ploverspoke.service.config import address
@@ -51,11 +51,8 @@
 
 def read_config_servers(path: Path) -> ConfigServers:
     """From a config server's file, or one with `replicas` and `secret_file` alone. Raises ConfigError."""
-    top = read_json_file(path)
-    found = read_replica_addresses(top)
-    if not found:
-        raise top.bad("replicas", "at least one config server")
-    return ConfigServers({name: peers for name, (peers, _) in found.items()}, read_shared_secret(top, path))
+    found = read_cluster_servers(path, "at least one config server")
+    return ConfigServers({name: peers for name, (peers, _) in found.replicas.items()}, found.secret)
 
 
 def read_watch_config(path: Path) -> WatchConfig:
--- a/ploverspoke/config_distribution/commands.py
+++ b/ploverspoke/config_distribution/commands.py
@@ -10,7 +10,13 @@
 
 import click
 
-from ploverspoke.consensus.command_line import print_rows
+from ploverspoke.consensus.command_line import (
+    EXISTING_FILE,
+    FILE_ARGUMENT,
+    JSON_OPTION,
+    print_rows,
+    read_config_or_exit,
+)
 from ploverspoke.service.config import parse_config
 from ploverspoke.service.config_reader import ConfigError, first_missing_key
 
@@ -19,9 +25,7 @@
 from .cluster_config import ConfigServers, read_config_servers
 from .overlay import apply_overlay, read_body
 
-EXISTS = click.Path(exists=True, dir_okay=False, path_type=Path)
-FILE = click.argument("file", type=EXISTS)
-JSON = click.option("--json", "as_json", is_flag=True, help="For tools.")
+EXISTS, FILE, JSON = EXISTING_FILE, FILE_ARGUMENT, JSON_OPTION
 NOT_DONE, NO_SERVER = 1, 3
 MOST_NAMES = 20  # in a line
 FIRST_ANSWER = 10.0  # seconds, for a leader to take a version
@@ -39,10 +43,7 @@
 
 
 def _servers(file: Path) -> ConfigServers:
-    try:
-        return read_config_servers(file)
-    except ConfigError as error:
-        raise click.UsageError(str(error)) from None
+    return read_config_or_exit(read_config_servers, file)
 
 
 def _end(error: NoServerAvailableError, as_json: bool) -> NoReturn:
--- a/ploverspoke/consensus/cluster_config.py
+++ b/ploverspoke/consensus/cluster_config.py
@@ -1,6 +1,4 @@
-"""A replica's own file: who it is, where it keeps its store, who the others are, and the secret they
-share.
-"""
+"""Files of configuration that replicas and command-line tools read, checked key by key."""
 
 import json
 import re
@@ -13,10 +11,15 @@
 from .membership import Members
 
 NAME = re.compile(r"[a-z0-9][a-z0-9-]{0,31}")
-SHORTEST_SECRET = 16
+MIN_SECRET_BYTES = 16
+MILLISECOND = 1_000_000  # ns
+DEFAULT_ELECTION_MS, MIN_ELECTION_MS = 200, 50
+DEFAULT_SNAPSHOT_EVERY, MIN_SNAPSHOT_EVERY = 20_000, 100  # entries
 
 
 class ReplicaConfig(NamedTuple):
+    """One replica's own file, checked."""
+
     cluster: str
     name: str
     folder: Path
@@ -26,68 +29,102 @@
     snapshot_every: int  # entries
 
     def members(self) -> Members:
-        """Those that a new store begins with: the id of a first replica is its name and a 1."""
+        """Give the members that a new cluster begins with."""
         return {initial_replica_id(name): [name, *told, True] for name, told in self.replicas.items()}
 
 
+class ClusterServers(NamedTuple):
+    """Where the replicas of a cluster are, for tools that call them."""
+
+    replicas: dict[str, tuple[str, str]]  # addresses for peers and for clients, by name
+    secret: bytes
+
+
 def initial_replica_id(name: str) -> str:
+    """Give the id of a first replica: its name and a 1."""
     return f"{name}.1"
 
 
 def read_json_file(path: Path) -> ConfigSection:
-    """A file of JSON, not looked at yet. Raises ConfigError."""
+    """Read a file that holds one JSON object; its keys are not checked. Raises ConfigError."""
     try:
-        told = json.loads(path.read_text(encoding="utf-8"))
+        document = json.loads(path.read_text(encoding="utf-8"))
     except OSError as error:
-        raise ConfigError(f"{path} cannot be read: {error.strerror}") from None
+        raise unreadable_file_error(path, error) from error
     except (ValueError, RecursionError) as error:
-        raise ConfigError(f"{path} is no JSON: {error}") from None
-    return ConfigSection(told)
+        message = f"{path} is no JSON: {error}"
+        raise ConfigError(message) from error
+    return ConfigSection(document)
+
+
+def unreadable_file_error(path: Path, cause: OSError, key: str = "") -> ConfigError:
+    """Give the error that says why a file cannot be read; `key` leads to the key that names it."""
+    return ConfigError(f"{key}{path} cannot be read: {cause.strerror}")
 
 
 def read_replica_config(path: Path) -> ReplicaConfig:
-    """Raises ConfigError, naming the key."""
+    """Read a replica's own file. Raises ConfigError, naming the key."""
     return parse_replica_config(read_json_file(path), path)
 
 
-def read_replica_addresses(top: ConfigSection) -> dict[str, tuple[str, str]]:
-    """Of peers and of clients, by name. Raises ConfigError."""
-    replicas = top.part("replicas")
-    found = {}
+def read_cluster_servers(path: Path, expected: str) -> ClusterServers:
+    """Read where the replicas of a cluster are: from any replica's file, or one with these keys alone.
+
+    `expected` says what is missing where it names no replica. Raises ConfigError, naming the key.
+    """
+    section = read_json_file(path)
+    replicas = read_replica_addresses(section)
+    if not replicas:
+        raise section.bad("replicas", expected)
+    return ClusterServers(replicas, read_shared_secret(section, path))
+
+
+def read_replica_addresses(section: ConfigSection) -> dict[str, tuple[str, str]]:
+    """Check the key `replicas`; give the addresses for peers and for clients by name. Raises ConfigError."""
+    replicas = section.part("replicas")
+    addresses = {}
     for name in replicas.value:
         if not NAME.fullmatch(name):
-            raise ConfigError(f"replicas.{name}: expected a name of small letters, digits and dashes")
-        one = replicas.part(name)
+            message = f"replicas.{name}: expected a name of small letters, digits and dashes"
+            raise ConfigError(message)
+        replica = replicas.part(name)
         for key in ("peers", "clients"):
-            address(one, key, None)
-        found[name] = (one.text("peers"), one.text("clients"))
-    return found
+            address(replica, key, None)
+        addresses[name] = (replica.text("peers"), replica.text("clients"))
+    return addresses
 
 
-def read_shared_secret(top: ConfigSection, path: Path) -> bytes:
-    """Raises ConfigError."""
-    secret_file = path.parent / top.text("secret_file")
+def read_shared_secret(section: ConfigSection, path: Path) -> bytes:
+    """Read the file that `secret_file` names, relative to the file at `path`. Raises ConfigError."""
+    secret_file = path.parent / section.text("secret_file")
     try:
         secret = secret_file.read_bytes().strip()
     except OSError as error:
-        raise ConfigError(f"secret_file: {secret_file} cannot be read: {error.strerror}") from None
-    if len(secret) < SHORTEST_SECRET:
-        raise ConfigError(f"secret_file: {secret_file} holds less than {SHORTEST_SECRET} bytes")
+        raise unreadable_file_error(secret_file, error, "secret_file: ") from error
+    if len(secret) < MIN_SECRET_BYTES:
+        message = f"secret_file: {secret_file} holds less than {MIN_SECRET_BYTES} bytes"
+        raise ConfigError(message)
     return secret
 
 
-def parse_replica_config(top: ConfigSection, path: Path) -> ReplicaConfig:
-    """Raises ConfigError, naming the key."""
-    found = read_replica_addresses(top)
-    name = top.text("name")
-    if name not in found:
-        raise top.bad("name", "one of the replicas")
+def parse_replica_config(section: ConfigSection, path: Path) -> ReplicaConfig:
+    """Check the keys of a replica's own file, which was read from `path`. Raises ConfigError."""
+    replicas = read_replica_addresses(section)
+    name = section.text("name")
+    if name not in replicas:
+        raise section.bad("name", "one of the replicas")
     return ReplicaConfig(
-        top.text("cluster"),
+        section.text("cluster"),
         name,
-        path.parent / top.text("folder"),
-        read_shared_secret(top, path),
-        found,
-        top.whole("election_ms", 200, least=50) * 1_000_000,
-        top.whole("snapshot_every", 20_000, least=100),
+        path.parent / section.text("folder"),
+        read_shared_secret(section, path),
+        replicas,
+        section.whole("election_ms", DEFAULT_ELECTION_MS, least=MIN_ELECTION_MS) * MILLISECOND,
+        section.whole("snapshot_every", DEFAULT_SNAPSHOT_EVERY, least=MIN_SNAPSHOT_EVERY),
     )
+
+
+def split_address(address_text: str) -> tuple[str, int]:
+    """Split "host:port", or "[host]:port" of IPv6, that was checked when it was read."""
+    host, _, port = address_text.rpartition(":")
+    return host.strip("[]"), int(port)
--- a/ploverspoke/consensus/command_line.py
+++ b/ploverspoke/consensus/command_line.py
@@ -1,49 +1,168 @@
-"""What command-line tools of replicas share: asking one, and saying what it answered."""
+"""What the commands `store`, `lease` and `config` share: options, calls to replicas, output, exit codes."""
 
 import json
 import sys
+from collections.abc import Callable, Iterable, Mapping
 from pathlib import Path
-from typing import Any
+from typing import NoReturn, TypeVar
 
 import click
+import msgspec
 
+from ploverspoke.service.config_reader import ConfigError
+
+from .admin_messages import AdminRequest, ResultReply, StatusRequest, StatusRow, WireMap, encode_reply
 from .cluster_config import ReplicaConfig, initial_replica_id
 from .framing import FrameError
-from .replica_client import send_admin_request
+from .replica_client import call_replica
 from .storage import ClusterMismatchError, CorruptionError, ReplicaStorage, StorageError, restore
 
+EXISTING_FILE = click.Path(exists=True, dir_okay=False, path_type=Path)
+FILE_ARGUMENT = click.argument("file", type=EXISTING_FILE)
+JSON_OPTION = click.option("--json", "as_json", is_flag=True, help="For tools.")
+NO_REPLY_ROLE = "no answer"
+NOT_DONE = 1  # exit code
+
+ConfigT = TypeVar("ConfigT")
+ReplyT = TypeVar("ReplyT")
+StatusT = TypeVar("StatusT", bound=StatusRow)
+
+
+class ReplicaUnavailableError(Exception):
+    """A replica gave no reply that can be used; carries its name and the reason."""
+
+    def __init__(self, name: str, reason: str) -> None:
+        """`name` is the replica's in the file of configuration."""
+        super().__init__(f"{name}: {reason}")
+        self.name = name
+        self.reason = reason
+
+    def row(self) -> WireMap:
+        """Give the row that stands in the place of the replica's own."""
+        return {"name": self.name, "role": NO_REPLY_ROLE, "why": self.reason}
+
+
+class NoLeaderError(click.ClickException):
+    """No replica leads: ends the command with exit code 1."""
+
+    def __init__(self) -> None:
+        """Say so; why not, `status` shows."""
+        super().__init__("no replica leads just now")
+
+
+class UnusableBackupError(click.ClickException):
+    """A backup cannot be restored: ends the command with exit code 1."""
 
-def call_replica(name: str, where: str, secret: bytes, question: dict[str, Any]) -> Any:
-    """Its answer; where there is none, a row that says why."""
+    def __init__(self, cause: StorageError | CorruptionError) -> None:
+        """`cause` says what is wrong with it."""
+        super().__init__(f"the backup cannot be used: {cause}")
+        self.cause = cause
+
+
+def read_config_or_exit(read: Callable[[Path], ConfigT], path: Path) -> ConfigT:
+    """Read a file of configuration; a wrong one ends the command with exit code 2 and the key."""
     try:
-        return send_admin_request(where, secret, question)
+        return read(path)
+    except ConfigError as error:
+        raise click.UsageError(str(error)) from error
+
+
+# ---- Calls ----
+
+
+def request_reply(
+    name: str, address: str, secret: bytes, request: AdminRequest, reply_type: type[ReplyT]
+) -> ReplyT:
+    """Call the replica of that name. Raises ReplicaUnavailableError."""
+    try:
+        return call_replica(address, secret, request, reply_type)
     except (OSError, FrameError) as error:
-        return {"name": name, "role": "no answer", "why": str(error)}
+        raise ReplicaUnavailableError(name, str(error)) from error
 
 
-def restore_backup(orders: ReplicaConfig, backup: Path) -> ReplicaStorage:
-    """A backup as the disk of these orders' replica; to be closed. Raises what click says and exits with."""
+def request_status(name: str, address: str, secret: bytes, status_type: type[StatusT]) -> StatusT:
+    """Give a replica's status; where it does not reply, a row of that type which says why."""
     try:
-        return restore(orders.folder, backup, initial_replica_id(orders.name))
-    except ClusterMismatchError as error:
-        raise click.UsageError(str(error)) from None
-    except (CorruptionError, StorageError) as error:
-        raise click.ClickException(f"the backup cannot be used: {error}") from None
+        return request_reply(name, address, secret, StatusRequest(), status_type)
+    except ReplicaUnavailableError as error:
+        return status_type(name=name, role=NO_REPLY_ROLE, fields=error.row())
+
+
+def find_leader(peer_addresses: Mapping[str, str], secret: bytes) -> str:
+    """Give the name of the replica that leads, of addresses by name. Raises NoLeaderError."""
+    for name, address in peer_addresses.items():
+        if request_status(name, address, secret, StatusRow).leads:
+            return name
+    raise NoLeaderError
 
 
-def print_rows(told: Any, as_json: bool) -> None:
-    """Rows, a line each."""
+def call_for_result(
+    config: ReplicaConfig,
+    name: str,
+    request: AdminRequest,
+    as_json: bool,
+    reply_type: type[ResultReply] = ResultReply,
+) -> NoReturn:
+    """Ask the replica of that name to do something, print whether it did, and exit with 0 or 1."""
+    try:
+        address = config.replicas[name][0]
+        reply = request_reply(name, address, config.secret, request, reply_type)
+    except ReplicaUnavailableError as error:
+        exit_with_failure(error, as_json)
+    exit_with_result(reply, as_json)
+
+
+# ---- Output ----
+
+
+def print_rows(rows: Iterable[WireMap], as_json: bool) -> None:
+    """Print a list: as JSON, or a line for each row."""
     if as_json:
-        click.echo(json.dumps(told, indent=2, default=str))
+        click.echo(json.dumps(list(rows), indent=2, default=str))
         return
-    for row in told if isinstance(told, list) else [told]:
+    for row in rows:
+        print_row(row, as_json)
+
+
+def print_row(row: WireMap, as_json: bool) -> None:
+    """Print one row: as JSON, or as a line of `key=value`."""
+    if as_json:
+        click.echo(json.dumps(row, indent=2, default=str))
+    else:
         click.echo("  ".join(f"{key}={value}" for key, value in row.items() if key != "members"))
 
 
-def exit_with_result(told: dict[str, Any], as_json: bool) -> None:
-    """Whether it was done, and the end: exit 0 or 1."""
+def exit_with_result(reply: ResultReply, as_json: bool) -> NoReturn:
+    """Print whether it was done and end the command: exit code 0 or 1."""
+    reason = reply.why if reply.why is not msgspec.UNSET else ""
+    _print_result(reply.done, reason, encode_reply(reply), as_json)
+    sys.exit(0 if reply.done else NOT_DONE)
+
+
+def exit_with_failure(error: ReplicaUnavailableError, as_json: bool) -> NoReturn:
+    """Print why there was no reply and end the command with exit code 1."""
+    _print_result(False, error.reason, error.row(), as_json)
+    sys.exit(NOT_DONE)
+
+
+def _print_result(done: bool, reason: str, fields: WireMap, as_json: bool) -> None:
     if as_json:
-        click.echo(json.dumps(told))
+        click.echo(json.dumps(fields))
     else:
-        click.echo("done" if told.get("done") else f"not done: {told.get('why') or 'it may not be just now'}")
-    sys.exit(0 if told.get("done") else 1)
+        click.echo("done" if done else f"not done: {reason or 'it may not be just now'}")
+
+
+# ---- Storage ----
+
+
+def restore_backup(config: ReplicaConfig, backup: Path) -> ReplicaStorage:
+    """Put a backup in the place of this replica's empty storage and give it open, for the caller to close.
+
+    Ends the command with 2 where the storage is in use or of another cluster, with 1 for a bad backup.
+    """
+    try:
+        return restore(config.folder, backup, initial_replica_id(config.name))
+    except ClusterMismatchError as error:
+        raise click.UsageError(str(error)) from error
+    except (CorruptionError, StorageError) as error:
+        raise UnusableBackupError(error) from error
--- a/ploverspoke/leases/commands.py
+++ b/ploverspoke/leases/commands.py
@@ -10,16 +10,24 @@
 import sys
 import time
 from collections.abc import Callable, Coroutine, Sequence
-from functools import partial
 from pathlib import Path
 from typing import Any
 
 import click
 
-from ploverspoke.consensus.command_line import call_replica, exit_with_result, print_rows, restore_backup
+from ploverspoke.consensus.admin_messages import BackupRequest, StatusRow, WireMap, encode_reply
+from ploverspoke.consensus.command_line import (
+    FILE_ARGUMENT,
+    JSON_OPTION,
+    ReplicaUnavailableError,
+    call_for_result,
+    print_rows,
+    read_config_or_exit,
+    request_status,
+    restore_backup,
+)
 from ploverspoke.consensus.framing import FrameError
 from ploverspoke.consensus.replica_client import send_admin_request
-from ploverspoke.service.config_reader import ConfigError
 
 from .client import LeaseClient
 from .config import LeaseServers, read_lease_server_config, read_lease_servers
@@ -27,8 +35,7 @@
 from .fleet_tasks import publish as publish_task
 from .server_node import EPOCH_KEY
 
-FILE = click.argument("file", type=click.Path(exists=True, dir_okay=False, path_type=Path))
-JSON = click.option("--json", "as_json", is_flag=True, help="For tools.")
+FILE, JSON = FILE_ARGUMENT, JSON_OPTION
 NOT_HELD, NO_KEEPER, LEASE_ENDED, NOT_BACK = 1, 3, 4, 5
 FOR = click.option("--for", "seconds", type=float, default=30.0, show_default=True, help="Its duration, s.")
 AS = click.option("--as", "holder", default=socket.gethostname, help="The holder's name; a start is added.")
@@ -46,10 +53,7 @@
 
 
 def _keepers(file: Path) -> LeaseServers:
-    try:
-        return read_lease_servers(file)
-    except ConfigError as error:
-        raise click.UsageError(str(error)) from None
+    return read_config_or_exit(read_lease_servers, file)
 
 
 def _ask_leader(keepers: LeaseServers) -> dict[str, Any]:
@@ -364,18 +368,25 @@
     The store refuses what comes under a lower token than it has seen, and from then on what comes without.
     Exit 1 where it was not taken.
     """
-    from ploverspoke.store.commands import ask_leader, read_configuration
+    from ploverspoke.store.admin_messages import ConfigureRequest
+    from ploverspoke.store.configuration_client import commit_configuration, read_configuration
 
     keepers = _keepers(file)
     orders, body = read_configuration(store_file, configuration)
 
+    def configure(question: dict[str, Any]) -> WireMap:
+        request = ConfigureRequest(question["body"], question["by"], question["token"])
+        try:
+            return encode_reply(commit_configuration(orders, request))
+        except ReplicaUnavailableError as error:
+            return error.row()
+
     async def use(client: LeaseClient) -> int:
         client.want(name, int(seconds * 1e9))
         if not await client.held(name, wait):
             told: dict[str, Any] = {"done": False, "why": f"{name} is not had"}
         else:
-            asks = partial(ask_leader, orders)
-            told = await publish_task(client, name, body, client.me, asks, seconds / 3)
+            told = await publish_task(client, name, body, client.me, configure, seconds / 3)
         said = f"version {told.get('version')}" if told.get("done") else f"not done: {told.get('why')}"
         click.echo(json.dumps(told) if as_json else said)
         return 0 if told.get("done") else NOT_HELD
@@ -433,7 +444,7 @@
     """What each keeper says of itself. Exit 3 where none leads."""
     keepers = _keepers(file)
     rows = [
-        call_replica(name, where, keepers.secret, {"ask": "status"}) for name, where in keepers.peers.items()
+        request_status(name, where, keepers.secret, StatusRow).fields for name, where in keepers.peers.items()
     ]
     print_rows(rows, as_json)
     sys.exit(0 if any(row.get("leading") for row in rows) else NO_KEEPER)
@@ -445,14 +456,8 @@
 @JSON
 def backup(file: Path, path: Path, as_json: bool) -> None:
     """Copy what the keeper of this FILE keeps, while it runs, to PATH on its machine. Exit 1: not done."""
-    try:
-        orders = read_lease_server_config(file).replica
-    except ConfigError as error:
-        raise click.UsageError(str(error)) from None
-    question = {"ask": "backup", "path": str(path.absolute())}
-    exit_with_result(
-        call_replica(orders.name, orders.replicas[orders.name][0], orders.secret, question), as_json
-    )
+    orders = read_config_or_exit(read_lease_server_config, file).replica
+    call_for_result(orders, orders.name, BackupRequest(str(path.absolute())), as_json)
 
 
 @lease.command()
@@ -464,10 +469,7 @@
     For all keepers together, from one backup. A new era of tokens begins, above all that were given; nothing
     is given until the longest lease is over.
     """
-    try:
-        orders = read_lease_server_config(file).replica
-    except ConfigError as error:
-        raise click.UsageError(str(error)) from None
+    orders = read_config_or_exit(read_lease_server_config, file).replica
     disk = restore_backup(orders, path)
     # Above every era that was begun before, as long as clocks do not go back between two restores.
     era = max((disk.kept(EPOCH_KEY) or 0) + 1, int(time.time()))
--- a/ploverspoke/leases/config.py
+++ b/ploverspoke/leases/config.py
@@ -6,9 +6,8 @@
 from ploverspoke.consensus.cluster_config import (
     ReplicaConfig,
     parse_replica_config,
+    read_cluster_servers,
     read_json_file,
-    read_replica_addresses,
-    read_shared_secret,
 )
 
 from .definitions import LeaseDefinitions, read_definitions
@@ -36,9 +35,6 @@
 
 def read_lease_servers(path: Path) -> LeaseServers:
     """From a keeper's file, or one with `replicas` and `secret_file` alone. Raises ConfigError."""
-    top = read_json_file(path)
-    found = read_replica_addresses(top)
-    if not found:
-        raise top.bad("replicas", "at least one keeper")
-    peers = {name: peers for name, (peers, _) in found.items()}
-    return LeaseServers(peers, [clients for _, clients in found.values()], read_shared_secret(top, path))
+    found = read_cluster_servers(path, "at least one keeper")
+    peers = {name: peers for name, (peers, _) in found.replicas.items()}
+    return LeaseServers(peers, [clients for _, clients in found.replicas.values()], found.secret)
--- a/ploverspoke/store/commands.py
+++ b/ploverspoke/store/commands.py
@@ -1,23 +1,44 @@
 """`ploverspoke store`: look at a store and change it. What changes something is asked of the leader."""
 
 import getpass
-import json
 import sys
 from pathlib import Path
-from typing import Any
 
 import click
 
+from ploverspoke.consensus.admin_messages import (
+    AdminRequest,
+    BackupRequest,
+    StatusRow,
+    TransferLeadershipRequest,
+    WireMap,
+    add_member_request,
+    remove_member_request,
+)
 from ploverspoke.consensus.cluster_config import ReplicaConfig, read_replica_config
-from ploverspoke.consensus.command_line import call_replica, exit_with_result, print_rows, restore_backup
+from ploverspoke.consensus.command_line import (
+    EXISTING_FILE,
+    FILE_ARGUMENT,
+    JSON_OPTION,
+    ReplicaUnavailableError,
+    call_for_result,
+    exit_with_failure,
+    exit_with_result,
+    find_leader,
+    print_row,
+    print_rows,
+    read_config_or_exit,
+    request_reply,
+    request_status,
+    restore_backup,
+)
 from ploverspoke.consensus.storage import ClusterMismatchError, CorruptionError, ReplicaStorage, StorageError
-from ploverspoke.service.config_reader import ConfigError
 
-from .daemon import merge_config
+from .admin_messages import ConfigurationRow, ConfigurationsRequest, ConfigureRequest
+from .configuration_client import commit_configuration, read_configuration
 from .state_machine import RequestStateMachine
 
-FILE = click.argument("file", type=click.Path(exists=True, dir_okay=False, path_type=Path))
-JSON = click.option("--json", "as_json", is_flag=True, help="For tools.")
+MAX_LISTED_REQUESTS = 100
 
 
 @click.group()
@@ -25,51 +46,28 @@
     """Look at a store and change it. FILE is the store file of any of its replicas."""
 
 
-def _orders(file: Path) -> ReplicaConfig:
-    try:
-        return read_replica_config(file)
-    except ConfigError as error:
-        raise click.UsageError(str(error)) from None
-
-
-def _ask(orders: ReplicaConfig, name: str, question: dict[str, Any]) -> Any:
-    return call_replica(name, orders.replicas[name][0], orders.secret, question)
-
-
-def _leader(orders: ReplicaConfig) -> str:
-    """The name of the one that leads. Raises ClickException where none does."""
-    for name in orders.replicas:
-        told = _ask(orders, name, {"ask": "status"})
-        if told.get("leads"):
-            return name
-    raise click.ClickException("no replica leads just now")
+def _read_config(file: Path) -> ReplicaConfig:
+    return read_config_or_exit(read_replica_config, file)
 
 
-def ask_leader(orders: ReplicaConfig, question: dict[str, Any]) -> Any:
-    """Raises ClickException where none leads."""
-    return _ask(orders, _leader(orders), question)
-
-
-def read_configuration(file: Path, configuration: Path) -> tuple[ReplicaConfig, str]:
-    """The orders of a store's FILE and a configuration's text, checked for it. Raises UsageError."""
-    orders = _orders(file)
-    try:
-        body = configuration.read_text(encoding="utf-8")
-        merge_config(json.loads(body), "", orders, None)
-    except (ConfigError, ValueError, OSError) as error:
-        raise click.UsageError(f"{configuration}: {error}") from None
-    return orders, body
+def _call_leader(config: ReplicaConfig, request: AdminRequest, as_json: bool) -> None:
+    """Ask the leader to do something and end the command with the result."""
+    peer_addresses = {name: addresses[0] for name, addresses in config.replicas.items()}
+    call_for_result(config, find_leader(peer_addresses, config.secret), request, as_json)
 
 
 @store.command()
-@FILE
-@JSON
+@FILE_ARGUMENT
+@JSON_OPTION
 def status(file: Path, as_json: bool) -> None:
     """What each replica says of itself. Exit 1 where none leads."""
-    orders = _orders(file)
-    told = [_ask(orders, name, {"ask": "status"}) for name in orders.replicas]
-    print_rows(told, as_json)
-    sys.exit(0 if any(one.get("leads") for one in told) else 1)
+    config = _read_config(file)
+    rows = [
+        request_status(name, addresses[0], config.secret, StatusRow)
+        for name, addresses in config.replicas.items()
+    ]
+    print_rows([row.fields for row in rows], as_json)
+    sys.exit(0 if any(row.leads for row in rows) else 1)
 
 
 @store.group()
@@ -78,106 +76,114 @@
 
 
 @members.command()
-@FILE
+@FILE_ARGUMENT
 @click.argument("name")
 @click.option("--peers", required=True, help="Address for the other replicas.")
 @click.option("--clients", required=True, help="Address for clients.")
 @click.option("--votes/--learns", default=False, help="A voter, or one that only learns (first).")
-@JSON
+@JSON_OPTION
 def add(file: Path, name: str, peers: str, clients: str, votes: bool, as_json: bool) -> None:
     """Add a replica that learns, or make one that has learned a voter."""
-    orders = _orders(file)
-    question = {"ask": "members", "name": name, "peers": peers, "clients": clients, "votes": votes}
-    exit_with_result(_ask(orders, _leader(orders), question), as_json)
+    _call_leader(_read_config(file), add_member_request(name, peers, clients, votes), as_json)
 
 
 @members.command()
-@FILE
+@FILE_ARGUMENT
 @click.argument("name")
-@JSON
+@JSON_OPTION
 def remove(file: Path, name: str, as_json: bool) -> None:
     """Remove a replica."""
-    orders = _orders(file)
-    exit_with_result(_ask(orders, _leader(orders), {"ask": "members", "name": name, "remove": True}), as_json)
+    _call_leader(_read_config(file), remove_member_request(name), as_json)
 
 
 @store.command()
-@FILE
+@FILE_ARGUMENT
 @click.argument("to")
-@JSON
+@JSON_OPTION
 def transfer(file: Path, to: str, as_json: bool) -> None:
     """Hand leadership to the replica of that name."""
-    orders = _orders(file)
-    exit_with_result(_ask(orders, _leader(orders), {"ask": "transfer", "to": to}), as_json)
+    _call_leader(_read_config(file), TransferLeadershipRequest(to), as_json)
 
 
 @store.command()
-@FILE
-@click.argument("configuration", type=click.Path(exists=True, dir_okay=False, path_type=Path))
-@JSON
+@FILE_ARGUMENT
+@click.argument("configuration", type=EXISTING_FILE)
+@JSON_OPTION
 def configure(file: Path, configuration: Path, as_json: bool) -> None:
     """Commit a CONFIGURATION: `settings` and `discovery` are then the same on all replicas.
 
     A new discovery is watched at once; what else differs waits for each replica's next start.
     """
-    orders, body = read_configuration(file, configuration)
-    exit_with_result(ask_leader(orders, {"ask": "configure", "body": body, "by": getpass.getuser()}), as_json)
+    config, body = read_configuration(file, configuration)
+    try:
+        reply = commit_configuration(config, ConfigureRequest(body, getpass.getuser()))
+    except ReplicaUnavailableError as error:
+        exit_with_failure(error, as_json)
+    exit_with_result(reply, as_json)
 
 
 @store.command()
-@FILE
-@JSON
+@FILE_ARGUMENT
+@JSON_OPTION
 def configurations(file: Path, as_json: bool) -> None:
     """The versions that were committed, the latest last."""
-    orders = _orders(file)
-    found = _ask(orders, orders.name, {"ask": "configurations"})
-    if isinstance(found, dict):
-        raise click.ClickException(str(found.get("why")))
-    rows = [{"version": v, "by": by, "at": at, "bytes": len(body)} for v, by, at, body in found]
+    config = _read_config(file)
+    try:
+        found = request_reply(
+            config.name,
+            config.replicas[config.name][0],
+            config.secret,
+            ConfigurationsRequest(),
+            list[ConfigurationRow],
+        )
+    except ReplicaUnavailableError as error:
+        raise click.ClickException(error.reason) from error
+    rows: list[WireMap] = [
+        {"version": row.version, "by": row.by, "at": row.committed_at, "bytes": len(row.body)}
+        for row in found
+    ]
     print_rows(rows, as_json)
 
 
 @store.command()
-@FILE
+@FILE_ARGUMENT
 @click.argument("path", type=click.Path(path_type=Path))
-@JSON
+@JSON_OPTION
 def backup(file: Path, path: Path, as_json: bool) -> None:
     """Copy the store of this file's replica, while it runs, to PATH on its machine."""
-    orders = _orders(file)
-    exit_with_result(_ask(orders, orders.name, {"ask": "backup", "path": str(path.absolute())}), as_json)
+    config = _read_config(file)
+    call_for_result(config, config.name, BackupRequest(str(path.absolute())), as_json)
 
 
 @store.command()
-@FILE
-@click.argument("path", type=click.Path(exists=True, dir_okay=False, path_type=Path))
+@FILE_ARGUMENT
+@click.argument("path", type=EXISTING_FILE)
 def restore(file: Path, path: Path) -> None:
     """Put a backup in the place of this replica's store, which must not run and must be empty.
 
     What was committed after the backup is gone: only for all replicas together, from one backup.
     """
-    orders = _orders(file)
-    disk = restore_backup(orders, path)
+    disk = restore_backup(_read_config(file), path)
     disk.close()
     click.echo(f"restored {disk.path}")
 
 
 @store.command()
-@FILE
-@JSON
+@FILE_ARGUMENT
+@JSON_OPTION
 def inspect(file: Path, as_json: bool) -> None:
     """What the store on this machine holds; its replica must not run. Checksums are looked at."""
-    orders = _orders(file)
-    disk = ReplicaStorage(orders.folder)
+    disk = ReplicaStorage(_read_config(file).folder)
     try:
         disk.open()
     except (CorruptionError, StorageError, ClusterMismatchError) as error:
-        raise click.ClickException(str(error)) from None
+        raise click.ClickException(str(error)) from error
     ledger = RequestStateMachine()
     ledger.load(disk.state)
     for entry in disk.log.entries:
         if entry.kind == "data":
             ledger.apply(entry.at, entry.data)
-    told = {
+    told: WireMap = {
         "replica": disk.me,
         "store": disk.fingerprint,
         "term": disk.term,
@@ -190,8 +196,8 @@
         "configurations": [c.version for c in ledger.configurations],
         "open_submissions": {
             name: [f"{i.worker}: {i.outcome or 'not known'}" for i in job.intents]
-            for name, job in list(ledger.open.items())[:100]
+            for name, job in list(ledger.open.items())[:MAX_LISTED_REQUESTS]
         },
     }
     disk.close()
-    print_rows(told, as_json)
+    print_row(told, as_json)
--- /dev/null
+++ b/ploverspoke/store/configuration_client.py
@@ -0,0 +1,38 @@
+"""Commits a new version of the shared configuration through the leading replica, for command-line tools."""
+
+import json
+from pathlib import Path
+
+import click
+
+from ploverspoke.consensus.cluster_config import ReplicaConfig, read_replica_config
+from ploverspoke.consensus.command_line import find_leader, read_config_or_exit, request_reply
+from ploverspoke.service.config_reader import ConfigError
+
+from .admin_messages import ConfigureReply, ConfigureRequest
+from .daemon import merge_config
+
+
+def read_configuration(store_file: Path, configuration: Path) -> tuple[ReplicaConfig, str]:
+    """Read a store's file and a configuration's text, checked for that store.
+
+    Ends the command with exit code 2 where one of them is wrong.
+    """
+    config = read_config_or_exit(read_replica_config, store_file)
+    try:
+        body = configuration.read_text(encoding="utf-8")
+        merge_config(json.loads(body), "", config, None)
+    except (ConfigError, ValueError, OSError) as error:
+        message = f"{configuration}: {error}"
+        raise click.UsageError(message) from error
+    return config, body
+
+
+def commit_configuration(config: ReplicaConfig, request: ConfigureRequest) -> ConfigureReply:
+    """Ask the leader to commit a configuration.
+
+    Raises NoLeaderError, and ReplicaUnavailableError where the leader gave no reply.
+    """
+    peer_addresses = {name: addresses[0] for name, addresses in config.replicas.items()}
+    leader = find_leader(peer_addresses, config.secret)
+    return request_reply(leader, peer_addresses[leader], config.secret, request, ConfigureReply)
--- a/ploverspoke/testbed/capacity/config_server.py
+++ b/ploverspoke/testbed/capacity/config_server.py
@@ -23,8 +23,9 @@
 from ploverspoke.config_distribution.admin_client import publish as publish_body
 from ploverspoke.config_distribution.client import WatchClient
 from ploverspoke.config_distribution.cluster_config import ConfigServers, WatchConfig
+from ploverspoke.consensus.admin_messages import StatusRequest, StatusRow
 from ploverspoke.consensus.framing import FrameError
-from ploverspoke.consensus.replica_client import send_admin_request
+from ploverspoke.consensus.replica_client import call_replica
 
 from .. import experiment as ex
 from ..processes.relay import OUTSIDE
@@ -105,9 +106,9 @@
             for place in self.places:
                 with contextlib.suppress(OSError, FrameError):
                     said = await asyncio.to_thread(
-                        send_admin_request, place.at("peers"), SECRET.encode(), {"ask": "status"}
+                        call_replica, place.at("peers"), SECRET.encode(), StatusRequest(), StatusRow
                     )
-                    if said.get("leads"):
+                    if said.leads:
                         return place
             await asyncio.sleep(0.1)
         raise NotStarted("no config server leads")
--- a/ploverspoke/testbed/capacity/keeper.py
+++ b/ploverspoke/testbed/capacity/keeper.py
@@ -15,7 +15,8 @@
 
 import numpy as np
 
-from ploverspoke.consensus.replica_client import send_admin_request
+from ploverspoke.consensus.admin_messages import StatusRequest, StatusRow
+from ploverspoke.consensus.replica_client import call_replica
 from ploverspoke.leases.client import LeaseClient
 from ploverspoke.leases.config import LeaseServers, read_lease_servers
 
@@ -65,9 +66,9 @@
         for place in leases.keepers:
             with contextlib.suppress(OSError):
                 told = await asyncio.to_thread(
-                    send_admin_request, place.at("peers"), secret, {"ask": "status"}
+                    call_replica, place.at("peers"), secret, StatusRequest(), StatusRow
                 )
-                if told.get("leading"):
+                if told.fields.get("leading"):
                     return place.name
         await asyncio.sleep(0.1)
     raise NotStarted("no keeper leads")
--- a/ploverspoke/testbed/capacity/store_replica.py
+++ b/ploverspoke/testbed/capacity/store_replica.py
@@ -11,7 +11,8 @@
 import msgspec
 import numpy as np
 
-from ploverspoke.consensus.replica_client import send_admin_request
+from ploverspoke.consensus.admin_messages import StatusRequest, StatusRow
+from ploverspoke.consensus.replica_client import call_replica
 
 from .. import experiment as ex
 from ..processes.room import in_memory
@@ -66,10 +67,8 @@
 
 async def _status(world: World, number: int) -> dict[str, Any]:
     place = world.rig.places[f"d{number}"]
-    told: dict[str, Any] = await asyncio.to_thread(
-        send_admin_request, place.at("peers"), SECRET, {"ask": "status"}
-    )
-    return told
+    status = await asyncio.to_thread(call_replica, place.at("peers"), SECRET, StatusRequest(), StatusRow)
+    return dict(status.fields)
 
 
 async def _mark(world: World) -> Mark:
--- a/ploverspoke/testbed/lease_bench.py
+++ b/ploverspoke/testbed/lease_bench.py
@@ -15,8 +15,9 @@
 import msgspec
 from rich.table import Table
 
+from ploverspoke.consensus.admin_messages import StatusRequest, StatusRow
 from ploverspoke.consensus.framing import FrameCodec
-from ploverspoke.consensus.replica_client import send_admin_request
+from ploverspoke.consensus.replica_client import call_replica
 from ploverspoke.leases.client import LeaseClient
 from ploverspoke.leases.config import LeaseServers, read_lease_servers
 
@@ -127,10 +128,10 @@
     while True:
         for place in leases.keepers:
             told = await asyncio.to_thread(
-                send_admin_request, place.at("peers"), keepers.secret, {"ask": "status"}
+                call_replica, place.at("peers"), keepers.secret, StatusRequest(), StatusRow
             )
             process = leases.rig.running[place.name].process
-            if told.get("leading") and process is not None:
+            if told.fields.get("leading") and process is not None:
                 return place.at("clients"), process.pid
         await asyncio.sleep(0.1)
 
--- a/ploverspoke/testbed/processes/distribution_run.py
+++ b/ploverspoke/testbed/processes/distribution_run.py
@@ -13,8 +13,9 @@
 
 import msgspec
 
+from ploverspoke.consensus.admin_messages import StatusRequest, StatusRow
 from ploverspoke.consensus.framing import FrameError
-from ploverspoke.consensus.replica_client import send_admin_request
+from ploverspoke.consensus.replica_client import call_replica
 
 from ..spans import MILLISECOND, SECOND, Span, read_span, write_span
 from .child import Child
@@ -338,11 +339,11 @@
         for place in self.servers:
             try:
                 told = await asyncio.to_thread(
-                    send_admin_request, place.at("peers"), SECRET.encode(), {"ask": "status"}
+                    call_replica, place.at("peers"), SECRET.encode(), StatusRequest(), StatusRow
                 )
             except (OSError, FrameError):
                 continue
-            if told.get("leads"):
+            if told.leads:
                 return place.name
         return ""
 
--- a/ploverspoke/testbed/store_bench.py
+++ b/ploverspoke/testbed/store_bench.py
@@ -18,10 +18,11 @@
 import msgspec
 from rich.table import Table
 
+from ploverspoke.consensus.admin_messages import StatusRequest, StatusRow
 from ploverspoke.consensus.framing import FrameError
 from ploverspoke.consensus.log import Entry
 from ploverspoke.consensus.replica import WriteBatch
-from ploverspoke.consensus.replica_client import send_admin_request
+from ploverspoke.consensus.replica_client import call_replica
 from ploverspoke.consensus.storage import ReplicaStorage
 from ploverspoke.store.state_machine import ANSWER, INTEND, OUTCOME, TAKE, RequestStateMachine
 
@@ -108,9 +109,8 @@
                         return n
                     continue
                 try:
-                    if send_admin_request(f"127.0.0.1:{self.peers[n]}", SECRET, {"ask": "status"}).get(
-                        "leads"
-                    ):
+                    address = f"127.0.0.1:{self.peers[n]}"
+                    if call_replica(address, SECRET, StatusRequest(), StatusRow).leads:
                         return n
                 except (OSError, FrameError):
                     continue
--- /dev/null
+++ b/tests/consensus/test_admin_messages.py
@@ -0,0 +1,144 @@
+"""Requests of tools and replies of replicas keep their keys on the wire; what cannot be read is rejected."""
+
+import json
+import socket
+from collections.abc import Mapping
+from typing import Any
+
+import msgspec
+import pytest
+
+from ploverspoke.consensus.admin_messages import (
+    AdminRequest,
+    BackupRequest,
+    ChangeMemberRequest,
+    ConsensusStatus,
+    MalformedRequestError,
+    MemberStatus,
+    ReplicaStatus,
+    ResultReply,
+    StatusReply,
+    StatusRequest,
+    StatusRow,
+    TransferLeadershipRequest,
+    add_member_request,
+    decode_request,
+    encode_reply,
+    encode_request,
+    remove_member_request,
+    unknown_request_reply,
+)
+from ploverspoke.consensus.framing import FrameCodec, FrameError
+from ploverspoke.consensus.replica_client import ReplyError, RequestRejectedError, call_replica
+from ploverspoke.store.admin_messages import (
+    ConfigurationRow,
+    ConfigurationsRequest,
+    ConfigureReply,
+    ConfigureRequest,
+)
+
+SECRET = b"a secret of the test"
+REQUESTS: list[tuple[AdminRequest, dict[str, Any]]] = [
+    (StatusRequest(), {"ask": "status"}),
+    (
+        add_member_request("r4", "a:1", "a:2", votes=False),
+        {"ask": "members", "name": "r4", "peers": "a:1", "clients": "a:2", "votes": False},
+    ),
+    (remove_member_request("r4"), {"ask": "members", "name": "r4", "remove": True}),
+    (TransferLeadershipRequest("r1"), {"ask": "transfer", "to": "r1"}),
+    (BackupRequest("/b.db"), {"ask": "backup", "path": "/b.db"}),
+    (ConfigureRequest("{}", "anna"), {"ask": "configure", "body": "{}", "by": "anna"}),
+    (ConfigureRequest("{}", "ben", 7), {"ask": "configure", "body": "{}", "by": "ben", "token": 7}),
+    (ConfigurationsRequest(), {"ask": "configurations"}),
+]
+
+
+@pytest.mark.parametrize(("request_", "on_wire"), REQUESTS)
+def test_a_request_keeps_its_keys_and_their_order(request_: AdminRequest, on_wire: dict[str, Any]) -> None:
+    assert json.dumps(encode_request(request_)) == json.dumps(on_wire)
+    kinds = {type(one): None for one, _ in REQUESTS}
+    assert decode_request(on_wire, *kinds) == request_
+
+
+def test_a_request_of_another_kind_is_unknown_and_a_malformed_one_is_rejected() -> None:
+    for raw in (None, [], "status", {}, {"ask": "no such"}, {"ask": ["status"]}, {"ask": "members"}):
+        assert decode_request(raw, StatusRequest, BackupRequest) is None
+    with pytest.raises(MalformedRequestError) as caught:
+        decode_request({"ask": "members", "peers": "a:1"}, StatusRequest, ChangeMemberRequest)
+    assert caught.value.kind == "members" and "name" in caught.value.reason
+    with pytest.raises(FrameError):
+        decode_request({"ask": "backup", "path": 7}, BackupRequest)
+    assert encode_reply(unknown_request_reply()) == {"done": False, "why": "unknown question"}
+
+
+def test_a_reply_leaves_out_what_it_does_not_say() -> None:
+    assert encode_reply(ResultReply(True)) == {"done": True}
+    assert encode_reply(ResultReply(True, why="")) == {"done": True, "why": ""}
+    assert encode_reply(ConfigureReply(True, version=2)) == {"done": True, "version": 2}
+
+
+class StateStatus(msgspec.Struct):
+    open: int
+    answered: int
+
+
+def test_the_parts_of_a_status_become_one_map_in_their_order() -> None:
+    replica = ReplicaStatus("r1", "trips", "f", "leader", "", 0, 4096, 3, 5, 0, 0)
+    member = MemberStatus("r1", "a:1", "a:2", votes=True)
+    consensus = ConsensusStatus(2, "r1", True, 9, 8, 8, 0, [member], {"r2": 1})
+    encoded = encode_reply(StatusReply(replica, StateStatus(4, 6), consensus))
+    assert " ".join(encoded) == (
+        "name cluster store role trouble troubles disk_bytes batches entries_written refused stuck"
+        " open answered term leader leads last committed applied snapshot members behind"
+    )
+    assert encoded["members"] == [{"name": "r1", "peers": "a:1", "clients": "a:2", "votes": True}]
+    assert "term" not in encode_reply(StatusReply(replica))
+
+
+class FakeConnection:
+    """A connection to a replica that gives one reply, or closes where there is none."""
+
+    def __init__(self, reply: Any) -> None:
+        self.frames = FrameCodec(SECRET, {"id": "r1.1", "store": ""})
+        self.reply = reply
+        self.unread = [self.frames.greeting_frame()]
+
+    def __enter__(self) -> "FakeConnection":
+        return self
+
+    def __exit__(self, *error: object) -> None: ...
+
+    def settimeout(self, seconds: float) -> None: ...
+
+    def sendall(self, data: bytes) -> None:
+        for _ in self.frames.decode(data):
+            if self.reply is not None:
+                self.unread.append(self.frames.encode(self.reply))
+
+    def recv(self, size: int) -> bytes:
+        return self.unread.pop(0) if self.unread else b""
+
+
+def call(monkeypatch: pytest.MonkeyPatch, reply: Any, reply_type: type[Any]) -> Any:
+    monkeypatch.setattr(socket, "create_connection", lambda *_: FakeConnection(reply))
+    return call_replica("127.0.0.1:1", SECRET, StatusRequest(), reply_type)
+
+
+def test_a_status_row_keeps_every_key_as_it_was_sent(monkeypatch: pytest.MonkeyPatch) -> None:
+    sent = {"leads": True, "open": 3, "name": "r1"}
+    row = call(monkeypatch, sent, StatusRow)
+    assert (row.name, row.leads, row.role) == ("r1", True, "")
+    assert isinstance(row.fields, Mapping) and list(row.fields.items()) == list(sent.items())
+
+
+def test_a_reply_of_another_type_is_an_error_with_its_reason(monkeypatch: pytest.MonkeyPatch) -> None:
+    assert call(monkeypatch, [[1, "anna", 5, "{}"]], list[ConfigurationRow]) == [
+        ConfigurationRow(1, "anna", 5, "{}")
+    ]
+    with pytest.raises(RequestRejectedError) as rejected:
+        call(monkeypatch, {"done": False, "why": "unknown question"}, list[ConfigurationRow])
+    assert (rejected.value.reason, rejected.value.address) == ("unknown question", "127.0.0.1:1")
+    with pytest.raises(ReplyError):
+        call(monkeypatch, "garbage", StatusRow)
+    with pytest.raises(FrameError, match="hung up"):
+        call(monkeypatch, None, StatusRow)
