--- /dev/null
+++ b/ploverspoke/consensus/framed_client.py
@@ -0,0 +1,104 @@
+"""The client side of a `FramedServer`: one connection that speaks authenticated frames with one server."""
+
+import abc
+import asyncio
+from collections.abc import Mapping
+from typing import ClassVar, cast
+
+from ploverspoke.transport.rate_limited_log import log_line
+
+from .framing import FrameCodec, FrameError
+
+
+class FramedClientConnection(asyncio.Protocol, abc.ABC):
+    """A connection to one server, used once. A subclass handles what arrives.
+
+    Errors of the types in `server_errors`, raised while received bytes are handled, are logged and abort the
+    connection.
+    """
+
+    server_errors: ClassVar[tuple[type[Exception], ...]] = (FrameError,)
+    log_name: ClassVar[str]  # what log lines begin with
+    max_unsent_bytes: ClassVar[int | None] = None  # above that messages are left out; None: no limit
+
+    def __init__(self, secret: bytes, greeting: Mapping[str, str | int]) -> None:
+        """`greeting` is the first message that the server receives, without the nonce."""
+        self.frames = FrameCodec(secret, dict(greeting))
+        self.transport: asyncio.Transport | None = None
+        self.ready = False  # the server has greeted
+        self.closed = False
+
+    # ---- What a subclass defines ----
+
+    @abc.abstractmethod
+    def on_connected(self) -> None:
+        """The server has greeted: messages can be written from now on."""
+
+    @abc.abstractmethod
+    def on_message(self, message: object) -> None:
+        """A message of any form has arrived."""
+
+    @abc.abstractmethod
+    def on_disconnected(self) -> None:
+        """The connection is lost, or was aborted for what the server sent."""
+
+    # ---- Use ----
+
+    async def connect(self, address: str) -> None:
+        """Connects to `address` ("host:port"). Raises OSError."""
+        host, _, port = address.rpartition(":")
+        await asyncio.get_running_loop().create_connection(lambda: self, host.strip("[]"), int(port))
+
+    def is_ready(self) -> bool:
+        """Whether messages can be written."""
+        return self.ready and self.transport is not None
+
+    def write(self, message: object) -> None:
+        """Sends a message; left out where the connection is not ready or the server does not read."""
+        if self.transport is None or not self.ready:
+            return
+        unsent = self.transport.get_write_buffer_size()
+        if self.max_unsent_bytes is None or unsent <= self.max_unsent_bytes:
+            self.transport.write(self.frames.encode(message))
+
+    def close(self) -> None:
+        """Closes the connection at once, or as soon as it is made; no handler is called again."""
+        self.closed = True
+        self._abort()
+
+    # ---- Called by asyncio ----
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Sends the greeting; called by asyncio."""
+        self.transport = cast(asyncio.Transport, transport)
+        if self.closed:
+            self.transport.abort()
+        else:
+            self.transport.write(self.frames.greeting_frame())
+
+    def connection_lost(self, exc: Exception | None) -> None:
+        """Reports the end; called by asyncio."""
+        self.transport = None
+        if not self.closed:
+            self.closed = True
+            self.on_disconnected()
+
+    def data_received(self, data: bytes) -> None:
+        """Handles each whole message; called by asyncio."""
+        if self.closed:
+            return
+        try:
+            messages = self.frames.decode(data)
+            if self.frames.peer_greeting is not None and not self.ready:
+                self.ready = True
+                self.on_connected()
+            for message in messages:
+                if not self.closed:
+                    self.on_message(message)
+        except self.server_errors as error:
+            log_line(f"{self.log_name}: a message of a server is refused: {error}")
+            self._abort()
+
+    def _abort(self) -> None:
+        if self.transport is not None:
+            self.transport.abort()
--- /dev/null
+++ b/ploverspoke/consensus/framed_server.py
@@ -0,0 +1,201 @@
+"""Serves clients over authenticated frames: an asyncio server with one current connection for each client.
+
+`FramedServer` owns the listening socket and all accepted connections. What the frames mean is up to its
+subclass: it names a client (`FramedServer.register`) once that has said enough, and handles its messages.
+"""
+
+import abc
+import asyncio
+from collections.abc import Mapping
+from typing import Any, ClassVar, NamedTuple, cast
+
+from ploverspoke.transport.rate_limited_log import log_line
+
+from .framing import FrameCodec, FrameError
+
+BACKLOG = 1024
+MAX_UNSENT_BYTES = 1 << 20  # towards a client that does not read
+
+
+class RegistrationLimits(NamedTuple):
+    """Bounds for connections that are accepted but not registered yet."""
+
+    timeout: float  # seconds from the connection to its registration
+    max_unregistered: int  # such connections at once
+
+
+class FramedConnection(asyncio.Protocol):
+    """One accepted connection. It is created by its server, which is told of all that happens on it."""
+
+    def __init__(self, server: "FramedServer") -> None:
+        """The greeting is put together at once, and sent when the connection is made."""
+        self.server = server
+        self.frames = FrameCodec(server.secret, dict(server.greeting()))
+        self.transport: asyncio.Transport | None = None
+        self.client_name = ""  # set by the server once the client has said it
+        self.registered = False
+        self.greeted = False
+        self.registration_timer: asyncio.TimerHandle | None = None
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Sends the greeting; called by asyncio."""
+        self.transport = cast(asyncio.Transport, transport)
+        self.server.add_connection(self)
+        self.transport.write(self.frames.greeting_frame())
+
+    def connection_lost(self, exc: Exception | None) -> None:
+        """Tells the server; called by asyncio."""
+        self.transport = None
+        self.cancel_registration_timer()
+        self.server.remove_connection(self)
+
+    def data_received(self, data: bytes) -> None:
+        """Hands the greeting and each whole message to the server; called by asyncio."""
+        if not self.is_open():
+            return
+        try:
+            messages = self.frames.decode(data)
+            if self.frames.peer_greeting is not None and not self.greeted:
+                self.greeted = True
+                self.server.handle_greeting(self, self.frames.peer_greeting)
+            for message in messages:
+                self.server.handle_message(self, message)
+        except self.server.client_errors as error:
+            self.server.refused += 1
+            self.server.handle_client_error(self, error)
+
+    def is_open(self) -> bool:
+        """Whether messages are still taken and sent."""
+        return self.transport is not None and not self.transport.is_closing()
+
+    def write(self, message: object) -> int:
+        """Sends a message and returns its bytes on the wire, 0 where it was not sent.
+
+        A connection whose client leaves too many bytes unread is aborted instead.
+        """
+        if self.transport is None or not self.is_open():
+            return 0
+        if self.transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
+            self.abort()
+            return 0
+        data = self.frames.encode(message)
+        self.transport.write(data)
+        return len(data)
+
+    def close(self) -> None:
+        """Closes the connection once everything written has been sent."""
+        if self.transport is not None:
+            self.transport.close()
+
+    def abort(self) -> None:
+        """Closes the connection at once; unsent bytes are dropped."""
+        if self.transport is not None:
+            self.transport.abort()
+
+    def start_registration_timer(self, timeout: float) -> None:
+        """Aborts the connection after `timeout` seconds unless the timer is cancelled before."""
+        self.registration_timer = asyncio.get_running_loop().call_later(timeout, self.abort)
+
+    def cancel_registration_timer(self) -> None:
+        """Lets the connection stay. Does nothing where no timer runs."""
+        if self.registration_timer is not None:
+            self.registration_timer.cancel()
+
+
+class FramedServer(abc.ABC):
+    """Accepts framed connections and keeps the latest one of each registered client.
+
+    A subclass says what it greets with and handles messages. Errors of the types in `client_errors` that a
+    handler raises are counted in `refused`, logged, and end the connection.
+    """
+
+    client_errors: ClassVar[tuple[type[Exception], ...]] = (FrameError,)
+    log_name: ClassVar[str]  # what log lines begin with
+
+    def __init__(self, secret: bytes, limits: RegistrationLimits | None = None) -> None:
+        """`secret` is shared with the clients; without `limits` a connection may stay unregistered."""
+        self.secret = secret
+        self.limits = limits
+        self.connections: set[FramedConnection] = set()
+        self.clients: dict[str, FramedConnection] = {}  # the latest connection of each, by name
+        self.listener: asyncio.Server | None = None
+        self.refused = 0
+
+    async def listen(self, address: str) -> None:
+        """Accepts connections at `address` ("host:port") until `close`. Raises OSError."""
+        host, _, port = address.rpartition(":")
+        self.listener = await asyncio.get_running_loop().create_server(
+            lambda: FramedConnection(self), host.strip("[]"), int(port), backlog=BACKLOG
+        )
+
+    def close(self) -> None:
+        """Stops listening and aborts all connections."""
+        if self.listener is not None:
+            self.listener.close()
+        for connection in list(self.connections):
+            connection.abort()
+
+    # ---- What a subclass defines ----
+
+    @abc.abstractmethod
+    def greeting(self) -> Mapping[str, str | int]:
+        """The first message that a client receives, without the nonce."""
+
+    @abc.abstractmethod
+    def handle_message(self, connection: FramedConnection, message: object) -> None:
+        """Handles a decoded message of any form."""
+
+    @abc.abstractmethod
+    def on_disconnected(self, client_name: str) -> None:
+        """Called when the current connection of a client is lost."""
+
+    def handle_greeting(  # noqa: B027 - optional: a subclass may name a client by its first message instead
+        self, connection: FramedConnection, greeting: Mapping[str, Any]
+    ) -> None:
+        """Called once for each connection, before its first message. Does nothing unless overridden."""
+
+    def handle_client_error(self, connection: FramedConnection, error: Exception) -> None:
+        """Logs what a client did wrong and aborts its connection."""
+        log_line(f"{self.log_name}: a connection is refused: {error}")
+        connection.abort()
+
+    # ---- Clients ----
+
+    def register(self, connection: FramedConnection) -> FramedConnection | None:
+        """Makes this the current connection of its `client_name`.
+
+        An older connection of the same client is aborted, and returned.
+        """
+        connection.registered = True
+        connection.cancel_registration_timer()
+        older = self.clients.get(connection.client_name)
+        self.clients[connection.client_name] = connection
+        if older is not None:
+            older.abort()
+        return older
+
+    def is_current(self, connection: FramedConnection) -> bool:
+        """Whether this is the connection that its client is served on."""
+        return self.clients.get(connection.client_name) is connection
+
+    def send(self, client_name: str, message: object) -> int:
+        """Sends to a client; returns the bytes on the wire, 0 where it is not connected or not reading."""
+        connection = self.clients.get(client_name)
+        return connection.write(message) if connection is not None else 0
+
+    # ---- Called by connections ----
+
+    def add_connection(self, connection: FramedConnection) -> None:
+        """Takes in a new connection, within the limits."""
+        self.connections.add(connection)
+        if self.limits is not None:
+            if len(self.connections) - len(self.clients) > self.limits.max_unregistered:
+                connection.abort()
+            connection.start_registration_timer(self.limits.timeout)
+
+    def remove_connection(self, connection: FramedConnection) -> None:
+        """Forgets a connection that was lost."""
+        self.connections.discard(connection)
+        if self.is_current(connection):
+            del self.clients[connection.client_name]
+            self.on_disconnected(connection.client_name)
--- a/ploverspoke/leases/client.py
+++ b/ploverspoke/leases/client.py
@@ -4,10 +4,10 @@
 import contextlib
 import os
 import time
-from typing import Any, cast
+from typing import Any
 
-from ploverspoke.consensus.framing import FrameCodec, FrameError
-from ploverspoke.transport.rate_limited_log import log_line
+from ploverspoke.consensus.framed_client import FramedClientConnection
+from ploverspoke.consensus.framing import FrameError
 
 from .config import LeaseServers
 from .holder import NEVER, Lease, LeaseHolder, Message
@@ -17,36 +17,28 @@
 LONGEST_NAP = 60.0
 
 
-class LeaseServerConnection(asyncio.Protocol):
+class LeaseServerConnection(FramedClientConnection):
+    """The connection of a `LeaseClient` to one lease server."""
+
+    server_errors = (FrameError, KeyError, TypeError, ValueError)
+    log_name = "leases"
+
     def __init__(self, client: "LeaseClient") -> None:
+        """The greeting names the client's holder id."""
+        super().__init__(client.keepers.secret, {"id": client.me, "store": ""})
         self.client = client
-        self.frames = FrameCodec(client.keepers.secret, {"id": client.me, "store": ""})
-        self.transport: asyncio.Transport | None = None
-        self.ready = False
-
-    def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)
-        self.transport.write(self.frames.greeting_frame())
 
-    def connection_lost(self, exc: Exception | None) -> None:
-        self.transport = None
-        self.client.lost(self)
+    def on_connected(self) -> None:
+        """Tells the client that it can ask."""
+        self.client.connected(self)
 
-    def data_received(self, data: bytes) -> None:
-        try:
-            messages = self.frames.decode(data)
-            if self.frames.peer_greeting is not None and not self.ready:
-                self.ready = True
-                self.client.connected(self)
-            for message in messages:
-                self.client.told(self, message)
-        except (FrameError, KeyError, TypeError, ValueError) as error:
-            log_line(f"leases: a keeper's answer is refused: {error}")
-            self.close()
+    def on_message(self, message: object) -> None:
+        """Hands an answer to the client."""
+        self.client.told(self, message)
 
-    def close(self) -> None:
-        if self.transport is not None:
-            self.transport.abort()
+    def on_disconnected(self) -> None:
+        """Tells the client that the connection is lost."""
+        self.client.lost(self)
 
 
 class LeaseClient:
@@ -131,8 +123,8 @@
 
     def send(self, message: Message) -> None:
         connection = self.connection
-        if connection is not None and connection.ready and connection.transport is not None:
-            connection.transport.write(connection.frames.encode(message))
+        if connection is not None and connection.is_ready():
+            connection.write(message)
         elif self.dialling is None:
             self._dial()
 
@@ -178,11 +170,10 @@
             self.dialling = self.loop.create_task(self._connect(self.keepers.clients[self.at]))
 
     async def _connect(self, where: str) -> None:
-        host, _, port = where.rpartition(":")
         connection = LeaseServerConnection(self)
         try:
             async with asyncio.timeout(DIAL_WITHIN):
-                await self.loop.create_connection(lambda: connection, host.strip("[]"), int(port))
+                await connection.connect(where)
             self.connection = connection
         except (OSError, TimeoutError):
             self.at = (self.at + 1) % len(self.keepers.clients)
--- a/tests/compatibility/test_wire_bytes.py
+++ b/tests/compatibility/test_wire_bytes.py
@@ -25,6 +25,7 @@
 from ploverspoke.config_distribution.watcher import ConfigWatcher
 from ploverspoke.consensus import raft
 from ploverspoke.consensus.cluster_config import read_replica_config
+from ploverspoke.consensus.framed_server import FramedConnection
 from ploverspoke.consensus.framing import FrameCodec, FrameError
 from ploverspoke.consensus.peer_links import ADMIN_CLIENT_ID, PeerLinks
 from ploverspoke.leases.client import LeaseServerConnection
@@ -32,7 +33,7 @@
 from ploverspoke.leases.definitions import LeaseDefinition, LeaseDefinitions
 from ploverspoke.leases.holder import LeaseHolder
 from ploverspoke.leases.manager import LeaseManager
-from ploverspoke.leases.server import HolderConnection, LeaseServer
+from ploverspoke.leases.server import LeaseServer
 from ploverspoke.leases.server_node import LeaseServerNode
 from ploverspoke.leases.state_machine import LeaseStateMachine
 from ploverspoke.protocol import admin, clients, discovery, gossip_messages, http_messages, workers
@@ -261,7 +262,7 @@
 
 def test_a_holder_is_sent_to_the_leader() -> None:
     told = read_json("frames.json")
-    server = with_nonce(lambda: HolderConnection(LeaseServer(server_node())), "k")
+    server = with_nonce(lambda: FramedConnection(LeaseServer(server_node())), "k")
     server.transport = Transport()
     holder = holder_frames()
     holder.decode(server.frames.greeting_frame())
