--- a/tests/config_distribution/test_commands.py
+++ b/tests/config_distribution/test_commands.py
@@ -357,7 +357,7 @@
     write_cache(orders, taken)
     assert read_cache(orders) == (taken, "")
     briefing, found = initial_config(own, orders, {})
-    assert briefing.names["grades"] == ["look-up", "g01"] and found == taken
+    assert briefing.names.request_classes == ("look-up", "g01") and found == taken
     whole = orders.cache.read_text()
     for harmed, says in (
         (whole.replace("g01", "g02"), "digest"),
@@ -369,7 +369,7 @@
     ):
         orders.cache.write_text(harmed)
         briefing, found = initial_config(own, orders, {})
-        assert found is NOTHING and briefing.names["grades"] == ["look-up"]
+        assert found is NOTHING and briefing.names.request_classes == ("look-up",)
         assert says in capsys.readouterr().err
     # One that does not go with the file any more.
     wrong = '{"settings": {"RoundUs": -4}}'
@@ -385,7 +385,7 @@
         briefing = merge_config(own, "", {})
 
         def take_configuration(self, new: Config) -> None:
-            if new.orders.batch_interval == 4_000_000:
+            if new.settings.batch_interval == 4_000_000:
                 raise ConfigError("settings.RoundUs")
             self.briefing = new
 
@@ -393,7 +393,7 @@
     before, laying = service.briefing, VersionApplier(service, own, lambda: own, NOTHING, {})
     assert laying.take(1, '{"settings": {"RoundUs": 4000}}') == "settings.RoundUs"
     assert service.briefing is before and laying.body == ""
-    assert laying.take(2, with_grades("g02")) == "" and service.briefing.names["grades"][1] == "g02"
+    assert laying.take(2, with_grades("g02")) == "" and service.briefing.names.request_classes[1] == "g02"
 
 
 def test_who_serves_without_a_watch_imports_none_of_it(tmp_path: Path) -> None:
