--- a/ploverspoke/service/config_reader.py
+++ b/ploverspoke/service/config_reader.py
@@ -1,105 +1,173 @@
-"""What is read at start, key by key: a fault names the key, a missing value gets its default."""
+"""Reads a JSON document key by key; every error names the key at fault.
+
+`ConfigSection` wraps one JSON object together with its path in the document. Its methods check the type and
+the range of one value and give the default where the value is missing or null.
+"""
 
 from collections.abc import Mapping
-from typing import Any
+from typing import Any, TypeAlias
 
 from ploverspoke.protocol.json_values import is_finite
 from ploverspoke.transport.units import MICROSECOND
 
+JsonValue: TypeAlias = Any  # any value of a raw JSON document
+JsonObject: TypeAlias = Mapping[str, Any]  # an object of a raw JSON document
+
+LONGEST_MESSAGE = 300  # characters of an error that quotes a value: the value may be of any length
+
 
 class ConfigError(ValueError):
-    """A value is missing or is not what it should be; says at which key."""
+    """The configuration cannot be used. `str(error)` is the one sentence that is printed.
+
+    Attributes:
+        key: The path of the key at fault, as `limits.sockets`; empty where no single key is.
+        problem: What is wrong with it.
+    """
+
+    separator = ": "  # between the key and the problem
+
+    def __init__(self, problem: str, *, key: str = "", longest: int | None = None) -> None:
+        """Build the sentence of both, cut to `longest` characters where that is given."""
+        super().__init__((f"{key}{self.separator}{problem}" if key else problem)[:longest])
+        self.key = key
+        self.problem = problem
+
+
+class InvalidValueError(ConfigError):
+    """The value of one key is missing or wrong; the problem continues the key as a sentence: "KEY is 3"."""
+
+    separator = " "
 
 
-def first_missing_key(before: Any, now: Any, path: str = "") -> str | None:
-    """The key that the one has and the other lacks; of objects in a list, what all of them had."""
+def first_missing_key(before: JsonValue, now: JsonValue, path: str = "") -> str | None:
+    """Return the path of the first key that `before` has and `now` lacks, or None.
+
+    Of a list, an object in `now` must have the keys that all objects of that list in `before` share.
+    """
     if isinstance(before, Mapping) and isinstance(now, Mapping):
-        for key, value in before.items():
-            at = f"{path}.{key}" if path else key
-            found = at if key not in now else first_missing_key(value, now[key], at)
-            if found is not None:
-                return found
-    if isinstance(before, list) and isinstance(now, list) and before:
-        shapes = [value for value in before if isinstance(value, Mapping)]
-        common = dict.fromkeys(k for k in shapes[0] if all(k in s for s in shapes)) if shapes else {}
-        for at, value in enumerate(now):
-            found = first_missing_key(common, value, f"{path}[{at}]") if isinstance(value, Mapping) else None
-            if found is not None:
-                return found
+        return _first_missing_in_object(before, now, path)
+    if isinstance(before, list) and isinstance(now, list):
+        return _first_missing_in_list(before, now, path)
+    return None
+
+
+def _first_missing_in_object(before: JsonObject, now: JsonObject, path: str) -> str | None:
+    for key, value in before.items():
+        key_path = f"{path}.{key}" if path else key
+        if key not in now:
+            return key_path
+        missing = first_missing_key(value, now[key], key_path)
+        if missing is not None:
+            return missing
+    return None
+
+
+def _first_missing_in_list(before: list[JsonValue], now: list[JsonValue], path: str) -> str | None:
+    objects = [value for value in before if isinstance(value, Mapping)]
+    if not objects:
+        return None
+    # Keys alone: what lies below one object of the list says nothing about another's.
+    shared = dict.fromkeys(key for key in objects[0] if all(key in each for each in objects))
+    for index, value in enumerate(now):
+        if isinstance(value, Mapping):
+            missing = _first_missing_in_object(shared, value, f"{path}[{index}]")
+            if missing is not None:
+                return missing
     return None
 
 
 class ConfigSection:
-    """One object of the configuration, and the way to it."""
+    """One object of the configuration and its path. Every method raises ConfigError, naming the key.
 
-    def __init__(self, value: Any, path: str = "") -> None:
+    Attributes:
+        value: The raw JSON object.
+        path: Its path in the document, as `limits`; empty for the whole document.
+    """
+
+    def __init__(self, value: JsonValue, path: str = "") -> None:
+        """Wrap `value`. Raises ConfigError where it is not an object."""
         if not isinstance(value, Mapping):
-            raise ConfigError(f"{path or 'the whole'}: expected an object")
-        self.value = value
+            raise ConfigError(key=path or "the whole", problem="expected an object")
+        self.value: JsonObject = value
         self.path = path
 
     def key(self, name: str) -> str:
+        """Return the path of the key `name` of this section."""
         return f"{self.path}.{name}" if self.path else name
 
     def bad(self, name: str, expected: str) -> ConfigError:
+        """Return (not raise) the error for the key `name`; `expected` says what the value should be."""
         found = "is missing" if name not in self.value else f"is {self.value[name]!r}"
-        return ConfigError(f"{self.key(name)} {found}: expected {expected}"[:300])
+        return InvalidValueError(
+            key=self.key(name), problem=f"{found}: expected {expected}", longest=LONGEST_MESSAGE
+        )
 
-    def _get(self, name: str, default: Any) -> Any:
+    def _get(self, name: str, default: JsonValue) -> JsonValue:
         found = self.value.get(name)
         return default if found is None else found
 
     def part(self, name: str) -> "ConfigSection":
-        """An object that may be left out."""
+        """Return the object under `name`; an empty section where it is missing."""
         return ConfigSection(self._get(name, {}), self.key(name))
 
     def parts(self, name: str, least: int = 0) -> list["ConfigSection"]:
+        """Return the objects of the list under `name`, of which there must be `least`."""
         found = self._get(name, [])
         if not isinstance(found, list) or len(found) < least:
             raise self.bad(name, f"a list of {least} objects or more")
-        return [ConfigSection(value, f"{self.key(name)}[{at}]") for at, value in enumerate(found)]
+        return [ConfigSection(value, f"{self.key(name)}[{index}]") for index, value in enumerate(found)]
 
     def row(self, name: str, default: list[Any], kinds: type | tuple[type, ...]) -> list[Any]:
+        """Return a copy of the list under `name`, each of whose values is of one of `kinds`."""
         found = self._get(name, default)
         if not isinstance(found, list) or not all(isinstance(value, kinds) for value in found):
             raise self.bad(name, "a list of values of one kind")
         return list(found)
 
     def row_for_each(self, name: str, default: float, count: int) -> list[Any]:
+        """Return the list of `count` numbers under `name`, one for each request class.
+
+        A missing or empty list is read as `count` times the default.
+        """
         found = self.row(name, [default] * count, (int, float)) or [default] * count
         if len(found) != count:
             raise self.bad(name, f"{count} numbers, one for each service grade")
         return found
 
     def whole(self, name: str, default: int | None = None, least: int = 0) -> int:
+        """Return the integer under `name`, `least` or more. With no default it must be there."""
         found = self.number(name, default)
         if found < least or found % 1:
             raise self.bad(name, f"a whole number of {least} or more")
         return int(found)
 
     def time(self, name: str, default: int | None = None, least: int = 0) -> int:
-        """In nanoseconds, of a value in microseconds."""
+        """Return the duration under `name` in nanoseconds; file, default and `least` are in microseconds."""
         return self.whole(name, default, least) * MICROSECOND
 
     def number(self, name: str, default: float | None = None) -> float:
+        """Return the finite number under `name`. With no default it must be there."""
         found = self._get(name, default)
         if isinstance(found, bool) or not is_finite(found):
             raise self.bad(name, "a number")
         return float(found)
 
     def flag(self, name: str) -> bool:
+        """Return the boolean under `name`; False where it is missing."""
         found = self._get(name, False)
         if not isinstance(found, bool):
             raise self.bad(name, "true or false")
         return found
 
     def text(self, name: str, default: str | None = None) -> str:
+        """Return the string under `name`. With no default it must be there."""
         found = self._get(name, default)
         if not isinstance(found, str):
             raise self.bad(name, "a text")
         return found
 
     def word(self, name: str, table: Mapping[str, str], default: str | None = None) -> str:
+        """Return what `table` gives for the string under `name`, which must be one of its keys."""
         found = self.text(name, default)
         if found not in table:
             raise self.bad(name, "one of " + ", ".join(table))
