--- a/ploverspoke/supervisor/__init__.py
+++ b/ploverspoke/supervisor/__init__.py
@@ -1,1 +1,1 @@
-"""Several dispatchers on one machine behind one address, and who watches over them."""
+"""Several dispatcher processes on one machine behind one address, and the parent that supervises them."""
--- a/ploverspoke/supervisor/child.py
+++ b/ploverspoke/supervisor/child.py
@@ -1,10 +1,7 @@
-"""One of several dispatchers on a machine: the program, with its share of the limits, on a socket it
-inherits.
-"""
+"""The entry point of a child process: a dispatcher with its share of the limits on the inherited socket."""
 
 import asyncio
 import os
-import resource
 import socket
 import sys
 
@@ -12,32 +9,34 @@
 
 from ploverspoke.service.config import Config, read_config
 from ploverspoke.service.config_reader import ConfigError
+from ploverspoke.service.descriptor_limit import descriptor_limit
 from ploverspoke.service.service import Service
 from ploverspoke.service.startup import block_signals
 
+from .child_environment import ChildEnvironment
 from .resource_split import child_config
 
 
 def main() -> int:
+    """Serve until SIGTERM. Returns the exit code: 0 stopped on request, 2 the configuration is unusable."""
     block_signals()
-    place, count, number = map(int, os.environ["PLOVERSPOKE_CHILD"].split(","))
-    allowed = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-    descriptors = None if allowed == resource.RLIM_INFINITY else allowed
+    child = ChildEnvironment.from_environment(os.environ)
+    limit = descriptor_limit()
 
     def read() -> Config:
-        return child_config(read_config(os.environ), place, count, descriptors)
+        return child_config(read_config(os.environ), child.index, child.count, limit)
 
     try:
-        briefing = read()
+        config = read()
     except ConfigError as error:
         print(f"ploverspoke: {error}", file=sys.stderr)
         return 2
     loop = uvloop.new_event_loop()
     asyncio.set_event_loop(loop)
-    service = Service(loop, briefing)
+    service = Service(loop, config)
     service.read = read
-    service.listening = socket.socket(fileno=number)
-    service.on_ready = lambda: print("ready", flush=True)
+    service.listening = socket.socket(fileno=child.socket_descriptor)
+    service.on_ready = lambda: print("ready", flush=True)  # the supervisor waits for this line
     loop.run_until_complete(service.run())
     return 0
 
--- /dev/null
+++ b/ploverspoke/supervisor/child_environment.py
@@ -0,0 +1,25 @@
+"""What the supervisor tells a child process in its environment."""
+
+from collections.abc import Mapping
+from dataclasses import dataclass
+
+VARIABLE = "PLOVERSPOKE_CHILD"
+
+
+@dataclass(frozen=True)
+class ChildEnvironment:
+    """One child's index among `count` children and the listening socket that it inherits."""
+
+    index: int  # 0 to count - 1
+    count: int
+    socket_descriptor: int
+
+    def to_environment(self) -> dict[str, str]:
+        """Return the variable to add to the child's environment."""
+        return {VARIABLE: f"{self.index},{self.count},{self.socket_descriptor}"}
+
+    @classmethod
+    def from_environment(cls, environment: Mapping[str, str]) -> "ChildEnvironment":
+        """Read what `to_environment` wrote. Raises KeyError or ValueError where no supervisor wrote it."""
+        index, count, socket_descriptor = map(int, environment[VARIABLE].split(","))
+        return cls(index, count, socket_descriptor)
--- a/ploverspoke/supervisor/process_runner.py
+++ b/ploverspoke/supervisor/process_runner.py
@@ -1,149 +1,179 @@
-"""The supervisor's driver: one listening socket that all children inherit, their processes, signals.
+"""The driver of the supervisor: the listening socket that all children inherit, their processes, signals.
 
-One socket for all, not one each by SO_REUSEPORT: what waits to be accepted is not lost with a child that
-dies.
+The children share one socket instead of each having its own by SO_REUSEPORT, so that connections which wait
+to be accepted are not lost with a child that dies.
 """
 
 import asyncio
 import os
-import resource
 import signal
 import socket
 import sys
 import time
+from collections.abc import Callable
+from functools import partial
 
 import uvloop
 
 from ploverspoke.service.config import Config, read_config
 from ploverspoke.service.config_reader import ConfigError
+from ploverspoke.service.descriptor_limit import descriptor_limit
 from ploverspoke.service.exit_codes import run_with_exit_code
 from ploverspoke.transport.listener import BACKLOG
 from ploverspoke.transport.rate_limited_log import log_line
+from ploverspoke.transport.units import SECOND
 
+from .child_environment import ChildEnvironment
 from .resource_split import child_config
 from .supervisor import ProcessSupervisor
 
-MOST_PROCESSES = 64
+CHILD_COMMAND = (sys.executable, "-m", "ploverspoke.supervisor.child")
+NOT_STARTED = -1  # the exit status that is reported for a process that never ran
 
 
 class ProcessRunner:
-    def __init__(self, briefing: Config, count: int) -> None:
+    """Carries out what `ProcessSupervisor` decides; implements `SupervisorActions`."""
+
+    def __init__(self, config: Config, count: int) -> None:
+        """Prepare `count` children of this configuration; `run` starts them. To be built inside the loop."""
         self.loop = asyncio.get_running_loop()
         self.count = count
-        self.briefing = briefing
-        self.processes: dict[int, asyncio.subprocess.Process] = {}
-        self.tasks: set[asyncio.Task[None]] = set()
+        self.config = config
+        self.processes: dict[int, asyncio.subprocess.Process] = {}  # by the index of the slot
+        self.tasks: set[asyncio.Task[None]] = set()  # one for each running child; a loop holds tasks weakly
         self.timer: asyncio.TimerHandle | None = None
-        self.finished: asyncio.Future[bool] = self.loop.create_future()
-        self.watch = ProcessSupervisor(self, count)
-        host, port = briefing.listen
-        self.socket = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET)
-        self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        self.socket.bind((host, port))
-        self.socket.listen(BACKLOG)
-        self.socket.setblocking(False)
+        self.any_killed: asyncio.Future[bool] = self.loop.create_future()  # set when all have stopped
+        self.supervisor = ProcessSupervisor(self, count)
+        self.socket: socket.socket | None = None  # open while `run` is running
 
     async def run(self) -> int:
-        for number in (signal.SIGTERM, signal.SIGINT):
-            self.loop.add_signal_handler(number, self._told, self.watch.told_to_end)
-        self.loop.add_signal_handler(signal.SIGHUP, self._read_again)
-        address = ":".join(map(str, self.briefing.listen))
-        log_line(f"{self.briefing.name}: {self.count} processes at {address}")
-        self.watch.begin()
-        self._arm()
-        try:
-            return int(await self.finished)
-        finally:
-            self.socket.close()
-
-    def _read_again(self) -> None:
+        """Supervise until SIGTERM or SIGINT and the last child's exit. Raises OSError where listening fails.
+
+        Returns 0, or 1 where a child had to be killed.
+        """
+        with _open_listening_socket(self.config.listen) as self.socket:
+            for number in (signal.SIGTERM, signal.SIGINT):
+                self.loop.add_signal_handler(number, self._handle, self.supervisor.shut_down)
+            self.loop.add_signal_handler(signal.SIGHUP, self._reload_config)
+            address = ":".join(map(str, self.config.listen))
+            log_line(f"{self.config.name}: {self.count} processes at {address}")
+            self._handle(self.supervisor.start_all)
+            return int(await self.any_killed)
+
+    def _reload_config(self) -> None:
+        """Check the configuration as all children will see it, then replace them one by one."""
         try:
             new = read_config(os.environ)
-            for place in range(self.count):
-                child_config(new, place, self.count)
+            for index in range(self.count):
+                child_config(new, index, self.count)
         except ConfigError as error:
             log_line(f"new configuration not taken, the old one goes on: {error}")
             return
-        if new.listen != self.briefing.listen:
+        if new.listen != self.config.listen:
             log_line("new configuration: listen stays as it was until the next start")
-        log_line("new configuration: it goes through the processes one by one")
-        self._told(self.watch.new_configuration)
+        log_line("new configuration: the processes are replaced one by one")
+        self._handle(self.supervisor.on_new_configuration)
 
-    def _told(self, event: object) -> None:
-        assert callable(event)
+    def _handle(self, event: Callable[[], None]) -> None:
+        """Pass one event to the supervisor and set the timer anew, since any event may move it."""
         event()
-        self._arm()
-
-    def _arm(self) -> None:
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
-        when = self.watch.next_tick()
-        if when is not None:
-            self.timer = self.loop.call_later(max(0, when - self.now()) / 1e9, self._told, self.watch.tick)
+        due = self.supervisor.next_tick()
+        if due is not None:
+            delay = max(0, due - self.now()) / SECOND
+            self.timer = self.loop.call_later(delay, self._handle, self.supervisor.tick)
+
+    async def _run_child(self, index: int) -> None:
+        """Run one process from its start to its exit."""
+        try:
+            process = await self._spawn(index)
+        except OSError as error:
+            log_line(f"child {index} cannot be started: {error.strerror}")
+            self._handle(partial(self.supervisor.on_child_exited, index, NOT_STARTED))
+            return
+        self.processes[index] = process
+        assert process.stdout is not None, "it was started with a pipe"
+        if await process.stdout.readline():  # its only line says that it is ready; empty: it has exited
+            self._handle(partial(self.supervisor.on_child_ready, index))
+        status = await process.wait()
+        del self.processes[index]
+        self._handle(partial(self.supervisor.on_child_exited, index, status))
+
+    async def _spawn(self, index: int) -> asyncio.subprocess.Process:
+        """Raises OSError where the system gives no process."""
+        assert self.socket is not None, "children are started by `run`"
+        descriptor = self.socket.fileno()
+        child = ChildEnvironment(index, self.count, descriptor)
+        return await asyncio.create_subprocess_exec(
+            *CHILD_COMMAND,
+            env={**os.environ, **child.to_environment()},
+            stdout=asyncio.subprocess.PIPE,
+            pass_fds=(descriptor,),
+        )
+
+    def _send_signal(self, index: int, number: signal.Signals) -> None:
+        process = self.processes.get(index)
+        if process is not None and process.returncode is None:
+            process.send_signal(number)
 
-    # ---- The host ----
+    # ---- SupervisorActions ----
 
     def now(self) -> int:
+        """Return the monotonic time in nanoseconds."""
         return time.monotonic_ns()
 
-    def start(self, place: int) -> None:
-        task = self.loop.create_task(self._live(place))
+    def start_child(self, index: int) -> None:
+        """Start a process in the slot; a failure comes later, as an exit with NOT_STARTED."""
+        task = self.loop.create_task(self._run_child(index))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def _live(self, place: int) -> None:
-        """One process from its start to its end."""
-        told = f"{place},{self.count},{self.socket.fileno()}"
-        try:
-            process = await asyncio.create_subprocess_exec(
-                sys.executable,
-                "-m",
-                "ploverspoke.supervisor.child",
-                env={**os.environ, "PLOVERSPOKE_CHILD": told},
-                stdout=asyncio.subprocess.PIPE,
-                pass_fds=(self.socket.fileno(),),
-            )
-        except OSError as error:
-            log_line(f"child {place} cannot be started: {error.strerror}")
-            self.watch.ended(place, -1)
-            self._arm()
-            return
-        self.processes[place] = process
-        assert process.stdout is not None
-        if await process.stdout.readline():
-            self._told(lambda: self.watch.ready(place))
-        status = await process.wait()
-        del self.processes[place]
-        self._told(lambda: self.watch.ended(place, status))
-
-    def end(self, place: int) -> None:
-        self._signal(place, signal.SIGTERM)
+    def stop_child(self, index: int) -> None:
+        """Send SIGTERM."""
+        self._send_signal(index, signal.SIGTERM)
 
-    def kill(self, place: int) -> None:
-        self._signal(place, signal.SIGKILL)
-
-    def _signal(self, place: int, number: signal.Signals) -> None:
-        process = self.processes.get(place)
-        if process is not None and process.returncode is None:
-            process.send_signal(number)
+    def kill_child(self, index: int) -> None:
+        """Send SIGKILL."""
+        self._send_signal(index, signal.SIGKILL)
 
     def log(self, line: str) -> None:
+        """Write one line to the log."""
         log_line(line)
 
-    def over(self, crashed: bool) -> None:
-        if not self.finished.done():
-            self.finished.set_result(crashed)
+    def on_all_stopped(self, any_killed: bool) -> None:
+        """Let `run` return."""
+        if not self.any_killed.done():
+            self.any_killed.set_result(any_killed)
+
+
+def _open_listening_socket(address: tuple[str, int]) -> socket.socket:
+    host, port = address
+    listening = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET)
+    try:
+        listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        listening.bind((host, port))
+        listening.listen(BACKLOG)
+        listening.setblocking(False)
+    except OSError:
+        listening.close()
+        raise
+    return listening
 
 
 async def _run(count: int) -> int:
-    briefing = read_config(os.environ)
-    allowed = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-    for place in range(count):
-        child_config(briefing, place, count, None if allowed == resource.RLIM_INFINITY else allowed)
-    return await ProcessRunner(briefing, count).run()
+    config = read_config(os.environ)
+    limit = descriptor_limit()
+    for index in range(count):
+        child_config(config, index, count, limit)  # a share that is too small ends the start
+    return await ProcessRunner(config, count).run()
 
 
 def main(count: int) -> int:
-    """Exit 0: told to end, and all children did. 1: one had to be killed. 2: bad configuration."""
+    """Run `count` dispatchers until SIGTERM.
+
+    Returns the exit code. 0: all stopped on request. 1: one had to be killed. 2: the configuration is
+    unusable or the address cannot be listened on.
+    """
     return run_with_exit_code(lambda: uvloop.run(_run(count)))
--- a/ploverspoke/supervisor/resource_split.py
+++ b/ploverspoke/supervisor/resource_split.py
@@ -1,38 +1,41 @@
-"""What each of N dispatchers on one machine is told: its share of the limits, and that there are N
-times as many.
-"""
+"""The configuration of one of N dispatchers on a machine: its share of the limits, its number among all."""
 
 from ploverspoke.service.config import FEWEST_SOCKETS, LEAST_MEMORY_MB, Config
 from ploverspoke.service.config_reader import ConfigError
 from ploverspoke.transport.units import MEBIBYTE
 
-KEPT_SOCKETS, KEPT_MEMORY = 16, 12 * MEBIBYTE  # for the supervisor
-SEEDS_APART = 0x9E3779B97F4A7C15
+SUPERVISOR_SOCKETS = 16  # descriptors that stay with the supervisor
+SUPERVISOR_MEMORY = 12 * MEBIBYTE
+SEED_STEP = 0x9E3779B97F4A7C15  # between the seeds of two children: far apart in 64 bits
 
 
-def child_config(whole: Config, place: int, count: int, descriptors: int | None = None) -> Config:
-    """Raises ConfigError where a share would be too small. `descriptors`: what one process may hold at
-    all."""
-    sockets = (whole.sockets - KEPT_SOCKETS) // count
-    if descriptors is not None:
-        sockets = min(sockets, descriptors)
-    memory = (whole.memory - KEPT_MEMORY) // count
+def child_config(whole: Config, index: int, count: int, descriptor_limit: int | None = None) -> Config:
+    """Return the configuration of the child `index` of `count`, with its part of the limits of `whole`.
+
+    `descriptor_limit` is what the system allows one process, None for no limit. Raises ConfigError where the
+    share would be too small for a dispatcher.
+    """
+    sockets = (whole.sockets - SUPERVISOR_SOCKETS) // count
+    if descriptor_limit is not None:
+        sockets = min(sockets, descriptor_limit)
+    memory = (whole.memory - SUPERVISOR_MEMORY) // count
     if sockets < FEWEST_SOCKETS:
-        raise ConfigError(f"limits.sockets: {whole.sockets} are too few for {count} processes")
+        raise ConfigError(key="limits.sockets", problem=f"{whole.sockets} are too few for {count} processes")
     if memory < LEAST_MEMORY_MB * MEBIBYTE:
-        raise ConfigError(f"limits.memory_mb: {whole.memory // MEBIBYTE} are too few for {count} processes")
+        raise ConfigError(
+            key="limits.memory_mb", problem=f"{whole.memory // MEBIBYTE} are too few for {count} processes"
+        )
     orders = {
         **whole.orders,
         "dispatchers": whole.orders["dispatchers"] * count,
-        "dispatcher_number": whole.orders["dispatcher_number"] * count + place,
+        "dispatcher_number": whole.orders["dispatcher_number"] * count + index,
     }
-    # Operators call each process at a port of its own: one address for all would answer for any of them.
-    admin = None if whole.admin is None else (whole.admin[0], whole.admin[1] + place)
-    seed = whole.seed + place * SEEDS_APART
+    # Each process answers its operators at a port of its own: at a shared one any of them would answer.
+    admin = None if whole.admin is None else (whole.admin[0], whole.admin[1] + index)
     return whole._replace(
-        name=f"{whole.name}.{place}",
+        name=f"{whole.name}.{index}",
         admin=admin,
-        seed=seed,
+        seed=whole.seed + index * SEED_STEP,
         sockets=sockets,
         memory=memory,
         orders=orders,
