--- a/ploverspoke/cli.py
+++ b/ploverspoke/cli.py
@@ -152,16 +152,16 @@
     from ploverspoke.service.migration import migrate_file
 
     try:
-        told = migrate_file(old, new, list(peers), dry_run, force)
+        report = migrate_file(old, new, peers, dry_run, force)
     except ConfigError as error:
         click.echo(f"ploverspoke: {error}", err=True)
         sys.exit(2)
     if as_json:
-        click.echo(json.dumps(told))
+        click.echo(json.dumps(report.to_json()))
         return
-    for note in told["notes"]:
-        click.echo(f"{note['what']}: {note['key']}: {note['why']}")
-    click.echo(told["result"])
+    for note in report.notes:
+        click.echo(f"{note.kind}: {note.key}: {note.reason}")
+    click.echo(report.summary)
 
 
 @main.command()
--- a/ploverspoke/service/handover.py
+++ b/ploverspoke/service/handover.py
@@ -1,7 +1,7 @@
-"""Whether another process of the same dispatcher lives, as while one replaces the other.
+"""Tells how many processes of one dispatcher live, as two do while one replaces the other.
 
-Each holds a lock on a file of its own in a folder that both know. A lock ends with its process, however that
-ends, so a file without one is a dead process's and counts for nothing.
+Each holds a lock on a file of its own in a directory that all of them know. The system releases the lock when
+the process ends, however it ends: a file without a lock belongs to a dead process and counts for nothing.
 """
 
 import fcntl
@@ -10,59 +10,84 @@
 
 from ploverspoke.transport.rate_limited_log import log_line
 
-PREFIX = "ploverspoke-"
+FILE_PREFIX = "ploverspoke-"
+NO_DESCRIPTOR = -1
 
 
 class ProcessRegistry:
-    def __init__(self, folder: str | None) -> None:
-        self.folder = Path(folder) if folder else None
-        self.own = -1  # our file's descriptor, as long as we live
-        self.name = ""
+    """The lock files of one dispatcher's processes, and the one of this process."""
+
+    def __init__(self, directory: str | None) -> None:
+        """Use this directory; without one the process counts as the only one."""
+        self.directory = Path(directory) if directory else None
+        self.lock_descriptor = NO_DESCRIPTOR  # holds the lock as long as it is open
+        self.file_name = ""  # empty: this process is not registered
 
     def enter(self) -> bool:
-        """Be seen from now on; False where files cannot be written or locked, and each counts as alone."""
-        if self.folder is None:
+        """Make this process visible to the others.
+
+        Returns False where there is no directory or the file cannot be written or locked; the reason is
+        logged, and the process counts as the only one.
+        """
+        if self.directory is None:
             return False
-        name = f"{PREFIX}{os.getpid()}-{os.urandom(4).hex()}"
-        unseen = self.folder / f".{name}"
+        file_name = f"{FILE_PREFIX}{os.getpid()}-{os.urandom(4).hex()}"
+        hidden = self.directory / f".{file_name}"
         try:
-            self.own = os.open(unseen, os.O_CREAT | os.O_RDWR | os.O_CLOEXEC, 0o600)
-            fcntl.flock(self.own, fcntl.LOCK_EX | fcntl.LOCK_NB)
-            # Locked before it can be seen: else the other takes it for a dead one's.
-            unseen.rename(self.folder / name)
+            self.lock_descriptor = os.open(hidden, os.O_CREAT | os.O_RDWR | os.O_CLOEXEC, 0o600)
+            fcntl.flock(self.lock_descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            # Locked before it becomes visible: another process would take it for a dead one's.
+            hidden.rename(self.directory / file_name)
         except OSError as error:
-            log_line(f"neighbours: no file in {self.folder}: {error.strerror}")
+            log_line(f"handover: no lock file in {self.directory}: {error.strerror}")
+            self._close()
             return False
-        self.name = name
+        self.file_name = file_name
         return True
 
     def others(self) -> int:
-        """How many other processes live; what dead ones left is removed."""
-        if self.folder is None or not self.name:
-            return 0
-        try:
-            found = [n for n in os.listdir(self.folder) if n.startswith(PREFIX) and n != self.name]
-        except OSError:
-            return 0
-        return sum(self._lives(self.folder / name) for name in found)
+        """Return how many other processes live, and remove the files of dead ones.
 
-    def _lives(self, path: Path) -> bool:
-        try:
-            number = os.open(path, os.O_RDWR | os.O_CLOEXEC)
-        except OSError:
-            return False
+        Returns 0 where this process is not registered or the directory cannot be read.
+        """
+        if self.directory is None or not self.file_name:
+            return 0
         try:
-            fcntl.flock(number, fcntl.LOCK_EX | fcntl.LOCK_NB)
-            path.unlink(missing_ok=True)
-        except BlockingIOError:
-            return True
+            paths = list(self.directory.iterdir())
         except OSError:
-            return False
-        finally:
-            os.close(number)
-        return False
+            return 0  # asked again in a moment; meanwhile the process counts as the only one
+        return sum(
+            _is_locked(path)
+            for path in paths
+            if path.name.startswith(FILE_PREFIX) and path.name != self.file_name
+        )
 
     def leave(self) -> None:
-        if self.name and self.folder is not None:
-            (self.folder / self.name).unlink(missing_ok=True)
-            self.name = ""
+        """Remove the file of this process and release its lock."""
+        if self.file_name and self.directory is not None:
+            (self.directory / self.file_name).unlink(missing_ok=True)
+            self.file_name = ""
+            self._close()
+
+    def _close(self) -> None:
+        if self.lock_descriptor != NO_DESCRIPTOR:
+            os.close(self.lock_descriptor)
+            self.lock_descriptor = NO_DESCRIPTOR
+
+
+def _is_locked(path: Path) -> bool:
+    """Tell whether the file's process lives; the file of a dead one is removed."""
+    try:
+        descriptor = os.open(path, os.O_RDWR | os.O_CLOEXEC)
+    except OSError:
+        return False  # removed since it was listed, or not a file of ours
+    try:
+        fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
+        path.unlink(missing_ok=True)
+    except BlockingIOError:
+        return True
+    except OSError:
+        return False  # the file system has no locks: as where no file can be written
+    finally:
+        os.close(descriptor)
+    return False
--- a/ploverspoke/service/inherited_socket.py
+++ b/ploverspoke/service/inherited_socket.py
@@ -1,30 +1,42 @@
-"""A listening socket that whoever starts us holds, for this process and the one that it replaces."""
+"""A listening socket that the process inherits and shares with the process that it replaces."""
 
 import socket
 from collections.abc import Mapping
 
-from .config_reader import ConfigError
+from .config_reader import InvalidValueError
 
-NAMED_IN = "RELAY_PASSED_SOCKET"
+VARIABLE = "RELAY_PASSED_SOCKET"
+MOST_DIGITS = 7  # of a descriptor's number
+LONGEST_MESSAGE = 200  # characters of an error that quotes the variable
 
 
 def inherited_socket(environment: Mapping[str, str]) -> socket.socket | None:
-    """None where none is named. It is shared: to be closed, never shut down. Raises ConfigError."""
-    named = environment.get(NAMED_IN)
-    if not named:
+    """Return the listening TCP socket whose descriptor RELAY_PASSED_SOCKET names, None where it is unset.
+
+    The socket is shared with other processes: it may be closed and must never be shut down. Raises
+    ConfigError where the variable names anything else; that descriptor is left open.
+    """
+    value = environment.get(VARIABLE)
+    if not value:
         return None
-    fault = ConfigError(
-        f"{NAMED_IN} is {named!r}: expected the number of a descriptor that listens for TCP"[:200]
+    invalid = InvalidValueError(
+        key=VARIABLE,
+        problem=f"is {value!r}: expected the number of a descriptor that listens for TCP",
+        longest=LONGEST_MESSAGE,
     )
-    if not (named.isascii() and named.isdigit() and len(named) < 8):
-        raise fault
+    if not (value.isascii() and value.isdigit() and len(value) <= MOST_DIGITS):
+        raise invalid
     try:
-        passed = socket.socket(fileno=int(named))
-    except OSError:
-        raise fault from None
-    inet = passed.family in (socket.AF_INET, socket.AF_INET6) and passed.type == socket.SOCK_STREAM
-    if not inet or not passed.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
-        passed.detach()  # whatever it is, it is not ours to close
-        raise fault
-    passed.setblocking(False)
-    return passed
+        inherited = socket.socket(fileno=int(value))
+    except OSError as error:
+        raise invalid from error
+    if not _is_listening_tcp(inherited):
+        inherited.detach()  # whatever it is, it is not ours to close
+        raise invalid
+    inherited.setblocking(False)
+    return inherited
+
+
+def _is_listening_tcp(candidate: socket.socket) -> bool:
+    is_tcp = candidate.family in (socket.AF_INET, socket.AF_INET6) and candidate.type == socket.SOCK_STREAM
+    return is_tcp and bool(candidate.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN))
--- /dev/null
+++ b/ploverspoke/service/key_tracking.py
@@ -0,0 +1,56 @@
+"""A JSON object that remembers which of its keys were read, to find those that the program does not know."""
+
+from collections.abc import Iterator, Mapping
+
+from .config_reader import JsonObject, JsonValue
+
+# The list of workers is in discovery's form and has keys of its own: it is not looked into.
+UNTRACKED_PATH = "known"
+
+
+class TrackedObject(Mapping[str, JsonValue]):
+    """A read-only view of a JSON object. Objects in it, in lists too, are tracked like itself."""
+
+    def __init__(self, value: JsonObject, prefix: str = "") -> None:
+        """Wrap `value`; `prefix` is what stands before its keys in a path: empty, or ends with a dot."""
+        self.value = {
+            key: child if f"{prefix}{key}" == UNTRACKED_PATH else _tracked(child, f"{prefix}{key}")
+            for key, child in value.items()
+        }
+        self.prefix = prefix
+        self.keys_read: set[str] = set()
+
+    def __getitem__(self, key: str) -> JsonValue:
+        """Return the value and note that its key was read."""
+        self.keys_read.add(key)
+        return self.value[key]
+
+    def __contains__(self, key: object) -> bool:
+        """Tell whether the key is there; this alone does not count as reading it."""
+        return key in self.value
+
+    def __iter__(self) -> Iterator[str]:
+        """Iterate over the keys."""
+        return iter(self.value)
+
+    def __len__(self) -> int:
+        """Return the number of keys."""
+        return len(self.value)
+
+    def unread_keys(self) -> list[str]:
+        """Return the paths of the keys that were never read, here and below the keys that were."""
+        unread = [f"{self.prefix}{key}" for key in self.value if key not in self.keys_read]
+        for key in self.keys_read & set(self.value):
+            value = self.value[key]
+            for child in value if isinstance(value, list) else [value]:
+                if isinstance(child, TrackedObject):
+                    unread += child.unread_keys()
+        return unread
+
+
+def _tracked(value: JsonValue, path: str) -> JsonValue:
+    if isinstance(value, Mapping):
+        return TrackedObject(value, f"{path}.")
+    if isinstance(value, list):
+        return [_tracked(child, f"{path}[{index}]") for index, child in enumerate(value)]
+    return value
--- a/ploverspoke/service/migration.py
+++ b/ploverspoke/service/migration.py
@@ -1,137 +1,188 @@
-"""A configuration of the old shape, where workers report load and can be probed, becomes one of the new."""
+"""Rewrites a configuration of the old shape into one of the new shape (docs/migration.md).
+
+Old shape: workers report their load and can be probed. New shape: they only announce starts and progress.
+"""
 
 import copy
 import json
 import os
-from collections.abc import Iterator, Mapping
+from collections.abc import Mapping, Sequence
+from dataclasses import dataclass
+from enum import StrEnum
 from pathlib import Path
 from typing import Any
 
 from .config import parse_config, read_config_document
-from .config_reader import ConfigError
-
-Notes = list[dict[str, str]]
-
-
-class Seen(Mapping[str, Any]):
-    """A part of a configuration that remembers which of its keys were asked for."""
-
-    def __init__(self, value: Mapping[str, Any], path: str = "") -> None:
-        # The list of workers is discovery's, and read elsewhere.
-        self.value = {k: v if f"{path}{k}" == "known" else _seen(v, f"{path}{k}") for k, v in value.items()}
-        self.path = path
-        self.asked: set[str] = set()
-
-    def __getitem__(self, key: str) -> Any:
-        self.asked.add(key)
-        return self.value[key]
-
-    def __contains__(self, key: object) -> bool:
-        return key in self.value
-
-    def __iter__(self) -> Iterator[str]:
-        return iter(self.value)
-
-    def __len__(self) -> int:
-        return len(self.value)
-
-    def unknown(self) -> list[str]:
-        """What nobody asked for, here and below."""
-        found = [f"{self.path}{key}" for key in self.value if key not in self.asked]
-        for key in self.asked & set(self.value):
-            value = self.value[key]
-            for part in value if isinstance(value, list) else [value]:
-                found += part.unknown() if isinstance(part, Seen) else []
-        return found
-
-
-def _seen(value: Any, path: str) -> Any:
-    if isinstance(value, Mapping):
-        return Seen(value, f"{path}.")
-    if isinstance(value, list):
-        return [_seen(each, f"{path}[{at}]") for at, each in enumerate(value)]
-    return value
-
-
-def migrate(old: Mapping[str, Any], peers: list[str]) -> tuple[dict[str, Any], Notes]:
-    """The new configuration and what is to be said of it; no notes of a change where it is new already."""
-    new = copy.deepcopy(dict(old))
-    settings = new["settings"]
-    notes: Notes = []
-
-    def note(what: str, key: str, why: str) -> None:
-        notes.append({"what": what, "key": key, "why": why})
-
-    limits, report = settings.setdefault("Limits", {}), settings.get("Report", {})
-    if limits.get("Probing"):
-        limits["Probing"] = False
-        note("changed", "settings.Limits.Probing", "workers may not be probed: false")
-    if report.get("Via", "off") != "off":
-        settings["Report"] = {"Via": "off", "Fields": []}
-        note("changed", "settings.Report", f"workers report no load: was {json.dumps(report)}")
-    for at, key in (("Domain", "ReportX0"), ("Domain", "ReportX1"), ("Tariffs", "Probe")):
-        if key in settings.get(at, {}):
-            was = settings[at].pop(key)
-            note("dropped", f"settings.{at}.{key}", f"nothing is reported or probed: was {json.dumps(was)}")
-    if settings.get("WeightKind") == "live":
-        settings["WeightKind"] = "off"
-        note("changed", "settings.WeightKind", "live weights tell of load, which nobody reports: off")
-    if peers and (new.get("peers") != peers or not limits.get("Peers")):
-        new["peers"], limits["Peers"] = peers, True
-        note("changed", "settings.Limits.Peers", f"dispatchers tell one another, at {len(peers)} addresses")
-    return new, notes
-
-
-def to_supply(new: Mapping[str, Any]) -> Notes:
-    """What the new shape needs and no file of the old one says."""
-    domain, limits = new["settings"].get("Domain", {}), new["settings"]["Limits"]
-    found = []
+from .config_reader import ConfigError, JsonObject
+from .key_tracking import TrackedObject
+
+# Keys that mean nothing where workers are neither probed nor report load: section, key.
+UNUSED_KEYS = (("Domain", "ReportX0"), ("Domain", "ReportX1"), ("Tariffs", "Probe"))
+
+
+class NoteKind(StrEnum):
+    """What a note says of its key; the value is the word that the command prints."""
+
+    CHANGED = "changed"
+    DROPPED = "dropped"
+    UNKNOWN = "unknown"  # not read by the program and left as it stands
+    TO_SUPPLY = "to supply"  # needed by the new shape, and no file of the old shape has it
+
+
+@dataclass(frozen=True)
+class MigrationNote:
+    """One line of the report: a key, what happened to it and why."""
+
+    kind: NoteKind
+    key: str  # its path, as `settings.Limits.Probing`
+    reason: str
+
+    def to_json(self) -> dict[str, str]:
+        """Return the note under the keys of `migrate --json`."""
+        return {"what": self.kind.value, "key": self.key, "why": self.reason}
+
+
+@dataclass(frozen=True)
+class MigrationReport:
+    """What a migration found and did."""
+
+    notes: Sequence[MigrationNote]
+    summary: str
+    written: Path | None  # None: nothing was written
+
+    def to_json(self) -> JsonObject:
+        """Return the report under the keys of `migrate --json`."""
+        return {
+            "notes": [note.to_json() for note in self.notes],
+            "result": self.summary,
+            "written": None if self.written is None else str(self.written),
+        }
+
+
+class Migration:
+    """Rewrites one configuration document step by step.
+
+    Attributes:
+        document: A copy of the old document, which `run` turns into the new one.
+        notes: What was changed and dropped; empty where the document has the new shape already.
+    """
+
+    def __init__(self, old: JsonObject, peers: Sequence[str]) -> None:
+        """Prepare the migration of `old`, a valid configuration.
+
+        `peers` are the addresses of all dispatchers in the order of `SlotNo`; empty: load gossip stays as
+        it is.
+        """
+        self.document: dict[str, Any] = copy.deepcopy(dict(old))
+        self.settings: dict[str, Any] = self.document["settings"]
+        self.limits: dict[str, Any] = self.settings.setdefault("Limits", {})
+        self.peers = list(peers)
+        self.notes: list[MigrationNote] = []
+
+    def run(self) -> None:
+        """Take all steps."""
+        self._turn_off_probes()
+        self._turn_off_reports()
+        self._drop_unused_keys()
+        self._turn_off_live_weights()
+        self._turn_on_gossip()
+
+    def _changed(self, key: str, reason: str) -> None:
+        self.notes.append(MigrationNote(NoteKind.CHANGED, key, reason))
+
+    def _turn_off_probes(self) -> None:
+        if self.limits.get("Probing"):
+            self.limits["Probing"] = False
+            self._changed("settings.Limits.Probing", "workers may not be probed: false")
+
+    def _turn_off_reports(self) -> None:
+        report = self.settings.get("Report", {})
+        if report.get("Via", "off") != "off":
+            self.settings["Report"] = {"Via": "off", "Fields": []}
+            self._changed("settings.Report", f"workers report no load: was {json.dumps(report)}")
+
+    def _drop_unused_keys(self) -> None:
+        for section, key in UNUSED_KEYS:
+            if key in self.settings.get(section, {}):
+                old_value = json.dumps(self.settings[section].pop(key))
+                reason = f"nothing is reported or probed: was {old_value}"
+                self.notes.append(MigrationNote(NoteKind.DROPPED, f"settings.{section}.{key}", reason))
+
+    def _turn_off_live_weights(self) -> None:
+        if self.settings.get("WeightKind") == "live":
+            self.settings["WeightKind"] = "off"
+            self._changed("settings.WeightKind", "live weights come from load reports, which are off: off")
+
+    def _turn_on_gossip(self) -> None:
+        is_on = self.limits.get("Peers") and self.document.get("peers") == self.peers
+        if self.peers and not is_on:
+            self.document["peers"], self.limits["Peers"] = self.peers, True
+            self._changed(
+                "settings.Limits.Peers", f"dispatchers exchange load gossip, at {len(self.peers)} addresses"
+            )
+
+
+def missing_settings(document: JsonObject) -> list[MigrationNote]:
+    """Return a note for each setting that the new shape needs and the document lacks."""
+    settings = document["settings"]
+    domain, limits = settings.get("Domain", {}), settings["Limits"]
+    missing = []
     if not domain.get("TellsStart"):
-        found.append(("Domain.TellsStart", "workers must tell of starts: nothing else shows a queue"))
+        missing.append(("Domain.TellsStart", "workers must announce starts: nothing else shows a queue"))
     if not domain.get("ProgressUs"):
-        found.append(("Domain.ProgressUs", "workers must tell of progress: nothing else shows a silent one"))
+        missing.append(
+            ("Domain.ProgressUs", "workers must announce progress: nothing else shows a silent one")
+        )
     if not limits.get("Cancel"):
-        found.append(("Limits.Cancel", "what waits too long cannot be taken back"))
-    if limits.get("Peers") and not new.get("peers"):
-        found.append(("Limits.Peers", "no addresses to tell others at: give them with --peer"))
-    if limits.get("Peers") and "Peer" not in new["settings"].get("Tariffs", {}):
-        found.append(("Tariffs.Peer", "the price of a message: without it all of the zone are told"))
-    return [{"what": "to supply", "key": f"settings.{key}", "why": why} for key, why in found]
-
-
-def migrate_file(old: Path, new: Path, peers: list[str], dry_run: bool, force: bool) -> dict[str, Any]:
-    """Raises ConfigError, with nothing written, where `old` cannot be used or `new` is in the way."""
-    told = read_config_document({"RELAY_CONFIG": str(old)})
-    seen = Seen(told) if isinstance(told, Mapping) else told
-    parse_config(seen, {})
-    made, notes = migrate(told, peers)
-    changed = bool(notes)
-    notes += [
-        {"what": "unknown", "key": key, "why": "not read by this program; left as it stands"}
-        for key in seen.unknown()
+        missing.append(("Limits.Cancel", "an attempt that waits too long cannot be cancelled"))
+    if limits.get("Peers") and not document.get("peers"):
+        missing.append(("Limits.Peers", "no addresses for load gossip: give them with --peer"))
+    if limits.get("Peers") and "Peer" not in settings.get("Tariffs", {}):
+        missing.append(("Tariffs.Peer", "the price of a message: without it all peers of the zone get each"))
+    return [MigrationNote(NoteKind.TO_SUPPLY, f"settings.{key}", reason) for key, reason in missing]
+
+
+def migrate_file(old: Path, new: Path, peers: Sequence[str], dry_run: bool, force: bool) -> MigrationReport:
+    """Write `new`, the counterpart of the configuration `old` in the new shape.
+
+    Nothing is written with `dry_run` or where `old` has the new shape already; an existing `new` is replaced
+    only with `force`. Raises ConfigError, with nothing written, where `old` cannot be used, the result would
+    be no valid configuration, or `new` exists or cannot be written.
+    """
+    document = read_config_document({"RELAY_CONFIG": str(old)})
+    tracked = TrackedObject(document) if isinstance(document, Mapping) else document
+    parse_config(tracked, {})
+    migration = Migration(document, peers)
+    migration.run()
+    notes = [
+        *migration.notes,
+        *(
+            MigrationNote(NoteKind.UNKNOWN, key, "not read by this program; left as it stands")
+            for key in tracked.unread_keys()
+        ),
+        *missing_settings(migration.document),
     ]
-    notes += to_supply(made)
-    if not changed:
-        return {"notes": notes, "result": f"{old} has the new shape already: nothing to do", "written": None}
-    parse_config(made, {})
-    if not dry_run:
-        _write(new, json.dumps(made, indent=2) + "\n", force)
-    result = f"{new} would be written" if dry_run else f"{new} is written"
-    return {"notes": notes, "result": result, "written": None if dry_run else str(new)}
-
-
-def _write(path: Path, text: str, force: bool) -> None:
-    """Whole or not at all, and over nothing that is there unless told to."""
+    if not migration.notes:
+        return MigrationReport(notes, f"{old} has the new shape already: nothing to do", None)
+    parse_config(migration.document, {})
+    if dry_run:
+        return MigrationReport(notes, f"{new} would be written", None)
+    _write_atomically(new, json.dumps(migration.document, indent=2) + "\n", force)
+    return MigrationReport(notes, f"{new} is written", new)
+
+
+def _write_atomically(path: Path, text: str, force: bool) -> None:
+    """Raises ConfigError, with `path` unchanged, where it exists without `force` or cannot be written."""
     unfinished = path.with_name(f".{path.name}.{os.getpid()}")
     try:
         unfinished.write_text(text, encoding="utf-8")
         if force:
-            os.replace(unfinished, path)
+            unfinished.replace(path)
         else:
-            os.link(unfinished, path)
-    except FileExistsError:
-        raise ConfigError(f"{path} exists already: --force replaces it") from None
+            path.hardlink_to(unfinished)  # unlike a rename it fails where the path exists
+    except FileExistsError as error:
+        raise ConfigError(problem=f"{path} exists already: --force replaces it") from error
     except OSError as error:
-        raise ConfigError(f"{path} cannot be written: {error.strerror}") from None
+        raise ConfigError(problem=f"{path} cannot be written: {error.strerror}") from error
     finally:
         unfinished.unlink(missing_ok=True)
--- a/ploverspoke/service/startup.py
+++ b/ploverspoke/service/startup.py
@@ -6,7 +6,8 @@
 
 
 def block_signals() -> None:
-    """They wait until there is somebody to take them: a new configuration that was told of during the start
-    ended the program instead. The loop's handlers let them in again, in `Service.run`.
+    """Hold SIGHUP and SIGTERM back until `Service.run` has handlers for them and lets them in again.
+
+    Without this a SIGHUP for a new configuration that comes during the start ends the process.
     """
     signal.pthread_sigmask(signal.SIG_BLOCK, BLOCKED_SIGNALS)
--- a/tests/service/test_handover.py
+++ b/tests/service/test_handover.py
@@ -55,7 +55,7 @@
         each.enter()
     (tmp_path / "ploverspoke-1-dead").touch()
     assert first.others() == second.others() == 1 and blind.others() == 0
-    os.close(second.own)  # as when it is killed
+    os.close(second.lock_descriptor)  # as when it is killed
     assert first.others() == 0 and len(list(tmp_path.iterdir())) == 1
     first.leave()
 
--- a/tests/service/test_migration.py
+++ b/tests/service/test_migration.py
@@ -1,7 +1,8 @@
-"""The command that carries a configuration over, and the check of what the new shape adds."""
+"""The command `migrate`, and the load gossip that the new shape of a configuration adds."""
 
 import copy
 import json
+from collections.abc import Mapping
 from pathlib import Path
 from typing import Any
 
@@ -11,49 +12,51 @@
 from ploverspoke.cli import main
 from ploverspoke.service.config import parse_config
 from ploverspoke.service.config_reader import ConfigError
+from ploverspoke.service.key_tracking import TrackedObject
 from tests.service.test_config import GOOD
 
 PEERS = ["127.0.0.1:9301", "127.0.0.1:9302"]
 
 
-def call(old: Path, new: Path, *options: str) -> tuple[int, str]:
+def migrate(old: Path, new: Path, *options: str) -> tuple[int, str]:
+    """Exit code and output of the command."""
     result = CliRunner().invoke(main, ["migrate", str(old), str(new), *options])
     return result.exit_code, result.output
 
 
-def put(path: Path, told: Any) -> Path:
-    path.write_text(told if isinstance(told, str) else json.dumps(told))
+def write(path: Path, content: str | Mapping[str, Any]) -> Path:
+    path.write_text(content if isinstance(content, str) else json.dumps(content))
     return path
 
 
-def test_what_it_writes_has_the_new_shape_and_passes(tmp_path: Path) -> None:
-    told = copy.deepcopy(GOOD)
-    told["settings"] |= {"PeersTotal": 2, "Surprise": 1, "WeightKind": "live"}
-    old, new = put(tmp_path / "old.json", told), tmp_path / "new.json"
+def test_migrated_file_has_the_new_shape_and_is_valid(tmp_path: Path) -> None:
+    document = copy.deepcopy(GOOD)
+    document["settings"] |= {"PeersTotal": 2, "Surprise": 1, "WeightKind": "live"}
+    old, new = write(tmp_path / "old.json", document), tmp_path / "new.json"
     options = [word for peer in PEERS for word in ("--peer", peer)]
-    dry, said = call(old, new, "--dry-run", *options)
-    assert dry == 0 and not new.exists()
-    code, told_json = call(old, new, "--json", *options)
-    notes = {note["key"]: note["what"] for note in json.loads(told_json)["notes"]}
-    assert code == 0 and all(key in said for key in notes)
+    dry_run_code, report = migrate(old, new, "--dry-run", *options)
+    assert dry_run_code == 0 and not new.exists()
+    code, report_json = migrate(old, new, "--json", *options)
+    notes = {note["key"]: note["what"] for note in json.loads(report_json)["notes"]}
+    assert code == 0 and all(key in report for key in notes)
     assert notes["settings.Limits.Probing"] == notes["settings.Report"] == "changed"
     assert notes["settings.Domain.ReportX0"] == "dropped"
     assert notes["settings.Surprise"] == notes["limits.cores"] == "unknown"
     assert notes["settings.Tariffs.Peer"] == "to supply"
-    made = json.loads(new.read_text())
-    assert made["settings"]["Surprise"] == 1 and json.loads(old.read_text()) == told
-    briefing = parse_config(made, {})
-    assert len(briefing.peers) == 2 and briefing.orders["telling_permitted"]
-    assert not briefing.orders["probing_permitted"] and briefing.orders["load_reports"] == "none"
-    assert call(old, new)[0] == 2 and json.loads(new.read_text()) == made
-    code, said = call(new, tmp_path / "again.json")
-    assert code == 0 and "nothing to do" in said and not (tmp_path / "again.json").exists()
-    assert call(old, new, "--force")[0] == 0 and "peers" not in json.loads(new.read_text())
+    migrated = json.loads(new.read_text())
+    assert migrated["settings"]["Surprise"] == 1 and json.loads(old.read_text()) == document
+    config = parse_config(migrated, {})
+    assert len(config.peers) == 2 and config.orders["telling_permitted"]
+    assert not config.orders["probing_permitted"] and config.orders["load_reports"] == "none"
+    assert migrate(old, new)[0] == 2 and json.loads(new.read_text()) == migrated
+    code, report = migrate(new, tmp_path / "again.json")
+    assert code == 0 and "nothing to do" in report and not (tmp_path / "again.json").exists()
+    assert migrate(old, new, "--force")[0] == 0 and "peers" not in json.loads(new.read_text())
     assert sorted(path.name for path in tmp_path.iterdir()) == ["new.json", "old.json"]
 
 
 @pytest.mark.parametrize(
-    ("told", "key"),
+    ("content", "complaint"),
     [
         (None, "cannot be read"),
         ("{", "no JSON"),
@@ -62,12 +65,22 @@
         ({**GOOD, "listen": "nowhere"}, "listen"),
     ],
 )
-def test_what_is_of_no_use_is_named_and_nothing_written(tmp_path: Path, told: Any, key: str) -> None:
+def test_unusable_old_file_is_reported_and_nothing_is_written(
+    tmp_path: Path, content: str | dict[str, Any] | None, complaint: str
+) -> None:
     old = tmp_path / "old.json"
-    if told is not None:
-        put(old, told)
-    code, said = call(old, tmp_path / "new.json")
-    assert code == 2 and key in said and not (tmp_path / "new.json").exists()
+    if content is not None:
+        write(old, content)
+    code, output = migrate(old, tmp_path / "new.json")
+    assert code == 2 and complaint in output and not (tmp_path / "new.json").exists()
+
+
+def test_unread_keys_are_found_at_every_level_but_in_the_list_of_workers() -> None:
+    document = {"read": {"a": 1, "b": 2}, "list": [{"c": 3}], "known": {"d": 4}, "unread": 5}
+    tracked = TrackedObject(document)
+    assert tracked["read"]["a"] == 1 and len(tracked["list"]) == 1 and tracked["known"] == {"d": 4}
+    assert "unread" in tracked
+    assert sorted(tracked.unread_keys()) == ["list[0].c", "read.b", "unread"]
 
 
 @pytest.mark.parametrize(
@@ -79,24 +92,24 @@
         (["nowhere", PEERS[0]], {"Peers": True}, "peers"),
     ],
 )
-def test_wrong_addresses_of_peers_end_the_start(peers: list[str], limits: Any, key: str) -> None:
+def test_wrong_peer_addresses_are_refused(peers: list[str], limits: dict[str, bool], key: str) -> None:
     settings = {**GOOD["settings"], "PeersTotal": 2}
     settings["Limits"] = {**settings["Limits"], **limits}
     with pytest.raises(ConfigError, match=key):
         parse_config({**GOOD, "settings": settings, "peers": peers}, {})
 
 
-def test_permitted_messages_without_addresses_are_said(tmp_path: Path) -> None:
+def test_gossip_permitted_without_addresses_is_reported(tmp_path: Path) -> None:
     settings = {**GOOD["settings"], "Limits": {**GOOD["settings"]["Limits"], "Peers": True}}
-    path = put(tmp_path / "c.json", {**GOOD, "settings": settings})
+    path = write(tmp_path / "c.json", {**GOOD, "settings": settings})
     result = CliRunner().invoke(main, ["check", str(path)])
     assert result.exit_code == 0 and "cannot be sent" in result.output
-    briefing = parse_config(json.loads(path.read_text()), {})
-    assert briefing.cannot_tell and not briefing.orders["telling_permitted"]
+    config = parse_config(json.loads(path.read_text()), {})
+    assert config.cannot_tell and not config.orders["telling_permitted"]
 
 
-def test_a_fleet_that_cannot_be_asked_keeps_its_rules() -> None:
+def test_fleet_without_probes_and_reports_keeps_its_rules() -> None:
     # A hung, a slow and two pausing workers, a fleet that shrinks, four in ten dispatchers gone and back.
-    file = Path(__file__).parents[2] / "experiments" / "unasked.toml"
-    result = CliRunner().invoke(main, ["testbed", "run", str(file), "--seed", "1", "--policy", "ours"])
+    experiment = Path(__file__).parents[2] / "experiments" / "unasked.toml"
+    result = CliRunner().invoke(main, ["testbed", "run", str(experiment), "--seed", "1", "--policy", "ours"])
     assert result.exit_code == 0, result.output
