--- a/ploverspoke/service/config_reader.py
+++ b/ploverspoke/service/config_reader.py
@@ -91,84 +91,88 @@
         self.value: JsonObject = value
         self.path = path
 
-    def key(self, name: str) -> str:
+    def key_path(self, name: str) -> str:
         """Return the path of the key `name` of this section."""
         return f"{self.path}.{name}" if self.path else name
 
-    def bad(self, name: str, expected: str) -> ConfigError:
+    def invalid(self, name: str, expected: str) -> ConfigError:
         """Return (not raise) the error for the key `name`; `expected` says what the value should be."""
         found = "is missing" if name not in self.value else f"is {self.value[name]!r}"
         return InvalidValueError(
-            key=self.key(name), problem=f"{found}: expected {expected}", longest=LONGEST_MESSAGE
+            key=self.key_path(name), problem=f"{found}: expected {expected}", longest=LONGEST_MESSAGE
         )
 
     def _get(self, name: str, default: JsonValue) -> JsonValue:
         found = self.value.get(name)
         return default if found is None else found
 
-    def part(self, name: str) -> "ConfigSection":
+    def section(self, name: str) -> "ConfigSection":
         """Return the object under `name`; an empty section where it is missing."""
-        return ConfigSection(self._get(name, {}), self.key(name))
+        return ConfigSection(self._get(name, {}), self.key_path(name))
 
-    def parts(self, name: str, least: int = 0) -> list["ConfigSection"]:
+    def sections(self, name: str, least: int = 0) -> list["ConfigSection"]:
         """Return the objects of the list under `name`, of which there must be `least`."""
         found = self._get(name, [])
         if not isinstance(found, list) or len(found) < least:
-            raise self.bad(name, f"a list of {least} objects or more")
-        return [ConfigSection(value, f"{self.key(name)}[{index}]") for index, value in enumerate(found)]
+            raise self.invalid(name, f"a list of {least} objects or more")
+        return [ConfigSection(value, f"{self.key_path(name)}[{index}]") for index, value in enumerate(found)]
 
-    def row(self, name: str, default: list[Any], kinds: type | tuple[type, ...]) -> list[Any]:
+    def values(self, name: str, default: list[Any], kinds: type | tuple[type, ...]) -> list[Any]:
         """Return a copy of the list under `name`, each of whose values is of one of `kinds`."""
         found = self._get(name, default)
         if not isinstance(found, list) or not all(isinstance(value, kinds) for value in found):
-            raise self.bad(name, "a list of values of one kind")
+            raise self.invalid(name, "a list of values of one kind")
         return list(found)
 
-    def row_for_each(self, name: str, default: float, count: int) -> list[Any]:
+    def values_per_class(self, name: str, default: float, count: int) -> list[Any]:
         """Return the list of `count` numbers under `name`, one for each request class.
 
         A missing or empty list is read as `count` times the default.
         """
-        found = self.row(name, [default] * count, (int, float)) or [default] * count
+        found = self.values(name, [default] * count, (int, float)) or [default] * count
         if len(found) != count:
-            raise self.bad(name, f"{count} numbers, one for each service grade")
+            raise self.invalid(name, f"{count} numbers, one for each service grade")
         return found
 
-    def whole(self, name: str, default: int | None = None, least: int = 0) -> int:
+    def integer(self, name: str, default: int | None = None, least: int = 0) -> int:
         """Return the integer under `name`, `least` or more. With no default it must be there."""
         found = self.number(name, default)
         if found < least or found % 1:
-            raise self.bad(name, f"a whole number of {least} or more")
+            raise self.invalid(name, f"a whole number of {least} or more")
         return int(found)
 
-    def time(self, name: str, default: int | None = None, least: int = 0) -> int:
+    def duration(self, name: str, default: int | None = None, least: int = 0) -> int:
         """Return the duration under `name` in nanoseconds; file, default and `least` are in microseconds."""
-        return self.whole(name, default, least) * MICROSECOND
+        return self.integer(name, default, least) * MICROSECOND
 
     def number(self, name: str, default: float | None = None) -> float:
         """Return the finite number under `name`. With no default it must be there."""
         found = self._get(name, default)
         if isinstance(found, bool) or not is_finite(found):
-            raise self.bad(name, "a number")
+            raise self.invalid(name, "a number")
         return float(found)
 
-    def flag(self, name: str) -> bool:
+    def boolean(self, name: str) -> bool:
         """Return the boolean under `name`; False where it is missing."""
         found = self._get(name, False)
         if not isinstance(found, bool):
-            raise self.bad(name, "true or false")
+            raise self.invalid(name, "true or false")
         return found
 
     def text(self, name: str, default: str | None = None) -> str:
         """Return the string under `name`. With no default it must be there."""
         found = self._get(name, default)
         if not isinstance(found, str):
-            raise self.bad(name, "a text")
+            raise self.invalid(name, "a text")
         return found
 
-    def word(self, name: str, table: Mapping[str, str], default: str | None = None) -> str:
+    def choice(self, name: str, table: Mapping[str, str], default: str | None = None) -> str:
         """Return what `table` gives for the string under `name`, which must be one of its keys."""
         found = self.text(name, default)
         if found not in table:
-            raise self.bad(name, "one of " + ", ".join(table))
+            raise self.invalid(name, "one of " + ", ".join(table))
         return table[found]
+
+    # The earlier names, until no other package calls them any more.
+    part, parts, row, row_for_each = section, sections, values, values_per_class
+    whole, time, flag, word, bad = integer, duration, boolean, choice, invalid
