--- a/ploverspoke/cli.py
+++ b/ploverspoke/cli.py
@@ -1,56 +1,92 @@
-"""The command line. The platform starts `python -m ploverspoke` without words and sees none of this."""
+"""The command line. A start without arguments, as the platform's, imports none of it."""
 
 import importlib
 import json
 import os
 import sys
+from collections.abc import Iterator
+from contextlib import contextmanager
 from importlib.metadata import PackageNotFoundError, version
 from pathlib import Path
+from typing import NamedTuple
 
 import click
 
-LATER = {  # commands whose packages are imported only when they are called
-    "testbed": (
+
+class LazyCommand(NamedTuple):
+    """A command whose package is imported only when it is called."""
+
+    module: str
+    attribute: str  # the click command in the module
+    short_help: str
+
+
+LAZY_COMMANDS = {
+    "testbed": LazyCommand(
         "ploverspoke.testbed.commands",
         "testbed",
         "Experiments with the dispatcher on virtual time or sockets.",
     ),
-    "store": ("ploverspoke.store.commands", "store", "Look at a store and change it."),
-    "config": (
+    "store": LazyCommand("ploverspoke.store.commands", "store", "Look at a store and change it."),
+    "config": LazyCommand(
         "ploverspoke.config_distribution.commands",
         "config",
         "Carry a change of configuration to every dispatcher.",
     ),
-    "lease": ("ploverspoke.leases.commands", "lease", "Leases for tasks that belong to the whole fleet."),
-    "demo": ("ploverspoke.testbed.demo", "demo", "See it work: workers, dispatchers and load on free ports."),
+    "lease": LazyCommand(
+        "ploverspoke.leases.commands", "lease", "Leases for tasks that belong to the whole fleet."
+    ),
+    "demo": LazyCommand(
+        "ploverspoke.testbed.demo", "demo", "See it work: workers, dispatchers and load on free ports."
+    ),
 }
 
+WATCH_EXCLUDES = "--watch goes neither with --processes nor with --store"
+STORE_EXCLUDES = "--processes and --store do not go together: a replica is one process"
+
+
+class MissingPackageError(click.ClickException):
+    """A command needs a package that is not installed; the message names the extra that brings it."""
+
+    def __init__(self, needed_by: str, package: str | None, extra: str) -> None:
+        """`extra`: the optional dependencies of ploverspoke that the package belongs to."""
+        super().__init__(f"{needed_by} needs {package}: install ploverspoke[{extra}]")
+
+
+@contextmanager
+def imports_of(needed_by: str, extra: str) -> Iterator[None]:
+    """Raises MissingPackageError where an import in the block fails for a package that is not ours."""
+    try:
+        yield
+    except ModuleNotFoundError as error:
+        if (error.name or "").startswith("ploverspoke"):
+            raise
+        raise MissingPackageError(needed_by, error.name, extra) from error
+
+
+class LazyGroup(click.Group):
+    """The top command: its own subcommands, and those of LAZY_COMMANDS."""
 
-class Commands(click.Group):
     def list_commands(self, ctx: click.Context) -> list[str]:
-        return sorted([*super().list_commands(ctx), *LATER])
+        """Return the names of all subcommands."""
+        return sorted([*super().list_commands(ctx), *LAZY_COMMANDS])
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        if cmd_name not in LATER:
+        """Return the subcommand, importing its package. Raises MissingPackageError."""
+        if cmd_name not in LAZY_COMMANDS:
             return super().get_command(ctx, cmd_name)
-        module, name, _ = LATER[cmd_name]
-        try:
-            found = getattr(importlib.import_module(module), name)
-        except ModuleNotFoundError as error:
-            if (error.name or "").startswith("ploverspoke"):
-                raise
-            raise click.ClickException(
-                f"{cmd_name} needs {error.name}: install ploverspoke[testbed]"
-            ) from None
-        assert isinstance(found, click.Command)
-        return found
+        lazy = LAZY_COMMANDS[cmd_name]
+        with imports_of(cmd_name, "testbed"):
+            command = getattr(importlib.import_module(lazy.module), lazy.attribute)
+        assert isinstance(command, click.Command)
+        return command
 
     def format_commands(self, ctx: click.Context, formatter: click.HelpFormatter) -> None:
-        """Told from here, so that help imports nothing."""
-        told = {name: text for name, (_, _, text) in LATER.items()}
-        told |= {name: command.get_short_help_str(80) for name, command in self.commands.items()}
+        """List the subcommands from the texts here, so that help imports no package."""
+        texts = {name: lazy.short_help for name, lazy in LAZY_COMMANDS.items()}
+        texts |= {name: command.get_short_help_str(80) for name, command in self.commands.items()}
         with formatter.section("Commands"):
-            formatter.write_dl(sorted(told.items()))
+            formatter.write_dl(sorted(texts.items()))
 
 
 def _version() -> str:
@@ -60,7 +96,7 @@
         return "not installed"
 
 
-@click.group(cls=Commands, context_settings={"help_option_names": ["-h", "--help"]})
+@click.group(cls=LazyGroup, context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(_version(), prog_name="ploverspoke")
 def main() -> None:
     """A dispatcher that runs beside each submitter and pushes jobs to workers.
@@ -88,35 +124,39 @@
 ) -> None:
     """Run a dispatcher with this CONFIGURATION (or that of RELAY_CONFIG).
 
-    It runs until SIGTERM. SIGHUP reads the configuration again. With --store it is one replica of a daemon
-    that remembers what it took (docs/store.md); with --watch it takes the versions of config servers
-    (docs/operating-distribution.md). Exit 0: told to end. 2: the configuration, the store or the watch's
-    file is of no use, and why is said.
+    It runs until SIGTERM. SIGHUP reads the configuration again. With --store it is one replica of a
+    replicated store that remembers the requests it admitted (docs/store.md); with --watch it applies the
+    versions of config servers (docs/operating-distribution.md). Exit 0: stopped on request. 2: the
+    configuration, the store or the watch's file cannot be used; the reason is printed.
     """
     os.environ["RELAY_CONFIG"] = str(configuration)
     if watch is not None:
         if processes > 1 or store is not None:
-            raise click.UsageError("--watch goes neither with --processes nor with --store")
-        try:
-            from ploverspoke.config_distribution.dynamic_config import main as watching
-        except ModuleNotFoundError as error:
-            raise click.ClickException(f"a watch needs {error.name}: install ploverspoke[daemon]") from None
-        sys.exit(watching(watch))
+            raise click.UsageError(WATCH_EXCLUDES)
+        sys.exit(_serve_with_watch(watch))
     if processes > 1:
         if store is not None:
-            raise click.UsageError("--processes and --store do not go together: a replica is one process")
+            raise click.UsageError(STORE_EXCLUDES)
         from ploverspoke.supervisor.process_runner import main as supervise
 
         sys.exit(supervise(processes))
-    if store is None:
-        from ploverspoke.service.service import main as service
+    if store is not None:
+        sys.exit(_serve_with_store(store, new, join))
+    from ploverspoke.service.service import main as serve_alone
+
+    sys.exit(serve_alone())
 
-        sys.exit(service())
-    try:
-        from ploverspoke.store.daemon import main as daemon
-    except ModuleNotFoundError as error:
-        raise click.ClickException(f"a store needs {error.name}: install ploverspoke[daemon]") from None
-    sys.exit(daemon(store, new, join))
+
+def _serve_with_watch(watch: Path) -> int:
+    with imports_of("a watch", "daemon"):
+        from ploverspoke.config_distribution.dynamic_config import main as serve_watching
+    return serve_watching(watch)
+
+
+def _serve_with_store(store: Path, new: bool, join: str) -> int:
+    with imports_of("a store", "daemon"):
+        from ploverspoke.store.daemon import main as serve_replica
+    return serve_replica(store, new, join)
 
 
 @main.command()
@@ -138,15 +178,17 @@
 @main.command()
 @click.argument("old", type=click.Path(path_type=Path))
 @click.argument("new", type=click.Path(path_type=Path))
-@click.option("--peer", "peers", multiple=True, help="Address of a dispatcher, in order; turns messages on.")
-@click.option("--dry-run", is_flag=True, help="Say the same and write nothing.")
+@click.option(
+    "--peer", "peers", multiple=True, help="Address of a dispatcher, in order; turns load gossip on."
+)
+@click.option("--dry-run", is_flag=True, help="Print the same report and write nothing.")
 @click.option("--force", is_flag=True, help="Replace NEW where it exists.")
 @click.option("--json", "as_json", is_flag=True, help="For tools.")
 def migrate(old: Path, new: Path, peers: tuple[str, ...], dry_run: bool, force: bool, as_json: bool) -> None:
-    """Write NEW, the counterpart of the configuration OLD where workers can be asked nothing.
+    """Write NEW, the configuration OLD for workers without probes and load reports.
 
-    Lists what was changed, dropped or could not be carried over; docs/migration.md has the steps. Exit 0:
-    done, or nothing to do. 2: OLD is of no use or NEW exists, and nothing is written.
+    Lists what was changed, dropped or is to be supplied; docs/migration.md has the steps. Exit 0: done, or
+    nothing to do. 2: OLD cannot be used or NEW exists, and nothing is written.
     """
     from ploverspoke.service.config_reader import ConfigError
     from ploverspoke.service.migration import migrate_file
