--- a/ploverspoke/service/config_reader.py
+++ b/ploverspoke/service/config_reader.py
@@ -5,7 +5,7 @@
 """
 
 from collections.abc import Mapping
-from typing import Any, TypeAlias
+from typing import Any, TypeAlias, TypeVar
 
 from ploverspoke.protocol.json_values import is_finite
 from ploverspoke.transport.units import MICROSECOND
@@ -13,6 +13,8 @@
 JsonValue: TypeAlias = Any  # any value of a raw JSON document
 JsonObject: TypeAlias = Mapping[str, Any]  # an object of a raw JSON document
 
+Choice = TypeVar("Choice")
+
 LONGEST_MESSAGE = 300  # characters of an error that quotes a value: the value may be of any length
 
 
@@ -166,7 +168,7 @@
             raise self.invalid(name, "a text")
         return found
 
-    def choice(self, name: str, table: Mapping[str, str], default: str | None = None) -> str:
+    def choice(self, name: str, table: Mapping[str, Choice], default: str | None = None) -> Choice:
         """Return what `table` gives for the string under `name`, which must be one of its keys."""
         found = self.text(name, default)
         if found not in table:
--- a/ploverspoke/supervisor/resource_split.py
+++ b/ploverspoke/supervisor/resource_split.py
@@ -1,5 +1,7 @@
 """The configuration of one of N dispatchers on a machine: its share of the limits, its number among all."""
 
+from dataclasses import replace
+
 from ploverspoke.service.config import FEWEST_SOCKETS, LEAST_MEMORY_MB, Config
 from ploverspoke.service.config_reader import ConfigError
 from ploverspoke.transport.units import MEBIBYTE
@@ -25,11 +27,11 @@
         raise ConfigError(
             key="limits.memory_mb", problem=f"{whole.memory // MEBIBYTE} are too few for {count} processes"
         )
-    orders = {
-        **whole.orders,
-        "dispatchers": whole.orders["dispatchers"] * count,
-        "dispatcher_number": whole.orders["dispatcher_number"] * count + index,
-    }
+    settings = replace(
+        whole.settings,
+        dispatcher_count=whole.settings.dispatcher_count * count,
+        dispatcher_index=whole.settings.dispatcher_index * count + index,
+    )
     # Each process answers its operators at a port of its own: at a shared one any of them would answer.
     admin = None if whole.admin is None else (whole.admin[0], whole.admin[1] + index)
     return whole._replace(
@@ -38,5 +40,5 @@
         seed=whole.seed + index * SEED_STEP,
         sockets=sockets,
         memory=memory,
-        orders=orders,
+        settings=settings,
     )
--- a/tests/service/test_migration.py
+++ b/tests/service/test_migration.py
@@ -10,6 +10,7 @@
 from click.testing import CliRunner
 
 from ploverspoke.cli import main
+from ploverspoke.decisions.settings import LoadReporting
 from ploverspoke.service.config import parse_config
 from ploverspoke.service.config_reader import ConfigError
 from ploverspoke.service.key_tracking import TrackedObject
@@ -46,8 +47,8 @@
     migrated = json.loads(new.read_text())
     assert migrated["settings"]["Surprise"] == 1 and json.loads(old.read_text()) == document
     config = parse_config(migrated, {})
-    assert len(config.peers) == 2 and config.orders["telling_permitted"]
-    assert not config.orders["probing_permitted"] and config.orders["load_reports"] == "none"
+    assert len(config.peers) == 2 and config.settings.gossip_allowed
+    assert not config.settings.probing_allowed and config.settings.load_reporting is LoadReporting.NONE
     assert migrate(old, new)[0] == 2 and json.loads(new.read_text()) == migrated
     code, report = migrate(new, tmp_path / "again.json")
     assert code == 0 and "nothing to do" in report and not (tmp_path / "again.json").exists()
@@ -105,7 +106,7 @@
     result = CliRunner().invoke(main, ["check", str(path)])
     assert result.exit_code == 0 and "cannot be sent" in result.output
     config = parse_config(json.loads(path.read_text()), {})
-    assert config.cannot_tell and not config.orders["telling_permitted"]
+    assert config.cannot_tell and not config.settings.gossip_allowed
 
 
 def test_fleet_without_probes_and_reports_keeps_its_rules() -> None:
