--- /dev/null
+++ b/ploverspoke/store/log_commands.py
@@ -0,0 +1,114 @@
+"""Commands of the store's log as they are stored, and the words that stored data has for outcomes.
+
+A command is a msgpack array that begins with its verb. Verbs, words and the order of the fields are the
+format of the log on disk and between replicas: they do not follow the names in the code. Fields added later
+stand last and have a default, as entries of older versions lack them. Times are nanoseconds of the replicated
+clock (`consensus/clock.py`) as the leader read it, wall times nanoseconds of Unix time.
+"""
+
+from enum import StrEnum
+
+import msgspec
+
+
+class FinalOutcome(StrEnum):
+    """What became of a request; the values are the stored words."""
+
+    SUCCEEDED = "satisfied"
+    REJECTED = "nacked"  # it did not run, or may run again
+    FAILED = "abandoned"  # it may have run; nothing is promised about its effect
+    INVALID = "rejected"  # a worker found the request itself wrong
+
+
+class AttemptOutcome(StrEnum):
+    """How an attempt ended; the values are the stored words. A word of a later version is kept as it is."""
+
+    UNKNOWN = ""
+    SUCCEEDED = "satisfied"
+    WORKER_ERROR = "worker_error"
+    WORKER_FULL = "full"
+    INVALID = "rejected"
+    CONNECTION_LOST = "broken_off"
+    UNREACHABLE = "unreachable"
+    TIMED_OUT = "timed_out"
+    CANCELLED = "recalled"
+    NOT_SENT = "not_sent"
+
+    @classmethod
+    def _missing_(cls, value: object) -> "AttemptOutcome | None":
+        # A replica of this version must apply what a later one has committed, and snapshot it unchanged.
+        if not isinstance(value, str):
+            return None
+        outcome = str.__new__(cls, value)
+        outcome._name_ = "OF_LATER_VERSION"
+        outcome._value_ = value
+        return outcome
+
+
+class AcceptRequest(msgspec.Struct, array_like=True, frozen=True, tag="take"):
+    """A request was accepted and will be answered."""
+
+    request_id: str
+    request_class: int  # its number in the settings
+    digest: bytes  # of the request, to tell another one under the same id apart
+    deadline: int
+    now: int
+
+
+class StartAttempt(msgspec.Struct, array_like=True, frozen=True, tag="intend"):
+    """An attempt may be sent to a worker; committed before it is."""
+
+    request_id: str
+    worker: str
+    index: int  # of the attempt among those of the request
+    now: int
+    wall_time: int = 0
+
+
+class FinishAttempt(msgspec.Struct, array_like=True, frozen=True, tag="outcome"):
+    """An attempt ended."""
+
+    request_id: str
+    index: int
+    outcome: AttemptOutcome
+
+
+class AnswerRequest(msgspec.Struct, array_like=True, frozen=True, tag="answer"):
+    """A request got its final answer; the first one that is committed stands."""
+
+    request_id: str
+    outcome: FinalOutcome
+    result: str
+    digest: bytes
+    now: int
+
+
+class CommitConfiguration(msgspec.Struct, array_like=True, frozen=True, tag="configure"):
+    """The next version of the configuration that the replicas share."""
+
+    body: str
+    committed_by: str
+    wall_time: int
+    token: int = 0  # fencing token of the lease under which it was committed; 0: none
+
+
+LogCommand = AcceptRequest | StartAttempt | FinishAttempt | AnswerRequest | CommitConfiguration
+COMMAND_TYPES = (AcceptRequest, StartAttempt, FinishAttempt, AnswerRequest, CommitConfiguration)
+KNOWN_VERBS = tuple(command_type.__struct_config__.tag for command_type in COMMAND_TYPES)
+
+
+def encode_command(command: LogCommand) -> list[object]:
+    """Give the array that stands for a command in the log."""
+    encoded: list[object] = msgspec.to_builtins(command, builtin_types=(bytes,))
+    return encoded
+
+
+def decode_command(entry: object) -> LogCommand | None:
+    """Read an array of the log; None for a verb of a later version, which changes nothing here.
+
+    Raises msgspec.ValidationError where a known verb is not followed by its fields.
+    """
+    if not isinstance(entry, list) or entry[0] not in KNOWN_VERBS:
+        return None
+    command: LogCommand = msgspec.convert(entry, LogCommand)
+    return command
--- a/ploverspoke/testbed/capacity/kept.py
+++ b/ploverspoke/testbed/capacity/kept.py
@@ -11,7 +11,16 @@
 import msgspec
 
 from ploverspoke.consensus.storage import ReplicaStorage
-from ploverspoke.store.state_machine import ANSWER, INTEND, OUTCOME, TAKE, RequestStateMachine
+from ploverspoke.store.log_commands import (
+    AcceptRequest,
+    AnswerRequest,
+    AttemptOutcome,
+    FinalOutcome,
+    FinishAttempt,
+    StartAttempt,
+    encode_command,
+)
+from ploverspoke.store.state_machine import RequestStateMachine
 
 from .process import used
 
@@ -24,13 +33,13 @@
     for n in range(count):
         name, now = f"{n:016x}", n * 1_000_000
         for command in (
-            [TAKE, name, 1, b"0" * 16, now + 2_000_000_000, now],
-            [INTEND, name, "w1", 0, now],
-            [OUTCOME, name, 0, "satisfied"],
-            [ANSWER, name, "satisfied", RESULT, b"0" * 16, now],
+            AcceptRequest(name, 1, b"0" * 16, now + 2_000_000_000, now),
+            StartAttempt(name, "w1", 0, now),
+            FinishAttempt(name, 0, AttemptOutcome.SUCCEEDED),
+            AnswerRequest(name, FinalOutcome.SUCCEEDED, RESULT, b"0" * 16, now),
         ):
             at += 1
-            ledger.apply(at, command)
+            ledger.apply(at, encode_command(command))
     return at
 
 
--- a/ploverspoke/testbed/store_bench.py
+++ b/ploverspoke/testbed/store_bench.py
@@ -24,7 +24,16 @@
 from ploverspoke.consensus.replica import WriteBatch
 from ploverspoke.consensus.replica_client import call_replica
 from ploverspoke.consensus.storage import ReplicaStorage
-from ploverspoke.store.state_machine import ANSWER, INTEND, OUTCOME, TAKE, RequestStateMachine
+from ploverspoke.store.log_commands import (
+    AcceptRequest,
+    AnswerRequest,
+    AttemptOutcome,
+    FinalOutcome,
+    FinishAttempt,
+    StartAttempt,
+    encode_command,
+)
+from ploverspoke.store.state_machine import RequestStateMachine
 
 from .bench import WORKERS, Process
 from .experiment import experiment_of
@@ -250,14 +259,15 @@
             for n in range(first, min(first + 250, submissions)):
                 name, now = f"{n:016x}", n * 1_000_000
                 for command in (
-                    [TAKE, name, 1, b"0" * 16, now + 2_000_000_000, now],
-                    [INTEND, name, "w1", 0, now],
-                    [OUTCOME, name, 0, "satisfied"],
-                    [ANSWER, name, "satisfied", "x" * 64, b"0" * 16, now],
+                    AcceptRequest(name, 1, b"0" * 16, now + 2_000_000_000, now),
+                    StartAttempt(name, "w1", 0, now),
+                    FinishAttempt(name, 0, AttemptOutcome.SUCCEEDED),
+                    AnswerRequest(name, FinalOutcome.SUCCEEDED, "x" * 64, b"0" * 16, now),
                 ):
                     at += 1
-                    batch.entries.append(Entry(at, 1, "data", command))
-                    ledger.apply(at, command)
+                    stored = encode_command(command)
+                    batch.entries.append(Entry(at, 1, "data", stored))
+                    ledger.apply(at, stored)
             disk.write(batch)
             if at - since >= 20_000:
                 since = at
@@ -274,8 +284,8 @@
         disk.open()
         disk.begin("r0.1", "bench", {})
         for n in range(count):
-            ledger.apply(n, [TAKE, f"{n:016x}", 1, b"0" * 16, 1 << 62, n])
-            ledger.apply(n, [INTEND, f"{n:016x}", "w1", 0, n])
+            ledger.apply(n, encode_command(AcceptRequest(f"{n:016x}", 1, b"0" * 16, 1 << 62, n)))
+            ledger.apply(n, encode_command(StartAttempt(f"{n:016x}", "w1", 0, n)))
         disk.keep_snapshot(2 * count, 1, {}, ledger.dump())
         disk.close()
         began = time.perf_counter()
--- a/tests/leases/test_fleet_tasks.py
+++ b/tests/leases/test_fleet_tasks.py
@@ -14,7 +14,8 @@
 from ploverspoke.leases.fencing import FencingTokenGuard
 from ploverspoke.leases.fleet_tasks import figures, put_whole, written_under
 from ploverspoke.leases.guarded_task import GuardedStep, act
-from ploverspoke.store.state_machine import CONFIGURE, RequestStateMachine
+from ploverspoke.store.log_commands import CommitConfiguration, encode_command
+from ploverspoke.store.state_machine import RequestStateMachine
 from ploverspoke.testbed.processes.addresses import held_ports
 from ploverspoke.testbed.processes.lease_run import Leases
 from ploverspoke.testbed.processes.rig import listens
@@ -190,10 +191,10 @@
 def test_a_store_takes_no_configuration_under_an_older_token() -> None:
     ledger = RequestStateMachine()
     for body, token in (("a", 0), ("b", 7), ("late", 6), ("without", 0), ("c", 7), ("d", 9)):
-        ledger.apply(1, [CONFIGURE, body, "me", 1, token])
+        ledger.apply(1, encode_command(CommitConfiguration(body, "me", 1, token)))
     again = RequestStateMachine()
     again.load(ledger.dump())
-    again.apply(1, [CONFIGURE, "late", "me", 1, 8])
+    again.apply(1, encode_command(CommitConfiguration("late", "me", 1, 8)))
     assert [c.body for c in again.configurations] == ["a", "b", "c", "d"]
 
 
