--- a/ploverspoke/routing/admin_server.py
+++ b/ploverspoke/routing/admin_server.py
@@ -106,14 +106,14 @@
         return admin.said_yes("ready")
 
     def _figures(self) -> Iterator[str]:
-        dispatcher, figures = self.router.dispatcher, self.router.figures
+        dispatcher, counters = self.router.dispatcher, self.router.counters
         listed = dispatcher.listed_workers()
-        yield from figures.operations()
+        yield from counters.operations()
         yield admin.figure("open_requests", self.router.open_now())
         yield admin.figure("registry_entries", len(listed))
         yield admin.figure("out_of_rotation", sum(dispatcher.avoids(w) for w in listed))
-        yield admin.figure("cfg_accepted", figures.accepted)
-        yield admin.figure("cfg_invalid", figures.invalid)
+        yield admin.figure("cfg_accepted", counters.configs_accepted)
+        yield admin.figure("cfg_invalid", counters.configs_invalid)
 
     def _came(self, connection: Connection) -> None:
         AdminConnection(self, connection)
--- a/ploverspoke/routing/client_server.py
+++ b/ploverspoke/routing/client_server.py
@@ -13,6 +13,7 @@
 from ploverspoke.transport.slot_table import SlotTable
 from ploverspoke.transport.units import MILLISECOND, SECOND
 
+from .answers import FinalAnswer
 from .requests import Request
 from .router import Router
 
@@ -25,6 +26,12 @@
 MOST_AHEAD = 256 * 1024  # that are kept; who sends more is closed with the answer that it waits for
 MOST_THROWN_AWAY = 8 * 1024 * 1024  # of those beyond; then it has to wait
 
+ANSWERS = {  # status and body of those that carry no result
+    FinalAnswer.REJECTED: (503, b"nacked"),
+    FinalAnswer.FAILED: (504, b"abandoned"),
+    FinalAnswer.INVALID_REQUEST: (400, b"no worker can use it"),
+}
+
 
 class ClientSession:
     """One client's connection."""
@@ -137,7 +144,7 @@
                 self.door.router.turned_away(self.reader.target.decode("latin-1"))
             self.waiting.clear()
             self.keep = False
-            self.nacked(0)
+            self.answer(FinalAnswer.REJECTED)
 
     def _weigh(self) -> None:
         held = len(self.reader.body) if self.reader.inside else 0
@@ -165,7 +172,7 @@
             else:
                 submission = self.door.router.take(self, method, target, headers, body)
             if submission is None:
-                self.nacked(0)
+                self.answer(FinalAnswer.REJECTED)
             else:
                 # Who only asks whether we are ready is not served: hundreds did, and pushed others out.
                 self.served = True
@@ -197,26 +204,22 @@
 
     # ---- Answers ----
 
-    def satisfied(self, result: str) -> None:
-        self._answer(200, result.encode("utf-8", "surrogatepass"))
-
-    def nacked(self, come_back_after: int) -> None:
-        self._answer(503, b"nacked", come_back_after)
-
-    def abandoned(self) -> None:
-        self._answer(504, b"abandoned")
-
-    def rejected(self) -> None:
-        self._answer(400, b"no worker can use it")
+    def answer(self, answer: FinalAnswer, result: str = "", retry_after: int = 0) -> None:
+        """Write the final answer of the request in hand."""
+        if answer is FinalAnswer.SUCCEEDED:
+            self._answer(200, result.encode("utf-8", "surrogatepass"))
+        else:
+            status, body = ANSWERS[answer]
+            self._answer(status, body, retry_after)
 
-    def has_left(self) -> bool:
+    def has_disconnected(self) -> bool:
         left = self.connection.was_left()
         if left:
             # Where reading is held, or the loop has not come round, its end would be heard too late or never.
             self.connection.abort()
         return left
 
-    def dropped(self) -> None:
+    def disconnect(self) -> None:
         self.answering = False
         self.submission = None
         self.hang_up()
--- a/ploverspoke/routing/counters.py
+++ b/ploverspoke/routing/counters.py
@@ -2,53 +2,76 @@
 
 from collections import Counter
 from collections.abc import Iterable, Iterator
+from enum import Enum, auto
 
 from ploverspoke.protocol import admin
 
-# How a submission can end, and what the operators' page calls that. Who left got no answer and is not shown.
-SHOWN_AS = {"satisfied": "fulfilled", "nacked": "throttled", "abandoned": "faulted", "rejected": "faulted"}
+from .answers import FinalAnswer
+
+
+class UnansweredEnd(Enum):
+    """How a request ends without an answer from this process; operators are not shown these."""
+
+    CLIENT_DISCONNECTED = auto()
+    LEFT_TO_LEADER = auto()  # another replica of the store answers it
+
+
+RequestEnd = FinalAnswer | UnansweredEnd
+
+# The operators' names of the final answers, and the order in which they are shown.
+STATUS_NAMES = {
+    FinalAnswer.SUCCEEDED: "fulfilled",
+    FinalAnswer.REJECTED: "throttled",
+    FinalAnswer.FAILED: "faulted",
+    FinalAnswer.INVALID_REQUEST: "faulted",
+}
 STATUSES = ("fulfilled", "throttled", "faulted")
-LEFT, DROPPED = "left", "dropped"  # the client left; its answer is another replica's to give
+ATTEMPTS_STATUS = "relayed"
 
 
 class Counters:
-    """Counts by the name of the service grade: a grade that was dropped keeps its own."""
+    """Counts by the name of the request class: a class that was dropped from the settings keeps its own."""
 
     def __init__(self) -> None:
-        self.taken = 0
-        self.ends: dict[str, Counter[str]] = {}
-        self.written: Counter[str] = Counter()  # attempts that a worker's connection took whole
-        self.accepted = 0  # configurations
-        self.invalid = 0
+        self.admitted = 0  # requests, also those that were rejected at once
+        self.ends: dict[str, Counter[RequestEnd]] = {}
+        self.attempts: Counter[str] = Counter()  # that a worker's connection took whole
+        self.configs_accepted = 0
+        self.configs_invalid = 0
 
-    def name(self, grades: Iterable[str]) -> None:
-        """These are shown from now on, be it with 0."""
-        for grade in grades:
-            self.ends.setdefault(grade, Counter())
+    def show(self, class_names: Iterable[str]) -> None:
+        """Show these classes from now on, even while they have counted nothing."""
+        for class_name in class_names:
+            self.ends.setdefault(class_name, Counter())
 
-    def took(self) -> None:
-        self.taken += 1
+    def count_admitted(self) -> None:
+        """Count a request that was admitted."""
+        self.admitted += 1
 
-    def ended(self, grade: str, how: str) -> None:
-        self.ends.setdefault(grade, Counter())[how] += 1
+    def count_end(self, class_name: str, end: RequestEnd) -> None:
+        """Count the one end of an admitted request."""
+        self.ends.setdefault(class_name, Counter())[end] += 1
 
-    def turned_away(self, grade: str) -> None:
-        """Nacked at the door."""
-        self.took()
-        self.ended(grade, "nacked")
+    def count_turned_away(self, class_name: str) -> None:
+        """Count a request that was rejected because there is no capacity for it."""
+        self.count_admitted()
+        self.count_end(class_name, FinalAnswer.REJECTED)
 
-    def wrote(self, grade: str) -> None:
-        self.written[grade] += 1
+    def count_attempt(self, class_name: str) -> None:
+        """Count an attempt that was written whole."""
+        self.attempts[class_name] += 1
 
-    def ended_in_all(self) -> int:
+    def total_ended(self) -> int:
+        """The requests that have ended, in all classes."""
         return sum(sum(ends.values()) for ends in self.ends.values())
 
     def operations(self) -> Iterator[str]:
-        for grade, ends in self.ends.items():
+        """The lines that operators fetch: four for each request class."""
+        for class_name, ends in self.ends.items():
             shown = Counter[str]()
-            for how, count in ends.items():
-                if how in SHOWN_AS:
-                    shown[SHOWN_AS[how]] += count
+            for end, count in ends.items():
+                if isinstance(end, FinalAnswer):
+                    shown[STATUS_NAMES[end]] += count
             for status in STATUSES:
-                yield admin.operations(grade, status, shown[status])
-            yield admin.operations(grade, "relayed", self.written[grade])
+                yield admin.operations(class_name, status, shown[status])
+            yield admin.operations(class_name, ATTEMPTS_STATUS, self.attempts[class_name])
--- a/ploverspoke/routing/request_log.py
+++ b/ploverspoke/routing/request_log.py
@@ -1,85 +1,99 @@
-"""What the router asks of a store, where there is one: what is written down before what may happen.
+"""What the router asks of a replicated store: requests, attempts and answers are committed before they act.
 
-Without a store the router has no scribe, and none of this is called.
+Without a store the router has no request log, and none of this is called.
 """
 
 from collections.abc import Callable
-from typing import Any, NamedTuple, Protocol
+from typing import NamedTuple, Protocol
 
-CommitCallback = Callable[[bool], None]  # told whether it is committed; not from inside the call
+from .answers import Client, FinalAnswer, RecordedAnswer
+
+CommitCallback = Callable[[bool], None]  # called with whether it was committed; never from inside the call
 
 
 class PreviousOutcome(NamedTuple):
-    """What the store knows of an id from before."""
+    """What the store knows of a request id that was used before."""
 
-    answer: tuple[str, str] | None  # how and result, where it is answered
+    answer: RecordedAnswer | None  # None: not answered yet
     digest: bytes
-    hand_offs: int  # spent
-    bound_to: str  # the worker that may have run it; "": none may
-    bound_for: int  # ns since it was sent there
+    attempt_count: int
+    bound_worker: str  # the first worker that may have run it; "": none may have
+    time_since_bound: int  # ns since the attempt at that worker
 
 
 class RequestLog(Protocol):
-    def leads(self) -> bool:
-        """Whether this replica may act: no other can lead now."""
+    """The durable record of requests, shared by the replicas of a store."""
+
+    def is_leader(self) -> bool:
+        """Whether this replica may act: no other one can be the leader now."""
 
     def leader_address(self) -> str:
-        """Where clients are to go instead; "" where nobody is known to lead."""
+        """The address that clients are redirected to; "" where no leader is known."""
 
     def digest(self, method: str, target: str, body: bytes) -> bytes:
-        """Tells two requests under one id apart."""
+        """A digest that tells apart two different requests under one id."""
 
-    def past(self, request_id: str) -> PreviousOutcome | None: ...
+    def previous_outcome(self, request_id: str) -> PreviousOutcome | None:
+        """What is known of the id from before; None if it is new."""
 
-    def take(self, request_id: str, grade: int, digest: bytes, left: int, then: CommitCallback) -> None:
-        """`left` is ns until its abandon time."""
+    def record_request(
+        self,
+        request_id: str,
+        class_number: int,
+        digest: bytes,
+        time_left: int,
+        on_committed: CommitCallback,
+    ) -> None:
+        """Record an admitted request; `time_left` is in ns until its deadline."""
 
-    def intend(self, request_id: str, worker: str, index: int, then: CommitCallback) -> None: ...
+    def record_attempt(self, request_id: str, worker: str, index: int, on_committed: CommitCallback) -> None:
+        """Record that the attempt with this index, counted from 0, is about to be sent to the worker."""
 
-    def outcome(self, request_id: str, index: int, outcome: str) -> None: ...
+    def record_attempt_outcome(self, request_id: str, index: int, outcome: str) -> None:
+        """Record how an attempt ended; nothing waits for this commit."""
 
-    def answer(self, request_id: str, how: str, result: str, digest: bytes, then: CommitCallback) -> None: ...
+    def record_answer(
+        self, request_id: str, answer: RecordedAnswer, digest: bytes, on_committed: CommitCallback
+    ) -> None:
+        """Record the final answer; the callback gets False where another answer was committed first."""
 
 
 class PendingAttempt:
-    """A hand-off whose intent is on its way to be committed; in the place of its errand until then."""
+    """An attempt whose record is not committed yet; it stands in the place of its worker call until then."""
 
     def __init__(self) -> None:
-        self.called_off = False
+        self.cancelled = False
 
-    def give_up(self) -> None:
-        self.called_off = True
+    def cancel(self) -> None:
+        """Do not send it once it is committed."""
+        self.cancelled = True
 
     def withhold(self) -> None:
-        self.called_off = True
+        """Do not send it once it is committed."""
+        self.cancelled = True
 
 
 class WaitingClients:
-    """All clients that wait for one submission; a client that comes back with its id joins the others."""
-
-    def __init__(self, first: Any) -> None:
-        self.clients: list[Any] = [first]
-
-    def satisfied(self, result: str) -> None:
-        self._all(lambda client: client.satisfied(result))
-
-    def nacked(self, come_back_after: int) -> None:
-        self._all(lambda client: client.nacked(come_back_after))
+    """All clients that wait for one request: a client that comes back with its id joins the others."""
 
-    def abandoned(self) -> None:
-        self._all(lambda client: client.abandoned())
+    def __init__(self, first: Client) -> None:
+        self.clients = [first]
 
-    def rejected(self) -> None:
-        self._all(lambda client: client.rejected())
+    def answer(self, answer: FinalAnswer, result: str = "", retry_after: int = 0) -> None:
+        """Give all of them the final answer."""
+        for client in self._release():
+            client.answer(answer, result, retry_after)
 
-    def has_left(self) -> bool:
-        """All have; what was resumed for nobody yet goes on."""
-        return bool(self.clients) and all([client.has_left() for client in self.clients])
+    def has_disconnected(self) -> bool:
+        """Whether all have; a request that was resumed and has no client yet goes on."""
+        # Each is asked: a client that is found to have left closes its connection.
+        return bool(self.clients) and all([client.has_disconnected() for client in self.clients])
 
-    def dropped(self) -> None:
-        self._all(lambda client: client.dropped())
+    def disconnect(self) -> None:
+        """Close all their connections without an answer."""
+        for client in self._release():
+            client.disconnect()
 
-    def _all(self, give: Callable[[Any], None]) -> None:
+    def _release(self) -> list[Client]:
         clients, self.clients = self.clients, []
-        for client in clients:
-            give(client)
+        return clients
--- a/ploverspoke/routing/requests.py
+++ b/ploverspoke/routing/requests.py
@@ -1,32 +1,12 @@
 """One submission taken from a client, until it is answered and its hand-offs have ended."""
 
-from typing import Protocol
-
 from ploverspoke.transport.deadlines import Deadline
 
+from .answers import Client
 from .request_log import PendingAttempt, WaitingClients
 from .worker_calls import WorkerCall
 
 
-class Client(Protocol):
-    """Who waits for the answer."""
-
-    def satisfied(self, result: str) -> None: ...
-
-    def nacked(self, come_back_after: int) -> None: ...
-
-    def abandoned(self) -> None: ...
-
-    def rejected(self) -> None:
-        """The request is at fault."""
-
-    def has_left(self) -> bool:
-        """Whether nobody waits any more, be it that we have not been told yet."""
-
-    def dropped(self) -> None:
-        """No answer can be given here: another replica has it, or will have."""
-
-
 class Request:
     def __init__(
         self,
--- a/ploverspoke/routing/router.py
+++ b/ploverspoke/routing/router.py
@@ -23,13 +23,14 @@
 from ploverspoke.transport.slot_table import SlotTable
 from ploverspoke.transport.units import MILLISECOND, SECOND
 
-from .counters import DROPPED, LEFT, Counters
+from .answers import Client, FinalAnswer, RecordedAnswer
+from .counters import Counters, RequestEnd, UnansweredEnd
 from .endpoint_watch import EndpointWatch
 from .load_gossip import GossipSocket
 from .outcomes import OUTCOMES
 from .request_classes import RequestClassTable
 from .request_log import PendingAttempt, PreviousOutcome, RequestLog, WaitingClients
-from .requests import Client, Request
+from .requests import Request
 from .worker_calls import WorkerCall
 
 PROBE_TIME_OUT = 250 * MILLISECOND
@@ -54,18 +55,6 @@
     return not settings.discovery_polling
 
 
-def give(client: Client, how: str, result: str, come_back_after: int = 0) -> None:
-    """One final answer, by its name."""
-    if how == "satisfied":
-        client.satisfied(result)
-    elif how == "nacked":
-        client.nacked(come_back_after)
-    elif how == "rejected":
-        client.rejected()
-    else:
-        client.abandoned()
-
-
 class AttemptCall:
     """Tells the router what becomes of one hand-off."""
 
@@ -77,7 +66,7 @@
         self.sent_at = router.now()
 
     def errand_written(self) -> None:
-        self.router.figures.wrote(self.router.rows.names[self.submission.grade])
+        self.router.counters.count_attempt(self.router.rows.names[self.submission.grade])
 
     def errand_started(self) -> None:
         self.router.tell(self.router.dispatcher.attempt_started, self.submission.number, self.index)
@@ -138,8 +127,8 @@
         self.on_roster: Callable[[bytes], None] | None = None  # told what discovery told
         self.by_id: dict[str, Request] = {}  # those in flight, where there is a store
         self.rows = RequestClassTable(names.request_classes)
-        self.figures = Counters()
-        self.figures.name(names.request_classes)
+        self.counters = Counters()
+        self.counters.show(names.request_classes)
         self.zones = {name: number for number, name in enumerate(names.zones)}
         self.machine_kinds = {name: number for number, name in enumerate(names.machine_kinds)}
         self.x0 = x0_in(settings)
@@ -185,7 +174,7 @@
         translated = replace(settings, zone=zone, classes=classes)
         in_use = {submission.grade for submission in self.submissions}
         self.settings, takes_over = self.rows.follow(self.settings, translated, names.request_classes, in_use)
-        self.figures.name(names.request_classes)
+        self.counters.show(names.request_classes)
         self.x0 = x0_in(self.settings)
         self.roster.hold, self.roster.pushed = hold_in(self.settings), is_pushed(self.settings)
         self.tell(self.dispatcher.settings_changed, self.settings, takes_over)
@@ -229,13 +218,13 @@
             if known is not None:
                 return known
         if len(self.submissions) >= self.settings.max_open_requests:
-            self.figures.turned_away(self.rows.names[grade])
+            self.counters.count_turned_away(self.rows.names[grade])
             return None
         # What waited for us to be read, and the way back, are time that the client has not.
         abandon_at = self.now() + patience - min(ANSWER_EARLY, patience // 10)
         submission = Request(client, grade, method, target, headers, body, abandon_at)
         submission.number = self.submissions.add(submission)
-        self.figures.took()
+        self.counters.count_admitted()
         self.body_bytes += len(body)
         self._remember(submission.request_id)
         # The decisions answer in time; this guards the client against a fault in them.
@@ -253,14 +242,14 @@
         if self.scribe is None:
             arrived()
         else:
-            self._write_down(self.scribe, submission, arrived)
+            self._write_down(self.scribe, submission, client, arrived)
         return submission
 
     # ---- Where there is a store ----
 
     def elsewhere(self) -> str | None:
         """Where clients are to go; None: here, "" nowhere yet."""
-        if self.scribe is None or self.scribe.leads():
+        if self.scribe is None or self.scribe.is_leader():
             return None
         return self.scribe.leader_address()
 
@@ -275,7 +264,7 @@
     ) -> Request | None:
         """An id that was here before: its client waits with the others, or gets the same answer again."""
         request_id, digest = headers["request-id"], scribe.digest(method, target, body)
-        flying, past = self.by_id.get(request_id), scribe.past(request_id)
+        flying, past = self.by_id.get(request_id), scribe.previous_outcome(request_id)
         told = flying.digest if flying is not None else past.digest if past is not None else digest
         if told != digest:
             raise clients.RequestIdInUseError("request-id is in use")
@@ -285,23 +274,24 @@
             flying.waiters.clients.append(client)
             return flying
         if past is not None and past.answer is not None:
-            how, result = past.answer
             answered = Request(client, 0, method, target, headers, b"", 0)
-            give(client, how, result)
+            client.answer(past.answer.answer, past.answer.result)
             return answered
         return None
 
-    def _write_down(self, scribe: RequestLog, submission: Request, arrived: Callable[[], None]) -> None:
+    def _write_down(
+        self, scribe: RequestLog, submission: Request, client: Client, arrived: Callable[[], None]
+    ) -> None:
         """The decisions hear of it when it is committed that we have it; redoable ones need not wait for
         that.
         """
         submission.digest = scribe.digest(submission.method, submission.target, submission.body)
-        submission.client = submission.waiters = WaitingClients(submission.client)
+        submission.client = submission.waiters = WaitingClients(client)
         self.by_id[submission.request_id] = submission
         if self.settings.classes[submission.grade].idempotency is Idempotency.IDEMPOTENT:
             arrived()
             return
-        past = scribe.past(submission.request_id)
+        past = scribe.previous_outcome(submission.request_id)
         if past is not None:
             self._resume(submission, past)
             arrived()
@@ -317,15 +307,15 @@
                 self._drop(submission)
 
         left = submission.abandon_at - self.now()
-        scribe.take(submission.request_id, submission.grade, submission.digest, left, committed)
+        scribe.record_request(submission.request_id, submission.grade, submission.digest, left, committed)
 
     def _resume(self, submission: Request, past: PreviousOutcome) -> None:
         """Another replica had it: its hand-offs count, and it is bound by the first that may have run."""
-        submission.hand_offs = [None] * past.hand_offs
-        submission.sent = past.hand_offs > 0
-        sent_at = self.now() - past.bound_for
+        submission.hand_offs = [None] * past.attempt_count
+        submission.sent = past.attempt_count > 0
+        sent_at = self.now() - past.time_since_bound
         number = submission.number
-        self.tell(self.dispatcher.request_resumed, number, past.hand_offs, past.bound_to, sent_at)
+        self.tell(self.dispatcher.request_resumed, number, past.attempt_count, past.bound_worker, sent_at)
 
     def _intend(self, scribe: RequestLog, hand_off: AttemptCall, time_out: int) -> None:
         """Nothing that must not run twice leaves before it is committed that it may."""
@@ -336,12 +326,12 @@
             if submission.hand_offs[index] is not pending:
                 return
             left = until - self.now()
-            if yes and left > 0 and not pending.called_off:
+            if yes and left > 0 and not pending.cancelled:
                 self._send(hand_off, left)
             else:
                 self.attempt_ended(hand_off, ExchangeOutcome.WITHHELD, "", None)
 
-        scribe.intend(submission.request_id, hand_off.worker, index, committed)
+        scribe.record_attempt(submission.request_id, hand_off.worker, index, committed)
 
     def lead_no_more(self) -> None:
         """Another replica answers from now on; what is out goes on, and its ends are no business of ours."""
@@ -354,10 +344,10 @@
         """Its answer is another replica's to give."""
         client = submission.client
         if client is not None:
-            self._close(submission, DROPPED)
+            self._close(submission, UnansweredEnd.LEFT_TO_LEADER)
         self.by_id.pop(submission.request_id, None)
         if client is not None:
-            client.dropped()
+            client.disconnect()
         self._forget(submission)
 
     def _must_be_new(self, request_id: str) -> None:
@@ -375,7 +365,7 @@
         """The door had no room for this request; where its grade is none of ours it is no job."""
         grade = clients.grade_name(target)
         if grade in self.rows.numbers:
-            self.figures.turned_away(grade)
+            self.counters.count_turned_away(grade)
 
     def open_now(self) -> int:
         return sum(submission.client is not None for submission in self.submissions)
@@ -387,7 +377,7 @@
                 submission.waiters.clients.remove(client)
             self._end_unsent(submission)
         elif submission.client is not None:
-            self._close(submission, LEFT)
+            self._close(submission, UnansweredEnd.CLIENT_DISCONNECTED)
             self.tell(self.dispatcher.client_disconnected, submission.number)
             self._forget(submission)
 
@@ -399,7 +389,7 @@
         if waiters is None or waiters.clients or submission.sent or submission.out():
             return
         if submission.client is not None:
-            self._answer(submission, "nacked")
+            self._answer(submission, FinalAnswer.REJECTED)
             self.tell(self.dispatcher.client_disconnected, submission.number)
 
     def answer_all(self) -> None:
@@ -435,12 +425,12 @@
         submission.hand_offs[hand_off.index] = None
         self._end_unsent(submission)
         if self.scribe is not None and self._is_kept(submission):
-            self.scribe.outcome(submission.request_id, hand_off.index, OUTCOMES[end])
+            self.scribe.record_attempt_outcome(submission.request_id, hand_off.index, OUTCOMES[end])
         if end is ExchangeOutcome.SERVED:
-            self._answer(submission, "satisfied", result)
+            self._answer(submission, FinalAnswer.SUCCEEDED, result)
         elif end is ExchangeOutcome.REJECTED:
             # Sent to one worker after the other it set them aside, one by one.
-            self._answer(submission, "rejected")
+            self._answer(submission, FinalAnswer.INVALID_REQUEST)
         self.tell(
             self.dispatcher.attempt_ended,
             submission.number,
@@ -561,8 +551,10 @@
             submission.client is not None
             and worker.ready  # else it was told to be draining or gone meanwhile
             and self.addresses.get(hand_off.worker) == address
-            and (self.scribe is None or self.scribe.leads())  # a leader that was paused may be none any more
-            and not submission.client.has_left()
+            and (
+                self.scribe is None or self.scribe.is_leader()
+            )  # a leader that was paused may be none any more
+            and not submission.client.has_disconnected()
         )
         submission.sent = submission.sent or may
         return may
@@ -571,13 +563,13 @@
         submission = self.submissions.get(submission_id)
         errand = submission.hand_offs[hand_off] if submission is not None else None
         if errand is not None:
-            errand.give_up()
+            errand.cancel()
 
     def reject(self, submission_id: int, come_back_after: int) -> None:
-        self._answer(self.submissions.get(submission_id), "nacked", "", come_back_after)
+        self._answer(self.submissions.get(submission_id), FinalAnswer.REJECTED, "", come_back_after)
 
     def fail(self, submission_id: int) -> None:
-        self._answer(self.submissions.get(submission_id), "abandoned")
+        self._answer(self.submissions.get(submission_id), FinalAnswer.FAILED)
 
     def wake_at(self, token: int, when: int) -> None:
         self.deadlines.at(when, lambda: self.tell(self.dispatcher.timer_fired, token))
@@ -619,7 +611,7 @@
     # ---- The life of a submission ----
 
     def _answer(
-        self, submission: Request | None, how: str, result: str = "", come_back_after: int = 0
+        self, submission: Request | None, how: FinalAnswer, result: str = "", come_back_after: int = 0
     ) -> None:
         """Its one final answer, unless it has had that or its client has left."""
         if submission is None or submission.client is None:
@@ -627,23 +619,24 @@
         client = submission.client
         self._close(submission, how)
         if self.scribe is None:
-            give(client, how, result, come_back_after)
+            client.answer(how, result, come_back_after)
         else:
             # Whoever asks for it again, here or at another replica, must hear the same.
             def committed(yes: bool) -> None:
                 self.by_id.pop(submission.request_id, None)
                 if yes:
-                    give(client, how, result, come_back_after)
+                    client.answer(how, result, come_back_after)
                 else:
-                    client.dropped()
+                    client.disconnect()
 
-            self.scribe.answer(submission.request_id, how, result, submission.digest, committed)
+            answer = RecordedAnswer(how, result)
+            self.scribe.record_answer(submission.request_id, answer, submission.digest, committed)
         self._forget(submission)
 
-    def _close(self, submission: Request, how: str) -> None:
+    def _close(self, submission: Request, how: RequestEnd) -> None:
         """It gets its answer now, or wants none any more: nothing is sent for it from here on."""
         submission.client = None
-        self.figures.ended(self.rows.names[submission.grade], how)
+        self.counters.count_end(self.rows.names[submission.grade], how)
         self.deadlines.call_off(submission.last_answer)
         for errand in submission.hand_offs:
             if errand is not None:
--- a/ploverspoke/routing/worker_calls.py
+++ b/ploverspoke/routing/worker_calls.py
@@ -63,7 +63,7 @@
         self.late = self.deadlines.at(self.until, self._too_late)
         self.opening = pool.call(address, self, 0 if fresh else pool.safe_rest() if in_two else None)
 
-    def give_up(self) -> None:
+    def cancel(self) -> None:
         """Stop waiting: the connection is closed, and what was not sent yet is not sent."""
         self._stop(ExchangeOutcome.RECALLED, ExchangeOutcome.WITHHELD)
 
--- a/ploverspoke/service/service.py
+++ b/ploverspoke/service/service.py
@@ -133,9 +133,9 @@
         """A new configuration, read whole before anything changes: a bad one leaves all as it is."""
         try:
             self.take_configuration(self.read())
-            self.router.figures.accepted += 1
+            self.router.counters.configs_accepted += 1
         except ConfigError as error:
-            self.router.figures.invalid += 1
+            self.router.counters.configs_invalid += 1
             log_line(f"new configuration not taken, the old one goes on: {error}")
 
     def take_configuration(self, new: Config) -> None:
--- a/ploverspoke/store/request_log.py
+++ b/ploverspoke/store/request_log.py
@@ -5,6 +5,7 @@
 from collections.abc import Callable
 from hashlib import blake2b
 
+from ploverspoke.routing.answers import FinalAnswer, RecordedAnswer
 from ploverspoke.routing.request_log import CommitCallback, PreviousOutcome
 from ploverspoke.transport.rate_limited_log import log_line
 
@@ -31,7 +32,7 @@
         self.recovered = 0
         node.on_role.append(self._role_changed)
 
-    def leads(self) -> bool:
+    def is_leader(self) -> bool:
         return self.led and self.node.leads()
 
     def leader_address(self) -> str:
@@ -43,10 +44,12 @@
         head = f"{method} {target}\n".encode("utf-8", "surrogatepass")
         return blake2b(head + body, digest_size=16).digest()
 
-    def past(self, request_id: str) -> PreviousOutcome | None:
+    def previous_outcome(self, request_id: str) -> PreviousOutcome | None:
         answered = self.node.ledger.answered.get(request_id)
         if answered is not None:
-            return PreviousOutcome((answered.how, answered.result), answered.digest, 0, "", 0)
+            return PreviousOutcome(
+                RecordedAnswer(FinalAnswer(answered.how), answered.result), answered.digest, 0, "", 0
+            )
         job = self.node.ledger.open.get(request_id)
         if job is None:
             return None
@@ -60,22 +63,34 @@
         since = max(now - first.at, time.time_ns() - (first.wall or first.at))
         return PreviousOutcome(None, job.digest, found.hand_offs, first.worker, since)
 
-    def take(self, request_id: str, grade: int, digest: bytes, left: int, then: CommitCallback) -> None:
+    def record_request(
+        self,
+        request_id: str,
+        class_number: int,
+        digest: bytes,
+        time_left: int,
+        on_committed: CommitCallback,
+    ) -> None:
         now = self.node.clock.now()
-        self.node.propose([state_machine.TAKE, request_id, grade, digest, now + left, now], then)
+        command = [state_machine.TAKE, request_id, class_number, digest, now + time_left, now]
+        self.node.propose(command, on_committed)
 
-    def intend(self, request_id: str, worker: str, index: int, then: CommitCallback) -> None:
+    def record_attempt(self, request_id: str, worker: str, index: int, on_committed: CommitCallback) -> None:
         command = [state_machine.INTEND, request_id, worker, index, self.node.clock.now(), time.time_ns()]
-        self.node.propose(command, then)
+        self.node.propose(command, on_committed)
 
-    def outcome(self, request_id: str, index: int, outcome: str) -> None:
+    def record_attempt_outcome(self, request_id: str, index: int, outcome: str) -> None:
         self.node.propose([state_machine.OUTCOME, request_id, index, outcome], _nobody)
 
-    def answer(self, request_id: str, how: str, result: str, digest: bytes, then: CommitCallback) -> None:
+    def record_answer(
+        self, request_id: str, answer: RecordedAnswer, digest: bytes, on_committed: CommitCallback
+    ) -> None:
+        how, result = answer.answer.value, answer.result
+
         def told(yes: bool) -> None:
             # Another answer may have been committed first: then that one stands, and ours is not given.
             kept = self.node.ledger.answered.get(request_id)
-            then(yes and kept is not None and (kept.how, kept.result) == (how, result))
+            on_committed(yes and kept is not None and (kept.how, kept.result) == (how, result))
 
         self.node.propose(
             [state_machine.ANSWER, request_id, how, result, digest, self.node.clock.now()], told
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -37,6 +37,7 @@
 from ploverspoke.leases.config import read_lease_server_config, read_lease_servers
 from ploverspoke.leases.server_node import EPOCH_KEY
 from ploverspoke.leases.state_machine import LeaseStateMachine
+from ploverspoke.routing.answers import FinalAnswer, RecordedAnswer
 from ploverspoke.routing.outcomes import OUTCOMES
 from ploverspoke.service.config import read_config
 from ploverspoke.store.endpoint_cache import EndpointCache
@@ -100,10 +101,11 @@
     node.propose = lambda command, then: proposed.append(encoded(command))
     scribe = ReplicatedRequestLog(node, [], [])
     digest = scribe.digest("POST", "/book/1", b"{}")
-    scribe.take("job-1", 1, digest, 7 * SECOND, lambda yes: None)
-    scribe.intend("job-1", "w0", 1, lambda yes: None)
-    scribe.outcome("job-1", 1, "full")
-    scribe.answer("job-1", "satisfied", "fine", digest, lambda yes: None)
+    scribe.record_request("job-1", 1, digest, 7 * SECOND, lambda yes: None)
+    scribe.record_attempt("job-1", "w0", 1, lambda yes: None)
+    scribe.record_attempt_outcome("job-1", 1, "full")
+    answer = RecordedAnswer(FinalAnswer.SUCCEEDED, "fine")
+    scribe.record_answer("job-1", answer, digest, lambda yes: None)
     return proposed
 
 
--- a/tests/routing/test_admin_server.py
+++ b/tests/routing/test_admin_server.py
@@ -60,7 +60,7 @@
 def test_figures_add_up_whatever_the_workers_do() -> None:
     def adds_up(world: World) -> None:
         router = world.service.router
-        assert router.figures.ended_in_all() + router.open_now() == router.figures.taken
+        assert router.counters.total_ended() + router.open_now() == router.counters.admitted
 
     async def script(world: World) -> None:
         rng = random.Random(4)
--- a/tests/routing/test_race_conditions.py
+++ b/tests/routing/test_race_conditions.py
@@ -516,7 +516,7 @@
             await until(worker.peers[0].requests)
         steps: dict[str, Callable[[], Any]] = {
             "answer": lambda: [p.end.send(served("r")) for p in worker.called()[:1]],
-            "recall": errand.give_up,
+            "recall": errand.cancel,
             "late": lambda: clock.wake_after(61 * SECOND),
             "close": errand.withhold,
         }
--- a/tests/store/test_request_log.py
+++ b/tests/store/test_request_log.py
@@ -5,6 +5,7 @@
 
 import pytest
 
+from ploverspoke.routing.answers import RecordedAnswer
 from ploverspoke.routing.request_log import CommitCallback, PreviousOutcome
 from ploverspoke.testbed.audit import SOCKETS_SLACK, audit
 from ploverspoke.testbed.experiment import experiment_of
@@ -25,7 +26,7 @@
         self.outcomes: list[tuple[str, int, str]] = []
         self.kept: dict[str, PreviousOutcome] = {}
 
-    def leads(self) -> bool:
+    def is_leader(self) -> bool:
         return self.leading
 
     def leader_address(self) -> str:
@@ -34,23 +35,32 @@
     def digest(self, method: str, target: str, body: bytes) -> bytes:
         return target.encode() + body
 
-    def past(self, request_id: str) -> PreviousOutcome | None:
+    def previous_outcome(self, request_id: str) -> PreviousOutcome | None:
         return self.kept.get(request_id)
 
-    def take(self, request_id: str, grade: int, digest: bytes, left: int, then: CommitCallback) -> None:
-        self._commit("take", then)
+    def record_request(
+        self,
+        request_id: str,
+        class_number: int,
+        digest: bytes,
+        time_left: int,
+        on_committed: CommitCallback,
+    ) -> None:
+        self._commit("take", on_committed)
 
-    def intend(self, request_id: str, worker: str, index: int, then: CommitCallback) -> None:
-        self._commit("intend", then)
+    def record_attempt(self, request_id: str, worker: str, index: int, on_committed: CommitCallback) -> None:
+        self._commit("intend", on_committed)
 
-    def outcome(self, request_id: str, index: int, outcome: str) -> None:
+    def record_attempt_outcome(self, request_id: str, index: int, outcome: str) -> None:
         self.outcomes.append((request_id, index, outcome))
 
-    def answer(self, request_id: str, how: str, result: str, digest: bytes, then: CommitCallback) -> None:
+    def record_answer(
+        self, request_id: str, answer: RecordedAnswer, digest: bytes, on_committed: CommitCallback
+    ) -> None:
         def told(yes: bool) -> None:
             if yes:
-                self.kept[request_id] = PreviousOutcome((how, result), digest, 0, "", 0)
-            then(yes)
+                self.kept[request_id] = PreviousOutcome(answer, digest, 0, "", 0)
+            on_committed(yes)
 
         self._commit("answer", told)
 
