--- /dev/null
+++ b/ploverspoke/decisions/admission.py
@@ -0,0 +1,83 @@
+"""Admission: which requests are refused on arrival, and how long the others may wait in a queue."""
+
+from collections.abc import Mapping
+from dataclasses import dataclass
+
+from .attempts import Retries
+from .context import Context
+from .gossip import GossipExchange
+from .observations import Observations
+from .state import MILLISECOND, NO_WORKER, Request, RequestQueue
+
+QUEUEING_SHARE = 0.5  # of the time left before it must start that a request may wait here
+HIGHEST_REFUSAL_CHANCE = 0.9
+LATENESS_ACCEPTED = 0.3  # mean lateness of starts up to which none is refused
+
+
+@dataclass(eq=False)
+class Admission:
+    """Refuses requests, and keeps the queueing budgets of those that wait."""
+
+    context: Context
+    observations: Observations
+    queues: Mapping[tuple[float, int], RequestQueue]
+    gossip: GossipExchange
+    retries: Retries
+
+    def refuses(self, request: Request, now: int) -> bool:
+        """Whether it is refused on arrival, at random, where starts come late and no load is reported."""
+        settings = self.context.settings
+        if settings.probing_allowed or request.retry_group is not None:
+            return False
+        lateness = self.gossip.zone_lateness(settings.zone, now)
+        chance = min(HIGHEST_REFUSAL_CHANCE, lateness - LATENESS_ACCEPTED)
+        return chance > 0 and self.context.random.fraction() < chance
+
+    def set_deadlines(self, request: Request, deadline: int, work_hint: int) -> None:
+        """Set until when it must start to be on time, from its client's first try, and how long it waits."""
+        number, rules = request.class_number, request.rules
+        request.deadline = deadline
+        request.last_send_at = deadline - self.context.settings.batch_interval
+        times_given, shortest_mean = self.observations.times_given[number], self.observations.shortest_mean
+        times_given.append(deadline - request.arrived_at)
+        first_tried_at = deadline - max(times_given)
+        running_time = self.observations.class_running_time(number)
+        # The stretch counts a request's own work: running times that a jam has drawn out shorten the wait.
+        own_work = shortest_mean[number] = min(shortest_mean.get(number) or running_time, running_time)
+        if work_hint:
+            own_work = running_time = work_hint
+        time_left = max(0, rules.latency_objective + rules.latency_stretch * own_work - running_time)
+        # When not all can be on time, those of little weight make way first: they wait for less.
+        rank = rules.priority_weight / self.context.highest_weight
+        request.on_time_until = int(first_tried_at + time_left)
+        request.queueing_deadline = int(first_tried_at + QUEUEING_SHARE * rank * time_left)
+
+    def start_timer(self, request: Request, now: int) -> None:
+        """A request waits from now on: check on it when its budget or its time is over."""
+        when = request.queueing_deadline if now < request.queueing_deadline else request.last_send_at
+        self.context.timers.start(request, min(when, request.last_send_at))
+
+    def is_exhausted(self, request: Request, now: int) -> bool:
+        """Whether it has used up its budget and makes way for those that can still be on time."""
+        if now < request.queueing_deadline or request.retry_group not in (None, NO_WORKER):
+            return False
+        if not request.rules.overdue_weight:
+            return True
+        # One that nobody waits behind may still earn the weight of an overdue answer.
+        return any(len(queue.waiting) > (queue is request.queue) for queue in self.queues.values())
+
+    def check(self, request: Request, now: int) -> None:
+        """The timer of a waiting request has fired: it waits on or is given up."""
+        if request.queue.probed and now < request.last_send_at:
+            # The answers come first: they take no longer than a few round trips.
+            answered_at = request.queue.probed_until + MILLISECOND
+            self.context.timers.start(request, min(answered_at, request.last_send_at))
+        elif now >= request.last_send_at or self.is_exhausted(request, now):
+            self.give_up(request)
+        else:
+            self.context.timers.start(request, request.last_send_at)
+
+    def give_up(self, request: Request) -> None:
+        """End the wait of a request without success."""
+        request.queue.waiting.remove(request)
+        self.retries.give_up(request)
--- /dev/null
+++ b/ploverspoke/decisions/attempts.py
@@ -0,0 +1,173 @@
+"""Attempts: sending a request, sending it again after a failure, and cancelling what is stuck at a worker."""
+
+from collections.abc import Iterable, Mapping
+from dataclasses import dataclass, field
+
+from .capacity import CapacityEstimates, SlowStart
+from .context import SAVED_REQUESTS, Context
+from .gossip import GossipExchange
+from .interface import CONNECTION_FAILURES, AttemptOutcome
+from .observations import Observations
+from .outlier_ejection import OutlierEjection
+from .settings import Idempotency
+from .state import ALL_WORKERS, MILLISECOND, NO_WORKER, SECOND, EarlierAttempts, Request, RetryGroup, Worker
+from .worker_choice import WorkerChoice
+
+LONGEST_START_FACTOR = 2  # a wait this many times as long as any of the latest starts is silence
+CHECK_INTERVAL_NS = 100 * MILLISECOND
+START_WAIT_SHARE = 0.5  # of a request's queueing budget, after which it is cancelled
+NEVER_CANCELLED_NS = 30 * SECOND
+FAILED_HEALTH_CHECKS = (*CONNECTION_FAILURES, AttemptOutcome.TIMED_OUT)
+
+
+@dataclass(eq=False)
+class Retries:
+    """Decides whether a request may be sent again, and ends it where it may not."""
+
+    context: Context
+    workers: Mapping[str, Worker]
+    open_requests: dict[int, Request]
+    earlier_attempts: dict[int, EarlierAttempts] = field(default_factory=dict)
+
+    def resume(self, request: Request) -> None:
+        """Count what was done for the request by another dispatcher, if anything was."""
+        earlier = self.earlier_attempts.pop(request.id, None)
+        if earlier is None:
+            return
+        request.attempts = earlier.attempts
+        if earlier.attempts >= request.rules.max_attempts:
+            request.last_send_at = 0
+        if earlier.may_have_run_on and request.rules.idempotency is not Idempotency.IDEMPOTENT:
+            worker = self.workers.get(earlier.may_have_run_on)
+            # Of a worker that is not listed any more the group is not known: it goes nowhere.
+            group = NO_WORKER if worker is None else request.group_after_attempt(worker)
+            self._bind(request, group, earlier.sent_at)
+
+    def may_retry(self, request: Request, worker: Worker, outcome: AttemptOutcome, now: int) -> bool:
+        """Whether the request may be sent again after an attempt that did not succeed."""
+        if outcome not in self.context.never_ran and request.retry_group is None:
+            group = request.group_after_attempt(worker)
+            if group is not None:
+                self._bind(request, group, request.sent_at)
+        return now < request.last_send_at and request.attempts < request.rules.max_attempts
+
+    def _bind(self, request: Request, group: RetryGroup | None, sent_at: int) -> None:
+        """Keep it among the workers that drop duplicates, and only until they forget it."""
+        request.retry_group = group
+        window = 0 if group == NO_WORKER else request.rules.retry_window
+        request.last_send_at = min(request.last_send_at, sent_at + window)
+
+    def give_up(self, request: Request) -> None:
+        """Final answer without success: rejected where a retry is harmless, else failed."""
+        del self.open_requests[request.id]
+        idempotent = request.rules.idempotency is Idempotency.IDEMPOTENT
+        if idempotent or request.retry_group is None or request.retry_group == ALL_WORKERS:
+            self.context.actions.reject(request.id, self.context.retry_after)
+        else:
+            self.context.actions.fail(request.id)
+
+
+@dataclass(eq=False)
+class Attempts:
+    """Starts attempts, checks on those in flight, and cancels those that get nowhere."""
+
+    context: Context
+    open_requests: Mapping[int, Request]
+    observations: Observations
+    capacity: CapacityEstimates
+    gossip: GossipExchange
+    slow_start: SlowStart
+    choice: WorkerChoice
+    ejection: OutlierEjection
+    cancel_credit: float = 1.0  # attempts at sound workers that may be cancelled
+
+    def add_credit(self, cancels: float) -> None:
+        """Allow more cancellations, which each request brings."""
+        most = SAVED_REQUESTS * (1 + self.context.cancels_per_request)
+        self.cancel_credit = min(self.cancel_credit + cancels, most)
+
+    def start(self, request: Request, worker: Worker, now: int) -> None:
+        """Send a request; it times out one batch before the deadline, which leaves time to answer."""
+        request.begin_attempt(worker, now)
+        worker.begin_attempt(request, now)
+        self.capacity.occupy(request, worker, now)
+        self.gossip.slots_changed(worker, now)
+        self.slow_start.charge(worker, request.queue, now)
+        timeout = max(1, request.deadline - self.context.settings.batch_interval - now)
+        self.context.actions.start_attempt(request.id, worker.name, timeout)
+        stuck_after = min(self._start_limit(request, worker), self.context.silence_limit)
+        request.check_at = now + 1 + stuck_after
+        if self.context.settings.progress_interval:
+            self.context.timers.start(request, request.check_at)
+
+    def check(self, request: Request, worker: Worker, now: int) -> None:
+        """See whether the worker has gone silent on the attempt, and cancel what is stuck."""
+        if now < request.check_at:
+            return
+        limit = self.context.silence_limit
+        # A started request owes a report at each interval, else its worker owes any at all.
+        heard_at = request.heard_at if request.started_at else max(worker.heard_at, request.sent_at)
+        if not request.started_at:
+            # In a jam starts come late everywhere: only one far later than the others' tells a hung worker.
+            longest = max(self.observations.start_delays[worker.endpoint.zone], default=0)
+            limit = max(limit, LONGEST_START_FACTOR * longest)
+        is_silent = now - heard_at >= limit
+        if is_silent and self.context.settings.probing_allowed:
+            # Silence on one connection may be that connection's: a health check tells.
+            self.ejection.suspect(worker, now)
+        elif is_silent:
+            self.ejection.eject(worker, now)
+        self._cancel_stuck(worker.attempts.values() if worker.ejected else [request], worker, is_silent, now)
+        request.check_at = now + limit if is_silent else heard_at + limit
+        if not request.started_at and self._may_cancel(request):
+            # In a jam all wait long: checks grow rarer with the wait, or they alone would use up the CPU.
+            next_check = now + max(CHECK_INTERVAL_NS, (now - request.sent_at) // 4)
+            request.check_at = min(request.check_at, next_check)
+        self.context.timers.start(request, request.check_at)
+
+    def _cancel_stuck(self, requests: Iterable[Request], worker: Worker, is_silent: bool, now: int) -> None:
+        for request in list(requests):
+            if self._is_stuck(request, worker, is_silent, now):
+                self.context.actions.cancel_attempt(request.id, request.attempts - 1)
+                request.cancelled = True
+
+    def health_checked(self, worker: Worker, outcome: AttemptOutcome, now: int) -> None:
+        """A health check has ended: where it failed, what is in flight there is cancelled."""
+        if outcome in FAILED_HEALTH_CHECKS:
+            self.ejection.eject(worker, now, is_proven=outcome is not AttemptOutcome.TIMED_OUT)
+            self._cancel_stuck(worker.attempts.values(), worker, worker.ejected, now)
+        else:
+            self.ejection.record_probe(worker, outcome, now)
+
+    def _may_cancel(self, request: Request) -> bool:
+        return (
+            self.context.settings.cancel_allowed
+            and not request.cancelled
+            and request.id in self.open_requests
+            and request.rules.idempotency is not Idempotency.NON_IDEMPOTENT
+            and request.attempts < request.rules.max_attempts
+        )
+
+    def _start_limit(self, request: Request, worker: Worker) -> int:
+        """How long an attempt may wait for its start before it is cancelled."""
+        if not self._may_cancel(request):
+            return NEVER_CANCELLED_NS
+        share = int((request.queueing_deadline - request.arrived_at) * START_WAIT_SHARE)
+        limit = max(self.capacity.prompt_start(worker), share)
+        # One that must stay in its group comes back to workers as full, and may run twice there.
+        if (request.group_after_attempt(worker) or ALL_WORKERS) != ALL_WORKERS:
+            return max(limit, self.observations.class_running_time(request.class_number))
+        return limit
+
+    def _is_stuck(self, request: Request, worker: Worker, is_silent: bool, now: int) -> bool:
+        may_cancel = self._may_cancel(request)
+        if is_silent or not may_cancel:
+            return may_cancel
+        if request.started_at or now - request.sent_at <= self._start_limit(request, worker):
+            return False
+        # One that merely waits is moved only where there is capacity, and seldom: it may run anyway.
+        group, request.retry_group = request.retry_group, request.group_after_attempt(worker)
+        moves = self.cancel_credit >= 1 and bool(self.choice.draw_two(request.queue, now, request))
+        request.retry_group = group
+        self.cancel_credit -= moves
+        return moves
--- /dev/null
+++ b/ploverspoke/decisions/context.py
@@ -0,0 +1,48 @@
+"""What all parts of a dispatcher share: its actions, timers, random numbers and settings."""
+
+from .interface import DispatchActions, never_ran
+from .random_numbers import RandomNumbers
+from .settings import Idempotency, Settings
+from .state import MILLISECOND, SECOND, LimitedLog, Timers
+
+GOSSIP_BUDGET = 0.02  # points of service that gossip may cost
+MESSAGE_SHARE = 16 / 256  # of a full message's price, for a request and receiver
+PROBE_BUDGET = 0.006  # points of service that load probes may cost
+MOST_PROBES = 8.0  # for one request on average, whatever their price
+CANCEL_BUDGET = 0.02  # points of service that cancelled attempts may cost, should they run all the same
+SAVED_REQUESTS = 4  # requests' worth of probes, and of cancellations, that can be saved up
+SILENT_HALF_INTERVALS = 3  # of progress reports, without one
+TICKS_PER_OBJECTIVE = 4  # of the shared clock at the least, in the shortest latency objective
+DISCOVERY_CALL_NS = 125 * MILLISECOND  # of service discovery's time
+
+
+class Context:
+    """Shared by the parts of one dispatcher."""
+
+    def __init__(self, actions: DispatchActions, seed: int, settings: Settings) -> None:
+        self.actions = actions
+        self.random = RandomNumbers(seed)
+        self.timers = Timers(actions)
+        self.log = LimitedLog(actions)
+        self.apply(settings)
+
+    def apply(self, settings: Settings) -> None:
+        """Use other settings from now on; classes that are not active have no part in the limits."""
+        self.settings = settings
+        self.retry_after = settings.max_retry_after if settings.send_retry_after else 0
+        active = [settings.classes[number] for number in settings.active_classes]
+        self.highest_weight = max(rules.priority_weight for rules in active) or 1.0
+        shortest_objective = max(MILLISECOND, min(rules.latency_objective for rules in active))
+        self.least_tick_rate = TICKS_PER_OBJECTIVE * SECOND / shortest_objective
+        self.needed_kinds = {rules.machine_kind for rules in active}
+        self.any_idempotent = any(rules.idempotency is not Idempotency.NON_IDEMPOTENT for rules in active)
+        self.never_ran = never_ran(settings.full_may_have_run)
+        self.probed_classes = {Idempotency.NON_IDEMPOTENT}
+        if settings.full_may_have_run:
+            self.probed_classes.add(Idempotency.IDEMPOTENT_WITH_KEY)
+        self.gossip_fanout = max(1, int(GOSSIP_BUDGET / max(1e-6, MESSAGE_SHARE * settings.gossip_cost)))
+        self.probes_per_request = min(MOST_PROBES, PROBE_BUDGET / max(1e-9, settings.probe_cost))
+        self.cancels_per_request = CANCEL_BUDGET / max(1e-9, settings.waste_cost)
+        self.silence_limit = settings.progress_interval * SILENT_HALF_INTERVALS // 2
+        all_calls, longest = settings.dispatcher_count * DISCOVERY_CALL_NS, settings.discovery_poll_interval
+        self.time_for_all_calls = int(min(all_calls, longest // 2))
--- /dev/null
+++ b/ploverspoke/decisions/gossip.py
@@ -0,0 +1,94 @@
+"""Load gossip: when and to whom it is sent, and what is made of that of the peers (docs/messages.md)."""
+
+from dataclasses import dataclass, field
+
+from .context import Context
+from .gossip_state import BusyWorkers, KnownPeers, PeerReports
+from .interface import LoadGossip
+from .observations import StartLateness
+from .state import MILLISECOND, SECOND, PeriodicTimer, Worker
+
+SEND_DELAY_NS = 40 * MILLISECOND  # after a change, so that those of one moment are sent together
+SEND_INTERVAL_NS = 2 * SECOND  # where nothing changes
+EXPIRY_NS = 5 * SECOND
+REMOTE_RECEIVERS = 2  # peers of other zones, drawn at random, that receive each message too
+
+
+@dataclass(eq=False)
+class GossipExchange:
+    """Sends this dispatcher's gossip and uses that of its peers, which is a hint and no more."""
+
+    context: Context
+    lateness: StartLateness
+    reports: PeerReports
+    peers: KnownPeers = field(default_factory=KnownPeers)
+    busy: BusyWorkers = field(default_factory=BusyWorkers)
+    sequence: int = 0
+    last_sent: list[str] = field(default_factory=list)
+    sent_at: int = -SEND_INTERVAL_NS
+    next_send_at: int = 0  # 0: none is due
+
+    def begin(self, now: int) -> None:
+        """Greet all peers twice, as the first message may be lost."""
+        if self.context.settings.gossip_allowed:
+            self.send(now, to_all=True)
+            self.context.timers.start(PeriodicTimer.GOSSIP_TO_ALL, now + SEND_INTERVAL_NS)
+
+    def slots_changed(self, worker: Worker, now: int) -> None:
+        """The slots in flight at a worker have changed: the peers of the zone are told soon."""
+        self.busy.update(worker)
+        self._send_soon(now)
+
+    def _send_soon(self, now: int) -> None:
+        if self.context.settings.gossip_allowed and not now < self.next_send_at <= now + SEND_DELAY_NS:
+            self.next_send_at = now + SEND_DELAY_NS
+            self.context.timers.start(PeriodicTimer.GOSSIP, self.next_send_at)
+
+    def send(self, now: int, to_all: bool = False) -> None:
+        """Send to all or to the next peers in the ring, unless there is nothing new."""
+        if now < self.next_send_at and not to_all:
+            return
+        held = self.busy.slots()
+        if to_all or held != self.last_sent or now - self.sent_at >= SEND_INTERVAL_NS:
+            peers = self._receivers()
+            zone, lateness = self.context.settings.zone, self.lateness.current(now)
+            gossip = LoadGossip(zone, self.sequence, lateness, held)
+            self.context.actions.send_gossip(None if to_all else peers, gossip)
+            self.last_sent, self.sent_at, self.sequence = held, now, self.sequence % 255 + 1
+        self.next_send_at = self.sent_at + SEND_INTERVAL_NS if held else 0
+        if held:
+            self.context.timers.start(PeriodicTimer.GOSSIP, self.next_send_at)
+
+    def _receivers(self) -> list[int]:
+        own, local, remote = self.context.settings.dispatcher_index, self.peers.local, self.peers.remote
+        ring = [*(peer for peer in local if peer > own), *(peer for peer in local if peer < own)]
+        drawn = [remote[self.context.random.below(len(remote))] for _ in range(REMOTE_RECEIVERS) if remote]
+        return ring[: self.context.gossip_fanout] + drawn
+
+    def receive(self, peer: int, gossip: LoadGossip, now: int) -> None:
+        """Take a peer's gossip; one that has just started is answered at once."""
+        settings = self.context.settings
+        if not settings.gossip_allowed or peer == settings.dispatcher_index:
+            return
+        if not self.reports.take(peer, gossip, now):
+            return
+        self.peers.add(peer, is_local=gossip.zone == settings.zone)
+        if not gossip.sequence and peer in self.peers.local:
+            self.sent_at = -SEND_INTERVAL_NS
+            self._send_soon(now)
+
+    def expire(self, now: int) -> None:
+        """Forget what is too old."""
+        self.reports.drop_older(now - EXPIRY_NS)
+
+    def peer_slots(self, worker: Worker) -> float:
+        """Slots that other dispatchers are taken to have there, with those that are not heard of."""
+        if not worker.peer_slots:
+            return 0.0
+        return worker.peer_slots * max(1.0, len(self.peers.local) / self.context.gossip_fanout)
+
+    def zone_lateness(self, zone: int, now: int) -> float:
+        """Mean of its dispatchers; of a zone that nothing is heard of the worst is assumed."""
+        known = self.reports.lateness(zone)
+        known += [self.lateness.current(now)] if zone == self.context.settings.zone else []
+        return sum(known) / len(known) if known else 1.0
--- a/ploverspoke/decisions/interface.py
+++ b/ploverspoke/decisions/interface.py
@@ -25,6 +25,8 @@
     NOT_SENT = "not_sent"
 
 
+ANSWERS = (AttemptOutcome.SUCCEEDED, AttemptOutcome.WORKER_ERROR, AttemptOutcome.FULL)
+CONNECTION_FAILURES = (AttemptOutcome.UNREACHABLE, AttemptOutcome.BROKEN_OFF)
 NEVER_RAN = frozenset({AttemptOutcome.FULL, AttemptOutcome.UNREACHABLE, AttemptOutcome.NOT_SENT})
 
 
--- /dev/null
+++ b/ploverspoke/decisions/load_probes.py
@@ -0,0 +1,87 @@
+"""Load probes: workers are asked for their load before a request goes to one that cannot be taken back."""
+
+from dataclasses import dataclass
+
+from .capacity import CapacityEstimates, prompt_limit
+from .context import SAVED_REQUESTS, Context
+from .interface import CONNECTION_FAILURES, AttemptOutcome
+from .observations import LoadReports, Observations
+from .outlier_ejection import OutlierEjection
+from .state import MILLISECOND, SECOND, ProbePurpose, Request, RequestQueue, Worker
+
+PROMPT_ANSWER_NS = 50 * MILLISECOND  # while no answer was seen
+HEARD_RECENTLY_NS = SECOND  # a worker heard of since then need not be probed
+REPORT_FRESH_NS = 300 * MILLISECOND  # a report that arrived since then need not be asked for again
+
+
+@dataclass(eq=False)
+class LoadProbes:
+    """Sends probes and reads their answers."""
+
+    context: Context
+    observations: Observations
+    reports: LoadReports
+    capacity: CapacityEstimates
+    ejection: OutlierEjection
+    credit: float = 0.0  # probes that may be sent
+    sent_at: int = 0
+
+    def add_credit(self, probes: float) -> None:
+        """Allow more probes, which each request and time bring."""
+        self.credit = min(self.credit + probes, SAVED_REQUESTS * self.context.probes_per_request)
+
+    def are_needed(self, request: Request, drawn: list[Worker], now: int) -> bool:
+        """Whether the workers drawn are probed before a request that cannot be cancelled goes to one."""
+        settings = self.context.settings
+        if not drawn or not settings.probing_allowed or request.affinity_key:
+            return False
+        if request.rules.idempotency not in self.context.probed_classes and settings.cancel_allowed:
+            return False
+        # One whose latest end was an error answers quickly, and is no better known for that.
+        for worker in drawn:
+            if now - worker.heard_at >= HEARD_RECENTLY_NS or (worker.errors and worker.errors[-1]):
+                return self.context.probes_per_request >= len(drawn)
+        return False
+
+    def send(self, request: Request, drawn: list[Worker], now: int) -> bool:
+        """Probe them, as far as the credit goes that comes with requests and with time."""
+        since, self.sent_at = now - self.sent_at, now
+        self.add_credit(self.context.probes_per_request * since / SECOND)
+        stale = [worker for worker in drawn if now - worker.reported_at > REPORT_FRESH_NS]
+        if self.credit < len(stale):
+            return False
+        queue = request.queue
+        request.probe_rounds += 1
+        self.credit -= len(stale)
+        queue.probed = drawn
+        for worker in stale:
+            worker.probe = ProbePurpose.LOAD
+            self.context.actions.probe(worker.name)
+        # By a timer even when none is stale: with many fresh reports a long queue would nest too deep.
+        delays = [self.observations.probe_delays[worker.endpoint.zone] for worker in stale]
+        limits = [prompt_limit(recent, PROMPT_ANSWER_NS) for recent in delays]
+        queue.probed_until = now + max(limits, default=0)
+        self.context.timers.start(queue, queue.probed_until)
+        return True
+
+    def record_answer(self, worker: Worker, outcome: AttemptOutcome, elapsed: int, now: int) -> None:
+        """A load probe has ended."""
+        if outcome is AttemptOutcome.SUCCEEDED:
+            self.observations.probe_delays[worker.endpoint.zone].append(elapsed)
+        elif outcome in CONNECTION_FAILURES:
+            self.ejection.eject(worker, now, is_proven=True)
+        else:
+            self.capacity.cut(worker, worker.running, 0, now)
+            if outcome is AttemptOutcome.WORKER_ERROR:
+                # It says itself that it fails or drains, long before service discovery does.
+                self.ejection.eject(worker, now)
+
+    def expected_delay(self, worker: Worker, now: int) -> float:
+        """Rank of a worker that answered: the lower, the sooner a request is served there."""
+        load = 2 + self.reports.load(worker, now) / self.reports.slots(worker)
+        return self.observations.slowdown(worker) * load
+
+    def expected_wait(self, worker: Worker, queue: RequestQueue, now: int) -> int:
+        """Expected wait in ns for a start, by the worker's report."""
+        beyond = max(0.0, self.reports.load(worker, now) + queue.slots) / self.reports.slots(worker)
+        return int(beyond * self.observations.mean_running_time() * self.observations.slowdown(worker))
--- /dev/null
+++ b/ploverspoke/decisions/queues.py
@@ -0,0 +1,185 @@
+"""Service of the queues: their shared clock, and which waiting request goes where.
+
+RMS-RF-AD+ of "Randomized Algorithms for Scheduling Multi-Resource Jobs in the Cloud" (Psychas and Ghaderi).
+"""
+
+from collections.abc import Mapping
+from dataclasses import dataclass
+from itertools import islice
+from math import exp, log
+
+from .attempts import Attempts
+from .capacity import CapacityEstimates
+from .context import Context
+from .load_probes import HEARD_RECENTLY_NS, REPORT_FRESH_NS, LoadProbes
+from .observations import Observations
+from .state import SECOND, PeriodicTimer, Request, RequestQueue, Worker
+from .worker_choice import SEARCH_INTERVAL_NS, WorkerChoice
+
+TICKS_PER_ARRIVAL = 5
+LONGEST_GAP_NS = SECOND
+EPSILON = 0.5  # of the source's weight function
+HEAD_LENGTH = 16  # how far a queue is searched for a request that suits a place better than its head
+PROBE_ROUNDS = 3  # for one request, while no worker reports a free slot
+
+
+@dataclass(eq=False)
+class SharedClock:
+    """Ticks while requests wait, and draws the queue that a tick is for."""
+
+    context: Context
+    observations: Observations
+    workers: Mapping[str, Worker]
+    queues: Mapping[tuple[float, int], RequestQueue]
+    is_running: bool = False
+
+    def has_waiting(self) -> bool:
+        """Whether any request waits."""
+        return any(queue.waiting for queue in self.queues.values())
+
+    def run(self, now: int) -> None:
+        """Start the next tick's timer. While nothing waits the clock stands still."""
+        if self.is_running or not self.has_waiting():
+            return
+        self.is_running = True
+        # With few requests the arrivals alone would set a clock too slow for any of them.
+        rate = max(TICKS_PER_ARRIVAL * self.observations.arrival_rate(now), self.context.least_tick_rate)
+        gap = -log(1.0 - self.context.random.fraction()) / rate
+        self.context.timers.start(PeriodicTimer.CLOCK_TICK, now + min(int(gap * SECOND), LONGEST_GAP_NS))
+
+    def draw_queue(self) -> RequestQueue:
+        """The queue of this tick, drawn with a chance proportional to exp(weight)."""
+        self.is_running = False
+        drawn = self.context.random.weighted([exp(weight) for weight in self._weights()])
+        return list(self.queues.values())[drawn]
+
+    def replacement_chance(self, queue: RequestQueue) -> float:
+        """Chance that a request of this queue takes the place of a served one: 1 - exp(-weight)."""
+        return 1 - exp(-self._weights()[list(self.queues.values()).index(queue)])
+
+    def _weights(self) -> list[float]:
+        """max(f(Q), (epsilon / 8M) f(longest Q)) with f(x) = log(1 + x), for each queue."""
+        longest = max(len(queue.waiting) for queue in self.queues.values())
+        smallest = min(queue.slots for queue in self.queues.values()) or 1.0
+        most_slots = max((worker.capacity for worker in self.workers.values()), default=1.0)
+        least = EPSILON / (8 * max(1.0, most_slots / smallest)) * log(1 + longest)
+        return [max(log(1 + len(queue.waiting)), least) for queue in self.queues.values()]
+
+
+@dataclass(eq=False)
+class QueueService:
+    """Takes requests from the queues at ticks, probe answers and freed places."""
+
+    context: Context
+    clock: SharedClock
+    choice: WorkerChoice
+    capacity: CapacityEstimates
+    probes: LoadProbes
+    attempts: Attempts
+
+    def tick(self, now: int) -> None:
+        """A drawn queue's head goes to a worker with capacity, or an idle queue leaves a placeholder."""
+        queue = self.clock.draw_queue()
+        if queue.waiting:
+            self.serve(queue, now)
+        else:
+            drawn = self.choice.draw_two(queue, now, None)
+            if drawn:
+                self.choice.better(drawn, None).leave_placeholder(queue, now)
+        self.clock.run(now)
+
+    def serve(self, queue: RequestQueue, now: int) -> None:
+        """The head goes to the better of two drawn, or both are probed for it first."""
+        if queue.probed or now < queue.no_capacity_until:
+            return
+        # A head bound to its group must not block those behind it when the group has no capacity.
+        for request in self._heads(queue):
+            drawn = self.choice.draw_two(queue, now, request)
+            if drawn and self.probes.are_needed(request, drawn, now):
+                self.probes.send(request, drawn, now)
+                return
+            if drawn:
+                self._send(request, self.choice.better(drawn, request), now)
+                return
+        queue.no_capacity_until = now + SEARCH_INTERVAL_NS
+
+    def _heads(self, queue: RequestQueue) -> list[Request]:
+        """Those bound to a group or with an affinity key, up to the first that may go anywhere."""
+        heads = []
+        for request in islice(queue.waiting, HEAD_LENGTH):
+            heads.append(request)
+            if request.retry_group is None and not request.affinity_key:
+                break
+        return heads
+
+    def _send(self, request: Request, worker: Worker, now: int) -> None:
+        request.queue.waiting.remove(request)
+        self.attempts.start(request, worker, now)
+
+    def replace(self, queue: RequestQueue, worker: Worker, now: int) -> None:
+        """A request was served: another of its queue may take the place, or leave a placeholder there."""
+        if not worker.ready or worker.ejected or not self.clock.has_waiting():
+            return
+        if self.context.random.fraction() >= self.clock.replacement_chance(queue):
+            return
+        if not queue.waiting:
+            worker.leave_placeholder(queue, now)
+            return
+        if self.capacity.has_pending_start(worker, now):
+            return
+        # In a backlog most places are filled here; one whose key's data is held here saves a fetch.
+        preferring = [
+            request
+            for request in islice(queue.waiting, HEAD_LENGTH)
+            if request.affinity_key and worker in self.choice.tiers(queue.machine_kind, request)[0]
+        ]
+        for request in preferring + self._heads(queue):
+            if self.choice.allows(worker, queue, now, request):
+                self._send(request, worker, now)
+                return
+
+    def probe_answered(self, worker: Worker, now: int) -> None:
+        """Decide for each queue whose probes are all answered."""
+        for queue in self.clock.queues.values():
+            if worker in queue.probed and all(each.probe is None for each in queue.probed):
+                self.settle(queue, now)
+
+    def settle(self, queue: RequestQueue, now: int) -> None:
+        """The head goes to the better of those that answered, or to none where all may wait too long."""
+        answered = [worker for worker in queue.probed if worker.probe is None and not worker.ejected]
+        reported = [worker for worker in answered if now - worker.reported_at <= REPORT_FRESH_NS]
+        # A worker that has just started has no report yet. Probed on and on, the head would block its queue.
+        heard = [] if reported else [each for each in answered if now - each.heard_at < HEARD_RECENTLY_NS]
+        queue.probed = []
+        for request in self._heads(queue):
+            usable = [worker for worker in heard if self.choice.has_capacity(worker, queue, now, request)]
+            if usable:
+                self._send(request, self.choice.better(usable, request), now)
+                break
+            allowed = [worker for worker in reported if self.choice.allows(worker, queue, now, request)]
+            if allowed and not self._send_by_report(request, allowed, now):
+                return
+            if allowed:
+                break
+        if queue.waiting:
+            self.serve(queue, now)
+
+    def _send_by_report(self, request: Request, allowed: list[Worker], now: int) -> bool:
+        """Send to the best of them; False where it waits on, for other probes or a better worker."""
+        probes, queue = self.probes, request.queue
+        ranked = [(probes.expected_delay(worker, now), worker) for worker in allowed]
+        best = min(ranked, key=lambda pair: (pair[1] is request.failed_on, pair[0]))[1]
+        request.any_zone = True
+        if request.probe_rounds < PROBE_ROUNDS and probes.reports.load(best, now) + queue.slots > 0:
+            others = [each for each in self.choice.draw_two(queue, now, request) if each not in allowed]
+            if others and probes.send(request, [best, *others], now):
+                return False
+        # A report is late, so all that read it must not decide alike: the longer the wait beside what the
+        # request can bear, the fewer go. One that is late by now goes only where it need not wait.
+        wait = probes.expected_wait(best, queue, now)
+        if wait and wait >= self.context.random.fraction() * max(0, request.on_time_until - now):
+            for worker in allowed:
+                self.capacity.cut(worker, worker.running, 0, now)
+            return False
+        self._send(request, best, now)
+        return True
--- a/ploverspoke/decisions/random_numbers.py
+++ b/ploverspoke/decisions/random_numbers.py
@@ -1,4 +1,6 @@
-"""The chance that the decisions draw from: the same seed gives the same draws."""
+"""Random numbers of the decisions: the same seed gives the same draws."""
+
+from collections.abc import Sequence
 
 
 class RandomNumbers:
@@ -9,8 +11,18 @@
         self.fraction()
 
     def fraction(self) -> float:
+        """At least 0 and less than 1."""
         self.state = (self.state * 6364136223846793005 + 1442695040888963407) & 0xFFFF_FFFF_FFFF_FFFF
         return (self.state >> 32) / 4294967296.0
 
-    def below(self, n: int) -> int:
-        return int(self.fraction() * n)
+    def weighted(self, weights: Sequence[float]) -> int:
+        """An index, drawn with a chance proportional to its weight."""
+        draw, drawn = self.fraction() * sum(weights), 0
+        while drawn < len(weights) - 1 and draw >= weights[drawn]:
+            draw -= weights[drawn]
+            drawn += 1
+        return drawn
+
+    def below(self, limit: int) -> int:
+        """At least 0 and less than the limit."""
+        return int(self.fraction() * limit)
--- /dev/null
+++ b/ploverspoke/decisions/worker_choice.py
@@ -0,0 +1,147 @@
+"""Choice of a worker by tiers: random fit (RF, Psychas and Ghaderi), the better of two drawn at random."""
+
+from collections import defaultdict
+from collections.abc import Mapping
+from dataclasses import dataclass, field
+from math import ceil
+from zlib import crc32
+
+from .capacity import CapacityEstimates, SlowStart
+from .context import Context
+from .gossip import GossipExchange
+from .observations import Observations
+from .settings import Idempotency
+from .state import MILLISECOND, Request, RequestQueue, Worker
+
+SEARCH_INTERVAL_NS = 20 * MILLISECOND  # a search of all workers that found none is not repeated sooner
+TIERS_KEPT = 2000
+PREFERRED_WORKER_LOAD = 0.75  # of a mean worker's load that one preferred worker of a key takes
+MORE_PREFERRED = 2  # workers, where the preferred ones have no capacity
+FAR_LESS_LATE = 0.5  # than its own zone another must be to be sent to
+
+Tiers = list[list[Worker]]  # best first
+TierKey = tuple[int, bool, str, int]  # machine kind, own zone first, affinity key, preferred workers
+
+
+@dataclass(eq=False)
+class WorkerChoice:
+    """Says where a request may go and draws a worker for it."""
+
+    context: Context
+    workers: Mapping[str, Worker]
+    observations: Observations
+    capacity: CapacityEstimates
+    slow_start: SlowStart
+    gossip: GossipExchange
+    kept_tiers: dict[TierKey, Tiers] = field(default_factory=dict)
+
+    def forget_tiers(self) -> None:
+        """The readiness, zone or kind of a worker has changed."""
+        self.kept_tiers.clear()
+
+    def draw_two(self, queue: RequestQueue, now: int, request: Request | None) -> list[Worker]:
+        """Two drawn at random among those with capacity in the first tier that has any; else one, or none."""
+        narrow = request is not None and (request.retry_group is not None or request.affinity_key != "")
+        if now < queue.no_capacity_until and not narrow:
+            return []
+        settings, random = self.context.settings, self.context.random
+        for tier in self.tiers(queue.machine_kind, request):
+            found: list[Worker] = []
+            left = self._without_late_zones(tier, now) if settings.gossip_allowed else list(tier)
+            # Drawing until two have capacity gives the same pairs as a list of all that have, for less work.
+            while left and len(found) < 2:
+                worker = left.pop(random.below(len(left)))
+                if self.has_capacity(worker, queue, now, request):
+                    found.append(worker)
+            if found:
+                return found
+        if not narrow:
+            queue.no_capacity_until = now + SEARCH_INTERVAL_NS
+        return []
+
+    def _without_late_zones(self, tier: list[Worker], now: int) -> list[Worker]:
+        """Other zones' queues are not known: one is better only where its starts are far less late."""
+        own = self.context.settings.zone
+        limit = FAR_LESS_LATE * self.gossip.zone_lateness(own, now)
+        zones = {worker.endpoint.zone for worker in tier}
+        allowed = {zone for zone in zones if zone == own or self.gossip.zone_lateness(zone, now) < limit}
+        return [worker for worker in tier if worker.endpoint.zone in allowed]
+
+    def preferred_count(self, affinity_key: str) -> int:
+        """How many workers are to hold a key's data: as many as its share of the arrivals would fill."""
+        if not affinity_key:
+            return 0
+        share = self.observations.affinity_keys.share(affinity_key)
+        return max(1, ceil(share * len(self.workers) / PREFERRED_WORKER_LOAD - 0.3))
+
+    def tiers(self, machine_kind: int, request: Request | None) -> Tiers:
+        """Those that may be drawn, best first; the own zone comes first where crossing has a price."""
+        key = request.affinity_key if request is not None else ""
+        # Not again once workers probed for the request had no capacity.
+        may_cross = bool(key) or (request is not None and request.any_zone)
+        own_zone_first = bool(self.context.settings.cross_zone_cost) and not may_cross
+        preferred = self.preferred_count(key)
+        tier_key = (machine_kind, own_zone_first, key, preferred)
+        found = self.kept_tiers.get(tier_key)
+        if found is None:
+            found = self._sorted_tiers(machine_kind, own_zone_first)
+            if key:
+                # Rendezvous hashing: all dispatchers send a key to the same workers, then to the next few.
+                last = preferred + MORE_PREFERRED
+                ranked = [sorted(tier, key=lambda w: crc32((key + w.name).encode())) for tier in found]
+                found = [part for tier in ranked for part in (tier[:preferred], tier[preferred:last])]
+            if len(self.kept_tiers) > TIERS_KEPT:
+                self.kept_tiers.clear()
+            self.kept_tiers[tier_key] = found
+        return found
+
+    def _sorted_tiers(self, machine_kind: int, own_zone_first: bool) -> Tiers:
+        tiers: dict[tuple[bool, bool], list[Worker]] = defaultdict(list)
+        for worker in self.workers.values():
+            kind = worker.endpoint.machine_kind
+            if worker.ready and not worker.ejected and machine_kind in (-1, kind):
+                # Machines that some class cannot do without are left to it while others have capacity.
+                is_needed = machine_kind == -1 and kind in self.context.needed_kinds
+                is_remote = own_zone_first and worker.endpoint.zone != self.context.settings.zone
+                tiers[is_needed, is_remote].append(worker)
+        return [tiers[rank] for rank in sorted(tiers)]
+
+    def better(self, drawn: list[Worker], request: Request | None) -> Worker:
+        """The one with fewer slots in flight, of equals the faster; last the one that it failed on."""
+        failed_on, peer_slots = None if request is None else request.failed_on, self.gossip.peer_slots
+        slowdown = self.observations.slowdown
+        return min(drawn, key=lambda w: (w is failed_on, w.in_flight + peer_slots(w), slowdown(w)))
+
+    def has_capacity(self, worker: Worker, queue: RequestQueue, now: int, request: Request | None) -> bool:
+        """Whether a request may go there and is expected to start at once."""
+        return (
+            (request is None or request.may_retry_at(worker))
+            and worker.probe is None
+            and self.capacity.free(worker, now) >= queue.slots
+            and not self.capacity.has_pending_start(worker, now)
+            and self.allows(worker, queue, now, request)
+        )
+
+    def allows(self, worker: Worker, queue: RequestQueue, now: int, request: Request | None) -> bool:
+        """Whether the rules and the needs of a request let it go there."""
+        if not worker.ready or queue.machine_kind not in (-1, worker.endpoint.machine_kind):
+            return False
+        is_risky = request is not None and request.rules.idempotency is Idempotency.NON_IDEMPOTENT
+        if worker.probation_until > now and is_risky and self.context.any_idempotent:
+            return False  # it would be lost with its worker: others try one that was just readmitted
+        if worker.warm_at > now and not self.slow_start.allows(worker, queue, now):
+            return False
+        if request is None or request.retry_group is None:
+            return True
+        return now < request.last_send_at and request.may_retry_at(worker)
+
+    def worker_with_placeholder(self, queue: RequestQueue, now: int) -> list[Worker]:
+        """A worker that holds a placeholder for this queue, which is used up."""
+        for worker in self.workers.values():
+            if worker.placeholders and worker.ready and not worker.ejected:
+                worker.expire_placeholders(now)
+                for placeholder in worker.placeholders:
+                    if placeholder.queue is queue and self.allows(worker, queue, now, None):
+                        worker.placeholders.remove(placeholder)
+                        return [worker]
+        return []
--- a/tests/decisions/harness.py
+++ b/tests/decisions/harness.py
@@ -6,7 +6,7 @@
 from enum import Enum, auto
 from typing import Any
 
-from ploverspoke.decisions.dispatcher import SECOND, Dispatcher
+from ploverspoke.decisions.dispatcher import Dispatcher
 from ploverspoke.decisions.interface import (
     NEVER_RAN,
     AttemptOutcome,
@@ -22,8 +22,9 @@
     RetryScope,
     Settings,
 )
+from ploverspoke.decisions.state import MILLISECOND, SECOND
 
-MS = 1_000_000
+MS = MILLISECOND
 DECISION_SETTINGS = Settings(
     classes=(
         RequestClass(
@@ -306,13 +307,14 @@
     def check_accounting(self) -> None:
         """The slots that the dispatcher counts as in flight are those of the attempts that are."""
         for worker in self.dispatcher.workers.values():
-            out = [job for job in worker.out.values()]
-            assert worker.in_flight == sum(job.type.slots for job in out) >= worker.running >= 0
-            assert all(self.worker_of(job.id) == worker.name for job in out)
-            assert set(worker.unstarted) <= set(worker.out)
-        for job in self.dispatcher.open_requests.values():
-            assert job.id not in self.answers
-            assert (job.at is None) == (job in job.type.queue)
+            requests = list(worker.attempts.values())
+            slots = sum(request.queue.slots for request in requests)
+            assert worker.in_flight == slots >= worker.running >= 0
+            assert all(self.worker_of(request.id) == worker.name for request in requests)
+            assert set(worker.unstarted) <= set(worker.attempts)
+        for request in self.dispatcher.open_requests.values():
+            assert request.id not in self.answers
+            assert (request.worker is None) == (request in request.queue.waiting)
 
 
 RANDOM_OUTCOMES = [AttemptOutcome.SUCCEEDED] * 6 + [
--- a/tests/decisions/test_load_gossip.py
+++ b/tests/decisions/test_load_gossip.py
@@ -29,7 +29,7 @@
     assert harness.worker_of(1) == harness.worker_of(2) == "b"
     harness.advance(6 * SECOND)
     harness.send_request(3)
-    assert harness.dispatcher.workers["a"].others == 0
+    assert harness.dispatcher.workers["a"].peer_slots == 0
 
 
 def test_late_doubled_and_foreign_tellings_change_nothing() -> None:
@@ -40,9 +40,9 @@
     told(1, LoadGossip(0, 7, 0.0, FULL))  # twice
     told(0, LoadGossip(0, 8, 0.0, FULL))  # from ourselves
     told(1, LoadGossip(0, 8, 0.0, ["nobody"]))
-    assert harness.dispatcher.workers["a"].others == 0 and set(harness.dispatcher.workers) == {"a"}
+    assert harness.dispatcher.workers["a"].peer_slots == 0 and set(harness.dispatcher.workers) == {"a"}
     told(1, LoadGossip(0, 0, 0.0, FULL))  # a new start
-    assert harness.dispatcher.workers["a"].others == 2
+    assert harness.dispatcher.workers["a"].peer_slots == 2
 
 
 def test_a_telling_lifts_no_drain() -> None:
@@ -58,7 +58,7 @@
     harness.dispatcher.gossip_received(1, LoadGossip(0, 1, 1.0, FULL))
     harness.send_request(1)
     harness.advance(SECOND)
-    assert not harness.gossip_sent and harness.dispatcher.workers["a"].others == 0
+    assert not harness.gossip_sent and harness.dispatcher.workers["a"].peer_slots == 0
 
 
 def test_the_ring_of_the_zone_is_told_of_changes_only() -> None:
@@ -80,17 +80,17 @@
     for own, other, where in ((0.8, 0.1, "f"), (0.8, 0.6, None), (0.8, None, None)):
         harness = DispatchHarness([endpoint("a"), far], cross_zone_cost=0.02, **TELLING)
         harness.dispatcher.gossip_received(1, LoadGossip(0, 1, own, ["a"] * 9))
-        harness.dispatcher.late_starts.extend([own] * 16)
+        harness.dispatcher.parts.lateness.recent.extend([own] * 16)
         if other is not None:
             harness.dispatcher.gossip_received(2, LoadGossip(1, 1, other, []))
-        harness.dispatcher._refuses = lambda job, now: False  # type: ignore[method-assign]
+        harness.dispatcher.parts.admission.refuses = lambda request, now: False  # type: ignore[method-assign]
         harness.send_request(1)
         assert harness.worker_of(1) == where
 
 
 def test_refusals_follow_what_starts_have_waited() -> None:
     harness = DispatchHarness([endpoint("a")], **TELLING)
-    harness.dispatcher.late_starts.extend([1.0] * 16)
+    harness.dispatcher.parts.lateness.recent.extend([1.0] * 16)
     for number in range(100):
         harness.send_request(number, request_class=2, deadline_in=30 * SECOND)
     refused = sum(answer is Answer.REJECTED for answer in harness.answers.values())
@@ -117,7 +117,7 @@
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(DispatchHarness, "send_request", send_request)
         harness = random_run(5000 + seed, 300, **TELLING)
-    assert all(worker.others >= 0 for worker in harness.dispatcher.workers.values())
+    assert all(worker.peer_slots >= 0 for worker in harness.dispatcher.workers.values())
 
 
 def test_bytes_are_read_back_and_spoilt_ones_refused() -> None:
--- a/tests/decisions/test_load_probes.py
+++ b/tests/decisions/test_load_probes.py
@@ -3,6 +3,7 @@
 import pytest
 
 from ploverspoke.decisions.interface import AttemptOutcome, LoadReport
+from ploverspoke.decisions.state import RequestQueue
 from tests.decisions.harness import MS, SECOND, DispatchHarness, endpoint
 
 ASKING = {"probe_cost": 0.001, "machine_kind": [-1, -1, -1]}
@@ -121,14 +122,16 @@
 def test_a_full_fleet_is_not_searched_anew_for_each_submission() -> None:
     harness = DispatchHarness([endpoint(f"w{i}") for i in range(300)])
     for worker in harness.dispatcher.workers.values():
-        worker.room = worker.room_before_cut = 0.0
+        worker.capacity = worker.capacity_before_cut = 0.0
     harness.send_request(1)
-    barren = next(iter(harness.dispatcher.types.values())).barren_until
+    barren = next(iter(harness.dispatcher.parts.queues.values())).no_capacity_until
     assert barren > harness.clock
     for worker in harness.dispatcher.workers.values():
-        worker.room = worker.room_before_cut = 1.0
+        worker.capacity = worker.capacity_before_cut = 1.0
     harness.advance(barren - harness.clock)
-    assert harness.dispatcher._draw_two(next(iter(harness.dispatcher.types.values())), harness.clock, None)
+    assert harness.dispatcher.parts.choice.draw_two(
+        next(iter(harness.dispatcher.parts.queues.values())), harness.clock, None
+    )
 
 
 def test_many_dispatchers_together_give_a_cold_worker_work_from_the_start() -> None:
@@ -138,15 +141,16 @@
             [endpoint("a"), endpoint("b", started_at=100 * SECOND)], seed, dispatcher_count=200
         )
         dispatcher, harness.clock = harness.dispatcher, harness.clock + 4 * SECOND
-        dispatcher.warm_load, dispatcher.warm_load_at = 0.02, harness.clock
-        job_type = dispatcher._job_type(1.0, -1)
-        may_send += dispatcher._cold_budget_allows(dispatcher.workers["b"], job_type, harness.clock)
+        slow_start = dispatcher.parts.slow_start
+        slow_start.warm_load, slow_start.warm_load_at = 0.02, harness.clock
+        queue = RequestQueue(1.0, -1)
+        may_send += slow_start.allows(dispatcher.workers["b"], queue, harness.clock)
     assert 5 < may_send < 60
 
 
 def test_a_wait_is_no_silence_where_starts_come_late() -> None:
     harness = DispatchHarness([endpoint(n, kind=1) for n in "abcd"], deadline=[9 * SECOND] * 3)
-    harness.dispatcher.start_lags[0].extend([MS, 3 * SECOND])
+    harness.dispatcher.parts.observations.start_delays[0].extend([MS, 3 * SECOND])
     harness.send_request(1, request_class=2, deadline_in=9 * SECOND)
     waits_at = harness.dispatcher.workers[harness.worker_of(1)]
     harness.advance(3 * SECOND)
@@ -160,7 +164,7 @@
     for request_id in range(450):
         harness.send_request(request_id, request_class=2)
     for worker in harness.dispatcher.workers.values():
-        worker.free, worker.reported_at = 4.0, harness.clock
+        worker.reported_free, worker.reported_at = 4.0, harness.clock
     for probed in list(harness.probes):
         answer(harness, probed, 4.0, 0.0)
     harness.advance(SECOND)
--- a/tests/decisions/test_mechanism.py
+++ b/tests/decisions/test_mechanism.py
@@ -5,6 +5,7 @@
 import pytest
 
 from ploverspoke.decisions.interface import AttemptOutcome
+from ploverspoke.decisions.state import Placeholder
 from tests.decisions.harness import MS, SECOND, Answer, DispatchHarness, endpoint
 
 
@@ -12,7 +13,9 @@
     harness = DispatchHarness([endpoint("a"), endpoint("b")])
     harness.send_request(1)
     worker = harness.dispatcher.workers["b" if harness.worker_of(1) == "a" else "a"]
-    worker.placeholders.append((next(iter(harness.dispatcher.types.values())), harness.clock + SECOND))
+    worker.placeholders.append(
+        Placeholder(next(iter(harness.dispatcher.parts.queues.values())), harness.clock + SECOND)
+    )
     harness.send_request(2)
     assert harness.worker_of(2) == worker.name and not worker.placeholders
 
@@ -22,8 +25,10 @@
     harness.send_request(1)
     harness.end_attempt(1, AttemptOutcome.SUCCEEDED)
     worker = harness.dispatcher.workers["a"]
-    worker.room = 2.0
-    worker.placeholders.append((next(iter(harness.dispatcher.types.values())), harness.clock + SECOND))
+    worker.capacity = 2.0
+    worker.placeholders.append(
+        Placeholder(next(iter(harness.dispatcher.parts.queues.values())), harness.clock + SECOND)
+    )
     harness.send_request(2, slots=2.0)
     assert harness.worker_of(2) == "a" and not worker.placeholders
 
@@ -37,7 +42,7 @@
     harness.send_request(2)
     harness.advance(300 * MS)
     harness.report_start(2)
-    assert worker.room == 1.0
+    assert worker.capacity == 1.0
 
 
 def test_no_more_goes_where_one_of_ours_has_not_started() -> None:
@@ -47,7 +52,7 @@
     harness.report_start(1)
     harness.send_request(2)
     harness.advance(50 * MS)
-    harness.dispatcher.workers["a"].room = 9.0
+    harness.dispatcher.workers["a"].capacity = 9.0
     harness.send_request(3)
     assert harness.worker_of(2) == "a" and harness.worker_of(3) is None
 
@@ -75,16 +80,19 @@
 def test_replacement_prefers_a_subject_with_its_home_there() -> None:
     harness = DispatchHarness([endpoint("a"), endpoint("b")])
     for name in "ab":
-        harness.dispatcher.workers[name].room = harness.dispatcher.workers[name].room_before_cut = 0.0
+        harness.dispatcher.workers[name].capacity = harness.dispatcher.workers[name].capacity_before_cut = 0.0
     subjects = [f"s{n}" for n in range(9)]
     for number, subject in enumerate(subjects):
         harness.send_request(number, affinity_key=subject)
-    homes = [harness.dispatcher._tiers(-1, harness.dispatcher.open_requests[n])[0][0].name for n in range(9)]
+    homes = [
+        harness.dispatcher.parts.choice.tiers(-1, harness.dispatcher.open_requests[n])[0][0].name
+        for n in range(9)
+    ]
     assert set(homes) == {"a", "b"}
     other = "b" if homes[0] == "a" else "a"
     harness.dispatcher.random.fraction = lambda: 0.0  # type: ignore[method-assign]
-    harness.dispatcher._replace(
-        harness.dispatcher.open_requests[0].type, harness.dispatcher.workers[other], harness.clock
+    harness.dispatcher.parts.service.replace(
+        harness.dispatcher.open_requests[0].queue, harness.dispatcher.workers[other], harness.clock
     )
     assert [n for n in range(9) if harness.worker_of(n)] == [homes.index(other)]
 
@@ -98,7 +106,7 @@
     harness.dispatcher.endpoints_changed([endpoint("b", rack=2)])
     harness.endpoints["b"] = endpoint("b", rack=2)
     for _ in range(20):
-        harness.dispatcher._tick(harness.clock)
+        harness.dispatcher.parts.service.tick(harness.clock)
     assert harness.worker_of(1) is None and harness.worker_of(2) == "b"
 
 
@@ -170,7 +178,7 @@
 def test_only_a_part_of_the_workers_is_set_aside() -> None:
     harness = DispatchHarness([endpoint(n) for n in "abcdef"])
     for worker in list(harness.dispatcher.workers.values()):
-        harness.dispatcher._set_aside(worker, harness.clock)
+        harness.dispatcher.parts.ejection.eject(worker, harness.clock)
     assert sum(w.ejected for w in harness.dispatcher.workers.values()) == 2
 
 
@@ -195,7 +203,7 @@
 
 def test_an_irreversible_one_does_not_try_a_worker_that_has_just_returned() -> None:
     harness = DispatchHarness([endpoint("a", kind=1)])
-    harness.dispatcher._take_back(harness.dispatcher.workers["a"])
+    harness.dispatcher.parts.ejection._readmit(harness.dispatcher.workers["a"], harness.clock)
     harness.send_request(1, request_class=2)
     harness.send_request(2, request_class=0)
     assert harness.worker_of(1) is None and harness.worker_of(2) == "a"
@@ -210,12 +218,12 @@
 def test_no_replacement_where_the_wait_was_more_than_affordable() -> None:
     harness = DispatchHarness([endpoint("a")])
     worker = harness.dispatcher.workers["a"]
-    worker.room = worker.room_before_cut = 1.0
+    worker.capacity = worker.capacity_before_cut = 1.0
     harness.send_request(1)
-    harness.dispatcher.start_lags[0] = deque([MS])
+    harness.dispatcher.parts.observations.start_delays[0] = deque([MS])
     harness.advance(60 * MS)
     harness.report_start(1)
-    assert harness.dispatcher.open_requests[1].waited_too_long
+    assert harness.dispatcher.open_requests[1].started_too_late
     harness.send_request(2)
     harness.end_attempt(1, AttemptOutcome.SUCCEEDED)
     assert harness.worker_of(2) is None
@@ -229,7 +237,9 @@
     harness.send_request(2, request_class=2)
     harness.report_start(2)
     harness.advance(100 * MS)
-    assert harness.worker_of(1) == "a" and not harness.dispatcher._has_waiting(worker, harness.clock)
+    assert harness.worker_of(1) == "a" and not harness.dispatcher.parts.capacity.has_pending_start(
+        worker, harness.clock
+    )
 
 
 def test_a_bound_submission_is_not_taken_back_to_be_sent_to_the_same_worker() -> None:
@@ -251,6 +261,14 @@
     # than names, of which only the latest are kept.
     harness = DispatchHarness([endpoint(f"w{n}") for n in range(40)])
     for number in range(700):
-        harness.dispatcher.subjects.append("common" if number % 7 == 0 else f"user-{number}")
-    assert harness.dispatcher._homes("common") == 8 and harness.dispatcher._homes("user-699") == 1
-    assert harness.dispatcher._homes("") == 0 and len(harness.dispatcher.subjects) == 512
+        harness.dispatcher.parts.observations.affinity_keys.record(
+            "common" if number % 7 == 0 else f"user-{number}"
+        )
+    assert (
+        harness.dispatcher.parts.choice.preferred_count("common") == 8
+        and harness.dispatcher.parts.choice.preferred_count("user-699") == 1
+    )
+    assert (
+        harness.dispatcher.parts.choice.preferred_count("") == 0
+        and len(harness.dispatcher.parts.observations.affinity_keys.recent) == 512
+    )
