--- a/ploverspoke/config_distribution/dynamic_config.py
+++ b/ploverspoke/config_distribution/dynamic_config.py
@@ -144,9 +144,9 @@
     """To `config` at the operators' door."""
     watch = client.watch
     if watch.reason:
-        return admin.said_no(f"version {watch.came.number} refused: {watch.reason}")
-    lines = [admin.figure(key, value) for key, value in client.figures().items()]
-    return admin.said_yes(f"version {watch.in_force} in force") + admin.figures(lines)[len("+OK\n") :]
+        return admin.error_reply(f"version {watch.came.number} refused: {watch.reason}")
+    lines = [admin.counter_line(key, value) for key, value in client.figures().items()]
+    return admin.ok_reply(f"version {watch.in_force} in force") + admin.counters_reply(lines)[len("+OK\n") :]
 
 
 def _run(watch_file: Path) -> None:
--- a/ploverspoke/protocol/__init__.py
+++ b/ploverspoke/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP as clients, workers and discovery speak it: bytes to calls and back. Opens no sockets."""
+"""The protocols with clients, workers, discovery, operators and other dispatchers. Opens no sockets."""
--- a/ploverspoke/protocol/admin.py
+++ b/ploverspoke/protocol/admin.py
@@ -1,58 +1,60 @@
-"""The operators' door: one line asks, one answer that begins with +OK or -ERR. Opens no sockets."""
+"""The admin protocol: one line with a command, one reply that begins with +OK or -ERR."""
 
 from collections.abc import Iterable
 
-LONGEST_CALL = 64  # bytes, its end included
+from .errors import AdminCommandError
 
+MAX_COMMAND_SIZE = 64  # bytes, with the end of the line
 
-class AdminCallError(Exception):
-    """What came is no call; says why, in words that are safe to send back."""
 
-
-class CallReader:
-    """Collects the one line of a connection, whatever pieces it comes in."""
+class AdminCommandReader:
+    """Collects the one command line of a connection from the pieces in which it comes."""
 
     def __init__(self) -> None:
         self.line = bytearray()
 
     def feed(self, data: memoryview) -> str | None:
-        """The call, once its line has ended; None before that. Raises AdminCallError."""
-        self.line += data[: LONGEST_CALL + 1 - len(self.line)]
+        """Return the command when its line is complete, None before that. Raises AdminCommandError."""
+        self.line += data[: MAX_COMMAND_SIZE + 1 - len(self.line)]
         line, newline, rest = bytes(self.line).partition(b"\n")
         if not newline:
-            if len(self.line) > LONGEST_CALL:
-                raise AdminCallError("the line is too long")
+            if len(self.line) > MAX_COMMAND_SIZE:
+                raise AdminCommandError(reason="the line is too long")
             return None
-        if rest or len(self.line) > LONGEST_CALL:
-            raise AdminCallError("one line a connection")
-        call = line.removesuffix(b"\r")
-        if not all(0x20 <= byte < 0x7F for byte in call):
-            raise AdminCallError("not plain ASCII")
-        return call.decode("ascii")
+        if rest or len(self.line) > MAX_COMMAND_SIZE:
+            raise AdminCommandError(reason="one line a connection")
+        command = line.removesuffix(b"\r")
+        if not all(0x20 <= byte < 0x7F for byte in command):
+            raise AdminCommandError(reason="not plain ASCII")
+        return command.decode("ascii")
 
 
-def said_yes(what: str) -> bytes:
-    return f"+OK {what}\n".encode("ascii")
+def ok_reply(text: str) -> bytes:
+    """Return the reply to a command that succeeded."""
+    return f"+OK {text}\n".encode("ascii")
 
 
-def said_no(why: str) -> bytes:
-    return f"-ERR {why}\n".encode("ascii")
+def error_reply(reason: str) -> bytes:
+    """Return the reply to a command that failed."""
+    return f"-ERR {reason}\n".encode("ascii")
 
 
-def label(text: str) -> str:
-    """A text as a label's value; what would end it or the line is escaped."""
+def escape_label(text: str) -> str:
+    """Return a text as the value of a label: quotes, backslashes and line ends are escaped."""
     escaped = text.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n")
     return escaped.encode("ascii", "backslashreplace").decode("ascii")
 
 
-def operations(grade: str, status: str, count: int) -> str:
-    return f'dispatcher_operations{{priority="{label(grade)}",status="{status}"}} {count}'
+def operations_line(request_class: str, status: str, count: int) -> str:
+    """Return the line for the requests of one class that ended with one status."""
+    return f'dispatcher_operations{{priority="{escape_label(request_class)}",status="{status}"}} {count}'
 
 
-def figure(name: str, value: int) -> str:
+def counter_line(name: str, value: int) -> str:
+    """Return the line for one counter or gauge."""
     return f"dispatcher_{name} {value}"
 
 
-def figures(lines: Iterable[str]) -> bytes:
-    """The whole answer to `vars`."""
+def counters_reply(lines: Iterable[str]) -> bytes:
+    """Return the whole reply to `vars`, of lines made by the functions above."""
     return "\n".join(("+OK", *lines, ".\n")).encode("ascii")
--- a/ploverspoke/protocol/clients.py
+++ b/ploverspoke/protocol/clients.py
@@ -1,14 +1,16 @@
-"""What clients say and what is answered."""
+"""HTTP with clients: their requests are read, responses to them are written."""
 
-from typing import NoReturn, Protocol
+from typing import NamedTuple, NoReturn, Protocol
 
 import httptools
 
 from ploverspoke.transport.units import MICROSECOND, MILLISECOND, SECOND
 
-from .http_messages import LONGEST_BODY, HttpSyntaxError, Message, head
+from .errors import HttpSyntaxError, MessageTooLongError
+from .http_messages import MAX_BODY_SIZE, HttpMessageReader, encode_head
+from .wire_names import REQUEST_INFO, REQUEST_TIMEOUT, SLOTS, WORK_HINT
 
-REASONS = {
+REASON_PHRASES = {
     200: "OK",
     307: "Temporary Redirect",
     400: "Bad Request",
@@ -21,143 +23,156 @@
     503: "Service Unavailable",
     504: "Gateway Timeout",
 }
-MOST_SLOTS = 1e6
+CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
+MAX_SLOTS = 1e6
+MAX_LENGTH_DIGITS = 18  # of a Content-Length
+MAX_NUMBER_DIGITS = 15  # of a number in another header
 
 
-class MessageTooLongError(HttpSyntaxError):
-    """A body over the limit."""
+class HttpRequest(NamedTuple):
+    """One complete request of a client."""
 
-    status = 413
-
-
-class UnknownRequestClassError(HttpSyntaxError):
-    status = 404
-
-
-class MethodNotAllowedError(HttpSyntaxError):
-    status = 405
-
-
-class RequestIdInUseError(HttpSyntaxError):
-    """An id names one submission only: sent on again it would be a second copy of that one."""
-
-    status = 409
+    method: str
+    target: str
+    headers: dict[str, str]  # by their names in lower case
+    body: bytes
+    keep_alive: bool  # the client wants to use the connection again
 
 
 class RequestListener(Protocol):
-    def head_came(self, method: str, target: str, headers: dict[str, str]) -> None:
-        """Raises HttpSyntaxError where the rest need not be read."""
+    """Receives the requests of one connection."""
 
-    def request_came(
-        self, method: str, target: str, headers: dict[str, str], body: bytes, keep_alive: bool
-    ) -> None: ...
+    def on_request_head(self, method: str, target: str, headers: dict[str, str]) -> None:
+        """Check a request whose body is not read yet. Raises HttpSyntaxError to have it not read."""
 
-    def body_awaited(self) -> None:
-        """The client sends the body only after a word from us."""
+    def on_request(self, request: HttpRequest) -> None:
+        """Take a complete request."""
 
+    def on_continue_expected(self) -> None:
+        """Send `CONTINUE_RESPONSE`: the client waits for it before it sends the body."""
 
-class RequestReader(Message[httptools.HttpRequestParser]):
-    """Reads the requests of one connection; a second one may follow the first at once."""
+
+class RequestReader(HttpMessageReader[httptools.HttpRequestParser]):
+    """Reads the requests of one connection; they may follow one another without a pause."""
 
     def __init__(self, listener: RequestListener) -> None:
         super().__init__(httptools.HttpRequestParser)
         self.listener = listener
         self.target = b""
-        self.inside = False  # a request has begun and not ended
+        self.in_message = False  # a request has begun and not ended
 
     def on_message_begin(self) -> None:
+        """Begin a request."""
         super().on_message_begin()
         self.target = b""
-        self.inside = True
+        self.in_message = True
 
     def on_url(self, part: bytes) -> None:
-        self.grow_head(len(part))
+        """Add a part of the target."""
+        self.add_head_size(len(part))
         self.target += part
 
     def on_headers_complete(self) -> None:
+        """Check the head and pass it on."""
         super().on_headers_complete()
         length = self.headers.get("content-length")
         coding = self.headers.get("transfer-encoding")
         if coding is not None and (length is not None or coding.lower() != "chunked"):
-            # Read one way here and another way there, its body may hide a request.
+            # Request smuggling: a body of which two readers see different ends may hide a request.
             self.fail(HttpSyntaxError("the length of the body is not clear"))
-        if length is not None and (len(length) > 18 or int(length) > LONGEST_BODY):
-            self.fail(MessageTooLongError("body too long"))
+        if length is not None and (len(length) > MAX_LENGTH_DIGITS or int(length) > MAX_BODY_SIZE):
+            self.on_body_too_long()
         try:
-            self.listener.head_came(self.method(), self.target.decode("latin-1"), self.headers)
+            self.listener.on_request_head(self.method(), self.target.decode("latin-1"), self.headers)
         except HttpSyntaxError as error:
             self.fail(error)
         if self.headers.get("expect", "").lower() == "100-continue":
-            self.listener.body_awaited()
+            self.listener.on_continue_expected()
 
     def method(self) -> str:
+        """Return the method of the request."""
         return self.parser.get_method().decode("latin-1")
 
-    def body_too_long(self) -> NoReturn:
+    def on_body_too_long(self) -> NoReturn:
+        """Raise the error for a body beyond the limit."""
         self.fail(MessageTooLongError("body too long"))
 
     def on_message_complete(self) -> None:
-        self.inside = False
-        self.listener.request_came(
-            self.method(),
-            self.target.decode("latin-1"),
-            self.headers,
-            bytes(self.body),
-            self.lasts(),
+        """Pass the request on."""
+        self.in_message = False
+        self.listener.on_request(
+            HttpRequest(
+                self.method(),
+                self.target.decode("latin-1"),
+                self.headers,
+                bytes(self.body),
+                self.keeps_alive(),
+            )
         )
 
 
-def grade_name(target: str) -> str:
-    """The first part of the path."""
+def request_class_name(target: str) -> str:
+    """Return the name of the request class: the first segment of the target's path."""
     path = target.partition("?")[0]
     if "://" in path:
         path = "/" + path.partition("://")[2].partition("/")[2]
     return path.lstrip("/").partition("/")[0]
 
 
-def whole(headers: dict[str, str], name: str) -> int | None:
+def whole_number(headers: dict[str, str], name: str) -> int | None:
+    """Return the number in a header, None where there is none. Raises HttpSyntaxError."""
     text = headers.get(name)
     if text is None:
         return None
-    if not text.isascii() or not text.isdigit() or len(text) > 15:
-        raise HttpSyntaxError(f"{name} is no whole number")
+    if not text.isascii() or not text.isdigit() or len(text) > MAX_NUMBER_DIGITS:
+        raise HttpSyntaxError(reason=f"{name} is no whole number")
     return int(text)
 
 
-def patience(headers: dict[str, str]) -> int | None:
-    """How long the client will wait for the answer, in ns."""
-    milliseconds = whole(headers, "request-timeout-ms")
+def request_timeout(headers: dict[str, str]) -> int | None:
+    """Return how long (ns) the client waits for the response, None where it does not say.
+
+    Raises HttpSyntaxError.
+    """
+    milliseconds = whole_number(headers, REQUEST_TIMEOUT)
     return None if milliseconds is None else milliseconds * MILLISECOND
 
 
 def work_hint(headers: dict[str, str]) -> int:
-    return (whole(headers, "work-hint") or 0) * MICROSECOND
+    """Return the client's estimate of the running time (ns), 0 where there is none.
+
+    Raises HttpSyntaxError.
+    """
+    return (whole_number(headers, WORK_HINT) or 0) * MICROSECOND
 
 
-def slots(headers: dict[str, str]) -> float:
-    """How many slots the job takes; the other figures of a request are not ours to judge."""
-    for pair in headers.get("request-info", "").split(","):
+def requested_slots(headers: dict[str, str]) -> float:
+    """Return how many slots of a worker the request takes. Raises HttpSyntaxError.
+
+    Other pairs of the header are not checked.
+    """
+    for pair in headers.get(REQUEST_INFO, "").split(","):
         name, _, value = pair.partition("=")
-        if name.strip().lower() == "slots":
+        if name.strip().lower() == SLOTS:
             try:
                 number = float(value)
             except ValueError:
                 number = 0.0
-            if not 0 < number < MOST_SLOTS:
-                raise HttpSyntaxError("request-info: slots is no number above 0")
+            if not 0 < number < MAX_SLOTS:
+                raise HttpSyntaxError(reason=f"{REQUEST_INFO}: {SLOTS} is no number above 0")
             return number
     return 1.0
 
 
-def answer(status: int, body: bytes, keep: bool, come_back_after: int = 0, location: str = "") -> bytes:
+def encode_response(
+    status: int, body: bytes, keep_alive: bool, retry_after: int = 0, location: str = ""
+) -> bytes:
+    """Return the bytes of a response; `retry_after` (ns) and `location` become headers where given."""
     headers = {"Content-Length": str(len(body))}
     if location:
         headers["Location"] = location
-    if come_back_after > 0:
-        headers["Retry-After"] = f"{come_back_after / SECOND:.3f}"
-    if not keep:
+    if retry_after > 0:
+        headers["Retry-After"] = f"{retry_after / SECOND:.3f}"
+    if not keep_alive:
         headers["Connection"] = "close"
-    return head(f"HTTP/1.1 {status} {REASONS[status]}", headers) + body
-
-
-CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
+    return encode_head(f"HTTP/1.1 {status} {REASON_PHRASES[status]}", headers) + body
--- a/ploverspoke/protocol/discovery.py
+++ b/ploverspoke/protocol/discovery.py
@@ -1,79 +1,108 @@
-"""The list of workers, as discovery tells it."""
+"""HTTP with discovery: requests for changes of the endpoint list, and the lists in its responses."""
 
 from collections.abc import Callable, Mapping
-from typing import Any
+from typing import NamedTuple
 
 import httptools
 
 from ploverspoke.transport.units import MILLISECOND
 
-from .http_messages import HttpSyntaxError, Message, head
-from .json_values import is_finite, parse
+from . import wire_names as wire
+from .errors import EndpointListError, HttpSyntaxError, WatchRejectedError
+from .http_messages import HttpMessageReader, encode_head
+from .json_values import JsonValue, is_finite, parse_json
 
-LONGEST_LIST = 1024 * 1024  # read, it takes ten times that
+MAX_LIST_SIZE = 1024 * 1024  # bytes; in memory a parsed list takes ten times as many
+OVERLOADED = (429, 503)  # statuses
 
 
-def watch(version: int | None, hold: int, address: str) -> bytes:
-    """A watch from that version on that may wait so many ns; the whole list where we have none."""
-    target = "/api/targets"
-    if version is not None:
-        target += f"?from={version}&hold_ms={hold // MILLISECOND}"
-    return head(f"GET {target} HTTP/1.1", {"Host": address})
+class EndpointEntry(NamedTuple):
+    """One worker of an endpoint list; zone, machine kind and state are the names that discovery uses."""
+
+    name: str
+    address: str
+    zone: str
+    machine_kind: str
+    rack: int
+    state: str
+    weight: float
+    started_ms: int  # Unix time; 0: unknown
+
+
+class EndpointList(NamedTuple):
+    """The answer to a watch request."""
 
+    version: int
+    is_complete: bool  # false: only the entries that changed
+    entries: list[EndpointEntry]
 
-class WatchRejectedError(HttpSyntaxError):
-    """Discovery has more calls than it can work through in time."""
+
+def encode_watch_request(version: int | None, max_wait: int, address: str) -> bytes:
+    """Return a request for the changes after a version, or for the whole list where that is None.
+
+    Discovery may wait `max_wait` ns for a change before it responds.
+    """
+    target = wire.ENDPOINTS_PATH
+    if version is not None:
+        target += f"?from={version}&hold_ms={max_wait // MILLISECOND}"
+    return encode_head(f"GET {target} HTTP/1.1", {"Host": address})
 
 
-class ListAnswer(Message[httptools.HttpResponseParser]):
-    """Reads one answer and says when it is complete: its body, and whether the connection lasts."""
+class EndpointListReader(HttpMessageReader[httptools.HttpResponseParser]):
+    """Reads one response with an endpoint list."""
 
-    longest_body = LONGEST_LIST
+    max_body_size = MAX_LIST_SIZE
 
-    def __init__(self, complete: Callable[[bytes, bool], None]) -> None:
+    def __init__(self, on_complete: Callable[[bytes, bool], None]) -> None:
+        """`on_complete` is given the body, and whether the connection can carry another request."""
         super().__init__(httptools.HttpResponseParser)
-        self.complete = complete
+        self.on_complete = on_complete
 
     def on_message_complete(self) -> None:
+        """Pass the body on. Raises WatchRejectedError or HttpSyntaxError for another status than 200."""
         status = self.parser.get_status_code()
         if status < 200:
             return
-        if status in (429, 503):
+        if status in OVERLOADED:
             self.fail(WatchRejectedError(f"answered {status}"))
-        elif status != 200:
+        if status != 200:
             self.fail(HttpSyntaxError(f"answered {status}"))
-        self.complete(bytes(self.body), self.lasts())
-
-
-def read_list(body: bytes, enter: Callable[..., None]) -> tuple[int, bool]:
-    """Enter each worker of a list; gives its version and whether it is whole. Raises HttpSyntaxError."""
-    return enter_list(parse(body), enter)
-
-
-def enter_list(told: Any, enter: Callable[..., None]) -> tuple[int, bool]:
-    if not isinstance(told, Mapping):
-        raise HttpSyntaxError("the list is no JSON object")
-    version, whole, servers = told.get("version"), told.get("full"), told.get("servers")
-    if not isinstance(version, int) or not isinstance(whole, bool) or not isinstance(servers, list):
-        raise HttpSyntaxError("the list lacks version, full or servers")
-    for entry in servers:
-        if not isinstance(entry, Mapping):
-            raise HttpSyntaxError("an entry of the list is no object")
-        worker, address = entry.get("id"), entry.get("addr", "")
-        if not isinstance(worker, str) or not isinstance(address, str):
-            raise HttpSyntaxError("an entry of the list lacks id or addr")
-        weight, started = entry.get("weight", 1.0), entry.get("started_ms", 0)
-        rack = entry.get("cell", 0)
-        if not is_finite(weight) or not is_finite(started):
-            raise HttpSyntaxError(f"weight or started_ms of {worker} is no number")
-        enter(
-            worker,
-            address,
-            entry.get("zone"),
-            entry.get("kind"),
-            rack if isinstance(rack, int) else 0,
-            entry.get("state"),
-            float(weight),
-            int(started),
-        )
-    return version, whole
+        self.on_complete(bytes(self.body), self.keeps_alive())
+
+
+def read_endpoint_list(body: bytes) -> EndpointList:
+    """Return the list in the body of a response. Raises EndpointListError."""
+    return parse_endpoint_list(parse_json(body))
+
+
+def parse_endpoint_list(document: JsonValue) -> EndpointList:
+    """Return the list in a JSON document. Raises EndpointListError."""
+    if not isinstance(document, Mapping):
+        raise EndpointListError(reason="the list is no JSON object")
+    version, is_complete = document.get(wire.LIST_VERSION), document.get(wire.LIST_IS_COMPLETE)
+    entries = document.get(wire.LIST_ENDPOINTS)
+    if not isinstance(version, int) or not isinstance(is_complete, bool) or not isinstance(entries, list):
+        raise EndpointListError(reason="the list lacks version, full or servers")
+    return EndpointList(version, is_complete, [_parse_entry(entry) for entry in entries])
+
+
+def _parse_entry(entry: JsonValue) -> EndpointEntry:
+    if not isinstance(entry, Mapping):
+        raise EndpointListError(reason="an entry of the list is no object")
+    name, address = entry.get(wire.ENDPOINT_NAME), entry.get(wire.ENDPOINT_ADDRESS, "")
+    if not isinstance(name, str) or not isinstance(address, str):
+        raise EndpointListError(reason="an entry of the list lacks id or addr")
+    weight, started_ms = entry.get(wire.ENDPOINT_WEIGHT, 1.0), entry.get(wire.ENDPOINT_STARTED, 0)
+    if not is_finite(weight) or not is_finite(started_ms):
+        raise EndpointListError(reason=f"weight or started_ms of {name} is no number")
+    rack = entry.get(wire.ENDPOINT_RACK, 0)
+    return EndpointEntry(
+        name,
+        address,
+        str(entry.get(wire.ENDPOINT_ZONE)),
+        str(entry.get(wire.ENDPOINT_MACHINE_KIND)),
+        rack if isinstance(rack, int) else 0,
+        str(entry.get(wire.ENDPOINT_STATE)),
+        float(weight),
+        int(started_ms),
+    )
--- a/ploverspoke/protocol/gossip_messages.py
+++ b/ploverspoke/protocol/gossip_messages.py
@@ -1,63 +1,81 @@
-"""What dispatchers tell one another, in bytes as `docs/messages.md` has them."""
+"""Load gossip between dispatchers: the bytes of a datagram, as `docs/messages.md` defines them.
+
+One byte each for version, checksum, zone, sequence number and lateness, then two bytes for each attempt in
+flight: the short hash of its worker.
+"""
 
 from collections import Counter
-from collections.abc import Collection, Iterable
+from collections.abc import Collection, Iterable, Mapping
 from struct import unpack_from
+from typing import NamedTuple
 from zlib import crc32
 
-from .http_messages import HttpSyntaxError
+from .errors import GossipSyntaxError
 
 VERSION = 1
-MOST_BYTES = 255  # 256 may be sent; five and twice as many as fit
-HEAD = 5  # version, check, zone, number, lateness
+MAX_MESSAGE_SIZE = 255  # 256 bytes may be sent; the size of a message is odd
+HEADER_SIZE = 5
+HASH_SIZE = 2
+LATENESS_STEPS = 255
+
+
+class GossipMessage(NamedTuple):
+    """What one dispatcher tells others of its load."""
+
+    zone: int  # of the sender
+    sequence: int  # 0 to 255, then 0 again
+    lateness: float  # 0 to 1: the share of its requests that started late
+    workers: list[str]  # one entry for each attempt that the sender has in flight
 
 
-def mark_of(worker: str) -> int:
-    """The two bytes that stand for a worker."""
+def short_hash(worker: str) -> int:
+    """Return the 16 bits that stand for a worker in a message."""
     return crc32(worker.encode()) & 0xFFFF
 
 
-def marks_of(workers: Iterable[str]) -> dict[int, str]:
-    """Who is meant by which mark; one that two workers share means neither."""
+def workers_by_hash(workers: Iterable[str]) -> dict[int, str]:
+    """Return the workers by their short hash; a hash that two of them share is left out."""
     names = list(workers)
-    often = Counter(map(mark_of, names))
-    return {mark_of(name): name for name in names if often[mark_of(name)] == 1}
+    uses = Counter(map(short_hash, names))
+    return {short_hash(name): name for name in names if uses[short_hash(name)] == 1}
 
 
-def write_gossip(zone: int, number: int, lateness: float, held: Iterable[str]) -> bytes:
-    """What does not fit is left out."""
-    marks = b"".join(mark_of(worker).to_bytes(2) for worker in held)
-    rest = bytes((zone & 0xFF, number, round(255 * lateness))) + marks[: MOST_BYTES - HEAD]
-    return bytes((VERSION, _check(rest))) + rest
+def encode_gossip(message: GossipMessage) -> bytes:
+    """Return the bytes of a message; workers that do not fit are left out."""
+    hashes = b"".join(short_hash(worker).to_bytes(HASH_SIZE) for worker in message.workers)
+    header = bytes((message.zone & 0xFF, message.sequence, round(LATENESS_STEPS * message.lateness)))
+    payload = header + hashes[: MAX_MESSAGE_SIZE - HEADER_SIZE]
+    return bytes((VERSION, _checksum(payload))) + payload
 
 
-def read_gossip(octets: bytes, marks: dict[int, str]) -> tuple[int, int, float, list[str]]:
-    """The sender's zone, the telling's number, the lateness and the workers, but for unknown ones.
+def decode_gossip(data: bytes, known: Mapping[int, str]) -> GossipMessage:
+    """Read a message; workers not in `known` (by their short hash) are left out.
 
-    Raises HttpSyntaxError.
+    Raises GossipSyntaxError.
     """
-    if not HEAD <= len(octets) <= MOST_BYTES or (len(octets) - HEAD) % 2:
-        raise HttpSyntaxError(f"a telling of {len(octets)} bytes")
-    if octets[0] != VERSION or octets[1] != _check(octets[2:]):
-        raise HttpSyntaxError("a telling of another version, or spoilt")
-    named = unpack_from(f">{(len(octets) - HEAD) // 2}H", octets, HEAD)
-    return octets[2], octets[3], octets[4] / 255, [marks[mark] for mark in named if mark in marks]
+    if not HEADER_SIZE <= len(data) <= MAX_MESSAGE_SIZE or (len(data) - HEADER_SIZE) % HASH_SIZE:
+        raise GossipSyntaxError(reason=f"a message of {len(data)} bytes")
+    if data[0] != VERSION or data[1] != _checksum(data[2:]):
+        raise GossipSyntaxError(reason="unknown version or wrong checksum")
+    hashes = unpack_from(f">{(len(data) - HEADER_SIZE) // HASH_SIZE}H", data, HEADER_SIZE)
+    workers = [known[value] for value in hashes if value in known]
+    return GossipMessage(data[2], data[3], data[4] / LATENESS_STEPS, workers)
 
 
-def _check(rest: bytes) -> int:
-    return crc32(rest, VERSION) & 0xFF
+def _checksum(payload: bytes) -> int:
+    return crc32(payload, VERSION) & 0xFF
 
 
-class Reader:
-    """Reads what comes to one dispatcher, by the workers that it knows."""
+class GossipReader:
+    """Decodes the messages that one dispatcher receives, by the workers that it knows."""
 
     def __init__(self) -> None:
-        self.marks: dict[int, str] = {}
-        self.known = 0  # workers are added and never taken out
-
-    def read(self, octets: bytes, workers: Collection[str]) -> tuple[int, int, float, list[str]]:
-        """Raises HttpSyntaxError."""
-        if self.known != len(workers):
-            self.known = len(workers)
-            self.marks = marks_of(workers)
-        return read_gossip(octets, self.marks)
+        self.by_hash: dict[int, str] = {}
+        self.known_count = 0  # workers are added and never removed: their number tells of a change
+
+    def read(self, data: bytes, workers: Collection[str]) -> GossipMessage:
+        """Return the message. Raises GossipSyntaxError."""
+        if self.known_count != len(workers):
+            self.known_count = len(workers)
+            self.by_hash = workers_by_hash(workers)
+        return decode_gossip(data, self.by_hash)
--- a/ploverspoke/protocol/json_values.py
+++ b/ploverspoke/protocol/json_values.py
@@ -1,17 +1,22 @@
-"""JSON from outside: whatever it holds, reading it raises nothing."""
+"""JSON from outside the process: no document makes reading it fail."""
 
 import json
-from typing import Any
+from typing import TypeAlias, TypeGuard
 
+JsonValue: TypeAlias = "None | bool | int | float | str | list[JsonValue] | dict[str, JsonValue]"
 
-def parse(text: str | bytes | bytearray) -> Any:
-    """The value, or None where the text is no JSON."""
+NUMBER_LIMIT = 1e300  # a larger integer may not fit a float
+
+
+def parse_json(text: str | bytes | bytearray) -> JsonValue:
+    """Return the value, or None where the text is no JSON."""
     try:
-        return json.loads(text)
+        value: JsonValue = json.loads(text)
     except (ValueError, RecursionError):
         return None
+    return value
 
 
-def is_finite(value: Any) -> bool:
-    """Whether it is a number that a float can hold."""
-    return isinstance(value, int | float) and abs(value) < 1e300
+def is_finite(value: object) -> TypeGuard[int | float]:
+    """Whether the value is a number that a float can hold."""
+    return isinstance(value, int | float) and abs(value) < NUMBER_LIMIT
--- a/ploverspoke/protocol/wire_names.py
+++ b/ploverspoke/protocol/wire_names.py
@@ -1,8 +1,52 @@
-"""What the wires call things, and what we call them."""
+"""The names that wires and settings use, mapped to the names of this code."""
 
-CONDITIONS = {"Ready": "ready", "Terminating": "draining", "Gone": "gone"}
+# Headers of requests, in lower case as `HttpMessageReader` gives them.
+REQUEST_ID = "request-id"
+REQUEST_TIMEOUT = "request-timeout-ms"
+WORK_HINT = "work-hint"
+REQUEST_INFO = "request-info"  # pairs of name=value, of which only the one below is read
+SLOTS = "slots"
+
+# Headers of workers' responses.
+LOAD_HEADER = "server-load"
+NOT_STARTED = "not-started"  # "1": the request has certainly not run
+
+# Targets of requests to workers and to discovery.
+LOAD_PATH = "/-/load"
+HEALTH_PATH = "/-/healthy"
+ENDPOINTS_PATH = "/api/targets"
+
+# Keys and values of the lines in a worker's response.
+LINE_ID = "id"
+LINE_STATE = "state"
+LINE_LOAD = "load"
+LINE_PROGRESS = "share"
+LINE_RESULT = "result"
+STATE_STARTED = "started"
+STATE_RUNNING = "running"
+STATE_DONE = "done"
+STATE_FAILED = "failed"
+STATE_NOT_STARTED = "returned"
+STATE_KILLED = "lost"
+
+# Keys of an endpoint list.
+LIST_VERSION = "version"
+LIST_IS_COMPLETE = "full"
+LIST_ENDPOINTS = "servers"
+ENDPOINT_NAME = "id"
+ENDPOINT_ADDRESS = "addr"
+ENDPOINT_ZONE = "zone"
+ENDPOINT_MACHINE_KIND = "kind"
+ENDPOINT_RACK = "cell"
+ENDPOINT_STATE = "state"
+ENDPOINT_WEIGHT = "weight"
+ENDPOINT_STARTED = "started_ms"  # Unix time
+
+# Values of endpoint lists, load reports and settings.
+ENDPOINT_STATES = {"Ready": "ready", "Terminating": "draining", "Gone": "gone"}
 REPEATS = {"free": "redoable", "guarded": "labelled", "single_shot": "irreversible"}
 GROUPS = {"all": "all", "zone": "zone", "cell": "rack"}
+UNDEFINED_LOAD_FIELD = "x0"  # its meaning is a matter of the settings
 LOAD_NAMES = {
     "outstanding": "in_hand",
     "inflight": "in_hand",
--- a/ploverspoke/protocol/workers.py
+++ b/ploverspoke/protocol/workers.py
@@ -1,177 +1,214 @@
-"""What is sent to workers, and their answers, read line by line."""
+"""HTTP with workers: attempts and health checks are written, their responses are read line by line."""
 
-from collections.abc import Mapping
-from typing import Any, Protocol
+from typing import Protocol, TypeAlias
 
 import httptools
 
 from ploverspoke.transport.outcomes import ExchangeOutcome
 from ploverspoke.transport.units import MILLISECOND
 
-from .http_messages import LONGEST_BODY, HttpSyntaxError, Message, head
-from .json_values import is_finite, parse
-from .wire_names import LOAD_NAMES
+from . import wire_names as wire
+from .errors import HttpSyntaxError
+from .http_messages import MAX_BODY_SIZE, HttpMessageReader, encode_head
+from .json_values import JsonValue, is_finite, parse_json
 
-LONGEST_LINE = LONGEST_BODY + 4 * 1024  # a whole result and what stands round it
+MAX_LINE_SIZE = MAX_BODY_SIZE + 4 * 1024  # a result, and the JSON around it
+MAY_BE_NOT_STARTED = (503, 504)  # statuses
 
-Load = dict[str, float]
+LoadReport: TypeAlias = dict[str, float]  # by the names of `wire_names.LOAD_NAMES`
 
-
-class AnswerListener(Protocol):
-    def started(self) -> None: ...
-
-    def progressed(self, share_done: float) -> None: ...
-
-    def ended(self, end: ExchangeOutcome, result: str, load: Load | None) -> None:
-        """The outcome is known; said at most once."""
-
-    def message_over(self, reusable: bool) -> None:
-        """The last byte of the answer has come."""
-
-
-# What one connection's two ends tell each other, and what we say ourselves.
-NOT_PASSED_ON = {
+# Headers that hold for one connection only, and the one that is written anew.
+HOP_BY_HOP_HEADERS = {
     "connection",
     "content-length",
     "expect",
     "host",
     "keep-alive",
     "proxy-connection",
-    "request-timeout-ms",
+    wire.REQUEST_TIMEOUT,
     "te",
     "trailer",
     "transfer-encoding",
     "upgrade",
 }
+FINAL_STATES = {
+    wire.STATE_FAILED: ExchangeOutcome.FAILED,
+    wire.STATE_NOT_STARTED: ExchangeOutcome.NOT_STARTED,
+    wire.STATE_KILLED: ExchangeOutcome.KILLED,
+}
+
 
+class ResponseListener(Protocol):
+    """Receives what a worker reports of one request."""
 
-def job(method: str, target: str, headers: dict[str, str], body: bytes, time_out: int, address: str) -> bytes:
-    # All that the client says of the job goes on: a labelled one carries its mark in a header of its own.
-    between_ends = {name.strip().lower() for name in headers.get("connection", "").split(",")}
-    passed = {k: v for k, v in headers.items() if k not in NOT_PASSED_ON and k not in between_ends}
-    passed["host"] = address
-    passed["request-timeout-ms"] = str(max(1, time_out // MILLISECOND))
-    passed["content-length"] = str(len(body))
-    return head(f"{method} {target} HTTP/1.1", passed) + body
+    def on_started(self) -> None:
+        """The worker has begun the request."""
 
+    def on_progress(self, fraction_done: float) -> None:
+        """The worker has done that part of the request, 0 to 1."""
 
-def probe(with_load: bool, address: str) -> bytes:
-    return head(f"GET {'/-/load' if with_load else '/-/healthy'} HTTP/1.1", {"Host": address})
+    def on_outcome(self, outcome: ExchangeOutcome, result: str, load: LoadReport | None) -> None:
+        """The outcome is known; called at most once. The result is empty unless it succeeded."""
 
+    def on_response_complete(self, reusable: bool) -> None:
+        """The last byte was read; `reusable`: the connection can carry another request."""
 
-def load_report(values: Any, x0: str) -> Load | None:
-    """A load report under our words; what we have no word for is left out."""
-    if not isinstance(values, Mapping):
+
+def encode_attempt(
+    method: str, target: str, headers: dict[str, str], body: bytes, timeout: int, address: str
+) -> bytes:
+    """Return the client's request as it is sent to a worker, which is given `timeout` ns for it."""
+    # All other headers go on: some workers recognise repeated requests by a header of their own.
+    connection_headers = {name.strip().lower() for name in headers.get("connection", "").split(",")}
+    forwarded = {
+        name: value
+        for name, value in headers.items()
+        if name not in HOP_BY_HOP_HEADERS and name not in connection_headers
+    }
+    forwarded["host"] = address
+    forwarded[wire.REQUEST_TIMEOUT] = str(max(1, timeout // MILLISECOND))
+    forwarded["content-length"] = str(len(body))
+    return encode_head(f"{method} {target} HTTP/1.1", forwarded) + body
+
+
+def encode_health_check(with_load: bool, address: str) -> bytes:
+    """Return a request for a worker's health, with a load report where that is asked for."""
+    path = wire.LOAD_PATH if with_load else wire.HEALTH_PATH
+    return encode_head(f"GET {path} HTTP/1.1", {"Host": address})
+
+
+def parse_load_report(document: JsonValue, x0_name: str) -> LoadReport | None:
+    """Return the known fields of a load report, None where the document is none.
+
+    `x0_name` is the name of the field that deployments define.
+    """
+    if not isinstance(document, dict):
         return None
     report = {}
-    for name, value in values.items():
-        ours = LOAD_NAMES.get(name)
-        if ours is not None and is_finite(value):
-            report[x0 if ours == "x0" else ours] = float(value)
+    for wire_name, value in document.items():
+        name = wire.LOAD_NAMES.get(wire_name)
+        if name is not None and is_finite(value):
+            report[x0_name if name == wire.UNDEFINED_LOAD_FIELD else name] = float(value)
     return report
 
 
-class Answer(Message[httptools.HttpResponseParser]):
-    """The answer to one request of ours."""
+class ResponseReader(HttpMessageReader[httptools.HttpResponseParser]):
+    """Reads the response to one request."""
 
-    def __init__(self, listener: AnswerListener, x0: str) -> None:
+    def __init__(self, listener: ResponseListener, x0_name: str) -> None:
+        """`x0_name`: see `parse_load_report`."""
         super().__init__(httptools.HttpResponseParser)
         self.listener = listener
-        self.x0 = x0
+        self.x0_name = x0_name
         self.status = 0
-        self.has_ended = False
-        self.over = False
+        self.has_outcome = False
+        self.is_complete = False
 
-    def end(self, end: ExchangeOutcome, result: str = "", load: Load | None = None) -> None:
-        if not self.has_ended:
-            self.has_ended = True
-            self.listener.ended(end, result, load)
+    def finish(self, outcome: ExchangeOutcome, result: str = "", load: LoadReport | None = None) -> None:
+        """Report the outcome, unless one was reported."""
+        if not self.has_outcome:
+            self.has_outcome = True
+            self.listener.on_outcome(outcome, result, load)
 
-    def header_load(self) -> Load | None:
-        text = self.headers.get("server-load")
-        return None if text is None else load_report(parse(text), self.x0)
+    def header_load(self) -> LoadReport | None:
+        """Return the load report of the header, if any."""
+        text = self.headers.get(wire.LOAD_HEADER)
+        return None if text is None else parse_load_report(parse_json(text), self.x0_name)
 
     def on_message_begin(self) -> None:
-        if self.over:
-            self.fail(HttpSyntaxError("more than one answer"))
+        """Begin the response. Raises HttpSyntaxError for a second one."""
+        if self.is_complete:
+            self.fail(HttpSyntaxError("more than one response"))
         super().on_message_begin()
 
     def on_headers_complete(self) -> None:
+        """Note the status."""
         super().on_headers_complete()
         self.status = self.parser.get_status_code()
 
     def on_message_complete(self) -> None:
+        """End the response, if it was not an interim one."""
         if self.status >= 200:
-            self.over = True
-            self.complete()
-            self.listener.message_over(self.lasts())
+            self.is_complete = True
+            self.on_response_end()
+            self.listener.on_response_complete(self.keeps_alive())
 
-    def complete(self) -> None:
+    def on_response_end(self) -> None:
+        """Report the outcome that the end of the response implies."""
         raise NotImplementedError
 
 
-class JobAnswer(Answer):
-    """200, then one JSON object a line up to a last one; or a status that says it all."""
+class AttemptResponseReader(ResponseReader):
+    """Reads the response to an attempt: 200 with one JSON object a line, or a status that is the outcome."""
 
-    def __init__(self, listener: AnswerListener, x0: str, request_id: str) -> None:
-        super().__init__(listener, x0)
+    def __init__(self, listener: ResponseListener, x0_name: str, request_id: str) -> None:
+        super().__init__(listener, x0_name)
         self.request_id = request_id
 
     def on_headers_complete(self) -> None:
+        """Report the outcome where the status tells it."""
         super().on_headers_complete()
-        if self.status < 200 or self.status == 200:
+        if self.status <= 200:
             return
-        unstarted = self.status in (503, 504) and self.headers.get("not-started", "").strip() == "1"
-        failed = ExchangeOutcome.REJECTED if 400 <= self.status < 500 else ExchangeOutcome.FAILED
-        self.end(ExchangeOutcome.RETURNED if unstarted else failed, load=self.header_load())
+        if self.status in MAY_BE_NOT_STARTED and self.headers.get(wire.NOT_STARTED, "").strip() == "1":
+            outcome = ExchangeOutcome.NOT_STARTED
+        elif 400 <= self.status < 500:
+            outcome = ExchangeOutcome.REJECTED
+        else:
+            outcome = ExchangeOutcome.FAILED
+        self.finish(outcome, load=self.header_load())
 
     def on_body(self, part: bytes) -> None:
-        if self.status != 200 or self.has_ended:
+        """Read the lines that are complete."""
+        if self.status != 200 or self.has_outcome:
             return
         self.body += part
-        while not self.has_ended:
+        while not self.has_outcome:
             line, newline, rest = self.body.partition(b"\n")
             if not newline:
                 break
             self.body = rest
-            self.line(line)
-        if len(self.body) > LONGEST_LINE:
-            self.end(ExchangeOutcome.GARBLED)
+            self._read_line(line)
+        if len(self.body) > MAX_LINE_SIZE:
+            self.finish(ExchangeOutcome.MALFORMED_RESPONSE)
 
-    def complete(self) -> None:
-        if self.status == 200 and not self.has_ended and self.body.strip():
-            self.line(self.body)
-        self.end(ExchangeOutcome.BROKEN)
+    def on_response_end(self) -> None:
+        """Read a last line without a line end; a response without an outcome was cut off."""
+        if self.status == 200 and not self.has_outcome and self.body.strip():
+            self._read_line(self.body)
+        self.finish(ExchangeOutcome.CONNECTION_LOST)
 
-    def line(self, text: bytearray) -> None:
+    def _read_line(self, text: bytearray) -> None:
         if not text.strip():
             return
-        said = parse(text)
-        if not isinstance(said, dict) or said.get("id") != self.request_id:
-            self.end(ExchangeOutcome.GARBLED)
+        line = parse_json(text)
+        if not isinstance(line, dict) or line.get(wire.LINE_ID) != self.request_id:
+            self.finish(ExchangeOutcome.MALFORMED_RESPONSE)
             return
-        state, load = said.get("state"), load_report(said.get("load"), self.x0) or self.header_load()
-        if state == "started":
-            self.listener.started()
-        elif state == "running":
-            share = said.get("share")
-            self.listener.progressed(
-                float(share) if isinstance(share, int | float) and 0 <= share <= 1 else 0.0
-            )
-        elif state == "done" and isinstance(said.get("result"), str):
-            self.end(ExchangeOutcome.SERVED, said["result"], load)
-        elif state in ENDS:
-            self.end(ENDS[state], load=load)
+        state = line.get(wire.LINE_STATE)
+        load = parse_load_report(line.get(wire.LINE_LOAD), self.x0_name) or self.header_load()
+        result = line.get(wire.LINE_RESULT)
+        if state == wire.STATE_STARTED:
+            self.listener.on_started()
+        elif state == wire.STATE_RUNNING:
+            self.listener.on_progress(_fraction_done(line.get(wire.LINE_PROGRESS)))
+        elif state == wire.STATE_DONE and isinstance(result, str):
+            self.finish(ExchangeOutcome.SUCCEEDED, result, load)
+        elif isinstance(state, str) and state in FINAL_STATES:
+            self.finish(FINAL_STATES[state], load=load)
         else:
-            self.end(ExchangeOutcome.GARBLED)
+            self.finish(ExchangeOutcome.MALFORMED_RESPONSE)
 
 
-ENDS = {"failed": ExchangeOutcome.FAILED, "returned": ExchangeOutcome.RETURNED, "lost": ExchangeOutcome.LOST}
+def _fraction_done(value: JsonValue) -> float:
+    return float(value) if isinstance(value, int | float) and 0 <= value <= 1 else 0.0
 
 
-class ProbeAnswer(Answer):
-    """200 or 503, with the load report where there is one."""
+class HealthCheckResponseReader(ResponseReader):
+    """Reads the response to a health check: 200 or 503, with a load report where there is one."""
 
-    def complete(self) -> None:
-        load = load_report(parse(self.body), self.x0) or self.header_load()
-        self.end(ExchangeOutcome.SERVED if self.status == 200 else ExchangeOutcome.FAILED, load=load)
+    def on_response_end(self) -> None:
+        """Report the outcome with the load report of the body, else of the header."""
+        load = parse_load_report(parse_json(self.body), self.x0_name) or self.header_load()
+        healthy = self.status == 200
+        self.finish(ExchangeOutcome.SUCCEEDED if healthy else ExchangeOutcome.FAILED, load=load)
--- a/ploverspoke/routing/admin_server.py
+++ b/ploverspoke/routing/admin_server.py
@@ -5,10 +5,10 @@
 from collections.abc import Callable, Iterator
 
 from ploverspoke.protocol import admin
-from ploverspoke.protocol.admin import AdminCallError
+from ploverspoke.protocol.errors import AdminCommandError
 from ploverspoke.transport.connections import Connection
 from ploverspoke.transport.deadlines import Deadlines
-from ploverspoke.transport.listener import SPEAKS_WITHIN, Listener
+from ploverspoke.transport.listener import FIRST_BYTES_WITHIN, Listener
 from ploverspoke.transport.rate_limited_log import log_line
 from ploverspoke.transport.slot_table import SlotTable
 from ploverspoke.transport.units import SECOND
@@ -26,25 +26,25 @@
     def __init__(self, door: "AdminServer", connection: Connection) -> None:
         self.door = door
         self.connection = connection
-        self.reader = admin.CallReader()
+        self.reader = admin.AdminCommandReader()
         self.since = door.deadlines.now()
         self.answered = False
-        self.late = door.deadlines.at(self.since + CALL_WITHIN, self._too_slow)
+        self.late = door.deadlines.schedule(self.since + CALL_WITHIN, self._too_slow)
         connection.user = self
         door.callers[connection.number] = self
 
-    def bytes_came(self) -> None:
+    def on_data_available(self) -> None:
         if self.answered:
-            self.connection.buffer.read(len(self.connection.buffer))
+            self.connection.buffer.consume(len(self.connection.buffer))
             return
         data = self.connection.buffer.unread()
         try:
             call = self.reader.feed(data)
-        except AdminCallError as error:
-            self._answer(admin.said_no(str(error)))
+        except AdminCommandError as error:
+            self._answer(admin.error_reply(str(error)))
             return
         finally:
-            self.connection.buffer.read(len(data))
+            self.connection.buffer.consume(len(data))
             data.release()
         if call is not None:
             self._answer(self.door.answer(call))
@@ -58,14 +58,14 @@
         if self.answered:
             self.connection.abort()
         else:
-            self._answer(admin.said_no("no whole line came"))
-            self.late = self.door.deadlines.at(self.door.deadlines.now() + CALL_WITHIN, self._too_slow)
+            self._answer(admin.error_reply("no whole line came"))
+            self.late = self.door.deadlines.schedule(self.door.deadlines.now() + CALL_WITHIN, self._too_slow)
 
-    def connection_ended(self) -> None:
-        self.door.deadlines.call_off(self.late)
+    def on_disconnected(self) -> None:
+        self.door.deadlines.cancel(self.late)
         self.door.callers.pop(self.connection.number, None)
 
-    def all_written(self) -> None:
+    def on_write_drained(self) -> None:
         pass
 
 
@@ -78,7 +78,7 @@
         self.router = router
         self.calls: dict[str, Callable[[], bytes]] = {
             "check": self._check,
-            "vars": lambda: admin.figures(self._figures()),
+            "vars": lambda: admin.counters_reply(self._figures()),
         }
         self.connections: SlotTable[Connection] = SlotTable()
         self.callers: dict[int, AdminConnection] = {}  # by their connection's number, oldest first
@@ -89,31 +89,31 @@
     def answer(self, call: str) -> bytes:
         answer = self.calls.get(call)
         if answer is None:
-            return admin.said_no("expected one of " + ", ".join(self.calls))
+            return admin.error_reply("expected one of " + ", ".join(self.calls))
         try:
             return answer()
         except Exception:
             log_line(f"a call at the operators' door failed: {traceback.format_exc()}")
-            return admin.said_no("a fault of ours")
+            return admin.error_reply("a fault of ours")
 
     def _check(self) -> bytes:
         if self.door.leaving:
-            return admin.said_no("leaving")
+            return admin.error_reply("leaving")
         if self.door.listener.socket is None:
-            return admin.said_no("not listening yet")
+            return admin.error_reply("not listening yet")
         if not self.router.dispatcher.listed_workers():
-            return admin.said_no("no list of workers")
-        return admin.said_yes("ready")
+            return admin.error_reply("no list of workers")
+        return admin.ok_reply("ready")
 
     def _figures(self) -> Iterator[str]:
         dispatcher, figures = self.router.dispatcher, self.router.figures
         listed = dispatcher.listed_workers()
         yield from figures.operations()
-        yield admin.figure("open_requests", self.router.open_now())
-        yield admin.figure("registry_entries", len(listed))
-        yield admin.figure("out_of_rotation", sum(dispatcher.avoids(w) for w in listed))
-        yield admin.figure("cfg_accepted", figures.accepted)
-        yield admin.figure("cfg_invalid", figures.invalid)
+        yield admin.counter_line("open_requests", self.router.open_now())
+        yield admin.counter_line("registry_entries", len(listed))
+        yield admin.counter_line("out_of_rotation", sum(dispatcher.avoids(w) for w in listed))
+        yield admin.counter_line("cfg_accepted", figures.accepted)
+        yield admin.counter_line("cfg_invalid", figures.invalid)
 
     def _came(self, connection: Connection) -> None:
         AdminConnection(self, connection)
@@ -123,7 +123,7 @@
         if len(self.callers) + coming < MOST_CALLERS:
             return True
         oldest = next((c for c in self.callers.values() if not c.answered), None)
-        if oldest is None or self.deadlines.now() - oldest.since < SPEAKS_WITHIN:
+        if oldest is None or self.deadlines.now() - oldest.since < FIRST_BYTES_WITHIN:
             return False
         del self.callers[oldest.connection.number]
         oldest.connection.abort()
--- a/ploverspoke/routing/client_server.py
+++ b/ploverspoke/routing/client_server.py
@@ -5,10 +5,10 @@
 from collections import deque
 
 from ploverspoke.protocol import clients
-from ploverspoke.protocol.http_messages import HttpSyntaxError
+from ploverspoke.protocol.errors import HttpSyntaxError, MessageTooLongError
 from ploverspoke.transport.connections import Connection
 from ploverspoke.transport.deadlines import Deadline, Deadlines
-from ploverspoke.transport.listener import SPEAKS_WITHIN, Listener
+from ploverspoke.transport.listener import FIRST_BYTES_WITHIN, Listener
 from ploverspoke.transport.rate_limited_log import log_line
 from ploverspoke.transport.slot_table import SlotTable
 from ploverspoke.transport.units import MILLISECOND, SECOND
@@ -33,7 +33,7 @@
         self.door = door
         self.connection = connection
         self.reader = clients.RequestReader(self)
-        self.waiting: deque[tuple[str, str, dict[str, str], bytes, bool]] = deque()
+        self.waiting: deque[clients.HttpRequest] = deque()
         self.submission: Request | None = None
         self.answering = False  # a request is being handled
         self.keep = True
@@ -51,25 +51,25 @@
         self._watch_pace()
 
     def is_idle(self) -> bool:
-        busy = self.answering or self.waiting or self.closing or self.reader.inside
-        return not busy and not len(self.connection.buffer) and not self.connection.unsent
+        busy = self.answering or self.waiting or self.closing or self.reader.in_message
+        return not busy and not len(self.connection.buffer) and not self.connection.has_unsent_data
 
     # ---- The connection ----
 
-    def bytes_came(self) -> None:
+    def on_data_available(self) -> None:
         if self.closing:
             buffer = self.connection.buffer
-            buffer.read(len(buffer))
-        elif self.answering or self.connection.unsent:
+            buffer.consume(len(buffer))
+        elif self.answering or self.connection.has_unsent_data:
             self._keep_ahead()
         else:
             self._read_on()
 
-    def connection_ended(self) -> None:
+    def on_disconnected(self) -> None:
         self.door.forget(self)
         self.door.held -= self.held
         self.held = 0
-        self.door.deadlines.call_off(self.late)
+        self.door.deadlines.cancel(self.late)
         self.closing = True
         self.waiting.clear()
         submission, self.submission = self.submission, None
@@ -82,35 +82,33 @@
         ahead = len(buffer)
         most = FREE_AHEAD if self.door.is_full() else MOST_AHEAD
         if self.thrown_away or ahead > most:
-            buffer.read(ahead)
+            buffer.consume(ahead)
             self.thrown_away += ahead
             self._weigh()
             if self.thrown_away > MOST_THROWN_AWAY:
-                self.connection.hold_reading(True)
+                self.connection.set_reading_paused(True)
 
-    def all_written(self) -> None:
+    def on_write_drained(self) -> None:
         if not self.answering and not self.closing:
             self._read_on()
 
     # ---- Requests ----
 
-    def request_came(
-        self, method: str, target: str, headers: dict[str, str], body: bytes, keep_alive: bool
-    ) -> None:
-        self.waiting.append((method, target, headers, body, keep_alive))
+    def on_request(self, request: clients.HttpRequest) -> None:
+        self.waiting.append(request)
 
-    def head_came(self, method: str, target: str, headers: dict[str, str]) -> None:
+    def on_request_head(self, method: str, target: str, headers: dict[str, str]) -> None:
         if not target.startswith("/-/"):
             self.door.router.check(method, target, headers)
 
-    def body_awaited(self) -> None:
+    def on_continue_expected(self) -> None:
         if not self.answering and not self.waiting:
-            self.connection.write(clients.CONTINUE)
+            self.connection.write(clients.CONTINUE_RESPONSE)
 
     def _read_on(self) -> None:
         """Read and handle requests until one has to be waited for or nothing is left."""
-        self.connection.hold_reading(False)
-        while not self.answering and not self.closing and not self.connection.unsent:
+        self.connection.set_reading_paused(False)
+        while not self.answering and not self.closing and not self.connection.has_unsent_data:
             if self.thrown_away:
                 self._close()  # what came next is gone
             elif self.waiting:
@@ -131,17 +129,17 @@
             self.failure = error
         self._weigh()
         if self.door.is_full():
-            for _, target, *_ in self.waiting:
-                self.door.router.turned_away(target)
-            if self.reader.inside and not self.reader.in_head:
+            for request in self.waiting:
+                self.door.router.turned_away(request.target)
+            if self.reader.in_message and not self.reader.in_head:
                 self.door.router.turned_away(self.reader.target.decode("latin-1"))
             self.waiting.clear()
             self.keep = False
             self.nacked(0)
 
     def _weigh(self) -> None:
-        held = len(self.reader.body) if self.reader.inside else 0
-        held += sum(len(body) for _, _, _, body, _ in self.waiting)
+        held = len(self.reader.body) if self.reader.in_message else 0
+        held += sum(len(request.body) for request in self.waiting)
         held += max(0, len(self.connection.buffer) - FREE_AHEAD)
         self.door.held += held - self.held
         self.held = held
@@ -210,7 +208,7 @@
         self._answer(400, b"no worker can use it")
 
     def has_left(self) -> bool:
-        left = self.connection.was_left()
+        left = self.connection.is_closed_by_peer()
         if left:
             # Where reading is held, or the loop has not come round, its end would be heard too late or never.
             self.connection.abort()
@@ -228,7 +226,7 @@
         refused = 400 <= status < 500
         ending = self.door.is_shut or self.door.handing_over or self.thrown_away > 0
         keep = self.keep and not refused and not ending
-        self.connection.write(clients.answer(status, body, keep, come_back_after, location))
+        self.connection.write(clients.encode_response(status, body, keep, come_back_after, location))
         self.idle_since = self.door.deadlines.now()
         if not keep:
             self._close()
@@ -238,7 +236,7 @@
         self._watch_pace()
 
     def _read_on_later(self) -> None:
-        if not self.answering and not self.closing and self.connection.open:
+        if not self.answering and not self.closing and self.connection.is_open:
             self._read_on()
 
     def _close(self) -> None:
@@ -246,16 +244,16 @@
         self.closing = True
         self.waiting.clear()
         buffer = self.connection.buffer
-        buffer.read(len(buffer))
-        if isinstance(self.failure, clients.MessageTooLongError):
-            self.connection.hold_reading(True)  # it may have much more to send
-        self.connection.finish()
-        self.door.deadlines.call_off(self.late)
-        self.late = self.door.deadlines.at(self.door.deadlines.now() + LINGER, self.connection.abort)
+        buffer.consume(len(buffer))
+        if isinstance(self.failure, MessageTooLongError):
+            self.connection.set_reading_paused(True)  # it may have much more to send
+        self.connection.shut_down_writing()
+        self.door.deadlines.cancel(self.late)
+        self.late = self.door.deadlines.schedule(self.door.deadlines.now() + LINGER, self.connection.abort)
 
     def leave(self) -> None:
         """Close it between two requests; one that waits in the kernel is read first, and answered."""
-        if self.is_idle() and not self.connection.has_unread():
+        if self.is_idle() and not self.connection.has_unread_data():
             self.hang_up()
 
     def hang_up(self) -> None:
@@ -266,17 +264,17 @@
         """A client that neither sends its request whole nor reads its answer is not waited for forever."""
         if self.closing:
             return
-        awaited = (self.reader.inside or not self.served) and not self.answering
-        if not awaited and not self.connection.unsent:
-            self.door.deadlines.call_off(self.late)
+        awaited = (self.reader.in_message or not self.served) and not self.answering
+        if not awaited and not self.connection.has_unsent_data:
+            self.door.deadlines.cancel(self.late)
             self.late = None
         elif self.late is None:
             # Set once: what comes in drips renews nothing.
             span = SLOW_REQUEST if awaited else SLOW_READER
-            self.late = self.door.deadlines.at(self.door.deadlines.now() + span, self._too_slow)
+            self.late = self.door.deadlines.schedule(self.door.deadlines.now() + span, self._too_slow)
 
     def _too_slow(self) -> None:
-        if self.connection.unsent or not self.reader.inside:
+        if self.connection.has_unsent_data or not self.reader.in_message:
             self.connection.abort()
         elif not self.answering:
             self._answer(408, b"the request did not come whole")
@@ -324,8 +322,10 @@
             idle = sorted(
                 (s for s in self.sessions.values() if s.served and s.is_idle()), key=lambda s: s.idle_since
             )
-            found = next((s for s in idle if not s.connection.has_unread()), None)
-        elif self.deadlines.now() - found.idle_since < SPEAKS_WITHIN or found.connection.has_unread():
+            found = next((s for s in idle if not s.connection.has_unread_data()), None)
+        elif (
+            self.deadlines.now() - found.idle_since < FIRST_BYTES_WITHIN or found.connection.has_unread_data()
+        ):
             return False  # what it said may be unread where the loop was busy
         if found is None:
             return False
@@ -361,10 +361,10 @@
         if self.is_shut:
             return
         self.is_shut = True
-        self.listener.take_rest()
+        self.listener.accept_backlog()
         self.listener.close()
         for session in self.sessions.values():
             session.leave()
 
     def is_empty(self) -> bool:
-        return not self.sessions and not self.listener.seating
+        return not self.sessions and not self.listener.setup_tasks
--- a/ploverspoke/routing/counters.py
+++ b/ploverspoke/routing/counters.py
@@ -50,5 +50,5 @@
                 if how in SHOWN_AS:
                     shown[SHOWN_AS[how]] += count
             for status in STATUSES:
-                yield admin.operations(grade, status, shown[status])
-            yield admin.operations(grade, "relayed", self.written[grade])
+                yield admin.operations_line(grade, status, shown[status])
+            yield admin.operations_line(grade, "relayed", self.written[grade])
--- a/ploverspoke/routing/endpoint_watch.py
+++ b/ploverspoke/routing/endpoint_watch.py
@@ -4,8 +4,8 @@
 from collections.abc import Callable
 
 from ploverspoke.protocol import discovery
-from ploverspoke.protocol.http_messages import HttpSyntaxError
-from ploverspoke.transport.connection_pool import Opening, Pool
+from ploverspoke.protocol.errors import HttpSyntaxError, WatchRejectedError
+from ploverspoke.transport.connection_pool import ConnectionPool, PendingConnection
 from ploverspoke.transport.connections import Connection
 from ploverspoke.transport.deadlines import Deadline, Deadlines
 from ploverspoke.transport.outcomes import ExchangeOutcome
@@ -29,31 +29,31 @@
         self.watch = watch
         self.version = watch.version  # newer than that is asked for; None: the whole list
         self.connection: Connection | None = None
-        self.opening: Opening | None = None
+        self.opening: PendingConnection | None = None
         self.late: Deadline | None = None
-        self.answer = discovery.ListAnswer(self._complete)
+        self.answer = discovery.EndpointListReader(self._complete)
         self.body: bytes | None = None
         self.lasts = False
         self.heard_out = False  # what lay unread at the end of its time was read
 
     def begin(self) -> None:
         if self.watch.call is self:
-            self.opening = self.watch.pool.call(self.watch.address, self)
+            self.opening = self.watch.pool.acquire(self.watch.address, self)
 
-    def connected(self, connection: Connection) -> None:
+    def on_connected(self, connection: Connection) -> None:
         watch = self.watch
         self.opening = None
         self.connection = connection
         connection.user = self
         limit = WHOLE_ANSWER_TIME if self.version is None else watch.hold + ANSWER_TIME
-        self.late = watch.deadlines.at(watch.deadlines.now() + limit, self._silent)
-        connection.write(discovery.watch(self.version, watch.hold, watch.address))
+        self.late = watch.deadlines.schedule(watch.deadlines.now() + limit, self._silent)
+        connection.write(discovery.encode_watch_request(self.version, watch.hold, watch.address))
 
-    def not_connected(self, end: ExchangeOutcome) -> None:
+    def on_connect_failed(self, outcome: ExchangeOutcome) -> None:
         self.opening = None
         self.watch.failed(self, False)
 
-    def bytes_came(self) -> None:
+    def on_data_available(self) -> None:
         if self.connection is None:
             return
         turned_away, wrong = False, False
@@ -61,7 +61,7 @@
             self.connection.feed(self.answer)
         except HttpSyntaxError as error:
             log_line(f"discovery: {error}")
-            turned_away, wrong = isinstance(error, discovery.WatchRejectedError), True
+            turned_away, wrong = isinstance(error, WatchRejectedError), True
         # A whole list is told, whatever comes behind it.
         told = self.body is None or self.watch.take(self.body, self.version)
         if wrong or not told:
@@ -74,26 +74,26 @@
             self.answer.fail(HttpSyntaxError("more than one answer"))
         self.body, self.lasts = body, lasts
 
-    def connection_ended(self) -> None:
+    def on_disconnected(self) -> None:
         self.connection = None
         self.watch.failed(self, False)
 
-    def all_written(self) -> None:
+    def on_write_drained(self) -> None:
         pass
 
     def _silent(self) -> None:
-        if self.connection is not None and self.connection.has_unread() and not self.heard_out:
+        if self.connection is not None and self.connection.has_unread_data() and not self.heard_out:
             # This process may have been stopped: what came in time is read first.
             self.heard_out = True
-            self.late = self.watch.deadlines.at(self.watch.deadlines.now() + MILLISECOND, self._silent)
+            self.late = self.watch.deadlines.schedule(self.watch.deadlines.now() + MILLISECOND, self._silent)
         else:
             self.watch.silent(self)
 
     def give_over(self) -> Connection | None:
         """Its end; what it has of a connection is the caller's."""
-        self.watch.deadlines.call_off(self.late)
+        self.watch.deadlines.cancel(self.late)
         if self.opening is not None:
-            self.opening.give_up()
+            self.opening.cancel()
             self.opening = None
         connection, self.connection = self.connection, None
         if connection is not None:
@@ -115,7 +115,7 @@
         hold: int,
         told: Callable[
             [bytes], tuple[int, bool]
-        ],  # gives version and whether it was whole; raises HttpSyntaxError
+        ],  # gives version and whether it was whole; raises EndpointListError
         lost: Callable[[bool], None],  # whether it has too many calls
         pushed: bool = False,
     ) -> None:
@@ -132,7 +132,7 @@
         self.anew_at = -AT_ONCE_EVERY  # when it was last opened anew without a pause
         self.version: int | None = None
         # One at a time, but the next may come up before the last is quite closed.
-        self.pool = Pool(loop, deadlines, 2, CONNECT_TIME, CONNECT_TIME)
+        self.pool = ConnectionPool(loop, deadlines, 2, CONNECT_TIME, CONNECT_TIME)
         self.call: Call | None = None  # the one that is heard; None: nobody watches
         self.silences = 0  # in a row
         self.stopped = False
@@ -172,7 +172,7 @@
         connection = call.give_over()
         self.call = Call(self)
         if connection is not None and call.lasts:
-            self.call.connected(connection)
+            self.call.on_connected(connection)
         else:
             if connection is not None:
                 connection.abort()
--- a/ploverspoke/routing/load_gossip.py
+++ b/ploverspoke/routing/load_gossip.py
@@ -3,8 +3,8 @@
 import asyncio
 from collections.abc import Callable, Collection, Iterable, Sequence
 
-from ploverspoke.protocol.gossip_messages import Reader, write_gossip
-from ploverspoke.protocol.http_messages import HttpSyntaxError
+from ploverspoke.protocol.errors import GossipSyntaxError
+from ploverspoke.protocol.gossip_messages import GossipMessage, GossipReader, encode_gossip
 
 Address = tuple[str, int]
 Hear = Callable[[int, int, int, float, list[str]], None]
@@ -21,7 +21,7 @@
         self.own = own
         self.workers = workers
         self.hear = hear
-        self.reader = Reader()
+        self.reader = GossipReader()
         self.transport: asyncio.DatagramTransport | None = None
 
     async def open(self, loop: asyncio.AbstractEventLoop) -> None:
@@ -44,7 +44,7 @@
     ) -> None:
         if self.transport is None:
             return
-        octets = write_gossip(zone, number, lateness, held)
+        octets = encode_gossip(GossipMessage(zone, number, lateness, list(held)))
         for peer in range(len(self.addresses)) if to is None else to:
             if peer != self.own and peer < len(self.addresses):
                 self.transport.sendto(octets, self.addresses[peer])
@@ -54,10 +54,10 @@
         if teller is None or teller == self.own:
             return
         try:
-            told = self.reader.read(data, self.workers())
-        except HttpSyntaxError:
+            message = self.reader.read(data, self.workers())
+        except GossipSyntaxError:
             return
-        self.hear(teller, *told)
+        self.hear(teller, message.zone, message.sequence, message.lateness, message.workers)
 
     def error_received(self, exc: Exception) -> None:
         """One that is down is told again with the next news."""
--- a/ploverspoke/routing/outcomes.py
+++ b/ploverspoke/routing/outcomes.py
@@ -3,18 +3,18 @@
 from ploverspoke.transport.outcomes import ExchangeOutcome
 
 OUTCOMES = {
-    ExchangeOutcome.SERVED: "satisfied",
+    ExchangeOutcome.SUCCEEDED: "satisfied",
     ExchangeOutcome.FAILED: "worker_error",
-    ExchangeOutcome.RETURNED: "full",  # never ran
+    ExchangeOutcome.NOT_STARTED: "full",  # never ran
     ExchangeOutcome.REJECTED: "rejected",  # final, and no fault of the worker's
-    ExchangeOutcome.LOST: "broken_off",
-    ExchangeOutcome.REFUSED: "unreachable",  # never ran
-    ExchangeOutcome.NEVER_UP: "unreachable",  # never ran
-    ExchangeOutcome.UNSENT: "unreachable",  # never ran
-    ExchangeOutcome.BROKEN: "broken_off",
-    ExchangeOutcome.GARBLED: "broken_off",
+    ExchangeOutcome.KILLED: "broken_off",
+    ExchangeOutcome.CONNECTION_REFUSED: "unreachable",  # never ran
+    ExchangeOutcome.CONNECT_FAILED: "unreachable",  # never ran
+    ExchangeOutcome.SEND_INCOMPLETE: "unreachable",  # never ran
+    ExchangeOutcome.CONNECTION_LOST: "broken_off",
+    ExchangeOutcome.MALFORMED_RESPONSE: "broken_off",
     ExchangeOutcome.TIMED_OUT: "timed_out",
-    ExchangeOutcome.RECALLED: "recalled",
-    ExchangeOutcome.WITHHELD: "not_sent",  # never ran
-    ExchangeOutcome.NO_SOCKET: "not_sent",  # never ran; no fault of the worker's
+    ExchangeOutcome.CANCELLED: "recalled",
+    ExchangeOutcome.NOT_SENT: "not_sent",  # never ran
+    ExchangeOutcome.NO_DESCRIPTOR: "not_sent",  # never ran; no fault of the worker's
 }
--- a/ploverspoke/routing/router.py
+++ b/ploverspoke/routing/router.py
@@ -11,10 +11,15 @@
 from ploverspoke.decisions.dispatcher import Dispatcher
 from ploverspoke.decisions.interface import Endpoint, Settings
 from ploverspoke.protocol import clients, discovery, workers
-from ploverspoke.protocol.http_messages import HttpSyntaxError
-from ploverspoke.protocol.wire_names import CONDITIONS
-from ploverspoke.protocol.workers import Load
-from ploverspoke.transport.connection_pool import Pool
+from ploverspoke.protocol.errors import (
+    HttpSyntaxError,
+    MethodNotAllowedError,
+    RequestIdInUseError,
+    UnknownRequestClassError,
+)
+from ploverspoke.protocol.wire_names import ENDPOINT_STATES
+from ploverspoke.protocol.workers import LoadReport
+from ploverspoke.transport.connection_pool import ConnectionPool
 from ploverspoke.transport.deadlines import Deadlines
 from ploverspoke.transport.outcomes import ExchangeOutcome
 from ploverspoke.transport.rate_limited_log import log_line
@@ -84,7 +89,7 @@
         event = self.router.dispatcher.attempt_progressed
         self.router.tell(event, self.submission.number, self.index, share_done)
 
-    def errand_ended(self, end: ExchangeOutcome, result: str, load: Load | None) -> None:
+    def errand_ended(self, end: ExchangeOutcome, result: str, load: LoadReport | None) -> None:
         self.router.attempt_ended(self, end, result, load)
 
 
@@ -106,8 +111,8 @@
     def errand_progressed(self, share_done: float) -> None:
         pass
 
-    def errand_ended(self, end: ExchangeOutcome, result: str, load: Load | None) -> None:
-        if end in (ExchangeOutcome.BROKEN, ExchangeOutcome.UNSENT) and not self.repeated:
+    def errand_ended(self, end: ExchangeOutcome, result: str, load: LoadReport | None) -> None:
+        if end in (ExchangeOutcome.CONNECTION_LOST, ExchangeOutcome.SEND_INCOMPLETE) and not self.repeated:
             # A connection that breaks says little of its worker, and a probe may be sent twice.
             self.repeated = True
             self.router.send_probe(self)
@@ -122,7 +127,7 @@
         self,
         loop: asyncio.AbstractEventLoop,
         deadlines: Deadlines,
-        pool: Pool,
+        pool: ConnectionPool,
         discovery_address: str,
         seed: int,
         orders: Settings,
@@ -162,10 +167,9 @@
         From the known list on discovery says only what is newer, when that comes; else at once all it has.
         """
         if known is not None:
-            listings: list[Endpoint] = []
-            version, _ = discovery.enter_list(known, partial(self._enter, listings))
-            self.roster.version = version if from_known else None
-            self._roster_changed(listings, True)
+            found = discovery.parse_endpoint_list(known)
+            self.roster.version = found.version if from_known else None
+            self._roster_changed([self._enter(entry) for entry in found.entries], True)
         self.tell(self.dispatcher.started)
         if is_pushed(self.orders):
             # Where changes are to come unprompted, nothing but this watch makes them come on sockets.
@@ -197,14 +201,14 @@
 
     def check(self, method: str, target: str, headers: dict[str, str]) -> None:
         """Whether a request with this head can be taken at all. Raises HttpSyntaxError."""
-        if clients.grade_name(target) not in self.rows.numbers:
-            raise clients.UnknownRequestClassError("no such service grade")
+        if clients.request_class_name(target) not in self.rows.numbers:
+            raise UnknownRequestClassError("no such service grade")
         if method != "POST":
-            raise clients.MethodNotAllowedError("submissions come by POST")
+            raise MethodNotAllowedError("submissions come by POST")
         if not headers.get("request-id"):
             raise HttpSyntaxError("request-id is missing")
         self._must_be_new(headers["request-id"])
-        for read in (clients.patience, clients.slots, clients.work_hint):
+        for read in (clients.request_timeout, clients.requested_slots, clients.work_hint):
             read(headers)
 
     def take(
@@ -214,13 +218,13 @@
         HttpSyntaxError."""
         # Once more, since another with its id may have been taken while its body came.
         self._must_be_new(headers["request-id"])
-        grade = self.rows.numbers.get(clients.grade_name(target))
+        grade = self.rows.numbers.get(clients.request_class_name(target))
         if grade is None:
-            raise clients.UnknownRequestClassError("no such service grade")  # dropped while the body came
+            raise UnknownRequestClassError("no such service grade")  # dropped while the body came
         longest: int = self.orders["abandon_time"][grade]
-        stated = clients.patience(headers)
+        stated = clients.request_timeout(headers)
         patience = longest if stated is None else min(stated, longest)
-        slots, hint = clients.slots(headers), clients.work_hint(headers)
+        slots, hint = clients.requested_slots(headers), clients.work_hint(headers)
         if self.scribe is not None:
             known = self._known(self.scribe, client, method, target, headers, body)
             if known is not None:
@@ -236,7 +240,7 @@
         self.body_bytes += len(body)
         self._remember(submission.request_id)
         # The decisions answer in time; this guards the client against a fault in them.
-        submission.last_answer = self.deadlines.at(abandon_at, partial(self._overdue, submission))
+        submission.last_answer = self.deadlines.schedule(abandon_at, partial(self._overdue, submission))
         arrived = partial(
             self.tell,
             self.dispatcher.request_arrived,
@@ -275,7 +279,7 @@
         flying, past = self.by_id.get(request_id), scribe.past(request_id)
         told = flying.digest if flying is not None else past.digest if past is not None else digest
         if told != digest:
-            raise clients.RequestIdInUseError("request-id is in use")
+            raise RequestIdInUseError("request-id is in use")
         if flying is not None and flying.waiters is not None:
             # Also while its answer is on its way to be committed: taken for a new one it was handed off
             # again.
@@ -336,7 +340,7 @@
             if yes and left > 0 and not pending.called_off:
                 self._send(hand_off, left)
             else:
-                self.attempt_ended(hand_off, ExchangeOutcome.WITHHELD, "", None)
+                self.attempt_ended(hand_off, ExchangeOutcome.NOT_SENT, "", None)
 
         scribe.intend(submission.request_id, hand_off.worker, index, committed)
 
@@ -359,7 +363,7 @@
 
     def _must_be_new(self, request_id: str) -> None:
         if request_id in self.ids and self.scribe is None:
-            raise clients.RequestIdInUseError("request-id is in use")
+            raise RequestIdInUseError("request-id is in use")
 
     def _remember(self, request_id: str) -> None:
         """Of those that have ended, too: a copy may come when the first is just answered."""
@@ -370,7 +374,7 @@
 
     def turned_away(self, target: str) -> None:
         """The door had no room for this request; where its grade is none of ours it is no job."""
-        grade = clients.grade_name(target)
+        grade = clients.request_class_name(target)
         if grade in self.rows.numbers:
             self.figures.turned_away(grade)
 
@@ -426,14 +430,14 @@
         self.telling = False
 
     def attempt_ended(
-        self, hand_off: AttemptCall, end: ExchangeOutcome, result: str, load: Load | None
+        self, hand_off: AttemptCall, end: ExchangeOutcome, result: str, load: LoadReport | None
     ) -> None:
         submission = hand_off.submission
         submission.hand_offs[hand_off.index] = None
         self._end_unsent(submission)
         if self.scribe is not None and self._is_kept(submission):
             self.scribe.outcome(submission.request_id, hand_off.index, OUTCOMES[end])
-        if end is ExchangeOutcome.SERVED:
+        if end is ExchangeOutcome.SUCCEEDED:
             self._answer(submission, "satisfied", result)
         elif end is ExchangeOutcome.REJECTED:
             # Sent to one worker after the other it set them aside, one by one.
@@ -451,13 +455,12 @@
         self._forget(submission)
 
     def _roster_told(self, body: bytes) -> tuple[int, bool]:
-        listings: list[Endpoint] = []
-        version, whole = discovery.read_list(body, partial(self._enter, listings))
-        self._roster_changed(listings, whole)
+        found = discovery.read_endpoint_list(body)
+        self._roster_changed([self._enter(entry) for entry in found.entries], found.is_complete)
         self.lists_told += 1
         if self.on_roster is not None:
             self.on_roster(body)
-        return version, whole
+        return found.version, found.is_complete
 
     def move_roster(self, address: str) -> None:
         """Discovery has another address: its versions are its own, so its whole list is asked for at once."""
@@ -477,29 +480,18 @@
     def _roster_lost(self, turned_away: bool) -> None:
         self.tell(self.dispatcher.endpoint_watch_failed, turned_away)
 
-    def _enter(
-        self,
-        listings: list[Endpoint],
-        worker: str,
-        address: str,
-        zone: Any,
-        machine_kind: Any,
-        rack: int,
-        state: Any,
-        weight: float,
-        started_ms: int,
-    ) -> None:
+    def _enter(self, entry: discovery.EndpointEntry) -> Endpoint:
         # A state that we do not know is no invitation.
-        condition = CONDITIONS.get(str(state), "draining")
-        before = self.addresses.get(worker)
-        if before is not None and (condition == "gone" or address != before):
-            self.pool.drop(before)
-        if address:
-            self.addresses[worker] = address
-        started = max(1, started_ms * MILLISECOND - self.clock_ahead) if started_ms else 0
-        zone_number = self.zones.setdefault(str(zone), len(self.zones))
-        kind_number = self.machine_kinds.setdefault(str(machine_kind), len(self.machine_kinds))
-        listings.append(Endpoint(worker, zone_number, kind_number, rack, condition, weight, started))
+        condition = ENDPOINT_STATES.get(entry.state, "draining")
+        before = self.addresses.get(entry.name)
+        if before is not None and (condition == "gone" or entry.address != before):
+            self.pool.retire_address(before)
+        if entry.address:
+            self.addresses[entry.name] = entry.address
+        started = max(1, entry.started_ms * MILLISECOND - self.clock_ahead) if entry.started_ms else 0
+        zone = self.zones.setdefault(entry.zone, len(self.zones))
+        machine_kind = self.machine_kinds.setdefault(entry.machine_kind, len(self.machine_kinds))
+        return Endpoint(entry.name, zone, machine_kind, entry.rack, condition, entry.weight, started)
 
     # ---- What the decisions ask for ----
 
@@ -515,7 +507,7 @@
                 submission.hand_offs.append(None)
             event = self.dispatcher.attempt_ended
             self.tell(
-                event, submission_id, index, worker, OUTCOMES[ExchangeOutcome.WITHHELD], 0, closed, None
+                event, submission_id, index, worker, OUTCOMES[ExchangeOutcome.NOT_SENT], 0, closed, None
             )
             return
         hand_off = AttemptCall(self, submission, len(submission.hand_offs), worker)
@@ -534,7 +526,7 @@
         submission.hand_offs[hand_off.index] = WorkerCall(
             self.pool,
             address,
-            lambda left: workers.job(
+            lambda left: workers.encode_attempt(
                 submission.method,
                 submission.target,
                 submission.headers,
@@ -542,7 +534,7 @@
                 left,
                 address,
             ),
-            partial(workers.JobAnswer, x0=self.x0, request_id=submission.request_id),
+            partial(workers.AttemptResponseReader, x0_name=self.x0, request_id=submission.request_id),
             time_out,
             hand_off,
             in_two=self.orders["repeat"][submission.grade] == "irreversible",
@@ -577,7 +569,7 @@
         self._answer(self.submissions.get(submission_id), "abandoned")
 
     def wake_at(self, token: int, when: int) -> None:
-        self.deadlines.at(when, lambda: self.tell(self.dispatcher.timer_fired, token))
+        self.deadlines.schedule(when, lambda: self.tell(self.dispatcher.timer_fired, token))
 
     def probe(self, worker: str) -> None:
         self.send_probe(HealthCheckCall(self, worker))
@@ -588,8 +580,8 @@
         WorkerCall(
             self.pool,
             address,
-            lambda left: workers.probe(with_load, address),
-            partial(workers.ProbeAnswer, x0=self.x0),
+            lambda left: workers.encode_health_check(with_load, address),
+            partial(workers.HealthCheckResponseReader, x0_name=self.x0),
             PROBE_TIME_OUT,
             probe,
             fresh=probe.repeated,
@@ -641,7 +633,7 @@
         """It gets its answer now, or wants none any more: nothing is sent for it from here on."""
         submission.client = None
         self.figures.ended(self.rows.names[submission.grade], how)
-        self.deadlines.call_off(submission.last_answer)
+        self.deadlines.cancel(submission.last_answer)
         for errand in submission.hand_offs:
             if errand is not None:
                 errand.withhold()
--- a/ploverspoke/routing/worker_calls.py
+++ b/ploverspoke/routing/worker_calls.py
@@ -3,9 +3,9 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from ploverspoke.protocol.http_messages import HttpSyntaxError
-from ploverspoke.protocol.workers import Answer, AnswerListener, Load
-from ploverspoke.transport.connection_pool import Opening, Pool
+from ploverspoke.protocol.errors import HttpSyntaxError
+from ploverspoke.protocol.workers import LoadReport, ResponseListener, ResponseReader
+from ploverspoke.transport.connection_pool import ConnectionPool, PendingConnection
 from ploverspoke.transport.connections import Connection
 from ploverspoke.transport.outcomes import ExchangeOutcome
 from ploverspoke.transport.units import MILLISECOND
@@ -25,17 +25,17 @@
 
     def errand_progressed(self, share_done: float) -> None: ...
 
-    def errand_ended(self, end: ExchangeOutcome, result: str, load: Load | None) -> None:
+    def errand_ended(self, end: ExchangeOutcome, result: str, load: LoadReport | None) -> None:
         """Said exactly once, and never from inside a call of the sender's."""
 
 
 class WorkerCall:
     def __init__(
         self,
-        pool: Pool,
+        pool: ConnectionPool,
         address: str,
         message: Callable[[int], bytes],  # given the time left for it
-        answer: Callable[[AnswerListener], Answer],
+        answer: Callable[[ResponseListener], ResponseReader],
         time_out: int,
         sender: Sender,
         in_two: bool = False,
@@ -53,32 +53,32 @@
         self.answer = answer(self)
         self.sender: Sender | None = sender
         self.connection: Connection | None = None
-        self.opening: Opening | None = None
+        self.opening: PendingConnection | None = None
         self.cause: ExchangeOutcome | None = None  # why we closed the connection
         self.reusable = False
         self.in_two = in_two
         self.may_go = may_go
         self.last_byte: bytes | None = None  # not written yet
         self.until = self.deadlines.now() + time_out
-        self.late = self.deadlines.at(self.until, self._too_late)
-        self.opening = pool.call(address, self, 0 if fresh else pool.safe_rest() if in_two else None)
+        self.late = self.deadlines.schedule(self.until, self._too_late)
+        self.opening = pool.acquire(address, self, 0 if fresh else pool.safe_idle_time() if in_two else None)
 
     def give_up(self) -> None:
         """Stop waiting: the connection is closed, and what was not sent yet is not sent."""
-        self._stop(ExchangeOutcome.RECALLED, ExchangeOutcome.WITHHELD)
+        self._stop(ExchangeOutcome.CANCELLED, ExchangeOutcome.NOT_SENT)
 
     def withhold(self) -> None:
         """Do not send it if it has not been sent whole; else wait on for its end."""
         if self.connection is None or self.last_byte is not None:
-            self._stop(ExchangeOutcome.WITHHELD, ExchangeOutcome.WITHHELD)
+            self._stop(ExchangeOutcome.NOT_SENT, ExchangeOutcome.NOT_SENT)
 
     # ---- The connection ----
 
-    def connected(self, connection: Connection) -> None:
+    def on_connected(self, connection: Connection) -> None:
         self.opening = None
         if not self._may_still_go():
-            self.pool.rest(connection, unused=True)
-            self._end(ExchangeOutcome.WITHHELD)
+            self.pool.release(connection, unused=True)
+            self._end(ExchangeOutcome.NOT_SENT)
             return
         self.connection = connection
         message = self.message(self.until - self.deadlines.now())
@@ -87,94 +87,96 @@
             return
         self.last_byte = message[-1:]
         connection.write(message[:-1])
-        self.deadlines.at(self.deadlines.now() + LAST_BYTE_AFTER, self._write_last)
+        self.deadlines.schedule(self.deadlines.now() + LAST_BYTE_AFTER, self._write_last)
 
     def _write_last(self) -> None:
         if self.last_byte is None or self.connection is None:
             return
-        if self.connection.has_unread():
+        if self.connection.has_unread_data():
             # The other side's end, or an answer to what it does not have yet: that is heard first.
-            self.deadlines.at(self.deadlines.now(), self._write_last)
+            self.deadlines.schedule(self.deadlines.now(), self._write_last)
             return
         if not self._may_still_go():
-            self._stop(ExchangeOutcome.WITHHELD, ExchangeOutcome.WITHHELD)
+            self._stop(ExchangeOutcome.NOT_SENT, ExchangeOutcome.NOT_SENT)
             return
         last, self.last_byte = self.last_byte, None
         self._write_to_the_end(self.connection, last)
 
     def _write_to_the_end(self, connection: Connection, data: bytes) -> None:
         connection.write(data)
-        if connection.open and not connection.unsent and self.sender is not None:
+        if connection.is_open and not connection.has_unsent_data and self.sender is not None:
             self.sender.errand_written()
 
     def _may_still_go(self) -> bool:
         """A process that was stopped wakes up with its deadlines past, and with much else changed."""
         return self.deadlines.now() < self.until and (self.may_go is None or self.may_go())
 
-    def not_connected(self, end: ExchangeOutcome) -> None:
+    def on_connect_failed(self, outcome: ExchangeOutcome) -> None:
         self.opening = None
-        self._end(end)
+        self._end(outcome)
 
-    def bytes_came(self) -> None:
+    def on_data_available(self) -> None:
         if self.connection is None:
             return
-        if self.last_byte is not None and self.connection.rested is not None:
+        if self.last_byte is not None and self.connection.idle_time is not None:
             # It has no whole request of ours: this answers the one before, once more and late.
-            self._stop(ExchangeOutcome.UNSENT, ExchangeOutcome.UNSENT)
+            self._stop(ExchangeOutcome.SEND_INCOMPLETE, ExchangeOutcome.SEND_INCOMPLETE)
             return
         try:
             self.connection.feed(self.answer)
         except HttpSyntaxError:
-            self.cause = ExchangeOutcome.GARBLED
+            self.cause = ExchangeOutcome.MALFORMED_RESPONSE
         if self.cause is not None:
             self.connection.abort()
-        elif self.answer.over:
+        elif self.answer.is_complete:
             connection, self.connection = self.connection, None
-            self.deadlines.call_off(self.late)
-            if self.reusable and not connection.unsent:
-                self.pool.rest(connection)
+            self.deadlines.cancel(self.late)
+            if self.reusable and not connection.has_unsent_data:
+                self.pool.release(connection)
             else:
                 connection.user = None
                 connection.close()
 
-    def connection_ended(self) -> None:
+    def on_disconnected(self) -> None:
         if self.connection is None:
             return
         # Only what is certain to be still with us, in whole or in part, has certainly not run.
-        unsent = self.last_byte is not None or (self.connection.unsent and not self.answer.status)
+        unsent = self.last_byte is not None or (self.connection.has_unsent_data and not self.answer.status)
         if self.cause is None and not self.answer.status:
-            self.pool.broke(self.connection)
+            self.pool.record_break(self.connection)
         self.connection = self.last_byte = None
-        self._end(self.cause or (ExchangeOutcome.UNSENT if unsent else ExchangeOutcome.BROKEN))
+        self._end(
+            self.cause or (ExchangeOutcome.SEND_INCOMPLETE if unsent else ExchangeOutcome.CONNECTION_LOST)
+        )
 
-    def all_written(self) -> None:
+    def on_write_drained(self) -> None:
         if self.last_byte is None and self.cause is None and self.sender is not None:
             self.sender.errand_written()
 
     # ---- The answer ----
 
-    def started(self) -> None:
+    def on_started(self) -> None:
         if self.sender is not None and self.cause is None:
             self.sender.errand_started()
 
-    def progressed(self, share_done: float) -> None:
+    def on_progress(self, fraction_done: float) -> None:
         if self.sender is not None and self.cause is None:
-            self.sender.errand_progressed(share_done)
+            self.sender.errand_progressed(fraction_done)
 
-    def ended(self, end: ExchangeOutcome, result: str, load: Load | None) -> None:
-        if end is ExchangeOutcome.GARBLED or self.last_byte is not None:
+    def on_outcome(self, outcome: ExchangeOutcome, result: str, load: LoadReport | None) -> None:
+        if outcome is ExchangeOutcome.MALFORMED_RESPONSE or self.last_byte is not None:
             # Answered before it was whole: the rest is not written any more.
-            self.cause, self.last_byte = end, None
-        self._end(end, result, load)
+            self.cause, self.last_byte = outcome, None
+        self._end(outcome, result, load)
 
-    def message_over(self, reusable: bool) -> None:
+    def on_response_complete(self, reusable: bool) -> None:
         self.reusable = reusable
 
     # ---- Its end ----
 
     def _too_late(self) -> None:
         # With little time left a connection that is not up yet says nothing of its worker.
-        self._stop(ExchangeOutcome.TIMED_OUT, ExchangeOutcome.WITHHELD)
+        self._stop(ExchangeOutcome.TIMED_OUT, ExchangeOutcome.NOT_SENT)
 
     def _stop(self, sent: ExchangeOutcome, unsent: ExchangeOutcome) -> None:
         if self.connection is not None:
@@ -184,15 +186,15 @@
             self.connection.abort()
         elif self.sender is not None:
             if self.opening is not None:
-                self.opening.give_up()
+                self.opening.cancel()
                 self.opening = None
             self._end(unsent)
 
-    def _end(self, end: ExchangeOutcome, result: str = "", load: Load | None = None) -> None:
+    def _end(self, end: ExchangeOutcome, result: str = "", load: LoadReport | None = None) -> None:
         sender, self.sender = self.sender, None
         if sender is None:
             return
-        self.deadlines.call_off(self.late)
+        self.deadlines.cancel(self.late)
         if self.connection is not None:
-            self.late = self.deadlines.at(self.deadlines.now() + LINGER, self._too_late)
+            self.late = self.deadlines.schedule(self.deadlines.now() + LINGER, self._too_late)
         self.pool.loop.call_soon(sender.errand_ended, end, result, load)
--- a/ploverspoke/service/config.py
+++ b/ploverspoke/service/config.py
@@ -5,8 +5,8 @@
 from collections.abc import Mapping, Sequence
 from typing import Any, NamedTuple
 
-from ploverspoke.protocol.discovery import enter_list
-from ploverspoke.protocol.http_messages import HttpSyntaxError
+from ploverspoke.protocol.discovery import parse_endpoint_list
+from ploverspoke.protocol.errors import EndpointListError
 from ploverspoke.transport.units import MEBIBYTE
 
 from .config_reader import ConfigError, ConfigSection
@@ -70,8 +70,8 @@
     known = top.value.get("known")
     if known is not None:
         try:
-            enter_list(known, lambda *entry: None)
-        except HttpSyntaxError as error:
+            parse_endpoint_list(known)
+        except EndpointListError as error:
             raise top.bad("known", f"a list in discovery's form ({error})") from None
     limits = top.part("limits")
     orders = standing_orders(top.value["settings"], "settings")
--- a/ploverspoke/service/service.py
+++ b/ploverspoke/service/service.py
@@ -18,7 +18,7 @@
 from ploverspoke.routing.load_gossip import GossipSocket
 from ploverspoke.routing.request_log import RequestLog
 from ploverspoke.routing.router import Router
-from ploverspoke.transport.connection_pool import Pool, kept_for
+from ploverspoke.transport.connection_pool import ConnectionPool, max_idle_time_for
 from ploverspoke.transport.deadlines import Deadlines
 from ploverspoke.transport.rate_limited_log import log_line
 from ploverspoke.transport.resource_limits import split_resources
@@ -56,8 +56,8 @@
         self.processes = 1  # of this dispatcher, with us
         shares = split_resources(self.sockets, briefing.memory)
         orders = briefing.orders
-        self.pool = Pool(
-            loop, self.deadlines, shares.workers, orders["idle_limit"], orders["connect_time_out"]
+        self.pool = ConnectionPool(
+            loop, self.deadlines, shares.worker_connections, orders["idle_limit"], orders["connect_time_out"]
         )
         self.router = Router(
             loop, self.deadlines, self.pool, briefing.discovery, briefing.seed, orders, briefing.names, scribe
@@ -67,7 +67,9 @@
             self.router.peers = GossipSocket(
                 briefing.peers, own, self.router.known_workers, self.router.heard
             )
-        self.door = ClientServer(loop, self.deadlines, self.router, shares.clients, shares.buffered)
+        self.door = ClientServer(
+            loop, self.deadlines, self.router, shares.client_connections, shares.buffered_bytes
+        )
         self.operators = AdminServer(loop, self.deadlines, self.door, self.router)
         self.leaving_since = 0
         self.listening: socket.socket | None = None  # inherited, in place of one of its own
@@ -115,9 +117,12 @@
             log_line(f"processes={processes}: each has its part of the descriptors and of the memory")
             self.processes = processes
             shares = split_resources(self.sockets, self.briefing.memory, processes)
-            self.pool.hold_at_most(shares.workers)
-            self.door.most_sessions, self.door.most_buffered = shares.clients, shares.buffered
-        self.deadlines.at(self.deadlines.now() + NEIGHBOURS_EVERY, self._look_at_neighbours)
+            self.pool.resize(shares.worker_connections)
+            self.door.most_sessions, self.door.most_buffered = (
+                shares.client_connections,
+                shares.buffered_bytes,
+            )
+        self.deadlines.schedule(self.deadlines.now() + NEIGHBOURS_EVERY, self._look_at_neighbours)
 
     # ---- A new configuration ----
 
@@ -158,8 +163,8 @@
         if differ and self.router.scribe is None:
             log_line(f"new configuration: settings taken, grades={','.join(new.names['grades'])}")
             self.router.settings_changed(new.orders, new.names)
-            self.pool.keep_for = kept_for(new.orders["idle_limit"])
-            self.pool.connect_time_out = new.orders["connect_time_out"]
+            self.pool.max_idle_time = max_idle_time_for(new.orders["idle_limit"])
+            self.pool.connect_timeout = new.orders["connect_time_out"]
             self.briefing = self.briefing._replace(orders=new.orders, names=new.names, told=new.told)
 
     # ---- The end ----
@@ -184,7 +189,7 @@
         if (self.door.is_shut and self.door.is_empty()) or since >= end.last_word:
             self.over.set()
         else:
-            self.deadlines.at(now + end.look_every, partial(self._look_whether_over, end))
+            self.deadlines.schedule(now + end.look_every, partial(self._look_whether_over, end))
 
 
 class TimesToEnd(NamedTuple):
--- a/ploverspoke/simulator/adapter.py
+++ b/ploverspoke/simulator/adapter.py
@@ -10,9 +10,9 @@
 
 from ploverspoke.decisions.dispatcher import Dispatcher
 from ploverspoke.decisions.interface import Endpoint
-from ploverspoke.protocol.gossip_messages import Reader, write_gossip
-from ploverspoke.protocol.http_messages import HttpSyntaxError
-from ploverspoke.protocol.wire_names import CONDITIONS
+from ploverspoke.protocol.errors import GossipSyntaxError
+from ploverspoke.protocol.gossip_messages import GossipMessage, GossipReader, encode_gossip
+from ploverspoke.protocol.wire_names import ENDPOINT_STATES
 from ploverspoke.service.config_reader import ConfigError
 from ploverspoke.service.settings import standing_orders
 from ploverspoke.transport.units import MICROSECOND
@@ -42,7 +42,7 @@
         except ConfigError as error:
             raise CodecError(str(error)) from None
         self.load_fields: list[str] = orders["load_fields"]
-        self.reader = Reader()
+        self.reader = GossipReader()
         self.dispatcher = Dispatcher(self, start.whole("RandomSeed"), orders)
         self.dispatcher.started()
 
@@ -73,7 +73,7 @@
     def send_gossip(
         self, to: Iterable[int] | None, zone: int, number: int, lateness: float, held: Iterable[str]
     ) -> None:
-        octets = b64encode(write_gossip(zone, number, lateness, held)).decode()
+        octets = b64encode(encode_gossip(GossipMessage(zone, number, lateness, list(held)))).decode()
         for target in ["all"] if to is None else to:
             self._act("BROADCAST_TO", Target=target, Octets=octets)
 
@@ -132,7 +132,7 @@
         """What another dispatcher tells; what cannot be read is no word of it."""
         try:
             told = self.reader.read(a2b_base64(f["Octets"]), self.dispatcher.workers)
-        except (HttpSyntaxError, ValueError):
+        except (GossipSyntaxError, ValueError):
             return
         self.dispatcher.gossip_received(f.whole("Author"), *told)
 
@@ -224,7 +224,7 @@
             name, entry = read_line(self._next_line() or " ")
             if name != "ENTRY":
                 raise CodecError(f"expected ENTRY, got {name}")
-            if entry["Condition"] not in CONDITIONS:
+            if entry["Condition"] not in ENDPOINT_STATES:
                 raise CodecError(f"unknown condition {entry['Condition']!r}")
             listings.append(
                 Endpoint(
@@ -232,7 +232,7 @@
                     entry.whole("Dc", 0),
                     entry.whole("Model", 0),
                     entry.whole("Block", 0),
-                    CONDITIONS[entry["Condition"]],
+                    ENDPOINT_STATES[entry["Condition"]],
                     entry.number("Heft", 1.0),
                     entry.whole("UpSinceUs", 0) * MICROSECOND,
                 )
--- a/ploverspoke/testbed/hollow/dispatcher.py
+++ b/ploverspoke/testbed/hollow/dispatcher.py
@@ -113,7 +113,7 @@
         service.deadlines.heap.clear()
         for door in (service.door, service.operators):
             door.listener.close()
-            for task in list(door.listener.seating):
+            for task in list(door.listener.setup_tasks):
                 task.cancel()
         if service.router.peers is not None:
             service.router.peers.close()
--- a/ploverspoke/transport/__init__.py
+++ b/ploverspoke/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Bytes and time: connections, buffers, numbered slots, deadlines, pools. Knows no HTTP."""
+"""Connections, buffers, timers and limits, without knowledge of any protocol."""
--- a/ploverspoke/transport/buffers.py
+++ b/ploverspoke/transport/buffers.py
@@ -1,38 +1,46 @@
-"""The one buffer of a connection: it grows as it needs and is compacted in place."""
+"""The read buffer of a connection: one block of memory that grows on demand and is compacted in place."""
 
-FIRST_SIZE = 4 * 1024
-LEAST_SPACE = 2 * 1024
+INITIAL_SIZE = 4 * 1024  # bytes
+MIN_WRITABLE = 2 * 1024  # bytes offered to each read from the socket
 
 
 class ReadBuffer:
+    """Bytes received and not yet consumed, in the order in which they came."""
+
     def __init__(self) -> None:
-        self.data = bytearray(FIRST_SIZE)
+        self.data = bytearray(INITIAL_SIZE)
         self.start = 0
         self.end = 0
 
     def __len__(self) -> int:
+        """The number of unread bytes."""
         return self.end - self.start
 
-    def space(self) -> memoryview:
-        """Where the next bytes go. Only here the buffer changes size, while nobody else looks at it."""
+    def writable_space(self) -> memoryview:
+        """Return the space for the next bytes, at least `MIN_WRITABLE` of them.
+
+        The buffer changes its size only here, where nobody holds a view of it.
+        """
         if self.start == self.end:
             self.start = self.end = 0
-            if len(self.data) > FIRST_SIZE:
-                self.data = bytearray(FIRST_SIZE)
-        elif len(self.data) - self.end < LEAST_SPACE:
+            if len(self.data) > INITIAL_SIZE:
+                self.data = bytearray(INITIAL_SIZE)
+        elif len(self.data) - self.end < MIN_WRITABLE:
             if self.start:
                 self.data[: len(self)] = self.data[self.start : self.end]
                 self.start, self.end = 0, len(self)
-            if len(self.data) - self.end < LEAST_SPACE:
+            if len(self.data) - self.end < MIN_WRITABLE:
                 self.data.extend(bytes(len(self.data)))
         return memoryview(self.data)[self.end :]
 
-    def filled(self, count: int) -> None:
+    def commit(self, count: int) -> None:
+        """Add the first `count` bytes of the writable space to the unread bytes."""
         self.end += count
 
     def unread(self) -> memoryview:
+        """Return a view of the unread bytes; release it before the next `writable_space`."""
         return memoryview(self.data)[self.start : self.end]
 
-    def read(self, count: int) -> None:
-        """So many of the unread bytes are done with."""
+    def consume(self, count: int) -> None:
+        """Drop the first `count` unread bytes."""
         self.start += count
--- a/ploverspoke/transport/connection_pool.py
+++ b/ploverspoke/transport/connection_pool.py
@@ -1,11 +1,11 @@
-"""Connections to workers, kept and used again."""
+"""A pool of connections to workers (or discovery), kept open between requests and reused."""
 
 import asyncio
 import errno
 from bisect import insort
 from collections import defaultdict, deque
-from operator import itemgetter
-from typing import Protocol
+from operator import attrgetter
+from typing import NamedTuple, Protocol
 
 from .connections import Connection, ConnectionUser
 from .deadlines import Deadline, Deadlines
@@ -14,218 +14,256 @@
 from .slot_table import SlotTable
 from .units import MILLISECOND, SECOND
 
-KEPT_SHARE = 0.7  # of the time after which workers close an idle connection: a late use would be reset
-BREAKS_KEPT, BREAKS_TOLD = 16, 4  # of kept connections; so many of late say how long a rest is safe
-LATE_BREAK = 10 * SECOND
-DROPPED_LATE_BY = 250 * MILLISECOND  # looks for idle ones are no more frequent
+# Of the time after which the other side closes an idle connection: a request that crosses the close is lost.
+MAX_IDLE_FRACTION = 0.7
+MAX_BREAKS_KEPT = 16  # of connections that broke when they were reused
+MIN_BREAKS_FOR_LIMIT = 4  # so many recent ones tell how long an idle connection is safe
+BREAK_IS_RECENT = 10 * SECOND
+MIN_CLEANUP_INTERVAL = 250 * MILLISECOND
+OUT_OF_RESOURCES = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
 
 
-def kept_for(idle_limit: int) -> int:
-    """How long a connection may rest, in ns, where workers close it after so long."""
-    return int(idle_limit * KEPT_SHARE)
+def max_idle_time_for(idle_limit: int) -> int:
+    """Return how long (ns) a connection may be idle where the other side closes it after `idle_limit` ns."""
+    return int(idle_limit * MAX_IDLE_FRACTION)
 
 
 class PoolUser(ConnectionUser, Protocol):
-    """Who asks for a connection."""
+    """The user of a connection, who first has to wait for it."""
 
-    def connected(self, connection: Connection) -> None: ...
+    def on_connected(self, connection: Connection) -> None:
+        """The connection is the user's from now on, until it is released."""
 
-    def not_connected(self, end: ExchangeOutcome) -> None: ...
+    def on_connect_failed(self, outcome: ExchangeOutcome) -> None:
+        """There is no connection; called instead of `on_connected`."""
+
+
+class IdleSlot(NamedTuple):
+    """One idle connection of an address."""
+
+    number: int  # of the connection, in the pool's table
+    since: int  # ns
+
+
+class ReuseBreak(NamedTuple):
+    """A connection that broke, without a response, under the first request after an idle time."""
+
+    at: int  # ns
+    idle_time: int  # ns
 
 
 class IdleConnection:
-    """Who has a connection while it rests: a word from the other side then means no good."""
+    """The user of a connection while it is idle: any data or end makes it useless."""
 
     def __init__(self, connection: Connection) -> None:
         self.connection = connection
 
-    def bytes_came(self) -> None:
-        # Aborted only, it would be there for the next caller until the loop tells its end.
+    def on_data_available(self) -> None:
+        """Discard the connection: nothing was asked on it."""
+        # After a plain abort it could be acquired until the event loop reports its end.
         self.connection.discard()
 
-    def connection_ended(self) -> None:
-        pass
+    def on_disconnected(self) -> None:
+        """Do nothing: the number in the pool's list is stale now."""
 
-    def all_written(self) -> None:
-        pass
+    def on_write_drained(self) -> None:
+        """Do nothing."""
 
 
-class Opening:
-    """A connection on its way up."""
+class PendingConnection:
+    """A connection that is being established for a user."""
 
-    def __init__(self, pool: "Pool", address: str, caller: PoolUser, time_out: int) -> None:
+    def __init__(self, pool: "ConnectionPool", address: str, user: PoolUser, timeout: int) -> None:
         self.pool = pool
-        self.connection = pool.make(address)
-        self.caller: PoolUser | None = caller
-        self.late = pool.deadlines.at(pool.deadlines.now() + time_out, self.too_late)
-        self.task = pool.loop.create_task(self.open(address))
+        self.connection = Connection(pool.connections, address=address)
+        self.user: PoolUser | None = user
+        self.deadline = pool.deadlines.schedule(pool.deadlines.now() + timeout, self.on_timeout)
+        self.task = pool.loop.create_task(self._connect(address))
 
-    async def open(self, address: str) -> None:
+    async def _connect(self, address: str) -> None:
         host, _, port = address.rpartition(":")
-        end = ExchangeOutcome.UNSENT
+        outcome = ExchangeOutcome.SEND_INCOMPLETE
         try:
             await self.pool.loop.create_connection(lambda: self.connection, host.strip("[]"), int(port))
         except ConnectionRefusedError:
-            end = ExchangeOutcome.REFUSED
+            outcome = ExchangeOutcome.CONNECTION_REFUSED
         except OSError as error:
-            if error.errno in (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM):
-                end = ExchangeOutcome.NO_SOCKET
+            if error.errno in OUT_OF_RESOURCES:
+                outcome = ExchangeOutcome.NO_DESCRIPTOR
             elif error.errno != errno.ECONNRESET:
-                end = ExchangeOutcome.NEVER_UP
+                outcome = ExchangeOutcome.CONNECT_FAILED
         except ValueError:
-            end = ExchangeOutcome.NEVER_UP
-            log_line(f"a worker's address is none: {address!r}")
-        self.pool.deadlines.call_off(self.late)
-        if not self.connection.open:
-            self._fail(end)
-        elif self.caller is None:
+            outcome = ExchangeOutcome.CONNECT_FAILED
+            log_line(f"invalid address of a worker: {address!r}")
+        self.pool.deadlines.cancel(self.deadline)
+        if not self.connection.is_open:
+            self._fail(outcome)
+        elif self.user is None:
             self.connection.abort()
         else:
-            caller, self.caller = self.caller, None
-            self.pool.opening -= 1
-            self.connection.user = caller
-            caller.connected(self.connection)
-
-    def too_late(self) -> None:
-        self._call_off()
-        self._fail(ExchangeOutcome.NEVER_UP)
-
-    def give_up(self) -> None:
-        """Nobody waits for it any more."""
-        self.pool.deadlines.call_off(self.late)
-        self._call_off()
-        if self.caller is not None:
-            self.caller = None
-            self.pool.opening -= 1
-
-    def _call_off(self) -> None:
+            user, self.user = self.user, None
+            self.pool.pending_count -= 1
+            self.connection.user = user
+            user.on_connected(self.connection)
+
+    def on_timeout(self) -> None:
+        """Give up and report it to the user."""
+        self._stop()
+        self._fail(ExchangeOutcome.CONNECT_FAILED)
+
+    def cancel(self) -> None:
+        """Give up; the user no longer waits and is not called."""
+        self.pool.deadlines.cancel(self.deadline)
+        self._stop()
+        if self.user is not None:
+            self.user = None
+            self.pool.pending_count -= 1
+
+    def _stop(self) -> None:
         self.task.cancel()
         self.connection.discard()
 
-    def _fail(self, end: ExchangeOutcome) -> None:
-        caller, self.caller = self.caller, None
-        if caller is not None:
-            self.pool.opening -= 1
-            caller.not_connected(end)
+    def _fail(self, outcome: ExchangeOutcome) -> None:
+        user, self.user = self.user, None
+        if user is not None:
+            self.pool.pending_count -= 1
+            user.on_connect_failed(outcome)
 
 
-class Pool:
+class ConnectionPool:
+    """Owner of all connections that are idle or being established; the others belong to their users."""
+
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         deadlines: Deadlines,
-        most_open: int,
+        capacity: int,
         idle_limit: int,
-        connect_time_out: int,
+        connect_timeout: int,
     ) -> None:
+        """`capacity` is in connections.
+
+        `idle_limit` is the time in ns after which the other side closes an idle connection, and
+        `connect_timeout` is in ns, too.
+        """
         self.loop = loop
         self.deadlines = deadlines
-        self.most_open = most_open
-        self.keep_for = kept_for(idle_limit)
-        self.connect_time_out = connect_time_out
+        self.capacity = capacity
+        self.max_idle_time = max_idle_time_for(idle_limit)
+        self.connect_timeout = connect_timeout
         self.connections: SlotTable[Connection] = SlotTable()
-        self.opening = 0
-        self.resting: dict[str, list[tuple[int, int]]] = defaultdict(list)  # number and since, by address
-        self.sweep: Deadline | None = None
-        self.breaks: deque[tuple[int, int]] = deque(maxlen=BREAKS_KEPT)  # when, and after how long a rest
-
-    def make(self, address: str) -> Connection:
-        return Connection(self.connections, address=address)
-
-    def hold_at_most(self, most_open: int) -> None:
-        """Another share from now on; those at rest make way at once, those in use with their end."""
-        self.most_open = most_open
-        while self.held() > most_open and self._close_longest_at_rest():
+        self.pending_count = 0
+        self.idle: dict[str, list[IdleSlot]] = defaultdict(list)  # by address, longest idle first
+        self.cleanup: Deadline | None = None
+        self.breaks: deque[ReuseBreak] = deque(maxlen=MAX_BREAKS_KEPT)
+
+    def resize(self, capacity: int) -> None:
+        """Change the capacity: idle connections beyond it are closed now, used ones after their use."""
+        self.capacity = capacity
+        while self.connection_count() > capacity and self._close_longest_idle():
             pass
 
-    def call(self, address: str, caller: PoolUser, longest_rest: int | None = None) -> Opening | None:
-        """Give the caller a connection there: one that rested, for no longer than it may, or a new one."""
+    def acquire(
+        self, address: str, user: PoolUser, max_idle_time: int | None = None
+    ) -> PendingConnection | None:
+        """Give the user a connection to the address.
+
+        A connection that was idle for less than `max_idle_time` ns (None: any time) is reused, and
+        `on_connected` is called before this returns None. Else a new one is established and returned while
+        pending, or `on_connect_failed` is called where there is no room for it.
+        """
         now = self.deadlines.now()
-        resting = self.resting.get(address)
-        while resting and (longest_rest is None or now - resting[-1][1] < longest_rest):
-            number, since = resting.pop()  # the latest used
+        idle = self.idle.get(address)
+        while idle and (max_idle_time is None or now - idle[-1].since < max_idle_time):
+            number, since = idle.pop()  # the latest used
             connection = self.connections.get(number)
-            # What lies unread there is its end, or an answer that would be taken for the next request's.
-            if connection is not None and now - since < self.keep_for and not connection.has_unread():
-                connection.user = caller
-                connection.rested = now - since
-                caller.connected(connection)
+            # Unread data is the other side's end, or would be taken for the response to the next request.
+            if (
+                connection is not None
+                and now - since < self.max_idle_time
+                and not connection.has_unread_data()
+            ):
+                connection.user = user
+                connection.idle_time = now - since
+                user.on_connected(connection)
                 return None
             self._close(number)
-        if self.held() >= self.most_open and not self._close_longest_at_rest():
-            caller.not_connected(ExchangeOutcome.NO_SOCKET)
+        if self.connection_count() >= self.capacity and not self._close_longest_idle():
+            user.on_connect_failed(ExchangeOutcome.NO_DESCRIPTOR)
             return None
-        self.opening += 1
-        return Opening(self, address, caller, self.connect_time_out)
+        self.pending_count += 1
+        return PendingConnection(self, address, user, self.connect_timeout)
 
-    def broke(self, connection: Connection) -> None:
-        """It broke under a request, unanswered."""
-        if connection.rested is not None:
-            self.breaks.append((self.deadlines.now(), connection.rested))
+    def record_break(self, connection: Connection) -> None:
+        """Note that the connection broke under a request, without a response."""
+        if connection.idle_time is not None:
+            self.breaks.append(ReuseBreak(self.deadlines.now(), connection.idle_time))
 
-    def safe_rest(self) -> int | None:
-        """How long a connection may have rested for what must not be lost with it; None: as long as any.
+    def safe_idle_time(self) -> int | None:
+        """Return how long (ns) a connection may be idle before a request that must not be lost; None: any.
 
-        Workers, or what stands between, may drop resting ones unseen, long before the limit that we are told.
+        Workers, or proxies before them, may drop idle connections silently, long before the idle limit of
+        the settings: half of the lower quartile of the idle times that broke lately is taken as safe.
         """
-        late = self.deadlines.now() - LATE_BREAK
-        rests = sorted(rested for when, rested in self.breaks if when > late)
-        return rests[len(rests) // 4] // 2 if len(rests) >= BREAKS_TOLD else None
-
-    def held(self) -> int:
-        """Sockets that are open or on their way up."""
-        return len(self.connections) + self.opening
-
-    def rest(self, connection: Connection, unused: bool = False) -> None:
-        """A caller is done with it, and it can carry another request; unused, it was idle all the time."""
-        since = self.deadlines.now() - (connection.rested or 0 if unused else 0)
-        if not connection.open:
+        recent_from = self.deadlines.now() - BREAK_IS_RECENT
+        idle_times = sorted(idle_time for at, idle_time in self.breaks if at > recent_from)
+        return idle_times[len(idle_times) // 4] // 2 if len(idle_times) >= MIN_BREAKS_FOR_LIMIT else None
+
+    def connection_count(self) -> int:
+        """Return the number of sockets that are open or being established."""
+        return len(self.connections) + self.pending_count
+
+    def release(self, connection: Connection, unused: bool = False) -> None:
+        """Take a connection back that can carry another request; an unused one was idle all the time."""
+        since = self.deadlines.now() - (connection.idle_time or 0 if unused else 0)
+        if not connection.is_open:
             return
-        if connection.unwanted:
+        if connection.is_retired:
             self._close(connection.number)
             return
         connection.user = IdleConnection(connection)
-        insort(self.resting[connection.address], (connection.number, since), key=itemgetter(1))
-        if self.sweep is None:
-            self.sweep = self.deadlines.at(since + self.keep_for, self._drop_stale)
+        insort(self.idle[connection.address], IdleSlot(connection.number, since), key=attrgetter("since"))
+        if self.cleanup is None:
+            self.cleanup = self.deadlines.schedule(since + self.max_idle_time, self._close_expired)
 
-    def drop(self, address: str) -> None:
-        """Nobody is called there any more; what is in use there ends with its use."""
-        for number, _ in self.resting.pop(address, []):
+    def retire_address(self, address: str) -> None:
+        """Close the connections to an address that is no longer used, those in use after their use."""
+        for number, _ in self.idle.pop(address, []):
             self._close(number)
         for connection in self.connections:
-            connection.unwanted = connection.unwanted or connection.address == address
+            connection.is_retired = connection.is_retired or connection.address == address
 
     def _close(self, number: int) -> None:
-        """Close it, unless the other side has done so: then its number is stale."""
+        """Close a connection, unless the other side has done so: then its number is stale."""
         connection = self.connections.get(number)
         if connection is not None:
             connection.user = None
             connection.abort()
 
-    def _close_longest_at_rest(self) -> bool:
-        while oldest := self._oldest():
-            number, _ = self.resting[oldest].pop(0)
+    def _close_longest_idle(self) -> bool:
+        """Close one idle connection of the address that was not used for the longest time, if any."""
+        while address := self._longest_idle_address():
+            number, _ = self.idle[address].pop(0)
             if self.connections.get(number) is not None:
                 self._close(number)
                 return True
         return False
 
-    def _oldest(self) -> str | None:
-        """The address that was not called for the longest time, of those where a connection rests."""
-        return min((a for a, resting in self.resting.items() if resting), key=self._since, default=None)
+    def _longest_idle_address(self) -> str | None:
+        addresses = (address for address, idle in self.idle.items() if idle)
+        return min(addresses, key=self._idle_since, default=None)
 
-    def _since(self, address: str) -> int:
-        return self.resting[address][0][1]
+    def _idle_since(self, address: str) -> int:
+        return self.idle[address][0].since
 
-    def _drop_stale(self) -> None:
-        """Drop those that the other side would soon close by itself."""
+    def _close_expired(self) -> None:
+        """Close the connections that the other side would soon close."""
         now = self.deadlines.now()
-        for resting in self.resting.values():
-            while resting and now - resting[0][1] >= self.keep_for:
-                self._close(resting.pop(0)[0])
-        self.sweep = None
-        oldest = self._oldest()
-        if oldest is not None:
-            when = max(self._since(oldest) + self.keep_for, now + DROPPED_LATE_BY)
-            self.sweep = self.deadlines.at(when, self._drop_stale)
+        for idle in self.idle.values():
+            while idle and now - idle[0].since >= self.max_idle_time:
+                self._close(idle.pop(0).number)
+        self.cleanup = None
+        address = self._longest_idle_address()
+        if address is not None:
+            when = max(self._idle_since(address) + self.max_idle_time, now + MIN_CLEANUP_INTERVAL)
+            self.cleanup = self.deadlines.schedule(when, self._close_expired)
--- a/ploverspoke/transport/connections.py
+++ b/ploverspoke/transport/connections.py
@@ -1,4 +1,4 @@
-"""One connection, whoever is at its other end."""
+"""One stream connection, to a client, a worker, discovery or an operator."""
 
 import asyncio
 import select
@@ -10,143 +10,163 @@
 
 
 class ConnectionUser(Protocol):
-    """Who speaks on a connection at the moment."""
+    """Receives the events of a connection while it uses it."""
 
-    def bytes_came(self) -> None:
-        """There is something unread in the connection's buffer."""
+    def on_data_available(self) -> None:
+        """There are unread bytes in the connection's buffer."""
 
-    def connection_ended(self) -> None:
-        """It is closed, whoever closed it; said once."""
+    def on_disconnected(self) -> None:
+        """The connection is closed, whoever closed it; called once."""
 
-    def all_written(self) -> None:
-        """What had to wait to be written has gone out."""
+    def on_write_drained(self) -> None:
+        """All bytes that had to wait are written to the kernel."""
 
 
 class Reader(Protocol):
-    def feed(self, data: memoryview) -> None: ...
+    """Parses bytes as they come."""
+
+    def feed(self, data: memoryview) -> None:
+        """Parse the bytes; the view is not valid afterwards."""
 
 
 class Connection(asyncio.BufferedProtocol):
+    """A connection with its read buffer, and the user that it serves at the moment."""
+
     def __init__(
         self,
         table: "SlotTable[Connection]",
-        came: "Callable[[Connection], None] | None" = None,
+        on_accepted: "Callable[[Connection], None] | None" = None,
         address: str = "",
     ) -> None:
-        self.table = table  # where it has a number as long as it is open
-        self.address = address  # that was called
-        self.unwanted = False  # nothing more is to be sent there
+        """`on_accepted` is called once a connection that the other side opened is set up.
+
+        `address` is the address that was connected to, and `table` gives the connection a number while it
+        is open.
+        """
+        self.table = table
+        self.address = address
+        self.is_retired = False  # to be closed after its present use
         self.number = 0
-        self.came = came  # told of a connection that the other side has opened
+        self.on_accepted = on_accepted
         self.user: ConnectionUser | None = None
         self.transport: asyncio.Transport | None = None
         self.buffer = ReadBuffer()
-        self.open = False
-        self.unsent = False  # some of what was written is still with us
-        self.reading = True
-        self.rested: int | None = None  # for so long before its present use; None: it is new
+        self.is_open = False
+        self.has_unsent_data = False  # some written bytes are not in the kernel yet
+        self.is_reading = True
+        self.idle_time: int | None = None  # ns before its present use; None: it is new
 
-    # ---- What the loop calls ----
+    # ---- Called by the event loop ----
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Register the connection."""
         self.transport = cast(asyncio.Transport, transport)
-        # Any byte that stays with us counts, so that it is known whether a request has gone out whole.
+        # Any byte kept in this process counts: it must be known whether a request was sent completely.
         self.transport.set_write_buffer_limits(high=0)
-        self.open = True
+        self.is_open = True
         self.number = self.table.add(self)
-        if self.came is not None:
-            self.came(self)
+        if self.on_accepted is not None:
+            self.on_accepted(self)
 
-    def get_buffer(self, sizehint: int) -> memoryview:
-        return self.buffer.space()
+    def get_buffer(self, sizehint: int) -> memoryview:  # noqa: ARG002 the signature is asyncio's
+        """Return the space for the next bytes from the socket."""
+        return self.buffer.writable_space()
 
     def buffer_updated(self, nbytes: int) -> None:
-        self.buffer.filled(nbytes)
+        """Pass on that `nbytes` were received."""
+        self.buffer.commit(nbytes)
         if self.user is not None:
-            self.user.bytes_came()
+            self.user.on_data_available()
 
     def eof_received(self) -> bool:
+        """Close the connection when the other side does."""
         return False
 
     def pause_writing(self) -> None:
-        self.unsent = True
+        """Note that the kernel has not accepted all bytes."""
+        self.has_unsent_data = True
 
     def resume_writing(self) -> None:
-        self.unsent = False
+        """Note that the kernel has accepted all bytes."""
+        self.has_unsent_data = False
         if self.user is not None:
-            self.user.all_written()
+            self.user.on_write_drained()
 
-    def connection_lost(self, exc: Exception | None) -> None:
-        if not self.open:
+    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 the signature is asyncio's
+        """Unregister the connection; a second call does nothing."""
+        if not self.is_open:
             return
-        self.open = False
+        self.is_open = False
         self.table.remove(self.number)
         user, self.user = self.user, None
         if user is not None:
-            user.connection_ended()
+            user.on_disconnected()
 
-    # ---- What its user calls ----
+    # ---- Called by the user ----
 
     def write(self, data: bytes) -> None:
-        if self.open and self.transport is not None:
+        """Send bytes; ignored when the connection is closed."""
+        if self.is_open and self.transport is not None:
             self.transport.write(data)
 
     def feed(self, reader: Reader) -> None:
-        """Give the reader all that is unread."""
+        """Pass all unread bytes to the reader, whose errors go through; the bytes are consumed either way."""
         data = self.buffer.unread()
         try:
             reader.feed(data)
         finally:
-            self.buffer.read(len(data))
+            self.buffer.consume(len(data))
             data.release()
 
-    def has_unread(self) -> bool:
-        """Whether something came that the loop has not read yet, be it the other side's end."""
-        return self._asked_for(select.POLLIN | select.POLLRDHUP)
+    def has_unread_data(self) -> bool:
+        """Whether the kernel holds bytes, or the end of the connection, that the event loop has not read."""
+        return self._has_event(select.POLLIN | select.POLLRDHUP)
+
+    def is_closed_by_peer(self) -> bool:
+        """Whether the other side has closed the connection.
 
-    def was_left(self) -> bool:
-        """Whether the other side has ended it, read or not: the loop may not have turned since, or may not
-        be reading here.
+        The kernel is asked, since the event loop may not have run since, or reading may be paused.
         """
-        return not self.open or self._asked_for(select.POLLRDHUP)
+        return not self.is_open or self._has_event(select.POLLRDHUP)
 
-    def _asked_for(self, events: int) -> bool:
-        """Whether the kernel has one of these, an error or a reset; not by select: that ends at 1,024."""
+    def _has_event(self, events: int) -> bool:
+        """Whether the kernel reports one of the events, an error or a reset."""
         taken = None if self.transport is None else self.transport.get_extra_info("socket")
-        if not self.open or taken is None or taken.fileno() < 0:
+        if not self.is_open or taken is None or taken.fileno() < 0:
             return False
-        poll = select.poll()
+        poll = select.poll()  # not select(): that is limited to descriptors below 1,024
         poll.register(taken, events)
         return bool(poll.poll(0))
 
-    def hold_reading(self, hold: bool) -> None:
-        """Read no more for now, so that who sends too much has to wait."""
-        if self.open and self.transport is not None and self.reading == hold:
-            self.reading = not hold
-            if hold:
+    def set_reading_paused(self, paused: bool) -> None:
+        """Stop or resume reading; while it is stopped a peer that sends too much has to wait."""
+        if self.is_open and self.transport is not None and self.is_reading == paused:
+            self.is_reading = not paused
+            if paused:
                 self.transport.pause_reading()
             else:
                 self.transport.resume_reading()
 
     def close(self) -> None:
-        """Close it when what was written has gone out."""
+        """Close the connection once all written bytes are sent."""
         if self.transport is not None:
             self.transport.close()
 
     def abort(self) -> None:
+        """Close the connection now; unsent bytes are dropped."""
         if self.transport is not None:
             self.transport.abort()
 
     def discard(self) -> None:
-        """It ends in this very turn, whatever the loop says of it later.
+        """Abort, and report the end at once.
 
-        Where its task is cancelled just when it is up, the loop closes it and says nothing of its end: it was
-        counted for good.
+        Where a connect task is cancelled just when the connection is up, the event loop closes it without
+        calling `connection_lost`, and it would stay registered for ever.
         """
         self.abort()
         self.connection_lost(None)
 
-    def finish(self) -> None:
-        """Write no more, but let the other side read to the end."""
-        if self.open and self.transport is not None:
+    def shut_down_writing(self) -> None:
+        """Send the end of the stream; the other side may read to the end."""
+        if self.is_open and self.transport is not None:
             self.transport.write_eof()
--- a/ploverspoke/transport/deadlines.py
+++ b/ploverspoke/transport/deadlines.py
@@ -1,4 +1,4 @@
-"""All deadlines of the program, in one ordered structure on the event loop's clock."""
+"""All timers of the process: one heap, and one timer of the event loop for the earliest of them."""
 
 import asyncio
 import heapq
@@ -9,68 +9,74 @@
 from .rate_limited_log import log_line
 from .units import SECOND
 
-FEWEST_TO_CLEAR = 256
+MIN_CANCELLED_TO_COMPACT = 256
 
 
 class Deadline:
-    """One deadline; `done` marks one that was called off or has been met."""
+    """One scheduled callback; `done` is true once it ran or was cancelled."""
 
-    __slots__ = ("call", "done", "serial", "when")
+    __slots__ = ("callback", "done", "serial", "when")
 
-    def __init__(self, when: int, serial: int, call: Callable[[], None]) -> None:
+    def __init__(self, when: int, serial: int, callback: Callable[[], None]) -> None:
         self.when = when
         self.serial = serial
-        self.call = call
+        self.callback = callback
         self.done = False
 
     def __lt__(self, other: "Deadline") -> bool:
+        """Order by time, then by the order of scheduling."""
         return (self.when, self.serial) < (other.when, other.serial)
 
 
 class Deadlines:
+    """Schedules callbacks on the monotonic clock; times are in nanoseconds."""
+
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
         self.heap: list[Deadline] = []
         self.serial = 0
-        self.called_off = 0
+        self.cancelled_count = 0  # cancelled deadlines that are still in the heap
         self.timer: asyncio.TimerHandle | None = None
-        self.timer_for = 0
+        self.timer_when = 0
 
     def now(self) -> int:
+        """Return the monotonic time in nanoseconds."""
         return time.monotonic_ns()
 
-    def at(self, when: int, call: Callable[[], None]) -> Deadline:
-        """Call it at that time or as soon as possible after it, never from in here."""
+    def schedule(self, when: int, callback: Callable[[], None]) -> Deadline:
+        """Call `callback` at `when` or as soon as possible after it, never from inside this method."""
         self.serial += 1
-        deadline = Deadline(when, self.serial, call)
+        deadline = Deadline(when, self.serial, callback)
         heapq.heappush(self.heap, deadline)
         if self.heap[0] is deadline:
             self._arm()
         return deadline
 
-    def call_off(self, deadline: Deadline | None) -> None:
+    def cancel(self, deadline: Deadline | None) -> None:
+        """Cancel a deadline; None or one that is done is ignored."""
         if deadline is None or deadline.done:
             return
         deadline.done = True
-        self.called_off += 1
-        # Most time-outs are called off; left in place for long they would be most of the memory.
-        if self.called_off > max(FEWEST_TO_CLEAR, len(self.heap) // 2):
-            self.heap = [d for d in self.heap if not d.done]
+        self.cancelled_count += 1
+        # Most deadlines are cancelled; left in the heap until they are due they would be most of the memory.
+        if self.cancelled_count > max(MIN_CANCELLED_TO_COMPACT, len(self.heap) // 2):
+            self.heap = [pending for pending in self.heap if not pending.done]
             heapq.heapify(self.heap)
-            self.called_off = 0
+            self.cancelled_count = 0
 
     def _arm(self) -> None:
+        """Set the timer of the event loop to the earliest deadline."""
         if not self.heap:
             return
         when = self.heap[0].when
         if self.timer is not None:
-            if self.timer_for <= when:
+            if self.timer_when <= when:
                 return
             self.timer.cancel()
-        self.timer_for = when
-        self.timer = self.loop.call_later(max(0, when - self.now()) / SECOND, self._ring)
+        self.timer_when = when
+        self.timer = self.loop.call_later(max(0, when - self.now()) / SECOND, self._run_due)
 
-    def _ring(self) -> None:
+    def _run_due(self) -> None:
         self.timer = None
         now = self.now()
         due = []
@@ -78,11 +84,12 @@
             due.append(heapq.heappop(self.heap))
         for deadline in due:
             if deadline.done:
-                self.called_off -= self.called_off > 0
+                self.cancelled_count -= self.cancelled_count > 0
                 continue
             deadline.done = True
             try:
-                deadline.call()
+                deadline.callback()
             except Exception:
-                log_line("a deadline's call failed: " + traceback.format_exc())
+                # A fault in one callback must not stop the others; it is logged with its trace.
+                log_line("a deadline's callback failed: " + traceback.format_exc())
         self._arm()
--- a/ploverspoke/transport/listener.py
+++ b/ploverspoke/transport/listener.py
@@ -1,4 +1,4 @@
-"""Takes connections at one address, a few in each turn of the loop."""
+"""Accepts connections at one address, a few in each turn of the event loop."""
 
 import asyncio
 import socket
@@ -10,54 +10,63 @@
 from .units import MILLISECOND
 
 BACKLOG = 512
-AT_ONCE = 8  # what these say is read before more are taken: many at once would push each other out
-SPEAKS_WITHIN = 20 * MILLISECOND  # whoever means something, on a new connection
-PAUSE = 10 * MILLISECOND  # where there is no room for one more
+ACCEPTS_PER_TURN = 8  # their first bytes are read before more are accepted: a flood would evict its own
+FIRST_BYTES_WITHIN = 20 * MILLISECOND  # a new connection that sent nothing for so long may be evicted
+RETRY_AFTER = 10 * MILLISECOND  # when there is no room for one more
 
 
 class Listener:
+    """Owner of a listening socket."""
+
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         deadlines: Deadlines,
-        make: Callable[[], Connection],
-        may_take: Callable[[int], bool],  # given how many are on their way up
+        make_connection: Callable[[], Connection],
+        has_room: Callable[[int], bool],
     ) -> None:
+        """`has_room` is given the number of accepted connections that are not set up yet."""
         self.loop = loop
         self.deadlines = deadlines
-        self.make = make
-        self.may_take = may_take
+        self.make_connection = make_connection
+        self.has_room = has_room
         self.socket: socket.socket | None = None
-        self.seating: set[asyncio.Task[None]] = set()
+        self.setup_tasks: set[asyncio.Task[None]] = set()
 
     def open(self, host: str, port: int) -> None:
+        """Listen at an address. Raises OSError where that is not possible."""
         listening = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET)
-        listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        listening.setblocking(False)
-        listening.bind((host, port))
-        listening.listen(BACKLOG)
+        try:
+            listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+            listening.setblocking(False)
+            listening.bind((host, port))
+            listening.listen(BACKLOG)
+        except OSError:
+            listening.close()
+            raise
         self.adopt(listening)
 
     def adopt(self, listening: socket.socket) -> None:
-        """Take connections from a socket that listens already; others may take from it too."""
+        """Accept from a socket that listens already; other processes may accept from it too."""
         self.socket = listening
-        self.loop.add_reader(listening, self._take_some)
+        self.loop.add_reader(listening, self._accept_some)
 
     def close(self) -> None:
+        """Close the listening socket; accepted connections stay open."""
         listening, self.socket = self.socket, None
         if listening is not None:
             self.loop.remove_reader(listening)
             listening.close()
 
-    def take_rest(self) -> None:
-        """Before the end: those that still wait in the kernel's queue would be reset with the socket."""
-        self._take_some(BACKLOG)
+    def accept_backlog(self) -> None:
+        """Accept what waits in the kernel's queue: `close` would reset it."""
+        self._accept_some(BACKLOG)
 
-    def _take_some(self, most: int = AT_ONCE) -> None:
-        for _ in range(most):
+    def _accept_some(self, limit: int = ACCEPTS_PER_TURN) -> None:
+        for _ in range(limit):
             if self.socket is None:
                 return
-            if not self.may_take(len(self.seating)):
+            if not self.has_room(len(self.setup_tasks)):
                 self._pause(self.socket)
                 return
             try:
@@ -67,24 +76,25 @@
             except (BlockingIOError, InterruptedError):
                 return
             except OSError as error:
-                log_line(f"a connection could not be taken: {error.strerror}")
+                log_line(f"a connection could not be accepted: {error.strerror}")
                 self._pause(self.socket)
                 return
-            task = self.loop.create_task(self._seat(accepted))
-            self.seating.add(task)
-            task.add_done_callback(self.seating.discard)
+            task = self.loop.create_task(self._set_up(accepted))
+            self.setup_tasks.add(task)
+            task.add_done_callback(self.setup_tasks.discard)
 
-    async def _seat(self, accepted: socket.socket) -> None:
+    async def _set_up(self, accepted: socket.socket) -> None:
         try:
-            await self.loop.connect_accepted_socket(self.make, accepted)
+            await self.loop.connect_accepted_socket(self.make_connection, accepted)
         except OSError:
+            # The client has gone already: there is nobody to report it to.
             accepted.close()
 
     def _pause(self, listening: socket.socket) -> None:
-        """The others wait in the kernel's queue."""
+        """Leave new connections in the kernel's queue for a while."""
         self.loop.remove_reader(listening)
-        self.deadlines.at(self.deadlines.now() + PAUSE, self._go_on)
+        self.deadlines.schedule(self.deadlines.now() + RETRY_AFTER, self._resume)
 
-    def _go_on(self) -> None:
+    def _resume(self) -> None:
         if self.socket is not None:
-            self.loop.add_reader(self.socket, self._take_some)
+            self.loop.add_reader(self.socket, self._accept_some)
--- a/ploverspoke/transport/outcomes.py
+++ b/ploverspoke/transport/outcomes.py
@@ -1,23 +1,25 @@
-"""Every way in which an exchange on a connection can end, as values of one type."""
+"""Every way in which an exchange with a worker can end."""
 
 from enum import Enum, auto
 
 
 class ExchangeOutcome(Enum):
-    # The worker said so.
-    SERVED = auto()
+    """The outcome of one request to a worker; each comment says who determined it."""
+
+    # Reported by the worker.
+    SUCCEEDED = auto()
     FAILED = auto()
-    RETURNED = auto()  # not started, or turned away
-    REJECTED = auto()  # the request itself is of no use to any worker
-    LOST = auto()  # the job was killed
-    # The connection said so.
-    REFUSED = auto()
-    NEVER_UP = auto()
-    UNSENT = auto()  # broke before the last byte of the request was written
-    BROKEN = auto()  # broke or ended after that, before the answer's last line
-    GARBLED = auto()  # what came is not what the protocol promises
-    # We said so.
+    NOT_STARTED = auto()  # refused by the worker, or given back before it began
+    REJECTED = auto()  # the request is invalid: no other worker would accept it
+    KILLED = auto()  # the worker stopped the request while it ran
+    # Determined by the state of the connection.
+    CONNECTION_REFUSED = auto()
+    CONNECT_FAILED = auto()
+    SEND_INCOMPLETE = auto()  # the connection broke before the last byte of the request was written
+    CONNECTION_LOST = auto()  # it broke or ended after that, before the last line of the response
+    MALFORMED_RESPONSE = auto()
+    # Determined by this process.
     TIMED_OUT = auto()
-    RECALLED = auto()
-    WITHHELD = auto()  # given up while nothing had been written
-    NO_SOCKET = auto()  # none of our descriptors was to be had
+    CANCELLED = auto()
+    NOT_SENT = auto()  # abandoned before the first byte was written
+    NO_DESCRIPTOR = auto()  # all file descriptors for connections to workers are in use
--- a/ploverspoke/transport/rate_limited_log.py
+++ b/ploverspoke/transport/rate_limited_log.py
@@ -1,35 +1,38 @@
-"""Log lines for the person on call: plain print to standard error, at a bounded rate."""
+"""Log lines for the operator on call, written to standard error at a bounded rate."""
 
 import sys
 import time
 
-LINES_AT_ONCE = 50
-LINES_A_SECOND = 5.0
+BURST_LINES = 50
+LINES_PER_SECOND = 5.0
 
 
 class RateLimitedLog:
+    """A token bucket in front of standard error; suppressed lines are counted and reported."""
+
     def __init__(self) -> None:
-        self.may_print = float(LINES_AT_ONCE)
-        self.at = time.monotonic()
-        self.held_back = 0
+        self.tokens = float(BURST_LINES)
+        self.refilled_at = time.monotonic()  # seconds
+        self.suppressed = 0  # lines since the last one that was written
 
     def write(self, line: str) -> None:
+        """Write one line, or count it as suppressed where the rate is exceeded."""
         now = time.monotonic()
-        self.may_print = min(LINES_AT_ONCE, self.may_print + (now - self.at) * LINES_A_SECOND)
-        self.at = now
-        if self.may_print < 1:
-            self.held_back += 1
+        self.tokens = min(BURST_LINES, self.tokens + (now - self.refilled_at) * LINES_PER_SECOND)
+        self.refilled_at = now
+        if self.tokens < 1:
+            self.suppressed += 1
             return
-        self.may_print -= 1
-        if self.held_back:
-            line = f"{line} ({self.held_back} lines held back before)"
-            self.held_back = 0
+        self.tokens -= 1
+        if self.suppressed:
+            line = f"{line} ({self.suppressed} lines suppressed before)"
+            self.suppressed = 0
         try:
             print(line, file=sys.stderr, flush=True)
         except OSError:
-            # Nobody reads the log any more: no reason to stop serving.
-            self.held_back += 1
+            # Standard error is closed: no reason to stop serving. The line counts as suppressed.
+            self.suppressed += 1
 
 
-_limiter = RateLimitedLog()
-log_line = _limiter.write
+_default_log = RateLimitedLog()
+log_line = _default_log.write
--- a/ploverspoke/transport/resource_limits.py
+++ b/ploverspoke/transport/resource_limits.py
@@ -1,28 +1,33 @@
-"""How descriptors and memory are shared out, in this one place."""
+"""The split of file descriptors and memory among clients, workers and buffers."""
 
 from typing import NamedTuple
 
 from .units import MEBIBYTE
 
-KEPT = 32  # descriptors for the loop, the door, discovery, the log and the configuration
-WORKERS_SHARE = 0.4  # of the others, for connections to workers
-CLIENTS_SHARE = 7 / 8  # of what is left: the rest is for those that are being told that there is no room
-PROGRAM_NEEDS = 22 * MEBIBYTE  # with all connections open and nothing buffered
-BUFFERS_SHARE = 0.4  # of the other memory: what is read is held twice for a moment
-MOST_BUFFERED = 32 * MEBIBYTE
-LEAST_BUFFERED = MEBIBYTE // 2  # while two processes share the least memory, a few bodies each
+RESERVED_DESCRIPTORS = (
+    32  # for the event loop, listeners, discovery, admin connections, log and configuration
+)
+WORKER_FRACTION = 0.4  # of the other descriptors
+CLIENT_FRACTION = 7 / 8  # of those left then; the last eighth is for clients that are told there is no room
+BASE_MEMORY = 22 * MEBIBYTE  # of a process with all connections open and nothing buffered
+BUFFER_FRACTION = 0.4  # of the other memory: received bytes are held twice for a moment
+MAX_BUFFERED = 32 * MEBIBYTE
+MIN_BUFFERED = MEBIBYTE // 2  # a few bodies each, while two processes share the smallest allowed memory
 
 
 class ResourceLimits(NamedTuple):
-    workers: int  # connections to workers
-    clients: int  # connections from clients
-    buffered: int  # bytes of requests, whole or in part
+    """The limits of one process."""
+
+    worker_connections: int
+    client_connections: int
+    buffered_bytes: int  # of requests, complete or partial
 
 
 def split_resources(descriptors: int, memory: int, processes: int = 1) -> ResourceLimits:
-    """What each of so many processes may take of what one dispatcher has."""
+    """Return the limits of one of `processes` equal processes that share descriptors and memory (bytes)."""
     descriptors, memory = descriptors // processes, memory // processes
-    left = max(0, descriptors - KEPT)
-    workers = int(left * WORKERS_SHARE)
-    buffered = min(MOST_BUFFERED, max(LEAST_BUFFERED, int((memory - PROGRAM_NEEDS) * BUFFERS_SHARE)))
-    return ResourceLimits(workers, int((left - workers) * CLIENTS_SHARE), buffered)
+    available = max(0, descriptors - RESERVED_DESCRIPTORS)
+    workers = int(available * WORKER_FRACTION)
+    clients = int((available - workers) * CLIENT_FRACTION)
+    buffered = min(MAX_BUFFERED, max(MIN_BUFFERED, int((memory - BASE_MEMORY) * BUFFER_FRACTION)))
+    return ResourceLimits(workers, clients, buffered)
--- a/ploverspoke/transport/slot_table.py
+++ b/ploverspoke/transport/slot_table.py
@@ -1,50 +1,56 @@
-"""Tables of numbered slots. A number names one tenant of a slot: once that has left, the number is stale."""
+"""A table of numbered slots; a number is unique to one item and becomes stale when that is removed."""
 
 from collections.abc import Iterator
 from typing import Generic, TypeVar
 
-T = TypeVar("T")
+Item = TypeVar("Item")
 
-SLOT_BITS = 20
+SLOT_BITS = 20  # low bits of a number: the slot; the others count the items that the slot has held
+SLOT_MASK = (1 << SLOT_BITS) - 1
 
 
-class SlotTable(Generic[T]):
+class SlotTable(Generic[Item]):
+    """Items by number; slots are reused, numbers are not."""
+
     def __init__(self) -> None:
-        self.items: list[T | None] = []
-        self.numbers: list[int] = []  # of the tenant that has a slot, or had it last
+        self.items: list[Item | None] = []
+        self.numbers: list[int] = []  # of the item that a slot holds, or held last
         self.vacant: list[int] = []
 
-    def add(self, item: T) -> int:
-        """Seat the item; its number is never given to another."""
+    def add(self, item: Item) -> int:
+        """Store the item and return its number. Raises OverflowError when all slots are in use."""
         if self.vacant:
             slot = self.vacant.pop()
             self.numbers[slot] += 1 << SLOT_BITS
         else:
             slot = len(self.items)
             if slot >> SLOT_BITS:
-                raise OverflowError("no slot left")
+                raise OverflowError(f"all {1 << SLOT_BITS} slots are in use")  # noqa: TRY003 built-in type
             self.items.append(None)
             self.numbers.append(slot + (1 << SLOT_BITS))
         self.items[slot] = item
         return self.numbers[slot]
 
-    def get(self, number: int) -> T | None:
-        """The item, or None where the number is stale."""
-        slot = number & ((1 << SLOT_BITS) - 1)
+    def get(self, number: int) -> Item | None:
+        """Return the item, or None where the number is stale."""
+        slot = number & SLOT_MASK
         if slot >= len(self.items) or self.numbers[slot] != number:
             return None
         return self.items[slot]
 
-    def remove(self, number: int) -> T | None:
+    def remove(self, number: int) -> Item | None:
+        """Remove and return the item; None where the number is stale."""
         item = self.get(number)
         if item is not None:
-            slot = number & ((1 << SLOT_BITS) - 1)
+            slot = number & SLOT_MASK
             self.items[slot] = None
             self.vacant.append(slot)
         return item
 
     def __len__(self) -> int:
+        """The number of items."""
         return len(self.items) - len(self.vacant)
 
-    def __iter__(self) -> Iterator[T]:
+    def __iter__(self) -> Iterator[Item]:
+        """Iterate over a copy, so that items may be removed meanwhile."""
         return iter([item for item in self.items if item is not None])
--- a/tests/compatibility/test_wire_bytes.py
+++ b/tests/compatibility/test_wire_bytes.py
@@ -35,7 +35,8 @@
 from ploverspoke.leases.server import HolderConnection, LeaseServer
 from ploverspoke.leases.server_node import LeaseServerNode
 from ploverspoke.leases.state_machine import LeaseStateMachine
-from ploverspoke.protocol import admin, clients, discovery, gossip_messages, http_messages, workers
+from ploverspoke.protocol import admin, clients, discovery, http_messages, workers
+from ploverspoke.protocol.gossip_messages import GossipMessage, decode_gossip, encode_gossip, workers_by_hash
 from ploverspoke.store.node import StoreNode
 
 from .data_files import DATA, SECOND, decoded, encoded, read_json
@@ -414,24 +415,24 @@
 
 HEADERS = {"host": "x", "request-info": "slots=2", "connection": "close, x-hop", "x-hop": "1"}
 HEADERS |= {"idempotency-key": "job-1", "request-timeout-ms": "900"}
-VARS = [admin.operations('look "up"', "ok", 4), admin.figure("open_requests", 2)]
+VARS = [admin.operations_line('look "up"', "ok", 4), admin.counter_line("open_requests", 2)]
 WORKER = "10.0.1.1:9001"
 WRITTEN = {
-    "telling": gossip_messages.write_gossip(3, 9, 0.4, ["w0", "w1"]),
-    "telling_long": gossip_messages.write_gossip(5, 255, 1.0, [f"w{number}" for number in range(200)]),
-    "job": workers.job("POST", "/book/1", HEADERS, b"{}", 1500 * MILLISECOND, WORKER),
-    "probe_load": workers.probe(True, WORKER),
-    "probe_healthy": workers.probe(False, WORKER),
-    "answer_ok": clients.answer(200, b"fine", True),
-    "answer_busy": clients.answer(503, b"later", False, come_back_after=1500 * MILLISECOND),
-    "answer_elsewhere": clients.answer(307, b"", True, location="http://10.0.0.2:8081/book/1"),
-    "continue": clients.CONTINUE,
-    "head": http_messages.head("GET / HTTP/1.1", {"Host": "a", "X": "1"}),
-    "discovery_whole": discovery.watch(None, 0, "10.0.2.1:8500"),
-    "discovery_from": discovery.watch(7, 20 * SECOND, "10.0.2.1:8500"),
-    "admin_yes": admin.said_yes("ready"),
-    "admin_no": admin.said_no("leaving"),
-    "admin_vars": admin.figures(VARS),
+    "telling": encode_gossip(GossipMessage(3, 9, 0.4, ["w0", "w1"])),
+    "telling_long": encode_gossip(GossipMessage(5, 255, 1.0, [f"w{number}" for number in range(200)])),
+    "job": workers.encode_attempt("POST", "/book/1", HEADERS, b"{}", 1500 * MILLISECOND, WORKER),
+    "probe_load": workers.encode_health_check(True, WORKER),
+    "probe_healthy": workers.encode_health_check(False, WORKER),
+    "answer_ok": clients.encode_response(200, b"fine", True),
+    "answer_busy": clients.encode_response(503, b"later", False, retry_after=1500 * MILLISECOND),
+    "answer_elsewhere": clients.encode_response(307, b"", True, location="http://10.0.0.2:8081/book/1"),
+    "continue": clients.CONTINUE_RESPONSE,
+    "head": http_messages.encode_head("GET / HTTP/1.1", {"Host": "a", "X": "1"}),
+    "discovery_whole": discovery.encode_watch_request(None, 0, "10.0.2.1:8500"),
+    "discovery_from": discovery.encode_watch_request(7, 20 * SECOND, "10.0.2.1:8500"),
+    "admin_yes": admin.ok_reply("ready"),
+    "admin_no": admin.error_reply("leaving"),
+    "admin_vars": admin.counters_reply(VARS),
 }
 
 
@@ -446,7 +447,5 @@
 
 def test_a_gossip_message_is_read() -> None:
     octets = read_json("other-wires.json")["telling"].encode("latin-1")
-    zone, number, lateness, held = gossip_messages.read_gossip(
-        octets, gossip_messages.marks_of(["w0", "w1", "w2"])
-    )
-    assert (zone, number, lateness, held) == (3, 9, 102 / 255, ["w0", "w1"])
+    message = decode_gossip(octets, workers_by_hash(["w0", "w1", "w2"]))
+    assert message == GossipMessage(3, 9, 102 / 255, ["w0", "w1"])
--- a/tests/decisions/test_load_gossip.py
+++ b/tests/decisions/test_load_gossip.py
@@ -7,8 +7,15 @@
 
 import pytest
 
-from ploverspoke.protocol.gossip_messages import MOST_BYTES, Reader, mark_of, marks_of, write_gossip
-from ploverspoke.protocol.http_messages import HttpSyntaxError
+from ploverspoke.protocol.errors import GossipSyntaxError
+from ploverspoke.protocol.gossip_messages import (
+    MAX_MESSAGE_SIZE,
+    GossipMessage,
+    GossipReader,
+    encode_gossip,
+    short_hash,
+    workers_by_hash,
+)
 from ploverspoke.routing.load_gossip import GossipSocket
 from ploverspoke.service.config import parse_config
 from ploverspoke.service.service import Service
@@ -121,13 +128,13 @@
 
 
 def test_bytes_are_read_back_and_spoilt_ones_refused() -> None:
-    reader, workers = Reader(), ["10.0.0.1:80", "10.0.0.2:80"]
-    octets = write_gossip(2, 9, 0.5, [workers[1], "elsewhere:1", workers[1]])
-    assert reader.read(octets, workers) == (2, 9, 128 / 255, [workers[1], workers[1]])
-    assert len(write_gossip(0, 0, 1.0, workers * 200)) == MOST_BYTES
+    reader, workers = GossipReader(), ["10.0.0.1:80", "10.0.0.2:80"]
+    octets = encode_gossip(GossipMessage(2, 9, 0.5, [workers[1], "elsewhere:1", workers[1]]))
+    assert reader.read(octets, workers) == GossipMessage(2, 9, 128 / 255, [workers[1], workers[1]])
+    assert len(encode_gossip(GossipMessage(0, 0, 1.0, workers * 200))) == MAX_MESSAGE_SIZE
     spoilt = [octets[:at] + bytes((octets[at] ^ 1,)) + octets[at + 1 :] for at in range(len(octets))]
     for bad in (b"", octets[:-1], octets[:4], b"\x02" + octets[1:], bytes(300), *spoilt):
-        with pytest.raises(HttpSyntaxError):
+        with pytest.raises(GossipSyntaxError):
             reader.read(bad, workers)
 
 
@@ -135,11 +142,11 @@
     seen: dict[int, str] = {}
     for number in range(100_000):
         name = f"10.{number // 251}.7:{number % 251}"
-        if mark_of(name) in seen:
+        if short_hash(name) in seen:
             break
-        seen[mark_of(name)] = name
-    pair = (seen[mark_of(name)], name)
-    assert marks_of(["alone", *pair]) == {mark_of("alone"): "alone"}
+        seen[short_hash(name)] = name
+    pair = (seen[short_hash(name)], name)
+    assert workers_by_hash(["alone", *pair]) == {short_hash("alone"): "alone"}
 
 
 def test_datagrams_go_between_listed_addresses_only() -> None:
@@ -162,7 +169,7 @@
         await asyncio.sleep(0.01)
         peers[0].send(None, 1, 3, 0.0, ["a"])
         stranger = socket.socket(type=socket.SOCK_DGRAM)
-        stranger.sendto(write_gossip(1, 4, 0.0, ["a"]), addresses[1])
+        stranger.sendto(encode_gossip(GossipMessage(1, 4, 0.0, ["a"])), addresses[1])
         peers[0].transport.sendto(b"garbage", addresses[1])
         for _ in range(100):
             await asyncio.sleep(0.01)
@@ -192,7 +199,7 @@
         service = Service(loop, parse_config({**told, "peers": peers}, {}))
         running = loop.create_task(service.run())
         octets = await asyncio.wait_for(loop.sock_recv(other, 999), 5)
-        assert Reader().read(octets, []) == (0, 0, 0.0, [])
+        assert GossipReader().read(octets, []) == GossipMessage(0, 0, 0.0, [])
         service._leave()
         await asyncio.wait_for(running, 5)
         other.close()
--- a/tests/protocol/test_protocol.py
+++ b/tests/protocol/test_protocol.py
@@ -8,7 +8,7 @@
 import pytest
 
 from ploverspoke.protocol import clients, discovery, workers
-from ploverspoke.protocol.http_messages import HttpSyntaxError
+from ploverspoke.protocol.errors import EndpointListError, HttpSyntaxError
 from ploverspoke.transport.outcomes import ExchangeOutcome
 
 
@@ -23,9 +23,9 @@
         "content-length": "99",
         "request-timeout-ms": "8000",
     }
-    head, _, body = workers.job("POST", "/a/b?c=%20d", said, b"ab", 2_500_000_000, "127.0.0.1:1").partition(
-        b"\r\n\r\n"
-    )
+    head, _, body = workers.encode_attempt(
+        "POST", "/a/b?c=%20d", said, b"ab", 2_500_000_000, "127.0.0.1:1"
+    ).partition(b"\r\n\r\n")
     lines = head.decode().split("\r\n")
     assert lines[0] == "POST /a/b?c=%20d HTTP/1.1" and body == b"ab"
     assert sorted(lines[1:]) == [
@@ -44,25 +44,25 @@
         self.requests: list[tuple[str, bytes, bool]] = []
         self.said: list[Any] = []
 
-    def head_came(self, method: str, target: str, headers: Any) -> None:
+    def on_request_head(self, method: str, target: str, headers: Any) -> None:
         pass
 
-    def request_came(self, method: str, target: str, headers: Any, body: bytes, keep_alive: bool) -> None:
-        self.requests.append((target, body, keep_alive))
+    def on_request(self, request: clients.HttpRequest) -> None:
+        self.requests.append((request.target, request.body, request.keep_alive))
 
-    def body_awaited(self) -> None:
+    def on_continue_expected(self) -> None:
         pass
 
-    def started(self) -> None:
+    def on_started(self) -> None:
         self.said.append("started")
 
-    def progressed(self, share_done: float) -> None:
-        self.said.append(share_done)
+    def on_progress(self, fraction_done: float) -> None:
+        self.said.append(fraction_done)
 
-    def ended(self, end: ExchangeOutcome, result: str, load: Any) -> None:
-        self.said.append((end, result, load))
+    def on_outcome(self, outcome: ExchangeOutcome, result: str, load: Any) -> None:
+        self.said.append((outcome, result, load))
 
-    def message_over(self, reusable: bool) -> None:
+    def on_response_complete(self, reusable: bool) -> None:
         self.said.append(reusable)
 
 
@@ -86,9 +86,9 @@
     )
     answer = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
     answer += b"%x\r\n" % len(lines) + lines + b"\r\n0\r\n\r\n"
-    in_pieces(chance, answer, workers.JobAnswer(heard, "free_slots", "7").feed)
+    in_pieces(chance, answer, workers.AttemptResponseReader(heard, "free_slots", "7").feed)
     load = {"waiting": 2.0, "free_slots": 1.0}
-    assert heard.said == ["started", 0.5, (ExchangeOutcome.SERVED, "ok", load), True]
+    assert heard.said == ["started", 0.5, (ExchangeOutcome.SUCCEEDED, "ok", load), True]
 
 
 @pytest.mark.parametrize("seed", range(30))
@@ -105,16 +105,16 @@
     line = chance.choice([*odd, number, chance.randbytes(40) + b"\n"])
     readers: list[Any] = [
         clients.RequestReader(heard),
-        workers.JobAnswer(heard, "x0", "7"),
-        workers.ProbeAnswer(heard, "x0"),
-        discovery.ListAnswer(lambda body, lasts: None),
+        workers.AttemptResponseReader(heard, "x0", "7"),
+        workers.HealthCheckResponseReader(heard, "x0"),
+        discovery.EndpointListReader(lambda body, lasts: None),
     ]
     for reader in readers:
         with contextlib.suppress(HttpSyntaxError):
             reader.feed(
                 memoryview(chance.choice([b"", head + b"%x\r\n" % len(line) + line]) + chance.randbytes(99))
             )
-    assert not [said for said in heard.said if said[0] is ExchangeOutcome.SERVED]
+    assert not [said for said in heard.said if said[0] is ExchangeOutcome.SUCCEEDED]
 
 
 @pytest.mark.parametrize(
@@ -130,15 +130,15 @@
     ],
 )
 def test_a_list_that_is_none_is_garbled(told: bytes) -> None:
-    with pytest.raises(HttpSyntaxError):
-        discovery.read_list(told, lambda *entry: None)
+    with pytest.raises(EndpointListError):
+        discovery.read_endpoint_list(told)
 
 
 class Whole(Heard):
     """Keeps the headers, too."""
 
-    def request_came(self, method: str, target: str, headers: Any, body: bytes, keep_alive: bool) -> None:
-        self.said.append((method, target, dict(headers), body, keep_alive))
+    def on_request(self, request: clients.HttpRequest) -> None:
+        self.said.append(tuple(request._replace(headers=dict(request.headers))))
 
 
 REQUEST = (
@@ -159,18 +159,18 @@
 
 
 def read_answer(heard: Whole) -> Callable[[memoryview], None]:
-    return workers.JobAnswer(heard, "x0", "7").feed
+    return workers.AttemptResponseReader(heard, "x0", "7").feed
 
 
 def read_roster(heard: Whole) -> Callable[[memoryview], None]:
-    return discovery.ListAnswer(lambda body, lasts: heard.said.append((body, lasts))).feed
+    return discovery.EndpointListReader(lambda body, lasts: heard.said.append((body, lasts))).feed
 
 
 @pytest.mark.parametrize(
     ("message", "read", "last"),
     [
         (REQUEST, read_request, None),
-        (WORKER, read_answer, (ExchangeOutcome.SERVED, "abc", {})),
+        (WORKER, read_answer, (ExchangeOutcome.SUCCEEDED, "abc", {})),
         (ROSTER, read_roster, (ROSTER[-42:], True)),
     ],
 )
--- a/tests/routing/test_acceptance_rules.py
+++ b/tests/routing/test_acceptance_rules.py
@@ -306,7 +306,7 @@
         tell(world, {**listed("h", worker.port), "state": "Terminating"}, other)
         gate = Gate(world.service.pool) if how == "while it comes up" else None
         worker.peers[0].end.send(b"HTTP/1.1 503 Busy\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
-        placed(out.has_unread)
+        placed(out.has_unread_data)
         await turns(after)
         if gate is not None:
             await until(lambda: gate.waiting)
@@ -317,7 +317,7 @@
             client.end.shutdown(socket.SHUT_WR)
         else:
             client.close()
-        placed(connection.was_left)
+        placed(connection.is_closed_by_peer)
         begun = len(world.sent)
         if gate is not None:
             gate.event.set()
--- a/tests/routing/test_admin_server.py
+++ b/tests/routing/test_admin_server.py
@@ -6,37 +6,44 @@
 
 import pytest
 
-from ploverspoke.protocol.admin import AdminCallError, CallReader, label
+from ploverspoke.protocol.admin import AdminCommandReader, escape_label
+from ploverspoke.protocol.errors import AdminCommandError
 from ploverspoke.routing.admin_server import MOST_CALLERS
 from tests.routing.test_service import WAYS, World, message, play
 
 
 @pytest.mark.parametrize(
     ("said", "call"),
-    [(b"check\n", "check"), (b"vars\r\n", "vars"), (b"\n", ""), (b"chec", None), (b"x" * 65, AdminCallError)]
+    [
+        (b"check\n", "check"),
+        (b"vars\r\n", "vars"),
+        (b"\n", ""),
+        (b"chec", None),
+        (b"x" * 65, AdminCommandError),
+    ]
     + [
-        (b"check\nvars\n", AdminCallError),
-        ("čeka\n".encode(), AdminCallError),
-        (b"a\x00b\n", AdminCallError),
-        (b"a\rb\n", AdminCallError),
+        (b"check\nvars\n", AdminCommandError),
+        ("čeka\n".encode(), AdminCommandError),
+        (b"a\x00b\n", AdminCommandError),
+        (b"a\rb\n", AdminCommandError),
     ],
 )
 def test_a_call_reads_the_same_cut_anywhere(said: bytes, call: Any) -> None:
     for cut in range(len(said)):
-        reader, found = CallReader(), None
+        reader, found = AdminCommandReader(), None
         try:
             for part in (said[:cut], said[cut:]):
                 found = found if found is not None else reader.feed(memoryview(part))
             got: Any = found
-        except AdminCallError:
-            got = AdminCallError
+        except AdminCommandError:
+            got = AdminCommandError
         assert got == call or (
             b"\n" in said[:cut] and cut < len(said)
         )  # what follows a whole call is not read
 
 
 def test_labels_cannot_end_their_line() -> None:
-    assert label('a"b\\c\nd\u010d') == 'a\\"b\\\\c\\nd\\u010d'
+    assert escape_label('a"b\\c\nd\u010d') == 'a\\"b\\\\c\\nd\\u010d'
 
 
 async def call(world: World, said: bytes = b"vars\n") -> str:
--- a/tests/routing/test_race_conditions.py
+++ b/tests/routing/test_race_conditions.py
@@ -22,14 +22,14 @@
 import pytest
 import uvloop
 
-from ploverspoke.protocol.discovery import read_list
-from ploverspoke.protocol.workers import JobAnswer
+from ploverspoke.protocol.discovery import read_endpoint_list
+from ploverspoke.protocol.workers import AttemptResponseReader
 from ploverspoke.routing.client_server import ClientSession
 from ploverspoke.routing.endpoint_watch import EndpointWatch
 from ploverspoke.routing.worker_calls import WorkerCall
 from ploverspoke.service.settings import names, standing_orders
 from ploverspoke.testbed.processes.addresses import held_ports
-from ploverspoke.transport.connection_pool import Pool
+from ploverspoke.transport.connection_pool import ConnectionPool
 from ploverspoke.transport.deadlines import Deadlines
 from ploverspoke.transport.outcomes import ExchangeOutcome
 from tests.decisions.harness import SETTINGS
@@ -93,13 +93,13 @@
             self.held_at += span
         else:
             self.ahead += span
-        self.deadlines._ring()
+        self.deadlines._run_due()
 
 
 class Gate:
     """Connections that are up are told when it is opened."""
 
-    def __init__(self, pool: Pool) -> None:
+    def __init__(self, pool: ConnectionPool) -> None:
         self.loop, self.event, self.waiting = pool.loop, asyncio.Event(), 0
         pool.loop = self  # type: ignore[assignment]
 
@@ -236,7 +236,7 @@
             tell(world, {**chosen, "addr": other["addr"]}, other)
         elif what == "left":
             client.close()
-            placed(newest(world).connection.was_left)
+            placed(newest(world).connection.is_closed_by_peer)
         elif what == "late":
             clock.ahead += 31 * SECOND
         else:
@@ -290,7 +290,7 @@
         if how in ("in a turn before", "far ahead"):
             await until(lambda: not world.service.router.open_now(), "not heard while nothing else happened")
         else:
-            placed(connection.was_left)
+            placed(connection.is_closed_by_peer)
         world.sent.clear()
         tell(world, ready)
         for _ in range(4):  # the clock ticks, and what waits is drawn
@@ -348,7 +348,7 @@
         unread = [newest(world).connection, next(iter(world.service.pool.connections))]
         for step, connection in list(zip(steps, unread, strict=True))[:: 1 if request_first else -1]:
             step()
-            placed(connection.has_unread)
+            placed(connection.has_unread_data)
         if not said:
             worker.peers.remove(kept)
         await until(lambda: worker.copies("r"))
@@ -368,11 +368,11 @@
         rested = next(iter(pool.connections))
         next_one = PoolUser()
         assert rested.user is not None
-        rested.user.bytes_came()
-        pool.call(address, next_one)
+        rested.user.on_data_available()
+        pool.acquire(address, next_one)
         assert next_one.connection is None
         given = await until(lambda: next_one.connection)
-        assert given is not rested and pool.held() == 1
+        assert given is not rested and pool.connection_count() == 1
         given.abort()
 
     play(script, workers=1, **CALM)
@@ -416,10 +416,10 @@
         peer, connection = worker.peers[0], next(iter(world.service.pool.connections))
         if how == "left":
             client.close()
-            placed(newest(world).connection.was_left)
+            placed(newest(world).connection.is_closed_by_peer)
         elif how != "drains":
             peer.close() if how == "closed" else peer.reset()
-            placed(connection.has_unread)
+            placed(connection.has_unread_data)
         drained = {**listed("h", worker.port), "state": "Terminating"}, world.entries[0]
         if how == "drains":
             tell(world, *drained)
@@ -439,21 +439,25 @@
 # ---- Pools ----
 
 
-@pytest.mark.parametrize("way", ["too_late", "give_up"])
+@pytest.mark.parametrize("way", ["on_timeout", "cancel"], ids=["too_late", "give_up"])
 @pytest.mark.parametrize("after", range(8))
 def test_a_connection_given_up_while_it_comes_up_is_closed_and_counted_once(after: int, way: str) -> None:
     async def script() -> None:
         loop = asyncio.get_running_loop()
-        worker, pool, told = HeldWorker(), Pool(loop, Deadlines(loop), 4, SECOND, 60 * SECOND), PoolUser()
+        worker, pool, told = (
+            HeldWorker(),
+            ConnectionPool(loop, Deadlines(loop), 4, SECOND, 60 * SECOND),
+            PoolUser(),
+        )
 
-        opening = pool.call(f"127.0.0.1:{worker.port}", told)
+        opening = pool.acquire(f"127.0.0.1:{worker.port}", told)
         assert opening is not None
         await turns(after)
         getattr(opening, way)()
-        pool.deadlines.call_off(opening.late)
-        await until(lambda: pool.held() == 0, f"held for good: {told.connection}, {told.end}")
+        pool.deadlines.cancel(opening.deadline)
+        await until(lambda: pool.connection_count() == 0, f"held for good: {told.connection}, {told.outcome}")
         await turns()
-        assert pool.opening == 0 and (told.connection is None or told.end is None)
+        assert pool.pending_count == 0 and (told.connection is None or told.outcome is None)
         for peer in worker.called():
             await until(peer.has_ended)
 
@@ -471,7 +475,7 @@
         worker.peers[0].end.send(served("r"))
         assert await until(client.status) == 200
         await until(worker.peers[0].has_ended)
-        assert not any(world.service.pool.resting.values())
+        assert not any(world.service.pool.idle.values())
 
     play(script, workers=1, **CALM)
 
@@ -485,7 +489,7 @@
     async def script() -> None:
         loop = asyncio.get_running_loop()
         deadlines, worker, ends = Deadlines(loop), HeldWorker(), []
-        clock, pool = Clock(deadlines), Pool(loop, deadlines, 4, SECOND, 60 * SECOND)
+        clock, pool = Clock(deadlines), ConnectionPool(loop, deadlines, 4, SECOND, 60 * SECOND)
         clock.hold()
 
         class Sender:
@@ -497,14 +501,14 @@
 
             def errand_ended(self, end: ExchangeOutcome, result: str, load: Any) -> None:
                 # A second copy may go out now: the first must be at its end.
-                ends.append((end, bool(errand.answer.over) or errand.connection is None))
+                ends.append((end, bool(errand.answer.is_complete) or errand.connection is None))
 
         address = f"127.0.0.1:{worker.port}"
         errand = WorkerCall(
             pool,
             address,
             lambda left: b"POST /book HTTP/1.1\r\nrequest-id: r\r\n\r\nx",
-            lambda listener: JobAnswer(listener, "x0", "r"),
+            lambda listener: AttemptResponseReader(listener, "x0", "r"),
             60 * SECOND,
             Sender(),
             in_two=True,
@@ -523,10 +527,10 @@
         for step in order:
             steps[step]()
         await until(lambda: ends)
-        await until(lambda: pool.held() == len(pool.resting[address]))
+        await until(lambda: pool.connection_count() == len(pool.idle[address]))
         assert len(ends) == 1 and ends[0][1]
         if state != "written":
-            never_ran = {ExchangeOutcome.WITHHELD, ExchangeOutcome.UNSENT}
+            never_ran = {ExchangeOutcome.NOT_SENT, ExchangeOutcome.SEND_INCOMPLETE}
             assert ends[0][0] in never_ran or not worker.peers[0].requests()
             assert sum(p.requests() for p in worker.called()) == 0
 
@@ -548,9 +552,9 @@
         self.watch = EndpointWatch(loop, deadlines, address, 10 * SECOND, self.told, lost, pushed)
 
     def told(self, body: bytes) -> tuple[int, bool]:
-        version, whole = read_list(body, lambda *entry: None)
-        self.lists.append(version)
-        return version, whole
+        found = read_endpoint_list(body)
+        self.lists.append(found.version)
+        return found.version, found.is_complete
 
     def calls(self) -> list[bytes]:
         """Each call on each connection, in the order of connections."""
@@ -768,7 +772,7 @@
         clients = [kept, *new] if first == "kept" else [*new, kept]
         for number, client in enumerate(clients):
             client.end.send(world.request(f"r{number}"))
-        placed(newest(world).connection.has_unread)
+        placed(newest(world).connection.has_unread_data)
         world.service.door.shut()
         for client in clients:
             await until(client.has_ended)
@@ -787,8 +791,8 @@
         seating, queued = caller(world.port), caller(world.port)
         for name, client in (("kept", kept), ("seating", seating), ("queued", queued)):
             client.end.send(world.request(name))
-        placed(newest(world).connection.has_unread)
-        listener._take_some(1)  # accepted, and not seated yet
+        placed(newest(world).connection.has_unread_data)
+        listener._accept_some(1)  # accepted, and not seated yet
         service._leave()
         for client in (kept, seating):
             await until(client.has_ended)
@@ -805,7 +809,7 @@
         clients = [await answered(world, grade) for grade in GRADES]
         oldest: ClientSession = next(iter(world.service.door.sessions.values()))
         clients[0].end.send(world.request("b"))
-        placed(oldest.connection.has_unread)
+        placed(oldest.connection.has_unread_data)
         assert world.service.door._make_room() and not oldest.closing
         assert await until(clients[0].status) == 200
         await until(clients[1].has_ended)
--- a/tests/routing/test_service.py
+++ b/tests/routing/test_service.py
@@ -232,7 +232,7 @@
             writer.write(world.request(f"r{number}", body=b"abc"))
             first, headers, body = await message(reader)
             assert first == "HTTP/1.1 200 OK" and body == f"r{number}:abc".encode()
-        assert world.service.pool.held() <= 2
+        assert world.service.pool.connection_count() <= 2
         writer.close()
 
     play(script)
--- a/tests/service/test_handover.py
+++ b/tests/service/test_handover.py
@@ -63,8 +63,10 @@
 def test_two_processes_hold_no_more_than_one_may() -> None:
     for sockets, memory in ((256, 32), (384, 80), (1024, 192)):
         one, half = (split_resources(sockets, memory * MEBIBYTE, n) for n in (1, 2))
-        assert half.workers * 2 <= one.workers and half.clients * 2 <= one.clients
-        assert half.workers > 0 and half.clients > 0 and half.buffered >= 4 * 65536
+        assert half.worker_connections * 2 <= one.worker_connections
+        assert half.client_connections * 2 <= one.client_connections
+        assert half.worker_connections > 0 and half.client_connections > 0
+        assert half.buffered_bytes >= 4 * 65536
 
 
 class Replaced:
--- a/tests/store/test_request_log.py
+++ b/tests/store/test_request_log.py
@@ -116,7 +116,7 @@
         asked = asyncio.create_task(world.ask(world.request("r1", "book")))
         commit = await scribe.wait_for("intend")
         commit(True)
-        while not world.service.pool.held() - world.service.pool.opening:
+        while not world.service.pool.connection_count() - world.service.pool.pending_count:
             await asyncio.sleep(0)
         scribe.leading = False
         await asyncio.sleep(0.05)
