--- a/ploverspoke/protocol/admin.py
+++ b/ploverspoke/protocol/admin.py
@@ -11,6 +11,7 @@
     """Collects the one command line of a connection from the pieces in which it comes."""
 
     def __init__(self) -> None:
+        """Begin with an empty line."""
         self.line = bytearray()
 
     def feed(self, data: memoryview) -> str | None:
--- a/ploverspoke/protocol/clients.py
+++ b/ploverspoke/protocol/clients.py
@@ -56,6 +56,7 @@
     """Reads the requests of one connection; they may follow one another without a pause."""
 
     def __init__(self, listener: RequestListener) -> None:
+        """Read requests for `listener`."""
         super().__init__(httptools.HttpRequestParser)
         self.listener = listener
         self.target = b""
--- a/ploverspoke/protocol/errors.py
+++ b/ploverspoke/protocol/errors.py
@@ -5,6 +5,7 @@
     """What was received is not what its protocol allows; `reason` may be sent to the sender."""
 
     def __init__(self, reason: str) -> None:
+        """Keep the reason; it must not hold what is secret."""
         super().__init__(reason)
         self.reason = reason
 
--- a/ploverspoke/protocol/gossip_messages.py
+++ b/ploverspoke/protocol/gossip_messages.py
@@ -70,6 +70,7 @@
     """Decodes the messages that one dispatcher receives, by the workers that it knows."""
 
     def __init__(self) -> None:
+        """Begin without workers."""
         self.by_hash: dict[int, str] = {}
         self.known_count = 0  # workers are added and never removed: their number tells of a change
 
--- a/ploverspoke/protocol/http_messages.py
+++ b/ploverspoke/protocol/http_messages.py
@@ -21,6 +21,7 @@
     max_body_size = MAX_BODY_SIZE
 
     def __init__(self, parser: type[Parser]) -> None:
+        """`parser` is the class of httptools that parses this kind of message."""
         self.parser: Parser = parser(self)
         self.headers: dict[str, str] = {}
         self.body = bytearray()
--- a/ploverspoke/protocol/wire_names.py
+++ b/ploverspoke/protocol/wire_names.py
@@ -44,8 +44,6 @@
 
 # Values of endpoint lists, load reports and settings.
 ENDPOINT_STATES = {"Ready": "ready", "Terminating": "draining", "Gone": "gone"}
-REPEATS = {"free": "redoable", "guarded": "labelled", "single_shot": "irreversible"}
-GROUPS = {"all": "all", "zone": "zone", "cell": "rack"}
 UNDEFINED_LOAD_FIELD = "x0"  # its meaning is a matter of the settings
 LOAD_NAMES = {
     "outstanding": "in_hand",
--- a/ploverspoke/protocol/workers.py
+++ b/ploverspoke/protocol/workers.py
@@ -142,6 +142,7 @@
     """Reads the response to an attempt: 200 with one JSON object a line, or a status that is the outcome."""
 
     def __init__(self, listener: ResponseListener, x0_name: str, request_id: str) -> None:
+        """Lines that name another request than `request_id` are malformed."""
         super().__init__(listener, x0_name)
         self.request_id = request_id
 
--- a/ploverspoke/transport/buffers.py
+++ b/ploverspoke/transport/buffers.py
@@ -8,6 +8,7 @@
     """Bytes received and not yet consumed, in the order in which they came."""
 
     def __init__(self) -> None:
+        """Begin empty, with `INITIAL_SIZE` bytes of memory."""
         self.data = bytearray(INITIAL_SIZE)
         self.start = 0
         self.end = 0
--- a/ploverspoke/transport/connection_pool.py
+++ b/ploverspoke/transport/connection_pool.py
@@ -56,6 +56,7 @@
     """The user of a connection while it is idle: any data or end makes it useless."""
 
     def __init__(self, connection: Connection) -> None:
+        """Watch over `connection`."""
         self.connection = connection
 
     def on_data_available(self) -> None:
@@ -74,6 +75,7 @@
     """A connection that is being established for a user."""
 
     def __init__(self, pool: "ConnectionPool", address: str, user: PoolUser, timeout: int) -> None:
+        """Begin to connect to `address`, for at most `timeout` ns."""
         self.pool = pool
         self.connection = Connection(pool.connections, address=address)
         self.user: PoolUser | None = user
--- a/ploverspoke/transport/connections.py
+++ b/ploverspoke/transport/connections.py
@@ -68,7 +68,7 @@
         if self.on_accepted is not None:
             self.on_accepted(self)
 
-    def get_buffer(self, sizehint: int) -> memoryview:  # noqa: ARG002 the signature is asyncio's
+    def get_buffer(self, sizehint: int) -> memoryview:
         """Return the space for the next bytes from the socket."""
         return self.buffer.writable_space()
 
@@ -92,7 +92,7 @@
         if self.user is not None:
             self.user.on_write_drained()
 
-    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 the signature is asyncio's
+    def connection_lost(self, exc: Exception | None) -> None:
         """Unregister the connection; a second call does nothing."""
         if not self.is_open:
             return
--- a/ploverspoke/transport/deadlines.py
+++ b/ploverspoke/transport/deadlines.py
@@ -18,6 +18,7 @@
     __slots__ = ("callback", "done", "serial", "when")
 
     def __init__(self, when: int, serial: int, callback: Callable[[], None]) -> None:
+        """`when` is in ns; `serial` orders deadlines of the same time."""
         self.when = when
         self.serial = serial
         self.callback = callback
@@ -32,6 +33,7 @@
     """Schedules callbacks on the monotonic clock; times are in nanoseconds."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
+        """Use the timers of `loop`."""
         self.loop = loop
         self.heap: list[Deadline] = []
         self.serial = 0
--- a/ploverspoke/transport/rate_limited_log.py
+++ b/ploverspoke/transport/rate_limited_log.py
@@ -11,6 +11,7 @@
     """A token bucket in front of standard error; suppressed lines are counted and reported."""
 
     def __init__(self) -> None:
+        """Begin with a full bucket."""
         self.tokens = float(BURST_LINES)
         self.refilled_at = time.monotonic()  # seconds
         self.suppressed = 0  # lines since the last one that was written
--- a/ploverspoke/transport/slot_table.py
+++ b/ploverspoke/transport/slot_table.py
@@ -3,6 +3,8 @@
 from collections.abc import Iterator
 from typing import Generic, TypeVar
 
+from .errors import SlotTableFullError
+
 Item = TypeVar("Item")
 
 SLOT_BITS = 20  # low bits of a number: the slot; the others count the items that the slot has held
@@ -13,19 +15,20 @@
     """Items by number; slots are reused, numbers are not."""
 
     def __init__(self) -> None:
+        """Begin empty."""
         self.items: list[Item | None] = []
         self.numbers: list[int] = []  # of the item that a slot holds, or held last
         self.vacant: list[int] = []
 
     def add(self, item: Item) -> int:
-        """Store the item and return its number. Raises OverflowError when all slots are in use."""
+        """Store the item and return its number. Raises SlotTableFullError."""
         if self.vacant:
             slot = self.vacant.pop()
             self.numbers[slot] += 1 << SLOT_BITS
         else:
             slot = len(self.items)
             if slot >> SLOT_BITS:
-                raise OverflowError(f"all {1 << SLOT_BITS} slots are in use")  # noqa: TRY003 built-in type
+                raise SlotTableFullError(1 << SLOT_BITS)
             self.items.append(None)
             self.numbers.append(slot + (1 << SLOT_BITS))
         self.items[slot] = item
