--- /dev/null
+++ b/ploverspoke/transport/errors.py
@@ -0,0 +1,14 @@
+"""Errors of this package; those of sockets stay OSError."""
+
+
+class TransportError(Exception):
+    """Base of the errors below."""
+
+
+class SlotTableFullError(TransportError):
+    """All `capacity` slots of a table are in use."""
+
+    def __init__(self, capacity: int) -> None:
+        """Keep the number of slots."""
+        super().__init__(f"all {capacity} slots are in use")
+        self.capacity = capacity
--- a/tests/routing/test_race_conditions.py
+++ b/tests/routing/test_race_conditions.py
@@ -34,7 +34,7 @@
 from ploverspoke.transport.outcomes import ExchangeOutcome
 from tests.decisions.harness import SETTINGS
 from tests.routing.test_service import World, chunk, listed, play
-from tests.transport.test_transport import PoolUser
+from tests.transport.recording_pool_user import RecordingPoolUser
 
 MS, SECOND = 1_000_000, 1_000_000_000
 # No probes: which worker is asked first is not what these tests are about. Nothing is late by itself.
@@ -366,7 +366,7 @@
         await answered(world)
         pool, address = world.service.pool, world.entries[0]["addr"]
         rested = next(iter(pool.connections))
-        next_one = PoolUser()
+        next_one = RecordingPoolUser()
         assert rested.user is not None
         rested.user.on_data_available()
         pool.acquire(address, next_one)
@@ -447,7 +447,7 @@
         worker, pool, told = (
             HeldWorker(),
             ConnectionPool(loop, Deadlines(loop), 4, SECOND, 60 * SECOND),
-            PoolUser(),
+            RecordingPoolUser(),
         )
 
         opening = pool.acquire(f"127.0.0.1:{worker.port}", told)
--- /dev/null
+++ b/tests/transport/conftest.py
@@ -0,0 +1,13 @@
+"""Fixtures of these tests."""
+
+import asyncio
+from collections.abc import Iterator
+
+import pytest
+
+
+@pytest.fixture
+def loop() -> Iterator[asyncio.AbstractEventLoop]:
+    loop = asyncio.new_event_loop()
+    yield loop
+    loop.close()
