--- a/ploverspoke/routing/admin_server.py
+++ b/ploverspoke/routing/admin_server.py
@@ -106,14 +106,14 @@
         return admin.ok_reply("ready")
 
     def _figures(self) -> Iterator[str]:
-        dispatcher, figures = self.router.dispatcher, self.router.figures
+        dispatcher, counters = self.router.dispatcher, self.router.counters
         listed = dispatcher.listed_workers()
-        yield from figures.operations()
+        yield from counters.operations()
         yield admin.counter_line("open_requests", self.router.open_now())
         yield admin.counter_line("registry_entries", len(listed))
         yield admin.counter_line("out_of_rotation", sum(dispatcher.avoids(w) for w in listed))
-        yield admin.counter_line("cfg_accepted", figures.accepted)
-        yield admin.counter_line("cfg_invalid", figures.invalid)
+        yield admin.counter_line("cfg_accepted", counters.configs_accepted)
+        yield admin.counter_line("cfg_invalid", counters.configs_invalid)
 
     def _came(self, connection: Connection) -> None:
         AdminConnection(self, connection)
