--- a/ploverspoke/protocol/clients.py
+++ b/ploverspoke/protocol/clients.py
@@ -7,7 +7,7 @@
 from ploverspoke.transport.units import MICROSECOND, MILLISECOND, SECOND
 
 from .errors import HttpSyntaxError, MessageTooLongError
-from .http_messages import MAX_BODY_SIZE, HttpMessageReader, encode_head
+from .http_messages import MAX_BODY_SIZE, Headers, HttpMessageReader, encode_head
 from .wire_names import REQUEST_INFO, REQUEST_TIMEOUT, SLOTS, WORK_HINT
 
 REASON_PHRASES = {
@@ -34,7 +34,7 @@
 
     method: str
     target: str
-    headers: dict[str, str]  # by their names in lower case
+    headers: Headers
     body: bytes
     keep_alive: bool  # the client wants to use the connection again
 
@@ -42,7 +42,7 @@
 class RequestListener(Protocol):
     """Receives the requests of one connection."""
 
-    def on_request_head(self, method: str, target: str, headers: dict[str, str]) -> None:
+    def on_request_head(self, method: str, target: str, headers: Headers) -> None:
         """Check a request whose body is not read yet. Raises HttpSyntaxError to have it not read."""
 
     def on_request(self, request: HttpRequest) -> None:
@@ -120,7 +120,7 @@
     return path.lstrip("/").partition("/")[0]
 
 
-def whole_number(headers: dict[str, str], name: str) -> int | None:
+def whole_number(headers: Headers, name: str) -> int | None:
     """Return the number in a header, None where there is none. Raises HttpSyntaxError."""
     text = headers.get(name)
     if text is None:
@@ -130,7 +130,7 @@
     return int(text)
 
 
-def request_timeout(headers: dict[str, str]) -> int | None:
+def request_timeout(headers: Headers) -> int | None:
     """Return how long (ns) the client waits for the response, None where it does not say.
 
     Raises HttpSyntaxError.
@@ -139,7 +139,7 @@
     return None if milliseconds is None else milliseconds * MILLISECOND
 
 
-def work_hint(headers: dict[str, str]) -> int:
+def work_hint(headers: Headers) -> int:
     """Return the client's estimate of the running time (ns), 0 where there is none.
 
     Raises HttpSyntaxError.
@@ -147,7 +147,7 @@
     return (whole_number(headers, WORK_HINT) or 0) * MICROSECOND
 
 
-def requested_slots(headers: dict[str, str]) -> float:
+def requested_slots(headers: Headers) -> float:
     """Return how many slots of a worker the request takes. Raises HttpSyntaxError.
 
     Other pairs of the header are not checked.
--- a/ploverspoke/protocol/discovery.py
+++ b/ploverspoke/protocol/discovery.py
@@ -44,7 +44,7 @@
     """
     target = wire.ENDPOINTS_PATH
     if version is not None:
-        target += f"?from={version}&hold_ms={max_wait // MILLISECOND}"
+        target += f"?{wire.LIST_SINCE}={version}&{wire.LIST_MAX_WAIT}={max_wait // MILLISECOND}"
     return encode_head(f"GET {target} HTTP/1.1", {"Host": address})
 
 
--- a/ploverspoke/protocol/http_messages.py
+++ b/ploverspoke/protocol/http_messages.py
@@ -1,6 +1,6 @@
 """What requests and responses have in common: one message at a time, with its headers and its body."""
 
-from typing import Generic, NoReturn, TypeVar
+from typing import Generic, NoReturn, TypeAlias, TypeVar
 
 import httptools
 
@@ -11,7 +11,7 @@
 MAX_BODY_SIZE = 64 * 1024  # bytes
 CHUNKING_OVERHEAD = 8  # bytes on the wire for each byte of a body in the smallest chunks
 
-
+Headers: TypeAlias = dict[str, str]  # by their names in lower case, where they were received
 Parser = TypeVar("Parser", httptools.HttpRequestParser, httptools.HttpResponseParser)
 
 
@@ -23,7 +23,7 @@
     def __init__(self, parser: type[Parser]) -> None:
         """`parser` is the class of httptools that parses this kind of message."""
         self.parser: Parser = parser(self)
-        self.headers: dict[str, str] = {}
+        self.headers: Headers = {}
         self.body = bytearray()
         self.head_size = 0
         self.in_head = True
@@ -94,7 +94,7 @@
         self.fail(HttpSyntaxError("body too long"))
 
 
-def encode_head(first_line: str, headers: dict[str, str]) -> bytes:
+def encode_head(first_line: str, headers: Headers) -> bytes:
     """Return the head of a message, with the empty line behind it."""
     lines = [first_line, *(f"{name}: {value}" for name, value in headers.items())]
     return ("\r\n".join(lines) + "\r\n\r\n").encode("latin-1")
--- a/ploverspoke/protocol/wire_names.py
+++ b/ploverspoke/protocol/wire_names.py
@@ -15,6 +15,8 @@
 LOAD_PATH = "/-/load"
 HEALTH_PATH = "/-/healthy"
 ENDPOINTS_PATH = "/api/targets"
+LIST_SINCE = "from"  # parameter: a version
+LIST_MAX_WAIT = "hold_ms"  # parameter
 
 # Keys and values of the lines in a worker's response.
 LINE_ID = "id"
--- a/ploverspoke/protocol/workers.py
+++ b/ploverspoke/protocol/workers.py
@@ -9,7 +9,7 @@
 
 from . import wire_names as wire
 from .errors import HttpSyntaxError
-from .http_messages import MAX_BODY_SIZE, HttpMessageReader, encode_head
+from .http_messages import MAX_BODY_SIZE, Headers, HttpMessageReader, encode_head
 from .json_values import JsonValue, is_finite, parse_json
 
 MAX_LINE_SIZE = MAX_BODY_SIZE + 4 * 1024  # a result, and the JSON around it
@@ -55,7 +55,7 @@
 
 
 def encode_attempt(
-    method: str, target: str, headers: dict[str, str], body: bytes, timeout: int, address: str
+    method: str, target: str, headers: Headers, body: bytes, timeout: int, address: str
 ) -> bytes:
     """Return the client's request as it is sent to a worker, which is given `timeout` ns for it."""
     # All other headers go on: some workers recognise repeated requests by a header of their own.
--- a/ploverspoke/transport/connection_pool.py
+++ b/ploverspoke/transport/connection_pool.py
@@ -29,7 +29,7 @@
 
 
 class PoolUser(ConnectionUser, Protocol):
-    """The user of a connection, who first has to wait for it."""
+    """A user that may have to wait for its connection."""
 
     def on_connected(self, connection: Connection) -> None:
         """The connection is the user's from now on, until it is released."""
--- a/ploverspoke/transport/outcomes.py
+++ b/ploverspoke/transport/outcomes.py
@@ -4,7 +4,7 @@
 
 
 class ExchangeOutcome(Enum):
-    """The outcome of one request to a worker; each comment says who determined it."""
+    """The outcome of one request to a worker; the comments say who determined it."""
 
     # Reported by the worker.
     SUCCEEDED = auto()
@@ -21,5 +21,5 @@
     # Determined by this process.
     TIMED_OUT = auto()
     CANCELLED = auto()
-    NOT_SENT = auto()  # abandoned before the first byte was written
+    NOT_SENT = auto()  # given up before the first byte was written
     NO_DESCRIPTOR = auto()  # all file descriptors for connections to workers are in use
--- a/ploverspoke/transport/resource_limits.py
+++ b/ploverspoke/transport/resource_limits.py
@@ -8,7 +8,7 @@
     32  # for the event loop, listeners, discovery, admin connections, log and configuration
 )
 WORKER_FRACTION = 0.4  # of the other descriptors
-CLIENT_FRACTION = 7 / 8  # of those left then; the last eighth is for clients that are told there is no room
+CLIENT_FRACTION = 7 / 8  # of those left then; the last eighth is for clients that are refused with an answer
 BASE_MEMORY = 22 * MEBIBYTE  # of a process with all connections open and nothing buffered
 BUFFER_FRACTION = 0.4  # of the other memory: received bytes are held twice for a moment
 MAX_BUFFERED = 32 * MEBIBYTE
