--- a/ploverspoke/simulator/__init__.py
+++ b/ploverspoke/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The simulator's wire: codec and adapter, without decisions."""
+"""The adapter to the simulator: its messages become events of dispatchers, their actions become replies."""
--- a/ploverspoke/simulator/adapter.py
+++ b/ploverspoke/simulator/adapter.py
@@ -1,274 +1,142 @@
-"""Plays dispatchers on the simulator's wire: events in, actions out, no decisions of its own."""
+"""The adapter: batches of messages in, replies out. It decides nothing itself."""
 
 import gc
 import sys
 import traceback
-from base64 import b64encode
-from binascii import a2b_base64
-from collections.abc import Callable, Iterable
 from typing import TextIO
 
-from ploverspoke.decisions.dispatcher import Dispatcher
 from ploverspoke.decisions.interface import Endpoint
-from ploverspoke.protocol.errors import GossipSyntaxError
-from ploverspoke.protocol.gossip_messages import GossipMessage, GossipReader, encode_gossip
 from ploverspoke.protocol.wire_names import ENDPOINT_STATES
-from ploverspoke.service.config_reader import ConfigError
-from ploverspoke.service.settings import parse_settings
 from ploverspoke.transport.units import MICROSECOND
 
-from .codec import CodecError, Fields, read_line, write_line
+from . import wire_names as wire
+from .codec import Message, decode_message, encode_message
+from .dispatcher_instance import DispatcherInstance, SharedState
+from .errors import (
+    CodecError,
+    FieldValueError,
+    UnexpectedEndError,
+    UnexpectedMessageError,
+    UnknownDispatcherError,
+    UnknownMessageError,
+)
+from .events import EVENT_HANDLERS
 
-OUTCOMES = {
-    "delivered": "satisfied",
-    "app_error": "worker_error",
-    "shed": "full",
-    "expired": "timed_out",
-    "dial_failed": "unreachable",
-    "dropped": "broken_off",
-    "revoked": "recalled",
-    "unused": "not_sent",
-}
-
-
-class Instance:
-    """The host of one dispatcher."""
-
-    def __init__(self, number: int, adapter: "Adapter", start: Fields) -> None:
-        self.number = number
-        self.adapter = adapter
-        try:
-            settings = parse_settings(start.mapping("ProfileData"))
-        except ConfigError as error:
-            raise CodecError(str(error)) from None
-        self.load_fields = settings.load_fields
-        self.reader = GossipReader()
-        self.dispatcher = Dispatcher(self, start.whole("RandomSeed"), settings)
-        self.dispatcher.started()
-
-    def now(self) -> int:
-        return self.adapter.now
-
-    def _act(self, name: str, **fields: int | str) -> None:
-        self.adapter.reply.append(write_line(name, Who=self.number, **fields))
-
-    def start_attempt(self, submission_id: int, worker: str, time_out: int) -> None:
-        self._act("FORWARD", RequestId=submission_id, Worker=worker, AllowForUs=time_out // MICROSECOND)
-
-    def cancel_attempt(self, submission_id: int, hand_off: int) -> None:
-        self._act("REVOKE", RequestId=submission_id, Go=hand_off)
-
-    def reject(self, submission_id: int, come_back_after: int) -> None:
-        self._act("BUSY", RequestId=submission_id, StayAwayUs=come_back_after // MICROSECOND)
-
-    def fail(self, submission_id: int) -> None:
-        self._act("GIVE_UP", RequestId=submission_id)
-
-    def wake_at(self, token: int, when: int) -> None:
-        self._act("SLEEP", Token=token, WhenUs=-(-when // MICROSECOND))
-
-    def probe(self, worker: str) -> None:
-        self._act("SOUND_OUT", Worker=worker)
-
-    def send_gossip(
-        self, to: Iterable[int] | None, zone: int, number: int, lateness: float, held: Iterable[str]
-    ) -> None:
-        octets = b64encode(encode_gossip(GossipMessage(zone, number, lateness, list(held)))).decode()
-        for target in ["all"] if to is None else to:
-            self._act("BROADCAST_TO", Target=target, Octets=octets)
-
-    def watch_endpoints(self) -> None:
-        self._act("KEEP_INFORMED", Active=1)
-
-    def log(self, line: str) -> None:
-        self._act("REMARK", Line=line)
-
-    # ---- Events ----
-
-    def request(self, f: Fields) -> None:
-        self.dispatcher.request_arrived(
-            f.whole("RequestId"),
-            f.whole("Kind"),
-            f.number("Slots", 1.0),
-            f.whole("DropDeadUs") * MICROSECOND,
-            f.whole("PredictedUs", 0) * MICROSECOND,
-            f.get("PathKey", ""),
-        )
-
-    def note(self, f: Fields) -> None:
-        what = f.whole("What")
-        if what == 1:
-            self.dispatcher.attempt_started(f.whole("RequestId"), f.whole("Go"))
-        elif what == 2:
-            self.dispatcher.attempt_progressed(f.whole("RequestId"), f.whole("Go"), f.number("Level", 0.0))
-
-    def outcome(self, f: Fields) -> None:
-        self.dispatcher.attempt_ended(
-            f.whole("RequestId"),
-            f.whole("Go"),
-            f["Worker"],
-            self._outcome_word(f),
-            f.whole("DelaySeenUs") * MICROSECOND,
-            f.flag("Finished"),
-            self._load(f),
-        )
-
-    def client_disconnected(self, f: Fields) -> None:
-        self.dispatcher.client_disconnected(f.whole("RequestId"))
-
-    def reminder(self, f: Fields) -> None:
-        self.dispatcher.timer_fired(f.whole("Token"))
-
-    def probed(self, f: Fields) -> None:
-        self.dispatcher.probe_completed(
-            f["Worker"], self._outcome_word(f), f.whole("DelaySeenUs") * MICROSECOND, self._load(f)
-        )
-
-    def under_way(self, f: Fields) -> None:
-        """A streamed answer; the wire itself takes none of those back."""
-        self.dispatcher.attempt_started(f.whole("RequestId"), f.whole("Go"))
-
-    def heard(self, f: Fields) -> None:
-        """What another dispatcher tells; what cannot be read is no word of it."""
-        try:
-            told = self.reader.read(a2b_base64(f["Octets"]), self.dispatcher.workers)
-        except (GossipSyntaxError, ValueError):
-            return
-        self.dispatcher.gossip_received(f.whole("Author"), *told)
-
-    def peers(self, f: Fields) -> None:
-        scope = f["Scope"]
-        if scope == "lost":
-            self.dispatcher.endpoint_watch_failed()
-            return
-        number = f.whole("SetId")
-        if number not in self.adapter.tables:
-            raise CodecError(f"list {number} was not sent")
-        listings = self.adapter.tables[number]
-        if scope == "incr":
-            self.dispatcher.endpoints_changed(listings)
-        elif scope in ("total", "warm_copy"):
-            self.dispatcher.endpoint_list_received(listings)
-        else:
-            raise CodecError(f"unknown scope {scope!r}")
-
-    def _outcome_word(self, f: Fields) -> str:
-        reason = f["Reason"]
-        if reason not in OUTCOMES:
-            raise CodecError(f"unknown outcome {reason!r}")
-        return OUTCOMES[reason]
-
-    def _load(self, f: Fields) -> dict[str, float] | None:
-        values = f.numbers("Gauge")
-        return None if values is None else dict(zip(self.load_fields, values, strict=False))
-
-
-EVENTS: dict[str, Callable[[Instance, Fields], None]] = {
-    "NEW_REQUEST": Instance.request,
-    "NOTE": Instance.note,
-    "CLOSED_ATTEMPT": Instance.outcome,
-    "REMINDER": Instance.reminder,
-    "CLIENT_LEFT": Instance.client_disconnected,
-    "CHECKED": Instance.probed,
-    "PEERS_KNOWN": Instance.peers,
-    "UNDER_WAY": Instance.under_way,
-    "HEARD": Instance.heard,
-}
+EXIT_INVALID_INPUT = 2
 
 
 class Adapter:
-    """The instances of one process and the batch in hand."""
+    """Reads batches from one stream and writes the replies of its dispatchers to another."""
 
     def __init__(self, source: TextIO, sink: TextIO) -> None:
+        """Neither stream is closed here."""
         self.source = source
         self.sink = sink
-        self.now = 0
-        self.reply: list[str] = []
-        self.instances: dict[int, Instance] = {}
-        self.tables: dict[int, list[Endpoint]] = {}
-        self.line_number = 0
+        self.shared = SharedState()
+        self.instances: dict[int, DispatcherInstance] = {}
+        self.line_number = 0  # of the latest line, for error messages
 
     def run(self) -> None:
-        """Answer batches until the input ends."""
-        serial: str | None = None
+        """Answer batches until the input ends. Raises CodecError."""
+        serial: int | None = None  # of the batch that is being read
         while line := self._next_line():
-            name, fields = read_line(line)
+            message = decode_message(line)
             if serial is None:
-                if name != "MARK":
-                    raise CodecError(f"expected MARK, got {name}")
-                self.now = fields.whole("AtTimeUs") * MICROSECOND
-                serial = str(fields.whole("serial"))
-            elif name == "GO":
-                self.reply.append(write_line("OK", serial=serial))
-                self.sink.write("\n".join(self.reply) + "\n")
-                self.sink.flush()
-                self.reply.clear()
+                serial = self._begin_batch(message)
+            elif message.name == wire.BATCH_END:
+                self._end_batch(serial)
                 serial = None
-            elif name == "TABLE":
-                self._read_table(fields)
+            elif message.name == wire.ENDPOINT_TABLE:
+                self._read_table(message)
             else:
-                self._event(name, fields)
+                self._handle_event(message)
         if serial is not None:
-            raise CodecError("the input ends inside a batch")
+            raise UnexpectedEndError
 
     def _next_line(self) -> str:
+        """Return the next line without its end, a blank for an empty line, or "" at the end of the input."""
         line = self.source.readline()
-        if line:
-            self.line_number += 1
-            return line.rstrip("\r\n") or " "
-        return ""
-
-    def _read_table(self, fields: Fields) -> None:
-        listings = []
-        for _ in range(fields.whole("Members")):
-            name, entry = read_line(self._next_line() or " ")
-            if name != "ENTRY":
-                raise CodecError(f"expected ENTRY, got {name}")
-            if entry["Condition"] not in ENDPOINT_STATES:
-                raise CodecError(f"unknown condition {entry['Condition']!r}")
-            listings.append(
-                Endpoint(
-                    entry["Worker"],
-                    entry.whole("Dc", 0),
-                    entry.whole("Model", 0),
-                    entry.whole("Block", 0),
-                    ENDPOINT_STATES[entry["Condition"]],
-                    entry.number("Heft", 1.0),
-                    entry.whole("UpSinceUs", 0) * MICROSECOND,
-                )
-            )
-        self.tables[fields.whole("SetId")] = listings
-
-    def _event(self, name: str, fields: Fields) -> None:
-        who = fields.whole("Who")
-        if name == "RETIRE":
-            self.instances.pop(who, None)
+        if not line:
+            return ""
+        self.line_number += 1
+        return line.rstrip("\r\n") or " "
+
+    def _begin_batch(self, message: Message) -> int:
+        if message.name != wire.BATCH_BEGIN:
+            raise UnexpectedMessageError(wire.BATCH_BEGIN, message.name)
+        self.shared.now = message.whole_number(wire.BATCH_TIME) * MICROSECOND
+        return message.whole_number(wire.BATCH_SERIAL)
+
+    def _end_batch(self, serial: int) -> None:
+        replies = self.shared.replies
+        replies.append(encode_message(wire.BATCH_DONE, {wire.BATCH_SERIAL: serial}))
+        self.sink.write("\n".join(replies) + "\n")
+        self.sink.flush()
+        replies.clear()
+
+    def _read_table(self, message: Message) -> None:
+        size = message.whole_number(wire.TABLE_SIZE)
+        endpoints = [read_endpoint(decode_message(self._next_line() or " ")) for _ in range(size)]
+        self.shared.endpoint_tables[message.whole_number(wire.TABLE_NUMBER)] = endpoints
+
+    def _handle_event(self, message: Message) -> None:
+        number = message.whole_number(wire.DISPATCHER)
+        if message.name == wire.DISPATCHER_STOPPED:
+            self.instances.pop(number, None)
             return
-        handle = EVENTS.get(name)
-        if handle is None and name != "UP":
-            raise CodecError(f"unknown message {name}")
+        if message.name != wire.DISPATCHER_STARTED and message.name not in EVENT_HANDLERS:
+            raise UnknownMessageError(message.name)
         try:
-            if handle is None:
-                self.instances[who] = Instance(who, self, fields)
-            elif who in self.instances:
-                handle(self.instances[who], fields)
-            else:
-                raise CodecError(f"{name} for dispatcher {who}, which is not up")
+            self._dispatch(number, message)
         except CodecError:
             raise
         except Exception as error:
+            # A fault of one dispatcher: the simulator is told, the others go on.
             traceback.print_exc(file=sys.stderr)
-            place = traceback.extract_tb(error.__traceback__)[-1]
-            cause = f"{type(error).__name__}: {error} in {place.name}, line {place.lineno}"
-            self.reply.append(write_line("PANIC", Who=who, Line=cause.replace("\n", " ")))
+            self.shared.replies.append(encode_fault(number, error))
+
+    def _dispatch(self, number: int, message: Message) -> None:
+        if message.name == wire.DISPATCHER_STARTED:
+            self.instances[number] = DispatcherInstance(number, self.shared, message)
+            return
+        instance = self.instances.get(number)
+        if instance is None:
+            raise UnknownDispatcherError(message.name, number)
+        EVENT_HANDLERS[message.name](instance, message)
+
+
+def read_endpoint(message: Message) -> Endpoint:
+    """Return the endpoint of one row of a table. Raises CodecError."""
+    if message.name != wire.ENDPOINT_ROW:
+        raise UnexpectedMessageError(wire.ENDPOINT_ROW, message.name)
+    state = message.text(wire.ENDPOINT_STATE)
+    if state not in ENDPOINT_STATES:
+        raise FieldValueError(wire.ENDPOINT_STATE, f"unknown condition {state!r}")
+    return Endpoint(
+        message.text(wire.WORKER),
+        message.whole_number(wire.ENDPOINT_ZONE, 0),
+        message.whole_number(wire.ENDPOINT_MACHINE_KIND, 0),
+        message.whole_number(wire.ENDPOINT_RACK, 0),
+        ENDPOINT_STATES[state],
+        message.number(wire.ENDPOINT_WEIGHT, 1.0),
+        message.whole_number(wire.ENDPOINT_STARTED, 0) * MICROSECOND,
+    )
+
+
+def encode_fault(dispatcher: int, error: Exception) -> str:
+    """Return the report of a fault in a dispatcher: the error, and where it was raised."""
+    place = traceback.extract_tb(error.__traceback__)[-1]
+    cause = f"{type(error).__name__}: {error} in {place.name}, line {place.lineno}"
+    return encode_message(wire.FAULT, {wire.DISPATCHER: dispatcher, wire.TEXT: cause.replace("\n", " ")})
 
 
 def main() -> int:
-    gc.freeze()
+    """Run the adapter on standard input and output; return the exit code."""
+    gc.freeze()  # what is loaded lives to the end: the collector need not look at it
     adapter = Adapter(sys.stdin, sys.stdout)
     try:
         adapter.run()
     except CodecError as error:
         print(f"ploverspoke: input line {adapter.line_number}: {error}", file=sys.stderr)
-        return 2
+        return EXIT_INVALID_INPUT
     return 0
--- /dev/null
+++ b/ploverspoke/simulator/dispatcher_instance.py
@@ -0,0 +1,94 @@
+"""One simulated dispatcher: the decisions, and their actions as messages to the simulator."""
+
+from base64 import b64encode
+from collections.abc import Iterable
+
+from ploverspoke.decisions.dispatcher import Dispatcher
+from ploverspoke.decisions.interface import Endpoint
+from ploverspoke.protocol.gossip_messages import GossipMessage, GossipReader, encode_gossip
+from ploverspoke.service.config_reader import ConfigError
+from ploverspoke.service.settings import parse_settings
+from ploverspoke.transport.units import MICROSECOND
+
+from . import wire_names as wire
+from .codec import Message, encode_message
+from .errors import SettingsError
+
+
+class SharedState:
+    """What the dispatchers of one adapter share: the simulated time, and the replies to the batch at hand."""
+
+    def __init__(self) -> None:
+        """Begin at time 0, with nothing to reply."""
+        self.now = 0  # ns
+        self.replies: list[str] = []
+        self.endpoint_tables: dict[int, list[Endpoint]] = {}
+
+
+class DispatcherInstance:
+    """One dispatcher and its actions (`decisions.interface.DispatchActions`); times are in nanoseconds."""
+
+    def __init__(self, number: int, shared: SharedState, start: Message) -> None:
+        """Start a dispatcher with the settings of the message. Raises CodecError."""
+        self.number = number
+        self.shared = shared
+        try:
+            settings = parse_settings(start.json_object(wire.SETTINGS))
+        except ConfigError as error:
+            raise SettingsError(str(error)) from error
+        self.load_fields = settings.load_fields
+        self.gossip_reader = GossipReader()
+        self.dispatcher = Dispatcher(self, start.whole_number(wire.SEED), settings)
+        self.dispatcher.started()
+
+    def _reply(self, name: str, fields: dict[str, int | str]) -> None:
+        self.shared.replies.append(encode_message(name, {wire.DISPATCHER: self.number, **fields}))
+
+    def now(self) -> int:
+        """Return the simulated time."""
+        return self.shared.now
+
+    def start_attempt(self, request_id: int, worker: str, timeout: int) -> None:
+        """Send a request to a worker."""
+        self._reply(
+            wire.START_ATTEMPT,
+            {wire.REQUEST: request_id, wire.WORKER: worker, wire.ATTEMPT_TIMEOUT: timeout // MICROSECOND},
+        )
+
+    def cancel_attempt(self, request_id: int, attempt: int) -> None:
+        """Stop waiting for an attempt."""
+        self._reply(wire.CANCEL_ATTEMPT, {wire.REQUEST: request_id, wire.ATTEMPT: attempt})
+
+    def reject(self, request_id: int, retry_after: int) -> None:
+        """Give the final answer that a request did not run."""
+        self._reply(wire.REJECT, {wire.REQUEST: request_id, wire.RETRY_AFTER: retry_after // MICROSECOND})
+
+    def fail(self, request_id: int) -> None:
+        """Give the final answer that a request failed."""
+        self._reply(wire.FAIL, {wire.REQUEST: request_id})
+
+    def wake_at(self, token: int, when: int) -> None:
+        """Set a timer, rounded up to whole microseconds."""
+        self._reply(wire.SET_TIMER, {wire.TIMER_TOKEN: token, wire.TIMER_TIME: -(-when // MICROSECOND)})
+
+    def probe(self, worker: str) -> None:
+        """Ask a worker for its load."""
+        self._reply(wire.PROBE, {wire.WORKER: worker})
+
+    def send_gossip(
+        self, to: Iterable[int] | None, zone: int, sequence: int, lateness: float, workers: Iterable[str]
+    ) -> None:
+        """Send gossip to dispatchers, None: to all; the rest are the fields of `GossipMessage`."""
+        message = GossipMessage(zone, sequence, lateness, list(workers))
+        data = b64encode(encode_gossip(message)).decode()
+        targets: Iterable[int | str] = [wire.EVERYONE] if to is None else to
+        for target in targets:
+            self._reply(wire.SEND_GOSSIP, {wire.GOSSIP_TARGET: target, wire.GOSSIP_BYTES: data})
+
+    def watch_endpoints(self) -> None:
+        """Subscribe to the endpoint list."""
+        self._reply(wire.WATCH_ENDPOINTS, {wire.IS_ACTIVE: 1})
+
+    def log(self, line: str) -> None:
+        """Pass a line to the simulator's log."""
+        self._reply(wire.LOG, {wire.TEXT: line})
--- /dev/null
+++ b/ploverspoke/simulator/errors.py
@@ -0,0 +1,82 @@
+"""Errors of this package: the input is not what the simulator's protocol allows. Each ends the adapter."""
+
+
+class CodecError(Exception):
+    """Base of the errors below; `reason` is a sentence without the number of the line."""
+
+    def __init__(self, reason: str) -> None:
+        """Keep the reason."""
+        super().__init__(reason)
+        self.reason = reason
+
+
+class LineSyntaxError(CodecError):
+    """A line is no message."""
+
+
+class MissingFieldError(CodecError):
+    """A message lacks a required field."""
+
+    def __init__(self, field: str) -> None:
+        """Keep the name of the field."""
+        super().__init__(f"required field {field} is missing")
+        self.field = field
+
+
+class FieldValueError(CodecError):
+    """The value of a field is not of its type, or not one of its values."""
+
+    def __init__(self, field: str, reason: str) -> None:
+        """Keep the name of the field, and what is wrong."""
+        super().__init__(reason)
+        self.field = field
+
+
+class SettingsError(CodecError):
+    """The settings of a dispatcher are invalid."""
+
+
+class UnknownMessageError(CodecError):
+    """No message has this name."""
+
+    def __init__(self, name: str) -> None:
+        """Keep the name."""
+        super().__init__(f"unknown message {name}")
+        self.name = name
+
+
+class UnexpectedMessageError(CodecError):
+    """Another message was due."""
+
+    def __init__(self, expected: str, name: str) -> None:
+        """Keep the name of the message that was due, and of the one that came."""
+        super().__init__(f"expected {expected}, got {name}")
+        self.expected = expected
+        self.name = name
+
+
+class UnknownDispatcherError(CodecError):
+    """A message is for a dispatcher that was not started, or was stopped."""
+
+    def __init__(self, name: str, dispatcher: int) -> None:
+        """Keep the name of the message, and the number of the dispatcher."""
+        super().__init__(f"{name} for dispatcher {dispatcher}, which is not up")
+        self.name = name
+        self.dispatcher = dispatcher
+
+
+class UnknownTableError(CodecError):
+    """A message refers to an endpoint table that was not sent."""
+
+    def __init__(self, number: int) -> None:
+        """Keep the number of the table."""
+        super().__init__(f"list {number} was not sent")
+        self.number = number
+
+
+class UnexpectedEndError(CodecError):
+    """The input ends inside a batch."""
+
+    def __init__(self) -> None:
+        """Say so."""
+        super().__init__("the input ends inside a batch")
--- a/tests/test_lint_exceptions.py
+++ b/tests/test_lint_exceptions.py
@@ -17,7 +17,6 @@
             "leases",
             "routing",
             "service",
-            "simulator",
             "store",
             "supervisor",
             "testbed",
