--- a/ploverspoke/routing/router.py
+++ b/ploverspoke/routing/router.py
@@ -173,7 +173,7 @@
         )
         translated = replace(settings, zone=zone, classes=classes)
         in_use = {submission.grade for submission in self.submissions}
-        self.settings, takes_over = self.rows.follow(self.settings, translated, names.request_classes, in_use)
+        self.settings, takes_over = self.rows.apply(self.settings, translated, names.request_classes, in_use)
         self.counters.show(names.request_classes)
         self.x0 = x0_in(self.settings)
         self.roster.hold, self.roster.pushed = hold_in(self.settings), is_pushed(self.settings)
--- a/ploverspoke/testbed/virtual.py
+++ b/ploverspoke/testbed/virtual.py
@@ -124,7 +124,7 @@
 
     def settings_changed(self, settings: Settings) -> None:
         names, in_use = [g.name for g in self.world.e.grades], {t.grade for t in self.taken.values()}
-        self.settings, takes_over = self.rows.follow(self.settings, settings, names, in_use)
+        self.settings, takes_over = self.rows.apply(self.settings, settings, names, in_use)
         self.decisions.settings_changed(self.settings, takes_over)
 
     # ---- From clients ----
--- a/tests/service/test_settings_change.py
+++ b/tests/service/test_settings_change.py
@@ -44,7 +44,7 @@
         told = settings(*grades, MaxHandOffs=rng.randrange(1, 3))
         new = parse_settings(told)
         listed = parse_names(told).request_classes
-        current, takes_over = rows.follow(current, new, listed, {number for number, _ in open_now})
+        current, takes_over = rows.apply(current, new, listed, {number for number, _ in open_now})
         assert tuple(rows.numbers) == listed
         assert tuple(sorted(rows.numbers.values())) == current.active_classes
         for place, each in enumerate(listed):
