--- a/ploverspoke/protocol/gossip_messages.py
+++ b/ploverspoke/protocol/gossip_messages.py
@@ -1,6 +1,6 @@
 """Load gossip between dispatchers: the bytes of a datagram, as `docs/messages.md` defines them.
 
-One byte each for version, checksum, zone, sequence number and lateness, then two bytes for each attempt in
+One byte each for version, checksum, zone, sequence number and lateness, then two bytes for each slot in
 flight: the short hash of its worker.
 """
 
@@ -23,9 +23,9 @@
     """What one dispatcher tells others of its load."""
 
     zone: int  # of the sender
-    sequence: int  # 0 to 255, then 0 again
-    lateness: float  # 0 to 1: the share of its requests that started late
-    workers: list[str]  # one entry for each attempt that the sender has in flight
+    sequence: int  # 0 for the first after a start, then 1 to 255 and 1 again
+    lateness: float  # mean wait of its latest starts, 1: as long as the most urgent class can wait
+    workers: list[str]  # one entry for each slot that the sender has in flight
 
 
 def short_hash(worker: str) -> int:
--- a/ploverspoke/protocol/wire_names.py
+++ b/ploverspoke/protocol/wire_names.py
@@ -1,7 +1,6 @@
 """The names that wires and settings use, mapped to the names of this code."""
 
 # Headers of requests, in lower case as `HttpMessageReader` gives them.
-REQUEST_ID = "request-id"
 REQUEST_TIMEOUT = "request-timeout-ms"
 WORK_HINT = "work-hint"
 REQUEST_INFO = "request-info"  # pairs of name=value, of which only the one below is read
