--- a/ploverspoke/config_distribution/server.py
+++ b/ploverspoke/config_distribution/server.py
@@ -18,7 +18,7 @@
 class WatcherConnection(asyncio.Protocol):
     def __init__(self, door: "ConfigServer") -> None:
         self.door = door
-        self.frames = FrameCodec(door.node.orders.secret, {"id": door.node.me, "store": ""})
+        self.frames = FrameCodec(door.node.config.secret, {"id": door.node.replica_id, "store": ""})
         self.transport: asyncio.Transport | None = None
         self.name = ""  # once it has greeted
         self.watches = False  # once it has said what it has
@@ -42,7 +42,7 @@
         try:
             messages = self.frames.decode(data)
             if self.frames.peer_greeting is not None and not self.name:
-                self.name = read_greeting(self.frames.peer_greeting, self.door.node.orders.cluster)
+                self.name = read_greeting(self.frames.peer_greeting, self.door.node.config.cluster)
                 self.write(self.door.node.feed.beat())
             for message in messages:
                 self.door.said(self, message)
@@ -89,7 +89,7 @@
         self.refused = 0
 
     async def open(self) -> None:
-        host, _, port = self.node.orders.replicas[self.node.orders.name][1].rpartition(":")
+        host, _, port = self.node.config.replicas[self.node.config.name].client.rpartition(":")
         self.server = await asyncio.get_running_loop().create_server(
             lambda: WatcherConnection(self), host.strip("[]"), int(port), backlog=BACKLOG
         )
--- a/ploverspoke/config_distribution/server_node.py
+++ b/ploverspoke/config_distribution/server_node.py
@@ -3,9 +3,8 @@
 
 import asyncio
 from collections.abc import Callable
-from typing import Any, cast
+from typing import Any
 
-from ploverspoke.consensus.membership import PEERS
 from ploverspoke.consensus.node import ReplicaNode, Reply
 from ploverspoke.consensus.storage import ReplicaStorage
 from ploverspoke.service.config_reader import ConfigError
@@ -24,22 +23,22 @@
 
 
 class ConfigServerNode(ReplicaNode):
-    def __init__(self, orders: ConfigServerConfig, disk: ReplicaStorage | None = None) -> None:
+    def __init__(self, orders: ConfigServerConfig, storage: ReplicaStorage | None = None) -> None:
         self.versions = ConfigStateMachine()
-        super().__init__(orders.replica, self.versions, disk)
+        super().__init__(orders.replica, self.versions, storage)
         replica = orders.replica
         self.feed = VersionBroadcaster(self, replica.cluster, orders.most_watchers, orders.bytes_a_second)
         self.send_watcher: Callable[[str, Message], int] = lambda name, message: 0
         self.drop_watcher: Callable[[str, str], None] = lambda name, why: None
-        self.fresh_for = max(LEAST_FRESH, FRESH_ELECTIONS * replica.election)
+        self.fresh_for = max(LEAST_FRESH, FRESH_ELECTIONS * replica.election_timeout)
         self.feeding: asyncio.TimerHandle | None = None
         self.feeding_at = NEVER
         self.kept_number = 0
 
-    def opened(self) -> None:
+    def on_storage_opened(self) -> None:
         """A log says only from a leader on what of it is committed; what was known to be still is."""
         self.versions.on_version = self._committed
-        kept = self.disk.kept(COMMITTED)
+        kept = self.storage.load_value(COMMITTED)
         if kept is not None:
             version = Version(*kept)
             self.kept_number = version.number
@@ -51,7 +50,7 @@
         if version.number > self.kept_number and version is self.versions.latest():
             self.kept_number = version.number
             v = version
-            self.keep(COMMITTED, [v.number, v.body, v.digest, v.canonical, v.by, v.id])
+            self.save_value(COMMITTED, [v.number, v.body, v.digest, v.canonical, v.by, v.id])
             log_line(f"config: version {version.number} is committed ({version.says()})")
         self.feed_again()
 
@@ -61,12 +60,7 @@
         return self.clock.monotonic()
 
     def is_fresh(self) -> bool:
-        replica = self.replica
-        if replica is None:
-            return False
-        if replica.raft.role == "leader":
-            return replica.leads()
-        return bool(replica.raft.leader) and self.now() - replica.raft.heard_leader_at < self.fresh_for
+        return self.is_in_contact(self.fresh_for)
 
     def send(self, name: str, message: Message) -> int:
         return self.send_watcher(name, message)
@@ -92,7 +86,7 @@
 
     # ---- What tools ask ----
 
-    def status_of_state(self) -> dict[str, Any]:
+    def state_status(self) -> dict[str, Any]:
         feed = self.feed
         return {
             "version": feed.latest.number if feed.latest is not None else 0,
@@ -106,14 +100,14 @@
             "sent_elsewhere": feed.sent_elsewhere,
         }
 
-    def asked_of_state(self, question: dict[str, Any], reply: Reply) -> bool:
-        verb = question.get("ask")
+    def handle_state_request(self, request: dict[str, Any], reply: Reply) -> bool:
+        verb = request.get("ask")
         if verb == "publish":
-            self._publish(question, reply)
+            self._publish(request, reply)
         elif verb == "versions":
             reply(self.versions.rows())
         elif verb == "version":
-            found = self.versions.get(question["n"]) if question.get("n") else self.versions.latest()
+            found = self.versions.get(request["n"]) if request.get("n") else self.versions.latest()
             reply({"n": found.number, "body": found.body, "by": found.by} if found is not None else {"n": 0})
         elif verb == "watchers":
             reply(self.feed.rows())
@@ -143,12 +137,11 @@
                 reply({"done": False, "version": 0, "why": why, "unknown": True})
 
         command = publish_command(body, same, expect, by, request)
-        self.propose(cast(list[Any], command), told)  # bytes, so that consensus bounds its messages by them
+        self.propose(command, told)  # bytes, so that consensus bounds its messages by them
 
     def _leader(self) -> str:
-        raft = self.replica.raft if self.replica is not None else None
-        told = raft.members().get(raft.leader) if raft is not None else None
-        return str(told[PEERS]) if told is not None and raft is not None and raft.leader != self.me else ""
+        leader = self.leader()
+        return leader.peer_address if leader is not None and leader.name != self.config.name else ""
 
     async def close(self) -> None:
         if self.feeding is not None:
--- a/ploverspoke/config_distribution/state_machine.py
+++ b/ploverspoke/config_distribution/state_machine.py
@@ -79,10 +79,10 @@
             self._publish(*what)
         # A verb that a later release knows changes nothing here.
 
-    def dump(self) -> bytes:
+    def take_snapshot(self) -> bytes:
         return msgspec.msgpack.encode(ConfigSnapshot(FORMAT, self.kept, self.answers))
 
-    def load(self, data: bytes) -> None:
+    def restore_snapshot(self, data: bytes) -> None:
         dump = msgspec.msgpack.decode(data, type=ConfigSnapshot) if data else ConfigSnapshot(FORMAT, [], {})
         self.kept, self.answers = dump.versions, dump.answers
         for version in self.kept:
--- a/ploverspoke/consensus/clock.py
+++ b/ploverspoke/consensus/clock.py
@@ -1,23 +1,29 @@
-"""The store's own time, without I/O: ns that all replicas count alike, whatever their wall clocks do.
+"""The replicated clock, without I/O: nanoseconds that all replicas count alike.
 
-It goes on by each replica's monotonic clock and is never behind an entry that was applied here. So it never
-jumps: a leader whose wall clock was an hour ahead made all answers forgotten at once, and a client that asked
-again had an irreversible submission run twice.
+It advances with each replica's monotonic clock and is never behind an entry that was applied here, so it
+never jumps. A wall clock would: a leader whose clock was an hour ahead made all answers expire at once, and
+a client that asked again had a non-idempotent request run twice.
 """
 
 from collections.abc import Callable
 
 
 class ReplicatedClock:
+    """Time since the cluster's first entry, in nanoseconds, as far as this replica knows it."""
+
     def __init__(self, monotonic: Callable[[], int]) -> None:
+        """Start at zero; `monotonic` returns this process's monotonic time in nanoseconds."""
         self.monotonic = monotonic
-        self.base, self.since = 0, monotonic()
+        self._offset = 0
+        self._offset_at = monotonic()
 
     def now(self) -> int:
-        return self.base + self.monotonic() - self.since
+        """Return the current time in nanoseconds."""
+        return self._offset + self.monotonic() - self._offset_at
 
-    def seen(self, at: int) -> None:
-        """An entry of that time is applied here."""
-        here = self.monotonic()
-        if at > self.base + here - self.since:
-            self.base, self.since = at, here
+    def advance_to(self, time: int) -> None:
+        """Move forward to `time` (ns), that of an entry which is applied here; never moves backward."""
+        monotonic_now = self.monotonic()
+        if time > self._offset + monotonic_now - self._offset_at:
+            self._offset = time
+            self._offset_at = monotonic_now
--- a/ploverspoke/consensus/command_line.py
+++ b/ploverspoke/consensus/command_line.py
@@ -10,7 +10,7 @@
 from .cluster_config import ReplicaConfig, initial_replica_id
 from .framing import FrameError
 from .replica_client import send_admin_request
-from .storage import ClusterMismatchError, CorruptionError, ReplicaStorage, StorageError, restore
+from .storage import ClusterMismatchError, CorruptionError, ReplicaStorage, StorageError, restore_from_backup
 
 
 def call_replica(name: str, where: str, secret: bytes, question: dict[str, Any]) -> Any:
@@ -24,7 +24,7 @@
 def restore_backup(orders: ReplicaConfig, backup: Path) -> ReplicaStorage:
     """A backup as the disk of these orders' replica; to be closed. Raises what click says and exits with."""
     try:
-        return restore(orders.folder, backup, initial_replica_id(orders.name))
+        return restore_from_backup(orders.folder, backup, initial_replica_id(orders.name))
     except ClusterMismatchError as error:
         raise click.UsageError(str(error)) from None
     except (CorruptionError, StorageError) as error:
--- /dev/null
+++ b/ploverspoke/consensus/errors.py
@@ -0,0 +1,5 @@
+"""The base class of all errors of this package; each module defines the errors that it raises."""
+
+
+class ConsensusError(Exception):
+    """Base class of the errors that `ploverspoke.consensus` raises."""
--- a/ploverspoke/consensus/node.py
+++ b/ploverspoke/consensus/node.py
@@ -11,13 +11,19 @@
 from pathlib import Path
 from typing import Any
 
+import msgspec
+
 from ploverspoke.transport.rate_limited_log import log_line
 
 from .clock import ReplicatedClock
 from .cluster_config import ReplicaConfig, initial_replica_id
-from .membership import CLIENTS, NAME, PEERS, Members, fingerprint, voters
-from .peer_links import PeerLinks
-from .replica import Replica, StateMachine, WriteBatch
+from .log import EntryKind, Snapshot, StateMachine
+from .membership import Member, Members, find_by_name, fingerprint
+from .peer_links import PeerIdentity, PeerLinks
+from .peer_links import Reply as Reply
+from .persisted_state import WriteBatch
+from .raft import Role
+from .replica import Replica
 from .storage import ClusterMismatchError, CorruptionError, ReplicaStorage, StorageError
 
 EMPTY = (
@@ -26,29 +32,32 @@
 )
 TRY_AGAIN = 0.5  # seconds, after the disk could not be written
 CommitCallback = Callable[[bool], None]
-Reply = Callable[[Any], None]
+Command = msgspec.Struct | bytes | list[Any]
+RoleListener = Callable[[Role, str], None]
 
 
 class ReplicaNode:
     def __init__(
-        self, orders: ReplicaConfig, state: StateMachine, disk: ReplicaStorage | None = None
+        self, config: ReplicaConfig, state_machine: StateMachine, storage: ReplicaStorage | None = None
     ) -> None:
-        self.orders = orders
-        self.disk = disk or ReplicaStorage(orders.folder)
-        self.state = state
+        self.config = config
+        self.replica_id = initial_replica_id(config.name)
+        self.storage = storage or ReplicaStorage(config.folder)
+        self.state_machine = state_machine
         self.clock = ReplicatedClock(time.monotonic_ns)
         self.replica: Replica | None = None  # None: the disk is in trouble
-        self.links = PeerLinks(orders.secret, {}, self._heard, self._asked)
+        identity = PeerIdentity(self.replica_id, "")
+        self.peer_links = PeerLinks(config.secret, identity, self._heard, self._asked)
         self.thread = ThreadPoolExecutor(1, thread_name_prefix="store")
         self.writing = False
         self.pumping = False
         self.snapshotting = False
-        self.proposals: list[tuple[list[Any], CommitCallback]] = []
-        self.on_role: list[Callable[[str, str], None]] = []
+        self.proposals: list[tuple[Any, CommitCallback]] = []
+        self.role_listeners: list[RoleListener] = []
         self.timer: asyncio.TimerHandle | None = None
         self.timer_for = 0
-        self.trouble = ""
-        self.troubles = 0
+        self.storage_error = ""
+        self.storage_failures = 0
         self.batches = 0
         self.written = 0
         self.closed = False
@@ -60,50 +69,55 @@
         Raises ClusterMismatchError, CorruptionError, StorageError or OSError.
         """
         self.loop = asyncio.get_running_loop()
-        self.disk.open()
-        first = self.orders.members()
-        mark = join or fingerprint(self.orders.cluster, first)
-        me = initial_replica_id(self.orders.name)
-        if not self.disk.me and (new or join):
-            if join:
-                # It stands for nothing until the leader has brought it up to date and made it a voter.
-                first = {who: [*told[:3], False] for who, told in first.items()}
-            self.disk.begin(me, mark, first)
-        if not self.disk.me:
-            raise ClusterMismatchError(f"{self.disk.path} is empty: {EMPTY}")
-        if self.disk.me != me:
-            raise ClusterMismatchError(f"{self.disk.path} is the store of {self.disk.me}, not of {me}")
-        if not new and not join:
-            mark = self.disk.fingerprint
-        if self.disk.fingerprint != mark:
+        self.storage.open()
+        mark = join or fingerprint(self.config.cluster, self.config.members())
+        if not self.storage.replica_id and (new or join):
+            self.storage.initialize(self.replica_id, mark, self._first_members(joins=bool(join)))
+        self._check_storage(mark if new or join else self.storage.cluster_fingerprint)
+        self.peer_links.identity = PeerIdentity(self.replica_id, self.storage.cluster_fingerprint)
+        host, _, port = self.config.replicas[self.config.name].peer.rpartition(":")
+        await self.peer_links.open(host.strip("[]"), int(port))
+        self.on_storage_opened()
+        self._begin()
+
+    def _first_members(self, joins: bool) -> Members:
+        members = self.config.members()
+        if not joins:
+            return members
+        # It stands for no election until the leader has brought it up to date and made it a voter.
+        return {
+            replica_id: msgspec.structs.replace(member, votes=False) for replica_id, member in members.items()
+        }
+
+    def _check_storage(self, cluster_fingerprint: str) -> None:
+        storage = self.storage
+        if not storage.replica_id:
+            raise ClusterMismatchError(storage.path, f"is empty: {EMPTY}")
+        if storage.replica_id != self.replica_id:
             raise ClusterMismatchError(
-                f"{self.disk.path} is of a store with another name or with other replicas"
+                storage.path, f"is the store of {storage.replica_id}, not of {self.replica_id}"
             )
-        self.me = me
-        self.links.greeting.update(id=me, store=mark)
-        host, _, port = self.orders.replicas[self.orders.name][0].rpartition(":")
-        await self.links.open(host.strip("[]"), int(port))
-        self.opened()
-        self._begin()
+        if storage.cluster_fingerprint != cluster_fingerprint:
+            raise ClusterMismatchError(storage.path, "is of a store with another name or with other replicas")
 
-    def opened(self) -> None:
+    def on_storage_opened(self) -> None:
         """The disk can be read: before the state is put together from it."""
 
     def _begin(self) -> None:
-        self.state.load(b"")
-        heartbeat = self.orders.election // 4
+        self.state_machine.restore_snapshot(b"")
+        heartbeat = self.config.election_timeout // 4
         self.replica = Replica(
-            self.me,
-            self.disk,
-            self.state,
+            self.replica_id,
+            self.storage.persisted,
+            self.state_machine,
             time.monotonic_ns,
             random.SystemRandom().random,
             self._send,
-            election=self.orders.election,
+            election=self.config.election_timeout,
             heartbeat=heartbeat,
         )
-        self.replica.on_role.append(self._role_changed)
-        self.links.set_peers(self._peers())
+        self.replica.role_listeners.append(self.on_role_changed)
+        self.peer_links.set_peers(self._peers())
         self._after()
 
     # ---- What its users ask ----
@@ -112,31 +126,54 @@
         return self.replica is not None and self.replica.leads()
 
     def members(self) -> Members:
-        return self.replica.raft.members() if self.replica is not None else self.disk.members
+        return self.replica.raft.members() if self.replica is not None else self.storage.persisted.members
 
-    def leader_clients(self) -> str:
-        """The address of the leader for clients; "" where none is known."""
+    def is_elected(self) -> bool:
+        """Whether this replica is the leader of its term; whether no other is by now, `leads` says."""
+        return self.replica is not None and self.replica.raft.role is Role.LEADER
+
+    def leader(self) -> Member | None:
+        """Return the leader as far as it is known here."""
         raft = self.replica.raft if self.replica is not None else None
-        told = raft.members().get(raft.leader) if raft is not None else None
-        return str(told[CLIENTS]) if told is not None else ""
+        return raft.members().get(raft.leader) if raft is not None else None
+
+    def leader_client_address(self) -> str:
+        """Return the leader's address for clients; "" if no leader is known."""
+        leader = self.leader()
+        return leader.client_address if leader is not None else ""
 
-    def propose(self, command: list[Any], then: CommitCallback) -> None:
-        """`then` is told whether it is committed, later and not from in here."""
+    def is_in_contact(self, within: int) -> bool:
+        """Whether this replica leads, or has heard from the leader of its term `within` so many ns."""
+        if self.replica is None:
+            return False
+        raft = self.replica.raft
+        if raft.role is Role.LEADER:
+            return self.replica.leads()
+        return bool(raft.leader) and self.clock.monotonic() - raft.heard_leader_at < within
+
+    def propose(self, command: Command, on_result: CommitCallback) -> None:
+        """Have a command committed. `on_result` is called later, not from here, with whether it was.
+
+        False is no promise that it never will be. A struct goes into the log as its plain values.
+        """
+        if isinstance(command, msgspec.Struct):
+            command = msgspec.to_builtins(command, builtin_types=(bytes,))
         if not self.proposals:
             self.loop.call_soon(self._propose_all)
-        self.proposals.append((command, then))
+        self.proposals.append((command, on_result))
 
-    def read(self, then: CommitCallback) -> None:
+    def read(self, on_result: CommitCallback) -> None:
+        """Call `on_result` with True once the state holds all that was committed before this call."""
         if self.replica is None:
-            self.loop.call_soon(then, False)
+            self.loop.call_soon(on_result, False)
         else:
-            self.replica.read(then)
+            self.replica.read(on_result)
             self._after()
 
     def change_members(self, members: Members) -> bool:
         done = self.replica is not None and bool(self.replica.raft.change_members(members))
         if done:
-            self.links.set_peers(self._peers())
+            self.peer_links.set_peers(self._peers())
         self._after()
         return done
 
@@ -144,7 +181,7 @@
         """Leadership to the voter of that name."""
         if self.replica is None:
             return False
-        to = next((who for who, told in self.members().items() if told[NAME] == name), "")
+        to = find_by_name(self.members(), name)
         done = self.replica.raft.transfer(to)
         self._after()
         return done
@@ -152,46 +189,50 @@
     def status(self) -> dict[str, Any]:
         raft = self.replica.raft if self.replica is not None else None
         told: dict[str, Any] = {
-            "name": self.orders.name,
-            "cluster": self.orders.cluster,
-            "store": self.disk.fingerprint,
-            "role": raft.role if raft is not None else "stopped",
-            "trouble": self.trouble,
-            "troubles": self.troubles,
-            "disk_bytes": self.disk.size(),
+            "name": self.config.name,
+            "cluster": self.config.cluster,
+            "store": self.storage.cluster_fingerprint,
+            "role": raft.role if raft is not None else Role.STOPPED,
+            "trouble": self.storage_error,
+            "troubles": self.storage_failures,
+            "disk_bytes": self.storage.size_bytes(),
             "batches": self.batches,
             "entries_written": self.written,
-            "refused": self.links.refused,
-            "stuck": self.links.stuck,
-            **self.status_of_state(),
+            "refused": self.peer_links.refused_connections,
+            "stuck": self.peer_links.stalled_connections,
+            **self.state_status(),
         }
         if raft is not None and self.replica is not None:
             members = raft.members()
             leader = members.get(raft.leader)
-            votes = voters(members)
             told |= {
                 "term": raft.term,
-                "leader": leader[NAME] if leader is not None else "",
+                "leader": leader.name if leader is not None else "",
                 "leads": self.replica.leads(),
                 "last": raft.log.last_index(),
                 "committed": raft.commit,
                 "applied": self.replica.applied,
                 "snapshot": raft.log.snapshot_index,
                 "members": [
-                    {"name": m[NAME], "peers": m[PEERS], "clients": m[CLIENTS], "votes": who in votes}
-                    for who, m in members.items()
+                    {
+                        "name": member.name,
+                        "peers": member.peer_address,
+                        "clients": member.client_address,
+                        "votes": member.votes,
+                    }
+                    for member in members.values()
                 ],
                 "behind": {
-                    members[who][NAME]: raft.log.last_index() - f.match for who, f in raft.followers.items()
+                    members[who].name: raft.log.last_index() - f.match for who, f in raft.followers.items()
                 },
             }
         return told
 
-    def status_of_state(self) -> dict[str, Any]:
+    def state_status(self) -> dict[str, Any]:
         return {}
 
-    def asked_of_state(self, question: dict[str, Any], reply: Reply) -> bool:
-        """Whether a tool's question is one of the state's own."""
+    def handle_state_request(self, request: dict[str, Any], reply: Reply) -> bool:
+        """Whether a tool's request is one of the state's own."""
         return False
 
     # ---- What happens ----
@@ -212,27 +253,29 @@
             reply({"done": self.transfer(str(question["to"]))})
         elif verb == "backup":
             path = Path(question["path"])
-            future = self.loop.run_in_executor(self.thread, self.disk.backup, path)
+            future = self.loop.run_in_executor(self.thread, self.storage.backup, path)
             future.add_done_callback(
                 lambda f: reply({"done": f.exception() is None, "why": str(f.exception() or "")})
             )
-        elif not isinstance(question, dict) or not self.asked_of_state(question, reply):
+        elif not isinstance(question, dict) or not self.handle_state_request(question, reply):
             reply({"done": False, "why": "unknown question"})
 
     def _change(self, question: dict[str, Any]) -> bool:
         members = dict(self.members())
         name = str(question["name"])
-        known = next((who for who, told in members.items() if told[NAME] == name), "")
+        known = find_by_name(members, name)
         if question.get("remove"):
             members.pop(known, None)
         else:
             votes = bool(question.get("votes"))
-            members[known or initial_replica_id(name)] = [name, question["peers"], question["clients"], votes]
+            members[known or initial_replica_id(name)] = Member(
+                name, question["peers"], question["clients"], votes
+            )
         return self.change_members(members)
 
-    def _role_changed(self, role: str, leader: str) -> None:
+    def on_role_changed(self, role: Role, leader: str) -> None:
         # Told from inside of the machine: whoever acts on it does so when that is over.
-        for told in self.on_role:
+        for told in self.role_listeners:
             self.loop.call_soon(told, role, leader)
 
     def _propose_all(self) -> None:
@@ -250,13 +293,13 @@
             self._after()
 
     def _send(self, to: str, message: Any) -> None:
-        self.links.send(to, message)
+        self.peer_links.send(to, message)
 
     # ---- What is kept beside the log ----
 
-    def keep(self, key: str, value: Any) -> None:
+    def save_value(self, key: str, value: Any) -> None:
         """Written when the thread comes to it; what is lost with a full disk is only older for it."""
-        future = self.loop.run_in_executor(self.thread, self.disk.keep, key, value)
+        future = self.loop.run_in_executor(self.thread, self.storage.save_value, key, value)
         future.add_done_callback(lambda f: f.exception())
 
     # ---- Writing ----
@@ -276,11 +319,11 @@
         if self.writing or replica.batch.is_empty():
             return
         batch = replica.take_batch()
-        if not batch.writes():
+        if not batch.has_writes():
             replica.written(batch)
             return
         self.writing = True
-        future = self.loop.run_in_executor(self.thread, self.disk.write, batch)
+        future = self.loop.run_in_executor(self.thread, self.storage.write, batch)
         future.add_done_callback(lambda f: self._wrote(replica, batch, f.exception()))
 
     def _wrote(self, replica: Replica, batch: WriteBatch, error: BaseException | None) -> None:
@@ -293,20 +336,20 @@
         if replica is self.replica:
             self.batches += 1
             self.written += len(batch.entries)
-            if any(entry.kind == "members" for entry in batch.entries) or batch.snapshot is not None:
-                self.links.set_peers(self._peers())
+            if any(entry.kind is EntryKind.MEMBERS for entry in batch.entries) or batch.snapshot is not None:
+                self.peer_links.set_peers(self._peers())
             replica.written(batch)
             self._maybe_snapshot(replica)
             self._after()
 
     def _maybe_snapshot(self, replica: Replica) -> None:
         raft = replica.raft
-        if self.snapshotting or replica.applied - raft.log.snapshot_index < self.orders.snapshot_every:
+        if self.snapshotting or replica.applied - raft.log.snapshot_index < self.config.snapshot_every:
             return
         index = replica.applied
         term = raft.log.term_at(index)
         assert term is not None
-        members, state = raft.members_at(index), self.state.dump()
+        snapshot = Snapshot(index, term, raft.members_at(index), self.state_machine.take_snapshot())
         self.snapshotting = True
 
         def kept(error: BaseException | None) -> None:
@@ -316,9 +359,9 @@
             if error is not None:
                 self._stop(error)
             elif replica is self.replica:
-                replica.snapshot_written(index, term, members, state)
+                replica.snapshot_written(snapshot)
 
-        future = self.loop.run_in_executor(self.thread, self.disk.keep_snapshot, index, term, members, state)
+        future = self.loop.run_in_executor(self.thread, self.storage.save_snapshot, snapshot)
         future.add_done_callback(lambda f: kept(f.exception()))
 
     def _stop(self, error: BaseException) -> None:
@@ -327,11 +370,11 @@
         """
         if self.replica is None:
             return
-        self.trouble = str(error)
-        self.troubles += 1
+        self.storage_error = str(error)
+        self.storage_failures += 1
         log_line(f"store: the disk cannot be written, this replica stands aside: {error}")
         replica, self.replica = self.replica, None
-        replica.role_changed("stopped", "")
+        replica.role_changed(Role.STOPPED, "")
         task = self.loop.create_task(self._try_again())
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
@@ -342,19 +385,19 @@
             try:
                 await self.loop.run_in_executor(self.thread, self._reopen)
             except (StorageError, CorruptionError) as error:
-                self.trouble = str(error)
+                self.storage_error = str(error)
                 continue
-            self.trouble = ""
+            self.storage_error = ""
             log_line("store: the disk can be written again")
             self._begin()
             return
 
     def _reopen(self) -> None:
-        self.disk.reopen()
+        self.storage.reopen()
         # A vote that is written once more changes nothing, and shows whether there is room.
         batch = WriteBatch()
-        batch.vote = (self.disk.term, self.disk.vote)
-        self.disk.write(batch)
+        batch.vote = (self.storage.persisted.current_term, self.storage.persisted.voted_for)
+        self.storage.write(batch)
 
     # ---- Time ----
 
@@ -374,13 +417,17 @@
             self._after()
 
     def _peers(self) -> dict[str, str]:
-        return {who: told[PEERS] for who, told in self.members().items() if who != self.me}
+        return {
+            replica_id: member.peer_address
+            for replica_id, member in self.members().items()
+            if replica_id != self.replica_id
+        }
 
     async def close(self) -> None:
         self.closed = True
         if self.timer is not None:
             self.timer.cancel()
-        self.links.close()
+        self.peer_links.close()
         # Also where it was never opened: why not is what is to be told then.
-        await asyncio.get_running_loop().run_in_executor(self.thread, self.disk.close)
+        await asyncio.get_running_loop().run_in_executor(self.thread, self.storage.close)
         self.thread.shutdown()
--- a/ploverspoke/consensus/peer_links.py
+++ b/ploverspoke/consensus/peer_links.py
@@ -1,206 +1,268 @@
-"""Connections among replicas: each dials every other one and speaks on that; what comes in is heard only.
+"""Connections among replicas. Each replica connects to every other one and sends on that; it only receives on
+those that it accepts. Tools connect as well, and get their replies on the connection that they opened.
 
-A connection that was lost is dialled again; what was to go meanwhile is dropped, since consensus says it
-again.
+A lost connection is opened again. Messages for it are dropped meanwhile, since consensus repeats them.
 """
 
 import asyncio
 from collections.abc import Callable
-from typing import Any, cast
+from typing import Any, NamedTuple, cast
 
 from ploverspoke.transport.rate_limited_log import log_line
 
+from .errors import ConsensusError
 from .framing import FrameCodec, FrameError
 
-DIAL_AGAIN = 0.1  # seconds
-MOST_UNSENT = 8 * 1024 * 1024  # towards one that does not read
-STUCK_FOR = 2.0  # seconds; then what waits unsent is stale, and would go out before anything new
+RECONNECT_DELAY = 0.1  # seconds
+MAX_UNSENT_BYTES = 8 * 1024 * 1024  # for a peer that does not read
+STALL_TIMEOUT = 2.0  # seconds; then what waits unsent is stale, and would go out before anything new
+ADMIN_CLIENT_ID = "?"  # the id in the greeting of a tool
+ANY_CLUSTER = ""  # the cluster in the greeting of a tool
 
-Heard = Callable[[str, Any], None]
+Reply = Callable[[Any], None]
+MessageHandler = Callable[[str, Any], None]  # with the id of the sender
+AdminRequestHandler = Callable[[Any, Reply], None]
 
 
-class Inbound(asyncio.Protocol):
-    """One that another replica has dialled, or a tool that asks."""
+class PeerIdentity(NamedTuple):
+    """What a replica says of itself in its greeting."""
 
-    def __init__(self, links: "PeerLinks") -> None:
+    replica_id: str
+    cluster_fingerprint: str
+
+    def greeting(self) -> dict[str, str]:
+        """Return the greeting as it is sent."""
+        return {"id": self.replica_id, "store": self.cluster_fingerprint}
+
+
+class GreetingError(ConsensusError):
+    """The greeting of the other side is not that of the expected replica."""
+
+    def __init__(self, reason: str) -> None:
+        """Keep the reason."""
+        super().__init__(reason)
+        self.reason = reason
+
+
+class PeerLinks:
+    """All connections of one replica with its peers, and those of tools."""
+
+    def __init__(
+        self,
+        secret: bytes,
+        identity: PeerIdentity,
+        on_message: MessageHandler,
+        on_admin_request: AdminRequestHandler,
+    ) -> None:
+        """Prepare the links of a replica; nothing is opened yet."""
+        self.secret = secret
+        self.identity = identity
+        self.on_message = on_message
+        self.on_admin_request = on_admin_request
+        self.inbound: set[InboundConnection] = set()
+        self.outbound: dict[str, OutboundConnection] = {}  # by replica id
+        self.refused_connections = 0
+        self.dropped_messages = 0
+        self.stalled_connections = 0  # given up because nothing went out on them
+        self._connecting: dict[str, tuple[str, asyncio.Task[None]]] = {}  # address and task, by replica id
+        self._server: asyncio.Server | None = None
+
+    async def open(self, host: str, port: int) -> None:
+        """Listen for peers and tools. Raises OSError."""
+        loop = asyncio.get_running_loop()
+        self._server = await loop.create_server(lambda: InboundConnection(self), host, port)
+
+    def set_peers(self, addresses: dict[str, str]) -> None:
+        """Connect to these peers, addresses by replica id, and to no others."""
+        for replica_id, (address, task) in list(self._connecting.items()):
+            if addresses.get(replica_id) != address:
+                task.cancel()
+                del self._connecting[replica_id]
+                connection = self.outbound.pop(replica_id, None)
+                if connection is not None:
+                    connection.close()
+        loop = asyncio.get_running_loop()
+        for replica_id, address in addresses.items():
+            if replica_id not in self._connecting:
+                task = loop.create_task(self._keep_connected(replica_id, address))
+                self._connecting[replica_id] = (address, task)
+
+    def send(self, replica_id: str, message: Any) -> None:
+        """Send a message to a peer; it is dropped if the peer is not connected."""
+        connection = self.outbound.get(replica_id)
+        if connection is not None:
+            connection.send(message)
+
+    def close(self) -> None:
+        """Stop listening and close all connections."""
+        if self._server is not None:
+            self._server.close()
+        for _, task in self._connecting.values():
+            task.cancel()
+        connections: list[InboundConnection | OutboundConnection] = [*self.inbound, *self.outbound.values()]
+        for connection in connections:
+            connection.close()
+
+    async def _keep_connected(self, replica_id: str, address: str) -> None:
+        host, _, port = address.rpartition(":")
+        loop = asyncio.get_running_loop()
+        while True:
+            connection = OutboundConnection(self, replica_id)
+            try:
+                # The factory is called before the next iteration binds `connection` anew.
+                await loop.create_connection(lambda: connection, host.strip("[]"), int(port))  # noqa: B023
+                self.outbound[replica_id] = connection
+                await connection.disconnected.wait()
+            except OSError:
+                pass  # not reachable for now: the next attempt follows
+            await asyncio.sleep(RECONNECT_DELAY)
+
+
+class InboundConnection(asyncio.Protocol):
+    """A connection that a peer or a tool has opened."""
+
+    def __init__(self, links: PeerLinks) -> None:
+        """Prepare a connection that is being accepted."""
         self.links = links
-        self.frames = FrameCodec(links.secret, links.greeting)
+        self.frames = FrameCodec(links.secret, links.identity.greeting())
         self.transport: asyncio.Transport | None = None
-        self.sender = ""
+        self.sender = ""  # "": not known yet
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Send the greeting."""
         self.transport = cast(asyncio.Transport, transport)
         self.links.inbound.add(self)
         self.transport.write(self.frames.greeting_frame())
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Forget the connection."""
         self.links.inbound.discard(self)
         self.transport = None
 
     def data_received(self, data: bytes) -> None:
+        """Hand on the messages that are complete; close the connection at the first that is not valid."""
         try:
             for message in self.frames.decode(data):
-                if not self.sender:
-                    self._greet()
-                if self.sender == ADMIN_CLIENT_ID:
-                    self.links.asked(message, self.reply)
-                else:
-                    self.links.heard(self.sender, message)
-        except (FrameError, KeyError, TypeError) as error:
-            self.links.refused += 1
+                self._handle(message)
+        except (ConsensusError, KeyError, TypeError) as error:
+            self.links.refused_connections += 1
             log_line(f"store: a connection is refused: {error}")
             self.close()
 
-    def _greet(self) -> None:
-        other = self.frames.peer_greeting
-        assert other is not None
-        if other["store"] != self.links.greeting["store"] and other["store"] != "":
-            raise FrameError(f"{other['id']} belongs to another store, or was started with other replicas")
-        self.sender = str(other["id"])
-
     def reply(self, message: Any) -> None:
+        """Answer a tool, if it is still there."""
         if self.transport is not None:
             self.transport.write(self.frames.encode(message))
 
     def close(self) -> None:
+        """Close the connection at once."""
         if self.transport is not None:
             self.transport.abort()
 
+    def _handle(self, message: Any) -> None:
+        if not self.sender:
+            self.sender = self._checked_sender()
+        if self.sender == ADMIN_CLIENT_ID:
+            self.links.on_admin_request(message, self.reply)
+        else:
+            self.links.on_message(self.sender, message)
 
-ADMIN_CLIENT_ID = "?"  # the id of a tool
+    def _checked_sender(self) -> str:
+        peer = peer_identity(self.frames)
+        if peer.cluster_fingerprint not in (self.links.identity.cluster_fingerprint, ANY_CLUSTER):
+            raise GreetingError(wrong_cluster(peer.replica_id))
+        return peer.replica_id
 
 
-class Outbound(asyncio.Protocol):
-    """One that we dialled."""
+class OutboundConnection(asyncio.Protocol):
+    """A connection that this replica has opened to a peer."""
 
-    def __init__(self, links: "PeerLinks", to: str) -> None:
+    def __init__(self, links: PeerLinks, peer_id: str) -> None:
+        """Prepare a connection to the replica `peer_id`."""
         self.links = links
-        self.to = to
-        self.frames = FrameCodec(links.secret, links.greeting)
+        self.peer_id = peer_id
+        self.frames = FrameCodec(links.secret, links.identity.greeting())
         self.transport: asyncio.Transport | None = None
-        self.ready = False
-        self.over = asyncio.Event()
-        self.written = 0  # bytes
-        self.gone_out = 0  # of them, when that last grew
-        self.gone_out_at = 0.0
+        self.ready = False  # the greeting of the expected peer has come
+        self.disconnected = asyncio.Event()
+        self._written = 0  # bytes
+        self._flushed = 0  # of them, when that last grew
+        self._flushed_at = 0.0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Send the greeting."""
         self.transport = cast(asyncio.Transport, transport)
-        self.gone_out_at = asyncio.get_running_loop().time()
+        self._flushed_at = asyncio.get_running_loop().time()
         self._write(self.frames.greeting_frame())
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Let the link connect again."""
         self.transport = None
         self.ready = False
-        self.over.set()
+        self.disconnected.set()
 
     def data_received(self, data: bytes) -> None:
+        """Check the greeting of the peer; it sends nothing else here."""
         try:
             self.frames.decode(data)
-            other = self.frames.peer_greeting
-            if other is not None and not self.ready:
-                if other["store"] not in (self.links.greeting["store"], ""):
-                    raise FrameError(
-                        f"{self.to} belongs to another store, or was started with other replicas"
-                    )
-                self.ready = other["id"] == self.to
-                if not self.ready:
-                    raise FrameError(f"{other['id']} answers where {self.to} was")
-        except (FrameError, KeyError) as error:
-            self.links.refused += 1
+            if self.frames.peer_greeting is not None and not self.ready:
+                self._check_peer()
+                self.ready = True
+        except (FrameError, GreetingError) as error:
+            self.links.refused_connections += 1
             log_line(f"store: {error}")
-            if self.transport is not None:
-                self.transport.abort()
+            self.close()
+
+    def send(self, message: Any) -> None:
+        """Send a message; drop it if the peer has not greeted yet or does not read."""
+        if not self.ready or self.transport is None:
+            return
+        unsent = self.transport.get_write_buffer_size()
+        if self._is_stalled(unsent):
+            self.links.stalled_connections += 1
+            # `connection_lost` is called a turn later: until then nothing more is written, or counted.
+            self.ready = False
+            self.transport.abort()
+        elif unsent > MAX_UNSENT_BYTES:
+            self.links.dropped_messages += 1
+        else:
+            self._write(self.frames.encode(message))
 
     def close(self) -> None:
+        """Close the connection at once."""
         if self.transport is not None:
             self.transport.abort()
 
-    def write(self, message: Any) -> None:
-        if not self.ready or self.transport is None:
-            return
-        unsent = self.transport.get_write_buffer_size()
+    def _is_stalled(self, unsent: int) -> bool:
         now = asyncio.get_running_loop().time()
-        if not unsent or self.written - unsent > self.gone_out:
-            self.gone_out, self.gone_out_at = self.written - unsent, now
-        elif now - self.gone_out_at > STUCK_FOR:
-            self.links.stuck += 1
-            self.ready = False  # its end is told a turn later: until then nothing more is written, or counted
-            self.transport.abort()
-            return
-        if unsent > MOST_UNSENT:
-            self.links.dropped += 1
-            return
-        self._write(self.frames.encode(message))
+        flushed = self._written - unsent
+        if not unsent or flushed > self._flushed:
+            self._flushed = flushed
+            self._flushed_at = now
+            return False
+        return now - self._flushed_at > STALL_TIMEOUT
+
+    def _check_peer(self) -> None:
+        peer = peer_identity(self.frames)
+        if peer.cluster_fingerprint not in (self.links.identity.cluster_fingerprint, ANY_CLUSTER):
+            raise GreetingError(wrong_cluster(self.peer_id))
+        if peer.replica_id != self.peer_id:
+            raise GreetingError(f"{peer.replica_id} answers where {self.peer_id} was")
 
     def _write(self, data: bytes) -> None:
         assert self.transport is not None
-        self.written += len(data)
+        self._written += len(data)
         self.transport.write(data)
 
 
-class PeerLinks:
-    def __init__(
-        self,
-        secret: bytes,
-        greeting: dict[str, Any],
-        heard: Heard,
-        asked: Callable[[Any, Callable[[Any], None]], None],
-    ) -> None:
-        """The greeting holds "id" and "store"."""
-        self.secret = secret
-        self.greeting = greeting
-        self.heard = heard
-        self.asked = asked
-        self.inbound: set[Inbound] = set()
-        self.outbound: dict[str, Outbound] = {}
-        self.dialling: dict[str, tuple[str, asyncio.Task[None]]] = {}
-        self.server: asyncio.Server | None = None
-        self.refused = 0
-        self.dropped = 0
-        self.stuck = 0  # connections that were given up, since nothing went out on them
+def peer_identity(frames: FrameCodec) -> PeerIdentity:
+    """Return what the other side's greeting says. Raises GreetingError."""
+    greeting = frames.peer_greeting
+    if greeting is None or "id" not in greeting or "store" not in greeting:
+        raise GreetingError("a greeting without id and store")
+    return PeerIdentity(str(greeting["id"]), str(greeting["store"]))
 
-    async def open(self, host: str, port: int) -> None:
-        loop = asyncio.get_running_loop()
-        self.server = await loop.create_server(lambda: Inbound(self), host, port)
 
-    def set_peers(self, peers: dict[str, str]) -> None:
-        """Addresses by id: others are dialled no more."""
-        loop = asyncio.get_running_loop()
-        for who, (where, task) in list(self.dialling.items()):
-            if peers.get(who) != where:
-                task.cancel()
-                del self.dialling[who]
-                link = self.outbound.pop(who, None)
-                if link is not None:
-                    link.close()
-        for who, where in peers.items():
-            if who not in self.dialling:
-                self.dialling[who] = (where, loop.create_task(self._dial(who, where)))
-
-    def send(self, to: str, message: Any) -> None:
-        link = self.outbound.get(to)
-        if link is not None:
-            link.write(message)
-
-    async def _dial(self, who: str, where: str) -> None:
-        host, _, port = where.rpartition(":")
-        loop = asyncio.get_running_loop()
-        while True:
-            link = Outbound(self, who)
-            try:
-                await loop.create_connection(lambda link=link: link, host.strip("[]"), int(port))  # type: ignore[misc]
-                self.outbound[who] = link
-                await link.over.wait()
-            except OSError:
-                pass
-            await asyncio.sleep(DIAL_AGAIN)
-
-    def close(self) -> None:
-        if self.server is not None:
-            self.server.close()
-        for _, task in self.dialling.values():
-            task.cancel()
-        links: list[Inbound | Outbound] = [*self.inbound, *self.outbound.values()]
-        for link in links:
-            link.close()
+def wrong_cluster(replica_id: str) -> str:
+    """Return the reason for refusing a replica of another cluster."""
+    return f"{replica_id} belongs to another store, or was started with other replicas"
--- a/ploverspoke/consensus/raft.py
+++ b/ploverspoke/consensus/raft.py
@@ -18,12 +18,27 @@
 """
 
 from collections.abc import Callable
+from enum import StrEnum
 from typing import Any, Protocol
 
-from .log import Entry, Log
-from .membership import VOTES, Members, differ_by_one, majority, voters
+import msgspec
+
+from .log import Entry, EntryKind, Log, Snapshot, with_typed_members
+from .membership import Members, differ_by_one, majority, members_from_plain, voters
 
 MILLISECOND = 1_000_000
+
+
+class Role(StrEnum):
+    """What a replica is in its term. The values are shown by tools."""
+
+    FOLLOWER = "follower"
+    PRECANDIDATE = "precandidate"
+    CANDIDATE = "candidate"
+    LEADER = "leader"
+    STOPPED = "stopped"  # its storage cannot be written: it takes no part
+
+
 Message = dict[str, Any]  # "k" is its kind, "t" its sender's term
 
 MOST_ENTRIES = 512  # in one message
@@ -33,6 +48,10 @@
 LEASE_PART = 0.9  # of the shortest election time-out: how far clocks may drift apart within one
 
 
+def received_entry(index: int, term: int, kind: str, data: Any) -> Entry:
+    return with_typed_members(Entry(index, term, EntryKind(kind), data))
+
+
 class RaftEnvironment(Protocol):
     def now(self) -> int: ...
 
@@ -47,10 +66,10 @@
 
     def drop_entries_from(self, index: int) -> None: ...
 
-    def keep_snapshot(self, index: int, term: int, members: Members, data: bytes) -> None:
+    def keep_snapshot(self, snapshot: Snapshot) -> None:
         """Another's snapshot: in place of all that is kept, in one step."""
 
-    def snapshot(self) -> tuple[int, int, Members, bytes] | None:
+    def snapshot(self) -> Snapshot | None:
         """The latest that is durable."""
 
     def committed(self, entry: Entry) -> None: ...
@@ -58,7 +77,7 @@
     def restored(self, data: bytes) -> None:
         """The state is now that of a snapshot."""
 
-    def role_changed(self, role: str, leader: str) -> None: ...
+    def role_changed(self, role: Role, leader: str) -> None: ...
 
     def read_is_safe(self, token: int, index: int) -> None:
         """Once that index is applied here, the read sees all that was committed before it was asked for."""
@@ -109,7 +128,7 @@
         self.vote = vote
         self.log = log or Log()
         self.base_members = members
-        self.role = "follower"
+        self.role = Role.FOLLOWER
         self.leader = ""
         self.commit = self.log.snapshot_index
         self.synced_to = self.log.last_index()
@@ -135,7 +154,7 @@
     def tick(self) -> None:
         """Time has passed. `next_tick` says when it is wanted."""
         now = self.host.now()
-        if self.role == "leader":
+        if self.role is Role.LEADER:
             if self.transfer_to and now >= self.transfer_until:
                 self.transfer_to = ""
             if now >= self.quorum_until and not self._hears_majority(now):
@@ -149,7 +168,7 @@
                 self._ask_for_votes(pre=True)
 
     def next_tick(self) -> int:
-        return min(self.next_heartbeat, self.quorum_until) if self.role == "leader" else self.next_election
+        return min(self.next_heartbeat, self.quorum_until) if self.role is Role.LEADER else self.next_election
 
     def message(self, sender: str, m: Message) -> None:
         kind, term = m["k"], m["t"]
@@ -168,9 +187,9 @@
             return
         getattr(self, HANDLERS[kind])(sender, m)
 
-    def propose(self, data: list[Any], kind: str = "data") -> int:
+    def propose(self, data: list[Any], kind: EntryKind = EntryKind.DATA) -> int:
         """Append entries of the leader's; gives the index of the last, or 0 where we may not."""
-        if self.role != "leader" or self.transfer_to:
+        if self.role is not Role.LEADER or self.transfer_to:
             return 0
         first = self.log.last_index() + 1
         entries = [Entry(first + n, self.term, kind, value) for n, value in enumerate(data)]
@@ -185,12 +204,12 @@
         if self.log.term_at(index) != term:
             return
         self.synced_to = max(self.synced_to, index)
-        if self.role == "leader":
+        if self.role is Role.LEADER:
             self._commit_what_a_majority_has()
 
     def read(self, token: int) -> None:
         """Ask whether we still lead; answered by read_is_safe or read_failed."""
-        if self.role != "leader":
+        if self.role is not Role.LEADER:
             self.host.read_failed(token)
         elif self.log.term_at(self.commit) != self.term:
             # Until an entry of this term is committed, what is committed is not known for certain.
@@ -200,21 +219,21 @@
 
     def change_members(self, members: Members) -> int:
         """One voter more or less, or learners; gives the entry's index, or 0 where that may not be now."""
-        unfinished = any(entry.at > self.commit for entry in self.log.changes)
+        unfinished = any(entry.index > self.commit for entry in self.log.membership_changes)
         # Before its first commit a leader may not know of a change that another had begun.
         fresh = self.log.term_at(self.commit) != self.term
-        if self.role != "leader" or unfinished or fresh or not differ_by_one(self.members(), members):
+        if self.role is not Role.LEADER or unfinished or fresh or not differ_by_one(self.members(), members):
             return 0
         if not voters(members):
             return 0
-        index = self.propose([members], "members")
+        index = self.propose([members], EntryKind.MEMBERS)
         if index:
             self._members_changed()
         return index
 
     def transfer(self, to: str) -> bool:
         """Hand leadership to a voter: it is brought up to date, then told to stand at once."""
-        if self.role != "leader" or to not in voters(self.members()) or to == self.me:
+        if self.role is not Role.LEADER or to not in voters(self.members()) or to == self.me:
             return False
         self.transfer_to = to
         self.transfer_until = self.host.now() + self.election
@@ -234,15 +253,15 @@
         return self.members_at(self.log.last_index())
 
     def members_at(self, index: int) -> Members:
-        for entry in reversed(self.log.changes):
-            if entry.at <= index:
+        for entry in reversed(self.log.membership_changes):
+            if entry.index <= index:
                 found: Members = entry.data
                 return found
         return self.base_members
 
     def lease_until(self) -> int:
         """Until then no other can have been elected, if clocks drift by less than a tenth in that time."""
-        if self.role != "leader" or self.transfer_to:
+        if self.role is not Role.LEADER or self.transfer_to:
             return 0
         return self._majority_of(lambda f: f.asked_at, self.host.now()) + int(self.election * LEASE_PART)
 
@@ -256,11 +275,11 @@
 
     def _may_stand(self) -> bool:
         told = self.members().get(self.me)
-        return told is not None and bool(told[VOTES])
+        return told is not None and told.votes
 
     def _hears_leader(self) -> bool:
         now = self.host.now()
-        if self.role == "leader":
+        if self.role is Role.LEADER:
             return self._hears_majority(now)
         return now - self.heard_leader_at < self.election
 
@@ -272,7 +291,7 @@
             self.term += 1
             self.vote = self.me
             self.host.keep_vote(self.term, self.vote)
-        self._set_role("precandidate" if pre else "candidate", "")
+        self._set_role(Role.PRECANDIDATE if pre else Role.CANDIDATE, "")
         self.votes = {self.me: True}
         last = {"li": self.log.last_index(), "lt": self.log.last_term()}
         message = {"k": "prevote" if pre else "vote", "t": self.term + pre, "transfer": transfer, **last}
@@ -282,7 +301,7 @@
         self._count_votes()
 
     def _on_vote(self, sender: str, m: Message) -> None:
-        granted = self.vote in ("", sender) and self._is_up_to_date(m) and self.role != "leader"
+        granted = self.vote in ("", sender) and self._is_up_to_date(m) and self.role is not Role.LEADER
         if granted:
             self.vote = sender
             self.host.keep_vote(self.term, self.vote)
@@ -290,19 +309,19 @@
         self._send(sender, {"k": "vote-granted", "t": self.term, "yes": granted})
 
     def _on_prevote(self, sender: str, m: Message) -> None:
-        granted = self.role != "leader" and self._is_up_to_date(m)
+        granted = self.role is not Role.LEADER and self._is_up_to_date(m)
         self._send(sender, {"k": "prevote-granted", "t": m["t"], "yes": granted})
 
     def _is_up_to_date(self, m: Message) -> bool:
         return (m["lt"], m["li"]) >= (self.log.last_term(), self.log.last_index())
 
     def _on_vote_granted(self, sender: str, m: Message) -> None:
-        if self.role == "candidate":
+        if self.role is Role.CANDIDATE:
             self.votes[sender] = m["yes"]
             self._count_votes()
 
     def _on_prevote_granted(self, sender: str, m: Message) -> None:
-        if self.role == "precandidate" and m["t"] == self.term + 1:
+        if self.role is Role.PRECANDIDATE and m["t"] == self.term + 1:
             self.votes[sender] = m["yes"]
             self._count_votes()
 
@@ -310,7 +329,7 @@
         members = self.members()
         if sum(self.votes.get(who, False) for who in voters(members)) < majority(members):
             return
-        if self.role == "precandidate":
+        if self.role is Role.PRECANDIDATE:
             self._ask_for_votes(pre=False)
         else:
             self._become_leader()
@@ -326,7 +345,7 @@
         self.followers.clear()
         self.transfer_to = ""
         self._put_off_election()
-        self._set_role("follower", leader)
+        self._set_role(Role.FOLLOWER, leader)
         for token in failed:
             self.host.read_failed(token)
 
@@ -335,13 +354,13 @@
         self.followers = {}
         self.rounds.clear()
         self.quorum_until = now + self.election
-        self._set_role("leader", self.me)
+        self._set_role(Role.LEADER, self.me)
         self._members_changed()
         # Earlier entries are committed only along with one of this term.
-        self.propose([None], "noop")
+        self.propose([None], EntryKind.NOOP)
         self._heartbeat()
 
-    def _set_role(self, role: str, leader: str) -> None:
+    def _set_role(self, role: Role, leader: str) -> None:
         if (role, leader) != (self.role, self.leader):
             self.role, self.leader = role, leader
             self.host.role_changed(role, leader)
@@ -397,7 +416,7 @@
             if f.probing:
                 f.waits_since = f.waits_since or self.host.now()
                 return
-            f.next = entries[-1].at + 1
+            f.next = entries[-1].index + 1
 
     def _send_append(self, who: str, f: Follower, entries: list[Entry]) -> None:
         before = f.next - 1
@@ -412,7 +431,7 @@
                 "t": self.term,
                 "li": before,
                 "lt": term,
-                "e": [list(entry) for entry in entries],
+                "e": [msgspec.structs.astuple(entry) for entry in entries],
                 "c": min(self.commit, before + len(entries)),
                 "r": self.round,
             },
@@ -424,7 +443,7 @@
         found = self.host.snapshot()
         if found is None:
             return
-        index, term, members, data = found
+        index, term, members, data = found.index, found.term, found.members, found.data
         if f.piece is None or f.piece[0] != index:
             f.piece = (index, 0)
         at = f.piece[1]
@@ -436,7 +455,7 @@
 
     def _on_appended(self, sender: str, m: Message) -> None:
         f = self.followers.get(sender)
-        if self.role != "leader" or f is None:
+        if self.role is not Role.LEADER or f is None:
             return
         self._heard(f, m)
         if m["e"]:
@@ -451,7 +470,7 @@
                 f.unacked = 0  # answers that were lost on the way are not waited for
             f.probing = False
             self._commit_what_a_majority_has()
-        if self.role == "leader" and sender in self.followers:
+        if self.role is Role.LEADER and sender in self.followers:
             self._feed(sender)
             self._maybe_hand_over(sender)
 
@@ -464,7 +483,7 @@
 
     def _on_piece_taken(self, sender: str, m: Message) -> None:
         f = self.followers.get(sender)
-        if self.role != "leader" or f is None:
+        if self.role is not Role.LEADER or f is None:
             return
         self._heard(f, m)
         f.waits_since = 0
@@ -477,7 +496,7 @@
             self._commit_what_a_majority_has()
         elif f.piece is not None and f.piece[0] == m["si"]:
             f.piece = (m["si"], m["o"])
-        if self.role == "leader":
+        if self.role is Role.LEADER:
             self._feed(sender)
 
     def _heard(self, f: Follower, m: Message) -> None:
@@ -495,7 +514,7 @@
             early, self.early_reads = self.early_reads, []
             for token in early:
                 self._begin_read(token)
-            if self.me not in voters(self.members_at(self.commit)) and self.role == "leader":
+            if self.me not in voters(self.members_at(self.commit)) and self.role is Role.LEADER:
                 self._become_follower(self.term, "")  # our own going is committed
 
     def _majority_of(self, value: Callable[[Follower], int], mine: int) -> int:
@@ -533,7 +552,7 @@
             self._send(who, {"k": "stand", "t": self.term})
 
     def _on_stand(self, sender: str, m: Message) -> None:
-        if self._may_stand() and self.role != "leader":
+        if self._may_stand() and self.role is not Role.LEADER:
             self._ask_for_votes(pre=False, transfer=True)
 
     # ---- Following ----
@@ -541,41 +560,41 @@
     def _follow(self, sender: str) -> None:
         self.heard_leader_at = self.host.now()
         self._put_off_election()
-        if self.role != "follower":
+        if self.role is not Role.FOLLOWER:
             self._become_follower(self.term, sender)
         else:
-            self._set_role("follower", sender)
+            self._set_role(Role.FOLLOWER, sender)
 
     def _on_append(self, sender: str, m: Message) -> None:
-        if self.role == "leader":
+        if self.role is Role.LEADER:
             return  # two leaders of one term cannot be: what comes is not from a peer of this store
         self._follow(sender)
-        entries = [Entry(*told) for told in m["e"]]
+        entries = [received_entry(*row) for row in m["e"]]
         answer: Message = {"k": "appended", "t": self.term, "r": m["r"], "e": bool(entries)}
         before, last = m["li"], self.log.last_index()
         # What is in our snapshot is committed, so it agrees.
-        while entries and entries[0].at <= self.log.snapshot_index:
-            before, entries = entries[0].at, entries[1:]
+        while entries and entries[0].index <= self.log.snapshot_index:
+            before, entries = entries[0].index, entries[1:]
         if before > self.log.snapshot_index and self.log.term_at(before) != m["lt"] and before == m["li"]:
             hint = last + 1 if before > last else self.log.first_of_term(before)
             self._send(sender, {**answer, "ok": False, "li": 0, "hint": hint})
             return
-        new = [entry for entry in entries if self.log.term_at(entry.at) != entry.term]
+        new = [entry for entry in entries if self.log.term_at(entry.index) != entry.term]
         if new:
-            first = new[0].at
+            first = new[0].index
             if first <= last:
                 self._cut(first)
-            new = [entry for entry in entries if entry.at >= first]
+            new = [entry for entry in entries if entry.index >= first]
             self.log.append(new)
             self.host.keep_entries(new)
-        reaches = max(m["li"], entries[-1].at if entries else before)
+        reaches = max(m["li"], entries[-1].index if entries else before)
         if m["c"] > self.commit:
             self._commit_to(min(m["c"], reaches))
         self._send(sender, {**answer, "ok": True, "li": reaches, "hint": 0})
 
     def _cut(self, index: int) -> None:
         assert index > self.commit, "a committed entry is never replaced"
-        self.log.cut_from(index)
+        self.log.truncate_from(index)
         self.synced_to = min(self.synced_to, index - 1)
         self.host.drop_entries_from(index)
 
@@ -607,8 +626,9 @@
             kept = list(self.log.entries[index - self.log.snapshot_index :])
         else:
             kept = []
-        self.host.keep_snapshot(index, term, m["m"], data)
-        self.base_members = m["m"]
+        members = members_from_plain(m["m"])
+        self.host.keep_snapshot(Snapshot(index, term, members, data))
+        self.base_members = members
         self.log.restart_at(index, term)
         if kept:
             self.log.append(kept)
--- a/ploverspoke/consensus/replica.py
+++ b/ploverspoke/consensus/replica.py
@@ -8,49 +8,11 @@
 """
 
 from collections.abc import Callable
-from typing import Any, Protocol
+from typing import Any
 
-from .log import Entry, Log
-from .membership import Members
-from .raft import Message, Raft
-
-
-class WriteBatch:
-    """What is to be written in one step, and what may be said after it."""
-
-    def __init__(self) -> None:
-        self.vote: tuple[int, str] | None = None
-        self.snapshot: tuple[int, int, Members, bytes] | None = None  # takes the place of all entries
-        self.cut_from = 0  # drop entries from there on, before those below are added
-        self.entries: list[Entry] = []
-        self.messages: list[tuple[str, Message]] = []
-
-    def writes(self) -> bool:
-        return self.vote is not None or self.snapshot is not None or bool(self.cut_from or self.entries)
-
-    def is_empty(self) -> bool:
-        return not self.messages and not self.writes()
-
-
-class StateMachine(Protocol):
-    """What the log's entries change."""
-
-    def apply(self, index: int, command: Any) -> None: ...
-
-    def dump(self) -> bytes: ...
-
-    def load(self, data: bytes) -> None: ...
-
-
-class PersistedState(Protocol):
-    """What a disk gives back at start."""
-
-    term: int
-    vote: str
-    members: Members
-    log: Log
-    state: bytes
-    disk: str
+from .log import Entry, EntryKind, Snapshot, StateMachine
+from .persisted_state import PersistedState, WriteBatch
+from .raft import Message, Raft, Role
 
 
 class Replica:
@@ -58,41 +20,41 @@
 
     def __init__(
         self,
-        me: str,
-        kept: PersistedState,
-        state: StateMachine,
+        replica_id: str,
+        persisted: PersistedState,
+        state_machine: StateMachine,
         now: Callable[[], int],
         fraction: Callable[[], float],
         send_now: Callable[[str, Message], None],
         **times: int,
     ) -> None:
-        self.me = me
+        self.replica_id = replica_id
         self.now = now
-        self.state = state
+        self.state_machine = state_machine
         self.send_now = send_now
         self.batch = WriteBatch()
-        self.on_role: list[Callable[[str, str], None]] = []
+        self.role_listeners: list[Callable[[Role, str], None]] = []
         self.waiting: dict[
             int, tuple[int, Callable[[bool], None]]
         ] = {}  # proposals, by index: term and whom to tell
         self.reads: dict[int, Callable[[bool], None]] = {}
         self.ready_reads: list[tuple[int, Callable[[bool], None]]] = []
         self.next_read = 1
-        self.applied = kept.log.snapshot_index
-        self.durable_snapshot: tuple[int, int, Members, bytes] | None = None
-        if kept.log.snapshot_index:
-            state.load(kept.state)
-            index, term = kept.log.snapshot_index, kept.log.snapshot_term
-            self.durable_snapshot = (index, term, kept.members, kept.state)
+        self.applied = persisted.log.snapshot_index
+        self.durable_snapshot: Snapshot | None = None
+        if persisted.log.snapshot_index:
+            state_machine.restore_snapshot(persisted.snapshot_data)
+            index, term = persisted.log.snapshot_index, persisted.log.snapshot_term
+            self.durable_snapshot = Snapshot(index, term, persisted.members, persisted.snapshot_data)
         self.raft = Raft(
             self,
-            me,
-            kept.members,
+            replica_id,
+            persisted.members,
             fraction,
-            term=kept.term,
-            vote=kept.vote,
-            log=kept.log,
-            disk=kept.disk,
+            term=persisted.current_term,
+            vote=persisted.voted_for,
+            log=persisted.log,
+            disk=persisted.storage_id,
             **times,
         )
 
@@ -108,22 +70,22 @@
         self.batch.entries += entries
 
     def drop_entries_from(self, index: int) -> None:
-        self.batch.entries = [entry for entry in self.batch.entries if entry.at < index]
-        self.batch.cut_from = min(index, self.batch.cut_from or index)
+        self.batch.entries = [entry for entry in self.batch.entries if entry.index < index]
+        self.batch.truncate_from = min(index, self.batch.truncate_from or index)
 
-    def keep_snapshot(self, index: int, term: int, members: Members, data: bytes) -> None:
-        self.batch.snapshot = self.durable_snapshot = (index, term, members, data)
+    def keep_snapshot(self, snapshot: Snapshot) -> None:
+        self.batch.snapshot = self.durable_snapshot = snapshot
         self.batch.entries = []
-        self.batch.cut_from = 0
+        self.batch.truncate_from = 0
 
-    def snapshot(self) -> tuple[int, int, Members, bytes] | None:
+    def snapshot(self) -> Snapshot | None:
         return self.durable_snapshot
 
     def committed(self, entry: Entry) -> None:
-        if entry.kind == "data":
-            self.state.apply(entry.at, entry.data)
-        self.applied = entry.at
-        waited = self.waiting.pop(entry.at, None)
+        if entry.kind is EntryKind.DATA:
+            self.state_machine.apply(entry.index, entry.data)
+        self.applied = entry.index
+        waited = self.waiting.pop(entry.index, None)
         if waited is not None:
             # Another's entry may stand where ours would have stood.
             waited[1](waited[0] == entry.term)
@@ -131,14 +93,14 @@
             self._answer_reads()
 
     def restored(self, data: bytes) -> None:
-        self.state.load(data)
+        self.state_machine.restore_snapshot(data)
         self.applied = self.raft.commit
         self._fail_waiting()
 
-    def role_changed(self, role: str, leader: str) -> None:
-        if role != "leader":
+    def role_changed(self, role: Role, leader: str) -> None:
+        if role is not Role.LEADER:
             self._fail_waiting()
-        for told in self.on_role:
+        for told in self.role_listeners:
             told(role, leader)
 
     def read_is_safe(self, token: int, index: int) -> None:
@@ -170,7 +132,7 @@
 
     def leads(self) -> bool:
         """Whether no other can lead now: by the lease."""
-        return self.raft.role == "leader" and self.now() < self.raft.lease_until()
+        return self.raft.role is Role.LEADER and self.now() < self.raft.lease_until()
 
     # ---- What its driver says ----
 
@@ -184,13 +146,13 @@
         for to, message in batch.messages:
             self.send_now(to, message)
         if batch.entries:
-            self.raft.synced(batch.entries[-1].at, batch.entries[-1].term)
+            self.raft.synced(batch.entries[-1].index, batch.entries[-1].term)
 
-    def snapshot_written(self, index: int, term: int, members: Members, data: bytes) -> None:
+    def snapshot_written(self, snapshot: Snapshot) -> None:
         """A snapshot of our own is durable, and the log up to it is dropped."""
-        if index > self.raft.log.snapshot_index:
-            self.durable_snapshot = (index, term, members, data)
-            self.raft.compacted(index)
+        if snapshot.index > self.raft.log.snapshot_index:
+            self.durable_snapshot = snapshot
+            self.raft.compacted(snapshot.index)
 
     # ---- Inside ----
 
--- a/ploverspoke/consensus/server.py
+++ b/ploverspoke/consensus/server.py
@@ -1,4 +1,4 @@
-"""One replica as a process of its own, with a door for those that come to it, until it is told to end."""
+"""One replica as a process of its own, with the server for its clients, until a signal ends it."""
 
 import asyncio
 import gc
@@ -9,34 +9,48 @@
 
 from .node import ReplicaNode
 
+NANOSECONDS = 1e9  # of a second
+
 
 class ClientFacingServer(Protocol):
-    async def open(self) -> None: ...
+    """Where the clients of a replica connect."""
+
+    async def open(self) -> None:
+        """Listen. Raises OSError."""
+
+    def close(self) -> None:
+        """Stop listening and close all connections."""
 
-    def close(self) -> None: ...
 
+async def serve_replica(
+    log_prefix: str, node: ReplicaNode, client_server: ClientFacingServer, new: bool, join: str
+) -> None:
+    """Run until SIGTERM or SIGINT. `new` and `join` are those of `ReplicaNode.open`.
 
-async def serve_replica(kind: str, node: ReplicaNode, door: ClientFacingServer, new: bool, join: str) -> None:
-    """`kind` is what log lines begin with. Raises what `ReplicaNode.open` raises, and OSError."""
-    orders = node.orders
-    over = asyncio.Event()
+    Raises what `ReplicaNode.open` raises, and OSError.
+    """
+    stopped = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, over.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stopped.set)
     try:
         await node.open(new, join)
-        await door.open()
+        await client_server.open()
         gc.collect()
         gc.freeze()
-        log_line(f"{kind}: {orders.name} serves at {orders.replicas[orders.name][1]}")
-        await over.wait()
+        config = node.config
+        log_line(f"{log_prefix}: {config.name} serves at {config.replicas[config.name].client}")
+        await stopped.wait()
         if node.leads():
-            # The others need not miss it first.
-            others = [row["name"] for row in node.status()["members"] if row["votes"]]
-            for name in others:
-                if name != orders.name and node.transfer(name):
-                    await asyncio.sleep(orders.election / 1e9)
-                    break
+            await hand_over_leadership(node)
     finally:
-        door.close()
+        client_server.close()
         await node.close()
+
+
+async def hand_over_leadership(node: ReplicaNode) -> None:
+    """Make another voter the leader before this one stops, so that the others need no election time-out."""
+    for member in node.members().values():
+        if member.votes and member.name != node.config.name and node.transfer(member.name):
+            await asyncio.sleep(node.config.election_timeout / NANOSECONDS)
+            return
--- a/ploverspoke/consensus/storage.py
+++ b/ploverspoke/consensus/storage.py
@@ -1,261 +1,309 @@
-"""What one replica keeps, in SQLite: its vote, its log, a snapshot, and which store it belongs to.
+"""The durable state of one replica, in SQLite: term and vote, log, snapshot, and which cluster it belongs to.
 
-A batch is one transaction with one sync. Entries and the snapshot carry a checksum, the file a version.
-What cannot be
-written is not acknowledged: the caller gets `StorageError` and stops until `reopen` succeeds; what cannot be
-read with its checksum is `CorruptionError`, and the replica does not start on it.
+A batch is one transaction with one sync. Entries and the snapshot carry a checksum, the file a format
+version. What could not be written is not acknowledged: the caller gets `StorageError` and stops until
+`reopen` succeeds. What fails its checksum is a `CorruptionError`, and the replica does not start on it.
 """
 
 import secrets
 import sqlite3
+from collections.abc import Iterator
+from contextlib import closing, contextmanager
 from pathlib import Path
-from typing import Any
+from typing import Any, Self
 from zlib import crc32
 
 import msgspec
 
-from .log import Entry, Log
-from .membership import Members
-from .replica import WriteBatch
+from .errors import ConsensusError
+from .log import Entry, EntryKind, Log, Snapshot, with_typed_members
+from .membership import Members, members_from_plain
+from .persisted_state import PersistedState, WriteBatch
 
 FORMAT = 1
+DATABASE_FILE = "store.db"
+STORAGE_ID_BYTES = 8
+NOT_OPEN = "not open"
+
+# Keys of the table `told`.
+FORMAT_KEY = "format"
+STORAGE_ID_KEY = "disk"
+REPLICA_ID_KEY = "me"
+FINGERPRINT_KEY = "fingerprint"
+VOTE_KEY = "vote"
+FIRST_MEMBERS_KEY = "first members"
+
+# The text of these statements is stored in the file, and compared with that of older releases.
+TABLES = """
+create table if not exists told (key text primary key, value blob) without rowid;
+create table if not exists entries (at integer primary key, term integer, body blob, sum integer);
+create table if not exists snapshot (one integer primary key, at integer, term integer, members blob,
+                                     state blob, sum integer);
+"""
 
 
-class StorageError(Exception):
-    """Nothing more can be written for now: the disk is full, or failed at a sync."""
+class StorageError(ConsensusError):
+    """Nothing more can be written for now: the disk is full, a sync failed, or the file is not open."""
 
+    def __init__(self, reason: str) -> None:
+        """Keep the reason, as the operating system or SQLite gives it."""
+        super().__init__(reason)
+        self.reason = reason
 
-class CorruptionError(Exception):
-    """What is on the disk is not what was written there."""
 
+class CorruptionError(ConsensusError):
+    """The file does not hold what was written to it."""
 
-class ClusterMismatchError(Exception):
-    """The folder holds another store, another replica's, or another version's."""
+    def __init__(self, path: Path, detail: str) -> None:
+        """Keep the file, and what is wrong in it."""
+        super().__init__(f"{path}: {detail}")
+        self.path = path
+        self.detail = detail
 
 
-TABLES = """
-create table if not exists told (key text primary key, value blob) without rowid;
-create table if not exists entries (at integer primary key, term integer, body blob, sum integer);
-create table if not exists snapshot (one integer primary key, at integer, term integer, members blob,
-                                     state blob, sum integer);
-"""
+class ClusterMismatchError(ConsensusError):
+    """The folder holds the state of another cluster, another replica or another format version."""
+
+    def __init__(self, path: Path, detail: str) -> None:
+        """Keep the file, and what it is; `detail` goes on where the path ends."""
+        super().__init__(f"{path} {detail}")
+        self.path = path
+        self.detail = detail
 
 
-def restore(folder: Path, backup: Path, me: str) -> "ReplicaStorage":
-    """Put a backup, of whichever replica, in an empty folder as the disk of `me`; open, to be closed.
+def restore_from_backup(folder: Path, backup: Path, replica_id: str) -> "ReplicaStorage":
+    """Put a backup of any replica into an empty folder as the storage of `replica_id`; open, to be closed.
 
-    It is another disk than the one that was: nobody takes it for what had promised what it has forgotten.
-    Raises ClusterMismatchError where the folder is not empty, CorruptionError, or StorageError; then
-    nothing is left there.
+    It gets a storage id of its own: nobody takes it for the storage that promised what the backup lacks.
+    Raises ClusterMismatchError if the folder is not empty, CorruptionError, or StorageError; then nothing is
+    left there.
     """
-    target = folder / "store.db"
+    target = folder / DATABASE_FILE
     if target.exists():
-        raise ClusterMismatchError(f"{target} exists: it is never written over")
+        raise ClusterMismatchError(target, "exists: it is never written over")
     folder.mkdir(parents=True, exist_ok=True)
     try:
-        source, copy = sqlite3.connect(backup), sqlite3.connect(target)
-        try:
+        with closing(sqlite3.connect(backup)) as source, closing(sqlite3.connect(target)) as copy:
             source.backup(copy)
-        finally:
-            source.close()
-            copy.close()
-        disk = ReplicaStorage(folder)
-        disk.open()
-        for key, value in (("disk", secrets.token_hex(8)), ("me", me), ("vote", (disk.term + 1, ""))):
-            disk.keep(key, value)
-        return disk
-    except (CorruptionError, StorageError, ClusterMismatchError, sqlite3.Error) as error:
+        storage = ReplicaStorage(folder)
+        storage.open()
+        storage.save_value(STORAGE_ID_KEY, secrets.token_hex(STORAGE_ID_BYTES))
+        storage.save_value(REPLICA_ID_KEY, replica_id)
+        storage.save_value(VOTE_KEY, (storage.persisted.current_term + 1, ""))
+    except sqlite3.Error as error:
+        target.unlink()
+        raise CorruptionError(backup, str(error)) from error
+    except ConsensusError:
         target.unlink()
-        if isinstance(error, sqlite3.Error):
-            raise CorruptionError(f"{backup}: {error}") from None
         raise
+    return storage
 
 
 class ReplicaStorage:
-    """Used by one thread at a time."""
+    """The SQLite file of one replica. Used by one thread at a time."""
 
     def __init__(self, folder: Path) -> None:
+        """Name the folder; nothing is opened yet."""
         self.folder = folder
-        self.path = folder / "store.db"
-        self.db: sqlite3.Connection | None = None
-        self.term = 0
-        self.vote = ""
-        self.members: Members = {}
-        self.log = Log()
-        self.state = b""
-        self.disk = ""
-        self.me = ""
-        self.fingerprint = ""
-        self.encoder = msgspec.msgpack.Encoder()
-        self.most_pages = 0  # SQLite's own bound on the file; 0: the disk's
-
-    # ---- Start ----
+        self.path = folder / DATABASE_FILE
+        self.connection: sqlite3.Connection | None = None
+        self.persisted = PersistedState()  # as read by `open`
+        self.replica_id = ""  # "": the storage is empty
+        self.cluster_fingerprint = ""
+        self.max_pages = 0  # SQLite's bound on the file; 0: that of the disk
+        self._encoder = msgspec.msgpack.Encoder()
+
+    def __enter__(self) -> Self:
+        """Open the file; see `open`."""
+        self.open()
+        return self
+
+    def __exit__(self, *error: object) -> None:
+        """Close the file."""
+        self.close()
+
+    # ---- Opening ----
 
     def open(self) -> None:
-        """Raises ClusterMismatchError, CorruptionError or StorageError."""
+        """Open the file and read it. Raises ClusterMismatchError, CorruptionError or StorageError."""
         try:
             self.folder.mkdir(parents=True, exist_ok=True)
             self._connect()
             self._read()
-        except (sqlite3.DatabaseError, OSError) as error:
+        except (sqlite3.OperationalError, OSError) as error:
             self.close()
-            if isinstance(error, sqlite3.OperationalError | OSError):
-                raise StorageError(str(error)) from None
-            raise CorruptionError(f"{self.path}: {error}") from None
+            raise StorageError(str(error)) from error
+        except sqlite3.DatabaseError as error:
+            self.close()
+            raise CorruptionError(self.path, str(error)) from error
+        except (msgspec.DecodeError, ValueError) as error:
+            self.close()
+            raise CorruptionError(self.path, f"a value cannot be decoded: {error}") from error
+        except ConsensusError:
+            self.close()
+            raise
+
+    def reopen(self) -> None:
+        """Close and open again: what is in the file is what counts. Raises as `open`."""
+        self.close()
+        self.open()
+
+    def close(self) -> None:
+        """Close the file, if it is open."""
+        connection, self.connection = self.connection, None
+        if connection is not None:
+            connection.close()
+
+    def initialize(self, replica_id: str, cluster_fingerprint: str, members: Members) -> None:
+        """Set up the storage of a new replica. Raises ClusterMismatchError if it has been set up already."""
+        if self.replica_id:
+            raise ClusterMismatchError(self.path, f"is the store of {self.replica_id} already")
+        connection = self._opened()
+        connection.execute("begin immediate")
+        self._put(REPLICA_ID_KEY, replica_id)
+        self._put(FINGERPRINT_KEY, cluster_fingerprint)
+        self._put(FIRST_MEMBERS_KEY, members)
+        connection.execute("commit")
+        self._read()
 
     def _connect(self) -> None:
-        db = self.db = sqlite3.connect(self.path, isolation_level=None, check_same_thread=False)
-        db.execute("pragma journal_mode = wal")
-        db.execute("pragma synchronous = full")
-        db.execute("pragma locking_mode = exclusive")
-        if self.most_pages:
-            db.execute(f"pragma max_page_count = {self.most_pages}")
-        db.executescript(TABLES)
-        if self._get("format") is None:
-            db.execute("begin immediate")
-            self._set("format", FORMAT)
-            self._set("disk", secrets.token_hex(8))
-            db.execute("commit")
-        if self._get("format") != FORMAT:
-            raise ClusterMismatchError(
-                f"{self.path}: format {self._get('format')}, this version reads {FORMAT}"
-            )
+        connection = sqlite3.connect(self.path, isolation_level=None, check_same_thread=False)
+        self.connection = connection
+        connection.execute("pragma journal_mode = wal")
+        connection.execute("pragma synchronous = full")
+        connection.execute("pragma locking_mode = exclusive")
+        if self.max_pages:
+            connection.execute(f"pragma max_page_count = {self.max_pages}")
+        connection.executescript(TABLES)
+        if self.load_value(FORMAT_KEY) is None:
+            connection.execute("begin immediate")
+            self._put(FORMAT_KEY, FORMAT)
+            self._put(STORAGE_ID_KEY, secrets.token_hex(STORAGE_ID_BYTES))
+            connection.execute("commit")
+        found = self.load_value(FORMAT_KEY)
+        if found != FORMAT:
+            raise ClusterMismatchError(self.path, f"has format {found}, this version reads {FORMAT}")
+
+    # ---- Reading ----
 
     def _read(self) -> None:
-        assert self.db is not None
-        self.disk = self._get("disk")
-        self.me = self._get("me") or ""
-        self.fingerprint = self._get("fingerprint") or ""
-        self.term, self.vote = self._get("vote") or (0, "")
-        self.members = self._get("first members") or {}
-        self.log = Log()
-        self.state = b""
-        row = self.db.execute("select at, term, members, state, sum from snapshot").fetchone()
-        if row is not None:
-            at, term, members, state, told = row
-            if crc32(state, crc32(members)) != told:
-                raise CorruptionError(f"{self.path}: the snapshot at {at} fails its checksum")
-            self.log = Log(at, term)
-            self.members = msgspec.msgpack.decode(members)
-            self.state = state
-        wanted = self.log.snapshot_index + 1
-        for at, term, body, told in self.db.execute("select at, term, body, sum from entries order by at"):
-            if at < wanted:
+        self.replica_id = self.load_value(REPLICA_ID_KEY) or ""
+        self.cluster_fingerprint = self.load_value(FINGERPRINT_KEY) or ""
+        current_term, voted_for = self.load_value(VOTE_KEY) or (0, "")
+        snapshot = self._read_snapshot()
+        if snapshot is None:
+            first_members = members_from_plain(self.load_value(FIRST_MEMBERS_KEY) or {})
+            snapshot = Snapshot(0, 0, first_members, b"")
+        log = Log(snapshot.index, snapshot.term)
+        log.append(list(self._read_entries(snapshot.index + 1)))
+        self.persisted = PersistedState(
+            members=snapshot.members,
+            current_term=current_term,
+            voted_for=voted_for,
+            log=log,
+            snapshot_data=snapshot.data,
+            storage_id=self.load_value(STORAGE_ID_KEY),
+        )
+
+    def _read_snapshot(self) -> Snapshot | None:
+        query = "select at, term, members, state, sum from snapshot"
+        row = self._opened().execute(query).fetchone()
+        if row is None:
+            return None
+        index, term, members, data, checksum = row
+        if crc32(data, crc32(members)) != checksum:
+            raise CorruptionError(self.path, f"the snapshot at {index} fails its checksum")
+        return Snapshot(index, term, msgspec.msgpack.decode(members, type=Members), data)
+
+    def _read_entries(self, first_index: int) -> Iterator[Entry]:
+        expected = first_index
+        rows = self._opened().execute("select at, term, body, sum from entries order by at")
+        for index, term, body, checksum in rows:
+            if index < expected:
                 continue
-            if at != wanted:
-                raise CorruptionError(f"{self.path}: entry {wanted} is missing")
-            if crc32(body, at) != told:
-                raise CorruptionError(f"{self.path}: entry {at} fails its checksum")
+            if index != expected:
+                raise CorruptionError(self.path, f"entry {expected} is missing")
+            if crc32(body, index) != checksum:
+                raise CorruptionError(self.path, f"entry {index} fails its checksum")
             kind, data = msgspec.msgpack.decode(body)
-            self.log.append([Entry(at, term, kind, data)])
-            wanted += 1
-
-    def begin(self, me: str, fingerprint: str, members: Members) -> None:
-        """The first start of a store. Raises ClusterMismatchError where there is one already."""
-        if self.me:
-            raise ClusterMismatchError(f"{self.path} is the store of {self.me} already")
-        assert self.db is not None
-        self.db.execute("begin immediate")
-        for key, value in (("me", me), ("fingerprint", fingerprint), ("first members", members)):
-            self._set(key, value)
-        self.db.execute("commit")
-        self._read()
+            yield with_typed_members(Entry(index, term, EntryKind(kind), data))
+            expected += 1
+
+    def load_value(self, key: str) -> Any:
+        """Return a value saved with `save_value`, as plain values; None if there is none."""
+        row = self._opened().execute("select value from told where key = ?", (key,)).fetchone()
+        return None if row is None else msgspec.msgpack.decode(row[0])
 
-    # ---- Writes ----
+    def size_bytes(self) -> int:
+        """Return the size of the file and its journal."""
+        return sum(path.stat().st_size for path in self.folder.glob(f"{DATABASE_FILE}*"))
+
+    def backup(self, target: Path) -> None:
+        """Copy the whole as it is now, while it is in use. Raises sqlite3.Error."""
+        with closing(sqlite3.connect(target)) as copy:
+            self._opened().backup(copy)
+
+    # ---- Writing ----
 
     def write(self, batch: WriteBatch) -> None:
-        """All of it or nothing, durable when this returns. Raises StorageError."""
-        if self.db is None:
-            raise StorageError("not open")
-        try:
-            self.db.execute("begin immediate")
+        """Write all of a batch or nothing; it is durable when this returns. Raises StorageError."""
+        with self._transaction() as connection:
             if batch.vote is not None:
-                self._set("vote", batch.vote)
+                self._put(VOTE_KEY, batch.vote)
             if batch.snapshot is not None:
-                self.db.execute("delete from entries")
-                self._put_snapshot(*batch.snapshot)
-            if batch.cut_from:
-                self.db.execute("delete from entries where at >= ?", (batch.cut_from,))
-            self.db.executemany("insert into entries values (?, ?, ?, ?)", map(self._row, batch.entries))
-            self.db.execute("commit")
-        except (sqlite3.Error, OSError) as error:
-            self._undo()
-            raise StorageError(str(error)) from None
-
-    def keep_snapshot(self, at: int, term: int, members: Members, state: bytes) -> None:
-        """A snapshot of our own state: the entries up to it go. Raises StorageError."""
-        if self.db is None:
-            raise StorageError("not open")
+                connection.execute("delete from entries")
+                self._put_snapshot(batch.snapshot)
+            if batch.truncate_from:
+                connection.execute("delete from entries where at >= ?", (batch.truncate_from,))
+            connection.executemany("insert into entries values (?, ?, ?, ?)", map(self._row, batch.entries))
+
+    def save_snapshot(self, snapshot: Snapshot) -> None:
+        """Write a snapshot of the replica's own state; the entries up to it go. Raises StorageError."""
+        with self._transaction() as connection:
+            self._put_snapshot(snapshot)
+            connection.execute("delete from entries where at <= ?", (snapshot.index,))
+
+    def save_value(self, key: str, value: object) -> None:
+        """Write a value of this replica alone, beside the log. Raises StorageError."""
+        with self._transaction():
+            self._put(key, value)
+
+    @contextmanager
+    def _transaction(self) -> Iterator[sqlite3.Connection]:
+        """One transaction, rolled back when something fails. Raises StorageError."""
         try:
-            self.db.execute("begin immediate")
-            self._put_snapshot(at, term, members, state)
-            self.db.execute("delete from entries where at <= ?", (at,))
-            self.db.execute("commit")
+            connection = self._opened()
+            connection.execute("begin immediate")
+            yield connection
+            connection.execute("commit")
         except (sqlite3.Error, OSError) as error:
-            self._undo()
-            raise StorageError(str(error)) from None
+            self._roll_back()
+            raise StorageError(str(error)) from error
 
-    def keep(self, key: str, value: Any) -> None:
-        """Something of this replica's own. Raises StorageError."""
-        if self.db is None:
-            raise StorageError("not open")
+    def _roll_back(self) -> None:
+        if self.connection is None or not self.connection.in_transaction:
+            return
         try:
-            self._set(key, value)
-        except (sqlite3.Error, OSError) as error:
-            self._undo()
-            raise StorageError(str(error)) from None
-
-    def kept(self, key: str) -> Any:
-        """None where nothing was kept."""
-        return self._get(key)
-
-    def reopen(self) -> None:
-        """After trouble: what is on the disk is what counts."""
-        self.close()
-        self.open()
-
-    def close(self) -> None:
-        db, self.db = self.db, None
-        if db is not None:
-            db.close()
-
-    def size(self) -> int:
-        """Bytes of the file and its journal."""
-        return sum(path.stat().st_size for path in self.folder.glob("store.db*"))
-
-    def backup(self, to: Path) -> None:
-        """A copy of the whole as it is now, made while it is in use."""
-        assert self.db is not None
-        copy = sqlite3.connect(to)
-        try:
-            self.db.backup(copy)
-        finally:
-            copy.close()
+            self.connection.execute("rollback")
+        except sqlite3.Error:
+            # The state of the connection is not known any more; `reopen` finds out what is in the file.
+            self.close()
 
-    # ---- Inside ----
+    def _opened(self) -> sqlite3.Connection:
+        if self.connection is None:
+            raise StorageError(NOT_OPEN)
+        return self.connection
 
-    def _put_snapshot(self, at: int, term: int, members: Members, state: bytes) -> None:
-        assert self.db is not None
-        told = self.encoder.encode(members)
-        values = (at, term, told, state, crc32(state, crc32(told)))
-        self.db.execute("insert or replace into snapshot values (1, ?, ?, ?, ?, ?)", values)
+    def _put_snapshot(self, snapshot: Snapshot) -> None:
+        members = self._encoder.encode(snapshot.members)
+        checksum = crc32(snapshot.data, crc32(members))
+        row = (snapshot.index, snapshot.term, members, snapshot.data, checksum)
+        self._opened().execute("insert or replace into snapshot values (1, ?, ?, ?, ?, ?)", row)
 
     def _row(self, entry: Entry) -> tuple[int, int, bytes, int]:
-        body = self.encoder.encode((entry.kind, entry.data))
-        return entry.at, entry.term, body, crc32(body, entry.at)
-
-    def _get(self, key: str) -> Any:
-        assert self.db is not None
-        row = self.db.execute("select value from told where key = ?", (key,)).fetchone()
-        return None if row is None else msgspec.msgpack.decode(row[0])
-
-    def _set(self, key: str, value: object) -> None:
-        assert self.db is not None
-        self.db.execute("insert or replace into told values (?, ?)", (key, self.encoder.encode(value)))
+        body = self._encoder.encode((entry.kind, entry.data))
+        return entry.index, entry.term, body, crc32(body, entry.index)
 
-    def _undo(self) -> None:
-        if self.db is not None and self.db.in_transaction:
-            try:
-                self.db.execute("rollback")
-            except sqlite3.Error:
-                self.close()
+    def _put(self, key: str, value: object) -> None:
+        row = (key, self._encoder.encode(value))
+        self._opened().execute("insert or replace into told values (?, ?)", row)
--- a/ploverspoke/leases/commands.py
+++ b/ploverspoke/leases/commands.py
@@ -451,7 +451,7 @@
         raise click.UsageError(str(error)) from None
     question = {"ask": "backup", "path": str(path.absolute())}
     exit_with_result(
-        call_replica(orders.name, orders.replicas[orders.name][0], orders.secret, question), as_json
+        call_replica(orders.name, orders.replicas[orders.name].peer, orders.secret, question), as_json
     )
 
 
@@ -470,7 +470,7 @@
         raise click.UsageError(str(error)) from None
     disk = restore_backup(orders, path)
     # Above every era that was begun before, as long as clocks do not go back between two restores.
-    era = max((disk.kept(EPOCH_KEY) or 0) + 1, int(time.time()))
-    disk.keep(EPOCH_KEY, era)
+    era = max((disk.load_value(EPOCH_KEY) or 0) + 1, int(time.time()))
+    disk.save_value(EPOCH_KEY, era)
     disk.close()
     click.echo(f"restored {disk.path}, era {era}")
--- a/ploverspoke/leases/config.py
+++ b/ploverspoke/leases/config.py
@@ -31,7 +31,7 @@
     """Raises ConfigError, naming the key."""
     top = read_json_file(path)
     replica = parse_replica_config(top, path)
-    return LeaseServerConfig(replica, read_definitions(top, replica.election))
+    return LeaseServerConfig(replica, read_definitions(top, replica.election_timeout))
 
 
 def read_lease_servers(path: Path) -> LeaseServers:
--- a/ploverspoke/leases/server.py
+++ b/ploverspoke/leases/server.py
@@ -17,7 +17,7 @@
 class HolderConnection(asyncio.Protocol):
     def __init__(self, door: "LeaseServer") -> None:
         self.door = door
-        self.frames = FrameCodec(door.node.orders.secret, {"id": door.node.me, "store": ""})
+        self.frames = FrameCodec(door.node.config.secret, {"id": door.node.replica_id, "store": ""})
         self.transport: asyncio.Transport | None = None
         self.holder = ""
 
@@ -104,7 +104,7 @@
         self.refused = 0
 
     async def open(self) -> None:
-        host, _, port = self.node.orders.replicas[self.node.orders.name][1].rpartition(":")
+        host, _, port = self.node.config.replicas[self.node.config.name].client.rpartition(":")
         self.server = await asyncio.get_running_loop().create_server(
             lambda: HolderConnection(self), host.strip("[]"), int(port), backlog=BACKLOG
         )
@@ -123,7 +123,7 @@
 
     def came(self, connection: HolderConnection, message: Message) -> None:
         if not self.node.keeper.leading:
-            connection.write({"elsewhere": self.node.leader_clients()})
+            connection.write({"elsewhere": self.node.leader_client_address()})
         elif self.connections.get(connection.holder) is connection:
             self.node.keeper.asked(connection.holder, message)
 
--- a/ploverspoke/leases/server_node.py
+++ b/ploverspoke/leases/server_node.py
@@ -5,6 +5,7 @@
 from typing import Any
 
 from ploverspoke.consensus.node import ReplicaNode, Reply
+from ploverspoke.consensus.raft import Role
 from ploverspoke.transport.rate_limited_log import log_line
 
 from .config import LeaseServerConfig
@@ -40,25 +41,25 @@
 
     # ---- Who leads ----
 
-    def _role_changed(self, role: str, leader: str) -> None:
+    def on_role_changed(self, role: Role, leader: str) -> None:
         # At once, not behind what the loop has to do: a keeper that applied another leader's entries while it
         # still believed to lead would tell a grant of long ago as a new one.
         if role == "leader":
             self.loop.call_soon(self.read, self._took_over)
         elif self.keeper.leading:
             self.keeper.leads_no_more()
-            log_line(f"keeper: {self.orders.name} leads no more")
-        super()._role_changed(role, leader)
+            log_line(f"keeper: {self.config.name} leads no more")
+        super().on_role_changed(role, leader)
 
     def _took_over(self, yes: bool) -> None:
         """All that was committed before is applied here."""
-        if not yes or self.replica is None or self.replica.raft.role != "leader" or self.keeper.leading:
+        if not yes or not self.is_elected() or self.keeper.leading:
             return
-        era = self.disk.kept(EPOCH_KEY) or 0
+        era = self.storage.load_value(EPOCH_KEY) or 0
         self.keeper.leads(era)
         held = sum(len(row) for row in self.terms.names.values())
         log_line(
-            f"keeper: {self.orders.name} leads; {held} leases are held"
+            f"keeper: {self.config.name} leads; {held} leases are held"
             + " (restored)" * self.keeper.is_restored()
         )
         if not self.ticking:
@@ -73,7 +74,7 @@
 
     # ---- What tools ask ----
 
-    def status_of_state(self) -> dict[str, Any]:
+    def state_status(self) -> dict[str, Any]:
         keeper = self.keeper
         return {
             "leading": keeper.leading,
@@ -85,9 +86,9 @@
             "renewed": keeper.renewed,
         }
 
-    def asked_of_state(self, question: dict[str, Any], reply: Reply) -> bool:
+    def handle_state_request(self, request: dict[str, Any], reply: Reply) -> bool:
         """`leases`: what is held and waited for, as the leader knows it; a follower says that it is none."""
-        if question.get("ask") != "leases":
+        if request.get("ask") != "leases":
             return False
 
         def confirmed(yes: bool) -> None:
--- a/ploverspoke/leases/state_machine.py
+++ b/ploverspoke/leases/state_machine.py
@@ -60,10 +60,10 @@
             for name, held in list(self.names.items()):
                 self._over(name, {one.token for one in held})
 
-    def dump(self) -> bytes:
+    def take_snapshot(self) -> bytes:
         return msgspec.msgpack.encode(LeaseSnapshot(FORMAT, self.last, self.era, self.names))
 
-    def load(self, data: bytes) -> None:
+    def restore_snapshot(self, data: bytes) -> None:
         dump = msgspec.msgpack.decode(data, type=LeaseSnapshot) if data else LeaseSnapshot(FORMAT, 0, 0, {})
         self.last, self.era, self.names = dump.last, dump.era, dump.names
 
--- a/ploverspoke/store/commands.py
+++ b/ploverspoke/store/commands.py
@@ -33,7 +33,7 @@
 
 
 def _ask(orders: ReplicaConfig, name: str, question: dict[str, Any]) -> Any:
-    return call_replica(name, orders.replicas[name][0], orders.secret, question)
+    return call_replica(name, orders.replicas[name].peer, orders.secret, question)
 
 
 def _leader(orders: ReplicaConfig) -> str:
@@ -173,18 +173,18 @@
     except (CorruptionError, StorageError, ClusterMismatchError) as error:
         raise click.ClickException(str(error)) from None
     ledger = RequestStateMachine()
-    ledger.load(disk.state)
-    for entry in disk.log.entries:
+    ledger.restore_snapshot(disk.persisted.snapshot_data)
+    for entry in disk.persisted.log.entries:
         if entry.kind == "data":
-            ledger.apply(entry.at, entry.data)
+            ledger.apply(entry.index, entry.data)
     told = {
-        "replica": disk.me,
-        "store": disk.fingerprint,
-        "term": disk.term,
-        "vote": disk.vote,
-        "snapshot": disk.log.snapshot_index,
-        "last": disk.log.last_index(),
-        "bytes": disk.size(),
+        "replica": disk.replica_id,
+        "store": disk.cluster_fingerprint,
+        "term": disk.persisted.current_term,
+        "vote": disk.persisted.voted_for,
+        "snapshot": disk.persisted.log.snapshot_index,
+        "last": disk.persisted.log.last_index(),
+        "bytes": disk.size_bytes(),
         "open": len(ledger.open),
         "answered": len(ledger.answered),
         "configurations": [c.version for c in ledger.configurations],
--- a/ploverspoke/store/daemon.py
+++ b/ploverspoke/store/daemon.py
@@ -32,7 +32,7 @@
 
 def merge_config(told: Any, shared: str, orders: ReplicaConfig, roster: Any) -> Config:
     """One replica's file, what the store shares, and the roster as last known. Raises ConfigError."""
-    listen = orders.replicas[orders.name][1]
+    listen = orders.replicas[orders.name].client
     address(ConfigSection({"clients": listen}, f"replicas.{orders.name}"), "clients", None)
     whole = dict(ConfigSection(told).value)
     if shared:
@@ -52,7 +52,7 @@
         read_config_document(os.environ)  # a bad file is told before anything is opened
         try:
             await self.node.open(new, join)
-            kept = self.node.disk.kept(CONFIGURATION)
+            kept = self.node.storage.load_value(CONFIGURATION)
             self.shared = kept[1] if kept is not None else ""
             briefing = self.read()
             orders = briefing.orders
@@ -62,7 +62,7 @@
             self.service = Service(asyncio.get_running_loop(), briefing, scribe)
             self.service.read = self.read
             self.service.router.on_roster = EndpointCache(
-                partial(self.node.keep, ROSTER), briefing.known
+                partial(self.node.save_value, ROSTER), briefing.known
             ).told
             scribe.on_lost = self.service.router.lead_no_more
             self.node.on_configuration = self._configured
@@ -74,7 +74,7 @@
 
     def read(self) -> Config:
         return merge_config(
-            read_config_document(os.environ), self.shared, self.orders, self.node.disk.kept(ROSTER)
+            read_config_document(os.environ), self.shared, self.orders, self.node.storage.load_value(ROSTER)
         )
 
     def _configured(self, configuration: Configuration) -> None:
--- a/ploverspoke/store/node.py
+++ b/ploverspoke/store/node.py
@@ -14,32 +14,32 @@
 
 
 class StoreNode(ReplicaNode):
-    def __init__(self, orders: ReplicaConfig, disk: ReplicaStorage | None = None) -> None:
+    def __init__(self, config: ReplicaConfig, storage: ReplicaStorage | None = None) -> None:
         self.ledger = RequestStateMachine()
-        super().__init__(orders, self.ledger, disk)
-        self.ledger.on_time = self.clock.seen
+        super().__init__(config, self.ledger, storage)
+        self.ledger.on_time = self.clock.advance_to
         self.on_configuration: Callable[[Configuration], None] | None = None
         self.configuration_known = 0  # the version that is kept on the disk
 
-    def opened(self) -> None:
-        kept = self.disk.kept(CONFIGURATION)
+    def on_storage_opened(self) -> None:
+        kept = self.storage.load_value(CONFIGURATION)
         self.configuration_known = kept[0] if kept is not None else 0
         self.ledger.on_configuration = self._configured
 
-    def status_of_state(self) -> dict[str, Any]:
+    def state_status(self) -> dict[str, Any]:
         return {
             "open": len(self.ledger.open),
             "answered": len(self.ledger.answered),
             "configuration": getattr(self.ledger.configuration(), "version", 0),
         }
 
-    def asked_of_state(self, question: dict[str, Any], reply: Reply) -> bool:
-        verb = question.get("ask")
+    def handle_state_request(self, request: dict[str, Any], reply: Reply) -> bool:
+        verb = request.get("ask")
         if verb == "configure":
-            token = question.get("token", 0)
+            token = request.get("token", 0)
             if not isinstance(token, int):
                 return False
-            command = [CONFIGURE, str(question["body"]), str(question["by"]), time.time_ns(), token]
+            command = [CONFIGURE, str(request["body"]), str(request["by"]), time.time_ns(), token]
             self.propose(command, lambda yes: reply(self._configured_or_not(yes, token)))
         elif verb == "configurations":
             reply([[c.version, c.by, c.at, c.body] for c in self.ledger.configurations])
@@ -57,6 +57,6 @@
         if configuration.version <= self.configuration_known:
             return
         self.configuration_known = configuration.version
-        self.keep(CONFIGURATION, [configuration.version, configuration.body])
+        self.save_value(CONFIGURATION, [configuration.version, configuration.body])
         if self.on_configuration is not None:
             self.loop.call_soon(self.on_configuration, configuration)
--- a/ploverspoke/store/request_log.py
+++ b/ploverspoke/store/request_log.py
@@ -29,14 +29,14 @@
         self.on_lost: Callable[[], None] = lambda: None
         self.led = False
         self.recovered = 0
-        node.on_role.append(self._role_changed)
+        node.role_listeners.append(self._role_changed)
 
     def leads(self) -> bool:
         return self.led and self.node.leads()
 
     def leader_address(self) -> str:
-        own = self.node.orders.replicas[self.node.orders.name][1]
-        found = self.node.leader_clients()
+        own = self.node.config.replicas[self.node.config.name].client
+        found = self.node.leader_client_address()
         return "" if found == own else found
 
     def digest(self, method: str, target: str, body: bytes) -> bytes:
@@ -88,7 +88,7 @@
             self.node.read(self._took_over)
         elif self.led:
             self.led = False
-            log_line(f"store: {self.node.orders.name} leads no more")
+            log_line(f"store: {self.node.config.name} leads no more")
             self.on_lost()
 
     def _took_over(self, yes: bool) -> None:
@@ -97,7 +97,7 @@
             return
         self.led = True
         left = list(self.node.ledger.open.items())
-        log_line(f"store: {self.node.orders.name} leads; {len(left)} submissions were open")
+        log_line(f"store: {self.node.config.name} leads; {len(left)} submissions were open")
         for name, job in left:
             self.recovered += 1
             if fate(job, self.repeats[job.grade], self.full_may_have_run).fate is Fate.LOST:
--- a/ploverspoke/store/state_machine.py
+++ b/ploverspoke/store/state_machine.py
@@ -99,14 +99,14 @@
         # A verb that a later version knows changes nothing here; the format of the store says when that
         # matters.
 
-    def dump(self) -> bytes:
+    def take_snapshot(self) -> bytes:
         return msgspec.msgpack.encode(
             RequestSnapshot(
                 FORMAT, self.open, dict(self.answered), self.configurations, self.now, self.configured_under
             )
         )
 
-    def load(self, data: bytes) -> None:
+    def restore_snapshot(self, data: bytes) -> None:
         dump: RequestSnapshot = (
             msgspec.msgpack.decode(data, type=RequestSnapshot)
             if data
--- a/ploverspoke/testbed/capacity/kept.py
+++ b/ploverspoke/testbed/capacity/kept.py
@@ -10,6 +10,7 @@
 
 import msgspec
 
+from ploverspoke.consensus.log import Snapshot
 from ploverspoke.consensus.storage import ReplicaStorage
 from ploverspoke.store.state_machine import ANSWER, INTEND, OUTCOME, TAKE, RequestStateMachine
 
@@ -38,20 +39,20 @@
     count, folder = int(sys.argv[1]), Path(sys.argv[2])
     disk, ledger = ReplicaStorage(folder), RequestStateMachine()
     disk.open()
-    disk.begin("r0.1", "slopes", {})
+    disk.initialize("r0.1", "slopes", {})
     before = used(os.getpid()).memory
     at = fill(ledger, count)
     memory = used(os.getpid()).memory - before
     kept = len(ledger.answered)
     began = time.perf_counter()
-    disk.keep_snapshot(at, 1, {}, ledger.dump())
+    disk.save_snapshot(Snapshot(at, 1, {}, ledger.take_snapshot()))
     written = time.perf_counter() - began
-    size = disk.size()
+    size = disk.size_bytes()
     disk.close()
     began = time.perf_counter()
     again, loaded = ReplicaStorage(folder), RequestStateMachine()
     again.open()
-    loaded.load(again.state)
+    loaded.restore_snapshot(again.persisted.snapshot_data)
     read = time.perf_counter() - began
     again.close()
     if len(loaded.answered) != kept:
--- a/ploverspoke/testbed/store_bench.py
+++ b/ploverspoke/testbed/store_bench.py
@@ -19,8 +19,8 @@
 from rich.table import Table
 
 from ploverspoke.consensus.framing import FrameError
-from ploverspoke.consensus.log import Entry
-from ploverspoke.consensus.replica import WriteBatch
+from ploverspoke.consensus.log import Entry, EntryKind, Snapshot
+from ploverspoke.consensus.persisted_state import WriteBatch
 from ploverspoke.consensus.replica_client import send_admin_request
 from ploverspoke.consensus.storage import ReplicaStorage
 from ploverspoke.store.state_machine import ANSWER, INTEND, OUTCOME, TAKE, RequestStateMachine
@@ -243,7 +243,7 @@
     with tempfile.TemporaryDirectory(prefix="ploverspoke-store-bench-") as folder:
         disk, ledger = ReplicaStorage(Path(folder)), RequestStateMachine()
         disk.open()
-        disk.begin("r0.1", "bench", {})
+        disk.initialize("r0.1", "bench", {})
         at = since = largest = 0
         for first in range(0, submissions, 250):
             batch = WriteBatch()
@@ -256,14 +256,14 @@
                     [ANSWER, name, "satisfied", "x" * 64, b"0" * 16, now],
                 ):
                     at += 1
-                    batch.entries.append(Entry(at, 1, "data", command))
+                    batch.entries.append(Entry(at, 1, EntryKind.DATA, command))
                     ledger.apply(at, command)
             disk.write(batch)
             if at - since >= 20_000:
                 since = at
-                disk.keep_snapshot(at, 1, {}, ledger.dump())
-                largest = max(largest, disk.size())
-        size = disk.size()
+                disk.save_snapshot(Snapshot(at, 1, {}, ledger.take_snapshot()))
+                largest = max(largest, disk.size_bytes())
+        size = disk.size_bytes()
         disk.close()
     return {"submissions": float(submissions), "bytes": float(size), "largest": float(max(largest, size))}
 
@@ -272,16 +272,16 @@
     with tempfile.TemporaryDirectory(prefix="ploverspoke-store-bench-") as folder:
         disk, ledger = ReplicaStorage(Path(folder)), RequestStateMachine()
         disk.open()
-        disk.begin("r0.1", "bench", {})
+        disk.initialize("r0.1", "bench", {})
         for n in range(count):
             ledger.apply(n, [TAKE, f"{n:016x}", 1, b"0" * 16, 1 << 62, n])
             ledger.apply(n, [INTEND, f"{n:016x}", "w1", 0, n])
-        disk.keep_snapshot(2 * count, 1, {}, ledger.dump())
+        disk.save_snapshot(Snapshot(2 * count, 1, {}, ledger.take_snapshot()))
         disk.close()
         began = time.perf_counter()
         again, loaded = ReplicaStorage(Path(folder)), RequestStateMachine()
         again.open()
-        loaded.load(again.state)
+        loaded.restore_snapshot(again.persisted.snapshot_data)
         took = time.perf_counter() - began
         again.close()
         assert len(loaded.open) == count
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -10,6 +10,7 @@
 from typing import Any
 from unittest import mock
 
+import msgspec
 import pytest
 
 from ploverspoke.config_distribution.client import read_cache, write_cache
@@ -29,11 +30,11 @@
 )
 from ploverspoke.config_distribution.watcher import AppliedVersion
 from ploverspoke.consensus.cluster_config import read_replica_config
-from ploverspoke.consensus.log import Entry
-from ploverspoke.consensus.membership import fingerprint
+from ploverspoke.consensus.log import Entry, EntryKind, Snapshot
+from ploverspoke.consensus.membership import Member, Members, fingerprint
 from ploverspoke.consensus.peer_links import PeerLinks
-from ploverspoke.consensus.replica import WriteBatch
-from ploverspoke.consensus.storage import ReplicaStorage, restore
+from ploverspoke.consensus.persisted_state import WriteBatch
+from ploverspoke.consensus.storage import ReplicaStorage, restore_from_backup
 from ploverspoke.leases.config import read_lease_server_config, read_lease_servers
 from ploverspoke.leases.server_node import EPOCH_KEY
 from ploverspoke.leases.state_machine import LeaseStateMachine
@@ -74,29 +75,31 @@
 
 def load_state(name: str, snapshot: bytes) -> Any:
     state = STATES[name]()
-    state.load(snapshot)
+    state.restore_snapshot(snapshot)
     return state
 
 
 def write_storage(folder: Path, told: dict[str, Any], snapshot: bytes) -> None:
     """The same steps as those that made the data."""
-    disk = open_storage(folder)
-    disk.keep("disk", told["disk"])
-    disk.begin(told["me"], told["fingerprint"], told["members"])
+    disk, members = open_storage(folder), msgspec.convert(told["members"], Members)
+    disk.save_value("disk", told["disk"])
+    disk.initialize(told["me"], told["fingerprint"], members)
     batch = WriteBatch()
     batch.vote = (told["vote"][0], told["vote"][1])
-    batch.entries = [Entry(at, term, kind, decoded(data)) for at, term, kind, data in told["entries"]]
+    batch.entries = [
+        Entry(at, term, EntryKind(kind), decoded(data)) for at, term, kind, data in told["entries"]
+    ]
     disk.write(batch)
-    disk.keep_snapshot(told["snapshot_at"], told["snapshot_term"], told["members"], snapshot)
+    disk.save_snapshot(Snapshot(told["snapshot_at"], told["snapshot_term"], members, snapshot))
     for key, value in told["kept"].items():
-        disk.keep(key, decoded(value))
+        disk.save_value(key, decoded(value))
     disk.close()
 
 
 def proposed_by_router() -> list[str]:
     """The commands of one submission, as a leading replica proposes them."""
     proposed: list[str] = []
-    node: Any = SimpleNamespace(clock=SimpleNamespace(now=lambda: 5 * SECOND), on_role=[])
+    node: Any = SimpleNamespace(clock=SimpleNamespace(now=lambda: 5 * SECOND), role_listeners=[])
     node.propose = lambda command, then: proposed.append(encoded(command))
     scribe = ReplicatedRequestLog(node, [], [])
     digest = scribe.digest("POST", "/book/1", b"{}")
@@ -124,13 +127,19 @@
 def test_a_store_is_read_with_all_its_values(name: str, tmp_path: Path) -> None:
     told = read_json(f"{name}/written.json")
     disk = open_storage(copy_of(name, tmp_path))
-    assert (disk.me, disk.disk, disk.fingerprint) == (told["me"], told["disk"], told["fingerprint"])
-    assert [disk.term, disk.vote] == told["vote"] and disk.members == told["members"]
-    assert (disk.log.snapshot_index, disk.log.snapshot_term) == (told["snapshot_at"], told["snapshot_term"])
-    entries = [[one.at, one.term, one.kind, encoded(one.data)] for one in disk.log.entries]
+    assert (disk.replica_id, disk.cluster_fingerprint) == (told["me"], told["fingerprint"])
+    persisted = disk.persisted
+    assert persisted.storage_id == told["disk"]
+    assert [persisted.current_term, persisted.voted_for] == told["vote"]
+    assert encoded(persisted.members) == encoded(told["members"])
+    assert (persisted.log.snapshot_index, persisted.log.snapshot_term) == (
+        told["snapshot_at"],
+        told["snapshot_term"],
+    )
+    entries = [[one.index, one.term, one.kind, encoded(one.data)] for one in persisted.log.entries]
     assert entries == told["entries"][told["snapshot_at"] :]
-    assert disk.state == (DATA / name / "snapshot.bin").read_bytes()
-    assert told["kept"] and {key: encoded(disk.kept(key)) for key in told["kept"]} == told["kept"]
+    assert disk.persisted.snapshot_data == (DATA / name / "snapshot.bin").read_bytes()
+    assert told["kept"] and {key: encoded(disk.load_value(key)) for key in told["kept"]} == told["kept"]
     disk.close()
 
 
@@ -153,17 +162,17 @@
 
 @every_store
 def test_a_store_is_restored_as_a_backup(name: str, tmp_path: Path) -> None:
-    disk = restore(tmp_path / "new", DATA / name / "store.db", "r3.1")
+    disk = restore_from_backup(tmp_path / "new", DATA / name / "store.db", "r3.1")
     term = read_json(f"{name}/written.json")["vote"][0]
-    assert disk.kept("me") == "r3.1" and disk.kept("vote") == [term + 1, ""]
-    assert disk.state == (DATA / name / "snapshot.bin").read_bytes()
+    assert disk.load_value("me") == "r3.1" and disk.load_value("vote") == [term + 1, ""]
+    assert disk.persisted.snapshot_data == (DATA / name / "snapshot.bin").read_bytes()
     disk.close()
 
 
 @every_store
 def test_the_fingerprint_of_the_first_members_is_the_same(name: str) -> None:
     told = read_json(f"{name}/written.json")
-    assert fingerprint(told["cluster"], told["members"]) == told["fingerprint"]
+    assert fingerprint(told["cluster"], msgspec.convert(told["members"], Members)) == told["fingerprint"]
 
 
 def test_the_keys_of_kept_values_are_the_same() -> None:
@@ -195,7 +204,7 @@
 @pytest.mark.parametrize("file", ["snapshot.bin", "state.bin"])
 def test_a_snapshot_is_loaded_and_taken_again(name: str, file: str) -> None:
     snapshot = (DATA / name / file).read_bytes()
-    assert load_state(name, snapshot).dump() == snapshot
+    assert load_state(name, snapshot).take_snapshot() == snapshot
 
 
 @every_store
@@ -205,18 +214,18 @@
         if kind == "data":
             state.apply(at, decoded(data))
         if at == told["snapshot_at"]:
-            assert state.dump() == (DATA / name / "snapshot.bin").read_bytes()
-    assert state.dump() == (DATA / name / "state.bin").read_bytes()
+            assert state.take_snapshot() == (DATA / name / "snapshot.bin").read_bytes()
+    assert state.take_snapshot() == (DATA / name / "state.bin").read_bytes()
 
 
 @every_store
 def test_a_store_is_replayed_to_the_same_state(name: str, tmp_path: Path) -> None:
     disk = open_storage(copy_of(name, tmp_path))
-    state = load_state(name, disk.state)
-    for entry in disk.log.entries:
+    state = load_state(name, disk.persisted.snapshot_data)
+    for entry in disk.persisted.log.entries:
         if entry.kind == "data":
-            state.apply(entry.at, entry.data)
-    assert state.dump() == (DATA / name / "state.bin").read_bytes()
+            state.apply(entry.index, entry.data)
+    assert state.take_snapshot() == (DATA / name / "state.bin").read_bytes()
     disk.close()
 
 
@@ -303,8 +312,8 @@
     orders = read_replica_config(DATA / "files" / "store.json")
     assert (orders.cluster, orders.name, orders.folder) == ("fleet", "r1", DATA / "files" / "r1-store")
     assert (orders.secret, orders.replicas) == (SECRET, REPLICAS)
-    assert (orders.election, orders.snapshot_every) == (400_000_000, 500)
-    assert orders.members() == {"r1.1": ["r1", *REPLICAS["r1"], True]}
+    assert (orders.election_timeout, orders.snapshot_every) == (400_000_000, 500)
+    assert orders.members() == {"r1.1": Member("r1", *REPLICAS["r1"], votes=True)}
 
 
 def test_a_lease_server_s_file_has_its_values() -> None:
--- a/tests/compatibility/test_wire_bytes.py
+++ b/tests/compatibility/test_wire_bytes.py
@@ -11,6 +11,7 @@
 from typing import Any
 from unittest import mock
 
+import msgspec
 import pytest
 from click.testing import CliRunner
 
@@ -26,6 +27,8 @@
 from ploverspoke.consensus import raft
 from ploverspoke.consensus.cluster_config import read_replica_config
 from ploverspoke.consensus.framing import FrameCodec, FrameError
+from ploverspoke.consensus.log import Snapshot
+from ploverspoke.consensus.membership import Members
 from ploverspoke.consensus.peer_links import ADMIN_CLIENT_ID, PeerLinks
 from ploverspoke.leases.client import LeaseServerConnection
 from ploverspoke.leases.config import read_lease_server_config
@@ -74,10 +77,10 @@
     host.now = lambda: run.now
     host.send = host.send_now = lambda to, message: run.emit("send", to, message)
     host.snapshot = lambda: None
-    one = raft.Raft(host, who, MEMBERS, lambda: 0.5, disk=f"disk of {who}")
+    one = raft.Raft(host, who, msgspec.convert(MEMBERS, Members), lambda: 0.5, disk=f"disk of {who}")
 
     def compact(index: int, term: int, data: str) -> None:
-        found = (index, term, one.members_at(index), bytes.fromhex(data))
+        found = Snapshot(index, term, one.members_at(index), bytes.fromhex(data))
         host.snapshot = lambda: found
         one.compacted(index)
 
@@ -87,7 +90,7 @@
         "propose": lambda rows: one.propose([decoded(row) for row in rows]),
         "synced": one.synced,
         "compact": compact,
-        "change_members": one.change_members,
+        "change_members": lambda members: one.change_members(msgspec.convert(members, Members)),
         "transfer": one.transfer,
     }
 
@@ -204,9 +207,9 @@
 
 def server_node() -> Any:
     """A server that does not lead, and has no room for watchers."""
-    node: Any = SimpleNamespace(orders=SimpleNamespace(secret=SECRET, cluster=CLUSTER), me="r1.1")
+    node: Any = SimpleNamespace(config=SimpleNamespace(secret=SECRET, cluster=CLUSTER), replica_id="r1.1")
     node.keeper = SimpleNamespace(leading=False)
-    node.leader_clients = lambda: "10.0.0.2:8081"
+    node.leader_client_address = lambda: "10.0.0.2:8081"
     node.feed = SimpleNamespace(
         has_room_for=lambda name: False, beat=lambda: {"k": "beat", "n": 2, "l": True}
     )
@@ -341,7 +344,7 @@
     with mock.patch.object(PeerLinks, "open", mock.AsyncMock()):
         await node.open(new=True)
     for question in questions:
-        node.links.asked(question, replies.append)
+        node.peer_links.on_admin_request(question, replies.append)
     await node.close()
     return replies
 
@@ -371,7 +374,7 @@
     replies = []
     for question in questions:
         reply = loop.create_future()
-        node.links.asked(question, reply.set_result)
+        node.peer_links.on_admin_request(question, reply.set_result)
         replies.append(await reply)
     await node.close()
     return replies
--- a/tests/config_distribution/test_parts.py
+++ b/tests/config_distribution/test_parts.py
@@ -151,7 +151,7 @@
     state.apply(0, b"\x91\xa4what")  # a verb of a later release
     assert seen == [1, 2]
     other = ConfigStateMachine()
-    other.load(state.dump())
+    other.restore_snapshot(state.take_snapshot())
     assert other.rows() == state.rows() and other.answers == state.answers
     for number in range(3, 2 * KEPT):
         assert publish(other, body(number), number - 1, f"n{number}")[1] == number
--- a/tests/consensus/test_raft_simulation.py
+++ b/tests/consensus/test_raft_simulation.py
@@ -9,8 +9,16 @@
 import pytest
 
 from ploverspoke.consensus import raft
-from ploverspoke.consensus.raft import Message, Raft
-from tests.consensus.raft_simulation import MS, PROCESSES, Broken, World, explore, sweep
+from ploverspoke.consensus.membership import Member
+from ploverspoke.consensus.raft import Message, Raft, Role
+from tests.consensus.raft_simulation import (
+    MILLISECOND,
+    WORKER_PROCESSES,
+    InvariantViolationError,
+    SimulatedCluster,
+    explore,
+    sweep,
+)
 
 RUNS_LONG = True  # scheduled first: see tests/conftest.py
 
@@ -20,7 +28,7 @@
 
 
 def test_twenty_thousand_schedules_keep_the_invariants() -> None:
-    with ProcessPoolExecutor(PROCESSES, mp_context=get_context("spawn")) as pool:
+    with ProcessPoolExecutor(WORKER_PROCESSES, mp_context=get_context("spawn")) as pool:
         found = list(pool.map(sweep, JOBS))
     total = {
         key: sum(f.get(key, 0) for f in found) for key in ("committed", "terms", "reads", "acknowledged")
@@ -54,7 +62,7 @@
 
 class ReadsWithoutAsking(Raft):
     def read(self, token: int) -> None:
-        if self.role == "leader":
+        if self.role is Role.LEADER:
             self.host.read_is_safe(token, self.commit)
         else:
             self.host.read_failed(token)
@@ -72,22 +80,22 @@
 @pytest.mark.parametrize("machine", FAULTS)
 def test_a_planted_fault_is_found(machine: type[Raft], monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(raft, "MOST_ENTRIES", 1)
-    with pytest.raises(Broken):
+    with pytest.raises(InvariantViolationError):
         for seed in range(8000):
             explore(seed, 3, 400, machine, stormy=True)
 
 
-def drive(world: World, among: set[str], stands: str, until: Callable[[Raft], bool]) -> None:
+def drive(world: SimulatedCluster, among: set[str], stands: str, until: Callable[[Raft], bool]) -> None:
     """Only those hear one another, and only one of them stands, until its machine has come so far."""
     for _ in range(400):
-        world.clock += 5 * MS
+        world.now += 5 * MILLISECOND
         for name in sorted(among):
             node = world.nodes[name]
-            if name == stands and node.replica.raft.next_tick() <= world.clock:
+            if name == stands and node.replica.raft.next_tick() <= world.now:
                 node.replica.raft.tick()
             node.write(True)
             node.write(True)
-        box, world.post_box = world.post_box, []
+        box, world.in_flight = world.in_flight, []
         for sender, to, message in box:
             if {sender, to} <= among and not until(world.nodes[stands].replica.raft):
                 world.nodes[to].replica.raft.message(sender, message)
@@ -102,14 +110,14 @@
 ) -> None:
     """The published schedule in which a majority has an entry and another leader replaces it (figure 8)."""
     monkeypatch.setattr(raft, "MOST_ENTRIES", 1)
-    world = World(1, 3, machine)
+    world = SimulatedCluster(1, 3, machine)
     one, two, three = (world.nodes[n] for n in ("n0", "n1", "n2"))
 
     def second_leader_comes() -> None:
         one.crash()
-        world.post_box.clear()
+        world.in_flight.clear()
         two.start()
-        drive(world, {"n1", "n2"}, "n1", lambda r: r.role == "leader")
+        drive(world, {"n1", "n2"}, "n1", lambda r: r.role is Role.LEADER)
 
     drive(
         world,
@@ -121,40 +129,40 @@
     one.write(True)
     one.write(True)  # on one disk, and on no other
     one.crash()
-    world.post_box.clear()
-    drive(world, {"n1", "n2"}, "n1", lambda r: r.role == "leader")
+    world.in_flight.clear()
+    drive(world, {"n1", "n2"}, "n1", lambda r: r.role is Role.LEADER)
     two.write(True)
     two.write(True)  # its first entry is on its own disk only
     two.crash()
-    world.post_box.clear()
+    world.in_flight.clear()
     one.start()
-    drive(world, {"n0", "n2"}, "n0", lambda r: r.role == "leader" and r.followers["n2"].match == 2)
+    drive(world, {"n0", "n2"}, "n0", lambda r: r.role is Role.LEADER and r.followers["n2"].match == 2)
     if machine is Raft:
         assert one.replica.raft.commit <= 1
         second_leader_comes()
     else:
-        with pytest.raises(Broken, match="lacks committed"):
+        with pytest.raises(InvariantViolationError, match="lacks committed"):
             second_leader_comes()
 
 
 @pytest.mark.parametrize("machine", [Raft, SnapshotOverNewerEntries])
 def test_a_snapshot_that_comes_late_takes_nothing_back(machine: Any) -> None:
-    world = World(2, 3, machine)
+    world = SimulatedCluster(2, 3, machine)
     for _ in range(2):
         world.settle()
-    [node] = [n for n in world.nodes.values() if n.replica.raft.role == "leader"]
+    [node] = [n for n in world.nodes.values() if n.replica.raft.role is Role.LEADER]
     behind = next(n for n in world.nodes.values() if n is not node)
-    behind.disk = type(behind.disk)(world.members, behind.disk.disk)
+    behind.storage = type(behind.storage)(world.members, behind.storage.storage_id)
     world.compact(node)
     behind.start()
     pieces: list[Message] = []
-    post = world.post
+    post = world.send
 
-    def noted(sender: str, to: str, message: Message, boot: int) -> None:
+    def noted(sender: str, to: str, message: Message, incarnation: int) -> None:
         pieces.extend([message] if message["k"] == "piece" else [])
-        post(sender, to, message, boot)
+        post(sender, to, message, incarnation)
 
-    world.post = noted  # type: ignore[method-assign]
+    world.send = noted  # type: ignore[method-assign]
     for _ in range(2):
         world.settle()
     assert pieces and behind.replica.applied > pieces[-1]["si"]
@@ -162,100 +170,104 @@
     if machine is Raft:
         world.check()
     else:
-        with pytest.raises(Broken, match="goes back"):
+        with pytest.raises(InvariantViolationError, match="goes back"):
             world.check()
 
 
 def test_a_seed_replays_its_schedule() -> None:
     one, other = explore(11, 3, 400), explore(11, 3, 400)
-    assert one.done == other.done and one.leaders == other.leaders and one.clock == other.clock
+    assert (
+        one.committed_entries == other.committed_entries
+        and one.leaders == other.leaders
+        and one.now == other.now
+    )
 
 
 def test_all_short_orders_of_a_contested_election_give_one_leader() -> None:
     """Exhaustive to a small depth: three machines, two of which stand, every order of what is on the way."""
     seen = 0
     for order in itertools.product(range(3), repeat=7):
-        world = World(0, 3)
-        world.clock += 500 * MS
+        world = SimulatedCluster(0, 3)
+        world.now += 500 * MILLISECOND
         for name in ("n0", "n1"):
             world.nodes[name].replica.raft.tick()
         for turn in order:
             for node in world.nodes.values():
                 node.write(True)
                 node.write(True)
-            if world.post_box:
-                world.deliver(turn % len(world.post_box))
+            if world.in_flight:
+                world.deliver(turn % len(world.in_flight))
             world.check()
         seen += len(world.leaders)
     assert seen > 0
 
 
-def led(world: World) -> Any:
+def led(world: SimulatedCluster) -> Any:
     """The leader once all is settled."""
     world.settle()
-    [node] = [n for n in world.nodes.values() if n.replica.raft.role == "leader"]
+    [node] = [n for n in world.nodes.values() if n.replica.raft.role is Role.LEADER]
     return node
 
 
 def test_a_leader_that_hears_no_majority_steps_down_and_its_lease_is_over_before_that() -> None:
-    world = World(5, 3)
+    world = SimulatedCluster(5, 3)
     node = led(world)
     assert node.replica.leads()
-    world.cut = {node.name}
-    world.clock += 190 * MS
+    world.partitioned = {node.name}
+    world.now += 190 * MILLISECOND
     node.replica.raft.tick()
     assert not node.replica.leads()
-    world.clock += 60 * MS
+    world.now += 60 * MILLISECOND
     node.replica.raft.tick()
     assert node.replica.raft.role == "follower"
 
 
 def test_leadership_is_handed_over_without_an_election_time_out() -> None:
-    world = World(6, 3)
+    world = SimulatedCluster(6, 3)
     node = led(world)
     other = next(n for n in world.nodes if n != node.name)
-    before = world.clock
+    before = world.now
     assert node.replica.raft.transfer(other)
     for _ in range(20):
         for each in world.nodes.values():
             each.write(True)
             each.write(True)
-        box, world.post_box = world.post_box, []
+        box, world.in_flight = world.in_flight, []
         for sender, to, message in box:
             world.nodes[to].replica.raft.message(sender, message)
-    assert world.nodes[other].replica.raft.role == "leader" and world.clock == before
+    assert world.nodes[other].replica.raft.role is Role.LEADER and world.now == before
 
 
 def test_a_member_that_comes_back_on_another_disk_is_not_counted() -> None:
-    world = World(7, 3)
+    world = SimulatedCluster(7, 3)
     node = led(world)
     wiped, healthy = [n for n in world.nodes.values() if n is not node]
-    wiped.disk = type(wiped.disk)(world.members, "another disk")
+    wiped.storage = type(wiped.storage)(world.members, "another disk")
     wiped.start()
     healthy.crash()
-    done = world.last_done
+    done = world.last_committed
     for _ in range(300):
-        world.clock += 2 * MS
+        world.now += 2 * MILLISECOND
         node.replica.raft.tick()
         for each in (node, wiped):
             each.write(True)
             each.write(True)
-        box, world.post_box = world.post_box, []
+        box, world.in_flight = world.in_flight, []
         for sender, to, message in box:
-            if world.nodes[to].up:
+            if world.nodes[to].is_running:
                 world.nodes[to].replica.raft.message(sender, message)
-        if node.replica.raft.role == "leader" and world.clock % (20 * MS) == 0:
+        if node.replica.raft.role is Role.LEADER and world.now % (20 * MILLISECOND) == 0:
             world.propose(node)
-    assert world.last_done == done, "two disks of three have it, and one of them is new"
+    assert world.last_committed == done, "two disks of three have it, and one of them is new"
 
 
 def test_a_second_change_of_members_waits_for_the_first() -> None:
-    world = World(8, 3, spare=2)
+    world = SimulatedCluster(8, 3, spare=2)
     node = led(world)
     leader = node.replica.raft
-    one = {**leader.members(), "n3": ["n3", "", "", True]}
+    one = {**leader.members(), "n3": Member("n3", "", "", votes=True)}
     assert leader.change_members(one)
-    assert not leader.change_members({**one, "n4": ["n4", "", "", True]})
+    assert not leader.change_members({**one, "n4": Member("n4", "", "", votes=True)})
     assert not leader.change_members({k: v for k, v in one.items() if k in ("n0", "n1")}), "two at once"
     world.settle()
-    assert len(world.nodes["n3"].tape.values) == len(node.tape.values)
+    assert len(world.nodes["n3"].state_machine.values) == len(node.state_machine.values)
--- a/tests/consensus/test_storage.py
+++ b/tests/consensus/test_storage.py
@@ -6,27 +6,27 @@
 
 import pytest
 
-from ploverspoke.consensus.framing import LONGEST, FrameCodec, FrameError
-from ploverspoke.consensus.log import Entry
-from ploverspoke.consensus.membership import Members, differ_by_one, fingerprint
-from ploverspoke.consensus.replica import WriteBatch
+from ploverspoke.consensus.framing import MAX_BODY_BYTES, FrameCodec, FrameError
+from ploverspoke.consensus.log import Entry, EntryKind, Snapshot
+from ploverspoke.consensus.membership import Member, Members, differ_by_one, fingerprint
+from ploverspoke.consensus.persisted_state import WriteBatch
 from ploverspoke.consensus.storage import ClusterMismatchError, CorruptionError, ReplicaStorage, StorageError
 
-MEMBERS: Members = {"a.1": ["a", "", "", True], "b.1": ["b", "", "", True], "c.1": ["c", "", "", True]}
+MEMBERS: Members = {f"{name}.1": Member(name, "", "", votes=True) for name in ("a", "b", "c")}
 SECRET = b"sixteen bytes it has"
 
 
 def disk_at(folder: Path) -> ReplicaStorage:
     disk = ReplicaStorage(folder)
     disk.open()
-    if not disk.me:
-        disk.begin("a.1", "mark", MEMBERS)
+    if not disk.replica_id:
+        disk.initialize("a.1", "mark", MEMBERS)
     return disk
 
 
 def batch(first: int, count: int, size: int = 10, **more: Any) -> WriteBatch:
     made = WriteBatch()
-    made.entries = [Entry(first + n, 1, "data", [f"e{first + n}", "x" * size]) for n in range(count)]
+    made.entries = [Entry(first + n, 1, EntryKind.DATA, [f"e{first + n}", "x" * size]) for n in range(count)]
     for key, value in more.items():
         setattr(made, key, value)
     return made
@@ -35,16 +35,23 @@
 def test_what_was_written_is_there_after_a_restart(tmp_path: Path) -> None:
     disk = disk_at(tmp_path)
     disk.write(batch(1, 5, vote=(3, "b.1")))
-    disk.write(batch(4, 3, cut_from=4))
-    name = disk.disk
+    disk.write(batch(4, 3, truncate_from=4))
+    name = disk.persisted.storage_id
     disk.close()
     again = disk_at(tmp_path)
-    assert (again.term, again.vote, again.log.last_index(), again.disk) == (3, "b.1", 6, name)
-    again.keep_snapshot(5, 1, MEMBERS, b"state")
+    state = again.persisted
+    assert (state.current_term, state.voted_for, state.log.last_index(), state.storage_id) == (
+        3,
+        "b.1",
+        6,
+        name,
+    )
+    again.save_snapshot(Snapshot(5, 1, MEMBERS, b"state"))
     again.close()
     last = disk_at(tmp_path)
-    assert (last.log.snapshot_index, last.log.last_index(), last.state) == (5, 6, b"state")
-    assert last.members == MEMBERS
+    assert (last.persisted.log.snapshot_index, last.persisted.log.last_index()) == (5, 6)
+    assert last.persisted.snapshot_data == b"state"
+    assert last.persisted.members == MEMBERS
 
 
 def test_a_batch_that_was_torn_off_is_not_there_in_part(tmp_path: Path) -> None:
@@ -64,7 +71,7 @@
         try:
             torn = ReplicaStorage(folder)
             torn.open()
-            found.add(torn.log.last_index())
+            found.add(torn.persisted.log.last_index())
             torn.close()
         except (CorruptionError, StorageError):
             found.add(0)
@@ -86,29 +93,29 @@
 
 def test_a_full_disk_acknowledges_nothing_and_serves_again_when_there_is_room(tmp_path: Path) -> None:
     disk = disk_at(tmp_path)
-    disk.most_pages = 40
+    disk.max_pages = 40
     disk.reopen()
     written = 0
     with pytest.raises(StorageError):
         while True:
             disk.write(batch(written + 1, 10, size=2000))
             written += 10
-    disk.most_pages = 0
+    disk.max_pages = 0
     disk.reopen()
-    assert disk.log.last_index() == written > 0
+    assert disk.persisted.log.last_index() == written > 0
     disk.write(batch(written + 1, 10))
     assert disk_last(disk, tmp_path) == written + 10
 
 
 def disk_last(disk: ReplicaStorage, folder: Path) -> int:
     disk.close()
-    return disk_at(folder).log.last_index()
+    return disk_at(folder).persisted.log.last_index()
 
 
 def test_another_replicas_folder_is_refused(tmp_path: Path) -> None:
     disk = disk_at(tmp_path)
     with pytest.raises(ClusterMismatchError):
-        disk.begin("b.1", "mark", MEMBERS)
+        disk.initialize("b.1", "mark", MEMBERS)
 
 
 # ---- FrameCodec ----
@@ -137,7 +144,7 @@
         pair(b"another secret, as long")
     one, other = pair()
     first, second = one.encode([1]), one.encode([2])
-    for data in (first[:-1] + b"\xff", second, (LONGEST + 1).to_bytes(4, "big") + bytes(40)):
+    for data in (first[:-1] + b"\xff", second, (MAX_BODY_BYTES + 1).to_bytes(4, "big") + bytes(40)):
         _, fresh = pair()
         with pytest.raises(FrameError):
             fresh.decode(data)
@@ -153,7 +160,8 @@
 
 
 def test_only_one_voter_may_change_at_a_time() -> None:
-    learner: Members = {**MEMBERS, "d.1": ["d", "", "", False]}
-    assert differ_by_one(MEMBERS, learner) and differ_by_one(learner, {**learner, "d.1": ["d", "", "", True]})
+    learner: Members = {**MEMBERS, "d.1": Member("d", "", "", votes=False)}
+    voter: Members = {**MEMBERS, "d.1": Member("d", "", "", votes=True)}
+    assert differ_by_one(MEMBERS, learner) and differ_by_one(learner, voter)
     assert not differ_by_one(MEMBERS, {"a.1": MEMBERS["a.1"]})
     assert fingerprint("x", MEMBERS) != fingerprint("x", {"a.1": MEMBERS["a.1"], "b.1": MEMBERS["b.1"]})
--- a/tests/leases/lease_simulation.py
+++ b/tests/leases/lease_simulation.py
@@ -86,7 +86,7 @@
         self.applied = 0
         self.pending, self.reads, self.proved = [], [], []
         self._begin()
-        self.terms.load(self.world.snapshot)
+        self.terms.restore_snapshot(self.world.snapshot)
 
     def catch_up(self) -> None:
         for command in self.world.log[self.applied :]:
@@ -389,29 +389,29 @@
         self.values.append(command)
         self.terms.apply(index, command)
 
-    def dump(self) -> bytes:
-        return msgspec.msgpack.encode([len(self.values), self.terms.dump()])
+    def take_snapshot(self) -> bytes:
+        return msgspec.msgpack.encode([len(self.values), self.terms.take_snapshot()])
 
-    def load(self, data: bytes) -> None:
+    def restore_snapshot(self, data: bytes) -> None:
         count, terms = msgspec.msgpack.decode(data) if data else (0, b"")
         self.values = [None] * count
-        self.terms.load(terms)
+        self.terms.restore_snapshot(terms)
 
 
-class RaftNode(consensus.Node):
+class RaftNode(consensus.SimulatedReplica):
     """A replica with a keeper on it, as `leases/node.py` puts them together."""
 
-    world: "RaftWorld"
-    state_kind = Applied
+    cluster: "RaftWorld"
+    state_machine_type = Applied
 
     def start(self) -> None:
         super().start()
-        self.keeper = self.world.parts.keeper(self, self.tape.terms, self.world.rules)
+        self.keeper = self.cluster.parts.keeper(self, self.state_machine.terms, self.cluster.rules)
 
     def role_changed(self, role: str, leader: str) -> None:
         if role == "leader":
             super().role_changed(role, leader)
-            self.world.later.append((self, self.boots, self._read))
+            self.cluster.later.append((self, self.incarnation, self._read))
         elif self.keeper.leading:
             self.keeper.leads_no_more()
 
@@ -425,16 +425,16 @@
     # The keeper's host.
 
     def now(self) -> int:
-        return self.world.clock
+        return self.cluster.now
 
     def propose(self, command: list[Any], then: Callable[[bool], None]) -> None:
-        self.world.later.append((self, self.boots, lambda: self.replica.propose([command], then)))
+        self.cluster.later.append((self, self.incarnation, lambda: self.replica.propose([command], then)))
 
     def confirm(self, then: Callable[[bool], None]) -> None:
-        self.world.later.append((self, self.boots, lambda: self.replica.read(then)))
+        self.cluster.later.append((self, self.incarnation, lambda: self.replica.read(then)))
 
     def tell(self, holder: str, message: dict[str, Any]) -> None:
-        self.world.told.append((int(holder), message))
+        self.cluster.told.append((int(holder), message))
 
 
 class RaftHolder:
@@ -447,7 +447,7 @@
         self.holder = world.parts.holder(self)
 
     def now(self) -> int:
-        return int(self.world.clock * self.rate)
+        return int(self.world.now * self.rate)
 
     def send(self, message: dict[str, Any]) -> None:
         self.world.asked.append((f"n{self.at}", str(self.number), message))
@@ -456,8 +456,8 @@
         self.at = (self.at + 1) % len(self.world.nodes)
 
 
-class RaftWorld(consensus.World):
-    node_kind = RaftNode
+class RaftWorld(consensus.SimulatedCluster):
+    replica_type = RaftNode
 
     def __init__(self, seed: int, parts: Parts | None = None) -> None:
         self.parts = parts or Parts()
@@ -472,23 +472,25 @@
         for each in self.holders:
             each.holder.want(NAME, LASTS)
 
-    def propose(self, node: consensus.Node) -> None:
+    def propose(self, node: consensus.SimulatedReplica) -> None:
         """The keepers propose for themselves."""
 
     def check(self) -> None:
         super().check()
         acting = {(h.number, h.holder.token(NAME)) for h in self.holders if h.holder.left(NAME)}
-        consensus.must(len(acting) <= 1, f"two hold it at once: {sorted(acting)}")
+        consensus.require(len(acting) <= 1, f"two hold it at once: {sorted(acting)}")
         for number, token in acting - self.acting:
-            consensus.must(token >= self.highest, f"holder {number} begins under {token}, not {self.highest}")
+            consensus.require(
+                token >= self.highest, f"holder {number} begins under {token}, not {self.highest}"
+            )
             self.changes += token > self.highest
             self.highest = max(self.highest, token)
         self.acting = acting
 
     def step(self) -> None:
-        chance = self.chance
-        for node, boots, call in self.later if chance.random() < 0.8 else ():
-            if node.up and node.boots == boots:
+        chance = self.random
+        for node, incarnation, call in self.later if chance.random() < 0.8 else ():
+            if node.is_running and node.incarnation == incarnation:
                 call()
         if chance.random() < 0.9:
             self.later.clear()
@@ -498,16 +500,16 @@
             )
             node = self.nodes[to]
             assert isinstance(node, RaftNode)
-            if node.up:
+            if node.is_running:
                 node.keeper.asked(holder, message)
         if self.told and chance.random() < 0.7:
             number, message = self.told.pop(0 if chance.random() < 0.8 else chance.randrange(len(self.told)))
             self.holders[number].holder.told(message)
         if chance.random() < 0.05:
-            self.clock += chance.choice([100, 500, 1000, 2000]) * MS
+            self.now += chance.choice([100, 500, 1000, 2000]) * MS
         for node in self.nodes.values():
             assert isinstance(node, RaftNode)
-            if node.up:
+            if node.is_running:
                 node.keeper.tick()
         for each in self.holders:
             each.holder.tick()
@@ -519,7 +521,7 @@
 
 
 def explore_raft(seed: int, steps: int = 1500, parts: Parts | None = None) -> RaftWorld:
-    """One schedule on real replicas of the consensus. Raises Broken of the consensus explorer."""
+    """One schedule on real replicas of the consensus. Raises consensus.InvariantViolationError."""
     world = RaftWorld(seed, parts)
     try:
         for _ in range(steps):
--- a/tests/leases/test_fleet_tasks.py
+++ b/tests/leases/test_fleet_tasks.py
@@ -192,7 +192,7 @@
     for body, token in (("a", 0), ("b", 7), ("late", 6), ("without", 0), ("c", 7), ("d", 9)):
         ledger.apply(1, [CONFIGURE, body, "me", 1, token])
     again = RequestStateMachine()
-    again.load(ledger.dump())
+    again.restore_snapshot(ledger.take_snapshot())
     again.apply(1, [CONFIGURE, "late", "me", 1, 8])
     assert [c.body for c in again.configurations] == ["a", "b", "c", "d"]
 
--- a/tests/leases/test_lease_simulation.py
+++ b/tests/leases/test_lease_simulation.py
@@ -13,7 +13,7 @@
 from ploverspoke.leases.manager import LeaseManager
 from ploverspoke.leases.state_machine import RELEASE, LeaseStateMachine
 from tests.consensus import raft_simulation as consensus
-from tests.consensus.raft_simulation import PROCESSES
+from tests.consensus.raft_simulation import WORKER_PROCESSES
 from tests.leases.lease_simulation import (
     CHOICES,
     Broken,
@@ -49,7 +49,7 @@
 
 def test_no_schedule_has_two_holders_at_once_or_tokens_that_fall() -> None:
     part = SCHEDULES // 40
-    with ProcessPoolExecutor(PROCESSES, mp_context=get_context("spawn")) as pool:
+    with ProcessPoolExecutor(WORKER_PROCESSES, mp_context=get_context("spawn")) as pool:
         seeded = [pool.submit(sweep, first, part) for first in range(0, SCHEDULES, part)]
         short = [pool.submit(all_from, first) for first in range(CHOICES)]
         on_raft = [
@@ -163,7 +163,7 @@
     for seed in range(600):
         try:
             explore_raft(seed, parts=parts)
-        except consensus.Broken:
+        except consensus.InvariantViolationError:
             return
     raise AssertionError("not found in 600 schedules")
 
--- a/tests/store/test_state_machine.py
+++ b/tests/store/test_state_machine.py
@@ -28,7 +28,7 @@
         ["a verb of a later version", 1, 2],
     )
     again = RequestStateMachine()
-    again.load(ledger.dump())
+    again.restore_snapshot(ledger.take_snapshot())
     assert (again.answered["r1"].how, again.open, again.configurations[-1].version) == ("satisfied", {}, 1)
     assert msgspec.msgpack.encode(ledger.answered["r1"]) == msgspec.msgpack.encode(again.answered["r1"])
 
@@ -49,7 +49,7 @@
     clocks = [ReplicatedClock(lambda n=n: here[n]) for n in range(2)]  # type: ignore[misc]
     ledgers = [RequestStateMachine(), RequestStateMachine()]
     for ledger, clock in zip(ledgers, clocks, strict=True):
-        ledger.on_time = clock.seen
+        ledger.on_time = clock.advance_to
     here[0] += 40  # the leader has run for longer
     for ledger in ledgers:
         ledger.apply(1, [TAKE, "r", 0, b"", clocks[0].now() + 100, clocks[0].now()])
@@ -60,8 +60,8 @@
     ledgers[0].apply(3, [ANSWER, "r", "abandoned", "", b"", clocks[1].now()])
     assert clocks[0].now() == 50
     again, late = RequestStateMachine(), ReplicatedClock(lambda: 0)
-    again.on_time = late.seen
-    again.load(ledgers[0].dump())
+    again.on_time = late.advance_to
+    again.restore_snapshot(ledgers[0].take_snapshot())
     assert late.now() == 50
 
 
--- a/tests/store/test_store_node.py
+++ b/tests/store/test_store_node.py
@@ -9,6 +9,7 @@
 from pathlib import Path
 from typing import Any
 
+import msgspec
 import pytest
 import uvloop
 from click.testing import CliRunner
@@ -17,7 +18,7 @@
 from ploverspoke.consensus import peer_links
 from ploverspoke.consensus.cluster_config import read_replica_config
 from ploverspoke.consensus.framing import FrameCodec
-from ploverspoke.consensus.membership import Members
+from ploverspoke.consensus.membership import Member, Members
 from ploverspoke.consensus.storage import ClusterMismatchError
 from ploverspoke.service.config_reader import ConfigError
 from ploverspoke.store.endpoint_cache import EndpointCache
@@ -124,7 +125,7 @@
 def test_a_lost_leader_is_replaced_and_comes_back_behind_a_snapshot(tmp_path: Path) -> None:
     async def scene(cluster: Cluster) -> None:
         old = await cluster.leader()
-        name = old.orders.name
+        name = old.config.name
         assert await write(old, "first")
         await cluster.stop(name)
         leader = await cluster.leader()
@@ -142,16 +143,16 @@
     async def scene(cluster: Cluster) -> None:
         old = await cluster.leader()
         assert await write(old, "kept")
-        old.disk.most_pages = 60
-        old.disk.db.execute("pragma max_page_count = 60")
+        old.storage.max_pages = 60
+        old.storage.connection.execute("pragma max_page_count = 60")
         for n in range(200):
             if not await write(old, f"{n} " + "x" * 3000):
                 break
-        assert old.troubles and not old.leads()
+        assert old.storage_failures and not old.leads()
         leader = await cluster.leader()
         assert leader is not old and len(bodies(leader)) > 1
         assert await write(leader, "after")
-        old.disk.most_pages = 0
+        old.storage.max_pages = 0
         await until(lambda: old.replica is not None and bodies(old)[-1:] == ["after"])
 
     play(tmp_path, 3, scene)
@@ -165,18 +166,18 @@
         leader = await cluster.leader()
         followers = [n for n in cluster.nodes.values() if n is not leader][:full]
         for node in followers:
-            node.disk.most_pages = 60
-            node.disk.db.execute("pragma max_page_count = 60")
+            node.storage.max_pages = 60
+            node.storage.connection.execute("pragma max_page_count = 60")
         acknowledged = []
         for n in range(120):
             body = f"{n} " + "x" * 3000
             if not await asyncio.wait_for(write(leader, body), 5):
                 break
             acknowledged.append(body)
-        assert all(node.troubles for node in followers)
+        assert all(node.storage_failures for node in followers)
         assert (len(acknowledged) == 120) == (full == 1)
         for node in followers:
-            node.disk.most_pages = 0
+            node.storage.max_pages = 0
         await until(lambda: all(node.replica is not None for node in followers))
         leader = await cluster.leader()
         assert await write(leader, "after")
@@ -189,7 +190,7 @@
 def test_no_majority_acknowledges_nothing(tmp_path: Path) -> None:
     async def scene(cluster: Cluster) -> None:
         leader = await cluster.leader()
-        for name in [n for n in cluster.nodes if n != leader.orders.name]:
+        for name in [n for n in cluster.nodes if n != leader.config.name]:
             await cluster.stop(name)
         assert not await write(leader, "lost")
         await until(lambda: not leader.leads())
@@ -201,7 +202,7 @@
     async def scene(cluster: Cluster) -> None:
         leader = await cluster.leader()
         assert await write(leader, "one")
-        lost = next(n for n in cluster.nodes if n != leader.orders.name)
+        lost = next(n for n in cluster.nodes if n != leader.config.name)
         await cluster.stop(lost)
         for path in (tmp_path / lost).iterdir():
             path.unlink()
@@ -209,12 +210,12 @@
             await cluster.start(lost)
         cluster.nodes.pop(lost)
         mark = leader.status()["store"]
-        await cluster.change(lambda m: {who: told for who, told in m.items() if told[0] != lost})
+        await cluster.change(lambda m: {key: member for key, member in m.items() if member.name != lost})
         fresh = await cluster.start("r3", join=mark)
-        told = ["r3", *cluster.addresses["r3"].values(), False]
-        await cluster.change(lambda m: {**m, "r3.1": told})
+        learner = Member("r3", *cluster.addresses["r3"].values(), votes=False)
+        await cluster.change(lambda m: {**m, "r3.1": learner})
         await until(lambda: bodies(fresh) == ["one"])
-        await cluster.change(lambda m: {**m, "r3.1": [*told[:3], True]})
+        await cluster.change(lambda m: {**m, "r3.1": msgspec.structs.replace(learner, votes=True)})
         await until(lambda: fresh.status()["members"] and all(m["votes"] for m in fresh.status()["members"]))
         await until(lambda: fresh.leads() or ((n := cluster.leading()) is not None and n.transfer("r3")))
         await until(fresh.leads)
@@ -227,10 +228,10 @@
     async def scene(cluster: Cluster) -> None:
         leader = await cluster.leader()
         other = Cluster(tmp_path / "other", 1)
-        other.addresses = {"r0": other.addresses["r0"], "r1": cluster.addresses[leader.orders.name]}
+        other.addresses = {"r0": other.addresses["r0"], "r1": cluster.addresses[leader.config.name]}
         other.size = 2
         node = await other.start("r0", new=True)
-        await until(lambda: leader.links.refused + node.links.refused > 0)
+        await until(lambda: leader.peer_links.refused_connections + node.peer_links.refused_connections > 0)
         (tmp_path / "other" / "secret").write_text("another secret, long enough too")
         await other.close()
         assert leader.leads()
@@ -337,7 +338,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A replica that is cut off: what waits for it is stale, and must not go out before anything new."""
-    monkeypatch.setattr(peer_links, "STUCK_FOR", 0.2)
+    monkeypatch.setattr(peer_links, "STALL_TIMEOUT", 0.2)
     secret, greeting = b"a secret of the test", {"id": "b.1", "store": "s"}
     dialled: list[asyncio.Transport] = []
 
@@ -350,19 +351,21 @@
     async def scene() -> None:
         loop = asyncio.get_running_loop()
         server = await loop.create_server(Deaf, "127.0.0.1", 0)
-        told = peer_links.PeerLinks(secret, {"id": "a.1", "store": "s"}, lambda *_: None, lambda *_: None)
+        told = peer_links.PeerLinks(
+            secret, peer_links.PeerIdentity("a.1", "s"), lambda *_: None, lambda *_: None
+        )
         told.set_peers({"b.1": f"127.0.0.1:{server.sockets[0].getsockname()[1]}"})
         await until(lambda: "b.1" in told.outbound and told.outbound["b.1"].ready)
         first = told.outbound["b.1"]
 
         def is_stuck() -> bool:
             told.send("b.1", ["x" * 65536])
-            return told.stuck > 0
+            return told.stalled_connections > 0
 
         await until(is_stuck)
         assert (
             first.transport is None
-            or first.transport.get_write_buffer_size() <= peer_links.MOST_UNSENT + 70_000
+            or first.transport.get_write_buffer_size() <= peer_links.MAX_UNSENT_BYTES + 70_000
         )
         await until(lambda: len(dialled) > 1 and told.outbound["b.1"] is not first)
         told.close()
