--- a/ploverspoke/store/commands.py
+++ b/ploverspoke/store/commands.py
@@ -52,7 +52,7 @@
 
 def _call_leader(config: ReplicaConfig, request: AdminRequest, as_json: bool) -> None:
     """Ask the leader to do something and end the command with the result."""
-    peer_addresses = {name: addresses[0] for name, addresses in config.replicas.items()}
+    peer_addresses = {name: addresses.peer for name, addresses in config.replicas.items()}
     call_for_result(config, find_leader(peer_addresses, config.secret), request, as_json)
 
 
@@ -179,18 +179,18 @@
     except (CorruptionError, StorageError, ClusterMismatchError) as error:
         raise click.ClickException(str(error)) from error
     ledger = RequestStateMachine()
-    ledger.load(disk.state)
-    for entry in disk.log.entries:
+    ledger.restore_snapshot(disk.persisted.snapshot_data)
+    for entry in disk.persisted.log.entries:
         if entry.kind == "data":
-            ledger.apply(entry.at, entry.data)
+            ledger.apply(entry.index, entry.data)
     told: WireMap = {
-        "replica": disk.me,
-        "store": disk.fingerprint,
-        "term": disk.term,
-        "vote": disk.vote,
-        "snapshot": disk.log.snapshot_index,
-        "last": disk.log.last_index(),
-        "bytes": disk.size(),
+        "replica": disk.replica_id,
+        "store": disk.cluster_fingerprint,
+        "term": disk.persisted.current_term,
+        "vote": disk.persisted.voted_for,
+        "snapshot": disk.persisted.log.snapshot_index,
+        "last": disk.persisted.log.last_index(),
+        "bytes": disk.size_bytes(),
         "open": len(ledger.open),
         "answered": len(ledger.answered),
         "configurations": [c.version for c in ledger.configurations],
