--- a/tests/testbed/test_capacity_table.py
+++ b/tests/testbed/test_capacity_table.py
@@ -325,7 +325,7 @@
 
 
 def test_half_of_the_peak_is_no_failure_and_no_proof() -> None:
-    figures = {"starts_a_second": 60.0, "tasks_running": 2400.0}
+    figures: dict[str, float | None] = {"starts_a_second": 60.0, "tasks_running": 2400.0}
     half = Run(
         play="peak minute, half of it", seed=1, dispatchers=100, figures=figures,
         held=["urgent work begun within 3400 ms", "no broken rule (0 found)"],
--- a/tests/testbed/test_files.py
+++ b/tests/testbed/test_files.py
@@ -3,6 +3,7 @@
 import subprocess
 import sys
 import tomllib
+from collections.abc import Callable
 from pathlib import Path
 from typing import Any
 
@@ -32,7 +33,10 @@
         plays = plays_of(fleet)
         assert fleet.name == path.stem and all(world_of(fleet, plays, play).seeds for play in plays.worlds)
         return
-    readers = {"leases": read_lease_experiment, "distribution": read_distribution_experiment}
+    readers: dict[str, Callable[[dict[str, Any]], Any]] = {
+        "leases": read_lease_experiment,
+        "distribution": read_distribution_experiment,
+    }
     reader = readers.get(told.get("kind", ""))
     read = read_experiment(path) if reader is None else reader(told)
     assert read.name == path.stem and read.seeds
--- a/tests/testbed/test_sockets.py
+++ b/tests/testbed/test_sockets.py
@@ -4,7 +4,10 @@
 
 import pytest
 
+from ploverspoke.testbed import sockets
 from ploverspoke.testbed.audit import SOCKETS_SLACK, audit
+from ploverspoke.testbed.processes.child import Child
+from ploverspoke.testbed.processes.running import NotStarted
 from ploverspoke.testbed.records import CAME, SENT
 from ploverspoke.testbed.scores import score
 from ploverspoke.testbed.sockets import play_on_sockets
@@ -46,18 +49,16 @@
 
 
 def test_nothing_is_left_running_when_a_process_does_not_come_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    from ploverspoke.testbed import sockets
-
     started: list[asyncio.subprocess.Process] = []
-    start = sockets.Child.start
+    start = Child.start
 
-    async def noted(module: str, words: list[str]) -> sockets.Child:
+    async def noted(module: str, words: list[str]) -> Child:
         child = await start(module, words)
         started.append(child.process)
         return child
 
-    monkeypatch.setattr(sockets.Child, "start", noted)
+    monkeypatch.setattr(Child, "start", noted)
     monkeypatch.setattr(sockets.Stage, "_config", lambda *_: {"listen": "nowhere", "settings": {}})
-    with pytest.raises(sockets.NotStarted):
+    with pytest.raises(NotStarted):
         play_on_sockets(world(lasts="2s"), 1)
     assert started and all(process.returncode is not None for process in started)
