--- a/ploverspoke/consensus/cluster_config.py
+++ b/ploverspoke/consensus/cluster_config.py
@@ -1,4 +1,4 @@
-"""The configuration file of a replica: its name, its folder, all replicas' addresses, their shared secret."""
+"""Files of configuration that replicas and command-line tools read, checked key by key."""
 
 import json
 import re
@@ -10,13 +10,11 @@
 
 from .membership import Member, Members
 
-REPLICA_NAME = re.compile(r"[a-z0-9][a-z0-9-]{0,31}")
+NAME = re.compile(r"[a-z0-9][a-z0-9-]{0,31}")
 MIN_SECRET_BYTES = 16
 MILLISECOND = 1_000_000  # ns
-DEFAULT_ELECTION_TIMEOUT_MS = 200
-MIN_ELECTION_TIMEOUT_MS = 50
-DEFAULT_SNAPSHOT_EVERY = 20_000
-MIN_SNAPSHOT_EVERY = 100
+DEFAULT_ELECTION_MS, MIN_ELECTION_MS = 200, 50
+DEFAULT_SNAPSHOT_EVERY, MIN_SNAPSHOT_EVERY = 20_000, 100  # entries
 
 
 class ReplicaAddresses(NamedTuple):
@@ -27,7 +25,7 @@
 
 
 class ReplicaConfig(NamedTuple):
-    """The configuration of one replica."""
+    """One replica's own file, checked."""
 
     cluster: str
     name: str
@@ -38,73 +36,105 @@
     snapshot_every: int  # entries
 
     def members(self) -> Members:
-        """Return the members that a new cluster begins with; all of them vote."""
+        """Give the members that a new cluster begins with."""
         return {
             initial_replica_id(name): Member(name, addresses.peer, addresses.client, votes=True)
             for name, addresses in self.replicas.items()
         }
 
 
+class ClusterServers(NamedTuple):
+    """Where the replicas of a cluster are, for tools that call them."""
+
+    replicas: dict[str, ReplicaAddresses]  # by name
+    secret: bytes
+
+
 def initial_replica_id(name: str) -> str:
-    """Return the id of the first replica of that name."""
+    """Give the id of a first replica: its name and a 1."""
     return f"{name}.1"
 
 
 def read_json_file(path: Path) -> ConfigSection:
-    """Return the content of a JSON file, not checked yet. Raises ConfigError."""
+    """Read a file that holds one JSON object; its keys are not checked. Raises ConfigError."""
     try:
-        content = json.loads(path.read_text(encoding="utf-8"))
+        document = json.loads(path.read_text(encoding="utf-8"))
     except OSError as error:
-        raise ConfigError(f"{path} cannot be read: {error.strerror}") from error
+        raise unreadable_file_error(path, error) from error
     except (ValueError, RecursionError) as error:
-        raise ConfigError(f"{path} is no JSON: {error}") from error
-    return ConfigSection(content)
+        message = f"{path} is no JSON: {error}"
+        raise ConfigError(message) from error
+    return ConfigSection(document)
+
+
+def unreadable_file_error(path: Path, cause: OSError, key: str = "") -> ConfigError:
+    """Give the error that says why a file cannot be read; `key` leads to the key that names it."""
+    return ConfigError(f"{key}{path} cannot be read: {cause.strerror}")
 
 
 def read_replica_config(path: Path) -> ReplicaConfig:
-    """Read and check a replica's configuration file. Raises ConfigError, naming the key."""
+    """Read a replica's own file. Raises ConfigError, naming the key."""
     return parse_replica_config(read_json_file(path), path)
 
 
-def read_replica_addresses(top: ConfigSection) -> dict[str, ReplicaAddresses]:
-    """Return the addresses of all replicas by name. Raises ConfigError, naming the key."""
-    replicas = top.part("replicas")
-    found = {}
+def read_cluster_servers(path: Path, expected: str) -> ClusterServers:
+    """Read where the replicas of a cluster are: from any replica's file, or one with these keys alone.
+
+    `expected` says what is missing where it names no replica. Raises ConfigError, naming the key.
+    """
+    section = read_json_file(path)
+    replicas = read_replica_addresses(section)
+    if not replicas:
+        raise section.bad("replicas", expected)
+    return ClusterServers(replicas, read_shared_secret(section, path))
+
+
+def read_replica_addresses(section: ConfigSection) -> dict[str, ReplicaAddresses]:
+    """Check the key `replicas`; give the addresses for peers and for clients by name. Raises ConfigError."""
+    replicas = section.part("replicas")
+    addresses = {}
     for name in replicas.value:
-        if not REPLICA_NAME.fullmatch(name):
-            raise ConfigError(f"replicas.{name}: expected a name of small letters, digits and dashes")
-        section = replicas.part(name)
+        if not NAME.fullmatch(name):
+            message = f"replicas.{name}: expected a name of small letters, digits and dashes"
+            raise ConfigError(message)
+        replica = replicas.part(name)
         for key in ("peers", "clients"):
-            address(section, key, None)
-        found[name] = ReplicaAddresses(peer=section.text("peers"), client=section.text("clients"))
-    return found
+            address(replica, key, None)
+        addresses[name] = ReplicaAddresses(replica.text("peers"), replica.text("clients"))
+    return addresses
 
 
-def read_shared_secret(top: ConfigSection, path: Path) -> bytes:
-    """Return the secret from the file that the configuration file `path` names. Raises ConfigError."""
-    secret_file = path.parent / top.text("secret_file")
+def read_shared_secret(section: ConfigSection, path: Path) -> bytes:
+    """Read the file that `secret_file` names, relative to the file at `path`. Raises ConfigError."""
+    secret_file = path.parent / section.text("secret_file")
     try:
         secret = secret_file.read_bytes().strip()
     except OSError as error:
-        raise ConfigError(f"secret_file: {secret_file} cannot be read: {error.strerror}") from error
+        raise unreadable_file_error(secret_file, error, "secret_file: ") from error
     if len(secret) < MIN_SECRET_BYTES:
-        raise ConfigError(f"secret_file: {secret_file} holds less than {MIN_SECRET_BYTES} bytes")
+        message = f"secret_file: {secret_file} holds less than {MIN_SECRET_BYTES} bytes"
+        raise ConfigError(message)
     return secret
 
 
-def parse_replica_config(top: ConfigSection, path: Path) -> ReplicaConfig:
-    """Check the content of the configuration file `path`. Raises ConfigError, naming the key."""
-    replicas = read_replica_addresses(top)
-    name = top.text("name")
+def parse_replica_config(section: ConfigSection, path: Path) -> ReplicaConfig:
+    """Check the keys of a replica's own file, which was read from `path`. Raises ConfigError."""
+    replicas = read_replica_addresses(section)
+    name = section.text("name")
     if name not in replicas:
-        raise top.bad("name", "one of the replicas")
-    election_timeout_ms = top.whole("election_ms", DEFAULT_ELECTION_TIMEOUT_MS, least=MIN_ELECTION_TIMEOUT_MS)
+        raise section.bad("name", "one of the replicas")
     return ReplicaConfig(
-        cluster=top.text("cluster"),
-        name=name,
-        folder=path.parent / top.text("folder"),
-        secret=read_shared_secret(top, path),
-        replicas=replicas,
-        election_timeout=election_timeout_ms * MILLISECOND,
-        snapshot_every=top.whole("snapshot_every", DEFAULT_SNAPSHOT_EVERY, least=MIN_SNAPSHOT_EVERY),
+        section.text("cluster"),
+        name,
+        path.parent / section.text("folder"),
+        read_shared_secret(section, path),
+        replicas,
+        section.whole("election_ms", DEFAULT_ELECTION_MS, least=MIN_ELECTION_MS) * MILLISECOND,
+        section.whole("snapshot_every", DEFAULT_SNAPSHOT_EVERY, least=MIN_SNAPSHOT_EVERY),
     )
+
+
+def split_address(address_text: str) -> tuple[str, int]:
+    """Split "host:port", or "[host]:port" of IPv6, that was checked when it was read."""
+    host, _, port = address_text.rpartition(":")
+    return host.strip("[]"), int(port)
--- a/ploverspoke/consensus/node.py
+++ b/ploverspoke/consensus/node.py
@@ -228,7 +228,7 @@
             }
         return told
 
-    def state_status(self) -> dict[str, Any]:
+    def state_status(self) -> msgspec.Struct | dict[str, Any]:
         return {}
 
     def handle_state_request(self, request: dict[str, Any], reply: Reply) -> bool:
--- a/ploverspoke/routing/router.py
+++ b/ploverspoke/routing/router.py
@@ -4,12 +4,14 @@
 import time
 import traceback
 from collections import deque
-from collections.abc import Callable, Collection, Iterable, Mapping
+from collections.abc import Callable, Collection, Iterable, Sequence
+from dataclasses import replace
 from functools import partial
 from typing import Any
 
 from ploverspoke.decisions.dispatcher import Dispatcher
-from ploverspoke.decisions.interface import Endpoint, Settings
+from ploverspoke.decisions.interface import Endpoint
+from ploverspoke.decisions.settings import DeploymentNames, Idempotency, LoadReporting, Settings
 from ploverspoke.protocol import clients, discovery, workers
 from ploverspoke.protocol.http_messages import HttpSyntaxError
 from ploverspoke.protocol.wire_names import CONDITIONS
@@ -21,13 +23,14 @@
 from ploverspoke.transport.slot_table import SlotTable
 from ploverspoke.transport.units import MILLISECOND, SECOND
 
-from .counters import DROPPED, LEFT, Counters
+from .answers import Client, FinalAnswer, RecordedAnswer
+from .counters import Counters, RequestEnd, UnansweredEnd
 from .endpoint_watch import EndpointWatch
 from .load_gossip import GossipSocket
 from .outcomes import OUTCOMES
 from .request_classes import RequestClassTable
 from .request_log import PendingAttempt, PreviousOutcome, RequestLog, WaitingClients
-from .requests import Client, Request
+from .requests import Request
 from .worker_calls import WorkerCall
 
 PROBE_TIME_OUT = 250 * MILLISECOND
@@ -38,30 +41,18 @@
 Event = Callable[..., None]
 
 
-def x0_in(orders: Settings) -> str:
+def x0_in(settings: Settings) -> str:
     """What this deployment's reports mean by x0."""
-    return "free_slots" if "free_slots" in orders["load_fields"] else "x0"
+    return "free_slots" if "free_slots" in settings.load_fields else "x0"
 
 
-def hold_in(orders: Settings) -> int:
-    return min(LONGEST_HOLD, int(orders["roster_ask_within"]))
+def hold_in(settings: Settings) -> int:
+    return min(LONGEST_HOLD, int(settings.discovery_poll_interval))
 
 
-def is_pushed(orders: Settings) -> bool:
+def is_pushed(settings: Settings) -> bool:
     """Whether changes of the roster count as told without being asked for."""
-    return not orders["roster_must_be_asked"]
-
-
-def give(client: Client, how: str, result: str, come_back_after: int = 0) -> None:
-    """One final answer, by its name."""
-    if how == "satisfied":
-        client.satisfied(result)
-    elif how == "nacked":
-        client.nacked(come_back_after)
-    elif how == "rejected":
-        client.rejected()
-    else:
-        client.abandoned()
+    return not settings.discovery_polling
 
 
 class AttemptCall:
@@ -75,7 +66,7 @@
         self.sent_at = router.now()
 
     def errand_written(self) -> None:
-        self.router.figures.wrote(self.router.rows.names[self.submission.grade])
+        self.router.counters.count_attempt(self.router.rows.names[self.submission.grade])
 
     def errand_started(self) -> None:
         self.router.tell(self.router.dispatcher.attempt_started, self.submission.number, self.index)
@@ -125,22 +116,22 @@
         pool: Pool,
         discovery_address: str,
         seed: int,
-        orders: Settings,
-        names: Mapping[str, list[str]],
+        settings: Settings,
+        names: DeploymentNames,
         scribe: RequestLog | None = None,
     ) -> None:
         self.deadlines = deadlines
         self.pool = pool
-        self.orders = orders
+        self.settings = settings
         self.scribe = scribe
         self.on_roster: Callable[[bytes], None] | None = None  # told what discovery told
         self.by_id: dict[str, Request] = {}  # those in flight, where there is a store
-        self.rows = RequestClassTable(names["grades"])
-        self.figures = Counters()
-        self.figures.name(names["grades"])
-        self.zones = {name: number for number, name in enumerate(names["zones"])}
-        self.machine_kinds = {name: number for number, name in enumerate(names["machine_kinds"])}
-        self.x0 = x0_in(orders)
+        self.rows = RequestClassTable(names.request_classes)
+        self.counters = Counters()
+        self.counters.show(names.request_classes)
+        self.zones = {name: number for number, name in enumerate(names.zones)}
+        self.machine_kinds = {name: number for number, name in enumerate(names.machine_kinds)}
+        self.x0 = x0_in(settings)
         # Workers' starts are told in Unix time; one difference, taken once, puts them all on our clock.
         self.clock_ahead = time.time_ns() - time.monotonic_ns()
         self.addresses: dict[str, str] = {}
@@ -154,7 +145,7 @@
         self.peers: GossipSocket | None = None  # the other dispatchers, where there are addresses for them
         self.loop = loop
         self.roster = self._watch_on(discovery_address)
-        self.dispatcher = Dispatcher(self, seed, orders)
+        self.dispatcher = Dispatcher(self, seed, settings)
 
     def begin(self, known: Any = None, from_known: bool = True) -> None:
         """Follow the roster, from the list as we last had it, if any; it was checked where it was read.
@@ -167,27 +158,28 @@
             self.roster.version = version if from_known else None
             self._roster_changed(listings, True)
         self.tell(self.dispatcher.started)
-        if is_pushed(self.orders):
+        if is_pushed(self.settings):
             # Where changes are to come unprompted, nothing but this watch makes them come on sockets.
             self.roster.start()
 
-    def settings_changed(self, orders: Settings, names: Mapping[str, list[str]]) -> None:
+    def settings_changed(self, settings: Settings, names: DeploymentNames) -> None:
         """Other settings, checked: they bind what is taken from now on; what is open keeps its rules."""
-        translated = dict(orders)
-        own, sought = orders["zone"], orders["machine_kind_needed"]
-        if own < len(names["zones"]):
-            translated["zone"] = self.zones.setdefault(names["zones"][own], len(self.zones))
-        translated["machine_kind_needed"] = [
-            self._machine_kind(kind, names["machine_kinds"]) for kind in sought
-        ]
+        zone = settings.zone
+        if zone < len(names.zones):
+            zone = self.zones.setdefault(names.zones[zone], len(self.zones))
+        classes = tuple(
+            replace(each, machine_kind=self._machine_kind(each.machine_kind, names.machine_kinds))
+            for each in settings.classes
+        )
+        translated = replace(settings, zone=zone, classes=classes)
         in_use = {submission.grade for submission in self.submissions}
-        self.orders, takes_over = self.rows.follow(self.orders, translated, names["grades"], in_use)
-        self.figures.name(names["grades"])
-        self.x0 = x0_in(self.orders)
-        self.roster.hold, self.roster.pushed = hold_in(self.orders), is_pushed(self.orders)
-        self.tell(self.dispatcher.settings_changed, self.orders, takes_over)
+        self.settings, takes_over = self.rows.follow(self.settings, translated, names.request_classes, in_use)
+        self.counters.show(names.request_classes)
+        self.x0 = x0_in(self.settings)
+        self.roster.hold, self.roster.pushed = hold_in(self.settings), is_pushed(self.settings)
+        self.tell(self.dispatcher.settings_changed, self.settings, takes_over)
 
-    def _machine_kind(self, kind: int, names: list[str]) -> int:
+    def _machine_kind(self, kind: int, names: Sequence[str]) -> int:
         """The number by which workers of that kind are known here, whatever place its name has now."""
         if not 0 <= kind < len(names):
             return kind
@@ -217,7 +209,7 @@
         grade = self.rows.numbers.get(clients.grade_name(target))
         if grade is None:
             raise clients.UnknownRequestClassError("no such service grade")  # dropped while the body came
-        longest: int = self.orders["abandon_time"][grade]
+        longest: int = self.settings.classes[grade].deadline
         stated = clients.patience(headers)
         patience = longest if stated is None else min(stated, longest)
         slots, hint = clients.slots(headers), clients.work_hint(headers)
@@ -225,14 +217,14 @@
             known = self._known(self.scribe, client, method, target, headers, body)
             if known is not None:
                 return known
-        if len(self.submissions) >= self.orders["most_open"]:
-            self.figures.turned_away(self.rows.names[grade])
+        if len(self.submissions) >= self.settings.max_open_requests:
+            self.counters.count_turned_away(self.rows.names[grade])
             return None
         # What waited for us to be read, and the way back, are time that the client has not.
         abandon_at = self.now() + patience - min(ANSWER_EARLY, patience // 10)
         submission = Request(client, grade, method, target, headers, body, abandon_at)
         submission.number = self.submissions.add(submission)
-        self.figures.took()
+        self.counters.count_admitted()
         self.body_bytes += len(body)
         self._remember(submission.request_id)
         # The decisions answer in time; this guards the client against a fault in them.
@@ -250,14 +242,14 @@
         if self.scribe is None:
             arrived()
         else:
-            self._write_down(self.scribe, submission, arrived)
+            self._write_down(self.scribe, submission, client, arrived)
         return submission
 
     # ---- Where there is a store ----
 
     def elsewhere(self) -> str | None:
         """Where clients are to go; None: here, "" nowhere yet."""
-        if self.scribe is None or self.scribe.leads():
+        if self.scribe is None or self.scribe.is_leader():
             return None
         return self.scribe.leader_address()
 
@@ -272,7 +264,7 @@
     ) -> Request | None:
         """An id that was here before: its client waits with the others, or gets the same answer again."""
         request_id, digest = headers["request-id"], scribe.digest(method, target, body)
-        flying, past = self.by_id.get(request_id), scribe.past(request_id)
+        flying, past = self.by_id.get(request_id), scribe.previous_outcome(request_id)
         told = flying.digest if flying is not None else past.digest if past is not None else digest
         if told != digest:
             raise clients.RequestIdInUseError("request-id is in use")
@@ -282,23 +274,24 @@
             flying.waiters.clients.append(client)
             return flying
         if past is not None and past.answer is not None:
-            how, result = past.answer
             answered = Request(client, 0, method, target, headers, b"", 0)
-            give(client, how, result)
+            client.answer(past.answer.answer, past.answer.result)
             return answered
         return None
 
-    def _write_down(self, scribe: RequestLog, submission: Request, arrived: Callable[[], None]) -> None:
+    def _write_down(
+        self, scribe: RequestLog, submission: Request, client: Client, arrived: Callable[[], None]
+    ) -> None:
         """The decisions hear of it when it is committed that we have it; redoable ones need not wait for
         that.
         """
         submission.digest = scribe.digest(submission.method, submission.target, submission.body)
-        submission.client = submission.waiters = WaitingClients(submission.client)
+        submission.client = submission.waiters = WaitingClients(client)
         self.by_id[submission.request_id] = submission
-        if self.orders["repeat"][submission.grade] == "redoable":
+        if self.settings.classes[submission.grade].idempotency is Idempotency.IDEMPOTENT:
             arrived()
             return
-        past = scribe.past(submission.request_id)
+        past = scribe.previous_outcome(submission.request_id)
         if past is not None:
             self._resume(submission, past)
             arrived()
@@ -314,15 +307,15 @@
                 self._drop(submission)
 
         left = submission.abandon_at - self.now()
-        scribe.take(submission.request_id, submission.grade, submission.digest, left, committed)
+        scribe.record_request(submission.request_id, submission.grade, submission.digest, left, committed)
 
     def _resume(self, submission: Request, past: PreviousOutcome) -> None:
         """Another replica had it: its hand-offs count, and it is bound by the first that may have run."""
-        submission.hand_offs = [None] * past.hand_offs
-        submission.sent = past.hand_offs > 0
-        sent_at = self.now() - past.bound_for
+        submission.hand_offs = [None] * past.attempt_count
+        submission.sent = past.attempt_count > 0
+        sent_at = self.now() - past.time_since_bound
         number = submission.number
-        self.tell(self.dispatcher.request_resumed, number, past.hand_offs, past.bound_to, sent_at)
+        self.tell(self.dispatcher.request_resumed, number, past.attempt_count, past.bound_worker, sent_at)
 
     def _intend(self, scribe: RequestLog, hand_off: AttemptCall, time_out: int) -> None:
         """Nothing that must not run twice leaves before it is committed that it may."""
@@ -333,12 +326,12 @@
             if submission.hand_offs[index] is not pending:
                 return
             left = until - self.now()
-            if yes and left > 0 and not pending.called_off:
+            if yes and left > 0 and not pending.cancelled:
                 self._send(hand_off, left)
             else:
                 self.attempt_ended(hand_off, ExchangeOutcome.WITHHELD, "", None)
 
-        scribe.intend(submission.request_id, hand_off.worker, index, committed)
+        scribe.record_attempt(submission.request_id, hand_off.worker, index, committed)
 
     def lead_no_more(self) -> None:
         """Another replica answers from now on; what is out goes on, and its ends are no business of ours."""
@@ -351,10 +344,10 @@
         """Its answer is another replica's to give."""
         client = submission.client
         if client is not None:
-            self._close(submission, DROPPED)
+            self._close(submission, UnansweredEnd.LEFT_TO_LEADER)
         self.by_id.pop(submission.request_id, None)
         if client is not None:
-            client.dropped()
+            client.disconnect()
         self._forget(submission)
 
     def _must_be_new(self, request_id: str) -> None:
@@ -372,7 +365,7 @@
         """The door had no room for this request; where its grade is none of ours it is no job."""
         grade = clients.grade_name(target)
         if grade in self.rows.numbers:
-            self.figures.turned_away(grade)
+            self.counters.count_turned_away(grade)
 
     def open_now(self) -> int:
         return sum(submission.client is not None for submission in self.submissions)
@@ -384,7 +377,7 @@
                 submission.waiters.clients.remove(client)
             self._end_unsent(submission)
         elif submission.client is not None:
-            self._close(submission, LEFT)
+            self._close(submission, UnansweredEnd.CLIENT_DISCONNECTED)
             self.tell(self.dispatcher.client_disconnected, submission.number)
             self._forget(submission)
 
@@ -396,7 +389,7 @@
         if waiters is None or waiters.clients or submission.sent or submission.out():
             return
         if submission.client is not None:
-            self._answer(submission, "nacked")
+            self._answer(submission, FinalAnswer.REJECTED)
             self.tell(self.dispatcher.client_disconnected, submission.number)
 
     def answer_all(self) -> None:
@@ -432,12 +425,12 @@
         submission.hand_offs[hand_off.index] = None
         self._end_unsent(submission)
         if self.scribe is not None and self._is_kept(submission):
-            self.scribe.outcome(submission.request_id, hand_off.index, OUTCOMES[end])
+            self.scribe.record_attempt_outcome(submission.request_id, hand_off.index, OUTCOMES[end])
         if end is ExchangeOutcome.SERVED:
-            self._answer(submission, "satisfied", result)
+            self._answer(submission, FinalAnswer.SUCCEEDED, result)
         elif end is ExchangeOutcome.REJECTED:
             # Sent to one worker after the other it set them aside, one by one.
-            self._answer(submission, "rejected")
+            self._answer(submission, FinalAnswer.INVALID_REQUEST)
         self.tell(
             self.dispatcher.attempt_ended,
             submission.number,
@@ -466,7 +459,7 @@
         self.roster.start()
 
     def _watch_on(self, address: str) -> EndpointWatch:
-        hold, pushed = hold_in(self.orders), is_pushed(self.orders)
+        hold, pushed = hold_in(self.settings), is_pushed(self.settings)
         told, lost = self._roster_told, self._roster_lost
         return EndpointWatch(self.loop, self.deadlines, address, hold, told, lost, pushed)
 
@@ -527,7 +520,7 @@
 
     def _is_kept(self, submission: Request) -> bool:
         """Whether the store keeps its hand-offs: what may be run twice needs no keeping."""
-        return bool(self.orders["repeat"][submission.grade] != "redoable")
+        return bool(self.settings.classes[submission.grade].idempotency is not Idempotency.IDEMPOTENT)
 
     def _send(self, hand_off: AttemptCall, time_out: int) -> None:
         submission, address = hand_off.submission, self.addresses[hand_off.worker]
@@ -545,7 +538,7 @@
             partial(workers.JobAnswer, x0=self.x0, request_id=submission.request_id),
             time_out,
             hand_off,
-            in_two=self.orders["repeat"][submission.grade] == "irreversible",
+            in_two=self.settings.classes[submission.grade].idempotency is Idempotency.NON_IDEMPOTENT,
             may_go=partial(self._lets_go, hand_off, address),
         )
 
@@ -558,8 +551,10 @@
             submission.client is not None
             and worker.ready  # else it was told to be draining or gone meanwhile
             and self.addresses.get(hand_off.worker) == address
-            and (self.scribe is None or self.scribe.leads())  # a leader that was paused may be none any more
-            and not submission.client.has_left()
+            and (
+                self.scribe is None or self.scribe.is_leader()
+            )  # a leader that was paused may be none any more
+            and not submission.client.has_disconnected()
         )
         submission.sent = submission.sent or may
         return may
@@ -568,13 +563,13 @@
         submission = self.submissions.get(submission_id)
         errand = submission.hand_offs[hand_off] if submission is not None else None
         if errand is not None:
-            errand.give_up()
+            errand.cancel()
 
     def reject(self, submission_id: int, come_back_after: int) -> None:
-        self._answer(self.submissions.get(submission_id), "nacked", "", come_back_after)
+        self._answer(self.submissions.get(submission_id), FinalAnswer.REJECTED, "", come_back_after)
 
     def fail(self, submission_id: int) -> None:
-        self._answer(self.submissions.get(submission_id), "abandoned")
+        self._answer(self.submissions.get(submission_id), FinalAnswer.FAILED)
 
     def wake_at(self, token: int, when: int) -> None:
         self.deadlines.at(when, lambda: self.tell(self.dispatcher.timer_fired, token))
@@ -584,7 +579,7 @@
 
     def send_probe(self, probe: HealthCheckCall) -> None:
         address = self.addresses.get(probe.worker, "")
-        with_load = self.orders["load_reports"] != "none"
+        with_load = self.settings.load_reporting is not LoadReporting.NONE
         WorkerCall(
             self.pool,
             address,
@@ -616,7 +611,7 @@
     # ---- The life of a submission ----
 
     def _answer(
-        self, submission: Request | None, how: str, result: str = "", come_back_after: int = 0
+        self, submission: Request | None, how: FinalAnswer, result: str = "", come_back_after: int = 0
     ) -> None:
         """Its one final answer, unless it has had that or its client has left."""
         if submission is None or submission.client is None:
@@ -624,23 +619,24 @@
         client = submission.client
         self._close(submission, how)
         if self.scribe is None:
-            give(client, how, result, come_back_after)
+            client.answer(how, result, come_back_after)
         else:
             # Whoever asks for it again, here or at another replica, must hear the same.
             def committed(yes: bool) -> None:
                 self.by_id.pop(submission.request_id, None)
                 if yes:
-                    give(client, how, result, come_back_after)
+                    client.answer(how, result, come_back_after)
                 else:
-                    client.dropped()
+                    client.disconnect()
 
-            self.scribe.answer(submission.request_id, how, result, submission.digest, committed)
+            answer = RecordedAnswer(how, result)
+            self.scribe.record_answer(submission.request_id, answer, submission.digest, committed)
         self._forget(submission)
 
-    def _close(self, submission: Request, how: str) -> None:
+    def _close(self, submission: Request, how: RequestEnd) -> None:
         """It gets its answer now, or wants none any more: nothing is sent for it from here on."""
         submission.client = None
-        self.figures.ended(self.rows.names[submission.grade], how)
+        self.counters.count_end(self.rows.names[submission.grade], how)
         self.deadlines.call_off(submission.last_answer)
         for errand in submission.hand_offs:
             if errand is not None:
@@ -660,7 +656,10 @@
         """A fault or the end: what was never handed off or is redoable is nacked, the rest abandoned."""
         if submission.client is None:
             return
-        if submission.hand_offs and self.orders["repeat"][submission.grade] != "redoable":
+        if (
+            submission.hand_offs
+            and self.settings.classes[submission.grade].idempotency is not Idempotency.IDEMPOTENT
+        ):
             self.fail(submission.number)
         else:
             self.reject(submission.number, 0)
