--- a/ploverspoke/consensus/node.py
+++ b/ploverspoke/consensus/node.py
@@ -200,7 +200,7 @@
             "entries_written": self.written,
             "refused": self.peer_links.refused_connections,
             "stuck": self.peer_links.stalled_connections,
-            **self.state_status(),
+            **msgspec.to_builtins(self.state_status()),
         }
         if raft is not None and self.replica is not None:
             members = raft.members()
