--- a/ploverspoke/store/commands.py
+++ b/ploverspoke/store/commands.py
@@ -63,7 +63,7 @@
     """What each replica says of itself. Exit 1 where none leads."""
     config = _read_config(file)
     rows = [
-        request_status(name, addresses[0], config.secret, StatusRow)
+        request_status(name, addresses.peer, config.secret, StatusRow)
         for name, addresses in config.replicas.items()
     ]
     print_rows([row.fields for row in rows], as_json)
@@ -131,7 +131,7 @@
     try:
         found = request_reply(
             config.name,
-            config.replicas[config.name][0],
+            config.replicas[config.name].peer,
             config.secret,
             ConfigurationsRequest(),
             list[ConfigurationRow],
