--- a/ploverspoke/store/commands.py
+++ b/ploverspoke/store/commands.py
@@ -2,9 +2,11 @@
 
 import getpass
 import sys
+from contextlib import closing
 from pathlib import Path
 
 import click
+import msgspec
 
 from ploverspoke.consensus.admin_messages import (
     AdminRequest,
@@ -32,13 +34,11 @@
     request_status,
     restore_backup,
 )
-from ploverspoke.consensus.storage import ClusterMismatchError, CorruptionError, ReplicaStorage, StorageError
+from ploverspoke.consensus.storage import ClusterMismatchError, CorruptionError, StorageError
 
 from .admin_messages import ConfigurationRow, ConfigurationsRequest, ConfigureRequest
 from .configuration_client import commit_configuration, read_configuration
-from .state_machine import RequestStateMachine
-
-MAX_LISTED_REQUESTS = 100
+from .inspection import inspect_storage
 
 
 @click.group()
@@ -163,9 +163,8 @@
 
     What was committed after the backup is gone: only for all replicas together, from one backup.
     """
-    disk = restore_backup(_read_config(file), path)
-    disk.close()
-    click.echo(f"restored {disk.path}")
+    with closing(restore_backup(_read_config(file), path)) as storage:
+        click.echo(f"restored {storage.path}")
 
 
 @store.command()
@@ -173,31 +172,8 @@
 @JSON_OPTION
 def inspect(file: Path, as_json: bool) -> None:
     """What the store on this machine holds; its replica must not run. Checksums are looked at."""
-    disk = ReplicaStorage(_read_config(file).folder)
     try:
-        disk.open()
+        inspection = inspect_storage(_read_config(file).folder)
     except (CorruptionError, StorageError, ClusterMismatchError) as error:
         raise click.ClickException(str(error)) from error
-    ledger = RequestStateMachine()
-    ledger.load(disk.state)
-    for entry in disk.log.entries:
-        if entry.kind == "data":
-            ledger.apply(entry.at, entry.data)
-    told: WireMap = {
-        "replica": disk.me,
-        "store": disk.fingerprint,
-        "term": disk.term,
-        "vote": disk.vote,
-        "snapshot": disk.log.snapshot_index,
-        "last": disk.log.last_index(),
-        "bytes": disk.size(),
-        "open": len(ledger.open),
-        "answered": len(ledger.answered),
-        "configurations": [c.version for c in ledger.configurations],
-        "open_submissions": {
-            name: [f"{i.worker}: {i.outcome or 'not known'}" for i in job.intents]
-            for name, job in list(ledger.open.items())[:MAX_LISTED_REQUESTS]
-        },
-    }
-    disk.close()
-    print_row(told, as_json)
+    print_row(msgspec.to_builtins(inspection), as_json)
--- a/ploverspoke/store/configuration_client.py
+++ b/ploverspoke/store/configuration_client.py
@@ -10,7 +10,7 @@
 from ploverspoke.service.config_reader import ConfigError
 
 from .admin_messages import ConfigureReply, ConfigureRequest
-from .daemon import merge_config
+from .shared_config import merge_config
 
 
 def read_configuration(store_file: Path, configuration: Path) -> tuple[ReplicaConfig, str]:
--- a/ploverspoke/store/daemon.py
+++ b/ploverspoke/store/daemon.py
@@ -1,106 +1,89 @@
-"""The dispatcher as a daemon with a store: the program of `service/service.py` with a scribe.
-
-What the replicas share of the configuration comes from the store once it is there (`store configure`); what
-is a machine's own, its limits and seed, from its file.
-"""
+"""The dispatcher as one replica of a store: `service/service.py` with a replicated request log."""
 
 import asyncio
 import gc
-import json
 import os
-from functools import partial
 from pathlib import Path
-from typing import Any
+from typing import cast
 
 import uvloop
 
 from ploverspoke.consensus.cluster_config import ReplicaConfig, read_replica_config
 from ploverspoke.consensus.storage import ClusterMismatchError, CorruptionError, StorageError
-from ploverspoke.decisions.settings import Idempotency
-from ploverspoke.service.config import Config, address, parse_config, read_config_document
-from ploverspoke.service.config_reader import ConfigError, ConfigSection
+from ploverspoke.service.config import Config, read_config_document
+from ploverspoke.service.config_reader import ConfigError
 from ploverspoke.service.exit_codes import run_with_exit_code
 from ploverspoke.service.service import Service
 from ploverspoke.transport.rate_limited_log import log_line
 
-from .endpoint_cache import EndpointCache
-from .node import CONFIGURATION, ROSTER, StoreNode
+from .endpoint_cache import EndpointCache, EndpointList
+from .node import StoreNode
 from .request_log import ReplicatedRequestLog
-from .state_machine import Configuration
-
-REPEATS = {
-    Idempotency.IDEMPOTENT: "redoable",
-    Idempotency.IDEMPOTENT_WITH_KEY: "labelled",
-    Idempotency.NON_IDEMPOTENT: "irreversible",
-}
-SHARED = ("settings", "discovery")
-
-
-def merge_config(told: Any, shared: str, orders: ReplicaConfig, roster: Any) -> Config:
-    """One replica's file, what the store shares, and the roster as last known. Raises ConfigError."""
-    listen = orders.replicas[orders.name][1]
-    address(ConfigSection({"clients": listen}, f"replicas.{orders.name}"), "clients", None)
-    whole = dict(ConfigSection(told).value)
-    if shared:
-        whole |= {key: value for key, value in json.loads(shared).items() if key in SHARED}
-    if roster is not None and whole.get("known") is None:
-        whole["known"] = roster
-    return parse_config({**whole, "listen": listen, "name": orders.name}, os.environ)
+from .shared_config import merge_config
+from .snapshot import SharedConfiguration
 
 
 class StoreDaemon:
-    def __init__(self, orders: ReplicaConfig) -> None:
-        self.orders = orders
-        self.node = StoreNode(orders)
-        self.shared = ""
+    """A store replica and the dispatcher that runs on it, in one process."""
+
+    def __init__(self, config: ReplicaConfig) -> None:
+        """`config` is the replica's own file; the dispatcher's is read when it starts."""
+        self.config = config
+        self.node = StoreNode(config)
+        self.shared_body = ""  # JSON of the shared configuration; "": none was committed
 
     async def run(self, new: bool, join: str) -> None:
-        read_config_document(os.environ)  # a bad file is told before anything is opened
+        """Serve until the process is told to end.
+
+        `new` is the first start of a new store, `join` the fingerprint of the store that is joined. Raises
+        ConfigError, ClusterMismatchError, CorruptionError, StorageError or OSError.
+        """
+        read_config_document(os.environ)  # a bad file is reported before anything is opened
         try:
             await self.node.open(new, join)
-            kept = self.node.disk.kept(CONFIGURATION)
-            self.shared = kept[1] if kept is not None else ""
-            briefing = self.read()
-            settings = briefing.settings
-            scribe = ReplicatedRequestLog(
-                self.node,
-                [REPEATS[each.idempotency] for each in settings.classes],
-                [each.retry_scope.value for each in settings.classes],
-                settings.full_may_have_run,
-            )
-            self.service = Service(asyncio.get_running_loop(), briefing, scribe)
-            self.service.read = self.read
-            self.service.router.on_roster = EndpointCache(
-                partial(self.node.keep, ROSTER), briefing.known
-            ).told
-            scribe.on_lost = self.service.router.lead_no_more
-            self.node.on_configuration = self._configured
+            self.shared_body = self.node.saved_configuration()
+            self.service = self._build_service(self.read_config())
+            self.node.on_configuration = self._apply_configuration
             gc.collect()
             gc.freeze()
             await self.service.run()
         finally:
             await self.node.close()
 
-    def read(self) -> Config:
-        return merge_config(
-            read_config_document(os.environ), self.shared, self.orders, self.node.disk.kept(ROSTER)
-        )
-
-    def _configured(self, configuration: Configuration) -> None:
-        """A new version was committed: it is taken as by SIGHUP, and whole at the next start."""
-        before, self.shared = self.shared, configuration.body
+    def read_config(self) -> Config:
+        """Read the dispatcher's file and merge it with what is shared. Raises ConfigError."""
+        document = read_config_document(os.environ)
+        return merge_config(document, self.shared_body, self.config, self.node.saved_endpoints())
+
+    def _build_service(self, config: Config) -> Service:
+        settings = config.settings
+        request_log = ReplicatedRequestLog(self.node, settings.classes, settings.full_may_have_run)
+        service = Service(asyncio.get_running_loop(), config, request_log)
+        service.read = self.read_config
+        known_endpoints = cast("EndpointList | None", config.known)
+        endpoint_cache = EndpointCache(self.node.save_endpoints, known_endpoints)
+        service.router.on_roster = endpoint_cache.update
+        request_log.on_lost = service.router.lead_no_more
+        return service
+
+    def _apply_configuration(self, configuration: SharedConfiguration) -> None:
+        """Apply a version that was committed as SIGHUP does; the whole of it applies at the next start."""
+        previous, self.shared_body = self.shared_body, configuration.body
         try:
-            self.service.take_configuration(self.read())
-            log_line(f"store: configuration {configuration.version} is taken")
+            self.service.take_configuration(self.read_config())
+            log_line(f"store: configuration {configuration.version} applied")
         except (ConfigError, ValueError) as error:
-            self.shared = before
+            self.shared_body = previous
             log_line(
-                f"store: configuration {configuration.version} is not taken, the old one goes on: {error}"
+                f"store: configuration {configuration.version} rejected, the previous one stays: {error}"
             )
 
 
 def main(store: Path, new: bool = False, join: str = "") -> int:
-    """Exit 0: told to end. 2: the configuration or the store cannot be used; says why."""
+    """Run the daemon with the replica's file `store` and give the exit code.
+
+    0: told to end. 2: the configuration or the storage cannot be used, and the reason was printed.
+    """
 
     def run() -> None:
         uvloop.run(StoreDaemon(read_replica_config(store)).run(new, join))
--- a/ploverspoke/store/endpoint_cache.py
+++ b/ploverspoke/store/endpoint_cache.py
@@ -1,42 +1,56 @@
-"""What a replica keeps of its own beside the log: the roster as it was last told, so that a restart
-begins with it.
-"""
+"""The endpoint list as last known, kept beside the log, so that a restart need not wait for discovery."""
 
 import json
 import time
 from collections.abc import Callable
-from typing import Any
+from typing import TypedDict
 
-KEEP_EVERY = 1.0  # seconds, at the most
+SAVE_INTERVAL = 1.0  # seconds between two saves of changes
+GONE = "Gone"  # state of an endpoint that discovery removes
+
+
+class EndpointList(TypedDict):
+    """A list in discovery's own form: what it answers, and what is stored."""
+
+    version: int
+    full: bool  # false: only changes since the version before
+    servers: list[dict[str, object]]
 
 
 class EndpointCache:
-    """Puts discovery's answers together into one list; `keep` is handed it whole, now and then."""
+    """Merges discovery's answers into one list and hands that to `save`, at most once a second."""
 
     def __init__(
-        self, keep: Callable[[Any], None], known: Any = None, now: Callable[[], float] = time.monotonic
+        self,
+        save: Callable[[EndpointList], None],
+        known: EndpointList | None = None,
+        now: Callable[[], float] = time.monotonic,
     ) -> None:
-        """`known` is the list that the watch goes on from: what is told next are its changes."""
-        self.keep = keep
+        """`known` is the list that the watch goes on from: the first answer may hold its changes alone.
+
+        `now` gives seconds of a monotonic clock.
+        """
+        self.save = save
         self.now = now
-        self.entries: dict[str, Any] = {}
-        self.whole = known is not None
+        self.endpoints: dict[object, dict[str, object]] = {}  # by id
+        self.is_complete = known is not None
         if known is not None:
-            self.entries = {entry["id"]: entry for entry in known["servers"]}
-        self.kept_at = -KEEP_EVERY
-
-    def told(self, body: bytes) -> None:
-        """An answer that the router has taken, so its form is right."""
-        told = json.loads(body)
-        if told["full"]:
-            self.whole = True
-            self.entries.clear()
-        for entry in told["servers"]:
-            if entry.get("state") == "Gone":
-                self.entries.pop(entry["id"], None)
+            self.endpoints = {endpoint["id"]: endpoint for endpoint in known["servers"]}
+        self.saved_at = -SAVE_INTERVAL
+
+    def update(self, body: bytes) -> None:
+        """Merge the body of an answer that the router has accepted, so that its form is right."""
+        answer: EndpointList = json.loads(body)
+        if answer["full"]:
+            self.is_complete = True
+            self.endpoints.clear()
+        for endpoint in answer["servers"]:
+            if endpoint.get("state") == GONE:
+                self.endpoints.pop(endpoint["id"], None)
             else:
-                self.entries[entry["id"]] = entry
-        # Changes alone are no list: kept as one, a replica that restarted twice knew no worker any more.
-        if self.whole and (told["full"] or self.now() - self.kept_at >= KEEP_EVERY):
-            self.kept_at = self.now()
-            self.keep({"version": told["version"], "full": True, "servers": list(self.entries.values())})
+                self.endpoints[endpoint["id"]] = endpoint
+        # Changes alone are no list: saved as one, a replica that restarted twice would know no worker.
+        if self.is_complete and (answer["full"] or self.now() - self.saved_at >= SAVE_INTERVAL):
+            self.saved_at = self.now()
+            servers = list(self.endpoints.values())
+            self.save({"version": answer["version"], "full": True, "servers": servers})
--- a/ploverspoke/store/node.py
+++ b/ploverspoke/store/node.py
@@ -1,62 +1,126 @@
-"""A replica that keeps the ledger, and this replica's own copy of the configuration beside it."""
+"""A replica whose state is that of requests, and what it saves of its own beside the log."""
 
 import time
 from collections.abc import Callable
 from typing import Any
 
+import msgspec
+
+from ploverspoke.consensus.admin_messages import (
+    decode_request,
+    encode_reply,
+)
 from ploverspoke.consensus.cluster_config import ReplicaConfig
 from ploverspoke.consensus.node import ReplicaNode, Reply
 from ploverspoke.consensus.storage import ReplicaStorage
 
-from .state_machine import CONFIGURE, Configuration, RequestStateMachine
+from .admin_messages import ConfigurationRow, ConfigurationsRequest, ConfigureReply, ConfigureRequest
+from .endpoint_cache import EndpointList
+from .log_commands import CommitConfiguration, encode_command
+from .snapshot import SharedConfiguration
+from .state_machine import RequestStateMachine
+
+# Keys of the values that are saved beside the log; the names on disk stay as they are.
+CONFIGURATION_KEY, ENDPOINTS_KEY = "configuration", "roster"
+
+
+class StoreStatus(msgspec.Struct, frozen=True):
+    """The state machine's part of a replica's status."""
+
+    open: int  # requests
+    answered: int  # requests whose answer is kept
+    configuration: int  # the latest version; 0: none
+
 
-CONFIGURATION, ROSTER = "configuration", "roster"  # what is kept of this replica's own
+class SavedConfiguration(msgspec.Struct, array_like=True, frozen=True):
+    """This replica's own copy of the latest configuration, which it starts with."""
+
+    version: int = 0
+    body: str = ""
 
 
 class StoreNode(ReplicaNode):
-    def __init__(self, orders: ReplicaConfig, disk: ReplicaStorage | None = None) -> None:
-        self.ledger = RequestStateMachine()
-        super().__init__(orders, self.ledger, disk)
-        self.ledger.on_time = self.clock.seen
-        self.on_configuration: Callable[[Configuration], None] | None = None
-        self.configuration_known = 0  # the version that is kept on the disk
+    """One replica of the store."""
+
+    def __init__(self, config: ReplicaConfig, storage: ReplicaStorage | None = None) -> None:
+        """`config` is the replica's own file; `storage` is by default that of the folder it names."""
+        self.requests = RequestStateMachine()
+        super().__init__(config, self.requests, storage)
+        self.requests.on_time = self.clock.seen
+        self.on_configuration: Callable[[SharedConfiguration], None] | None = None
+        self.saved_version = 0  # of the configuration that is saved
 
     def opened(self) -> None:
-        kept = self.disk.kept(CONFIGURATION)
-        self.configuration_known = kept[0] if kept is not None else 0
-        self.ledger.on_configuration = self._configured
+        self.saved_version = self._load_configuration().version
+        self.requests.on_configuration = self._configuration_committed
+
+    # ---- Saved beside the log ----
+
+    def saved_configuration(self) -> str:
+        """Give the body of the configuration that is saved; "" where none was ever committed."""
+        return self._load_configuration().body
+
+    def saved_endpoints(self) -> EndpointList | None:
+        """Give the endpoint list that is saved, if there is one."""
+        endpoints: EndpointList | None = self.disk.kept(ENDPOINTS_KEY)
+        return endpoints
+
+    def save_endpoints(self, endpoints: EndpointList) -> None:
+        """Save the endpoint list in the background."""
+        self.keep(ENDPOINTS_KEY, endpoints)
+
+    def _load_configuration(self) -> SavedConfiguration:
+        saved = self.disk.kept(CONFIGURATION_KEY)
+        return SavedConfiguration() if saved is None else msgspec.convert(saved, SavedConfiguration)
+
+    def _configuration_committed(self, configuration: SharedConfiguration) -> None:
+        if configuration.version <= self.saved_version:
+            return
+        self.saved_version = configuration.version
+        self.keep(CONFIGURATION_KEY, [configuration.version, configuration.body])
+        if self.on_configuration is not None:
+            self.loop.call_soon(self.on_configuration, configuration)
+
+    # ---- Requests of tools ----
 
     def status_of_state(self) -> dict[str, Any]:
-        return {
-            "open": len(self.ledger.open),
-            "answered": len(self.ledger.answered),
-            "configuration": getattr(self.ledger.configuration(), "version", 0),
-        }
+        return dict(encode_reply(self.state_status()))
+
+    def state_status(self) -> StoreStatus:
+        configuration = self.requests.configuration()
+        return StoreStatus(
+            open=len(self.requests.open_requests),
+            answered=len(self.requests.answered),
+            configuration=configuration.version if configuration is not None else 0,
+        )
 
     def asked_of_state(self, question: dict[str, Any], reply: Reply) -> bool:
-        verb = question.get("ask")
-        if verb == "configure":
-            token = question.get("token", 0)
-            if not isinstance(token, int):
+        match decode_request(question, ConfigureRequest, ConfigurationsRequest):
+            case ConfigureRequest() as request:
+                self._configure(request, reply)
+            case ConfigurationsRequest():
+                reply([msgspec.to_builtins(row) for row in self._configuration_rows()])
+            case _:
                 return False
-            command = [CONFIGURE, str(question["body"]), str(question["by"]), time.time_ns(), token]
-            self.propose(command, lambda yes: reply(self._configured_or_not(yes, token)))
-        elif verb == "configurations":
-            reply([[c.version, c.by, c.at, c.body] for c in self.ledger.configurations])
-        else:
-            return False
         return True
 
-    def _configured_or_not(self, yes: bool, token: int) -> dict[str, Any]:
-        if yes and token < self.ledger.configured_under:
-            return {"done": False, "why": f"published under token {self.ledger.configured_under} since"}
-        configuration = self.ledger.configuration()
-        return {"done": yes, "version": configuration.version if yes and configuration is not None else 0}
+    def _configure(self, request: ConfigureRequest, reply: Reply) -> None:
+        command = CommitConfiguration(request.body, request.by, time.time_ns(), request.token)
+        self.propose(
+            encode_command(command),
+            lambda is_committed: reply(encode_reply(self._configure_reply(is_committed, request.token))),
+        )
 
-    def _configured(self, configuration: Configuration) -> None:
-        if configuration.version <= self.configuration_known:
-            return
-        self.configuration_known = configuration.version
-        self.keep(CONFIGURATION, [configuration.version, configuration.body])
-        if self.on_configuration is not None:
-            self.loop.call_soon(self.on_configuration, configuration)
+    def _configure_reply(self, is_committed: bool, token: int) -> ConfigureReply:
+        if not is_committed:
+            return ConfigureReply(False, version=0)
+        if token < self.requests.highest_token:
+            return ConfigureReply(False, why=f"published under token {self.requests.highest_token} since")
+        configuration = self.requests.configuration()
+        return ConfigureReply(True, version=configuration.version if configuration is not None else 0)
+
+    def _configuration_rows(self) -> list[ConfigurationRow]:
+        return [
+            ConfigurationRow(kept.version, kept.committed_by, kept.committed_wall_time, kept.body)
+            for kept in self.requests.configurations
+        ]
--- a/ploverspoke/store/recovery.py
+++ b/ploverspoke/store/recovery.py
@@ -1,42 +1,59 @@
-"""What becomes of open submissions when a replica takes over: decided from the ledger alone, without I/O.
+"""Decides what becomes of open requests when another replica takes over, from the state alone.
 
-`fate` is asked for each one that was open in the ledger when this replica came to lead. Its client may come
-back with the same id, and then brings the request again; until then there is nothing that could be sent.
+A request's client may come back with the same id, and brings the request again; until then there is nothing
+that could be sent.
 """
 
 from enum import Enum, auto
 from typing import NamedTuple
 
 from ploverspoke.decisions.interface import never_ran
+from ploverspoke.decisions.settings import Idempotency, RequestClass, RetryScope
 
-from .state_machine import Intent, Open
+from .log_commands import FinalOutcome
+from .snapshot import AttemptRecord, OpenRequest
 
 
-class Fate(Enum):
-    FREE = auto()  # no hand-off of it may have run: it goes as a new one, or is nacked when its time is over
-    BOUND = auto()  # labelled, and one may have run: only in its group and window
-    LOST = auto()  # irreversible, and one may have run: abandoned, and never sent again
+class RecoveryVerdict(Enum):
+    """What a new leader may do with an open request."""
 
+    MAY_RUN = auto()  # no attempt may have run, or it is idempotent: it starts like a new one
+    MAY_RUN_IN_SCOPE = auto()  # idempotent with a key, one may have run: in its retry scope and window only
+    MUST_FAIL = auto()  # non-idempotent, and one may have run: failed, and never sent again
 
-class Recovered(NamedTuple):
-    fate: Fate
-    may_have_run: Intent | None  # the first that may have
-    hand_offs: int  # so many are spent
 
+class Recovery(NamedTuple):
+    """A verdict and what it rests on."""
 
-def fate(job: Open, repeat: str, full_may_have_run: bool = False) -> Recovered:
-    """`repeat` is that of its grade: redoable, labelled or irreversible."""
-    proof = never_ran(full_may_have_run)
-    first = next((i for i in job.intents if i.outcome not in proof), None)
-    spent = len(job.intents)
-    if first is None or repeat == "redoable":
-        return Recovered(Fate.FREE, None, spent)
-    return Recovered(Fate.LOST if repeat == "irreversible" else Fate.BOUND, first, spent)
+    verdict: RecoveryVerdict
+    may_have_run: AttemptRecord | None  # the first attempt that may have
+    attempts: int  # spent before
 
 
-def answer_when_over(job: Open, repeat: str, group_is_all: bool, full_may_have_run: bool = False) -> str:
-    """The final answer of one whose client did not come back in time."""
-    found = fate(job, repeat, full_may_have_run)
-    if found.fate is Fate.FREE or (found.fate is Fate.BOUND and group_is_all):
-        return "nacked"
-    return "abandoned"
+def recover_request(
+    request: OpenRequest, idempotency: Idempotency, full_may_have_run: bool = False
+) -> Recovery:
+    """Judge an open request of a class with that idempotency.
+
+    `full_may_have_run`: workers also shed what they had begun, so "full" is no proof that it did not run.
+    """
+    proofs = never_ran(full_may_have_run)
+    first = next((attempt for attempt in request.attempts if attempt.outcome not in proofs), None)
+    attempts = len(request.attempts)
+    if first is None or idempotency is Idempotency.IDEMPOTENT:
+        return Recovery(RecoveryVerdict.MAY_RUN, None, attempts)
+    if idempotency is Idempotency.NON_IDEMPOTENT:
+        return Recovery(RecoveryVerdict.MUST_FAIL, first, attempts)
+    return Recovery(RecoveryVerdict.MAY_RUN_IN_SCOPE, first, attempts)
+
+
+def outcome_at_deadline(
+    request: OpenRequest, request_class: RequestClass, full_may_have_run: bool = False
+) -> FinalOutcome:
+    """Give the final outcome of a request whose client did not come back by its deadline."""
+    verdict = recover_request(request, request_class.idempotency, full_may_have_run).verdict
+    may_run_again = verdict is RecoveryVerdict.MAY_RUN or (
+        # Its client may ask for it again: each worker of the scope drops what is a duplicate.
+        verdict is RecoveryVerdict.MAY_RUN_IN_SCOPE and request_class.retry_scope is RetryScope.ALL
+    )
+    return FinalOutcome.REJECTED if may_run_again else FinalOutcome.FAILED
--- a/ploverspoke/store/request_log.py
+++ b/ploverspoke/store/request_log.py
@@ -1,120 +1,162 @@
-"""Writes down for the router what must be committed before it may happen, and ends what others left open."""
+"""Commits for the router what must be committed before it may happen, and ends what others left open."""
 
 import asyncio
 import time
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 from hashlib import blake2b
 
+from ploverspoke.decisions.settings import RequestClass
 from ploverspoke.routing.request_log import CommitCallback, PreviousOutcome
 from ploverspoke.transport.rate_limited_log import log_line
 
-from . import state_machine
+from .log_commands import (
+    AcceptRequest,
+    AnswerRequest,
+    AttemptOutcome,
+    FinalOutcome,
+    FinishAttempt,
+    LogCommand,
+    StartAttempt,
+    encode_command,
+)
 from .node import StoreNode
-from .recovery import Fate, answer_when_over, fate
+from .recovery import Recovery, RecoveryVerdict, outcome_at_deadline, recover_request
+from .snapshot import AttemptRecord, OpenRequest
 
-AFTER_ABANDON = 0.05  # seconds past the abandon time, in which its own answer may still be on its way
+AFTER_DEADLINE = 0.05  # seconds, in which the client's own answer may still be on its way
+DIGEST_BYTES = 16
 
 
 class ReplicatedRequestLog:
     """The `RequestLog` of one replica."""
 
     def __init__(
-        self, node: StoreNode, repeats: list[str], groups: list[str], full_may_have_run: bool = False
+        self,
+        node: StoreNode,
+        request_classes: Sequence[RequestClass],
+        full_may_have_run: bool = False,
     ) -> None:
-        """Repeat and group of each grade, and whether "full" is no proof, as the standing orders have it."""
-        self.full_may_have_run = full_may_have_run
+        """`request_classes` are those of the settings, by number.
+
+        `full_may_have_run`: a worker's "full" is no proof that it did not run the request.
+        """
         self.node = node
-        self.repeats = repeats
-        self.groups = groups
+        self.request_classes = request_classes
+        self.full_may_have_run = full_may_have_run
         self.on_lost: Callable[[], None] = lambda: None
-        self.led = False
-        self.recovered = 0
+        self.is_leading = False
+        self.recovered = 0  # open requests found when this replica took over
         node.on_role.append(self._role_changed)
 
     def leads(self) -> bool:
-        return self.led and self.node.leads()
+        """Whether this replica may act: it has read all that was committed, and no other can lead now."""
+        return self.is_leading and self.node.leads()
 
     def leader_address(self) -> str:
-        own = self.node.orders.replicas[self.node.orders.name][1]
-        found = self.node.leader_clients()
-        return "" if found == own else found
+        """Give the leader's address for clients; "" where it is this replica or is not known."""
+        own_address = self.node.orders.replicas[self.node.orders.name][1]
+        leader_address = self.node.leader_clients()
+        return "" if leader_address == own_address else leader_address
 
     def digest(self, method: str, target: str, body: bytes) -> bytes:
+        """Give a digest that tells two requests under one id apart."""
         head = f"{method} {target}\n".encode("utf-8", "surrogatepass")
-        return blake2b(head + body, digest_size=16).digest()
+        return blake2b(head + body, digest_size=DIGEST_BYTES).digest()
 
     def past(self, request_id: str) -> PreviousOutcome | None:
-        answered = self.node.ledger.answered.get(request_id)
+        """Give what is known of an id from before; None where it is new."""
+        answered = self.node.requests.answered.get(request_id)
         if answered is not None:
-            return PreviousOutcome((answered.how, answered.result), answered.digest, 0, "", 0)
-        job = self.node.ledger.open.get(request_id)
-        if job is None:
+            return PreviousOutcome((answered.outcome, answered.result), answered.digest, 0, "", 0)
+        request = self.node.requests.open_requests.get(request_id)
+        if request is None:
             return None
-        found = fate(job, self.repeats[job.grade], self.full_may_have_run)
-        first = found.may_have_run
+        recovery = self._judge(request)
+        first = recovery.may_have_run
         if first is None:
-            return PreviousOutcome(None, job.digest, found.hand_offs, "", 0)
-        # The store's clock stood still while no replica ran, a wall clock may have been set back: the longer
-        # time counts, since past its window nothing runs again.
-        now = self.node.clock.now()
-        since = max(now - first.at, time.time_ns() - (first.wall or first.at))
-        return PreviousOutcome(None, job.digest, found.hand_offs, first.worker, since)
+            return PreviousOutcome(None, request.digest, recovery.attempts, "", 0)
+        return PreviousOutcome(None, request.digest, recovery.attempts, first.worker, self._time_since(first))
 
     def take(self, request_id: str, grade: int, digest: bytes, left: int, then: CommitCallback) -> None:
+        """Commit that a request is accepted; `left` is ns until its deadline."""
         now = self.node.clock.now()
-        self.node.propose([state_machine.TAKE, request_id, grade, digest, now + left, now], then)
+        self._propose(AcceptRequest(request_id, grade, digest, now + left, now), then)
 
     def intend(self, request_id: str, worker: str, index: int, then: CommitCallback) -> None:
-        command = [state_machine.INTEND, request_id, worker, index, self.node.clock.now(), time.time_ns()]
-        self.node.propose(command, then)
+        """Commit that an attempt may be sent to the worker."""
+        self._propose(StartAttempt(request_id, worker, index, self.node.clock.now(), time.time_ns()), then)
 
     def outcome(self, request_id: str, index: int, outcome: str) -> None:
-        self.node.propose([state_machine.OUTCOME, request_id, index, outcome], _nobody)
+        """Commit how an attempt ended; nothing waits for it."""
+        self._propose(FinishAttempt(request_id, index, AttemptOutcome(outcome)), _ignore_commit)
 
     def answer(self, request_id: str, how: str, result: str, digest: bytes, then: CommitCallback) -> None:
-        def told(yes: bool) -> None:
+        """Commit the final answer; `then` hears False where another one stands."""
+        outcome = FinalOutcome(how)
+
+        def on_committed(is_committed: bool) -> None:
             # Another answer may have been committed first: then that one stands, and ours is not given.
-            kept = self.node.ledger.answered.get(request_id)
-            then(yes and kept is not None and (kept.how, kept.result) == (how, result))
+            kept = self.node.requests.answered.get(request_id)
+            then(is_committed and kept is not None and (kept.outcome, kept.result) == (outcome, result))
+
+        self._propose(AnswerRequest(request_id, outcome, result, digest, self.node.clock.now()), on_committed)
+
+    def _time_since(self, attempt: AttemptRecord) -> int:
+        """Give ns since the attempt started, by the longer of two clocks.
 
-        self.node.propose(
-            [state_machine.ANSWER, request_id, how, result, digest, self.node.clock.now()], told
-        )
+        The replicated clock stands still while no replica runs, the wall clock may have been set back; past
+        the window in which workers drop duplicates nothing must run again.
+        """
+        by_replicated_clock = self.node.clock.now() - attempt.started_at
+        by_wall_clock = time.time_ns() - (attempt.started_wall_time or attempt.started_at)
+        return max(by_replicated_clock, by_wall_clock)
+
+    def _propose(self, command: LogCommand, then: CommitCallback) -> None:
+        self.node.propose(encode_command(command), then)
 
     # ---- Taking over ----
 
     def _role_changed(self, role: str, leader: str) -> None:
         if role == "leader":
-            self.node.read(self._took_over)
-        elif self.led:
-            self.led = False
-            log_line(f"store: {self.node.orders.name} leads no more")
+            self.node.read(self._take_over)
+        elif self.is_leading:
+            self.is_leading = False
+            log_line(f"store: {self.node.orders.name} is no longer the leader")
             self.on_lost()
 
-    def _took_over(self, yes: bool) -> None:
-        """All that was committed before is applied here: what others left open can be judged."""
-        if not yes:
+    def _take_over(self, is_current: bool) -> None:
+        """Begin to lead: all that was committed before is applied here, so what is open can be judged."""
+        if not is_current:
+            return
+        self.is_leading = True
+        open_requests = list(self.node.requests.open_requests.items())
+        log_line(f"store: {self.node.orders.name} is the leader, open_requests={len(open_requests)}")
+        for request_id, request in open_requests:
+            self._recover(request_id, request)
+
+    def _recover(self, request_id: str, request: OpenRequest) -> None:
+        self.recovered += 1
+        if self._judge(request).verdict is RecoveryVerdict.MUST_FAIL:
+            self._end(request_id, FinalOutcome.FAILED)
+        else:
+            delay = (request.deadline - self.node.clock.now()) / 1e9 + AFTER_DEADLINE
+            asyncio.get_running_loop().call_later(max(0.0, delay), self._on_deadline, request_id)
+
+    def _on_deadline(self, request_id: str) -> None:
+        request = self.node.requests.open_requests.get(request_id)
+        if request is None or not self.is_leading:
             return
-        self.led = True
-        left = list(self.node.ledger.open.items())
-        log_line(f"store: {self.node.orders.name} leads; {len(left)} submissions were open")
-        for name, job in left:
-            self.recovered += 1
-            if fate(job, self.repeats[job.grade], self.full_may_have_run).fate is Fate.LOST:
-                self._end(name, "abandoned")
-            else:
-                wait = (job.abandon_at - self.node.clock.now()) / 1e9 + AFTER_ABANDON
-                asyncio.get_running_loop().call_later(max(0.0, wait), self._over, name)
-
-    def _over(self, name: str) -> None:
-        job = self.node.ledger.open.get(name)
-        if job is not None and self.led:
-            repeat, to_all = self.repeats[job.grade], self.groups[job.grade] == "all"
-            self._end(name, answer_when_over(job, repeat, to_all, self.full_may_have_run))
-
-    def _end(self, name: str, how: str) -> None:
-        self.node.propose([state_machine.ANSWER, name, how, "", b"", self.node.clock.now()], _nobody)
-
-
-def _nobody(yes: bool) -> None:
-    pass
+        request_class = self.request_classes[request.request_class]
+        self._end(request_id, outcome_at_deadline(request, request_class, self.full_may_have_run))
+
+    def _judge(self, request: OpenRequest) -> Recovery:
+        idempotency = self.request_classes[request.request_class].idempotency
+        return recover_request(request, idempotency, self.full_may_have_run)
+
+    def _end(self, request_id: str, outcome: FinalOutcome) -> None:
+        now = self.node.clock.now()
+        self._propose(AnswerRequest(request_id, outcome, "", b"", now), _ignore_commit)
+
+
+def _ignore_commit(is_committed: bool) -> None:
+    """Wait for nothing: what is lost here the next leader judges again."""
--- /dev/null
+++ b/ploverspoke/store/shared_config.py
@@ -0,0 +1,39 @@
+"""Builds a replica's configuration from its own file and from what the replicas share.
+
+`settings` and `discovery` come from the store once a configuration was committed there; limits, seed and
+addresses stay each machine's own.
+"""
+
+import json
+import os
+from collections.abc import Mapping
+
+from ploverspoke.consensus.cluster_config import ReplicaConfig
+from ploverspoke.service.config import Config, address, parse_config
+from ploverspoke.service.config_reader import ConfigSection
+
+from .endpoint_cache import EndpointList
+
+SHARED_KEYS = ("settings", "discovery")
+
+
+def merge_config(
+    document: object, shared_body: str, replica_config: ReplicaConfig, endpoints: EndpointList | None
+) -> Config:
+    """Merge a dispatcher's own document with the shared configuration and the endpoints last known.
+
+    `shared_body` is JSON; "" where none was committed. Raises ConfigError, naming the key.
+    """
+    name = replica_config.name
+    listen = replica_config.replicas[name][1]
+    address(ConfigSection({"clients": listen}, f"replicas.{name}"), "clients", None)
+    merged: dict[str, object] = dict(ConfigSection(document).value)
+    if shared_body:
+        merged |= _shared_values(json.loads(shared_body))
+    if endpoints is not None and merged.get("known") is None:
+        merged["known"] = endpoints
+    return parse_config({**merged, "listen": listen, "name": name}, os.environ)
+
+
+def _shared_values(shared: Mapping[str, object]) -> dict[str, object]:
+    return {key: value for key, value in shared.items() if key in SHARED_KEYS}
--- a/ploverspoke/testbed/store_bench.py
+++ b/ploverspoke/testbed/store_bench.py
@@ -294,7 +294,7 @@
         loaded.load(again.state)
         took = time.perf_counter() - began
         again.close()
-        assert len(loaded.open) == count
+        assert len(loaded.open_requests) == count
     return {"open": float(count), "seconds": took}
 
 
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -40,7 +40,7 @@
 from ploverspoke.routing.outcomes import OUTCOMES
 from ploverspoke.service.config import read_config
 from ploverspoke.store.endpoint_cache import EndpointCache
-from ploverspoke.store.node import CONFIGURATION, ROSTER
+from ploverspoke.store.node import CONFIGURATION_KEY, ENDPOINTS_KEY
 from ploverspoke.store.request_log import ReplicatedRequestLog
 from ploverspoke.store.state_machine import RequestStateMachine
 
@@ -98,7 +98,7 @@
     proposed: list[str] = []
     node: Any = SimpleNamespace(clock=SimpleNamespace(now=lambda: 5 * SECOND), on_role=[])
     node.propose = lambda command, then: proposed.append(encoded(command))
-    scribe = ReplicatedRequestLog(node, [], [])
+    scribe = ReplicatedRequestLog(node, [])
     digest = scribe.digest("POST", "/book/1", b"{}")
     scribe.take("job-1", 1, digest, 7 * SECOND, lambda yes: None)
     scribe.intend("job-1", "w0", 1, lambda yes: None)
@@ -167,7 +167,7 @@
 
 
 def test_the_keys_of_kept_values_are_the_same() -> None:
-    assert list(read_json("store/written.json")["kept"]) == [CONFIGURATION, ROSTER]
+    assert list(read_json("store/written.json")["kept"]) == [CONFIGURATION_KEY, ENDPOINTS_KEY]
     assert list(read_json("leases/written.json")["kept"]) == [EPOCH_KEY]
     assert list(read_json("config/written.json")["kept"]) == [COMMITTED]
 
@@ -183,8 +183,8 @@
 def test_a_kept_list_of_workers_is_read_and_written_again() -> None:
     kept: list[Any] = []
     told = decoded(read_json("store/written.json")["kept"]["roster"])
-    EndpointCache(kept.append).told(read_json("scribe.json")["roster_body"].encode())
-    EndpointCache(kept.append, told).told(b'{"version": 4, "full": false, "servers": []}')
+    EndpointCache(kept.append).update(read_json("scribe.json")["roster_body"].encode())
+    EndpointCache(kept.append, told).update(b'{"version": 4, "full": false, "servers": []}')
     assert [encoded(one) for one in kept] == [encoded(told)] * 2
 
 
@@ -222,18 +222,29 @@
 
 def test_submissions_of_a_snapshot_have_their_values() -> None:
     ledger = load_state("store", (DATA / "store" / "state.bin").read_bytes())
-    assert list(ledger.open) == ["job-2", "job-4"] and list(ledger.answered) == ["job-1", "job-3"]
-    job = ledger.open["job-2"]
-    assert (job.grade, job.digest, job.abandon_at, job.taken_at) == (1, DIGEST[::-1], 10 * SECOND, 4 * SECOND)
-    intents = [(one.worker, one.index, one.at, one.outcome, one.wall) for one in job.intents]
+    assert list(ledger.open_requests) == ["job-2", "job-4"] and list(ledger.answered) == ["job-1", "job-3"]
+    job = ledger.open_requests["job-2"]
+    assert (job.request_class, job.digest, job.deadline, job.accepted_at) == (
+        1,
+        DIGEST[::-1],
+        10 * SECOND,
+        4 * SECOND,
+    )
+    intents = [
+        (one.worker, one.index, one.started_at, one.outcome, one.started_wall_time) for one in job.attempts
+    ]
     wall = 1_700_000_002 * SECOND
     assert intents == [("w1", 1, 5 * SECOND, "broken_off", wall), ("w2", 2, 6 * SECOND, "", 6 * SECOND)]
     first, second = ledger.answered.values()
-    assert (first.how, first.result, first.digest) == ("satisfied", "fine", DIGEST)
-    assert first.forget_at == (9 + 15 * 60) * SECOND and second.how == "nacked"
+    assert (first.outcome, first.result, first.digest) == ("satisfied", "fine", DIGEST)
+    assert first.forget_at == (9 + 15 * 60) * SECOND and second.outcome == "nacked"
     version = ledger.configuration()
-    assert (version.version, version.body, version.by) == (1, BODIES[0], "anna")
-    assert (version.at, ledger.configured_under, ledger.now) == (1_700_000_001 * SECOND, 7, 9 * SECOND)
+    assert (version.version, version.body, version.committed_by) == (1, BODIES[0], "anna")
+    assert (version.committed_wall_time, ledger.highest_token, ledger.now) == (
+        1_700_000_001 * SECOND,
+        7,
+        9 * SECOND,
+    )
 
 
 def test_leases_of_a_snapshot_have_their_values() -> None:
--- /dev/null
+++ b/tests/consensus/test_peer_links.py
@@ -0,0 +1,51 @@
+"""Connections among replicas on real sockets."""
+
+import asyncio
+from typing import Any
+
+import pytest
+import uvloop
+
+from ploverspoke.consensus import peer_links
+from ploverspoke.consensus.framing import FrameCodec
+from tests.store.cluster_harness import until
+
+
+def test_a_connection_that_sends_nothing_out_is_closed_and_dialled_again(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """A replica that is cut off: what waits for it is stale, and must not go out before anything new."""
+    monkeypatch.setattr(peer_links, "STUCK_FOR", 0.2)
+    secret, greeting = b"a secret of the test", {"id": "b.1", "store": "s"}
+    dialled: list[asyncio.Transport] = []
+
+    class Deaf(asyncio.Protocol):
+        def connection_made(self, transport: Any) -> None:
+            transport.write(FrameCodec(secret, greeting).greeting_frame())
+            asyncio.get_running_loop().call_soon(transport.pause_reading)
+            dialled.append(transport)
+
+    async def scene() -> None:
+        loop = asyncio.get_running_loop()
+        server = await loop.create_server(Deaf, "127.0.0.1", 0)
+        told = peer_links.PeerLinks(secret, {"id": "a.1", "store": "s"}, lambda *_: None, lambda *_: None)
+        told.set_peers({"b.1": f"127.0.0.1:{server.sockets[0].getsockname()[1]}"})
+        await until(lambda: "b.1" in told.outbound and told.outbound["b.1"].ready)
+        first = told.outbound["b.1"]
+
+        def is_stuck() -> bool:
+            told.send("b.1", ["x" * 65536])
+            return told.stuck > 0
+
+        await until(is_stuck)
+        assert (
+            first.transport is None
+            or first.transport.get_write_buffer_size() <= peer_links.MOST_UNSENT + 70_000
+        )
+        await until(lambda: len(dialled) > 1 and told.outbound["b.1"] is not first)
+        told.close()
+        server.close()
+        for transport in dialled:
+            transport.abort()
+
+    uvloop.run(asyncio.wait_for(scene(), 20))
--- /dev/null
+++ b/tests/store/request_log_harness.py
@@ -0,0 +1,74 @@
+"""A request log whose commits the test makes, and a router on real sockets that uses it."""
+
+import asyncio
+from collections.abc import Awaitable, Callable
+from typing import Any
+
+from ploverspoke.routing.request_log import CommitCallback, PreviousOutcome
+from tests.routing.test_service import World, play
+
+
+class ControlledRequestLog:
+    """Commits at once, but for the calls in `holds`: those wait until the test commits them."""
+
+    def __init__(self) -> None:
+        self.leading = True
+        self.held: list[tuple[str, CommitCallback]] = []  # calls that wait for their commit
+        self.holds: set[str] = set()
+        self.outcomes: list[tuple[str, int, str]] = []
+        self.previous: dict[str, PreviousOutcome] = {}
+
+    def leads(self) -> bool:
+        return self.leading
+
+    def leader_address(self) -> str:
+        return "127.0.0.1:9"
+
+    def digest(self, method: str, target: str, body: bytes) -> bytes:
+        return target.encode() + body
+
+    def past(self, request_id: str) -> PreviousOutcome | None:
+        return self.previous.get(request_id)
+
+    def take(self, request_id: str, grade: int, digest: bytes, left: int, then: CommitCallback) -> None:
+        self._commit("take", then)
+
+    def intend(self, request_id: str, worker: str, index: int, then: CommitCallback) -> None:
+        self._commit("intend", then)
+
+    def outcome(self, request_id: str, index: int, outcome: str) -> None:
+        self.outcomes.append((request_id, index, outcome))
+
+    def answer(self, request_id: str, how: str, result: str, digest: bytes, then: CommitCallback) -> None:
+        def on_committed(is_committed: bool) -> None:
+            if is_committed:
+                self.previous[request_id] = PreviousOutcome((how, result), digest, 0, "", 0)
+            then(is_committed)
+
+        self._commit("answer", on_committed)
+
+    def _commit(self, call: str, then: CommitCallback) -> None:
+        if call in self.holds:
+            self.held.append((call, then))
+        else:
+            asyncio.get_running_loop().call_soon(then, True)
+
+    async def wait_for(self, call: str) -> CommitCallback:
+        while not self.held:
+            await asyncio.sleep(0.001)
+        assert self.held[0][0] == call
+        return self.held.pop(0)[1]
+
+
+Scenario = Callable[[World, ControlledRequestLog], Awaitable[None]]
+
+
+def run_with_request_log(scenario: Scenario, *holds: str, **settings: Any) -> None:
+    """Run the scenario on a router whose request log holds the commits of these calls."""
+    request_log = ControlledRequestLog()
+    request_log.holds = set(holds)
+
+    async def run(world: World) -> None:
+        await scenario(world, request_log)
+
+    play(run, scribe=request_log, **settings)
--- /dev/null
+++ b/tests/store/test_endpoint_cache.py
@@ -0,0 +1,31 @@
+"""The endpoint list that a replica keeps beside its log."""
+
+import json
+from typing import Any
+
+from ploverspoke.store.endpoint_cache import EndpointCache
+
+
+def test_endpoints_are_merged_from_discovery_s_answers_and_go_on_after_a_restart() -> None:
+    saved: list[Any] = []
+    clock = [0.0]
+    cache = EndpointCache(saved.append, None, lambda: clock[0])
+
+    def answer(version: int, full: bool, *servers: tuple[str, str]) -> None:
+        entries = [{"id": id_, "state": state} for id_, state in servers]
+        cache.update(json.dumps({"version": version, "full": full, "servers": entries}).encode())
+
+    answer(1, True, ("a", "Ready"), ("b", "Ready"))
+    answer(2, False, ("b", "Gone"))
+    assert len(saved) == 1, "not written at each change"
+    clock[0] = 5.0
+    answer(3, False, ("c", "Terminating"))
+    assert saved[-1]["version"] == 3 and [s["id"] for s in saved[-1]["servers"]] == ["a", "c"]
+    # A restart goes on from what was saved; changes alone are not taken for the whole.
+    for known, expected in ((saved[-1], ["a", "c"]), (None, None)):
+        later: list[Any] = []
+        again = EndpointCache(later.append, known, lambda: 9.0)
+        again.update(b'{"version": 4, "full": false, "servers": []}')
+        assert [[s["id"] for s in saved_list["servers"]] for saved_list in later] == (
+            [expected] if expected else []
+        )
--- /dev/null
+++ b/tests/store/test_recovery.py
@@ -0,0 +1,60 @@
+"""What a new leader decides of requests that others left open."""
+
+from dataclasses import replace
+
+import pytest
+
+from ploverspoke.decisions.settings import Idempotency, RetryScope
+from ploverspoke.store.log_commands import (
+    AcceptRequest,
+    AttemptOutcome,
+    FinalOutcome,
+    FinishAttempt,
+    StartAttempt,
+    encode_command,
+)
+from ploverspoke.store.recovery import RecoveryVerdict, outcome_at_deadline, recover_request
+from ploverspoke.store.state_machine import RequestStateMachine
+from tests.decisions.harness import SETTINGS_OF_DECISIONS
+
+UNKNOWN, FULL = AttemptOutcome.UNKNOWN, AttemptOutcome.WORKER_FULL
+UNREACHABLE, TIMED_OUT = AttemptOutcome.UNREACHABLE, AttemptOutcome.TIMED_OUT
+MAY_RUN, MUST_FAIL = RecoveryVerdict.MAY_RUN, RecoveryVerdict.MUST_FAIL
+MAY_RUN_IN_SCOPE = RecoveryVerdict.MAY_RUN_IN_SCOPE
+REJECTED, FAILED = FinalOutcome.REJECTED, FinalOutcome.FAILED
+CASES = [
+    (Idempotency.NON_IDEMPOTENT, [], MAY_RUN, REJECTED),
+    (Idempotency.NON_IDEMPOTENT, [("w0", UNKNOWN)], MUST_FAIL, FAILED),
+    (Idempotency.NON_IDEMPOTENT, [("w0", FULL)], MAY_RUN, REJECTED),
+    (Idempotency.NON_IDEMPOTENT, [("w0", UNREACHABLE), ("w1", UNKNOWN)], MUST_FAIL, FAILED),
+    (Idempotency.IDEMPOTENT_WITH_KEY, [("w0", TIMED_OUT), ("w1", UNKNOWN)], MAY_RUN_IN_SCOPE, REJECTED),
+    (Idempotency.IDEMPOTENT, [("w0", UNKNOWN)], MAY_RUN, REJECTED),
+]
+
+
+@pytest.mark.parametrize(("idempotency", "attempts", "verdict", "at_deadline"), CASES)
+def test_an_open_request_is_judged_by_its_attempts(
+    idempotency: Idempotency,
+    attempts: list[tuple[str, AttemptOutcome]],
+    verdict: RecoveryVerdict,
+    at_deadline: FinalOutcome,
+) -> None:
+    state = RequestStateMachine()
+    state.apply(0, encode_command(AcceptRequest("r", 0, b"", 100, 1)))
+    for index, (worker, outcome) in enumerate(attempts):
+        state.apply(0, encode_command(StartAttempt("r", worker, index, 5)))
+        if outcome:
+            state.apply(0, encode_command(FinishAttempt("r", index, outcome)))
+    request = state.open_requests["r"]
+    recovery = recover_request(request, idempotency)
+    assert (recovery.verdict, recovery.attempts) == (verdict, len(attempts))
+    request_class = replace(
+        SETTINGS_OF_DECISIONS.classes[0], idempotency=idempotency, retry_scope=RetryScope.ALL
+    )
+    assert outcome_at_deadline(request, request_class) is at_deadline
+    if verdict is MAY_RUN_IN_SCOPE:
+        in_rack = replace(request_class, retry_scope=RetryScope.RACK)
+        assert outcome_at_deadline(request, in_rack) is FAILED
+    if attempts == [("w0", FULL)]:
+        assert recover_request(request, idempotency, full_may_have_run=True).verdict is MUST_FAIL
+        assert outcome_at_deadline(request, request_class, full_may_have_run=True) is FAILED
--- /dev/null
+++ b/tests/store/test_router_with_request_log.py
@@ -0,0 +1,184 @@
+"""What the router commits before it sends, answers and redirects, with a log that the test controls."""
+
+import asyncio
+
+import pytest
+
+from ploverspoke.routing.request_log import PreviousOutcome
+from ploverspoke.testbed.audit import SOCKETS_SLACK, audit
+from ploverspoke.testbed.experiment import experiment_of
+from ploverspoke.testbed.records import DISPATCHER_DOWN
+from ploverspoke.testbed.sockets import play_on_sockets
+from tests.decisions.harness import SECOND, SETTINGS, Stage, listing
+from tests.routing.test_service import World, message
+from tests.store.request_log_harness import ControlledRequestLog, run_with_request_log
+from tests.testbed.test_model import WORLD
+
+RUNS_LONG = True  # scheduled first: see tests/conftest.py
+
+
+@pytest.mark.parametrize("call", ["take", "intend"])
+def test_non_idempotent_requests_are_sent_only_after_the_commit(call: str) -> None:
+    async def scenario(world: World, log: ControlledRequestLog) -> None:
+        reply = asyncio.create_task(world.ask(world.request("r1", "book")))
+        commit = await log.wait_for(call)
+        await asyncio.sleep(0.05)
+        assert world.sent == []
+        commit(True)
+        assert (await reply)[0] == 200 and log.outcomes == [("r1", 0, "satisfied")]
+
+    run_with_request_log(scenario, call)
+
+
+@pytest.mark.parametrize("lost", ["leadership", "commit"])
+def test_an_attempt_committed_too_late_is_not_sent(lost: str) -> None:
+    async def scenario(world: World, log: ControlledRequestLog) -> None:
+        reply = asyncio.create_task(world.ask(world.request("r1", "book")))
+        commit = await log.wait_for("intend")
+        if lost == "leadership":
+            log.leading = False
+        log.holds = set()
+        commit(lost != "commit")
+        await asyncio.sleep(0.01)
+        assert lost == "commit" or world.sent == []
+        world.service.router.lead_no_more()
+        with pytest.raises(asyncio.IncompleteReadError):
+            await reply
+
+    run_with_request_log(scenario, "intend", *(["answer"] if lost == "commit" else []))
+
+
+def test_a_leader_paused_in_the_middle_of_a_send_does_not_finish_it() -> None:
+    # On sockets a paused replica wrote the last byte when it woke, a second after another had failed the
+    # request.
+    async def scenario(world: World, log: ControlledRequestLog) -> None:
+        reply = asyncio.create_task(world.ask(world.request("r1", "book")))
+        commit = await log.wait_for("intend")
+        commit(True)
+        while not world.service.pool.held() - world.service.pool.opening:
+            await asyncio.sleep(0)
+        log.leading = False
+        await asyncio.sleep(0.05)
+        assert world.sent == [] and ("r1", 0, "not_sent") in log.outcomes
+        world.service.router.lead_no_more()
+        with pytest.raises(asyncio.IncompleteReadError):
+            await reply
+
+    run_with_request_log(scenario, "intend")
+
+
+def test_an_answer_is_given_after_its_commit_to_all_clients_with_that_id() -> None:
+    async def scenario(world: World, log: ControlledRequestLog) -> None:
+        first = asyncio.create_task(world.ask(world.request("r1", "book")))
+        commit = await log.wait_for("answer")
+        # Its answer is on its way to be committed: treated as a new one it would be sent again.
+        second = asyncio.create_task(world.ask(world.request("r1", "book")))
+        await asyncio.sleep(0.05)
+        assert not first.done() and not second.done()
+        commit(True)
+        assert (await first) == (await second) and world.ran["r1"] == 1
+        again = await world.ask(world.request("r1", "book"))
+        assert again[0] == 200 and world.ran["r1"] == 1
+        assert (await world.ask(world.request("r1", "book", b"another")))[0] == 409
+
+    run_with_request_log(scenario, "answer")
+
+
+def test_a_returning_client_waits_for_the_request_in_flight() -> None:
+    async def scenario(world: World, log: ControlledRequestLog) -> None:
+        reader, writer = await world.connect()
+        writer.write(world.request("r1", "book"))
+        commit = await log.wait_for("intend")
+        writer.close()
+        await asyncio.sleep(0.02)
+        second = asyncio.create_task(world.ask(world.request("r1", "book")))
+        await asyncio.sleep(0.02)
+        commit(True)
+        assert (await second)[0] == 200 and world.ran["r1"] == 1
+
+    run_with_request_log(scenario, "intend")
+
+
+@pytest.mark.parametrize("client_returns", [False, True])
+def test_a_request_without_clients_that_was_not_sent_is_rejected(client_returns: bool) -> None:
+    # The last had left while it waited for a worker, and it was sent on all the same, whenever one was ready.
+    async def scenario(world: World, log: ControlledRequestLog) -> None:
+        ready = world.entries
+        await world.tell([{**entry, "state": "Terminating"} for entry in ready])
+        _, writer = await world.connect()
+        writer.write(world.request("r1", "book"))
+        while not world.service.router.open_now():
+            await asyncio.sleep(0.001)
+        writer.close()
+        for _ in range(200):
+            await asyncio.sleep(0.001)
+        assert not world.service.router.open_now()
+        await world.tell(ready)
+        if client_returns:
+            assert (await world.ask(world.request("r1", "book")))[0] == 503
+        assert (await world.ask(world.request("r2", "book")))[0] == 200
+        assert [name for _, name in world.sent] == ["r2"]
+
+    patient = {"AbandonTimeUs": 30_000_000, "ExpectedTimeUs": 20_000_000}
+    grades = [{**grade, **patient} for grade in SETTINGS["ServiceGrades"]]
+    run_with_request_log(scenario, ServiceGrades=grades)
+
+
+def test_clients_are_redirected_to_the_leader() -> None:
+    async def scenario(world: World, log: ControlledRequestLog) -> None:
+        log.leading = False
+        status, headers, _ = await world.ask(world.request("r1", "book"))
+        assert status == 307 and headers["location"] == "http://127.0.0.1:9/book/1?a=b"
+        reader, writer = await world.connect()
+        writer.write(b"GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n")
+        assert (await message(reader))[0].startswith("HTTP/1.1 200")
+        writer.close()
+
+    run_with_request_log(scenario)
+
+
+def test_a_request_that_may_have_run_is_not_retried_and_one_that_did_not_run_is() -> None:
+    async def scenario(world: World, log: ControlledRequestLog) -> None:
+        digest = log.digest("POST", "/book/1?a=b", b"x")
+        log.previous["lost"] = PreviousOutcome(None, digest, 1, "w0", 5 * SECOND)
+        log.previous["free"] = PreviousOutcome(None, digest, 1, "", 0)
+        log.previous["spent"] = PreviousOutcome(None, digest, 6, "", 0)
+        assert (await world.ask(world.request("lost", "book")))[0] == 504
+        assert (await world.ask(world.request("spent", "book")))[0] == 503
+        assert (await world.ask(world.request("free", "book")))[0] == 200
+        assert [name for _, name in world.sent] == ["free"]
+
+    run_with_request_log(scenario)
+
+
+def test_a_request_idempotent_with_a_key_resumes_only_in_its_rack_and_window() -> None:
+    for spent, rack, place in ((0, 1, "a"), (0, 2, None), (2 * SECOND, 1, None)):
+        stage = Stage([listing("a", rack=1), listing("gone", rack=1), listing("b", rack=2)])
+        stage.dispatcher.workers["gone"].ready = False
+        stage.dispatcher.workers["gone"].listing = listing("gone", rack=rack if rack == 1 else 3)
+        stage.dispatcher.request_resumed(1, 0, "gone", stage.clock - spent)
+        stage.submit(1, grade=1)
+        assert stage.where(1) == place
+
+
+def test_replicas_killed_and_paused_run_nothing_twice_and_answer_every_request() -> None:
+    outages = [
+        {"what": "dispatcher killed", "at": "3s", "lasts": "2s", "dispatchers": [0]},
+        {"what": "dispatcher killed", "at": "7s", "lasts": "2s", "dispatchers": [1]},
+        {"what": "dispatcher killed", "at": "11s", "lasts": "2s", "dispatchers": [2]},
+        {"what": "dispatcher paused", "at": "14s", "lasts": "1s", "dispatchers": [0]},
+        {"what": "dispatcher paused", "at": "16s", "lasts": "1s", "dispatchers": [1]},
+        {"what": "dispatcher paused", "at": "18s", "lasts": "1s", "dispatchers": [2]},
+    ]
+    experiment = experiment_of(
+        {
+            **WORLD,
+            "lasts": "20s",
+            "dispatchers": {"count": 3, "store": True},
+            "clients": {"elsewhere_after": "500ms"},
+            "troubles": outages,
+        }
+    )
+    played = play_on_sockets(experiment, 1)
+    assert audit(experiment, played.events, SOCKETS_SLACK) == []
+    assert sum(event.what == DISPATCHER_DOWN for event in played.events) == 3
