--- a/ploverspoke/store/recovery.py
+++ b/ploverspoke/store/recovery.py
@@ -9,8 +9,8 @@
 
 from ploverspoke.decisions.interface import never_ran
 from ploverspoke.decisions.settings import Idempotency, RequestClass, RetryScope
+from ploverspoke.routing.answers import FinalAnswer
 
-from .log_commands import FinalOutcome
 from .snapshot import AttemptRecord, OpenRequest
 
 
@@ -47,13 +47,13 @@
     return Recovery(RecoveryVerdict.MAY_RUN_IN_SCOPE, first, attempts)
 
 
-def outcome_at_deadline(
+def answer_at_deadline(
     request: OpenRequest, request_class: RequestClass, full_may_have_run: bool = False
-) -> FinalOutcome:
-    """Give the final outcome of a request whose client did not come back by its deadline."""
+) -> FinalAnswer:
+    """Give the final answer of a request whose client did not come back by its deadline."""
     verdict = recover_request(request, request_class.idempotency, full_may_have_run).verdict
     may_run_again = verdict is RecoveryVerdict.MAY_RUN or (
         # Its client may ask for it again: each worker of the scope drops what is a duplicate.
         verdict is RecoveryVerdict.MAY_RUN_IN_SCOPE and request_class.retry_scope is RetryScope.ALL
     )
-    return FinalOutcome.REJECTED if may_run_again else FinalOutcome.FAILED
+    return FinalAnswer.REJECTED if may_run_again else FinalAnswer.FAILED
--- a/ploverspoke/store/request_log.py
+++ b/ploverspoke/store/request_log.py
@@ -6,6 +6,7 @@
 from hashlib import blake2b
 
 from ploverspoke.decisions.settings import RequestClass
+from ploverspoke.routing.answers import FinalAnswer, RecordedAnswer
 from ploverspoke.routing.request_log import CommitCallback, PreviousOutcome
 from ploverspoke.transport.rate_limited_log import log_line
 
@@ -13,14 +14,13 @@
     AcceptRequest,
     AnswerRequest,
     AttemptOutcome,
-    FinalOutcome,
     FinishAttempt,
     LogCommand,
     StartAttempt,
     encode_command,
 )
 from .node import StoreNode
-from .recovery import Recovery, RecoveryVerdict, outcome_at_deadline, recover_request
+from .recovery import Recovery, RecoveryVerdict, answer_at_deadline, recover_request
 from .snapshot import AttemptRecord, OpenRequest
 
 AFTER_DEADLINE = 0.05  # seconds, in which the client's own answer may still be on its way
@@ -48,7 +48,7 @@
         self.recovered = 0  # open requests found when this replica took over
         node.on_role.append(self._role_changed)
 
-    def leads(self) -> bool:
+    def is_leader(self) -> bool:
         """Whether this replica may act: it has read all that was committed, and no other can lead now."""
         return self.is_leading and self.node.leads()
 
@@ -63,11 +63,12 @@
         head = f"{method} {target}\n".encode("utf-8", "surrogatepass")
         return blake2b(head + body, digest_size=DIGEST_BYTES).digest()
 
-    def past(self, request_id: str) -> PreviousOutcome | None:
+    def previous_outcome(self, request_id: str) -> PreviousOutcome | None:
         """Give what is known of an id from before; None where it is new."""
         answered = self.node.requests.answered.get(request_id)
         if answered is not None:
-            return PreviousOutcome((answered.outcome, answered.result), answered.digest, 0, "", 0)
+            answer = RecordedAnswer(answered.answer, answered.result)
+            return PreviousOutcome(answer, answered.digest, 0, "", 0)
         request = self.node.requests.open_requests.get(request_id)
         if request is None:
             return None
@@ -77,29 +78,42 @@
             return PreviousOutcome(None, request.digest, recovery.attempts, "", 0)
         return PreviousOutcome(None, request.digest, recovery.attempts, first.worker, self._time_since(first))
 
-    def take(self, request_id: str, grade: int, digest: bytes, left: int, then: CommitCallback) -> None:
-        """Commit that a request is accepted; `left` is ns until its deadline."""
+    def record_request(
+        self,
+        request_id: str,
+        class_number: int,
+        digest: bytes,
+        time_left: int,
+        on_committed: CommitCallback,
+    ) -> None:
+        """Commit that a request is accepted; `time_left` is ns until its deadline."""
         now = self.node.clock.now()
-        self._propose(AcceptRequest(request_id, grade, digest, now + left, now), then)
+        self._propose(AcceptRequest(request_id, class_number, digest, now + time_left, now), on_committed)
 
-    def intend(self, request_id: str, worker: str, index: int, then: CommitCallback) -> None:
+    def record_attempt(self, request_id: str, worker: str, index: int, on_committed: CommitCallback) -> None:
         """Commit that an attempt may be sent to the worker."""
-        self._propose(StartAttempt(request_id, worker, index, self.node.clock.now(), time.time_ns()), then)
+        now = self.node.clock.now()
+        self._propose(StartAttempt(request_id, worker, index, now, time.time_ns()), on_committed)
 
-    def outcome(self, request_id: str, index: int, outcome: str) -> None:
+    def record_attempt_outcome(self, request_id: str, index: int, outcome: str) -> None:
         """Commit how an attempt ended; nothing waits for it."""
         self._propose(FinishAttempt(request_id, index, AttemptOutcome(outcome)), _ignore_commit)
 
-    def answer(self, request_id: str, how: str, result: str, digest: bytes, then: CommitCallback) -> None:
-        """Commit the final answer; `then` hears False where another one stands."""
-        outcome = FinalOutcome(how)
+    def record_answer(
+        self, request_id: str, answer: RecordedAnswer, digest: bytes, on_committed: CommitCallback
+    ) -> None:
+        """Commit the final answer; `on_committed` hears False where another one stands."""
 
-        def on_committed(is_committed: bool) -> None:
+        def on_answer_committed(is_committed: bool) -> None:
             # Another answer may have been committed first: then that one stands, and ours is not given.
             kept = self.node.requests.answered.get(request_id)
-            then(is_committed and kept is not None and (kept.outcome, kept.result) == (outcome, result))
+            is_ours = kept is not None and RecordedAnswer(kept.answer, kept.result) == answer
+            on_committed(is_committed and is_ours)
 
-        self._propose(AnswerRequest(request_id, outcome, result, digest, self.node.clock.now()), on_committed)
+        now = self.node.clock.now()
+        self._propose(
+            AnswerRequest(request_id, answer.answer, answer.result, digest, now), on_answer_committed
+        )
 
     def _time_since(self, attempt: AttemptRecord) -> int:
         """Give ns since the attempt started, by the longer of two clocks.
@@ -137,7 +151,7 @@
     def _recover(self, request_id: str, request: OpenRequest) -> None:
         self.recovered += 1
         if self._judge(request).verdict is RecoveryVerdict.MUST_FAIL:
-            self._end(request_id, FinalOutcome.FAILED)
+            self._end(request_id, FinalAnswer.FAILED)
         else:
             delay = (request.deadline - self.node.clock.now()) / 1e9 + AFTER_DEADLINE
             asyncio.get_running_loop().call_later(max(0.0, delay), self._on_deadline, request_id)
@@ -147,15 +161,15 @@
         if request is None or not self.is_leading:
             return
         request_class = self.request_classes[request.request_class]
-        self._end(request_id, outcome_at_deadline(request, request_class, self.full_may_have_run))
+        self._end(request_id, answer_at_deadline(request, request_class, self.full_may_have_run))
 
     def _judge(self, request: OpenRequest) -> Recovery:
         idempotency = self.request_classes[request.request_class].idempotency
         return recover_request(request, idempotency, self.full_may_have_run)
 
-    def _end(self, request_id: str, outcome: FinalOutcome) -> None:
+    def _end(self, request_id: str, answer: FinalAnswer) -> None:
         now = self.node.clock.now()
-        self._propose(AnswerRequest(request_id, outcome, "", b"", now), _ignore_commit)
+        self._propose(AnswerRequest(request_id, answer, "", b"", now), _ignore_commit)
 
 
 def _ignore_commit(is_committed: bool) -> None:
--- a/ploverspoke/store/snapshot.py
+++ b/ploverspoke/store/snapshot.py
@@ -6,7 +6,9 @@
 
 import msgspec
 
-from .log_commands import AttemptOutcome, FinalOutcome
+from ploverspoke.routing.answers import FinalAnswer
+
+from .log_commands import AttemptOutcome
 
 SNAPSHOT_FORMAT = 1
 
@@ -34,7 +36,7 @@
 class AnsweredRequest(msgspec.Struct, array_like=True):
     """A request's final answer, kept until `forget_at`."""
 
-    outcome: FinalOutcome
+    answer: FinalAnswer
     result: str
     digest: bytes
     forget_at: int
--- a/ploverspoke/store/state_machine.py
+++ b/ploverspoke/store/state_machine.py
@@ -136,9 +136,7 @@
         deadline = request.deadline if request is not None else command.now
         digest = request.digest if request is not None else command.digest
         forget_at = max(command.now, deadline) + ANSWER_RETENTION
-        self.answered[command.request_id] = AnsweredRequest(
-            command.outcome, command.result, digest, forget_at
-        )
+        self.answered[command.request_id] = AnsweredRequest(command.answer, command.result, digest, forget_at)
         self.result_bytes += len(command.result)
         self._evict_answers(command.now, command.request_id)
 
--- a/ploverspoke/testbed/store_bench.py
+++ b/ploverspoke/testbed/store_bench.py
@@ -24,11 +24,11 @@
 from ploverspoke.consensus.replica import WriteBatch
 from ploverspoke.consensus.replica_client import call_replica
 from ploverspoke.consensus.storage import ReplicaStorage
+from ploverspoke.routing.answers import FinalAnswer
 from ploverspoke.store.log_commands import (
     AcceptRequest,
     AnswerRequest,
     AttemptOutcome,
-    FinalOutcome,
     FinishAttempt,
     StartAttempt,
     encode_command,
@@ -262,7 +262,7 @@
                     AcceptRequest(name, 1, b"0" * 16, now + 2_000_000_000, now),
                     StartAttempt(name, "w1", 0, now),
                     FinishAttempt(name, 0, AttemptOutcome.SUCCEEDED),
-                    AnswerRequest(name, FinalOutcome.SUCCEEDED, "x" * 64, b"0" * 16, now),
+                    AnswerRequest(name, FinalAnswer.SUCCEEDED, "x" * 64, b"0" * 16, now),
                 ):
                     at += 1
                     stored = encode_command(command)
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -37,6 +37,7 @@
 from ploverspoke.leases.config import read_lease_server_config, read_lease_servers
 from ploverspoke.leases.server_node import EPOCH_KEY
 from ploverspoke.leases.state_machine import LeaseStateMachine
+from ploverspoke.routing.answers import FinalAnswer, RecordedAnswer
 from ploverspoke.routing.outcomes import OUTCOMES
 from ploverspoke.service.config import read_config
 from ploverspoke.store.endpoint_cache import EndpointCache
@@ -100,10 +101,11 @@
     node.propose = lambda command, then: proposed.append(encoded(command))
     scribe = ReplicatedRequestLog(node, [])
     digest = scribe.digest("POST", "/book/1", b"{}")
-    scribe.take("job-1", 1, digest, 7 * SECOND, lambda yes: None)
-    scribe.intend("job-1", "w0", 1, lambda yes: None)
-    scribe.outcome("job-1", 1, "full")
-    scribe.answer("job-1", "satisfied", "fine", digest, lambda yes: None)
+    scribe.record_request("job-1", 1, digest, 7 * SECOND, lambda yes: None)
+    scribe.record_attempt("job-1", "w0", 1, lambda yes: None)
+    scribe.record_attempt_outcome("job-1", 1, "full")
+    answer = RecordedAnswer(FinalAnswer.SUCCEEDED, "fine")
+    scribe.record_answer("job-1", answer, digest, lambda yes: None)
     return proposed
 
 
@@ -236,8 +238,8 @@
     wall = 1_700_000_002 * SECOND
     assert intents == [("w1", 1, 5 * SECOND, "broken_off", wall), ("w2", 2, 6 * SECOND, "", 6 * SECOND)]
     first, second = ledger.answered.values()
-    assert (first.outcome, first.result, first.digest) == ("satisfied", "fine", DIGEST)
-    assert first.forget_at == (9 + 15 * 60) * SECOND and second.outcome == "nacked"
+    assert (first.answer.value, first.result, first.digest) == ("satisfied", "fine", DIGEST)
+    assert first.forget_at == (9 + 15 * 60) * SECOND and second.answer.value == "nacked"
     version = ledger.configuration()
     assert (version.version, version.body, version.committed_by) == (1, BODIES[0], "anna")
     assert (version.committed_wall_time, ledger.highest_token, ledger.now) == (
--- a/tests/store/request_log_harness.py
+++ b/tests/store/request_log_harness.py
@@ -4,6 +4,7 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
+from ploverspoke.routing.answers import RecordedAnswer
 from ploverspoke.routing.request_log import CommitCallback, PreviousOutcome
 from tests.routing.test_service import World, play
 
@@ -18,7 +19,7 @@
         self.outcomes: list[tuple[str, int, str]] = []
         self.previous: dict[str, PreviousOutcome] = {}
 
-    def leads(self) -> bool:
+    def is_leader(self) -> bool:
         return self.leading
 
     def leader_address(self) -> str:
@@ -27,25 +28,34 @@
     def digest(self, method: str, target: str, body: bytes) -> bytes:
         return target.encode() + body
 
-    def past(self, request_id: str) -> PreviousOutcome | None:
+    def previous_outcome(self, request_id: str) -> PreviousOutcome | None:
         return self.previous.get(request_id)
 
-    def take(self, request_id: str, grade: int, digest: bytes, left: int, then: CommitCallback) -> None:
-        self._commit("take", then)
+    def record_request(
+        self,
+        request_id: str,
+        class_number: int,
+        digest: bytes,
+        time_left: int,
+        on_committed: CommitCallback,
+    ) -> None:
+        self._commit("request", on_committed)
 
-    def intend(self, request_id: str, worker: str, index: int, then: CommitCallback) -> None:
-        self._commit("intend", then)
+    def record_attempt(self, request_id: str, worker: str, index: int, on_committed: CommitCallback) -> None:
+        self._commit("attempt", on_committed)
 
-    def outcome(self, request_id: str, index: int, outcome: str) -> None:
+    def record_attempt_outcome(self, request_id: str, index: int, outcome: str) -> None:
         self.outcomes.append((request_id, index, outcome))
 
-    def answer(self, request_id: str, how: str, result: str, digest: bytes, then: CommitCallback) -> None:
-        def on_committed(is_committed: bool) -> None:
+    def record_answer(
+        self, request_id: str, answer: RecordedAnswer, digest: bytes, on_committed: CommitCallback
+    ) -> None:
+        def on_answer_committed(is_committed: bool) -> None:
             if is_committed:
-                self.previous[request_id] = PreviousOutcome((how, result), digest, 0, "", 0)
-            then(is_committed)
+                self.previous[request_id] = PreviousOutcome(answer, digest, 0, "", 0)
+            on_committed(is_committed)
 
-        self._commit("answer", on_committed)
+        self._commit("answer", on_answer_committed)
 
     def _commit(self, call: str, then: CommitCallback) -> None:
         if call in self.holds:
--- a/tests/store/test_recovery.py
+++ b/tests/store/test_recovery.py
@@ -5,15 +5,15 @@
 import pytest
 
 from ploverspoke.decisions.settings import Idempotency, RetryScope
+from ploverspoke.routing.answers import FinalAnswer
 from ploverspoke.store.log_commands import (
     AcceptRequest,
     AttemptOutcome,
-    FinalOutcome,
     FinishAttempt,
     StartAttempt,
     encode_command,
 )
-from ploverspoke.store.recovery import RecoveryVerdict, outcome_at_deadline, recover_request
+from ploverspoke.store.recovery import RecoveryVerdict, answer_at_deadline, recover_request
 from ploverspoke.store.state_machine import RequestStateMachine
 from tests.decisions.harness import SETTINGS_OF_DECISIONS
 
@@ -21,7 +21,7 @@
 UNREACHABLE, TIMED_OUT = AttemptOutcome.UNREACHABLE, AttemptOutcome.TIMED_OUT
 MAY_RUN, MUST_FAIL = RecoveryVerdict.MAY_RUN, RecoveryVerdict.MUST_FAIL
 MAY_RUN_IN_SCOPE = RecoveryVerdict.MAY_RUN_IN_SCOPE
-REJECTED, FAILED = FinalOutcome.REJECTED, FinalOutcome.FAILED
+REJECTED, FAILED = FinalAnswer.REJECTED, FinalAnswer.FAILED
 CASES = [
     (Idempotency.NON_IDEMPOTENT, [], MAY_RUN, REJECTED),
     (Idempotency.NON_IDEMPOTENT, [("w0", UNKNOWN)], MUST_FAIL, FAILED),
@@ -37,7 +37,7 @@
     idempotency: Idempotency,
     attempts: list[tuple[str, AttemptOutcome]],
     verdict: RecoveryVerdict,
-    at_deadline: FinalOutcome,
+    at_deadline: FinalAnswer,
 ) -> None:
     state = RequestStateMachine()
     state.apply(0, encode_command(AcceptRequest("r", 0, b"", 100, 1)))
@@ -51,10 +51,10 @@
     request_class = replace(
         SETTINGS_OF_DECISIONS.classes[0], idempotency=idempotency, retry_scope=RetryScope.ALL
     )
-    assert outcome_at_deadline(request, request_class) is at_deadline
+    assert answer_at_deadline(request, request_class) is at_deadline
     if verdict is MAY_RUN_IN_SCOPE:
         in_rack = replace(request_class, retry_scope=RetryScope.RACK)
-        assert outcome_at_deadline(request, in_rack) is FAILED
+        assert answer_at_deadline(request, in_rack) is FAILED
     if attempts == [("w0", FULL)]:
         assert recover_request(request, idempotency, full_may_have_run=True).verdict is MUST_FAIL
-        assert outcome_at_deadline(request, request_class, full_may_have_run=True) is FAILED
+        assert answer_at_deadline(request, request_class, full_may_have_run=True) is FAILED
--- a/tests/store/test_router_with_request_log.py
+++ b/tests/store/test_router_with_request_log.py
@@ -17,7 +17,7 @@
 RUNS_LONG = True  # scheduled first: see tests/conftest.py
 
 
-@pytest.mark.parametrize("call", ["take", "intend"])
+@pytest.mark.parametrize("call", ["request", "attempt"])
 def test_non_idempotent_requests_are_sent_only_after_the_commit(call: str) -> None:
     async def scenario(world: World, log: ControlledRequestLog) -> None:
         reply = asyncio.create_task(world.ask(world.request("r1", "book")))
@@ -34,7 +34,7 @@
 def test_an_attempt_committed_too_late_is_not_sent(lost: str) -> None:
     async def scenario(world: World, log: ControlledRequestLog) -> None:
         reply = asyncio.create_task(world.ask(world.request("r1", "book")))
-        commit = await log.wait_for("intend")
+        commit = await log.wait_for("attempt")
         if lost == "leadership":
             log.leading = False
         log.holds = set()
@@ -45,7 +45,7 @@
         with pytest.raises(asyncio.IncompleteReadError):
             await reply
 
-    run_with_request_log(scenario, "intend", *(["answer"] if lost == "commit" else []))
+    run_with_request_log(scenario, "attempt", *(["answer"] if lost == "commit" else []))
 
 
 def test_a_leader_paused_in_the_middle_of_a_send_does_not_finish_it() -> None:
@@ -53,7 +53,7 @@
     # request.
     async def scenario(world: World, log: ControlledRequestLog) -> None:
         reply = asyncio.create_task(world.ask(world.request("r1", "book")))
-        commit = await log.wait_for("intend")
+        commit = await log.wait_for("attempt")
         commit(True)
         while not world.service.pool.held() - world.service.pool.opening:
             await asyncio.sleep(0)
@@ -64,7 +64,7 @@
         with pytest.raises(asyncio.IncompleteReadError):
             await reply
 
-    run_with_request_log(scenario, "intend")
+    run_with_request_log(scenario, "attempt")
 
 
 def test_an_answer_is_given_after_its_commit_to_all_clients_with_that_id() -> None:
@@ -88,7 +88,7 @@
     async def scenario(world: World, log: ControlledRequestLog) -> None:
         reader, writer = await world.connect()
         writer.write(world.request("r1", "book"))
-        commit = await log.wait_for("intend")
+        commit = await log.wait_for("attempt")
         writer.close()
         await asyncio.sleep(0.02)
         second = asyncio.create_task(world.ask(world.request("r1", "book")))
@@ -96,7 +96,7 @@
         commit(True)
         assert (await second)[0] == 200 and world.ran["r1"] == 1
 
-    run_with_request_log(scenario, "intend")
+    run_with_request_log(scenario, "attempt")
 
 
 @pytest.mark.parametrize("client_returns", [False, True])
--- a/tests/store/test_state_machine.py
+++ b/tests/store/test_state_machine.py
@@ -4,12 +4,12 @@
 import pytest
 
 from ploverspoke.consensus.clock import ReplicatedClock
+from ploverspoke.routing.answers import FinalAnswer
 from ploverspoke.store.log_commands import (
     AcceptRequest,
     AnswerRequest,
     AttemptOutcome,
     CommitConfiguration,
-    FinalOutcome,
     FinishAttempt,
     LogCommand,
     StartAttempt,
@@ -22,7 +22,7 @@
     (["take", "r", 1, b"d", 100, 1], AcceptRequest("r", 1, b"d", 100, 1)),
     (["intend", "r", "w0", 0, 5, 9], StartAttempt("r", "w0", 0, 5, 9)),
     (["outcome", "r", 0, "full"], FinishAttempt("r", 0, AttemptOutcome.WORKER_FULL)),
-    (["answer", "r", "nacked", "", b"d", 7], AnswerRequest("r", FinalOutcome.REJECTED, "", b"d", 7)),
+    (["answer", "r", "nacked", "", b"d", 7], AnswerRequest("r", FinalAnswer.REJECTED, "", b"d", 7)),
     (["configure", "{}", "me", 5, 3], CommitConfiguration("{}", "me", 5, 3)),
 ]
 
@@ -52,15 +52,15 @@
 def test_first_answer_wins_and_survives_a_snapshot() -> None:
     state = apply_all(
         AcceptRequest("r1", 1, b"d", 100, 1),
-        AnswerRequest("r1", FinalOutcome.SUCCEEDED, "yes", b"d", 2),
-        AnswerRequest("r1", FinalOutcome.FAILED, "", b"d", 3),
+        AnswerRequest("r1", FinalAnswer.SUCCEEDED, "yes", b"d", 2),
+        AnswerRequest("r1", FinalAnswer.FAILED, "", b"d", 3),
         AcceptRequest("r1", 1, b"d", 100, 4),
         CommitConfiguration("{}", "me", 5),
     )
     state.apply(6, ["a verb of a later version", 1, 2])
     again = RequestStateMachine()
     again.load(state.dump())
-    assert again.answered["r1"].outcome is FinalOutcome.SUCCEEDED
+    assert again.answered["r1"].answer is FinalAnswer.SUCCEEDED
     assert (again.open_requests, again.configurations[-1].version) == ({}, 1)
     assert msgspec.msgpack.encode(state.answered["r1"]) == msgspec.msgpack.encode(again.answered["r1"])
 
@@ -69,10 +69,10 @@
     state = RequestStateMachine(max_answers=10, max_result_bytes=100)
     state.apply(0, encode_command(AcceptRequest("open", 0, b"", 1 << 60, 0)))
     for n in range(30):
-        state.apply(n, encode_command(AnswerRequest(f"r{n}", FinalOutcome.SUCCEEDED, "x" * 20, b"", n)))
+        state.apply(n, encode_command(AnswerRequest(f"r{n}", FinalAnswer.SUCCEEDED, "x" * 20, b"", n)))
     assert len(state.answered) <= 10 and state.result_bytes <= 100 and "open" in state.open_requests
     late = 30 + ANSWER_RETENTION + 1
-    state.apply(31, encode_command(AnswerRequest("last", FinalOutcome.REJECTED, "", b"", late)))
+    state.apply(31, encode_command(AnswerRequest("last", FinalAnswer.REJECTED, "", b"", late)))
     assert list(state.answered) == ["last"]
 
 
@@ -90,7 +90,7 @@
     assert [clock.now() for clock in clocks] == [40, 40]
     here[1] += 10  # nobody leads for a while; then the other does, behind nothing that was committed
     assert clocks[1].now() == 50 and clocks[0].now() == 40
-    states[0].apply(3, encode_command(AnswerRequest("r", FinalOutcome.FAILED, "", b"", clocks[1].now())))
+    states[0].apply(3, encode_command(AnswerRequest("r", FinalAnswer.FAILED, "", b"", clocks[1].now())))
     assert clocks[0].now() == 50
     again, late = RequestStateMachine(), ReplicatedClock(lambda: 0)
     again.on_time = late.seen
