--- a/ploverspoke/routing/counters.py
+++ b/ploverspoke/routing/counters.py
@@ -73,5 +73,5 @@
                 if isinstance(end, FinalAnswer):
                     shown[STATUS_NAMES[end]] += count
             for status in STATUSES:
-                yield admin.operations(class_name, status, shown[status])
-            yield admin.operations(class_name, ATTEMPTS_STATUS, self.attempts[class_name])
+                yield admin.operations_line(class_name, status, shown[status])
+            yield admin.operations_line(class_name, ATTEMPTS_STATUS, self.attempts[class_name])
--- a/tests/store/test_router_with_request_log.py
+++ b/tests/store/test_router_with_request_log.py
@@ -55,7 +55,7 @@
         reply = asyncio.create_task(world.ask(world.request("r1", "book")))
         commit = await log.wait_for("attempt")
         commit(True)
-        while not world.service.pool.held() - world.service.pool.opening:
+        while not world.service.pool.connection_count() - world.service.pool.pending_count:
             await asyncio.sleep(0)
         log.leading = False
         await asyncio.sleep(0.05)
