--- a/ploverspoke/leases/server.py
+++ b/ploverspoke/leases/server.py
@@ -51,17 +51,17 @@
 
     def __init__(self, node: LeaseServerNode) -> None:
         """The node's manager answers through this server from now on."""
-        super().__init__(node.orders.secret)
+        super().__init__(node.config.secret)
         self.node = node
         node.tell_holder = self.tell
 
     async def open(self) -> None:
         """Listens at the address for clients in the node's configuration. Raises OSError."""
-        await self.listen(self.node.orders.replicas[self.node.orders.name][1])
+        await self.listen(self.node.config.replicas[self.node.config.name].client)
 
     def greeting(self) -> dict[str, str]:
         """Names this replica; its clients need not know the cluster."""
-        return {"id": self.node.me, "store": ""}
+        return {"id": self.node.replica_id, "store": ""}
 
     def handle_message(self, connection: FramedConnection, message: object) -> None:
         """Takes in what a holder wants. Raises MessageError."""
@@ -70,7 +70,7 @@
             self.register(connection)
         request = checked(message)
         if not self.node.keeper.leading:
-            connection.write({"elsewhere": self.node.leader_clients()})
+            connection.write({"elsewhere": self.node.leader_client_address()})
         elif self.is_current(connection):
             self.node.keeper.asked(connection.client_name, request)
 
--- a/ploverspoke/store/commands.py
+++ b/ploverspoke/store/commands.py
@@ -52,7 +52,7 @@
 
 def _call_leader(config: ReplicaConfig, request: AdminRequest, as_json: bool) -> None:
     """Ask the leader to do something and end the command with the result."""
-    peer_addresses = {name: addresses[0] for name, addresses in config.replicas.items()}
+    peer_addresses = {name: addresses.peer for name, addresses in config.replicas.items()}
     call_for_result(config, find_leader(peer_addresses, config.secret), request, as_json)
 
 
@@ -63,7 +63,7 @@
     """What each replica says of itself. Exit 1 where none leads."""
     config = _read_config(file)
     rows = [
-        request_status(name, addresses[0], config.secret, StatusRow)
+        request_status(name, addresses.peer, config.secret, StatusRow)
         for name, addresses in config.replicas.items()
     ]
     print_rows([row.fields for row in rows], as_json)
@@ -131,7 +131,7 @@
     try:
         found = request_reply(
             config.name,
-            config.replicas[config.name][0],
+            config.replicas[config.name].peer,
             config.secret,
             ConfigurationsRequest(),
             list[ConfigurationRow],
--- a/ploverspoke/store/inspection.py
+++ b/ploverspoke/store/inspection.py
@@ -1,10 +1,10 @@
 """Reads the storage of a replica that does not run, for `store inspect`."""
 
-from contextlib import closing
 from pathlib import Path
 
 import msgspec
 
+from ploverspoke.consensus.log import EntryKind
 from ploverspoke.consensus.storage import ReplicaStorage
 
 from .snapshot import OpenRequest
@@ -35,17 +35,16 @@
 
     Raises StorageError, CorruptionError or ClusterMismatchError.
     """
-    with closing(ReplicaStorage(folder)) as storage:
-        storage.open()
+    with ReplicaStorage(folder) as storage:
         state = _replay(storage)
         return StorageInspection(
-            replica=storage.me,
-            store=storage.fingerprint,
-            term=storage.term,
-            vote=storage.vote,
-            snapshot=storage.log.snapshot_index,
-            last=storage.log.last_index(),
-            bytes=storage.size(),
+            replica=storage.replica_id,
+            store=storage.cluster_fingerprint,
+            term=storage.persisted.current_term,
+            vote=storage.persisted.voted_for,
+            snapshot=storage.persisted.log.snapshot_index,
+            last=storage.persisted.log.last_index(),
+            bytes=storage.size_bytes(),
             open=len(state.open_requests),
             answered=len(state.answered),
             configurations=[configuration.version for configuration in state.configurations],
@@ -55,10 +54,10 @@
 
 def _replay(storage: ReplicaStorage) -> RequestStateMachine:
     state = RequestStateMachine()
-    state.load(storage.state)
-    for entry in storage.log.entries:
-        if entry.kind == "data":
-            state.apply(entry.at, entry.data)
+    state.restore_snapshot(storage.persisted.snapshot_data)
+    for entry in storage.persisted.log.entries:
+        if entry.kind is EntryKind.DATA:
+            state.apply(entry.index, entry.data)
     return state
 
 
--- a/ploverspoke/store/node.py
+++ b/ploverspoke/store/node.py
@@ -16,7 +16,7 @@
 
 from .admin_messages import ConfigurationRow, ConfigurationsRequest, ConfigureReply, ConfigureRequest
 from .endpoint_cache import EndpointList
-from .log_commands import CommitConfiguration, encode_command
+from .log_commands import CommitConfiguration
 from .snapshot import SharedConfiguration
 from .state_machine import RequestStateMachine
 
@@ -46,11 +46,12 @@
         """`config` is the replica's own file; `storage` is by default that of the folder it names."""
         self.requests = RequestStateMachine()
         super().__init__(config, self.requests, storage)
-        self.requests.on_time = self.clock.seen
+        self.requests.on_time = self.clock.advance_to
         self.on_configuration: Callable[[SharedConfiguration], None] | None = None
         self.saved_version = 0  # of the configuration that is saved
 
-    def opened(self) -> None:
+    def on_storage_opened(self) -> None:
+        """Note which configuration is saved, and save each later one that is committed."""
         self.saved_version = self._load_configuration().version
         self.requests.on_configuration = self._configuration_committed
 
@@ -62,31 +63,29 @@
 
     def saved_endpoints(self) -> EndpointList | None:
         """Give the endpoint list that is saved, if there is one."""
-        endpoints: EndpointList | None = self.disk.kept(ENDPOINTS_KEY)
+        endpoints: EndpointList | None = self.storage.load_value(ENDPOINTS_KEY)
         return endpoints
 
     def save_endpoints(self, endpoints: EndpointList) -> None:
         """Save the endpoint list in the background."""
-        self.keep(ENDPOINTS_KEY, endpoints)
+        self.save_value(ENDPOINTS_KEY, endpoints)
 
     def _load_configuration(self) -> SavedConfiguration:
-        saved = self.disk.kept(CONFIGURATION_KEY)
+        saved = self.storage.load_value(CONFIGURATION_KEY)
         return SavedConfiguration() if saved is None else msgspec.convert(saved, SavedConfiguration)
 
     def _configuration_committed(self, configuration: SharedConfiguration) -> None:
         if configuration.version <= self.saved_version:
             return
         self.saved_version = configuration.version
-        self.keep(CONFIGURATION_KEY, [configuration.version, configuration.body])
+        self.save_value(CONFIGURATION_KEY, [configuration.version, configuration.body])
         if self.on_configuration is not None:
             self.loop.call_soon(self.on_configuration, configuration)
 
     # ---- Requests of tools ----
 
-    def status_of_state(self) -> dict[str, Any]:
-        return dict(encode_reply(self.state_status()))
-
     def state_status(self) -> StoreStatus:
+        """Count requests and give the latest version of the configuration."""
         configuration = self.requests.configuration()
         return StoreStatus(
             open=len(self.requests.open_requests),
@@ -94,10 +93,11 @@
             configuration=configuration.version if configuration is not None else 0,
         )
 
-    def asked_of_state(self, question: dict[str, Any], reply: Reply) -> bool:
-        match decode_request(question, ConfigureRequest, ConfigurationsRequest):
-            case ConfigureRequest() as request:
-                self._configure(request, reply)
+    def handle_state_request(self, request: dict[str, Any], reply: Reply) -> bool:
+        """Answer a request about configurations; False where it is none. Raises MalformedRequestError."""
+        match decode_request(request, ConfigureRequest, ConfigurationsRequest):
+            case ConfigureRequest() as configure:
+                self._configure(configure, reply)
             case ConfigurationsRequest():
                 reply([msgspec.to_builtins(row) for row in self._configuration_rows()])
             case _:
@@ -107,7 +107,7 @@
     def _configure(self, request: ConfigureRequest, reply: Reply) -> None:
         command = CommitConfiguration(request.body, request.by, time.time_ns(), request.token)
         self.propose(
-            encode_command(command),
+            command,
             lambda is_committed: reply(encode_reply(self._configure_reply(is_committed, request.token))),
         )
 
--- a/ploverspoke/store/request_log.py
+++ b/ploverspoke/store/request_log.py
@@ -5,6 +5,7 @@
 from collections.abc import Callable, Sequence
 from hashlib import blake2b
 
+from ploverspoke.consensus.raft import Role
 from ploverspoke.decisions.settings import RequestClass
 from ploverspoke.routing.answers import FinalAnswer, RecordedAnswer
 from ploverspoke.routing.request_log import CommitCallback, PreviousOutcome
@@ -17,7 +18,6 @@
     FinishAttempt,
     LogCommand,
     StartAttempt,
-    encode_command,
 )
 from .node import StoreNode
 from .recovery import Recovery, RecoveryVerdict, answer_at_deadline, recover_request
@@ -46,7 +46,7 @@
         self.on_lost: Callable[[], None] = lambda: None
         self.is_leading = False
         self.recovered = 0  # open requests found when this replica took over
-        node.on_role.append(self._role_changed)
+        node.role_listeners.append(self._role_changed)
 
     def is_leader(self) -> bool:
         """Whether this replica may act: it has read all that was committed, and no other can lead now."""
@@ -54,8 +54,8 @@
 
     def leader_address(self) -> str:
         """Give the leader's address for clients; "" where it is this replica or is not known."""
-        own_address = self.node.orders.replicas[self.node.orders.name][1]
-        leader_address = self.node.leader_clients()
+        own_address = self.node.config.replicas[self.node.config.name].client
+        leader_address = self.node.leader_client_address()
         return "" if leader_address == own_address else leader_address
 
     def digest(self, method: str, target: str, body: bytes) -> bytes:
@@ -126,16 +126,16 @@
         return max(by_replicated_clock, by_wall_clock)
 
     def _propose(self, command: LogCommand, then: CommitCallback) -> None:
-        self.node.propose(encode_command(command), then)
+        self.node.propose(command, then)
 
     # ---- Taking over ----
 
-    def _role_changed(self, role: str, leader: str) -> None:
-        if role == "leader":
+    def _role_changed(self, role: Role, leader: str) -> None:
+        if role is Role.LEADER:
             self.node.read(self._take_over)
         elif self.is_leading:
             self.is_leading = False
-            log_line(f"store: {self.node.orders.name} is no longer the leader")
+            log_line(f"store: {self.node.config.name} is no longer the leader")
             self.on_lost()
 
     def _take_over(self, is_current: bool) -> None:
@@ -144,7 +144,7 @@
             return
         self.is_leading = True
         open_requests = list(self.node.requests.open_requests.items())
-        log_line(f"store: {self.node.orders.name} is the leader, open_requests={len(open_requests)}")
+        log_line(f"store: {self.node.config.name} is the leader, open_requests={len(open_requests)}")
         for request_id, request in open_requests:
             self._recover(request_id, request)
 
--- a/ploverspoke/store/shared_config.py
+++ b/ploverspoke/store/shared_config.py
@@ -25,7 +25,7 @@
     `shared_body` is JSON; "" where none was committed. Raises ConfigError, naming the key.
     """
     name = replica_config.name
-    listen = replica_config.replicas[name][1]
+    listen = replica_config.replicas[name].client
     address(ConfigSection({"clients": listen}, f"replicas.{name}"), "clients", None)
     merged: dict[str, object] = dict(ConfigSection(document).value)
     if shared_body:
--- a/ploverspoke/store/state_machine.py
+++ b/ploverspoke/store/state_machine.py
@@ -62,7 +62,7 @@
         if decoded is not None:
             self._apply(decoded)
 
-    def dump(self) -> bytes:
+    def take_snapshot(self) -> bytes:
         """Take a snapshot of the whole state."""
         return encode_snapshot(
             RequestSnapshot(
@@ -75,7 +75,7 @@
             )
         )
 
-    def load(self, data: bytes) -> None:
+    def restore_snapshot(self, data: bytes) -> None:
         """Replace the whole state by a snapshot's; no bytes: by the empty state."""
         snapshot = decode_snapshot(data)
         self.open_requests = snapshot.open_requests
--- a/tests/consensus/test_peer_links.py
+++ b/tests/consensus/test_peer_links.py
@@ -15,7 +15,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A replica that is cut off: what waits for it is stale, and must not go out before anything new."""
-    monkeypatch.setattr(peer_links, "STUCK_FOR", 0.2)
+    monkeypatch.setattr(peer_links, "STALL_TIMEOUT", 0.2)
     secret, greeting = b"a secret of the test", {"id": "b.1", "store": "s"}
     dialled: list[asyncio.Transport] = []
 
@@ -28,22 +28,23 @@
     async def scene() -> None:
         loop = asyncio.get_running_loop()
         server = await loop.create_server(Deaf, "127.0.0.1", 0)
-        told = peer_links.PeerLinks(secret, {"id": "a.1", "store": "s"}, lambda *_: None, lambda *_: None)
-        told.set_peers({"b.1": f"127.0.0.1:{server.sockets[0].getsockname()[1]}"})
-        await until(lambda: "b.1" in told.outbound and told.outbound["b.1"].ready)
-        first = told.outbound["b.1"]
+        identity = peer_links.PeerIdentity("a.1", "s")
+        links = peer_links.PeerLinks(secret, identity, lambda *_: None, lambda *_: None)
+        links.set_peers({"b.1": f"127.0.0.1:{server.sockets[0].getsockname()[1]}"})
+        await until(lambda: "b.1" in links.outbound and links.outbound["b.1"].ready)
+        first = links.outbound["b.1"]
 
         def is_stuck() -> bool:
-            told.send("b.1", ["x" * 65536])
-            return told.stuck > 0
+            links.send("b.1", ["x" * 65536])
+            return links.stalled_connections > 0
 
         await until(is_stuck)
         assert (
             first.transport is None
-            or first.transport.get_write_buffer_size() <= peer_links.MOST_UNSENT + 70_000
+            or first.transport.get_write_buffer_size() <= peer_links.MAX_UNSENT_BYTES + 70_000
         )
-        await until(lambda: len(dialled) > 1 and told.outbound["b.1"] is not first)
-        told.close()
+        await until(lambda: len(dialled) > 1 and links.outbound["b.1"] is not first)
+        links.close()
         server.close()
         for transport in dialled:
             transport.abort()
--- a/tests/store/cluster_harness.py
+++ b/tests/store/cluster_harness.py
@@ -10,7 +10,7 @@
 
 from ploverspoke.consensus.cluster_config import read_replica_config
 from ploverspoke.consensus.membership import Members
-from ploverspoke.store.log_commands import CommitConfiguration, encode_command
+from ploverspoke.store.log_commands import CommitConfiguration
 from ploverspoke.store.node import StoreNode
 from ploverspoke.testbed.processes.addresses import held_ports
 
@@ -77,7 +77,7 @@
 def commit(node: StoreNode, body: str) -> Awaitable[bool]:
     """A configuration with that body; whether it is committed."""
     future = asyncio.get_running_loop().create_future()
-    command = encode_command(CommitConfiguration(body, "test", 1))
+    command = CommitConfiguration(body, "test", 1)
     node.propose(command, lambda committed: future.cancelled() or future.set_result(committed))
     return future
 
@@ -88,8 +88,8 @@
 
 def fill_disk(node: StoreNode) -> None:
     """No room for more than 60 pages from now on."""
-    node.disk.most_pages = 60
-    node.disk.db.execute("pragma max_page_count = 60")
+    node.storage.max_pages = 60
+    node.storage.connection.execute("pragma max_page_count = 60")
 
 
 def run_cluster(
--- a/tests/store/test_node.py
+++ b/tests/store/test_node.py
@@ -3,8 +3,10 @@
 import asyncio
 from pathlib import Path
 
+import msgspec
 import pytest
 
+from ploverspoke.consensus.membership import Member
 from ploverspoke.consensus.storage import ClusterMismatchError
 from tests.store.cluster_harness import Cluster, bodies, commit, fill_disk, run_cluster, until
 
@@ -27,7 +29,7 @@
 def test_a_lost_leader_is_replaced_and_catches_up_from_a_snapshot(tmp_path: Path) -> None:
     async def scenario(cluster: Cluster) -> None:
         old = await cluster.wait_for_leader()
-        name = old.orders.name
+        name = old.config.name
         assert await commit(old, "first")
         await cluster.stop(name)
         leader = await cluster.wait_for_leader()
@@ -49,11 +51,11 @@
         for n in range(200):
             if not await commit(old, f"{n} " + "x" * 3000):
                 break
-        assert old.troubles and not old.leads()
+        assert old.storage_failures and not old.leads()
         leader = await cluster.wait_for_leader()
         assert leader is not old and len(bodies(leader)) > 1
         assert await commit(leader, "after")
-        old.disk.most_pages = 0
+        old.storage.max_pages = 0
         await until(lambda: old.replica is not None and bodies(old)[-1:] == ["after"])
 
     run_cluster(tmp_path, 3, scenario)
@@ -74,10 +76,10 @@
             if not await asyncio.wait_for(commit(leader, body), 5):
                 break
             acknowledged.append(body)
-        assert all(node.troubles for node in followers)
+        assert all(node.storage_failures for node in followers)
         assert (len(acknowledged) == 120) == (full == 1)
         for node in followers:
-            node.disk.most_pages = 0
+            node.storage.max_pages = 0
         await until(lambda: all(node.replica is not None for node in followers))
         leader = await cluster.wait_for_leader()
         assert await commit(leader, "after")
@@ -90,7 +92,7 @@
 def test_nothing_is_acknowledged_without_a_quorum(tmp_path: Path) -> None:
     async def scenario(cluster: Cluster) -> None:
         leader = await cluster.wait_for_leader()
-        for name in [n for n in cluster.nodes if n != leader.orders.name]:
+        for name in [n for n in cluster.nodes if n != leader.config.name]:
             await cluster.stop(name)
         assert not await commit(leader, "lost")
         await until(lambda: not leader.leads())
@@ -102,7 +104,7 @@
     async def scenario(cluster: Cluster) -> None:
         leader = await cluster.wait_for_leader()
         assert await commit(leader, "one")
-        lost = next(n for n in cluster.nodes if n != leader.orders.name)
+        lost = next(n for n in cluster.nodes if n != leader.config.name)
         await cluster.stop(lost)
         for path in (tmp_path / lost).iterdir():
             path.unlink()
@@ -111,13 +113,13 @@
         cluster.nodes.pop(lost)
         mark = leader.status()["store"]
         await cluster.change_members(
-            lambda m: {id_: member for id_, member in m.items() if member[0] != lost}
+            lambda m: {id_: member for id_, member in m.items() if member.name != lost}
         )
         fresh = await cluster.start("r3", join=mark)
-        told = ["r3", *cluster.addresses["r3"].values(), False]
-        await cluster.change_members(lambda m: {**m, "r3.1": told})
+        learner = Member("r3", *cluster.addresses["r3"].values(), votes=False)
+        await cluster.change_members(lambda m: {**m, "r3.1": learner})
         await until(lambda: bodies(fresh) == ["one"])
-        await cluster.change_members(lambda m: {**m, "r3.1": [*told[:3], True]})
+        await cluster.change_members(lambda m: {**m, "r3.1": msgspec.structs.replace(learner, votes=True)})
         await until(lambda: fresh.status()["members"] and all(m["votes"] for m in fresh.status()["members"]))
         await until(lambda: fresh.leads() or ((n := cluster.leader()) is not None and n.transfer("r3")))
         await until(fresh.leads)
@@ -130,10 +132,10 @@
     async def scenario(cluster: Cluster) -> None:
         leader = await cluster.wait_for_leader()
         other = Cluster(tmp_path / "other", 1)
-        other.addresses = {"r0": other.addresses["r0"], "r1": cluster.addresses[leader.orders.name]}
+        other.addresses = {"r0": other.addresses["r0"], "r1": cluster.addresses[leader.config.name]}
         other.size = 2
         node = await other.start("r0", new=True)
-        await until(lambda: leader.links.refused + node.links.refused > 0)
+        await until(lambda: leader.peer_links.refused_connections + node.peer_links.refused_connections > 0)
         (tmp_path / "other" / "secret").write_text("another secret, long enough too")
         await other.close()
         assert leader.leads()
--- a/tests/store/test_state_machine.py
+++ b/tests/store/test_state_machine.py
@@ -59,7 +59,7 @@
     )
     state.apply(6, ["a verb of a later version", 1, 2])
     again = RequestStateMachine()
-    again.load(state.dump())
+    again.restore_snapshot(state.take_snapshot())
     assert again.answered["r1"].answer is FinalAnswer.SUCCEEDED
     assert (again.open_requests, again.configurations[-1].version) == ({}, 1)
     assert msgspec.msgpack.encode(state.answered["r1"]) == msgspec.msgpack.encode(again.answered["r1"])
@@ -81,7 +81,7 @@
     clocks = [ReplicatedClock(lambda n=n: here[n]) for n in range(2)]  # type: ignore[misc]
     states = [RequestStateMachine(), RequestStateMachine()]
     for state, clock in zip(states, clocks, strict=True):
-        state.on_time = clock.seen
+        state.on_time = clock.advance_to
     here[0] += 40  # the leader has run for longer
     for state in states:
         now = clocks[0].now()
@@ -93,6 +93,6 @@
     states[0].apply(3, encode_command(AnswerRequest("r", FinalAnswer.FAILED, "", b"", clocks[1].now())))
     assert clocks[0].now() == 50
     again, late = RequestStateMachine(), ReplicatedClock(lambda: 0)
-    again.on_time = late.seen
-    again.load(states[0].dump())
+    again.on_time = late.advance_to
+    again.restore_snapshot(states[0].take_snapshot())
     assert late.now() == 50
