--- a/ploverspoke/testbed/store_bench.py
+++ b/ploverspoke/testbed/store_bench.py
@@ -24,11 +24,11 @@
 from ploverspoke.consensus.persisted_state import WriteBatch
 from ploverspoke.consensus.replica_client import call_replica
 from ploverspoke.consensus.storage import ReplicaStorage
+from ploverspoke.routing.answers import FinalAnswer
 from ploverspoke.store.log_commands import (
     AcceptRequest,
     AnswerRequest,
     AttemptOutcome,
-    FinalOutcome,
     FinishAttempt,
     StartAttempt,
     encode_command,
@@ -262,7 +262,7 @@
                     AcceptRequest(name, 1, b"0" * 16, now + 2_000_000_000, now),
                     StartAttempt(name, "w1", 0, now),
                     FinishAttempt(name, 0, AttemptOutcome.SUCCEEDED),
-                    AnswerRequest(name, FinalOutcome.SUCCEEDED, "x" * 64, b"0" * 16, now),
+                    AnswerRequest(name, FinalAnswer.SUCCEEDED, "x" * 64, b"0" * 16, now),
                 ):
                     at += 1
                     stored = encode_command(command)
@@ -294,7 +294,7 @@
         loaded.restore_snapshot(again.persisted.snapshot_data)
         took = time.perf_counter() - began
         again.close()
-        assert len(loaded.open) == count
+        assert len(loaded.open_requests) == count
     return {"open": float(count), "seconds": took}
 
 
