--- a/ploverspoke/protocol/clients.py
+++ b/ploverspoke/protocol/clients.py
@@ -61,6 +61,9 @@
         self.listener = listener
         self.target = b""
         self.in_message = False  # a request has begun and not ended
+        # Of a request whose head is complete:
+        self.request_method = ""
+        self.request_target = ""
 
     def on_message_begin(self) -> None:
         """Begin a request."""
@@ -83,17 +86,15 @@
             self.fail(HttpSyntaxError("the length of the body is not clear"))
         if length is not None and (len(length) > MAX_LENGTH_DIGITS or int(length) > MAX_BODY_SIZE):
             self.on_body_too_long()
+        self.request_method = self.parser.get_method().decode("latin-1")
+        self.request_target = self.target.decode("latin-1")
         try:
-            self.listener.on_request_head(self.method(), self.target.decode("latin-1"), self.headers)
+            self.listener.on_request_head(self.request_method, self.request_target, self.headers)
         except HttpSyntaxError as error:
             self.fail(error)
         if self.headers.get("expect", "").lower() == "100-continue":
             self.listener.on_continue_expected()
 
-    def method(self) -> str:
-        """Return the method of the request."""
-        return self.parser.get_method().decode("latin-1")
-
     def on_body_too_long(self) -> NoReturn:
         """Raise the error for a body beyond the limit."""
         self.fail(MessageTooLongError("body too long"))
@@ -103,8 +104,8 @@
         self.in_message = False
         self.listener.on_request(
             HttpRequest(
-                self.method(),
-                self.target.decode("latin-1"),
+                self.request_method,
+                self.request_target,
                 self.headers,
                 bytes(self.body),
                 self.keeps_alive(),
--- a/ploverspoke/transport/connection_pool.py
+++ b/ploverspoke/transport/connection_pool.py
@@ -224,7 +224,12 @@
             self._close(connection.number)
             return
         connection.user = IdleConnection(connection)
-        insort(self.idle[connection.address], IdleSlot(connection.number, since), key=attrgetter("since"))
+        idle = self.idle[connection.address]
+        slot = IdleSlot(connection.number, since)
+        if idle and since < idle[-1].since:
+            insort(idle, slot, key=attrgetter("since"))
+        else:
+            idle.append(slot)
         if self.cleanup is None:
             self.cleanup = self.deadlines.schedule(since + self.max_idle_time, self._close_expired)
 
