--- a/ploverspoke/simulator/adapter.py
+++ b/ploverspoke/simulator/adapter.py
@@ -5,7 +5,7 @@
 import traceback
 from typing import TextIO
 
-from ploverspoke.decisions.interface import Endpoint
+from ploverspoke.decisions.interface import Endpoint, EndpointCondition
 from ploverspoke.protocol.wire_names import ENDPOINT_STATES
 from ploverspoke.transport.units import MICROSECOND
 
@@ -117,7 +117,7 @@
         message.whole_number(wire.ENDPOINT_ZONE, 0),
         message.whole_number(wire.ENDPOINT_MACHINE_KIND, 0),
         message.whole_number(wire.ENDPOINT_RACK, 0),
-        ENDPOINT_STATES[state],
+        EndpointCondition(ENDPOINT_STATES[state]),
         message.number(wire.ENDPOINT_WEIGHT, 1.0),
         message.whole_number(wire.ENDPOINT_STARTED, 0) * MICROSECOND,
     )
--- a/ploverspoke/simulator/dispatcher_instance.py
+++ b/ploverspoke/simulator/dispatcher_instance.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable
 
 from ploverspoke.decisions.dispatcher import Dispatcher
-from ploverspoke.decisions.interface import Endpoint
+from ploverspoke.decisions.interface import Endpoint, LoadGossip
 from ploverspoke.protocol.gossip_messages import GossipMessage, GossipReader, encode_gossip
 from ploverspoke.service.config_reader import ConfigError
 from ploverspoke.service.settings import parse_settings
@@ -75,13 +75,11 @@
         """Ask a worker for its load."""
         self._reply(wire.PROBE, {wire.WORKER: worker})
 
-    def send_gossip(
-        self, to: Iterable[int] | None, zone: int, sequence: int, lateness: float, workers: Iterable[str]
-    ) -> None:
-        """Send gossip to dispatchers, None: to all; the rest are the fields of `GossipMessage`."""
-        message = GossipMessage(zone, sequence, lateness, list(workers))
+    def send_gossip(self, peers: Iterable[int] | None, gossip: LoadGossip) -> None:
+        """Send gossip to dispatchers, None: to all."""
+        message = GossipMessage(gossip.zone, gossip.sequence, gossip.lateness, list(gossip.workers))
         data = b64encode(encode_gossip(message)).decode()
-        targets: Iterable[int | str] = [wire.EVERYONE] if to is None else to
+        targets: Iterable[int | str] = [wire.EVERYONE] if peers is None else peers
         for target in targets:
             self._reply(wire.SEND_GOSSIP, {wire.GOSSIP_TARGET: target, wire.GOSSIP_BYTES: data})
 
--- a/ploverspoke/simulator/wire_names.py
+++ b/ploverspoke/simulator/wire_names.py
@@ -1,5 +1,7 @@
 """The names in the simulator's messages, mapped to the names of this code."""
 
+from ploverspoke.decisions.interface import AttemptOutcome
+
 # Messages that frame a batch, or concern all dispatchers.
 BATCH_BEGIN = "MARK"
 BATCH_END = "GO"
@@ -82,12 +84,12 @@
 SCOPE_CHANGES = "incr"
 SCOPES_COMPLETE = ("total", "warm_copy")
 OUTCOMES = {
-    "delivered": "satisfied",
-    "app_error": "worker_error",
-    "shed": "full",
-    "expired": "timed_out",
-    "dial_failed": "unreachable",
-    "dropped": "broken_off",
-    "revoked": "recalled",
-    "unused": "not_sent",
+    "delivered": AttemptOutcome.SUCCEEDED,
+    "app_error": AttemptOutcome.WORKER_ERROR,
+    "shed": AttemptOutcome.FULL,
+    "expired": AttemptOutcome.TIMED_OUT,
+    "dial_failed": AttemptOutcome.UNREACHABLE,
+    "dropped": AttemptOutcome.BROKEN_OFF,
+    "revoked": AttemptOutcome.CANCELLED,
+    "unused": AttemptOutcome.NOT_SENT,
 }
