--- a/ploverspoke/consensus/framed_client.py
+++ b/ploverspoke/consensus/framed_client.py
@@ -7,6 +7,7 @@
 
 from ploverspoke.transport.rate_limited_log import log_line
 
+from .cluster_config import split_address
 from .framing import FrameCodec, FrameError
 
 
@@ -46,8 +47,8 @@
 
     async def connect(self, address: str) -> None:
         """Connects to `address` ("host:port"). Raises OSError."""
-        host, _, port = address.rpartition(":")
-        await asyncio.get_running_loop().create_connection(lambda: self, host.strip("[]"), int(port))
+        host, port = split_address(address)
+        await asyncio.get_running_loop().create_connection(lambda: self, host, port)
 
     def is_ready(self) -> bool:
         """Whether messages can be written."""
--- a/ploverspoke/consensus/framed_server.py
+++ b/ploverspoke/consensus/framed_server.py
@@ -11,6 +11,7 @@
 
 from ploverspoke.transport.rate_limited_log import log_line
 
+from .cluster_config import split_address
 from .framing import FrameCodec, FrameError
 
 BACKLOG = 1024
@@ -123,9 +124,9 @@
 
     async def listen(self, address: str) -> None:
         """Accepts connections at `address` ("host:port") until `close`. Raises OSError."""
-        host, _, port = address.rpartition(":")
+        host, port = split_address(address)
         self.listener = await asyncio.get_running_loop().create_server(
-            lambda: FramedConnection(self), host.strip("[]"), int(port), backlog=BACKLOG
+            lambda: FramedConnection(self), host, port, backlog=BACKLOG
         )
 
     def close(self) -> None:
--- /dev/null
+++ b/tests/consensus/test_framed_connections.py
@@ -0,0 +1,190 @@
+"""`FramedServer` and `FramedClientConnection` on transports that are kept in memory."""
+
+import asyncio
+from typing import Any
+
+import pytest
+
+from ploverspoke.consensus.framed_client import FramedClientConnection
+from ploverspoke.consensus.framed_server import (
+    MAX_UNSENT_BYTES,
+    FramedConnection,
+    FramedServer,
+    RegistrationLimits,
+)
+
+SECRET = b"a secret of twenty-four."
+
+
+class FakeTransport(asyncio.Transport):
+    """Collects what is written; `closed` says how it was closed."""
+
+    def __init__(self) -> None:
+        super().__init__()
+        self.written = b""
+        self.unsent = 0
+        self.closed = ""
+
+    def write(self, data: Any) -> None:
+        self.written += data
+
+    def get_write_buffer_size(self) -> int:
+        return self.unsent
+
+    def is_closing(self) -> bool:
+        return bool(self.closed)
+
+    def close(self) -> None:
+        self.closed = self.closed or "close"
+
+    def abort(self) -> None:
+        self.closed = "abort"
+
+
+class EchoServer(FramedServer):
+    """Registers a client by its first message, and answers each message with itself."""
+
+    log_name = "echo"
+
+    def __init__(self, limits: RegistrationLimits | None = None) -> None:
+        super().__init__(SECRET, limits)
+        self.disconnected: list[str] = []
+
+    def greeting(self) -> dict[str, str]:
+        return {"id": "server", "store": ""}
+
+    def handle_message(self, connection: FramedConnection, message: object) -> None:
+        if not connection.registered:
+            assert connection.frames.peer_greeting is not None
+            connection.client_name = connection.frames.peer_greeting["id"]
+            self.register(connection)
+        connection.write(message)
+
+    def on_disconnected(self, client_name: str) -> None:
+        self.disconnected.append(client_name)
+
+
+class RecordingClient(FramedClientConnection):
+    log_name = "client"
+    max_unsent_bytes = 100
+
+    def __init__(self, name: str = "c", secret: bytes = SECRET) -> None:
+        super().__init__(secret, {"id": name, "store": ""})
+        self.events: list[object] = []
+
+    def on_connected(self) -> None:
+        self.events.append("connected")
+
+    def on_message(self, message: object) -> None:
+        self.events.append(message)
+
+    def on_disconnected(self) -> None:
+        self.events.append("disconnected")
+
+
+class Link:
+    """A client and its connection at the server; bytes go over when `exchange` is called."""
+
+    def __init__(self, server: FramedServer, client: RecordingClient) -> None:
+        self.client, self.connection = client, FramedConnection(server)
+        self.client_transport, self.server_transport = FakeTransport(), FakeTransport()
+        self.connection.connection_made(self.server_transport)
+        client.connection_made(self.client_transport)
+
+    def exchange(self) -> None:
+        while self.client_transport.written or self.server_transport.written:
+            to_server, self.client_transport.written = self.client_transport.written, b""
+            self.connection.data_received(to_server)
+            to_client, self.server_transport.written = self.server_transport.written, b""
+            self.client.data_received(to_client)
+
+
+def test_messages_go_both_ways_once_both_have_greeted() -> None:
+    link = Link(EchoServer(), RecordingClient())
+    link.client.write("too early")
+    link.exchange()
+    assert link.client.events == ["connected"] and link.client.is_ready()
+    link.client.write({"n": 1})
+    link.exchange()
+    assert link.client.events == ["connected", {"n": 1}]
+
+
+def test_older_connection_of_a_client_is_aborted_and_its_end_is_not_reported() -> None:
+    server = EchoServer()
+    links = [Link(server, RecordingClient()) for _ in range(2)]
+    for link in links:
+        link.exchange()
+        link.client.write("hello")
+        link.exchange()
+    assert [link.server_transport.closed for link in links] == ["abort", ""]
+    links[0].connection.connection_lost(None)
+    assert server.disconnected == [] and server.is_current(links[1].connection)
+    links[1].connection.connection_lost(None)
+    assert server.disconnected == ["c"] and not server.clients and not server.connections
+
+
+def test_client_with_another_secret_is_counted_and_aborted_on_both_sides() -> None:
+    server = EchoServer()
+    link = Link(server, RecordingClient(secret=b"another secret than theirs"))
+    link.exchange()
+    assert server.refused == 1 and link.server_transport.closed == link.client_transport.closed == "abort"
+    link.client.connection_lost(None)
+    assert link.client.events == ["disconnected"]
+
+
+def test_client_that_does_not_read_is_aborted_by_the_server() -> None:
+    server = EchoServer()
+    link = Link(server, RecordingClient())
+    link.exchange()
+    link.client.write("hello")
+    link.exchange()
+    assert server.send("c", "x") > 0 and server.send("unknown", "x") == 0
+    link.server_transport.unsent = MAX_UNSENT_BYTES + 1
+    assert server.send("c", "x") == 0 and link.server_transport.closed == "abort"
+
+
+def test_client_leaves_messages_out_while_the_server_does_not_read() -> None:
+    link = Link(EchoServer(), RecordingClient())
+    link.exchange()
+    link.client_transport.unsent = 101
+    link.client.write("left out")
+    assert link.client_transport.written == b"" and not link.client_transport.closed
+
+
+def test_nothing_is_reported_after_a_client_has_closed() -> None:
+    link = Link(EchoServer(), RecordingClient())
+    link.client.close()
+    link.client.data_received(link.server_transport.written)
+    link.client.connection_lost(None)
+    assert link.client.events == [] and link.client_transport.closed == "abort"
+    late = RecordingClient()
+    late.close()
+    transport = FakeTransport()
+    late.connection_made(transport)
+    assert transport.closed == "abort" and transport.written == b""
+
+
+@pytest.mark.parametrize("registers", [True, False])
+def test_connection_that_does_not_register_in_time_is_aborted(registers: bool) -> None:
+    async def run() -> str:
+        link = Link(EchoServer(RegistrationLimits(timeout=0.0, max_unregistered=9)), RecordingClient())
+        link.exchange()
+        if registers:
+            link.client.write("hello")
+            link.exchange()
+        await asyncio.sleep(0.001)  # a turn of the loop, in which a timer of 0 s is due
+        return link.server_transport.closed
+
+    assert asyncio.run(run()) == ("" if registers else "abort")
+
+
+def test_connections_above_the_limit_of_unregistered_ones_are_aborted() -> None:
+    async def run() -> list[str]:
+        server = EchoServer(RegistrationLimits(timeout=60.0, max_unregistered=2))
+        links = [Link(server, RecordingClient(f"c{number}")) for number in range(3)]
+        found = [link.server_transport.closed for link in links]
+        for link in links:
+            link.connection.connection_lost(None)
+        return found
+
+    assert asyncio.run(run()) == ["", "", "abort"]
