--- a/tests/store/test_state_machine.py
+++ b/tests/store/test_state_machine.py
@@ -5,6 +5,7 @@
 
 from ploverspoke.consensus.clock import ReplicatedClock
 from ploverspoke.routing.answers import FinalAnswer
+from ploverspoke.store.errors import MalformedCommandError, MalformedSnapshotError
 from ploverspoke.store.log_commands import (
     AcceptRequest,
     AnswerRequest,
@@ -49,6 +50,14 @@
     assert command is not None and encode_command(command) == later
 
 
+def test_a_malformed_command_or_snapshot_is_an_error_that_says_which() -> None:
+    with pytest.raises(MalformedCommandError) as caught:
+        decode_command(["take", "r", 1])
+    assert caught.value.verb == "take"
+    with pytest.raises(MalformedSnapshotError):
+        RequestStateMachine().restore_snapshot(b"\x93")
+
+
 def test_first_answer_wins_and_survives_a_snapshot() -> None:
     state = apply_all(
         AcceptRequest("r1", 1, b"d", 100, 1),
