--- a/tests/store/test_node.py
+++ b/tests/store/test_node.py
@@ -111,11 +111,11 @@
         with pytest.raises(ClusterMismatchError, match="--join"):
             await cluster.start(lost)
         cluster.nodes.pop(lost)
-        mark = leader.status()["store"]
+        fingerprint = leader.status()["store"]
         await cluster.change_members(
             lambda m: {id_: member for id_, member in m.items() if member.name != lost}
         )
-        fresh = await cluster.start("r3", join=mark)
+        fresh = await cluster.start("r3", join=fingerprint)
         learner = Member("r3", *cluster.addresses["r3"].values(), votes=False)
         await cluster.change_members(lambda m: {**m, "r3.1": learner})
         await until(lambda: bodies(fresh) == ["one"])
