--- a/ploverspoke/cli.py
+++ b/ploverspoke/cli.py
@@ -191,13 +191,14 @@
     nothing to do. 2: OLD cannot be used or NEW exists, and nothing is written.
     """
     from ploverspoke.service.config_reader import ConfigError
+    from ploverspoke.service.exit_codes import EXIT_UNUSABLE
     from ploverspoke.service.migration import migrate_file
 
     try:
         report = migrate_file(old, new, peers, dry_run, force)
     except ConfigError as error:
         click.echo(f"ploverspoke: {error}", err=True)
-        sys.exit(2)
+        sys.exit(EXIT_UNUSABLE)
     if as_json:
         click.echo(json.dumps(report.to_json()))
         return
@@ -211,28 +212,30 @@
 def check(configuration: Path) -> None:
     """Check a CONFIGURATION (or that of RELAY_CONFIG) without starting anything.
 
-    Exit 0: it can be used, and what it says is shown. 2: it cannot, and the key is named.
+    Exit 0: it can be used, and a summary is printed. 2: it cannot, and the key is named.
     """
     from ploverspoke.service.config import read_config
     from ploverspoke.service.config_reader import ConfigError
+    from ploverspoke.service.exit_codes import EXIT_UNUSABLE
+    from ploverspoke.transport.units import MEBIBYTE, SECOND
 
     os.environ["RELAY_CONFIG"] = str(configuration)
     try:
-        briefing = read_config(os.environ)
+        config = read_config(os.environ)
     except ConfigError as error:
         click.echo(f"ploverspoke: {error}", err=True)
-        sys.exit(2)
-    if briefing.peers:
-        click.echo(f"tellings: to {len(briefing.peers) - 1} other dispatchers")
-    elif briefing.cannot_tell:
+        sys.exit(EXIT_UNUSABLE)
+    if config.peers:
+        click.echo(f"load gossip: to {len(config.peers) - 1} other dispatchers")
+    elif config.lacks_peers:
         from ploverspoke.service.service import NO_PEERS
 
         click.echo(NO_PEERS)
-    address = ":".join(map(str, briefing.listen))
-    click.echo(f"{briefing.name} would listen on {address}, discovery {briefing.discovery}")
-    click.echo(f"limits: {briefing.sockets} descriptors, {briefing.memory >> 20} MiB")
-    for number, grade in enumerate(briefing.names.request_classes):
-        rules = briefing.settings.classes[number]
-        expected, abandon = rules.latency_objective / 1e9, rules.deadline / 1e9
-        repeat = rules.idempotency.value
-        click.echo(f"grade {grade}: {repeat}, expected in {expected:g} s, abandoned at {abandon:g} s")
+    click.echo(f"{config.name} would listen on {config.listen}, discovery {config.discovery}")
+    click.echo(f"limits: {config.descriptor_limit} descriptors, {config.memory_limit // MEBIBYTE} MiB")
+    for name, rules in zip(config.names.request_classes, config.settings.classes, strict=True):
+        objective, deadline = rules.latency_objective / SECOND, rules.deadline / SECOND
+        click.echo(
+            f"class {name}: {rules.idempotency.value}, latency objective {objective:g} s, "
+            f"deadline {deadline:g} s"
+        )
--- a/ploverspoke/service/config.py
+++ b/ploverspoke/service/config.py
@@ -1,124 +1,156 @@
-"""The briefing: all that a dispatcher is told at its start, read and checked in this one place."""
+"""The configuration of one dispatcher: read from its file, checked as a whole, and typed.
+
+The keys are the operators' (README.md); this module and `settings.py` map them to our names.
+"""
 
-import ipaddress
 import json
 from collections.abc import Mapping, Sequence
 from dataclasses import replace
-from typing import Any, NamedTuple
+from pathlib import Path
+from types import MappingProxyType
+from typing import NamedTuple
 
 from ploverspoke.decisions.settings import DeploymentNames, Settings
 from ploverspoke.protocol.discovery import enter_list
 from ploverspoke.protocol.http_messages import HttpSyntaxError
 from ploverspoke.transport.units import MEBIBYTE
 
-from .config_reader import ConfigError, ConfigSection
+from .config_reader import Address, ConfigError, ConfigSection, InvalidValueError, JsonObject, JsonValue
 from .settings import parse_names, parse_settings
 
-FEWEST_SOCKETS = 64
-LEAST_MEMORY_MB = 32
+CONFIG_VARIABLE = "RELAY_CONFIG"
+DEFAULT_NAME = "dispatcher"
+DEFAULT_SOCKETS, FEWEST_SOCKETS = 1024, 64
+DEFAULT_MEMORY_MB, LEAST_MEMORY_MB = 192, 32
+
+
+NO_KEYS: JsonObject = MappingProxyType({})
 
 
 class Config(NamedTuple):
+    """Everything that a dispatcher is configured with."""
+
     name: str
-    listen: tuple[str, int]
-    admin: tuple[str, int] | None  # where operators call; None: nowhere
-    discovery: str
+    listen: Address
+    admin_address: Address | None  # where operators' commands are answered; None: nowhere
+    discovery: str  # address of discovery, as written in the file
     seed: int
-    sockets: int  # descriptors that the whole program may hold
-    memory: int  # bytes that it may take
-    known: Mapping[str, Any] | None  # the list of workers as it was last had, in discovery's form
+    descriptor_limit: int  # open descriptors of the whole process
+    memory_limit: int  # bytes, of the whole process
+    known_endpoints: JsonObject | None  # the latest known endpoint list, in discovery's form
     settings: Settings
     names: DeploymentNames
-    document: Mapping[str, Any] = {}  # all of it as it stood there, but for the list of workers
-    peers: Sequence[tuple[str, int]] = ()  # where each dispatcher hears the others, by its number
-    cannot_tell: bool = False  # messages to others are permitted, and there are no addresses
+    document: JsonObject = NO_KEYS  # the file as it was read, without the endpoint list
+    peers: Sequence[Address] = ()  # where each dispatcher receives load gossip, by its index
+    lacks_peers: bool = False  # load gossip is permitted, and there are no addresses to send it to
+
+    @property
+    def known(self) -> JsonObject | None:
+        """The earlier name of `known_endpoints`, until no other package uses it any more."""
+        return self.known_endpoints
 
 
 def read_config(environment: Mapping[str, str]) -> Config:
-    """Raises ConfigError."""
+    """Read and check the file that RELAY_CONFIG names.
+
+    Keys that the file leaves out come from RELAY_LISTEN, RELAY_DISCOVERY, RELAY_NAME and RELAY_ADMIN_ADDR.
+    Raises ConfigError.
+    """
     return parse_config(read_config_document(environment), environment)
 
 
-def read_config_document(environment: Mapping[str, str]) -> Any:
-    """From the file that RELAY_CONFIG names; what it leaves out, from the other variables. Raises
-    ConfigError."""
-    path = environment.get("RELAY_CONFIG")
+def read_config_document(environment: Mapping[str, str]) -> JsonValue:
+    """Read the file that RELAY_CONFIG names, unchecked. Raises ConfigError where it is no JSON file."""
+    path = environment.get(CONFIG_VARIABLE)
     if not path:
-        raise ConfigError("RELAY_CONFIG is not set: expected the path of the configuration")
+        raise InvalidValueError(
+            key=CONFIG_VARIABLE, problem="is not set: expected the path of the configuration"
+        )
     try:
-        with open(path, encoding="utf-8") as file:
-            told = json.load(file)
+        return json.loads(Path(path).read_text(encoding="utf-8"))
     except OSError as error:
-        raise ConfigError(f"RELAY_CONFIG: {path} cannot be read: {error.strerror}") from None
+        raise ConfigError(key=CONFIG_VARIABLE, problem=f"{path} cannot be read: {error.strerror}") from error
     except (ValueError, RecursionError) as error:
-        raise ConfigError(f"RELAY_CONFIG: {path} is no JSON: {error}") from None
-    return told
+        raise ConfigError(key=CONFIG_VARIABLE, problem=f"{path} is no JSON: {error}") from error
 
 
-def parse_config(told: Any, environment: Mapping[str, str]) -> Config:
-    """What a configuration says, checked. Raises ConfigError."""
-    top = ConfigSection(told)
+def parse_config(document: JsonValue, environment: Mapping[str, str]) -> Config:
+    """Check a configuration document and return it typed; see `read_config`. Raises ConfigError."""
+    top = ConfigSection(document)
     if "settings" not in top.value:
-        raise top.bad("settings", "an object")
-    listen = address(top, "listen", environment.get("RELAY_LISTEN"))
-    address(top, "discovery", environment.get("RELAY_DISCOVERY"))
-    admin = environment.get("RELAY_ADMIN_ADDR")
-    has_admin = admin is not None or top.value.get("admin_addr") is not None
-    seed = top.text("seed", "0")
-    try:
-        seed_number = int(seed, 16)
-    except ValueError:
-        raise top.bad("seed", "a hexadecimal number in a text") from None
-    known = top.value.get("known")
-    if known is not None:
-        try:
-            enter_list(known, lambda *entry: None)
-        except HttpSyntaxError as error:
-            raise top.bad("known", f"a list in discovery's form ({error})") from None
-    limits = top.part("limits")
+        raise top.invalid("settings", "an object")
+    # In this order, also where a value is read again below: the first wrong key is the one that is reported.
+    listen = top.address("listen", environment.get("RELAY_LISTEN"))
+    top.address("discovery", environment.get("RELAY_DISCOVERY"))
+    seed = _parse_seed(top)
+    known_endpoints = _parse_known_endpoints(top)
+    limits = top.section("limits")
     settings = parse_settings(top.value["settings"], "settings")
-    peers = _peers(top, settings)
-    # Nothing is told where there is no way to.
-    cannot_tell = settings.gossip_allowed and not peers
-    settings = replace(settings, gossip_allowed=bool(peers))
+    peers = _parse_peers(top, settings)
     return Config(
-        top.text("name", environment.get("RELAY_NAME", "dispatcher")),
-        listen,
-        address(top, "admin_addr", admin) if has_admin else None,
-        top.text("discovery", environment.get("RELAY_DISCOVERY")),
-        seed_number,
-        limits.whole("sockets", 1024, least=FEWEST_SOCKETS),
-        limits.whole("memory_mb", 192, least=LEAST_MEMORY_MB) * MEBIBYTE,
-        known,
-        settings,
-        parse_names(top.value["settings"], "settings"),
-        {key: value for key, value in top.value.items() if key != "known"},
-        peers,
-        cannot_tell,
+        name=top.text("name", environment.get("RELAY_NAME", DEFAULT_NAME)),
+        listen=listen,
+        admin_address=_parse_admin_address(top, environment.get("RELAY_ADMIN_ADDR")),
+        discovery=top.text("discovery", environment.get("RELAY_DISCOVERY")),
+        seed=seed,
+        descriptor_limit=limits.integer("sockets", DEFAULT_SOCKETS, least=FEWEST_SOCKETS),
+        memory_limit=limits.integer("memory_mb", DEFAULT_MEMORY_MB, least=LEAST_MEMORY_MB) * MEBIBYTE,
+        known_endpoints=known_endpoints,
+        settings=replace(settings, gossip_allowed=bool(peers)),
+        names=parse_names(top.value["settings"], "settings"),
+        document=without_known_endpoints(top.value),
+        peers=peers,
+        lacks_peers=settings.gossip_allowed and not peers,
     )
 
 
-def _peers(top: ConfigSection, settings: Settings) -> list[tuple[str, int]]:
-    """One address for each dispatcher; told to others only where the settings permit messages, too."""
-    texts = top.row("peers", [], str)
+def without_known_endpoints(document: JsonObject) -> JsonObject:
+    """Return a configuration document without its endpoint list, which is not part of its settings."""
+    return {key: value for key, value in document.items() if key != "known"}
+
+
+def _parse_admin_address(top: ConfigSection, default: str | None) -> Address | None:
+    if default is None and top.value.get("admin_addr") is None:
+        return None
+    return top.address("admin_addr", default)
+
+
+def _parse_seed(top: ConfigSection) -> int:
+    text = top.text("seed", "0")
+    try:
+        return int(text, 16)
+    except ValueError as error:
+        raise top.invalid("seed", "a hexadecimal number in a text") from error
+
+
+def _parse_known_endpoints(top: ConfigSection) -> JsonObject | None:
+    known: JsonObject | None = top.value.get("known")
+    if known is None:
+        return None
+    try:
+        enter_list(known, lambda *_: None)
+    except HttpSyntaxError as error:
+        raise top.invalid("known", f"a list in discovery's form ({error})") from error
+    return known
+
+
+def _parse_peers(top: ConfigSection, settings: Settings) -> list[Address]:
+    """Return one address for each dispatcher; none where load gossip is not configured."""
+    texts = top.values("peers", [], str)
     if not texts:
         return []
     if not settings.gossip_allowed:
-        raise ConfigError("settings.Limits.Peers is not true: expected that beside peers")
+        raise InvalidValueError(
+            key="settings.Limits.Peers", problem="is not true: expected that beside peers"
+        )
     if len(texts) != settings.dispatcher_count or settings.dispatcher_index >= len(texts):
-        raise top.bad("peers", "an address for each of settings.PeersTotal, settings.SlotNo among them")
-    found = [address(ConfigSection({"peers": text}), "peers", None) for text in texts]
-    if len(set(found)) < len(found):
-        raise top.bad("peers", "addresses that differ")
-    return found
+        raise top.invalid("peers", "an address for each of settings.PeersTotal, settings.SlotNo among them")
+    peers = [ConfigSection({"peers": text}).address("peers") for text in texts]
+    if len(set(peers)) < len(peers):
+        raise top.invalid("peers", "addresses that differ")
+    return peers
 
 
-def address(top: ConfigSection, name: str, default: str | None) -> tuple[str, int]:
-    host, _, port = top.text(name, default).rpartition(":")
-    try:
-        ipaddress.ip_address(host.strip("[]"))
-        if not 0 < int(port) < 65536:
-            raise ValueError
-    except ValueError:
-        raise top.bad(name, "an address and a port, as 127.0.0.1:8081") from None
-    return host.strip("[]"), int(port)
+def address(section: ConfigSection, name: str, default: str | None) -> Address:
+    """The earlier name of `ConfigSection.address`, until no other package calls it any more."""
+    return section.address(name, default)
--- a/ploverspoke/service/config_reader.py
+++ b/ploverspoke/service/config_reader.py
@@ -4,8 +4,9 @@
 the range of one value and give the default where the value is missing or null.
 """
 
+import ipaddress
 from collections.abc import Mapping
-from typing import Any, TypeAlias, TypeVar
+from typing import Any, NamedTuple, TypeAlias, TypeVar
 
 from ploverspoke.protocol.json_values import is_finite
 from ploverspoke.transport.units import MICROSECOND
@@ -15,6 +16,7 @@
 
 Choice = TypeVar("Choice")
 
+LAST_PORT = 65535
 LONGEST_MESSAGE = 300  # characters of an error that quotes a value: the value may be of any length
 
 
@@ -78,6 +80,27 @@
     return None
 
 
+class Address(NamedTuple):
+    """An IP address, without brackets, and a port."""
+
+    host: str
+    port: int
+
+    def __str__(self) -> str:
+        """Return the form that log lines have."""
+        return f"{self.host}:{self.port}"
+
+
+def _parse_address(text: str) -> Address:
+    """Raises ValueError where the text is no IP address and port from 1 to 65535."""
+    bracketed_host, _, digits = text.rpartition(":")
+    host, port = bracketed_host.strip("[]"), int(digits)
+    ipaddress.ip_address(host)
+    if not 0 < port <= LAST_PORT:
+        raise ValueError(port)
+    return Address(host, port)
+
+
 class ConfigSection:
     """One object of the configuration and its path. Every method raises ConfigError, naming the key.
 
@@ -175,6 +198,14 @@
             raise self.invalid(name, "one of " + ", ".join(table))
         return table[found]
 
+    def address(self, name: str, default: str | None = None) -> Address:
+        """Return the IP address and port under `name`, written as 127.0.0.1:8081 or [::1]:8081."""
+        text = self.text(name, default)
+        try:
+            return _parse_address(text)
+        except ValueError as error:
+            raise self.invalid(name, "an address and a port, as 127.0.0.1:8081") from error
+
     # The earlier names, until no other package calls them any more.
     part, parts, row, row_for_each = section, sections, values, values_per_class
     whole, time, flag, word, bad = integer, duration, boolean, choice, invalid
--- a/ploverspoke/service/service.py
+++ b/ploverspoke/service/service.py
@@ -1,19 +1,16 @@
-"""The running program: start, signals, end."""
+"""The running dispatcher: start, signals, a new configuration, shutdown."""
 
 import asyncio
 import gc
 import os
-import resource
 import signal
 import socket
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
 from dataclasses import replace
 from functools import partial
-from typing import NamedTuple
 
 import uvloop
 
-from ploverspoke.decisions.settings import Settings
 from ploverspoke.routing.admin_server import AdminServer
 from ploverspoke.routing.client_server import ClientServer
 from ploverspoke.routing.load_gossip import GossipSocket
@@ -26,217 +23,248 @@
 from ploverspoke.transport.units import MILLISECOND, SECOND
 
 from .config import Config, read_config
-from .config_reader import ConfigError, first_missing_key
+from .config_reader import ConfigError, InvalidValueError, first_missing_key
+from .descriptor_limit import descriptor_limit
+from .earlier_names import EarlierName
 from .exit_codes import run_with_exit_code
 from .handover import ProcessRegistry
 from .inherited_socket import inherited_socket
+from .shutdown import ShutdownSchedule, shutdown_schedule
 from .startup import BLOCKED_SIGNALS, block_signals
 
-STILL_COMING = 700 * MILLISECOND  # after the signal to end, connections may go on coming for so long
-LONGEST_TO_FINISH = 3 * SECOND  # then what was taken has the longest abandon time to end in, but no more
-HANDED_OVER = 600 * MILLISECOND  # so long clients go on here where another process has the socket
-LOOK_EVERY = 20 * MILLISECOND
-LIST_WITHIN = 1500 * MILLISECOND  # for discovery's first answer, where another process serves meanwhile
-NEIGHBOURS_EVERY = 250 * MILLISECOND
+FIRST_LIST_TIMEOUT = 1500 * MILLISECOND  # for discovery's first answer, where a predecessor serves meanwhile
+FIRST_LIST_CHECK_INTERVAL = 20 * MILLISECOND
+PROCESS_COUNT_INTERVAL = 250 * MILLISECOND
 NO_PEERS = "messages are permitted and cannot be sent: the configuration has no addresses (peers)"
 
 
 class Service:
+    """One dispatcher: its servers, its router and what it does on signals.
+
+    Attributes that whoever builds it may set before `run`:
+        load_config: Reads the configuration again at SIGHUP; may raise ConfigError.
+        listening_socket: An inherited listening socket, to be used in place of an own one.
+        process_registry: Where the processes of this dispatcher see one another.
+        on_ready: Called when clients can connect.
+    """
+
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, briefing: Config, scribe: RequestLog | None = None
+        self, loop: asyncio.AbstractEventLoop, config: Config, request_log: RequestLog | None = None
     ) -> None:
+        """Build the parts; nothing is opened before `run`. With a store there is a `request_log`."""
         self.loop = loop
-        self.briefing = briefing
-        self.read: Callable[[], Config] = partial(
-            read_config, os.environ
-        )  # where a new configuration comes from
+        self.config = config
+        self.load_config: Callable[[], Config] = partial(read_config, os.environ)
         self.deadlines = Deadlines(loop)
-        allowed = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-        told = briefing.sockets
-        self.sockets = told if allowed == resource.RLIM_INFINITY else min(told, allowed)
-        self.processes = 1  # of this dispatcher, with us
-        shares = split_resources(self.sockets, briefing.memory)
-        settings = briefing.settings
+        limit = descriptor_limit()
+        self.descriptor_limit = (
+            config.descriptor_limit if limit is None else min(config.descriptor_limit, limit)
+        )
+        self.process_count = 1  # of this dispatcher, this one included
+        resources = split_resources(self.descriptor_limit, config.memory_limit)
+        settings = config.settings
         self.pool = Pool(
-            loop, self.deadlines, shares.workers, settings.idle_timeout, settings.connect_timeout
+            loop, self.deadlines, resources.workers, settings.idle_timeout, settings.connect_timeout
         )
         self.router = Router(
             loop,
             self.deadlines,
             self.pool,
-            briefing.discovery,
-            briefing.seed,
+            config.discovery,
+            config.seed,
             settings,
-            briefing.names,
-            scribe,
+            config.names,
+            request_log,
         )
-        if briefing.peers:
-            own = settings.dispatcher_index
+        if config.peers:
             self.router.peers = GossipSocket(
-                briefing.peers, own, self.router.known_workers, self.router.heard
+                config.peers, settings.dispatcher_index, self.router.known_workers, self.router.heard
             )
-        self.door = ClientServer(loop, self.deadlines, self.router, shares.clients, shares.buffered)
-        self.operators = AdminServer(loop, self.deadlines, self.door, self.router)
-        self.leaving_since = 0
-        self.listening: socket.socket | None = None  # inherited, in place of one of its own
-        self.neighbours = ProcessRegistry(None)
+        self.client_server = ClientServer(
+            loop, self.deadlines, self.router, resources.clients, resources.buffered
+        )
+        self.admin_server = AdminServer(loop, self.deadlines, self.client_server, self.router)
+        self.listening_socket: socket.socket | None = None
+        self.process_registry = ProcessRegistry(None)
         self.on_ready: Callable[[], None] = lambda: None
-        self.over = asyncio.Event()
+        self.shutdown_began_at = 0  # monotonic ns; 0: it has not begun
+        self.stopped = asyncio.Event()
+
+    def inherit_socket(self, environment: Mapping[str, str]) -> None:
+        """Use the socket that the environment names, if any, together with the process that holds it too.
+
+        Raises ConfigError where what it names is no listening socket.
+        """
+        self.listening_socket = inherited_socket(environment)
+        if self.listening_socket is not None:
+            self.process_registry = ProcessRegistry(environment.get("TMPDIR"))
 
     async def run(self) -> None:
-        for number in (signal.SIGTERM, signal.SIGINT):
-            self.loop.add_signal_handler(number, self._leave)
-        self.loop.add_signal_handler(signal.SIGHUP, self._read_again)
-        signal.pthread_sigmask(signal.SIG_UNBLOCK, BLOCKED_SIGNALS)
-        if self.briefing.admin is not None:
-            self.operators.listener.open(*self.briefing.admin)
-        if self.neighbours.enter():
-            self._look_at_neighbours()
+        """Serve until SIGTERM or SIGINT. Raises OSError where an address cannot be listened on."""
+        self._handle_signals()
+        if self.config.admin_address is not None:
+            self.admin_server.listener.open(*self.config.admin_address)
+        if self.process_registry.enter():
+            self._update_process_count()
         if self.router.peers is not None:
             await self.router.peers.open(self.loop)
-        elif self.briefing.cannot_tell:
+        elif self.config.lacks_peers:
             log_line(NO_PEERS)
-        replaces = self.processes > 1
-        self.router.begin(self.briefing.known, from_known=not replaces)
-        if replaces:
-            await self._list_came()
-        if not self.leaving_since:
-            if self.listening is not None:
-                self.door.listener.adopt(self.listening)
-            else:
-                self.door.listener.open(*self.briefing.listen)
-            log_line(f"{self.briefing.name} serves at {':'.join(map(str, self.briefing.listen))}")
-            self.on_ready()
-        await self.over.wait()
-        self.neighbours.leave()
-
-    async def _list_came(self) -> None:
-        """Who replaces another need not guess: that one serves until we say that we do."""
-        until = self.deadlines.now() + LIST_WITHIN
-        while not self.router.lists_told and self.deadlines.now() < until and not self.leaving_since:
-            await asyncio.sleep(LOOK_EVERY / SECOND)
-
-    def _look_at_neighbours(self) -> None:
-        """To limits we are one dispatcher, however many processes are there for the moment."""
-        processes = 1 + self.neighbours.others()
-        if processes != self.processes:
-            log_line(f"processes={processes}: each has its part of the descriptors and of the memory")
-            self.processes = processes
-            shares = split_resources(self.sockets, self.briefing.memory, processes)
-            self.pool.hold_at_most(shares.workers)
-            self.door.most_sessions, self.door.most_buffered = shares.clients, shares.buffered
-        self.deadlines.at(self.deadlines.now() + NEIGHBOURS_EVERY, self._look_at_neighbours)
+        has_predecessor = self.process_count > 1
+        self.router.begin(self.config.known_endpoints, from_known=not has_predecessor)
+        if has_predecessor:
+            await self._first_list()
+        if not self.shutdown_began_at:
+            self._listen()
+        await self.stopped.wait()
+        self.process_registry.leave()
+
+    def _handle_signals(self) -> None:
+        for number in (signal.SIGTERM, signal.SIGINT):
+            self.loop.add_signal_handler(number, self.shut_down)
+        self.loop.add_signal_handler(signal.SIGHUP, self._reload_config)
+        signal.pthread_sigmask(signal.SIG_UNBLOCK, BLOCKED_SIGNALS)
+
+    def _listen(self) -> None:
+        if self.listening_socket is not None:
+            self.client_server.listener.adopt(self.listening_socket)
+        else:
+            self.client_server.listener.open(*self.config.listen)
+        log_line(f"{self.config.name} serves at {self.config.listen}")
+        self.on_ready()
+
+    async def _first_list(self) -> None:
+        """Wait for discovery's first answer: until this process is ready its predecessor serves."""
+        until = self.deadlines.now() + FIRST_LIST_TIMEOUT
+        while not self.router.lists_told and self.deadlines.now() < until and not self.shutdown_began_at:
+            await asyncio.sleep(FIRST_LIST_CHECK_INTERVAL / SECOND)
+
+    def _update_process_count(self) -> None:
+        """Split the limits anew: they are one dispatcher's, however many processes it has for the moment."""
+        process_count = 1 + self.process_registry.others()
+        if process_count != self.process_count:
+            log_line(f"processes={process_count}: each has its part of the descriptors and of the memory")
+            self.process_count = process_count
+            resources = split_resources(self.descriptor_limit, self.config.memory_limit, process_count)
+            self.pool.hold_at_most(resources.workers)
+            self.client_server.most_sessions = resources.clients
+            self.client_server.most_buffered = resources.buffered
+        self.deadlines.at(self.deadlines.now() + PROCESS_COUNT_INTERVAL, self._update_process_count)
 
     # ---- A new configuration ----
 
-    def _read_again(self) -> None:
-        """A new configuration, read whole before anything changes: a bad one leaves all as it is."""
+    def _reload_config(self) -> None:
+        """Read the configuration again and apply it; a bad one changes nothing."""
         try:
-            self.take_configuration(self.read())
+            self.apply_config(self.load_config())
             self.router.figures.accepted += 1
         except ConfigError as error:
             self.router.figures.invalid += 1
             log_line(f"new configuration not taken, the old one goes on: {error}")
 
-    def take_configuration(self, new: Config) -> None:
-        """Raises ConfigError, with nothing changed, where it lacks what the one in force has."""
-        old = self.briefing
-        if self.router.peers is None:
-            # Addresses wait for the next start, and so do messages.
-            new = new._replace(settings=replace(new.settings, gossip_allowed=False))
+    def apply_config(self, new: Config) -> None:
+        """Apply what of a new configuration needs no restart: the settings and the address of discovery.
+
+        Raises ConfigError, with nothing changed, where it lacks a key that the active one has.
+        """
+        old = self.config
         missing = first_missing_key(old.document, new.document)
         if missing is not None:
-            raise ConfigError(f"{missing} is missing: the configuration in force has it")
-        differ = new.settings != old.settings or new.names != old.names
-        for key, changed in (
-            ("name", new.name != old.name),
-            ("listen", new.listen != old.listen),
-            ("admin_addr", new.admin != old.admin),
-            ("peers", new.peers != old.peers),
-            ("limits", (new.sockets, new.memory) != (old.sockets, old.memory)),
-            ("settings", differ and self.router.scribe is not None),
-        ):
-            if changed:
-                log_line(f"new configuration: {key} stays as it was until the next start")
+            raise InvalidValueError(key=missing, problem="is missing: the configuration in force has it")
+        if self.router.peers is None:
+            # Peers are read at the start only, and without them there is no load gossip.
+            new = new._replace(settings=replace(new.settings, gossip_allowed=False))
+        settings_differ = new.settings != old.settings or new.names != old.names
+        # A store keeps requests with the numbers of their classes: there these must not change.
+        settings_are_fixed = self.router.scribe is not None
+        _log_keys_left_unchanged(old, new, settings_differ and settings_are_fixed)
         if new.discovery != old.discovery:
             log_line(f"new configuration: discovery is at {new.discovery} now")
             self.router.move_roster(new.discovery)
-        self.briefing = old._replace(discovery=new.discovery)
-        # What a store keeps of submissions goes by the grades' numbers: there they must not change.
-        if differ and self.router.scribe is None:
-            log_line(f"new configuration: settings taken, grades={','.join(new.names.request_classes)}")
-            self.router.settings_changed(new.settings, new.names)
-            self.pool.keep_for = kept_for(new.settings.idle_timeout)
-            self.pool.connect_time_out = new.settings.connect_timeout
-            self.briefing = self.briefing._replace(
-                settings=new.settings, names=new.names, document=new.document
-            )
+        self.config = old._replace(discovery=new.discovery)
+        if settings_differ and not settings_are_fixed:
+            self._apply_settings(new)
 
-    # ---- The end ----
+    def _apply_settings(self, new: Config) -> None:
+        log_line(f"new configuration: settings taken, grades={','.join(new.names.request_classes)}")
+        self.router.settings_changed(new.settings, new.names)
+        self.pool.keep_for = kept_for(new.settings.idle_timeout)
+        self.pool.connect_time_out = new.settings.connect_timeout
+        self.config = self.config._replace(settings=new.settings, names=new.names, document=new.document)
 
-    def _leave(self) -> None:
-        """Take what still comes, finish what was taken, then end."""
-        if not self.leaving_since:
-            log_line("told to end: finishing what was taken")
-            self.leaving_since = self.deadlines.now()
-            if self.router.peers is not None:
-                self.router.peers.close()  # what others tell is for the process that comes after
-            self.door.leave(handing_over=self.listening is not None)
-            self._look_whether_over(times_to_end(self.router.settings, self.listening is not None))
+    # ---- Shutdown ----
 
-    def _look_whether_over(self, end: "TimesToEnd") -> None:
+    def shut_down(self) -> None:
+        """Begin the shutdown: serve what still comes, finish what was admitted, then let `run` return."""
+        if self.shutdown_began_at:
+            return
+        log_line("told to end: finishing what was taken")
+        self.shutdown_began_at = self.deadlines.now()
+        if self.router.peers is not None:
+            self.router.peers.close()  # load gossip that still comes is for the successor
+        shares_socket = self.listening_socket is not None
+        self.client_server.leave(handing_over=shares_socket)
+        self._continue_shutdown(shutdown_schedule(self.router.settings, shares_socket))
+
+    def _continue_shutdown(self, schedule: ShutdownSchedule) -> None:
         now = self.deadlines.now()
-        since = now - self.leaving_since
-        if since >= (end.still_coming if self.door.is_empty() else end.still_served):
-            self.door.shut()
-        if since >= end.last_answers:
+        elapsed = now - self.shutdown_began_at
+        is_empty = self.client_server.is_empty()
+        if elapsed >= (schedule.accept_until if is_empty else schedule.serve_until):
+            self.client_server.shut()
+        if elapsed >= schedule.answer_at:
             self.router.answer_all()
-        if (self.door.is_shut and self.door.is_empty()) or since >= end.last_word:
-            self.over.set()
+        is_finished = self.client_server.is_shut and self.client_server.is_empty()
+        if is_finished or elapsed >= schedule.exit_at:
+            self.stopped.set()
         else:
-            self.deadlines.at(now + end.look_every, partial(self._look_whether_over, end))
-
+            self.deadlines.at(now + schedule.check_interval, partial(self._continue_shutdown, schedule))
 
-class TimesToEnd(NamedTuple):
-    """After the signal to end."""
+    # The earlier names, until no other package uses them any more.
+    briefing = EarlierName("config")
+    read = EarlierName("load_config")
+    listening = EarlierName("listening_socket")
+    neighbours = EarlierName("process_registry")
+    door = EarlierName("client_server")
+    operators = EarlierName("admin_server")
+    take_configuration = EarlierName("apply_config")
+    _leave = EarlierName("shut_down")
 
-    still_coming: int  # so long the socket stays open, even with nobody there
-    still_served: int  # and clients go on over theirs: nobody else may be there for them yet
-    last_answers: int  # then whoever still waits is answered
-    last_word: int  # and nobody is waited for any more
-    look_every: int
 
-
-def times_to_end(settings: Settings, shared: bool) -> TimesToEnd:
-    """We may be killed once what came last has had the longest abandon time in force: all is over before.
-
-    Where another process has the socket, clients are sent over to it with each answer.
-    """
-    finish = min(
-        LONGEST_TO_FINISH, max(settings.classes[grade].deadline for grade in settings.active_classes)
-    )
-    return TimesToEnd(
-        0 if shared else STILL_COMING,
-        HANDED_OVER if shared else STILL_COMING + finish // 2,
-        STILL_COMING + finish * 18 // 20,
-        STILL_COMING + finish * 19 // 20,
-        max(MILLISECOND, min(LOOK_EVERY, finish // 100)),
-    )
+def _log_keys_left_unchanged(old: Config, new: Config, settings_are_left: bool) -> None:
+    """Log the keys that differ and wait for the next start."""
+    for key, is_left in (
+        ("name", new.name != old.name),
+        ("listen", new.listen != old.listen),
+        ("admin_addr", new.admin_address != old.admin_address),
+        ("peers", new.peers != old.peers),
+        (
+            "limits",
+            (new.descriptor_limit, new.memory_limit) != (old.descriptor_limit, old.memory_limit),
+        ),
+        ("settings", settings_are_left),
+    ):
+        if is_left:
+            log_line(f"new configuration: {key} stays as it was until the next start")
 
 
 def _run() -> None:
-    briefing = read_config(os.environ)
+    config = read_config(os.environ)
     loop = uvloop.new_event_loop()
     asyncio.set_event_loop(loop)
-    service = Service(loop, briefing)
-    service.listening = inherited_socket(os.environ)
-    if service.listening is not None:
-        service.neighbours = ProcessRegistry(os.environ.get("TMPDIR"))
+    service = Service(loop, config)
+    service.inherit_socket(os.environ)
+    # What lives until the end is left out of every later collection, which shortens its pauses.
     gc.collect()
     gc.freeze()
     loop.run_until_complete(service.run())
 
 
 def main() -> int:
+    """Serve with the configuration of the environment until SIGTERM.
+
+    Returns the exit code. 0: stopped on request. 2: the configuration is unusable or an address cannot be
+    listened on.
+    """
     block_signals()
     return run_with_exit_code(_run)
--- a/ploverspoke/supervisor/child.py
+++ b/ploverspoke/supervisor/child.py
@@ -10,6 +10,7 @@
 from ploverspoke.service.config import Config, read_config
 from ploverspoke.service.config_reader import ConfigError
 from ploverspoke.service.descriptor_limit import descriptor_limit
+from ploverspoke.service.exit_codes import EXIT_OK, EXIT_UNUSABLE, print_error
 from ploverspoke.service.service import Service
 from ploverspoke.service.startup import block_signals
 
@@ -23,22 +24,22 @@
     child = ChildEnvironment.from_environment(os.environ)
     limit = descriptor_limit()
 
-    def read() -> Config:
+    def load_config() -> Config:
         return child_config(read_config(os.environ), child.index, child.count, limit)
 
     try:
-        config = read()
+        config = load_config()
     except ConfigError as error:
-        print(f"ploverspoke: {error}", file=sys.stderr)
-        return 2
+        print_error(error)
+        return EXIT_UNUSABLE
     loop = uvloop.new_event_loop()
     asyncio.set_event_loop(loop)
     service = Service(loop, config)
-    service.read = read
-    service.listening = socket.socket(fileno=child.socket_descriptor)
+    service.load_config = load_config
+    service.listening_socket = socket.socket(fileno=child.socket_descriptor)
     service.on_ready = lambda: print("ready", flush=True)  # the supervisor waits for this line
     loop.run_until_complete(service.run())
-    return 0
+    return EXIT_OK
 
 
 if __name__ == "__main__":
--- a/ploverspoke/supervisor/process_runner.py
+++ b/ploverspoke/supervisor/process_runner.py
@@ -16,7 +16,7 @@
 import uvloop
 
 from ploverspoke.service.config import Config, read_config
-from ploverspoke.service.config_reader import ConfigError
+from ploverspoke.service.config_reader import Address, ConfigError
 from ploverspoke.service.descriptor_limit import descriptor_limit
 from ploverspoke.service.exit_codes import run_with_exit_code
 from ploverspoke.transport.listener import BACKLOG
@@ -55,8 +55,7 @@
             for number in (signal.SIGTERM, signal.SIGINT):
                 self.loop.add_signal_handler(number, self._handle, self.supervisor.shut_down)
             self.loop.add_signal_handler(signal.SIGHUP, self._reload_config)
-            address = ":".join(map(str, self.config.listen))
-            log_line(f"{self.config.name}: {self.count} processes at {address}")
+            log_line(f"{self.config.name}: {self.count} processes at {self.config.listen}")
             self._handle(self.supervisor.start_all)
             return int(await self.any_killed)
 
@@ -148,12 +147,11 @@
             self.any_killed.set_result(any_killed)
 
 
-def _open_listening_socket(address: tuple[str, int]) -> socket.socket:
-    host, port = address
-    listening = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET)
+def _open_listening_socket(address: Address) -> socket.socket:
+    listening = socket.socket(socket.AF_INET6 if ":" in address.host else socket.AF_INET)
     try:
         listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        listening.bind((host, port))
+        listening.bind(address)
         listening.listen(BACKLOG)
         listening.setblocking(False)
     except OSError:
--- a/ploverspoke/supervisor/resource_split.py
+++ b/ploverspoke/supervisor/resource_split.py
@@ -3,10 +3,10 @@
 from dataclasses import replace
 
 from ploverspoke.service.config import FEWEST_SOCKETS, LEAST_MEMORY_MB, Config
-from ploverspoke.service.config_reader import ConfigError
+from ploverspoke.service.config_reader import Address, ConfigError
 from ploverspoke.transport.units import MEBIBYTE
 
-SUPERVISOR_SOCKETS = 16  # descriptors that stay with the supervisor
+SUPERVISOR_DESCRIPTORS = 16  # descriptors that stay with the supervisor
 SUPERVISOR_MEMORY = 12 * MEBIBYTE
 SEED_STEP = 0x9E3779B97F4A7C15  # between the seeds of two children: far apart in 64 bits
 
@@ -17,15 +17,18 @@
     `descriptor_limit` is what the system allows one process, None for no limit. Raises ConfigError where the
     share would be too small for a dispatcher.
     """
-    sockets = (whole.sockets - SUPERVISOR_SOCKETS) // count
+    descriptors = (whole.descriptor_limit - SUPERVISOR_DESCRIPTORS) // count
     if descriptor_limit is not None:
-        sockets = min(sockets, descriptor_limit)
-    memory = (whole.memory - SUPERVISOR_MEMORY) // count
-    if sockets < FEWEST_SOCKETS:
-        raise ConfigError(key="limits.sockets", problem=f"{whole.sockets} are too few for {count} processes")
+        descriptors = min(descriptors, descriptor_limit)
+    memory = (whole.memory_limit - SUPERVISOR_MEMORY) // count
+    if descriptors < FEWEST_SOCKETS:
+        raise ConfigError(
+            key="limits.sockets", problem=f"{whole.descriptor_limit} are too few for {count} processes"
+        )
     if memory < LEAST_MEMORY_MB * MEBIBYTE:
         raise ConfigError(
-            key="limits.memory_mb", problem=f"{whole.memory // MEBIBYTE} are too few for {count} processes"
+            key="limits.memory_mb",
+            problem=f"{whole.memory_limit // MEBIBYTE} are too few for {count} processes",
         )
     settings = replace(
         whole.settings,
@@ -33,12 +36,12 @@
         dispatcher_index=whole.settings.dispatcher_index * count + index,
     )
     # Each process answers its operators at a port of its own: at a shared one any of them would answer.
-    admin = None if whole.admin is None else (whole.admin[0], whole.admin[1] + index)
+    admin = whole.admin_address
     return whole._replace(
         name=f"{whole.name}.{index}",
-        admin=admin,
+        admin_address=None if admin is None else Address(admin.host, admin.port + index),
         seed=whole.seed + index * SEED_STEP,
-        sockets=sockets,
-        memory=memory,
+        descriptor_limit=descriptors,
+        memory_limit=memory,
         settings=settings,
     )
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -334,5 +334,5 @@
 def test_a_dispatcher_s_file_has_its_values() -> None:
     told = read_config({"RELAY_CONFIG": str(DATA / "files" / "example.json")})
     assert (told.name, told.listen, told.discovery) == ("n0", ("127.0.0.1", 8081), "127.0.0.1:8500")
-    assert (told.seed, told.sockets, told.memory) == (0x8C1F30D27A5BE964, 1024, 192 << 20)
-    assert told.known is not None and told.known["servers"][0]["id"] == "w0"
+    assert (told.seed, told.descriptor_limit, told.memory_limit) == (0x8C1F30D27A5BE964, 1024, 192 << 20)
+    assert told.known_endpoints is not None and told.known_endpoints["servers"][0]["id"] == "w0"
--- a/tests/service/test_config.py
+++ b/tests/service/test_config.py
@@ -1,4 +1,4 @@
-"""The configuration: what is read, and the key that a complaint names."""
+"""The configuration: what is read, its defaults, and the key that an error names."""
 
 import copy
 import json
@@ -8,7 +8,7 @@
 import pytest
 
 from ploverspoke.decisions.settings import Idempotency
-from ploverspoke.service.config import read_config
+from ploverspoke.service.config import Config, read_config
 from ploverspoke.service.config_reader import ConfigError
 from tests.decisions.harness import SETTINGS
 
@@ -22,24 +22,25 @@
 }
 
 
-def read(told: Any, folder: Path, **environment: str) -> Any:
+def read(content: str | dict[str, Any], folder: Path, **environment: str) -> Config:
     path = folder / "config.json"
-    path.write_text(told if isinstance(told, str) else json.dumps(told))
+    path.write_text(content if isinstance(content, str) else json.dumps(content))
     return read_config({"RELAY_CONFIG": str(path), **environment})
 
 
-def test_what_is_left_out_gets_its_default(tmp_path: Path) -> None:
-    briefing = read(GOOD, tmp_path)
-    assert briefing.listen == ("127.0.0.1", 8081) and briefing.seed == 0x8C1F30D27A5BE964
-    assert briefing.sockets == 4096 and briefing.memory == 2048 * 1024 * 1024
-    assert briefing.settings.idle_timeout == 30_000_000_000
-    assert [each.idempotency for each in briefing.settings.classes] == [
+def test_missing_keys_get_their_defaults(tmp_path: Path) -> None:
+    config = read(GOOD, tmp_path)
+    assert config.listen == ("127.0.0.1", 8081) and config.seed == 0x8C1F30D27A5BE964
+    assert config.descriptor_limit == 4096 and config.memory_limit == 2048 * 1024 * 1024
+    assert config.settings.idle_timeout == 30_000_000_000
+    assert [each.idempotency for each in config.settings.classes] == [
         Idempotency.IDEMPOTENT,
         Idempotency.NON_IDEMPOTENT,
     ]
-    less = {key: value for key, value in GOOD.items() if key not in ("listen", "limits", "name")}
-    briefing = read(less, tmp_path, RELAY_LISTEN="127.0.0.1:99", RELAY_NAME="n4")
-    assert briefing.listen == ("127.0.0.1", 99) and briefing.name == "n4" and briefing.sockets == 1024
+    shorter = {key: value for key, value in GOOD.items() if key not in ("listen", "limits", "name")}
+    config = read(shorter, tmp_path, RELAY_LISTEN="127.0.0.1:99", RELAY_NAME="n4")
+    assert config.listen == ("127.0.0.1", 99) and config.name == "n4"
+    assert config.descriptor_limit == 1024
 
 
 @pytest.mark.parametrize(
@@ -66,17 +67,17 @@
         (["settings", "Domain"], {"ClassKind": [1]}, "settings.Domain.ClassKind"),
     ],
 )
-def test_a_bad_value_is_named_by_its_key(path: list[Any], value: Any, complaint: str, tmp_path: Path) -> None:
-    told = copy.deepcopy(GOOD)
-    table: Any = told
+def test_wrong_value_is_named_by_its_key(path: list[Any], value: Any, complaint: str, tmp_path: Path) -> None:
+    document = copy.deepcopy(GOOD)
+    section: Any = document
     for step in path[:-1]:
-        table = table[step]
-    table[path[-1]] = value
+        section = section[step]
+    section[path[-1]] = value
     with pytest.raises(ConfigError, match=complaint):
-        read(told, tmp_path)
+        read(document, tmp_path)
 
 
-def test_a_file_that_is_none_is_named(tmp_path: Path) -> None:
+def test_unusable_file_is_named(tmp_path: Path) -> None:
     with pytest.raises(ConfigError, match="RELAY_CONFIG is not set"):
         read_config({})
     with pytest.raises(ConfigError, match="cannot be read"):
@@ -86,7 +87,7 @@
 
 
 @pytest.mark.parametrize(
-    ("part", "name", "value", "setting", "becomes"),
+    ("section", "name", "value", "setting", "expected"),
     [
         ("Limits", "ConnectTimeoutUs", 0, "connect_timeout", 1_000_000_000),
         ("Limits", "ConnectTimeoutUs", 1, "connect_timeout", 1_000),
@@ -95,10 +96,10 @@
         ("Limits", "IdleCloseUs", 0, "idle_timeout", 0),
     ],
 )
-def test_times_of_nought_and_next_to_it_do_no_harm(
-    part: str, name: str, value: int, setting: str, becomes: int, tmp_path: Path
+def test_times_of_zero_and_next_to_it_do_no_harm(
+    section: str, name: str, value: int, setting: str, expected: int, tmp_path: Path
 ) -> None:
-    # No connection ever came up in no time, and calls of the watch followed on one another without a pause.
-    told = json.loads(json.dumps(GOOD))
-    told["settings"].setdefault(part, {})[name] = value
-    assert getattr(read(told, tmp_path).settings, setting) == becomes
+    # Once no connection ever came up in no time, and calls of the watch followed one another without a pause.
+    document = copy.deepcopy(GOOD)
+    document["settings"].setdefault(section, {})[name] = value
+    assert getattr(read(document, tmp_path).settings, setting) == expected
--- a/tests/service/test_migration.py
+++ b/tests/service/test_migration.py
@@ -106,7 +106,7 @@
     result = CliRunner().invoke(main, ["check", str(path)])
     assert result.exit_code == 0 and "cannot be sent" in result.output
     config = parse_config(json.loads(path.read_text()), {})
-    assert config.cannot_tell and not config.settings.gossip_allowed
+    assert config.lacks_peers and not config.settings.gossip_allowed
 
 
 def test_fleet_without_probes_and_reports_keeps_its_rules() -> None:
--- a/tests/service/test_settings_change.py
+++ b/tests/service/test_settings_change.py
@@ -1,9 +1,10 @@
-"""Settings that change while serving: good ones bind what comes, bad ones change nothing."""
+"""Settings that change while serving: good ones bind later requests, unusable ones change nothing."""
 
 import asyncio
 import copy
 import json
 import random
+from collections.abc import Callable
 from dataclasses import fields, replace
 from pathlib import Path
 from typing import Any
@@ -18,48 +19,50 @@
 from tests.routing.test_admin_server import figures
 from tests.routing.test_service import World, play, turn_away
 
-GRADES = SETTINGS["ServiceGrades"]
+Document = dict[str, Any]
 
+CLASSES: list[Document] = SETTINGS["ServiceGrades"]
 
-def settings(*grades: dict[str, Any], **limits: Any) -> dict[str, Any]:
-    told = copy.deepcopy(SETTINGS)
-    told["ServiceGrades"] = copy.deepcopy(list(grades or GRADES))
-    told["Limits"] |= limits
-    return told
 
+def settings(*classes: Document, **limits: Any) -> Document:
+    document = copy.deepcopy(SETTINGS)
+    document["ServiceGrades"] = copy.deepcopy(list(classes or CLASSES))
+    document["Limits"] |= limits
+    return document
 
-def test_a_number_stands_for_one_grade_under_one_set_of_rules() -> None:
-    rng, name = random.Random(3), "abcdef"
-    current = parse_settings(settings(*({**GRADES[0], "Name": each} for each in name)))
+
+def test_each_number_stands_for_one_class_under_one_set_of_rules() -> None:
+    rng, letters = random.Random(3), "abcdef"
+    current = parse_settings(settings(*({**CLASSES[0], "Name": each} for each in letters)))
     values = {field.name: getattr(current, field.name) for field in fields(current)}
-    for_each = {key for key, row in values.items() if isinstance(row, tuple) and len(row) == len(name)}
-    assert for_each == {"classes", "active_classes"}, "a value for each class that is not numbered anew"
+    per_class = {key for key, row in values.items() if isinstance(row, tuple) and len(row) == len(letters)}
+    assert per_class == {"classes", "active_classes"}, "a value for each class that is not numbered anew"
     current = parse_settings(settings())
-    rows, open_now = RequestClassTable(["look", "book"]), list[tuple[int, RequestClass]]()
+    table, open_now = RequestClassTable(["look", "book"]), list[tuple[int, RequestClass]]()
     for _ in range(200):
-        grades = [
-            {**GRADES[rng.randrange(2)], "Name": each}
-            for each in rng.sample(["look", "book", *name], rng.randrange(1, 5))
+        classes = [
+            {**CLASSES[rng.randrange(2)], "Name": each}
+            for each in rng.sample(["look", "book", *letters], rng.randrange(1, 5))
         ]
-        told = settings(*grades, MaxHandOffs=rng.randrange(1, 3))
-        new = parse_settings(told)
-        listed = parse_names(told).request_classes
-        current, takes_over = rows.follow(current, new, listed, {number for number, _ in open_now})
-        assert tuple(rows.numbers) == listed
-        assert tuple(sorted(rows.numbers.values())) == current.active_classes
-        for place, each in enumerate(listed):
-            number = rows.numbers[each]
-            assert rows.names[number] == each
-            assert current.classes[number] == new.classes[place]
+        document = settings(*classes, MaxHandOffs=rng.randrange(1, 3))
+        new = parse_settings(document)
+        listed = parse_names(document).request_classes
+        current, replaced = table.follow(current, new, listed, {number for number, _ in open_now})
+        assert tuple(table.numbers) == listed
+        assert tuple(sorted(table.numbers.values())) == current.active_classes
+        for index, name in enumerate(listed):
+            number = table.numbers[name]
+            assert table.names[number] == name
+            assert current.classes[number] == new.classes[index]
             open_now.append((number, current.classes[number]))
-        # Whatever is open keeps the rules that it was taken under.
+        # Whatever is open keeps the rules that it was admitted under.
         open_now = rng.sample(open_now, min(len(open_now), 6))
         assert all(current.classes[number] == kept for number, kept in open_now)
-        assert all(rows.names[new] == rows.names[old] for new, old in takes_over.items())
-    assert len(rows.names) < 25, "numbers are given out again"
+        assert all(table.names[newer] == table.names[older] for newer, older in replaced.items())
+    assert len(table.names) < 25, "numbers are given out again"
 
 
-def test_an_open_submission_keeps_its_hand_offs_and_its_repeat() -> None:
+def test_open_request_keeps_its_attempts_and_its_idempotency() -> None:
     stage = Stage([listing(name) for name in "abcdefgh"])
     stage.submit(0)
     fewer = replace(stage.settings.classes[2], max_attempts=1)
@@ -77,59 +80,96 @@
     assert stage.dispatcher.open[0].hand_offs == 4
 
 
-BAD: list[tuple[str, Any]] = [
-    ("empty", lambda told: ""),
-    ("cut", lambda told: json.dumps(told)[: len(json.dumps(told)) // 2]),
-    ("no object", lambda told: "[]"),
-    ("no settings", lambda told: {k: v for k, v in told.items() if k != "settings"}),
-    ("no key", lambda told: told["settings"]["Limits"].pop("MaxHandOffs") and told),
-    ("no key of a grade", lambda told: told["settings"]["ServiceGrades"][1].pop("Repeat") and told),
-    ("no grade", lambda told: told["settings"].update(ServiceGrades=[]) or told),
-    ("a grade twice", lambda told: told["settings"]["ServiceGrades"].append(GRADES[1]) or told),
-    ("no deadline", lambda told: told["settings"]["ServiceGrades"][0].update(AbandonTimeUs=0) or told),
-    ("below 0", lambda told: told["settings"]["ServiceGrades"][0].update(ExpectedTimeUs=-5) or told),
-    ("no attempt", lambda told: told["settings"]["Limits"].update(MaxHandOffs=0) or told),
-    ("lengths", lambda told: told["settings"]["Domain"].update(ClassPriority=[1, 2, 3]) or told),
-]
-
-
-@pytest.mark.parametrize("spoil", [spoil for _, spoil in BAD], ids=[name for name, _ in BAD])
-def test_a_bad_file_changes_nothing_and_is_counted(spoil: Any, tmp_path: Path) -> None:
+Spoil = Callable[[Document], Document | str]  # changes a good document in place, or gives a text in its place
+
+
+def first_class(document: Document, **values: Any) -> Document:
+    document["settings"]["ServiceGrades"][0].update(values)
+    return document
+
+
+def without_setting(document: Document, section: str, key: str) -> Document:
+    del document["settings"][section][key]
+    return document
+
+
+def without_key_of_a_class(document: Document) -> Document:
+    del document["settings"]["ServiceGrades"][1]["Repeat"]
+    return document
+
+
+def with_settings(document: Document, section: str, **values: Any) -> Document:
+    document["settings"][section].update(values)
+    return document
+
+
+def with_classes(document: Document, classes: list[Document]) -> Document:
+    document["settings"]["ServiceGrades"] = classes
+    return document
+
+
+UNUSABLE: dict[str, Spoil] = {
+    "empty": lambda document: "",
+    "cut": lambda document: json.dumps(document)[: len(json.dumps(document)) // 2],
+    "no object": lambda document: "[]",
+    "no settings": lambda document: {key: value for key, value in document.items() if key != "settings"},
+    "no key": lambda document: without_setting(document, "Limits", "MaxHandOffs"),
+    "no key of a class": without_key_of_a_class,
+    "no class": lambda document: with_classes(document, []),
+    "a class twice": lambda document: with_classes(
+        document, [*document["settings"]["ServiceGrades"], CLASSES[1]]
+    ),
+    "no deadline": lambda document: first_class(document, AbandonTimeUs=0),
+    "below 0": lambda document: first_class(document, ExpectedTimeUs=-5),
+    "no attempt": lambda document: with_settings(document, "Limits", MaxHandOffs=0),
+    "lengths": lambda document: with_settings(document, "Domain", ClassPriority=[1, 2, 3]),
+}
+
+
+@pytest.mark.parametrize("spoil", UNUSABLE.values(), ids=UNUSABLE.keys())
+def test_unusable_file_changes_nothing_and_is_counted(spoil: Spoil, tmp_path: Path) -> None:
     path = tmp_path / "config.json"
 
     async def script(world: World) -> None:
         service = world.service
-        base = {"listen": f"127.0.0.1:{world.port}", "discovery": "127.0.0.1:9", "settings": settings()}
-        base["admin_addr"] = f"127.0.0.1:{world.admin_port}"
-        service.read = lambda: read_config({"RELAY_CONFIG": str(path)})
-        service.briefing = service.briefing._replace(document=base, discovery="127.0.0.1:9")
-        before = (service.briefing, service.router.settings, dict(service.router.rows.numbers))
-        bad = copy.deepcopy(base)
-        bad["settings"] = settings({**GRADES[0], "Name": "other"}, GRADES[1])
-        bad["discovery"] = "127.0.0.1:10"
-        spoilt = spoil(bad)
-        path.write_text(spoilt if isinstance(spoilt, str) else json.dumps(spoilt))
-        service._read_again()
-        assert (service.briefing, service.router.settings, service.router.rows.numbers) == before
+        base: Document = {
+            "listen": f"127.0.0.1:{world.port}",
+            "discovery": "127.0.0.1:9",
+            "settings": settings(),
+            "admin_addr": f"127.0.0.1:{world.admin_port}",
+        }
+        service.load_config = lambda: read_config({"RELAY_CONFIG": str(path)})
+        service.config = service.config._replace(document=base, discovery="127.0.0.1:9")
+        before = (service.config, service.router.settings, dict(service.router.rows.numbers))
+        document = copy.deepcopy(base)
+        document["settings"] = settings({**CLASSES[0], "Name": "other"}, CLASSES[1])
+        document["discovery"] = "127.0.0.1:10"
+        unusable = spoil(document)
+        path.write_text(unusable if isinstance(unusable, str) else json.dumps(unusable))
+        service._reload_config()
+        assert (service.config, service.router.settings, service.router.rows.numbers) == before
         shown = await figures(world)
         assert shown["dispatcher_cfg_invalid"] == 1 and shown["dispatcher_cfg_accepted"] == 0
 
     play(script)
 
 
-def test_settings_change_under_load(tmp_path: Path) -> None:
+def test_new_settings_bind_later_requests_and_not_earlier_ones(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
 
     async def script(world: World) -> None:
         service = world.service
-        base = {"listen": f"127.0.0.1:{world.port}", "discovery": service.briefing.discovery}
-        service.read = lambda: read_config({"RELAY_CONFIG": str(path), "RELAY_ADMIN_ADDR": "127.0.0.1:1"})
+        base = {"listen": f"127.0.0.1:{world.port}", "discovery": service.config.discovery}
+        environment = {"RELAY_CONFIG": str(path), "RELAY_ADMIN_ADDR": "127.0.0.1:1"}
+        service.load_config = lambda: read_config(environment)
 
-        def signalled(told: Any) -> None:
-            path.write_text(told if isinstance(told, str) else json.dumps({**base, "settings": told}))
-            service._read_again()
+        def reload(content: str | Document) -> None:
+            path.write_text(
+                content if isinstance(content, str) else json.dumps({**base, "settings": content})
+            )
+            service._reload_config()
 
-        signalled(settings({**GRADES[0], "AbandonTimeUs": 700_000}, GRADES[1]))
+        reload(settings({**CLASSES[0], "AbandonTimeUs": 700_000}, CLASSES[1]))
         for number in range(6):
             assert (await world.ask(world.request(f"r{number}", "look")))[0] == 200
         assert service.router.settings.classes[service.router.rows.numbers["look"]].deadline == 700 * MS
@@ -141,13 +181,13 @@
         world.behave = {"w0": turn_away_late, "w1": turn_away_late}
         earlier = asyncio.create_task(world.ask(world.request("earlier", "look")))
         await asyncio.sleep(0.03)
-        signalled(settings(GRADES[1], {**GRADES[0], "Name": "next", "Repeat": "single_shot"}, MaxHandOffs=1))
-        signalled("{")
+        reload(settings(CLASSES[1], {**CLASSES[0], "Name": "next", "Repeat": "single_shot"}, MaxHandOffs=1))
+        reload("{")
         assert (await world.ask(world.request("later", "next")))[0] == 503
         assert (await world.ask(world.request("dropped", "look")))[0] == 404
         assert (await earlier)[0] == 503
-        sent = [request_id for _, request_id in world.sent]
-        assert sent.count("later") <= 1 < sent.count("earlier") <= 6
+        attempts = [request_id for _, request_id in world.sent]
+        assert attempts.count("later") <= 1 < attempts.count("earlier") <= 6
         shown = await figures(world)
         assert shown["dispatcher_cfg_accepted"] == 2 and shown["dispatcher_cfg_invalid"] == 1
 
--- a/tests/test_lint_exceptions.py
+++ b/tests/test_lint_exceptions.py
@@ -17,10 +17,8 @@
             "leases",
             "protocol",
             "routing",
-            "service",
             "simulator",
             "store",
-            "supervisor",
             "testbed",
             "transport",
         )
