--- a/ploverspoke/service/service.py
+++ b/ploverspoke/service/service.py
@@ -157,9 +157,9 @@
         """Read the configuration again and apply it; a bad one changes nothing."""
         try:
             self.apply_config(self.load_config())
-            self.router.figures.accepted += 1
+            self.router.counters.configs_accepted += 1
         except ConfigError as error:
-            self.router.figures.invalid += 1
+            self.router.counters.configs_invalid += 1
             log_line(f"new configuration not taken, the old one goes on: {error}")
 
     def apply_config(self, new: Config) -> None:
