--- a/ploverspoke/service/service.py
+++ b/ploverspoke/service/service.py
@@ -24,7 +24,7 @@
 
 from .config import Config, read_config
 from .config_reader import ConfigError, InvalidValueError, first_missing_key
-from .descriptor_limit import descriptor_limit
+from .descriptor_limit import usable_descriptors
 from .earlier_names import EarlierName
 from .exit_codes import run_with_exit_code
 from .handover import ProcessRegistry
@@ -43,7 +43,7 @@
 
     Attributes that whoever builds it may set before `run`:
         load_config: Reads the configuration again at SIGHUP; may raise ConfigError.
-        listening_socket: An inherited listening socket, to be used in place of an own one.
+        listening_socket: An inherited listening socket, to be used instead of an own one.
         process_registry: Where the processes of this dispatcher see one another.
         on_ready: Called when clients can connect.
     """
@@ -56,10 +56,7 @@
         self.config = config
         self.load_config: Callable[[], Config] = partial(read_config, os.environ)
         self.deadlines = Deadlines(loop)
-        limit = descriptor_limit()
-        self.descriptor_limit = (
-            config.descriptor_limit if limit is None else min(config.descriptor_limit, limit)
-        )
+        self.descriptor_limit = usable_descriptors(config.descriptor_limit)
         self.process_count = 1  # of this dispatcher, this one included
         resources = split_resources(self.descriptor_limit, config.memory_limit)
         settings = config.settings
@@ -160,7 +157,7 @@
             self.router.counters.configs_accepted += 1
         except ConfigError as error:
             self.router.counters.configs_invalid += 1
-            log_line(f"new configuration not taken, the old one goes on: {error}")
+            log_line(f"new configuration rejected, the active one stays: {error}")
 
     def apply_config(self, new: Config) -> None:
         """Apply what of a new configuration needs no restart: the settings and the address of discovery.
@@ -186,7 +183,7 @@
             self._apply_settings(new)
 
     def _apply_settings(self, new: Config) -> None:
-        log_line(f"new configuration: settings taken, grades={','.join(new.names.request_classes)}")
+        log_line(f"new configuration: settings applied, classes={','.join(new.names.request_classes)}")
         self.router.settings_changed(new.settings, new.names)
         self.pool.keep_for = kept_for(new.settings.idle_timeout)
         self.pool.connect_time_out = new.settings.connect_timeout
@@ -198,7 +195,7 @@
         """Begin the shutdown: serve what still comes, finish what was admitted, then let `run` return."""
         if self.shutdown_began_at:
             return
-        log_line("told to end: finishing what was taken")
+        log_line("stopping: finishing the requests that were admitted")
         self.shutdown_began_at = self.deadlines.now()
         if self.router.peers is not None:
             self.router.peers.close()  # load gossip that still comes is for the successor
--- a/ploverspoke/service/settings.py
+++ b/ploverspoke/service/settings.py
@@ -31,10 +31,7 @@
 
 
 def parse_settings(document: JsonObject, path: str = "") -> Settings:
-    """Check the `settings` of a configuration and return them typed.
-
-    `path` is prefixed to the keys that errors name. Raises ConfigError.
-    """
+    """Return the checked `settings` of a configuration; errors name keys below `path`. Raises ConfigError."""
     top = ConfigSection(document, path)
     limits, rules, domain = top.section("Limits"), top.section("Invariants"), top.section("Domain")
     report, prices = top.section("Report"), top.section("Tariffs")
@@ -45,9 +42,7 @@
         dispatcher_index=top.integer("SlotNo", 0),
         zone=top.integer("Zone", 0),
         discovery_polling=top.text("Discovery", "push") == "ask",
-        discovery_poll_interval=max(
-            rules.duration("MustAskInUs", 0) or DEFAULT_POLL_INTERVAL, SHORTEST_POLL_INTERVAL
-        ),
+        discovery_poll_interval=_parse_poll_interval(rules),
         classes=_parse_classes(top, limits, domain),
         active_classes=tuple(range(count)),
         workers_report_start=domain.boolean("TellsStart"),
@@ -88,6 +83,10 @@
     return DeploymentNames(tuple(names), tuple(zones), tuple(machine_kinds))
 
 
+def _parse_poll_interval(rules: ConfigSection) -> int:
+    return max(rules.duration("MustAskInUs", 0) or DEFAULT_POLL_INTERVAL, SHORTEST_POLL_INTERVAL)
+
+
 def _parse_classes(
     top: ConfigSection, limits: ConfigSection, domain: ConfigSection
 ) -> tuple[RequestClass, ...]:
--- a/ploverspoke/supervisor/process_runner.py
+++ b/ploverspoke/supervisor/process_runner.py
@@ -66,7 +66,7 @@
             for index in range(self.count):
                 child_config(new, index, self.count)
         except ConfigError as error:
-            log_line(f"new configuration not taken, the old one goes on: {error}")
+            log_line(f"new configuration rejected, the active one stays: {error}")
             return
         if new.listen != self.config.listen:
             log_line("new configuration: listen stays as it was until the next start")
--- a/ploverspoke/testbed/capacity/world.py
+++ b/ploverspoke/testbed/capacity/world.py
@@ -33,7 +33,7 @@
 SOURCE = "127.0.0.1"  # the kernel's own choice for who sends on loopback
 MOST_REFUSED = 0.02  # of the answers; past that the world did something else than was asked for
 KINDS = {"running": "workers", "answers": "clients", "version": "discovery"}  # by a word that only it says
-TAKEN = "new configuration: settings taken"
+TAKEN = "new configuration: settings applied"
 TRAFFIC = ("bytes_in", "bytes_out", "messages_in", "messages_out")
 
 Act = Callable[["World"], Awaitable[None] | None]
--- a/tests/service/test_handover.py
+++ b/tests/service/test_handover.py
@@ -26,7 +26,7 @@
 
 
 async def send_requests(world: World, name: str, stop: asyncio.Event, statuses: list[int]) -> None:
-    """One client that keeps its connection until it is told to close it."""
+    """One client that keeps its connection until an answer asks it to close it."""
     number, connection = 0, None
     while not stop.is_set():
         number += 1
@@ -110,6 +110,33 @@
     play(listening, tmp_path, script)
 
 
+async def stop_before_it_is_ready(dispatcher: ReplacedDispatcher) -> None:
+    """A new process whose discovery gives no answer is up and not ready; SIGTERM ends it all the same."""
+    silent = await asyncio.start_server(lambda reader, writer: reader.read(), "127.0.0.1", 0)
+    silent_address = f"127.0.0.1:{silent.sockets[0].getsockname()[1]}"
+    dispatcher.write_config({**dispatcher.document, "discovery": silent_address})
+    process = dispatcher.spawn()
+    assert (await dispatcher.first_check()).startswith("-ERR not listening yet")
+    process.send_signal(signal.SIGTERM)
+    assert await exit_code(process) == 0
+    dispatcher.write_config(dispatcher.document)
+    silent.close()
+
+
+async def rename_first_class(
+    dispatcher: ReplacedDispatcher, processes: dict[int, subprocess.Popen[bytes]]
+) -> None:
+    """Reload all processes, by the port where operators call them, and wait until each has the settings."""
+    document = copy.deepcopy(dispatcher.document)
+    document["settings"]["ServiceGrades"][0]["Name"] = "next"
+    dispatcher.write_config(document)
+    for process in processes.values():
+        process.send_signal(signal.SIGHUP)
+    for dispatcher.world.admin_port in processes:
+        while (await figures(dispatcher.world))["dispatcher_cfg_accepted"] != 1:
+            await asyncio.sleep(0.01)
+
+
 def test_stop_before_the_start_is_over_and_settings_during_the_overlap(
     listening: socket.socket, tmp_path: Path
 ) -> None:
@@ -119,31 +146,17 @@
         reader, writer = await world.connect()
         writer.write(world.request("early"))
         assert "200" in (await message(reader))[0]
-        silent = await asyncio.start_server(lambda reader, writer: reader.read(), "127.0.0.1", 0)
-        silent_address = f"127.0.0.1:{silent.sockets[0].getsockname()[1]}"
-        dispatcher.write_config({**dispatcher.document, "discovery": silent_address})
-        second = dispatcher.spawn()
-        assert (await dispatcher.first_check()).startswith("-ERR not listening yet")  # discovery is silent
-        second.send_signal(signal.SIGTERM)
-        assert await exit_code(second) == 0
-        # Both take the settings that come while both live; the first has them when it is told to end.
-        dispatcher.write_config(dispatcher.document)
-        third, third_admin_port = await dispatcher.start()
-        document = copy.deepcopy(dispatcher.document)
-        document["settings"]["ServiceGrades"][0]["Name"] = "next"
-        dispatcher.write_config(document)
-        for process in (first, third):
-            process.send_signal(signal.SIGHUP)
-        for world.admin_port in (first_admin_port, third_admin_port):
-            while (await figures(world))["dispatcher_cfg_accepted"] != 1:
-                await asyncio.sleep(0.01)
+        await stop_before_it_is_ready(dispatcher)
+        # Both take the settings that come while both live; the first has them when it is stopped.
+        last, last_admin_port = await dispatcher.start()
+        await rename_first_class(dispatcher, {first_admin_port: first, last_admin_port: last})
 
         async def serve_slowly(*exchange: Any) -> None:
             await asyncio.sleep(0.4)
             await world.serve(*exchange)
 
         world.behave = {"w0": serve_slowly, "w1": serve_slowly}
-        writer.write(world.request("late", "book"))  # the first one still has it when it is told to end
+        writer.write(world.request("late", "book"))  # the first one still has it when it is stopped
         await asyncio.sleep(0.05)
         first.send_signal(signal.SIGTERM)
         line, headers, _ = await message(reader)
@@ -152,7 +165,6 @@
         for number in range(6):
             assert (await world.ask(world.request(f"n{number}", "next")))[0] == 200
         assert await exit_code(first) == 0
-        silent.close()
-        return third
+        return last
 
     play(listening, tmp_path, script)
--- a/tests/supervisor/test_processes.py
+++ b/tests/supervisor/test_processes.py
@@ -51,7 +51,7 @@
     """A bad file first, then a good one."""
     dispatchers.config_path.write_text("{")
     dispatchers.process.send_signal(signal.SIGHUP)
-    await until(lambda: dispatchers.logged("not taken") > 0)
+    await until(lambda: dispatchers.logged("new configuration rejected") > 0)
     dispatchers.config_path.write_text(json.dumps({**dispatchers.document, "seed": "77"}))
     dispatchers.process.send_signal(signal.SIGHUP)
     await until(lambda: dispatchers.logged(" serves at") == 10)
--- a/tests/testbed/test_hollow.py
+++ b/tests/testbed/test_hollow.py
@@ -214,7 +214,7 @@
         there.programs[1].config["settings"] = {}
         there.programs[1].write()
         there.programs[1].read_again()
-        while "d1: new configuration not taken" not in (tmp_path / "log").read_text():
+        while "d1: new configuration rejected" not in (tmp_path / "log").read_text():
             await asyncio.sleep(0.01)
         assert await there.asks(1, "GET /look") == 405
         assert there.callers == {program.place.address for program in there.programs}
