--- a/ploverspoke/service/config.py
+++ b/ploverspoke/service/config.py
@@ -11,11 +11,11 @@
 from typing import NamedTuple
 
 from ploverspoke.decisions.settings import DeploymentNames, Settings
-from ploverspoke.protocol.discovery import enter_list
-from ploverspoke.protocol.http_messages import HttpSyntaxError
+from ploverspoke.protocol.discovery import parse_endpoint_list
+from ploverspoke.protocol.errors import EndpointListError
 from ploverspoke.transport.units import MEBIBYTE
 
-from .config_reader import Address, ConfigError, ConfigSection, InvalidValueError, JsonObject, JsonValue
+from .config_reader import Address, ConfigError, ConfigSection, InvalidValueError, JsonDocument, JsonObject
 from .settings import parse_names, parse_settings
 
 CONFIG_VARIABLE = "RELAY_CONFIG"
@@ -59,7 +59,7 @@
     return parse_config(read_config_document(environment), environment)
 
 
-def read_config_document(environment: Mapping[str, str]) -> JsonValue:
+def read_config_document(environment: Mapping[str, str]) -> JsonDocument:
     """Read the file that RELAY_CONFIG names, unchecked. Raises ConfigError where it is no JSON file."""
     path = environment.get(CONFIG_VARIABLE)
     if not path:
@@ -74,7 +74,7 @@
         raise ConfigError(key=CONFIG_VARIABLE, problem=f"{path} is no JSON: {error}") from error
 
 
-def parse_config(document: JsonValue, environment: Mapping[str, str]) -> Config:
+def parse_config(document: JsonDocument, environment: Mapping[str, str]) -> Config:
     """Check a configuration document and return it typed; see `read_config`. Raises ConfigError."""
     top = ConfigSection(document)
     if "settings" not in top.value:
@@ -124,14 +124,15 @@
 
 
 def _parse_known_endpoints(top: ConfigSection) -> JsonObject | None:
-    known: JsonObject | None = top.value.get("known")
+    known = top.value.get("known")
     if known is None:
         return None
     try:
-        enter_list(known, lambda *_: None)
-    except HttpSyntaxError as error:
+        parse_endpoint_list(known)
+    except EndpointListError as error:
         raise top.invalid("known", f"a list in discovery's form ({error})") from error
-    return known
+    known_endpoints: JsonObject = known
+    return known_endpoints
 
 
 def _parse_peers(top: ConfigSection, settings: Settings) -> list[Address]:
--- a/ploverspoke/service/config_reader.py
+++ b/ploverspoke/service/config_reader.py
@@ -11,8 +11,8 @@
 from ploverspoke.protocol.json_values import is_finite
 from ploverspoke.transport.units import MICROSECOND
 
-JsonValue: TypeAlias = Any  # any value of a raw JSON document
-JsonObject: TypeAlias = Mapping[str, Any]  # an object of a raw JSON document
+JsonDocument: TypeAlias = Any  # a JSON document or part of one that has not been checked yet
+JsonObject: TypeAlias = Mapping[str, Any]  # an object of such a document
 
 Choice = TypeVar("Choice")
 
@@ -43,7 +43,7 @@
     separator = " "
 
 
-def first_missing_key(before: JsonValue, now: JsonValue, path: str = "") -> str | None:
+def first_missing_key(before: JsonDocument, now: JsonDocument, path: str = "") -> str | None:
     """Return the path of the first key that `before` has and `now` lacks, or None.
 
     Of a list, an object in `now` must have the keys that all objects of that list in `before` share.
@@ -66,7 +66,7 @@
     return None
 
 
-def _first_missing_in_list(before: list[JsonValue], now: list[JsonValue], path: str) -> str | None:
+def _first_missing_in_list(before: list[JsonDocument], now: list[JsonDocument], path: str) -> str | None:
     objects = [value for value in before if isinstance(value, Mapping)]
     if not objects:
         return None
@@ -109,7 +109,7 @@
         path: Its path in the document, as `limits`; empty for the whole document.
     """
 
-    def __init__(self, value: JsonValue, path: str = "") -> None:
+    def __init__(self, value: JsonDocument, path: str = "") -> None:
         """Wrap `value`. Raises ConfigError where it is not an object."""
         if not isinstance(value, Mapping):
             raise ConfigError(key=path or "the whole", problem="expected an object")
@@ -127,7 +127,7 @@
             key=self.key_path(name), problem=f"{found}: expected {expected}", longest=LONGEST_MESSAGE
         )
 
-    def _get(self, name: str, default: JsonValue) -> JsonValue:
+    def _get(self, name: str, default: JsonDocument) -> JsonDocument:
         found = self.value.get(name)
         return default if found is None else found
 
--- a/ploverspoke/service/key_tracking.py
+++ b/ploverspoke/service/key_tracking.py
@@ -2,13 +2,13 @@
 
 from collections.abc import Iterator, Mapping
 
-from .config_reader import JsonObject, JsonValue
+from .config_reader import JsonDocument, JsonObject
 
 # The list of workers is in discovery's form and has keys of its own: it is not looked into.
 UNTRACKED_PATH = "known"
 
 
-class TrackedObject(Mapping[str, JsonValue]):
+class TrackedObject(Mapping[str, JsonDocument]):
     """A read-only view of a JSON object. Objects in it, in lists too, are tracked like itself."""
 
     def __init__(self, value: JsonObject, prefix: str = "") -> None:
@@ -20,7 +20,7 @@
         self.prefix = prefix
         self.keys_read: set[str] = set()
 
-    def __getitem__(self, key: str) -> JsonValue:
+    def __getitem__(self, key: str) -> JsonDocument:
         """Return the value and note that its key was read."""
         self.keys_read.add(key)
         return self.value[key]
@@ -48,7 +48,7 @@
         return unread
 
 
-def _tracked(value: JsonValue, path: str) -> JsonValue:
+def _tracked(value: JsonDocument, path: str) -> JsonDocument:
     if isinstance(value, Mapping):
         return TrackedObject(value, f"{path}.")
     if isinstance(value, list):
--- a/ploverspoke/service/service.py
+++ b/ploverspoke/service/service.py
@@ -16,7 +16,7 @@
 from ploverspoke.routing.load_gossip import GossipSocket
 from ploverspoke.routing.request_log import RequestLog
 from ploverspoke.routing.router import Router
-from ploverspoke.transport.connection_pool import Pool, kept_for
+from ploverspoke.transport.connection_pool import ConnectionPool, max_idle_time_for
 from ploverspoke.transport.deadlines import Deadlines
 from ploverspoke.transport.rate_limited_log import log_line
 from ploverspoke.transport.resource_limits import split_resources
@@ -60,8 +60,9 @@
         self.process_count = 1  # of this dispatcher, this one included
         resources = split_resources(self.descriptor_limit, config.memory_limit)
         settings = config.settings
-        self.pool = Pool(
-            loop, self.deadlines, resources.workers, settings.idle_timeout, settings.connect_timeout
+        idle_timeout, connect_timeout = settings.idle_timeout, settings.connect_timeout
+        self.pool = ConnectionPool(
+            loop, self.deadlines, resources.worker_connections, idle_timeout, connect_timeout
         )
         self.router = Router(
             loop,
@@ -78,7 +79,7 @@
                 config.peers, settings.dispatcher_index, self.router.known_workers, self.router.heard
             )
         self.client_server = ClientServer(
-            loop, self.deadlines, self.router, resources.clients, resources.buffered
+            loop, self.deadlines, self.router, resources.client_connections, resources.buffered_bytes
         )
         self.admin_server = AdminServer(loop, self.deadlines, self.client_server, self.router)
         self.listening_socket: socket.socket | None = None
@@ -143,10 +144,10 @@
             log_line(f"processes={process_count}: each has its part of the descriptors and of the memory")
             self.process_count = process_count
             resources = split_resources(self.descriptor_limit, self.config.memory_limit, process_count)
-            self.pool.hold_at_most(resources.workers)
-            self.client_server.most_sessions = resources.clients
-            self.client_server.most_buffered = resources.buffered
-        self.deadlines.at(self.deadlines.now() + PROCESS_COUNT_INTERVAL, self._update_process_count)
+            self.pool.resize(resources.worker_connections)
+            self.client_server.most_sessions = resources.client_connections
+            self.client_server.most_buffered = resources.buffered_bytes
+        self.deadlines.schedule(self.deadlines.now() + PROCESS_COUNT_INTERVAL, self._update_process_count)
 
     # ---- A new configuration ----
 
@@ -185,8 +186,8 @@
     def _apply_settings(self, new: Config) -> None:
         log_line(f"new configuration: settings applied, classes={','.join(new.names.request_classes)}")
         self.router.settings_changed(new.settings, new.names)
-        self.pool.keep_for = kept_for(new.settings.idle_timeout)
-        self.pool.connect_time_out = new.settings.connect_timeout
+        self.pool.max_idle_time = max_idle_time_for(new.settings.idle_timeout)
+        self.pool.connect_timeout = new.settings.connect_timeout
         self.config = self.config._replace(settings=new.settings, names=new.names, document=new.document)
 
     # ---- Shutdown ----
@@ -215,7 +216,7 @@
         if is_finished or elapsed >= schedule.exit_at:
             self.stopped.set()
         else:
-            self.deadlines.at(now + schedule.check_interval, partial(self._continue_shutdown, schedule))
+            self.deadlines.schedule(now + schedule.check_interval, partial(self._continue_shutdown, schedule))
 
     # The earlier names, until no other package uses them any more.
     briefing = EarlierName("config")
--- a/tests/service/test_settings_change.py
+++ b/tests/service/test_settings_change.py
@@ -47,7 +47,7 @@
         document = settings(*classes, MaxHandOffs=rng.randrange(1, 3))
         new = parse_settings(document)
         listed = parse_names(document).request_classes
-        current, replaced = table.follow(current, new, listed, {number for number, _ in open_now})
+        current, replaced = table.apply(current, new, listed, {number for number, _ in open_now})
         assert tuple(table.numbers) == listed
         assert tuple(sorted(table.numbers.values())) == current.active_classes
         for index, name in enumerate(listed):
--- a/tests/test_lint_exceptions.py
+++ b/tests/test_lint_exceptions.py
@@ -15,12 +15,10 @@
             "consensus",
             "decisions",
             "leases",
-            "protocol",
             "routing",
             "simulator",
             "store",
             "testbed",
-            "transport",
         )
     ),
 }
