--- a/ploverspoke/consensus/cluster_config.py
+++ b/ploverspoke/consensus/cluster_config.py
@@ -18,7 +18,7 @@
 
 
 class ReplicaAddresses(NamedTuple):
-    """Where a replica listens, as "host:port"."""
+    """Where a replica listens, as `host:port`."""
 
     peer: str  # for the other replicas and for tools
     client: str
@@ -31,12 +31,12 @@
     name: str
     folder: Path
     secret: bytes
-    replicas: dict[str, ReplicaAddresses]  # addresses of peers and of clients, by name
+    replicas: dict[str, ReplicaAddresses]  # by name
     election_timeout: int  # ns
     snapshot_every: int  # entries
 
     def members(self) -> Members:
-        """Give the members that a new cluster begins with; all of them vote."""
+        """Give the members that a new cluster begins with."""
         return {
             initial_replica_id(name): Member(name, addresses.peer, addresses.client, votes=True)
             for name, addresses in self.replicas.items()
@@ -46,7 +46,7 @@
 class ClusterServers(NamedTuple):
     """Where the replicas of a cluster are, for tools that call them."""
 
-    replicas: dict[str, ReplicaAddresses]  # addresses for peers and for clients, by name
+    replicas: dict[str, ReplicaAddresses]  # by name
     secret: bytes
 
 
@@ -100,7 +100,7 @@
         replica = replicas.part(name)
         for key in ("peers", "clients"):
             address(replica, key, None)
-        addresses[name] = ReplicaAddresses(peer=replica.text("peers"), client=replica.text("clients"))
+        addresses[name] = ReplicaAddresses(replica.text("peers"), replica.text("clients"))
     return addresses
 
 
--- a/ploverspoke/store/log_commands.py
+++ b/ploverspoke/store/log_commands.py
@@ -1,4 +1,4 @@
-"""Commands of the store's log as they are stored, and the words that stored data has for outcomes.
+"""Commands of the log as they are stored, and the words that stored data has for outcomes of attempts.
 
 A command is a msgpack array that begins with its verb. Verbs, words and the order of the fields are the
 format of the log on disk and between replicas: they do not follow the names in the code. Fields added later
@@ -10,14 +10,7 @@
 
 import msgspec
 
-
-class FinalOutcome(StrEnum):
-    """What became of a request; the values are the stored words."""
-
-    SUCCEEDED = "satisfied"
-    REJECTED = "nacked"  # it did not run, or may run again
-    FAILED = "abandoned"  # it may have run; nothing is promised about its effect
-    INVALID = "rejected"  # a worker found the request itself wrong
+from ploverspoke.routing.answers import FinalAnswer
 
 
 class AttemptOutcome(StrEnum):
@@ -77,7 +70,7 @@
     """A request got its final answer; the first one that is committed stands."""
 
     request_id: str
-    outcome: FinalOutcome
+    answer: FinalAnswer
     result: str
     digest: bytes
     now: int
--- a/ploverspoke/testbed/capacity/kept.py
+++ b/ploverspoke/testbed/capacity/kept.py
@@ -12,11 +12,11 @@
 
 from ploverspoke.consensus.log import Snapshot
 from ploverspoke.consensus.storage import ReplicaStorage
+from ploverspoke.routing.answers import FinalAnswer
 from ploverspoke.store.log_commands import (
     AcceptRequest,
     AnswerRequest,
     AttemptOutcome,
-    FinalOutcome,
     FinishAttempt,
     StartAttempt,
     encode_command,
@@ -37,7 +37,7 @@
             AcceptRequest(name, 1, b"0" * 16, now + 2_000_000_000, now),
             StartAttempt(name, "w1", 0, now),
             FinishAttempt(name, 0, AttemptOutcome.SUCCEEDED),
-            AnswerRequest(name, FinalOutcome.SUCCEEDED, RESULT, b"0" * 16, now),
+            AnswerRequest(name, FinalAnswer.SUCCEEDED, RESULT, b"0" * 16, now),
         ):
             at += 1
             ledger.apply(at, encode_command(command))
