--- a/ploverspoke/service/config_reader.py
+++ b/ploverspoke/service/config_reader.py
@@ -4,17 +4,19 @@
 the range of one value and give the default where the value is missing or null.
 """
 
+import ipaddress
 from collections.abc import Mapping
-from typing import Any, TypeAlias, TypeVar
+from typing import Any, NamedTuple, TypeAlias, TypeVar
 
 from ploverspoke.protocol.json_values import is_finite
 from ploverspoke.transport.units import MICROSECOND
 
-JsonValue: TypeAlias = Any  # any value of a raw JSON document
-JsonObject: TypeAlias = Mapping[str, Any]  # an object of a raw JSON document
+JsonDocument: TypeAlias = Any  # a JSON document or part of one that has not been checked yet
+JsonObject: TypeAlias = Mapping[str, Any]  # an object of such a document
 
 Choice = TypeVar("Choice")
 
+LAST_PORT = 65535
 LONGEST_MESSAGE = 300  # characters of an error that quotes a value: the value may be of any length
 
 
@@ -41,7 +43,7 @@
     separator = " "
 
 
-def first_missing_key(before: JsonValue, now: JsonValue, path: str = "") -> str | None:
+def first_missing_key(before: JsonDocument, now: JsonDocument, path: str = "") -> str | None:
     """Return the path of the first key that `before` has and `now` lacks, or None.
 
     Of a list, an object in `now` must have the keys that all objects of that list in `before` share.
@@ -64,7 +66,7 @@
     return None
 
 
-def _first_missing_in_list(before: list[JsonValue], now: list[JsonValue], path: str) -> str | None:
+def _first_missing_in_list(before: list[JsonDocument], now: list[JsonDocument], path: str) -> str | None:
     objects = [value for value in before if isinstance(value, Mapping)]
     if not objects:
         return None
@@ -78,6 +80,27 @@
     return None
 
 
+class Address(NamedTuple):
+    """An IP address, without brackets, and a port."""
+
+    host: str
+    port: int
+
+    def __str__(self) -> str:
+        """Return the form that log lines have."""
+        return f"{self.host}:{self.port}"
+
+
+def _parse_address(text: str) -> Address:
+    """Raises ValueError where the text is no IP address and port from 1 to 65535."""
+    bracketed_host, _, digits = text.rpartition(":")
+    host, port = bracketed_host.strip("[]"), int(digits)
+    ipaddress.ip_address(host)
+    if not 0 < port <= LAST_PORT:
+        raise ValueError(port)
+    return Address(host, port)
+
+
 class ConfigSection:
     """One object of the configuration and its path. Every method raises ConfigError, naming the key.
 
@@ -86,7 +109,7 @@
         path: Its path in the document, as `limits`; empty for the whole document.
     """
 
-    def __init__(self, value: JsonValue, path: str = "") -> None:
+    def __init__(self, value: JsonDocument, path: str = "") -> None:
         """Wrap `value`. Raises ConfigError where it is not an object."""
         if not isinstance(value, Mapping):
             raise ConfigError(key=path or "the whole", problem="expected an object")
@@ -104,7 +127,7 @@
             key=self.key_path(name), problem=f"{found}: expected {expected}", longest=LONGEST_MESSAGE
         )
 
-    def _get(self, name: str, default: JsonValue) -> JsonValue:
+    def _get(self, name: str, default: JsonDocument) -> JsonDocument:
         found = self.value.get(name)
         return default if found is None else found
 
@@ -175,6 +198,14 @@
             raise self.invalid(name, "one of " + ", ".join(table))
         return table[found]
 
+    def address(self, name: str, default: str | None = None) -> Address:
+        """Return the IP address and port under `name`, written as 127.0.0.1:8081 or [::1]:8081."""
+        text = self.text(name, default)
+        try:
+            return _parse_address(text)
+        except ValueError as error:
+            raise self.invalid(name, "an address and a port, as 127.0.0.1:8081") from error
+
     # The earlier names, until no other package calls them any more.
     part, parts, row, row_for_each = section, sections, values, values_per_class
     whole, time, flag, word, bad = integer, duration, boolean, choice, invalid
