--- a/ploverspoke/simulator/events.py
+++ b/ploverspoke/simulator/events.py
@@ -3,6 +3,7 @@
 from binascii import a2b_base64
 from collections.abc import Callable, Mapping
 
+from ploverspoke.decisions.interface import AttemptOutcome, AttemptResult, LoadGossip
 from ploverspoke.protocol.errors import GossipSyntaxError
 from ploverspoke.protocol.workers import LoadReport
 from ploverspoke.transport.units import MICROSECOND
@@ -51,11 +52,13 @@
     instance.dispatcher.attempt_ended(
         message.whole_number(wire.REQUEST),
         message.whole_number(wire.ATTEMPT),
-        message.text(wire.WORKER),
-        _outcome(message),
-        message.whole_number(wire.ELAPSED) * MICROSECOND,
-        message.flag(wire.IS_FINAL),
-        _load_report(instance, message),
+        AttemptResult(
+            message.text(wire.WORKER),
+            _outcome(message),
+            message.whole_number(wire.ELAPSED) * MICROSECOND,
+            message.flag(wire.IS_FINAL),
+            _load_report(instance, message),
+        ),
     )
 
 
@@ -88,10 +91,7 @@
         return  # gossip may be damaged or of another version: it is only a hint, and is dropped
     instance.dispatcher.gossip_received(
         message.whole_number(wire.GOSSIP_SENDER),
-        gossip.zone,
-        gossip.sequence,
-        gossip.lateness,
-        gossip.workers,
+        LoadGossip(gossip.zone, gossip.sequence, gossip.lateness, gossip.workers),
     )
 
 
@@ -113,7 +113,7 @@
         raise FieldValueError(wire.LIST_SCOPE, f"unknown scope {scope!r}")
 
 
-def _outcome(message: Message) -> str:
+def _outcome(message: Message) -> AttemptOutcome:
     reason = message.text(wire.OUTCOME)
     outcome = wire.OUTCOMES.get(reason)
     if outcome is None:
--- a/ploverspoke/store/node.py
+++ b/ploverspoke/store/node.py
@@ -121,6 +121,11 @@
 
     def _configuration_rows(self) -> list[ConfigurationRow]:
         return [
-            ConfigurationRow(kept.version, kept.committed_by, kept.committed_wall_time, kept.body)
-            for kept in self.requests.configurations
+            ConfigurationRow(
+                configuration.version,
+                configuration.committed_by,
+                configuration.committed_wall_time,
+                configuration.body,
+            )
+            for configuration in self.requests.configurations
         ]
--- a/tests/store/test_router_with_request_log.py
+++ b/tests/store/test_router_with_request_log.py
@@ -9,7 +9,7 @@
 from ploverspoke.testbed.experiment import experiment_of
 from ploverspoke.testbed.records import DISPATCHER_DOWN
 from ploverspoke.testbed.sockets import play_on_sockets
-from tests.decisions.harness import SECOND, SETTINGS, Stage, listing
+from tests.decisions.harness import SECOND, SETTINGS, DispatchHarness, endpoint
 from tests.routing.test_service import World, message
 from tests.store.request_log_harness import ControlledRequestLog, run_with_request_log
 from tests.testbed.test_model import WORLD
@@ -153,12 +153,12 @@
 
 def test_a_request_idempotent_with_a_key_resumes_only_in_its_rack_and_window() -> None:
     for spent, rack, place in ((0, 1, "a"), (0, 2, None), (2 * SECOND, 1, None)):
-        stage = Stage([listing("a", rack=1), listing("gone", rack=1), listing("b", rack=2)])
-        stage.dispatcher.workers["gone"].ready = False
-        stage.dispatcher.workers["gone"].listing = listing("gone", rack=rack if rack == 1 else 3)
-        stage.dispatcher.request_resumed(1, 0, "gone", stage.clock - spent)
-        stage.submit(1, grade=1)
-        assert stage.where(1) == place
+        harness = DispatchHarness([endpoint("a", rack=1), endpoint("gone", rack=1), endpoint("b", rack=2)])
+        harness.dispatcher.workers["gone"].ready = False
+        harness.dispatcher.workers["gone"].endpoint = endpoint("gone", rack=rack if rack == 1 else 3)
+        harness.dispatcher.request_resumed(1, 0, "gone", harness.clock - spent)
+        harness.send_request(1, request_class=1)
+        assert harness.worker_of(1) == place
 
 
 def test_replicas_killed_and_paused_run_nothing_twice_and_answer_every_request() -> None:
--- a/tests/test_lint_exceptions.py
+++ b/tests/test_lint_exceptions.py
@@ -16,9 +16,7 @@
             "decisions",
             "leases",
             "routing",
-            "service",
             "store",
-            "supervisor",
             "testbed",
         )
     ),
