--- /dev/null
+++ b/ploverspoke/consensus/admin_requests.py
@@ -0,0 +1,122 @@
+"""Answers the requests that tools send to a replica: status, changes of members, transfer and backup."""
+
+from pathlib import Path
+from typing import TYPE_CHECKING, Any
+
+import msgspec
+
+from .admin_messages import (
+    BackupRequest,
+    ChangeMemberRequest,
+    ConsensusStatus,
+    MalformedRequestError,
+    MemberStatus,
+    ReplicaStatus,
+    ResultReply,
+    StatusRequest,
+    TransferLeadershipRequest,
+    decode_request,
+    encode_reply,
+    unknown_request_reply,
+)
+from .cluster_config import initial_replica_id
+from .membership import Member, Members, find_by_name
+from .peer_links import Reply
+from .raft_state import Role
+from .replica import Replica
+
+if TYPE_CHECKING:
+    from .node import ReplicaNode
+
+
+class AdminRequests:
+    """The requests that every replica answers, whatever its state machine."""
+
+    def __init__(self, node: "ReplicaNode") -> None:
+        """Answer for `node`."""
+        self.node = node
+
+    def handle(self, raw: object, reply: Reply) -> None:
+        """Answer a request as it was received. Raises MalformedRequestError."""
+        request = decode_request(
+            raw, StatusRequest, ChangeMemberRequest, TransferLeadershipRequest, BackupRequest
+        )
+        if isinstance(request, StatusRequest):
+            reply(status_fields(self.node))
+        elif isinstance(request, ChangeMemberRequest):
+            members = changed_members(self.node.members(), request)
+            reply(encode_reply(ResultReply(done=self.node.change_members(members))))
+        elif isinstance(request, TransferLeadershipRequest):
+            reply(encode_reply(ResultReply(done=self.node.transfer(request.to))))
+        elif isinstance(request, BackupRequest):
+            self._back_up(Path(request.path), reply)
+        elif not isinstance(raw, dict) or not self.node.handle_state_request(raw, reply):
+            reply(encode_reply(unknown_request_reply()))
+
+    def _back_up(self, target: Path, reply: Reply) -> None:
+        def on_done(error: Exception | None) -> None:
+            reply(encode_reply(ResultReply(done=error is None, why=str(error or ""))))
+
+        self.node.storage_thread.submit(on_done, self.node.storage.backup, target)
+
+
+def changed_members(members: Members, request: ChangeMemberRequest) -> Members:
+    """Return the members after the change that a tool asks for. Raises MalformedRequestError."""
+    replica_id = find_by_name(members, request.name)
+    if request.remove is True:
+        return {other_id: member for other_id, member in members.items() if other_id != replica_id}
+    if not isinstance(request.peers, str) or not isinstance(request.clients, str):
+        raise MalformedRequestError("members", "a member has two addresses")
+    member = Member(request.name, request.peers, request.clients, votes=request.votes is True)
+    return {**members, replica_id or initial_replica_id(request.name): member}
+
+
+def status_fields(node: "ReplicaNode") -> dict[str, Any]:
+    """Return the status of a replica as tools get it."""
+    parts = [_replica_status(node), node.state_status()]
+    if node.replica is not None:
+        parts.append(_consensus_status(node.replica))
+    fields: dict[str, Any] = {}
+    for part in parts:
+        fields |= encode_reply(part) if isinstance(part, msgspec.Struct) else part
+    return fields
+
+
+def _replica_status(node: "ReplicaNode") -> msgspec.Struct | dict[str, Any]:
+    return ReplicaStatus(
+        name=node.config.name,
+        cluster=node.config.cluster,
+        store=node.storage.cluster_fingerprint,
+        role=node.replica.raft.role if node.replica is not None else Role.STOPPED,
+        trouble=node.storage_error,
+        troubles=node.storage_failures,
+        disk_bytes=node.storage.size_bytes(),
+        batches=node.write_counters.batches,
+        entries_written=node.write_counters.entries,
+        refused=node.peer_links.refused_connections,
+        stuck=node.peer_links.stalled_connections,
+    )
+
+
+def _consensus_status(replica: Replica) -> ConsensusStatus:
+    raft = replica.raft
+    members, last_index = raft.members(), raft.log.last_index()
+    leader = members.get(raft.leader_id)
+    followers = raft.leadership.followers
+    return ConsensusStatus(
+        term=raft.current_term,
+        leader=leader.name if leader is not None else "",
+        leads=replica.leads(),
+        last=last_index,
+        committed=raft.commit_index,
+        applied=replica.applied_index,
+        snapshot=raft.log.snapshot_index,
+        members=[
+            MemberStatus(member.name, member.peer_address, member.client_address, member.votes)
+            for member in members.values()
+        ],
+        behind={
+            members[replica_id].name: last_index - progress.match_index
+            for replica_id, progress in followers.items()
+        },
+    )
--- /dev/null
+++ b/ploverspoke/consensus/leadership_transfer.py
@@ -0,0 +1,50 @@
+"""Leadership transfer (thesis, section 3.10): a voter is brought up to date, then asked to stand at once."""
+
+from .leadership import Leadership
+from .membership import voters
+from .raft_state import RaftState, Role
+from .wire_messages import TimeoutNow
+
+
+class LeadershipTransfer:
+    """The transfer that is under way, if any. While it is, the leader takes no proposals."""
+
+    def __init__(self, state: RaftState, leadership: Leadership) -> None:
+        """Begin without a transfer."""
+        self.state = state
+        self.leadership = leadership
+        self._target = ""  # "": none
+        self._deadline = 0
+
+    def start(self, target: str) -> bool:
+        """Hand leadership to a voter; returns False if this replica cannot."""
+        state = self.state
+        if state.role is not Role.LEADER or target == state.replica_id:
+            return False
+        if target not in voters(state.members()):
+            return False
+        self._target = target
+        self._deadline = state.environment.now() + state.timeouts.election
+        self.on_progress(target)
+        return True
+
+    def is_in_progress(self) -> bool:
+        """Whether leadership is being handed over."""
+        return bool(self._target)
+
+    def cancel(self) -> None:
+        """Go on without a transfer."""
+        self._target = ""
+
+    def cancel_if_late(self, now: int) -> None:
+        """Give up a transfer that has taken an election timeout."""
+        if self._target and now >= self._deadline:
+            self.cancel()
+
+    def on_progress(self, replica_id: str) -> None:
+        """A follower's log has grown: the target is asked to stand once it has all entries."""
+        follower = self.leadership.followers.get(replica_id)
+        if self._target != replica_id or follower is None:
+            return
+        if follower.match_index == self.state.log.last_index():
+            self.state.send(replica_id, TimeoutNow(term=self.state.current_term))
--- a/ploverspoke/consensus/peer_links.py
+++ b/ploverspoke/consensus/peer_links.py
@@ -8,10 +8,13 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple, cast
 
+import msgspec
+
 from ploverspoke.transport.rate_limited_log import log_line
 
 from .errors import ConsensusError
 from .framing import FrameCodec, FrameError
+from .wire_messages import Message, decode_message
 
 RECONNECT_DELAY = 0.1  # seconds
 MAX_UNSENT_BYTES = 8 * 1024 * 1024  # for a peer that does not read
@@ -20,7 +23,7 @@
 ANY_CLUSTER = ""  # the cluster in the greeting of a tool
 
 Reply = Callable[[Any], None]
-MessageHandler = Callable[[str, Any], None]  # with the id of the sender
+MessageHandler = Callable[[str, Message], None]  # with the id of the sender
 AdminRequestHandler = Callable[[Any, Reply], None]
 
 
@@ -142,9 +145,9 @@
     def data_received(self, data: bytes) -> None:
         """Hand on the messages that are complete; close the connection at the first that is not valid."""
         try:
-            for message in self.frames.decode(data):
-                self._handle(message)
-        except (ConsensusError, KeyError, TypeError) as error:
+            for body in self.frames.receive(data):
+                self._handle(body)
+        except (ConsensusError, KeyError, TypeError, msgspec.DecodeError) as error:
             self.links.refused_connections += 1
             log_line(f"store: a connection is refused: {error}")
             self.close()
@@ -159,13 +162,13 @@
         if self.transport is not None:
             self.transport.abort()
 
-    def _handle(self, message: Any) -> None:
+    def _handle(self, body: bytes) -> None:
         if not self.sender:
             self.sender = self._checked_sender()
         if self.sender == ADMIN_CLIENT_ID:
-            self.links.on_admin_request(message, self.reply)
+            self.links.on_admin_request(msgspec.msgpack.decode(body), self.reply)
         else:
-            self.links.on_message(self.sender, message)
+            self.links.on_message(self.sender, decode_message(body))
 
     def _checked_sender(self) -> str:
         peer = peer_identity(self.frames)
@@ -204,7 +207,7 @@
     def data_received(self, data: bytes) -> None:
         """Check the greeting of the peer; it sends nothing else here."""
         try:
-            self.frames.decode(data)
+            self.frames.receive(data)
             if self.frames.peer_greeting is not None and not self.ready:
                 self._check_peer()
                 self.ready = True
--- a/ploverspoke/consensus/persisted_state.py
+++ b/ploverspoke/consensus/persisted_state.py
@@ -4,7 +4,7 @@
 
 from .log import Entry, Log, Snapshot
 from .membership import Members
-from .raft import Message
+from .wire_messages import Message
 
 
 @dataclass
--- a/ploverspoke/consensus/replica.py
+++ b/ploverspoke/consensus/replica.py
@@ -1,171 +1,217 @@
-"""One replica without I/O: consensus and the ledger, between a driver that writes batches and carries
-messages.
+"""One replica without I/O: consensus and a state machine, between batches of writes.
 
-The driver takes a `WriteBatch` when there is one, writes it down in one synced step, and hands it back to
-`written`:
-only then the messages in it go out. So whatever is said rests on what is on disk, and many events share one
-sync.
+The driver takes a `WriteBatch` when there is one, writes it in one synced step, and hands it back to
+`on_batch_written`: only then the messages in it go out. So whatever is sent rests on what is durable, and
+many events share one sync.
 """
 
 from collections.abc import Callable
-from typing import Any
+from typing import Any, NamedTuple
+
+import msgspec
 
 from .log import Entry, EntryKind, Snapshot, StateMachine
 from .persisted_state import PersistedState, WriteBatch
-from .raft import Message, Raft, Role
+from .raft import DEFAULT_TIMEOUTS, Raft
+from .raft_state import RaftTimeouts, Role
+from .wire_messages import Message
+
+ResultCallback = Callable[[bool], None]
+RoleListener = Callable[[Role, str], None]  # the new role, and the id of the leader
+
+
+class Runtime(NamedTuple):
+    """What a replica, which does no I/O, gets from its driver."""
+
+    now: Callable[[], int]  # monotonic time in ns
+    random_fraction: Callable[[], float]  # from 0 up to 1
+    send: Callable[[str, Message], None]  # to the replica of that id
+
+
+class PendingProposal(NamedTuple):
+    """A proposal that is in the log and not committed yet."""
+
+    term: int  # of the entry; another leader's entry may be committed at its index
+    on_result: ResultCallback
+
+
+class PendingRead(msgspec.Struct, frozen=True):
+    """A read that is confirmed and waits until the state holds the entry at `index`."""
+
+    index: int
+    on_result: ResultCallback
 
 
 class Replica:
-    """Plays the host of `Raft`."""
+    """Applies what consensus commits, and gathers what it asks to be written (a `RaftEnvironment`)."""
 
     def __init__(
         self,
         replica_id: str,
         persisted: PersistedState,
         state_machine: StateMachine,
-        now: Callable[[], int],
-        fraction: Callable[[], float],
-        send_now: Callable[[str, Message], None],
-        **times: int,
+        runtime: Runtime,
+        timeouts: RaftTimeouts = DEFAULT_TIMEOUTS,
     ) -> None:
+        """Begin with what the storage holds; the state machine must be empty."""
         self.replica_id = replica_id
-        self.now = now
         self.state_machine = state_machine
-        self.send_now = send_now
         self.batch = WriteBatch()
-        self.role_listeners: list[Callable[[Role, str], None]] = []
-        self.waiting: dict[
-            int, tuple[int, Callable[[bool], None]]
-        ] = {}  # proposals, by index: term and whom to tell
-        self.reads: dict[int, Callable[[bool], None]] = {}
-        self.ready_reads: list[tuple[int, Callable[[bool], None]]] = []
-        self.next_read = 1
-        self.applied = persisted.log.snapshot_index
-        self.durable_snapshot: Snapshot | None = None
+        self.role_listeners: list[RoleListener] = []
+        self.applied_index = persisted.log.snapshot_index
+        self._runtime = runtime
+        self._proposals: dict[int, PendingProposal] = {}  # by the index of their last entry
+        self._unconfirmed_reads: dict[int, ResultCallback] = {}  # by token
+        self._confirmed_reads: list[PendingRead] = []
+        self._next_read_token = 1
+        self._durable_snapshot: Snapshot | None = None
         if persisted.log.snapshot_index:
             state_machine.restore_snapshot(persisted.snapshot_data)
-            index, term = persisted.log.snapshot_index, persisted.log.snapshot_term
-            self.durable_snapshot = Snapshot(index, term, persisted.members, persisted.snapshot_data)
-        self.raft = Raft(
-            self,
-            replica_id,
-            persisted.members,
-            fraction,
-            term=persisted.current_term,
-            vote=persisted.voted_for,
-            log=persisted.log,
-            disk=persisted.storage_id,
-            **times,
-        )
-
-    # ---- The host of consensus ----
+            self._durable_snapshot = Snapshot(
+                persisted.log.snapshot_index,
+                persisted.log.snapshot_term,
+                persisted.members,
+                persisted.snapshot_data,
+            )
+        self.raft = Raft(self, replica_id, persisted, runtime.random_fraction, timeouts)
+
+    # ---- Use ----
+
+    def propose(self, commands: list[Any], on_result: ResultCallback) -> None:
+        """Have commands committed; False is no promise that they never will be."""
+        index = self.raft.propose(commands)
+        if not index:
+            on_result(False)
+        else:
+            self._proposals[index] = PendingProposal(self.raft.current_term, on_result)
+
+    def read(self, on_result: ResultCallback) -> None:
+        """Call `on_result` with True once the state holds all that was committed before this call."""
+        token = self._next_read_token
+        self._next_read_token += 1
+        self._unconfirmed_reads[token] = on_result
+        self.raft.read(token)
+
+    def leads(self) -> bool:
+        """Whether no other replica can lead now, by the lease."""
+        return self.raft.role is Role.LEADER and self._runtime.now() < self.raft.lease_until()
+
+    # ---- Driver ----
+
+    def take_batch(self) -> WriteBatch:
+        """Return what has gathered since the last batch, to be written."""
+        batch, self.batch = self.batch, WriteBatch()
+        return batch
+
+    def on_batch_written(self, batch: WriteBatch) -> None:
+        """A batch is durable: the messages that rest on it go out."""
+        for to, message in batch.messages:
+            self._runtime.send(to, message)
+        if batch.entries:
+            last = batch.entries[-1]
+            self.raft.on_synced(last.index, last.term)
+
+    def on_snapshot_written(self, snapshot: Snapshot) -> None:
+        """A snapshot of this replica's own state is durable: the log up to it is dropped."""
+        if snapshot.index > self.raft.log.snapshot_index:
+            self._durable_snapshot = snapshot
+            self.raft.on_compacted(snapshot.index)
+
+    def take_snapshot(self) -> Snapshot:
+        """Return a snapshot of the state as it is now."""
+        index = self.applied_index
+        term = self.raft.log.term_at(index)
+        assert term is not None, "what is applied is in the log, or is the snapshot"
+        return Snapshot(index, term, self.raft.members_at(index), self.state_machine.take_snapshot())
+
+    def stop(self) -> None:
+        """The storage cannot be written: nothing that is waited for will come."""
+        self.on_role_changed(Role.STOPPED, "")
+
+    # ---- The environment of consensus ----
+
+    def now(self) -> int:
+        """Return the monotonic time in nanoseconds."""
+        return self._runtime.now()
 
     def send(self, to: str, message: Message) -> None:
+        """Send a message after the batch that gathers now is written."""
         self.batch.messages.append((to, message))
 
-    def keep_vote(self, term: int, vote: str) -> None:
-        self.batch.vote = (term, vote)
+    def send_now(self, to: str, message: Message) -> None:
+        """Send a message at once."""
+        self._runtime.send(to, message)
+
+    def save_vote(self, term: int, voted_for: str) -> None:
+        """Add a vote to the batch."""
+        self.batch.vote = (term, voted_for)
 
-    def keep_entries(self, entries: list[Entry]) -> None:
+    def save_entries(self, entries: list[Entry]) -> None:
+        """Add entries to the batch."""
         self.batch.entries += entries
 
-    def drop_entries_from(self, index: int) -> None:
+    def truncate_entries_from(self, index: int) -> None:
+        """Have entries dropped by the batch, and from it."""
         self.batch.entries = [entry for entry in self.batch.entries if entry.index < index]
         self.batch.truncate_from = min(index, self.batch.truncate_from or index)
 
-    def keep_snapshot(self, snapshot: Snapshot) -> None:
-        self.batch.snapshot = self.durable_snapshot = snapshot
+    def install_snapshot(self, snapshot: Snapshot) -> None:
+        """Add a leader's snapshot to the batch, in place of its entries."""
+        self.batch.snapshot = self._durable_snapshot = snapshot
         self.batch.entries = []
         self.batch.truncate_from = 0
 
-    def snapshot(self) -> Snapshot | None:
-        return self.durable_snapshot
+    def latest_snapshot(self) -> Snapshot | None:
+        """Return the snapshot that followers get."""
+        return self._durable_snapshot
 
-    def committed(self, entry: Entry) -> None:
+    def on_entry_committed(self, entry: Entry) -> None:
+        """Apply an entry, and answer the proposal and the reads that waited for it."""
         if entry.kind is EntryKind.DATA:
             self.state_machine.apply(entry.index, entry.data)
-        self.applied = entry.index
-        waited = self.waiting.pop(entry.index, None)
-        if waited is not None:
-            # Another's entry may stand where ours would have stood.
-            waited[1](waited[0] == entry.term)
-        if self.ready_reads:
+        self.applied_index = entry.index
+        proposal = self._proposals.pop(entry.index, None)
+        if proposal is not None:
+            proposal.on_result(proposal.term == entry.term)
+        if self._confirmed_reads:
             self._answer_reads()
 
-    def restored(self, data: bytes) -> None:
+    def on_snapshot_installed(self, data: bytes) -> None:
+        """Replace the state by a leader's snapshot."""
         self.state_machine.restore_snapshot(data)
-        self.applied = self.raft.commit
+        self.applied_index = self.raft.commit_index
         self._fail_waiting()
 
-    def role_changed(self, role: Role, leader: str) -> None:
+    def on_role_changed(self, role: Role, leader_id: str) -> None:
+        """Tell the listeners; what waits for this replica as the leader fails when it is none."""
         if role is not Role.LEADER:
             self._fail_waiting()
-        for told in self.role_listeners:
-            told(role, leader)
-
-    def read_is_safe(self, token: int, index: int) -> None:
-        told = self.reads.pop(token, None)
-        if told is not None:
-            self.ready_reads.append((index, told))
+        for listener in self.role_listeners:
+            listener(role, leader_id)
+
+    def on_read_ready(self, token: int, index: int) -> None:
+        """Answer a read once `index` is applied."""
+        on_result = self._unconfirmed_reads.pop(token, None)
+        if on_result is not None:
+            self._confirmed_reads.append(PendingRead(index, on_result))
             self._answer_reads()
 
-    def read_failed(self, token: int) -> None:
-        told = self.reads.pop(token, None)
-        if told is not None:
-            told(False)
-
-    # ---- What its users ask ----
-
-    def propose(self, commands: list[Any], told: Callable[[bool], None]) -> None:
-        """`told` hears whether they are committed. False is no promise that they never will be."""
-        index = self.raft.propose(commands)
-        if not index:
-            told(False)
-        else:
-            self.waiting[index] = (self.raft.term, told)
-
-    def read(self, told: Callable[[bool], None]) -> None:
-        """`told` hears True when the state holds all that was committed before this call."""
-        token, self.next_read = self.next_read, self.next_read + 1
-        self.reads[token] = told
-        self.raft.read(token)
-
-    def leads(self) -> bool:
-        """Whether no other can lead now: by the lease."""
-        return self.raft.role is Role.LEADER and self.now() < self.raft.lease_until()
-
-    # ---- What its driver says ----
-
-    def take_batch(self) -> WriteBatch:
-        """What has gathered since the last one, to be written."""
-        batch, self.batch = self.batch, WriteBatch()
-        return batch
-
-    def written(self, batch: WriteBatch) -> None:
-        """It is durable: what rests on it may be said."""
-        for to, message in batch.messages:
-            self.send_now(to, message)
-        if batch.entries:
-            self.raft.synced(batch.entries[-1].index, batch.entries[-1].term)
-
-    def snapshot_written(self, snapshot: Snapshot) -> None:
-        """A snapshot of our own is durable, and the log up to it is dropped."""
-        if snapshot.index > self.raft.log.snapshot_index:
-            self.durable_snapshot = snapshot
-            self.raft.compacted(snapshot.index)
-
-    # ---- Inside ----
+    def on_read_failed(self, token: int) -> None:
+        """Answer a read that cannot be confirmed."""
+        on_result = self._unconfirmed_reads.pop(token, None)
+        if on_result is not None:
+            on_result(False)
 
     def _answer_reads(self) -> None:
-        ready = [told for index, told in self.ready_reads if index <= self.applied]
-        self.ready_reads = [(index, told) for index, told in self.ready_reads if index > self.applied]
-        for told in ready:
-            told(True)
+        ready = [read for read in self._confirmed_reads if read.index <= self.applied_index]
+        self._confirmed_reads = [read for read in self._confirmed_reads if read.index > self.applied_index]
+        for read in ready:
+            read.on_result(True)
 
     def _fail_waiting(self) -> None:
-        waiting, self.waiting = self.waiting, {}
-        for _, told in waiting.values():
-            told(False)
-        ready, self.ready_reads = self.ready_reads, []
-        for _, told in ready:
-            told(False)
+        proposals, self._proposals = self._proposals, {}
+        for proposal in proposals.values():
+            proposal.on_result(False)
+        reads, self._confirmed_reads = self._confirmed_reads, []
+        for read in reads:
+            read.on_result(False)
--- /dev/null
+++ b/ploverspoke/consensus/replica_driver.py
@@ -0,0 +1,137 @@
+"""Drives one `Replica` on an event loop: writes its batches, calls it when time is wanted, takes snapshots.
+
+Used from one replica's start until its storage fails; after that the node starts another.
+"""
+
+import asyncio
+import time
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import NamedTuple
+
+from .log import EntryKind
+from .persisted_state import WriteBatch
+from .replica import Replica
+from .storage import ReplicaStorage
+from .storage_thread import StorageThread
+
+NANOSECONDS = 1e9  # of a second
+
+
+@dataclass
+class WriteCounters:
+    """What was written since the process began."""
+
+    batches: int = 0
+    entries: int = 0
+
+
+class DriverCallbacks(NamedTuple):
+    """What a driver tells its node."""
+
+    on_members_written: Callable[[], None]  # the members may have changed
+    on_failure: Callable[[Exception], None]  # the storage cannot be written
+
+
+class ReplicaDriver:
+    """The driver of one replica. After each event `schedule_step` is to be called."""
+
+    def __init__(
+        self,
+        replica: Replica,
+        storage: ReplicaStorage,
+        storage_thread: StorageThread,
+        snapshot_every: int,
+        counters: WriteCounters,
+        callbacks: DriverCallbacks,
+    ) -> None:
+        """Drive `replica`; it takes a snapshot after so many entries."""
+        self.replica = replica
+        self.storage = storage
+        self.storage_thread = storage_thread
+        self.snapshot_every = snapshot_every
+        self.counters = counters
+        self.callbacks = callbacks
+        self._loop = asyncio.get_running_loop()
+        self._is_stopped = False
+        self._is_step_scheduled = False
+        self._is_writing = False
+        self._is_taking_snapshot = False
+        self._timer: asyncio.TimerHandle | None = None
+        self._timer_at = 0
+
+    def schedule_step(self) -> None:
+        """Write what has gathered, and see when time is wanted next, behind what the loop has to do now."""
+        if not self._is_step_scheduled:
+            self._is_step_scheduled = True
+            self._loop.call_soon(self._step)
+
+    def stop(self) -> None:
+        """Drive the replica no more; what is being written still is."""
+        self._is_stopped = True
+        if self._timer is not None:
+            self._timer.cancel()
+
+    def _step(self) -> None:
+        self._is_step_scheduled = False
+        if self._is_stopped:
+            return
+        self._set_timer(self.replica.raft.next_tick())
+        if self._is_writing or self.replica.batch.is_empty():
+            return
+        batch = self.replica.take_batch()
+        if not batch.has_writes():
+            self.replica.on_batch_written(batch)
+            return
+        self._is_writing = True
+        self.storage_thread.submit(
+            lambda error: self._on_batch_written(batch, error), self.storage.write, batch
+        )
+
+    def _on_batch_written(self, batch: WriteBatch, error: Exception | None) -> None:
+        self._is_writing = False
+        if self._is_stopped:
+            return
+        if error is not None:
+            self.callbacks.on_failure(error)
+            return
+        self.counters.batches += 1
+        self.counters.entries += len(batch.entries)
+        if batch.snapshot is not None or any(entry.kind is EntryKind.MEMBERS for entry in batch.entries):
+            self.callbacks.on_members_written()
+        self.replica.on_batch_written(batch)
+        self._take_snapshot_if_due()
+        self.schedule_step()
+
+    def _take_snapshot_if_due(self) -> None:
+        since_snapshot = self.replica.applied_index - self.replica.raft.log.snapshot_index
+        if self._is_taking_snapshot or since_snapshot < self.snapshot_every:
+            return
+        snapshot = self.replica.take_snapshot()
+        self._is_taking_snapshot = True
+
+        def on_done(error: Exception | None) -> None:
+            self._is_taking_snapshot = False
+            if self._is_stopped:
+                return
+            if error is not None:
+                self.callbacks.on_failure(error)
+            else:
+                self.replica.on_snapshot_written(snapshot)
+
+        self.storage_thread.submit(on_done, self.storage.save_snapshot, snapshot)
+
+    def _set_timer(self, tick_at: int) -> None:
+        if self._timer is not None:
+            if self._timer_at == tick_at:
+                return
+            self._timer.cancel()
+        self._timer_at = tick_at
+        delay = max(0, tick_at - time.monotonic_ns()) / NANOSECONDS
+        self._timer = self._loop.call_later(delay, self._on_timer)
+
+    def _on_timer(self) -> None:
+        self._timer = None
+        if not self._is_stopped:
+            self.replica.raft.tick()
+            self.schedule_step()
--- a/tests/compatibility/test_wire_bytes.py
+++ b/tests/compatibility/test_wire_bytes.py
@@ -8,7 +8,7 @@
 from collections.abc import Awaitable, Callable
 from pathlib import Path
 from types import SimpleNamespace
-from typing import Any
+from typing import Any, get_args
 from unittest import mock
 
 import msgspec
@@ -24,13 +24,15 @@
 from ploverspoke.config_distribution.server_node import ConfigServerNode
 from ploverspoke.config_distribution.state_machine import Version, digest_of
 from ploverspoke.config_distribution.watcher import ConfigWatcher
-from ploverspoke.consensus import raft
+from ploverspoke.consensus import raft, snapshot_transfer
 from ploverspoke.consensus.cluster_config import read_replica_config
 from ploverspoke.consensus.framed_server import FramedConnection
 from ploverspoke.consensus.framing import FrameCodec, FrameError
 from ploverspoke.consensus.log import Snapshot
 from ploverspoke.consensus.membership import Members
 from ploverspoke.consensus.peer_links import ADMIN_CLIENT_ID, PeerLinks
+from ploverspoke.consensus.persisted_state import PersistedState
+from ploverspoke.consensus.wire_messages import Message, decode_message, message_kind
 from ploverspoke.leases.client import LeaseServerConnection
 from ploverspoke.leases.config import read_lease_server_config
 from ploverspoke.leases.definitions import LeaseDefinition, LeaseDefinitions
@@ -77,22 +79,23 @@
     host = mock.MagicMock()
     host.now = lambda: run.now
     host.send = host.send_now = lambda to, message: run.emit("send", to, message)
-    host.snapshot = lambda: None
-    one = raft.Raft(host, who, msgspec.convert(MEMBERS, Members), lambda: 0.5, disk=f"disk of {who}")
+    host.latest_snapshot = lambda: None
+    persisted = PersistedState(msgspec.convert(MEMBERS, Members), storage_id=f"disk of {who}")
+    one = raft.Raft(host, who, persisted, lambda: 0.5)
 
     def compact(index: int, term: int, data: str) -> None:
         found = Snapshot(index, term, one.members_at(index), bytes.fromhex(data))
-        host.snapshot = lambda: found
-        one.compacted(index)
+        host.latest_snapshot = lambda: found
+        one.on_compacted(index)
 
     return {
         "tick": one.tick,
-        "message": lambda sender, data: one.message(sender, decoded(data)),
+        "message": lambda sender, data: one.receive(sender, decode_message(bytes.fromhex(data))),
         "propose": lambda rows: one.propose([decoded(row) for row in rows]),
-        "synced": one.synced,
+        "synced": one.on_synced,
         "compact": compact,
         "change_members": lambda members: one.change_members(msgspec.convert(members, Members)),
-        "transfer": one.transfer,
+        "transfer": one.transfer_leadership,
     }
 
 
@@ -161,7 +164,7 @@
 
 
 def test_replicas_send_the_same_messages(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(raft, "PIECE", 16)
+    monkeypatch.setattr(snapshot_transfer, "CHUNK_BYTES", 16)
     run = Run()
     run.calls = {who: raft_calls(run, who) for who in (*MEMBERS, "r4.1")}
     run.repeat("raft-run.json")
@@ -169,7 +172,9 @@
 
 def test_the_replicas_run_holds_every_kind_of_message() -> None:
     sent = [decoded(row[2]) for step in read_json("raft-run.json") for row in step["sent"]]
-    assert {message["k"] for message in sent} == set(raft.HANDLERS)
+    assert {message["k"] for message in sent} == {
+        message_kind(message_type) for message_type in get_args(Message)
+    }
     entries = {entry[2] for message in sent if message["k"] == "append" for entry in message["e"]}
     assert entries == {"noop", "members", "data"}
     assert {message["ok"] for message in sent if message["k"] == "appended"} == {True, False}
@@ -364,7 +369,7 @@
     loop = asyncio.get_running_loop()
     with mock.patch.object(PeerLinks, "open", mock.AsyncMock()):
         await node.open(new=True)
-    node.replica.raft.next_election = 0
+    node.replica.raft.election.timeout_at = 0
     node.replica.raft.tick()
     for _ in range(2):  # the second is told when all that waits for the lead has heard of it
         confirmed = loop.create_future()
--- a/tests/consensus/raft_simulation.py
+++ b/tests/consensus/raft_simulation.py
@@ -7,14 +7,17 @@
 
 import random as random_module
 from collections import defaultdict
+from collections.abc import Callable
 from os import sched_getaffinity
 from typing import Any
 
 from ploverspoke.consensus.log import Entry, EntryKind, Log, Snapshot
 from ploverspoke.consensus.membership import Member, Members, majority, voters
 from ploverspoke.consensus.persisted_state import PersistedState, WriteBatch
-from ploverspoke.consensus.raft import Message, Raft, Role
-from ploverspoke.consensus.replica import Replica
+from ploverspoke.consensus.raft import Raft
+from ploverspoke.consensus.raft_state import Role
+from ploverspoke.consensus.replica import Replica, Runtime
+from ploverspoke.consensus.wire_messages import Message
 
 MILLISECOND = 1_000_000
 WORKER_PROCESSES = max(
@@ -31,6 +34,13 @@
         raise InvariantViolationError(what)
 
 
+PlantFault = Callable[[Raft], None]  # replaces a part of a machine that has just been put together
+
+
+def no_fault(raft: Raft) -> None:
+    """Leave the machine as it is."""
+
+
 class SimulatedStorage:
     """What a replica finds after a crash: whole batches or nothing."""
 
@@ -114,19 +124,21 @@
             self.name,
             self.storage.load(),
             self.state_machine,
-            lambda: self.cluster.now,
-            self.cluster.random.random,
-            lambda to, message: self.cluster.send(self.name, to, message, incarnation),
+            Runtime(
+                lambda: self.cluster.now,
+                self.cluster.random.random,
+                lambda to, message: self.cluster.send(self.name, to, message, incarnation),
+            ),
         )
-        self.replica.raft.__class__ = self.cluster.machine
+        self.cluster.plant_fault(self.replica.raft)
         self.replica.role_listeners.append(self.role_changed)
-        committed = self.replica.committed
+        on_entry_committed = self.replica.on_entry_committed
 
         def checked(entry: Entry) -> None:
             self.cluster.committed(self, entry)
-            committed(entry)
+            on_entry_committed(entry)
 
-        self.replica.committed = checked  # type: ignore[method-assign]
+        self.replica.on_entry_committed = checked  # type: ignore[method-assign]
 
     def crash(self) -> None:
         self.is_running = False
@@ -141,7 +153,7 @@
             if finish:
                 batch, self.writing = self.writing, None
                 self.storage.write(batch)
-                self.replica.written(batch)
+                self.replica.on_batch_written(batch)
         elif not self.replica.batch.is_empty():
             self.writing = self.replica.take_batch()
 
@@ -150,10 +162,10 @@
     replica_type: type[SimulatedReplica] = SimulatedReplica
 
     def __init__(
-        self, seed: int, size: int, machine: type[Raft] = Raft, spare: int = 0, stormy: bool = False
+        self, seed: int, size: int, plant_fault: PlantFault = no_fault, spare: int = 0, stormy: bool = False
     ) -> None:
         self.random = random_module.Random(seed)
-        self.machine = machine
+        self.plant_fault = plant_fault
         self.stormy = stormy  # leaders seldom live long, and snapshots are many
         self.now = 1000 * MILLISECOND
         names = [f"n{i}" for i in range(size + spare)]
@@ -182,14 +194,14 @@
     def deliver(self, at: int, keep: bool = False) -> None:
         sender, to, message = self.in_flight[at] if keep else self.in_flight.pop(at)
         if self.nodes[to].is_running and (sender in self.partitioned) == (to in self.partitioned):
-            self.nodes[to].replica.raft.message(sender, message)
+            self.nodes[to].replica.raft.receive(sender, message)
 
     # ---- What must hold ----
 
     def elected(self, node: SimulatedReplica) -> None:
         raft = node.replica.raft
-        holder = self.leaders.setdefault(raft.term, node.name)
-        require(holder == node.name, f"two leaders of term {raft.term}: {holder}, {node.name}")
+        holder = self.leaders.setdefault(raft.current_term, node.name)
+        require(holder == node.name, f"two leaders of term {raft.current_term}: {holder}, {node.name}")
         for index in range(raft.log.snapshot_index + 1, self.last_committed + 1):
             entry = self.committed_entries[index]
             require(
@@ -216,8 +228,8 @@
         for node in self.nodes.values():
             if not node.is_running:
                 continue
-            require(node.replica.applied >= node.applied, f"the state of {node.name} goes back")
-            node.applied = node.replica.applied
+            require(node.replica.applied_index >= node.applied, f"the state of {node.name} goes back")
+            node.applied = node.replica.applied_index
             log = node.replica.raft.log
             before = log.snapshot_term
             for entry in log.entries[-4:] if len(log.entries) > 4 else log.entries:
@@ -225,8 +237,8 @@
                     before = log.get(entry.index - 1).term
                 known = self.terms.setdefault((entry.index, entry.term), (entry.data, before))
                 require(known == (entry.data, before), f"logs differ at {entry.index} of term {entry.term}")
-            require(node.replica.raft.commit <= log.last_index(), "more is committed than there is")
-            data = [self.committed_entries[i] for i in range(1, node.replica.applied + 1)]
+            require(node.replica.raft.commit_index <= log.last_index(), "more is committed than there is")
+            data = [self.committed_entries[i] for i in range(1, node.replica.applied_index + 1)]
             wanted = sum(e.kind is EntryKind.DATA for e in data)
             require(
                 len(node.state_machine.values) == wanted,
@@ -253,15 +265,15 @@
             if yes:
                 self.reads += 1
                 require(
-                    node.replica.applied >= wanted,
-                    f"{node.name} read {node.replica.applied}, {wanted} is old",
+                    node.replica.applied_index >= wanted,
+                    f"{node.name} read {node.replica.applied_index}, {wanted} is old",
                 )
 
         node.replica.read(told)
 
     def compact(self, node: SimulatedReplica) -> None:
         replica = node.replica
-        index = replica.applied
+        index = replica.applied_index
         term = replica.raft.log.term_at(index)
         if index > replica.raft.log.snapshot_index and term is not None and node.writing is None:
             if not replica.batch.is_empty():
@@ -270,7 +282,7 @@
                 index, term, replica.raft.members_at(index), node.state_machine.take_snapshot()
             )
             node.storage.save_snapshot(snapshot)
-            replica.snapshot_written(snapshot)
+            replica.on_snapshot_written(snapshot)
 
     def change_members(self, node: SimulatedReplica) -> None:
         members = dict(node.replica.raft.members())
@@ -328,7 +340,7 @@
                 self.compact(node)
         elif roll < 0.985:
             if node.is_running:
-                node.replica.raft.transfer(random.choice(list(self.nodes)))
+                node.replica.raft.transfer_leadership(random.choice(list(self.nodes)))
         elif roll < 0.99 and len(self.nodes) > len(self.members):
             if node.is_running:
                 self.change_members(node)
@@ -367,7 +379,7 @@
                 node.write(True)
             box, self.in_flight = self.in_flight, []
             for sender, to, message in box:
-                self.nodes[to].replica.raft.message(sender, message)
+                self.nodes[to].replica.raft.receive(sender, message)
             leaders = [n for n in self.nodes.values() if n.replica.raft.role is Role.LEADER]
             if leaders and step % 25 == 0 and step < steps // 2:
                 self.propose(leaders[-1])
@@ -376,7 +388,7 @@
                 leaders
                 and self.last_committed > 3
                 and all(
-                    self.nodes[n].replica.applied
+                    self.nodes[n].replica.applied_index
                     == self.last_committed
                     == leaders[-1].replica.raft.log.last_index()
                     for n in voters(members)
@@ -388,13 +400,13 @@
 
 
 def explore(
-    seed: int, size: int, steps: int, machine: type[Raft] = Raft, spare: int = 0, stormy: bool = False
+    seed: int, size: int, steps: int, plant_fault: PlantFault = no_fault, spare: int = 0, stormy: bool = False
 ) -> SimulatedCluster:
     """Run one schedule.
 
     Raises InvariantViolationError, or what the machine raises, with a note of the seed that replays it.
     """
-    world = SimulatedCluster(seed, size, machine, spare, stormy)
+    world = SimulatedCluster(seed, size, plant_fault, spare, stormy)
     try:
         for _ in range(steps):
             world.step()
--- a/tests/consensus/test_raft_simulation.py
+++ b/tests/consensus/test_raft_simulation.py
@@ -8,15 +8,19 @@
 
 import pytest
 
-from ploverspoke.consensus import raft
+from ploverspoke.consensus import replication
 from ploverspoke.consensus.membership import Member
-from ploverspoke.consensus.raft import Message, Raft, Role
+from ploverspoke.consensus.raft import Raft
+from ploverspoke.consensus.raft_state import Role
+from ploverspoke.consensus.wire_messages import AppendEntries, InstallSnapshot, Message, RequestVote
 from tests.consensus.raft_simulation import (
     MILLISECOND,
     WORKER_PROCESSES,
     InvariantViolationError,
+    PlantFault,
     SimulatedCluster,
     explore,
+    no_fault,
     sweep,
 )
 
@@ -37,52 +41,70 @@
     assert total["acknowledged"] > len(JOBS) * EACH and total["reads"] > 5_000 and total["terms"] > 10_000
 
 
-class VotesTwice(Raft):
-    def _on_vote(self, sender: str, m: Message) -> None:
-        self.vote = ""
-        super()._on_vote(sender, m)
+def votes_twice_in_a_term(raft: Raft) -> None:
+    handle = raft.handlers[RequestVote]
 
+    def faulty(sender: str, message: RequestVote) -> None:
+        raft.state.voted_for = ""
+        handle(sender, message)
 
-class CommitsOlderTerms(Raft):
-    def _commit_what_a_majority_has(self) -> None:
-        index = self._majority_of(lambda f: f.match, self.synced_to)
-        if index > self.commit:
-            self._commit_to(index)
+    raft.handlers[RequestVote] = faulty
 
 
-class AcknowledgesBeforeSync(Raft):
-    def _on_append(self, sender: str, m: Message) -> None:
-        replica: Any = self.host
+def commits_older_terms(raft: Raft) -> None:
+    def faulty() -> None:
+        index = raft.leadership.replicated_index()
+        if index > raft.commit_index:
+            raft.state.commit_to(index)
+
+    monkeypatched: Any = raft.replication
+    monkeypatched.advance_commit_index = faulty
+
+
+def acknowledges_before_sync(raft: Raft) -> None:
+    handle = raft.handlers[AppendEntries]
+    replica: Any = raft.state.environment
+
+    def faulty(sender: str, message: AppendEntries) -> None:
         kept, replica.batch.messages = replica.batch.messages, []
-        super()._on_append(sender, m)
-        for to, message in replica.batch.messages:
-            replica.send_now(to, message)
+        handle(sender, message)
+        for to, reply in replica.batch.messages:
+            replica.send_now(to, reply)
         replica.batch.messages = kept
 
+    raft.handlers[AppendEntries] = faulty
+
 
-class ReadsWithoutAsking(Raft):
-    def read(self, token: int) -> None:
-        if self.role is Role.LEADER:
-            self.host.read_is_safe(token, self.commit)
+def reads_without_heartbeat(raft: Raft) -> None:
+    def faulty(token: int) -> None:
+        if raft.role is Role.LEADER:
+            raft.state.environment.on_read_ready(token, raft.commit_index)
         else:
-            self.host.read_failed(token)
+            raft.state.environment.on_read_failed(token)
+
+    monkeypatched: Any = raft.reads
+    monkeypatched.read = faulty
 
 
-class SnapshotOverNewerEntries(Raft):
-    def _on_piece(self, sender: str, m: Message) -> None:
-        self.commit = min(self.commit, m["si"] - 1)
-        super()._on_piece(sender, m)
+def installs_snapshot_over_newer_entries(raft: Raft) -> None:
+    handle = raft.handlers[InstallSnapshot]
 
+    def faulty(sender: str, message: InstallSnapshot) -> None:
+        raft.state.commit_index = min(raft.commit_index, message.last_index - 1)
+        handle(sender, message)
 
-FAULTS = [VotesTwice, AcknowledgesBeforeSync, ReadsWithoutAsking]
+    raft.handlers[InstallSnapshot] = faulty
 
 
-@pytest.mark.parametrize("machine", FAULTS)
-def test_a_planted_fault_is_found(machine: type[Raft], monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(raft, "MOST_ENTRIES", 1)
+FAULTS = [votes_twice_in_a_term, acknowledges_before_sync, reads_without_heartbeat]
+
+
+@pytest.mark.parametrize("fault", FAULTS)
+def test_a_planted_fault_is_found(fault: PlantFault, monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(replication, "MAX_ENTRIES_PER_MESSAGE", 1)
     with pytest.raises(InvariantViolationError):
         for seed in range(8000):
-            explore(seed, 3, 400, machine, stormy=True)
+            explore(seed, 3, 400, fault, stormy=True)
 
 
 def drive(world: SimulatedCluster, among: set[str], stands: str, until: Callable[[Raft], bool]) -> None:
@@ -98,19 +120,17 @@
         box, world.in_flight = world.in_flight, []
         for sender, to, message in box:
             if {sender, to} <= among and not until(world.nodes[stands].replica.raft):
-                world.nodes[to].replica.raft.message(sender, message)
+                world.nodes[to].replica.raft.receive(sender, message)
         if until(world.nodes[stands].replica.raft):
             return
     raise AssertionError("it did not come so far")
 
 
-@pytest.mark.parametrize("machine", [Raft, CommitsOlderTerms])
-def test_an_older_term_is_not_committed_by_count(
-    machine: type[Raft], monkeypatch: pytest.MonkeyPatch
-) -> None:
+@pytest.mark.parametrize("fault", [no_fault, commits_older_terms])
+def test_an_older_term_is_not_committed_by_count(fault: PlantFault, monkeypatch: pytest.MonkeyPatch) -> None:
     """The published schedule in which a majority has an entry and another leader replaces it (figure 8)."""
-    monkeypatch.setattr(raft, "MOST_ENTRIES", 1)
-    world = SimulatedCluster(1, 3, machine)
+    monkeypatch.setattr(replication, "MAX_ENTRIES_PER_MESSAGE", 1)
+    world = SimulatedCluster(1, 3, fault)
     one, two, three = (world.nodes[n] for n in ("n0", "n1", "n2"))
 
     def second_leader_comes() -> None:
@@ -123,7 +143,7 @@
         world,
         set(world.nodes),
         "n0",
-        lambda r: all(f.match == 1 for f in r.followers.values()) and r.commit == 1,
+        lambda r: all(f.match_index == 1 for f in r.leadership.followers.values()) and r.commit_index == 1,
     )
     world.propose(one)
     one.write(True)
@@ -136,18 +156,23 @@
     two.crash()
     world.in_flight.clear()
     one.start()
-    drive(world, {"n0", "n2"}, "n0", lambda r: r.role is Role.LEADER and r.followers["n2"].match == 2)
-    if machine is Raft:
-        assert one.replica.raft.commit <= 1
+    drive(
+        world,
+        {"n0", "n2"},
+        "n0",
+        lambda r: r.role is Role.LEADER and r.leadership.followers["n2"].match_index == 2,
+    )
+    if fault is no_fault:
+        assert one.replica.raft.commit_index <= 1
         second_leader_comes()
     else:
         with pytest.raises(InvariantViolationError, match="lacks committed"):
             second_leader_comes()
 
 
-@pytest.mark.parametrize("machine", [Raft, SnapshotOverNewerEntries])
-def test_a_snapshot_that_comes_late_takes_nothing_back(machine: Any) -> None:
-    world = SimulatedCluster(2, 3, machine)
+@pytest.mark.parametrize("fault", [no_fault, installs_snapshot_over_newer_entries])
+def test_a_snapshot_that_comes_late_takes_nothing_back(fault: PlantFault) -> None:
+    world = SimulatedCluster(2, 3, fault)
     for _ in range(2):
         world.settle()
     [node] = [n for n in world.nodes.values() if n.replica.raft.role is Role.LEADER]
@@ -155,19 +180,19 @@
     behind.storage = type(behind.storage)(world.members, behind.storage.storage_id)
     world.compact(node)
     behind.start()
-    pieces: list[Message] = []
+    chunks: list[InstallSnapshot] = []
     post = world.send
 
     def noted(sender: str, to: str, message: Message, incarnation: int) -> None:
-        pieces.extend([message] if message["k"] == "piece" else [])
+        chunks.extend([message] if isinstance(message, InstallSnapshot) else [])
         post(sender, to, message, incarnation)
 
     world.send = noted  # type: ignore[method-assign]
     for _ in range(2):
         world.settle()
-    assert pieces and behind.replica.applied > pieces[-1]["si"]
-    behind.replica.raft.message(node.name, pieces[-1])
-    if machine is Raft:
+    assert chunks and behind.replica.applied_index > chunks[-1].last_index
+    behind.replica.raft.receive(node.name, chunks[-1])
+    if fault is no_fault:
         world.check()
     else:
         with pytest.raises(InvariantViolationError, match="goes back"):
@@ -227,14 +252,14 @@
     node = led(world)
     other = next(n for n in world.nodes if n != node.name)
     before = world.now
-    assert node.replica.raft.transfer(other)
+    assert node.replica.raft.transfer_leadership(other)
     for _ in range(20):
         for each in world.nodes.values():
             each.write(True)
             each.write(True)
         box, world.in_flight = world.in_flight, []
         for sender, to, message in box:
-            world.nodes[to].replica.raft.message(sender, message)
+            world.nodes[to].replica.raft.receive(sender, message)
     assert world.nodes[other].replica.raft.role is Role.LEADER and world.now == before
 
 
@@ -255,7 +280,7 @@
         box, world.in_flight = world.in_flight, []
         for sender, to, message in box:
             if world.nodes[to].is_running:
-                world.nodes[to].replica.raft.message(sender, message)
+                world.nodes[to].replica.raft.receive(sender, message)
         if node.replica.raft.role is Role.LEADER and world.now % (20 * MILLISECOND) == 0:
             world.propose(node)
     assert world.last_committed == done, "two disks of three have it, and one of them is new"
