--- a/ploverspoke/store/node.py
+++ b/ploverspoke/store/node.py
@@ -1,62 +1,131 @@
-"""A replica that keeps the ledger, and this replica's own copy of the configuration beside it."""
+"""A replica whose state is that of requests, and what it saves of its own beside the log."""
 
 import time
 from collections.abc import Callable
 from typing import Any
 
+import msgspec
+
+from ploverspoke.consensus.admin_messages import (
+    decode_request,
+    encode_reply,
+)
 from ploverspoke.consensus.cluster_config import ReplicaConfig
 from ploverspoke.consensus.node import ReplicaNode, Reply
 from ploverspoke.consensus.storage import ReplicaStorage
 
-from .state_machine import CONFIGURE, Configuration, RequestStateMachine
+from .admin_messages import ConfigurationRow, ConfigurationsRequest, ConfigureReply, ConfigureRequest
+from .endpoint_cache import EndpointList
+from .log_commands import CommitConfiguration
+from .snapshot import SharedConfiguration
+from .state_machine import RequestStateMachine
+
+# Keys of the values that are saved beside the log; the names on disk stay as they are.
+CONFIGURATION_KEY, ENDPOINTS_KEY = "configuration", "roster"
+
+
+class StoreStatus(msgspec.Struct, frozen=True):
+    """The state machine's part of a replica's status."""
+
+    open: int  # requests
+    answered: int  # requests whose answer is kept
+    configuration: int  # the latest version; 0: none
+
 
-CONFIGURATION, ROSTER = "configuration", "roster"  # what is kept of this replica's own
+class SavedConfiguration(msgspec.Struct, array_like=True, frozen=True):
+    """This replica's own copy of the latest configuration, which it starts with."""
+
+    version: int = 0
+    body: str = ""
 
 
 class StoreNode(ReplicaNode):
+    """One replica of the store."""
+
     def __init__(self, config: ReplicaConfig, storage: ReplicaStorage | None = None) -> None:
-        self.ledger = RequestStateMachine()
-        super().__init__(config, self.ledger, storage)
-        self.ledger.on_time = self.clock.advance_to
-        self.on_configuration: Callable[[Configuration], None] | None = None
-        self.configuration_known = 0  # the version that is kept on the disk
+        """`config` is the replica's own file; `storage` is by default that of the folder it names."""
+        self.requests = RequestStateMachine()
+        super().__init__(config, self.requests, storage)
+        self.requests.on_time = self.clock.advance_to
+        self.on_configuration: Callable[[SharedConfiguration], None] | None = None
+        self.saved_version = 0  # of the configuration that is saved
 
     def on_storage_opened(self) -> None:
-        kept = self.storage.load_value(CONFIGURATION)
-        self.configuration_known = kept[0] if kept is not None else 0
-        self.ledger.on_configuration = self._configured
+        """Note which configuration is saved, and save each later one that is committed."""
+        self.saved_version = self._load_configuration().version
+        self.requests.on_configuration = self._configuration_committed
 
-    def state_status(self) -> dict[str, Any]:
-        return {
-            "open": len(self.ledger.open),
-            "answered": len(self.ledger.answered),
-            "configuration": getattr(self.ledger.configuration(), "version", 0),
-        }
+    # ---- Saved beside the log ----
 
-    def handle_state_request(self, request: dict[str, Any], reply: Reply) -> bool:
-        verb = request.get("ask")
-        if verb == "configure":
-            token = request.get("token", 0)
-            if not isinstance(token, int):
-                return False
-            command = [CONFIGURE, str(request["body"]), str(request["by"]), time.time_ns(), token]
-            self.propose(command, lambda yes: reply(self._configured_or_not(yes, token)))
-        elif verb == "configurations":
-            reply([[c.version, c.by, c.at, c.body] for c in self.ledger.configurations])
-        else:
-            return False
-        return True
+    def saved_configuration(self) -> str:
+        """Give the body of the configuration that is saved; "" where none was ever committed."""
+        return self._load_configuration().body
 
-    def _configured_or_not(self, yes: bool, token: int) -> dict[str, Any]:
-        if yes and token < self.ledger.configured_under:
-            return {"done": False, "why": f"published under token {self.ledger.configured_under} since"}
-        configuration = self.ledger.configuration()
-        return {"done": yes, "version": configuration.version if yes and configuration is not None else 0}
+    def saved_endpoints(self) -> EndpointList | None:
+        """Give the endpoint list that is saved, if there is one."""
+        endpoints: EndpointList | None = self.storage.load_value(ENDPOINTS_KEY)
+        return endpoints
 
-    def _configured(self, configuration: Configuration) -> None:
-        if configuration.version <= self.configuration_known:
+    def save_endpoints(self, endpoints: EndpointList) -> None:
+        """Save the endpoint list in the background."""
+        self.save_value(ENDPOINTS_KEY, endpoints)
+
+    def _load_configuration(self) -> SavedConfiguration:
+        saved = self.storage.load_value(CONFIGURATION_KEY)
+        return SavedConfiguration() if saved is None else msgspec.convert(saved, SavedConfiguration)
+
+    def _configuration_committed(self, configuration: SharedConfiguration) -> None:
+        if configuration.version <= self.saved_version:
             return
-        self.configuration_known = configuration.version
-        self.save_value(CONFIGURATION, [configuration.version, configuration.body])
+        self.saved_version = configuration.version
+        self.save_value(CONFIGURATION_KEY, [configuration.version, configuration.body])
         if self.on_configuration is not None:
             self.loop.call_soon(self.on_configuration, configuration)
+
+    # ---- Requests of tools ----
+
+    def state_status(self) -> StoreStatus:
+        """Count requests and give the latest version of the configuration."""
+        configuration = self.requests.configuration()
+        return StoreStatus(
+            open=len(self.requests.open_requests),
+            answered=len(self.requests.answered),
+            configuration=configuration.version if configuration is not None else 0,
+        )
+
+    def handle_state_request(self, request: dict[str, Any], reply: Reply) -> bool:
+        """Answer a request about configurations; False where it is none. Raises MalformedRequestError."""
+        match decode_request(request, ConfigureRequest, ConfigurationsRequest):
+            case ConfigureRequest() as configure:
+                self._configure(configure, reply)
+            case ConfigurationsRequest():
+                reply([msgspec.to_builtins(row) for row in self._configuration_rows()])
+            case _:
+                return False
+        return True
+
+    def _configure(self, request: ConfigureRequest, reply: Reply) -> None:
+        command = CommitConfiguration(request.body, request.by, time.time_ns(), request.token)
+        self.propose(
+            command,
+            lambda is_committed: reply(encode_reply(self._configure_reply(is_committed, request.token))),
+        )
+
+    def _configure_reply(self, is_committed: bool, token: int) -> ConfigureReply:
+        if not is_committed:
+            return ConfigureReply(False, version=0)
+        if token < self.requests.highest_token:
+            return ConfigureReply(False, why=f"published under token {self.requests.highest_token} since")
+        configuration = self.requests.configuration()
+        return ConfigureReply(True, version=configuration.version if configuration is not None else 0)
+
+    def _configuration_rows(self) -> list[ConfigurationRow]:
+        return [
+            ConfigurationRow(
+                configuration.version,
+                configuration.committed_by,
+                configuration.committed_wall_time,
+                configuration.body,
+            )
+            for configuration in self.requests.configurations
+        ]
--- a/tests/test_lint_exceptions.py
+++ b/tests/test_lint_exceptions.py
@@ -15,14 +15,9 @@
             "consensus",
             "decisions",
             "leases",
-            "protocol",
             "routing",
-            "service",
-            "simulator",
             "store",
-            "supervisor",
             "testbed",
-            "transport",
         )
     ),
 }
