--- a/ploverspoke/consensus/cluster_config.py
+++ b/ploverspoke/consensus/cluster_config.py
@@ -5,7 +5,6 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from ploverspoke.service.config import address
 from ploverspoke.service.config_reader import ConfigError, ConfigSection
 
 from .membership import Member, Members
@@ -85,21 +84,21 @@
     section = read_json_file(path)
     replicas = read_replica_addresses(section)
     if not replicas:
-        raise section.bad("replicas", expected)
+        raise section.invalid("replicas", expected)
     return ClusterServers(replicas, read_shared_secret(section, path))
 
 
 def read_replica_addresses(section: ConfigSection) -> dict[str, ReplicaAddresses]:
     """Check the key `replicas`; give the addresses for peers and for clients by name. Raises ConfigError."""
-    replicas = section.part("replicas")
+    replicas = section.section("replicas")
     addresses = {}
     for name in replicas.value:
         if not NAME.fullmatch(name):
             message = f"replicas.{name}: expected a name of small letters, digits and dashes"
             raise ConfigError(message)
-        replica = replicas.part(name)
+        replica = replicas.section(name)
         for key in ("peers", "clients"):
-            address(replica, key, None)
+            replica.address(key)
         addresses[name] = ReplicaAddresses(replica.text("peers"), replica.text("clients"))
     return addresses
 
@@ -122,15 +121,15 @@
     replicas = read_replica_addresses(section)
     name = section.text("name")
     if name not in replicas:
-        raise section.bad("name", "one of the replicas")
+        raise section.invalid("name", "one of the replicas")
     return ReplicaConfig(
         section.text("cluster"),
         name,
         path.parent / section.text("folder"),
         read_shared_secret(section, path),
         replicas,
-        section.whole("election_ms", DEFAULT_ELECTION_MS, least=MIN_ELECTION_MS) * MILLISECOND,
-        section.whole("snapshot_every", DEFAULT_SNAPSHOT_EVERY, least=MIN_SNAPSHOT_EVERY),
+        section.integer("election_ms", DEFAULT_ELECTION_MS, least=MIN_ELECTION_MS) * MILLISECOND,
+        section.integer("snapshot_every", DEFAULT_SNAPSHOT_EVERY, least=MIN_SNAPSHOT_EVERY),
     )
 
 
--- a/ploverspoke/store/daemon.py
+++ b/ploverspoke/store/daemon.py
@@ -59,8 +59,8 @@
         settings = config.settings
         request_log = ReplicatedRequestLog(self.node, settings.classes, settings.full_may_have_run)
         service = Service(asyncio.get_running_loop(), config, request_log)
-        service.read = self.read_config
-        known_endpoints = cast("EndpointList | None", config.known)
+        service.load_config = self.read_config
+        known_endpoints = cast("EndpointList | None", config.known_endpoints)
         endpoint_cache = EndpointCache(self.node.save_endpoints, known_endpoints)
         service.router.on_roster = endpoint_cache.update
         request_log.on_lost = service.router.lead_no_more
@@ -70,7 +70,7 @@
         """Apply a version that was committed as SIGHUP does; the whole of it applies at the next start."""
         previous, self.shared_body = self.shared_body, configuration.body
         try:
-            self.service.take_configuration(self.read_config())
+            self.service.apply_config(self.read_config())
             log_line(f"store: configuration {configuration.version} applied")
         except (ConfigError, ValueError) as error:
             self.shared_body = previous
--- a/ploverspoke/store/shared_config.py
+++ b/ploverspoke/store/shared_config.py
@@ -9,7 +9,7 @@
 from collections.abc import Mapping
 
 from ploverspoke.consensus.cluster_config import ReplicaConfig
-from ploverspoke.service.config import Config, address, parse_config
+from ploverspoke.service.config import Config, parse_config
 from ploverspoke.service.config_reader import ConfigSection
 
 from .endpoint_cache import EndpointList
@@ -26,7 +26,7 @@
     """
     name = replica_config.name
     listen = replica_config.replicas[name].client
-    address(ConfigSection({"clients": listen}, f"replicas.{name}"), "clients", None)
+    ConfigSection({"clients": listen}, f"replicas.{name}").address("clients")
     merged: dict[str, object] = dict(ConfigSection(document).value)
     if shared_body:
         merged |= _shared_values(json.loads(shared_body))
