--- a/ploverspoke/consensus/command_line.py
+++ b/ploverspoke/consensus/command_line.py
@@ -13,6 +13,7 @@
 
 from .admin_messages import AdminRequest, ResultReply, StatusRequest, StatusRow, WireMap, encode_reply
 from .cluster_config import ReplicaConfig, initial_replica_id
+from .errors import ConsensusError
 from .framing import FrameError
 from .replica_client import call_replica
 from .storage import ClusterMismatchError, CorruptionError, ReplicaStorage, StorageError, restore_from_backup
@@ -28,7 +29,7 @@
 StatusT = TypeVar("StatusT", bound=StatusRow)
 
 
-class ReplicaUnavailableError(Exception):
+class ReplicaUnavailableError(ConsensusError):
     """A replica gave no reply that can be used; carries its name and the reason."""
 
     def __init__(self, name: str, reason: str) -> None:
--- a/ploverspoke/store/log_commands.py
+++ b/ploverspoke/store/log_commands.py
@@ -12,6 +12,8 @@
 
 from ploverspoke.routing.answers import FinalAnswer
 
+from .errors import MalformedCommandError
+
 
 class AttemptOutcome(StrEnum):
     """How an attempt ended; the values are the stored words. A word of a later version is kept as it is."""
@@ -99,9 +101,12 @@
 def decode_command(entry: object) -> LogCommand | None:
     """Read an array of the log; None for a verb of a later version, which changes nothing here.
 
-    Raises msgspec.ValidationError where a known verb is not followed by its fields.
+    Raises MalformedCommandError.
     """
     if not isinstance(entry, list) or entry[0] not in KNOWN_VERBS:
         return None
-    command: LogCommand = msgspec.convert(entry, LogCommand)
+    try:
+        command: LogCommand = msgspec.convert(entry, LogCommand)
+    except msgspec.ValidationError as error:
+        raise MalformedCommandError(entry[0], str(error)) from error
     return command
--- a/tests/store/request_log_harness.py
+++ b/tests/store/request_log_harness.py
@@ -57,11 +57,11 @@
 
         self._commit("answer", on_answer_committed)
 
-    def _commit(self, call: str, then: CommitCallback) -> None:
+    def _commit(self, call: str, on_committed: CommitCallback) -> None:
         if call in self.holds:
-            self.held.append((call, then))
+            self.held.append((call, on_committed))
         else:
-            asyncio.get_running_loop().call_soon(then, True)
+            asyncio.get_running_loop().call_soon(on_committed, True)
 
     async def wait_for(self, call: str) -> CommitCallback:
         while not self.held:
