--- a/tests/store/test_recovery.py
+++ b/tests/store/test_recovery.py
@@ -48,9 +48,7 @@
     request = state.open_requests["r"]
     recovery = recover_request(request, idempotency)
     assert (recovery.verdict, recovery.attempts) == (verdict, len(attempts))
-    request_class = replace(
-        DECISION_SETTINGS.classes[0], idempotency=idempotency, retry_scope=RetryScope.ALL
-    )
+    request_class = replace(DECISION_SETTINGS.classes[0], idempotency=idempotency, retry_scope=RetryScope.ALL)
     assert answer_at_deadline(request, request_class) is at_deadline
     if verdict is MAY_RUN_IN_SCOPE:
         in_rack = replace(request_class, retry_scope=RetryScope.RACK)
