--- a/ploverspoke/service/__init__.py
+++ b/ploverspoke/service/__init__.py
@@ -1,1 +1,1 @@
-"""The program around it all: what is read at start, start itself, signals."""
+"""The dispatcher as a process: configuration, start, signals, handover and shutdown."""
--- a/tests/service/test_handover.py
+++ b/tests/service/test_handover.py
@@ -112,9 +112,13 @@
     play(listening, tmp_path, script)
 
 
+async def never_answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    await reader.read()
+
+
 async def stop_before_it_is_ready(dispatcher: ReplacedDispatcher) -> None:
     """A new process whose discovery gives no answer is up and not ready; SIGTERM ends it all the same."""
-    silent = await asyncio.start_server(lambda reader, writer: reader.read(), "127.0.0.1", 0)
+    silent = await asyncio.start_server(never_answer, "127.0.0.1", 0)
     silent_address = f"127.0.0.1:{silent.sockets[0].getsockname()[1]}"
     dispatcher.write_config({**dispatcher.document, "discovery": silent_address})
     process = dispatcher.spawn()
