--- a/ploverspoke/cli.py
+++ b/ploverspoke/cli.py
@@ -214,7 +214,7 @@
 
     Exit 0: it can be used, and a summary is printed. 2: it cannot, and the key is named.
     """
-    from ploverspoke.service.config import read_config
+    from ploverspoke.service.config import NO_PEERS, read_config
     from ploverspoke.service.config_reader import ConfigError
     from ploverspoke.service.exit_codes import EXIT_UNUSABLE
     from ploverspoke.transport.units import MEBIBYTE, SECOND
@@ -228,8 +228,6 @@
     if config.peers:
         click.echo(f"load gossip: to {len(config.peers) - 1} other dispatchers")
     elif config.lacks_peers:
-        from ploverspoke.service.service import NO_PEERS
-
         click.echo(NO_PEERS)
     click.echo(f"{config.name} would listen on {config.listen}, discovery {config.discovery}")
     click.echo(f"limits: {config.descriptor_limit} descriptors, {config.memory_limit // MEBIBYTE} MiB")
--- a/ploverspoke/service/config.py
+++ b/ploverspoke/service/config.py
@@ -23,7 +23,8 @@
 DEFAULT_SOCKETS, FEWEST_SOCKETS = 1024, 64
 DEFAULT_MEMORY_MB, LEAST_MEMORY_MB = 192, 32
 
-
+# Logged and printed where `Config.lacks_peers`.
+NO_PEERS = "messages are permitted and cannot be sent: the configuration has no addresses (peers)"
 NO_KEYS: JsonObject = MappingProxyType({})
 
 
--- a/ploverspoke/service/service.py
+++ b/ploverspoke/service/service.py
@@ -22,7 +22,7 @@
 from ploverspoke.transport.resource_limits import split_resources
 from ploverspoke.transport.units import MILLISECOND, SECOND
 
-from .config import Config, read_config
+from .config import NO_PEERS, Config, read_config
 from .config_reader import ConfigError, InvalidValueError, first_missing_key
 from .descriptor_limit import usable_descriptors
 from .earlier_names import EarlierName
@@ -35,7 +35,6 @@
 FIRST_LIST_TIMEOUT = 1500 * MILLISECOND  # for discovery's first answer, where a predecessor serves meanwhile
 FIRST_LIST_CHECK_INTERVAL = 20 * MILLISECOND
 PROCESS_COUNT_INTERVAL = 250 * MILLISECOND
-NO_PEERS = "messages are permitted and cannot be sent: the configuration has no addresses (peers)"
 
 
 class Service:
