--- a/ploverspoke/config_distribution/broadcaster.py
+++ b/ploverspoke/config_distribution/broadcaster.py
@@ -1,250 +1,262 @@
-"""A config server's part towards those that watch it, without I/O: who has what, and what goes to whom when.
+"""A config server's part towards its watchers, without I/O: what each one has, and what is sent to it when.
 
 Every replica does this from what is committed, whether it leads or not. A watcher that is behind gets the
-latest version alone, one parcel at a time: the next one goes when it has said what it has, or has said
-nothing for a while. Where it refuses the latest one it gets what it was not given for it, the later ones
-first: what is in force at a dispatcher is not to depend on how fast versions came. Many that are behind are
-served a few at a turn, so that a change holds up nothing else.
+latest version alone, one message at a time: the next one goes when it has reported its status, or has been
+silent for a while. Where it rejects the latest version it gets those that were skipped for it, the later ones
+first, so that what is active at a dispatcher does not depend on how fast versions came. Many watchers that
+are behind are served a few a turn, so that a change holds up nothing else.
+
+Times are nanoseconds of a monotonic clock.
 """
 
 from collections import deque
-from typing import Any, Protocol
-
-from .messages import Heartbeat, Message, WatchStatus, pack
-from .state_machine import Version, surplus
-
-MILLISECOND = 1_000_000
-SECOND = 1000 * MILLISECOND
-BEAT_EVERY = SECOND
-SILENT = 12 * SECOND  # who has said nothing for so long is not there; watchers speak every four seconds
-PUSH_EVERY = 250 * MILLISECOND  # to one watcher at the most
-PUSH_AGAIN = 2 * SECOND  # where no word came to a parcel; then whole, whatever the watcher has by now
-WATCHER_BYTES = 8000  # a second to one watcher, on the average; its budget for all control is 11 KB
-LONGEST_PACE = 2 * SECOND  # but a large version does not hold up the next one for longer
-AT_A_TURN = 16  # parcels
-BEATS_AT_A_TURN = 64
+from typing import Protocol
+
+from .clock_units import MILLISECOND, NEVER, SECOND
+from .messages import Heartbeat, ServerMessage, VersionMessage, WatchStatus, pack_version
+from .state_machine import Version, excess_versions
+from .watcher_records import BroadcastCounters, ConnectedWatcher, RememberedWatcher, WatcherRow
+
+HEARTBEAT_INTERVAL = SECOND
+WATCHER_TIMEOUT = 12 * SECOND  # without a status; watchers send one every four seconds
+MIN_VERSION_INTERVAL = 250 * MILLISECOND  # between two versions to one watcher
+RESEND_AFTER = 2 * SECOND  # where no status answers a version; then whole, whatever the watcher has by now
+WATCHER_BYTES_PER_SECOND = 8000  # to one watcher on average; its budget for all control traffic is 11 KB
+MAX_VERSION_INTERVAL = 2 * SECOND  # a large version does not hold up the next one for longer
+MAX_VERSIONS_PER_TURN = 16
+MAX_HEARTBEATS_PER_TURN = 64
 TURN = 4 * MILLISECOND
-MOST_SEEN = 4096  # names that are remembered
-NEVER = 1 << 62
+MAX_REMEMBERED_WATCHERS = 4096
+BURST_FRACTION = 4  # a server may send a quarter of a second's bytes at once
 
 
 class BroadcasterEnvironment(Protocol):
+    """What a broadcaster needs of its driver."""
+
     def now(self) -> int:
-        """ns of a monotonic clock."""
+        """The monotonic clock, ns."""
 
-    def is_fresh(self) -> bool:
+    def has_recent_leader(self) -> bool:
         """Whether this replica leads, or has heard from a leader lately."""
 
-    def send(self, name: str, message: Message) -> int:
-        """To that watcher; gives the bytes that it took."""
-
-    def drop(self, name: str, why: str) -> None:
-        """Close its connection; `gone` is not called for it."""
-
-
-class ConnectedWatcher:
-    """One that is connected and has said what it has."""
-
-    def __init__(self, name: str, have: WatchStatus, now: int) -> None:
-        self.name = name
-        self.have = have
-        self.heard_at = now
-        self.sent_at = 0  # when a parcel went that nothing was said to since; 0: none is on its way
-        self.sent_again = False
-        self.next_push = 0
-
-
-class Seen:
-    """What a name was last known to have."""
+    def send(self, name: str, message: ServerMessage) -> int:
+        """Send to that watcher; the bytes that it takes on the wire."""
 
-    def __init__(self, have: WatchStatus, heard_at: int) -> None:
-        self.have = have
-        self.heard_at = heard_at
-        self.connected = True
+    def disconnect(self, name: str, reason: str) -> None:
+        """Close a watcher's connection; `on_disconnected` is not called for it."""
 
 
 class VersionBroadcaster:
+    """The decisions of one config server towards its watchers; a driver calls it at `next_tick`."""
+
     def __init__(
-        self, host: BroadcasterEnvironment, cluster: str, most_watchers: int, bytes_a_second: int
+        self,
+        environment: BroadcasterEnvironment,
+        cluster: str,
+        max_watchers: int,
+        bytes_per_second: int,
     ) -> None:
-        self.host = host
+        """`bytes_per_second` bounds what is sent to all watchers together."""
+        self.environment = environment
         self.cluster = cluster
-        self.most_watchers = most_watchers
-        self.bytes_a_second = bytes_a_second
-        self.known: dict[int, Version] = {}  # as many of the latest as are kept
+        self.max_watchers = max_watchers
+        self.bytes_per_second = bytes_per_second
+        self.versions: dict[int, Version] = {}  # by number, as many of the latest as are kept
         self.latest: Version | None = None
-        self.packed: dict[
-            tuple[int, int], Message
-        ] = {}  # by version and the base that it rests on (0: whole)
+        # By the numbers of the version and of its base (0: whole).
+        self.packed: dict[tuple[int, int], VersionMessage] = {}
         self.watchers: dict[str, ConnectedWatcher] = {}
-        self.behind: dict[str, ConnectedWatcher] = {}
-        self.beats: deque[tuple[int, ConnectedWatcher]] = deque()  # when each is due, in that order
-        self.seen: dict[str, Seen] = {}
-        self.may_send = float(bytes_a_second)
-        self.filled_at = host.now()
-        self.next_wake = NEVER
-        self.pushes = self.whole_pushes = self.pushed_bytes = self.silent = self.sent_elsewhere = 0
-
-    # ---- What can happen ----
-
-    def offer(self, version: Version) -> None:
-        """A version is committed. Told again, or late, it changes nothing."""
-        if version.number in self.known:
+        self.watchers_behind: dict[str, ConnectedWatcher] = {}  # in the order in which they are served
+        self.heartbeats_due: deque[tuple[int, ConnectedWatcher]] = deque()  # the earliest first
+        self.remembered: dict[str, RememberedWatcher] = {}  # the latest heard last
+        self.byte_budget = float(bytes_per_second)
+        self.budget_updated_at = environment.now()
+        self.next_tick = NEVER
+        self.counters = BroadcastCounters()
+
+    # ---- Events ----
+
+    def add_version(self, version: Version) -> None:
+        """A version is committed. A repeated one changes nothing, an older one only fills a gap."""
+        if version.number in self.versions:
             return
-        self.known[version.number] = version
-        kept = sorted(self.known.values(), key=lambda one: one.number)
-        for old in kept[: surplus(kept)]:
-            del self.known[old.number]
+        self.versions[version.number] = version
+        kept = sorted(self.versions.values(), key=lambda kept_version: kept_version.number)
+        for old in kept[: excess_versions(kept)]:
+            del self.versions[old.number]
         if self.latest is not None and version.number < self.latest.number:
             return
         self.latest = version
         self.packed.clear()
         for watcher in self.watchers.values():
-            self._look(watcher)
-        self._wake_by(self.host.now())
+            self._update_behind(watcher)
+        self._tick_by(self.environment.now())
 
-    def has_room_for(self, name: str) -> bool:
-        if name in self.watchers or len(self.watchers) < self.most_watchers:
+    def has_capacity_for(self, name: str) -> bool:
+        """Whether a watcher of that name may be served here; counts those that may not."""
+        if name in self.watchers or len(self.watchers) < self.max_watchers:
             return True
-        self.sent_elsewhere += 1
+        self.counters.watchers_sent_elsewhere += 1
         return False
 
-    def beat(self) -> Message:
-        """What a connection hears first, and all of them every second."""
-        return Heartbeat(self.latest.number if self.latest is not None else 0, self.host.is_fresh()).message()
-
-    def said(self, name: str, have: WatchStatus) -> None:
-        """A watcher says what it has: its first word makes it one."""
-        now = self.host.now()
+    def on_watch_status(self, name: str, status: WatchStatus) -> None:
+        """A watcher reports its status; the first one makes it a connected watcher."""
+        now = self.environment.now()
         watcher = self.watchers.get(name)
         if watcher is None:
-            watcher = self.watchers[name] = ConnectedWatcher(name, have, now)
-            self.beats.append((now + BEAT_EVERY, watcher))
-            self._wake_by(now + BEAT_EVERY)
-        watcher.have, watcher.heard_at = have, now
-        watcher.sent_at, watcher.sent_again = 0, False
-        self.seen.pop(name, None)
-        self.seen[name] = Seen(have, now)
-        self._forget()
-        self._look(watcher)
-
-    def gone(self, name: str) -> None:
-        """Its connection is over."""
+            watcher = self.watchers[name] = ConnectedWatcher(name, status, now)
+            self.heartbeats_due.append((now + HEARTBEAT_INTERVAL, watcher))
+            self._tick_by(now + HEARTBEAT_INTERVAL)
+        watcher.status, watcher.heard_at = status, now
+        watcher.sent_at, watcher.was_resent = 0, False
+        self.remembered.pop(name, None)
+        self.remembered[name] = RememberedWatcher(status, now)
+        self._limit_remembered()
+        self._update_behind(watcher)
+
+    def on_disconnected(self, name: str) -> None:
+        """A watcher's connection ended."""
         self.watchers.pop(name, None)
-        self.behind.pop(name, None)
-        if name in self.seen:
-            self.seen[name].connected = False
+        self.watchers_behind.pop(name, None)
+        if name in self.remembered:
+            self.remembered[name].is_connected = False
 
     def tick(self) -> None:
-        """Time has passed. `next_wake` says when it is wanted again."""
-        now = self.host.now()
-        self.next_wake = NEVER
-        self._push_some(now)
-        self._beat_some(now)
+        """Time has passed, `next_tick` at the earliest."""
+        now = self.environment.now()
+        self.next_tick = NEVER
+        self._send_versions(now)
+        self._send_heartbeats(now)
+
+    # ---- Queries ----
+
+    def latest_number(self) -> int:
+        """The number of the latest version; 0 where there is none."""
+        return self.latest.number if self.latest is not None else 0
 
-    # ---- What is asked ----
+    def heartbeat(self) -> Heartbeat:
+        """What a new connection is sent first, and every watcher once a second."""
+        return Heartbeat(self.latest_number(), self.environment.has_recent_leader())
 
-    def rows(self) -> list[list[Any]]:
-        """Name, version in force, version that came, why it is refused, seconds since heard, connected."""
-        now = self.host.now()
+    def watcher_rows(self) -> list[WatcherRow]:
+        """What is known of each watcher that was heard, also of those that are no longer connected."""
+        now = self.environment.now()
         return [
-            [
+            WatcherRow(
                 name,
-                seen.have.in_force,
-                seen.have.number,
-                self._reason(seen.have),
-                round((now - seen.heard_at) / SECOND, 3),
-                seen.connected,
-            ]
-            for name, seen in self.seen.items()
+                watcher.status.applied_version,
+                watcher.status.received_version,
+                self._rejection(watcher.status),
+                round((now - watcher.heard_at) / SECOND, 3),
+                watcher.is_connected,
+            )
+            for name, watcher in self.remembered.items()
         ]
 
-    def _reason(self, have: WatchStatus) -> str:
-        ours = self.known.get(have.number)
-        if ours is not None and ours.digest != have.digest:
-            return f"it holds another version {have.number} than this server: it was fed by another set"
-        return have.reason
+    def _rejection(self, status: WatchStatus) -> str:
+        number = status.received_version
+        own = self.versions.get(number)
+        if own is not None and own.digest != status.received_digest:
+            # Part of the wire: tools of other releases show it.
+            return f"it holds another version {number} than this server: it was fed by another set"
+        return status.rejection
 
-    # ---- Inside ----
+    # ---- Versions ----
 
-    def _wanted(self, have: WatchStatus) -> Version | None:
-        """What a watcher is to be given; None where it has all that it can have."""
-        if self.latest is None or have.number > self.latest.number:
+    def _version_for(self, status: WatchStatus) -> Version | None:
+        """The version to send to a watcher; None where it has all that it can have."""
+        if self.latest is None or status.received_version > self.latest.number:
             return None
-        if have.number < self.latest.number:
+        if status.received_version < self.latest.number:
             return self.latest
-        number = max((n for n in self.known if have.in_force < n < have.refused), default=0)
-        return self.known.get(number)
+        skipped = (n for n in self.versions if status.applied_version < n < status.lowest_rejected)
+        return self.versions.get(max(skipped, default=0))
 
-    def _look(self, watcher: ConnectedWatcher) -> None:
-        if self._wanted(watcher.have) is not None:
-            self.behind[watcher.name] = watcher
-            self._wake_by(self.host.now())
+    def _update_behind(self, watcher: ConnectedWatcher) -> None:
+        if self._version_for(watcher.status) is not None:
+            self.watchers_behind[watcher.name] = watcher
+            self._tick_by(self.environment.now())
         else:
-            self.behind.pop(watcher.name, None)
-
-    def _push_some(self, now: int) -> None:
-        most = self.bytes_a_second / 4
-        self.may_send = min(most, self.may_send + (now - self.filled_at) * self.bytes_a_second / SECOND)
-        self.filled_at = now
-        pushed = 0
-        for watcher in list(self.behind.values()):
-            ready_at = max(watcher.next_push, watcher.sent_at + PUSH_AGAIN if watcher.sent_at else 0)
+            self.watchers_behind.pop(watcher.name, None)
+
+    def _send_versions(self, now: int) -> None:
+        self._refill_budget(now)
+        sent = 0
+        for watcher in list(self.watchers_behind.values()):
+            resend_at = watcher.sent_at + RESEND_AFTER if watcher.sent_at else 0
+            ready_at = max(watcher.next_version_at, resend_at)
             if ready_at > now:
-                self._wake_by(ready_at)
-            elif pushed == AT_A_TURN or self.may_send <= 0:
-                self._wake_by(now + TURN)
+                self._tick_by(ready_at)
+            elif sent == MAX_VERSIONS_PER_TURN or self.byte_budget <= 0:
+                self._tick_by(now + TURN)
                 break
             else:
-                pushed += 1
-                # Behind those that wait for their first.
-                del self.behind[watcher.name]
-                self.behind[watcher.name] = watcher
-                self._push(watcher, now)
-                self._wake_by(watcher.sent_at + PUSH_AGAIN)
-
-    def _push(self, watcher: ConnectedWatcher, now: int) -> None:
-        version = self._wanted(watcher.have)
-        assert version is not None
+                sent += 1
+                # Behind those that wait for their first message.
+                del self.watchers_behind[watcher.name]
+                self.watchers_behind[watcher.name] = watcher
+                self._send_version(watcher, now)
+                self._tick_by(watcher.sent_at + RESEND_AFTER)
+
+    def _refill_budget(self, now: int) -> None:
+        earned = (now - self.budget_updated_at) * self.bytes_per_second / SECOND
+        self.byte_budget = min(self.bytes_per_second / BURST_FRACTION, self.byte_budget + earned)
+        self.budget_updated_at = now
+
+    def _send_version(self, watcher: ConnectedWatcher, now: int) -> None:
+        version = self._version_for(watcher.status)
+        assert version is not None  # it stands among those behind
         if watcher.sent_at:
-            watcher.sent_again = True
-        base = self.known.get(watcher.have.number)
-        if watcher.sent_again or watcher.have.whole or (base and base.digest != watcher.have.digest):
-            base = None
+            watcher.was_resent = True
+        base = self._base_for(watcher)
         key = version.number, base.number if base is not None else 0
         if key not in self.packed:
-            self.packed[key] = pack(self.cluster, version, base.body if base is not None else None)
-        size = self.host.send(watcher.name, self.packed[key])
+            base_body = base.body if base is not None else None
+            self.packed[key] = pack_version(self.cluster, version, base_body)
+        size = self.environment.send(watcher.name, self.packed[key])
+        pace = min(MAX_VERSION_INTERVAL, size * SECOND // WATCHER_BYTES_PER_SECOND)
         watcher.sent_at = now
-        watcher.next_push = now + max(PUSH_EVERY, min(LONGEST_PACE, size * SECOND // WATCHER_BYTES))
-        self.may_send -= size
-        self.pushes += 1
-        self.whole_pushes += base is None
-        self.pushed_bytes += size
-
-    def _beat_some(self, now: int) -> None:
-        beat = self.beat()
-        for _ in range(BEATS_AT_A_TURN):
-            if not self.beats or self.beats[0][0] > now:
+        watcher.next_version_at = now + max(MIN_VERSION_INTERVAL, pace)
+        self.byte_budget -= size
+        self.counters.versions_sent += 1
+        self.counters.whole_versions_sent += base is None
+        self.counters.version_bytes_sent += size
+
+    def _base_for(self, watcher: ConnectedWatcher) -> Version | None:
+        """The version that the watcher holds, as base of a delta; None where it needs the whole body."""
+        status = watcher.status
+        base = self.versions.get(status.received_version)
+        if watcher.was_resent or status.wants_full_body:
+            return None
+        return base if base is not None and base.digest == status.received_digest else None
+
+    # ---- Heartbeats ----
+
+    def _send_heartbeats(self, now: int) -> None:
+        heartbeat = self.heartbeat()
+        for _ in range(MAX_HEARTBEATS_PER_TURN):
+            if not self.heartbeats_due or self.heartbeats_due[0][0] > now:
                 break
-            _, watcher = self.beats.popleft()
+            _, watcher = self.heartbeats_due.popleft()
             if self.watchers.get(watcher.name) is not watcher:
+                continue  # it is no longer connected
+            if now - watcher.heard_at > WATCHER_TIMEOUT:
+                self.counters.silent_watchers += 1
+                self.on_disconnected(watcher.name)
+                self.environment.disconnect(watcher.name, "it sent no status in time")
                 continue
-            if now - watcher.heard_at > SILENT:
-                self.silent += 1
-                self.gone(watcher.name)
-                self.host.drop(watcher.name, "it has said nothing for a while")
-                continue
-            self.host.send(watcher.name, beat)
-            self.beats.append((now + BEAT_EVERY, watcher))
-        if self.beats:
-            self._wake_by(max(self.beats[0][0], now + TURN))
-
-    def _forget(self) -> None:
-        if len(self.seen) > MOST_SEEN:
-            away = next((name for name, seen in self.seen.items() if not seen.connected), None)
-            if away is not None:
-                del self.seen[away]
-
-    def _wake_by(self, at: int) -> None:
-        self.next_wake = min(self.next_wake, at)
+            self.environment.send(watcher.name, heartbeat)
+            self.heartbeats_due.append((now + HEARTBEAT_INTERVAL, watcher))
+        if self.heartbeats_due:
+            self._tick_by(max(self.heartbeats_due[0][0], now + TURN))
+
+    def _limit_remembered(self) -> None:
+        """Forget the watcher that was heard longest ago, but none that is connected."""
+        if len(self.remembered) > MAX_REMEMBERED_WATCHERS:
+            disconnected = (n for n, watcher in self.remembered.items() if not watcher.is_connected)
+            oldest = next(disconnected, None)
+            if oldest is not None:
+                del self.remembered[oldest]
+
+    def _tick_by(self, time: int) -> None:
+        self.next_tick = min(self.next_tick, time)
--- a/ploverspoke/config_distribution/client.py
+++ b/ploverspoke/config_distribution/client.py
@@ -2,36 +2,47 @@
 taken."""
 
 import asyncio
-import json
 import os
 import random
 import time
 from collections.abc import Callable
-from pathlib import Path
-from typing import Any, cast
+from typing import Any, NamedTuple, cast
 
 from ploverspoke.consensus.framing import FrameCodec, FrameError
 from ploverspoke.transport.rate_limited_log import log_line
 
+from .cache import CacheWriter
+from .clock_units import MILLISECOND
 from .cluster_config import WatchConfig
-from .messages import Message, greeting, is_number
-from .overlay import LONGEST_BODY
-from .state_machine import digest_of
-from .watcher import NOTHING, AppliedVersion, ConfigWatcher
+from .messages import NO_VERSION, VerifiedVersion, WatchStatus, watcher_greeting
+from .server_link import NO_HEARTBEAT
+from .watcher import ConfigWatcher
 
 LONGEST_NAP = 60.0  # seconds
-CACHE_EVERY = 1.0  # seconds, at the most so often
-CACHE_FORMAT = 1
 MOST_UNSENT = 1 << 16  # bytes, towards a server that does not read
 
-Take = Callable[[int, str], str]  # a version and its body; why it is not in force, or ""
+ApplyVersion = Callable[[VerifiedVersion], None]  # raises VersionRejectedError
+
+
+class WatchMetrics(NamedTuple):
+    """What operators see of a watch."""
+
+    config_version: int  # the active one; 0: none
+    config_received_version: int
+    config_connected: int  # 1: a server is watched
+    config_server_version: int  # the latest one of that server; -1: unknown
+    config_silent_ms: int  # since the server was last heard; -1: there is none
+    config_versions_applied: int
+    config_versions_rejected: int
+    config_messages_rejected: int
+    config_server_changes: int
 
 
 class ServerConnection(asyncio.Protocol):
     def __init__(self, client: "WatchClient", link: int) -> None:
         self.client = client
         self.link = link
-        self.frames = FrameCodec(client.orders.secret, greeting(client.name, client.orders.cluster))
+        self.frames = FrameCodec(client.orders.secret, watcher_greeting(client.name, client.orders.cluster))
         self.transport: asyncio.Transport | None = None
         self.ready = False
         self.over = False
@@ -53,7 +64,7 @@
         try:
             messages = self.frames.decode(data)
         except (FrameError, KeyError, TypeError, ValueError) as error:
-            log_line(f"config: a message is refused: {error}")
+            log_line(f"config: message rejected: {error}")
             self.close()
             return
         if self.frames.peer_greeting is not None and not self.ready:
@@ -75,28 +86,27 @@
         loop: asyncio.AbstractEventLoop,
         orders: WatchConfig,
         name: str,
-        take: Take,
-        taken: AppliedVersion = NOTHING,
+        apply: ApplyVersion,
+        applied: VerifiedVersion = NO_VERSION,
         seed: int | None = None,
     ) -> None:
-        """`taken` is what is in force already. `seed`: of its chance; None: the system's."""
+        """`applied` is the version that is active already. `seed`: of its chance; None: the system's."""
         self.loop = loop
         self.orders = orders
         self.name = name
-        self.take_body = take
+        self.apply = apply
         self.chance = random.Random(int.from_bytes(os.urandom(8), "big") if seed is None else seed)
-        self.watch = ConfigWatcher(self, orders.cluster, orders.servers, orders.near, taken)
+        self.watcher = ConfigWatcher(self, orders.cluster, orders.servers, orders.local_servers, applied)
         self.connections: dict[int, ServerConnection] = {}
         self.dialling: dict[int, asyncio.Task[None]] = {}
         self.timer: asyncio.TimerHandle | None = None
         self.timer_for = 0
-        self.writing: asyncio.TimerHandle | None = None  # from the first that is to be kept to its end
-        self.write_after = 0.0  # by the loop's clock
-        self.to_write: AppliedVersion | None = None
+        self.cache_writer = CacheWriter(loop, orders)
         self.closed = False
 
-    def begin(self) -> None:
-        self.watch.begin()
+    def start(self) -> None:
+        """Begin to watch."""
+        self.watcher.start()
         self._after()
 
     def close(self) -> None:
@@ -105,20 +115,14 @@
             self.timer.cancel()
         for link in [*self.connections, *self.dialling]:
             self.hang_up(link)
-        if self.writing is not None:
-            self.writing.cancel()
-        if self.to_write is not None:
-            try:
-                write_cache(self.orders, self.to_write)
-            except OSError as error:
-                log_line(f"config: the cache cannot be written: {error}")
+        self.cache_writer.close()
 
     # ---- The watch's host ----
 
     def now(self) -> int:
         return time.monotonic_ns()
 
-    def fraction(self) -> float:
+    def random_fraction(self) -> float:
         return self.chance.random()
 
     def log(self, line: str) -> None:
@@ -136,35 +140,34 @@
             connection.over = True
             connection.close()
 
-    def send(self, link: int, message: Message) -> None:
+    def send(self, link: int, message: WatchStatus) -> None:
         connection = self.connections.get(link)
         if connection is None or connection.transport is None or not connection.ready:
             return
         if connection.transport.get_write_buffer_size() <= MOST_UNSENT:  # what is left out is said again
             connection.transport.write(connection.frames.encode(message))
 
-    def take(self, number: int, digest: bytes, body: str) -> str:
-        reason = self.take_body(number, body)
-        if not reason:
-            self._keep(AppliedVersion(number, digest, body))
-        return reason
+    def apply_version(self, version: VerifiedVersion) -> None:
+        """Make a version active, and keep it in the cache. Raises VersionRejectedError."""
+        self.apply(version)
+        self.cache_writer.schedule(version)
 
     # ---- What happens ----
 
     def greeted(self, connection: ServerConnection) -> None:
-        self.watch.greeted(connection.link)
+        self.watcher.on_greeting(connection.link)
         self._after()
 
     def told(self, connection: ServerConnection, message: Any) -> None:
         if not connection.over:
-            self.watch.told(connection.link, message)
+            self.watcher.on_message(connection.link, message)
             self._after()
 
     def lost(self, connection: ServerConnection) -> None:
         if not connection.over:
             connection.over = True
             self.connections.pop(connection.link, None)
-            self.watch.lost(connection.link)
+            self.watcher.on_disconnected(connection.link)
             self._after()
 
     async def _connect(self, connection: ServerConnection, where: str) -> None:
@@ -178,7 +181,7 @@
 
     def _after(self) -> None:
         """See when time is wanted next. A timer that rings too early does no harm and is left."""
-        at = self.watch.wake()
+        at = self.watcher.next_tick()
         if self.closed or (self.timer is not None and self.timer_for <= at):
             return
         if self.timer is not None:
@@ -189,83 +192,23 @@
 
     def _ring(self) -> None:
         self.timer = None
-        self.watch.tick()
+        self.watcher.tick()
         self._after()
 
-    # ---- The cache ----
-
-    def _keep(self, taken: AppliedVersion) -> None:
-        """Written at once, but in a burst the latest alone each second."""
-        self.to_write = taken
-        if self.writing is None and not self.closed:
-            self.writing = self.loop.call_at(max(self.loop.time(), self.write_after), self._write)
-
-    def _write(self) -> None:
-        """By a thread: a slow disk holds up nothing."""
-        assert self.to_write is not None
-        taken, self.to_write = self.to_write, None
-        self.write_after = self.loop.time() + CACHE_EVERY
-        future = self.loop.run_in_executor(None, write_cache, self.orders, taken)
-        future.add_done_callback(lambda f: self._written(f.exception()))
-
-    def _written(self, error: BaseException | None) -> None:
-        self.writing = None
-        if error is not None:
-            log_line(f"config: the cache cannot be written: {error}")
-        if self.to_write is not None:
-            self._keep(self.to_write)
-
-    # ---- What operators ask ----
-
-    def figures(self) -> dict[str, int]:
-        watch = self.watch
-        link = watch.link
-        return {
-            "config_version": watch.in_force,
-            "config_offered": watch.came.number,
-            "config_connected": int(watch.connected()),
-            "config_server_version": link.server_has if link is not None else -1,
-            "config_heard_ms": (self.now() - link.heard_at) // 1_000_000 if link is not None else -1,
-            "config_taken": watch.taken_versions,
-            "config_refused": watch.refused_versions,
-            "config_messages_refused": watch.refused_messages,
-            "config_changes_of_server": watch.changes,
-        }
-
-
-def write_cache(orders: WatchConfig, taken: AppliedVersion) -> None:
-    """Replaces the file whole. Raises OSError."""
-    told = {
-        "format": CACHE_FORMAT,
-        "cluster": orders.cluster,
-        "version": taken.number,
-        "digest": taken.digest.hex(),
-        "body": taken.body,
-    }
-    new = orders.cache.with_name(f".{orders.cache.name}.{os.getpid()}.new")
-    orders.cache.parent.mkdir(parents=True, exist_ok=True)
-    new.write_text(json.dumps(told), encoding="utf-8")
-    os.replace(new, orders.cache)
-
-
-def read_cache(orders: WatchConfig) -> tuple[AppliedVersion, str]:
-    """The last version that was taken, and why there is none where it is of no use."""
-    path: Path = orders.cache
-    try:
-        if path.stat().st_size > 8 * LONGEST_BODY:
-            return NOTHING, "it is too long"
-        told = json.loads(path.read_text(encoding="utf-8"))
-        number, body = told["version"], told["body"]
-        if told["format"] != CACHE_FORMAT:
-            return NOTHING, f"format {told['format']!r}, this release reads {CACHE_FORMAT}"
-        if told["cluster"] != orders.cluster:
-            return NOTHING, f"it is of cluster {told['cluster']!r}"
-        if not is_number(number) or not number:
-            return NOTHING, f"version {number!r:.20} is none"
-        if digest_of(body).hex() != told["digest"]:
-            return NOTHING, "its digest is wrong"
-    except FileNotFoundError:
-        return NOTHING, ""
-    except (OSError, ValueError, KeyError, TypeError, AttributeError, RecursionError) as error:
-        return NOTHING, f"{type(error).__name__}: {error}"
-    return AppliedVersion(number, bytes.fromhex(told["digest"]), body), ""
+    # ---- Metrics ----
+
+    def metrics(self) -> WatchMetrics:
+        """The present values, for the `config` call of the admin port."""
+        watcher, link = self.watcher, self.watcher.link
+        counters = watcher.counters
+        return WatchMetrics(
+            config_version=watcher.versions.applied_version,
+            config_received_version=watcher.versions.received.number,
+            config_connected=int(watcher.is_connected()),
+            config_server_version=link.server_version if link is not None else NO_HEARTBEAT,
+            config_silent_ms=(self.now() - link.heard_at) // MILLISECOND if link is not None else -1,
+            config_versions_applied=counters.versions_applied,
+            config_versions_rejected=counters.versions_rejected,
+            config_messages_rejected=counters.messages_rejected,
+            config_server_changes=counters.server_changes,
+        )
--- a/ploverspoke/config_distribution/cluster_config.py
+++ b/ploverspoke/config_distribution/cluster_config.py
@@ -13,62 +13,72 @@
 from ploverspoke.service.config import address
 from ploverspoke.service.config_reader import ConfigSection
 
-SNAPSHOT_EVERY = 200  # versions are kept whole in the log until then: no reason to hold a month of them
+DEFAULT_SNAPSHOT_EVERY = 200  # log entries; they hold whole bodies, so there is no reason for many
+MIN_SNAPSHOT_EVERY = 100
+DEFAULT_MAX_WATCHERS = 1024
+DEFAULT_BYTES_PER_SECOND = 4_000_000
+MIN_BYTES_PER_SECOND = 100_000
 
 
 class ConfigServerConfig(NamedTuple):
+    """The file of one config server."""
+
     replica: ReplicaConfig
-    most_watchers: int
-    bytes_a_second: int  # that go out to watchers
+    max_watchers: int
+    bytes_per_second: int  # sent to all watchers together
 
 
 class ConfigServers(NamedTuple):
-    """Where they are, for tools."""
+    """Where the config servers are, for tools."""
 
-    peers: dict[str, str]  # by name
+    peers: dict[str, str]  # their addresses for peers, by name
     secret: bytes
 
 
 class WatchConfig(NamedTuple):
+    """The file of one watcher."""
+
     cluster: str
     servers: list[str]  # their addresses for clients
-    near: list[str]  # those of them that are preferred
+    local_servers: list[str]  # those of them that are preferred
     secret: bytes
-    cache: Path
+    cache_file: Path
 
 
 def read_config_server_config(path: Path) -> ConfigServerConfig:
-    """Raises ConfigError, naming the key."""
-    top = read_json_file(path)
-    replica = parse_replica_config(top, path)
-    every = top.whole("snapshot_every", SNAPSHOT_EVERY, least=100)
+    """The file of a config server. Raises ConfigError with the key."""
+    section = read_json_file(path)
+    replica = parse_replica_config(section, path)
+    snapshot_every = section.whole("snapshot_every", DEFAULT_SNAPSHOT_EVERY, least=MIN_SNAPSHOT_EVERY)
     return ConfigServerConfig(
-        replica._replace(snapshot_every=every),
-        top.whole("most_watchers", 1024, least=1),
-        top.whole("bytes_a_second", 4_000_000, least=100_000),
+        replica._replace(snapshot_every=snapshot_every),
+        section.whole("most_watchers", DEFAULT_MAX_WATCHERS, least=1),
+        section.whole("bytes_a_second", DEFAULT_BYTES_PER_SECOND, least=MIN_BYTES_PER_SECOND),
     )
 
 
 def read_config_servers(path: Path) -> ConfigServers:
     """From a config server's file, or one with `replicas` and `secret_file` alone. Raises ConfigError."""
-    top = read_json_file(path)
-    found = read_replica_addresses(top)
-    if not found:
-        raise top.bad("replicas", "at least one config server")
-    return ConfigServers({name: peers for name, (peers, _) in found.items()}, read_shared_secret(top, path))
+    section = read_json_file(path)
+    replicas = read_replica_addresses(section)
+    if not replicas:
+        raise section.bad("replicas", "at least one config server")
+    peers = {name: peers for name, (peers, _) in replicas.items()}
+    return ConfigServers(peers, read_shared_secret(section, path))
 
 
 def read_watch_config(path: Path) -> WatchConfig:
-    """The file that `serve --watch` names. Raises ConfigError."""
-    top = read_json_file(path)
-    servers, near = top.row("servers", [], str), top.row("near", [], str)
+    """The file that `serve --watch` names. Raises ConfigError with the key."""
+    section = read_json_file(path)
+    servers, local_servers = section.row("servers", [], str), section.row("near", [], str)
     if not servers or len(set(servers)) < len(servers):
-        raise top.bad("servers", "addresses of config servers, each once")
-    for where in servers:
-        address(ConfigSection({"servers": where}), "servers", None)
-    if not set(near) <= set(servers):
-        raise top.bad("near", "some of servers")
-    cache = top.text("cache")
+        raise section.bad("servers", "addresses of config servers, each once")
+    for server in servers:
+        address(ConfigSection({"servers": server}), "servers", None)
+    if not set(local_servers) <= set(servers):
+        raise section.bad("near", "some of servers")
+    cache = section.text("cache")
     if not cache:
-        raise top.bad("cache", "the path of a file")
-    return WatchConfig(top.text("cluster"), servers, near, read_shared_secret(top, path), path.parent / cache)
+        raise section.bad("cache", "the path of a file")
+    secret = read_shared_secret(section, path)
+    return WatchConfig(section.text("cluster"), servers, local_servers, secret, path.parent / cache)
--- a/ploverspoke/config_distribution/commands.py
+++ b/ploverspoke/config_distribution/commands.py
@@ -1,30 +1,34 @@
-"""`ploverspoke config`: run a config server, publish a version, see who has it in force."""
+"""`ploverspoke config`: run a config server, publish a version, see which dispatchers have applied it."""
 
 import difflib
+import functools
 import getpass
 import json
 import os
 import sys
+from collections.abc import Callable, Mapping
 from pathlib import Path
-from typing import Any, NoReturn
+from typing import Any, NamedTuple
 
 import click
+import msgspec
 
 from ploverspoke.consensus.command_line import print_rows
 from ploverspoke.service.config import parse_config
 from ploverspoke.service.config_reader import ConfigError, first_missing_key
 
-from .admin_client import Fleet, NoServerAvailableError, ask_all, body_of, fleet, versions, wait_for
+from .admin_client import ServerReply, ask_all, fleet_status, get_version, list_versions, wait_until_applied
 from .admin_client import publish as publish_body
 from .cluster_config import ConfigServers, read_config_servers
+from .command_output import EXIT_NOT_DONE, exit_with_publish_reply, exit_without_server, print_fleet
+from .errors import NoServerAvailableError
 from .overlay import apply_overlay, read_body
 
-EXISTS = click.Path(exists=True, dir_okay=False, path_type=Path)
-FILE = click.argument("file", type=EXISTS)
+EXISTING_FILE = click.Path(exists=True, dir_okay=False, path_type=Path)
+FILE = click.argument("file", type=EXISTING_FILE)
 JSON = click.option("--json", "as_json", is_flag=True, help="For tools.")
-NOT_DONE, NO_SERVER = 1, 3
-MOST_NAMES = 20  # in a line
-FIRST_ANSWER = 10.0  # seconds, for a leader to take a version
+PUBLISH_TIMEOUT = 10.0  # seconds, for a leader to commit a version
+STATUS_KEYS = ("name", "role", "why", "version", "fresh", "watchers", "watchers_behind")
 
 
 @click.group()
@@ -33,23 +37,16 @@
 
     FILE is the file of any config server, or one with `replicas` and `secret_file` alone.
 
-    Exit 0: done. 1: not done, or not in force everywhere: who and why is said. 2: the call or a file is of
-    no use, and the key is named. 3: no config server leads, or none answers.
+    Exit 0: done. 1: not done, or not applied everywhere: who and why is printed. 2: the call or a file is
+    invalid, and the key is named. 3: no config server leads, or none answers.
     """
 
 
-def _servers(file: Path) -> ConfigServers:
+def _read_servers(file: Path) -> ConfigServers:
     try:
         return read_config_servers(file)
     except ConfigError as error:
-        raise click.UsageError(str(error)) from None
-
-
-def _end(error: NoServerAvailableError, as_json: bool) -> NoReturn:
-    if as_json:
-        click.echo(json.dumps({"done": False, "why": str(error)}))
-    click.echo(f"ploverspoke: no config server leads or answers: {error}", err=True)
-    sys.exit(NO_SERVER)
+        raise click.UsageError(str(error)) from error
 
 
 @config.command()
@@ -59,50 +56,65 @@
 def serve(file: Path, new: bool, join: str) -> None:
     """Run one config server with this FILE until SIGTERM.
 
-    Exit 0: told to end. 2: the file or the disk is of no use, and why is said.
+    Exit 0: ended by SIGTERM. 2: the file or the disk cannot be used, and why is printed.
     """
     try:
         from .daemon import main
     except ModuleNotFoundError as error:
-        raise click.ClickException(
-            f"a config server needs {error.name}: install ploverspoke[daemon]"
-        ) from None
+        message = f"a config server needs {error.name}: install ploverspoke[daemon]"
+        raise click.ClickException(message) from error
     sys.exit(main(file, new, join))
 
 
 # ---- Publishing ----
 
-EXPECT = click.option(
-    "--expect", type=click.IntRange(0), default=None, help="The version that it takes the place of."
-)
-WAIT = click.option("--wait", type=float, default=0.0, help="Seconds until it is in force everywhere.")
-BY = click.option("--by", default=None, help="Who publishes; by default the user.")
+
+class PublishOptions(NamedTuple):
+    """The options that `publish` and `rollback` share."""
+
+    expect: int | None  # None: whichever version is the latest
+    wait: float  # seconds; 0: do not wait
+    by: str | None  # None: the user
+    as_json: bool
+
+
+def publish_options(command: Callable[..., None]) -> Callable[..., None]:
+    """Give a command the options, which it gets as one `PublishOptions`."""
+
+    @functools.wraps(command)
+    def with_options(
+        expect: int | None, wait: float, by: str | None, as_json: bool, **arguments: Any
+    ) -> None:
+        command(options=PublishOptions(expect, wait, by, as_json), **arguments)
+
+    for option in (
+        JSON,
+        click.option("--by", default=None, help="Who publishes; by default the user."),
+        click.option("--wait", type=float, default=0.0, help="Seconds to wait until it is applied."),
+        click.option(
+            "--expect",
+            type=click.IntRange(0),
+            default=None,
+            help="The version that it replaces; 0: there is none.",
+        ),
+    ):
+        with_options = option(with_options)
+    return with_options
 
 
 @config.command()
 @FILE
-@click.argument("body", type=EXISTS)
-@EXPECT
-@click.option("--against", type=EXISTS, help="A dispatcher's configuration that BODY is checked with.")
-@WAIT
-@BY
-@JSON
-def publish(
-    file: Path,
-    body: Path,
-    expect: int | None,
-    against: Path | None,
-    wait: float,
-    by: str | None,
-    as_json: bool,
-) -> None:
+@click.argument("body", type=EXISTING_FILE)
+@click.option("--against", type=EXISTING_FILE, help="A dispatcher's configuration that BODY is checked with.")
+@publish_options
+def publish(file: Path, body: Path, against: Path | None, options: PublishOptions) -> None:
     """Commit BODY, a file, as the next version.
 
-    With --expect it is refused where another version is the latest; without, it takes the place of whichever
-    is. Exit 0: committed, and with --wait in force at every dispatcher that is connected. 1: another version
-    is there, or it is not in force in time. 2: BODY is of no use. 3: no server leads.
+    With --expect it is rejected where another version is the latest; without, it replaces whichever is. Exit
+    0: committed, and with --wait applied at every dispatcher that is connected. 1: another version was
+    published, or it is not applied in time. 2: BODY is invalid. 3: no server leads.
     """
-    servers = _servers(file)
+    servers = _read_servers(file)
     try:
         text = body.read_text(encoding="utf-8")
         if against is not None:
@@ -110,116 +122,86 @@
         else:
             read_body(text)
     except (OSError, ValueError) as error:
-        raise click.UsageError(f"{body}: {error}") from None
-    _publish(servers, text, expect, by, wait, as_json)
+        message = f"{body}: {error}"
+        raise click.UsageError(message) from error
+    _publish(servers, text, options)
 
 
 @config.command()
 @FILE
 @click.argument("version", type=click.IntRange(1))
-@EXPECT
-@WAIT
-@BY
-@JSON
-def rollback(
-    file: Path, version: int, expect: int | None, wait: float, by: str | None, as_json: bool
-) -> None:
+@publish_options
+def rollback(file: Path, version: int, options: PublishOptions) -> None:
     """Publish the body of an older VERSION as a new one. Exit as `publish`; 1 where VERSION is not kept."""
-    servers = _servers(file)
-    _publish(servers, _body(servers, version, as_json), expect, by, wait, as_json)
+    servers = _read_servers(file)
+    _publish(servers, _get_body(servers, version, options.as_json), options)
 
 
 def _check_against(text: str, against: Path) -> None:
-    """As that dispatcher will. Raises ConfigError."""
+    """Check a body as the dispatcher with that configuration will. Raises ConfigError with the key."""
     try:
         own = json.loads(against.read_text(encoding="utf-8"))
     except (OSError, ValueError) as error:
-        raise ConfigError(f"{against}: {error}") from None
-    briefing = parse_config(apply_overlay(own, read_body(text)), os.environ)
-    missing = first_missing_key({key: value for key, value in own.items() if key != "known"}, briefing.told)
+        message = f"{against}: {error}"
+        raise ConfigError(message) from error
+    new = parse_config(apply_overlay(own, read_body(text)), os.environ)
+    missing = first_missing_key({key: value for key, value in own.items() if key != "known"}, new.told)
     if missing is not None:
-        raise ConfigError(f"{missing} is missing: {against} has it")
+        message = f"{missing} is missing: {against} has it"
+        raise ConfigError(message)
 
 
-def _publish(
-    servers: ConfigServers, text: str, expect: int | None, by: str | None, wait: float, as_json: bool
-) -> NoReturn:
+def _publish(servers: ConfigServers, text: str, options: PublishOptions) -> None:
+    author = options.by or _user_name()
     try:
-        told = publish_body(servers, text, expect, by or _user(), FIRST_ANSWER)
-        if told["done"] and wait > 0:
-            found = wait_for(servers, told["version"], wait)
-            told |= {"fleet": found._asdict(), "in_force": not found.behind and not found.refused}
+        reply = publish_body(servers, text, options.expect, author, PUBLISH_TIMEOUT)
+        fleet = None
+        if reply.accepted and options.wait > 0:
+            fleet = wait_until_applied(servers, reply.version, options.wait)
     except NoServerAvailableError as error:
-        _end(error, as_json)
-    if as_json:
-        click.echo(json.dumps(told))
-    else:
-        click.echo(f"version {told['version']}" if told["done"] else f"not done: {told['why']}")
-        if told["done"] and told["why"]:
-            click.echo(told["why"])
-        if "fleet" in told:
-            _say_fleet(found)
-    if told.get("bad"):
-        sys.exit(2)
-    sys.exit(0 if told["done"] and told.get("in_force", True) else NOT_DONE)
+        exit_without_server(error, options.as_json)
+    exit_with_publish_reply(reply, fleet, options.as_json)
 
 
-def _user() -> str:
+def _user_name() -> str:
     try:
         return getpass.getuser()
     except (KeyError, OSError):
         return f"uid {os.getuid()}"
 
 
-# ---- Looking ----
+# ---- Queries ----
 
 
 @config.command()
 @FILE
 @JSON
 def status(file: Path, as_json: bool) -> None:
-    """What each server says of itself, and which dispatchers have the latest version in force.
+    """The state of each server, and which dispatchers have applied the latest version.
 
-    Exit 0: all that are connected have it. 1: some have not. 3: no server answers.
+    Exit 0: all that are connected have applied it. 1: some have not. 3: no server answers.
     """
-    servers = _servers(file)
-    told = ask_all(servers, {"ask": "status"})
-    rows = [
-        {"name": name, "role": "no answer", "why": str(answer)} if isinstance(answer, Exception) else answer
-        for name, answer in told.items()
-    ]
+    servers = _read_servers(file)
+    rows = [_status_row(reply) for reply in ask_all(servers, {"ask": "status"})]
     try:
-        found = fleet(servers)
+        fleet = fleet_status(servers)
     except NoServerAvailableError as error:
         if not as_json:
-            print_rows(rows, False)
-        _end(error, as_json)
+            print_rows(rows, as_json=False)
+        exit_without_server(error, as_json)
     if as_json:
-        click.echo(json.dumps({"servers": rows, "fleet": found._asdict()}, indent=2))
+        click.echo(json.dumps({"servers": rows, "fleet": msgspec.to_builtins(fleet)}, indent=2))
     else:
-        keys = ("name", "role", "why", "version", "fresh", "watchers", "watchers_behind")
-        print_rows([{key: row[key] for key in keys if key in row} for row in rows], False)
-        _say_fleet(found)
-    sys.exit(NOT_DONE if found.behind or found.refused else 0)
+        print_rows([{key: row[key] for key in STATUS_KEYS if key in row} for row in rows], as_json=False)
+        print_fleet(fleet)
+    sys.exit(0 if fleet.is_applied_everywhere() else EXIT_NOT_DONE)
 
 
-def _say_fleet(found: Fleet) -> None:
-    click.echo(f"version {found.version}: in force at {len(found.in_force)} of {found.connected()} connected")
-    if found.unheard:
-        click.echo(f"no answer from {', '.join(found.unheard)}: who watches there is not known")
-    if found.behind:
-        click.echo(f"behind: {_some(found.behind)}")
-    for name, why in sorted(found.refused.items())[:MOST_NAMES]:
-        click.echo(f"refused at {name}: {why}")
-    if len(found.refused) > MOST_NAMES:
-        click.echo(f"refused at {len(found.refused) - MOST_NAMES} more")
-    if found.away:
-        click.echo(f"not connected: {_some([f'{n} ({s:.0f} s)' for n, s in found.away.items()])}")
-
-
-def _some(names: list[str]) -> str:
-    more = f" and {len(names) - MOST_NAMES} more" if len(names) > MOST_NAMES else ""
-    return ", ".join(names[:MOST_NAMES]) + more
+def _status_row(reply: ServerReply) -> Mapping[str, Any]:
+    if reply.error is not None:
+        return {"name": reply.server, "role": "no answer", "why": str(reply.error)}
+    row: Mapping[str, Any] = reply.reply
+    return row
 
 
 @config.command()
@@ -228,10 +210,14 @@
 def history(file: Path, as_json: bool) -> None:
     """The versions that are kept, the latest last."""
     try:
-        rows = versions(_servers(file))
+        versions = list_versions(_read_servers(file))
     except NoServerAvailableError as error:
-        _end(error, as_json)
-    print_rows([{"version": n, "digest": digest, "by": by, "id": i} for n, digest, by, i in rows], as_json)
+        exit_without_server(error, as_json)
+    rows = [
+        {"version": version.number, "digest": version.digest, "by": version.author, "id": version.request_id}
+        for version in versions
+    ]
+    print_rows(rows, as_json)
 
 
 @config.command()
@@ -240,7 +226,7 @@
 @JSON
 def show(file: Path, version: int | None, as_json: bool) -> None:
     """The body of VERSION, or of the latest one. Exit 1 where it is not kept."""
-    body = _body(_servers(file), version or 0, as_json)
+    body = _get_body(_read_servers(file), version or 0, as_json)
     click.echo(json.dumps(json.loads(body), indent=2) if as_json else body)
 
 
@@ -249,32 +235,33 @@
 @click.argument("old", type=click.IntRange(1), required=False)
 @click.argument("new", type=click.IntRange(1), required=False)
 def diff(file: Path, old: int | None, new: int | None) -> None:
-    """What differs from version OLD (the one before the latest) to NEW (the latest).
+    """The differences from version OLD (the one before the latest) to NEW (the latest).
 
     Exit 1 where one of them is not kept.
     """
-    servers = _servers(file)
+    servers = _read_servers(file)
     if old is None:
         try:
-            rows = versions(servers)
+            versions = list_versions(servers)
         except NoServerAvailableError as error:
-            _end(error, False)
-        old = rows[-2][0] if len(rows) > 1 else 1
-    before, after = (
-        json.dumps(json.loads(_body(servers, number, False)), indent=2, sort_keys=True).splitlines()
-        for number in (old, new or 0)
-    )
-    told = difflib.unified_diff(before, after, f"version {old}", f"version {new or 'latest'}", lineterm="")
-    click.echo("\n".join(told))
-
-
-def _body(servers: ConfigServers, version: int, as_json: bool) -> str:
-    """Ends the call where no server has it."""
+            exit_without_server(error, as_json=False)
+        old = versions[-2].number if len(versions) > 1 else 1
+    before, after = (_sorted_lines(_get_body(servers, number, as_json=False)) for number in (old, new or 0))
+    names = (f"version {old}", f"version {new or 'latest'}")
+    click.echo("\n".join(difflib.unified_diff(before, after, *names, lineterm="")))
+
+
+def _sorted_lines(body: str) -> list[str]:
+    return json.dumps(json.loads(body), indent=2, sort_keys=True).splitlines()
+
+
+def _get_body(servers: ConfigServers, version: int, as_json: bool) -> str:
+    """The body of a version, 0: the latest; ends the call where no server has it."""
     try:
-        found: dict[str, Any] = body_of(servers, version)
+        found = get_version(servers, version)
     except NoServerAvailableError as error:
-        _end(error, as_json)
-    if not found["n"]:
+        exit_without_server(error, as_json)
+    if not found.number:
         click.echo(f"ploverspoke: version {version or 'any'} is not kept", err=True)
-        sys.exit(NOT_DONE)
-    return str(found["body"])
+        sys.exit(EXIT_NOT_DONE)
+    return found.body
--- a/ploverspoke/config_distribution/dynamic_config.py
+++ b/ploverspoke/config_distribution/dynamic_config.py
@@ -1,16 +1,17 @@
-"""The dispatcher with a watch: the program of `service/service.py`, its configuration laid over by versions.
+"""The dispatcher with a watch: the service of `service/service.py`, its configuration overlaid by versions.
 
-What is in force is the dispatcher's own file with the last version laid on that passed the same checks as a
-file does. Where none did, or no server was ever heard, the file alone.
+The active configuration is the dispatcher's own file with the last version applied that passed the checks of
+a file. Where none did, or no server was ever heard, it is the file alone.
 """
 
 import asyncio
 import gc
 import os
 from collections.abc import Callable, Mapping
+from dataclasses import dataclass
 from functools import partial
 from pathlib import Path
-from typing import Any
+from typing import NamedTuple
 
 import uvloop
 
@@ -24,158 +25,166 @@
 from ploverspoke.service.startup import block_signals
 from ploverspoke.transport.rate_limited_log import log_line
 
-from .client import WatchClient, read_cache
+from .cache import read_cache
+from .client import WatchClient
 from .cluster_config import WatchConfig, read_watch_config
-from .messages import LONGEST_NAME, is_name
+from .errors import VersionRejectedError
+from .messages import MAX_NAME_CHARACTERS, NO_VERSION, VerifiedVersion, is_watcher_name
 from .overlay import apply_overlay, read_body
-from .watcher import NOTHING, AppliedVersion
+from .state_machine import short_digest
 
 
-def merge_config(own: Any, body: str, environment: Mapping[str, str]) -> Config:
-    """A dispatcher's own configuration with a version's body laid on ("": none). Raises ConfigError."""
-    return parse_config(apply_overlay(own, read_body(body)) if body else own, environment)
+@dataclass
+class OwnConfig:
+    """A dispatcher's own configuration, without any version."""
 
+    document: object  # the JSON document
+    environment: Mapping[str, str]
+    reread: Callable[[], object]  # the document as it is now, at SIGHUP; raises ConfigError
 
-def without_list(own: Mapping[str, Any]) -> dict[str, Any]:
-    """A configuration without the list of workers, as a briefing keeps it."""
-    return {key: value for key, value in own.items() if key != "known"}
+    def with_body(self, body: str) -> Config:
+        """The configuration with a version's body applied; empty: alone. Raises ConfigError."""
+        document = apply_overlay(self.document, read_body(body)) if body else self.document
+        return parse_config(document, self.environment)
 
 
-def initial_config(
-    own: Any, orders: WatchConfig, environment: Mapping[str, str]
-) -> tuple[Config, AppliedVersion]:
-    """At start: the file with the version of the cache, or the file alone, and it is said. Raises
-    ConfigError."""
-    alone = merge_config(own, "", environment)
-    taken, why = read_cache(orders)
-    if taken is not NOTHING:
+def read_own_config(environment: Mapping[str, str]) -> OwnConfig:
+    """The own configuration of the dispatcher with this environment. Raises ConfigError."""
+    reread = partial(read_config_document, environment)
+    return OwnConfig(reread(), environment, reread)
+
+
+class InitialConfig(NamedTuple):
+    """What a dispatcher begins with."""
+
+    config: Config
+    applied: VerifiedVersion  # from the cache, or NO_VERSION
+
+
+def initial_config(own: OwnConfig, watch_config: WatchConfig) -> InitialConfig:
+    """The own configuration with the cached version, or alone; which one is logged. Raises ConfigError."""
+    own_alone = own.with_body("")
+    cached = read_cache(watch_config)
+    version, problem = cached.version, cached.problem
+    if version != NO_VERSION:
         try:
-            briefing = merge_config(own, taken.body, environment)
-            log_line(f"config: version {taken.number} in force ({taken.digest.hex()[:16]}), from the cache")
-            return briefing, taken
+            config = own.with_body(version.body)
         except ValueError as error:
-            why = f"version {taken.number}: {error}"
-    log_line(
-        f"config: no version in force, the file alone{': the cache is of no use: ' + why if why else ''}"
-    )
-    return alone, NOTHING
+            problem = f"version {version.number}: {error}"
+        else:
+            digest = short_digest(version.digest)
+            log_line(f"config: version {version.number} applied ({digest}), from the cache")
+            return InitialConfig(config, version)
+    suffix = f": the cache is unusable: {problem}" if problem else ""
+    log_line(f"config: no version applied, own configuration alone{suffix}")
+    return InitialConfig(own_alone, NO_VERSION)
 
 
 class VersionApplier:
-    """Lays versions on one service's own configuration."""
-
-    def __init__(
-        self,
-        service: Service,
-        own: Any,
-        read_own: Callable[[], Any],
-        taken: AppliedVersion,
-        environment: Mapping[str, str],
-    ) -> None:
+    """Applies versions to the configuration of one running service."""
+
+    def __init__(self, service: Service, own: OwnConfig, applied: VerifiedVersion) -> None:
+        """`service` was started with `applied` on its own configuration."""
         self.service = service
         self.own = own
-        self.read_own = read_own
-        self.body = taken.body
-        self.environment = environment
+        self.body = applied.body
+
+    def apply(self, version: VerifiedVersion) -> None:
+        """Make a version active. A rejected one changes nothing.
 
-    def take(self, number: int, body: str) -> str:
-        """Why it is not in force, or "": then it is. A refused one changes nothing.
+        A key of the dispatcher's own file may not be missing. One that only an earlier version has brought
+        may: otherwise no version that has added a key could be rolled back.
 
-        What the file has may not be missing. What only an earlier version has brought may: else none could
-        be rolled back that has added a key.
+        Raises VersionRejectedError with the key at fault.
         """
         service, before = self.service, self.service.briefing
         try:
-            new = merge_config(self.own, body, self.environment)
-            service.briefing = before._replace(told=without_list(self.own))
+            new = self.own.with_body(version.body)
+            service.briefing = before._replace(told=without_known_workers(self.own.document))
             service.take_configuration(new)
-        except Exception as error:
+        except ValueError as error:
+            service.briefing = before
+            raise VersionRejectedError(version.number, str(error)) from error
+        except Exception:
             service.briefing = before
-            if isinstance(error, ValueError):
-                return str(error)
             raise
         service.briefing = service.briefing._replace(told=new.told)
-        self.body = body
-        return ""
-
-    def read(self) -> Config:
-        """At SIGHUP: the file again, the version in force laid on. Raises ConfigError."""
-        own = self.read_own()
-        briefing = merge_config(own, self.body, self.environment)
-        missing = first_missing_key(self.service.briefing.told, briefing.told)
+        self.body = version.body
+
+    def reread(self) -> Config:
+        """At SIGHUP: the own configuration as it is now, with the active version. Raises ConfigError."""
+        document = self.own.reread()
+        config = OwnConfig(document, self.own.environment, self.own.reread).with_body(self.body)
+        missing = first_missing_key(self.service.briefing.told, config.told)
         if missing is not None:
-            raise ConfigError(f"{missing} is missing: the configuration in force has it")
-        self.own = own  # only what will be taken: the versions after it rest on it
-        return briefing
+            message = f"{missing} is missing: the active configuration has it"
+            raise ConfigError(message)
+        self.own.document = document  # only one that passed the checks: later versions are applied to it
+        return config
 
 
-def attach(
+def without_known_workers(document: object) -> dict[str, object]:
+    """A configuration document without its list of workers, as a running service keeps it."""
+    assert isinstance(document, Mapping)  # its checks are passed
+    return {key: value for key, value in document.items() if key != "known"}
+
+
+def attach_watch(
     service: Service,
-    orders: WatchConfig,
-    own: Any,
-    *,
-    read_own: Callable[[], Any] | None = None,
-    taken: AppliedVersion = NOTHING,
+    watch_config: WatchConfig,
+    own: OwnConfig,
+    applied: VerifiedVersion = NO_VERSION,
     seed: int | None = None,
-    environment: Mapping[str, str] | None = None,
-    begin: bool = True,
 ) -> WatchClient:
-    """Watches for a service that was built from `own` with `taken` laid on. Nothing is global: many may live
-    in one loop, each with a cache of its own.
+    """A watch for a service that was built from `own` with `applied`; it is still to be started.
+
+    Nothing is global: many may live in one loop, each with a cache of its own. `seed` is that of the watch's
+    random numbers; None: the system's.
 
-    `read_own` gives its configuration anew at SIGHUP; by default it stays what it was. `seed` is of the
-    watch's chance.
+    Raises ConfigError where the service's name is not fit for a watcher.
     """
-    if not is_name(service.briefing.name):
-        raise ConfigError(
-            f"name is {service.briefing.name!r}: config servers expect 1 to {LONGEST_NAME} characters"
-        )
-    read = read_own if read_own is not None else lambda: own
-    laying = VersionApplier(service, own, read, taken, environment if environment is not None else {})
-    client = WatchClient(service.loop, orders, service.briefing.name, laying.take, taken, seed)
-    service.read = laying.read
-    service.operators.calls["config"] = partial(answer, client)
-    if begin:
-        client.begin()
+    name = service.briefing.name
+    if not is_watcher_name(name):
+        message = f"name is {name!r}: config servers expect 1 to {MAX_NAME_CHARACTERS} characters"
+        raise ConfigError(message)
+    applier = VersionApplier(service, own, applied)
+    client = WatchClient(service.loop, watch_config, name, applier.apply, applied, seed)
+    service.read = applier.reread
+    service.operators.calls["config"] = partial(admin_reply, client)
     return client
 
 
-def answer(client: WatchClient) -> bytes:
-    """To `config` at the operators' door."""
-    watch = client.watch
-    if watch.reason:
-        return admin.said_no(f"version {watch.came.number} refused: {watch.reason}")
-    lines = [admin.figure(key, value) for key, value in client.figures().items()]
-    return admin.said_yes(f"version {watch.in_force} in force") + admin.figures(lines)[len("+OK\n") :]
+def admin_reply(client: WatchClient) -> bytes:
+    """The reply to the call `config` at the admin port: the version and the metrics, or the rejection."""
+    versions = client.watcher.versions
+    if versions.rejection:
+        return admin.said_no(f"version {versions.received.number} rejected: {versions.rejection}")
+    lines = [admin.figure(name, value) for name, value in client.metrics()._asdict().items()]
+    metrics = admin.figures(lines).removeprefix(b"+OK\n")
+    return admin.said_yes(f"version {versions.applied_version} applied") + metrics
 
 
 def _run(watch_file: Path) -> None:
-    orders = read_watch_config(watch_file)
-    own = read_config_document(os.environ)
-    briefing, taken = initial_config(own, orders, os.environ)
+    watch_config = read_watch_config(watch_file)
+    own = read_own_config(os.environ)
+    config, applied = initial_config(own, watch_config)
     loop = uvloop.new_event_loop()
     asyncio.set_event_loop(loop)
-    service = Service(loop, briefing)
+    service = Service(loop, config)
     service.listening = inherited_socket(os.environ)
     if service.listening is not None:
         service.neighbours = ProcessRegistry(os.environ.get("TMPDIR"))
-    client = attach(
-        service,
-        orders,
-        own,
-        read_own=partial(read_config_document, os.environ),
-        taken=taken,
-        environment=os.environ,
-        begin=False,
-    )
-    service.on_ready = client.begin
+    client = attach_watch(service, watch_config, own, applied)
+    service.on_ready = client.start
     gc.collect()
     gc.freeze()
-    loop.run_until_complete(service.run())
-    client.close()
+    try:
+        loop.run_until_complete(service.run())
+    finally:
+        client.close()
 
 
 def main(watch_file: Path) -> int:
-    """Exit 0: told to end. 2: the configuration or the watch's file cannot be used; says why."""
+    """Run the dispatcher until SIGTERM. Exit 2: its configuration or `watch_file` is wrong; it says why."""
     block_signals()
     return run_with_exit_code(partial(_run, watch_file))
--- a/ploverspoke/config_distribution/messages.py
+++ b/ploverspoke/config_distribution/messages.py
@@ -1,166 +1,263 @@
-"""What config servers and watchers send one another, read and checked. Without I/O.
+"""The messages of config servers and watchers: their wire form, read and checked. Without I/O.
 
-A parcel carries one version: as a delta, zlib with the body that the watcher has as its dictionary, or whole
-where that is not known. Nothing of it is believed before the digest of the unpacked body is right.
+This module is the only one that knows the keys and words of the wire (docs/distribution.md). A version
+travels as a delta, zlib with the watcher's present body as its dictionary, or whole where that body is not
+known. Nothing of it is used before the digest of the unpacked body is right.
+
+Texts of `MessageRejectedError` that a server raises go to the watcher: their bytes are part of the wire.
 """
 
 import zlib
 from collections.abc import Mapping
-from typing import Any, NamedTuple, TypeGuard
+from dataclasses import dataclass
+from typing import Any, NamedTuple, TypeAlias, TypeGuard
 
-from .overlay import LONGEST_BODY
-from .state_machine import DIGEST, Version, digest_of
+import msgspec
 
-FORMAT = 1  # of parcels and of what is said around them
-LONGEST_NAME = 128
-LONGEST_REASON = 300
-MOST_NUMBER = 1 << 53
-WINDOW = 15  # zlib's largest: of a longer dictionary the last 32 KiB serve
+from .errors import MessageRejectedError
+from .overlay import MAX_BODY_BYTES
+from .state_machine import DIGEST_BYTES, Version, digest_of
 
-Message = dict[str, Any]
+WIRE_FORMAT = 1  # of messages that carry versions, and of greetings
+MAX_NAME_CHARACTERS = 128
+MAX_REASON_CHARACTERS = 300
+NUMBER_LIMIT = 1 << 53  # numbers of versions are below it
+ZLIB_WINDOW_BITS = 15  # zlib's largest: of a longer dictionary the last 32 KiB serve
+ZLIB_LEVEL = 6
 
+# Reasons of rejections.
+NOT_FROM_SERVER = "not what a server says"
+NOT_FROM_WATCHER = "not what a watcher says"
+INVALID_VERSION_MESSAGE = "a version message that is none"
+INVALID_HEARTBEAT = "a heartbeat that is none"
+INVALID_STATUS_NUMBER = "what a watcher has is no number"
+INVALID_STATUS_REASON = "a reason that is none"
+INVALID_STATUS_DIGEST = "a digest that is none"
+GREETING_WITHOUT_NAME = "a greeting without a name"
 
-class VersionRejectedError(ValueError):
-    """A message that is not taken; says why."""
 
+class WatchStatus(msgspec.Struct, frozen=True, tag="have", tag_field="k", omit_defaults=True):
+    """What a watcher reports of itself."""
 
-class WatchStatus(NamedTuple):
-    """What a watcher says of itself."""
+    received_version: int = msgspec.field(name="n")  # the latest that arrived intact; 0: none
+    received_digest: bytes = msgspec.field(name="d")  # empty where none arrived
+    applied_version: int = msgspec.field(name="f")  # 0: none
+    rejection: str = msgspec.field(name="w")  # why the received version is not applied; empty where it is
+    lowest_rejected: int = msgspec.field(name="r")  # since the applied one was applied; 0: none
+    wants_full_body: bool = msgspec.field(name="all", default=False)  # it cannot use a delta
 
-    number: int  # the latest version that came to it unharmed; 0: none
-    digest: bytes
-    in_force: int
-    reason: str  # why `number` is not in force; "" where it is
-    whole: bool  # it wants no delta
-    refused: int = 0  # the lowest version that it has refused since it had `in_force`; 0: none
-
-    def message(self) -> Message:
-        told: Message = {"k": "have", "n": self.number, "d": self.digest, "f": self.in_force}
-        told |= {"w": self.reason, "r": self.refused}
-        return told | {"all": True} if self.whole else told
-
-
-class Heartbeat(NamedTuple):
-    """What a server says once a second: its latest version, and whether it has heard of a leader lately."""
-
-    number: int
-    fresh: bool
-
-    def message(self) -> Message:
-        return {"k": "beat", "n": self.number, "l": self.fresh}
-
-
-# ---- Parcels ----
-
-
-def pack(cluster: str, version: Version, base: str | None) -> Message:
-    """`base` is the body that the watcher has; None: send it whole."""
-    packer = (
-        zlib.compressobj(6, zlib.DEFLATED, WINDOW)
-        if base is None
-        else zlib.compressobj(6, zlib.DEFLATED, WINDOW, zdict=base.encode())
-    )
-    data = packer.compress(version.body.encode()) + packer.flush()
-    return {
-        "k": "push",
-        "v": FORMAT,
-        "c": cluster,
-        "n": version.number,
-        "d": version.digest,
-        "b": None if base is None else digest_of(base),
-        "z": data,
-    }
-
-
-def unpack(message: Message, cluster: str, base: str) -> tuple[int, bytes, str]:
-    """Number, digest and body of a parcel; `base` is the body that we have. Raises VersionRejectedError."""
-    if message.get("v") != FORMAT:
-        raise VersionRejectedError(f"format version {message.get('v')!r:.20}, this release reads {FORMAT}")
-    if message.get("c") != cluster:
-        raise VersionRejectedError(f"it is of cluster {message.get('c')!r:.60}, not of {cluster!r}")
-    number, digest, data = message.get("n"), message.get("d"), message.get("z")
-    if not is_number(number) or not number or not _is_digest(digest) or not isinstance(data, bytes):
-        raise VersionRejectedError("a parcel that is none")
-    wants = message.get("b")
-    if wants is not None and wants != digest_of(base):
-        raise VersionRejectedError(f"version {number} rests on a body that is not ours")
-    unpacker = (
-        zlib.decompressobj(WINDOW) if wants is None else zlib.decompressobj(WINDOW, zdict=base.encode())
-    )
-    try:
-        told = unpacker.decompress(data, LONGEST_BODY + 1)
-        if len(told) > LONGEST_BODY:
-            raise VersionRejectedError(f"version {number} is over {LONGEST_BODY} bytes")
-        body = told.decode()
-    except (zlib.error, UnicodeDecodeError) as error:
-        raise VersionRejectedError(f"version {number} cannot be unpacked: {error}"[:LONGEST_REASON]) from None
-    if not unpacker.eof or unpacker.unused_data:
-        raise VersionRejectedError(f"version {number} is cut off, or has something behind it")
-    if digest_of(body) != digest:
-        raise VersionRejectedError(f"version {number} has the wrong digest")
-    return number, digest, body
 
+class Heartbeat(msgspec.Struct, frozen=True, tag="beat", tag_field="k"):
+    """What a server sends once a second."""
 
-# ---- Checks ----
+    latest_version: int = msgspec.field(name="n")  # 0: none
+    has_recent_leader: bool = msgspec.field(name="l")  # it leads, or heard from a leader lately
 
 
-def is_number(value: Any) -> TypeGuard[int]:
-    return isinstance(value, int) and not isinstance(value, bool) and 0 <= value < MOST_NUMBER
+class VersionMessage(msgspec.Struct, frozen=True, tag="push", tag_field="k"):
+    """A version, from a server to a watcher."""
 
+    format: int = msgspec.field(name="v")
+    cluster: str = msgspec.field(name="c")
+    version: int = msgspec.field(name="n")
+    digest: bytes = msgspec.field(name="d")  # of the unpacked body
+    base_digest: bytes | None = msgspec.field(name="b")  # of the dictionary; None: the body is whole
+    compressed_body: bytes = msgspec.field(name="z")
 
-def _is_digest(value: Any) -> TypeGuard[bytes]:
-    return isinstance(value, bytes) and len(value) == DIGEST
 
+class WatchElsewhere(msgspec.Struct, frozen=True, tag="elsewhere", tag_field="k"):
+    """The server has its full number of watchers; it closes the connection."""
 
-def printable(text: str) -> str:
-    """For a log line or an operators' answer, whatever came."""
-    return text.encode("unicode_escape").decode("ascii")[:LONGEST_REASON]
+
+class WatchRejected(msgspec.Struct, frozen=True, tag="refused", tag_field="k"):
+    """The server does not serve this watcher; it closes the connection."""
+
+    reason: str = msgspec.field(name="w")
 
 
-def is_name(value: Any) -> TypeGuard[str]:
-    """Whether a dispatcher may be called so."""
-    return isinstance(value, str) and 0 < len(value) <= LONGEST_NAME and value.isprintable()
+ServerMessage: TypeAlias = Heartbeat | VersionMessage | WatchElsewhere | WatchRejected
 
 
-def read_watch_status(message: Any) -> WatchStatus:
-    """Raises VersionRejectedError."""
+class VerifiedVersion(NamedTuple):
+    """A version whose format, cluster, number and digest were checked."""
+
+    number: int  # 0: no version
+    digest: bytes
+    body: str
+
+
+NO_VERSION = VerifiedVersion(0, b"", "")
+
+
+# ---- Versions on the wire ----
+
+
+def pack_version(cluster: str, version: Version, base_body: str | None) -> VersionMessage:
+    """The message of a version; `base_body` is the watcher's present body, None: send the body whole."""
+    if base_body is None:
+        compressor = zlib.compressobj(ZLIB_LEVEL, zlib.DEFLATED, ZLIB_WINDOW_BITS)
+    else:
+        dictionary = base_body.encode()
+        compressor = zlib.compressobj(ZLIB_LEVEL, zlib.DEFLATED, ZLIB_WINDOW_BITS, zdict=dictionary)
+    compressed = compressor.compress(version.body.encode()) + compressor.flush()
+    base_digest = None if base_body is None else digest_of(base_body)
+    return VersionMessage(WIRE_FORMAT, cluster, version.number, version.digest, base_digest, compressed)
+
+
+@dataclass(frozen=True)
+class UnverifiedVersion:
+    """A version message as it arrived, with any value in any field."""
+
+    format: object
+    cluster: object
+    version: object
+    digest: object
+    base_digest: object
+    compressed_body: object
+
+    def claimed_number(self) -> int | None:
+        """The number that the message gives, to pass over an old one without unpacking it; None: unclear."""
+        return self.version if isinstance(self.version, int) and self.format else None
+
+    def verify(self, cluster: str, base_body: str) -> VerifiedVersion:
+        """Check and unpack the version; `base_body` is the watcher's present body.
+
+        Raises MessageRejectedError.
+        """
+        number, digest, compressed = self._checked_fields(cluster)
+        if self.base_digest is not None and self.base_digest != digest_of(base_body):
+            reason = f"version {number} rests on a body that is not ours"
+            raise MessageRejectedError(reason)
+        body = _unpack(number, compressed, base_body if self.base_digest is not None else None)
+        if digest_of(body) != digest:
+            reason = f"version {number} has the wrong digest"
+            raise MessageRejectedError(reason)
+        return VerifiedVersion(number, digest, body)
+
+    def _checked_fields(self, cluster: str) -> tuple[int, bytes, bytes]:
+        if self.format != WIRE_FORMAT:
+            reason = f"format version {self.format!r:.20}, this release reads {WIRE_FORMAT}"
+            raise MessageRejectedError(reason)
+        if self.cluster != cluster:
+            reason = f"it is of cluster {self.cluster!r:.60}, not of {cluster!r}"
+            raise MessageRejectedError(reason)
+        number, digest, compressed = self.version, self.digest, self.compressed_body
+        if (
+            not is_version_number(number)
+            or not number
+            or not _is_digest(digest)
+            or not isinstance(compressed, bytes)
+        ):
+            raise MessageRejectedError(INVALID_VERSION_MESSAGE)
+        return number, digest, compressed
+
+
+def _unpack(number: int, compressed: bytes, dictionary: str | None) -> str:
+    if dictionary is None:
+        decompressor = zlib.decompressobj(ZLIB_WINDOW_BITS)
+    else:
+        decompressor = zlib.decompressobj(ZLIB_WINDOW_BITS, zdict=dictionary.encode())
+    try:
+        unpacked = decompressor.decompress(compressed, MAX_BODY_BYTES + 1)
+        body = unpacked.decode() if len(unpacked) <= MAX_BODY_BYTES else ""
+    except (zlib.error, UnicodeDecodeError) as error:
+        reason = f"version {number} cannot be unpacked: {error}"
+        raise MessageRejectedError(reason[:MAX_REASON_CHARACTERS]) from error
+    if len(unpacked) > MAX_BODY_BYTES:
+        reason = f"version {number} is over {MAX_BODY_BYTES} bytes"
+        raise MessageRejectedError(reason)
+    if not decompressor.eof or decompressor.unused_data:
+        reason = f"version {number} is cut off, or has something behind it"
+        raise MessageRejectedError(reason)
+    return body
+
+
+# ---- Reading messages ----
+
+
+def read_server_message(
+    message: object,
+) -> Heartbeat | UnverifiedVersion | WatchElsewhere | WatchRejected:
+    """A decoded message of a server. Raises MessageRejectedError."""
+    if isinstance(message, dict):
+        kind = message.get("k")
+        if kind == "beat":
+            return _read_heartbeat(message)
+        if kind == "push":
+            return UnverifiedVersion(*(message.get(key) for key in ("v", "c", "n", "d", "b", "z")))
+        if kind == "elsewhere":
+            return WatchElsewhere()
+        if kind == "refused":
+            return WatchRejected(str(message.get("w")))
+    raise MessageRejectedError(NOT_FROM_SERVER)
+
+
+def _read_heartbeat(message: Mapping[str, object]) -> Heartbeat:
+    number, has_recent_leader = message.get("n"), message.get("l")
+    if not is_version_number(number) or not isinstance(has_recent_leader, bool):
+        raise MessageRejectedError(INVALID_HEARTBEAT)
+    return Heartbeat(number, has_recent_leader)
+
+
+def read_watch_status(message: object) -> WatchStatus:
+    """A decoded message of a watcher. Raises MessageRejectedError."""
     if not isinstance(message, dict) or message.get("k") != "have":
-        raise VersionRejectedError("not what a watcher says")
-    number, digest, in_force = message.get("n"), message.get("d"), message.get("f")
-    reason, refused, whole = message.get("w"), message.get("r"), message.get("all", False)
-    if not is_number(number) or not is_number(in_force) or not is_number(refused):
-        raise VersionRejectedError("what a watcher has is no number")
+        raise MessageRejectedError(NOT_FROM_WATCHER)
+    received, digest, applied = message.get("n"), message.get("d"), message.get("f")
+    reason, lowest_rejected = message.get("w"), message.get("r")
+    if (
+        not is_version_number(received)
+        or not is_version_number(applied)
+        or not is_version_number(lowest_rejected)
+    ):
+        raise MessageRejectedError(INVALID_STATUS_NUMBER)
     if not isinstance(reason, str):
-        raise VersionRejectedError("a reason that is none")
-    if not isinstance(digest, bytes) or len(digest) not in (0, DIGEST):
-        raise VersionRejectedError("a digest that is none")
-    return WatchStatus(number, digest, in_force, printable(reason), whole is True, refused)
-
-
-def read_heartbeat(message: Message) -> Heartbeat:
-    """Raises VersionRejectedError."""
-    number, fresh = message.get("n"), message.get("l")
-    if not is_number(number) or not isinstance(fresh, bool):
-        raise VersionRejectedError("a heartbeat that is none")
-    return Heartbeat(number, fresh)
-
-
-def greeting(name: str, cluster: str) -> Message:
-    """A watcher's, beside what all frames greet with."""
-    return {"id": name, "store": "", "watch": FORMAT, "cluster": cluster}
-
-
-def read_greeting(other: Mapping[str, Any], cluster: str) -> str:
-    """The name of who watches. Raises VersionRejectedError."""
-    name, told = other.get("id"), other.get("watch")
-    if not is_name(name):
-        raise VersionRejectedError("a greeting without a name")
-    if told != FORMAT:
-        raise VersionRejectedError(
-            f"{name} speaks format version {told!r}, this release {FORMAT}"[:LONGEST_REASON]
-        )
-    if other.get("cluster") != cluster:
-        raise VersionRejectedError(
-            f"{name} watches cluster {other.get('cluster')!r}, not {cluster!r}"[:LONGEST_REASON]
-        )
+        raise MessageRejectedError(INVALID_STATUS_REASON)
+    if not isinstance(digest, bytes) or len(digest) not in (0, DIGEST_BYTES):
+        raise MessageRejectedError(INVALID_STATUS_DIGEST)
+    wants_full_body = message.get("all", False) is True
+    return WatchStatus(received, digest, applied, printable(reason), lowest_rejected, wants_full_body)
+
+
+# ---- Greetings ----
+
+
+def watcher_greeting(name: str, cluster: str) -> dict[str, Any]:
+    """What a watcher adds to the greeting of its connection."""
+    return {"id": name, "store": "", "watch": WIRE_FORMAT, "cluster": cluster}
+
+
+def read_watcher_greeting(greeting: Mapping[str, Any], cluster: str) -> str:
+    """The name of the watcher that greets. Raises MessageRejectedError."""
+    name, wire_format = greeting.get("id"), greeting.get("watch")
+    if not is_watcher_name(name):
+        raise MessageRejectedError(GREETING_WITHOUT_NAME)
+    if wire_format != WIRE_FORMAT:
+        reason = f"{name} speaks format version {wire_format!r}, this release {WIRE_FORMAT}"
+        raise MessageRejectedError(reason[:MAX_REASON_CHARACTERS])
+    if greeting.get("cluster") != cluster:
+        reason = f"{name} watches cluster {greeting.get('cluster')!r}, not {cluster!r}"
+        raise MessageRejectedError(reason[:MAX_REASON_CHARACTERS])
     return name
+
+
+# ---- Checks of values ----
+
+
+def is_version_number(value: object) -> TypeGuard[int]:
+    """Whether a value may be the number of a version, 0 for none."""
+    return isinstance(value, int) and not isinstance(value, bool) and 0 <= value < NUMBER_LIMIT
+
+
+def is_watcher_name(value: object) -> TypeGuard[str]:
+    """Whether a dispatcher may have this name."""
+    return isinstance(value, str) and 0 < len(value) <= MAX_NAME_CHARACTERS and value.isprintable()
+
+
+def printable(text: str) -> str:
+    """A text of the other side, escaped and cut for a log line or a reply to operators."""
+    return text.encode("unicode_escape").decode("ascii")[:MAX_REASON_CHARACTERS]
+
+
+def _is_digest(value: object) -> TypeGuard[bytes]:
+    return isinstance(value, bytes) and len(value) == DIGEST_BYTES
--- a/ploverspoke/config_distribution/overlay.py
+++ b/ploverspoke/config_distribution/overlay.py
@@ -1,62 +1,55 @@
-"""What a version says: an overlay of the configuration that every dispatcher lays on its own file.
+"""The body of a version: an overlay that every dispatcher lays on its own configuration.
 
-A body is a JSON object with `settings` and `discovery` for all, and with `zones` for those of one zone, each
-laid on by JSON merge patch (RFC 7386). It is whole: it says nothing about the version before it.
+A body is a JSON object with `settings` and `discovery` for all dispatchers, and with `zones` for those of one
+zone, each applied as a JSON merge patch (RFC 7386). It is complete: it does not depend on earlier versions.
+
+Errors of this module reach operators through the replies of servers, so their texts are part of the wire.
 """
 
 import json
 from collections.abc import Mapping
-from typing import Any
+from typing import NoReturn, TypeAlias
 
 from ploverspoke.service.config_reader import ConfigError
 
 SETTINGS, DISCOVERY, ZONES = "settings", "discovery", "zones"
 PARTS = (SETTINGS, DISCOVERY)
-OWN_SETTINGS = ("SlotNo", "Zone")  # which dispatcher it is: never the same for two
-LONGEST_BODY = 1 << 20  # bytes
-DEEPEST = 32
+IDENTITY_SETTINGS = ("SlotNo", "Zone")  # which dispatcher it is: never the same for two
+MAX_BODY_BYTES = 1 << 20
+MAX_DEPTH = 32
+MAX_ERROR_CHARACTERS = 200
+WHOLE_BODY = "the body"  # in place of a key
 
+JsonObject: TypeAlias = dict[str, object]
 
-def read_body(text: str) -> dict[str, Any]:
-    """A body, its structure checked: what it may speak of, not whether its values are good. Raises
-    ConfigError."""
-    if len(text.encode("utf-8", "surrogatepass")) > LONGEST_BODY:
-        raise ConfigError(f"the body: expected {LONGEST_BODY} bytes at the most")
-    try:
-        body = json.loads(text, parse_constant=_no_number, object_pairs_hook=_once_each)
-        text.encode()
-    except ConfigError:
-        raise
-    except (ValueError, RecursionError) as error:
-        raise ConfigError(f"the body is no JSON: {error}"[:200]) from None
-    if not isinstance(body, dict):
-        raise ConfigError("the body: expected an object")
+
+def read_body(text: str) -> JsonObject:
+    """A body whose structure is checked; whether its values are good only a dispatcher's own checks tell.
+
+    Raises ConfigError with the key.
+    """
+    if len(text.encode("utf-8", "surrogatepass")) > MAX_BODY_BYTES:
+        raise _error(WHOLE_BODY, f"expected {MAX_BODY_BYTES} bytes at the most")
+    body = _parse(text)
     for key in body:
         if key not in (*PARTS, ZONES):
-            raise ConfigError(
-                f"{key}: a dispatcher's own, expected settings, discovery and zones alone"[:200]
-            )
+            raise _error(key, "a dispatcher's own, expected settings, discovery and zones alone")
     _check_parts({key: value for key, value in body.items() if key in PARTS}, "")
     zones = body.get(ZONES, {})
     if not isinstance(zones, dict):
-        raise ConfigError("zones: expected an object")
-    for name, parts in zones.items():
-        if not isinstance(parts, dict):
-            raise ConfigError(f"zones.{name}: expected an object"[:200])
-        for key in parts:
-            if key not in PARTS:
-                raise ConfigError(f"zones.{name}.{key}: expected settings and discovery alone"[:200])
-        _check_parts(parts, f"zones.{name}.")
+        raise _error(ZONES, "expected an object")
+    for zone, parts in zones.items():
+        _check_zone(zone, parts)
     return body
 
 
-def canonical(body: Mapping[str, Any]) -> str:
+def canonical_json(document: Mapping[str, object]) -> str:
     """The same text for the same values, however they were written."""
-    return json.dumps(body, sort_keys=True, separators=(",", ":"))
+    return json.dumps(document, sort_keys=True, separators=(",", ":"))
 
 
-def merge_patch(target: Any, patch: Any) -> Any:
-    """RFC 7386, section 2: objects are laid into one another, null takes a key away, all else replaces."""
+def merge_patch(target: object, patch: object) -> object:
+    """RFC 7386, section 2: objects are merged, null removes a key, all else replaces."""
     if not isinstance(patch, dict):
         return patch
     merged = dict(target) if isinstance(target, Mapping) else {}
@@ -68,59 +61,96 @@
     return merged
 
 
-def apply_overlay(own: Any, body: Mapping[str, Any]) -> Any:
-    """A dispatcher's own configuration with a body laid on; the common part first, then that of its zone."""
+def apply_overlay(own: object, body: JsonObject) -> object:
+    """A dispatcher's own configuration with a body applied: the common part first, then that of its zone."""
     if not isinstance(own, Mapping):
-        return own  # `parse_config` says what is wrong with it
-    laid = merge_patch(own, {key: body[key] for key in PARTS if key in body})
-    parts = body.get(ZONES, {}).get(zone_of(laid))
-    return laid if parts is None else merge_patch(laid, parts)
+        return own  # `parse_config` reports what is wrong with it
+    patched = merge_patch(own, {key: body[key] for key in PARTS if key in body})
+    zones = body.get(ZONES)
+    parts = zones.get(zone_of(patched)) if isinstance(zones, dict) else None
+    return patched if parts is None else merge_patch(patched, parts)
 
 
-def zone_of(configuration: Mapping[str, Any]) -> str | None:
+def zone_of(configuration: object) -> str | None:
     """The name of the zone that a dispatcher is in; None where it has none."""
-    settings = configuration.get("settings")
+    settings = configuration.get(SETTINGS) if isinstance(configuration, Mapping) else None
     if not isinstance(settings, Mapping):
         return None
-    names, number = settings.get("Localities"), settings.get("Zone", 0)
-    if not isinstance(names, list) or not isinstance(number, int) or not 0 <= number < len(names):
+    zone_names, number = settings.get("Localities"), settings.get("Zone", 0)
+    if not isinstance(zone_names, list) or not isinstance(number, int) or not 0 <= number < len(zone_names):
         return None
-    return names[number] if isinstance(names[number], str) else None
+    return zone_names[number] if isinstance(zone_names[number], str) else None
+
+
+# ---- Checks ----
 
 
-def _check_parts(parts: Mapping[str, Any], path: str) -> None:
-    if not isinstance(parts.get(SETTINGS, {}), dict):
-        raise ConfigError(f"{path}settings: expected an object")
-    if not isinstance(parts.get(DISCOVERY, ""), str):
-        raise ConfigError(f"{path}discovery: expected a text")
-    for key in OWN_SETTINGS:
-        if key in parts.get(SETTINGS, {}):
-            raise ConfigError(f"{path}settings.{key}: a dispatcher's own, no version may set it")
-    _check_depth(parts, path.rstrip(".") or "the body")
+def _error(key: str, problem: str) -> ConfigError:
+    return ConfigError(f"{key}: {problem}"[:MAX_ERROR_CHARACTERS])
 
 
-def _check_depth(value: Any, path: str) -> None:
-    level, depth = [value], 0
+def _parse(text: str) -> JsonObject:
+    try:
+        body = json.loads(text, parse_constant=_reject_constant, object_pairs_hook=_unique_keys)
+        text.encode()
+    except ConfigError:
+        raise
+    except (ValueError, RecursionError) as error:
+        message = f"the body is no JSON: {error}"
+        raise ConfigError(message[:MAX_ERROR_CHARACTERS]) from error
+    if not isinstance(body, dict):
+        raise _error(WHOLE_BODY, "expected an object")
+    return body
+
+
+def _check_zone(zone: str, parts: object) -> None:
+    if not isinstance(parts, dict):
+        raise _error(f"zones.{zone}", "expected an object")
+    for key in parts:
+        if key not in PARTS:
+            raise _error(f"zones.{zone}.{key}", "expected settings and discovery alone")
+    _check_parts(parts, f"zones.{zone}.")
+
+
+def _check_parts(parts: JsonObject, path: str) -> None:
+    settings = parts.get(SETTINGS, {})
+    problem = ""
+    if not isinstance(settings, dict):
+        problem = "settings: expected an object"
+    elif not isinstance(parts.get(DISCOVERY, ""), str):
+        problem = "discovery: expected a text"
+    else:
+        identity = next((key for key in IDENTITY_SETTINGS if key in settings), None)
+        if identity is not None:
+            problem = f"settings.{identity}: a dispatcher's own, no version may set it"
+    if problem:
+        raise ConfigError(path + problem)
+    _check_depth(parts, path.rstrip(".") or WHOLE_BODY)
+
+
+def _check_depth(document: object, path: str) -> None:
+    level, depth = [document], 0
     while level:
         depth += 1
-        if depth > DEEPEST:
-            raise ConfigError(f"{path}: expected {DEEPEST} levels at the most"[:200])
-        level = [
-            inner
-            for one in level
-            if isinstance(one, dict | list)
-            for inner in (one.values() if isinstance(one, dict) else one)
-        ]
+        if depth > MAX_DEPTH:
+            raise _error(path, f"expected {MAX_DEPTH} levels at the most")
+        level = [child for value in level for child in _children(value)]
+
+
+def _children(value: object) -> list[object]:
+    if isinstance(value, dict):
+        return list(value.values())
+    return value if isinstance(value, list) else []
 
 
-def _once_each(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+def _unique_keys(pairs: list[tuple[str, object]]) -> JsonObject:
     found = dict(pairs)
     if len(found) < len(pairs):
         keys = [key for key, _ in pairs]
-        twice = next(key for key in keys if keys.count(key) > 1)
-        raise ConfigError(f"{twice}: twice in one object"[:200])
+        repeated = next(key for key in keys if keys.count(key) > 1)
+        raise _error(repeated, "twice in one object")
     return found
 
 
-def _no_number(name: str) -> Any:
-    raise ConfigError(f"the body: {name} is no number of JSON")
+def _reject_constant(name: str) -> NoReturn:
+    raise _error(WHOLE_BODY, f"{name} is no number of JSON")
--- a/ploverspoke/config_distribution/server.py
+++ b/ploverspoke/config_distribution/server.py
@@ -6,7 +6,8 @@
 from ploverspoke.consensus.framing import FrameCodec, FrameError
 from ploverspoke.transport.rate_limited_log import log_line
 
-from .messages import Message, VersionRejectedError, read_greeting, read_watch_status
+from .errors import MessageRejectedError
+from .messages import ServerMessage, WatchElsewhere, WatchRejected, read_watch_status, read_watcher_greeting
 from .server_node import ConfigServerNode
 
 BACKLOG = 1024
@@ -42,22 +43,22 @@
         try:
             messages = self.frames.decode(data)
             if self.frames.peer_greeting is not None and not self.name:
-                self.name = read_greeting(self.frames.peer_greeting, self.door.node.orders.cluster)
-                self.write(self.door.node.feed.beat())
+                self.name = read_watcher_greeting(self.frames.peer_greeting, self.door.node.orders.cluster)
+                self.write(self.door.node.feed.heartbeat())
             for message in messages:
                 self.door.said(self, message)
-        except VersionRejectedError as error:
+        except MessageRejectedError as error:
             self.door.refused += 1
-            log_line(f"config: a message is refused: {error}")
+            log_line(f"config: message rejected: {error}")
             if self.frames.peer_greeting is not None:
-                self.write({"k": "refused", "w": str(error)})
+                self.write(WatchRejected(str(error)))
             self.end()
         except (FrameError, KeyError, TypeError, ValueError) as error:
             self.door.refused += 1
-            log_line(f"config: a message is refused: {error}")
+            log_line(f"config: message rejected: {error}")
             self.close()
 
-    def write(self, message: Message) -> int:
+    def write(self, message: ServerMessage) -> int:
         """The bytes that it took; 0 where nothing went."""
         if self.transport is None or self.transport.is_closing():
             return 0
@@ -111,8 +112,8 @@
         have, name = read_watch_status(message), connection.name
         feed = self.node.feed
         if not connection.watches:
-            if not feed.has_room_for(name):
-                connection.write({"k": "elsewhere"})
+            if not feed.has_capacity_for(name):
+                connection.write(WatchElsewhere())
                 connection.end()
                 return
             connection.watches = True
@@ -121,22 +122,22 @@
             old = self.watching.get(name)
             self.watching[name] = connection
             if old is not None:
-                feed.gone(name)
+                feed.on_disconnected(name)
                 log_line(f"config: {name} came again, its older connection is closed")
                 old.close()
         if self.watching.get(name) is connection:
-            feed.said(name, have)
+            feed.on_watch_status(name, have)
             self.node.feed_again()
 
     def lost(self, connection: WatcherConnection) -> None:
         self.all.discard(connection)
         if self.watching.get(connection.name) is connection:
             del self.watching[connection.name]
-            self.node.feed.gone(connection.name)
+            self.node.feed.on_disconnected(connection.name)
 
     # ---- What the feed does ----
 
-    def send(self, name: str, message: Message) -> int:
+    def send(self, name: str, message: ServerMessage) -> int:
         connection = self.watching.get(name)
         return connection.write(message) if connection is not None else 0
 
--- a/ploverspoke/config_distribution/server_node.py
+++ b/ploverspoke/config_distribution/server_node.py
@@ -11,16 +11,17 @@
 from ploverspoke.service.config_reader import ConfigError
 from ploverspoke.transport.rate_limited_log import log_line
 
-from .broadcaster import NEVER, VersionBroadcaster
+from .admin_messages import VersionReply, read_publish_request
+from .broadcaster import VersionBroadcaster
+from .clock_units import NEVER
 from .cluster_config import ConfigServerConfig
-from .messages import Message, is_number
-from .overlay import canonical, read_body
-from .state_machine import ConfigStateMachine, Version, digest_of, publish_command
+from .messages import ServerMessage
+from .overlay import canonical_json, read_body
+from .state_machine import ConfigStateMachine, PublishCommand, Version, digest_of, short_digest
 
 COMMITTED = "committed version"  # on this replica's disk, beside the log
 FRESH_ELECTIONS = 3  # without a word of a leader for so many election time-outs a replica says so
 LEAST_FRESH = 800_000_000  # ns
-LONGEST_TEXT = 200  # of who publishes, and of a request's id
 
 
 class ConfigServerNode(ReplicaNode):
@@ -28,8 +29,8 @@
         self.versions = ConfigStateMachine()
         super().__init__(orders.replica, self.versions, disk)
         replica = orders.replica
-        self.feed = VersionBroadcaster(self, replica.cluster, orders.most_watchers, orders.bytes_a_second)
-        self.send_watcher: Callable[[str, Message], int] = lambda name, message: 0
+        self.feed = VersionBroadcaster(self, replica.cluster, orders.max_watchers, orders.bytes_per_second)
+        self.send_watcher: Callable[[str, ServerMessage], int] = lambda name, message: 0
         self.drop_watcher: Callable[[str, str], None] = lambda name, why: None
         self.fresh_for = max(LEAST_FRESH, FRESH_ELECTIONS * replica.election)
         self.feeding: asyncio.TimerHandle | None = None
@@ -43,16 +44,16 @@
         if kept is not None:
             version = Version(*kept)
             self.kept_number = version.number
-            self.feed.offer(version)
+            self.feed.add_version(version)
             self.feed_again()
 
     def _committed(self, version: Version) -> None:
-        self.feed.offer(version)
+        self.feed.add_version(version)
         if version.number > self.kept_number and version is self.versions.latest():
             self.kept_number = version.number
             v = version
-            self.keep(COMMITTED, [v.number, v.body, v.digest, v.canonical, v.by, v.id])
-            log_line(f"config: version {version.number} is committed ({version.says()})")
+            self.keep(COMMITTED, [v.number, v.body, v.digest, v.canonical_digest, v.author, v.request_id])
+            log_line(f"config: version {version.number} is committed ({short_digest(version.digest)})")
         self.feed_again()
 
     # ---- The feed's host ----
@@ -60,7 +61,7 @@
     def now(self) -> int:
         return self.clock.monotonic()
 
-    def is_fresh(self) -> bool:
+    def has_recent_leader(self) -> bool:
         replica = self.replica
         if replica is None:
             return False
@@ -68,15 +69,15 @@
             return replica.leads()
         return bool(replica.raft.leader) and self.now() - replica.raft.heard_leader_at < self.fresh_for
 
-    def send(self, name: str, message: Message) -> int:
+    def send(self, name: str, message: ServerMessage) -> int:
         return self.send_watcher(name, message)
 
-    def drop(self, name: str, why: str) -> None:
-        self.drop_watcher(name, why)
+    def disconnect(self, name: str, reason: str) -> None:
+        self.drop_watcher(name, reason)
 
     def feed_again(self) -> None:
         """See when the feed wants time next."""
-        at = self.feed.next_wake
+        at = self.feed.next_tick
         if self.closed or at >= self.feeding_at:
             return
         if self.feeding is not None:
@@ -95,15 +96,15 @@
     def status_of_state(self) -> dict[str, Any]:
         feed = self.feed
         return {
-            "version": feed.latest.number if feed.latest is not None else 0,
-            "fresh": self.is_fresh(),
+            "version": feed.latest_number(),
+            "fresh": self.has_recent_leader(),
             "watchers": len(feed.watchers),
-            "watchers_behind": len(feed.behind),
-            "pushes": feed.pushes,
-            "whole_pushes": feed.whole_pushes,
-            "pushed_bytes": feed.pushed_bytes,
-            "silent": feed.silent,
-            "sent_elsewhere": feed.sent_elsewhere,
+            "watchers_behind": len(feed.watchers_behind),
+            "pushes": feed.counters.versions_sent,
+            "whole_pushes": feed.counters.whole_versions_sent,
+            "pushed_bytes": feed.counters.version_bytes_sent,
+            "silent": feed.counters.silent_watchers,
+            "sent_elsewhere": feed.counters.watchers_sent_elsewhere,
         }
 
     def asked_of_state(self, question: dict[str, Any], reply: Reply) -> bool:
@@ -111,12 +112,15 @@
         if verb == "publish":
             self._publish(question, reply)
         elif verb == "versions":
-            reply(self.versions.rows())
+            reply(self.versions.version_rows())
         elif verb == "version":
             found = self.versions.get(question["n"]) if question.get("n") else self.versions.latest()
-            reply({"n": found.number, "body": found.body, "by": found.by} if found is not None else {"n": 0})
+            version = VersionReply(0)
+            if found is not None:
+                version = VersionReply(found.number, found.body, found.author)
+            reply(version)
         elif verb == "watchers":
-            reply(self.feed.rows())
+            reply(self.feed.watcher_rows())
         else:
             return False
         return True
@@ -127,22 +131,25 @@
             reply({"done": False, "version": 0, "why": "this server does not lead", "leader": self._leader()})
             return
         try:
-            body, expect, by, request = checked_request(question)
-            same = digest_of(canonical(read_body(body)))
+            asked = read_publish_request(question)
+            canonical_digest = digest_of(canonical_json(read_body(asked.body)))
         except ConfigError as error:
-            refusal = {"done": False, "version": self.versions.number(), "why": str(error), "bad": True}
+            latest = self.versions.latest_number()
+            refusal = {"done": False, "version": latest, "why": str(error), "bad": True}
             reply(refusal)
             return
 
         def told(yes: bool) -> None:
-            answer = self.versions.answers.get(request)
+            answer = self.versions.results.get(asked.request_id)
             if answer is not None:
-                reply({"done": answer.done, "version": answer.version, "why": answer.why})
+                reply({"done": answer.accepted, "version": answer.version, "why": answer.reason})
             else:
                 why = "it is not known whether this was committed; ask again with the same id"
                 reply({"done": False, "version": 0, "why": why, "unknown": True})
 
-        command = publish_command(body, same, expect, by, request)
+        command = PublishCommand(
+            asked.body, canonical_digest, asked.expected_version, asked.author, asked.request_id
+        ).encode()
         self.propose(cast(list[Any], command), told)  # bytes, so that consensus bounds its messages by them
 
     def _leader(self) -> str:
@@ -154,17 +161,3 @@
         if self.feeding is not None:
             self.feeding.cancel()
         await super().close()
-
-
-def checked_request(question: dict[str, Any]) -> tuple[str, int, str, str]:
-    """Body, expected version, by whom, and id of a publish request. Raises ConfigError."""
-    body, expect = question.get("body"), question.get("expect")
-    by, request = question.get("by"), question.get("id")
-    if not isinstance(body, str):
-        raise ConfigError("body: expected a text")
-    if not is_number(expect):
-        raise ConfigError("expect: expected the number of the version that is to be replaced, 0 for none")
-    for key, value in (("by", by), ("id", request)):
-        if not isinstance(value, str) or not 0 < len(value) <= LONGEST_TEXT:
-            raise ConfigError(f"{key}: expected a text of 1 to {LONGEST_TEXT} characters")
-    return body, expect, str(by), str(request)
--- a/ploverspoke/config_distribution/state_machine.py
+++ b/ploverspoke/config_distribution/state_machine.py
@@ -1,124 +1,173 @@
-"""What config servers agree on: the versions in their order, and the answer to each publish request.
+"""The replicated state of config servers: the versions in order, and the result of each publish request.
 
-State of the log, without I/O. A command is bytes of msgpack, a list with its verb first; applying one never
-fails, and what no longer fits changes nothing but is answered so.
+State of the consensus log, without I/O. A command is msgpack, a list that begins with its name. Applying a
+command never fails: a publish request that no longer fits changes nothing, and its result says so.
 """
 
 from collections.abc import Callable, Sequence
 from hashlib import blake2b
-from typing import Any
 
 import msgspec
 
-FORMAT = 1
-KEPT = 64  # versions
-KEPT_BYTES = 4 * 1024 * 1024  # of their bodies together, the latest left out
-ANSWERS_KEPT = 4096  # of publish requests
-DIGEST = 16  # bytes
-
-PUBLISH = "publish"  # body, its canonical digest, the version that is expected, by whom, id of the request
+SNAPSHOT_FORMAT = 1
+MAX_VERSIONS = 64  # kept, the latest among them
+MAX_VERSION_BYTES = 4 * 1024 * 1024  # of the bodies kept beside the latest
+MAX_RESULTS = 4096  # of publish requests that are remembered
+DIGEST_BYTES = 16
+SHORT_DIGEST_CHARACTERS = 16
 
 
 def digest_of(body: str) -> bytes:
-    return blake2b(body.encode(), digest_size=DIGEST).digest()
+    """BLAKE2b of the UTF-8 text, 16 bytes."""
+    return blake2b(body.encode(), digest_size=DIGEST_BYTES).digest()
+
+
+def short_digest(digest: bytes) -> str:
+    """A digest as log lines show it."""
+    return digest.hex()[:SHORT_DIGEST_CHARACTERS]
 
 
 class Version(msgspec.Struct, array_like=True, frozen=True):
-    number: int
+    """One committed version of the configuration."""
+
+    number: int  # counted from 1
     body: str
     digest: bytes  # of the body as it was published
-    canonical: bytes  # of the same values, however they were written
-    by: str
-    id: str  # of the request that published it
+    canonical_digest: bytes  # of the canonical JSON: equal for bodies with the same values
+    author: str
+    request_id: str  # of the request that published it
+
+
+class VersionRow(msgspec.Struct, array_like=True, frozen=True):
+    """A version without its body, as tools list it."""
+
+    number: int
+    digest: str  # hexadecimal
+    author: str
+    request_id: str
+
 
-    def says(self) -> str:
-        """The digest as log lines show it."""
-        return self.digest.hex()[:16]
+class PublishResult(msgspec.Struct, array_like=True, frozen=True):
+    """The result of one publish request; a repeated request gets the same one."""
 
+    accepted: bool
+    version: int  # the one it made, or the latest where it made none
+    reason: str  # why it made none; empty where it made one
 
-class Answer(msgspec.Struct, array_like=True, frozen=True):
-    """To one publish request, for good."""
 
-    done: bool
-    version: int  # that it made; that which is in force where it made none
-    why: str
+class PublishCommand(msgspec.Struct, array_like=True, frozen=True, tag="publish"):
+    """The log entry of one publish request."""
+
+    body: str
+    canonical_digest: bytes
+    expected_version: int  # the latest version that its author has seen; 0: none
+    author: str
+    request_id: str
+
+    def encode(self) -> bytes:
+        """The bytes of the log entry."""
+        return msgspec.msgpack.encode(self)
 
 
 class ConfigSnapshot(msgspec.Struct, array_like=True):
+    """The whole state, as snapshots hold it."""
+
     format: int
-    versions: list[Version]
-    answers: dict[str, Answer]
+    versions: list[Version]  # the latest last
+    results: dict[str, PublishResult]  # by request id, the oldest first
+
 
+class _CommandHeader(msgspec.Struct, array_like=True):
+    """The first element of a command of any kind."""
 
-def surplus(versions: Sequence[Version]) -> int:
-    """How many of the oldest are over what is kept; the latest and the one before it never are."""
+    name: str
+
+
+def excess_versions(versions: Sequence[Version]) -> int:
+    """How many of the oldest versions are over the limits; the latest two are always kept."""
     count, size = 0, sum(len(version.body) for version in versions[:-1])
-    while len(versions) - count > 2 and (len(versions) - count > KEPT or size > KEPT_BYTES):
+    while len(versions) - count > 2 and (len(versions) - count > MAX_VERSIONS or size > MAX_VERSION_BYTES):
         size -= len(versions[count].body)
         count += 1
     return count
 
 
-def publish_command(body: str, same: bytes, expect: int, by: str, request: str) -> bytes:
-    return msgspec.msgpack.encode([PUBLISH, body, same, expect, by, request])
-
-
 class ConfigStateMachine:
     """The state of the config servers' log."""
 
     def __init__(self) -> None:
-        self.kept: list[Version] = []  # the latest last
-        self.answers: dict[str, Answer] = {}  # the oldest first
+        """An empty state; `on_version` is called with each version that is committed or restored."""
+        self.versions: list[Version] = []  # the latest last
+        self.results: dict[str, PublishResult] = {}  # by request id, the oldest first
         self.on_version: Callable[[Version], None] = lambda version: None
 
-    # ---- The state of the log ----
+    # ---- The replicated log ----
 
     def apply(self, index: int, command: bytes) -> None:
-        verb, *what = msgspec.msgpack.decode(command)
-        if verb == PUBLISH:
-            self._publish(*what)
-        # A verb that a later release knows changes nothing here.
+        """Apply a committed log entry; a command that only a later release knows changes nothing."""
+        if msgspec.msgpack.decode(command, type=_CommandHeader).name == "publish":
+            self._publish(msgspec.msgpack.decode(command, type=PublishCommand))
 
     def dump(self) -> bytes:
-        return msgspec.msgpack.encode(ConfigSnapshot(FORMAT, self.kept, self.answers))
+        """The whole state, for a snapshot."""
+        return msgspec.msgpack.encode(ConfigSnapshot(SNAPSHOT_FORMAT, self.versions, self.results))
 
     def load(self, data: bytes) -> None:
-        dump = msgspec.msgpack.decode(data, type=ConfigSnapshot) if data else ConfigSnapshot(FORMAT, [], {})
-        self.kept, self.answers = dump.versions, dump.answers
-        for version in self.kept:
+        """Replace the state by that of a snapshot; empty: begin with no versions."""
+        snapshot = ConfigSnapshot(SNAPSHOT_FORMAT, [], {})
+        if data:
+            snapshot = msgspec.msgpack.decode(data, type=ConfigSnapshot)
+        self.versions, self.results = snapshot.versions, snapshot.results
+        for version in self.versions:
             self.on_version(version)
 
-    # ---- What is asked ----
+    # ---- Queries ----
 
     def latest(self) -> Version | None:
-        return self.kept[-1] if self.kept else None
+        """The latest version; None where none was published."""
+        return self.versions[-1] if self.versions else None
 
-    def number(self) -> int:
-        """Of the latest; 0 where there is none."""
-        return self.kept[-1].number if self.kept else 0
+    def latest_number(self) -> int:
+        """The number of the latest version; 0 where none was published."""
+        return self.versions[-1].number if self.versions else 0
 
     def get(self, number: int) -> Version | None:
-        return next((version for version in self.kept if version.number == number), None)
-
-    def rows(self) -> list[list[Any]]:
-        return [[v.number, v.digest.hex(), v.by, v.id] for v in self.kept]
-
-    # ---- Verbs ----
-
-    def _publish(self, body: str, same: bytes, expect: int, by: str, request: str) -> None:
-        if request in self.answers:
-            return  # asked again after a lost answer
-        present, latest = self.number(), self.latest()
-        if latest is not None and latest.canonical == same:
-            answer = Answer(True, present, f"version {present} says the same")
-        elif expect != present:
-            answer = Answer(False, present, f"version {present} is in force, and {expect} was expected")
-        else:
-            version = Version(present + 1, body, digest_of(body), same, by, request)
-            self.kept.append(version)
-            del self.kept[: surplus(self.kept)]
-            answer = Answer(True, version.number, "")
-            self.on_version(version)
-        self.answers[request] = answer
-        while len(self.answers) > ANSWERS_KEPT:
-            del self.answers[next(iter(self.answers))]
+        """The version of that number; None where it is not kept."""
+        return next((version for version in self.versions if version.number == number), None)
+
+    def version_rows(self) -> list[VersionRow]:
+        """All kept versions without their bodies, the latest last."""
+        return [
+            VersionRow(version.number, version.digest.hex(), version.author, version.request_id)
+            for version in self.versions
+        ]
+
+    # ---- Commands ----
+
+    def _publish(self, command: PublishCommand) -> None:
+        if command.request_id in self.results:
+            return  # repeated after a lost reply
+        self.results[command.request_id] = self._publish_result(command)
+        while len(self.results) > MAX_RESULTS:
+            del self.results[next(iter(self.results))]
+
+    def _publish_result(self, command: PublishCommand) -> PublishResult:
+        # The reasons are part of the replicated state: every release writes the same bytes.
+        latest, number = self.latest(), self.latest_number()
+        if latest is not None and latest.canonical_digest == command.canonical_digest:
+            return PublishResult(True, number, f"version {number} says the same")
+        if command.expected_version != number:
+            reason = f"version {number} is in force, and {command.expected_version} was expected"
+            return PublishResult(False, number, reason)
+        version = Version(
+            number + 1,
+            command.body,
+            digest_of(command.body),
+            command.canonical_digest,
+            command.author,
+            command.request_id,
+        )
+        self.versions.append(version)
+        del self.versions[: excess_versions(self.versions)]
+        self.on_version(version)
+        return PublishResult(True, version.number, "")
--- a/ploverspoke/config_distribution/watcher.py
+++ b/ploverspoke/config_distribution/watcher.py
@@ -1,351 +1,248 @@
-"""A watcher of config servers, without I/O: which server it hears, and which versions it takes.
+"""A watcher of config servers, without I/O: which server it watches, and which versions it applies.
 
-It has one server. Where that one is silent it goes to the next; where that one lives and is cut off from
-whoever leads, or is a far one, it keeps it and tries another beside it, and changes only to one that is
-better. So a region that is cut off keeps its watches and nobody goes to and fro.
-"""
-
-from typing import Any, NamedTuple, Protocol
+It watches one server. Where that one is silent it goes to the next. Where that one lives but is cut off from
+the leader, or is a remote one, it keeps the connection, tries another server beside it, and changes only to
+a better one. So a region that is cut off keeps its watches, and nobody changes to and fro.
 
-from .messages import Message, VersionRejectedError, WatchStatus, printable, read_heartbeat, unpack
+Times are nanoseconds of a monotonic clock.
+"""
 
-MILLISECOND = 1_000_000
-SECOND = 1000 * MILLISECOND
-DIAL_WITHIN = SECOND  # until the server has greeted
-SILENCE = 2500 * MILLISECOND  # two heartbeats are lost, and half of one
-SAY_EVERY = 4 * SECOND
-STALE_FOR = 2 * SECOND  # a server without a leader is borne for an election
-FIRST_DELAY = 250 * MILLISECOND  # the most, by chance: where a server dies all that watched it go elsewhere
-NEXT_DELAY = 100 * MILLISECOND  # the most, to the next one of the first round
-LATER_DELAY = 400 * MILLISECOND  # and of a later one: all servers were away, and all watchers look for them
-ROUND_DELAY = SECOND  # the most, when all were tried; twice as much after each round
-LONGEST_DELAY = 3 * SECOND
-LIVED = 5 * SECOND  # a connection that lasted so long was none of the failures
-TRIAL_DELAY = 500 * MILLISECOND  # between two trials of another server; twice as much after each
-LONGEST_TRIAL_DELAY = 16 * SECOND
-NEARER_EVERY = 30 * SECOND  # a watcher of a far one tries a near one
-NEVER = 1 << 62
+from collections.abc import Sequence
+from typing import Protocol
+
+from .clock_units import NEVER, SECOND
+from .errors import MessageRejectedError
+from .messages import (
+    NO_VERSION,
+    NOT_FROM_SERVER,
+    Heartbeat,
+    UnverifiedVersion,
+    VerifiedVersion,
+    WatchElsewhere,
+    WatchRejected,
+    WatchStatus,
+    printable,
+    read_server_message,
+)
+from .server_link import NO_HEARTBEAT, ServerLink
+from .server_selection import LOCAL_TRIAL_INTERVAL, ServerSelector
+from .version_receiver import VersionReceiver, WatcherCounters
+
+STATUS_INTERVAL = 4 * SECOND
+UNHEALTHY_GRACE = 2 * SECOND  # a server without a leader is kept for as long as an election may take
+STABLE_AFTER = 5 * SECOND  # a connection that lasted as long counts as no failed attempt
 
 
 class ConfigWatcherEnvironment(Protocol):
+    """What a watcher needs of its driver."""
+
     def now(self) -> int:
-        """ns of a monotonic clock."""
+        """The monotonic clock, ns."""
 
-    def fraction(self) -> float:
-        """By chance, from 0 and under 1."""
+    def random_fraction(self) -> float:
+        """A random number, 0 <= x < 1."""
 
-    def dial(self, link: int, where: str) -> None:
-        """`greeted` or `lost` is to be told of it later, not from in here."""
+    def dial(self, link_id: int, address: str) -> None:
+        """Connect; reported later by `on_greeting` or `on_disconnected`, not during this call."""
 
-    def hang_up(self, link: int) -> None:
-        """Nothing is told of that one any more."""
+    def hang_up(self, link_id: int) -> None:
+        """Close a connection; nothing of it is reported any more."""
 
-    def send(self, link: int, message: Message) -> None: ...
+    def send(self, link_id: int, status: WatchStatus) -> None:
+        """Send to the server of that connection."""
 
-    def take(self, number: int, digest: bytes, body: str) -> str:
-        """Check a version and put it in force; why not, or "" where it is. A ValueError is a reason, too."""
+    def apply_version(self, version: VerifiedVersion) -> None:
+        """Check a version and make it active. Raises VersionRejectedError, or any error of a check."""
 
     def log(self, line: str) -> None:
-        """For whoever reads the log."""
-
-
-class AppliedVersion(NamedTuple):
-    """A version that came unharmed."""
-
-    number: int
-    digest: bytes
-    body: str
-
-
-NOTHING = AppliedVersion(0, b"", "")
-
-
-class Link:
-    """A connection to one server."""
-
-    def __init__(self, number: int, where: str, now: int) -> None:
-        self.number = number
-        self.where = where
-        self.dialled_at = now
-        self.greeted_at = 0  # 0: not yet
-        self.heard_at = now
-        self.server_has = -1  # version; -1: no heartbeat yet
-        self.good = True  # it hears a leader, and is not behind what we have
-        self.good_at = now
-
-    def is_late(self, now: int) -> bool:
-        if not self.greeted_at:
-            return now - self.dialled_at > DIAL_WITHIN
-        return now - self.heard_at > SILENCE
-
-    def late_at(self) -> int:
-        return self.heard_at + SILENCE + 1 if self.greeted_at else self.dialled_at + DIAL_WITHIN + 1
+        """Write a line to the log."""
 
 
 class ConfigWatcher:
+    """The decisions of one watcher; a driver calls it on each event and at `next_tick`."""
+
     def __init__(
         self,
-        host: ConfigWatcherEnvironment,
+        environment: ConfigWatcherEnvironment,
         cluster: str,
         servers: list[str],
-        near: list[str],
-        taken: AppliedVersion = NOTHING,
+        local_servers: Sequence[str],
+        applied: VerifiedVersion = NO_VERSION,
     ) -> None:
-        """`taken` is what is in force at the start, from a cache."""
-        self.host = host
-        self.cluster = cluster
-        self.servers = servers
-        self.near = set(near)
-        self.came = taken  # the latest that came unharmed
-        self.in_force = taken.number
-        self.reason = ""  # why what came is not in force
-        self.refused = 0  # the lowest that was refused since; the server gives what is between, if any
-        self.wants_whole = False
-        self.link: Link | None = None
-        self.trial: Link | None = None
-        self.links = 0
-        self.round: list[str] = []  # servers still to be tried in this one
-        self.rounds = 0  # that failed whole
+        """`applied` is the version that is active at the start, from a cache."""
+        self.environment = environment
+        self.servers = ServerSelector(servers, local_servers, environment.random_fraction)
+        self.counters = WatcherCounters()
+        self.versions = VersionReceiver(environment, cluster, applied, self.counters)
+        self.link: ServerLink | None = None  # to the server that is watched
+        self.trial_link: ServerLink | None = None  # to another one, to see whether it is better
+        self.links_dialed = 0
         self.next_dial = NEVER
-        self.next_say = NEVER
+        self.next_status = NEVER
         self.next_trial = 0
-        self.trials = 0  # in a row that changed nothing
-        self.trial_round: list[str] = []  # servers still to be tried beside the one that we have
-        self.taken_versions = self.refused_versions = self.refused_messages = self.changes = 0
 
-    # ---- What can happen ----
+    # ---- Events ----
 
-    def begin(self) -> None:
-        self.next_dial = self.host.now() + self._part_of(FIRST_DELAY)
+    def start(self) -> None:
+        """Begin to look for a server."""
+        self.next_dial = self.environment.now() + self.servers.first_delay()
 
-    def greeted(self, number: int) -> None:
-        """A server has answered in the shared secret."""
-        now, link = self.host.now(), self._link(number)
+    def on_greeting(self, link_id: int) -> None:
+        """A server has answered with the shared secret."""
+        now, link = self.environment.now(), self._find_link(link_id)
         if link is None:
             return
-        link.greeted_at = link.heard_at = link.good_at = now
+        link.on_greeting(now)
         if link is self.link:
-            self._say(now)
+            self._send_status(now)
 
-    def lost(self, number: int) -> None:
-        """A connection could not be had, or is over."""
-        link = self._link(number)
+    def on_disconnected(self, link_id: int) -> None:
+        """An attempt to connect failed, or a connection ended."""
+        link = self._find_link(link_id)
         if link is not None:
-            self._drop(link, self.host.now())
+            self._drop(link, self.environment.now())
 
-    def told(self, number: int, message: Any) -> None:
-        """What a server says. One that breaks the rules is left, and changes nothing."""
-        now, link = self.host.now(), self._link(number)
+    def on_message(self, link_id: int, message: object) -> None:
+        """A decoded message of a server; a server that breaks the protocol is left and changes nothing."""
+        now, link = self.environment.now(), self._find_link(link_id)
         if link is None:
             return
         link.heard_at = now
         try:
-            kind = message.get("k") if isinstance(message, dict) else None
-            if kind == "beat":
-                self._beat(link, message, now)
-            elif kind == "push" and link is self.link:
-                self._push(message, now)
-            elif kind == "elsewhere":
-                self._leave(link, now)
-            elif kind == "refused":
-                raise VersionRejectedError(printable(f"the server refuses us: {message.get('w')}"))
-            else:
-                raise VersionRejectedError("not what a server says")
-        except VersionRejectedError as error:
-            self.refused_messages += 1
-            self.host.log(f"config: a message is refused: {error} (from {link.where})")
+            self._handle(link, message, now)
+        except MessageRejectedError as error:
+            self.counters.messages_rejected += 1
+            self.environment.log(f"config: message rejected: {error} (from {link.address})")
             self._leave(link, now)
 
     def tick(self) -> None:
-        """Time has passed. `wake` says when it is wanted."""
-        now = self.host.now()
-        for link in (self.link, self.trial):
-            if link is not None and link.is_late(now):
+        """Time has passed, `next_tick` at the earliest."""
+        now = self.environment.now()
+        for link in (self.link, self.trial_link):
+            if link is not None and link.is_overdue(now):
                 if link is self.link and link.greeted_at:
-                    self.host.log(f"config: {link.where} is silent, another server is asked")
+                    self.environment.log(f"config: {link.address} is silent, another server is tried")
                 self._leave(link, now)
         if self.link is None:
             if now >= self.next_dial:
-                self.link = self._dial(self._next_server())
+                self.link = self._dial(self.servers.next_server())
                 self.next_dial = NEVER
         elif self.link.greeted_at:
-            if now >= self.next_say:
-                self._say(now)
-            if self.trial is None and now >= self._trial_at(self.link):
-                self._try_another(self.link, now)
-
-    def wake(self) -> int:
-        at = NEVER
-        for link in (self.link, self.trial):
-            if link is not None:
-                at = min(at, link.late_at())
+            if now >= self.next_status:
+                self._send_status(now)
+            if self.trial_link is None and now >= self._trial_at(self.link):
+                self._try_alternative(self.link, now)
+
+    def next_tick(self) -> int:
+        """When `tick` is to be called next."""
+        times = [link.deadline() + 1 for link in (self.link, self.trial_link) if link is not None]
         if self.link is None:
-            return min(at, self.next_dial)
-        if self.link.greeted_at:
-            at = min(at, self.next_say)
-            if self.trial is None:
-                at = min(at, self._trial_at(self.link))
-        return at
-
-    def connected(self) -> bool:
-        return self.link is not None and self.link.server_has >= 0
-
-    # ---- ConfigStateMachine ----
-
-    def _push(self, message: Message, now: int) -> None:
-        came, number = self.came, message.get("n")
-        skipped = isinstance(number, int) and self.in_force < number < self.refused
-        if isinstance(number, int) and message.get("v") and 0 < number <= came.number and not skipped:
-            if number < self.in_force:
-                self.refused_messages += 1
-                self.host.log(f"config: a message is refused: version {number} is older than {self.in_force}")
-            self._say(now)
-            return
-        try:
-            found = AppliedVersion(*unpack(message, self.cluster, came.body))
-        except VersionRejectedError:
-            self.wants_whole = True
-            raise
-        self.wants_whole = False
-        reason = self._take(found)
-        if found.number > came.number:
-            self.came, self.reason = found, reason
-        if not reason:
-            self.refused = 0
-        elif not self.refused or found.number != came.number + 1:
-            self.refused = found.number  # else it goes on with a row of refused ones
-        self._say(now)
-
-    def _take(self, found: AppliedVersion) -> str:
-        """Why it is not in force, or "" """
-        try:
-            reason = self.host.take(*found)
-        except ValueError as error:
-            reason = str(error)
-        except Exception as error:
-            # Whatever a check stumbles over: the one in force goes on, and it is said.
-            reason = f"{type(error).__name__}: {error}"
-        reason = printable(reason)
-        if reason:
-            self.refused_versions += 1
-            self.host.log(f"config: version {found.number} refused: {reason}")
+            times.append(self.next_dial)
+        elif self.link.greeted_at:
+            times.append(self.next_status)
+            if self.trial_link is None:
+                times.append(self._trial_at(self.link))
+        return min(times, default=NEVER)
+
+    # ---- Queries ----
+
+    def is_connected(self) -> bool:
+        """Whether a server is watched and has sent its first heartbeat."""
+        return self.link is not None and self.link.server_version != NO_HEARTBEAT
+
+    # ---- Messages ----
+
+    def _handle(self, link: ServerLink, message: object, now: int) -> None:
+        parsed = read_server_message(message)
+        if isinstance(parsed, Heartbeat):
+            self._on_heartbeat(link, parsed, now)
+        elif isinstance(parsed, UnverifiedVersion) and link is self.link:
+            self.versions.on_version(parsed)
+            self._send_status(now)
+        elif isinstance(parsed, WatchElsewhere):
+            self._leave(link, now)
+        elif isinstance(parsed, WatchRejected):
+            reason = printable(f"the server rejects this watcher: {parsed.reason}")
+            raise MessageRejectedError(reason)
         else:
-            self.taken_versions += 1
-            self.in_force = found.number
-            self.host.log(f"config: version {found.number} in force ({found.digest.hex()[:16]})")
-        return reason
+            raise MessageRejectedError(NOT_FROM_SERVER)
 
-    def _say(self, now: int) -> None:
+    def _send_status(self, now: int) -> None:
         assert self.link is not None
-        self.next_say = now + SAY_EVERY
-        came = self.came
-        have = WatchStatus(
-            came.number, came.digest, self.in_force, self.reason, self.wants_whole, self.refused
-        )
-        self.host.send(self.link.number, have.message())
+        self.next_status = now + STATUS_INTERVAL
+        self.environment.send(self.link.link_id, self.versions.status())
 
     # ---- Servers ----
 
-    def _beat(self, link: Link, message: Message, now: int) -> None:
-        link.server_has, fresh = read_heartbeat(message)
-        link.good = fresh and link.server_has >= self.came.number
-        if link.good:
-            link.good_at = now
-        if link is self.trial:
+    def _on_heartbeat(self, link: ServerLink, heartbeat: Heartbeat, now: int) -> None:
+        link.server_version = heartbeat.latest_version
+        link.is_healthy = heartbeat.has_recent_leader and link.server_version >= self.versions.received.number
+        if link.is_healthy:
+            link.healthy_at = now
+        if link is self.trial_link:
             self._judge_trial(link, now)
-        elif link.good and not self._is_far(link):
-            self.trials = 0
-
-    def _is_far(self, link: Link) -> bool:
-        return bool(self.near) and link.where not in self.near
+        elif link.is_healthy and not self.servers.is_remote(link.address):
+            self.servers.trials = 0
 
-    def _judge_trial(self, trial: Link, now: int) -> None:
+    def _judge_trial(self, trial: ServerLink, now: int) -> None:
         link = self.link
-        assert link is not None  # a trial takes its place when it is lost
-        better = trial.server_has > max(self.came.number, link.server_has)
-        if trial.good:
-            better = better or not link.good or (self._is_far(link) and not self._is_far(trial))
-        if not better:
+        assert link is not None  # a trial takes the place of the watched server when that one is lost
+        if not self._is_better(trial, link):
             self._leave(trial, now)
             return
-        self.host.hang_up(link.number)
-        self.link, self.trial = trial, None
-        self.trials = 0
-        self.changes += 1
-        self._say(now)
-
-    def _trial_at(self, link: Link) -> int:
+        self.environment.hang_up(link.link_id)
+        self.link, self.trial_link = trial, None
+        self.servers.trials = 0
+        self.counters.server_changes += 1
+        self._send_status(now)
+
+    def _is_better(self, trial: ServerLink, link: ServerLink) -> bool:
+        if trial.server_version > max(self.versions.received.number, link.server_version):
+            return True
+        is_nearer = self.servers.is_remote(link.address) and not self.servers.is_remote(trial.address)
+        return trial.is_healthy and (not link.is_healthy or is_nearer)
+
+    def _trial_at(self, link: ServerLink) -> int:
         """When another server is tried beside this one."""
-        if len(self.servers) == 1 or link.server_has < 0:
+        if len(self.servers.servers) == 1 or link.server_version == NO_HEARTBEAT:
             return NEVER
-        if not link.good:
-            return max(self.next_trial, link.good_at + STALE_FOR)
-        return max(self.next_trial, link.greeted_at + NEARER_EVERY) if self._is_far(link) else NEVER
-
-    def _try_another(self, link: Link, now: int) -> None:
-        wanted = [w for w in self.servers if w != link.where and (not link.good or w in self.near)]
-        self.trial_round = [where for where in self.trial_round if where in wanted] or self._shuffled(wanted)
-        self.trial = self._dial(self.trial_round.pop(0))
-        self.trials += 1
-        stale_delay = min(LONGEST_TRIAL_DELAY, TRIAL_DELAY << min(self.trials, 10))
-        delay = NEARER_EVERY if link.good else stale_delay
-        self.next_trial = now + self._jittered(delay)
-
-    def _dial(self, where: str) -> Link:
-        self.links += 1
-        link = Link(self.links, where, self.host.now())
-        self.host.dial(link.number, where)
+        if not link.is_healthy:
+            return max(self.next_trial, link.healthy_at + UNHEALTHY_GRACE)
+        if self.servers.is_remote(link.address):
+            return max(self.next_trial, link.greeted_at + LOCAL_TRIAL_INTERVAL)
+        return NEVER
+
+    def _try_alternative(self, link: ServerLink, now: int) -> None:
+        self.trial_link = self._dial(self.servers.next_alternative(link.address, link.is_healthy))
+        self.next_trial = now + self.servers.alternative_delay(link.is_healthy)
+
+    def _dial(self, address: str) -> ServerLink:
+        self.links_dialed += 1
+        link = ServerLink(self.links_dialed, address, self.environment.now())
+        self.environment.dial(link.link_id, address)
         return link
 
-    def _next_server(self) -> str:
-        self.round = self.round or self._new_round()
-        return self.round.pop(0)
-
-    def _new_round(self) -> list[str]:
-        near = [where for where in self.servers if where in self.near]
-        return self._shuffled(near) + self._shuffled([w for w in self.servers if w not in self.near])
-
-    def _leave(self, link: Link, now: int) -> None:
-        self.host.hang_up(link.number)
+    def _leave(self, link: ServerLink, now: int) -> None:
+        self.environment.hang_up(link.link_id)
         self._drop(link, now)
 
-    def _drop(self, link: Link, now: int) -> None:
-        if link is self.trial:
-            self.trial = None
+    def _drop(self, link: ServerLink, now: int) -> None:
+        if link is self.trial_link:
+            self.trial_link = None
             return
         self.link = None
-        if self.trial is not None:
-            # It was dialled for being better, and is there already.
-            self.link, self.trial = self.trial, None
+        if self.trial_link is not None:
+            # It was tried for being better, and its connection is there already.
+            self.link, self.trial_link = self.trial_link, None
             if self.link.greeted_at:
-                self._say(now)
+                self._send_status(now)
             return
-        if link.greeted_at and now - link.greeted_at >= LIVED:
-            self.rounds = 0
-            self.round = [where for where in self._new_round() if where != link.where] + [link.where]
-            delay = self._part_of(FIRST_DELAY)
-        elif self.round:
-            delay = self._part_of(LATER_DELAY if self.rounds else NEXT_DELAY)
+        if link.greeted_at and now - link.greeted_at >= STABLE_AFTER:
+            delay = self.servers.delay_after_stable(link.address)
         else:
-            self.rounds += 1
-            delay = self._jittered(min(LONGEST_DELAY, ROUND_DELAY << min(self.rounds - 1, 10)))
+            delay = self.servers.delay_after_failure()
         self.next_dial = now + delay
 
-    def _link(self, number: int) -> Link | None:
-        return next((x for x in (self.link, self.trial) if x is not None and x.number == number), None)
-
-    # ---- RandomNumbers ----
-
-    def _part_of(self, span: int) -> int:
-        return int(self.host.fraction() * span)
-
-    def _jittered(self, span: int) -> int:
-        """From a quarter of it to the whole."""
-        return span // 4 + self._part_of(span * 3 // 4)
-
-    def _shuffled(self, servers: list[str]) -> list[str]:
-        found = list(servers)
-        for at in range(len(found) - 1, 0, -1):
-            other = int(self.host.fraction() * (at + 1))
-            found[at], found[other] = found[other], found[at]
-        return found
+    def _find_link(self, link_id: int) -> ServerLink | None:
+        links = (self.link, self.trial_link)
+        return next((link for link in links if link is not None and link.link_id == link_id), None)
--- a/ploverspoke/testbed/capacity/config_server.py
+++ b/ploverspoke/testbed/capacity/config_server.py
@@ -19,10 +19,11 @@
 import msgspec
 import numpy as np
 
-from ploverspoke.config_distribution.admin_client import NoServerAvailableError
 from ploverspoke.config_distribution.admin_client import publish as publish_body
 from ploverspoke.config_distribution.client import WatchClient
 from ploverspoke.config_distribution.cluster_config import ConfigServers, WatchConfig
+from ploverspoke.config_distribution.errors import NoServerAvailableError
+from ploverspoke.config_distribution.messages import VerifiedVersion
 from ploverspoke.consensus.framing import FrameError
 from ploverspoke.consensus.replica_client import send_admin_request
 
@@ -121,8 +122,8 @@
             said = await asyncio.to_thread(publish_body, servers, body, None, "slopes", 5.0)
         except NoServerAvailableError as error:
             raise NotStarted(f"a version could not be published: {error}") from None
-        if not said["done"]:
-            raise NotStarted(f"a version was not taken: {said['why']}")
+        if not said.accepted:
+            raise NotStarted(f"a version was not taken: {said.reason}")
 
     async def octets(self) -> tuple[float, Octets]:
         await self.rig.ask_relays({"by_link": True})
@@ -160,9 +161,8 @@
     await servers.publish(body)
     taken: list[int] = []
 
-    def take(number: int, text: str) -> str:
-        taken.append(number)
-        return ""
+    def take(version: VerifiedVersion) -> None:
+        taken.append(version.number)
 
     loop = asyncio.get_running_loop()
     clients = []
@@ -172,7 +172,7 @@
         clients.append(WatchClient(loop, orders, f"d{n}", take, seed=n))
     try:
         for client in clients:
-            client.begin()
+            client.start()
         await asyncio.sleep(over.settled)
         if len(taken) != watchers:
             raise NotStarted(f"{len(taken)} of {watchers} watchers have the first version")
--- a/ploverspoke/testbed/hollow/changing.py
+++ b/ploverspoke/testbed/hollow/changing.py
@@ -143,8 +143,9 @@
 
     async def bring(self, number: int) -> None:
         """One version, published as an operator's tool does."""
-        from ploverspoke.config_distribution.admin_client import NoServerAvailableError, publish
+        from ploverspoke.config_distribution.admin_client import publish
         from ploverspoke.config_distribution.cluster_config import ConfigServers
+        from ploverspoke.config_distribution.errors import NoServerAvailableError
 
         told = self.changed(number, 0)
         body = {"settings": {key: told[key] for key in ("ServiceGrades", "Domain")}}
@@ -154,8 +155,8 @@
             found = await asyncio.to_thread(publish, servers, text, None, "testbed", FIRST_ANSWER)
         except NoServerAvailableError as error:
             raise NotStarted(f"no config server leads: {error}") from None
-        if not found["done"]:
-            raise NotStarted(f"version {number} is not published: {found['why']}")
+        if not found.accepted:
+            raise NotStarted(f"version {number} is not published: {found.reason}")
 
     async def close(self) -> None:
         await asyncio.gather(*(server.kill() for server in self.servers))
--- a/ploverspoke/testbed/hollow/dispatcher.py
+++ b/ploverspoke/testbed/hollow/dispatcher.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any, NamedTuple, cast
 
-from ploverspoke.service.config import read_config, read_config_document
+from ploverspoke.service.config import read_config
 from ploverspoke.service.config_reader import ConfigError
 from ploverspoke.service.service import Service
 from ploverspoke.transport.connections import Connection
@@ -69,22 +69,15 @@
     def _watch(self, service: Service) -> None:
         """Only where it is asked for: changes from config servers, as `serve --watch` has them."""
         from ploverspoke.config_distribution.cluster_config import read_watch_config
-        from ploverspoke.config_distribution.dynamic_config import attach
-
-        environment = {"RELAY_CONFIG": self.place.config}
-        self.watching = attach(
-            service,
-            read_watch_config(Path(self.place.watch)),
-            read_config_document(environment),
-            read_own=partial(read_config_document, environment),
-            seed=self.place.number,
-            environment=environment,
-            begin=False,
-        )
+        from ploverspoke.config_distribution.dynamic_config import attach_watch, read_own_config
+
+        own = read_own_config({"RELAY_CONFIG": self.place.config})
+        watch_config = read_watch_config(Path(self.place.watch))
+        self.watching = attach_watch(service, watch_config, own, seed=self.place.number)
 
     def _ready(self) -> None:
         if self.watching is not None:
-            self.watching.begin()
+            self.watching.start()
         self.serves = True
         self.on_serving(self.place.number)
 
--- a/ploverspoke/testbed/processes/distribution_check.py
+++ b/ploverspoke/testbed/processes/distribution_check.py
@@ -40,8 +40,8 @@
 ENDS_LIFE = ("kill", "restart", "empty", "older")
 OUT = (*ENDS_LIFE, "pause", "starve", "disk full", "disk fails")
 GRADE = re.compile(r"g(\d+)([ab])")
-CLAIM = re.compile(r"\+OK version (\d+) in force")
-REFUSAL = re.compile(r"config: version (\d+) refused: (.*)")
+CLAIM = re.compile(r"\+OK version (\d+) applied")
+REFUSAL = re.compile(r"config: version (\d+) rejected: (.*)")
 
 Span = tuple[int, int]  # from, until, ns
 
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -12,22 +12,22 @@
 
 import pytest
 
-from ploverspoke.config_distribution.client import read_cache, write_cache
+from ploverspoke.config_distribution.cache import read_cache, write_cache
 from ploverspoke.config_distribution.cluster_config import (
     WatchConfig,
     read_config_server_config,
     read_config_servers,
     read_watch_config,
 )
-from ploverspoke.config_distribution.overlay import canonical
+from ploverspoke.config_distribution.messages import VerifiedVersion
+from ploverspoke.config_distribution.overlay import canonical_json
 from ploverspoke.config_distribution.server_node import COMMITTED, ConfigServerNode
 from ploverspoke.config_distribution.state_machine import (
     ConfigStateMachine,
+    PublishCommand,
     Version,
     digest_of,
-    publish_command,
 )
-from ploverspoke.config_distribution.watcher import AppliedVersion
 from ploverspoke.consensus.cluster_config import read_replica_config
 from ploverspoke.consensus.log import Entry
 from ploverspoke.consensus.membership import fingerprint
@@ -111,7 +111,7 @@
     """What a config server offers its watchers after its start, before it has heard of a leader."""
     with mock.patch.object(PeerLinks, "open", mock.AsyncMock()):
         await node.open()
-    assert node.versions.number() == 1
+    assert node.versions.latest_number() == 1
     latest = node.feed.latest
     await node.close()
     return latest
@@ -177,7 +177,7 @@
     orders = read_config_server_config(DATA / "files" / "config-servers.json")
     replica = orders.replica._replace(folder=copy_of("config", tmp_path))
     latest = asyncio.run(latest_served(ConfigServerNode(orders._replace(replica=replica))))
-    assert latest is not None and (latest.number, latest.body, latest.by) == (2, BODIES[1], "ben")
+    assert latest is not None and (latest.number, latest.body, latest.author) == (2, BODIES[1], "ben")
 
 
 def test_a_kept_list_of_workers_is_read_and_written_again() -> None:
@@ -246,13 +246,15 @@
 
 def test_versions_of_a_snapshot_have_their_values() -> None:
     versions = load_state("config", (DATA / "config" / "state.bin").read_bytes())
-    rows = [(v.number, v.body, v.digest, v.canonical, v.by, v.id) for v in versions.kept]
-    digests = [(digest_of(body), digest_of(canonical(json.loads(body)))) for body in BODIES]
+    rows = [
+        (v.number, v.body, v.digest, v.canonical_digest, v.author, v.request_id) for v in versions.versions
+    ]
+    digests = [(digest_of(body), digest_of(canonical_json(json.loads(body)))) for body in BODIES]
     assert rows == [
         (1, BODIES[0], *digests[0], "anna", "request-1"),
         (2, BODIES[1], *digests[1], "ben", "request-4"),
     ]
-    answers = {key: (one.done, one.version, one.why) for key, one in versions.answers.items()}
+    answers = {key: (one.accepted, one.version, one.reason) for key, one in versions.results.items()}
     assert answers == {
         "request-1": (True, 1, ""),
         "request-2": (True, 1, "version 1 says the same"),
@@ -276,15 +278,16 @@
 def test_two_bodies_with_the_same_values_have_one_canonical_text() -> None:
     """Its digest is kept with each version, and says whether a published body is a new one."""
     body = json.loads('{ "zones": {"a": {}}, "settings": {"Z": 1.0, "A": "\u00e9"}, "discovery": "x" }')
-    assert canonical(body) == '{"discovery":"x","settings":{"A":"\\u00e9","Z":1.0},"zones":{"a":{}}}'
+    assert canonical_json(body) == '{"discovery":"x","settings":{"A":"\\u00e9","Z":1.0},"zones":{"a":{}}}'
 
 
 def test_publish_commands_are_the_same() -> None:
     made = []
     requests = [(0, 0, "anna"), (0, 0, "anna"), (1, 0, "ben"), (1, 1, "ben")]
     for number, (body, expect, by) in enumerate(requests, 1):
-        same = digest_of(canonical(json.loads(BODIES[body])))
-        made.append(encoded(publish_command(BODIES[body], same, expect, by, f"request-{number}")))
+        same = digest_of(canonical_json(json.loads(BODIES[body])))
+        command = PublishCommand(BODIES[body], same, expect, by, f"request-{number}")
+        made.append(encoded(command.encode()))
     assert made == read_json("config/written.json")["commands"]
 
 
@@ -293,7 +296,7 @@
 
 def test_a_cached_version_is_read_and_written_again(tmp_path: Path) -> None:
     old = DATA / "config" / "cache.json"
-    taken = AppliedVersion(2, digest_of(BODIES[1]), BODIES[1])
+    taken = VerifiedVersion(2, digest_of(BODIES[1]), BODIES[1])
     assert read_cache(WatchConfig("fleet", [], [], SECRET, old)) == (taken, "")
     write_cache(WatchConfig("fleet", [], [], SECRET, tmp_path / "cache.json"), taken)
     assert (tmp_path / "cache.json").read_bytes() == old.read_bytes()
@@ -320,7 +323,7 @@
     path = DATA / "files" / "config-servers.json"
     orders = read_config_server_config(path)
     assert orders.replica == read_replica_config(DATA / "files" / "store.json")
-    assert (orders.most_watchers, orders.bytes_a_second) == (99, 200_000)
+    assert (orders.max_watchers, orders.bytes_per_second) == (99, 200_000)
     assert tuple(read_config_servers(path)) == ({"r1": "10.0.0.1:7001"}, SECRET)
 
 
--- a/tests/compatibility/test_wire_bytes.py
+++ b/tests/compatibility/test_wire_bytes.py
@@ -18,7 +18,8 @@
 from ploverspoke.config_distribution.broadcaster import VersionBroadcaster
 from ploverspoke.config_distribution.client import ServerConnection
 from ploverspoke.config_distribution.cluster_config import read_config_server_config
-from ploverspoke.config_distribution.messages import read_watch_status
+from ploverspoke.config_distribution.errors import VersionRejectedError
+from ploverspoke.config_distribution.messages import VerifiedVersion, read_watch_status
 from ploverspoke.config_distribution.server import ConfigServer, WatcherConnection
 from ploverspoke.config_distribution.server_node import ConfigServerNode
 from ploverspoke.config_distribution.state_machine import Version, digest_of
@@ -129,30 +130,36 @@
 
 
 def watch_calls(run: Run) -> Calls:
-    host: Any = SimpleNamespace(now=lambda: run.now, fraction=lambda: 0.5, log=lambda line: None)
+    host: Any = SimpleNamespace(now=lambda: run.now, random_fraction=lambda: 0.5, log=lambda line: None)
     host.dial = lambda link, where: run.emit("dial", where, link)
     host.hang_up = lambda link: run.emit("hang up", "", link)
     host.send = lambda link, message: run.emit("send", "", message)
-    host.take = lambda number, digest, body: "RoundUs: too large" if number == 3 else ""
-    watch = ConfigWatcher(host, CLUSTER, ["10.0.0.1:8081"], [])
-    told = lambda link, data: watch.told(link, decoded(data))  # noqa: E731
-    return {"begin": watch.begin, "tick": watch.tick, "greeted": watch.greeted, "told": told}
+
+    def apply_version(version: VerifiedVersion) -> None:
+        if version.number == 3:
+            raise VersionRejectedError(3, "RoundUs: too large")
+
+    host.apply_version = apply_version
+    watcher = ConfigWatcher(host, CLUSTER, ["10.0.0.1:8081"], [])
+    told = lambda link, data: watcher.on_message(link, decoded(data))  # noqa: E731
+    return {"begin": watcher.start, "tick": watcher.tick, "greeted": watcher.on_greeting, "told": told}
 
 
 def feed_calls(run: Run) -> Calls:
-    host: Any = SimpleNamespace(now=lambda: run.now, is_fresh=lambda: True, drop=lambda name, why: None)
+    host: Any = SimpleNamespace(now=lambda: run.now, has_recent_leader=lambda: True)
+    host.disconnect = lambda name, reason: None
     host.send = lambda name, message: run.emit("send", name, message)
     feed = VersionBroadcaster(host, CLUSTER, 10, 1_000_000)
 
     def offer(number: int, body: str) -> None:
-        feed.offer(Version(number, body, digest_of(body), digest_of(body), "anna", f"request-{number}"))
+        feed.add_version(Version(number, body, digest_of(body), digest_of(body), "anna", f"request-{number}"))
 
     return {
         "offer": offer,
-        "said": lambda name, data: feed.said(name, read_watch_status(decoded(data))),
+        "said": lambda name, data: feed.on_watch_status(name, read_watch_status(decoded(data))),
         "tick": feed.tick,
-        "beat": lambda: run.emit("send", "n0", feed.beat()),
-        "rows": lambda: run.emit("rows", "", feed.rows()),
+        "beat": lambda: run.emit("send", "n0", feed.heartbeat()),
+        "rows": lambda: run.emit("rows", "", feed.watcher_rows()),
     }
 
 
@@ -208,7 +215,7 @@
     node.keeper = SimpleNamespace(leading=False)
     node.leader_clients = lambda: "10.0.0.2:8081"
     node.feed = SimpleNamespace(
-        has_room_for=lambda name: False, beat=lambda: {"k": "beat", "n": 2, "l": True}
+        has_capacity_for=lambda name: False, heartbeat=lambda: {"k": "beat", "n": 2, "l": True}
     )
     return node
 
--- a/tests/config_distribution/faulty_distribution.py
+++ b/tests/config_distribution/faulty_distribution.py
@@ -1,101 +1,123 @@
-"""Faults planted in config servers and watchers: `planted_distribution FAULT,... WORDS...` starts the program
-with them, as a process of the rig.
+"""Faulty variants of config servers and watchers, which the checker has to find.
+
+`python -m tests.config_distribution.faulty_distribution FAULT,... WORDS...` starts the program with them.
 """
 
 import asyncio
 import sys
 from typing import Any
 
-from ploverspoke.config_distribution import dynamic_config, overlay, server_node, state_machine, watcher
+from ploverspoke.config_distribution import (
+    dynamic_config,
+    messages,
+    overlay,
+    server_link,
+    server_node,
+    state_machine,
+    version_receiver,
+)
 
 
 def older() -> None:
-    """A watcher that takes an older version some time after a newer one."""
-    push, taken = watcher.ConfigWatcher._push, [watcher.NOTHING]
+    """A watcher that applies an older version some time after a newer one."""
+    on_version, applied = version_receiver.VersionReceiver.on_version, [messages.NO_VERSION]
 
-    def again(self: watcher.ConfigWatcher, message: Any, now: int) -> None:
-        push(self, message, now)
-        before, came = taken[-1], self.came
-        if came.number == self.in_force and came is not before:
-            taken.append(came)
-            if before is not watcher.NOTHING:
-                asyncio.get_running_loop().call_later(0.1, lambda: self.host.take(*before))
+    def on_version_and_reapply(
+        self: version_receiver.VersionReceiver, message: messages.UnverifiedVersion
+    ) -> None:
+        on_version(self, message)
+        before, received = applied[-1], self.received
+        if received.number == self.applied_version and received is not before:
+            applied.append(received)
+            if before is not messages.NO_VERSION:
+                reapply = self.environment.apply_version
+                asyncio.get_running_loop().call_later(0.1, reapply, before)
 
-    vars(watcher)["ConfigWatcher"]._push = again
+    vars(version_receiver)["VersionReceiver"].on_version = on_version_and_reapply
 
 
 def half() -> None:
-    """A watcher that lays half of a body on."""
+    """A watcher that applies half of a body."""
     apply_overlay = overlay.apply_overlay
 
-    def first(own: Any, body: Any) -> Any:
-        laid = apply_overlay(own, body)
-        settings = {**laid["settings"], "ServiceGrades": laid["settings"]["ServiceGrades"][:1]}
-        return {**laid, "settings": settings}
+    def apply_first_class(own: object, body: overlay.JsonObject) -> object:
+        patched: Any = apply_overlay(own, body)
+        settings = {**patched["settings"], "ServiceGrades": patched["settings"]["ServiceGrades"][:1]}
+        return {**patched, "settings": settings}
 
-    vars(dynamic_config)["apply_overlay"] = first
+    vars(dynamic_config)["apply_overlay"] = apply_first_class
 
 
 def unchecked() -> None:
-    """A watcher that takes what is good of a body that its checks refuse."""
-    take = dynamic_config.VersionApplier.take
+    """A watcher that applies what is good of a body that its checks reject."""
+    apply = dynamic_config.VersionApplier.apply
 
-    def some(self: dynamic_config.VersionApplier, number: int, body: str) -> str:
-        reason = take(self, number, body)
-        if reason:
-            grades = overlay.read_body(body)["settings"]["ServiceGrades"]
-            laid = overlay.apply_overlay(self.own, {"settings": {"ServiceGrades": grades}})
-            self.service.take_configuration(dynamic_config.parse_config(laid, self.environment))
-        return reason
+    def apply_good_part(self: dynamic_config.VersionApplier, version: messages.VerifiedVersion) -> None:
+        try:
+            apply(self, version)
+        except dynamic_config.VersionRejectedError:
+            settings: Any = overlay.read_body(version.body)["settings"]
+            good_part: overlay.JsonObject = {"settings": {"ServiceGrades": settings["ServiceGrades"]}}
+            patched = overlay.apply_overlay(self.own.document, good_part)
+            self.service.take_configuration(dynamic_config.parse_config(patched, self.own.environment))
+            raise
 
-    vars(dynamic_config)["VersionApplier"].take = some
+    vars(dynamic_config)["VersionApplier"].apply = apply_good_part
 
 
 def patient() -> None:
     """A watcher that never leaves a silent server."""
-    vars(watcher)["Link"].is_late = lambda self, now: False
+    vars(server_link)["ServerLink"].is_overdue = lambda self, now: False
 
 
 def eager() -> None:
-    """A server that gives out what it has not committed."""
+    """A server that sends versions that are not committed."""
     publish = server_node.ConfigServerNode._publish
 
-    def at_once(self: server_node.ConfigServerNode, question: Any, reply: Any) -> None:
-        latest, body = self.versions.number(), question["body"]
+    def send_at_once(self: server_node.ConfigServerNode, question: Any, reply: Any) -> None:
+        latest, body = self.versions.latest_number(), question["body"]
         if self.leads() and question["expect"] == latest:
             digest = state_machine.digest_of(body)
-            self.feed.offer(
-                state_machine.Version(latest + 1, body, digest, digest, "planted", question["id"])
-            )
+            version = state_machine.Version(latest + 1, body, digest, digest, "planted", question["id"])
+            self.feed.add_version(version)
             self.feed_again()
         publish(self, question, reply)
 
-    vars(server_node)["ConfigServerNode"]._publish = at_once
+    vars(server_node)["ConfigServerNode"]._publish = send_at_once
 
 
 def swaps() -> None:
-    """A server that looks at no expectation."""
+    """A server that ignores which version is expected."""
     publish = state_machine.ConfigStateMachine._publish
 
-    def whatever(
-        self: state_machine.ConfigStateMachine, body: str, same: bytes, expect: int, by: str, one: str
+    def publish_unconditionally(
+        self: state_machine.ConfigStateMachine, command: state_machine.PublishCommand
     ) -> None:
-        publish(self, body, same, self.number(), by, one)
+        publish(
+            self,
+            state_machine.PublishCommand(
+                command.body,
+                command.canonical_digest,
+                self.latest_number(),
+                command.author,
+                command.request_id,
+            ),
+        )
 
-    vars(state_machine)["ConfigStateMachine"]._publish = whatever
+    vars(state_machine)["ConfigStateMachine"]._publish = publish_unconditionally
 
 
 def forgets() -> None:
     """A server that begins anew where its folder is empty."""
-    begin = server_node.ConfigServerNode.open
+    open_node = server_node.ConfigServerNode.open
 
-    async def anew(self: server_node.ConfigServerNode, new: bool = False, join: str = "") -> None:
-        await begin(self, True, join)
+    async def open_anew(self: server_node.ConfigServerNode, new: bool = False, join: str = "") -> None:
+        await open_node(self, True, join)
 
-    vars(server_node)["ConfigServerNode"].open = anew
+    vars(server_node)["ConfigServerNode"].open = open_anew
 
 
-FAULTS = {each.__name__: each for each in (older, half, unchecked, patient, eager, swaps, forgets)}
+FAULTS = {fault.__name__: fault for fault in (older, half, unchecked, patient, eager, swaps, forgets)}
 
 if __name__ == "__main__":
     for name in sys.argv.pop(1).split(","):
--- /dev/null
+++ b/tests/config_distribution/samples.py
@@ -0,0 +1,39 @@
+"""Versions with numbered bodies, as the tests of this folder use them."""
+
+import json
+from typing import Any
+
+import msgspec
+
+from ploverspoke.config_distribution.messages import VersionMessage, WatchStatus, pack_version
+from ploverspoke.config_distribution.overlay import canonical_json
+from ploverspoke.config_distribution.state_machine import Version, digest_of
+
+MS = 1_000_000
+S = 1000 * MS
+NO_STATUS = WatchStatus(0, b"", 0, "", 0)
+CLUSTER = "fleet"
+
+
+def body(number: int) -> str:
+    return json.dumps({"settings": {"Number": number, "Same": list(range(400))}})
+
+
+def version(number: int) -> Version:
+    text = body(number)
+    canonical_digest = digest_of(canonical_json(json.loads(text)))
+    return Version(number, text, digest_of(text), canonical_digest, "me", f"id{number}")
+
+
+def status(number: int) -> WatchStatus:
+    """That of a watcher which has applied this version."""
+    return WatchStatus(number, version(number).digest, number, "", 0)
+
+
+def decoded(message: msgspec.Struct) -> Any:
+    """A message as the other side decodes it."""
+    return msgspec.msgpack.decode(msgspec.msgpack.encode(message))
+
+
+def whole(number: int, cluster: str = CLUSTER) -> VersionMessage:
+    return pack_version(cluster, version(number), None)
--- /dev/null
+++ b/tests/config_distribution/test_fleet.py
@@ -0,0 +1,126 @@
+"""Watchers and config servers together on a virtual clock: faults, an isolated region, a full restart."""
+
+from collections.abc import Callable
+
+import pytest
+
+from .samples import MS, S
+from .virtual_fleet import VirtualFleet
+
+
+def local_by_half(number: int) -> list[int]:
+    return [0, 1, 2] if number % 2 else [3, 4]
+
+
+def test_every_watcher_applies_each_version_and_watchers_spread_over_local_servers() -> None:
+    fleet = VirtualFleet(5, 100, local_by_half)
+    fleet.run(2 * S)
+    watching = [len(fleet.servers[name].links) for name in fleet.names]
+    assert sum(watching) == 100 and min(watching) >= 8 and sum(watching[:3]) == 50
+    for number in range(1, 6):
+        fleet.add_version(number)
+        fleet.run(S)
+        assert set(fleet.applied_versions()) == {number}
+    assert fleet.dials() == 100
+    assert fleet.whole_versions_sent() == 100  # the first; then deltas
+
+
+FAULTS: dict[str, Callable[[VirtualFleet], None]] = {
+    "a server's machine is gone": lambda fleet: [fleet.cut(watcher.name, "s0") for watcher in fleet.watchers]
+    and None,
+    "a server dies": lambda fleet: fleet.servers["s0"].crash(),
+    "two servers die": lambda fleet: [fleet.servers[name].crash() for name in ("s0", "s3")] and None,
+    "four servers are gone": lambda fleet: [
+        fleet.cut(watcher.name, f"s{n}") for watcher in fleet.watchers for n in range(4)
+    ]
+    and None,
+    "nothing comes from a server": lambda fleet: fleet.cuts.update(
+        ("s0", watcher.name) for watcher in fleet.watchers
+    ),
+    "nothing comes to a server": lambda fleet: fleet.cuts.update(
+        (watcher.name, "s0") for watcher in fleet.watchers
+    ),
+}
+
+
+@pytest.mark.parametrize("fault", FAULTS)
+@pytest.mark.parametrize("seed", [1, 2])
+def test_version_published_after_a_fault_is_applied_everywhere_within_ten_seconds(
+    fault: str, seed: int
+) -> None:
+    fleet = VirtualFleet(5, 40, local_by_half, seed)
+    fleet.add_version(1)
+    fleet.run(8 * S)
+    FAULTS[fault](fleet)
+    fleet.add_version(2)
+    fleet.run(10 * S)
+    assert set(fleet.applied_versions()) == {2}, fault
+
+
+def test_watchers_leave_servers_cut_off_from_the_majority() -> None:
+    fleet = VirtualFleet(5, 60, local_by_half)
+    fleet.add_version(1)
+    fleet.run(8 * S)
+    fleet.servers["s0"].has_leader = fleet.servers["s3"].has_leader = False
+    fleet.add_version(2, ["s1", "s2", "s4"])
+    fleet.run(10 * S)
+    assert set(fleet.applied_versions()) == {2}
+    assert not fleet.servers["s0"].links and not fleet.servers["s3"].links
+
+
+def test_isolated_region_keeps_its_watches_and_catches_up() -> None:
+    fleet = VirtualFleet(5, 20, local_by_half)
+    fleet.add_version(1)
+    fleet.run(8 * S)
+    cut_off = [watcher for watcher in fleet.watchers if watcher.watcher.servers.local_servers == {"s3", "s4"}]
+    for watcher in fleet.watchers:
+        for name in ("s0", "s1", "s2") if watcher in cut_off else ("s3", "s4"):
+            fleet.cut(watcher.name, name)
+    fleet.servers["s3"].has_leader = fleet.servers["s4"].has_leader = False
+    before = [watcher.watcher.link for watcher in fleet.watchers]
+    fleet.add_version(2, ["s0", "s1", "s2"])
+    fleet.run(600 * S)
+    dials = [len(watcher.dialed) for watcher in cut_off]
+    assert [watcher.watcher.link for watcher in fleet.watchers] == before
+    assert not any(watcher.server_changes() for watcher in cut_off)
+    assert max(dials) <= 600 / 8 + 10  # trials go on, ever more rarely
+    assert {watcher.applied_version() for watcher in cut_off} == {1}
+    assert set(fleet.applied_versions()) == {1, 2}
+    fleet.cuts.clear()
+    for name in ("s3", "s4"):
+        fleet.servers[name].has_leader = True
+        fleet.add_version(2, [name])
+    fleet.run(5 * S)
+    assert set(fleet.applied_versions()) == {2}
+
+
+@pytest.mark.parametrize("down", [S, 3 * S])
+def test_reconnects_after_a_full_restart_are_spread_over_time(down: int) -> None:
+    fleet = VirtualFleet(5, 100, local_by_half)
+    fleet.add_version(1)
+    fleet.run(8 * S)
+    for server in fleet.servers.values():
+        server.crash()
+    fleet.run(down)
+    back_at = fleet.clock
+    for server in fleet.servers.values():
+        server.start()
+    fleet.add_version(2)
+    fleet.run(10 * S)
+    assert set(fleet.applied_versions()) == {2}
+    reconnects = sorted(watcher.dialed[-1][0] - back_at for watcher in fleet.watchers)
+    most = max(sum(1 for at in reconnects if begin <= at < begin + 100 * MS) for begin in reconnects)
+    assert most < 50 and reconnects[-1] < 4 * S
+
+
+def test_watcher_of_a_remote_server_returns_to_a_local_one() -> None:
+    fleet = VirtualFleet(3, 30, lambda n: [0])
+    fleet.servers["s0"].crash()
+    fleet.run(10 * S)
+    assert not any(
+        watcher.watcher.link and watcher.watcher.link.address == "s0" for watcher in fleet.watchers
+    )
+    fleet.servers["s0"].start()
+    fleet.run(120 * S)
+    assert len(fleet.servers["s0"].links) == 30
+    assert all(watcher.server_changes() == 1 for watcher in fleet.watchers)
--- a/tests/config_distribution/test_processes.py
+++ b/tests/config_distribution/test_processes.py
@@ -30,7 +30,7 @@
     return [what for what, _ in outcome.verdict.findings]
 
 
-def test_every_acknowledged_version_is_in_force_in_time_through_kills_pauses_cuts_and_lost_folders() -> None:
+def test_acknowledged_versions_are_applied_in_time_through_kills_pauses_cuts_and_lost_folders() -> None:
     plan = Plan(kills=Span(2 * SECOND))
     # To one dispatcher only this is done; of what is drawn, some may be skipped where two would meet.
     own = [
@@ -53,7 +53,7 @@
     assert kinds == {"good", "refusable", "unacceptable"}
 
 
-def test_watchers_that_break_a_rule_are_found_each_by_its_own() -> None:
+def test_checker_finds_each_faulty_watcher() -> None:
     instead = {
         "a-d0": [PLANTED, "older"],
         "b-d1": [PLANTED, "half"],
@@ -76,7 +76,7 @@
     assert not [one for one in told if "a-d4" in one], told
 
 
-def test_a_server_that_gives_out_what_it_has_not_committed_is_found() -> None:
+def test_checker_finds_a_server_that_sends_uncommitted_versions() -> None:
     # Whoever leads is cut off from the others, not from those that publish and watch, and is asked to commit
     # what it cannot; the others elect another and commit, and nobody asks again.
     plan = Plan(
@@ -94,7 +94,7 @@
     assert [one for one in told if "which was not committed" in one], told
 
 
-def test_servers_that_compare_nothing_and_begin_anew_when_emptied_are_found() -> None:
+def test_checker_finds_servers_that_ignore_the_expected_version_or_begin_anew() -> None:
     plan = Plan(
         dispatchers=2,
         within=Span(2 * SECOND),
@@ -108,7 +108,7 @@
         assert [one for one in told if expected in one], told
 
 
-def test_a_seed_draws_the_same_troubles_and_leaves_the_end_calm() -> None:
+def test_seed_gives_the_same_faults_and_a_calm_end() -> None:
     plan = Plan(lasts=Span(60 * SECOND))
     steps = timeline(plan, 7)
     assert steps == timeline(plan, 7) != timeline(plan, 8)
@@ -131,21 +131,21 @@
         ({"unknown": 1}, "unknown"),
     ],
 )
-def test_a_file_that_cannot_be_played_is_refused_with_its_key(wrong: dict[str, object], key: str) -> None:
+def test_invalid_experiment_is_rejected_with_its_key(wrong: dict[str, object], key: str) -> None:
     told = {"kind": "distribution", "name": "n", "seeds": [1], "plan": wrong}
     with pytest.raises(BadTimeline, match=key):
         read_distribution_experiment(told)
     assert read_distribution_experiment({**told, "plan": {}}).plan == Plan()
 
 
-def test_the_command_names_the_key_of_a_wrong_file(tmp_path: Path) -> None:
+def test_command_names_the_key_of_an_invalid_experiment(tmp_path: Path) -> None:
     path = tmp_path / "wrong.toml"
     path.write_text('kind = "distribution"\nname = "wrong"\nseeds = [1]\n[plan]\nservers = 4\n')
     result = CliRunner().invoke(commands.testbed, ["run", str(path)])
     assert result.exit_code == 2 and "plan.servers: expected 3 or 5" in result.output
 
 
-def test_what_grows_while_regions_are_apart_is_told_from_before_and_after() -> None:
+def test_growth_while_regions_are_apart_is_measured_on_its_own() -> None:
     plan = Plan(lasts=Span(100 * SECOND), apart_at=Span(20 * SECOND), apart=Span(60 * SECOND))
     # One region's servers grow by a byte a second, folders by ten; octets are twice as many afterwards.
     looked = [
--- /dev/null
+++ b/tests/config_distribution/test_watcher.py
@@ -0,0 +1,132 @@
+"""One watcher: versions that are rejected, skipped, old or corrupt, and servers that break the protocol."""
+
+from typing import Any
+
+import pytest
+
+from ploverspoke.config_distribution.messages import VerifiedVersion
+from ploverspoke.config_distribution.state_machine import digest_of
+from ploverspoke.config_distribution.watcher import ConfigWatcher
+from ploverspoke.config_distribution.watcher_records import WatcherRow
+
+from .samples import S, body, decoded, version, whole
+from .virtual_fleet import FakeWatcher, VirtualFleet
+
+
+def row_values(row: WatcherRow) -> list[Any]:
+    """A row without its time and its connection."""
+    return [row.name, row.applied_version, row.received_version, row.rejection]
+
+
+def one_watcher() -> tuple[VirtualFleet, FakeWatcher, int]:
+    fleet = VirtualFleet(2, 1, lambda n: [0])
+    fleet.add_version(1)
+    fleet.run(2 * S)
+    (watcher,) = fleet.watchers
+    assert watcher.applied_version() == 1 and watcher.watcher.link is not None
+    return fleet, watcher, watcher.watcher.link.link_id
+
+
+def test_rejected_version_leaves_active_config_unchanged_and_is_the_next_base() -> None:
+    fleet, watcher, _ = one_watcher()
+    watcher.rejected_numbers = {2}
+    fleet.add_version(2)
+    fleet.run(S)
+    assert watcher.applied == [1]
+    assert watcher.log_lines[-1] == "config: version 2 rejected: settings.Number is 2"
+    (row,) = fleet.servers["s0"].broadcaster.watcher_rows()
+    assert row_values(row) == ["n0", 1, 2, "settings.Number is 2"] and row.is_connected
+    fleet.add_version(3)
+    fleet.run(S)
+    assert watcher.applied == [1, 3] and watcher.watcher.versions.rejection == ""
+    assert fleet.servers["s0"].broadcaster.counters.whole_versions_sent == 1  # the very first
+
+
+def test_versions_skipped_for_a_rejected_one_are_applied_latest_first() -> None:
+    fleet, watcher, _ = one_watcher()
+    watcher.rejected_numbers = {4, 5, 7}
+    for number in (2, 3, 4, 5):
+        fleet.add_version(number)  # all at once: 5 is what goes out
+    fleet.run(2 * S)
+    assert watcher.applied == [1, 3] and watcher.applied_version() == 3
+    (row,) = fleet.servers["s0"].broadcaster.watcher_rows()
+    assert row_values(row) == ["n0", 3, 5, "settings.Number is 5"]
+    assert not fleet.servers["s0"].broadcaster.watchers_behind
+    for number in (6, 7):
+        fleet.add_version(number)
+    fleet.run(2 * S)
+    assert watcher.applied == [1, 3, 6] and watcher.watcher.versions.rejection == "settings.Number is 7"
+    fleet.add_version(8)
+    fleet.run(S)
+    assert watcher.applied_version() == 8 and watcher.watcher.versions.rejection == ""
+    assert fleet.whole_versions_sent() == 1
+
+
+def test_older_version_is_ignored_and_logged() -> None:
+    fleet, watcher, link = one_watcher()
+    fleet.add_version(3)
+    fleet.run(S)
+    watcher.watcher.on_message(link, decoded(whole(2)))
+    assert watcher.applied_version() == 3 and watcher.applied == [1, 3]
+    assert watcher.log_lines[-1] == "config: message rejected: version 2 is older than 3"
+    before = len(watcher.log_lines)
+    watcher.watcher.on_message(link, decoded(whole(3)))  # sent twice
+    assert len(watcher.log_lines) == before and watcher.watcher.link is not None
+
+
+@pytest.mark.parametrize(
+    "message",
+    [
+        {**decoded(whole(2)), "d": digest_of("")},
+        {**decoded(whole(2)), "v": 9},
+        decoded(whole(2, "other")),
+        {"k": "beat", "n": "x", "l": True},
+        {"k": "refused", "w": "no\nmore"},
+        {"k": "what"},
+        ["push"],
+        None,
+    ],
+)
+def test_server_that_breaks_the_protocol_is_left_and_the_version_stays(message: Any) -> None:
+    fleet, watcher, link = one_watcher()
+    watcher.watcher.on_message(link, message)
+    assert watcher.applied_version() == 1
+    assert watcher.log_lines[-1].startswith("config: message rejected: ")
+    assert "\n" not in watcher.log_lines[-1] and link not in watcher.open
+    fleet.add_version(2)
+    fleet.run(3 * S)
+    assert watcher.applied_version() == 2
+    # After a version message that could not be read it wants the whole body, whatever it has.
+    is_corrupt = isinstance(message, dict) and message["k"] == "push"
+    assert fleet.whole_versions_sent() == 1 + is_corrupt
+
+
+def test_unexpected_error_of_a_check_rejects_the_version() -> None:
+    fleet, watcher, _ = one_watcher()
+
+    def fail(version: VerifiedVersion) -> None:
+        raise OverflowError("too\nlarge")
+
+    watcher.apply_version = fail  # type: ignore[method-assign]
+    fleet.add_version(2)
+    fleet.run(S)
+    assert watcher.watcher.versions.rejection == "OverflowError: too\\nlarge"
+    assert watcher.applied_version() == 1
+
+
+def test_full_server_redirects_and_a_cached_version_serves_as_delta_base() -> None:
+    fleet, watcher, link = one_watcher()
+    watcher.watcher.on_message(link, {"k": "elsewhere"})
+    fleet.run(S)
+    assert watcher.watcher.link is not None and watcher.watcher.link.link_id != link
+    fleet.add_version(2)
+    again = FakeWatcher(fleet, 7, [])
+    again.watcher = ConfigWatcher(
+        again, "fleet", fleet.names, [], VerifiedVersion(1, version(1).digest, body(1))
+    )
+    again.watcher.start()
+    again.arm()
+    before = fleet.whole_versions_sent()
+    fleet.run(2 * S)
+    assert again.applied_version() == 2
+    assert fleet.whole_versions_sent() == before
--- a/tests/testbed/test_distribution_check.py
+++ b/tests/testbed/test_distribution_check.py
@@ -112,7 +112,7 @@
         "a refused body changes nothing and is reported",
         lambda: story(
             PUBLISHED, published(4000, 4, 4, "refusable"), both(IN_TIME),
-            [row(4300, d, "says", f"config: version 4 refused: {KEY} is 0") for d in DISPATCHERS],
+            [row(4300, d, "says", f"config: version 4 rejected: {KEY} is 0") for d in DISPATCHERS],
             [row(39_000, "reader", "watchers", ["s0", [["d0", 3, 4, f"{KEY} is 0", 0.1, True]]])],
             ids=["p1", "p2", "p3", "p4"],
         ),
@@ -226,7 +226,7 @@
      lambda: story(PUBLISHED, probes("d0", IN_TIME), probes("d1", IN_TIME, (20_000, 26_000)))),
     ("the operators' door lies", "d0 claims version 3, clients saw [1] before and [1] after",
      lambda: story(PUBLISHED, both(IN_TIME),
-                   [row(1510, "prober", "door", ["d0", 1_508 * MS, "+OK version 3 in force"])])),
+                   [row(1510, "prober", "door", ["d0", 1_508 * MS, "+OK version 3 applied"])])),
 ]  # fmt: skip
 
 
