--- a/ploverspoke/config_distribution/admin_client.py
+++ b/ploverspoke/config_distribution/admin_client.py
@@ -1,16 +1,16 @@
 """What tools do with config servers: ask all of them, publish by the leader, wait for the fleet."""
 
-import contextlib
+import itertools
 import secrets
 import time
 from concurrent.futures import ThreadPoolExecutor
-from typing import Any, NamedTuple, TypeVar
+from typing import Generic, NamedTuple, TypeVar
 
-import msgspec
 from msgspec import UNSET
 
+from ploverspoke.consensus.admin_messages import AdminRequest, StatusRequest, StatusRow
 from ploverspoke.consensus.framing import FrameError
-from ploverspoke.consensus.replica_client import send_admin_request
+from ploverspoke.consensus.replica_client import call_replica
 
 from .admin_messages import (
     PublishReply,
@@ -29,24 +29,25 @@
 RETRY_INTERVAL = 0.1  # seconds between two searches for a leader
 POLL_INTERVAL = 0.2  # seconds between two looks at the fleet
 REQUEST_ID_BYTES = 12
-ReplyType = TypeVar("ReplyType")
-REQUEST_ERRORS = (OSError, FrameError, msgspec.ValidationError)
+ReplyT = TypeVar("ReplyT")
 
 
-class ServerReply(NamedTuple):
-    """What one server replied."""
+class ServerReply(NamedTuple, Generic[ReplyT]):
+    """What one server replied, or why it did not."""
 
     server: str
-    reply: Any  # decoded; None where there is an error
+    reply: ReplyT | None
     error: Exception | None
 
 
-def ask_all(servers: ConfigServers, request: Any) -> list[ServerReply]:
-    """The replies of all servers, asked at once, in the order of their names in the file."""
+def ask_all(
+    servers: ConfigServers, request: AdminRequest, reply_type: type[ReplyT]
+) -> list[ServerReply[ReplyT]]:
+    """The replies of all servers, asked at once, in the order of the file."""
 
-    def ask(server: str) -> ServerReply:
+    def ask(server: str) -> ServerReply[ReplyT]:
         try:
-            reply = send_admin_request(servers.peers[server], servers.secret, request)
+            reply = call_replica(servers.peers[server], servers.secret, request, reply_type)
         except (OSError, FrameError) as error:
             return ServerReply(server, None, error)
         return ServerReply(server, reply, None)
@@ -55,22 +56,13 @@
         return list(threads.map(ask, servers.peers))
 
 
-def _ask_any(servers: ConfigServers, request: Any) -> list[ServerReply]:
-    """The replies of those servers that replied. Raises NoServerAvailableError where none did."""
-    replies = ask_all(servers, request)
-    successful = [reply for reply in replies if reply.error is None]
-    if not successful:
-        raise NoServerAvailableError({reply.server: str(reply.error) for reply in replies})
-    return successful
-
-
-def _converted(replies: list[ServerReply], reply_type: type[ReplyType]) -> list[ReplyType]:
-    """The replies of that type; a server of another release may reply something else."""
-    converted = []
-    for reply in replies:
-        with contextlib.suppress(msgspec.ValidationError):
-            converted.append(msgspec.convert(reply.reply, reply_type))
-    return converted
+def _ask_any(servers: ConfigServers, request: AdminRequest, reply_type: type[ReplyT]) -> dict[str, ReplyT]:
+    """The replies of those servers that replied, by name. Raises NoServerAvailableError where none did."""
+    all_replies = ask_all(servers, request, reply_type)
+    replies = {answer.server: answer.reply for answer in all_replies if answer.reply is not None}
+    if not replies:
+        raise NoServerAvailableError({answer.server: str(answer.error) for answer in all_replies})
+    return replies
 
 
 # ---- Versions ----
@@ -78,15 +70,14 @@
 
 def list_versions(servers: ConfigServers) -> list[VersionRow]:
     """The kept versions of the server that knows the latest. Raises NoServerAvailableError."""
-    replies = _ask_any(servers, VersionListRequest())
-    return max(_converted(replies, list[VersionRow]), key=_latest_number, default=[])
+    lists = _ask_any(servers, VersionListRequest(), list[VersionRow])
+    return max(lists.values(), key=_latest_number)
 
 
 def get_version(servers: ConfigServers, number: int = 0) -> VersionReply:
     """The body of a version, 0: the latest. Raises NoServerAvailableError."""
-    replies = _ask_any(servers, VersionRequest(number))
-    found = _converted(replies, VersionReply)
-    return max(found, key=lambda version: version.number, default=VersionReply(0))
+    replies = _ask_any(servers, VersionRequest(number), VersionReply)
+    return max(replies.values(), key=lambda version: version.number)
 
 
 def _latest_number(rows: list[VersionRow]) -> int:
@@ -119,14 +110,12 @@
 
 def find_leader(servers: ConfigServers) -> LeaderSearch:
     """The server that leads."""
-    replies = ask_all(servers, {"ask": "status"})
-    for reply in replies:
-        if isinstance(reply.reply, dict) and reply.reply.get("leads"):
-            return LeaderSearch(servers.peers[reply.server], {}, any_replied=True)
-    failures = {
-        reply.server: str(reply.error) if reply.error is not None else "does not lead" for reply in replies
-    }
-    return LeaderSearch("", failures, any(reply.error is None for reply in replies))
+    answers = ask_all(servers, StatusRequest(), StatusRow)
+    for answer in answers:
+        if answer.reply is not None and answer.reply.leads:
+            return LeaderSearch(servers.peers[answer.server], {}, any_replied=True)
+    failures = {answer.server: str(answer.error or "does not lead") for answer in answers}
+    return LeaderSearch("", failures, any(answer.reply is not None for answer in answers))
 
 
 class _Publisher:
@@ -165,12 +154,11 @@
         """The final reply of the leader; None: it has to be repeated."""
         try:
             if self.expected_version is None:
-                rows = self._ask(leader, VersionListRequest())
-                self.expected_version = _latest_number(msgspec.convert(rows, list[VersionRow]))
+                versions = self._ask(leader, VersionListRequest(), list[VersionRow])
+                self.expected_version = _latest_number(versions)
             request = PublishRequest(self.body, self.expected_version, self.author, self.request_id)
-            raw = self._ask(leader, request)
-            reply = msgspec.convert(raw, PublishReply)
-        except REQUEST_ERRORS as error:
+            reply = self._ask(leader, request, PublishReply)
+        except (OSError, FrameError) as error:
             if self.expected_version is not None:
                 self.unknown = PublishReply(False, 0, f"no answer: {error}", is_unknown=True)
             return None
@@ -178,8 +166,8 @@
             self.unknown = reply
         return reply if not reply.is_unknown and reply.leader is UNSET else None
 
-    def _ask(self, leader: str, request: msgspec.Struct) -> Any:
-        return send_admin_request(leader, self.servers.secret, msgspec.to_builtins(request))
+    def _ask(self, leader: str, request: AdminRequest, reply_type: type[ReplyT]) -> ReplyT:
+        return call_replica(leader, self.servers.secret, request, reply_type)
 
     def _begin_anew(self) -> None:
         """Another version came first: this request is known not to be committed."""
@@ -195,13 +183,11 @@
 
     Raises NoServerAvailableError.
     """
-    replies = _ask_any(servers, WatcherListRequest())
-    replied = {reply.server for reply in replies}
-    silent_servers = [server for server in servers.peers if server not in replied]
+    lists = _ask_any(servers, WatcherListRequest(), list[WatcherRow])
+    silent_servers = [server for server in servers.peers if server not in lists]
     if not version:
         version = _latest_number(list_versions(servers))
-    rows = [row for rows in _converted(replies, list[WatcherRow]) for row in rows]
-    return group_watchers(version, rows, silent_servers)
+    return group_watchers(version, itertools.chain.from_iterable(lists.values()), silent_servers)
 
 
 def wait_until_applied(servers: ConfigServers, version: int, timeout: float) -> FleetStatus:
--- a/ploverspoke/config_distribution/admin_messages.py
+++ b/ploverspoke/config_distribution/admin_messages.py
@@ -3,11 +3,10 @@
 Beside these, a config server answers the requests of any replica (`status`, `members` and others).
 """
 
-from collections.abc import Mapping
-
 import msgspec
 from msgspec import UNSET, UnsetType
 
+from ploverspoke.consensus.admin_messages import AdminRequest, WireMap
 from ploverspoke.service.config_reader import ConfigError
 
 from .messages import is_version_number
@@ -16,7 +15,7 @@
 MAX_REQUEST_ID_CHARACTERS = 200
 
 
-class PublishRequest(msgspec.Struct, frozen=True, tag="publish", tag_field="ask"):
+class PublishRequest(AdminRequest, frozen=True, tag="publish"):
     """Commit a body in the place of the version that its author has seen."""
 
     body: str
@@ -25,17 +24,17 @@
     request_id: str = msgspec.field(name="id")  # a repeated request with the same id commits nothing more
 
 
-class VersionListRequest(msgspec.Struct, frozen=True, tag="versions", tag_field="ask"):
+class VersionListRequest(AdminRequest, frozen=True, tag="versions"):
     """List the kept versions; the reply is a list of `VersionRow`."""
 
 
-class VersionRequest(msgspec.Struct, frozen=True, tag="version", tag_field="ask"):
+class VersionRequest(AdminRequest, frozen=True, tag="version", omit_defaults=False):
     """Get the body of one version; the reply is a `VersionReply`."""
 
     number: int = msgspec.field(name="n", default=0)  # 0: the latest
 
 
-class WatcherListRequest(msgspec.Struct, frozen=True, tag="watchers", tag_field="ask"):
+class WatcherListRequest(AdminRequest, frozen=True, tag="watchers"):
     """List the watchers of one server; the reply is a list of `WatcherRow`."""
 
 
@@ -59,7 +58,7 @@
     author: str = msgspec.field(name="by", default="")
 
 
-def read_publish_request(message: Mapping[str, object]) -> PublishRequest:
+def read_publish_request(message: WireMap) -> PublishRequest:
     """A decoded publish request. Raises ConfigError with the key."""
     body, expected_version = message.get("body"), message.get("expect")
     if not isinstance(body, str):
@@ -71,7 +70,7 @@
     return PublishRequest(body, expected_version, author, request_id)
 
 
-def _read_text(message: Mapping[str, object], key: str, max_characters: int) -> str:
+def _read_text(message: WireMap, key: str, max_characters: int) -> str:
     value = message.get(key)
     if not isinstance(value, str) or not 0 < len(value) <= max_characters:
         raise _error(key, f"expected a text of 1 to {max_characters} characters")
--- a/ploverspoke/config_distribution/cluster_config.py
+++ b/ploverspoke/config_distribution/cluster_config.py
@@ -6,8 +6,8 @@
 from ploverspoke.consensus.cluster_config import (
     ReplicaConfig,
     parse_replica_config,
+    read_cluster_servers,
     read_json_file,
-    read_replica_addresses,
     read_shared_secret,
 )
 from ploverspoke.service.config import address
@@ -59,12 +59,9 @@
 
 def read_config_servers(path: Path) -> ConfigServers:
     """From a config server's file, or one with `replicas` and `secret_file` alone. Raises ConfigError."""
-    section = read_json_file(path)
-    replicas = read_replica_addresses(section)
-    if not replicas:
-        raise section.bad("replicas", "at least one config server")
-    peers = {name: peers for name, (peers, _) in replicas.items()}
-    return ConfigServers(peers, read_shared_secret(section, path))
+    cluster = read_cluster_servers(path, "at least one config server")
+    peers = {name: peer_address for name, (peer_address, _) in cluster.replicas.items()}
+    return ConfigServers(peers, cluster.secret)
 
 
 def read_watch_config(path: Path) -> WatchConfig:
--- a/ploverspoke/config_distribution/commands.py
+++ b/ploverspoke/config_distribution/commands.py
@@ -6,14 +6,22 @@
 import json
 import os
 import sys
-from collections.abc import Callable, Mapping
+from collections.abc import Callable
 from pathlib import Path
 from typing import Any, NamedTuple
 
 import click
 import msgspec
 
-from ploverspoke.consensus.command_line import print_rows
+from ploverspoke.consensus.admin_messages import StatusRequest, StatusRow, WireMap
+from ploverspoke.consensus.command_line import (
+    EXISTING_FILE,
+    FILE_ARGUMENT,
+    JSON_OPTION,
+    ReplicaUnavailableError,
+    print_rows,
+    read_config_or_exit,
+)
 from ploverspoke.service.config import parse_config
 from ploverspoke.service.config_reader import ConfigError, first_missing_key
 
@@ -24,9 +32,6 @@
 from .errors import NoServerAvailableError
 from .overlay import apply_overlay, read_body
 
-EXISTING_FILE = click.Path(exists=True, dir_okay=False, path_type=Path)
-FILE = click.argument("file", type=EXISTING_FILE)
-JSON = click.option("--json", "as_json", is_flag=True, help="For tools.")
 PUBLISH_TIMEOUT = 10.0  # seconds, for a leader to commit a version
 STATUS_KEYS = ("name", "role", "why", "version", "fresh", "watchers", "watchers_behind")
 
@@ -43,14 +48,11 @@
 
 
 def _read_servers(file: Path) -> ConfigServers:
-    try:
-        return read_config_servers(file)
-    except ConfigError as error:
-        raise click.UsageError(str(error)) from error
+    return read_config_or_exit(read_config_servers, file)
 
 
 @config.command()
-@FILE
+@FILE_ARGUMENT
 @click.option("--new", is_flag=True, help="The first start of a new set of config servers.")
 @click.option("--join", default="", metavar="MARK", help="The mark of the running set that it joins.")
 def serve(file: Path, new: bool, join: str) -> None:
@@ -88,7 +90,7 @@
         command(options=PublishOptions(expect, wait, by, as_json), **arguments)
 
     for option in (
-        JSON,
+        JSON_OPTION,
         click.option("--by", default=None, help="Who publishes; by default the user."),
         click.option("--wait", type=float, default=0.0, help="Seconds to wait until it is applied."),
         click.option(
@@ -103,7 +105,7 @@
 
 
 @config.command()
-@FILE
+@FILE_ARGUMENT
 @click.argument("body", type=EXISTING_FILE)
 @click.option("--against", type=EXISTING_FILE, help="A dispatcher's configuration that BODY is checked with.")
 @publish_options
@@ -128,7 +130,7 @@
 
 
 @config.command()
-@FILE
+@FILE_ARGUMENT
 @click.argument("version", type=click.IntRange(1))
 @publish_options
 def rollback(file: Path, version: int, options: PublishOptions) -> None:
@@ -145,7 +147,7 @@
         message = f"{against}: {error}"
         raise ConfigError(message) from error
     new = parse_config(apply_overlay(own, read_body(text)), os.environ)
-    missing = first_missing_key({key: value for key, value in own.items() if key != "known"}, new.told)
+    missing = first_missing_key({key: value for key, value in own.items() if key != "known"}, new.document)
     if missing is not None:
         message = f"{missing} is missing: {against} has it"
         raise ConfigError(message)
@@ -174,15 +176,15 @@
 
 
 @config.command()
-@FILE
-@JSON
+@FILE_ARGUMENT
+@JSON_OPTION
 def status(file: Path, as_json: bool) -> None:
     """The state of each server, and which dispatchers have applied the latest version.
 
     Exit 0: all that are connected have applied it. 1: some have not. 3: no server answers.
     """
     servers = _read_servers(file)
-    rows = [_status_row(reply) for reply in ask_all(servers, {"ask": "status"})]
+    rows = [_status_row(answer) for answer in ask_all(servers, StatusRequest(), StatusRow)]
     try:
         fleet = fleet_status(servers)
     except NoServerAvailableError as error:
@@ -197,16 +199,15 @@
     sys.exit(0 if fleet.is_applied_everywhere() else EXIT_NOT_DONE)
 
 
-def _status_row(reply: ServerReply) -> Mapping[str, Any]:
-    if reply.error is not None:
-        return {"name": reply.server, "role": "no answer", "why": str(reply.error)}
-    row: Mapping[str, Any] = reply.reply
-    return row
+def _status_row(answer: ServerReply[StatusRow]) -> WireMap:
+    if answer.reply is None:
+        return ReplicaUnavailableError(answer.server, str(answer.error)).row()
+    return answer.reply.fields
 
 
 @config.command()
-@FILE
-@JSON
+@FILE_ARGUMENT
+@JSON_OPTION
 def history(file: Path, as_json: bool) -> None:
     """The versions that are kept, the latest last."""
     try:
@@ -221,9 +222,9 @@
 
 
 @config.command()
-@FILE
+@FILE_ARGUMENT
 @click.argument("version", type=click.IntRange(1), required=False)
-@JSON
+@JSON_OPTION
 def show(file: Path, version: int | None, as_json: bool) -> None:
     """The body of VERSION, or of the latest one. Exit 1 where it is not kept."""
     body = _get_body(_read_servers(file), version or 0, as_json)
@@ -231,7 +232,7 @@
 
 
 @config.command()
-@FILE
+@FILE_ARGUMENT
 @click.argument("old", type=click.IntRange(1), required=False)
 @click.argument("new", type=click.IntRange(1), required=False)
 def diff(file: Path, old: int | None, new: int | None) -> None:
--- a/ploverspoke/config_distribution/dynamic_config.py
+++ b/ploverspoke/config_distribution/dynamic_config.py
@@ -100,7 +100,7 @@
         service, before = self.service, self.service.briefing
         try:
             new = self.own.with_body(version.body)
-            service.briefing = before._replace(told=without_known_workers(self.own.document))
+            service.briefing = before._replace(document=without_known_workers(self.own.document))
             service.take_configuration(new)
         except ValueError as error:
             service.briefing = before
@@ -108,14 +108,14 @@
         except Exception:
             service.briefing = before
             raise
-        service.briefing = service.briefing._replace(told=new.told)
+        service.briefing = service.briefing._replace(document=new.document)
         self.body = version.body
 
     def reread(self) -> Config:
         """At SIGHUP: the own configuration as it is now, with the active version. Raises ConfigError."""
         document = self.own.reread()
         config = OwnConfig(document, self.own.environment, self.own.reread).with_body(self.body)
-        missing = first_missing_key(self.service.briefing.told, config.told)
+        missing = first_missing_key(self.service.briefing.document, config.document)
         if missing is not None:
             message = f"{missing} is missing: the active configuration has it"
             raise ConfigError(message)
--- a/tests/config_distribution/test_cache.py
+++ b/tests/config_distribution/test_cache.py
@@ -27,7 +27,7 @@
     write_cache(config, applied)
     assert read_cache(config) == (applied, "")
     initial = initial_config(own, config)
-    assert initial.config.names["grades"] == ["look-up", "g01"] and initial.applied == applied
+    assert initial.config.names.request_classes == ("look-up", "g01") and initial.applied == applied
     whole = config.cache_file.read_text()
     for corrupt, expected in (
         (whole.replace("g01", "g02"), "digest"),
@@ -39,7 +39,7 @@
     ):
         config.cache_file.write_text(corrupt)
         initial = initial_config(own, config)
-        assert initial.applied is NO_VERSION and initial.config.names["grades"] == ["look-up"]
+        assert initial.applied is NO_VERSION and initial.config.names.request_classes == ("look-up",)
         assert expected in capsys.readouterr().err
     # One that does not go with the file any more.
     wrong = '{"settings": {"RoundUs": -4}}'
--- a/tests/config_distribution/test_dynamic_config.py
+++ b/tests/config_distribution/test_dynamic_config.py
@@ -26,7 +26,7 @@
         briefing = own.with_body("")
 
         def take_configuration(self, new: Config) -> None:
-            if new.orders["round"] == 4_000_000:
+            if new.settings.batch_interval == 4_000_000:
                 raise ConfigError("settings.RoundUs")
             self.briefing = new
 
@@ -37,7 +37,7 @@
     assert (rejected.value.version, rejected.value.reason) == (1, "settings.RoundUs")
     assert service.briefing is before and applier.body == ""
     applier.apply(VerifiedVersion(2, b"", body_with_classes("g02")))
-    assert service.briefing.names["grades"][1] == "g02"
+    assert service.briefing.names.request_classes[1] == "g02"
 
 
 def test_plain_serve_imports_nothing_of_this_package(tmp_path: Path) -> None:
