--- a/ploverspoke/config_distribution/server.py
+++ b/ploverspoke/config_distribution/server.py
@@ -123,7 +123,7 @@
             self.watching[name] = connection
             if old is not None:
                 feed.on_disconnected(name)
-                log_line(f"config: {name} came again, its older connection is closed")
+                log_line(f"config: {name} connected again, its older connection is closed")
                 old.close()
         if self.watching.get(name) is connection:
             feed.on_watch_status(name, have)
@@ -144,5 +144,5 @@
     def drop(self, name: str, why: str) -> None:
         connection = self.watching.pop(name, None)
         if connection is not None:
-            log_line(f"config: {name} is let go: {why}")
+            log_line(f"config: {name} is disconnected: {why}")
             connection.close()
