--- a/tests/config_distribution/test_processes.py
+++ b/tests/config_distribution/test_processes.py
@@ -1,4 +1,4 @@
-"""Config servers and dispatchers as real processes, judged from outside; planted faults are found."""
+"""Config servers and dispatchers as real processes, judged from outside; faulty variants are found."""
 
 from pathlib import Path
 
@@ -22,18 +22,19 @@
 RUNS_LONG = True  # scheduled first: see tests/conftest.py
 
 MS = MILLISECOND
-PLANTED = "tests.config_distribution.faulty_distribution"
+FAULTY = "tests.config_distribution.faulty_distribution"
 
 
-def found(outcome: Outcome) -> list[str]:
+def findings_of(outcome: Outcome) -> list[str]:
+    """What the checker found in a run that is not void."""
     assert outcome.void == ""
-    return [what for what, _ in outcome.verdict.findings]
+    return [finding for finding, _ in outcome.verdict.findings]
 
 
 def test_acknowledged_versions_are_applied_in_time_through_kills_pauses_cuts_and_lost_folders() -> None:
     plan = Plan(kills=Span(2 * SECOND))
-    # To one dispatcher only this is done; of what is drawn, some may be skipped where two would meet.
-    own = [
+    # All that is done to two dispatchers; of the drawn faults some may be skipped where two would meet.
+    own_steps = [
         Step(at=Span(3 * SECOND), what="empty", who=["a-d4"], lasts=Span(200 * MS)),
         Step(at=Span(6 * SECOND), what="older", who=["a-d4"], lasts=Span(200 * MS)),
         Step(at=Span(9 * SECOND), what="restart", who=["a-d4"]),
@@ -42,7 +43,7 @@
     ]
     apart = {"a-d2", "a-d4"}
     others = [s for s in timeline(plan, 53) if s.what in (*ON_LINKS, "copy") or not apart & set(s.who)]
-    played = play(plan, 53, [*others, *own])
+    played = play(plan, 53, [*others, *own_steps])
     assert played.shown == [], "\n".join(played.shown)
     assert (played.void, played.faults, played.verdict.void()) == ("", [], "")
     assert played.verdict.refusals == plan.dispatchers
@@ -54,31 +55,31 @@
 
 
 def test_checker_finds_each_faulty_watcher() -> None:
-    instead = {
-        "a-d0": [PLANTED, "older"],
-        "b-d1": [PLANTED, "half"],
-        "a-d2": [PLANTED, "unchecked"],
-        "b-d3": [PLANTED, "patient"],
+    faulty_programs = {
+        "a-d0": [FAULTY, "older"],
+        "b-d1": [FAULTY, "half"],
+        "a-d2": [FAULTY, "unchecked"],
+        "b-d3": [FAULTY, "patient"],
     }
     plan = Plan(
         dispatchers=5, within=Span(4 * SECOND), lasts=Span(12 * SECOND), every=Span(SECOND), emptied=Span(0)
     )
-    # The one near server of b-d3 hears and says nothing for most of the run.
+    # The one local server of b-d3 is paused for most of the run.
     paused = Step(at=Span(2 * SECOND), what="pause", who=["b-s1"], lasts=Span(9 * SECOND))
-    told = found(play(plan, 2, [*regions(plan), paused], instead))
+    findings = findings_of(play(plan, 2, [*regions(plan), paused], faulty_programs))
     for expected in (
         "a-d0 went back from version",
         "b-d1 has half of tag",
         "which has to be refused",
         "b-d3 is at version",
     ):
-        assert [one for one in told if expected in one], told
-    assert not [one for one in told if "a-d4" in one], told
+        assert [finding for finding in findings if expected in finding], findings
+    assert not [finding for finding in findings if "a-d4" in finding], findings
 
 
 def test_checker_finds_a_server_that_sends_uncommitted_versions() -> None:
-    # Whoever leads is cut off from the others, not from those that publish and watch, and is asked to commit
-    # what it cannot; the others elect another and commit, and nobody asks again.
+    # The leader is cut off from the other servers, not from publishers and watchers, and is asked to commit
+    # what it cannot; the others elect another leader and commit, and no publisher repeats its request.
     plan = Plan(
         within=Span(2 * SECOND),
         lasts=Span(12 * SECOND),
@@ -90,8 +91,10 @@
         emptied=Span(0),
         leader_cut=Span(2400 * MS),
     )
-    told = found(play(plan, 3, regions(plan), dict.fromkeys(plan.server_names(), [PLANTED, "eager"])))
-    assert [one for one in told if "which was not committed" in one], told
+    findings = findings_of(
+        play(plan, 3, regions(plan), dict.fromkeys(plan.server_names(), [FAULTY, "eager"]))
+    )
+    assert [finding for finding in findings if "which was not committed" in finding], findings
 
 
 def test_checker_finds_servers_that_ignore_the_expected_version_or_begin_anew() -> None:
@@ -102,10 +105,10 @@
         every=Span(300 * MS),
         emptied=Span(3 * SECOND),
     )
-    instead = dict.fromkeys(plan.server_names(), [PLANTED, "swaps,forgets"])
-    told = found(play(plan, 4, regions(plan), instead))
+    faulty_programs = dict.fromkeys(plan.server_names(), [FAULTY, "swaps,forgets"])
+    findings = findings_of(play(plan, 4, regions(plan), faulty_programs))
     for expected in ("won", "and came behind", "serves with an empty folder"):
-        assert [one for one in told if expected in one], told
+        assert [finding for finding in findings if expected in finding], findings
 
 
 def test_seed_gives_the_same_faults_and_a_calm_end() -> None:
@@ -132,10 +135,10 @@
     ],
 )
 def test_invalid_experiment_is_rejected_with_its_key(wrong: dict[str, object], key: str) -> None:
-    told = {"kind": "distribution", "name": "n", "seeds": [1], "plan": wrong}
+    experiment = {"kind": "distribution", "name": "n", "seeds": [1], "plan": wrong}
     with pytest.raises(BadTimeline, match=key):
-        read_distribution_experiment(told)
-    assert read_distribution_experiment({**told, "plan": {}}).plan == Plan()
+        read_distribution_experiment(experiment)
+    assert read_distribution_experiment({**experiment, "plan": {}}).plan == Plan()
 
 
 def test_command_names_the_key_of_an_invalid_experiment(tmp_path: Path) -> None:
