--- a/ploverspoke/config_distribution/admin_messages.py
+++ b/ploverspoke/config_distribution/admin_messages.py
@@ -11,11 +11,18 @@
 
 from .messages import is_version_number
 
+# Kinds of requests, as they stand on the wire.
+PUBLISH = "publish"
+LIST_VERSIONS = "versions"
+READ_VERSION = "version"
+LIST_WATCHERS = "watchers"
+
+NO_SUCH_VERSION = -1
 MAX_AUTHOR_CHARACTERS = 200
 MAX_REQUEST_ID_CHARACTERS = 200
 
 
-class PublishRequest(AdminRequest, frozen=True, tag="publish"):
+class PublishRequest(AdminRequest, frozen=True, tag=PUBLISH):
     """Commit a body in the place of the version that its author has seen."""
 
     body: str
@@ -24,17 +31,17 @@
     request_id: str = msgspec.field(name="id")  # a repeated request with the same id commits nothing more
 
 
-class VersionListRequest(AdminRequest, frozen=True, tag="versions"):
+class VersionListRequest(AdminRequest, frozen=True, tag=LIST_VERSIONS):
     """List the kept versions; the reply is a list of `VersionRow`."""
 
 
-class VersionRequest(AdminRequest, frozen=True, tag="version", omit_defaults=False):
+class VersionRequest(AdminRequest, frozen=True, tag=READ_VERSION, omit_defaults=False):
     """Get the body of one version; the reply is a `VersionReply`."""
 
     number: int = msgspec.field(name="n", default=0)  # 0: the latest
 
 
-class WatcherListRequest(AdminRequest, frozen=True, tag="watchers"):
+class WatcherListRequest(AdminRequest, frozen=True, tag=LIST_WATCHERS):
     """List the watchers of one server; the reply is a list of `WatcherRow`."""
 
 
@@ -58,6 +65,26 @@
     author: str = msgspec.field(name="by", default="")
 
 
+class ConfigServerStatus(msgspec.Struct, frozen=True):
+    """The part of a status that only config servers have; counters begin with the process."""
+
+    version: int  # the latest; 0: none
+    has_recent_leader: bool = msgspec.field(name="fresh")  # it leads, or heard from a leader lately
+    watchers: int  # connected
+    watchers_behind: int
+    versions_sent: int = msgspec.field(name="pushes")
+    whole_versions_sent: int = msgspec.field(name="whole_pushes")
+    version_bytes_sent: int = msgspec.field(name="pushed_bytes")
+    silent_watchers: int = msgspec.field(name="silent")  # disconnected for sending no status
+    watchers_sent_elsewhere: int = msgspec.field(name="sent_elsewhere")  # for want of capacity
+
+
+def read_version_request(message: WireMap) -> VersionRequest:
+    """A decoded request for a version's body; a value that is no number names no version."""
+    number = message.get("n") or 0
+    return VersionRequest(number if is_version_number(number) else NO_SUCH_VERSION)
+
+
 def read_publish_request(message: WireMap) -> PublishRequest:
     """A decoded publish request. Raises ConfigError with the key."""
     body, expected_version = message.get("body"), message.get("expect")
--- a/ploverspoke/config_distribution/client.py
+++ b/ploverspoke/config_distribution/client.py
@@ -1,34 +1,35 @@
-"""A watcher on sockets: a thin driver of `ConfigWatcher`, with the cache of the last version that was
-taken."""
+"""A watcher on sockets: the driver of `ConfigWatcher`, with the cache of the last applied version."""
 
 import asyncio
 import os
 import random
 import time
 from collections.abc import Callable
-from typing import Any, NamedTuple, cast
+from typing import NamedTuple
 
-from ploverspoke.consensus.framing import FrameCodec, FrameError
+from ploverspoke.consensus.cluster_config import split_address
+from ploverspoke.consensus.framed_client import FramedClientConnection
+from ploverspoke.consensus.framing import FrameError
 from ploverspoke.transport.rate_limited_log import log_line
 
 from .cache import CacheWriter
-from .clock_units import MILLISECOND
+from .clock_units import MILLISECOND, SECOND
 from .cluster_config import WatchConfig
 from .messages import NO_VERSION, VerifiedVersion, WatchStatus, watcher_greeting
 from .server_link import NO_HEARTBEAT
 from .watcher import ConfigWatcher
 
-LONGEST_NAP = 60.0  # seconds
-MOST_UNSENT = 1 << 16  # bytes, towards a server that does not read
+MAX_TIMER_SECONDS = 60.0
+SEED_BYTES = 8
 
 ApplyVersion = Callable[[VerifiedVersion], None]  # raises VersionRejectedError
 
 
 class WatchMetrics(NamedTuple):
-    """What operators see of a watch."""
+    """What operators see of a watch, by the names at the admin port."""
 
     config_version: int  # the active one; 0: none
-    config_received_version: int
+    config_received_version: int  # the latest that arrived intact; 0: none
     config_connected: int  # 1: a server is watched
     config_server_version: int  # the latest one of that server; -1: unknown
     config_silent_ms: int  # since the server was last heard; -1: there is none
@@ -38,173 +39,164 @@
     config_server_changes: int
 
 
-class ServerConnection(asyncio.Protocol):
-    def __init__(self, client: "WatchClient", link: int) -> None:
+class ServerConnection(FramedClientConnection):
+    """One connection of a watch to a config server."""
+
+    server_errors = (FrameError, KeyError, TypeError, ValueError)
+    log_name = "config"
+    max_unsent_bytes = 1 << 16  # a status that is left out is repeated
+
+    def __init__(self, client: "WatchClient", link_id: int) -> None:
+        """`client` is told of all that happens, with this `link_id`."""
+        super().__init__(client.config.secret, watcher_greeting(client.name, client.config.cluster))
         self.client = client
-        self.link = link
-        self.frames = FrameCodec(client.orders.secret, watcher_greeting(client.name, client.orders.cluster))
-        self.transport: asyncio.Transport | None = None
-        self.ready = False
-        self.over = False
-
-    def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)
-        if self.over:
-            self.transport.abort()
-        else:
-            self.transport.write(self.frames.greeting_frame())
-
-    def connection_lost(self, exc: Exception | None) -> None:
-        self.transport = None
-        self.client.lost(self)
-
-    def data_received(self, data: bytes) -> None:
-        if self.over:
-            return
-        try:
-            messages = self.frames.decode(data)
-        except (FrameError, KeyError, TypeError, ValueError) as error:
-            log_line(f"config: message rejected: {error}")
-            self.close()
-            return
-        if self.frames.peer_greeting is not None and not self.ready:
-            self.ready = True
-            self.client.greeted(self)
-        for message in messages:
-            self.client.told(self, message)
+        self.link_id = link_id
 
-    def close(self) -> None:
-        if self.transport is not None:
-            self.transport.abort()
+    def on_connected(self) -> None:
+        """The server has greeted."""
+        self.client.on_greeting(self.link_id)
+
+    def on_message(self, message: object) -> None:
+        """A message of any form has arrived."""
+        self.client.on_message(self.link_id, message)
+
+    def on_disconnected(self) -> None:
+        """The connection is lost."""
+        self.client.on_disconnected(self.link_id)
 
 
 class WatchClient:
-    """The host of a `ConfigWatcher`. `take` puts a body in force, or says why not."""
+    """The environment of a `ConfigWatcher`: sockets, time, random numbers, the cache."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        orders: WatchConfig,
+        config: WatchConfig,
         name: str,
         apply: ApplyVersion,
         applied: VerifiedVersion = NO_VERSION,
         seed: int | None = None,
     ) -> None:
-        """`applied` is the version that is active already. `seed`: of its chance; None: the system's."""
+        """`apply` makes a version active; `applied` is active already. `seed` None: one of the system."""
         self.loop = loop
-        self.orders = orders
+        self.config = config
         self.name = name
         self.apply = apply
-        self.chance = random.Random(int.from_bytes(os.urandom(8), "big") if seed is None else seed)
-        self.watcher = ConfigWatcher(self, orders.cluster, orders.servers, orders.local_servers, applied)
-        self.connections: dict[int, ServerConnection] = {}
-        self.dialling: dict[int, asyncio.Task[None]] = {}
+        self.random = random.Random(int.from_bytes(os.urandom(SEED_BYTES), "big") if seed is None else seed)
+        self.watcher = ConfigWatcher(self, config.cluster, config.servers, config.local_servers, applied)
+        self.connections: dict[int, ServerConnection] = {}  # by link id, also those that are being made
+        self.dial_tasks: dict[int, asyncio.Task[None]] = {}
         self.timer: asyncio.TimerHandle | None = None
-        self.timer_for = 0
-        self.cache_writer = CacheWriter(loop, orders)
+        self.timer_at = 0
+        self.cache_writer = CacheWriter(loop, config)
         self.closed = False
 
     def start(self) -> None:
         """Begin to watch."""
         self.watcher.start()
-        self._after()
+        self._schedule_tick()
 
     def close(self) -> None:
+        """Close all connections, and write the cache where it is behind."""
         self.closed = True
         if self.timer is not None:
             self.timer.cancel()
-        for link in [*self.connections, *self.dialling]:
-            self.hang_up(link)
+        for link_id in list(self.connections):
+            self.hang_up(link_id)
         self.cache_writer.close()
 
-    # ---- The watch's host ----
+    # ---- Environment of the watcher ----
 
     def now(self) -> int:
+        """The monotonic clock, ns."""
         return time.monotonic_ns()
 
     def random_fraction(self) -> float:
-        return self.chance.random()
+        """A random number, 0 <= x < 1."""
+        return self.random.random()
 
     def log(self, line: str) -> None:
+        """Write a line to the log."""
         log_line(line)
 
-    def dial(self, link: int, where: str) -> None:
-        connection = self.connections[link] = ServerConnection(self, link)
-        self.dialling[link] = self.loop.create_task(self._connect(connection, where))
+    def dial(self, link_id: int, address: str) -> None:
+        """Connect to a server; reported later by an event."""
+        connection = self.connections[link_id] = ServerConnection(self, link_id)
+        self.dial_tasks[link_id] = self.loop.create_task(self._dial(connection, address))
 
-    def hang_up(self, link: int) -> None:
-        task, connection = self.dialling.pop(link, None), self.connections.pop(link, None)
+    def hang_up(self, link_id: int) -> None:
+        """Close a connection; nothing of it is reported any more."""
+        task, connection = self.dial_tasks.pop(link_id, None), self.connections.pop(link_id, None)
         if task is not None:
             task.cancel()
         if connection is not None:
-            connection.over = True
             connection.close()
 
-    def send(self, link: int, message: WatchStatus) -> None:
-        connection = self.connections.get(link)
-        if connection is None or connection.transport is None or not connection.ready:
-            return
-        if connection.transport.get_write_buffer_size() <= MOST_UNSENT:  # what is left out is said again
-            connection.transport.write(connection.frames.encode(message))
+    def send(self, link_id: int, status: WatchStatus) -> None:
+        """Send a status; left out where the server does not read, since it is repeated."""
+        connection = self.connections.get(link_id)
+        if connection is not None:
+            connection.write(status)
 
     def apply_version(self, version: VerifiedVersion) -> None:
         """Make a version active, and keep it in the cache. Raises VersionRejectedError."""
         self.apply(version)
         self.cache_writer.schedule(version)
 
-    # ---- What happens ----
+    # ---- Events of connections ----
 
-    def greeted(self, connection: ServerConnection) -> None:
-        self.watcher.on_greeting(connection.link)
-        self._after()
+    def on_greeting(self, link_id: int) -> None:
+        """A server has answered with the shared secret."""
+        self.watcher.on_greeting(link_id)
+        self._schedule_tick()
 
-    def told(self, connection: ServerConnection, message: Any) -> None:
-        if not connection.over:
-            self.watcher.on_message(connection.link, message)
-            self._after()
+    def on_message(self, link_id: int, message: object) -> None:
+        """A server has sent a message."""
+        self.watcher.on_message(link_id, message)
+        self._schedule_tick()
 
-    def lost(self, connection: ServerConnection) -> None:
-        if not connection.over:
-            connection.over = True
-            self.connections.pop(connection.link, None)
-            self.watcher.on_disconnected(connection.link)
-            self._after()
+    def on_disconnected(self, link_id: int) -> None:
+        """A connection is lost, or could not be made."""
+        self.connections.pop(link_id, None)
+        self.watcher.on_disconnected(link_id)
+        self._schedule_tick()
 
-    async def _connect(self, connection: ServerConnection, where: str) -> None:
-        host, _, port = where.rpartition(":")
+    async def _dial(self, connection: ServerConnection, address: str) -> None:
         try:
-            await self.loop.create_connection(lambda: connection, host.strip("[]"), int(port))
+            # By the loop that the service was given, which may choose the local address.
+            await self.loop.create_connection(lambda: connection, *split_address(address))
         except OSError:
-            self.lost(connection)
+            self.on_disconnected(connection.link_id)
         finally:
-            self.dialling.pop(connection.link, None)
+            self.dial_tasks.pop(connection.link_id, None)
+
+    # ---- Time ----
 
-    def _after(self) -> None:
-        """See when time is wanted next. A timer that rings too early does no harm and is left."""
-        at = self.watcher.next_tick()
-        if self.closed or (self.timer is not None and self.timer_for <= at):
+    def _schedule_tick(self) -> None:
+        """Have the watcher's `tick` called when it is due; a timer that is too early does no harm."""
+        due = self.watcher.next_tick()
+        if self.closed or (self.timer is not None and self.timer_at <= due):
             return
         if self.timer is not None:
             self.timer.cancel()
-        self.timer_for = at
-        left = min(LONGEST_NAP, max(0.0, (at - self.now()) / 1e9))
-        self.timer = self.loop.call_later(left, self._ring)
+        self.timer_at = due
+        delay = min(MAX_TIMER_SECONDS, max(0.0, (due - self.now()) / SECOND))
+        self.timer = self.loop.call_later(delay, self._tick)
 
-    def _ring(self) -> None:
+    def _tick(self) -> None:
         self.timer = None
         self.watcher.tick()
-        self._after()
+        self._schedule_tick()
 
     # ---- Metrics ----
 
     def metrics(self) -> WatchMetrics:
-        """The present values, for the `config` call of the admin port."""
-        watcher, link = self.watcher, self.watcher.link
-        counters = watcher.counters
+        """The present values, for the call `config` of the admin port."""
+        versions, link, counters = self.watcher.versions, self.watcher.link, self.watcher.counters
         return WatchMetrics(
-            config_version=watcher.versions.applied_version,
-            config_received_version=watcher.versions.received.number,
-            config_connected=int(watcher.is_connected()),
+            config_version=versions.applied_version,
+            config_received_version=versions.received.number,
+            config_connected=int(self.watcher.is_connected()),
             config_server_version=link.server_version if link is not None else NO_HEARTBEAT,
             config_silent_ms=(self.now() - link.heard_at) // MILLISECOND if link is not None else -1,
             config_versions_applied=counters.versions_applied,
--- a/ploverspoke/config_distribution/messages.py
+++ b/ploverspoke/config_distribution/messages.py
@@ -222,7 +222,7 @@
 # ---- Greetings ----
 
 
-def watcher_greeting(name: str, cluster: str) -> dict[str, Any]:
+def watcher_greeting(name: str, cluster: str) -> dict[str, str | int]:
     """What a watcher adds to the greeting of its connection."""
     return {"id": name, "store": "", "watch": WIRE_FORMAT, "cluster": cluster}
 
--- a/ploverspoke/config_distribution/server.py
+++ b/ploverspoke/config_distribution/server.py
@@ -1,148 +1,96 @@
-"""Where watchers come to a config server: frames as among replicas, one connection for each watcher."""
+"""Where watchers connect to a config server: authenticated frames, one current connection a watcher."""
 
-import asyncio
-from typing import Any, cast
+from collections.abc import Mapping
+from typing import Any
 
-from ploverspoke.consensus.framing import FrameCodec, FrameError
+from ploverspoke.consensus.framed_server import FramedConnection, FramedServer, RegistrationLimits
+from ploverspoke.consensus.framing import FrameError
 from ploverspoke.transport.rate_limited_log import log_line
 
 from .errors import MessageRejectedError
-from .messages import ServerMessage, WatchElsewhere, WatchRejected, read_watch_status, read_watcher_greeting
+from .messages import (
+    WatchElsewhere,
+    WatchRejected,
+    WatchStatus,
+    read_watch_status,
+    read_watcher_greeting,
+)
 from .server_node import ConfigServerNode
 
-BACKLOG = 1024
-MOST_UNSENT = 1 << 20  # bytes, towards one that does not read
-SPEAKS_WITHIN = 5.0  # seconds, from its coming to its first word
-MOST_SILENT = 1024  # connections that have not spoken yet
-
-
-class WatcherConnection(asyncio.Protocol):
-    def __init__(self, door: "ConfigServer") -> None:
-        self.door = door
-        self.frames = FrameCodec(door.node.orders.secret, {"id": door.node.me, "store": ""})
-        self.transport: asyncio.Transport | None = None
-        self.name = ""  # once it has greeted
-        self.watches = False  # once it has said what it has
-        self.late: asyncio.TimerHandle | None = None
-
-    def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)
-        self.door.came(self)
-        self.late = asyncio.get_running_loop().call_later(SPEAKS_WITHIN, self.close)
-        self.transport.write(self.frames.greeting_frame())
-
-    def connection_lost(self, exc: Exception | None) -> None:
-        self.transport = None
-        if self.late is not None:
-            self.late.cancel()
-        self.door.lost(self)
-
-    def data_received(self, data: bytes) -> None:
-        if self.transport is None or self.transport.is_closing():
-            return
-        try:
-            messages = self.frames.decode(data)
-            if self.frames.peer_greeting is not None and not self.name:
-                self.name = read_watcher_greeting(self.frames.peer_greeting, self.door.node.orders.cluster)
-                self.write(self.door.node.feed.heartbeat())
-            for message in messages:
-                self.door.said(self, message)
-        except MessageRejectedError as error:
-            self.door.refused += 1
-            log_line(f"config: message rejected: {error}")
-            if self.frames.peer_greeting is not None:
-                self.write(WatchRejected(str(error)))
-            self.end()
-        except (FrameError, KeyError, TypeError, ValueError) as error:
-            self.door.refused += 1
-            log_line(f"config: message rejected: {error}")
-            self.close()
-
-    def write(self, message: ServerMessage) -> int:
-        """The bytes that it took; 0 where nothing went."""
-        if self.transport is None or self.transport.is_closing():
-            return 0
-        if self.transport.get_write_buffer_size() > MOST_UNSENT:
-            self.close()
-            return 0
-        data = self.frames.encode(message)
-        self.transport.write(data)
-        return len(data)
-
-    def end(self) -> None:
-        """What was written still goes out."""
-        if self.transport is not None:
-            self.transport.close()
-
-    def close(self) -> None:
-        if self.transport is not None:
-            self.transport.abort()
-
-
-class ConfigServer:
+STATUS_TIMEOUT = 5.0  # seconds from the connection to the watcher's first status
+MAX_CONNECTIONS_WITHOUT_STATUS = 1024
+
+
+class ConfigServer(FramedServer):
+    """Serves the watchers of one config server; a watcher is registered with its first status."""
+
+    client_errors = (MessageRejectedError, FrameError, KeyError, TypeError, ValueError)
+    log_name = "config"
+
     def __init__(self, node: ConfigServerNode) -> None:
+        """`node` decides what is sent to the watchers; it uses this server's connections from now on."""
+        limits = RegistrationLimits(STATUS_TIMEOUT, MAX_CONNECTIONS_WITHOUT_STATUS)
+        super().__init__(node.orders.secret, limits)
         self.node = node
-        node.send_watcher = self.send
-        node.drop_watcher = self.drop
-        self.watching: dict[str, WatcherConnection] = {}  # the latest of each name
-        self.all: set[WatcherConnection] = set()
-        self.server: asyncio.Server | None = None
-        self.refused = 0
+        node.watcher_connections = self
 
     async def open(self) -> None:
-        host, _, port = self.node.orders.replicas[self.node.orders.name][1].rpartition(":")
-        self.server = await asyncio.get_running_loop().create_server(
-            lambda: WatcherConnection(self), host.strip("[]"), int(port), backlog=BACKLOG
-        )
-
-    def close(self) -> None:
-        if self.server is not None:
-            self.server.close()
-        for connection in list(self.all):
-            connection.close()
+        """Accept watchers until `close`. Raises OSError."""
+        config = self.node.orders
+        await self.listen(config.replicas[config.name][1])
+
+    # ---- Events of connections ----
 
-    # ---- What happens ----
+    def greeting(self) -> Mapping[str, str | int]:
+        """The first message that a watcher receives."""
+        return {"id": self.node.me, "store": ""}
 
-    def came(self, connection: WatcherConnection) -> None:
-        self.all.add(connection)
-        if len(self.all) - len(self.watching) > MOST_SILENT:
+    def handle_greeting(self, connection: FramedConnection, greeting: Mapping[str, Any]) -> None:
+        """Name the watcher, and send it the first heartbeat. Raises MessageRejectedError."""
+        connection.client_name = read_watcher_greeting(greeting, self.node.orders.cluster)
+        connection.write(self.node.broadcaster.heartbeat())
+
+    def handle_message(self, connection: FramedConnection, message: object) -> None:
+        """Take a watcher's status; the first one registers it. Raises MessageRejectedError."""
+        status = read_watch_status(message)
+        if not connection.registered and not self._register_watcher(connection):
+            return
+        if self.is_current(connection):
+            self._report_status(connection.client_name, status)
+
+    def _register_watcher(self, connection: FramedConnection) -> bool:
+        name = connection.client_name
+        if not self.node.broadcaster.has_capacity_for(name):
+            connection.write(WatchElsewhere())
+            connection.close()
+            return False
+        if self.register(connection) is not None:
+            self.node.broadcaster.on_disconnected(name)
+            log_line(f"config: {name} connected again, its older connection is closed")
+        return True
+
+    def _report_status(self, name: str, status: WatchStatus) -> None:
+        self.node.broadcaster.on_watch_status(name, status)
+        self.node.schedule_tick()
+
+    def handle_client_error(self, connection: FramedConnection, error: Exception) -> None:
+        """Log a message that breaks the protocol and end its connection, where possible with the reason."""
+        log_line(f"config: message rejected: {error}")
+        if isinstance(error, MessageRejectedError):
+            connection.write(WatchRejected(error.reason))
             connection.close()
+        else:
+            connection.abort()
 
-    def said(self, connection: WatcherConnection, message: Any) -> None:
-        have, name = read_watch_status(message), connection.name
-        feed = self.node.feed
-        if not connection.watches:
-            if not feed.has_capacity_for(name):
-                connection.write(WatchElsewhere())
-                connection.end()
-                return
-            connection.watches = True
-            if connection.late is not None:
-                connection.late.cancel()
-            old = self.watching.get(name)
-            self.watching[name] = connection
-            if old is not None:
-                feed.on_disconnected(name)
-                log_line(f"config: {name} connected again, its older connection is closed")
-                old.close()
-        if self.watching.get(name) is connection:
-            feed.on_watch_status(name, have)
-            self.node.feed_again()
-
-    def lost(self, connection: WatcherConnection) -> None:
-        self.all.discard(connection)
-        if self.watching.get(connection.name) is connection:
-            del self.watching[connection.name]
-            self.node.feed.on_disconnected(connection.name)
-
-    # ---- What the feed does ----
-
-    def send(self, name: str, message: ServerMessage) -> int:
-        connection = self.watching.get(name)
-        return connection.write(message) if connection is not None else 0
-
-    def drop(self, name: str, why: str) -> None:
-        connection = self.watching.pop(name, None)
+    def on_disconnected(self, client_name: str) -> None:
+        """A watcher's current connection is lost."""
+        self.node.broadcaster.on_disconnected(client_name)
+
+    # ---- Used by the node ----
+
+    def disconnect(self, client_name: str, reason: str) -> None:
+        """Close a watcher's connection; it is not reported as lost."""
+        connection = self.clients.pop(client_name, None)
         if connection is not None:
-            log_line(f"config: {name} is disconnected: {why}")
-            connection.close()
+            log_line(f"config: {client_name} is disconnected: {reason}")
+            connection.abort()
--- a/ploverspoke/config_distribution/server_node.py
+++ b/ploverspoke/config_distribution/server_node.py
@@ -1,163 +1,212 @@
-"""A config server on a disk and on sockets: a thin driver of `VersionBroadcaster` on a replica that keeps
-`ConfigStateMachine`."""
+"""One config server: a replica of `ConfigStateMachine`, and the driver of `VersionBroadcaster`."""
 
 import asyncio
-from collections.abc import Callable
-from typing import Any, cast
+from typing import Any, Protocol, cast
 
+import msgspec
+
+from ploverspoke.consensus.admin_messages import KIND_KEY, WireMap
 from ploverspoke.consensus.membership import PEERS
 from ploverspoke.consensus.node import ReplicaNode, Reply
 from ploverspoke.consensus.storage import ReplicaStorage
 from ploverspoke.service.config_reader import ConfigError
 from ploverspoke.transport.rate_limited_log import log_line
 
-from .admin_messages import VersionReply, read_publish_request
+from .admin_messages import (
+    LIST_VERSIONS,
+    LIST_WATCHERS,
+    PUBLISH,
+    READ_VERSION,
+    ConfigServerStatus,
+    PublishReply,
+    VersionReply,
+    read_publish_request,
+    read_version_request,
+)
 from .broadcaster import VersionBroadcaster
-from .clock_units import NEVER
+from .clock_units import MILLISECOND, NEVER, SECOND
 from .cluster_config import ConfigServerConfig
 from .messages import ServerMessage
 from .overlay import canonical_json, read_body
 from .state_machine import ConfigStateMachine, PublishCommand, Version, digest_of, short_digest
 
-COMMITTED = "committed version"  # on this replica's disk, beside the log
-FRESH_ELECTIONS = 3  # without a word of a leader for so many election time-outs a replica says so
-LEAST_FRESH = 800_000_000  # ns
+COMMITTED_KEY = "committed version"  # of the value kept in this replica's storage, beside the log
+# Without contact to a leader for as many election timeouts a server says so to its watchers.
+LEADER_CONTACT_ELECTIONS = 3
+MIN_LEADER_CONTACT = 800 * MILLISECOND
+
+# Reasons in replies: part of the wire.
+NOT_LEADER = "this server does not lead"
+UNKNOWN_RESULT = "it is not known whether this was committed; ask again with the same id"
+
+
+class WatcherConnections(Protocol):
+    """The connections of the watchers, by their names."""
+
+    def send(self, client_name: str, message: ServerMessage) -> int:
+        """Send a message; the bytes on the wire, 0 where it was not sent."""
+
+    def disconnect(self, client_name: str, reason: str) -> None:
+        """Close a watcher's connection."""
 
 
 class ConfigServerNode(ReplicaNode):
-    def __init__(self, orders: ConfigServerConfig, disk: ReplicaStorage | None = None) -> None:
+    """The replica of one config server; what is committed goes to its watchers whether it leads or not."""
+
+    def __init__(self, server_config: ConfigServerConfig, storage: ReplicaStorage | None = None) -> None:
+        """Without `storage` the one in the folder of the configuration is used."""
+        replica_config = server_config.replica
         self.versions = ConfigStateMachine()
-        super().__init__(orders.replica, self.versions, disk)
-        replica = orders.replica
-        self.feed = VersionBroadcaster(self, replica.cluster, orders.max_watchers, orders.bytes_per_second)
-        self.send_watcher: Callable[[str, ServerMessage], int] = lambda name, message: 0
-        self.drop_watcher: Callable[[str, str], None] = lambda name, why: None
-        self.fresh_for = max(LEAST_FRESH, FRESH_ELECTIONS * replica.election)
-        self.feeding: asyncio.TimerHandle | None = None
-        self.feeding_at = NEVER
-        self.kept_number = 0
+        super().__init__(replica_config, self.versions, storage)
+        self.broadcaster = VersionBroadcaster(
+            self, replica_config.cluster, server_config.max_watchers, server_config.bytes_per_second
+        )
+        self.watcher_connections: WatcherConnections | None = None  # None: no watcher is served yet
+        self.leader_contact_timeout = max(
+            MIN_LEADER_CONTACT, LEADER_CONTACT_ELECTIONS * replica_config.election
+        )
+        self.tick_timer: asyncio.TimerHandle | None = None
+        self.tick_timer_at = NEVER
+        self.committed_number = 0  # of the version that storage holds as committed
 
     def opened(self) -> None:
-        """A log says only from a leader on what of it is committed; what was known to be still is."""
-        self.versions.on_version = self._committed
-        kept = self.disk.kept(COMMITTED)
-        if kept is not None:
-            version = Version(*kept)
-            self.kept_number = version.number
-            self.feed.add_version(version)
-            self.feed_again()
-
-    def _committed(self, version: Version) -> None:
-        self.feed.add_version(version)
-        if version.number > self.kept_number and version is self.versions.latest():
-            self.kept_number = version.number
-            v = version
-            self.keep(COMMITTED, [v.number, v.body, v.digest, v.canonical_digest, v.author, v.request_id])
+        """Offer the version that was known to be committed.
+
+        The log itself tells only with a leader what of it is committed.
+        """
+        self.versions.on_version = self._on_committed
+        saved = self.disk.kept(COMMITTED_KEY)
+        if saved is not None:
+            version = msgspec.convert(saved, Version)
+            self.committed_number = version.number
+            self.broadcaster.add_version(version)
+            self.schedule_tick()
+
+    def _on_committed(self, version: Version) -> None:
+        self.broadcaster.add_version(version)
+        if version.number > self.committed_number and version is self.versions.latest():
+            self.committed_number = version.number
+            self.keep(COMMITTED_KEY, msgspec.to_builtins(version, builtin_types=(bytes,)))
             log_line(f"config: version {version.number} is committed ({short_digest(version.digest)})")
-        self.feed_again()
+        self.schedule_tick()
 
-    # ---- The feed's host ----
+    # ---- Environment of the broadcaster ----
 
     def now(self) -> int:
+        """The monotonic clock, ns."""
         return self.clock.monotonic()
 
     def has_recent_leader(self) -> bool:
+        """Whether this replica leads, or has heard from a leader lately."""
         replica = self.replica
         if replica is None:
             return False
         if replica.raft.role == "leader":
             return replica.leads()
-        return bool(replica.raft.leader) and self.now() - replica.raft.heard_leader_at < self.fresh_for
+        return (
+            bool(replica.raft.leader)
+            and self.now() - replica.raft.heard_leader_at < self.leader_contact_timeout
+        )
 
     def send(self, name: str, message: ServerMessage) -> int:
-        return self.send_watcher(name, message)
+        """Send to that watcher; the bytes that it takes on the wire."""
+        return self.watcher_connections.send(name, message) if self.watcher_connections is not None else 0
 
     def disconnect(self, name: str, reason: str) -> None:
-        self.drop_watcher(name, reason)
-
-    def feed_again(self) -> None:
-        """See when the feed wants time next."""
-        at = self.feed.next_tick
-        if self.closed or at >= self.feeding_at:
+        """Close a watcher's connection."""
+        if self.watcher_connections is not None:
+            self.watcher_connections.disconnect(name, reason)
+
+    def schedule_tick(self) -> None:
+        """Have the broadcaster's `tick` called when it is due; to be called after each of its events."""
+        due = self.broadcaster.next_tick
+        if self.closed or due >= self.tick_timer_at:
             return
-        if self.feeding is not None:
-            self.feeding.cancel()
-        self.feeding_at = at
-        self.feeding = self.loop.call_later(max(0, at - self.now()) / 1e9, self._feed)
+        if self.tick_timer is not None:
+            self.tick_timer.cancel()
+        self.tick_timer_at = due
+        self.tick_timer = self.loop.call_later(max(0, due - self.now()) / SECOND, self._tick)
 
-    def _feed(self) -> None:
-        self.feeding, self.feeding_at = None, NEVER
+    def _tick(self) -> None:
+        self.tick_timer, self.tick_timer_at = None, NEVER
         if not self.closed:
-            self.feed.tick()
-            self.feed_again()
+            self.broadcaster.tick()
+            self.schedule_tick()
 
-    # ---- What tools ask ----
+    # ---- Requests of tools ----
 
     def status_of_state(self) -> dict[str, Any]:
-        feed = self.feed
-        return {
-            "version": feed.latest_number(),
-            "fresh": self.has_recent_leader(),
-            "watchers": len(feed.watchers),
-            "watchers_behind": len(feed.watchers_behind),
-            "pushes": feed.counters.versions_sent,
-            "whole_pushes": feed.counters.whole_versions_sent,
-            "pushed_bytes": feed.counters.version_bytes_sent,
-            "silent": feed.counters.silent_watchers,
-            "sent_elsewhere": feed.counters.watchers_sent_elsewhere,
-        }
+        """The part of the status that only config servers have."""
+        counters = self.broadcaster.counters
+        status = ConfigServerStatus(
+            version=self.broadcaster.latest_number(),
+            has_recent_leader=self.has_recent_leader(),
+            watchers=len(self.broadcaster.watchers),
+            watchers_behind=len(self.broadcaster.watchers_behind),
+            versions_sent=counters.versions_sent,
+            whole_versions_sent=counters.whole_versions_sent,
+            version_bytes_sent=counters.version_bytes_sent,
+            silent_watchers=counters.silent_watchers,
+            watchers_sent_elsewhere=counters.watchers_sent_elsewhere,
+        )
+        fields: dict[str, Any] = msgspec.to_builtins(status)
+        return fields
 
     def asked_of_state(self, question: dict[str, Any], reply: Reply) -> bool:
-        verb = question.get("ask")
-        if verb == "publish":
+        """Reply to a request of a tool; False: it is none of those that only config servers know."""
+        kind = question.get(KIND_KEY)
+        if kind == PUBLISH:
             self._publish(question, reply)
-        elif verb == "versions":
+        elif kind == LIST_VERSIONS:
             reply(self.versions.version_rows())
-        elif verb == "version":
-            found = self.versions.get(question["n"]) if question.get("n") else self.versions.latest()
-            version = VersionReply(0)
-            if found is not None:
-                version = VersionReply(found.number, found.body, found.author)
-            reply(version)
-        elif verb == "watchers":
-            reply(self.feed.watcher_rows())
+        elif kind == READ_VERSION:
+            reply(self._version_reply(read_version_request(question).number))
+        elif kind == LIST_WATCHERS:
+            reply(self.broadcaster.watcher_rows())
         else:
             return False
         return True
 
-    def _publish(self, question: dict[str, Any], reply: Reply) -> None:
-        """Only a leader's answer with `version` counts; "unknown" where it may or may not be committed."""
+    def _version_reply(self, number: int) -> VersionReply:
+        version = self.versions.get(number) if number else self.versions.latest()
+        if version is None:
+            return VersionReply(0)
+        return VersionReply(version.number, version.body, version.author)
+
+    def _publish(self, message: WireMap, reply: Reply) -> None:
+        """Propose a version; replied to once it is known whether it is committed, or lost."""
         if not self.leads():
-            reply({"done": False, "version": 0, "why": "this server does not lead", "leader": self._leader()})
+            reply(PublishReply(False, 0, NOT_LEADER, leader=self._leader_address()))
             return
         try:
-            asked = read_publish_request(question)
-            canonical_digest = digest_of(canonical_json(read_body(asked.body)))
+            request = read_publish_request(message)
+            canonical_digest = digest_of(canonical_json(read_body(request.body)))
         except ConfigError as error:
-            latest = self.versions.latest_number()
-            refusal = {"done": False, "version": latest, "why": str(error), "bad": True}
-            reply(refusal)
+            reply(PublishReply(False, self.versions.latest_number(), str(error), is_invalid=True))
             return
-
-        def told(yes: bool) -> None:
-            answer = self.versions.results.get(asked.request_id)
-            if answer is not None:
-                reply({"done": answer.accepted, "version": answer.version, "why": answer.reason})
-            else:
-                why = "it is not known whether this was committed; ask again with the same id"
-                reply({"done": False, "version": 0, "why": why, "unknown": True})
-
         command = PublishCommand(
-            asked.body, canonical_digest, asked.expected_version, asked.author, asked.request_id
-        ).encode()
-        self.propose(cast(list[Any], command), told)  # bytes, so that consensus bounds its messages by them
-
-    def _leader(self) -> str:
+            request.body, canonical_digest, request.expected_version, request.author, request.request_id
+        )
+        # As bytes, so that consensus bounds its messages by their length.
+        entry = cast(list[Any], command.encode())
+        self.propose(entry, lambda _: reply(self._publish_reply(request.request_id)))
+
+    def _publish_reply(self, request_id: str) -> PublishReply:
+        result = self.versions.results.get(request_id)
+        if result is None:
+            return PublishReply(False, 0, UNKNOWN_RESULT, is_unknown=True)
+        return PublishReply(result.accepted, result.version, result.reason)
+
+    def _leader_address(self) -> str:
+        """The address for peers of the server that leads; empty where another one is not known."""
         raft = self.replica.raft if self.replica is not None else None
-        told = raft.members().get(raft.leader) if raft is not None else None
-        return str(told[PEERS]) if told is not None and raft is not None and raft.leader != self.me else ""
+        leader = raft.members().get(raft.leader) if raft is not None else None
+        return (
+            str(leader[PEERS]) if leader is not None and raft is not None and raft.leader != self.me else ""
+        )
 
     async def close(self) -> None:
-        if self.feeding is not None:
-            self.feeding.cancel()
+        """Stop the timer and the replica."""
+        if self.tick_timer is not None:
+            self.tick_timer.cancel()
         await super().close()
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -21,7 +21,7 @@
 )
 from ploverspoke.config_distribution.messages import VerifiedVersion
 from ploverspoke.config_distribution.overlay import canonical_json
-from ploverspoke.config_distribution.server_node import COMMITTED, ConfigServerNode
+from ploverspoke.config_distribution.server_node import COMMITTED_KEY, ConfigServerNode
 from ploverspoke.config_distribution.state_machine import (
     ConfigStateMachine,
     PublishCommand,
@@ -114,7 +114,7 @@
     with mock.patch.object(PeerLinks, "open", mock.AsyncMock()):
         await node.open()
     assert node.versions.latest_number() == 1
-    latest = node.feed.latest
+    latest = node.broadcaster.latest
     await node.close()
     return latest
 
@@ -171,7 +171,7 @@
 def test_the_keys_of_kept_values_are_the_same() -> None:
     assert list(read_json("store/written.json")["kept"]) == [CONFIGURATION, ROSTER]
     assert list(read_json("leases/written.json")["kept"]) == [EPOCH_KEY]
-    assert list(read_json("config/written.json")["kept"]) == [COMMITTED]
+    assert list(read_json("config/written.json")["kept"]) == [COMMITTED_KEY]
 
 
 def test_a_config_server_serves_the_version_that_its_old_store_knew_committed(tmp_path: Path) -> None:
--- a/tests/compatibility/test_wire_bytes.py
+++ b/tests/compatibility/test_wire_bytes.py
@@ -20,7 +20,7 @@
 from ploverspoke.config_distribution.cluster_config import read_config_server_config
 from ploverspoke.config_distribution.errors import VersionRejectedError
 from ploverspoke.config_distribution.messages import VerifiedVersion, read_watch_status
-from ploverspoke.config_distribution.server import ConfigServer, WatcherConnection
+from ploverspoke.config_distribution.server import ConfigServer
 from ploverspoke.config_distribution.server_node import ConfigServerNode
 from ploverspoke.config_distribution.state_machine import Version, digest_of
 from ploverspoke.config_distribution.watcher import ConfigWatcher
@@ -216,14 +216,14 @@
     node: Any = SimpleNamespace(orders=SimpleNamespace(secret=SECRET, cluster=CLUSTER), me="r1.1")
     node.keeper = SimpleNamespace(leading=False)
     node.leader_clients = lambda: "10.0.0.2:8081"
-    node.feed = SimpleNamespace(
+    node.broadcaster = SimpleNamespace(
         has_capacity_for=lambda name: False, heartbeat=lambda: {"k": "beat", "n": 2, "l": True}
     )
     return node
 
 
 def watcher_frames(cluster: str) -> FrameCodec:
-    user: Any = SimpleNamespace(orders=SimpleNamespace(secret=SECRET, cluster=cluster), name="n0")
+    user: Any = SimpleNamespace(config=SimpleNamespace(secret=SECRET, cluster=cluster), name="n0")
     found: FrameCodec = with_nonce(lambda: ServerConnection(user, 1), "w").frames
     return found
 
@@ -282,7 +282,7 @@
 @pytest.mark.parametrize(("name", "cluster"), [("elsewhere", CLUSTER), ("refused", "other")])
 def test_a_watcher_is_sent_elsewhere_or_refused(name: str, cluster: str) -> None:
     told = read_json("frames.json")
-    server = with_nonce(lambda: WatcherConnection(ConfigServer(server_node())), "s")
+    server = with_nonce(lambda: FramedConnection(ConfigServer(server_node())), "s")
     server.transport = Transport()
     watcher = watcher_frames(cluster)
     watcher.decode(server.frames.greeting_frame())
--- a/tests/config_distribution/faulty_distribution.py
+++ b/tests/config_distribution/faulty_distribution.py
@@ -79,8 +79,8 @@
         if self.leads() and question["expect"] == latest:
             digest = state_machine.digest_of(body)
             version = state_machine.Version(latest + 1, body, digest, digest, "planted", question["id"])
-            self.feed.add_version(version)
-            self.feed_again()
+            self.broadcaster.add_version(version)
+            self.schedule_tick()
         publish(self, question, reply)
 
     vars(server_node)["ConfigServerNode"]._publish = send_at_once
