--- a/ploverspoke/config_distribution/cluster_config.py
+++ b/ploverspoke/config_distribution/cluster_config.py
@@ -60,7 +60,7 @@
 def read_config_servers(path: Path) -> ConfigServers:
     """From a config server's file, or one with `replicas` and `secret_file` alone. Raises ConfigError."""
     cluster = read_cluster_servers(path, "at least one config server")
-    peers = {name: peer_address for name, (peer_address, _) in cluster.replicas.items()}
+    peers = {name: addresses.peer for name, addresses in cluster.replicas.items()}
     return ConfigServers(peers, cluster.secret)
 
 
--- a/ploverspoke/config_distribution/server.py
+++ b/ploverspoke/config_distribution/server.py
@@ -30,24 +30,24 @@
     def __init__(self, node: ConfigServerNode) -> None:
         """`node` decides what is sent to the watchers; it uses this server's connections from now on."""
         limits = RegistrationLimits(STATUS_TIMEOUT, MAX_CONNECTIONS_WITHOUT_STATUS)
-        super().__init__(node.orders.secret, limits)
+        super().__init__(node.config.secret, limits)
         self.node = node
         node.watcher_connections = self
 
     async def open(self) -> None:
         """Accept watchers until `close`. Raises OSError."""
-        config = self.node.orders
-        await self.listen(config.replicas[config.name][1])
+        config = self.node.config
+        await self.listen(config.replicas[config.name].client)
 
     # ---- Events of connections ----
 
     def greeting(self) -> Mapping[str, str | int]:
         """The first message that a watcher receives."""
-        return {"id": self.node.me, "store": ""}
+        return {"id": self.node.replica_id, "store": ""}
 
     def handle_greeting(self, connection: FramedConnection, greeting: Mapping[str, Any]) -> None:
         """Name the watcher, and send it the first heartbeat. Raises MessageRejectedError."""
-        connection.client_name = read_watcher_greeting(greeting, self.node.orders.cluster)
+        connection.client_name = read_watcher_greeting(greeting, self.node.config.cluster)
         connection.write(self.node.broadcaster.heartbeat())
 
     def handle_message(self, connection: FramedConnection, message: object) -> None:
--- a/ploverspoke/config_distribution/server_node.py
+++ b/ploverspoke/config_distribution/server_node.py
@@ -1,12 +1,11 @@
 """One config server: a replica of `ConfigStateMachine`, and the driver of `VersionBroadcaster`."""
 
 import asyncio
-from typing import Any, Protocol, cast
+from typing import Protocol
 
 import msgspec
 
 from ploverspoke.consensus.admin_messages import KIND_KEY, WireMap
-from ploverspoke.consensus.membership import PEERS
 from ploverspoke.consensus.node import ReplicaNode, Reply
 from ploverspoke.consensus.storage import ReplicaStorage
 from ploverspoke.service.config_reader import ConfigError
@@ -63,19 +62,19 @@
         )
         self.watcher_connections: WatcherConnections | None = None  # None: no watcher is served yet
         self.leader_contact_timeout = max(
-            MIN_LEADER_CONTACT, LEADER_CONTACT_ELECTIONS * replica_config.election
+            MIN_LEADER_CONTACT, LEADER_CONTACT_ELECTIONS * replica_config.election_timeout
         )
         self.tick_timer: asyncio.TimerHandle | None = None
         self.tick_timer_at = NEVER
         self.committed_number = 0  # of the version that storage holds as committed
 
-    def opened(self) -> None:
+    def on_storage_opened(self) -> None:
         """Offer the version that was known to be committed.
 
         The log itself tells only with a leader what of it is committed.
         """
         self.versions.on_version = self._on_committed
-        saved = self.disk.kept(COMMITTED_KEY)
+        saved = self.storage.load_value(COMMITTED_KEY)
         if saved is not None:
             version = msgspec.convert(saved, Version)
             self.committed_number = version.number
@@ -86,7 +85,7 @@
         self.broadcaster.add_version(version)
         if version.number > self.committed_number and version is self.versions.latest():
             self.committed_number = version.number
-            self.keep(COMMITTED_KEY, msgspec.to_builtins(version, builtin_types=(bytes,)))
+            self.save_value(COMMITTED_KEY, version)
             log_line(f"config: version {version.number} is committed ({short_digest(version.digest)})")
         self.schedule_tick()
 
@@ -98,15 +97,7 @@
 
     def has_recent_leader(self) -> bool:
         """Whether this replica leads, or has heard from a leader lately."""
-        replica = self.replica
-        if replica is None:
-            return False
-        if replica.raft.role == "leader":
-            return replica.leads()
-        return (
-            bool(replica.raft.leader)
-            and self.now() - replica.raft.heard_leader_at < self.leader_contact_timeout
-        )
+        return self.is_in_contact(self.leader_contact_timeout)
 
     def send(self, name: str, message: ServerMessage) -> int:
         """Send to that watcher; the bytes that it takes on the wire."""
@@ -135,10 +126,10 @@
 
     # ---- Requests of tools ----
 
-    def status_of_state(self) -> dict[str, Any]:
+    def state_status(self) -> ConfigServerStatus:
         """The part of the status that only config servers have."""
         counters = self.broadcaster.counters
-        status = ConfigServerStatus(
+        return ConfigServerStatus(
             version=self.broadcaster.latest_number(),
             has_recent_leader=self.has_recent_leader(),
             watchers=len(self.broadcaster.watchers),
@@ -149,18 +140,16 @@
             silent_watchers=counters.silent_watchers,
             watchers_sent_elsewhere=counters.watchers_sent_elsewhere,
         )
-        fields: dict[str, Any] = msgspec.to_builtins(status)
-        return fields
 
-    def asked_of_state(self, question: dict[str, Any], reply: Reply) -> bool:
+    def handle_state_request(self, request: WireMap, reply: Reply) -> bool:
         """Reply to a request of a tool; False: it is none of those that only config servers know."""
-        kind = question.get(KIND_KEY)
+        kind = request.get(KIND_KEY)
         if kind == PUBLISH:
-            self._publish(question, reply)
+            self._publish(request, reply)
         elif kind == LIST_VERSIONS:
             reply(self.versions.version_rows())
         elif kind == READ_VERSION:
-            reply(self._version_reply(read_version_request(question).number))
+            reply(self._version_reply(read_version_request(request).number))
         elif kind == LIST_WATCHERS:
             reply(self.broadcaster.watcher_rows())
         else:
@@ -188,8 +177,7 @@
             request.body, canonical_digest, request.expected_version, request.author, request.request_id
         )
         # As bytes, so that consensus bounds its messages by their length.
-        entry = cast(list[Any], command.encode())
-        self.propose(entry, lambda _: reply(self._publish_reply(request.request_id)))
+        self.propose(command.encode(), lambda _: reply(self._publish_reply(request.request_id)))
 
     def _publish_reply(self, request_id: str) -> PublishReply:
         result = self.versions.results.get(request_id)
@@ -199,11 +187,8 @@
 
     def _leader_address(self) -> str:
         """The address for peers of the server that leads; empty where another one is not known."""
-        raft = self.replica.raft if self.replica is not None else None
-        leader = raft.members().get(raft.leader) if raft is not None else None
-        return (
-            str(leader[PEERS]) if leader is not None and raft is not None and raft.leader != self.me else ""
-        )
+        leader = self.leader()
+        return leader.peer_address if leader is not None and leader.name != self.config.name else ""
 
     async def close(self) -> None:
         """Stop the timer and the replica."""
--- a/ploverspoke/config_distribution/state_machine.py
+++ b/ploverspoke/config_distribution/state_machine.py
@@ -108,11 +108,11 @@
         if msgspec.msgpack.decode(command, type=_CommandHeader).name == "publish":
             self._publish(msgspec.msgpack.decode(command, type=PublishCommand))
 
-    def dump(self) -> bytes:
+    def take_snapshot(self) -> bytes:
         """The whole state, for a snapshot."""
         return msgspec.msgpack.encode(ConfigSnapshot(SNAPSHOT_FORMAT, self.versions, self.results))
 
-    def load(self, data: bytes) -> None:
+    def restore_snapshot(self, data: bytes) -> None:
         """Replace the state by that of a snapshot; empty: begin with no versions."""
         snapshot = ConfigSnapshot(SNAPSHOT_FORMAT, [], {})
         if data:
--- a/ploverspoke/consensus/cluster_config.py
+++ b/ploverspoke/consensus/cluster_config.py
@@ -8,7 +8,7 @@
 from ploverspoke.service.config import address
 from ploverspoke.service.config_reader import ConfigError, ConfigSection
 
-from .membership import Members
+from .membership import Member, Members
 
 NAME = re.compile(r"[a-z0-9][a-z0-9-]{0,31}")
 MIN_SECRET_BYTES = 16
@@ -17,6 +17,13 @@
 DEFAULT_SNAPSHOT_EVERY, MIN_SNAPSHOT_EVERY = 20_000, 100  # entries
 
 
+class ReplicaAddresses(NamedTuple):
+    """Where a replica listens, as `host:port`."""
+
+    peer: str  # for the other replicas and for tools
+    client: str
+
+
 class ReplicaConfig(NamedTuple):
     """One replica's own file, checked."""
 
@@ -24,19 +31,22 @@
     name: str
     folder: Path
     secret: bytes
-    replicas: dict[str, tuple[str, str]]  # addresses of peers and of clients, by name
-    election: int  # ns
+    replicas: dict[str, ReplicaAddresses]  # by name
+    election_timeout: int  # ns
     snapshot_every: int  # entries
 
     def members(self) -> Members:
         """Give the members that a new cluster begins with."""
-        return {initial_replica_id(name): [name, *told, True] for name, told in self.replicas.items()}
+        return {
+            initial_replica_id(name): Member(name, addresses.peer, addresses.client, votes=True)
+            for name, addresses in self.replicas.items()
+        }
 
 
 class ClusterServers(NamedTuple):
     """Where the replicas of a cluster are, for tools that call them."""
 
-    replicas: dict[str, tuple[str, str]]  # addresses for peers and for clients, by name
+    replicas: dict[str, ReplicaAddresses]  # by name
     secret: bytes
 
 
@@ -79,7 +89,7 @@
     return ClusterServers(replicas, read_shared_secret(section, path))
 
 
-def read_replica_addresses(section: ConfigSection) -> dict[str, tuple[str, str]]:
+def read_replica_addresses(section: ConfigSection) -> dict[str, ReplicaAddresses]:
     """Check the key `replicas`; give the addresses for peers and for clients by name. Raises ConfigError."""
     replicas = section.part("replicas")
     addresses = {}
@@ -90,7 +100,7 @@
         replica = replicas.part(name)
         for key in ("peers", "clients"):
             address(replica, key, None)
-        addresses[name] = (replica.text("peers"), replica.text("clients"))
+        addresses[name] = ReplicaAddresses(replica.text("peers"), replica.text("clients"))
     return addresses
 
 
--- a/ploverspoke/consensus/command_line.py
+++ b/ploverspoke/consensus/command_line.py
@@ -15,7 +15,7 @@
 from .cluster_config import ReplicaConfig, initial_replica_id
 from .framing import FrameError
 from .replica_client import call_replica
-from .storage import ClusterMismatchError, CorruptionError, ReplicaStorage, StorageError, restore
+from .storage import ClusterMismatchError, CorruptionError, ReplicaStorage, StorageError, restore_from_backup
 
 EXISTING_FILE = click.Path(exists=True, dir_okay=False, path_type=Path)
 FILE_ARGUMENT = click.argument("file", type=EXISTING_FILE)
@@ -105,7 +105,7 @@
 ) -> NoReturn:
     """Ask the replica of that name to do something, print whether it did, and exit with 0 or 1."""
     try:
-        address = config.replicas[name][0]
+        address = config.replicas[name].peer
         reply = request_reply(name, address, config.secret, request, reply_type)
     except ReplicaUnavailableError as error:
         exit_with_failure(error, as_json)
@@ -161,7 +161,7 @@
     Ends the command with 2 where the storage is in use or of another cluster, with 1 for a bad backup.
     """
     try:
-        return restore(config.folder, backup, initial_replica_id(config.name))
+        return restore_from_backup(config.folder, backup, initial_replica_id(config.name))
     except ClusterMismatchError as error:
         raise click.UsageError(str(error)) from error
     except (CorruptionError, StorageError) as error:
--- a/ploverspoke/leases/commands.py
+++ b/ploverspoke/leases/commands.py
@@ -472,7 +472,7 @@
     orders = read_config_or_exit(read_lease_server_config, file).replica
     disk = restore_backup(orders, path)
     # Above every era that was begun before, as long as clocks do not go back between two restores.
-    era = max((disk.kept(EPOCH_KEY) or 0) + 1, int(time.time()))
-    disk.keep(EPOCH_KEY, era)
+    era = max((disk.load_value(EPOCH_KEY) or 0) + 1, int(time.time()))
+    disk.save_value(EPOCH_KEY, era)
     disk.close()
     click.echo(f"restored {disk.path}, era {era}")
--- a/tests/config_distribution/test_state_machine.py
+++ b/tests/config_distribution/test_state_machine.py
@@ -34,7 +34,7 @@
     state.apply(0, b"\x91\xa4what")  # a command of a later release
     assert seen == [1, 2]
     other = ConfigStateMachine()
-    other.load(state.dump())
+    other.restore_snapshot(state.take_snapshot())
     assert other.version_rows() == state.version_rows() and other.results == state.results
     for number in range(3, 2 * MAX_VERSIONS):
         assert publish(other, body(number), number - 1, f"n{number}").version == number
