--- a/ploverspoke/store/request_log.py
+++ b/ploverspoke/store/request_log.py
@@ -16,7 +16,6 @@
     AnswerRequest,
     AttemptOutcome,
     FinishAttempt,
-    LogCommand,
     StartAttempt,
 )
 from .node import StoreNode
@@ -88,16 +87,16 @@
     ) -> None:
         """Commit that a request is accepted; `time_left` is ns until its deadline."""
         now = self.node.clock.now()
-        self._propose(AcceptRequest(request_id, class_number, digest, now + time_left, now), on_committed)
+        self.node.propose(AcceptRequest(request_id, class_number, digest, now + time_left, now), on_committed)
 
     def record_attempt(self, request_id: str, worker: str, index: int, on_committed: CommitCallback) -> None:
         """Commit that an attempt may be sent to the worker."""
         now = self.node.clock.now()
-        self._propose(StartAttempt(request_id, worker, index, now, time.time_ns()), on_committed)
+        self.node.propose(StartAttempt(request_id, worker, index, now, time.time_ns()), on_committed)
 
     def record_attempt_outcome(self, request_id: str, index: int, outcome: str) -> None:
         """Commit how an attempt ended; nothing waits for it."""
-        self._propose(FinishAttempt(request_id, index, AttemptOutcome(outcome)), _ignore_commit)
+        self.node.propose(FinishAttempt(request_id, index, AttemptOutcome(outcome)), _ignore_commit)
 
     def record_answer(
         self, request_id: str, answer: RecordedAnswer, digest: bytes, on_committed: CommitCallback
@@ -111,7 +110,7 @@
             on_committed(is_committed and is_ours)
 
         now = self.node.clock.now()
-        self._propose(
+        self.node.propose(
             AnswerRequest(request_id, answer.answer, answer.result, digest, now), on_answer_committed
         )
 
@@ -125,9 +124,6 @@
         by_wall_clock = time.time_ns() - (attempt.started_wall_time or attempt.started_at)
         return max(by_replicated_clock, by_wall_clock)
 
-    def _propose(self, command: LogCommand, then: CommitCallback) -> None:
-        self.node.propose(command, then)
-
     # ---- Taking over ----
 
     def _role_changed(self, role: Role, leader: str) -> None:
@@ -169,7 +165,7 @@
 
     def _end(self, request_id: str, answer: FinalAnswer) -> None:
         now = self.node.clock.now()
-        self._propose(AnswerRequest(request_id, answer, "", b"", now), _ignore_commit)
+        self.node.propose(AnswerRequest(request_id, answer, "", b"", now), _ignore_commit)
 
 
 def _ignore_commit(is_committed: bool) -> None:
--- a/ploverspoke/store/snapshot.py
+++ b/ploverspoke/store/snapshot.py
@@ -8,6 +8,7 @@
 
 from ploverspoke.routing.answers import FinalAnswer
 
+from .errors import MalformedSnapshotError
 from .log_commands import AttemptOutcome
 
 SNAPSHOT_FORMAT = 1
@@ -68,7 +69,10 @@
 
 
 def decode_snapshot(data: bytes) -> RequestSnapshot:
-    """Read the bytes of a snapshot; none stand for the empty state. Raises msgspec.DecodeError."""
+    """Read the bytes of a snapshot; none stand for the empty state. Raises MalformedSnapshotError."""
     if not data:
         return RequestSnapshot(SNAPSHOT_FORMAT, {}, {}, [])
-    return msgspec.msgpack.decode(data, type=RequestSnapshot)
+    try:
+        return msgspec.msgpack.decode(data, type=RequestSnapshot)
+    except msgspec.DecodeError as error:
+        raise MalformedSnapshotError(str(error)) from error
--- a/ploverspoke/store/state_machine.py
+++ b/ploverspoke/store/state_machine.py
@@ -1,6 +1,6 @@
 """The state that the log changes: what became of each request, and versions of the shared configuration.
 
-Applying a command never fails: what no longer fits is left out. All times that matter stand in the commands,
+A command that no longer fits the state changes nothing. All times that matter stand in the commands,
 so that every replica comes to the same state. Answers are bounded by count, by bytes of results and by age,
 the oldest go first; open requests are never dropped.
 """
@@ -57,7 +57,7 @@
     # ---- State machine of consensus ----
 
     def apply(self, index: int, command: object) -> None:
-        """Apply the entry at `index` of the log, in its stored form."""
+        """Apply the entry at `index` of the log, in its stored form. Raises MalformedCommandError."""
         decoded = decode_command(command)
         if decoded is not None:
             self._apply(decoded)
@@ -76,7 +76,10 @@
         )
 
     def restore_snapshot(self, data: bytes) -> None:
-        """Replace the whole state by a snapshot's; no bytes: by the empty state."""
+        """Replace the whole state by a snapshot's; no bytes: by the empty state.
+
+        Raises MalformedSnapshotError.
+        """
         snapshot = decode_snapshot(data)
         self.open_requests = snapshot.open_requests
         self.answered = OrderedDict(snapshot.answered)
