--- a/tests/compatibility/test_wire_bytes.py
+++ b/tests/compatibility/test_wire_bytes.py
@@ -8,7 +8,7 @@
 from collections.abc import Awaitable, Callable
 from pathlib import Path
 from types import SimpleNamespace
-from typing import Any
+from typing import Any, get_args
 from unittest import mock
 
 import msgspec
@@ -19,18 +19,21 @@
 from ploverspoke.config_distribution.broadcaster import VersionBroadcaster
 from ploverspoke.config_distribution.client import ServerConnection
 from ploverspoke.config_distribution.cluster_config import read_config_server_config
-from ploverspoke.config_distribution.messages import read_watch_status
-from ploverspoke.config_distribution.server import ConfigServer, WatcherConnection
+from ploverspoke.config_distribution.errors import VersionRejectedError
+from ploverspoke.config_distribution.messages import VerifiedVersion, read_watch_status
+from ploverspoke.config_distribution.server import ConfigServer
 from ploverspoke.config_distribution.server_node import ConfigServerNode
 from ploverspoke.config_distribution.state_machine import Version, digest_of
 from ploverspoke.config_distribution.watcher import ConfigWatcher
-from ploverspoke.consensus import raft
+from ploverspoke.consensus import raft, snapshot_transfer
 from ploverspoke.consensus.cluster_config import read_replica_config
 from ploverspoke.consensus.framed_server import FramedConnection
 from ploverspoke.consensus.framing import FrameCodec, FrameError
 from ploverspoke.consensus.log import Snapshot
 from ploverspoke.consensus.membership import Members
 from ploverspoke.consensus.peer_links import ADMIN_CLIENT_ID, PeerLinks
+from ploverspoke.consensus.persisted_state import PersistedState
+from ploverspoke.consensus.wire_messages import Message, decode_message, message_kind
 from ploverspoke.leases.client import LeaseServerConnection
 from ploverspoke.leases.config import read_lease_server_config
 from ploverspoke.leases.definitions import LeaseDefinition, LeaseDefinitions
@@ -78,22 +81,23 @@
     host = mock.MagicMock()
     host.now = lambda: run.now
     host.send = host.send_now = lambda to, message: run.emit("send", to, message)
-    host.snapshot = lambda: None
-    one = raft.Raft(host, who, msgspec.convert(MEMBERS, Members), lambda: 0.5, disk=f"disk of {who}")
+    host.latest_snapshot = lambda: None
+    persisted = PersistedState(msgspec.convert(MEMBERS, Members), storage_id=f"disk of {who}")
+    one = raft.Raft(host, who, persisted, lambda: 0.5)
 
     def compact(index: int, term: int, data: str) -> None:
         found = Snapshot(index, term, one.members_at(index), bytes.fromhex(data))
-        host.snapshot = lambda: found
-        one.compacted(index)
+        host.latest_snapshot = lambda: found
+        one.on_compacted(index)
 
     return {
         "tick": one.tick,
-        "message": lambda sender, data: one.message(sender, decoded(data)),
+        "message": lambda sender, data: one.receive(sender, decode_message(bytes.fromhex(data))),
         "propose": lambda rows: one.propose([decoded(row) for row in rows]),
-        "synced": one.synced,
+        "synced": one.on_synced,
         "compact": compact,
         "change_members": lambda members: one.change_members(msgspec.convert(members, Members)),
-        "transfer": one.transfer,
+        "transfer": one.transfer_leadership,
     }
 
 
@@ -134,35 +138,41 @@
 
 
 def watch_calls(run: Run) -> Calls:
-    host: Any = SimpleNamespace(now=lambda: run.now, fraction=lambda: 0.5, log=lambda line: None)
+    host: Any = SimpleNamespace(now=lambda: run.now, random_fraction=lambda: 0.5, log=lambda line: None)
     host.dial = lambda link, where: run.emit("dial", where, link)
     host.hang_up = lambda link: run.emit("hang up", "", link)
     host.send = lambda link, message: run.emit("send", "", message)
-    host.take = lambda number, digest, body: "RoundUs: too large" if number == 3 else ""
-    watch = ConfigWatcher(host, CLUSTER, ["10.0.0.1:8081"], [])
-    told = lambda link, data: watch.told(link, decoded(data))  # noqa: E731
-    return {"begin": watch.begin, "tick": watch.tick, "greeted": watch.greeted, "told": told}
+
+    def apply_version(version: VerifiedVersion) -> None:
+        if version.number == 3:
+            raise VersionRejectedError(3, "RoundUs: too large")
+
+    host.apply_version = apply_version
+    watcher = ConfigWatcher(host, CLUSTER, ["10.0.0.1:8081"], [])
+    told = lambda link, data: watcher.on_message(link, decoded(data))  # noqa: E731
+    return {"begin": watcher.start, "tick": watcher.tick, "greeted": watcher.on_greeting, "told": told}
 
 
 def feed_calls(run: Run) -> Calls:
-    host: Any = SimpleNamespace(now=lambda: run.now, is_fresh=lambda: True, drop=lambda name, why: None)
+    host: Any = SimpleNamespace(now=lambda: run.now, has_recent_leader=lambda: True)
+    host.disconnect = lambda name, reason: None
     host.send = lambda name, message: run.emit("send", name, message)
     feed = VersionBroadcaster(host, CLUSTER, 10, 1_000_000)
 
     def offer(number: int, body: str) -> None:
-        feed.offer(Version(number, body, digest_of(body), digest_of(body), "anna", f"request-{number}"))
+        feed.add_version(Version(number, body, digest_of(body), digest_of(body), "anna", f"request-{number}"))
 
     return {
         "offer": offer,
-        "said": lambda name, data: feed.said(name, read_watch_status(decoded(data))),
+        "said": lambda name, data: feed.on_watch_status(name, read_watch_status(decoded(data))),
         "tick": feed.tick,
-        "beat": lambda: run.emit("send", "n0", feed.beat()),
-        "rows": lambda: run.emit("rows", "", feed.rows()),
+        "beat": lambda: run.emit("send", "n0", feed.heartbeat()),
+        "rows": lambda: run.emit("rows", "", feed.watcher_rows()),
     }
 
 
 def test_replicas_send_the_same_messages(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(raft, "PIECE", 16)
+    monkeypatch.setattr(snapshot_transfer, "CHUNK_BYTES", 16)
     run = Run()
     run.calls = {who: raft_calls(run, who) for who in (*MEMBERS, "r4.1")}
     run.repeat("raft-run.json")
@@ -170,7 +180,9 @@
 
 def test_the_replicas_run_holds_every_kind_of_message() -> None:
     sent = [decoded(row[2]) for step in read_json("raft-run.json") for row in step["sent"]]
-    assert {message["k"] for message in sent} == set(raft.HANDLERS)
+    assert {message["k"] for message in sent} == {
+        message_kind(message_type) for message_type in get_args(Message)
+    }
     entries = {entry[2] for message in sent if message["k"] == "append" for entry in message["e"]}
     assert entries == {"noop", "members", "data"}
     assert {message["ok"] for message in sent if message["k"] == "appended"} == {True, False}
@@ -212,14 +224,14 @@
     node: Any = SimpleNamespace(config=SimpleNamespace(secret=SECRET, cluster=CLUSTER), replica_id="r1.1")
     node.keeper = SimpleNamespace(leading=False)
     node.leader_client_address = lambda: "10.0.0.2:8081"
-    node.feed = SimpleNamespace(
-        has_room_for=lambda name: False, beat=lambda: {"k": "beat", "n": 2, "l": True}
+    node.broadcaster = SimpleNamespace(
+        has_capacity_for=lambda name: False, heartbeat=lambda: {"k": "beat", "n": 2, "l": True}
     )
     return node
 
 
 def watcher_frames(cluster: str) -> FrameCodec:
-    user: Any = SimpleNamespace(orders=SimpleNamespace(secret=SECRET, cluster=cluster), name="n0")
+    user: Any = SimpleNamespace(config=SimpleNamespace(secret=SECRET, cluster=cluster), name="n0")
     found: FrameCodec = with_nonce(lambda: ServerConnection(user, 1), "w").frames
     return found
 
@@ -278,7 +290,7 @@
 @pytest.mark.parametrize(("name", "cluster"), [("elsewhere", CLUSTER), ("refused", "other")])
 def test_a_watcher_is_sent_elsewhere_or_refused(name: str, cluster: str) -> None:
     told = read_json("frames.json")
-    server = with_nonce(lambda: WatcherConnection(ConfigServer(server_node())), "s")
+    server = with_nonce(lambda: FramedConnection(ConfigServer(server_node())), "s")
     server.transport = Transport()
     watcher = watcher_frames(cluster)
     watcher.decode(server.frames.greeting_frame())
@@ -365,7 +377,7 @@
     loop = asyncio.get_running_loop()
     with mock.patch.object(PeerLinks, "open", mock.AsyncMock()):
         await node.open(new=True)
-    node.replica.raft.next_election = 0
+    node.replica.raft.election.timeout_at = 0
     node.replica.raft.tick()
     for _ in range(2):  # the second is told when all that waits for the lead has heard of it
         confirmed = loop.create_future()
