--- a/ploverspoke/consensus/admin_requests.py
+++ b/ploverspoke/consensus/admin_requests.py
@@ -1,7 +1,7 @@
 """Answers the requests that tools send to a replica: status, changes of members, transfer and backup."""
 
 from pathlib import Path
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 import msgspec
 
@@ -15,6 +15,7 @@
     ResultReply,
     StatusRequest,
     TransferLeadershipRequest,
+    WireMap,
     decode_request,
     encode_reply,
     unknown_request_reply,
@@ -71,18 +72,18 @@
     return {**members, replica_id or initial_replica_id(request.name): member}
 
 
-def status_fields(node: "ReplicaNode") -> dict[str, Any]:
+def status_fields(node: "ReplicaNode") -> WireMap:
     """Return the status of a replica as tools get it."""
-    parts = [_replica_status(node), node.state_status()]
+    parts: list[msgspec.Struct | WireMap] = [_replica_status(node), node.state_status()]
     if node.replica is not None:
         parts.append(_consensus_status(node.replica))
-    fields: dict[str, Any] = {}
+    fields: dict[str, object] = {}
     for part in parts:
         fields |= encode_reply(part) if isinstance(part, msgspec.Struct) else part
     return fields
 
 
-def _replica_status(node: "ReplicaNode") -> msgspec.Struct | dict[str, Any]:
+def _replica_status(node: "ReplicaNode") -> ReplicaStatus:
     return ReplicaStatus(
         name=node.config.name,
         cluster=node.config.cluster,
--- a/ploverspoke/consensus/election.py
+++ b/ploverspoke/consensus/election.py
@@ -26,7 +26,7 @@
         self.timeout_at = 0
         # A replica that restarts may have answered a leader just before: for one election timeout it votes
         # for no other.
-        self.leader_heard_at = state.environment.now() if state.current_term else LONG_AGO
+        self.leader_contact_at = state.environment.now() if state.current_term else LONG_AGO
         self.postpone()
 
     def postpone(self) -> None:
@@ -36,15 +36,15 @@
 
     def record_leader_contact(self) -> None:
         """The leader of the current term has sent something."""
-        self.leader_heard_at = self.state.environment.now()
+        self.leader_contact_at = self.state.environment.now()
         self.postpone()
 
     def has_recent_leader(self) -> bool:
-        """Whether a leader was heard of within the shortest election timeout."""
-        return self.state.environment.now() - self.leader_heard_at < self.state.timeouts.election
+        """Whether a leader has sent something within the shortest election timeout."""
+        return self.state.environment.now() - self.leader_contact_at < self.state.timeouts.election
 
     def on_timeout(self) -> None:
-        """No leader was heard of for a whole election timeout."""
+        """No leader has sent anything for a whole election timeout."""
         self.postpone()
         if self.state.is_voter():
             self._start_pre_vote()
--- a/ploverspoke/consensus/framing.py
+++ b/ploverspoke/consensus/framing.py
@@ -63,12 +63,12 @@
 class FrameCodec:
     """The frames of one connection, both ways."""
 
-    def __init__(self, secret: bytes, greeting: Mapping[str, Any]) -> None:
+    def __init__(self, secret: bytes, greeting: Mapping[str, object]) -> None:
         """Prepare a connection; `greeting` is what the other side is told of this one."""
         self.secret = secret
         self.nonce = secrets.token_bytes(NONCE_BYTES)
         self.greeting_body = msgspec.msgpack.encode({**greeting, "nonce": self.nonce})
-        self.peer_greeting: dict[str, Any] | None = None  # None: not received yet
+        self.peer_greeting: dict[str, object] | None = None  # None: not received yet
         self._send_key = b""
         self._receive_key = b""
         self._sent = 0
@@ -80,7 +80,7 @@
         """Return the first frame to send."""
         return _frame(self.greeting_body, _mac(derive_key(self.secret), 0, self.greeting_body))
 
-    def encode(self, message: Any) -> bytes:
+    def encode(self, message: object) -> bytes:
         """Return the frame of a message, any value that msgspec encodes. Raises FrameTooLargeError."""
         body = self._encoder.encode(message)
         if len(body) > MAX_BODY_BYTES:
--- a/ploverspoke/consensus/leadership.py
+++ b/ploverspoke/consensus/leadership.py
@@ -1,4 +1,4 @@
-"""What a leader knows of the other replicas: how far their logs agree, and when it heard from them.
+"""What a leader knows of the other replicas: how far their logs agree, and when they last answered.
 
 From that come the commit index, the read index, the check of the quorum (thesis, section 6.2) and the lease
 (thesis, section 6.4.1).
@@ -32,8 +32,8 @@
         self.match_index = 0  # up to there its log is known to agree, and is durable
         self.is_probing = True  # where its log agrees is not known yet: one message at a time
         self.in_flight = 0  # messages with entries that are not answered
-        self.heard_at = now
-        self.contact_at = now  # when the latest heartbeat round that it answered was sent
+        self.last_contact_at = now
+        self.confirmed_at = now  # when the latest heartbeat round that it answered was sent
         self.answered_round = 0
         self.snapshot: SnapshotProgress | None = None  # None: none is on its way
         self.waiting_since = 0  # for the answer to a probe or a chunk; 0: not waiting
@@ -72,12 +72,12 @@
 
     def record_answer(self, follower: FollowerProgress, round_number: int) -> bool:
         """A follower has answered a message of that round; returns whether it answers a newer round."""
-        follower.heard_at = self.state.environment.now()
+        follower.last_contact_at = self.state.environment.now()
         if round_number <= follower.answered_round:
             return False
         follower.answered_round = round_number
-        sent_at = self._round_sent_at.get(round_number, follower.contact_at)
-        follower.contact_at = max(follower.contact_at, sent_at)
+        sent_at = self._round_sent_at.get(round_number, follower.confirmed_at)
+        follower.confirmed_at = max(follower.confirmed_at, sent_at)
         return True
 
     # ---- What a majority has ----
@@ -103,12 +103,14 @@
         return self.majority_value(lambda follower: follower.answered_round, self.round_number)
 
     def check_quorum(self, now: int) -> bool:
-        """Whether a majority was heard within an election timeout; sets when to check again."""
+        """Whether a majority has answered within an election timeout; sets when to check again."""
         election = self.state.timeouts.election
         self.quorum_check_at = now + election // QUORUM_CHECKS_PER_TIMEOUT
-        return now - self.majority_value(lambda follower: follower.heard_at, now) < election
+        return now - self.majority_value(lambda follower: follower.last_contact_at, now) < election
 
     def lease_until(self) -> int:
         """Return until when no other can have been elected, if clocks drift by less than a tenth."""
-        contact = self.majority_value(lambda follower: follower.contact_at, self.state.environment.now())
-        return contact + int(self.state.timeouts.election * LEASE_FRACTION)
+        confirmed_at = self.majority_value(
+            lambda follower: follower.confirmed_at, self.state.environment.now()
+        )
+        return confirmed_at + int(self.state.timeouts.election * LEASE_FRACTION)
--- a/ploverspoke/consensus/log.py
+++ b/ploverspoke/consensus/log.py
@@ -1,12 +1,15 @@
 """The replicated log in memory: the entries since the last snapshot. Durability is the driver's business."""
 
 from enum import StrEnum
-from typing import Any, Protocol
+from typing import Any, Protocol, TypeAlias
 
 import msgspec
 
 from .membership import Members, members_from_plain
 
+# What msgpack holds: None, bool, int, float, str, bytes, and lists and maps of them.
+PlainValue: TypeAlias = Any
+
 PLAIN_COMMAND_SIZE = 64  # bytes assumed for a command that is not bytes, when a message is filled
 
 
@@ -24,7 +27,7 @@
     index: int
     term: int
     kind: EntryKind
-    data: Any
+    data: PlainValue
 
 
 class Snapshot(msgspec.Struct, frozen=True):
@@ -39,7 +42,7 @@
 class StateMachine(Protocol):
     """What the committed commands of the log change; the same on all replicas."""
 
-    def apply(self, index: int, command: Any) -> None:
+    def apply(self, index: int, command: PlainValue) -> None:
         """Execute the command that was committed at `index`, as plain values. Must not fail."""
 
     def take_snapshot(self) -> bytes:
--- a/ploverspoke/consensus/node.py
+++ b/ploverspoke/consensus/node.py
@@ -8,37 +8,33 @@
 import random
 import time
 from collections.abc import Callable
-from typing import Any
 
 import msgspec
 
 from ploverspoke.transport.rate_limited_log import log_line
 
+from .admin_messages import WireMap
 from .admin_requests import AdminRequests, status_fields
 from .clock import ReplicatedClock
 from .cluster_config import ReplicaConfig, initial_replica_id, split_address
-from .log import StateMachine
-from .membership import Member, Members, find_by_name, fingerprint
+from .log import PlainValue, StateMachine
+from .membership import Member, Members, find_by_name
 from .peer_links import PeerIdentity, PeerLinks
 from .peer_links import Reply as Reply
 from .persisted_state import WriteBatch
 from .raft_state import RaftTimeouts, Role
 from .replica import Replica, RoleListener, Runtime
 from .replica_driver import DriverCallbacks, ReplicaDriver, WriteCounters
-from .storage import ClusterMismatchError, CorruptionError, ReplicaStorage, StorageError
+from .storage import CorruptionError, ReplicaStorage, StorageError
+from .storage_setup import open_storage
 from .storage_thread import StorageThread
 from .wire_messages import Message
 
-EMPTY_STORAGE = (
-    "is empty: a new store begins with --new on all of its replicas; a replica whose disk was lost is removed"
-    " from the store and added under another name, and starts with --join"
-)
-OTHER_CLUSTER = "is of a store with another name or with other replicas"
 REOPEN_DELAY = 0.5  # seconds, after the storage could not be written
 HEARTBEATS_PER_ELECTION_TIMEOUT = 4
 
 CommitCallback = Callable[[bool], None]
-Command = msgspec.Struct | bytes | list[Any]
+Command = msgspec.Struct | bytes | list[PlainValue]
 
 
 class ReplicaNode:
@@ -64,7 +60,7 @@
         self.storage_failures = 0
         self.write_counters = WriteCounters()
         self._driver: ReplicaDriver | None = None  # None: the storage cannot be used
-        self._proposals: list[tuple[Any, CommitCallback]] = []  # of this turn of the event loop
+        self._proposals: list[tuple[PlainValue, CommitCallback]] = []  # of this turn of the event loop
         self._tasks: set[asyncio.Task[None]] = set()
 
     # ---- Start and end ----
@@ -76,10 +72,7 @@
         fingerprint. Raises ClusterMismatchError, CorruptionError, StorageError or OSError.
         """
         self.loop = asyncio.get_running_loop()
-        self.storage.open()
-        if not self.storage.replica_id and (new or join):
-            self._initialize_storage(join)
-        self._check_storage(new, join)
+        open_storage(self.storage, self.config, new, join)
         self.peer_links.identity = PeerIdentity(self.replica_id, self.storage.cluster_fingerprint)
         await self.peer_links.open(*split_address(self.config.replicas[self.config.name].peer))
         self.on_storage_opened()
@@ -94,29 +87,6 @@
         await self.storage_thread.run(self.storage.close)
         self.storage_thread.close()
 
-    def _initialize_storage(self, join: str) -> None:
-        members = self.config.members()
-        if join:
-            # It stands for no election until the leader has brought it up to date and made it a voter.
-            members = {
-                replica_id: msgspec.structs.replace(member, votes=False)
-                for replica_id, member in members.items()
-            }
-        self.storage.initialize(self.replica_id, join or self._first_fingerprint(), members)
-
-    def _check_storage(self, new: bool, join: str) -> None:
-        storage = self.storage
-        if not storage.replica_id:
-            raise ClusterMismatchError(storage.path, EMPTY_STORAGE)
-        if storage.replica_id != self.replica_id:
-            detail = f"is the store of {storage.replica_id}, not of {self.replica_id}"
-            raise ClusterMismatchError(storage.path, detail)
-        if (new or join) and storage.cluster_fingerprint != (join or self._first_fingerprint()):
-            raise ClusterMismatchError(storage.path, OTHER_CLUSTER)
-
-    def _first_fingerprint(self) -> str:
-        return fingerprint(self.config.cluster, self.config.members())
-
     def _start_replica(self) -> None:
         self.state_machine.restore_snapshot(b"")
         election = self.config.election_timeout
@@ -147,12 +117,12 @@
         return self.replica is not None and self.replica.raft.role is Role.LEADER
 
     def is_in_contact(self, within: int) -> bool:
-        """Whether this replica leads, or has heard from the leader of its term `within` so many ns."""
+        """Whether this replica leads, or its leader has sent something `within` so many ns."""
         if self.replica is None:
             return False
         if self.is_elected():
             return self.replica.leads()
-        return self.replica.raft.heard_leader_within(within)
+        return self.replica.raft.has_leader_contact_within(within)
 
     def members(self) -> Members:
         """Return the members by replica id, as they are known here."""
@@ -206,11 +176,11 @@
         self._schedule_step()
         return accepted
 
-    def status(self) -> dict[str, Any]:
+    def status(self) -> WireMap:
         """Return the status as tools get it."""
         return status_fields(self)
 
-    def save_value(self, key: str, value: Any) -> None:
+    def save_value(self, key: str, value: object) -> None:
         """Write a value of this replica alone, beside the log, when the thread comes to it.
 
         A value that could not be written is not written again: an older one is found after a restart.
@@ -232,11 +202,11 @@
         for listener in self.role_listeners:
             self.loop.call_soon(listener, role, leader_id)
 
-    def state_status(self) -> msgspec.Struct | dict[str, Any]:
+    def state_status(self) -> msgspec.Struct | WireMap:
         """Return the part of the status that is about the state machine."""
         return {}
 
-    def handle_state_request(self, request: dict[str, Any], reply: Reply) -> bool:
+    def handle_state_request(self, request: dict[str, object], reply: Reply) -> bool:
         """Answer a tool's request about the state machine; returns False if it is none."""
         return False
 
--- a/ploverspoke/consensus/peer_links.py
+++ b/ploverspoke/consensus/peer_links.py
@@ -6,7 +6,7 @@
 
 import asyncio
 from collections.abc import Callable
-from typing import Any, NamedTuple, cast
+from typing import NamedTuple, cast
 
 import msgspec
 
@@ -22,9 +22,9 @@
 ADMIN_CLIENT_ID = "?"  # the id in the greeting of a tool
 ANY_CLUSTER = ""  # the cluster in the greeting of a tool
 
-Reply = Callable[[Any], None]
+Reply = Callable[[object], None]
 MessageHandler = Callable[[str, Message], None]  # with the id of the sender
-AdminRequestHandler = Callable[[Any, Reply], None]
+AdminRequestHandler = Callable[[object, Reply], None]
 
 
 class PeerIdentity(NamedTuple):
@@ -90,7 +90,7 @@
                 task = loop.create_task(self._keep_connected(replica_id, address))
                 self._connecting[replica_id] = (address, task)
 
-    def send(self, replica_id: str, message: Any) -> None:
+    def send(self, replica_id: str, message: object) -> None:
         """Send a message to a peer; it is dropped if the peer is not connected."""
         connection = self.outbound.get(replica_id)
         if connection is not None:
@@ -152,7 +152,7 @@
             log_line(f"store: a connection is refused: {error}")
             self.close()
 
-    def reply(self, message: Any) -> None:
+    def reply(self, message: object) -> None:
         """Answer a tool, if it is still there."""
         if self.transport is not None:
             self.transport.write(self.frames.encode(message))
@@ -216,7 +216,7 @@
             log_line(f"store: {error}")
             self.close()
 
-    def send(self, message: Any) -> None:
+    def send(self, message: object) -> None:
         """Send a message; drop it if the peer has not greeted yet or does not read."""
         if not self.ready or self.transport is None:
             return
--- a/ploverspoke/consensus/raft.py
+++ b/ploverspoke/consensus/raft.py
@@ -16,7 +16,7 @@
 from .election import Election
 from .leadership import Leadership
 from .leadership_transfer import LeadershipTransfer
-from .log import EntryKind, Log
+from .log import EntryKind, Log, PlainValue
 from .log_receiver import LogReceiver
 from .membership import Members
 from .membership_changes import MembershipChanges
@@ -122,10 +122,10 @@
             return 0
         return self.leadership.lease_until()
 
-    def heard_leader_within(self, duration: int) -> bool:
-        """Whether this follower has heard its leader within so many ns."""
-        heard_at = self.election.leader_heard_at
-        return bool(self.state.leader_id) and self.state.environment.now() - heard_at < duration
+    def has_leader_contact_within(self, duration: int) -> bool:
+        """Whether the leader of this follower has sent something within so many ns."""
+        contact_at = self.election.leader_contact_at
+        return bool(self.state.leader_id) and self.state.environment.now() - contact_at < duration
 
     # ---- Events ----
 
@@ -159,7 +159,7 @@
             return
         self.handlers[type(message)](sender, message)
 
-    def propose(self, commands: list[Any]) -> int:
+    def propose(self, commands: list[PlainValue]) -> int:
         """Append commands; returns the index of the last, or 0 if this replica takes no proposals."""
         return self.replication.propose(EntryKind.DATA, commands)
 
@@ -192,12 +192,12 @@
     # ---- Rules for all servers (paper, figure 2) ----
 
     def _ignores_candidates(self, message: RequestVote | PreVote) -> bool:
-        """One that was cut off must not depose a leader that others hear (thesis, section 4.2.3)."""
+        """One that was cut off must not depose a leader that others follow (thesis, section 4.2.3)."""
         if self.state.role is Role.LEADER:
-            hears_leader = self.leadership.check_quorum(self.state.environment.now())
+            has_leader = self.leadership.check_quorum(self.state.environment.now())
         else:
-            hears_leader = self.election.has_recent_leader()
-        return hears_leader and not message.is_transfer
+            has_leader = self.election.has_recent_leader()
+        return has_leader and not message.is_transfer
 
     def _answer_stale(self, sender: str, message: Message) -> None:
         """Tell the sender of a request our term, so that an old leader steps down."""
--- a/ploverspoke/consensus/raft_state.py
+++ b/ploverspoke/consensus/raft_state.py
@@ -6,7 +6,7 @@
 from enum import StrEnum
 from typing import NamedTuple, Protocol
 
-from .log import Entry, EntryKind, Snapshot
+from .log import Entry, EntryKind, PlainValue, Snapshot
 from .membership import Members
 from .persisted_state import PersistedState
 from .wire_messages import Message
@@ -142,7 +142,7 @@
 
     # ---- The log ----
 
-    def append(self, kind: EntryKind, commands: list[object]) -> None:
+    def append(self, kind: EntryKind, commands: list[PlainValue]) -> None:
         """Add entries of the current term, as its leader."""
         first = self.log.last_index() + 1
         entries = [
--- a/ploverspoke/consensus/replica.py
+++ b/ploverspoke/consensus/replica.py
@@ -6,11 +6,11 @@
 """
 
 from collections.abc import Callable
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 import msgspec
 
-from .log import Entry, EntryKind, Snapshot, StateMachine
+from .log import Entry, EntryKind, PlainValue, Snapshot, StateMachine
 from .persisted_state import PersistedState, WriteBatch
 from .raft import DEFAULT_TIMEOUTS, Raft
 from .raft_state import RaftTimeouts, Role
@@ -77,7 +77,7 @@
 
     # ---- Use ----
 
-    def propose(self, commands: list[Any], on_result: ResultCallback) -> None:
+    def propose(self, commands: list[PlainValue], on_result: ResultCallback) -> None:
         """Have commands committed; False is no promise that they never will be."""
         index = self.raft.propose(commands)
         if not index:
--- a/ploverspoke/consensus/replication.py
+++ b/ploverspoke/consensus/replication.py
@@ -4,7 +4,7 @@
 
 from .leadership import FollowerProgress, Leadership
 from .leadership_transfer import LeadershipTransfer
-from .log import Entry, EntryKind
+from .log import Entry, EntryKind, PlainValue
 from .raft_state import RaftState, Role
 from .read_index import ReadIndex
 from .snapshot_transfer import SnapshotSender
@@ -34,7 +34,7 @@
         self.on_commit_advanced = on_commit_advanced
         self.snapshots = SnapshotSender(state)
 
-    def propose(self, kind: EntryKind, commands: list[object]) -> int:
+    def propose(self, kind: EntryKind, commands: list[PlainValue]) -> int:
         """Append entries; returns the index of the last, or 0 if this replica takes no proposals."""
         if self.state.role is not Role.LEADER or self.transfer.is_in_progress():
             return 0
@@ -79,7 +79,7 @@
         if follower.waiting_since and now - follower.waiting_since > election:
             follower.waiting_since = 0
             follower.in_flight = 0
-        if now - follower.heard_at > election:
+        if now - follower.last_contact_at > election:
             follower.in_flight = 0
             follower.is_probing = True
 
--- a/ploverspoke/consensus/storage.py
+++ b/ploverspoke/consensus/storage.py
@@ -10,37 +10,19 @@
 from collections.abc import Iterator
 from contextlib import closing, contextmanager
 from pathlib import Path
-from typing import Any, Self
+from typing import Self
 from zlib import crc32
 
 import msgspec
 
+from . import storage_schema as schema
 from .errors import ConsensusError
-from .log import Entry, EntryKind, Log, Snapshot, with_typed_members
+from .log import Entry, EntryKind, Log, PlainValue, Snapshot, with_typed_members
 from .membership import Members, members_from_plain
 from .persisted_state import PersistedState, WriteBatch
 
-FORMAT = 1
-DATABASE_FILE = "store.db"
-STORAGE_ID_BYTES = 8
 NOT_OPEN = "not open"
 
-# Keys of the table `told`.
-FORMAT_KEY = "format"
-STORAGE_ID_KEY = "disk"
-REPLICA_ID_KEY = "me"
-FINGERPRINT_KEY = "fingerprint"
-VOTE_KEY = "vote"
-FIRST_MEMBERS_KEY = "first members"
-
-# The text of these statements is stored in the file, and compared with that of older releases.
-TABLES = """
-create table if not exists told (key text primary key, value blob) without rowid;
-create table if not exists entries (at integer primary key, term integer, body blob, sum integer);
-create table if not exists snapshot (one integer primary key, at integer, term integer, members blob,
-                                     state blob, sum integer);
-"""
-
 
 class StorageError(ConsensusError):
     """Nothing more can be written for now: the disk is full, a sync failed, or the file is not open."""
@@ -78,7 +60,7 @@
     Raises ClusterMismatchError if the folder is not empty, CorruptionError, or StorageError; then nothing is
     left there.
     """
-    target = folder / DATABASE_FILE
+    target = folder / schema.DATABASE_FILE
     if target.exists():
         raise ClusterMismatchError(target, "exists: it is never written over")
     folder.mkdir(parents=True, exist_ok=True)
@@ -87,9 +69,9 @@
             source.backup(copy)
         storage = ReplicaStorage(folder)
         storage.open()
-        storage.save_value(STORAGE_ID_KEY, secrets.token_hex(STORAGE_ID_BYTES))
-        storage.save_value(REPLICA_ID_KEY, replica_id)
-        storage.save_value(VOTE_KEY, (storage.persisted.current_term + 1, ""))
+        storage.save_value(schema.STORAGE_ID_KEY, secrets.token_hex(schema.STORAGE_ID_BYTES))
+        storage.save_value(schema.REPLICA_ID_KEY, replica_id)
+        storage.save_value(schema.VOTE_KEY, (storage.persisted.current_term + 1, ""))
     except sqlite3.Error as error:
         target.unlink()
         raise CorruptionError(backup, str(error)) from error
@@ -105,7 +87,7 @@
     def __init__(self, folder: Path) -> None:
         """Name the folder; nothing is opened yet."""
         self.folder = folder
-        self.path = folder / DATABASE_FILE
+        self.path = folder / schema.DATABASE_FILE
         self.connection: sqlite3.Connection | None = None
         self.persisted = PersistedState()  # as read by `open`
         self.replica_id = ""  # "": the storage is empty
@@ -160,9 +142,9 @@
             raise ClusterMismatchError(self.path, f"is the store of {self.replica_id} already")
         connection = self._opened()
         connection.execute("begin immediate")
-        self._put(REPLICA_ID_KEY, replica_id)
-        self._put(FINGERPRINT_KEY, cluster_fingerprint)
-        self._put(FIRST_MEMBERS_KEY, members)
+        self._put(schema.REPLICA_ID_KEY, replica_id)
+        self._put(schema.FINGERPRINT_KEY, cluster_fingerprint)
+        self._put(schema.FIRST_MEMBERS_KEY, members)
         connection.execute("commit")
         self._read()
 
@@ -174,25 +156,25 @@
         connection.execute("pragma locking_mode = exclusive")
         if self.max_pages:
             connection.execute(f"pragma max_page_count = {self.max_pages}")
-        connection.executescript(TABLES)
-        if self.load_value(FORMAT_KEY) is None:
+        connection.executescript(schema.TABLES)
+        if self.load_value(schema.FORMAT_KEY) is None:
             connection.execute("begin immediate")
-            self._put(FORMAT_KEY, FORMAT)
-            self._put(STORAGE_ID_KEY, secrets.token_hex(STORAGE_ID_BYTES))
+            self._put(schema.FORMAT_KEY, schema.FORMAT)
+            self._put(schema.STORAGE_ID_KEY, secrets.token_hex(schema.STORAGE_ID_BYTES))
             connection.execute("commit")
-        found = self.load_value(FORMAT_KEY)
-        if found != FORMAT:
-            raise ClusterMismatchError(self.path, f"has format {found}, this version reads {FORMAT}")
+        found = self.load_value(schema.FORMAT_KEY)
+        if found != schema.FORMAT:
+            raise ClusterMismatchError(self.path, f"has format {found}, this version reads {schema.FORMAT}")
 
     # ---- Reading ----
 
     def _read(self) -> None:
-        self.replica_id = self.load_value(REPLICA_ID_KEY) or ""
-        self.cluster_fingerprint = self.load_value(FINGERPRINT_KEY) or ""
-        current_term, voted_for = self.load_value(VOTE_KEY) or (0, "")
+        self.replica_id = self.load_value(schema.REPLICA_ID_KEY) or ""
+        self.cluster_fingerprint = self.load_value(schema.FINGERPRINT_KEY) or ""
+        current_term, voted_for = self.load_value(schema.VOTE_KEY) or (0, "")
         snapshot = self._read_snapshot()
         if snapshot is None:
-            first_members = members_from_plain(self.load_value(FIRST_MEMBERS_KEY) or {})
+            first_members = members_from_plain(self.load_value(schema.FIRST_MEMBERS_KEY) or {})
             snapshot = Snapshot(0, 0, first_members, b"")
         log = Log(snapshot.index, snapshot.term)
         log.append(list(self._read_entries(snapshot.index + 1)))
@@ -202,7 +184,7 @@
             voted_for=voted_for,
             log=log,
             snapshot_data=snapshot.data,
-            storage_id=self.load_value(STORAGE_ID_KEY),
+            storage_id=self.load_value(schema.STORAGE_ID_KEY),
         )
 
     def _read_snapshot(self) -> Snapshot | None:
@@ -229,14 +211,14 @@
             yield with_typed_members(Entry(index, term, EntryKind(kind), data))
             expected += 1
 
-    def load_value(self, key: str) -> Any:
+    def load_value(self, key: str) -> PlainValue:
         """Return a value saved with `save_value`, as plain values; None if there is none."""
         row = self._opened().execute("select value from told where key = ?", (key,)).fetchone()
         return None if row is None else msgspec.msgpack.decode(row[0])
 
     def size_bytes(self) -> int:
         """Return the size of the file and its journal."""
-        return sum(path.stat().st_size for path in self.folder.glob(f"{DATABASE_FILE}*"))
+        return sum(path.stat().st_size for path in self.folder.glob(f"{schema.DATABASE_FILE}*"))
 
     def backup(self, target: Path) -> None:
         """Copy the whole as it is now, while it is in use. Raises sqlite3.Error."""
@@ -249,7 +231,7 @@
         """Write all of a batch or nothing; it is durable when this returns. Raises StorageError."""
         with self._transaction() as connection:
             if batch.vote is not None:
-                self._put(VOTE_KEY, batch.vote)
+                self._put(schema.VOTE_KEY, batch.vote)
             if batch.snapshot is not None:
                 connection.execute("delete from entries")
                 self._put_snapshot(batch.snapshot)
--- /dev/null
+++ b/ploverspoke/consensus/storage_schema.py
@@ -0,0 +1,24 @@
+"""The layout of the SQLite file of a replica. Its names are stored: they do not change.
+
+The table `told` holds single values by key, `entries` the log, `snapshot` one row at most.
+"""
+
+FORMAT = 1
+DATABASE_FILE = "store.db"
+STORAGE_ID_BYTES = 8
+
+# Keys of the table `told`.
+FORMAT_KEY = "format"
+STORAGE_ID_KEY = "disk"
+REPLICA_ID_KEY = "me"
+FINGERPRINT_KEY = "fingerprint"
+VOTE_KEY = "vote"
+FIRST_MEMBERS_KEY = "first members"
+
+# The text of these statements is stored in the file, and compared with that of older releases.
+TABLES = """
+create table if not exists told (key text primary key, value blob) without rowid;
+create table if not exists entries (at integer primary key, term integer, body blob, sum integer);
+create table if not exists snapshot (one integer primary key, at integer, term integer, members blob,
+                                     state blob, sum integer);
+"""
--- /dev/null
+++ b/ploverspoke/consensus/storage_setup.py
@@ -0,0 +1,43 @@
+"""Opens the storage of a replica, sets it up at the first start, and checks that it is the right one."""
+
+import msgspec
+
+from .cluster_config import ReplicaConfig, initial_replica_id
+from .membership import Members, fingerprint
+from .storage import ClusterMismatchError, ReplicaStorage
+
+EMPTY_STORAGE = (
+    "is empty: a new store begins with --new on all of its replicas; a replica whose disk was lost is removed"
+    " from the store and added under another name, and starts with --join"
+)
+OTHER_CLUSTER = "is of a store with another name or with other replicas"
+
+
+def open_storage(storage: ReplicaStorage, config: ReplicaConfig, new: bool, join: str) -> None:
+    """Open the storage of the replica that `config` describes.
+
+    `new` sets it up for a new cluster, `join` for the cluster with this fingerprint, if it is empty. Raises
+    ClusterMismatchError, CorruptionError or StorageError.
+    """
+    storage.open()
+    replica_id = initial_replica_id(config.name)
+    cluster_fingerprint = join or fingerprint(config.cluster, config.members())
+    if not storage.replica_id and (new or join):
+        members = as_learners(config.members()) if join else config.members()
+        storage.initialize(replica_id, cluster_fingerprint, members)
+    if not storage.replica_id:
+        raise ClusterMismatchError(storage.path, EMPTY_STORAGE)
+    if storage.replica_id != replica_id:
+        raise ClusterMismatchError(storage.path, f"is the store of {storage.replica_id}, not of {replica_id}")
+    if (new or join) and storage.cluster_fingerprint != cluster_fingerprint:
+        raise ClusterMismatchError(storage.path, OTHER_CLUSTER)
+
+
+def as_learners(members: Members) -> Members:
+    """Return the members without votes.
+
+    A replica that joins stands for no election until the leader has brought it up to date and made it one.
+    """
+    return {
+        replica_id: msgspec.structs.replace(member, votes=False) for replica_id, member in members.items()
+    }
