--- a/ploverspoke/cli.py
+++ b/ploverspoke/cli.py
@@ -84,7 +84,11 @@
     def format_commands(self, ctx: click.Context, formatter: click.HelpFormatter) -> None:
         """List the subcommands from the texts here, so that help imports no package."""
         texts = {name: lazy.short_help for name, lazy in LAZY_COMMANDS.items()}
-        texts |= {name: command.get_short_help_str(80) for name, command in self.commands.items()}
+        texts |= {
+            name: command.get_short_help_str(80)
+            for name, command in self.commands.items()
+            if not command.hidden
+        }
         with formatter.section("Commands"):
             formatter.write_dl(sorted(texts.items()))
 
@@ -159,20 +163,32 @@
     return serve_replica(store, new, join)
 
 
-@main.command()
+def _serve_leases(file: Path, new: bool, join: str) -> int:
+    with imports_of("a lease server", "daemon"):
+        from ploverspoke.leases.daemon import main as serve_leases
+    return serve_leases(file, new, join)
+
+
+@main.command(name="lease-server")
 @click.argument("file", type=FILE)
-@click.option("--new", is_flag=True, help="The first start of a new set of keepers.")
+@click.option("--new", is_flag=True, help="The first start of a new set of lease servers.")
 @click.option("--join", default="", help="The mark of the running set that it joins.")
-def keep(file: Path, new: bool, join: str) -> None:
-    """Run one keeper of leases with this FILE (docs/operating-leases.md).
+def lease_server(file: Path, new: bool, join: str) -> None:
+    """Run one lease server with this FILE (docs/operating-leases.md).
 
-    It runs until SIGTERM. Exit 0: told to end. 2: the file or the disk is of no use, and why is said.
+    It runs until SIGTERM. Exit 0: told to end. 2: the file or the storage cannot be used, and why is printed.
     """
-    try:
-        from ploverspoke.leases.daemon import main as keeper
-    except ModuleNotFoundError as error:
-        raise click.ClickException(f"a keeper needs {error.name}: install ploverspoke[daemon]") from None
-    sys.exit(keeper(file, new, join))
+    sys.exit(_serve_leases(file, new, join))
+
+
+@main.command(hidden=True)
+@click.argument("file", type=FILE)
+@click.option("--new", is_flag=True, help="As of `lease-server`.")
+@click.option("--join", default="", help="As of `lease-server`.")
+def keep(file: Path, new: bool, join: str) -> None:
+    """Run one lease server, as `lease-server` does: the name of that command until now."""
+    click.echo("lease server: `keep` is now called `lease-server`; the old name goes on working", err=True)
+    sys.exit(_serve_leases(file, new, join))
 
 
 @main.command()
--- a/ploverspoke/leases/__init__.py
+++ b/ploverspoke/leases/__init__.py
@@ -1,1 +1,1 @@
-"""Leases for tasks that belong to the whole fleet: keepers that give them, holders that act under them."""
+"""Leases for tasks of the whole fleet: lease servers that grant them, holders that act under them."""
--- /dev/null
+++ b/ploverspoke/leases/backup_commands.py
@@ -0,0 +1,47 @@
+"""`ploverspoke lease backup` and `restore`: what a lease server has stored."""
+
+import time
+from pathlib import Path
+
+import click
+
+from ploverspoke.consensus.admin_messages import BackupRequest
+from ploverspoke.consensus.command_line import (
+    EXISTING_FILE,
+    FILE_ARGUMENT,
+    JSON_OPTION,
+    call_for_result,
+    read_config_or_exit,
+    restore_backup,
+)
+
+from .config import read_lease_server_config
+from .server_node import EPOCH_KEY
+
+
+@click.command()
+@FILE_ARGUMENT
+@click.argument("path", type=click.Path(path_type=Path))
+@JSON_OPTION
+def backup(file: Path, path: Path, as_json: bool) -> None:
+    """Copy what the lease server of this FILE stores to PATH on its machine. Exit 1: not done."""
+    config = read_config_or_exit(read_lease_server_config, file).replica
+    call_for_result(config, config.name, BackupRequest(str(path.absolute())), as_json)
+
+
+@click.command()
+@FILE_ARGUMENT
+@click.argument("path", type=EXISTING_FILE)
+def restore(file: Path, path: Path) -> None:
+    """Put a backup in the place of the storage of this FILE's lease server, which must not run and be empty.
+
+    For all lease servers together, from one backup. A new epoch of tokens begins, above all that were
+    granted; nothing is granted until the longest lease has expired.
+    """
+    config = read_config_or_exit(read_lease_server_config, file).replica
+    storage = restore_backup(config, path)
+    # Above every epoch that was begun before, as long as clocks do not go back between two restores.
+    epoch = max((storage.load_value(EPOCH_KEY) or 0) + 1, int(time.time()))
+    storage.save_value(EPOCH_KEY, epoch)
+    storage.close()
+    click.echo(f"restored {storage.path}, epoch {epoch}")
--- a/ploverspoke/leases/client.py
+++ b/ploverspoke/leases/client.py
@@ -1,197 +1,208 @@
-"""A holder on sockets: a thin driver of `LeaseHolder` that speaks with one keeper at a time."""
+"""A lease holder on sockets: drives a `LeaseHolder`, and talks to one lease server at a time."""
 
 import asyncio
 import contextlib
 import os
 import time
-from typing import Any
 
 from ploverspoke.consensus.framed_client import FramedClientConnection
 from ploverspoke.consensus.framing import FrameError
 
 from .config import LeaseServers
-from .holder import NEVER, Lease, LeaseHolder, Message
+from .errors import LeaseMessageError
+from .holder import Lease, LeaseHolder
+from .messages import LeaderRedirect, LeaseRequest, parse_response
 
-DIAL_WITHIN = 1.0  # seconds
-SAYS_GOODBYE = 0.05  # seconds, for a last message
-LONGEST_NAP = 60.0
+CONNECT_TIMEOUT = 1.0  # seconds
+FINAL_RELEASE_TIME = 0.05  # seconds that the last request has to be sent
+MAX_SLEEP = 60.0  # seconds
+NANOSECONDS_PER_SECOND = 1e9
 
 
 class LeaseServerConnection(FramedClientConnection):
     """The connection of a `LeaseClient` to one lease server."""
 
-    server_errors = (FrameError, KeyError, TypeError, ValueError)
+    server_errors = (FrameError, LeaseMessageError)
     log_name = "leases"
 
     def __init__(self, client: "LeaseClient") -> None:
-        """The greeting names the client's holder id."""
-        super().__init__(client.keepers.secret, {"id": client.me, "store": ""})
+        """Greets with the holder id of its client."""
+        super().__init__(client.servers.secret, {"id": client.holder_id, "store": ""})
         self.client = client
 
     def on_connected(self) -> None:
-        """Tells the client that it can ask."""
-        self.client.connected(self)
+        """Tells the client that it can send."""
+        self.client.on_connected(self)
 
     def on_message(self, message: object) -> None:
-        """Hands an answer to the client."""
-        self.client.told(self, message)
+        """Hands a message to the client. Raises LeaseMessageError."""
+        self.client.on_message(self, message)
 
     def on_disconnected(self) -> None:
         """Tells the client that the connection is lost."""
-        self.client.lost(self)
+        self.client.on_disconnected(self)
 
 
 class LeaseClient:
-    """The host of a `LeaseHolder`. Its id is new with each start: a process never takes its old self's
-    word."""
+    """Holds leases for its user; the environment of a `LeaseHolder`.
 
-    def __init__(self, keepers: LeaseServers, name: str, start: str = "") -> None:
-        self.keepers = keepers
-        self.me = f"{name}/{start or os.urandom(6).hex()}"
+    Its holder id is new with each start, so that a process never takes an answer to its predecessor for its
+    own.
+    """
+
+    def __init__(self, servers: LeaseServers, name: str, start: str = "") -> None:
+        """`start` distinguishes this start of the process from others; random unless given."""
+        self.servers = servers
+        self.holder_id = f"{name}/{start or os.urandom(6).hex()}"
         self.holder = LeaseHolder(self)
         self.loop = asyncio.get_running_loop()
-        self.at = int.from_bytes(os.urandom(2), "big") % len(keepers.clients)  # not all at the first
+        # Not all clients begin with the first server.
+        self.server_index = int.from_bytes(os.urandom(2), "big") % len(servers.client_addresses)
         self.connection: LeaseServerConnection | None = None
-        self.dialling: asyncio.Task[None] | None = None
+        self.connect_task: asyncio.Task[None] | None = None
         self.timer: asyncio.TimerHandle | None = None
         self.closed = False
-        self.changed = asyncio.Event()
+        self.changed = asyncio.Event()  # set when a lease may have been acquired, lost or rejected
 
-    # ---- What its user asks ----
+    # ---- What its user calls ----
 
     def want(self, name: str, duration: int) -> Lease:
-        """`duration` in ns. Renewed until it is released. See `LeaseHolder`."""
+        """Wants the lease for `duration` ns, and renews it, until `release`."""
         lease = self.holder.want(name, duration)
-        self._after()
+        self._schedule_tick()
         return lease
 
-    def release(self, name: str, to: str = "") -> None:
-        self.holder.release(name, to)
-        self._after()
+    def release(self, name: str, hand_over_to: str = "") -> None:
+        """Gives the lease up; see `LeaseHolder.release`."""
+        self.holder.release(name, hand_over_to)
+        self._schedule_tick()
 
-    def give_back(self, name: str, token: int) -> None:
-        """What an earlier process with this id has left held."""
-        self.holder.give_back(name, token)
-        self._after()
+    def release_token(self, name: str, token: int) -> None:
+        """Releases what an earlier process of this holder id was granted."""
+        self.holder.release_token(name, token)
+        self._schedule_tick()
 
-    def left(self, name: str) -> int:
-        return self.holder.left(name)
+    def time_left(self, name: str) -> int:
+        """Nanoseconds for which the lease is certainly held; 0 where it is not."""
+        return self.holder.time_left(name)
 
     def token(self, name: str) -> int:
+        """The fencing token of a lease that is held now; 0 where it is not."""
         return self.holder.token(name)
 
-    async def held(self, name: str, within: float) -> int:
-        """The token as soon as it is ours; 0 where it is not within so many seconds, or is refused."""
+    async def wait_until_held(self, name: str, timeout: float) -> int:
+        """Waits up to `timeout` seconds; the token, or 0 where the lease is not held by then, or rejected."""
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(within):
+            async with asyncio.timeout(timeout):
                 while not (token := self.token(name)) and name in self.holder.leases:
                     self.changed.clear()
                     await self.changed.wait()
                 return token
         return 0
 
+    def keep_until_expiry(self) -> None:
+        """Stops renewing all leases without releasing them: each ends by its time."""
+        self.holder.leases.clear()
+
     async def close(self) -> None:
-        """Everything is released; where that cannot be told, it is over by its time."""
+        """Releases everything; where that cannot be sent, the leases end by their time."""
         for name in list(self.holder.leases):
             self.release(name)
-        await asyncio.sleep(SAYS_GOODBYE if self.connection is not None else 0)
+        await asyncio.sleep(FINAL_RELEASE_TIME if self.connection is not None else 0)
         self.closed = True
         if self.timer is not None:
             self.timer.cancel()
-        if self.dialling is not None:
-            self.dialling.cancel()
-        if self.connection is not None:
-            self.connection.close()
-
-    def figures(self) -> dict[str, Any]:
-        """For operators: held now, lost, renewals, and the least that was left at one, in ms."""
-        holder = self.holder
-        least = holder.least_left
-        return {
-            "held": sum(1 for name in holder.leases if holder.left(name)),
-            "waited_for": sum(1 for name in holder.leases if not holder.left(name)),
-            "acquired": holder.acquired,
-            "lost": holder.lost,
-            "renewals": holder.renewals,
-            "least_left_ms": -1 if least == NEVER else least // 1_000_000,
-        }
-
-    # ---- The holder's host ----
+        self._disconnect()
+
+    # ---- The environment of its holder ----
 
     def now(self) -> int:
+        """Nanoseconds of the monotonic clock."""
         return time.monotonic_ns()
 
-    def send(self, message: Message) -> None:
-        connection = self.connection
-        if connection is not None and connection.is_ready():
-            connection.write(message)
-        elif self.dialling is None:
-            self._dial()
+    def send(self, request: LeaseRequest) -> None:
+        """Sends to the current lease server, or connects to it first."""
+        if self.connection is not None and self.connection.is_ready():
+            self.connection.write(request)
+        elif self.connect_task is None:
+            self._connect()
 
-    def go_elsewhere(self) -> None:
-        self._leave()
-        self.at = (self.at + 1) % len(self.keepers.clients)
+    def try_next_server(self) -> None:
+        """Leaves the current lease server; the next request goes to the one after it."""
+        self._disconnect()
+        self._select_next_server()
 
-    # ---- What happens ----
+    # ---- What its connection calls ----
 
-    def connected(self, connection: LeaseServerConnection) -> None:
+    def on_connected(self, connection: LeaseServerConnection) -> None:
+        """Sends what is wanted."""
         if connection is self.connection:
             self.holder.connected()
-            self._after()
+            self._schedule_tick()
 
-    def told(self, connection: LeaseServerConnection, message: Any) -> None:
+    def on_message(self, connection: LeaseServerConnection, message: object) -> None:
+        """Takes in a response, or goes to the leader that it names. Raises LeaseMessageError."""
         if connection is not self.connection:
             return
-        if "elsewhere" in message:
-            where = message["elsewhere"]
-            if where in self.keepers.clients:
-                self._leave()
-                self.at = self.keepers.clients.index(where)
-                self._dial()
+        response = parse_response(message)
+        if isinstance(response, LeaderRedirect):
+            self._follow(response)
             return
-        self.holder.told(message)
+        self.holder.handle_response(response)
         self.changed.set()
-        self._after()
+        self._schedule_tick()
 
-    def lost(self, connection: LeaseServerConnection) -> None:
+    def on_disconnected(self, connection: LeaseServerConnection) -> None:
+        """The next request connects again."""
         if connection is self.connection:
             self.connection = None
 
-    def _leave(self) -> None:
+    # ---- Internals ----
+
+    def _follow(self, redirect: LeaderRedirect) -> None:
+        if redirect.address in self.servers.client_addresses:
+            self._disconnect()
+            self.server_index = self.servers.client_addresses.index(redirect.address)
+            self._connect()
+
+    def _select_next_server(self) -> None:
+        self.server_index = (self.server_index + 1) % len(self.servers.client_addresses)
+
+    def _disconnect(self) -> None:
         connection, self.connection = self.connection, None
         if connection is not None:
             connection.close()
-        if self.dialling is not None:
-            self.dialling.cancel()
-            self.dialling = None
+        if self.connect_task is not None:
+            self.connect_task.cancel()
+            self.connect_task = None
 
-    def _dial(self) -> None:
+    def _connect(self) -> None:
         if not self.closed:
-            self.dialling = self.loop.create_task(self._connect(self.keepers.clients[self.at]))
+            address = self.servers.client_addresses[self.server_index]
+            self.connect_task = self.loop.create_task(self._connect_to(address))
 
-    async def _connect(self, where: str) -> None:
+    async def _connect_to(self, address: str) -> None:
         connection = LeaseServerConnection(self)
         try:
-            async with asyncio.timeout(DIAL_WITHIN):
-                await connection.connect(where)
+            async with asyncio.timeout(CONNECT_TIMEOUT):
+                await connection.connect(address)
             self.connection = connection
         except (OSError, TimeoutError):
-            self.at = (self.at + 1) % len(self.keepers.clients)
+            self._select_next_server()  # tried at the holder's next request
         finally:
-            if self.dialling is asyncio.current_task():
-                self.dialling = None
+            if self.connect_task is asyncio.current_task():
+                self.connect_task = None
 
-    def _after(self) -> None:
-        """See when time is wanted next."""
+    def _schedule_tick(self) -> None:
         if self.timer is not None:
             self.timer.cancel()
         if not self.closed:
-            left = min(LONGEST_NAP, max(0.0, (self.holder.wake() - self.now()) / 1e9))
-            self.timer = self.loop.call_later(left, self._ring)
+            seconds = (self.holder.next_wake() - self.now()) / NANOSECONDS_PER_SECOND
+            self.timer = self.loop.call_later(min(MAX_SLEEP, max(0.0, seconds)), self._tick)
 
-    def _ring(self) -> None:
-        before = self.holder.lost
+    def _tick(self) -> None:
+        lost_before = self.holder.lost
         self.holder.tick()
-        if self.holder.lost > before:
+        if self.holder.lost > lost_before:
             self.changed.set()
-        self._after()
+        self._schedule_tick()
--- /dev/null
+++ b/ploverspoke/leases/command_options.py
@@ -0,0 +1,112 @@
+"""What the modules of `ploverspoke lease` share: options, exit codes, and running with a lease client."""
+
+import asyncio
+import functools
+import socket
+import sys
+from collections.abc import Callable, Coroutine
+from pathlib import Path
+from typing import Any, NamedTuple, TypeVar
+
+import click
+
+from ploverspoke.consensus.command_line import (
+    FILE_ARGUMENT,
+    ReplicaUnavailableError,
+    read_config_or_exit,
+    request_reply,
+)
+
+from .admin_messages import LeaseListing, LeasesRequest
+from .client import LeaseClient
+from .config import LeaseServers, read_lease_servers
+from .errors import NoLeaderError
+
+NOT_HELD, NO_LEADER, LEASE_ENDED, NOT_READY = 1, 3, 4, 5  # exit codes
+SECOND = 1_000_000_000  # ns
+
+NAME_ARGUMENT = click.argument("name")
+DURATION_OPTION = click.option(
+    "--for", "seconds", type=float, default=30.0, show_default=True, help="Duration of the lease, s."
+)
+HOLDER_OPTION = click.option(
+    "--as", "holder", default=socket.gethostname, help="The holder's name; a start is added."
+)
+COMMAND_ARGUMENT = click.argument("command", nargs=-1, required=True, type=click.UNPROCESSED)
+
+ResultT = TypeVar("ResultT")
+
+
+class LeaseArguments(NamedTuple):
+    """What every command that wants a lease is given."""
+
+    file: Path
+    name: str
+    seconds: float
+    holder: str
+
+    @property
+    def duration(self) -> int:
+        """The lease's duration in ns."""
+        return int(self.seconds * SECOND)
+
+
+def lease_arguments(command: Callable[..., None]) -> Callable[..., None]:
+    """Gives a click command FILE, NAME, --for and --as as one `LeaseArguments`, its first parameter."""
+
+    @FILE_ARGUMENT
+    @NAME_ARGUMENT
+    @DURATION_OPTION
+    @HOLDER_OPTION
+    @functools.wraps(command)
+    def with_arguments(file: Path, name: str, seconds: float, holder: str, **options: Any) -> None:
+        command(LeaseArguments(file, name, seconds, holder), **options)
+
+    return with_arguments
+
+
+def read_servers(file: Path) -> LeaseServers:
+    """Where the lease servers are. Ends the command with exit code 2 where the file is wrong."""
+    return read_config_or_exit(read_lease_servers, file)
+
+
+def run_with_client(
+    servers: LeaseServers,
+    holder: str,
+    use: Callable[[LeaseClient], Coroutine[Any, Any, ResultT]],
+    start: str = "",
+) -> ResultT:
+    """Runs `use` on an event loop with a client, which releases at the end what it still wants."""
+
+    async def run() -> ResultT:
+        client = LeaseClient(servers, holder, start)
+        try:
+            return await use(client)
+        finally:
+            await client.close()
+
+    return asyncio.run(run())
+
+
+def request_listing(servers: LeaseServers) -> LeaseListing:
+    """What the leading lease server knows. Raises NoLeaderError."""
+    reasons = []
+    for name, address in servers.peer_addresses.items():
+        try:
+            listing = request_reply(name, address, servers.secret, LeasesRequest(), LeaseListing)
+        except ReplicaUnavailableError as error:
+            reasons.append(str(error))
+            continue
+        if listing.leads:
+            return listing
+        reasons.append(f"{name} does not lead")
+    raise NoLeaderError(reasons)
+
+
+def request_listing_or_exit(servers: LeaseServers) -> LeaseListing:
+    """What the leading lease server knows. Ends the command with exit code 3 where none leads."""
+    try:
+        return request_listing(servers)
+    except NoLeaderError as error:
+        click.echo(f"ploverspoke: {error}", err=True)
+        sys.exit(NO_LEADER)
--- a/ploverspoke/leases/config.py
+++ b/ploverspoke/leases/config.py
@@ -1,4 +1,4 @@
-"""The files of keepers and of those that ask them, read and checked."""
+"""The files of lease servers and of those that call them, read and checked."""
 
 from pathlib import Path
 from typing import NamedTuple
@@ -14,27 +14,30 @@
 
 
 class LeaseServerConfig(NamedTuple):
+    """One lease server's own file, checked."""
+
     replica: ReplicaConfig
-    rules: LeaseDefinitions
+    definitions: LeaseDefinitions
 
 
 class LeaseServers(NamedTuple):
-    """Where they are, for whoever asks."""
+    """Where the lease servers are, for whoever calls them."""
 
-    peers: dict[str, str]  # by name
-    clients: list[str]
+    peer_addresses: dict[str, str]  # by name; tools call these
+    client_addresses: list[str]  # holders connect to these
     secret: bytes
 
 
 def read_lease_server_config(path: Path) -> LeaseServerConfig:
-    """Raises ConfigError, naming the key."""
+    """Reads a lease server's own file. Raises ConfigError, naming the key."""
     top = read_json_file(path)
     replica = parse_replica_config(top, path)
     return LeaseServerConfig(replica, read_definitions(top, replica.election_timeout))
 
 
 def read_lease_servers(path: Path) -> LeaseServers:
-    """From a keeper's file, or one with `replicas` and `secret_file` alone. Raises ConfigError."""
-    found = read_cluster_servers(path, "at least one keeper")
-    peers = {name: peers for name, (peers, _) in found.replicas.items()}
-    return LeaseServers(peers, [clients for _, clients in found.replicas.values()], found.secret)
+    """Reads a lease server's file, or one with `replicas` and `secret_file` alone. Raises ConfigError."""
+    found = read_cluster_servers(path, "at least one lease server")
+    peer_addresses = {name: peers for name, (peers, _) in found.replicas.items()}
+    client_addresses = [clients for _, clients in found.replicas.values()]
+    return LeaseServers(peer_addresses, client_addresses, found.secret)
--- a/ploverspoke/leases/daemon.py
+++ b/ploverspoke/leases/daemon.py
@@ -1,4 +1,4 @@
-"""`ploverspoke keep`: one keeper of leases."""
+"""`ploverspoke lease-server`: one lease server as a process of its own."""
 
 from pathlib import Path
 
@@ -13,16 +13,20 @@
 from .server_node import LeaseServerNode
 
 
-async def keep(path: Path, new: bool, join: str) -> None:
-    """Until it is told to end. Raises ConfigError, and what `serve` raises."""
+async def serve(path: Path, new: bool, join: str) -> None:
+    """Serves until it is told to end. Raises ConfigError, and what `serve_replica` raises."""
     node = LeaseServerNode(read_lease_server_config(path))
-    await serve_replica("keeper", node, LeaseServer(node), new, join)
+    await serve_replica("lease server", node, LeaseServer(node), new, join)
 
 
 def main(path: Path, new: bool = False, join: str = "") -> int:
-    """Exit 0: told to end. 2: the file or the disk cannot be used; says why."""
+    """Runs one lease server and gives its exit code.
+
+    `new` is the first start of a new cluster, `join` the fingerprint of the cluster that it joins. Exit 0:
+    told to end. 2: the file or the storage cannot be used, and the reason is printed.
+    """
 
     def run() -> None:
-        uvloop.run(keep(path, new, join))
+        uvloop.run(serve(path, new, join))
 
     return run_with_exit_code(run, ClusterMismatchError, CorruptionError, StorageError)
--- a/ploverspoke/leases/definitions.py
+++ b/ploverspoke/leases/definitions.py
@@ -1,77 +1,88 @@
-"""Which leases there are, as the keepers' file declares them; a name may end with `*` and stand for many."""
+"""Which leases there are, as the lease servers' file declares them; a name with `*` at the end is many."""
 
 import re
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 from ploverspoke.service.config_reader import ConfigError, ConfigSection
 
-MILLISECOND = 1_000_000
+MILLISECOND = 1_000_000  # ns
 NAME = re.compile(r"[a-z0-9][a-z0-9._/-]{0,63}\*?")
-DRIFT = 0.1  # of a duration: a holder stops so much earlier, so two clocks may differ by a tenth of a span
-LEAST_ELECTIONS = 5  # a duration bears a lost leader: elections, round trips and some asking again
-LONGEST = 3600 * 1000  # ms
+WILDCARD = "*"
+DRIFT = 0.1  # of a duration: a holder stops that much earlier, so two clocks may differ by a tenth of a span
+MIN_ELECTIONS = 5  # a duration outlasts a lost leader: elections, round trips and some retries
+DEFAULT_MAX_DURATION_MS = 60_000
+MAX_DURATION_MS = 3600 * 1000
 
 
 class LeaseDefinition(NamedTuple):
-    places: int  # how many may hold it at once
-    longest: int  # ns, of a duration
+    """What is declared of one lease, or of all whose names begin alike."""
+
+    max_holders: int  # at once
+    max_duration: int  # ns
 
 
 class LeaseDefinitions:
-    def __init__(self, rules: dict[str, LeaseDefinition], least: int) -> None:
-        """`least` is the shortest duration, ns."""
-        self.exact = {name: rule for name, rule in rules.items() if not name.endswith("*")}
-        starts = [(name[:-1], rule) for name, rule in rules.items() if name.endswith("*")]
-        self.starts = sorted(starts, key=lambda row: -len(row[0]))  # the longest that fits counts
-        self.least = least
-        self.longest = max((rule.longest for rule in rules.values()), default=0)
-
-    def of(self, name: str) -> LeaseDefinition | None:
+    """All declared leases."""
+
+    def __init__(self, definitions: dict[str, LeaseDefinition], min_duration: int) -> None:
+        """`min_duration` in ns holds for all of them."""
+        self.exact = {name: found for name, found in definitions.items() if not name.endswith(WILDCARD)}
+        prefixes = [
+            (name.removesuffix(WILDCARD), found)
+            for name, found in definitions.items()
+            if name.endswith(WILDCARD)
+        ]
+        # Of several prefixes that fit, the longest counts.
+        self.prefixes = sorted(prefixes, key=lambda prefix: -len(prefix[0]))
+        self.min_duration = min_duration
+        self.max_duration = max((found.max_duration for found in definitions.values()), default=0)
+
+    def find(self, name: str) -> LeaseDefinition | None:
+        """The definition that holds for a lease; None where it is not declared."""
         found = self.exact.get(name)
         if found is None:
-            found = next((rule for start, rule in self.starts if name.startswith(start)), None)
+            found = next((found for prefix, found in self.prefixes if name.startswith(prefix)), None)
         return found
 
-    def refusal(self, name: str, duration: int) -> str:
-        """Why it is not given at all; "" where it may be."""
-        rule = self.of(name)
-        if rule is None:
+    def rejection_reason(self, name: str, duration: int) -> str | None:
+        """Why the lease is never granted for `duration` ns; None where it can be."""
+        definition = self.find(name)
+        if definition is None:
             return f"no lease is called {name!r}"
-        if duration < self.least:
+        if duration < self.min_duration:
             return (
-                f"{name}: a duration of {duration // MILLISECOND} ms is under {self.least // MILLISECOND}, "
-                + ("which elections and round trips take")
+                f"{name}: a duration of {duration // MILLISECOND} ms is under "
+                f"{self.min_duration // MILLISECOND}, which elections and round trips take"
             )
-        if duration > rule.longest:
-            return f"{name}: a duration of {duration // MILLISECOND} ms is over {rule.longest // MILLISECOND}"
-        return ""
+        if duration > definition.max_duration:
+            return (
+                f"{name}: a duration of {duration // MILLISECOND} ms is over "
+                f"{definition.max_duration // MILLISECOND}"
+            )
+        return None
+
+    def by_declared_name(self) -> dict[str, LeaseDefinition]:
+        """All definitions under the names of the file, wildcards included."""
+        return {**self.exact, **{f"{prefix}{WILDCARD}": found for prefix, found in self.prefixes}}
 
 
-def read_definitions(top: ConfigSection, election: int) -> LeaseDefinitions:
-    """From the key `leases`. Raises ConfigError, naming the key."""
+def read_definitions(top: ConfigSection, election_timeout: int) -> LeaseDefinitions:
+    """Reads the key `leases`; `election_timeout` in ns. Raises ConfigError, naming the key."""
     leases = top.part("leases")
-    least = LEAST_ELECTIONS * election
-    found = {}
-    for name in leases.value:
-        if not NAME.fullmatch(name):
-            raise ConfigError(
-                f"leases.{name}: expected small letters, digits and . _ / -, and * at the end at most"
-            )
-        one = leases.part(name)
-        places = one.whole("places", 1, least=1)
-        found[name] = LeaseDefinition(
-            places, one.whole("longest_ms", 60_000, least=least // MILLISECOND) * MILLISECOND
-        )
-        if found[name].longest > LONGEST * MILLISECOND:
-            raise one.bad("longest_ms", f"at most {LONGEST}")
-    if not found:
+    min_duration = MIN_ELECTIONS * election_timeout
+    definitions = {name: _read_definition(leases, name, min_duration) for name in leases.value}
+    if not definitions:
         raise top.bad("leases", "at least one lease")
-    return LeaseDefinitions(found, least)
+    return LeaseDefinitions(definitions, min_duration)
 
 
-def told(rules: LeaseDefinitions) -> dict[str, Any]:
-    rows = {**rules.exact, **{f"{start}*": rule for start, rule in rules.starts}}
-    return {
-        name: {"places": rule.places, "longest_ms": rule.longest // MILLISECOND}
-        for name, rule in rows.items()
-    }
+def _read_definition(leases: ConfigSection, name: str, min_duration: int) -> LeaseDefinition:
+    if not NAME.fullmatch(name):
+        message = f"leases.{name}: expected small letters, digits and . _ / -, and * at the end at most"
+        raise ConfigError(message)
+    section = leases.part(name)
+    max_holders = section.whole("places", 1, least=1)
+    max_duration_ms = section.whole("longest_ms", DEFAULT_MAX_DURATION_MS, least=min_duration // MILLISECOND)
+    if max_duration_ms > MAX_DURATION_MS:
+        raise section.bad("longest_ms", f"at most {MAX_DURATION_MS}")
+    return LeaseDefinition(max_holders, max_duration_ms * MILLISECOND)
--- a/ploverspoke/leases/fencing.py
+++ b/ploverspoke/leases/fencing.py
@@ -1,25 +1,29 @@
-"""The receiving side of effects: who has seen a token takes no lower one."""
+"""The receiving side of effects: a receiver that has seen a fencing token rejects all lower ones."""
 
 from collections import OrderedDict
 
-MOST_NAMES = 100_000
+MAX_NAMES = 100_000
 
 
 class FencingTokenGuard:
-    """Kept in memory. What must outlive its process is written down by whoever uses it, through `seen`."""
+    """Remembers the latest token of each lease, in memory.
 
-    def __init__(self, most: int = MOST_NAMES) -> None:
-        self.most = most
-        self.seen: OrderedDict[str, int] = OrderedDict()
-        self.refused = 0
+    What must outlive its process is stored by whoever uses it, through `latest_tokens`.
+    """
 
-    def takes(self, name: str, token: int) -> bool:
-        """Whether an effect under this token may be had."""
-        if token <= 0 or token < self.seen.get(name, 0):
-            self.refused += 1
+    def __init__(self, max_names: int = MAX_NAMES) -> None:
+        """Of more than `max_names` leases, those not used for longest are forgotten."""
+        self.max_names = max_names
+        self.latest_tokens: OrderedDict[str, int] = OrderedDict()
+        self.rejected = 0
+
+    def allows(self, name: str, token: int) -> bool:
+        """Whether an effect under this token may happen; remembers the token if so."""
+        if token <= 0 or token < self.latest_tokens.get(name, 0):
+            self.rejected += 1
             return False
-        self.seen[name] = token
-        self.seen.move_to_end(name)
-        while len(self.seen) > self.most:
-            self.seen.popitem(last=False)
+        self.latest_tokens[name] = token
+        self.latest_tokens.move_to_end(name)
+        while len(self.latest_tokens) > self.max_names:
+            self.latest_tokens.popitem(last=False)
         return True
--- a/ploverspoke/leases/fleet_tasks.py
+++ b/ploverspoke/leases/fleet_tasks.py
@@ -1,7 +1,7 @@
-"""Tasks of the whole fleet, each under a lease: restarts a few at a time, configurations, its summary.
+"""Tasks of the whole fleet, each under a lease: publishing a configuration, writing the fleet's summary.
 
-What a pause between look and effect can do stands at each; the receiving side of two of them refuses old
-tokens.
+What a pause between looking at the lease and the effect can do stands at each; the receiving side of both
+rejects old fencing tokens.
 """
 
 import asyncio
@@ -9,111 +9,135 @@
 import json
 import os
 import time
-from collections.abc import Callable, Iterable
+from collections.abc import Callable, Iterable, Iterator
+from contextlib import contextmanager
 from pathlib import Path
-from typing import Any
+from typing import NamedTuple, TypeVar
 
-from .client import LeaseClient
-from .guarded_task import GuardedStep, act
+import msgspec
 
-SECOND = 1_000_000_000
-CALL_WITHIN = 2.0  # seconds, at an operators' door
-LONGEST_ANSWER = 1 << 20
-LOOKS_EVERY = 0.2
-TWICE = 2  # a restarted one has to answer so often in a row
-AT_ONCE = 32  # doors that are asked at a time
-LAST_LINE = "."
+from .admin_calls import CALL_TIMEOUT, call_admin
+from .client import LeaseClient
+from .errors import LeaseLostError, NoReplyError
+from .guarded_task import GuardedStep, run_guarded_steps
+from .messages import NO_TOKEN
 
+SECOND = 1_000_000_000  # ns
+MAX_CONCURRENT_CALLS = 32
+WRITE_DURATION = SECOND // 10  # ns, to write a summary
 
-class NoReplyError(OSError):
-    """An operators' door did not answer, or not with +OK."""
+ReplyT = TypeVar("ReplyT")
 
 
-async def call(where: str, line: str) -> list[str]:
-    """The lines behind +OK of an operators' door, the first line's rest included. Raises NoReplyError."""
-    host, _, port = where.rpartition(":")
-    try:
-        async with asyncio.timeout(CALL_WITHIN):
-            reader, writer = await asyncio.open_connection(host.strip("[]"), int(port), limit=LONGEST_ANSWER)
-            writer.write(line.encode() + b"\n")
-            answer = (await reader.read(LONGEST_ANSWER)).decode("ascii", "replace")
-            writer.close()
-    except (OSError, TimeoutError, ValueError) as error:
-        raise NoReplyError(f"{where}: {error or 'no answer in time'}") from None
-    lines = answer.splitlines()
-    if not lines or not lines[0].startswith("+OK"):
-        raise NoReplyError(f"{where}: {lines[0] if lines else 'nothing said'}")
-    return [lines[0].removeprefix("+OK").strip(), *(row for row in lines[1:] if row != LAST_LINE)]
-
-
-async def is_back(where: str, within: float) -> bool:
-    """Whether a dispatcher that was restarted answers `check` at its operators' door, twice in a row."""
-    until = time.monotonic() + within
-    well = 0
-    while time.monotonic() < until:
-        try:
-            await call(where, "check")
-            well += 1
-        except NoReplyError:
-            well = 0
-        if well == TWICE:
-            return True
-        await asyncio.sleep(LOOKS_EVERY)
-    return False
-
-
-# ---- Configurations ----
+# ---- Publishing a configuration ----
 
 
 async def publish(
-    client: LeaseClient,
-    name: str,
-    body: str,
-    by: str,
-    ask_leader: Callable[[dict[str, Any]], Any],
-    takes: float,
-) -> dict[str, Any]:
-    """Commit a configuration in a store under the lease `name`, which is held; `takes` is seconds.
-
-    The store refuses a lower token than it has seen: a publisher that was paused writes nothing over what
-    came after it.
+    client: LeaseClient, name: str, commit: Callable[[int], ReplyT], max_duration: float
+) -> ReplyT | None:
+    """Commits a configuration under the lease `name`, which is held, and gives the reply.
+
+    `commit` blocks, and sends the token with the configuration: the store rejects a lower token than it has
+    seen, so a publisher that was paused overwrites nothing that came later. None where `commit` did not
+    return within `max_duration` seconds: it may have been committed. Raises LeaseLostError, and what
+    `commit` raises.
     """
-    told: dict[str, Any] = {"done": False, "why": "the lease did not last"}
+    started = False
+    reply: ReplyT | None = None
 
-    async def commit(token: int) -> None:
-        question = {"ask": "configure", "body": body, "by": by, "token": token}
-        told.clear()
-        told.update(await asyncio.to_thread(ask_leader, question))
+    async def run_commit(token: int) -> None:
+        nonlocal started, reply
+        started = True
+        reply = await asyncio.to_thread(commit, token)
 
-    await act(client, name, [GuardedStep(int(takes * SECOND), commit)])
-    return told
+    await run_guarded_steps(client, name, [GuardedStep(int(max_duration * SECOND), run_commit)])
+    if not started:
+        raise LeaseLostError(name)
+    return reply
 
 
 # ---- The summary ----
 
 
-async def gather(doors: Iterable[str]) -> dict[str, Any]:
-    """What each dispatcher says of itself (`vars`), or why not, and the sums of what all have."""
-    turns = asyncio.Semaphore(AT_ONCE)
+class FleetSummary(msgspec.Struct):
+    """What all dispatchers say of themselves."""
+
+    at: float  # Unix time, seconds
+    asked: int  # dispatchers
+    answered: int
+    sums: dict[str, int]  # of each counter, over all dispatchers
+    dispatchers: dict[str, dict[str, int] | str]  # counters, or why there are none, by admin address
+
+
+class SummaryPlan(NamedTuple):
+    """What is summarised, and to which file."""
+
+    admin_addresses: list[str]
+    path: Path
+    interval: float  # seconds
+    max_files: int = 0  # written, then it ends; 0: it goes on
+
+
+async def summarise(client: LeaseClient, name: str, plan: SummaryPlan) -> bool:
+    """Writes the summary again and again while the lease `name` is held, and waits while it is not.
+
+    True once `max_files` are written; False where the lease is rejected. A pause between looking at the lease
+    and the effect can write an old summary, never over one of a later holder.
+    """
+    written = 0
+    while not 0 < plan.max_files <= written:
+        token = await client.wait_until_held(name, plan.interval)
+        if token:
+            began = time.monotonic()
+            written += await _write_once(client, name, plan)
+            await asyncio.sleep(max(0.0, plan.interval - (time.monotonic() - began)))
+        elif name not in client.holder.leases:
+            return False
+    return True
+
+
+async def _write_once(client: LeaseClient, name: str, plan: SummaryPlan) -> bool:
+    collected: list[FleetSummary] = []
+    written = False
+
+    async def collect(token: int) -> None:
+        collected.append(await collect_summary(plan.admin_addresses))
+
+    async def write(token: int) -> None:
+        nonlocal written
+        written = write_summary(plan.path, collected[0], token)
+
+    # Addresses are called in turns, and a silent one costs a call's time; half of what is left must do.
+    turns = 1 + len(plan.admin_addresses) // MAX_CONCURRENT_CALLS
+    max_duration = min(int(CALL_TIMEOUT * turns * SECOND), client.time_left(name) // 2)
+    steps = [GuardedStep(max_duration, collect), GuardedStep(WRITE_DURATION, write)]
+    await run_guarded_steps(client, name, steps)
+    return written
 
-    async def one(where: str) -> tuple[str, dict[str, int] | str]:
-        async with turns:
+
+async def collect_summary(admin_addresses: Iterable[str]) -> FleetSummary:
+    """Asks each dispatcher for its counters (`vars`), and adds up what they say."""
+    started_at = time.time()
+    concurrency = asyncio.Semaphore(MAX_CONCURRENT_CALLS)
+
+    async def read_counters(address: str) -> tuple[str, dict[str, int] | str]:
+        async with concurrency:
             try:
-                return where, figures(await call(where, "vars"))
+                return address, parse_counters(await call_admin(address, "vars"))
             except NoReplyError as error:
-                return where, str(error)
+                return address, str(error)
 
-    found = dict(await asyncio.gather(*(one(where) for where in doors)))
+    dispatchers = dict(await asyncio.gather(*map(read_counters, admin_addresses)))
+    counters = [found for found in dispatchers.values() if isinstance(found, dict)]
     sums: dict[str, int] = {}
-    for told in found.values():
-        for key, value in told.items() if isinstance(told, dict) else ():
+    for found in counters:
+        for key, value in found.items():
             sums[key] = sums.get(key, 0) + value
-    answered = sum(isinstance(told, dict) for told in found.values())
-    return {"asked": len(found), "answered": answered, "sums": sums, "dispatchers": found}
+    return FleetSummary(started_at, len(dispatchers), len(counters), sums, dispatchers)
 
 
-def figures(lines: list[str]) -> dict[str, int]:
-    """Lines of a name and a whole number; others are passed over."""
+def parse_counters(lines: list[str]) -> dict[str, int]:
+    """Reads lines of a name and a whole number; others are left out."""
     found = {}
     for line in lines:
         key, _, value = line.rpartition(" ")
@@ -122,60 +146,33 @@
     return found
 
 
-def put_whole(path: Path, told: dict[str, Any], token: int) -> bool:
-    """Replace the file whole, unless it was written under a higher token; under a lock that ends with us.
-
-    A pause between look and effect can write an old summary, never over one of a later holder.
-    """
-    lock = os.open(path.with_name(f".{path.name}.lock"), os.O_CREAT | os.O_RDWR | os.O_CLOEXEC, 0o644)
-    try:
-        fcntl.flock(lock, fcntl.LOCK_EX)
-        if token < written_under(path):
+def write_summary(path: Path, summary: FleetSummary, token: int) -> bool:
+    """Replaces the file at once; False where it was written under a higher token. Raises OSError."""
+    with _locked(path):
+        if token < read_summary_token(path):
             return False
+        document = {"token": token, **msgspec.to_builtins(summary)}
         new = path.with_name(f".{path.name}.new")
-        new.write_text(json.dumps({"token": token, **told}, indent=1) + "\n", encoding="utf-8")
+        new.write_text(json.dumps(document, indent=1) + "\n", encoding="utf-8")
         new.replace(path)
         return True
-    finally:
-        os.close(lock)
 
 
-def written_under(path: Path) -> int:
-    """The token in a summary; 0 where there is none."""
+def read_summary_token(path: Path) -> int:
+    """The token under which a summary was written; 0 where there is no summary that can be read."""
     try:
         token = json.loads(path.read_text(encoding="utf-8"))["token"]
     except (OSError, ValueError, KeyError, TypeError):
-        return 0
-    return token if isinstance(token, int) else 0
-
-
-async def summarise(
-    client: LeaseClient,
-    name: str,
-    doors: list[str],
-    path: Path,
-    every: float,
-    wrote: Callable[[int], None],
-    over: Callable[[], bool] = lambda: False,
-) -> None:
-    """Write the summary every so many seconds, while the lease is ours; wait for it where it is not."""
-    while not over():
-        token = await client.held(name, every)
-        if not token:
-            if name not in client.holder.leases:
-                return  # refused
-            continue
-        began = time.monotonic()
-        told: dict[str, Any] = {}
-
-        async def read(token: int) -> None:
-            told.update(at=time.time(), **await gather(doors))  # noqa: B023
-
-        async def write(token: int) -> None:
-            if put_whole(path, told, token):  # noqa: B023
-                wrote(token)
-
-        # Doors are asked in turns, and a silent one costs a call's time; half of what is left has to do.
-        reading = min(int(CALL_WITHIN * (1 + len(doors) // AT_ONCE) * SECOND), client.left(name) // 2)
-        await act(client, name, [GuardedStep(reading, read), GuardedStep(SECOND // 10, write)])
-        await asyncio.sleep(max(0.0, every - (time.monotonic() - began)))
+        return NO_TOKEN
+    return token if isinstance(token, int) else NO_TOKEN
+
+
+@contextmanager
+def _locked(path: Path) -> Iterator[None]:
+    """Holds a lock beside the file, which the end of this process frees, too."""
+    lock = os.open(path.with_name(f".{path.name}.lock"), os.O_CREAT | os.O_RDWR | os.O_CLOEXEC, 0o644)
+    try:
+        fcntl.flock(lock, fcntl.LOCK_EX)
+        yield
+    finally:
+        os.close(lock)
--- /dev/null
+++ b/ploverspoke/leases/guarded_process.py
@@ -0,0 +1,84 @@
+"""A command as a child process under a lease: started with its token, ended before the lease expires."""
+
+import asyncio
+import contextlib
+import ctypes
+import os
+import signal
+from collections.abc import Sequence
+from typing import NamedTuple
+
+import click
+
+from .client import LeaseClient
+
+TOKEN_VARIABLE = "PLOVERSPOKE_LEASE_TOKEN"
+PR_SET_PDEATHSIG = 1  # of prctl(2)
+MIN_POLL_INTERVAL, MAX_POLL_INTERVAL = 0.01, 0.25  # seconds
+NANOSECONDS_PER_SECOND = 1e9
+SIGNAL_EXIT_CODE = 128  # plus the signal's number, as shells do
+
+
+class GuardedProcess(NamedTuple):
+    """A child process that runs under a lease."""
+
+    lease_name: str
+    token: int
+    process: asyncio.subprocess.Process
+
+
+class ProcessOutcome(NamedTuple):
+    """How a guarded process ended."""
+
+    exit_code: int  # its own
+    lease_ended: bool  # it was ended for the lease's sake
+
+
+async def start_under_lease(
+    client: LeaseClient, name: str, duration: int, timeout: float, command: Sequence[str]
+) -> GuardedProcess | None:
+    """Starts a command with the lease's token; None where the lease is not acquired in `timeout` seconds.
+
+    `duration` is in ns. The child is killed with this process.
+    """
+    client.want(name, duration)
+    token = await client.wait_until_held(name, timeout)
+    if not token:
+        click.echo(f"ploverspoke: {name} is not acquired", err=True)
+        return None
+    environment = {**os.environ, TOKEN_VARIABLE: str(token)}
+    process = await asyncio.create_subprocess_exec(*command, env=environment, preexec_fn=_die_with_parent)
+    return GuardedProcess(name, token, process)
+
+
+async def guard_process(client: LeaseClient, guarded: GuardedProcess, grace: int) -> ProcessOutcome:
+    """Waits for the end of the process.
+
+    It is terminated while the lease has a little more than `grace` ns left, and killed at a quarter of that.
+    """
+    process = guarded.process
+    kill_at = grace // 4  # time left, ns
+    terminate_at = grace + kill_at
+    ended = asyncio.ensure_future(process.wait())
+    terminated = False
+    while not ended.done():
+        left = (
+            client.time_left(guarded.lease_name) if client.token(guarded.lease_name) == guarded.token else 0
+        )
+        if left <= kill_at:
+            if process.returncode is None:
+                process.kill()
+            return ProcessOutcome(await ended, lease_ended=True)
+        if left <= terminate_at and not terminated:
+            terminated = True
+            click.echo(f"ploverspoke: {guarded.lease_name} cannot be renewed, the command is ended", err=True)
+            with contextlib.suppress(ProcessLookupError):  # it may just have ended
+                process.terminate()
+        until_next = (left - (kill_at if terminated else terminate_at)) / NANOSECONDS_PER_SECOND
+        await asyncio.wait([ended], timeout=max(MIN_POLL_INTERVAL, min(MAX_POLL_INTERVAL, until_next)))
+    code = ended.result()
+    return ProcessOutcome(code if code >= 0 else SIGNAL_EXIT_CODE - code, terminated)
+
+
+def _die_with_parent() -> None:
+    ctypes.CDLL(None).prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
--- a/ploverspoke/leases/guarded_task.py
+++ b/ploverspoke/leases/guarded_task.py
@@ -1,39 +1,48 @@
-"""Acting under a lease: a task is steps, and none begins that may outlast what is left.
+"""Acting under a lease: a task is a list of steps, and none begins that may outlast the lease.
 
-Between a look and its effect a process can be paused for any time. Whoever receives effects refuses a lower
-token than it has seen (`fence.py`); where nothing does, a step that was begun may still have its effect after
-the lease is over: once, and as late as the pause lasts. `docs/leases.md` says what that means for each task.
+Between looking at the lease and the effect a process can be paused for any time. A receiver of effects
+rejects a lower token than it has seen (`fencing.py`); where none does, a step that was begun may still have
+its effect after the lease has expired: once, and as late as the pause lasts. `docs/leases.md` says what that
+means for each task.
 """
 
 import asyncio
 from collections.abc import Awaitable, Callable, Iterable
 from typing import NamedTuple, Protocol
 
+NANOSECONDS_PER_SECOND = 1e9
 
-class Left(Protocol):
-    def left(self, name: str) -> int: ...
 
-    def token(self, name: str) -> int: ...
+class LeaseView(Protocol):
+    """What a task needs to know of its lease."""
+
+    def time_left(self, name: str) -> int:
+        """Nanoseconds for which the lease is certainly held; 0 where it is not."""
+
+    def token(self, name: str) -> int:
+        """The fencing token of a lease that is held now; 0 where it is not."""
 
 
 class GuardedStep(NamedTuple):
-    takes: int  # ns at the most: past that it is called off
-    do: Callable[[int], Awaitable[None]]  # with the token
+    """One step of a task."""
+
+    max_duration: int  # ns; a step that takes longer is cancelled
+    run: Callable[[int], Awaitable[None]]  # called with the fencing token
 
 
-async def act(holder: Left, name: str, steps: Iterable[GuardedStep]) -> bool:
-    """Do the steps in their order; False where the lease did not last, and the rest is not begun.
+async def run_guarded_steps(leases: LeaseView, name: str, steps: Iterable[GuardedStep]) -> bool:
+    """Runs the steps in their order under the lease `name`; False where the lease did not last for all.
 
-    A step that does not end in its time is cancelled and ends the task with False, too. What a step raises is
-    raised.
+    A step that does not end within its duration is cancelled and ends the task with False, too. What a step
+    raises is raised.
     """
     for step in steps:
-        token = holder.token(name)
-        if not token or holder.left(name) < step.takes:
+        token = leases.token(name)
+        if not token or leases.time_left(name) < step.max_duration:
             return False
         try:
-            async with asyncio.timeout(step.takes / 1e9):
-                await step.do(token)
+            async with asyncio.timeout(step.max_duration / NANOSECONDS_PER_SECOND):
+                await step.run(token)
         except TimeoutError:
             return False
     return True
--- a/ploverspoke/leases/holder.py
+++ b/ploverspoke/leases/holder.py
@@ -1,183 +1,215 @@
-"""A process that wants leases, without I/O: what it wants, what it has, and for how long by its own clock.
+"""A process that wants leases, without I/O: what it wants, what it holds, and for how long by its own clock.
 
-Time counts from before it asked, less a margin for drift: whatever the way and the keepers did meanwhile, by
-then no other can have been given it. What it has is over by itself.
+The time of a lease counts from before it was requested, less a margin for clock drift: whatever the network
+and the lease servers did meanwhile, no other holder can have been granted it by then. A lease that is not
+renewed expires by itself. Times are nanoseconds of the holder's monotonic clock.
 """
 
 from collections.abc import Callable
-from typing import Any, Protocol
+from typing import NamedTuple, Protocol
 
 from .definitions import DRIFT
+from .messages import NO_TOKEN, GrantedLease, LeaseRequest, LeaseResponse, ReleasedLease, RequestedLease
 
-ASK_PART = 3  # it asks again when a third of the shortest duration is over
-AGAIN_PART = 15  # and where no answer came after a fifteenth
-LEAST_AGAIN = 40_000_000  # ns
-MOST_KEPT = 64  # messages whose time is remembered
+RENEWALS_PER_DURATION = 3  # a lease is renewed when a third of the shortest duration has passed
+RETRIES_PER_DURATION = 15  # a request without a response is repeated after a fifteenth
+MIN_RETRY_INTERVAL = 40_000_000  # ns
+IDLE_DURATION = 3_000_000_000  # ns, stands for the shortest duration where no lease is wanted
+MAX_REMEMBERED_REQUESTS = 64  # whose time of sending is known
 NEVER = 1 << 62
-Message = dict[str, Any]
 
 
 class LeaseHolderEnvironment(Protocol):
+    """What a `LeaseHolder` needs from its driver."""
+
     def now(self) -> int:
-        """ns of a monotonic clock."""
+        """Nanoseconds of a monotonic clock."""
 
-    def send(self, message: Message) -> None:
-        """To the keeper that is believed to lead."""
+    def send(self, request: LeaseRequest) -> None:
+        """Sends a request to the lease server that is believed to lead."""
 
-    def go_elsewhere(self) -> None:
-        """That keeper does not answer: the next message goes to another."""
+    def try_next_server(self) -> None:
+        """That lease server does not respond: the next request goes to another."""
 
 
 class Lease:
-    """One name that is wanted."""
+    """One lease that is wanted."""
+
+    def __init__(self, name: str, duration: int, waiting_since: int, first_request: int) -> None:
+        """Waits since `waiting_since`; `first_request` is the number of the request that names it first.
 
-    def __init__(self, name: str, duration: int, since: int, first: int) -> None:
+        Responses to earlier requests are about an earlier time at which it was wanted.
+        """
         self.name = name
-        self.first = (
-            first  # the message that asked for it first: answers to earlier ones speak of another time
-        )
-        self.duration = duration
-        self.since = since
-        self.token = 0
-        self.until = 0  # ns, by our clock; 0: not held
-        self.on_held: Callable[[], None] = lambda: None
-        self.on_lost: Callable[[str], None] = lambda why: None  # held no more, or refused
+        self.duration = duration  # ns
+        self.waiting_since = waiting_since
+        self.first_request = first_request
+        self.token = NO_TOKEN
+        self.expires_at = 0  # 0: not held
+        self.on_lost: Callable[[str], None] = lambda reason: None  # held no more, or rejected
+
+
+class PendingRelease(NamedTuple):
+    """A release that no lease server has confirmed."""
+
+    token: int
+    first_request: int  # the request that says it first
+    hand_over_to: str
 
 
 class LeaseHolder:
-    def __init__(self, host: LeaseHolderEnvironment) -> None:
-        self.host = host
-        self.leases: dict[str, Lease] = {}
-        self.releasing: dict[
-            str, tuple[int, int, str]
-        ] = {}  # name: token, message that said it first, to whom
-        self.number = 0
-        self.sent: dict[int, int] = {}  # when each message was sent
-        self.answered = 0  # the latest that was
-        self.next_ask = NEVER
-        self.acquired = self.lost = self.renewals = 0
-        self.least_left = NEVER  # of all renewals of held ones: how near the end they came
-
-    # ---- What its user asks ----
+    """Requests, renews and releases leases; driven by its environment."""
+
+    def __init__(self, environment: LeaseHolderEnvironment) -> None:
+        """Wants nothing at first."""
+        self.environment = environment
+        self.leases: dict[str, Lease] = {}  # all that are wanted
+        self.pending_releases: dict[str, PendingRelease] = {}
+        self.latest_request = 0
+        self.latest_response = 0  # the latest request that has been answered
+        self.sent_at: dict[int, int] = {}  # when each request was sent
+        self.next_request_at = NEVER
+        self.lost = self.renewals = 0  # since the start
+
+    # ---- What its user calls ----
 
     def want(self, name: str, duration: int) -> Lease:
-        """`duration` in ns. It is wanted, and renewed, until `release`."""
+        """Wants the lease for `duration` ns, and renews it, until `release`."""
         lease = self.leases.get(name)
         if lease is None:
-            lease = self.leases[name] = Lease(name, duration, self.host.now(), self.number + 1)
-            self.next_ask = 0
+            first_request = self.latest_request + 1
+            lease = Lease(name, duration, self.environment.now(), first_request)
+            self.leases[name] = lease
+            self.next_request_at = 0
         return lease
 
-    def release(self, name: str, to: str = "") -> None:
-        """Not held from now on. Told to the keepers as a favour: if that is lost, the others wait longer."""
+    def release(self, name: str, hand_over_to: str = "") -> None:
+        """Gives the lease up: it is not held from now on.
+
+        Lease servers are told so that others need not wait for its end; `hand_over_to` goes before them.
+        """
         lease = self.leases.pop(name, None)
         if lease is not None and lease.token:
-            self.releasing[name] = (lease.token, self.number + 1, to)
-        # Also where it was only waited for: that is told, too.
-        self.next_ask = 0
+            self._release_token(name, lease.token, hand_over_to)
+        # A lease that was only waited for is left out of the next request.
+        self.next_request_at = 0
 
-    def give_back(self, name: str, token: int) -> None:
-        """Release what is not known here to be held, under the token that it was given."""
-        self.releasing[name] = (token, self.number + 1, "")
-        self.next_ask = 0
+    def release_token(self, name: str, token: int) -> None:
+        """Releases a lease that an earlier process of this id was granted under `token`."""
+        self._release_token(name, token)
 
-    def left(self, name: str) -> int:
-        """ns for which it is certainly ours; 0 where it is not."""
+    def time_left(self, name: str) -> int:
+        """Nanoseconds for which the lease is certainly held; 0 where it is not."""
         lease = self.leases.get(name)
-        return max(0, lease.until - self.host.now()) if lease is not None else 0
+        return max(0, lease.expires_at - self.environment.now()) if lease is not None else 0
 
     def token(self, name: str) -> int:
-        """That of a lease which is ours now; 0 where none is."""
-        return self.leases[name].token if self.left(name) else 0
+        """The fencing token of a lease that is held now; 0 where it is not."""
+        return self.leases[name].token if self.time_left(name) else NO_TOKEN
 
-    # ---- What happens ----
+    # ---- What its environment calls ----
 
     def connected(self) -> None:
-        """A keeper can be asked."""
-        if self.leases or self.releasing:
-            self._ask(self.host.now())
+        """Requests can be sent."""
+        if self.leases or self.pending_releases:
+            self._send_request(self.environment.now())
+
+    def next_wake(self) -> int:
+        """When `tick` has to be called next."""
+        ends = [lease.expires_at for lease in self.leases.values() if lease.expires_at]
+        return min(self.next_request_at, *ends) if ends else self.next_request_at
 
     def tick(self) -> None:
-        """Time has passed. `wake` says when it is wanted."""
-        now = self.host.now()
+        """Ends what has expired, and sends a request where one is due."""
+        now = self.environment.now()
         for lease in list(self.leases.values()):
-            if lease.until and lease.until <= now:
-                self._lost(lease, "it was not renewed in time")
-        if now < self.next_ask or not (self.leases or self.releasing):
+            if lease.expires_at and lease.expires_at <= now:
+                self._lose(lease, "it was not renewed in time")
+        if now < self.next_request_at or not (self.leases or self.pending_releases):
             return
-        if self.number and self.answered < self.number:
-            self.host.go_elsewhere()
-        self._ask(now)
-
-    def wake(self) -> int:
-        ends = [lease.until for lease in self.leases.values() if lease.until]
-        return min(self.next_ask, *ends) if ends else self.next_ask
-
-    def told(self, message: Message) -> None:
-        """A keeper's answer."""
-        number, now = message["n"], self.host.now()
-        sent_at = self.sent.get(number)
+        if self.latest_request and self.latest_response < self.latest_request:
+            self.environment.try_next_server()
+        self._send_request(now)
+
+    def handle_response(self, response: LeaseResponse) -> None:
+        """Takes in what a lease server says. One to a request that is forgotten changes nothing."""
+        sent_at = self.sent_at.get(response.number)
         if sent_at is None:
             return
-        if number > self.answered:
-            self.answered = number
-            if number == self.number:
-                self.next_ask = max(self.next_ask, sent_at + self._period())
-        for name, (_, said, _) in list(self.releasing.items()):
-            if said <= number:
-                del self.releasing[name]
-        for name, token, duration in message["has"]:
-            self._has(number, name, token, sent_at + int(duration * (1 - DRIFT)), now)
-        for name, token in message["lost"]:
-            lease = self.leases.get(name)
-            if lease is not None and lease.token == token:
-                lease.token = 0
-                self._lost(lease, "the keepers have given it on")
-        for name, why in message["refused"]:
-            lease = self.leases.pop(name, None)
+        self._confirm_request(response.number, sent_at)
+        now = self.environment.now()
+        for granted in response.granted:
+            expires_at = sent_at + int(granted.duration * (1 - DRIFT))
+            self._handle_granted(granted, response.number, expires_at, now)
+        for lost in response.lost:
+            lease = self.leases.get(lost.name)
+            if lease is not None and lease.token == lost.token:
+                lease.token = NO_TOKEN
+                self._lose(lease, "the lease servers have granted it to another holder")
+        for rejected in response.rejected:
+            lease = self.leases.pop(rejected.name, None)
             if lease is not None:
-                lease.on_lost(why)
+                lease.on_lost(rejected.reason)
 
-    # ---- Inside ----
+    # ---- Internals ----
 
-    def _has(self, number: int, name: str, token: int, until: int, now: int) -> None:
-        lease = self.leases.get(name)
+    def _confirm_request(self, number: int, sent_at: int) -> None:
+        if number > self.latest_response:
+            self.latest_response = number
+            if number == self.latest_request:
+                self.next_request_at = max(self.next_request_at, sent_at + self._renewal_interval())
+        for name, pending in list(self.pending_releases.items()):
+            if pending.first_request <= number:
+                del self.pending_releases[name]
+
+    def _handle_granted(self, granted: GrantedLease, number: int, expires_at: int, now: int) -> None:
+        lease = self.leases.get(granted.name)
         if lease is None:
-            if name not in self.releasing:
-                # Given after we had left: who waits need not wait for its end.
-                self.releasing[name] = (token, self.number + 1, "")
-                self.next_ask = 0
+            if granted.name not in self.pending_releases:
+                # It was granted after it had been given up: who waits need not wait for its end.
+                self._release_token(granted.name, granted.token)
             return
-        if number < lease.first or token < lease.token:
-            return  # an old answer, late: what it speaks of may have been released since
-        lease.token = token
-        if until <= now or until <= lease.until:
-            return  # over already, or known for longer
-        was, lease.until = lease.until, until
-        if was:
-            self.renewals += 1
-            self.least_left = min(self.least_left, was - now)
-        else:
-            self.acquired += 1
-            lease.on_held()
-
-    def _lost(self, lease: Lease, why: str) -> None:
-        if lease.until:
-            lease.until = 0
-            lease.since = self.host.now()
+        if number < lease.first_request or granted.token < lease.token:
+            return  # a late response about a grant that may have been released since
+        lease.token = granted.token
+        if expires_at <= now or expires_at <= lease.expires_at:
+            return  # expired by now, or known to last for longer
+        self.renewals += lease.expires_at != 0
+        lease.expires_at = expires_at
+
+    def _lose(self, lease: Lease, reason: str) -> None:
+        if lease.expires_at:
+            lease.expires_at = 0
+            lease.waiting_since = self.environment.now()
             self.lost += 1
-            lease.on_lost(why)
-
-    def _period(self) -> int:
-        return min((lease.duration for lease in self.leases.values()), default=3_000_000_000) // ASK_PART
-
-    def _ask(self, now: int) -> None:
-        self.number += 1
-        # Before it is sent, and known before any answer can come.
-        self.sent[self.number] = now
-        self.sent.pop(self.number - MOST_KEPT, None)
-        want = [[one.name, one.duration, one.token, max(0, now - one.since)] for one in self.leases.values()]
-        release = [[name, token, to] for name, (token, _, to) in self.releasing.items()]
-        again = max(LEAST_AGAIN, self._period() * ASK_PART // AGAIN_PART)
-        self.next_ask = now + again
-        self.host.send({"n": self.number, "want": want, "release": release})
+            lease.on_lost(reason)
+
+    def _release_token(self, name: str, token: int, hand_over_to: str = "") -> None:
+        self.pending_releases[name] = PendingRelease(token, self.latest_request + 1, hand_over_to)
+        self.next_request_at = 0
+
+    def _shortest_duration(self) -> int:
+        return min((lease.duration for lease in self.leases.values()), default=IDLE_DURATION)
+
+    def _renewal_interval(self) -> int:
+        return self._shortest_duration() // RENEWALS_PER_DURATION
+
+    def _retry_interval(self) -> int:
+        interval = self._renewal_interval() * RENEWALS_PER_DURATION // RETRIES_PER_DURATION
+        return max(MIN_RETRY_INTERVAL, interval)
+
+    def _send_request(self, now: int) -> None:
+        self.latest_request += 1
+        # Noted before it is sent, so that it is known before any response can come.
+        self.sent_at[self.latest_request] = now
+        self.sent_at.pop(self.latest_request - MAX_REMEMBERED_REQUESTS, None)
+        self.next_request_at = now + self._retry_interval()
+        wanted = [
+            RequestedLease(lease.name, lease.duration, lease.token, max(0, now - lease.waiting_since))
+            for lease in self.leases.values()
+        ]
+        released = [
+            ReleasedLease(name, pending.token, pending.hand_over_to)
+            for name, pending in self.pending_releases.items()
+        ]
+        self.environment.send(LeaseRequest(self.latest_request, wanted, released))
--- a/ploverspoke/leases/manager.py
+++ b/ploverspoke/leases/manager.py
@@ -1,281 +1,299 @@
-"""A keeper's part while it leads, without I/O: who waits, and when what was given is over.
+"""The leading lease server, without I/O: who waits for a lease, and when a grant expires.
 
-Its time is its own monotonic clock. A lease is counted from when it was given or renewed here, and from the
-take-over where another keeper gave it: so none is given on before its holder, which counts from before it
-asked and less a margin for drift, has stopped.
+Its time is its own monotonic clock, in nanoseconds. A grant counts from when it was made or renewed here,
+and from the change of leader where another lease server made it: so no lease is granted to the next holder
+before the previous one, which counts from before its request and less a margin for drift, has stopped.
 
-A renewal changes nothing that is written down. It is answered once a majority has confirmed that this keeper
-still led after it had come; whoever leads next begins to count later than that.
+A renewal changes nothing in the log. It is answered once a majority has confirmed that this lease server
+still led after the request had come; the next leader begins to count later than that.
 
-A holder says in one message all that it wants, with the token where it has one, and repeats it before a third
-of the time is over; an answer names the message that it answers. Messages that are doubled or late change
-nothing: their number is not above the latest that was heard from that holder.
+A request names all that its holder wants, and is repeated before a third of the time has passed. Duplicated
+and late ones change nothing: their number is not above the latest one of that holder.
 """
 
 from collections.abc import Callable
-from typing import Any, Protocol
-
-from .definitions import LeaseDefinitions
-from .state_machine import ERA, GRANT, RELEASE, LeaseGrant, LeaseStateMachine
-
-STALE_PART = 0.6  # of a duration: who has not been heard for so long is passed over
-MOST_WANTS = 1000  # of one holder
+from typing import Protocol
+
+from .definitions import LeaseDefinition, LeaseDefinitions
+from .messages import (
+    GrantedLease,
+    LeaseRequest,
+    LeaseResponse,
+    LostLease,
+    RejectedLease,
+    ReleasedLease,
+    RequestedLease,
+)
+from .state_machine import (
+    EpochCommand,
+    GrantCommand,
+    LeaseCommand,
+    LeaseGrant,
+    LeaseStateMachine,
+    ReleaseCommand,
+    ReleasedToken,
+)
+from .waiting_queue import WaitingHolder, WaitingQueues
+
+MAX_WANTED_LEASES = 1000  # of one holder
 NEVER = 1 << 62
-Message = dict[str, Any]
 
 
 class LeaseManagerEnvironment(Protocol):
-    def now(self) -> int:
-        """ns of a monotonic clock."""
+    """What a `LeaseManager` needs from its driver."""
 
-    def propose(self, command: list[Any], then: Callable[[bool], None]) -> None: ...
-
-    def confirm(self, then: Callable[[bool], None]) -> None:
-        """`then` hears True once a majority has said, later than this call, that this keeper leads."""
-
-    def tell(self, holder: str, message: Message) -> None: ...
+    def now(self) -> int:
+        """Nanoseconds of a monotonic clock."""
 
+    def propose(self, command: LeaseCommand, on_decided: Callable[[bool], None], /) -> None:
+        """Appends a command to the log; calls `on_decided` later with whether it is committed."""
 
-class Waiting:
-    """One that wants a lease and has not got it."""
+    def confirm_leadership(self, on_decided: Callable[[bool], None]) -> None:
+        """Calls `on_decided` with whether a majority says, after this call, that this server leads."""
 
-    def __init__(self, holder: str, duration: int, since: int, heard_at: int) -> None:
-        self.holder = holder
-        self.duration = duration
-        self.since = since
-        self.heard_at = heard_at
+    def send(self, holder: str, response: LeaseResponse) -> None:
+        """Sends to a holder; dropped where that is not connected."""
 
 
 class LeaseManager:
+    """Grants leases while its lease server leads; does nothing while another does."""
+
     def __init__(
-        self, host: LeaseManagerEnvironment, terms: LeaseStateMachine, rules: LeaseDefinitions
+        self, environment: LeaseManagerEnvironment, state: LeaseStateMachine, definitions: LeaseDefinitions
     ) -> None:
-        self.host = host
-        self.terms = terms
-        self.rules = rules
-        self.leading = False
-        self.era = 0  # above that of the state: it is a restored one, and who holds what is not known
-        self.quiet_until = 0  # what was given before the restore may go on until then
-        self.proposing_era = False
-        self.deadlines: dict[int, int] = {}  # by token
-        self.ended: set[int] = set()  # tokens that were said to be over, or are about to be
-        self.queues: dict[str, list[Waiting]] = {}
-        self.proposing: set[str] = set()  # names
-        self.heard: dict[str, int] = {}  # the latest message of each holder
-        self.batch: list[tuple[str, Message]] = []
+        """Follows the state's changes from now on."""
+        self.environment = environment
+        self.state = state
+        self.definitions = definitions
+        self.is_leader = False
+        self.epoch = 0  # above the state's epoch: the state is a restored one, and what is held is not known
+        self.restored_until = 0  # leases granted before the restore may be held until then
+        self.epoch_proposed = False
+        self.expires_at: dict[int, int] = {}  # by token
+        self.ended_tokens: set[int] = set()  # that the log says or will say to have ended
+        self.queues = WaitingQueues()
+        self.proposed_grants: set[str] = set()  # names
+        self.latest_request: dict[str, int] = {}  # by holder
+        self.unconfirmed: list[tuple[str, LeaseRequest]] = []  # requests that no round has begun for
         self.confirming = False
-        self.wake = NEVER
-        self.granted = self.renewed = self.lost = 0
-        terms.on_granted = self._granted
-        terms.on_over = self._over
+        self.next_wake = NEVER
+        self.granted = self.renewed = 0  # since the start
+        state.on_granted = self._on_granted
+        state.on_ended = self._on_ended
+
+    # ---- Leadership ----
 
-    # ---- What can happen ----
+    def become_leader(self, epoch: int = 0) -> None:
+        """Begins to grant; all that was committed before is applied here.
 
-    def leads(self, era: int = 0) -> None:
-        """All that was committed before is applied here. `era` is that of this keeper's disk: where it is
-        above the state's, nothing is given until the longest lease is over, and all that was held is.
+        `epoch` is stored with this lease server's log. Where it is above the state's, all that the state
+        holds has ended, and nothing is granted until the longest lease has expired.
         """
-        now = self.host.now()
-        self.leads_no_more()
-        self.leading = True
-        self.era = era
-        self.quiet_until = now + self.rules.longest
-        for held in (one for row in self.terms.names.values() for one in row):
-            self.deadlines[held.token] = now + held.duration
-            if self.is_restored():
-                self.ended.add(held.token)
+        now = self.environment.now()
+        self.lose_leadership()
+        self.is_leader = True
+        self.epoch = epoch
+        self.restored_until = now + self.definitions.max_duration
+        for grants in self.state.grants.values():
+            for grant in grants:
+                self.expires_at[grant.token] = now + grant.duration
+                if self.is_restored():
+                    self.ended_tokens.add(grant.token)
 
     def is_restored(self) -> bool:
-        return self.era > self.terms.era
+        """Whether the state comes from a backup whose new epoch has not begun."""
+        return self.epoch > self.state.epoch
+
+    def lose_leadership(self) -> None:
+        """Stops granting and forgets who waits.
 
-    def leads_no_more(self) -> None:
-        """To be said before anything is applied that another leader has committed: what is told of a grant
-        counts from the latest message heard here, and must not be told of an old one.
+        Must be called before anything is applied that another leader has committed: a holder that is told of
+        a grant counts from its latest request here, and must not be told of an old grant.
         """
-        self.leading = False
-        self.proposing_era = False
-        self.deadlines.clear()
-        self.ended.clear()
+        self.is_leader = False
+        self.epoch_proposed = False
+        self.expires_at.clear()
+        self.ended_tokens.clear()
         self.queues.clear()
-        self.proposing.clear()
-        self.heard.clear()
-        self.batch.clear()
+        self.proposed_grants.clear()
+        self.latest_request.clear()
+        self.unconfirmed.clear()
         self.confirming = False
-        self.wake = NEVER
+        self.next_wake = NEVER
 
-    def asked(self, holder: str, message: Message) -> None:
-        """All that this holder wants by now; what it has left out it wants no more."""
-        if not self.leading or message["n"] <= self.heard.get(holder, 0):
+    # ---- What its environment calls ----
+
+    def handle_request(self, holder: str, request: LeaseRequest) -> None:
+        """Takes in all that a holder wants by now; what it leaves out it does not want any more."""
+        if not self.is_leader or request.number <= self.latest_request.get(holder, 0):
             return
-        self.heard[holder] = message["n"]
-        now = self.host.now()
-        self._released(holder, message.get("release", ()))
-        wanted = {row[0] for row in message["want"][:MOST_WANTS]}
-        for name in [
-            n for n, row in self.queues.items() if n not in wanted and any(w.holder == holder for w in row)
-        ]:
-            self._forget(name, holder)
-        for name, duration, token, waited in message["want"][:MOST_WANTS]:
-            if self.rules.refusal(name, duration):
-                continue
-            held = self.terms.held(name, holder)
-            if held is not None and held.token not in self.ended and token in (0, held.token):
-                # Longer than was counted is always right; what it may be told waits for the majority.
-                self.deadlines[held.token] = now + held.duration
-            else:
-                self._wait(name, Waiting(holder, duration, now - waited, now))
-        self.batch.append((holder, message))
+        self.latest_request[holder] = request.number
+        now = self.environment.now()
+        self._release(holder, request.released)
+        wanted = request.wanted[:MAX_WANTED_LEASES]
+        self.queues.remove_from_all(holder, keep={lease.name for lease in wanted})
+        for lease in wanted:
+            self._renew_or_enqueue(holder, lease, now)
+        self.unconfirmed.append((holder, request))
         self._confirm()
 
-    def gone(self, holder: str) -> None:
-        """Its connection is lost. What it holds it may still act under; it waits no more."""
-        self.heard.pop(holder, None)
-        for name in list(self.queues):
-            self._forget(name, holder)
+    def forget_holder(self, holder: str) -> None:
+        """Its connection is lost: it waits no more. It may still act under what it has."""
+        self.latest_request.pop(holder, None)
+        self.queues.remove_from_all(holder)
 
     def tick(self) -> None:
-        """Time has passed. `wake` says when it is wanted."""
-        if not self.leading or self.host.now() < self.wake:
+        """Grants what has expired by now; to be called from `next_wake` on."""
+        if not self.is_leader or self.environment.now() < self.next_wake:
             return
-        self.wake = NEVER
-        for name in list(self.queues):
-            self._try(name)
+        self.next_wake = NEVER
+        self._grant_all()
 
-    # ---- Answers ----
+    # ---- Responses ----
 
     def _confirm(self) -> None:
-        if self.confirming or not self.batch:
+        """Answers all requests that have come, by one round of a majority at a time."""
+        if self.confirming or not self.unconfirmed:
             return
         self.confirming = True
-        batch, self.batch = self.batch, []
+        confirmed, self.unconfirmed = self.unconfirmed, []
 
-        def told(yes: bool) -> None:
+        def on_decided(leads: bool) -> None:
             self.confirming = False
-            if yes and self.leading:
-                for holder, message in batch:
-                    self._answer(holder, message)
-            if self.leading:
+            if leads and self.is_leader:
+                for holder, request in confirmed:
+                    self._respond(holder, request)
+            if self.is_leader:
                 self._confirm()
 
-        self.host.confirm(told)
-
-    def _answer(self, holder: str, message: Message) -> None:
-        has, lost, refused = [], [], []
-        for name, duration, token, _ in message["want"][:MOST_WANTS]:
-            why = self.rules.refusal(name, duration)
-            held = self.terms.held(name, holder)
-            if why:
-                refused.append([name, why])
-            elif held is not None and held.token not in self.ended and token in (0, held.token):
-                has.append([name, held.token, held.duration])
-                self.renewed += token != 0
-            elif token:
-                lost.append([name, token])
-                self.lost += 1
-        self.host.tell(holder, {"n": message["n"], "has": has, "lost": lost, "refused": refused})
-
-    def _granted(self, name: str, held: LeaseGrant) -> None:
-        if not self.leading:
+        self.environment.confirm_leadership(on_decided)
+
+    def _respond(self, holder: str, request: LeaseRequest) -> None:
+        response = LeaseResponse(request.number)
+        for lease in request.wanted[:MAX_WANTED_LEASES]:
+            reason = self.definitions.rejection_reason(lease.name, lease.duration)
+            grant = self._active_grant(holder, lease)
+            if reason is not None:
+                response.rejected.append(RejectedLease(lease.name, reason))
+            elif grant is not None:
+                response.granted.append(GrantedLease(lease.name, grant.token, grant.duration))
+                self.renewed += lease.token != 0
+            elif lease.token:
+                response.lost.append(LostLease(lease.name, lease.token))
+        self.environment.send(holder, response)
+
+    def _active_grant(self, holder: str, lease: RequestedLease) -> LeaseGrant | None:
+        """The grant that a holder asks to keep, or that it does not know of yet."""
+        grant = self.state.find_grant(lease.name, holder)
+        if grant is None or grant.token in self.ended_tokens or lease.token not in (0, grant.token):
+            return None
+        return grant
+
+    # ---- Changes of the state ----
+
+    def _on_granted(self, name: str, grant: LeaseGrant) -> None:
+        if not self.is_leader:
             return
         self.granted += 1
-        self.proposing.discard(name)
-        self.deadlines[held.token] = self.host.now() + held.duration
-        self._forget(name, held.holder)
-        if held.holder in self.heard:
-            # It counts from when it sent the latest message that was heard: that is what the number says.
-            row = [name, held.token, held.duration]
-            self.host.tell(
-                held.holder, {"n": self.heard[held.holder], "has": [row], "lost": [], "refused": []}
-            )
-        self._try(name)
-
-    def _over(self, name: str, held: LeaseGrant) -> None:
-        self.deadlines.pop(held.token, None)
-        self.ended.discard(held.token)
-        if self.leading:
-            self._try(name)
-
-    # ---- Who is next ----
-
-    def _wait(self, name: str, waiting: Waiting) -> None:
-        queue = self.queues.setdefault(name, [])
-        known = next((one for one in queue if one.holder == waiting.holder), None)
-        if known is not None:
-            known.heard_at, known.duration = waiting.heard_at, waiting.duration
-        else:
-            # In the order in which they began to wait, also where another keeper heard them before.
-            at = next((n for n, one in enumerate(queue) if one.since > waiting.since), len(queue))
-            queue.insert(at, waiting)
-        self._try(name)
-
-    def _forget(self, name: str, holder: str) -> None:
-        left = [one for one in self.queues.get(name, ()) if one.holder != holder]
-        if left:
-            self.queues[name] = left
+        self.proposed_grants.discard(name)
+        self.expires_at[grant.token] = self.environment.now() + grant.duration
+        self.queues.remove(name, grant.holder)
+        number = self.latest_request.get(grant.holder)
+        if number is not None:
+            # The holder counts from when it sent the request of that number, the latest that has come.
+            granted = GrantedLease(name, grant.token, grant.duration)
+            self.environment.send(grant.holder, LeaseResponse(number, [granted]))
+        self._grant_next(name)
+
+    def _on_ended(self, name: str, grant: LeaseGrant) -> None:
+        self.expires_at.pop(grant.token, None)
+        self.ended_tokens.discard(grant.token)
+        if self.is_leader:
+            self._grant_next(name)
+
+    # ---- Requests ----
+
+    def _renew_or_enqueue(self, holder: str, lease: RequestedLease, now: int) -> None:
+        if self.definitions.rejection_reason(lease.name, lease.duration) is not None:
+            return
+        grant = self._active_grant(holder, lease)
+        if grant is not None:
+            # To count for longer is always safe; the response waits for the majority.
+            self.expires_at[grant.token] = now + grant.duration
         else:
-            self.queues.pop(name, None)
+            waiting = WaitingHolder(holder, lease.duration, now - lease.waited, now)
+            self.queues.add(lease.name, waiting)
+            self._grant_next(lease.name)
 
-    def _released(self, holder: str, rows: Any) -> None:
-        """Only who holds it can release it, under its own token. `to` is whom it is handed over to."""
+    def _release(self, holder: str, released: list[ReleasedLease]) -> None:
+        """Only who has a lease can release it, under its own token."""
         found = []
-        for name, token, to in rows:
-            held = self.terms.held(name, holder)
-            if held is None or held.token != token or token in self.ended:
+        for lease in released:
+            grant = self.state.find_grant(lease.name, holder)
+            if grant is None or grant.token != lease.token or lease.token in self.ended_tokens:
                 continue
-            found.append([name, token])
-            self.ended.add(token)
-            queue = self.queues.get(name, [])
-            for one in queue:
-                if one.holder == to:
-                    one.since = -NEVER  # before all others
-            queue.sort(key=lambda one: one.since)
+            found.append(ReleasedToken(lease.name, lease.token))
+            self.ended_tokens.add(lease.token)
+            self.queues.move_to_front(lease.name, lease.hand_over_to)
         if found:
-            self.host.propose([RELEASE, found], lambda yes: None)
+            self.environment.propose(ReleaseCommand(found), lambda committed: None)
+
+    # ---- Grants ----
+
+    def _grant_all(self) -> None:
+        for name in self.queues.names():
+            self._grant_next(name)
 
-    def _try(self, name: str) -> None:
-        """Give it to whoever is next, where there is a place; else see when there will be one."""
-        queue, rule = self.queues.get(name), self.rules.of(name)
-        if queue is None or rule is None or name in self.proposing:
+    def _grant_next(self, name: str) -> None:
+        """Proposes a grant to who is next where there is room, else notes when there will be."""
+        definition = self.definitions.find(name)
+        if name not in self.queues.by_name or definition is None or name in self.proposed_grants:
             return
-        now = self.host.now()
+        now = self.environment.now()
         if self.is_restored():
-            self._begin_era(now)
+            self._begin_epoch(now)
             return
-        held = self.terms.names.get(name, [])
-        over = [one.token for one in held if one.token in self.ended or self.deadlines[one.token] <= now]
-        if len(held) - len(over) >= rule.places:
-            ends = [self.deadlines[one.token] for one in held if one.token not in over]
-            self.wake = min(self.wake, *ends)
-            return
-        has = {one.holder for one in held if one.token not in over}
-        for one in list(queue):
-            if one.holder in has:
-                continue
-            if now - one.heard_at > one.duration * STALE_PART:
-                self._forget(name, one.holder)  # it keeps its turn, should it ask again
-                continue
-            self.proposing.add(name)
-            self.ended.update(over)
-            command = [GRANT, name, one.holder, one.duration, rule.places, over]
-            self.host.propose(command, lambda yes: self._proposed(name, yes))
+        active, expired = self._split_expired(name, now)
+        if len(active) >= definition.max_holders:
+            self.next_wake = min(self.next_wake, *(self.expires_at[grant.token] for grant in active))
             return
+        waiting = self.queues.next_waiting(name, {grant.holder for grant in active}, now)
+        if waiting is not None:
+            self._propose_grant(name, waiting, definition, expired)
+
+    def _split_expired(self, name: str, now: int) -> tuple[list[LeaseGrant], list[int]]:
+        """The grants of a lease that are still held, and the tokens of those that are not."""
+        active, expired = [], []
+        for grant in self.state.grants.get(name, []):
+            if grant.token in self.ended_tokens or self.expires_at[grant.token] <= now:
+                expired.append(grant.token)
+            else:
+                active.append(grant)
+        return active, expired
 
-    def _begin_era(self, now: int) -> None:
-        if now < self.quiet_until:
-            self.wake = min(self.wake, self.quiet_until)
-        elif not self.proposing_era:
-            self.proposing_era = True
-            self.host.propose([ERA, self.era], self._era_begun)
-
-    def _era_begun(self, yes: bool) -> None:
-        self.proposing_era = False
-        if self.leading:
-            for name in list(self.queues):
-                self._try(name)
-
-    def _proposed(self, name: str, yes: bool) -> None:
-        """Whoever is refused by the state by then waits on; where the lead is lost, nothing is known here."""
-        if self.leading and name in self.proposing:
-            self.proposing.discard(name)
-            if yes:
-                self._try(name)
+    def _propose_grant(
+        self, name: str, waiting: WaitingHolder, definition: LeaseDefinition, expired: list[int]
+    ) -> None:
+        def on_decided(committed: bool) -> None:
+            """Where the state rejects the grant, the holder waits on; without leadership nothing is known."""
+            if self.is_leader and name in self.proposed_grants:
+                self.proposed_grants.discard(name)
+                if committed:
+                    self._grant_next(name)
+
+        self.proposed_grants.add(name)
+        self.ended_tokens.update(expired)
+        command = GrantCommand(name, waiting.holder, waiting.duration, definition.max_holders, expired)
+        self.environment.propose(command, on_decided)
+
+    def _begin_epoch(self, now: int) -> None:
+        if now < self.restored_until:
+            self.next_wake = min(self.next_wake, self.restored_until)
+        elif not self.epoch_proposed:
+            self.epoch_proposed = True
+            self.environment.propose(EpochCommand(self.epoch), self._on_epoch_decided)
+
+    def _on_epoch_decided(self, committed: bool) -> None:
+        self.epoch_proposed = False
+        if self.is_leader:
+            self._grant_all()
--- a/ploverspoke/leases/server_node.py
+++ b/ploverspoke/leases/server_node.py
@@ -1,114 +1,131 @@
-"""A keeper on a disk and on sockets: a thin driver of `LeaseManager` on a replica whose state is
-`LeaseStateMachine`."""
+"""A lease server on a disk and on sockets: drives a `LeaseManager` on a replica of a `LeaseStateMachine`."""
 
 from collections.abc import Callable
 from typing import Any
 
+from ploverspoke.consensus.admin_messages import decode_request, encode_reply
 from ploverspoke.consensus.node import ReplicaNode, Reply
 from ploverspoke.consensus.raft import Role
 from ploverspoke.transport.rate_limited_log import log_line
 
+from .admin_messages import (
+    FollowerReply,
+    HeldLease,
+    LeaseListing,
+    LeasesRequest,
+    LeaseStatus,
+    describe_definitions,
+)
 from .config import LeaseServerConfig
-from .definitions import told
-from .manager import LeaseManager, Message
+from .definitions import MILLISECOND
+from .manager import LeaseManager
+from .messages import LeaseResponse
 from .state_machine import LeaseStateMachine
 
-EPOCH_KEY = "era"  # on the disk of this replica: from the latest restore on
-TICKS_EVERY = 0.02  # seconds, while it leads
+EPOCH_KEY = "era"  # in this replica's storage: the epoch that its latest restore began
+TICK_INTERVAL = 0.02  # seconds, while it leads
 
 
 class LeaseServerNode(ReplicaNode):
-    def __init__(self, orders: LeaseServerConfig) -> None:
-        self.terms = LeaseStateMachine()
-        super().__init__(orders.replica, self.terms)
-        self.rules = orders.rules
-        self.keeper = LeaseManager(self, self.terms, self.rules)
-        self.tell_holder: Callable[[str, Message], None] = lambda holder, message: None
+    """A replica of the lease servers' log; the environment of its `LeaseManager`."""
+
+    def __init__(self, config: LeaseServerConfig) -> None:
+        """Opens nothing yet; `send_to_holder` is set by whoever has the holders' connections."""
+        self.leases = LeaseStateMachine()
+        super().__init__(config.replica, self.leases)
+        self.definitions = config.definitions
+        self.manager = LeaseManager(self, self.leases, self.definitions)
+        self.send_to_holder: Callable[[str, LeaseResponse], None] = lambda holder, response: None
         self.ticking = False
 
-    # ---- The keeper's host ----
+    # ---- The environment of its manager; `propose` is the replica's own ----
 
     def now(self) -> int:
+        """Nanoseconds of the monotonic clock."""
         return self.clock.monotonic()
 
-    def confirm(self, then: Callable[[bool], None]) -> None:
-        self.read(then)
+    def confirm_leadership(self, on_decided: Callable[[bool], None]) -> None:
+        """Asks a majority whether this replica leads."""
+        self.read(on_decided)
 
-    def tell(self, holder: str, message: Message) -> None:
-        self.tell_holder(holder, message)
+    def send(self, holder: str, response: LeaseResponse) -> None:
+        """Sends to a holder; dropped where it is not connected."""
+        self.send_to_holder(holder, response)
 
-    # `propose` is the node's own.
-
-    # ---- Who leads ----
+    # ---- Leadership ----
 
     def on_role_changed(self, role: Role, leader: str) -> None:
-        # At once, not behind what the loop has to do: a keeper that applied another leader's entries while it
-        # still believed to lead would tell a grant of long ago as a new one.
+        """Begins to lead once a majority has confirmed it; ceases at once."""
+        # At once, and not behind what the event loop has to do: a lease server that applied another leader's
+        # entries while it still believed to lead would tell a holder of an old grant as if it were new.
         if role == "leader":
-            self.loop.call_soon(self.read, self._took_over)
-        elif self.keeper.leading:
-            self.keeper.leads_no_more()
-            log_line(f"keeper: {self.config.name} leads no more")
+            self.loop.call_soon(self.read, self._begin_to_lead)
+        elif self.manager.is_leader:
+            self.manager.lose_leadership()
+            log_line(f"lease server: {self.config.name} does not lead any more")
         super().on_role_changed(role, leader)
 
-    def _took_over(self, yes: bool) -> None:
+    def _begin_to_lead(self, confirmed: bool) -> None:
         """All that was committed before is applied here."""
-        if not yes or not self.is_elected() or self.keeper.leading:
+        if not confirmed or not self.is_elected() or self.manager.is_leader:
             return
-        era = self.storage.load_value(EPOCH_KEY) or 0
-        self.keeper.leads(era)
-        held = sum(len(row) for row in self.terms.names.values())
-        log_line(
-            f"keeper: {self.config.name} leads; {held} leases are held"
-            + " (restored)" * self.keeper.is_restored()
-        )
+        self.manager.become_leader(self.storage.load_value(EPOCH_KEY) or 0)
+        restored = " (restored)" if self.manager.is_restored() else ""
+        log_line(f"lease server: {self.config.name} leads; {self.leases.total()} leases are held{restored}")
         if not self.ticking:
             self.ticking = True
-            self.loop.call_later(TICKS_EVERY, self._tick)
+            self.loop.call_later(TICK_INTERVAL, self._tick)
 
     def _tick(self) -> None:
-        self.ticking = self.keeper.leading and not self.closed
+        self.ticking = self.manager.is_leader and not self.closed
         if self.ticking:
-            self.keeper.tick()
-            self.loop.call_later(TICKS_EVERY, self._tick)
+            self.manager.tick()
+            self.loop.call_later(TICK_INTERVAL, self._tick)
 
-    # ---- What tools ask ----
+    # ---- Requests of tools ----
 
     def state_status(self) -> dict[str, Any]:
-        keeper = self.keeper
-        return {
-            "leading": keeper.leading,
-            "leases": sum(len(row) for row in self.terms.names.values()),
-            "last_token": self.terms.last,
-            "era": self.terms.era,
-            "waiting": sum(len(row) for row in keeper.queues.values()),
-            "granted": keeper.granted,
-            "renewed": keeper.renewed,
-        }
+        """What this lease server adds to the status of its replica."""
+        manager = self.manager
+        return dict(
+            encode_reply(
+                LeaseStatus(
+                    is_leader=manager.is_leader,
+                    leases=self.leases.total(),
+                    last_token=self.leases.last_token,
+                    epoch=self.leases.epoch,
+                    waiting=manager.queues.total(),
+                    granted=manager.granted,
+                    renewed=manager.renewed,
+                )
+            )
+        )
 
     def handle_state_request(self, request: dict[str, Any], reply: Reply) -> bool:
-        """`leases`: what is held and waited for, as the leader knows it; a follower says that it is none."""
-        if request.get("ask") != "leases":
+        """Answers `LeasesRequest`, once a majority has confirmed who leads."""
+        if decode_request(request, LeasesRequest) is None:
             return False
 
-        def confirmed(yes: bool) -> None:
-            if not yes or not self.keeper.leading:
-                reply({"leads": False})
-                return
-            now, keeper = self.now(), self.keeper
-            rows = [
-                {
-                    "name": name,
-                    "holder": one.holder,
-                    "token": one.token,
-                    "duration_ms": one.duration // 1_000_000,
-                    "over_in_ms": max(0, keeper.deadlines.get(one.token, now) - now) // 1_000_000,
-                }
-                for name, held in self.terms.names.items()
-                for one in held
-            ]
-            waiting = {name: [one.holder for one in queue] for name, queue in keeper.queues.items()}
-            reply({"leads": True, "held": rows, "waiting": waiting, "declared": told(self.rules)})
-
-        self.read(confirmed)
+        def on_decided(leads: bool) -> None:
+            found = self.list_leases() if leads and self.manager.is_leader else FollowerReply()
+            reply(encode_reply(found))
+
+        self.read(on_decided)
         return True
+
+    def list_leases(self) -> LeaseListing:
+        """What is held, waited for and declared, as the leader knows it."""
+        now, manager = self.now(), self.manager
+        held = [
+            HeldLease(
+                name=name,
+                holder=grant.holder,
+                token=grant.token,
+                duration_ms=grant.duration // MILLISECOND,
+                expires_in_ms=max(0, manager.expires_at.get(grant.token, now) - now) // MILLISECOND,
+            )
+            for name, grants in self.leases.grants.items()
+            for grant in grants
+        ]
+        waiting = {name: manager.queues.holders(name) for name in manager.queues.names()}
+        return LeaseListing(True, held, waiting, describe_definitions(self.definitions))
--- a/ploverspoke/leases/state_machine.py
+++ b/ploverspoke/leases/state_machine.py
@@ -1,101 +1,157 @@
-"""What the keepers agree on: who holds which lease under which token. Without I/O and without time.
+"""What lease servers agree on: which holder has which lease under which fencing token. No I/O and no time.
 
-A command is a plain list, its first item the verb; applying one never fails, what no longer fits is left out.
-When a lease is over is known to the leading keeper alone, which counts by its own monotonic clock
-(`keeper.py`) and says with a grant which tokens have ended. So no clock has to agree with another.
+Applying a command never fails; what no longer fits the state is left out. Only the leading lease server knows
+when a grant expires: it counts by its own monotonic clock (`manager.py`) and says with the next grant which
+tokens have expired. So no two clocks have to agree.
 
-A token only grows, over the whole life of all names: a restored state begins a new era, above all tokens of
-the one before.
+Tokens only grow, over the whole life of all names: a restored state begins a new epoch, whose tokens are
+above all of the one before.
 """
 
 from collections.abc import Callable
-from typing import Any
 
 import msgspec
 
-FORMAT = 1
-ERA_BITS = 24  # tokens of one era
-
-# Verbs and what follows them.
-GRANT = "grant"  # name, holder, duration (ns), places, tokens that are over
-RELEASE = "release"  # rows of name, token
-ERA = "era"  # number
+SNAPSHOT_FORMAT = 1
+EPOCH_TOKEN_BITS = 24  # an epoch has so many bits of tokens
 
 
 class LeaseGrant(msgspec.Struct, array_like=True):
+    """A lease as it is held."""
+
     holder: str
     token: int
     duration: int  # ns
 
 
+class GrantCommand(msgspec.Struct, array_like=True, tag="grant"):
+    """Ends the expired tokens, then grants the lease to a holder if there is room."""
+
+    name: str
+    holder: str
+    duration: int  # ns
+    max_holders: int
+    expired_tokens: list[int]
+
+
+class ReleasedToken(msgspec.Struct, array_like=True):
+    """A grant that its holder gave back."""
+
+    name: str
+    token: int
+
+
+class ReleaseCommand(msgspec.Struct, array_like=True, tag="release"):
+    """Ends grants that were given back."""
+
+    released: list[ReleasedToken]
+
+
+class EpochCommand(msgspec.Struct, array_like=True, tag="era"):
+    """Ends all grants and begins an epoch, unless it has begun."""
+
+    epoch: int
+
+
+LeaseCommand = GrantCommand | ReleaseCommand | EpochCommand
+COMMAND_TAGS = [kind.__struct_config__.tag for kind in (GrantCommand, ReleaseCommand, EpochCommand)]
+
+
 class LeaseSnapshot(msgspec.Struct, array_like=True):
+    """The whole state, as it is stored."""
+
     format: int
-    last: int
-    era: int
-    names: dict[str, list[LeaseGrant]]
+    last_token: int
+    epoch: int
+    grants: dict[str, list[LeaseGrant]]
+
+
+def parse_command(entry: object) -> LeaseCommand | None:
+    """Reads a log entry, typed or as a plain list; None where its kind is not known to this release."""
+    if isinstance(entry, GrantCommand | ReleaseCommand | EpochCommand):
+        return entry
+    if not isinstance(entry, list | tuple) or not entry or entry[0] not in COMMAND_TAGS:
+        return None
+    command: LeaseCommand = msgspec.convert(entry, LeaseCommand)
+    return command
 
 
 class LeaseStateMachine:
-    """The state of the keepers' log."""
+    """The state of the lease servers' log."""
 
     def __init__(self) -> None:
-        self.last = 0  # the latest token
-        self.era = 0
-        self.names: dict[str, list[LeaseGrant]] = {}  # only those that are held
-        self.on_granted: Callable[[str, LeaseGrant], None] = lambda name, held: None
-        self.on_over: Callable[[str, LeaseGrant], None] = lambda name, held: None
-
-    # ---- The state of the log ----
-
-    def apply(self, index: int, command: list[Any]) -> None:
-        verb, *what = command
-        if verb == GRANT:
-            self._grant(*what)
-        elif verb == RELEASE:
-            for name, token in what[0]:
-                self._over(name, {token})
-        elif verb == ERA and what[0] > self.era:
+        """Nothing is held; a snapshot may replace that."""
+        self.last_token = 0
+        self.epoch = 0
+        self.grants: dict[str, list[LeaseGrant]] = {}  # by name; only leases that are held
+        self.on_granted: Callable[[str, LeaseGrant], None] = lambda name, grant: None
+        self.on_ended: Callable[[str, LeaseGrant], None] = lambda name, grant: None
+
+    # ---- Interface of a replica's state machine ----
+
+    def apply(self, index: int, command: object) -> None:
+        """Applies a committed command; one of an unknown kind changes nothing."""
+        parsed = parse_command(command)
+        if isinstance(parsed, GrantCommand):
+            self._grant(parsed)
+        elif isinstance(parsed, ReleaseCommand):
+            for released in parsed.released:
+                self._end(released.name, {released.token})
+        elif isinstance(parsed, EpochCommand) and parsed.epoch > self.epoch:
             # Who held what when the backup was made says nothing about now.
-            self.era = what[0]
-            for name, held in list(self.names.items()):
-                self._over(name, {one.token for one in held})
+            self.epoch = parsed.epoch
+            for name, grants in list(self.grants.items()):
+                self._end(name, {grant.token for grant in grants})
 
     def take_snapshot(self) -> bytes:
-        return msgspec.msgpack.encode(LeaseSnapshot(FORMAT, self.last, self.era, self.names))
+        """Encodes the whole state."""
+        return msgspec.msgpack.encode(
+            LeaseSnapshot(SNAPSHOT_FORMAT, self.last_token, self.epoch, self.grants)
+        )
 
     def restore_snapshot(self, data: bytes) -> None:
-        dump = msgspec.msgpack.decode(data, type=LeaseSnapshot) if data else LeaseSnapshot(FORMAT, 0, 0, {})
-        self.last, self.era, self.names = dump.last, dump.era, dump.names
+        """Replaces the whole state by an encoded one; by the empty state where there are no bytes."""
+        empty = LeaseSnapshot(SNAPSHOT_FORMAT, 0, 0, {})
+        snapshot = msgspec.msgpack.decode(data, type=LeaseSnapshot) if data else empty
+        self.last_token = snapshot.last_token
+        self.epoch = snapshot.epoch
+        self.grants = snapshot.grants
 
-    # ---- Verbs ----
+    # ---- Queries ----
 
-    def _grant(self, name: str, holder: str, duration: int, places: int, over: list[int]) -> None:
-        self._over(name, set(over))
-        held = self.names.get(name, [])
-        if len(held) >= places or any(one.holder == holder for one in held):
-            return
-        self.last = self.next_token()
-        granted = LeaseGrant(holder, self.last, duration)
-        self.names.setdefault(name, []).append(granted)
-        self.on_granted(name, granted)
+    def find_grant(self, name: str, holder: str) -> LeaseGrant | None:
+        """The grant under which this holder has the lease."""
+        return next((grant for grant in self.grants.get(name, ()) if grant.holder == holder), None)
+
+    def total(self) -> int:
+        """How many leases are held, each counted once for each holder."""
+        return sum(len(grants) for grants in self.grants.values())
 
     def next_token(self) -> int:
-        return max(self.last + 1, self.era << ERA_BITS)
+        """The token of the next grant."""
+        return max(self.last_token + 1, self.epoch << EPOCH_TOKEN_BITS)
+
+    # ---- Internals ----
 
-    def _over(self, name: str, tokens: set[int]) -> None:
-        held = self.names.get(name, [])
-        ended = [one for one in held if one.token in tokens]
+    def _grant(self, command: GrantCommand) -> None:
+        self._end(command.name, set(command.expired_tokens))
+        grants = self.grants.get(command.name, [])
+        if len(grants) >= command.max_holders or any(grant.holder == command.holder for grant in grants):
+            return
+        self.last_token = self.next_token()
+        granted = LeaseGrant(command.holder, self.last_token, command.duration)
+        self.grants.setdefault(command.name, []).append(granted)
+        self.on_granted(command.name, granted)
+
+    def _end(self, name: str, tokens: set[int]) -> None:
+        grants = self.grants.get(name, [])
+        ended = [grant for grant in grants if grant.token in tokens]
         if not ended:
             return
-        left = [one for one in held if one.token not in tokens]
-        if left:
-            self.names[name] = left
+        remaining = [grant for grant in grants if grant.token not in tokens]
+        if remaining:
+            self.grants[name] = remaining
         else:
-            del self.names[name]
-        for one in ended:
-            self.on_over(name, one)
-
-    # ---- What is asked ----
-
-    def held(self, name: str, holder: str) -> LeaseGrant | None:
-        return next((one for one in self.names.get(name, ()) if one.holder == holder), None)
+            del self.grants[name]
+        for grant in ended:
+            self.on_ended(name, grant)
--- a/ploverspoke/testbed/capacity/keeper.py
+++ b/ploverspoke/testbed/capacity/keeper.py
@@ -125,7 +125,7 @@
     try:
         for n, client in enumerate(load.clients):
             for k in range(load.names):
-                if not await client.held(f"team-h{n}-{k}", HELD_WITHIN):
+                if not await client.wait_until_held(f"team-h{n}-{k}", HELD_WITHIN):
                     return Seen(value, {}, f"team-h{n}-{k} was not granted in time")
         begin = time.monotonic() + settled
         changed: list[float] = []
--- a/ploverspoke/testbed/lease_bench.py
+++ b/ploverspoke/testbed/lease_bench.py
@@ -156,7 +156,9 @@
         clients = [LeaseClient(direct, f"h{number}") for number in range(HOLDERS)]
         for number, client in enumerate(clients):
             client.want(f"team-h{number}", HOLD * SECOND)
-        await asyncio.gather(*(client.held(f"team-h{number}", 10.0) for number, client in enumerate(clients)))
+        await asyncio.gather(
+            *(client.wait_until_held(f"team-h{number}", 10.0) for number, client in enumerate(clients))
+        )
         before, renewals = processor_seconds(pid), sum(client.holder.renewals for client in clients)
         lasts = max(seconds, 2 * HOLD)
         await asyncio.sleep(lasts)
--- a/ploverspoke/testbed/processes/contender.py
+++ b/ploverspoke/testbed/processes/contender.py
@@ -45,9 +45,9 @@
         self.client = client
         self.at = 0
 
-    def left(self, name: str) -> int:
+    def time_left(self, name: str) -> int:
         self.at = true_now()
-        return self.client.left(name)
+        return self.client.time_left(name)
 
     def token(self, name: str) -> int:
         return self.client.token(name)
@@ -69,19 +69,19 @@
         while True:
             lease = client.want(name, spec.duration)
             lease.on_lost = partial(self.lost, name)
-            token = await client.held(name, WAITS_AT_MOST)
+            token = await client.wait_until_held(name, WAITS_AT_MOST)
             if not token:
                 continue
-            self.history.add("held", [name, token, client.left(name)])
+            self.history.add("held", [name, token, client.time_left(name)])
             until = self.chance.expovariate(1 / 0.5) if self.chance.random() > spec.keeps else float("inf")
             began = true_now()
             while client.token(name) == token and (true_now() - began) / 1e9 < until:
                 looks = Looks(client)
                 step = guarded_task.GuardedStep(spec.step, partial(self.effect, looks, name))
-                if not await guarded_task.act(looks, name, [step]):
+                if not await guarded_task.run_guarded_steps(looks, name, [step]):
                     break
                 await asyncio.sleep(spec.rest)
-            self.history.add("stops", [name, token, client.left(name)])
+            self.history.add("stops", [name, token, client.time_left(name)])
             client.release(name)
             await asyncio.sleep(self.chance.random() * 0.1)
 
--- a/ploverspoke/testbed/processes/lease_run.py
+++ b/ploverspoke/testbed/processes/lease_run.py
@@ -139,7 +139,7 @@
         for place in self.keepers:
             own = rig.folder / f"{place.name}.json"
             own.write_bytes(msgspec.json.encode({**common, "name": place.name, "folder": place.name}))
-            keeper = rig.add(place, "ploverspoke", ["keep", str(own)])
+            keeper = rig.add(place, "ploverspoke", ["lease-server", str(own)])
             keeper.ready = listens(place.own, place.ports["clients"])
         resource = rig.place("r", ["act"])
         for number in range(plan.contenders):
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -250,8 +250,8 @@
 def test_leases_of_a_snapshot_have_their_values() -> None:
     leases = load_state("leases", (DATA / "leases" / "state.bin").read_bytes())
     first = 1_700_000_000 << 24
-    assert (leases.era, leases.last) == (1_700_000_000, first + 1)
-    held = {name: [(h.holder, h.token, h.duration) for h in row] for name, row in leases.names.items()}
+    assert (leases.epoch, leases.last_token) == (1_700_000_000, first + 1)
+    held = {name: [(h.holder, h.token, h.duration) for h in row] for name, row in leases.grants.items()}
     assert held == {"summary": [("n2/1", first, 30 * SECOND)], "restart": [("n0/1", first + 1, 60 * SECOND)]}
 
 
@@ -322,8 +322,10 @@
     path = DATA / "files" / "keepers.json"
     orders, servers = read_lease_server_config(path), read_lease_servers(path)
     assert orders.replica == read_replica_config(DATA / "files" / "store.json")
-    rules = [tuple(orders.rules.of(name) or ()) for name in ("restart", "team-a", "other")]
-    assert rules == [(3, 120 * SECOND), (1, 60 * SECOND), ()] and orders.rules.least == 2 * SECOND
+    rules = [tuple(orders.definitions.find(name) or ()) for name in ("restart", "team-a", "other")]
+    assert (
+        rules == [(3, 120 * SECOND), (1, 60 * SECOND), ()] and orders.definitions.min_duration == 2 * SECOND
+    )
     assert tuple(servers) == ({"r1": "10.0.0.1:7001"}, ["10.0.0.1:8081"], SECRET)
 
 
--- a/tests/compatibility/test_wire_bytes.py
+++ b/tests/compatibility/test_wire_bytes.py
@@ -36,6 +36,7 @@
 from ploverspoke.leases.definitions import LeaseDefinition, LeaseDefinitions
 from ploverspoke.leases.holder import LeaseHolder
 from ploverspoke.leases.manager import LeaseManager
+from ploverspoke.leases.messages import parse_request, parse_response
 from ploverspoke.leases.server import LeaseServer
 from ploverspoke.leases.server_node import LeaseServerNode
 from ploverspoke.leases.state_machine import LeaseStateMachine
@@ -114,22 +115,22 @@
             terms.apply(0, command)
             then(True)
 
-    host: Any = SimpleNamespace(now=lambda: run.now, propose=propose, confirm=confirms.append)
-    host.tell = lambda holder, message: run.emit("tell", holder, message)
+    host: Any = SimpleNamespace(now=lambda: run.now, propose=propose, confirm_leadership=confirms.append)
+    host.send = lambda holder, message: run.emit("tell", holder, message)
     keeper = LeaseManager(host, terms, LeaseDefinitions({"summary": LeaseDefinition(1, 30 * SECOND)}, SECOND))
     return {
-        "leads": keeper.leads,
-        "asked": lambda holder, data: keeper.asked(holder, decoded(data)),
+        "leads": keeper.become_leader,
+        "asked": lambda holder, data: keeper.handle_request(holder, parse_request(decoded(data))),
         "tick": keeper.tick,
         "commit": commit,
     }
 
 
 def holder_calls(run: Run) -> Calls:
-    host: Any = SimpleNamespace(now=lambda: run.now, go_elsewhere=lambda: None)
+    host: Any = SimpleNamespace(now=lambda: run.now, try_next_server=lambda: None)
     host.send = lambda message: run.emit("send", "keeper", message)
     holder = LeaseHolder(host)
-    told = lambda data: holder.told(decoded(data))  # noqa: E731
+    told = lambda data: holder.handle_response(parse_response(decoded(data)))  # noqa: E731
     return {"want": holder.want, "release": holder.release, "tick": holder.tick, "told": told}
 
 
@@ -210,7 +211,7 @@
 def server_node() -> Any:
     """A server that does not lead, and has no room for watchers."""
     node: Any = SimpleNamespace(config=SimpleNamespace(secret=SECRET, cluster=CLUSTER), replica_id="r1.1")
-    node.keeper = SimpleNamespace(leading=False)
+    node.manager = SimpleNamespace(is_leader=False)
     node.leader_client_address = lambda: "10.0.0.2:8081"
     node.feed = SimpleNamespace(
         has_room_for=lambda name: False, beat=lambda: {"k": "beat", "n": 2, "l": True}
@@ -225,7 +226,7 @@
 
 
 def holder_frames() -> FrameCodec:
-    user: Any = SimpleNamespace(keepers=SimpleNamespace(secret=SECRET), me="n0/1")
+    user: Any = SimpleNamespace(servers=SimpleNamespace(secret=SECRET), holder_id="n0/1")
     found: FrameCodec = with_nonce(lambda: LeaseServerConnection(user), "h").frames
     return found
 
@@ -353,8 +354,9 @@
 
 async def give_lease(node: Any) -> None:
     given = asyncio.get_running_loop().create_future()
-    node.tell_holder = lambda holder, message: message["has"] and given.set_result(None)
-    node.keeper.asked("n0/1", {"n": 1, "want": [["restart", 30 * SECOND, 0, 0]], "release": []})
+    node.send_to_holder = lambda holder, message: message.granted and given.set_result(None)
+    request = {"n": 1, "want": [["restart", 30 * SECOND, 0, 0]], "release": []}
+    node.manager.handle_request("n0/1", parse_request(request))
     await given
 
 
--- /dev/null
+++ b/tests/leases/faulty_variants.py
@@ -0,0 +1,97 @@
+"""Test harness: faulty variants of the parts of leases, each with one fault that the simulation must find."""
+
+from ploverspoke.leases.definitions import DRIFT
+from ploverspoke.leases.holder import Lease, LeaseHolder
+from ploverspoke.leases.manager import LeaseManager
+from ploverspoke.leases.messages import GrantedLease, LeaseRequest, LeaseResponse, ReleasedLease
+from ploverspoke.leases.state_machine import LeaseStateMachine, ReleaseCommand, ReleasedToken
+from tests.leases.lease_simulation import EffectGuard, Variants
+
+
+class FaultyCountsFromResponse(LeaseHolder):
+    def handle_response(self, response: LeaseResponse) -> None:
+        if response.number in self.sent_at:
+            self.sent_at[response.number] = self.environment.now()
+        super().handle_response(response)
+
+
+class FaultyNoDriftMargin(LeaseHolder):
+    def handle_response(self, response: LeaseResponse) -> None:
+        granted = [
+            GrantedLease(lease.name, lease.token, int(lease.duration / (1 - DRIFT)))
+            for lease in response.granted
+        ]
+        super().handle_response(LeaseResponse(response.number, granted, response.lost, response.rejected))
+
+
+class FaultyAcceptsOldResponses(LeaseHolder):
+    def want(self, name: str, duration: int) -> Lease:
+        lease = super().want(name, duration)
+        lease.first_request = 0
+        return lease
+
+
+class FaultyGrantsAtOnce(LeaseManager):
+    def become_leader(self, epoch: int = 0) -> None:
+        super().become_leader(epoch)
+        self.expires_at = dict.fromkeys(self.expires_at, self.environment.now())
+
+
+class FaultyTokensBeginAgain(LeaseStateMachine):
+    def next_token(self) -> int:
+        return self.last_token + 1
+
+
+class FaultyForgetsRestore(LeaseManager):
+    def become_leader(self, epoch: int = 0) -> None:
+        super().become_leader(self.state.epoch)
+
+
+class FaultyRenewsExpired(LeaseManager):
+    """What has been said to have ended is renewed as long as the log does not say so, and once more after."""
+
+    def _respond(self, holder: str, request: LeaseRequest) -> None:
+        granted = [
+            GrantedLease(lease.name, lease.token, lease.duration) for lease in request.wanted if lease.token
+        ]
+        self.environment.send(holder, LeaseResponse(request.number, granted))
+
+
+class FaultyReleasesForAnybody(LeaseManager):
+    """A release by an old holder, or under an old token, ends what another has by now."""
+
+    def _release(self, holder: str, released: list[ReleasedLease]) -> None:
+        found = [
+            ReleasedToken(lease.name, grant.token)
+            for lease in released
+            for grant in self.state.grants.get(lease.name, ())
+        ]
+        if found:
+            self.environment.propose(ReleaseCommand(found), lambda committed: None)
+
+
+class FaultyAllowsAllTokens(EffectGuard):
+    def allows(self, token: int) -> bool:
+        return True
+
+
+class FaultyRenewsWithoutMajority(LeaseManager):
+    def _confirm(self) -> None:
+        unconfirmed, self.unconfirmed = self.unconfirmed, []
+        for holder, request in unconfirmed:
+            self._respond(holder, request)
+
+
+FAULTY_VARIANTS = {
+    "faulty_counts_from_response": Variants(holder=FaultyCountsFromResponse),
+    "faulty_no_drift_margin": Variants(holder=FaultyNoDriftMargin),
+    "faulty_accepts_old_responses": Variants(holder=FaultyAcceptsOldResponses),
+    "faulty_grants_at_once": Variants(manager=FaultyGrantsAtOnce),
+    "faulty_tokens_begin_again": Variants(state=FaultyTokensBeginAgain),
+    "faulty_forgets_restore": Variants(manager=FaultyForgetsRestore),
+    "faulty_renews_expired": Variants(manager=FaultyRenewsExpired),
+    "faulty_releases_for_anybody": Variants(manager=FaultyReleasesForAnybody),
+    "faulty_renews_without_majority": Variants(manager=FaultyRenewsWithoutMajority),
+    "faulty_allows_all_tokens": Variants(guard=FaultyAllowsAllTokens),
+    "faulty_late_role_change": Variants(late_role_change=True),
+}
--- /dev/null
+++ b/tests/leases/lease_server_rig.py
@@ -0,0 +1,40 @@
+"""Test harness: real lease servers as processes, and `ploverspoke lease` called on them."""
+
+import asyncio
+import subprocess
+import sys
+from collections.abc import Awaitable, Callable
+from pathlib import Path
+
+from ploverspoke.testbed.processes.lease_run import Leases, Plan
+from ploverspoke.testbed.processes.rig import Rig
+from ploverspoke.testbed.spans import SECOND, Span
+
+Call = Callable[..., Awaitable[tuple[int, str]]]  # command and arguments; gives exit code and output
+
+
+def run_with_lease_servers(
+    tmp_path: Path, script: Callable[[Leases, Call], Awaitable[None]], names: dict[str, int] | None = None
+) -> None:
+    """Starts three real lease servers on a rig, then runs the script, which may call `ploverspoke lease`."""
+    plan = Plan(keepers=3, contenders=0, names=names or {"one": 1, "two": 1}, duration=Span(4 * SECOND))
+
+    async def call(leases: Leases, command: str, *arguments: str) -> tuple[int, str]:
+        process = await asyncio.create_subprocess_exec(
+            *(sys.executable, "-m", "ploverspoke", "lease", command, str(leases.file), *arguments),
+            stdout=subprocess.PIPE,
+            stderr=subprocess.STDOUT,
+        )
+        output, _ = await process.communicate()
+        assert process.returncode is not None
+        return process.returncode, output.decode()
+
+    async def run() -> None:
+        async with Rig(tmp_path, 1) as rig:
+            leases = Leases(rig, plan)
+            await leases.start()
+            while (await call(leases, "status"))[0]:
+                await asyncio.sleep(0.1)
+            await script(leases, lambda command, *arguments: call(leases, command, *arguments))
+
+    asyncio.run(asyncio.wait_for(run(), 90))
--- a/tests/leases/test_fleet_tasks.py
+++ b/tests/leases/test_fleet_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks under leases, on real keepers and real processes: what stand-ins saw of them is judged."""
+"""Tasks under leases, on real lease servers and processes: what fake dispatchers saw of them is judged."""
 
 import asyncio
 import json
@@ -12,93 +12,100 @@
 import pytest
 
 from ploverspoke.leases.fencing import FencingTokenGuard
-from ploverspoke.leases.fleet_tasks import figures, put_whole, written_under
-from ploverspoke.leases.guarded_task import GuardedStep, act
+from ploverspoke.leases.fleet_tasks import (
+    FleetSummary,
+    parse_counters,
+    read_summary_token,
+    write_summary,
+)
+from ploverspoke.leases.guarded_task import GuardedStep, run_guarded_steps
 from ploverspoke.store.log_commands import CommitConfiguration, encode_command
 from ploverspoke.store.state_machine import RequestStateMachine
 from ploverspoke.testbed.processes.addresses import held_ports
 from ploverspoke.testbed.processes.lease_run import Leases
 from ploverspoke.testbed.processes.rig import listens
-from tests.leases.test_commands import Call, with_keepers
+from tests.leases.lease_server_rig import Call, run_with_lease_servers
 
 RUNS_LONG = True  # scheduled first: see tests/conftest.py
 
-COUNT, PLACES = 6, 2
+DISPATCHERS, MAX_HOLDERS = 6, 2
 
 
-class LeaseServer:
-    """A stand-in dispatcher's operators' door. `restart` takes it out for a while, `break` for good."""
+class FakeDispatcher:
+    """The admin address of a dispatcher. `restart` takes it out for a while, `break` for good."""
 
     def __init__(self) -> None:
-        self.out: list[tuple[str, float]] = []  # "out" and "back", and when
-        self.well = True
+        self.events: list[tuple[str, float]] = []  # "out" and "back", and when
+        self.ready = True
         self.port = 0
 
     async def open(self) -> None:
-        server = await asyncio.start_server(self._came, "127.0.0.1", 0)
+        server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.port = server.sockets[0].getsockname()[1]
 
-    async def _came(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         line = (await reader.readline()).strip()
         if line in (b"restart", b"break"):
-            self.well = False
-            self.out.append(("out", time.monotonic()))
+            self.ready = False
+            self.events.append(("out", time.monotonic()))
             if line == b"restart":
                 asyncio.get_running_loop().call_later(0.4, self._back)
         if line == b"vars":
             writer.write(b"+OK\ndispatcher_open_requests 2\ndispatcher_cfg_accepted 1\n.\n")
         else:
-            writer.write(b"+OK ready\n" if self.well else b"-ERR leaving\n")
+            writer.write(b"+OK ready\n" if self.ready else b"-ERR leaving\n")
         writer.close()
 
     def _back(self) -> None:
-        self.well = True
-        self.out.append(("back", time.monotonic()))
+        self.ready = True
+        self.events.append(("back", time.monotonic()))
 
 
-TELLS = """
+SENDS_COMMAND = """
 import socket, sys
-with socket.create_connection(("127.0.0.1", int(sys.argv[1]))) as door:
-    door.sendall(sys.argv[2].encode() + b"\\n")
-    door.recv(99)
+with socket.create_connection(("127.0.0.1", int(sys.argv[1]))) as admin:
+    admin.sendall(sys.argv[2].encode() + b"\\n")
+    admin.recv(99)
 """
 
 
-def test_no_more_are_out_than_there_are_places_and_one_that_fails_gives_its_place_back(
+def test_no_more_dispatchers_are_out_than_may_hold_the_lease_and_a_failed_one_frees_it(
     tmp_path: Path,
 ) -> None:
     async def script(leases: Leases, call: Call) -> None:
-        doors = [LeaseServer() for _ in range(COUNT)]
-        for door in doors:
-            await door.open()
-
-        async def restart(door: LeaseServer, verb: str) -> int:
-            words = ["--ready", f"127.0.0.1:{door.port}", "--for", "1.5", "--within", "2"]
-            command = ["--", sys.executable, "-c", TELLS, str(door.port), verb]
-            return (await call("restart", "both", *words, *command))[0]
-
-        broken = await restart(doors[0], "break")
-        codes = await asyncio.gather(*(restart(door, "restart") for door in doors[1:]))
-        assert broken == 5 and codes == [0] * (COUNT - 1)
-        # The broken one is out for good; its place came back by time, and only then.
-        events = sorted((at, what) for door in doors[1:] for what, at in door.out)
+        dispatchers = [FakeDispatcher() for _ in range(DISPATCHERS)]
+        for dispatcher in dispatchers:
+            await dispatcher.open()
+
+        async def restart(dispatcher: FakeDispatcher, admin_command: str) -> int:
+            options = ["--ready", f"127.0.0.1:{dispatcher.port}", "--for", "1.5", "--within", "2"]
+            command = ["--", sys.executable, "-c", SENDS_COMMAND, str(dispatcher.port), admin_command]
+            return (await call("restart", "both", *options, *command))[0]
+
+        broken = await restart(dispatchers[0], "break")
+        codes = await asyncio.gather(*(restart(dispatcher, "restart") for dispatcher in dispatchers[1:]))
+        assert broken == 5 and codes == [0] * (DISPATCHERS - 1)
+        # The broken one is out for good; its lease expired, and only then another got it.
+        events = sorted((at, event) for dispatcher in dispatchers[1:] for event, at in dispatcher.events)
         out = most = 0
-        for _, what in events:
-            out += 1 if what == "out" else -1
+        for _, event in events:
+            out += 1 if event == "out" else -1
             most = max(most, out)
-        assert most == PLACES and len(events) == 2 * (COUNT - 1)
+        assert most == MAX_HOLDERS and len(events) == 2 * (DISPATCHERS - 1)
 
-    with_keepers(tmp_path, script, {"both": PLACES})
+    run_with_lease_servers(tmp_path, script, {"both": MAX_HOLDERS})
 
 
-def test_the_summary_is_one_process_s_at_a_time_and_goes_on_when_that_is_killed(tmp_path: Path) -> None:
+def test_summary_is_written_by_one_process_at_a_time_and_by_the_next_when_that_is_killed(
+    tmp_path: Path,
+) -> None:
     async def script(leases: Leases, call: Call) -> None:
-        doors = [LeaseServer() for _ in range(3)]
-        for door in doors:
-            await door.open()
+        dispatchers = [FakeDispatcher() for _ in range(3)]
+        for dispatcher in dispatchers:
+            await dispatcher.open()
         nobody = held_ports(1)[0]
         path = tmp_path / "summary.json"
-        words = [
+        arguments = [
             "lease",
             "summary",
             str(leases.file),
@@ -110,10 +117,12 @@
             "--for",
             "1.5",
         ]
-        for port in (*(door.port for door in doors), nobody):
-            words += ["--from", f"127.0.0.1:{port}"]
+        for port in (*(dispatcher.port for dispatcher in dispatchers), nobody):
+            arguments += ["--from", f"127.0.0.1:{port}"]
         writers = [
-            await asyncio.create_subprocess_exec(sys.executable, "-m", "ploverspoke", *words, "--as", f"w{n}")
+            await asyncio.create_subprocess_exec(
+                sys.executable, "-m", "ploverspoke", *arguments, "--as", f"w{n}"
+            )
             for n in range(3)
         ]
         try:
@@ -125,11 +134,11 @@
                 await asyncio.sleep(0.05)
                 if not path.exists():
                     continue
-                told = json.loads(path.read_text())  # whole, whenever it is read
-                assert told["asked"] == 4 and told["answered"] == 3
-                assert told["sums"] == {"dispatcher_open_requests": 6, "dispatcher_cfg_accepted": 3}
-                if not tokens or told["token"] != tokens[-1]:
-                    tokens.append(told["token"])
+                summary = json.loads(path.read_text())  # whole, whenever it is read
+                assert summary["asked"] == 4 and summary["answered"] == 3
+                assert summary["sums"] == {"dispatcher_open_requests": 6, "dispatcher_cfg_accepted": 3}
+                if not tokens or summary["token"] != tokens[-1]:
+                    tokens.append(summary["token"])
                     if len(killed) == 2:
                         break
                     holder = json.loads((await call("show", "one", "--json"))[1])["held"][0]["holder"]
@@ -143,7 +152,7 @@
                     writer.kill()
                 await writer.wait()
 
-    with_keepers(tmp_path, script)
+    run_with_lease_servers(tmp_path, script)
 
 
 def test_configurations_of_many_publishers_never_interleave(tmp_path: Path) -> None:
@@ -185,10 +194,10 @@
             assert run.returncode == code, out
         assert [row["version"] for row in json.loads(out)] == list(range(1, 9))
 
-    with_keepers(tmp_path, script)
+    run_with_lease_servers(tmp_path, script)
 
 
-def test_a_store_takes_no_configuration_under_an_older_token() -> None:
+def test_store_rejects_configuration_under_an_older_token() -> None:
     ledger = RequestStateMachine()
     for body, token in (("a", 0), ("b", 7), ("late", 6), ("without", 0), ("c", 7), ("d", 9)):
         ledger.apply(1, encode_command(CommitConfiguration(body, "me", 1, token)))
@@ -198,45 +207,51 @@
     assert [c.body for c in again.configurations] == ["a", "b", "c", "d"]
 
 
-class Clocked:
-    def __init__(self, *left: int) -> None:
-        self.lefts = list(left)
+class LeaseWithTimes:
+    def __init__(self, *times_left: int) -> None:
+        self.times_left = list(times_left)
 
-    def left(self, name: str) -> int:
-        return self.lefts.pop(0) if self.lefts else 0
+    def time_left(self, name: str) -> int:
+        return self.times_left.pop(0) if self.times_left else 0
 
     def token(self, name: str) -> int:
         return 5
 
 
 @pytest.mark.parametrize(
-    ("lefts", "takes", "done", "whole"),
+    ("times_left", "max_duration", "done", "completed"),
     [
         ([10**9, 10**9], 10**8, 2, True),
-        ([10**9, 10**7], 10**8, 1, False),  # what is left would not do for the second
-        ([10**9, 10**9], 10**6, 0, False),  # a step that lasts longer than it said is called off
+        ([10**9, 10**7], 10**8, 1, False),  # what is left is too short for the second
+        ([10**9, 10**9], 10**6, 0, False),  # a step that takes longer than it said is cancelled
     ],
 )
 def test_no_step_begins_that_may_outlast_the_lease(
-    lefts: list[int], takes: int, done: int, whole: bool
+    times_left: list[int], max_duration: int, done: int, completed: bool
 ) -> None:
-    did = []
+    tokens = []
 
     async def step(token: int) -> None:
         await asyncio.sleep(0.02)
-        did.append(token)
+        tokens.append(token)
 
-    assert asyncio.run(act(Clocked(*lefts), "n", [GuardedStep(takes, step)] * 2)) is whole
-    assert did == [5] * done
+    steps = [GuardedStep(max_duration, step)] * 2
+    assert asyncio.run(run_guarded_steps(LeaseWithTimes(*times_left), "n", steps)) is completed
+    assert tokens == [5] * done
 
 
-def test_old_tokens_are_refused_by_a_fence_and_by_the_summary(tmp_path: Path) -> None:
-    fence = FencingTokenGuard(most=2)
-    assert [fence.takes("a", t) for t in (1, 3, 2, 3, 0, 4)] == [True, True, False, True, False, True]
-    assert fence.takes("b", 1) and fence.takes("c", 1) and len(fence.seen) == 2 and fence.refused == 2
+def test_old_tokens_are_rejected_by_the_guard_and_by_the_summary(tmp_path: Path) -> None:
+    guard = FencingTokenGuard(max_names=2)
+    allowed = [guard.allows("a", token) for token in (1, 3, 2, 3, 0, 4)]
+    assert allowed == [True, True, False, True, False, True]
+    assert guard.allows("b", 1) and guard.allows("c", 1)
+    assert len(guard.latest_tokens) == 2 and guard.rejected == 2
     path = tmp_path / "s.json"
-    assert put_whole(path, {"x": 1}, 5) and not put_whole(path, {"x": 2}, 4) and put_whole(path, {"x": 3}, 6)
-    assert written_under(path) == 6 and os.listdir(tmp_path) and json.loads(path.read_text())["x"] == 3
+    first, second, third = (FleetSummary(at, 0, 0, {}, {}) for at in (1, 2, 3))
+    assert write_summary(path, first, 5) and not write_summary(path, second, 4)
+    assert write_summary(path, third, 6)
+    assert read_summary_token(path) == 6 and os.listdir(tmp_path)
+    assert json.loads(path.read_text())["at"] == 3
     path.write_text("{")
-    assert written_under(path) == 0
-    assert figures(["a 1", 'b{x="y z"} 22', "c -1", "d"]) == {"a": 1, 'b{x="y z"}': 22}
+    assert read_summary_token(path) == 0
+    assert parse_counters(["a 1", 'b{x="y z"} 22', "c -1", "d"]) == {"a": 1, 'b{x="y z"}': 22}
--- /dev/null
+++ b/tests/leases/test_lease_checker.py
@@ -0,0 +1,51 @@
+"""The checker of lease histories on histories written by hand."""
+
+import pytest
+
+from ploverspoke.testbed.processes.history import Happened
+from ploverspoke.testbed.processes.lease_check import gaps, judge
+from ploverspoke.testbed.spans import MILLISECOND
+
+MS = MILLISECOND
+
+
+def row(at: int, who: str, what: str, *detail: object) -> Happened:
+    return Happened(at * MS, who, what, list(detail))
+
+
+CLEAN = [
+    row(0, "a", "acts", "n", 1),
+    row(10, "a", "acts", "n", 1),
+    row(20, "b", "acts", "n", 2),
+    row(21, "resource", "effect", "n", 2, 20, True, "b"),
+    row(22, "resource", "effect", "n", 1, 10, False, "a"),
+]
+
+
+@pytest.mark.parametrize(
+    ("more", "found"),
+    [
+        ([], ""),
+        ([row(25, "a", "acts", "n", 1)], "n: a under 1, b under 2 act at once, 1 may"),
+        ([row(25, "c", "acts", "n", 2)], "n: token 2 was acted under by b, c"),
+        ([row(30, "c", "acts", "n", 1)], "n: token 1 was acted under by a, c"),
+        ([row(5, "c", "acts", "n", 3)], "act at once"),
+        ([row(30, "resource", "effect", "n", 1, 10, True, "a")], "n: token 1 was taken after 2"),
+    ],
+)
+def test_checker_finds_each_kind_of_violation(more: list[Happened], found: str) -> None:
+    findings = judge(sorted([*CLEAN, *more]), {"n": 1}).findings
+    assert (not findings) if not found else any(found in what for what, _ in findings)
+
+
+def test_checker_counts_holders_at_once_and_gaps() -> None:
+    both = [row(0, "a", "acts", "n", 1), row(1, "b", "acts", "n", 2), row(9, "a", "acts", "n", 1)]
+    assert not judge(both, {"n": 2}).findings and judge(both, {"n": 1}).findings
+    third = [*both, row(1, "c", "acts", "n", 3)]
+    assert judge(sorted(third), {"n": 2}).findings
+    killed = [
+        row(10, "rig", "holder killed", "a", "n"),
+        row(1200, "a", "acts", "n", 4),
+        row(1300, "c", "acts", "n", 5),
+    ]
+    assert gaps(sorted([*both, *killed]), "holder killed") == [1.29]
--- /dev/null
+++ b/tests/leases/test_lease_commands.py
@@ -0,0 +1,153 @@
+"""`ploverspoke lease` as operators call it, on lease servers that run as processes."""
+
+import asyncio
+import json
+import signal
+import socket
+import subprocess
+import sys
+import time
+from pathlib import Path
+
+from ploverspoke.consensus.framing import FrameCodec
+from ploverspoke.testbed.processes.lease_run import Leases
+from tests.leases.lease_server_rig import Call, run_with_lease_servers
+
+RUNS_LONG = True  # scheduled first: see tests/conftest.py
+
+
+RUN_OPTIONS = ["--for", "2", "--grace", "0.4", "--", sys.executable, "-c"]
+PRINTS_TOKEN = "import os, sys; print(os.environ['PLOVERSPOKE_LEASE_TOKEN']); sys.exit(7)"
+IGNORES_TERM = (
+    "import signal, time; signal.signal(15, signal.SIG_IGN); print('up', flush=True); time.sleep(60)"
+)
+
+
+async def acquire_show_and_release(call: Call) -> int:
+    """The token that was granted."""
+    code, output = await call("acquire", "one", "--for", "4", "--as", "me", "--json")
+    held = json.loads(output)
+    assert code == 0 and held["holder"].startswith("me/") and 3 < held["left_s"] <= 3.6
+    assert (await call("show", "one"))[0] == 0
+    code, output = await call("acquire", "one", "--for", "4", "--json")
+    assert code == 1 and not json.loads(output)["token"]
+    code, output = await call("list", "--json")
+    listing = json.loads(output)
+    assert [row["name"] for row in listing["leases"]] == ["one"]
+    assert listing["declared"]["two"]["places"] == 1
+    wrong_token = ["--holder", held["holder"], "--token", str(held["token"] + 1)]
+    assert (await call("release", "one", *wrong_token))[0] == 1
+    right_token = ["--holder", held["holder"], "--token", str(held["token"])]
+    assert (await call("release", "one", *right_token))[0] == 0
+    assert (await call("show", "one"))[0] == 1
+    code, output = await call("watch", "one", "--changes", "1", "--json")
+    assert code == 0 and json.loads(output)["held"] == []
+    return int(held["token"])
+
+
+async def run_commands_and_wrong_calls(call: Call, earlier_token: int) -> None:
+    code, output = await call("run", "two", *RUN_OPTIONS, PRINTS_TOKEN)
+    assert code == 7 and int(output) > earlier_token
+    for name, options, reason in (
+        ("three", ["--for", "4"], "no lease is called 'three'"),
+        ("one", ["--for", "0.1"], "is under 500"),
+        ("one", ["--for", "60"], "is over 12000"),
+    ):
+        code, output = await call("acquire", name, *options)
+        assert code == 1 and reason in output
+    assert (await call("run", "one", "--for", "4", "--grace", "2", "--", "true"))[0] == 2
+
+
+async def run_command_while_the_majority_is_paused(leases: Leases, call: Call) -> None:
+    """The command is terminated, and killed where it ignores that."""
+    running = asyncio.create_task(call("run", "two", *RUN_OPTIONS, IGNORES_TERM))
+    while (await call("show", "two"))[0]:
+        await asyncio.sleep(0.05)
+    began = time.monotonic()
+    for name in ("k0", "k1"):
+        leases.rig.running[name].pause()
+    code, output = await running
+    assert code == 4 and "cannot be renewed" in output and time.monotonic() - began < 10
+    assert (await call("list"))[0] == 3
+    for name in ("k0", "k1"):
+        leases.rig.running[name].resume()
+    while (await call("acquire", "one", "--for", "2"))[0]:
+        await asyncio.sleep(0.1)
+
+
+def test_operators_acquire_show_and_release_leases_and_run_commands_under_them(tmp_path: Path) -> None:
+    async def script(leases: Leases, call: Call) -> None:
+        token = await acquire_show_and_release(call)
+        await run_commands_and_wrong_calls(call, token)
+        await run_command_while_the_majority_is_paused(leases, call)
+
+    run_with_lease_servers(tmp_path, script)
+
+
+def test_restored_lease_servers_grant_higher_tokens_after_the_longest_lease(
+    tmp_path: Path,
+) -> None:
+    async def script(leases: Leases, call: Call) -> None:
+        backup = tmp_path / "backup.db"
+        files = [tmp_path / f"k{n}.json" for n in range(3)]
+
+        async def run_tool(command: str, file: Path, *arguments: str) -> int:
+            process = await asyncio.create_subprocess_exec(
+                *(sys.executable, "-m", "ploverspoke", "lease", command, str(file), *arguments),
+                stdout=subprocess.DEVNULL,
+            )
+            return await process.wait()
+
+        async def acquire_token() -> int:
+            _, output = await call("acquire", "one", "--for", "1", "--wait", "20", "--json")
+            return int(json.loads(output)["token"])
+
+        assert await run_tool("backup", files[0], str(backup)) == 0
+        later = [await acquire_token() for _ in range(2)]
+        assert later[0] < later[1]
+        servers = [leases.rig.running[f"k{n}"] for n in range(3)]
+        for server, file in zip(servers, files, strict=True):
+            await server.end(signal.SIGTERM, 10)
+            assert await run_tool("restore", file, str(backup)) == 2  # never written over
+            server.empty_folder()
+            assert await run_tool("restore", file, str(backup)) == 0
+        await leases.rig.start()
+        began = time.monotonic()
+        assert await acquire_token() > later[1]
+        # The longest declared is 12 s: what was given after the backup may go on for that long.
+        assert time.monotonic() - began > 8
+
+        # One alone whose folder was emptied does not come back as what it was.
+        await servers[0].kill()
+        servers[0].empty_folder()
+        servers[0].ready = None
+        await servers[0].start()
+        assert servers[0].process is not None and await servers[0].process.wait() == 2
+        assert "a new store begins with --new" in servers[0].tail()
+        servers[0].process = None
+        assert await acquire_token() > later[1]
+
+    run_with_lease_servers(tmp_path, script)
+
+
+def test_client_with_another_secret_or_a_malformed_message_changes_nothing(tmp_path: Path) -> None:
+    async def script(leases: Leases, call: Call) -> None:
+        place = leases.keepers[0]
+        for secret, message in (
+            (b"another secret than theirs", None),
+            (b"a secret of the testbed's own", {"n": "x"}),
+        ):
+            frames = FrameCodec(secret, {"id": "stranger/1", "store": ""})
+            with socket.create_connection((place.own, place.ports["clients"]), 5) as connection:
+                connection.sendall(frames.greeting_frame())
+                if message is not None:
+                    while frames.peer_greeting is None:
+                        frames.decode(connection.recv(4096))
+                    connection.sendall(frames.encode(message))
+                while connection.recv(4096):  # until it is closed on us
+                    pass
+        server = leases.rig.running["k0"]
+        assert server.lives() and (await call("status"))[0] == 0
+        assert "wrong MAC" in server.tail() and "no message" in server.tail()
+
+    run_with_lease_servers(tmp_path, script)
