--- a/ploverspoke/leases/server_node.py
+++ b/ploverspoke/leases/server_node.py
@@ -5,7 +5,7 @@
 
 from ploverspoke.consensus.admin_messages import decode_request, encode_reply
 from ploverspoke.consensus.node import ReplicaNode, Reply
-from ploverspoke.consensus.raft import Role
+from ploverspoke.consensus.raft_state import Role
 from ploverspoke.transport.rate_limited_log import log_line
 
 from .admin_messages import (
@@ -58,7 +58,7 @@
         """Begins to lead once a majority has confirmed it; ceases at once."""
         # At once, and not behind what the event loop has to do: a lease server that applied another leader's
         # entries while it still believed to lead would tell a holder of an old grant as if it were new.
-        if role == "leader":
+        if role is Role.LEADER:
             self.loop.call_soon(self.read, self._begin_to_lead)
         elif self.manager.is_leader:
             self.manager.lose_leadership()
@@ -84,21 +84,16 @@
 
     # ---- Requests of tools ----
 
-    def state_status(self) -> dict[str, Any]:
+    def state_status(self) -> LeaseStatus:
         """What this lease server adds to the status of its replica."""
-        manager = self.manager
-        return dict(
-            encode_reply(
-                LeaseStatus(
-                    is_leader=manager.is_leader,
-                    leases=self.leases.total(),
-                    last_token=self.leases.last_token,
-                    epoch=self.leases.epoch,
-                    waiting=manager.queues.total(),
-                    granted=manager.granted,
-                    renewed=manager.renewed,
-                )
-            )
+        return LeaseStatus(
+            is_leader=self.manager.is_leader,
+            leases=self.leases.total(),
+            last_token=self.leases.last_token,
+            epoch=self.leases.epoch,
+            waiting=self.manager.queues.total(),
+            granted=self.manager.granted,
+            renewed=self.manager.renewed,
         )
 
     def handle_state_request(self, request: dict[str, Any], reply: Reply) -> bool:
--- a/tests/leases/lease_raft_simulation.py
+++ b/tests/leases/lease_raft_simulation.py
@@ -5,6 +5,7 @@
 
 import msgspec
 
+from ploverspoke.consensus.raft_state import Role
 from ploverspoke.leases.definitions import LeaseDefinition, LeaseDefinitions
 from ploverspoke.leases.messages import LeaseRequest, LeaseResponse
 from ploverspoke.leases.state_machine import LeaseCommand, LeaseStateMachine
@@ -44,8 +45,8 @@
             self, self.state_machine.leases, self.cluster.definitions
         )
 
-    def role_changed(self, role: str, leader: str) -> None:
-        if role == "leader":
+    def role_changed(self, role: Role, leader: str) -> None:
+        if role is Role.LEADER:
             super().role_changed(role, leader)
             self.cluster.later.append((self, self.incarnation, self._confirm_lead))
         elif self.manager.is_leader:
@@ -55,7 +56,7 @@
         self.replica.read(self._begin_to_lead)
 
     def _begin_to_lead(self, confirmed: bool) -> None:
-        if confirmed and self.replica.raft.role == "leader" and not self.manager.is_leader:
+        if confirmed and self.replica.raft.role is Role.LEADER and not self.manager.is_leader:
             self.manager.become_leader()
 
     # The environment of its manager.
--- a/tests/test_lint_exceptions.py
+++ b/tests/test_lint_exceptions.py
@@ -14,7 +14,6 @@
             "config_distribution",
             "consensus",
             "decisions",
-            "leases",
             "routing",
             "testbed",
         )
