--- a/ploverspoke/consensus/framed_client.py
+++ b/ploverspoke/consensus/framed_client.py
@@ -33,29 +33,29 @@
 
     @abc.abstractmethod
     def on_connected(self) -> None:
-        """The server has greeted: messages can be written from now on."""
+        """Handle the server's greeting: messages can be written from now on."""
 
     @abc.abstractmethod
     def on_message(self, message: object) -> None:
-        """A message of any form has arrived."""
+        """Handle a decoded message of any form."""
 
     @abc.abstractmethod
     def on_disconnected(self) -> None:
-        """The connection is lost, or was aborted for what the server sent."""
+        """Handle the end of the connection, also where it was aborted for what the server sent."""
 
     # ---- Use ----
 
     async def connect(self, address: str) -> None:
-        """Connects to `address` ("host:port"). Raises OSError."""
+        """Connect to `address` ("host:port"). Raises OSError."""
         host, port = split_address(address)
         await asyncio.get_running_loop().create_connection(lambda: self, host, port)
 
     def is_ready(self) -> bool:
-        """Whether messages can be written."""
+        """Return whether messages can be written."""
         return self.ready and self.transport is not None
 
     def write(self, message: object) -> None:
-        """Sends a message; left out where the connection is not ready or the server does not read."""
+        """Send a message; left out where the connection is not ready or the server does not read."""
         if self.transport is None or not self.ready:
             return
         unsent = self.transport.get_write_buffer_size()
@@ -63,14 +63,14 @@
             self.transport.write(self.frames.encode(message))
 
     def close(self) -> None:
-        """Closes the connection at once, or as soon as it is made; no handler is called again."""
+        """Close the connection at once, or as soon as it is made; no handler is called again."""
         self.closed = True
         self._abort()
 
     # ---- Called by asyncio ----
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Sends the greeting; called by asyncio."""
+        """Send the greeting; called by asyncio."""
         self.transport = cast(asyncio.Transport, transport)
         if self.closed:
             self.transport.abort()
@@ -78,14 +78,14 @@
             self.transport.write(self.frames.greeting_frame())
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Reports the end; called by asyncio."""
+        """Report the end; called by asyncio."""
         self.transport = None
         if not self.closed:
             self.closed = True
             self.on_disconnected()
 
     def data_received(self, data: bytes) -> None:
-        """Handles each whole message; called by asyncio."""
+        """Handle each whole message; called by asyncio."""
         if self.closed:
             return
         try:
--- a/ploverspoke/consensus/framed_server.py
+++ b/ploverspoke/consensus/framed_server.py
@@ -29,7 +29,7 @@
     """One accepted connection. It is created by its server, which is told of all that happens on it."""
 
     def __init__(self, server: "FramedServer") -> None:
-        """The greeting is put together at once, and sent when the connection is made."""
+        """Put the greeting together; it is sent when the connection is made."""
         self.server = server
         self.frames = FrameCodec(server.secret, dict(server.greeting()))
         self.transport: asyncio.Transport | None = None
@@ -39,19 +39,19 @@
         self.registration_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Sends the greeting; called by asyncio."""
+        """Send the greeting; called by asyncio."""
         self.transport = cast(asyncio.Transport, transport)
         self.server.add_connection(self)
         self.transport.write(self.frames.greeting_frame())
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Tells the server; called by asyncio."""
+        """Tell the server; called by asyncio."""
         self.transport = None
         self.cancel_registration_timer()
         self.server.remove_connection(self)
 
     def data_received(self, data: bytes) -> None:
-        """Hands the greeting and each whole message to the server; called by asyncio."""
+        """Hand the greeting and each whole message to the server; called by asyncio."""
         if not self.is_open():
             return
         try:
@@ -66,11 +66,11 @@
             self.server.handle_client_error(self, error)
 
     def is_open(self) -> bool:
-        """Whether messages are still taken and sent."""
+        """Return whether messages are still taken and sent."""
         return self.transport is not None and not self.transport.is_closing()
 
     def write(self, message: object) -> int:
-        """Sends a message and returns its bytes on the wire, 0 where it was not sent.
+        """Send a message and return its bytes on the wire, 0 where it was not sent.
 
         A connection whose client leaves too many bytes unread is aborted instead.
         """
@@ -84,21 +84,21 @@
         return len(data)
 
     def close(self) -> None:
-        """Closes the connection once everything written has been sent."""
+        """Close the connection once everything written has been sent."""
         if self.transport is not None:
             self.transport.close()
 
     def abort(self) -> None:
-        """Closes the connection at once; unsent bytes are dropped."""
+        """Close the connection at once; unsent bytes are dropped."""
         if self.transport is not None:
             self.transport.abort()
 
     def start_registration_timer(self, timeout: float) -> None:
-        """Aborts the connection after `timeout` seconds unless the timer is cancelled before."""
+        """Abort the connection after `timeout` seconds unless the timer is cancelled before."""
         self.registration_timer = asyncio.get_running_loop().call_later(timeout, self.abort)
 
     def cancel_registration_timer(self) -> None:
-        """Lets the connection stay. Does nothing where no timer runs."""
+        """Let the connection stay. Does nothing where no timer runs."""
         if self.registration_timer is not None:
             self.registration_timer.cancel()
 
@@ -123,14 +123,14 @@
         self.refused = 0
 
     async def listen(self, address: str) -> None:
-        """Accepts connections at `address` ("host:port") until `close`. Raises OSError."""
+        """Accept connections at `address` ("host:port") until `close`. Raises OSError."""
         host, port = split_address(address)
         self.listener = await asyncio.get_running_loop().create_server(
             lambda: FramedConnection(self), host, port, backlog=BACKLOG
         )
 
     def close(self) -> None:
-        """Stops listening and aborts all connections."""
+        """Stop listening and abort all connections."""
         if self.listener is not None:
             self.listener.close()
         for connection in list(self.connections):
@@ -140,30 +140,30 @@
 
     @abc.abstractmethod
     def greeting(self) -> Mapping[str, str | int]:
-        """The first message that a client receives, without the nonce."""
+        """Return the first message that a client receives, without the nonce."""
 
     @abc.abstractmethod
     def handle_message(self, connection: FramedConnection, message: object) -> None:
-        """Handles a decoded message of any form."""
+        """Handle a decoded message of any form."""
 
     @abc.abstractmethod
     def on_disconnected(self, client_name: str) -> None:
-        """Called when the current connection of a client is lost."""
+        """Handle the loss of the current connection of a client."""
 
     def handle_greeting(  # noqa: B027 - optional: a subclass may name a client by its first message instead
         self, connection: FramedConnection, greeting: Mapping[str, Any]
     ) -> None:
-        """Called once for each connection, before its first message. Does nothing unless overridden."""
+        """Handle a client's greeting, before its first message. Does nothing unless overridden."""
 
     def handle_client_error(self, connection: FramedConnection, error: Exception) -> None:
-        """Logs what a client did wrong and aborts its connection."""
+        """Log what a client did wrong and abort its connection."""
         log_line(f"{self.log_name}: a connection is refused: {error}")
         connection.abort()
 
     # ---- Clients ----
 
     def register(self, connection: FramedConnection) -> FramedConnection | None:
-        """Makes this the current connection of its `client_name`.
+        """Make this the current connection of its `client_name`.
 
         An older connection of the same client is aborted, and returned.
         """
@@ -176,18 +176,18 @@
         return older
 
     def is_current(self, connection: FramedConnection) -> bool:
-        """Whether this is the connection that its client is served on."""
+        """Return whether this is the connection that its client is served on."""
         return self.clients.get(connection.client_name) is connection
 
     def send(self, client_name: str, message: object) -> int:
-        """Sends to a client; returns the bytes on the wire, 0 where it is not connected or not reading."""
+        """Send to a client; returns the bytes on the wire, 0 where it is not connected or not reading."""
         connection = self.clients.get(client_name)
         return connection.write(message) if connection is not None else 0
 
     # ---- Called by connections ----
 
     def add_connection(self, connection: FramedConnection) -> None:
-        """Takes in a new connection, within the limits."""
+        """Take in a new connection, within the limits."""
         self.connections.add(connection)
         if self.limits is not None:
             if len(self.connections) - len(self.clients) > self.limits.max_unregistered:
@@ -195,7 +195,7 @@
             connection.start_registration_timer(self.limits.timeout)
 
     def remove_connection(self, connection: FramedConnection) -> None:
-        """Forgets a connection that was lost."""
+        """Forget a connection that was lost."""
         self.connections.discard(connection)
         if self.is_current(connection):
             del self.clients[connection.client_name]
--- a/ploverspoke/leases/admin_calls.py
+++ b/ploverspoke/leases/admin_calls.py
@@ -17,7 +17,7 @@
 
 
 async def call_admin(address: str, command: str) -> list[str]:
-    """Sends one command; the reply's lines, the first without its prefix. Raises NoReplyError."""
+    """Send one command and return the reply's lines, the first without its prefix. Raises NoReplyError."""
     try:
         async with asyncio.timeout(CALL_TIMEOUT):
             reply = await _exchange(address, command)
@@ -31,7 +31,7 @@
 
 
 async def wait_until_ready(address: str, timeout: float) -> bool:
-    """Whether a restarted dispatcher says within `timeout` seconds that it is ready, twice in a row."""
+    """Return whether a dispatcher says within `timeout` seconds, twice in a row, that it is ready."""
     deadline = time.monotonic() + timeout
     replies = 0
     while time.monotonic() < deadline:
--- a/ploverspoke/leases/admin_messages.py
+++ b/ploverspoke/leases/admin_messages.py
@@ -64,7 +64,7 @@
 
 
 def describe_definitions(definitions: LeaseDefinitions) -> dict[str, DeclaredLease]:
-    """The declared leases, by the names of the file."""
+    """Return the declared leases, by the names of the file."""
     return {
         name: DeclaredLease(definition.max_holders, definition.max_duration // MILLISECOND)
         for name, definition in definitions.by_declared_name().items()
--- a/ploverspoke/leases/client.py
+++ b/ploverspoke/leases/client.py
@@ -26,20 +26,20 @@
     log_name = "leases"
 
     def __init__(self, client: "LeaseClient") -> None:
-        """Greets with the holder id of its client."""
+        """Greet with the holder id of its client."""
         super().__init__(client.servers.secret, {"id": client.holder_id, "store": ""})
         self.client = client
 
     def on_connected(self) -> None:
-        """Tells the client that it can send."""
+        """Tell the client that it can send."""
         self.client.on_connected(self)
 
     def on_message(self, message: object) -> None:
-        """Hands a message to the client. Raises LeaseMessageError."""
+        """Hand a message to the client. Raises LeaseMessageError."""
         self.client.on_message(self, message)
 
     def on_disconnected(self) -> None:
-        """Tells the client that the connection is lost."""
+        """Tell the client that the connection is lost."""
         self.client.on_disconnected(self)
 
 
@@ -67,31 +67,31 @@
     # ---- What its user calls ----
 
     def want(self, name: str, duration: int) -> Lease:
-        """Wants the lease for `duration` ns, and renews it, until `release`."""
+        """Want the lease for `duration` ns, and renew it, until `release`."""
         lease = self.holder.want(name, duration)
         self._schedule_tick()
         return lease
 
     def release(self, name: str, hand_over_to: str = "") -> None:
-        """Gives the lease up; see `LeaseHolder.release`."""
+        """Give the lease up; see `LeaseHolder.release`."""
         self.holder.release(name, hand_over_to)
         self._schedule_tick()
 
     def release_token(self, name: str, token: int) -> None:
-        """Releases what an earlier process of this holder id was granted."""
+        """Release what an earlier process of this holder id was granted."""
         self.holder.release_token(name, token)
         self._schedule_tick()
 
     def time_left(self, name: str) -> int:
-        """Nanoseconds for which the lease is certainly held; 0 where it is not."""
+        """Return nanoseconds for which the lease is certainly held; 0 where it is not."""
         return self.holder.time_left(name)
 
     def token(self, name: str) -> int:
-        """The fencing token of a lease that is held now; 0 where it is not."""
+        """Return the fencing token of a lease that is held now; 0 where it is not."""
         return self.holder.token(name)
 
     async def wait_until_held(self, name: str, timeout: float) -> int:
-        """Waits up to `timeout` seconds; the token, or 0 where the lease is not held by then, or rejected."""
+        """Wait up to `timeout` seconds; return the token, or 0 where the lease is not held or rejected."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(timeout):
                 while not (token := self.token(name)) and name in self.holder.leases:
@@ -101,11 +101,11 @@
         return 0
 
     def keep_until_expiry(self) -> None:
-        """Stops renewing all leases without releasing them: each ends by its time."""
+        """Stop renewing all leases without releasing them: each ends by its time."""
         self.holder.leases.clear()
 
     async def close(self) -> None:
-        """Releases everything; where that cannot be sent, the leases end by their time."""
+        """Release everything; where that cannot be sent, the leases end by their time."""
         for name in list(self.holder.leases):
             self.release(name)
         await asyncio.sleep(FINAL_RELEASE_TIME if self.connection is not None else 0)
@@ -117,31 +117,31 @@
     # ---- The environment of its holder ----
 
     def now(self) -> int:
-        """Nanoseconds of the monotonic clock."""
+        """Return nanoseconds of the monotonic clock."""
         return time.monotonic_ns()
 
     def send(self, request: LeaseRequest) -> None:
-        """Sends to the current lease server, or connects to it first."""
+        """Send to the current lease server, or connect to it first."""
         if self.connection is not None and self.connection.is_ready():
             self.connection.write(request)
         elif self.connect_task is None:
             self._connect()
 
     def try_next_server(self) -> None:
-        """Leaves the current lease server; the next request goes to the one after it."""
+        """Leave the current lease server; the next request goes to the one after it."""
         self._disconnect()
         self._select_next_server()
 
     # ---- What its connection calls ----
 
     def on_connected(self, connection: LeaseServerConnection) -> None:
-        """Sends what is wanted."""
+        """Send what is wanted."""
         if connection is self.connection:
             self.holder.connected()
             self._schedule_tick()
 
     def on_message(self, connection: LeaseServerConnection, message: object) -> None:
-        """Takes in a response, or goes to the leader that it names. Raises LeaseMessageError."""
+        """Take in a response, or go to the leader that it names. Raises LeaseMessageError."""
         if connection is not self.connection:
             return
         response = parse_response(message)
@@ -153,7 +153,7 @@
         self._schedule_tick()
 
     def on_disconnected(self, connection: LeaseServerConnection) -> None:
-        """The next request connects again."""
+        """Forget the connection: the next request makes another."""
         if connection is self.connection:
             self.connection = None
 
--- a/ploverspoke/leases/command_options.py
+++ b/ploverspoke/leases/command_options.py
@@ -47,12 +47,12 @@
 
     @property
     def duration(self) -> int:
-        """The lease's duration in ns."""
+        """Return the lease's duration in ns."""
         return int(self.seconds * SECOND)
 
 
 def lease_arguments(command: Callable[..., None]) -> Callable[..., None]:
-    """Gives a click command FILE, NAME, --for and --as as one `LeaseArguments`, its first parameter."""
+    """Give a click command FILE, NAME, --for and --as as one `LeaseArguments`, its first parameter."""
 
     @FILE_ARGUMENT
     @NAME_ARGUMENT
@@ -66,7 +66,7 @@
 
 
 def read_servers(file: Path) -> LeaseServers:
-    """Where the lease servers are. Ends the command with exit code 2 where the file is wrong."""
+    """Read where the lease servers are. Ends the command with exit code 2 where the file is wrong."""
     return read_config_or_exit(read_lease_servers, file)
 
 
@@ -76,7 +76,7 @@
     use: Callable[[LeaseClient], Coroutine[Any, Any, ResultT]],
     start: str = "",
 ) -> ResultT:
-    """Runs `use` on an event loop with a client, which releases at the end what it still wants."""
+    """Run `use` on an event loop with a client, which releases at the end what it still wants."""
 
     async def run() -> ResultT:
         client = LeaseClient(servers, holder, start)
@@ -89,7 +89,7 @@
 
 
 def request_listing(servers: LeaseServers) -> LeaseListing:
-    """What the leading lease server knows. Raises NoLeaderError."""
+    """Return what the leading lease server knows. Raises NoLeaderError."""
     reasons = []
     for name, address in servers.peer_addresses.items():
         try:
@@ -104,7 +104,7 @@
 
 
 def request_listing_or_exit(servers: LeaseServers) -> LeaseListing:
-    """What the leading lease server knows. Ends the command with exit code 3 where none leads."""
+    """Return what the leading lease server knows. Ends the command with exit code 3 where none leads."""
     try:
         return request_listing(servers)
     except NoLeaderError as error:
--- a/ploverspoke/leases/config.py
+++ b/ploverspoke/leases/config.py
@@ -29,14 +29,14 @@
 
 
 def read_lease_server_config(path: Path) -> LeaseServerConfig:
-    """Reads a lease server's own file. Raises ConfigError, naming the key."""
+    """Read a lease server's own file. Raises ConfigError, naming the key."""
     top = read_json_file(path)
     replica = parse_replica_config(top, path)
     return LeaseServerConfig(replica, read_definitions(top, replica.election_timeout))
 
 
 def read_lease_servers(path: Path) -> LeaseServers:
-    """Reads a lease server's file, or one with `replicas` and `secret_file` alone. Raises ConfigError."""
+    """Read a lease server's file, or one with `replicas` and `secret_file` alone. Raises ConfigError."""
     found = read_cluster_servers(path, "at least one lease server")
     peer_addresses = {name: peers for name, (peers, _) in found.replicas.items()}
     client_addresses = [clients for _, clients in found.replicas.values()]
--- a/ploverspoke/leases/daemon.py
+++ b/ploverspoke/leases/daemon.py
@@ -14,13 +14,13 @@
 
 
 async def serve(path: Path, new: bool, join: str) -> None:
-    """Serves until it is told to end. Raises ConfigError, and what `serve_replica` raises."""
+    """Serve until it is told to end. Raises ConfigError, and what `serve_replica` raises."""
     node = LeaseServerNode(read_lease_server_config(path))
     await serve_replica("lease server", node, LeaseServer(node), new, join)
 
 
 def main(path: Path, new: bool = False, join: str = "") -> int:
-    """Runs one lease server and gives its exit code.
+    """Run one lease server and return its exit code.
 
     `new` is the first start of a new cluster, `join` the fingerprint of the cluster that it joins. Exit 0:
     told to end. 2: the file or the storage cannot be used, and the reason is printed.
--- a/ploverspoke/leases/definitions.py
+++ b/ploverspoke/leases/definitions.py
@@ -38,14 +38,14 @@
         self.max_duration = max((found.max_duration for found in definitions.values()), default=0)
 
     def find(self, name: str) -> LeaseDefinition | None:
-        """The definition that holds for a lease; None where it is not declared."""
+        """Return the definition that holds for a lease; None where it is not declared."""
         found = self.exact.get(name)
         if found is None:
             found = next((found for prefix, found in self.prefixes if name.startswith(prefix)), None)
         return found
 
     def rejection_reason(self, name: str, duration: int) -> str | None:
-        """Why the lease is never granted for `duration` ns; None where it can be."""
+        """Return why the lease is never granted for `duration` ns; None where it can be."""
         definition = self.find(name)
         if definition is None:
             return f"no lease is called {name!r}"
@@ -62,12 +62,12 @@
         return None
 
     def by_declared_name(self) -> dict[str, LeaseDefinition]:
-        """All definitions under the names of the file, wildcards included."""
+        """Return all definitions under the names of the file, wildcards included."""
         return {**self.exact, **{f"{prefix}{WILDCARD}": found for prefix, found in self.prefixes}}
 
 
 def read_definitions(top: ConfigSection, election_timeout: int) -> LeaseDefinitions:
-    """Reads the key `leases`; `election_timeout` in ns. Raises ConfigError, naming the key."""
+    """Read the key `leases`; `election_timeout` in ns. Raises ConfigError, naming the key."""
     leases = top.part("leases")
     min_duration = MIN_ELECTIONS * election_timeout
     definitions = {name: _read_definition(leases, name, min_duration) for name in leases.value}
--- a/ploverspoke/leases/fencing.py
+++ b/ploverspoke/leases/fencing.py
@@ -12,13 +12,13 @@
     """
 
     def __init__(self, max_names: int = MAX_NAMES) -> None:
-        """Of more than `max_names` leases, those not used for longest are forgotten."""
+        """Remember `max_names` leases at the most; those not used for longest are forgotten."""
         self.max_names = max_names
         self.latest_tokens: OrderedDict[str, int] = OrderedDict()
         self.rejected = 0
 
     def allows(self, name: str, token: int) -> bool:
-        """Whether an effect under this token may happen; remembers the token if so."""
+        """Return whether an effect under this token may happen, and remember the token if so."""
         if token <= 0 or token < self.latest_tokens.get(name, 0):
             self.rejected += 1
             return False
--- a/ploverspoke/leases/fleet_tasks.py
+++ b/ploverspoke/leases/fleet_tasks.py
@@ -35,7 +35,7 @@
 async def publish(
     client: LeaseClient, name: str, commit: Callable[[int], ReplyT], max_duration: float
 ) -> ReplyT | None:
-    """Commits a configuration under the lease `name`, which is held, and gives the reply.
+    """Commit a configuration under the lease `name`, which is held, and return the reply.
 
     `commit` blocks, and sends the token with the configuration: the store rejects a lower token than it has
     seen, so a publisher that was paused overwrites nothing that came later. None where `commit` did not
@@ -79,7 +79,7 @@
 
 
 async def summarise(client: LeaseClient, name: str, plan: SummaryPlan) -> bool:
-    """Writes the summary again and again while the lease `name` is held, and waits while it is not.
+    """Write the summary again and again while the lease `name` is held, and wait while it is not.
 
     True once `max_files` are written; False where the lease is rejected. A pause between looking at the lease
     and the effect can write an old summary, never over one of a later holder.
@@ -116,7 +116,7 @@
 
 
 async def collect_summary(admin_addresses: Iterable[str]) -> FleetSummary:
-    """Asks each dispatcher for its counters (`vars`), and adds up what they say."""
+    """Ask each dispatcher for its counters (`vars`), and add up what they say."""
     started_at = time.time()
     concurrency = asyncio.Semaphore(MAX_CONCURRENT_CALLS)
 
@@ -137,7 +137,7 @@
 
 
 def parse_counters(lines: list[str]) -> dict[str, int]:
-    """Reads lines of a name and a whole number; others are left out."""
+    """Read lines of a name and a whole number; leave out others."""
     found = {}
     for line in lines:
         key, _, value = line.rpartition(" ")
@@ -147,7 +147,7 @@
 
 
 def write_summary(path: Path, summary: FleetSummary, token: int) -> bool:
-    """Replaces the file at once; False where it was written under a higher token. Raises OSError."""
+    """Replace the file at once; return False where it was written under a higher token. Raises OSError."""
     with _locked(path):
         if token < read_summary_token(path):
             return False
@@ -159,7 +159,7 @@
 
 
 def read_summary_token(path: Path) -> int:
-    """The token under which a summary was written; 0 where there is no summary that can be read."""
+    """Return the token under which a summary was written; 0 where there is no summary that can be read."""
     try:
         token = json.loads(path.read_text(encoding="utf-8"))["token"]
     except (OSError, ValueError, KeyError, TypeError):
@@ -169,7 +169,7 @@
 
 @contextmanager
 def _locked(path: Path) -> Iterator[None]:
-    """Holds a lock beside the file, which the end of this process frees, too."""
+    """Hold a lock beside the file, which the end of this process frees, too."""
     lock = os.open(path.with_name(f".{path.name}.lock"), os.O_CREAT | os.O_RDWR | os.O_CLOEXEC, 0o644)
     try:
         fcntl.flock(lock, fcntl.LOCK_EX)
--- a/ploverspoke/leases/guarded_process.py
+++ b/ploverspoke/leases/guarded_process.py
@@ -37,7 +37,7 @@
 async def start_under_lease(
     client: LeaseClient, name: str, duration: int, timeout: float, command: Sequence[str]
 ) -> GuardedProcess | None:
-    """Starts a command with the lease's token; None where the lease is not acquired in `timeout` seconds.
+    """Start a command with the lease's token; return None where it is not acquired in `timeout` seconds.
 
     `duration` is in ns. The child is killed with this process.
     """
@@ -52,7 +52,7 @@
 
 
 async def guard_process(client: LeaseClient, guarded: GuardedProcess, grace: int) -> ProcessOutcome:
-    """Waits for the end of the process.
+    """Wait for the end of the process.
 
     It is terminated while the lease has a little more than `grace` ns left, and killed at a quarter of that.
     """
--- a/ploverspoke/leases/guarded_task.py
+++ b/ploverspoke/leases/guarded_task.py
@@ -17,10 +17,10 @@
     """What a task needs to know of its lease."""
 
     def time_left(self, name: str) -> int:
-        """Nanoseconds for which the lease is certainly held; 0 where it is not."""
+        """Return nanoseconds for which the lease is certainly held; 0 where it is not."""
 
     def token(self, name: str) -> int:
-        """The fencing token of a lease that is held now; 0 where it is not."""
+        """Return the fencing token of a lease that is held now; 0 where it is not."""
 
 
 class GuardedStep(NamedTuple):
@@ -31,7 +31,7 @@
 
 
 async def run_guarded_steps(leases: LeaseView, name: str, steps: Iterable[GuardedStep]) -> bool:
-    """Runs the steps in their order under the lease `name`; False where the lease did not last for all.
+    """Run the steps in order under the lease `name`; return False where it did not last for all of them.
 
     A step that does not end within its duration is cancelled and ends the task with False, too. What a step
     raises is raised.
--- a/ploverspoke/leases/holder.py
+++ b/ploverspoke/leases/holder.py
@@ -23,20 +23,20 @@
     """What a `LeaseHolder` needs from its driver."""
 
     def now(self) -> int:
-        """Nanoseconds of a monotonic clock."""
+        """Return nanoseconds of a monotonic clock."""
 
     def send(self, request: LeaseRequest) -> None:
-        """Sends a request to the lease server that is believed to lead."""
+        """Send a request to the lease server that is believed to lead."""
 
     def try_next_server(self) -> None:
-        """That lease server does not respond: the next request goes to another."""
+        """Turn to another lease server, as that one does not respond."""
 
 
 class Lease:
     """One lease that is wanted."""
 
     def __init__(self, name: str, duration: int, waiting_since: int, first_request: int) -> None:
-        """Waits since `waiting_since`; `first_request` is the number of the request that names it first.
+        """Take the time from which it is wanted and the number of the first request that names it.
 
         Responses to earlier requests are about an earlier time at which it was wanted.
         """
@@ -61,7 +61,7 @@
     """Requests, renews and releases leases; driven by its environment."""
 
     def __init__(self, environment: LeaseHolderEnvironment) -> None:
-        """Wants nothing at first."""
+        """Want nothing at first."""
         self.environment = environment
         self.leases: dict[str, Lease] = {}  # all that are wanted
         self.pending_releases: dict[str, PendingRelease] = {}
@@ -74,7 +74,7 @@
     # ---- What its user calls ----
 
     def want(self, name: str, duration: int) -> Lease:
-        """Wants the lease for `duration` ns, and renews it, until `release`."""
+        """Want the lease for `duration` ns, and renew it, until `release`."""
         lease = self.leases.get(name)
         if lease is None:
             first_request = self.latest_request + 1
@@ -84,43 +84,44 @@
         return lease
 
     def release(self, name: str, hand_over_to: str = "") -> None:
-        """Gives the lease up: it is not held from now on.
+        """Give the lease up: it is not held from now on.
 
-        Lease servers are told so that others need not wait for its end; `hand_over_to` goes before them.
+        Lease servers learn of it so that others need not wait for its end; `hand_over_to` goes before them.
         """
         lease = self.leases.pop(name, None)
         if lease is not None and lease.token:
-            self._release_token(name, lease.token, hand_over_to)
+            self.release_token(name, lease.token, hand_over_to)
         # A lease that was only waited for is left out of the next request.
         self.next_request_at = 0
 
-    def release_token(self, name: str, token: int) -> None:
-        """Releases a lease that an earlier process of this id was granted under `token`."""
-        self._release_token(name, token)
+    def release_token(self, name: str, token: int, hand_over_to: str = "") -> None:
+        """Release what this holder id was granted under `token`, also before this process began."""
+        self.pending_releases[name] = PendingRelease(token, self.latest_request + 1, hand_over_to)
+        self.next_request_at = 0
 
     def time_left(self, name: str) -> int:
-        """Nanoseconds for which the lease is certainly held; 0 where it is not."""
+        """Return nanoseconds for which the lease is certainly held; 0 where it is not."""
         lease = self.leases.get(name)
         return max(0, lease.expires_at - self.environment.now()) if lease is not None else 0
 
     def token(self, name: str) -> int:
-        """The fencing token of a lease that is held now; 0 where it is not."""
+        """Return the fencing token of a lease that is held now; 0 where it is not."""
         return self.leases[name].token if self.time_left(name) else NO_TOKEN
 
     # ---- What its environment calls ----
 
     def connected(self) -> None:
-        """Requests can be sent."""
+        """Send what is wanted, as requests can be sent now."""
         if self.leases or self.pending_releases:
             self._send_request(self.environment.now())
 
     def next_wake(self) -> int:
-        """When `tick` has to be called next."""
+        """Return when `tick` has to be called next."""
         ends = [lease.expires_at for lease in self.leases.values() if lease.expires_at]
         return min(self.next_request_at, *ends) if ends else self.next_request_at
 
     def tick(self) -> None:
-        """Ends what has expired, and sends a request where one is due."""
+        """End what has expired, and send a request where one is due."""
         now = self.environment.now()
         for lease in list(self.leases.values()):
             if lease.expires_at and lease.expires_at <= now:
@@ -132,7 +133,7 @@
         self._send_request(now)
 
     def handle_response(self, response: LeaseResponse) -> None:
-        """Takes in what a lease server says. One to a request that is forgotten changes nothing."""
+        """Take in what a lease server says. One to a request that is forgotten changes nothing."""
         sent_at = self.sent_at.get(response.number)
         if sent_at is None:
             return
@@ -167,7 +168,7 @@
         if lease is None:
             if granted.name not in self.pending_releases:
                 # It was granted after it had been given up: who waits need not wait for its end.
-                self._release_token(granted.name, granted.token)
+                self.release_token(granted.name, granted.token)
             return
         if number < lease.first_request or granted.token < lease.token:
             return  # a late response about a grant that may have been released since
@@ -184,10 +185,6 @@
             self.lost += 1
             lease.on_lost(reason)
 
-    def _release_token(self, name: str, token: int, hand_over_to: str = "") -> None:
-        self.pending_releases[name] = PendingRelease(token, self.latest_request + 1, hand_over_to)
-        self.next_request_at = 0
-
     def _shortest_duration(self) -> int:
         return min((lease.duration for lease in self.leases.values()), default=IDLE_DURATION)
 
--- a/ploverspoke/leases/holding_commands.py
+++ b/ploverspoke/leases/holding_commands.py
@@ -44,13 +44,13 @@
     reason: str | None  # why it was rejected or lost
 
     def describe(self) -> str:
-        """One line of text."""
+        """Return one line of text."""
         if self.token:
             return f"{self.name} is held by {self.holder} under token {self.token} for {self.left_s:.1f} s"
         return f"{self.name} is not acquired: {self.reason or 'others hold it, or no lease server answers'}"
 
     def as_json(self) -> str:
-        """One line of JSON; the reason stands first, where there is one."""
+        """Return one line of JSON; the reason stands first, where there is one."""
         reason = {} if self.reason is None else {"why": self.reason}
         return json.dumps(
             {**reason, "name": self.name, "holder": self.holder, "token": self.token, "left_s": self.left_s}
@@ -109,7 +109,7 @@
 
 
 def _release(servers: LeaseServers, name: str, holder: str, token: int) -> None:
-    """Sends the release under the holder's own id, and waits a while for the response."""
+    """Send the release under the holder's own id, and wait a while for the response."""
 
     async def use(client: LeaseClient) -> None:
         client.release_token(name, token)
--- a/ploverspoke/leases/inspection_commands.py
+++ b/ploverspoke/leases/inspection_commands.py
@@ -24,7 +24,7 @@
     waiting: list[str]  # the next one first
 
     def describe(self) -> str:
-        """One line of text."""
+        """Return one line of text."""
         held = ", ".join(
             f"{lease.holder} (token {lease.token}, expires in {lease.expires_in_ms} ms)"
             for lease in self.held
@@ -33,7 +33,7 @@
 
 
 def lease_row(listing: LeaseListing, name: str) -> LeaseRow:
-    """Who holds one lease and who waits for it; empty for one that is not known."""
+    """Return who holds one lease and who waits for it; empty for one that is not known."""
     held = sorted((lease for lease in listing.held if lease.name == name), key=lambda lease: lease.token)
     return LeaseRow(name, held, listing.waiting.get(name, []))
 
--- a/ploverspoke/leases/manager.py
+++ b/ploverspoke/leases/manager.py
@@ -43,16 +43,16 @@
     """What a `LeaseManager` needs from its driver."""
 
     def now(self) -> int:
-        """Nanoseconds of a monotonic clock."""
+        """Return nanoseconds of a monotonic clock."""
 
     def propose(self, command: LeaseCommand, on_decided: Callable[[bool], None], /) -> None:
-        """Appends a command to the log; calls `on_decided` later with whether it is committed."""
+        """Append a command to the log; call `on_decided` later with whether it is committed."""
 
     def confirm_leadership(self, on_decided: Callable[[bool], None]) -> None:
-        """Calls `on_decided` with whether a majority says, after this call, that this server leads."""
+        """Call `on_decided` with whether a majority says, after this call, that this server leads."""
 
     def send(self, holder: str, response: LeaseResponse) -> None:
-        """Sends to a holder; dropped where that is not connected."""
+        """Send to a holder; dropped where that is not connected."""
 
 
 class LeaseManager:
@@ -61,7 +61,7 @@
     def __init__(
         self, environment: LeaseManagerEnvironment, state: LeaseStateMachine, definitions: LeaseDefinitions
     ) -> None:
-        """Follows the state's changes from now on."""
+        """Follow the state's changes from now on."""
         self.environment = environment
         self.state = state
         self.definitions = definitions
@@ -84,7 +84,7 @@
     # ---- Leadership ----
 
     def become_leader(self, epoch: int = 0) -> None:
-        """Begins to grant; all that was committed before is applied here.
+        """Begin to grant; all that was committed before is applied here.
 
         `epoch` is stored with this lease server's log. Where it is above the state's, all that the state
         holds has ended, and nothing is granted until the longest lease has expired.
@@ -101,14 +101,14 @@
                     self.ended_tokens.add(grant.token)
 
     def is_restored(self) -> bool:
-        """Whether the state comes from a backup whose new epoch has not begun."""
+        """Return whether the state comes from a backup whose new epoch has not begun."""
         return self.epoch > self.state.epoch
 
     def lose_leadership(self) -> None:
-        """Stops granting and forgets who waits.
+        """Stop granting and forget who waits.
 
-        Must be called before anything is applied that another leader has committed: a holder that is told of
-        a grant counts from its latest request here, and must not be told of an old grant.
+        Must be called before anything is applied that another leader has committed: a holder that receives
+        a grant counts from its latest request here, and must not receive an old one.
         """
         self.is_leader = False
         self.epoch_proposed = False
@@ -124,7 +124,7 @@
     # ---- What its environment calls ----
 
     def handle_request(self, holder: str, request: LeaseRequest) -> None:
-        """Takes in all that a holder wants by now; what it leaves out it does not want any more."""
+        """Take in all that a holder wants by now; what it leaves out it does not want any more."""
         if not self.is_leader or request.number <= self.latest_request.get(holder, 0):
             return
         self.latest_request[holder] = request.number
@@ -138,12 +138,12 @@
         self._confirm()
 
     def forget_holder(self, holder: str) -> None:
-        """Its connection is lost: it waits no more. It may still act under what it has."""
+        """Take a holder whose connection is lost out of the queues. It may still act under what it has."""
         self.latest_request.pop(holder, None)
         self.queues.remove_from_all(holder)
 
     def tick(self) -> None:
-        """Grants what has expired by now; to be called from `next_wake` on."""
+        """Grant what has expired by now; to be called from `next_wake` on."""
         if not self.is_leader or self.environment.now() < self.next_wake:
             return
         self.next_wake = NEVER
@@ -152,7 +152,7 @@
     # ---- Responses ----
 
     def _confirm(self) -> None:
-        """Answers all requests that have come, by one round of a majority at a time."""
+        """Answer all requests that have come, by one round of a majority at a time."""
         if self.confirming or not self.unconfirmed:
             return
         self.confirming = True
@@ -183,7 +183,7 @@
         self.environment.send(holder, response)
 
     def _active_grant(self, holder: str, lease: RequestedLease) -> LeaseGrant | None:
-        """The grant that a holder asks to keep, or that it does not know of yet."""
+        """Return the grant that a holder asks to keep, or that it does not know of yet."""
         grant = self.state.find_grant(lease.name, holder)
         if grant is None or grant.token in self.ended_tokens or lease.token not in (0, grant.token):
             return None
@@ -226,7 +226,7 @@
             self._grant_next(lease.name)
 
     def _release(self, holder: str, released: list[ReleasedLease]) -> None:
-        """Only who has a lease can release it, under its own token."""
+        """End what a holder gives back: only who has a lease can release it, under its own token."""
         found = []
         for lease in released:
             grant = self.state.find_grant(lease.name, holder)
@@ -245,7 +245,7 @@
             self._grant_next(name)
 
     def _grant_next(self, name: str) -> None:
-        """Proposes a grant to who is next where there is room, else notes when there will be."""
+        """Propose a grant to who is next where there is room, else note when there will be."""
         definition = self.definitions.find(name)
         if name not in self.queues.by_name or definition is None or name in self.proposed_grants:
             return
@@ -262,7 +262,7 @@
             self._propose_grant(name, waiting, definition, expired)
 
     def _split_expired(self, name: str, now: int) -> tuple[list[LeaseGrant], list[int]]:
-        """The grants of a lease that are still held, and the tokens of those that are not."""
+        """Return the grants of a lease that are still held, and the tokens of those that are not."""
         active, expired = [], []
         for grant in self.state.grants.get(name, []):
             if grant.token in self.ended_tokens or self.expires_at[grant.token] <= now:
@@ -275,7 +275,7 @@
         self, name: str, waiting: WaitingHolder, definition: LeaseDefinition, expired: list[int]
     ) -> None:
         def on_decided(committed: bool) -> None:
-            """Where the state rejects the grant, the holder waits on; without leadership nothing is known."""
+            """Grant to the next one. Where the state rejected the grant, its holder waits on."""
             if self.is_leader and name in self.proposed_grants:
                 self.proposed_grants.discard(name)
                 if committed:
--- a/ploverspoke/leases/messages.py
+++ b/ploverspoke/leases/messages.py
@@ -85,7 +85,7 @@
 
 
 def parse_request(message: object) -> LeaseRequest:
-    """Checks a decoded message of a holder. Raises LeaseMessageError."""
+    """Check a decoded message of a holder. Raises LeaseMessageError."""
     try:
         return msgspec.convert(message, LeaseRequest)
     except msgspec.ValidationError as error:
@@ -93,7 +93,7 @@
 
 
 def parse_response(message: object) -> LeaseResponse | LeaderRedirect:
-    """Checks a decoded message of a lease server. Raises LeaseMessageError."""
+    """Check a decoded message of a lease server. Raises LeaseMessageError."""
     try:
         if isinstance(message, dict) and "elsewhere" in message:
             return msgspec.convert(message, LeaderRedirect)
--- a/ploverspoke/leases/server.py
+++ b/ploverspoke/leases/server.py
@@ -17,22 +17,22 @@
     log_name = "lease server"
 
     def __init__(self, node: LeaseServerNode) -> None:
-        """The node's manager responds through this server from now on."""
+        """Let the node's manager respond through this server."""
         super().__init__(node.config.secret)
         self.node = node
         node.send_to_holder = self.send_response
 
     async def open(self) -> None:
-        """Listens at the address for clients in the node's configuration. Raises OSError."""
+        """Listen at the address for clients in the node's configuration. Raises OSError."""
         config = self.node.config
         await self.listen(config.replicas[config.name].client)
 
     def greeting(self) -> dict[str, str]:
-        """Names this replica; holders need not know its cluster."""
+        """Name this replica; holders need not know its cluster."""
         return {"id": self.node.replica_id, "store": ""}
 
     def handle_message(self, connection: FramedConnection, message: object) -> None:
-        """Takes in a holder's request. Raises HolderIdError or LeaseMessageError."""
+        """Take in a holder's request. Raises HolderIdError or LeaseMessageError."""
         if not connection.registered:
             connection.client_name = _holder_id(connection)
             self.register(connection)
@@ -43,16 +43,16 @@
             self.node.manager.handle_request(connection.client_name, request)
 
     def on_disconnected(self, client_name: str) -> None:
-        """A holder without a connection does not wait any more."""
+        """Take the holder out of the queues."""
         self.node.manager.forget_holder(client_name)
 
     def send_response(self, holder: str, response: LeaseResponse) -> None:
-        """Sends to a holder; dropped where it is not connected."""
+        """Send to a holder; dropped where it is not connected."""
         self.send(holder, response)
 
 
 def _holder_id(connection: FramedConnection) -> str:
-    """The id in the client's greeting. Raises HolderIdError."""
+    """Return the id in the client's greeting. Raises HolderIdError."""
     greeting = connection.frames.peer_greeting or {}
     holder = greeting.get("id")
     if not isinstance(holder, str) or not 0 < len(holder) <= MAX_HOLDER_ID:
--- a/ploverspoke/leases/server_node.py
+++ b/ploverspoke/leases/server_node.py
@@ -30,7 +30,7 @@
     """A replica of the lease servers' log; the environment of its `LeaseManager`."""
 
     def __init__(self, config: LeaseServerConfig) -> None:
-        """Opens nothing yet; `send_to_holder` is set by whoever has the holders' connections."""
+        """Open nothing yet; `send_to_holder` is set by whoever has the holders' connections."""
         self.leases = LeaseStateMachine()
         super().__init__(config.replica, self.leases)
         self.definitions = config.definitions
@@ -41,23 +41,23 @@
     # ---- The environment of its manager; `propose` is the replica's own ----
 
     def now(self) -> int:
-        """Nanoseconds of the monotonic clock."""
+        """Return nanoseconds of the monotonic clock."""
         return self.clock.monotonic()
 
     def confirm_leadership(self, on_decided: Callable[[bool], None]) -> None:
-        """Asks a majority whether this replica leads."""
+        """Ask a majority whether this replica leads."""
         self.read(on_decided)
 
     def send(self, holder: str, response: LeaseResponse) -> None:
-        """Sends to a holder; dropped where it is not connected."""
+        """Send to a holder; dropped where it is not connected."""
         self.send_to_holder(holder, response)
 
     # ---- Leadership ----
 
     def on_role_changed(self, role: Role, leader: str) -> None:
-        """Begins to lead once a majority has confirmed it; ceases at once."""
+        """Begin to lead once a majority has confirmed it; cease at once."""
         # At once, and not behind what the event loop has to do: a lease server that applied another leader's
-        # entries while it still believed to lead would tell a holder of an old grant as if it were new.
+        # entries while it still believed to lead would send a holder an old grant as if it were new.
         if role is Role.LEADER:
             self.loop.call_soon(self.read, self._begin_to_lead)
         elif self.manager.is_leader:
@@ -66,7 +66,7 @@
         super().on_role_changed(role, leader)
 
     def _begin_to_lead(self, confirmed: bool) -> None:
-        """All that was committed before is applied here."""
+        """Lead, as all that was committed before is applied here."""
         if not confirmed or not self.is_elected() or self.manager.is_leader:
             return
         self.manager.become_leader(self.storage.load_value(EPOCH_KEY) or 0)
@@ -85,7 +85,7 @@
     # ---- Requests of tools ----
 
     def state_status(self) -> LeaseStatus:
-        """What this lease server adds to the status of its replica."""
+        """Return what this lease server adds to the status of its replica."""
         return LeaseStatus(
             is_leader=self.manager.is_leader,
             leases=self.leases.total(),
@@ -97,7 +97,7 @@
         )
 
     def handle_state_request(self, request: dict[str, Any], reply: Reply) -> bool:
-        """Answers `LeasesRequest`, once a majority has confirmed who leads."""
+        """Answer `LeasesRequest`, once a majority has confirmed who leads."""
         if decode_request(request, LeasesRequest) is None:
             return False
 
@@ -109,7 +109,7 @@
         return True
 
     def list_leases(self) -> LeaseListing:
-        """What is held, waited for and declared, as the leader knows it."""
+        """Return what is held, waited for and declared, as the leader knows it."""
         now, manager = self.now(), self.manager
         held = [
             HeldLease(
--- a/ploverspoke/leases/state_machine.py
+++ b/ploverspoke/leases/state_machine.py
@@ -67,7 +67,7 @@
 
 
 def parse_command(entry: object) -> LeaseCommand | None:
-    """Reads a log entry, typed or as a plain list; None where its kind is not known to this release."""
+    """Read a log entry, typed or as a plain list; return None where its kind is not known to this release."""
     if isinstance(entry, GrantCommand | ReleaseCommand | EpochCommand):
         return entry
     if not isinstance(entry, list | tuple) or not entry or entry[0] not in COMMAND_TAGS:
@@ -80,7 +80,7 @@
     """The state of the lease servers' log."""
 
     def __init__(self) -> None:
-        """Nothing is held; a snapshot may replace that."""
+        """Begin without any grant; a snapshot may replace that."""
         self.last_token = 0
         self.epoch = 0
         self.grants: dict[str, list[LeaseGrant]] = {}  # by name; only leases that are held
@@ -90,7 +90,7 @@
     # ---- Interface of a replica's state machine ----
 
     def apply(self, index: int, command: object) -> None:
-        """Applies a committed command; one of an unknown kind changes nothing."""
+        """Apply a committed command; one of an unknown kind changes nothing."""
         parsed = parse_command(command)
         if isinstance(parsed, GrantCommand):
             self._grant(parsed)
@@ -104,13 +104,13 @@
                 self._end(name, {grant.token for grant in grants})
 
     def take_snapshot(self) -> bytes:
-        """Encodes the whole state."""
+        """Encode the whole state."""
         return msgspec.msgpack.encode(
             LeaseSnapshot(SNAPSHOT_FORMAT, self.last_token, self.epoch, self.grants)
         )
 
     def restore_snapshot(self, data: bytes) -> None:
-        """Replaces the whole state by an encoded one; by the empty state where there are no bytes."""
+        """Replace the whole state by an encoded one; by the empty state where there are no bytes."""
         empty = LeaseSnapshot(SNAPSHOT_FORMAT, 0, 0, {})
         snapshot = msgspec.msgpack.decode(data, type=LeaseSnapshot) if data else empty
         self.last_token = snapshot.last_token
@@ -120,15 +120,15 @@
     # ---- Queries ----
 
     def find_grant(self, name: str, holder: str) -> LeaseGrant | None:
-        """The grant under which this holder has the lease."""
+        """Return the grant under which this holder has the lease."""
         return next((grant for grant in self.grants.get(name, ()) if grant.holder == holder), None)
 
     def total(self) -> int:
-        """How many leases are held, each counted once for each holder."""
+        """Return how many leases are held, each counted once for each holder."""
         return sum(len(grants) for grants in self.grants.values())
 
     def next_token(self) -> int:
-        """The token of the next grant."""
+        """Return the token of the next grant."""
         return max(self.last_token + 1, self.epoch << EPOCH_TOKEN_BITS)
 
     # ---- Internals ----
--- a/ploverspoke/leases/waiting_queue.py
+++ b/ploverspoke/leases/waiting_queue.py
@@ -17,7 +17,7 @@
         self.requested_at = requested_at
 
     def is_silent(self, now: int) -> bool:
-        """Whether it has sent no request for so long that it may be dead."""
+        """Return whether it has sent no request for so long that it may be dead."""
         return now - self.requested_at > self.duration * SILENCE_LIMIT
 
 
@@ -25,27 +25,27 @@
     """The queues of all leases, by name; there is none for a lease that nobody waits for."""
 
     def __init__(self) -> None:
-        """Nobody waits."""
+        """Begin without anybody that waits."""
         self.by_name: dict[str, list[WaitingHolder]] = {}
 
     def names(self) -> list[str]:
-        """The leases that somebody waits for."""
+        """Return the leases that somebody waits for."""
         return list(self.by_name)
 
     def holders(self, name: str) -> list[str]:
-        """Who waits for a lease, the next one first."""
+        """Return who waits for a lease, the next one first."""
         return [waiting.holder for waiting in self.by_name.get(name, ())]
 
     def total(self) -> int:
-        """How many wait, each counted once for each lease."""
+        """Return how many wait, each counted once for each lease."""
         return sum(len(queue) for queue in self.by_name.values())
 
     def clear(self) -> None:
-        """Forgets everybody."""
+        """Forget everybody."""
         self.by_name.clear()
 
     def add(self, name: str, waiting: WaitingHolder) -> None:
-        """Adds a holder, or notes a further request of one that waits."""
+        """Add a holder, or note a further request of one that waits."""
         queue = self.by_name.setdefault(name, [])
         known = next((other for other in queue if other.holder == waiting.holder), None)
         if known is not None:
@@ -56,7 +56,7 @@
         queue.insert(next(later, len(queue)), waiting)
 
     def remove(self, name: str, holder: str) -> None:
-        """Forgets that a holder waits for a lease; nothing happens where it does not."""
+        """Forget that a holder waits for a lease; nothing happens where it does not."""
         remaining = [waiting for waiting in self.by_name.get(name, ()) if waiting.holder != holder]
         if remaining:
             self.by_name[name] = remaining
@@ -64,13 +64,13 @@
             self.by_name.pop(name, None)
 
     def remove_from_all(self, holder: str, keep: Collection[str] = ()) -> None:
-        """Forgets that a holder waits, but for the leases in `keep`."""
+        """Forget that a holder waits, but for the leases in `keep`."""
         for name in self.names():
             if name not in keep:
                 self.remove(name, holder)
 
     def move_to_front(self, name: str, holder: str) -> None:
-        """Lets a holder go before all others that wait for a lease, where it waits."""
+        """Let a holder go before all others that wait for a lease, where it waits."""
         queue = self.by_name.get(name, [])
         for waiting in queue:
             if waiting.holder == holder:
@@ -78,7 +78,7 @@
         queue.sort(key=lambda waiting: waiting.waiting_since)
 
     def next_waiting(self, name: str, exclude: Collection[str], now: int) -> WaitingHolder | None:
-        """The first holder that is not in `exclude`; silent ones before it are forgotten."""
+        """Return the first holder that is not in `exclude`; silent ones before it are forgotten."""
         for waiting in list(self.by_name.get(name, ())):
             if waiting.holder in exclude:
                 continue
