--- a/ploverspoke/store/inspection.py
+++ b/ploverspoke/store/inspection.py
@@ -64,7 +64,7 @@
 def _describe_attempts(open_requests: dict[str, OpenRequest]) -> dict[str, list[str]]:
     return {
         request_id: [
-            f"{attempt.worker}: {attempt.outcome or UNKNOWN_OUTCOME}" for attempt in request.attempts
+            f"{attempt.worker}: {attempt.outcome_word or UNKNOWN_OUTCOME}" for attempt in request.attempts
         ]
         for request_id, request in list(open_requests.items())[:MAX_LISTED_REQUESTS]
     }
--- a/ploverspoke/store/log_commands.py
+++ b/ploverspoke/store/log_commands.py
@@ -6,38 +6,22 @@
 clock (`consensus/clock.py`) as the leader read it, wall times nanoseconds of Unix time.
 """
 
-from enum import StrEnum
-
 import msgspec
 
+from ploverspoke.decisions.interface import AttemptOutcome
 from ploverspoke.routing.answers import FinalAnswer
 
 from .errors import MalformedCommandError
 
+OUTCOMES_BY_WORD = {outcome.value: outcome for outcome in AttemptOutcome}
 
-class AttemptOutcome(StrEnum):
-    """How an attempt ended; the values are the stored words. A word of a later version is kept as it is."""
 
-    UNKNOWN = ""
-    SUCCEEDED = "satisfied"
-    WORKER_ERROR = "worker_error"
-    WORKER_FULL = "full"
-    INVALID = "rejected"
-    CONNECTION_LOST = "broken_off"
-    UNREACHABLE = "unreachable"
-    TIMED_OUT = "timed_out"
-    CANCELLED = "recalled"
-    NOT_SENT = "not_sent"
+def read_outcome(word: str) -> AttemptOutcome | None:
+    """Read the stored word of an attempt's outcome.
 
-    @classmethod
-    def _missing_(cls, value: object) -> "AttemptOutcome | None":
-        # A replica of this version must apply what a later one has committed, and snapshot it unchanged.
-        if not isinstance(value, str):
-            return None
-        outcome = str.__new__(cls, value)
-        outcome._name_ = "OF_LATER_VERSION"
-        outcome._value_ = value
-        return outcome
+    None where nothing is known: the word is empty, or of a later version. Such an attempt may have run.
+    """
+    return OUTCOMES_BY_WORD.get(word)
 
 
 class AcceptRequest(msgspec.Struct, array_like=True, frozen=True, tag="take"):
@@ -65,7 +49,7 @@
 
     request_id: str
     index: int
-    outcome: AttemptOutcome
+    outcome_word: str  # of an `AttemptOutcome`; one of a later version is kept as it is
 
 
 class AnswerRequest(msgspec.Struct, array_like=True, frozen=True, tag="answer"):
--- a/ploverspoke/store/recovery.py
+++ b/ploverspoke/store/recovery.py
@@ -37,7 +37,7 @@
 
     `full_may_have_run`: workers also shed what they had begun, so "full" is no proof that it did not run.
     """
-    proofs = {outcome.value for outcome in never_ran(full_may_have_run)}
+    proofs = never_ran(full_may_have_run)
     first = next((attempt for attempt in request.attempts if attempt.outcome not in proofs), None)
     attempts = len(request.attempts)
     if first is None or idempotency is Idempotency.IDEMPOTENT:
--- a/ploverspoke/store/request_log.py
+++ b/ploverspoke/store/request_log.py
@@ -14,7 +14,6 @@
 from .log_commands import (
     AcceptRequest,
     AnswerRequest,
-    AttemptOutcome,
     FinishAttempt,
     StartAttempt,
 )
@@ -96,7 +95,7 @@
 
     def record_attempt_outcome(self, request_id: str, index: int, outcome: str) -> None:
         """Commit how an attempt ended; nothing waits for it."""
-        self.node.propose(FinishAttempt(request_id, index, AttemptOutcome(outcome)), _ignore_commit)
+        self.node.propose(FinishAttempt(request_id, index, outcome), _ignore_commit)
 
     def record_answer(
         self, request_id: str, answer: RecordedAnswer, digest: bytes, on_committed: CommitCallback
--- a/ploverspoke/store/snapshot.py
+++ b/ploverspoke/store/snapshot.py
@@ -6,10 +6,11 @@
 
 import msgspec
 
+from ploverspoke.decisions.interface import AttemptOutcome
 from ploverspoke.routing.answers import FinalAnswer
 
 from .errors import MalformedSnapshotError
-from .log_commands import AttemptOutcome
+from .log_commands import read_outcome
 
 SNAPSHOT_FORMAT = 1
 
@@ -20,9 +21,14 @@
     worker: str
     index: int
     started_at: int
-    outcome: AttemptOutcome = AttemptOutcome.UNKNOWN
+    outcome_word: str = ""  # see `read_outcome`
     started_wall_time: int = 0
 
+    @property
+    def outcome(self) -> AttemptOutcome | None:
+        """How it ended; None where that is not known."""
+        return read_outcome(self.outcome_word)
+
 
 class OpenRequest(msgspec.Struct, array_like=True):
     """A request that was accepted and is not answered yet."""
--- a/ploverspoke/store/state_machine.py
+++ b/ploverspoke/store/state_machine.py
@@ -127,8 +127,8 @@
     def _finish_attempt(self, command: FinishAttempt) -> None:
         request = self.open_requests.get(command.request_id)
         for attempt in request.attempts if request is not None else ():
-            if attempt.index == command.index and not attempt.outcome:
-                attempt.outcome = command.outcome
+            if attempt.index == command.index and not attempt.outcome_word:
+                attempt.outcome_word = command.outcome_word
 
     def _answer(self, command: AnswerRequest) -> None:
         """Keep the answer unless there is one: the first stands."""
--- a/ploverspoke/testbed/capacity/kept.py
+++ b/ploverspoke/testbed/capacity/kept.py
@@ -12,11 +12,11 @@
 
 from ploverspoke.consensus.log import Snapshot
 from ploverspoke.consensus.storage import ReplicaStorage
+from ploverspoke.decisions.interface import AttemptOutcome
 from ploverspoke.routing.answers import FinalAnswer
 from ploverspoke.store.log_commands import (
     AcceptRequest,
     AnswerRequest,
-    AttemptOutcome,
     FinishAttempt,
     StartAttempt,
     encode_command,
--- a/ploverspoke/testbed/store_bench.py
+++ b/ploverspoke/testbed/store_bench.py
@@ -24,11 +24,11 @@
 from ploverspoke.consensus.persisted_state import WriteBatch
 from ploverspoke.consensus.replica_client import call_replica
 from ploverspoke.consensus.storage import ReplicaStorage
+from ploverspoke.decisions.interface import AttemptOutcome
 from ploverspoke.routing.answers import FinalAnswer
 from ploverspoke.store.log_commands import (
     AcceptRequest,
     AnswerRequest,
-    AttemptOutcome,
     FinishAttempt,
     StartAttempt,
     encode_command,
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -242,7 +242,8 @@
         4 * SECOND,
     )
     intents = [
-        (one.worker, one.index, one.started_at, one.outcome, one.started_wall_time) for one in job.attempts
+        (one.worker, one.index, one.started_at, one.outcome_word, one.started_wall_time)
+        for one in job.attempts
     ]
     wall = 1_700_000_002 * SECOND
     assert intents == [("w1", 1, 5 * SECOND, "broken_off", wall), ("w2", 2, 6 * SECOND, "", 6 * SECOND)]
--- a/tests/store/test_recovery.py
+++ b/tests/store/test_recovery.py
@@ -4,11 +4,11 @@
 
 import pytest
 
+from ploverspoke.decisions.interface import AttemptOutcome
 from ploverspoke.decisions.settings import Idempotency, RetryScope
 from ploverspoke.routing.answers import FinalAnswer
 from ploverspoke.store.log_commands import (
     AcceptRequest,
-    AttemptOutcome,
     FinishAttempt,
     StartAttempt,
     encode_command,
@@ -17,7 +17,7 @@
 from ploverspoke.store.state_machine import RequestStateMachine
 from tests.decisions.harness import DECISION_SETTINGS
 
-UNKNOWN, FULL = AttemptOutcome.UNKNOWN, AttemptOutcome.WORKER_FULL
+UNKNOWN, FULL = None, AttemptOutcome.FULL
 UNREACHABLE, TIMED_OUT = AttemptOutcome.UNREACHABLE, AttemptOutcome.TIMED_OUT
 MAY_RUN, MUST_FAIL = RecoveryVerdict.MAY_RUN, RecoveryVerdict.MUST_FAIL
 MAY_RUN_IN_SCOPE = RecoveryVerdict.MAY_RUN_IN_SCOPE
@@ -35,7 +35,7 @@
 @pytest.mark.parametrize(("idempotency", "attempts", "verdict", "at_deadline"), CASES)
 def test_an_open_request_is_judged_by_its_attempts(
     idempotency: Idempotency,
-    attempts: list[tuple[str, AttemptOutcome]],
+    attempts: list[tuple[str, AttemptOutcome | None]],
     verdict: RecoveryVerdict,
     at_deadline: FinalAnswer,
 ) -> None:
--- a/tests/store/test_state_machine.py
+++ b/tests/store/test_state_machine.py
@@ -4,12 +4,12 @@
 import pytest
 
 from ploverspoke.consensus.clock import ReplicatedClock
+from ploverspoke.decisions.interface import AttemptOutcome
 from ploverspoke.routing.answers import FinalAnswer
 from ploverspoke.store.errors import MalformedCommandError, MalformedSnapshotError
 from ploverspoke.store.log_commands import (
     AcceptRequest,
     AnswerRequest,
-    AttemptOutcome,
     CommitConfiguration,
     FinishAttempt,
     LogCommand,
@@ -22,7 +22,7 @@
 STORED_COMMANDS: list[tuple[list[object], LogCommand]] = [
     (["take", "r", 1, b"d", 100, 1], AcceptRequest("r", 1, b"d", 100, 1)),
     (["intend", "r", "w0", 0, 5, 9], StartAttempt("r", "w0", 0, 5, 9)),
-    (["outcome", "r", 0, "full"], FinishAttempt("r", 0, AttemptOutcome.WORKER_FULL)),
+    (["outcome", "r", 0, "full"], FinishAttempt("r", 0, AttemptOutcome.FULL)),
     (["answer", "r", "nacked", "", b"d", 7], AnswerRequest("r", FinalAnswer.REJECTED, "", b"d", 7)),
     (["configure", "{}", "me", 5, 3], CommitConfiguration("{}", "me", 5, 3)),
 ]
