--- a/ploverspoke/config_distribution/client.py
+++ b/ploverspoke/config_distribution/client.py
@@ -1,271 +1,206 @@
-"""A watcher on sockets: a thin driver of `ConfigWatcher`, with the cache of the last version that was
-taken."""
+"""A watcher on sockets: the driver of `ConfigWatcher`, with the cache of the last applied version."""
 
 import asyncio
-import json
 import os
 import random
 import time
 from collections.abc import Callable
-from pathlib import Path
-from typing import Any, cast
+from typing import NamedTuple
 
-from ploverspoke.consensus.framing import FrameCodec, FrameError
+from ploverspoke.consensus.cluster_config import split_address
+from ploverspoke.consensus.framed_client import FramedClientConnection
+from ploverspoke.consensus.framing import FrameError
 from ploverspoke.transport.rate_limited_log import log_line
 
+from .cache import CacheWriter
+from .clock_units import MILLISECOND, SECOND
 from .cluster_config import WatchConfig
-from .messages import Message, greeting, is_number
-from .overlay import LONGEST_BODY
-from .state_machine import digest_of
-from .watcher import NOTHING, AppliedVersion, ConfigWatcher
+from .messages import NO_VERSION, VerifiedVersion, WatchStatus, watcher_greeting
+from .server_link import NO_HEARTBEAT
+from .watcher import ConfigWatcher
 
-LONGEST_NAP = 60.0  # seconds
-CACHE_EVERY = 1.0  # seconds, at the most so often
-CACHE_FORMAT = 1
-MOST_UNSENT = 1 << 16  # bytes, towards a server that does not read
+MAX_TIMER_SECONDS = 60.0
+SEED_BYTES = 8
 
-Take = Callable[[int, str], str]  # a version and its body; why it is not in force, or ""
+ApplyVersion = Callable[[VerifiedVersion], None]  # raises VersionRejectedError
 
 
-class ServerConnection(asyncio.Protocol):
-    def __init__(self, client: "WatchClient", link: int) -> None:
+class WatchMetrics(NamedTuple):
+    """What operators see of a watch, by the names at the admin port."""
+
+    config_version: int  # the active one; 0: none
+    config_received_version: int  # the latest that arrived intact; 0: none
+    config_connected: int  # 1: a server is watched
+    config_server_version: int  # the latest one of that server; -1: unknown
+    config_silent_ms: int  # since the server was last heard; -1: there is none
+    config_versions_applied: int
+    config_versions_rejected: int
+    config_messages_rejected: int
+    config_server_changes: int
+
+
+class ServerConnection(FramedClientConnection):
+    """One connection of a watch to a config server."""
+
+    server_errors = (FrameError, KeyError, TypeError, ValueError)
+    log_name = "config"
+    max_unsent_bytes = 1 << 16  # a status that is left out is repeated
+
+    def __init__(self, client: "WatchClient", link_id: int) -> None:
+        """`client` is told of all that happens, with this `link_id`."""
+        super().__init__(client.config.secret, watcher_greeting(client.name, client.config.cluster))
         self.client = client
-        self.link = link
-        self.frames = FrameCodec(client.orders.secret, greeting(client.name, client.orders.cluster))
-        self.transport: asyncio.Transport | None = None
-        self.ready = False
-        self.over = False
-
-    def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)
-        if self.over:
-            self.transport.abort()
-        else:
-            self.transport.write(self.frames.greeting_frame())
-
-    def connection_lost(self, exc: Exception | None) -> None:
-        self.transport = None
-        self.client.lost(self)
-
-    def data_received(self, data: bytes) -> None:
-        if self.over:
-            return
-        try:
-            messages = self.frames.decode(data)
-        except (FrameError, KeyError, TypeError, ValueError) as error:
-            log_line(f"config: a message is refused: {error}")
-            self.close()
-            return
-        if self.frames.peer_greeting is not None and not self.ready:
-            self.ready = True
-            self.client.greeted(self)
-        for message in messages:
-            self.client.told(self, message)
+        self.link_id = link_id
 
-    def close(self) -> None:
-        if self.transport is not None:
-            self.transport.abort()
+    def on_connected(self) -> None:
+        """The server has greeted."""
+        self.client.on_greeting(self.link_id)
+
+    def on_message(self, message: object) -> None:
+        """A message of any form has arrived."""
+        self.client.on_message(self.link_id, message)
+
+    def on_disconnected(self) -> None:
+        """The connection is lost."""
+        self.client.on_disconnected(self.link_id)
 
 
 class WatchClient:
-    """The host of a `ConfigWatcher`. `take` puts a body in force, or says why not."""
+    """The environment of a `ConfigWatcher`: sockets, time, random numbers, the cache."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        orders: WatchConfig,
+        config: WatchConfig,
         name: str,
-        take: Take,
-        taken: AppliedVersion = NOTHING,
+        apply: ApplyVersion,
+        applied: VerifiedVersion = NO_VERSION,
         seed: int | None = None,
     ) -> None:
-        """`taken` is what is in force already. `seed`: of its chance; None: the system's."""
+        """`apply` makes a version active; `applied` is active already. `seed` None: one of the system."""
         self.loop = loop
-        self.orders = orders
+        self.config = config
         self.name = name
-        self.take_body = take
-        self.chance = random.Random(int.from_bytes(os.urandom(8), "big") if seed is None else seed)
-        self.watch = ConfigWatcher(self, orders.cluster, orders.servers, orders.near, taken)
-        self.connections: dict[int, ServerConnection] = {}
-        self.dialling: dict[int, asyncio.Task[None]] = {}
+        self.apply = apply
+        self.random = random.Random(int.from_bytes(os.urandom(SEED_BYTES), "big") if seed is None else seed)
+        self.watcher = ConfigWatcher(self, config.cluster, config.servers, config.local_servers, applied)
+        self.connections: dict[int, ServerConnection] = {}  # by link id, also those that are being made
+        self.dial_tasks: dict[int, asyncio.Task[None]] = {}
         self.timer: asyncio.TimerHandle | None = None
-        self.timer_for = 0
-        self.writing: asyncio.TimerHandle | None = None  # from the first that is to be kept to its end
-        self.write_after = 0.0  # by the loop's clock
-        self.to_write: AppliedVersion | None = None
+        self.timer_at = 0
+        self.cache_writer = CacheWriter(loop, config)
         self.closed = False
 
-    def begin(self) -> None:
-        self.watch.begin()
-        self._after()
+    def start(self) -> None:
+        """Begin to watch."""
+        self.watcher.start()
+        self._schedule_tick()
 
     def close(self) -> None:
+        """Close all connections, and write the cache where it is behind."""
         self.closed = True
         if self.timer is not None:
             self.timer.cancel()
-        for link in [*self.connections, *self.dialling]:
-            self.hang_up(link)
-        if self.writing is not None:
-            self.writing.cancel()
-        if self.to_write is not None:
-            try:
-                write_cache(self.orders, self.to_write)
-            except OSError as error:
-                log_line(f"config: the cache cannot be written: {error}")
-
-    # ---- The watch's host ----
+        for link_id in list(self.connections):
+            self.hang_up(link_id)
+        self.cache_writer.close()
+
+    # ---- Environment of the watcher ----
 
     def now(self) -> int:
+        """The monotonic clock, ns."""
         return time.monotonic_ns()
 
-    def fraction(self) -> float:
-        return self.chance.random()
+    def random_fraction(self) -> float:
+        """A random number, 0 <= x < 1."""
+        return self.random.random()
 
     def log(self, line: str) -> None:
+        """Write a line to the log."""
         log_line(line)
 
-    def dial(self, link: int, where: str) -> None:
-        connection = self.connections[link] = ServerConnection(self, link)
-        self.dialling[link] = self.loop.create_task(self._connect(connection, where))
+    def dial(self, link_id: int, address: str) -> None:
+        """Connect to a server; reported later by an event."""
+        connection = self.connections[link_id] = ServerConnection(self, link_id)
+        self.dial_tasks[link_id] = self.loop.create_task(self._dial(connection, address))
 
-    def hang_up(self, link: int) -> None:
-        task, connection = self.dialling.pop(link, None), self.connections.pop(link, None)
+    def hang_up(self, link_id: int) -> None:
+        """Close a connection; nothing of it is reported any more."""
+        task, connection = self.dial_tasks.pop(link_id, None), self.connections.pop(link_id, None)
         if task is not None:
             task.cancel()
         if connection is not None:
-            connection.over = True
             connection.close()
 
-    def send(self, link: int, message: Message) -> None:
-        connection = self.connections.get(link)
-        if connection is None or connection.transport is None or not connection.ready:
-            return
-        if connection.transport.get_write_buffer_size() <= MOST_UNSENT:  # what is left out is said again
-            connection.transport.write(connection.frames.encode(message))
-
-    def take(self, number: int, digest: bytes, body: str) -> str:
-        reason = self.take_body(number, body)
-        if not reason:
-            self._keep(AppliedVersion(number, digest, body))
-        return reason
-
-    # ---- What happens ----
-
-    def greeted(self, connection: ServerConnection) -> None:
-        self.watch.greeted(connection.link)
-        self._after()
-
-    def told(self, connection: ServerConnection, message: Any) -> None:
-        if not connection.over:
-            self.watch.told(connection.link, message)
-            self._after()
-
-    def lost(self, connection: ServerConnection) -> None:
-        if not connection.over:
-            connection.over = True
-            self.connections.pop(connection.link, None)
-            self.watch.lost(connection.link)
-            self._after()
-
-    async def _connect(self, connection: ServerConnection, where: str) -> None:
-        host, _, port = where.rpartition(":")
+    def send(self, link_id: int, status: WatchStatus) -> None:
+        """Send a status; left out where the server does not read, since it is repeated."""
+        connection = self.connections.get(link_id)
+        if connection is not None:
+            connection.write(status)
+
+    def apply_version(self, version: VerifiedVersion) -> None:
+        """Make a version active, and keep it in the cache. Raises VersionRejectedError."""
+        self.apply(version)
+        self.cache_writer.schedule(version)
+
+    # ---- Events of connections ----
+
+    def on_greeting(self, link_id: int) -> None:
+        """A server has answered with the shared secret."""
+        self.watcher.on_greeting(link_id)
+        self._schedule_tick()
+
+    def on_message(self, link_id: int, message: object) -> None:
+        """A server has sent a message."""
+        self.watcher.on_message(link_id, message)
+        self._schedule_tick()
+
+    def on_disconnected(self, link_id: int) -> None:
+        """A connection is lost, or could not be made."""
+        self.connections.pop(link_id, None)
+        self.watcher.on_disconnected(link_id)
+        self._schedule_tick()
+
+    async def _dial(self, connection: ServerConnection, address: str) -> None:
         try:
-            await self.loop.create_connection(lambda: connection, host.strip("[]"), int(port))
+            # By the loop that the service was given, which may choose the local address.
+            await self.loop.create_connection(lambda: connection, *split_address(address))
         except OSError:
-            self.lost(connection)
+            self.on_disconnected(connection.link_id)
         finally:
-            self.dialling.pop(connection.link, None)
+            self.dial_tasks.pop(connection.link_id, None)
+
+    # ---- Time ----
 
-    def _after(self) -> None:
-        """See when time is wanted next. A timer that rings too early does no harm and is left."""
-        at = self.watch.wake()
-        if self.closed or (self.timer is not None and self.timer_for <= at):
+    def _schedule_tick(self) -> None:
+        """Have the watcher's `tick` called when it is due; a timer that is too early does no harm."""
+        due = self.watcher.next_tick()
+        if self.closed or (self.timer is not None and self.timer_at <= due):
             return
         if self.timer is not None:
             self.timer.cancel()
-        self.timer_for = at
-        left = min(LONGEST_NAP, max(0.0, (at - self.now()) / 1e9))
-        self.timer = self.loop.call_later(left, self._ring)
+        self.timer_at = due
+        delay = min(MAX_TIMER_SECONDS, max(0.0, (due - self.now()) / SECOND))
+        self.timer = self.loop.call_later(delay, self._tick)
 
-    def _ring(self) -> None:
+    def _tick(self) -> None:
         self.timer = None
-        self.watch.tick()
-        self._after()
-
-    # ---- The cache ----
-
-    def _keep(self, taken: AppliedVersion) -> None:
-        """Written at once, but in a burst the latest alone each second."""
-        self.to_write = taken
-        if self.writing is None and not self.closed:
-            self.writing = self.loop.call_at(max(self.loop.time(), self.write_after), self._write)
-
-    def _write(self) -> None:
-        """By a thread: a slow disk holds up nothing."""
-        assert self.to_write is not None
-        taken, self.to_write = self.to_write, None
-        self.write_after = self.loop.time() + CACHE_EVERY
-        future = self.loop.run_in_executor(None, write_cache, self.orders, taken)
-        future.add_done_callback(lambda f: self._written(f.exception()))
-
-    def _written(self, error: BaseException | None) -> None:
-        self.writing = None
-        if error is not None:
-            log_line(f"config: the cache cannot be written: {error}")
-        if self.to_write is not None:
-            self._keep(self.to_write)
-
-    # ---- What operators ask ----
-
-    def figures(self) -> dict[str, int]:
-        watch = self.watch
-        link = watch.link
-        return {
-            "config_version": watch.in_force,
-            "config_offered": watch.came.number,
-            "config_connected": int(watch.connected()),
-            "config_server_version": link.server_has if link is not None else -1,
-            "config_heard_ms": (self.now() - link.heard_at) // 1_000_000 if link is not None else -1,
-            "config_taken": watch.taken_versions,
-            "config_refused": watch.refused_versions,
-            "config_messages_refused": watch.refused_messages,
-            "config_changes_of_server": watch.changes,
-        }
-
-
-def write_cache(orders: WatchConfig, taken: AppliedVersion) -> None:
-    """Replaces the file whole. Raises OSError."""
-    told = {
-        "format": CACHE_FORMAT,
-        "cluster": orders.cluster,
-        "version": taken.number,
-        "digest": taken.digest.hex(),
-        "body": taken.body,
-    }
-    new = orders.cache.with_name(f".{orders.cache.name}.{os.getpid()}.new")
-    orders.cache.parent.mkdir(parents=True, exist_ok=True)
-    new.write_text(json.dumps(told), encoding="utf-8")
-    os.replace(new, orders.cache)
-
-
-def read_cache(orders: WatchConfig) -> tuple[AppliedVersion, str]:
-    """The last version that was taken, and why there is none where it is of no use."""
-    path: Path = orders.cache
-    try:
-        if path.stat().st_size > 8 * LONGEST_BODY:
-            return NOTHING, "it is too long"
-        told = json.loads(path.read_text(encoding="utf-8"))
-        number, body = told["version"], told["body"]
-        if told["format"] != CACHE_FORMAT:
-            return NOTHING, f"format {told['format']!r}, this release reads {CACHE_FORMAT}"
-        if told["cluster"] != orders.cluster:
-            return NOTHING, f"it is of cluster {told['cluster']!r}"
-        if not is_number(number) or not number:
-            return NOTHING, f"version {number!r:.20} is none"
-        if digest_of(body).hex() != told["digest"]:
-            return NOTHING, "its digest is wrong"
-    except FileNotFoundError:
-        return NOTHING, ""
-    except (OSError, ValueError, KeyError, TypeError, AttributeError, RecursionError) as error:
-        return NOTHING, f"{type(error).__name__}: {error}"
-    return AppliedVersion(number, bytes.fromhex(told["digest"]), body), ""
+        self.watcher.tick()
+        self._schedule_tick()
+
+    # ---- Metrics ----
+
+    def metrics(self) -> WatchMetrics:
+        """The present values, for the call `config` of the admin port."""
+        versions, link, counters = self.watcher.versions, self.watcher.link, self.watcher.counters
+        return WatchMetrics(
+            config_version=versions.applied_version,
+            config_received_version=versions.received.number,
+            config_connected=int(self.watcher.is_connected()),
+            config_server_version=link.server_version if link is not None else NO_HEARTBEAT,
+            config_silent_ms=(self.now() - link.heard_at) // MILLISECOND if link is not None else -1,
+            config_versions_applied=counters.versions_applied,
+            config_versions_rejected=counters.versions_rejected,
+            config_messages_rejected=counters.messages_rejected,
+            config_server_changes=counters.server_changes,
+        )
