--- a/ploverspoke/consensus/admin_messages.py
+++ b/ploverspoke/consensus/admin_messages.py
@@ -33,7 +33,11 @@
 
 
 class StatusRequest(AdminRequest, frozen=True, tag="status"):
-    """Ask a replica what it is doing. Answered with the fields of `StatusReply`."""
+    """Ask a replica what it is doing.
+
+    Answered with one map: the keys of `ReplicaStatus`, then those of the state machine's own, then those of
+    `ConsensusStatus` while the replica takes part in consensus.
+    """
 
 
 class ChangeMemberRequest(AdminRequest, frozen=True, tag="members"):
@@ -117,14 +121,6 @@
     behind: dict[str, int]  # entries that a follower lacks, by its name; known to the leader
 
 
-class StatusReply(msgspec.Struct, frozen=True):
-    """A whole status: the keys of its parts stand side by side on the wire, in this order."""
-
-    replica: ReplicaStatus
-    state: msgspec.Struct | None = None  # the keys of the state machine's own
-    consensus: ConsensusStatus | None = None  # None: storage cannot be used, so it takes no part
-
-
 class StatusRow(msgspec.Struct):
     """A status as a tool receives it: what tools decide by, and every key as it was sent.
 
@@ -164,14 +160,8 @@
 
 
 def encode_reply(reply: msgspec.Struct) -> WireMap:
-    """Give the map that stands for a reply on the wire; the parts of a status become one map."""
-    if not isinstance(reply, StatusReply):
-        return _to_map(reply)
-    encoded: dict[str, object] = {}
-    for part in (reply.replica, reply.state, reply.consensus):
-        if part is not None:
-            encoded |= _to_map(part)
-    return encoded
+    """Give the map that stands for a reply, or for a part of a status, on the wire."""
+    return _to_map(reply)
 
 
 def unknown_request_reply() -> ResultReply:
--- a/ploverspoke/store/node.py
+++ b/ploverspoke/store/node.py
@@ -2,11 +2,11 @@
 
 import time
 from collections.abc import Callable
-from typing import Any
 
 import msgspec
 
 from ploverspoke.consensus.admin_messages import (
+    WireMap,
     decode_request,
     encode_reply,
 )
@@ -93,8 +93,10 @@
             configuration=configuration.version if configuration is not None else 0,
         )
 
-    def handle_state_request(self, request: dict[str, Any], reply: Reply) -> bool:
+    def handle_state_request(self, request: WireMap, reply: Reply) -> bool:
         """Answer a request about configurations; False where it is none. Raises MalformedRequestError."""
+        if not isinstance(request.get("token", 0), int):
+            return False
         match decode_request(request, ConfigureRequest, ConfigurationsRequest):
             case ConfigureRequest() as configure:
                 self._configure(configure, reply)
--- a/tests/consensus/test_admin_messages.py
+++ b/tests/consensus/test_admin_messages.py
@@ -5,7 +5,6 @@
 from collections.abc import Mapping
 from typing import Any
 
-import msgspec
 import pytest
 
 from ploverspoke.consensus.admin_messages import (
@@ -17,7 +16,6 @@
     MemberStatus,
     ReplicaStatus,
     ResultReply,
-    StatusReply,
     StatusRequest,
     StatusRow,
     TransferLeadershipRequest,
@@ -77,22 +75,15 @@
     assert encode_reply(ConfigureReply(True, version=2)) == {"done": True, "version": 2}
 
 
-class StateStatus(msgspec.Struct):
-    open: int
-    answered: int
-
-
-def test_the_parts_of_a_status_become_one_map_in_their_order() -> None:
-    replica = ReplicaStatus("r1", "trips", "f", "leader", "", 0, 4096, 3, 5, 0, 0)
+def test_the_parts_of_a_status_keep_their_keys_and_their_order() -> None:
+    replica = encode_reply(ReplicaStatus("r1", "trips", "f", "leader", "", 0, 4096, 3, 5, 0, 0))
     member = MemberStatus("r1", "a:1", "a:2", votes=True)
-    consensus = ConsensusStatus(2, "r1", True, 9, 8, 8, 0, [member], {"r2": 1})
-    encoded = encode_reply(StatusReply(replica, StateStatus(4, 6), consensus))
-    assert " ".join(encoded) == (
+    consensus = encode_reply(ConsensusStatus(2, "r1", True, 9, 8, 8, 0, [member], {"r2": 1}))
+    assert " ".join([*replica, *consensus]) == (
         "name cluster store role trouble troubles disk_bytes batches entries_written refused stuck"
-        " open answered term leader leads last committed applied snapshot members behind"
+        " term leader leads last committed applied snapshot members behind"
     )
-    assert encoded["members"] == [{"name": "r1", "peers": "a:1", "clients": "a:2", "votes": True}]
-    assert "term" not in encode_reply(StatusReply(replica))
+    assert consensus["members"] == [{"name": "r1", "peers": "a:1", "clients": "a:2", "votes": True}]
 
 
 class FakeConnection:
