--- a/ploverspoke/store/commands.py
+++ b/ploverspoke/store/commands.py
@@ -1,9 +1,10 @@
-"""`ploverspoke store`: look at a store and change it. What changes something is asked of the leader."""
+"""`ploverspoke store`: look at a store and change it. Requests that change something go to the leader."""
 
 import getpass
 import sys
 from contextlib import closing
 from pathlib import Path
+from typing import NoReturn
 
 import click
 import msgspec
@@ -50,7 +51,7 @@
     return read_config_or_exit(read_replica_config, file)
 
 
-def _call_leader(config: ReplicaConfig, request: AdminRequest, as_json: bool) -> None:
+def _call_leader(config: ReplicaConfig, request: AdminRequest, as_json: bool) -> NoReturn:
     """Ask the leader to do something and end the command with the result."""
     peer_addresses = {name: addresses.peer for name, addresses in config.replicas.items()}
     call_for_result(config, find_leader(peer_addresses, config.secret), request, as_json)
@@ -60,7 +61,7 @@
 @FILE_ARGUMENT
 @JSON_OPTION
 def status(file: Path, as_json: bool) -> None:
-    """What each replica says of itself. Exit 1 where none leads."""
+    """Show the status of each replica. Exit 1 where none leads."""
     config = _read_config(file)
     rows = [
         request_status(name, addresses.peer, config.secret, StatusRow)
@@ -72,7 +73,7 @@
 
 @store.group()
 def members() -> None:
-    """Who belongs to the store. One voter more or less at a time."""
+    """Add and remove replicas, one voter at a time."""
 
 
 @members.command()
@@ -126,7 +127,7 @@
 @FILE_ARGUMENT
 @JSON_OPTION
 def configurations(file: Path, as_json: bool) -> None:
-    """The versions that were committed, the latest last."""
+    """List the versions that are kept, the latest last."""
     config = _read_config(file)
     try:
         found = request_reply(
@@ -171,7 +172,7 @@
 @FILE_ARGUMENT
 @JSON_OPTION
 def inspect(file: Path, as_json: bool) -> None:
-    """What the store on this machine holds; its replica must not run. Checksums are looked at."""
+    """Show what the store on this machine holds; its replica must not run. Checksums are verified."""
     try:
         inspection = inspect_storage(_read_config(file).folder)
     except (CorruptionError, StorageError, ClusterMismatchError) as error:
