--- a/ploverspoke/config_distribution/admin_messages.py
+++ b/ploverspoke/config_distribution/admin_messages.py
@@ -105,4 +105,4 @@
 
 
 def _error(key: str, problem: str) -> ConfigError:
-    return ConfigError(f"{key}: {problem}")
+    return ConfigError(problem, key=key)
--- a/ploverspoke/config_distribution/broadcaster.py
+++ b/ploverspoke/config_distribution/broadcaster.py
@@ -3,8 +3,8 @@
 Every replica does this from what is committed, whether it leads or not. A watcher that is behind gets the
 latest version alone, one message at a time: the next one goes when it has reported its status, or has been
 silent for a while. Where it rejects the latest version it gets those that were skipped for it, the later ones
-first, so that what is active at a dispatcher does not depend on how fast versions came. Many watchers that
-are behind are served a few a turn, so that a change holds up nothing else.
+first, so that what is active at a dispatcher does not depend on how fast versions were published. Many
+watchers that are behind are served a few a turn, so that a change holds up nothing else.
 
 Times are nanoseconds of a monotonic clock.
 """
--- a/ploverspoke/config_distribution/client.py
+++ b/ploverspoke/config_distribution/client.py
@@ -47,7 +47,7 @@
     max_unsent_bytes = 1 << 16  # a status that is left out is repeated
 
     def __init__(self, client: "WatchClient", link_id: int) -> None:
-        """`client` is told of all that happens, with this `link_id`."""
+        """`client` gets the events of the connection, with this `link_id`."""
         super().__init__(client.config.secret, watcher_greeting(client.name, client.config.cluster))
         self.client = client
         self.link_id = link_id
--- a/ploverspoke/config_distribution/clock_units.py
+++ b/ploverspoke/config_distribution/clock_units.py
@@ -1,4 +1,4 @@
-"""Units of the monotonic clock, and the time that never comes."""
+"""Units of the monotonic clock, and a time later than any other."""
 
 MILLISECOND = 1_000_000  # ns
 SECOND = 1000 * MILLISECOND
--- a/ploverspoke/config_distribution/command_output.py
+++ b/ploverspoke/config_distribution/command_output.py
@@ -18,7 +18,7 @@
 
 
 def exit_without_server(error: NoServerAvailableError, as_json: bool) -> NoReturn:
-    """Say that no server was of use, and end with exit code 3."""
+    """Print why no server could be used, and end with exit code 3."""
     if as_json:
         click.echo(json.dumps({"done": False, "why": str(error)}))
     click.echo(f"ploverspoke: no config server leads or answers: {error}", err=True)
--- a/ploverspoke/config_distribution/commands.py
+++ b/ploverspoke/config_distribution/commands.py
@@ -22,8 +22,8 @@
     print_rows,
     read_config_or_exit,
 )
-from ploverspoke.service.config import parse_config
-from ploverspoke.service.config_reader import ConfigError, first_missing_key
+from ploverspoke.service.config import parse_config, without_known_endpoints
+from ploverspoke.service.config_reader import ConfigError, InvalidValueError, first_missing_key
 
 from .admin_client import ServerReply, ask_all, fleet_status, get_version, list_versions, wait_until_applied
 from .admin_client import publish as publish_body
@@ -81,7 +81,7 @@
 
 
 def publish_options(command: Callable[..., None]) -> Callable[..., None]:
-    """Give a command the options, which it gets as one `PublishOptions`."""
+    """Add the shared options to a command, which receives them as one `PublishOptions`."""
 
     @functools.wraps(command)
     def with_options(
@@ -147,10 +147,9 @@
         message = f"{against}: {error}"
         raise ConfigError(message) from error
     new = parse_config(apply_overlay(own, read_body(text)), os.environ)
-    missing = first_missing_key({key: value for key, value in own.items() if key != "known"}, new.document)
+    missing = first_missing_key(without_known_endpoints(own), new.document)
     if missing is not None:
-        message = f"{missing} is missing: {against} has it"
-        raise ConfigError(message)
+        raise InvalidValueError(key=missing, problem=f"is missing: {against} has it")
 
 
 def _publish(servers: ConfigServers, text: str, options: PublishOptions) -> None:
--- a/ploverspoke/config_distribution/daemon.py
+++ b/ploverspoke/config_distribution/daemon.py
@@ -1,4 +1,4 @@
-"""`ploverspoke config serve`: one config server."""
+"""The process of one config server: `ploverspoke config serve`."""
 
 from pathlib import Path
 
@@ -14,13 +14,16 @@
 
 
 async def serve_configuration(path: Path, new: bool, join: str) -> None:
-    """Until it is told to end. Raises ConfigError, and what `serve` raises."""
+    """Serve with the file at `path` until SIGTERM. Raises ConfigError, and what `serve_replica` raises."""
     node = ConfigServerNode(read_config_server_config(path))
     await serve_replica("config", node, ConfigServer(node), new, join)
 
 
 def main(path: Path, new: bool = False, join: str = "") -> int:
-    """Exit 0: told to end. 2: the file or the disk cannot be used; says why."""
+    """Run until SIGTERM and give the exit code: 0, or 2 where the file or the disk cannot be used.
+
+    `new`: the first start of a new set of servers; `join`: the mark of the running set that it joins.
+    """
 
     def run() -> None:
         uvloop.run(serve_configuration(path, new, join))
--- a/ploverspoke/config_distribution/dynamic_config.py
+++ b/ploverspoke/config_distribution/dynamic_config.py
@@ -1,7 +1,7 @@
 """The dispatcher with a watch: the service of `service/service.py`, its configuration overlaid by versions.
 
 The active configuration is the dispatcher's own file with the last version applied that passed the checks of
-a file. Where none did, or no server was ever heard, it is the file alone.
+a file. Where none did, or no server ever answered, it is the file alone.
 """
 
 import asyncio
@@ -16,11 +16,9 @@
 import uvloop
 
 from ploverspoke.protocol import admin
-from ploverspoke.service.config import Config, parse_config, read_config_document
-from ploverspoke.service.config_reader import ConfigError, first_missing_key
+from ploverspoke.service.config import Config, parse_config, read_config_document, without_known_endpoints
+from ploverspoke.service.config_reader import InvalidValueError, JsonDocument, first_missing_key
 from ploverspoke.service.exit_codes import run_with_exit_code
-from ploverspoke.service.handover import ProcessRegistry
-from ploverspoke.service.inherited_socket import inherited_socket
 from ploverspoke.service.service import Service
 from ploverspoke.service.startup import block_signals
 from ploverspoke.transport.rate_limited_log import log_line
@@ -38,9 +36,9 @@
 class OwnConfig:
     """A dispatcher's own configuration, without any version."""
 
-    document: object  # the JSON document
+    document: JsonDocument
     environment: Mapping[str, str]
-    reread: Callable[[], object]  # the document as it is now, at SIGHUP; raises ConfigError
+    reread: Callable[[], JsonDocument]  # the document as it is now, at SIGHUP; raises ConfigError
 
     def with_body(self, body: str) -> Config:
         """The configuration with a version's body applied; empty: alone. Raises ConfigError."""
@@ -62,7 +60,7 @@
 
 
 def initial_config(own: OwnConfig, watch_config: WatchConfig) -> InitialConfig:
-    """The own configuration with the cached version, or alone; which one is logged. Raises ConfigError."""
+    """The own configuration with the cached version, or alone; logs which. Raises ConfigError."""
     own_alone = own.with_body("")
     cached = read_cache(watch_config)
     version, problem = cached.version, cached.problem
@@ -97,38 +95,31 @@
 
         Raises VersionRejectedError with the key at fault.
         """
-        service, before = self.service, self.service.briefing
+        service, before = self.service, self.service.config
         try:
             new = self.own.with_body(version.body)
-            service.briefing = before._replace(document=without_known_workers(self.own.document))
-            service.take_configuration(new)
+            service.config = before._replace(document=without_known_endpoints(self.own.document))
+            service.apply_config(new)
         except ValueError as error:
-            service.briefing = before
+            service.config = before
             raise VersionRejectedError(version.number, str(error)) from error
         except Exception:
-            service.briefing = before
+            service.config = before
             raise
-        service.briefing = service.briefing._replace(document=new.document)
+        service.config = service.config._replace(document=new.document)
         self.body = version.body
 
     def reread(self) -> Config:
         """At SIGHUP: the own configuration as it is now, with the active version. Raises ConfigError."""
         document = self.own.reread()
         config = OwnConfig(document, self.own.environment, self.own.reread).with_body(self.body)
-        missing = first_missing_key(self.service.briefing.document, config.document)
+        missing = first_missing_key(self.service.config.document, config.document)
         if missing is not None:
-            message = f"{missing} is missing: the active configuration has it"
-            raise ConfigError(message)
+            raise InvalidValueError(key=missing, problem="is missing: the configuration in force has it")
         self.own.document = document  # only one that passed the checks: later versions are applied to it
         return config
 
 
-def without_known_workers(document: object) -> dict[str, object]:
-    """A configuration document without its list of workers, as a running service keeps it."""
-    assert isinstance(document, Mapping)  # its checks are passed
-    return {key: value for key, value in document.items() if key != "known"}
-
-
 def attach_watch(
     service: Service,
     watch_config: WatchConfig,
@@ -143,14 +134,14 @@
 
     Raises ConfigError where the service's name is not fit for a watcher.
     """
-    name = service.briefing.name
+    name = service.config.name
     if not is_watcher_name(name):
-        message = f"name is {name!r}: config servers expect 1 to {MAX_NAME_CHARACTERS} characters"
-        raise ConfigError(message)
+        problem = f"is {name!r}: config servers expect 1 to {MAX_NAME_CHARACTERS} characters"
+        raise InvalidValueError(key="name", problem=problem)
     applier = VersionApplier(service, own, applied)
     client = WatchClient(service.loop, watch_config, name, applier.apply, applied, seed)
-    service.read = applier.reread
-    service.operators.calls["config"] = partial(admin_reply, client)
+    service.load_config = applier.reread
+    service.admin_server.calls["config"] = partial(admin_reply, client)
     return client
 
 
@@ -171,9 +162,7 @@
     loop = uvloop.new_event_loop()
     asyncio.set_event_loop(loop)
     service = Service(loop, config)
-    service.listening = inherited_socket(os.environ)
-    if service.listening is not None:
-        service.neighbours = ProcessRegistry(os.environ.get("TMPDIR"))
+    service.inherit_socket(os.environ)
     client = attach_watch(service, watch_config, own, applied)
     service.on_ready = client.start
     gc.collect()
@@ -185,6 +174,6 @@
 
 
 def main(watch_file: Path) -> int:
-    """Run the dispatcher until SIGTERM. Exit 2: its configuration or `watch_file` is wrong; it says why."""
+    """Run the dispatcher until SIGTERM and give the exit code: 2 where a file is wrong."""
     block_signals()
     return run_with_exit_code(partial(_run, watch_file))
--- a/ploverspoke/config_distribution/overlay.py
+++ b/ploverspoke/config_distribution/overlay.py
@@ -1,4 +1,4 @@
-"""The body of a version: an overlay that every dispatcher lays on its own configuration.
+"""The body of a version: an overlay on the own configuration of every dispatcher.
 
 A body is a JSON object with `settings` and `discovery` for all dispatchers, and with `zones` for those of one
 zone, each applied as a JSON merge patch (RFC 7386). It is complete: it does not depend on earlier versions.
@@ -24,7 +24,7 @@
 
 
 def read_body(text: str) -> JsonObject:
-    """A body whose structure is checked; whether its values are good only a dispatcher's own checks tell.
+    """A body whose structure is checked; its values are left to the dispatcher's own checks.
 
     Raises ConfigError with the key.
     """
@@ -86,7 +86,7 @@
 
 
 def _error(key: str, problem: str) -> ConfigError:
-    return ConfigError(f"{key}: {problem}"[:MAX_ERROR_CHARACTERS])
+    return ConfigError(problem, key=key, longest=MAX_ERROR_CHARACTERS)
 
 
 def _parse(text: str) -> JsonObject:
@@ -96,8 +96,8 @@
     except ConfigError:
         raise
     except (ValueError, RecursionError) as error:
-        message = f"the body is no JSON: {error}"
-        raise ConfigError(message[:MAX_ERROR_CHARACTERS]) from error
+        problem = f"the body is no JSON: {error}"
+        raise ConfigError(problem, longest=MAX_ERROR_CHARACTERS) from error
     if not isinstance(body, dict):
         raise _error(WHOLE_BODY, "expected an object")
     return body
@@ -114,17 +114,14 @@
 
 def _check_parts(parts: JsonObject, path: str) -> None:
     settings = parts.get(SETTINGS, {})
-    problem = ""
     if not isinstance(settings, dict):
-        problem = "settings: expected an object"
-    elif not isinstance(parts.get(DISCOVERY, ""), str):
-        problem = "discovery: expected a text"
-    else:
-        identity = next((key for key in IDENTITY_SETTINGS if key in settings), None)
-        if identity is not None:
-            problem = f"settings.{identity}: a dispatcher's own, no version may set it"
-    if problem:
-        raise ConfigError(path + problem)
+        raise ConfigError(problem="expected an object", key=f"{path}settings")
+    if not isinstance(parts.get(DISCOVERY, ""), str):
+        raise ConfigError(problem="expected a text", key=f"{path}discovery")
+    for key in IDENTITY_SETTINGS:
+        if key in settings:
+            problem = "a dispatcher's own, no version may set it"
+            raise ConfigError(problem, key=f"{path}settings.{key}")
     _check_depth(parts, path.rstrip(".") or WHOLE_BODY)
 
 
--- a/ploverspoke/config_distribution/server_node.py
+++ b/ploverspoke/config_distribution/server_node.py
@@ -30,7 +30,7 @@
 from .state_machine import ConfigStateMachine, PublishCommand, Version, digest_of, short_digest
 
 COMMITTED_KEY = "committed version"  # of the value kept in this replica's storage, beside the log
-# Without contact to a leader for as many election timeouts a server says so to its watchers.
+# Without contact to a leader for as many election timeouts a server reports so to its watchers.
 LEADER_CONTACT_ELECTIONS = 3
 MIN_LEADER_CONTACT = 800 * MILLISECOND
 
@@ -71,7 +71,7 @@
     def on_storage_opened(self) -> None:
         """Offer the version that was known to be committed.
 
-        The log itself tells only with a leader what of it is committed.
+        Without a leader the log itself does not show which of its entries are committed.
         """
         self.versions.on_version = self._on_committed
         saved = self.storage.load_value(COMMITTED_KEY)
--- a/ploverspoke/config_distribution/state_machine.py
+++ b/ploverspoke/config_distribution/state_machine.py
@@ -1,7 +1,7 @@
 """The replicated state of config servers: the versions in order, and the result of each publish request.
 
 State of the consensus log, without I/O. A command is msgpack, a list that begins with its name. Applying a
-command never fails: a publish request that no longer fits changes nothing, and its result says so.
+command never fails: a publish request that no longer fits changes nothing, and its result says why.
 """
 
 from collections.abc import Callable, Sequence
@@ -14,6 +14,7 @@
 MAX_VERSION_BYTES = 4 * 1024 * 1024  # of the bodies kept beside the latest
 MAX_RESULTS = 4096  # of publish requests that are remembered
 DIGEST_BYTES = 16
+PUBLISH_COMMAND = "publish"  # the name of a command in the log
 SHORT_DIGEST_CHARACTERS = 16
 
 
@@ -55,7 +56,7 @@
     reason: str  # why it made none; empty where it made one
 
 
-class PublishCommand(msgspec.Struct, array_like=True, frozen=True, tag="publish"):
+class PublishCommand(msgspec.Struct, array_like=True, frozen=True, tag=PUBLISH_COMMAND):
     """The log entry of one publish request."""
 
     body: str
@@ -105,7 +106,7 @@
 
     def apply(self, index: int, command: bytes) -> None:
         """Apply a committed log entry; a command that only a later release knows changes nothing."""
-        if msgspec.msgpack.decode(command, type=_CommandHeader).name == "publish":
+        if msgspec.msgpack.decode(command, type=_CommandHeader).name == PUBLISH_COMMAND:
             self._publish(msgspec.msgpack.decode(command, type=PublishCommand))
 
     def take_snapshot(self) -> bytes:
--- a/tests/config_distribution/faulty_distribution.py
+++ b/tests/config_distribution/faulty_distribution.py
@@ -59,7 +59,7 @@
             settings: Any = overlay.read_body(version.body)["settings"]
             good_part: overlay.JsonObject = {"settings": {"ServiceGrades": settings["ServiceGrades"]}}
             patched = overlay.apply_overlay(self.own.document, good_part)
-            self.service.take_configuration(dynamic_config.parse_config(patched, self.own.environment))
+            self.service.apply_config(dynamic_config.parse_config(patched, self.own.environment))
             raise
 
     vars(dynamic_config)["VersionApplier"].apply = apply_good_part
--- a/tests/config_distribution/test_dynamic_config.py
+++ b/tests/config_distribution/test_dynamic_config.py
@@ -23,21 +23,21 @@
     own = OwnConfig(document, {}, lambda: document)
 
     class FakeService:
-        briefing = own.with_body("")
+        config = own.with_body("")
 
-        def take_configuration(self, new: Config) -> None:
+        def apply_config(self, new: Config) -> None:
             if new.settings.batch_interval == 4_000_000:
                 raise ConfigError("settings.RoundUs")
-            self.briefing = new
+            self.config = new
 
     service: Any = FakeService()
-    before, applier = service.briefing, VersionApplier(service, own, NO_VERSION)
+    before, applier = service.config, VersionApplier(service, own, NO_VERSION)
     with pytest.raises(VersionRejectedError) as rejected:
         applier.apply(VerifiedVersion(1, b"", '{"settings": {"RoundUs": 4000}}'))
     assert (rejected.value.version, rejected.value.reason) == (1, "settings.RoundUs")
-    assert service.briefing is before and applier.body == ""
+    assert service.config is before and applier.body == ""
     applier.apply(VerifiedVersion(2, b"", body_with_classes("g02")))
-    assert service.briefing.names.request_classes[1] == "g02"
+    assert service.config.names.request_classes[1] == "g02"
 
 
 def test_plain_serve_imports_nothing_of_this_package(tmp_path: Path) -> None:
