--- a/tests/test_lint_exceptions.py
+++ b/tests/test_lint_exceptions.py
@@ -11,7 +11,6 @@
     *(
         f"ploverspoke/{package}/**"
         for package in (
-            "config_distribution",
             "consensus",
             "decisions",
             "leases",
