--- a/ploverspoke/config_distribution/commands.py
+++ b/ploverspoke/config_distribution/commands.py
@@ -8,7 +8,7 @@
 import sys
 from collections.abc import Callable
 from pathlib import Path
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 import click
 import msgspec
@@ -85,7 +85,7 @@
 
     @functools.wraps(command)
     def with_options(
-        expect: int | None, wait: float, by: str | None, as_json: bool, **arguments: Any
+        expect: int | None, wait: float, by: str | None, as_json: bool, **arguments: object
     ) -> None:
         command(options=PublishOptions(expect, wait, by, as_json), **arguments)
 
--- a/ploverspoke/config_distribution/messages.py
+++ b/ploverspoke/config_distribution/messages.py
@@ -10,7 +10,7 @@
 import zlib
 from collections.abc import Mapping
 from dataclasses import dataclass
-from typing import Any, NamedTuple, TypeAlias, TypeGuard
+from typing import NamedTuple, TypeAlias, TypeGuard
 
 import msgspec
 
@@ -227,7 +227,7 @@
     return {"id": name, "store": "", "watch": WIRE_FORMAT, "cluster": cluster}
 
 
-def read_watcher_greeting(greeting: Mapping[str, Any], cluster: str) -> str:
+def read_watcher_greeting(greeting: Mapping[str, object], cluster: str) -> str:
     """The name of the watcher that greets. Raises MessageRejectedError."""
     name, wire_format = greeting.get("id"), greeting.get("watch")
     if not is_watcher_name(name):
--- a/ploverspoke/config_distribution/server.py
+++ b/ploverspoke/config_distribution/server.py
@@ -1,7 +1,6 @@
 """Where watchers connect to a config server: authenticated frames, one current connection a watcher."""
 
 from collections.abc import Mapping
-from typing import Any
 
 from ploverspoke.consensus.framed_server import FramedConnection, FramedServer, RegistrationLimits
 from ploverspoke.consensus.framing import FrameError
@@ -45,7 +44,7 @@
         """The first message that a watcher receives."""
         return {"id": self.node.replica_id, "store": ""}
 
-    def handle_greeting(self, connection: FramedConnection, greeting: Mapping[str, Any]) -> None:
+    def handle_greeting(self, connection: FramedConnection, greeting: Mapping[str, object]) -> None:
         """Name the watcher, and send it the first heartbeat. Raises MessageRejectedError."""
         connection.client_name = read_watcher_greeting(greeting, self.node.config.cluster)
         connection.write(self.node.broadcaster.heartbeat())
