--- a/tests/routing/test_service.py
+++ b/tests/routing/test_service.py
@@ -692,7 +692,7 @@
         world.behave = {}
         for bad in ("{", "[" * 100_000, json.dumps({**told, "discovery": "nowhere"})):
             await signalled(bad)
-        assert moved.watches == 0 and log.read_text().count("the old one goes on") == 3
+        assert moved.watches == 0 and log.read_text().count("the active one stays") == 3
         await signalled(json.dumps({**told, "discovery": address, "listen": "127.0.0.1:9"}))
         await signalled(json.dumps({**told, "discovery": address}))
         assert moved.watches == 2, "its whole list, and then the watch"
