--- /dev/null
+++ b/ploverspoke/routing/active_settings.py
@@ -0,0 +1,74 @@
+"""The settings that the router goes by, and the numbers under which it knows the names of the deployment."""
+
+from collections.abc import Collection, Sequence
+from dataclasses import replace
+
+from ploverspoke.decisions.settings import DeploymentNames, Idempotency, Settings
+from ploverspoke.transport.units import SECOND
+
+from .request_classes import RequestClassTable
+
+MAX_WATCH_WAIT = 20 * SECOND  # that one watch request allows discovery
+
+
+class ActiveSettings:
+    """The current settings, with classes, zones and machine kinds under numbers that never change meaning."""
+
+    def __init__(self, settings: Settings, names: DeploymentNames) -> None:
+        """`settings` are numbered in the order of `names`."""
+        self.current = settings
+        self.classes = RequestClassTable(names.request_classes)
+        self.zones = {name: number for number, name in enumerate(names.zones)}
+        self.machine_kinds = {name: number for number, name in enumerate(names.machine_kinds)}
+        self.x0_name = _x0_name(settings)  # what the load report's field "x0" means
+
+    def change(self, settings: Settings, names: DeploymentNames, in_use: Collection[int]) -> dict[int, int]:
+        """Activate other settings, numbered in the order of `names`; open requests keep their rules.
+
+        `in_use` has the class numbers of open requests. Returns, by new class number, the number whose
+        running times the class takes along.
+        """
+        zone = settings.zone
+        if zone < len(names.zones):
+            zone = self.zone_number(names.zones[zone])
+        classes = tuple(
+            replace(each, machine_kind=self._translate_kind(each.machine_kind, names.machine_kinds))
+            for each in settings.classes
+        )
+        translated = replace(settings, zone=zone, classes=classes)
+        numbered = self.classes.apply(self.current, translated, names.request_classes, in_use)
+        self.current = numbered.settings
+        self.x0_name = _x0_name(numbered.settings)
+        return numbered.predecessors
+
+    def zone_number(self, name: str) -> int:
+        """The number of a zone; a new name gets the next one."""
+        return self.zones.setdefault(name, len(self.zones))
+
+    def machine_kind_number(self, name: str) -> int:
+        """The number of a machine kind; a new name gets the next one."""
+        return self.machine_kinds.setdefault(name, len(self.machine_kinds))
+
+    def class_name(self, class_number: int) -> str:
+        """The name of a request class, also of one that only open requests still have."""
+        return self.classes.names[class_number]
+
+    def idempotency(self, class_number: int) -> Idempotency:
+        """Whether requests of the class may run more than once."""
+        return self.current.classes[class_number].idempotency
+
+    def max_watch_wait(self) -> int:
+        """How long (ns) discovery may hold back the response to a watch request."""
+        return min(MAX_WATCH_WAIT, int(self.current.discovery_poll_interval))
+
+    def is_pushed(self) -> bool:
+        """Whether the dispatcher counts as told of changes of the endpoint list without asking for them."""
+        return not self.current.discovery_polling
+
+    def _translate_kind(self, number: int, names: Sequence[str]) -> int:
+        """The number by which a machine kind is known here, wherever its name stands now."""
+        return self.machine_kind_number(names[number]) if 0 <= number < len(names) else number
+
+
+def _x0_name(settings: Settings) -> str:
+    return "free_slots" if "free_slots" in settings.load_fields else "x0"
--- /dev/null
+++ b/ploverspoke/routing/admin_connection.py
@@ -0,0 +1,72 @@
+"""One operator's connection: one command, one reply, the end."""
+
+from typing import TYPE_CHECKING
+
+from ploverspoke.protocol import admin
+from ploverspoke.protocol.errors import AdminCommandError
+from ploverspoke.transport.connections import Connection
+from ploverspoke.transport.units import SECOND
+
+if TYPE_CHECKING:
+    from .admin_server import AdminServer
+
+COMMAND_TIMEOUT = 2 * SECOND  # for the command to come whole, and again for the reply to be read
+
+
+class AdminConnection:
+    """Owner of one operator's connection."""
+
+    def __init__(self, server: "AdminServer", connection: Connection) -> None:
+        """Begin to read; the server knows the session until its connection has ended."""
+        self.server = server
+        self.connection = connection
+        self.reader = admin.AdminCommandReader()
+        self.began_at = server.deadlines.now()
+        self.is_answered = False
+        self.deadline = server.deadlines.schedule(self.began_at + COMMAND_TIMEOUT, self._on_timeout)
+        server.sessions[connection.number] = self
+        connection.user = self
+
+    def hang_up(self) -> None:
+        """Close the connection now."""
+        self.connection.abort()
+
+    # ---- Events of the connection ----
+
+    def on_data_available(self) -> None:
+        """Read the command, and reply once it is complete; what comes behind it is dropped."""
+        if self.is_answered:
+            self.connection.buffer.consume(len(self.connection.buffer))
+            return
+        data = self.connection.buffer.unread()
+        try:
+            command = self.reader.feed(data)
+        except AdminCommandError as error:
+            self._reply(admin.error_reply(error.reason))
+            return
+        finally:
+            self.connection.buffer.consume(len(data))
+            data.release()
+        if command is not None:
+            self._reply(self.server.execute(command))
+
+    def on_disconnected(self) -> None:
+        """End the session."""
+        self.server.deadlines.cancel(self.deadline)
+        self.server.forget(self)
+
+    def on_write_drained(self) -> None:
+        """Do nothing: the connection closes when the reply is sent."""
+
+    def _reply(self, reply: bytes) -> None:
+        self.is_answered = True
+        self.connection.write(reply)
+        self.connection.close()
+
+    def _on_timeout(self) -> None:
+        if self.is_answered:
+            self.connection.abort()
+        else:
+            self._reply(admin.error_reply("no whole line came"))
+            now = self.server.deadlines.now()
+            self.deadline = self.server.deadlines.schedule(now + COMMAND_TIMEOUT, self._on_timeout)
--- /dev/null
+++ b/ploverspoke/routing/attempts.py
@@ -0,0 +1,187 @@
+"""Attempts: requests as they are sent to workers, from the decision to the outcome."""
+
+from functools import partial
+
+from ploverspoke.decisions.interface import AttemptResult
+from ploverspoke.decisions.settings import Idempotency
+from ploverspoke.protocol import workers
+from ploverspoke.protocol.workers import AttemptResponseReader, LoadReport, ResponseListener
+from ploverspoke.transport.outcomes import ExchangeOutcome
+
+from .answers import FinalAnswer
+from .completion import RequestCompletion
+from .context import RoutingContext
+from .endpoints import EndpointDirectory
+from .outcomes import OUTCOMES
+from .request_log import PendingAttempt
+from .request_recorder import RequestRecorder
+from .requests import Request
+from .worker_calls import WorkerCall
+
+
+class AttemptCall:
+    """One attempt as the user of a worker call."""
+
+    def __init__(self, attempts: "Attempts", request: Request, index: int, worker: str) -> None:
+        """`index` counts the attempts of the request from 0."""
+        self.attempts = attempts
+        self.request = request
+        self.index = index
+        self.worker = worker
+        self.address = ""  # of the worker when the call began
+        self.decided_at = attempts.deadlines.now()
+
+    def encode_request(self, time_left: int) -> bytes:
+        """The bytes for the worker, which is given `time_left` ns."""
+        message = self.request.message
+        return workers.encode_attempt(
+            message.method, message.target, message.headers, message.body, time_left, self.address
+        )
+
+    def make_reader(self, listener: ResponseListener) -> AttemptResponseReader:
+        """A reader for the worker's response."""
+        return AttemptResponseReader(listener, self.attempts.settings.x0_name, self.request.request_id)
+
+    def may_send(self) -> bool:
+        """Whether the attempt may still be written."""
+        return self.attempts.may_send(self)
+
+    def on_written(self) -> None:
+        """Count the attempt."""
+        class_name = self.attempts.settings.class_name(self.request.class_number)
+        self.attempts.counters.count_attempt(class_name)
+
+    def on_started(self) -> None:
+        """Report that the worker has begun the request."""
+        event = partial(self.attempts.dispatcher.attempt_started, self.request.number, self.index)
+        self.attempts.events.emit(event, self.request.number)
+
+    def on_progress(self, fraction_done: float) -> None:
+        """Report the worker's progress."""
+        event = partial(
+            self.attempts.dispatcher.attempt_progressed, self.request.number, self.index, fraction_done
+        )
+        self.attempts.events.emit(event, self.request.number)
+
+    def on_ended(self, outcome: ExchangeOutcome, result: str, load: LoadReport | None) -> None:
+        """Take the outcome."""
+        self.attempts.on_ended(self, outcome, result, load)
+
+
+class Attempts:
+    """Starts and cancels attempts as the decisions ask for it, and reports what becomes of them."""
+
+    def __init__(
+        self,
+        context: RoutingContext,
+        endpoints: EndpointDirectory,
+        completion: RequestCompletion,
+        recorder: RequestRecorder | None,
+    ) -> None:
+        """With a `recorder` attempts are committed before they are sent."""
+        self.deadlines = context.deadlines
+        self.pool = context.pool
+        self.settings = context.settings
+        self.counters = context.counters
+        self.requests = context.requests
+        self.dispatcher = context.dispatcher
+        self.events = context.events
+        self.endpoints = endpoints
+        self.completion = completion
+        self.recorder = recorder
+
+    def start(self, request_number: int, worker: str, timeout: int) -> None:
+        """Send the request to the worker and wait at most `timeout` ns for its answer."""
+        request = self.requests.get(request_number)
+        if request is None or request.client is None or worker not in self.endpoints.addresses:
+            self._refuse(request_number, request, worker)
+            return
+        call = AttemptCall(self, request, len(request.attempts), worker)
+        request.attempts.append(None)
+        if self.recorder is not None and self.recorder.records_attempts(request):
+            self._send_once_recorded(self.recorder, call, timeout)
+        else:
+            self._send(call, timeout)
+
+    def cancel(self, request_number: int, index: int) -> None:
+        """Stop waiting for one attempt; its end is still reported, once."""
+        request = self.requests.get(request_number)
+        attempt = request.attempts[index] if request is not None else None
+        if attempt is not None:
+            attempt.cancel()
+
+    def _refuse(self, request_number: int, request: Request | None, worker: str) -> None:
+        """Report an attempt that was decided on just when the request ended or the worker was gone."""
+        index = 0
+        if request is not None:
+            index = len(request.attempts)
+            request.attempts.append(None)
+        is_closed = request is None or request.client is None
+        result = AttemptResult(worker, OUTCOMES[ExchangeOutcome.NOT_SENT], 0, is_closed)
+        event = partial(self.dispatcher.attempt_ended, request_number, index, result)
+        self.events.emit(event, request_number)
+
+    def _send_once_recorded(self, recorder: RequestRecorder, call: AttemptCall, timeout: int) -> None:
+        """A request that must not run twice is not sent before that is committed."""
+        request, send_until = call.request, self.deadlines.now() + timeout
+        pending = request.attempts[call.index] = PendingAttempt()
+
+        def on_committed(is_committed: bool) -> None:
+            if request.attempts[call.index] is not pending:
+                return
+            time_left = send_until - self.deadlines.now()
+            if is_committed and time_left > 0 and not pending.cancelled:
+                self._send(call, time_left)
+            else:
+                self.on_ended(call, ExchangeOutcome.NOT_SENT, "", None)
+
+        recorder.record_attempt(request, call.worker, call.index, on_committed)
+
+    def _send(self, call: AttemptCall, timeout: int) -> None:
+        request = call.request
+        call.address = self.endpoints.addresses[call.worker]
+        idempotency = self.settings.idempotency(request.class_number)
+        request.attempts[call.index] = WorkerCall(
+            self.pool,
+            call.address,
+            timeout,
+            call,
+            delay_last_byte=idempotency is Idempotency.NON_IDEMPOTENT,
+        )
+
+    def may_send(self, call: AttemptCall) -> bool:
+        """Whether an attempt may still be written.
+
+        Each is checked here last, whatever it waited for since its worker was chosen: a connection, a
+        commit, or this process, which may have been stopped.
+        """
+        request = call.request
+        allowed = (
+            request.client is not None
+            and self.dispatcher.workers[call.worker].ready  # it may be draining or gone by now
+            and self.endpoints.addresses.get(call.worker) == call.address
+            and (self.recorder is None or self.recorder.is_leader())
+            and not request.client.has_disconnected()
+        )
+        request.may_have_been_sent = request.may_have_been_sent or allowed
+        return allowed
+
+    def on_ended(
+        self, call: AttemptCall, outcome: ExchangeOutcome, result: str, load: LoadReport | None
+    ) -> None:
+        """Answer the request if the outcome is final, and report the outcome to the decisions."""
+        request = call.request
+        request.attempts[call.index] = None
+        self.completion.reject_if_never_sent(request)
+        if self.recorder is not None and self.recorder.records_attempts(request):
+            self.recorder.record_outcome(request, call.index, OUTCOMES[outcome])
+        if outcome is ExchangeOutcome.SUCCEEDED:
+            self.completion.answer(request, FinalAnswer.SUCCEEDED, result)
+        elif outcome is ExchangeOutcome.REJECTED:
+            # Sent to one worker after the other it would make the decisions eject each of them.
+            self.completion.answer(request, FinalAnswer.INVALID_REQUEST)
+        elapsed = self.deadlines.now() - call.decided_at
+        attempt_result = AttemptResult(call.worker, OUTCOMES[outcome], elapsed, request.client is None, load)
+        event = partial(self.dispatcher.attempt_ended, request.number, call.index, attempt_result)
+        self.events.emit(event, request.number)
+        self.requests.remove_if_ended(request)
--- /dev/null
+++ b/ploverspoke/routing/client_session.py
@@ -0,0 +1,312 @@
+"""One client's connection: its requests are read one after the other, and each gets its response."""
+
+import traceback
+from collections import deque
+from typing import TYPE_CHECKING
+
+from ploverspoke.protocol import clients
+from ploverspoke.protocol.clients import HttpRequest
+from ploverspoke.protocol.errors import HttpSyntaxError, MessageTooLongError
+from ploverspoke.transport.connections import Connection
+from ploverspoke.transport.deadlines import Deadline
+from ploverspoke.transport.rate_limited_log import log_line
+from ploverspoke.transport.units import MILLISECOND, SECOND
+
+from .admission import NotAdmitted
+from .answers import FinalAnswer
+from .requests import Request
+
+if TYPE_CHECKING:
+    from .client_server import ClientServer
+
+REQUEST_TIMEOUT = 2500 * MILLISECOND  # for a request to come whole, the first from the connecting on
+RESPONSE_TIMEOUT = 10 * SECOND  # for a response to be read
+CLOSE_TIMEOUT = SECOND  # for a client to read the last response
+NO_LEADER_RETRY_AFTER = 200 * MILLISECOND  # advice to clients where no replica of the store leads
+# What a client sends ahead of its response is read, since its end comes behind it.
+UNCOUNTED_READ_AHEAD = 64 * 1024  # bytes that do not count as buffered
+MAX_READ_AHEAD = 256 * 1024  # bytes that are kept; a client that sends more is closed after its response
+MAX_DROPPED = 8 * 1024 * 1024  # bytes beyond those that are read and dropped; then the client has to wait
+OWN_TARGETS = "/-/"  # prefix of targets that the dispatcher itself answers
+STATUS_TARGETS = ("/-/ready", "/-/healthy")
+
+RESPONSES = {  # status and body of final answers that carry no result
+    FinalAnswer.REJECTED: (503, b"nacked"),
+    FinalAnswer.FAILED: (504, b"abandoned"),
+    FinalAnswer.INVALID_REQUEST: (400, b"no worker can use it"),
+}
+
+
+class ClientSession:
+    """Owner of one client's connection; implements `Client` and `RequestListener`."""
+
+    def __init__(self, server: "ClientServer", connection: Connection) -> None:
+        """Begin to read; the server knows the session until its connection has ended."""
+        self.server = server
+        self.connection = connection
+        self.reader = clients.RequestReader(self)
+        self.queue: deque[HttpRequest] = deque()  # read, and not handled yet
+        self.request: Request | None = None  # admitted, and not answered yet
+        self.is_answering = False  # a request is being handled
+        self.keep_alive = True
+        self.is_closing = False
+        self.failure: HttpSyntaxError | None = None  # of the reader; sent when all before it is answered
+        self.dropped_bytes = 0  # that came beyond what may be sent ahead
+        self.buffered_bytes = 0  # of requests, read and not admitted yet
+        self.was_served = False  # a request of this session was admitted
+        self.is_excess = False  # there is no room for this session: its request is rejected
+        self.idle_since = server.deadlines.now()
+        self.deadline: Deadline | None = None  # for the client to send or to read
+        server.sessions[connection.number] = self
+        server.unserved[connection.number] = self
+        connection.user = self
+        self._watch_pace()
+
+    def is_idle(self) -> bool:
+        """Whether the client has its responses and has sent nothing since."""
+        is_busy = self.is_answering or self.queue or self.is_closing or self.reader.in_message
+        return not is_busy and not len(self.connection.buffer) and not self.connection.has_unsent_data
+
+    def close_if_idle(self) -> None:
+        """Close it between two requests; one that waits in the kernel is read first, and answered."""
+        if self.is_idle() and not self.connection.has_unread_data():
+            self.hang_up()
+
+    def hang_up(self) -> None:
+        """Close the connection once all written bytes are sent."""
+        self.is_closing = True
+        self.connection.close()
+
+    # ---- Events of the connection ----
+
+    def on_data_available(self) -> None:
+        """Read on, or keep what comes ahead of the response."""
+        if self.is_closing:
+            buffer = self.connection.buffer
+            buffer.consume(len(buffer))
+        elif self.is_answering or self.connection.has_unsent_data:
+            self._keep_read_ahead()
+        else:
+            self._read_on()
+
+    def on_disconnected(self) -> None:
+        """End the session, and the request that it waits for."""
+        self.server.forget(self)
+        self.server.buffered_bytes -= self.buffered_bytes
+        self.buffered_bytes = 0
+        self.server.deadlines.cancel(self.deadline)
+        self.is_closing = True
+        self.queue.clear()
+        request, self.request = self.request, None
+        if request is not None:
+            self.server.router.completion.on_client_disconnected(request, self)
+
+    def on_write_drained(self) -> None:
+        """Read on: the response has been sent."""
+        if not self.is_answering and not self.is_closing:
+            self._read_on()
+
+    def _keep_read_ahead(self) -> None:
+        self._update_buffered_bytes()
+        buffer = self.connection.buffer
+        read_ahead = len(buffer)
+        limit = UNCOUNTED_READ_AHEAD if self.server.is_full() else MAX_READ_AHEAD
+        if self.dropped_bytes or read_ahead > limit:
+            buffer.consume(read_ahead)
+            self.dropped_bytes += read_ahead
+            self._update_buffered_bytes()
+            if self.dropped_bytes > MAX_DROPPED:
+                self.connection.set_reading_paused(True)
+
+    # ---- Requests ----
+
+    def on_request_head(self, method: str, target: str, headers: dict[str, str]) -> None:
+        """Check a request before its body is read. Raises HttpSyntaxError."""
+        if not target.startswith(OWN_TARGETS):
+            self.server.router.admission.check_head(method, target, headers)
+
+    def on_request(self, request: HttpRequest) -> None:
+        """Queue a complete request."""
+        self.queue.append(request)
+
+    def on_continue_expected(self) -> None:
+        """Ask for the body, unless a response goes before."""
+        if not self.is_answering and not self.queue:
+            self.connection.write(clients.CONTINUE_RESPONSE)
+
+    def _read_on(self) -> None:
+        """Read and handle requests until one has to be waited for or nothing is left."""
+        self.connection.set_reading_paused(False)
+        while not self.is_answering and not self.is_closing and not self.connection.has_unsent_data:
+            if self.dropped_bytes:
+                self._close()  # what came next is lost
+            elif self.queue:
+                self.is_answering = True
+                self._handle(self.queue.popleft())
+            elif self.failure is not None:
+                self._respond(self.failure.status, str(self.failure).encode())
+            elif len(self.connection.buffer):
+                self._feed_reader()
+            else:
+                break
+        self._watch_pace()
+
+    def _feed_reader(self) -> None:
+        try:
+            self.connection.feed(self.reader)
+        except HttpSyntaxError as error:
+            self.failure = error  # requests before the one at fault are answered first
+        self._update_buffered_bytes()
+        if self.server.is_full():
+            self._reject_all()
+
+    def _reject_all(self) -> None:
+        """There is no memory for more requests: reject what was read, and close."""
+        admission = self.server.router.admission
+        for message in self.queue:
+            admission.count_turned_away(message.target)
+        if self.reader.in_message and not self.reader.in_head:
+            admission.count_turned_away(self.reader.target.decode("latin-1"))
+        self.queue.clear()
+        self.keep_alive = False
+        self.answer(FinalAnswer.REJECTED)
+
+    def _update_buffered_bytes(self) -> None:
+        buffered = len(self.reader.body) if self.reader.in_message else 0
+        buffered += sum(len(message.body) for message in self.queue)
+        buffered += max(0, len(self.connection.buffer) - UNCOUNTED_READ_AHEAD)
+        self.server.buffered_bytes += buffered - self.buffered_bytes
+        self.buffered_bytes = buffered
+
+    def _handle(self, message: HttpRequest) -> None:
+        self.keep_alive = message.keep_alive and not self.is_excess
+        self._update_buffered_bytes()
+        if message.target.startswith(OWN_TARGETS):
+            self._respond_with_status(message)
+            return
+        leader = self.server.router.leader_redirect()
+        if leader is not None:
+            self._redirect(leader, message.target)
+            return
+        try:
+            self._admit(message)
+        except HttpSyntaxError as error:
+            self._respond(error.status, str(error).encode())
+        except Exception:
+            # A fault in the router must not leave the client without a response.
+            log_line(f"a request could not be admitted: {traceback.format_exc()}")
+            self._respond(500, b"a fault of ours")
+
+    def _admit(self, message: HttpRequest) -> None:
+        """Admit the request, or reject it where there is no room. Raises HttpSyntaxError."""
+        admission = self.server.router.admission
+        if self.is_excess:
+            admission.count_turned_away(message.target)
+            self.answer(FinalAnswer.REJECTED)
+            return
+        admitted = admission.admit(self, message)
+        if admitted is NotAdmitted.NO_CAPACITY:
+            self.answer(FinalAnswer.REJECTED)
+            return
+        # A client that only asks whether this process is ready is not served: hundreds pushed others out.
+        self.was_served = True
+        self.server.unserved.pop(self.connection.number, None)
+        if self.is_answering and isinstance(admitted, Request):
+            self.request = admitted
+
+    # ---- Responses ----
+
+    def answer(self, answer: FinalAnswer, result: str = "", retry_after: int = 0) -> None:
+        """Write the final answer of the request in hand; `retry_after` (ns) is advice, 0: none."""
+        if answer is FinalAnswer.SUCCEEDED:
+            self._respond(200, result.encode("utf-8", "surrogatepass"))
+        else:
+            status, body = RESPONSES[answer]
+            self._respond(status, body, retry_after)
+
+    def has_disconnected(self) -> bool:
+        """Whether the client has closed its connection, which is then closed here, too."""
+        is_closed = self.connection.is_closed_by_peer()
+        if is_closed:
+            # While reading is paused, or before the event loop runs again, its end would be seen too late.
+            self.connection.abort()
+        return is_closed
+
+    def disconnect(self) -> None:
+        """Close the connection without an answer."""
+        self.is_answering = False
+        self.request = None
+        self.hang_up()
+
+    def _redirect(self, leader: str, target: str) -> None:
+        """Another replica leads; where none is known to, one soon will."""
+        if leader:
+            self._respond(307, b"another replica leads", location=f"http://{leader}{target}")
+        else:
+            self._respond(503, b"no replica leads", NO_LEADER_RETRY_AFTER)
+
+    def _respond_with_status(self, message: HttpRequest) -> None:
+        """Answer a question about this process."""
+        if message.target.partition("?")[0] not in STATUS_TARGETS:
+            self._respond(404, b"not found")
+        elif message.method != "GET":
+            self._respond(405, b"ask by GET")
+        elif self.server.is_leaving:
+            self._respond(503, b"leaving")
+        else:
+            self._respond(200, b"ready")
+
+    def _respond(self, status: int, body: bytes, retry_after: int = 0, location: str = "") -> None:
+        self.is_answering = False
+        self.request = None
+        # A client whose request is at fault would send the same again as fast as it can.
+        is_at_fault = 400 <= status < 500
+        is_ending = self.server.is_shut or self.server.is_handing_over or self.dropped_bytes > 0
+        keep_alive = self.keep_alive and not is_at_fault and not is_ending
+        self.connection.write(clients.encode_response(status, body, keep_alive, retry_after, location))
+        self.idle_since = self.server.deadlines.now()
+        if not keep_alive:
+            self._close()
+        else:
+            # What the client has sent in the meantime is read in a turn of its own.
+            self.server.loop.call_soon(self._read_on_if_open)
+        self._watch_pace()
+
+    def _read_on_if_open(self) -> None:
+        if not self.is_answering and not self.is_closing and self.connection.is_open:
+            self._read_on()
+
+    def _close(self) -> None:
+        """Close the connection so that the response arrives even if more was sent than was read."""
+        self.is_closing = True
+        self.queue.clear()
+        buffer = self.connection.buffer
+        buffer.consume(len(buffer))
+        if isinstance(self.failure, MessageTooLongError):
+            self.connection.set_reading_paused(True)  # it may have much more to send
+        self.connection.shut_down_writing()
+        self.server.deadlines.cancel(self.deadline)
+        abort_at = self.server.deadlines.now() + CLOSE_TIMEOUT
+        self.deadline = self.server.deadlines.schedule(abort_at, self.connection.abort)
+
+    # ---- Slow clients ----
+
+    def _watch_pace(self) -> None:
+        """Set a deadline while the client has to send a whole request or to read its response."""
+        if self.is_closing:
+            return
+        has_to_send = (self.reader.in_message or not self.was_served) and not self.is_answering
+        if not has_to_send and not self.connection.has_unsent_data:
+            self.server.deadlines.cancel(self.deadline)
+            self.deadline = None
+        elif self.deadline is None:
+            # Set once: bytes that come one by one renew nothing.
+            timeout = REQUEST_TIMEOUT if has_to_send else RESPONSE_TIMEOUT
+            now = self.server.deadlines.now()
+            self.deadline = self.server.deadlines.schedule(now + timeout, self._on_timeout)
+
+    def _on_timeout(self) -> None:
+        if self.connection.has_unsent_data or not self.reader.in_message:
+            self.connection.abort()
+        elif not self.is_answering:
+            self._respond(408, b"the request did not come whole")
--- /dev/null
+++ b/ploverspoke/routing/completion.py
@@ -0,0 +1,139 @@
+"""Ends requests: the one final answer, a client that disconnects, a leader that steps down."""
+
+from functools import partial
+
+from ploverspoke.decisions.settings import Idempotency
+from ploverspoke.transport.rate_limited_log import log_line
+
+from .answers import Client, FinalAnswer, RecordedAnswer
+from .context import RoutingContext
+from .counters import RequestEnd, UnansweredEnd
+from .request_recorder import RequestRecorder
+from .requests import Request
+
+
+class RequestCompletion:
+    """Gives each request its one end."""
+
+    def __init__(self, context: RoutingContext, recorder: RequestRecorder | None) -> None:
+        """With a `recorder` answers are committed before they are given."""
+        self.deadlines = context.deadlines
+        self.settings = context.settings
+        self.counters = context.counters
+        self.requests = context.requests
+        self.dispatcher = context.dispatcher
+        self.events = context.events
+        self.recorder = recorder
+
+    def answer(
+        self, request: Request | None, answer: FinalAnswer, result: str = "", retry_after: int = 0
+    ) -> None:
+        """Give the final answer, unless the request has had it or its client has disconnected.
+
+        `retry_after` (ns) advises a rejected client when to retry; 0 gives no advice.
+        """
+        if request is None or request.client is None:
+            return
+        client = request.client
+        self._close(request, answer)
+        if self.recorder is None:
+            client.answer(answer, result, retry_after)
+        else:
+            recorded = RecordedAnswer(answer, result)
+            self._answer_once_recorded(self.recorder, request, client, recorded, retry_after)
+        self.requests.remove_if_ended(request)
+
+    def _answer_once_recorded(
+        self,
+        recorder: RequestRecorder,
+        request: Request,
+        client: Client,
+        recorded: RecordedAnswer,
+        retry_after: int,
+    ) -> None:
+        """Whoever asks for the request again, here or at another replica, must get the same answer."""
+
+        def on_committed(is_committed: bool) -> None:
+            recorder.forget(request)
+            if is_committed:
+                client.answer(recorded.answer, recorded.result, retry_after)
+            else:
+                client.disconnect()
+
+        recorder.record_answer(request, recorded, on_committed)
+
+    def on_client_disconnected(self, request: Request, client: Client) -> None:
+        """End the request if its client has left; with a store the client may come back for its answer."""
+        if request.waiting_clients is not None:
+            if client in request.waiting_clients.clients:
+                request.waiting_clients.clients.remove(client)
+            self.reject_if_never_sent(request)
+        elif request.client is not None:
+            self._close(request, UnansweredEnd.CLIENT_DISCONNECTED)
+            self._report_client_disconnected(request)
+            self.requests.remove_if_ended(request)
+
+    def reject_if_never_sent(self, request: Request) -> None:
+        """Reject a request that no client waits for and no worker has had or may get.
+
+        A client that comes back then learns that it has not run.
+        """
+        waiting = request.waiting_clients
+        if waiting is None or waiting.clients or request.may_have_been_sent:
+            return
+        if request.client is not None and not request.has_active_attempt():
+            self.answer(request, FinalAnswer.REJECTED)
+            self._report_client_disconnected(request)
+
+    def on_deadline(self, request: Request) -> None:
+        """Answer a request that the decisions have not answered in time."""
+        if request.client is not None:
+            log_line(f"request {request.request_id} was not answered in time by the decisions")
+            self.answer_without_decision(request)
+
+    def answer_without_decision(self, request: Request | None) -> None:
+        """After a fault, or at shutdown: reject what cannot have run or is idempotent, fail the others."""
+        if request is None or request.client is None:
+            return
+        idempotency = self.settings.idempotency(request.class_number)
+        if request.attempts and idempotency is not Idempotency.IDEMPOTENT:
+            self.answer(request, FinalAnswer.FAILED)
+        else:
+            self.answer(request, FinalAnswer.REJECTED)
+        self._report_client_disconnected(request)
+
+    def answer_all(self) -> None:
+        """Answer every open request: the process ends."""
+        for request in self.requests:
+            self.answer_without_decision(request)
+
+    def leave_all_to_leader(self) -> None:
+        """Another replica answers from now on; attempts that are out go on, their outcomes are not needed."""
+        for request in self.requests:
+            if request.client is not None:
+                self.leave_to_leader(request)
+                self._report_client_disconnected(request)
+
+    def leave_to_leader(self, request: Request) -> None:
+        """Disconnect the clients of a request: its answer is another replica's to give."""
+        client = request.client
+        if client is not None:
+            self._close(request, UnansweredEnd.LEFT_TO_LEADER)
+        if self.recorder is not None:
+            self.recorder.forget(request)
+        if client is not None:
+            client.disconnect()
+        self.requests.remove_if_ended(request)
+
+    def _close(self, request: Request, end: RequestEnd) -> None:
+        """Count the end, and send nothing more for the request."""
+        request.client = None
+        self.counters.count_end(self.settings.class_name(request.class_number), end)
+        self.deadlines.cancel(request.answer_deadline)
+        for attempt in request.attempts:
+            if attempt is not None:
+                attempt.withhold()
+
+    def _report_client_disconnected(self, request: Request) -> None:
+        event = partial(self.dispatcher.client_disconnected, request.number)
+        self.events.emit(event, request.number)
--- a/ploverspoke/routing/counters.py
+++ b/ploverspoke/routing/counters.py
@@ -33,6 +33,7 @@
     """Counts by the name of the request class: a class that was dropped from the settings keeps its own."""
 
     def __init__(self) -> None:
+        """Begin with nothing counted."""
         self.admitted = 0  # requests, also those that were rejected at once
         self.ends: dict[str, Counter[RequestEnd]] = {}
         self.attempts: Counter[str] = Counter()  # that a worker's connection took whole
--- a/ploverspoke/routing/endpoint_watch.py
+++ b/ploverspoke/routing/endpoint_watch.py
@@ -1,9 +1,9 @@
-"""The watch on one address of discovery: one call after the other, until one fails."""
+"""The watch on one address of discovery: one request after the other, until one fails."""
 
-import asyncio
 from collections.abc import Callable
 
 from ploverspoke.protocol import discovery
+from ploverspoke.protocol.discovery import EndpointList
 from ploverspoke.protocol.errors import HttpSyntaxError, WatchRejectedError
 from ploverspoke.transport.connection_pool import ConnectionPool, PendingConnection
 from ploverspoke.transport.connections import Connection
@@ -12,192 +12,209 @@
 from ploverspoke.transport.rate_limited_log import log_line
 from ploverspoke.transport.units import MILLISECOND, SECOND
 
-CONNECT_TIME = 2 * SECOND
-# What a silent call keeps from us counts as told 2 s after the wait that it was allowed, or 6 s after it fell
-# silent, if that is later or it was allowed none. The next call's answer has to be here by then, not its
-# asking, and where all watches fall silent at once discovery works through the next calls of all, one by one
-# (six took 2 s). The answer to a wait comes when that is over, also from a discovery that is busy.
-ANSWER_TIME = 250 * MILLISECOND  # beyond the wait
-WHOLE_ANSWER_TIME = 4 * SECOND  # for a call that may not wait, but has to wait its turn
-AT_ONCE_EVERY = SECOND  # no more often is a broken watch opened anew without a pause
+MAX_CONNECTIONS = 2  # the next request may need one before the last one's is closed completely
+CONNECT_TIMEOUT = 2 * SECOND
+# The dispatcher counts as told of what a silent request keeps from it 2 s after the wait that it was
+# allowed, or 6 s after it fell silent, if that is later or it was allowed none. The response to the next
+# request has to be here by then, and where all watches fall silent at once discovery works through the next
+# requests of all, one by one (six took 2 s). The response to a wait comes when that is over, also from a busy
+# discovery.
+RESPONSE_TIMEOUT = 250 * MILLISECOND  # beyond the wait
+FULL_LIST_TIMEOUT = 4 * SECOND  # for a request that may not wait, but has to wait its turn
+MIN_IMMEDIATE_RETRY_INTERVAL = SECOND  # a broken watch is no more often restarted without a backoff
 
 
-class Call:
-    """One call, from its connection to its end. Whatever comes once the watch is at another is not heard."""
+class WatchRequest:
+    """One request, from its connection to its end; it reports nothing once the watch has another one."""
 
     def __init__(self, watch: "EndpointWatch") -> None:
+        """Ask for what is newer than the version that the watch has."""
         self.watch = watch
-        self.version = watch.version  # newer than that is asked for; None: the whole list
+        self.version = watch.version
         self.connection: Connection | None = None
-        self.opening: PendingConnection | None = None
-        self.late: Deadline | None = None
-        self.answer = discovery.EndpointListReader(self._complete)
-        self.body: bytes | None = None
-        self.lasts = False
-        self.heard_out = False  # what lay unread at the end of its time was read
+        self.pending_connection: PendingConnection | None = None
+        self.deadline: Deadline | None = None
+        self.reader = discovery.EndpointListReader(self._on_complete)
+        self.body: bytes | None = None  # of the response, when that is complete
+        self.is_reusable = False  # the connection, after the response
+        self.was_read_at_timeout = False  # what lay unread when the time was over
 
     def begin(self) -> None:
-        if self.watch.call is self:
-            self.opening = self.watch.pool.acquire(self.watch.address, self)
+        """Get a connection, unless the watch has another request by now."""
+        if self.watch.request is self:
+            self.pending_connection = self.watch.pool.acquire(self.watch.address, self)
+
+    def release(self) -> Connection | None:
+        """End the request; returns its connection, if it has one, which is the caller's now."""
+        self.watch.deadlines.cancel(self.deadline)
+        if self.pending_connection is not None:
+            self.pending_connection.cancel()
+            self.pending_connection = None
+        connection, self.connection = self.connection, None
+        if connection is not None:
+            connection.user = None
+        return connection
+
+    def abort(self) -> None:
+        """End the request and close its connection."""
+        connection = self.release()
+        if connection is not None:
+            connection.abort()
+
+    # ---- Events of the connection ----
 
     def on_connected(self, connection: Connection) -> None:
+        """Send the request."""
         watch = self.watch
-        self.opening = None
+        self.pending_connection = None
         self.connection = connection
         connection.user = self
-        limit = WHOLE_ANSWER_TIME if self.version is None else watch.hold + ANSWER_TIME
-        self.late = watch.deadlines.schedule(watch.deadlines.now() + limit, self._silent)
-        connection.write(discovery.encode_watch_request(self.version, watch.hold, watch.address))
+        timeout = FULL_LIST_TIMEOUT if self.version is None else watch.max_wait + RESPONSE_TIMEOUT
+        self.deadline = watch.deadlines.schedule(watch.deadlines.now() + timeout, self._on_timeout)
+        connection.write(discovery.encode_watch_request(self.version, watch.max_wait, watch.address))
 
     def on_connect_failed(self, outcome: ExchangeOutcome) -> None:
-        self.opening = None
-        self.watch.failed(self, False)
+        """Fail."""
+        self.pending_connection = None
+        self.watch.on_failed(self, is_rejected=False)
 
     def on_data_available(self) -> None:
+        """Read the response; a complete list is taken, whatever comes behind it."""
         if self.connection is None:
             return
-        turned_away, wrong = False, False
+        failure: HttpSyntaxError | None = None
         try:
-            self.connection.feed(self.answer)
+            self.connection.feed(self.reader)
         except HttpSyntaxError as error:
             log_line(f"discovery: {error}")
-            turned_away, wrong = isinstance(error, WatchRejectedError), True
-        # A whole list is told, whatever comes behind it.
-        told = self.body is None or self.watch.take(self.body, self.version)
-        if wrong or not told:
-            self.watch.failed(self, turned_away)
+            failure = error
+        was_taken = self.body is None or self.watch.take_list(self.body, self.version)
+        if failure is not None or not was_taken:
+            self.watch.on_failed(self, is_rejected=isinstance(failure, WatchRejectedError))
         elif self.body is not None:
-            self.watch.answered(self)
-
-    def _complete(self, body: bytes, lasts: bool) -> None:
-        if self.body is not None:
-            self.answer.fail(HttpSyntaxError("more than one answer"))
-        self.body, self.lasts = body, lasts
+            self.watch.on_answered(self)
 
     def on_disconnected(self) -> None:
+        """Fail."""
         self.connection = None
-        self.watch.failed(self, False)
+        self.watch.on_failed(self, is_rejected=False)
 
     def on_write_drained(self) -> None:
-        pass
+        """Do nothing: a request is written at once."""
+
+    def _on_complete(self, body: bytes, reusable: bool) -> None:
+        if self.body is not None:
+            self.reader.fail(HttpSyntaxError("more than one answer"))
+        self.body, self.is_reusable = body, reusable
 
-    def _silent(self) -> None:
-        if self.connection is not None and self.connection.has_unread_data() and not self.heard_out:
+    def _on_timeout(self) -> None:
+        has_unread_data = self.connection is not None and self.connection.has_unread_data()
+        if has_unread_data and not self.was_read_at_timeout:
             # This process may have been stopped: what came in time is read first.
-            self.heard_out = True
-            self.late = self.watch.deadlines.schedule(self.watch.deadlines.now() + MILLISECOND, self._silent)
+            self.was_read_at_timeout = True
+            now = self.watch.deadlines.now()
+            self.deadline = self.watch.deadlines.schedule(now + MILLISECOND, self._on_timeout)
         else:
-            self.watch.silent(self)
-
-    def give_over(self) -> Connection | None:
-        """Its end; what it has of a connection is the caller's."""
-        self.watch.deadlines.cancel(self.late)
-        if self.opening is not None:
-            self.opening.cancel()
-            self.opening = None
-        connection, self.connection = self.connection, None
-        if connection is not None:
-            connection.user = None
-        return connection
-
-    def hang_up(self) -> None:
-        connection = self.give_over()
-        if connection is not None:
-            connection.abort()
+            self.watch.on_silent(self)
 
 
 class EndpointWatch:
+    """Keeps one watch request open at discovery, and reports lists and failures."""
+
     def __init__(
         self,
-        loop: asyncio.AbstractEventLoop,
         deadlines: Deadlines,
         address: str,
-        hold: int,
-        told: Callable[
-            [bytes], tuple[int, bool]
-        ],  # gives version and whether it was whole; raises EndpointListError
-        lost: Callable[[bool], None],  # whether it has too many calls
-        pushed: bool = False,
+        on_list: Callable[[bytes], EndpointList],
+        on_failure: Callable[[bool], None],
+        max_wait: int,
+        is_pushed: bool = False,
     ) -> None:
-        """Pushed: changes count as told whether or not a watch is open, by an agent beside us that has no
-        other callers: a watch that broke is opened anew without the pause that spreads calls.
+        """`on_list` is given the body of each list, and may raise EndpointListError.
+
+        `on_failure` is given whether discovery has too many requests; the watch has ended then. Discovery
+        may wait `max_wait` ns for a change. With `is_pushed` the dispatcher counts as told of changes
+        whether or not a watch is open, by an agent beside it that has no other callers: a watch that breaks
+        is restarted without the backoff that spreads requests.
         """
-        self.loop = loop
         self.deadlines = deadlines
         self.address = address
-        self.hold = hold
-        self.told = told
-        self.lost = lost
-        self.pushed = pushed
-        self.anew_at = -AT_ONCE_EVERY  # when it was last opened anew without a pause
-        self.version: int | None = None
-        # One at a time, but the next may come up before the last is quite closed.
-        self.pool = ConnectionPool(loop, deadlines, 2, CONNECT_TIME, CONNECT_TIME)
-        self.call: Call | None = None  # the one that is heard; None: nobody watches
-        self.silences = 0  # in a row
-        self.stopped = False
+        self.on_list = on_list
+        self.on_failure = on_failure
+        self.max_wait = max_wait
+        self.is_pushed = is_pushed
+        self.immediate_retry_at = -MIN_IMMEDIATE_RETRY_INTERVAL  # when the last one was
+        self.version: int | None = None  # of the list that was received last; None: the whole list is needed
+        self.pool = ConnectionPool(
+            deadlines.loop, deadlines, MAX_CONNECTIONS, CONNECT_TIMEOUT, CONNECT_TIMEOUT
+        )
+        self.request: WatchRequest | None = None  # None: nobody watches
+        self.consecutive_timeouts = 0
+        self.is_stopped = False
 
     def start(self) -> None:
-        if self.call is None and not self.stopped:
-            self.call = Call(self)
-            self.loop.call_soon(self.call.begin)  # never from inside the call that asked for it
+        """Begin to watch, if that is not done already."""
+        if self.request is None and not self.is_stopped:
+            self.request = WatchRequest(self)
+            self.deadlines.loop.call_soon(self.request.begin)  # never from inside the call that asked for it
 
     def stop(self) -> None:
-        """Another watch has taken over: whatever still comes here is not told."""
-        self.stopped = True
-        call, self.call = self.call, None
-        if call is not None:
-            call.hang_up()
+        """End for good: another watch has taken over, and nothing more is reported here."""
+        self.is_stopped = True
+        request, self.request = self.request, None
+        if request is not None:
+            request.abort()
 
-    # ---- What calls say, each of them at most once ----
+    # ---- Called by requests, by each of them at most once ----
 
-    def take(self, body: bytes, asked: int | None) -> bool:
+    def take_list(self, body: bytes, requested_version: int | None) -> bool:
+        """Report a list; false if it could not be taken."""
         try:
-            version, whole = self.told(body)
+            received = self.on_list(body)
         except Exception as error:
             # Whatever a list holds, it must not end the watch for good.
             log_line(f"discovery: {type(error).__name__}: {error}")
             return False
-        # Numbers that went back are those of a discovery that was started anew: of what it changed before
-        # the number that we know it would say nothing.
-        behind = asked is not None and version < asked and not whole
-        self.version = None if behind else version
-        self.silences = 0
+        # Versions that went back are those of a restarted discovery: it would not report what it changed
+        # before it reaches the version that is known here.
+        went_back = requested_version is not None and received.version < requested_version
+        self.version = None if went_back and not received.is_complete else received.version
+        self.consecutive_timeouts = 0
         return True
 
-    def answered(self, call: Call) -> None:
-        """The next call goes out at once, for the watch to go on."""
-        if self.call is not call:
-            return  # what was told has ended the watch
-        connection = call.give_over()
-        self.call = Call(self)
-        if connection is not None and call.lasts:
-            self.call.on_connected(connection)
+    def on_answered(self, request: WatchRequest) -> None:
+        """Send the next request at once, over the same connection if possible."""
+        if self.request is not request:
+            return  # the list that was reported has ended the watch
+        connection = request.release()
+        self.request = WatchRequest(self)
+        if connection is not None and request.is_reusable:
+            self.request.on_connected(connection)
         else:
             if connection is not None:
                 connection.abort()
-            self.call.begin()
-
-    def silent(self, call: Call) -> None:
-        """It may be this connection alone. The wait for it was pause enough, and what it kept from us soon
-        counts as told: the next call goes out at once.
-        """
-        self.silences += 1
-        if self.silences == 1:
-            log_line("discovery: a call got no answer in its time; asking anew")
-        call.hang_up()
-        if self.call is call:
-            self.call = Call(self)
-            self.call.begin()
-
-    def failed(self, call: Call, turned_away: bool) -> None:
-        call.hang_up()
-        if self.call is not call:
+            self.request.begin()
+
+    def on_silent(self, request: WatchRequest) -> None:
+        """Send the next request at once: it may be this connection alone, and the wait was backoff enough."""
+        self.consecutive_timeouts += 1
+        if self.consecutive_timeouts == 1:
+            log_line("discovery: a watch request timed out; sending the next one")
+        request.abort()
+        if self.request is request:
+            self.request = WatchRequest(self)
+            self.request.begin()
+
+    def on_failed(self, request: WatchRequest, is_rejected: bool) -> None:
+        """End the watch and report it; a pushed one is first restarted once."""
+        request.abort()
+        if self.request is not request:
             return
-        self.call = None
+        self.request = None
         now = self.deadlines.now()
-        if self.pushed and not turned_away and now - self.anew_at >= AT_ONCE_EVERY:
-            self.anew_at = now
+        may_retry = now - self.immediate_retry_at >= MIN_IMMEDIATE_RETRY_INTERVAL
+        if self.is_pushed and not is_rejected and may_retry:
+            self.immediate_retry_at = now
             self.start()
         else:
-            self.lost(turned_away)
+            self.on_failure(is_rejected)
--- /dev/null
+++ b/ploverspoke/routing/endpoints.py
@@ -0,0 +1,111 @@
+"""The endpoint list: where workers are, as discovery lists them, and the watch that keeps it up to date."""
+
+import time
+from collections.abc import Callable
+from functools import partial
+
+from ploverspoke.decisions.interface import Endpoint, EndpointCondition
+from ploverspoke.protocol.discovery import (
+    EndpointEntry,
+    EndpointList,
+    read_endpoint_list,
+)
+from ploverspoke.protocol.wire_names import ENDPOINT_STATES
+from ploverspoke.transport.units import MILLISECOND
+
+from .context import RoutingContext
+from .endpoint_watch import EndpointWatch
+
+
+class EndpointDirectory:
+    """Follows discovery, keeps the workers' addresses and passes each change on to the decisions."""
+
+    def __init__(self, context: RoutingContext, discovery_address: str) -> None:
+        """`discovery_address` is "host:port"; nothing is asked there before the watch is started."""
+        self.deadlines = context.deadlines
+        self.pool = context.pool
+        self.settings = context.settings
+        self.dispatcher = context.dispatcher
+        self.events = context.events
+        self.addresses: dict[str, str] = {}  # by worker; also of those that are gone
+        self.lists_received = 0  # from discovery, since the start
+        self.on_list: Callable[[bytes], None] | None = None  # given the body of each list
+        # Discovery gives starts in Unix time. One difference, taken once, converts them all, so that the
+        # same start always has the same time.
+        self.wall_clock_offset = time.time_ns() - time.monotonic_ns()
+        self.watch = self._make_watch(discovery_address)
+
+    def load_known(self, known: EndpointList, resume: bool) -> None:
+        """Begin with a list from before the start.
+
+        With `resume` discovery is asked only for what is newer, else for the whole list.
+        """
+        self.watch.version = known.version if resume else None
+        self._report(known, is_complete=True)
+
+    def receive_list(self, body: bytes) -> EndpointList:
+        """Take a list from discovery. Raises EndpointListError, with nothing changed."""
+        received = read_endpoint_list(body)
+        self._report(received, received.is_complete)
+        self.lists_received += 1
+        if self.on_list is not None:
+            self.on_list(body)
+        return received
+
+    def start_watch(self) -> None:
+        """Watch the list, if that is not done already."""
+        self.watch.start()
+
+    def change_address(self, address: str) -> None:
+        """Watch at another address, from the whole list on: its versions are its own."""
+        self.watch.stop()
+        self.watch = self._make_watch(address)
+        self.watch.start()
+
+    def apply_settings(self) -> None:
+        """Let the watch follow the current settings."""
+        self.watch.max_wait = self.settings.max_watch_wait()
+        self.watch.is_pushed = self.settings.is_pushed()
+
+    def _make_watch(self, address: str) -> EndpointWatch:
+        return EndpointWatch(
+            self.deadlines,
+            address,
+            self.receive_list,
+            self._on_watch_failed,
+            self.settings.max_watch_wait(),
+            self.settings.is_pushed(),
+        )
+
+    def _on_watch_failed(self, is_rejected: bool) -> None:
+        self.events.emit(partial(self.dispatcher.endpoint_watch_failed, is_rejected))
+
+    def _report(self, received: EndpointList, is_complete: bool) -> None:
+        endpoints = [self._enter(entry) for entry in received.entries]
+        if is_complete:
+            self.events.emit(partial(self.dispatcher.endpoint_list_received, endpoints))
+        else:
+            self.events.emit(partial(self.dispatcher.endpoints_changed, endpoints))
+
+    def _enter(self, entry: EndpointEntry) -> Endpoint:
+        """Keep the worker's address; connections to where it is no longer are not used again."""
+        # Nothing new is sent to a worker in a state that is not known.
+        condition = EndpointCondition(ENDPOINT_STATES.get(entry.state, EndpointCondition.DRAINING.value))
+        known_address = self.addresses.get(entry.name)
+        is_gone = condition is EndpointCondition.GONE
+        if known_address is not None and (is_gone or entry.address != known_address):
+            self.pool.retire_address(known_address)
+        if entry.address:
+            self.addresses[entry.name] = entry.address
+        started_at = 0
+        if entry.started_ms:
+            started_at = max(1, entry.started_ms * MILLISECOND - self.wall_clock_offset)
+        return Endpoint(
+            entry.name,
+            self.settings.zone_number(entry.zone),
+            self.settings.machine_kind_number(entry.machine_kind),
+            entry.rack,
+            condition,
+            entry.weight,
+            started_at,
+        )
--- /dev/null
+++ b/ploverspoke/routing/event_queue.py
@@ -0,0 +1,38 @@
+"""Delivers events to the decisions, never from inside one of their own calls."""
+
+import traceback
+from collections import deque
+from collections.abc import Callable
+from functools import partial
+
+from ploverspoke.transport.rate_limited_log import log_line
+
+
+class EventQueue:
+    """Calls event methods of the decisions one after the other, in the order in which they were emitted."""
+
+    def __init__(self, on_failure: Callable[[int], None]) -> None:
+        """`on_failure` is given the number of the request whose event raised an exception."""
+        self.on_failure = on_failure
+        self.events: deque[tuple[partial[None], int | None]] = deque()
+        self.is_delivering = False
+
+    def emit(self, event: partial[None], request_number: int | None = None) -> None:
+        """Deliver an event now, or, from inside a call of the decisions, once that call is over.
+
+        An exception is logged with its trace; the request that the event was about must not suffer by it.
+        """
+        self.events.append((event, request_number))
+        if self.is_delivering:
+            return
+        self.is_delivering = True
+        while self.events:
+            event, request_number = self.events.popleft()
+            try:
+                event()
+            except Exception:
+                name = getattr(event.func, "__name__", event.func)
+                log_line(f"a decision failed in {name}: {traceback.format_exc()}")
+                if request_number is not None:
+                    self.on_failure(request_number)
+        self.is_delivering = False
--- a/ploverspoke/routing/request_classes.py
+++ b/ploverspoke/routing/request_classes.py
@@ -22,6 +22,7 @@
     """The numbers of the active request classes, and the names of all that a number was given to."""
 
     def __init__(self, class_names: Sequence[str]) -> None:
+        """Number the classes in their order."""
         self.numbers = {name: number for number, name in enumerate(class_names)}  # of active classes
         self.names = list(class_names)  # by number, also of classes that are no longer active
 
--- a/ploverspoke/routing/request_log.py
+++ b/ploverspoke/routing/request_log.py
@@ -62,6 +62,7 @@
     """An attempt whose record is not committed yet; it stands in the place of its worker call until then."""
 
     def __init__(self) -> None:
+        """To be sent, unless it is cancelled."""
         self.cancelled = False
 
     def cancel(self) -> None:
@@ -77,6 +78,7 @@
     """All clients that wait for one request: a client that comes back with its id joins the others."""
 
     def __init__(self, first: Client) -> None:
+        """`first` is the client that sent the request."""
         self.clients = [first]
 
     def answer(self, answer: FinalAnswer, result: str = "", retry_after: int = 0) -> None:
@@ -86,8 +88,9 @@
 
     def has_disconnected(self) -> bool:
         """Whether all have; a request that was resumed and has no client yet goes on."""
-        # Each is asked: a client that is found to have left closes its connection.
-        return bool(self.clients) and all([client.has_disconnected() for client in self.clients])
+        # Each is asked, since a client that is found to have left closes its connection.
+        waiting = [client for client in self.clients if not client.has_disconnected()]
+        return bool(self.clients) and not waiting
 
     def disconnect(self) -> None:
         """Close all their connections without an answer."""
--- /dev/null
+++ b/ploverspoke/routing/request_recorder.py
@@ -0,0 +1,134 @@
+"""Commits requests, attempts and answers to the store's request log before they take effect."""
+
+from collections.abc import Callable
+from functools import partial
+
+from ploverspoke.decisions.interface import AttemptOutcome
+from ploverspoke.decisions.settings import Idempotency
+from ploverspoke.protocol.clients import HttpRequest
+from ploverspoke.protocol.errors import RequestIdInUseError
+from ploverspoke.protocol.wire_names import REQUEST_ID
+
+from .answers import Client, RecordedAnswer
+from .context import RoutingContext
+from .request_log import CommitCallback, PreviousOutcome, RequestLog, WaitingClients
+from .requests import Request
+
+
+class RequestRecorder:
+    """The router's side of the request log; exists only where there is a store."""
+
+    def __init__(self, context: RoutingContext, request_log: RequestLog) -> None:
+        """`request_log` is that of the store."""
+        self.deadlines = context.deadlines
+        self.settings = context.settings
+        self.dispatcher = context.dispatcher
+        self.events = context.events
+        self.request_log = request_log
+        self.open_requests: dict[str, Request] = {}  # by request id, until the answer is committed
+
+    def is_leader(self) -> bool:
+        """Whether this replica may act: no other one can be the leader now."""
+        return self.request_log.is_leader()
+
+    def leader_redirect(self) -> str | None:
+        """Where clients are redirected to: None if this replica leads, "" if no leader is known."""
+        return None if self.request_log.is_leader() else self.request_log.leader_address()
+
+    def records_attempts(self, request: Request) -> bool:
+        """Whether attempts are recorded: those of idempotent requests need not be."""
+        return self.settings.idempotency(request.class_number) is not Idempotency.IDEMPOTENT
+
+    # ---- Requests ----
+
+    def join(self, client: Client, message: HttpRequest) -> Request | None:
+        """Let the client wait for an open request with the same id; None if there is none.
+
+        Raises RequestIdInUseError if the id belongs to a different request, open or ended.
+        """
+        request = self.open_requests.get(message.headers[REQUEST_ID])
+        if request is None:
+            return None
+        if request.digest != self._digest(message):
+            raise RequestIdInUseError(reason="request-id is in use")
+        # Also while its answer is being committed: taken for a new request it would be sent again.
+        assert request.waiting_clients is not None
+        request.waiting_clients.clients.append(client)
+        return request
+
+    def recorded_answer(self, message: HttpRequest) -> RecordedAnswer | None:
+        """The answer that a request with this id has had; None if it is not answered or new.
+
+        Raises RequestIdInUseError if the id belongs to a different request.
+        """
+        previous = self.request_log.previous_outcome(message.headers[REQUEST_ID])
+        if previous is None:
+            return None
+        if previous.digest != self._digest(message):
+            raise RequestIdInUseError(reason="request-id is in use")
+        return previous.answer
+
+    def record_request(
+        self, request: Request, client: Client, on_admitted: Callable[[], None], on_lost: Callable[[], None]
+    ) -> None:
+        """Call `on_admitted` once it is committed that the request is here.
+
+        An idempotent request need not wait for that, and one that was recorded before is resumed. Where
+        the commit fails `on_lost` is called: the request may be recorded all the same, and then the leader
+        answers it.
+        """
+        request.digest = self._digest(request.message)
+        request.client = request.waiting_clients = WaitingClients(client)
+        self.open_requests[request.request_id] = request
+        if self.settings.idempotency(request.class_number) is Idempotency.IDEMPOTENT:
+            on_admitted()
+            return
+        previous = self.request_log.previous_outcome(request.request_id)
+        if previous is not None:
+            self._resume(request, previous)
+            on_admitted()
+            return
+
+        def on_committed(is_committed: bool) -> None:
+            if request.client is not None:
+                (on_admitted if is_committed else on_lost)()
+
+        time_left = request.deadline - self.deadlines.now()
+        self.request_log.record_request(
+            request.request_id, request.class_number, request.digest, time_left, on_committed
+        )
+
+    def _resume(self, request: Request, previous: PreviousOutcome) -> None:
+        """Count the attempts of another replica; the first that may have run binds the retries."""
+        request.attempts = [None] * previous.attempt_count
+        request.may_have_been_sent = previous.attempt_count > 0
+        sent_at = self.deadlines.now() - previous.time_since_bound
+        event = partial(
+            self.dispatcher.request_resumed,
+            request.number,
+            previous.attempt_count,
+            previous.bound_worker,
+            sent_at,
+        )
+        self.events.emit(event, request.number)
+
+    def forget(self, request: Request) -> None:
+        """The request is answered, or left to another replica."""
+        self.open_requests.pop(request.request_id, None)
+
+    def _digest(self, message: HttpRequest) -> bytes:
+        return self.request_log.digest(message.method, message.target, message.body)
+
+    # ---- Attempts and answers ----
+
+    def record_attempt(self, request: Request, worker: str, index: int, on_committed: CommitCallback) -> None:
+        """Commit that an attempt may be sent to the worker."""
+        self.request_log.record_attempt(request.request_id, worker, index, on_committed)
+
+    def record_outcome(self, request: Request, index: int, outcome: AttemptOutcome) -> None:
+        """Record how an attempt ended; nothing waits for this commit."""
+        self.request_log.record_attempt_outcome(request.request_id, index, outcome.value)
+
+    def record_answer(self, request: Request, answer: RecordedAnswer, on_committed: CommitCallback) -> None:
+        """Commit the final answer; the callback gets False where another one was committed first."""
+        self.request_log.record_answer(request.request_id, answer, request.digest, on_committed)
--- a/ploverspoke/routing/requests.py
+++ b/ploverspoke/routing/requests.py
@@ -1,5 +1,7 @@
-"""One submission taken from a client, until it is answered and its hand-offs have ended."""
+"""One request that was admitted from a client, until it is answered and its attempts have ended."""
 
+from ploverspoke.protocol.clients import HttpRequest
+from ploverspoke.protocol.wire_names import REQUEST_ID
 from ploverspoke.transport.deadlines import Deadline
 
 from .answers import Client
@@ -8,32 +10,23 @@
 
 
 class Request:
-    def __init__(
-        self,
-        client: Client,
-        grade: int,
-        method: str,
-        target: str,
-        headers: dict[str, str],
-        body: bytes,
-        abandon_at: int,
-    ) -> None:
-        self.number = 0
-        self.client: Client | None = client  # None: answered, or the client has left
-        self.grade = grade
-        self.method = method
-        self.target = target
-        self.headers = headers
-        self.request_id = headers["request-id"]
-        self.body = body
-        self.abandon_at = abandon_at
-        self.digest = b""  # of the request, where a store keeps it
-        self.waiters: WaitingClients | None = (
-            None  # the same client and those that came back, where there is a store
-        )
-        self.sent = False  # something of it was written to a worker
-        self.hand_offs: list[WorkerCall | PendingAttempt | None] = []  # None: ended
-        self.last_answer: Deadline | None = None
+    """State of one admitted request."""
 
-    def out(self) -> bool:
-        return any(errand is not None for errand in self.hand_offs)
+    def __init__(self, client: Client, class_number: int, message: HttpRequest, deadline: int) -> None:
+        """`deadline` is the time (monotonic ns) by which the final answer is given."""
+        self.number = 0  # in the request table, and the id that the decisions see
+        self.client: Client | None = client  # None: answered, or the client has disconnected
+        self.class_number = class_number
+        self.message = message
+        self.request_id = message.headers[REQUEST_ID]
+        self.deadline = deadline
+        self.digest = b""  # of the message, where a store keeps it
+        # Where there is a store: the first client, and those that came back with the same id.
+        self.waiting_clients: WaitingClients | None = None
+        self.may_have_been_sent = False  # an attempt was allowed to write to a worker
+        self.attempts: list[WorkerCall | PendingAttempt | None] = []  # by index; None: ended
+        self.answer_deadline: Deadline | None = None  # guards the client against a fault of the decisions
+
+    def has_active_attempt(self) -> bool:
+        """Whether an attempt has not ended yet."""
+        return any(attempt is not None for attempt in self.attempts)
--- a/ploverspoke/service/service.py
+++ b/ploverspoke/service/service.py
@@ -14,6 +14,8 @@
 import uvloop
 
 from ploverspoke.decisions.settings import Settings
+from ploverspoke.protocol.discovery import parse_endpoint_list
+from ploverspoke.routing.active_settings import ActiveSettings
 from ploverspoke.routing.admin_server import AdminServer
 from ploverspoke.routing.client_server import ClientServer
 from ploverspoke.routing.load_gossip import GossipSocket
@@ -65,19 +67,17 @@
             settings.connect_timeout,
         )
         self.router = Router(
-            loop,
             self.deadlines,
             self.pool,
             briefing.discovery,
             briefing.seed,
-            settings,
-            briefing.names,
+            ActiveSettings(settings, briefing.names),
             scribe,
         )
         if briefing.peers:
             own = settings.dispatcher_index
-            self.router.peers = GossipSocket(
-                briefing.peers, own, self.router.known_workers, self.router.heard
+            self.router.load_gossip = GossipSocket(
+                briefing.peers, own, self.router.known_workers, self.router.on_gossip
             )
         self.door = ClientServer(
             loop, self.deadlines, self.router, shares.client_connections, shares.buffered_bytes
@@ -98,12 +98,14 @@
             self.operators.listener.open(*self.briefing.admin)
         if self.neighbours.enter():
             self._look_at_neighbours()
-        if self.router.peers is not None:
-            await self.router.peers.open(self.loop)
+        if self.router.load_gossip is not None:
+            await self.router.load_gossip.open(self.loop)
         elif self.briefing.cannot_tell:
             log_line(NO_PEERS)
         replaces = self.processes > 1
-        self.router.begin(self.briefing.known, from_known=not replaces)
+        document = self.briefing.known
+        known = None if document is None else parse_endpoint_list(dict(document))
+        self.router.start(known, resume=not replaces)
         if replaces:
             await self._list_came()
         if not self.leaving_since:
@@ -119,7 +121,11 @@
     async def _list_came(self) -> None:
         """Who replaces another need not guess: that one serves until we say that we do."""
         until = self.deadlines.now() + LIST_WITHIN
-        while not self.router.lists_told and self.deadlines.now() < until and not self.leaving_since:
+        while (
+            not self.router.endpoints.lists_received
+            and self.deadlines.now() < until
+            and not self.leaving_since
+        ):
             await asyncio.sleep(LOOK_EVERY / SECOND)
 
     def _look_at_neighbours(self) -> None:
@@ -130,7 +136,7 @@
             self.processes = processes
             shares = split_resources(self.sockets, self.briefing.memory, processes)
             self.pool.resize(shares.worker_connections)
-            self.door.most_sessions, self.door.most_buffered = (
+            self.door.max_sessions, self.door.max_buffered_bytes = (
                 shares.client_connections,
                 shares.buffered_bytes,
             )
@@ -150,7 +156,7 @@
     def take_configuration(self, new: Config) -> None:
         """Raises ConfigError, with nothing changed, where it lacks what the one in force has."""
         old = self.briefing
-        if self.router.peers is None:
+        if self.router.load_gossip is None:
             # Addresses wait for the next start, and so do messages.
             new = new._replace(settings=replace(new.settings, gossip_allowed=False))
         missing = first_missing_key(old.document, new.document)
@@ -163,18 +169,18 @@
             ("admin_addr", new.admin != old.admin),
             ("peers", new.peers != old.peers),
             ("limits", (new.sockets, new.memory) != (old.sockets, old.memory)),
-            ("settings", differ and self.router.scribe is not None),
+            ("settings", differ and self.router.recorder is not None),
         ):
             if changed:
                 log_line(f"new configuration: {key} stays as it was until the next start")
         if new.discovery != old.discovery:
             log_line(f"new configuration: discovery is at {new.discovery} now")
-            self.router.move_roster(new.discovery)
+            self.router.endpoints.change_address(new.discovery)
         self.briefing = old._replace(discovery=new.discovery)
         # What a store keeps of submissions goes by the grades' numbers: there they must not change.
-        if differ and self.router.scribe is None:
+        if differ and self.router.recorder is None:
             log_line(f"new configuration: settings taken, grades={','.join(new.names.request_classes)}")
-            self.router.settings_changed(new.settings, new.names)
+            self.router.change_settings(new.settings, new.names)
             self.pool.max_idle_time = max_idle_time_for(new.settings.idle_timeout)
             self.pool.connect_timeout = new.settings.connect_timeout
             self.briefing = self.briefing._replace(
@@ -188,9 +194,9 @@
         if not self.leaving_since:
             log_line("told to end: finishing what was taken")
             self.leaving_since = self.deadlines.now()
-            if self.router.peers is not None:
-                self.router.peers.close()  # what others tell is for the process that comes after
-            self.door.leave(handing_over=self.listening is not None)
+            if self.router.load_gossip is not None:
+                self.router.load_gossip.close()  # what others tell is for the process that comes after
+            self.door.leave(hand_over=self.listening is not None)
             self._look_whether_over(times_to_end(self.router.settings, self.listening is not None))
 
     def _look_whether_over(self, end: "TimesToEnd") -> None:
@@ -199,7 +205,7 @@
         if since >= (end.still_coming if self.door.is_empty() else end.still_served):
             self.door.shut()
         if since >= end.last_answers:
-            self.router.answer_all()
+            self.router.completion.answer_all()
         if (self.door.is_shut and self.door.is_empty()) or since >= end.last_word:
             self.over.set()
         else:
--- a/ploverspoke/store/daemon.py
+++ b/ploverspoke/store/daemon.py
@@ -70,10 +70,10 @@
             )
             self.service = Service(asyncio.get_running_loop(), briefing, scribe)
             self.service.read = self.read
-            self.service.router.on_roster = EndpointCache(
+            self.service.router.endpoints.on_list = EndpointCache(
                 partial(self.node.keep, ROSTER), briefing.known
             ).told
-            scribe.on_lost = self.service.router.lead_no_more
+            scribe.on_lost = self.service.router.completion.leave_all_to_leader
             self.node.on_configuration = self._configured
             gc.collect()
             gc.freeze()
--- a/ploverspoke/testbed/hollow/dispatcher.py
+++ b/ploverspoke/testbed/hollow/dispatcher.py
@@ -115,22 +115,22 @@
             door.listener.close()
             for task in list(door.listener.setup_tasks):
                 task.cancel()
-        if service.router.peers is not None:
-            service.router.peers.close()
+        if service.router.load_gossip is not None:
+            service.router.load_gossip.close()
         for connection in list(connections_of(service)):
             drop(connection, reset)
 
     # ---- What is seen inside; for growth only, nothing is judged by it ----
 
     def is_listed(self) -> bool:
-        return self.service is not None and self.service.router.lists_told > 0
+        return self.service is not None and self.service.router.endpoints.lists_received > 0
 
     def counts(self) -> dict[str, int]:
         service = self.service
         if service is None:
             return {}
         return {
-            "open": service.router.open_now(),
+            "open": service.router.requests.open_count(),
             "deadlines": len(service.deadlines.heap),
             "connections": sum(1 for _ in connections_of(service)),
             "said": self.said.count,
@@ -146,7 +146,7 @@
 def connections_of(service: Service) -> Iterable[Connection]:
     tables = (
         service.pool.connections,
-        service.router.roster.pool.connections,
+        service.router.endpoints.watch.pool.connections,
         service.door.connections,
         service.operators.connections,
     )
--- a/tests/decisions/test_load_gossip.py
+++ b/tests/decisions/test_load_gossip.py
@@ -167,7 +167,7 @@
             await each.open(loop)
         old.close()
         await asyncio.sleep(0.01)
-        peers[0].send(None, 1, 3, 0.0, ["a"])
+        peers[0].send(None, LoadGossip(1, 3, 0.0, ["a"]))
         stranger = socket.socket(type=socket.SOCK_DGRAM)
         stranger.sendto(encode_gossip(GossipMessage(1, 4, 0.0, ["a"])), addresses[1])
         peers[0].transport.sendto(b"garbage", addresses[1])
@@ -176,7 +176,7 @@
             if heard:
                 break
         await asyncio.sleep(0.05)
-        assert heard == [(0, 1, 3, 0.0, ["a"])]
+        assert heard == [(0, LoadGossip(1, 3, 0.0, ["a"]))]
         stranger.close()
         for each in peers:
             each.close()
--- a/tests/routing/test_acceptance_rules.py
+++ b/tests/routing/test_acceptance_rules.py
@@ -151,18 +151,18 @@
         self.clock.hold()
         self.discovery = TroubledDiscovery(world, world.servers[-1].sockets[0].getsockname()[1], self.clock)
         self.stale: Any = None  # a call that had no connection when discovery changed
-        self.failures, watch = 0, self.router.roster
-        watch.failed = self.counted(watch.failed)  # type: ignore[method-assign]
-        watch.silent = self.counted(watch.silent)  # type: ignore[method-assign]
+        self.failures, watch = 0, self.router.endpoints.watch
+        watch.on_failed = self.counted(watch.on_failed)  # type: ignore[method-assign]
+        watch.on_silent = self.counted(watch.on_silent)  # type: ignore[method-assign]
         # The longest of all pauses that chance may give.
         self.chance = self.router.dispatcher.random
         self.drawn = self.chance.fraction
         self.chance.fraction = lambda: 1 - 1e-9  # type: ignore[method-assign]
 
     def counted(self, told: Callable[..., None]) -> Callable[..., None]:
-        def counts(call: Any, *more: Any) -> None:
+        def counts(call: Any, **named: bool) -> None:
             self.failures += self.call() is call
-            told(call, *more)
+            told(call, **named)
 
         return counts
 
@@ -175,7 +175,7 @@
         await until(lambda: self.failures)
 
     def call(self) -> Any:
-        return self.router.roster.call
+        return self.router.endpoints.watch.request
 
     def is_settled(self) -> bool:
         """Nothing moves until a deadline: no call, one that comes up nowhere, or one that waits there."""
@@ -184,7 +184,9 @@
             return True
         if call.connection is None:
             # The kernel tries again after a second of real time; nobody waits for that here.
-            return call.opening is not None and (self.discovery.way == "never up" or call is self.stale)
+            return call.pending_connection is not None and (
+                self.discovery.way == "never up" or call is self.stale
+            )
         taken = call.connection.transport.get_extra_info("sockname")
         peer = self.discovery.peers.get(taken[1]) if taken else None
         return peer is not None and peer.waits
@@ -322,7 +324,7 @@
         if gate is not None:
             gate.event.set()
         await turns(200)
-        assert len(world.sent) == begun and not world.service.router.open_now()
+        assert len(world.sent) == begun and not world.service.router.requests.open_count()
 
     play(script, workers=1, **CALM)
 
--- a/tests/routing/test_admin_server.py
+++ b/tests/routing/test_admin_server.py
@@ -8,7 +8,7 @@
 
 from ploverspoke.protocol.admin import AdminCommandReader, escape_label
 from ploverspoke.protocol.errors import AdminCommandError
-from ploverspoke.routing.admin_server import MOST_CALLERS
+from ploverspoke.routing.admin_server import MAX_SESSIONS
 from tests.routing.test_service import WAYS, World, message, play
 
 
@@ -67,7 +67,7 @@
 def test_figures_add_up_whatever_the_workers_do() -> None:
     def adds_up(world: World) -> None:
         router = world.service.router
-        assert router.counters.total_ended() + router.open_now() == router.counters.admitted
+        assert router.counters.total_ended() + router.requests.open_count() == router.counters.admitted
 
     async def script(world: World) -> None:
         rng = random.Random(4)
@@ -99,7 +99,7 @@
 def test_silent_and_half_callers_keep_nobody_waiting() -> None:
     async def script(world: World) -> None:
         quiet = []
-        for number in range(3 * MOST_CALLERS):
+        for number in range(3 * MAX_SESSIONS):
             reader, writer = await asyncio.open_connection("127.0.0.1", world.admin_port)
             writer.write(b"chec" if number % 2 else b"")
             quiet.append(writer)
@@ -108,7 +108,7 @@
         for _ in range(5):
             assert (await call(world, b"check\n")).startswith("+OK")
         assert (await call(world, b"chek\r\n")).startswith("-ERR")
-        assert len(world.service.operators.callers) <= MOST_CALLERS
+        assert len(world.service.operators.sessions) <= MAX_SESSIONS
         for writer in quiet:
             writer.close()
         world.service._leave()
@@ -119,7 +119,7 @@
 
 def test_bodies_turned_away_at_the_door_count_as_refused() -> None:
     async def script(world: World) -> None:
-        world.service.door.most_buffered = 1000
+        world.service.door.max_buffered_bytes = 1000
         reader, writer = await world.connect()
         writer.write(world.request("big", body=b"x" * 5000))
         first, _, _ = await message(reader)
--- a/tests/routing/test_race_conditions.py
+++ b/tests/routing/test_race_conditions.py
@@ -22,9 +22,9 @@
 import pytest
 import uvloop
 
-from ploverspoke.protocol.discovery import read_endpoint_list
-from ploverspoke.protocol.workers import AttemptResponseReader
-from ploverspoke.routing.client_server import ClientSession
+from ploverspoke.protocol.discovery import EndpointList, read_endpoint_list
+from ploverspoke.protocol.workers import AttemptResponseReader, LoadReport, ResponseListener
+from ploverspoke.routing.client_session import ClientSession
 from ploverspoke.routing.endpoint_watch import EndpointWatch
 from ploverspoke.routing.worker_calls import WorkerCall
 from ploverspoke.service.settings import parse_names, parse_settings
@@ -188,7 +188,7 @@
 
 def tell(world: World, *entries: dict[str, Any]) -> None:
     """The list changes, between two steps."""
-    world.service.router._roster_told(shown(*entries))
+    world.service.router.endpoints.receive_list(shown(*entries))
 
 
 def newest(world: World) -> ClientSession:
@@ -253,7 +253,7 @@
         await turns()
         assert what == "lost" or worker.called()[0].read() == b"", "nothing of it may be written there"
         if what == "left":
-            assert not world.service.router.submissions
+            assert not world.service.router.requests
 
     play(script, workers=1, **CALM)
 
@@ -272,7 +272,7 @@
         tell(world, draining)
         client = caller(world.port)
         client.end.send(world.request("left", grade))
-        await until(lambda: world.service.router.open_now())
+        await until(lambda: world.service.router.requests.open_count())
         if how == "far ahead":
             behind = world.request("behind", grade, b"y" * 60_000) * 20
             while behind:
@@ -288,7 +288,10 @@
         else:
             client.close()
         if how in ("in a turn before", "far ahead"):
-            await until(lambda: not world.service.router.open_now(), "not heard while nothing else happened")
+            await until(
+                lambda: not world.service.router.requests.open_count(),
+                "not heard while nothing else happened",
+            )
         else:
             placed(connection.is_closed_by_peer)
         world.sent.clear()
@@ -296,7 +299,7 @@
         for _ in range(4):  # the clock ticks, and what waits is drawn
             clock.wake_after(500 * MS)
         await turns(100)
-        assert not world.sent and not world.service.router.open_now()
+        assert not world.sent and not world.service.router.requests.open_count()
         last = caller(world.port)
         last.end.send(world.request("after", grade))
         assert await until(last.status) == 200
@@ -309,20 +312,20 @@
         tell(world, {**world.entries[0], "state": "Terminating"})
         client = caller(world.port)
         client.end.send(world.request("r"))
-        await until(lambda: world.service.router.open_now())
+        await until(lambda: world.service.router.requests.open_count())
         ahead = b"z" * 1_000_000
         while ahead:
             with contextlib.suppress(BlockingIOError):
                 ahead = ahead[client.end.send(ahead) :]
             await asyncio.sleep(0)
         session = newest(world)
-        await until(lambda: session.thrown_away)
-        assert session.held + len(session.connection.buffer) <= 512 * 1024
+        await until(lambda: session.dropped_bytes)
+        assert session.buffered_bytes + len(session.connection.buffer) <= 512 * 1024
         tell(world, world.entries[0])
         assert await until(client.status) == 200
         assert b"connection: close" in client.came.lower()
         await until(client.has_ended)
-        assert not world.service.door.held and len(world.sent) == 1
+        assert not world.service.door.buffered_bytes and len(world.sent) == 1
 
     play(script, workers=1, **CALM)
 
@@ -428,7 +431,7 @@
         clock.go_on()
         await turns(100)
         if how == "left":
-            assert not peer.requests() and not world.ran and not world.service.router.open_now()
+            assert not peer.requests() and not world.ran and not world.service.router.requests.open_count()
         else:
             assert await until(client.status) == 200 and world.ran["r"] == 1
             assert how != "drains" or not peer.requests()
@@ -492,37 +495,38 @@
         clock, pool = Clock(deadlines), ConnectionPool(loop, deadlines, 4, SECOND, 60 * SECOND)
         clock.hold()
 
-        class Sender:
-            def errand_written(self) -> None: ...
+        class User:
+            def encode_request(self, time_left: int) -> bytes:
+                return b"POST /book HTTP/1.1\r\nrequest-id: r\r\n\r\nx"
 
-            def errand_started(self) -> None: ...
+            def make_reader(self, listener: ResponseListener) -> AttemptResponseReader:
+                return AttemptResponseReader(listener, "x0", "r")
 
-            def errand_progressed(self, share_done: float) -> None: ...
+            def may_send(self) -> bool:
+                return True
 
-            def errand_ended(self, end: ExchangeOutcome, result: str, load: Any) -> None:
-                # A second copy may go out now: the first must be at its end.
-                ends.append((end, bool(errand.answer.is_complete) or errand.connection is None))
+            def on_written(self) -> None: ...
+
+            def on_started(self) -> None: ...
+
+            def on_progress(self, fraction_done: float) -> None: ...
+
+            def on_ended(self, outcome: ExchangeOutcome, result: str, load: LoadReport | None) -> None:
+                # A second copy may be sent now: the first must be at its end.
+                ends.append((outcome, bool(call.reader.is_complete) or call.connection is None))
 
         address = f"127.0.0.1:{worker.port}"
-        errand = WorkerCall(
-            pool,
-            address,
-            lambda left: b"POST /book HTTP/1.1\r\nrequest-id: r\r\n\r\nx",
-            lambda listener: AttemptResponseReader(listener, "x0", "r"),
-            60 * SECOND,
-            Sender(),
-            in_two=True,
-        )
+        call = WorkerCall(pool, address, 60 * SECOND, User(), delay_last_byte=True)
         if state != "opening":
-            await until(lambda: errand.connection is not None and worker.called() and worker.peers[0].read())
+            await until(lambda: call.connection is not None and worker.called() and worker.peers[0].read())
         if state == "written":
             clock.wake_after(5 * MS)
             await until(worker.peers[0].requests)
         steps: dict[str, Callable[[], Any]] = {
             "answer": lambda: [p.end.send(served("r")) for p in worker.called()[:1]],
-            "recall": errand.cancel,
+            "recall": call.cancel,
             "late": lambda: clock.wake_after(61 * SECOND),
-            "close": errand.withhold,
+            "close": call.withhold,
         }
         for step in order:
             steps[step]()
@@ -549,12 +553,12 @@
         self.clock, self.lists, self.lost = Clock(deadlines), list[int](), list[bool]()
         self.clock.hold()
         address, lost = f"127.0.0.1:{self.discovery.port}", self.lost.append
-        self.watch = EndpointWatch(loop, deadlines, address, 10 * SECOND, self.told, lost, pushed)
+        self.watch = EndpointWatch(deadlines, address, self.told, lost, 10 * SECOND, pushed)
 
-    def told(self, body: bytes) -> tuple[int, bool]:
-        found = read_endpoint_list(body)
-        self.lists.append(found.version)
-        return found.version, found.is_complete
+    def told(self, body: bytes) -> EndpointList:
+        received = read_endpoint_list(body)
+        self.lists.append(received.version)
+        return received
 
     def calls(self) -> list[bytes]:
         """Each call on each connection, in the order of connections."""
@@ -708,7 +712,7 @@
     async def script(world: World) -> None:
         clock, pushed = Clock(world.service.deadlines), {**SETTINGS, **CALM, "Discovery": "push"}
         await until(lambda: world.watches)
-        world.service.router.settings_changed(parse_settings(pushed), parse_names(pushed))
+        world.service.router.change_settings(parse_settings(pushed), parse_names(pushed))
         clock.hold()  # a pause never ends now
         asked = world.watches
         world.told[-1][1].transport.abort()
@@ -746,7 +750,7 @@
         tell(world)  # nobody to send to: what is asked waits
         idle, asks = caller(world.port), [caller(world.port) for _ in range(3)]
         asks[0].end.send(world.request("before"))
-        await until(lambda: service.router.open_now() == 1 and len(service.door.sessions) == 4)
+        await until(lambda: service.router.requests.open_count() == 1 and len(service.door.sessions) == 4)
         service._leave()
         span = 0
         while span < 1590:  # 900 ms and 700 ms
@@ -810,7 +814,7 @@
         oldest: ClientSession = next(iter(world.service.door.sessions.values()))
         clients[0].end.send(world.request("b"))
         placed(oldest.connection.has_unread_data)
-        assert world.service.door._make_room() and not oldest.closing
+        assert world.service.door._evict_one() and not oldest.is_closing
         assert await until(clients[0].status) == 200
         await until(clients[1].has_ended)
 
--- a/tests/routing/test_service.py
+++ b/tests/routing/test_service.py
@@ -179,7 +179,7 @@
         world = World()
         await world.start(workers, **how)
         await script(world)
-        waiting = [s for s in world.service.router.submissions if s.client is not None]
+        waiting = [s for s in world.service.router.requests if s.client is not None]
         assert not waiting, "every submission is answered"
         world.stop()
         return world
@@ -369,7 +369,7 @@
         assert (await world.ask(world.request("new")))[0] == 200
         kept.write(world.request("second"))
         assert (await message(kept_reader))[0] == "HTTP/1.1 200 OK"
-        assert len(world.service.door.sessions) <= world.service.door.most_sessions * 8 // 7
+        assert len(world.service.door.sessions) <= world.service.door.max_sessions * 8 // 7
         for _, writer in await asyncio.gather(*silent):
             writer.close()
         kept.close()
@@ -383,9 +383,9 @@
         held = [asyncio.create_task(world.ask(world.request(f"r{n}", body=b"x" * 65536))) for n in range(80)]
         await asyncio.sleep(0.3)
         door = world.service.door
-        assert door.held + door.router.body_bytes <= door.most_buffered + 65536
+        assert door.buffered_bytes + door.router.requests.body_bytes <= door.max_buffered_bytes + 65536
         assert {status for status, _, _ in await asyncio.gather(*held)} == {503}
-        assert not door.held and not door.router.body_bytes
+        assert not door.buffered_bytes and not door.router.requests.body_bytes
 
     play(script, memory_mb=32)
 
@@ -477,9 +477,9 @@
         world.servers[-1] = await asyncio.start_server(world._discovery, host, port)
         for _ in range(300):
             await asyncio.sleep(0.02)
-            if world.service.router.roster.version == 7:
+            if world.service.router.endpoints.watch.version == 7:
                 break
-        assert world.service.router.roster.version == 7 and world.watches - asked < 4
+        assert world.service.router.endpoints.watch.version == 7 and world.watches - asked < 4
         world.sent.clear()
         for number in range(6):
             assert (await world.ask(world.request(f"s{number}")))[0] == 200
@@ -497,7 +497,7 @@
         world.version, world.entries = 2, world.entries[:1]
         world.news.set()
         await asyncio.sleep(0.3)
-        assert world.service.router.roster.version == 2
+        assert world.service.router.endpoints.watch.version == 2
 
     play(script, Invariants={**SETTINGS["Invariants"], "MustAskInUs": 100_000})
 
@@ -505,7 +505,7 @@
 def test_a_connection_dropped_under_a_job_has_not_run_it(monkeypatch: pytest.MonkeyPatch) -> None:
     # Workers drop resting connections unseen, or reset new ones: irreversible jobs were lost with each.
     # The stand-in shares our loop: on a busy machine it may read what we wrote some ms later.
-    monkeypatch.setattr(worker_calls, "LAST_BYTE_AFTER", 100_000_000)
+    monkeypatch.setattr(worker_calls, "LAST_BYTE_DELAY", 100_000_000)
 
     async def script(world: World) -> None:
         async def drop_jobs(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -592,7 +592,7 @@
     async def script(world: World) -> None:
         idle = [await world.connect() for _ in range(40)]
         assert (await world.ask(world.request("r")))[0] == 200
-        assert len(world.service.door.sessions) <= world.service.door.most_sessions + 1
+        assert len(world.service.door.sessions) <= world.service.door.max_sessions + 1
         for _, writer in idle:
             writer.close()
         await asyncio.sleep(0.05)
--- a/tests/service/test_settings_change.py
+++ b/tests/service/test_settings_change.py
@@ -104,14 +104,22 @@
         base["admin_addr"] = f"127.0.0.1:{world.admin_port}"
         service.read = lambda: read_config({"RELAY_CONFIG": str(path)})
         service.briefing = service.briefing._replace(document=base, discovery="127.0.0.1:9")
-        before = (service.briefing, service.router.settings, dict(service.router.rows.numbers))
+        before = (
+            service.briefing,
+            service.router.settings,
+            dict(service.router.active_settings.classes.numbers),
+        )
         bad = copy.deepcopy(base)
         bad["settings"] = settings({**GRADES[0], "Name": "other"}, GRADES[1])
         bad["discovery"] = "127.0.0.1:10"
         spoilt = spoil(bad)
         path.write_text(spoilt if isinstance(spoilt, str) else json.dumps(spoilt))
         service._read_again()
-        assert (service.briefing, service.router.settings, service.router.rows.numbers) == before
+        assert (
+            service.briefing,
+            service.router.settings,
+            service.router.active_settings.classes.numbers,
+        ) == before
         shown = await figures(world)
         assert shown["dispatcher_cfg_invalid"] == 1 and shown["dispatcher_cfg_accepted"] == 0
 
@@ -133,7 +141,10 @@
         signalled(settings({**GRADES[0], "AbandonTimeUs": 700_000}, GRADES[1]))
         for number in range(6):
             assert (await world.ask(world.request(f"r{number}", "look")))[0] == 200
-        assert service.router.settings.classes[service.router.rows.numbers["look"]].deadline == 700 * MS
+        assert (
+            service.router.settings.classes[service.router.active_settings.classes.numbers["look"]].deadline
+            == 700 * MS
+        )
 
         async def turn_away_late(*exchange: Any) -> None:
             await asyncio.sleep(0.1)
--- a/tests/store/test_request_log.py
+++ b/tests/store/test_request_log.py
@@ -112,7 +112,7 @@
         commit(lost != "commit")
         await asyncio.sleep(0.01)
         assert lost == "commit" or world.sent == []
-        world.service.router.lead_no_more()
+        world.service.router.completion.leave_all_to_leader()
         with pytest.raises(asyncio.IncompleteReadError):
             await asked
 
@@ -131,7 +131,7 @@
         scribe.leading = False
         await asyncio.sleep(0.05)
         assert world.sent == [] and ("r1", 0, "not_sent") in scribe.outcomes
-        world.service.router.lead_no_more()
+        world.service.router.completion.leave_all_to_leader()
         with pytest.raises(asyncio.IncompleteReadError):
             await asked
 
@@ -178,12 +178,12 @@
         await world.tell([{**entry, "state": "Terminating"} for entry in ready])
         _, writer = await world.connect()
         writer.write(world.request("r1", "book"))
-        while not world.service.router.open_now():
+        while not world.service.router.requests.open_count():
             await asyncio.sleep(0.001)
         writer.close()
         for _ in range(200):
             await asyncio.sleep(0.001)
-        assert not world.service.router.open_now()
+        assert not world.service.router.requests.open_count()
         await world.tell(ready)
         if comes_back:
             assert (await world.ask(world.request("r1", "book")))[0] == 503
--- a/tests/test_lint_exceptions.py
+++ b/tests/test_lint_exceptions.py
@@ -15,7 +15,6 @@
             "consensus",
             "decisions",
             "leases",
-            "routing",
             "service",
             "simulator",
             "store",
