--- a/ploverspoke/consensus/admin_messages.py
+++ b/ploverspoke/consensus/admin_messages.py
@@ -72,7 +72,7 @@
 
 
 class ResultReply(msgspec.Struct, frozen=True):
-    """Whether what was asked for has been done."""
+    """Whether a request was carried out."""
 
     done: bool
     why: str | UnsetType = UNSET  # the reason where it was not done
--- a/ploverspoke/routing/admission.py
+++ b/ploverspoke/routing/admission.py
@@ -11,7 +11,7 @@
     RequestIdInUseError,
     UnknownRequestClassError,
 )
-from ploverspoke.protocol.wire_names import REQUEST_ID
+from ploverspoke.protocol.wire_names import AFFINITY_KEY, REQUEST_ID
 from ploverspoke.transport.units import MILLISECOND
 
 from .answers import Client
@@ -20,7 +20,6 @@
 from .request_recorder import RequestRecorder
 from .requests import Request
 
-AFFINITY_KEY = "affinity-key"  # header
 # The final answer is due this long before the client gives up, but no more than a tenth of its timeout.
 MAX_ANSWER_MARGIN = 20 * MILLISECOND
 
