--- a/ploverspoke/consensus/replica_client.py
+++ b/ploverspoke/consensus/replica_client.py
@@ -1,7 +1,7 @@
 """Sends one request of a command-line tool to a running replica and waits for its reply."""
 
 import socket
-from typing import Any, TypeVar
+from typing import TypeVar
 
 import msgspec
 
@@ -44,12 +44,12 @@
         if isinstance(raw, dict) and raw.get("done") is False:
             raise RequestRejectedError(address, str(raw.get("why"))) from error
         raise ReplyError(address, f"an unexpected reply: {error}") from error
-    if isinstance(reply, StatusRow):
+    if isinstance(reply, StatusRow) and isinstance(raw, dict):
         reply.fields = raw
     return reply
 
 
-def send_admin_request(address: str, secret: bytes, message: WireMap) -> Any:
+def send_admin_request(address: str, secret: bytes, message: WireMap) -> object:
     """Exchange one message for its reply, both as plain maps and lists.
 
     Raises OSError where nothing answers at `address`, FrameError where it is no replica with this secret.
