--- a/ploverspoke/consensus/command_line.py
+++ b/ploverspoke/consensus/command_line.py
@@ -97,17 +97,11 @@
     raise NoLeaderError
 
 
-def call_for_result(
-    config: ReplicaConfig,
-    name: str,
-    request: AdminRequest,
-    as_json: bool,
-    reply_type: type[ResultReply] = ResultReply,
-) -> NoReturn:
+def call_for_result(config: ReplicaConfig, name: str, request: AdminRequest, as_json: bool) -> NoReturn:
     """Ask the replica of that name to do something, print whether it did, and exit with 0 or 1."""
     try:
         address = config.replicas[name].peer
-        reply = request_reply(name, address, config.secret, request, reply_type)
+        reply = request_reply(name, address, config.secret, request, ResultReply)
     except ReplicaUnavailableError as error:
         exit_with_failure(error, as_json)
     exit_with_result(reply, as_json)
