--- a/ploverspoke/config_distribution/cluster_config.py
+++ b/ploverspoke/config_distribution/cluster_config.py
@@ -10,7 +10,6 @@
     read_json_file,
     read_shared_secret,
 )
-from ploverspoke.service.config import address
 from ploverspoke.service.config_reader import ConfigSection
 
 DEFAULT_SNAPSHOT_EVERY = 200  # log entries; they hold whole bodies, so there is no reason for many
@@ -49,11 +48,11 @@
     """The file of a config server. Raises ConfigError with the key."""
     section = read_json_file(path)
     replica = parse_replica_config(section, path)
-    snapshot_every = section.whole("snapshot_every", DEFAULT_SNAPSHOT_EVERY, least=MIN_SNAPSHOT_EVERY)
+    snapshot_every = section.integer("snapshot_every", DEFAULT_SNAPSHOT_EVERY, least=MIN_SNAPSHOT_EVERY)
     return ConfigServerConfig(
         replica._replace(snapshot_every=snapshot_every),
-        section.whole("most_watchers", DEFAULT_MAX_WATCHERS, least=1),
-        section.whole("bytes_a_second", DEFAULT_BYTES_PER_SECOND, least=MIN_BYTES_PER_SECOND),
+        section.integer("most_watchers", DEFAULT_MAX_WATCHERS, least=1),
+        section.integer("bytes_a_second", DEFAULT_BYTES_PER_SECOND, least=MIN_BYTES_PER_SECOND),
     )
 
 
@@ -67,15 +66,15 @@
 def read_watch_config(path: Path) -> WatchConfig:
     """The file that `serve --watch` names. Raises ConfigError with the key."""
     section = read_json_file(path)
-    servers, local_servers = section.row("servers", [], str), section.row("near", [], str)
+    servers, local_servers = section.values("servers", [], str), section.values("near", [], str)
     if not servers or len(set(servers)) < len(servers):
-        raise section.bad("servers", "addresses of config servers, each once")
+        raise section.invalid("servers", "addresses of config servers, each once")
     for server in servers:
-        address(ConfigSection({"servers": server}), "servers", None)
+        ConfigSection({"servers": server}).address("servers")
     if not set(local_servers) <= set(servers):
-        raise section.bad("near", "some of servers")
+        raise section.invalid("near", "some of servers")
     cache = section.text("cache")
     if not cache:
-        raise section.bad("cache", "the path of a file")
+        raise section.invalid("cache", "the path of a file")
     secret = read_shared_secret(section, path)
     return WatchConfig(section.text("cluster"), servers, local_servers, secret, path.parent / cache)
--- a/ploverspoke/leases/definitions.py
+++ b/ploverspoke/leases/definitions.py
@@ -68,11 +68,11 @@
 
 def read_definitions(top: ConfigSection, election_timeout: int) -> LeaseDefinitions:
     """Read the key `leases`; `election_timeout` in ns. Raises ConfigError, naming the key."""
-    leases = top.part("leases")
+    leases = top.section("leases")
     min_duration = MIN_ELECTIONS * election_timeout
     definitions = {name: _read_definition(leases, name, min_duration) for name in leases.value}
     if not definitions:
-        raise top.bad("leases", "at least one lease")
+        raise top.invalid("leases", "at least one lease")
     return LeaseDefinitions(definitions, min_duration)
 
 
@@ -80,9 +80,11 @@
     if not NAME.fullmatch(name):
         message = f"leases.{name}: expected small letters, digits and . _ / -, and * at the end at most"
         raise ConfigError(message)
-    section = leases.part(name)
-    max_holders = section.whole("places", 1, least=1)
-    max_duration_ms = section.whole("longest_ms", DEFAULT_MAX_DURATION_MS, least=min_duration // MILLISECOND)
+    section = leases.section(name)
+    max_holders = section.integer("places", 1, least=1)
+    max_duration_ms = section.integer(
+        "longest_ms", DEFAULT_MAX_DURATION_MS, least=min_duration // MILLISECOND
+    )
     if max_duration_ms > MAX_DURATION_MS:
-        raise section.bad("longest_ms", f"at most {MAX_DURATION_MS}")
+        raise section.invalid("longest_ms", f"at most {MAX_DURATION_MS}")
     return LeaseDefinition(max_holders, max_duration_ms * MILLISECOND)
--- a/ploverspoke/service/config.py
+++ b/ploverspoke/service/config.py
@@ -45,11 +45,6 @@
     peers: Sequence[Address] = ()  # where each dispatcher receives load gossip, by its index
     lacks_peers: bool = False  # load gossip is permitted, and there are no addresses to send it to
 
-    @property
-    def known(self) -> JsonObject | None:
-        """The earlier name of `known_endpoints`, until no other package uses it any more."""
-        return self.known_endpoints
-
 
 def read_config(environment: Mapping[str, str]) -> Config:
     """Read and check the file that RELAY_CONFIG names.
@@ -151,8 +146,3 @@
     if len(set(peers)) < len(peers):
         raise top.invalid("peers", "addresses that differ")
     return peers
-
-
-def address(section: ConfigSection, name: str, default: str | None) -> Address:
-    """The earlier name of `ConfigSection.address`, until no other package calls it any more."""
-    return section.address(name, default)
--- a/ploverspoke/service/config_reader.py
+++ b/ploverspoke/service/config_reader.py
@@ -205,7 +205,3 @@
             return _parse_address(text)
         except ValueError as error:
             raise self.invalid(name, "an address and a port, as 127.0.0.1:8081") from error
-
-    # The earlier names, until no other package calls them any more.
-    part, parts, row, row_for_each = section, sections, values, values_per_class
-    whole, time, flag, word, bad = integer, duration, boolean, choice, invalid
--- a/ploverspoke/service/service.py
+++ b/ploverspoke/service/service.py
@@ -220,14 +220,10 @@
         else:
             self.deadlines.schedule(now + schedule.check_interval, partial(self._continue_shutdown, schedule))
 
-    # The earlier names, until no other package uses them any more.
-    briefing = EarlierName("config")
-    read = EarlierName("load_config")
+    # Earlier names, until the tests of routing and decisions use them no more.
     listening = EarlierName("listening_socket")
-    neighbours = EarlierName("process_registry")
     door = EarlierName("client_server")
     operators = EarlierName("admin_server")
-    take_configuration = EarlierName("apply_config")
     _leave = EarlierName("shut_down")
 
 
--- a/ploverspoke/testbed/hollow/dispatcher.py
+++ b/ploverspoke/testbed/hollow/dispatcher.py
@@ -55,7 +55,7 @@
             # Its own configuration, by the program's own reading: nothing of it comes from this process's.
             read = partial(read_config, {"RELAY_CONFIG": self.place.config})
             self.service = Service(cast(asyncio.AbstractEventLoop, self.loop), read())
-            self.service.read = read
+            self.service.load_config = read
             if self.place.watch:
                 self._watch(self.service)
             self.service.on_ready = self._ready
@@ -104,7 +104,7 @@
         if service.deadlines.timer is not None:
             service.deadlines.timer.cancel()
         service.deadlines.heap.clear()
-        for door in (service.door, service.operators):
+        for door in (service.client_server, service.admin_server):
             door.listener.close()
             for task in list(door.listener.setup_tasks):
                 task.cancel()
@@ -140,8 +140,8 @@
     tables = (
         service.pool.connections,
         service.router.endpoints.watch.pool.connections,
-        service.door.connections,
-        service.operators.connections,
+        service.client_server.connections,
+        service.admin_server.connections,
     )
     return (connection for table in tables for connection in table)
 
