--- a/ploverspoke/leases/admin_messages.py
+++ b/ploverspoke/leases/admin_messages.py
@@ -3,8 +3,9 @@
 import msgspec
 
 from ploverspoke.consensus.admin_messages import AdminRequest, StatusRow
+from ploverspoke.transport.units import MILLISECOND
 
-from .definitions import MILLISECOND, LeaseDefinitions
+from .definitions import LeaseDefinitions
 
 
 class LeasesRequest(AdminRequest, frozen=True, tag="leases"):
--- a/ploverspoke/leases/client.py
+++ b/ploverspoke/leases/client.py
@@ -7,6 +7,7 @@
 
 from ploverspoke.consensus.framed_client import FramedClientConnection
 from ploverspoke.consensus.framing import FrameError
+from ploverspoke.transport.units import SECOND
 
 from .config import LeaseServers
 from .errors import LeaseMessageError
@@ -16,7 +17,6 @@
 CONNECT_TIMEOUT = 1.0  # seconds
 FINAL_RELEASE_TIME = 0.05  # seconds that the last request has to be sent
 MAX_SLEEP = 60.0  # seconds
-NANOSECONDS_PER_SECOND = 1e9
 
 
 class LeaseServerConnection(FramedClientConnection):
@@ -197,7 +197,7 @@
         if self.timer is not None:
             self.timer.cancel()
         if not self.closed:
-            seconds = (self.holder.next_wake() - self.now()) / NANOSECONDS_PER_SECOND
+            seconds = (self.holder.next_wake() - self.now()) / SECOND
             self.timer = self.loop.call_later(min(MAX_SLEEP, max(0.0, seconds)), self._tick)
 
     def _tick(self) -> None:
--- a/ploverspoke/leases/command_options.py
+++ b/ploverspoke/leases/command_options.py
@@ -16,6 +16,7 @@
     read_config_or_exit,
     request_reply,
 )
+from ploverspoke.transport.units import SECOND
 
 from .admin_messages import LeaseListing, LeasesRequest
 from .client import LeaseClient
@@ -23,7 +24,6 @@
 from .errors import NoLeaderError
 
 NOT_HELD, NO_LEADER, LEASE_ENDED, NOT_READY = 1, 3, 4, 5  # exit codes
-SECOND = 1_000_000_000  # ns
 
 NAME_ARGUMENT = click.argument("name")
 DURATION_OPTION = click.option(
--- a/ploverspoke/leases/definitions.py
+++ b/ploverspoke/leases/definitions.py
@@ -4,8 +4,8 @@
 from typing import NamedTuple
 
 from ploverspoke.service.config_reader import ConfigError, ConfigSection
+from ploverspoke.transport.units import MILLISECOND
 
-MILLISECOND = 1_000_000  # ns
 NAME = re.compile(r"[a-z0-9][a-z0-9._/-]{0,63}\*?")
 WILDCARD = "*"
 DRIFT = 0.1  # of a duration: a holder stops that much earlier, so two clocks may differ by a tenth of a span
--- a/ploverspoke/leases/fleet_tasks.py
+++ b/ploverspoke/leases/fleet_tasks.py
@@ -16,13 +16,14 @@
 
 import msgspec
 
+from ploverspoke.transport.units import SECOND
+
 from .admin_calls import CALL_TIMEOUT, call_admin
 from .client import LeaseClient
 from .errors import LeaseLostError, NoReplyError
 from .guarded_task import GuardedStep, run_guarded_steps
 from .messages import NO_TOKEN
 
-SECOND = 1_000_000_000  # ns
 MAX_CONCURRENT_CALLS = 32
 WRITE_DURATION = SECOND // 10  # ns, to write a summary
 
--- a/ploverspoke/leases/guarded_process.py
+++ b/ploverspoke/leases/guarded_process.py
@@ -10,12 +10,13 @@
 
 import click
 
+from ploverspoke.transport.units import SECOND
+
 from .client import LeaseClient
 
 TOKEN_VARIABLE = "PLOVERSPOKE_LEASE_TOKEN"
 PR_SET_PDEATHSIG = 1  # of prctl(2)
 MIN_POLL_INTERVAL, MAX_POLL_INTERVAL = 0.01, 0.25  # seconds
-NANOSECONDS_PER_SECOND = 1e9
 SIGNAL_EXIT_CODE = 128  # plus the signal's number, as shells do
 
 
@@ -74,7 +75,7 @@
             click.echo(f"ploverspoke: {guarded.lease_name} cannot be renewed, the command is ended", err=True)
             with contextlib.suppress(ProcessLookupError):  # it may just have ended
                 process.terminate()
-        until_next = (left - (kill_at if terminated else terminate_at)) / NANOSECONDS_PER_SECOND
+        until_next = (left - (kill_at if terminated else terminate_at)) / SECOND
         await asyncio.wait([ended], timeout=max(MIN_POLL_INTERVAL, min(MAX_POLL_INTERVAL, until_next)))
     code = ended.result()
     return ProcessOutcome(code if code >= 0 else SIGNAL_EXIT_CODE - code, terminated)
--- a/ploverspoke/leases/guarded_task.py
+++ b/ploverspoke/leases/guarded_task.py
@@ -10,7 +10,7 @@
 from collections.abc import Awaitable, Callable, Iterable
 from typing import NamedTuple, Protocol
 
-NANOSECONDS_PER_SECOND = 1e9
+from ploverspoke.transport.units import SECOND
 
 
 class LeaseView(Protocol):
@@ -41,7 +41,7 @@
         if not token or leases.time_left(name) < step.max_duration:
             return False
         try:
-            async with asyncio.timeout(step.max_duration / NANOSECONDS_PER_SECOND):
+            async with asyncio.timeout(step.max_duration / SECOND):
                 await step.run(token)
         except TimeoutError:
             return False
--- a/ploverspoke/leases/holding_commands.py
+++ b/ploverspoke/leases/holding_commands.py
@@ -11,6 +11,7 @@
 import click
 
 from ploverspoke.consensus.command_line import FILE_ARGUMENT, JSON_OPTION
+from ploverspoke.transport.units import SECOND
 
 from .client import LeaseClient
 from .command_options import (
@@ -18,7 +19,6 @@
     LEASE_ENDED,
     NAME_ARGUMENT,
     NOT_HELD,
-    SECOND,
     LeaseArguments,
     lease_arguments,
     read_servers,
--- a/ploverspoke/leases/server_node.py
+++ b/ploverspoke/leases/server_node.py
@@ -7,6 +7,7 @@
 from ploverspoke.consensus.node import ReplicaNode, Reply
 from ploverspoke.consensus.raft_state import Role
 from ploverspoke.transport.rate_limited_log import log_line
+from ploverspoke.transport.units import MILLISECOND
 
 from .admin_messages import (
     FollowerReply,
@@ -17,7 +18,6 @@
     describe_definitions,
 )
 from .config import LeaseServerConfig
-from .definitions import MILLISECOND
 from .manager import LeaseManager
 from .messages import LeaseResponse
 from .state_machine import LeaseStateMachine
