--- a/ploverspoke/store/daemon.py
+++ b/ploverspoke/store/daemon.py
@@ -62,8 +62,8 @@
         service.load_config = self.read_config
         known_endpoints = cast("EndpointList | None", config.known_endpoints)
         endpoint_cache = EndpointCache(self.node.save_endpoints, known_endpoints)
-        service.router.on_roster = endpoint_cache.update
-        request_log.on_lost = service.router.lead_no_more
+        service.router.endpoints.on_list = endpoint_cache.update
+        request_log.on_lost = service.router.completion.leave_all_to_leader
         return service
 
     def _apply_configuration(self, configuration: SharedConfiguration) -> None:
--- a/tests/test_lint_exceptions.py
+++ b/tests/test_lint_exceptions.py
@@ -11,10 +11,8 @@
     *(
         f"ploverspoke/{package}/**"
         for package in (
-            "config_distribution",
             "consensus",
             "decisions",
-            "routing",
             "testbed",
         )
     ),
