--- a/tests/config_distribution/faulty_distribution.py
+++ b/tests/config_distribution/faulty_distribution.py
@@ -18,7 +18,7 @@
 )
 
 
-def older() -> None:
+def reverts_version() -> None:
     """A watcher that applies an older version some time after a newer one."""
     on_version, applied = version_receiver.VersionReceiver.on_version, [messages.NO_VERSION]
 
@@ -36,7 +36,7 @@
     vars(version_receiver)["VersionReceiver"].on_version = on_version_and_reapply
 
 
-def half() -> None:
+def applies_half() -> None:
     """A watcher that applies half of a body."""
     apply_overlay = overlay.apply_overlay
 
@@ -48,7 +48,7 @@
     vars(dynamic_config)["apply_overlay"] = apply_first_class
 
 
-def unchecked() -> None:
+def applies_part_of_rejected() -> None:
     """A watcher that applies what is good of a body that its checks reject."""
     apply = dynamic_config.VersionApplier.apply
 
@@ -65,12 +65,12 @@
     vars(dynamic_config)["VersionApplier"].apply = apply_good_part
 
 
-def patient() -> None:
+def keeps_silent_server() -> None:
     """A watcher that never leaves a silent server."""
     vars(server_link)["ServerLink"].is_overdue = lambda self, now: False
 
 
-def eager() -> None:
+def sends_uncommitted() -> None:
     """A server that sends versions that are not committed."""
     publish = server_node.ConfigServerNode._publish
 
@@ -86,7 +86,7 @@
     vars(server_node)["ConfigServerNode"]._publish = send_at_once
 
 
-def swaps() -> None:
+def ignores_expected_version() -> None:
     """A server that ignores which version is expected."""
     publish = state_machine.ConfigStateMachine._publish
 
@@ -107,7 +107,7 @@
     vars(state_machine)["ConfigStateMachine"]._publish = publish_unconditionally
 
 
-def forgets() -> None:
+def begins_anew() -> None:
     """A server that begins anew where its folder is empty."""
     open_node = server_node.ConfigServerNode.open
 
@@ -117,7 +117,18 @@
     vars(server_node)["ConfigServerNode"].open = open_anew
 
 
-FAULTS = {fault.__name__: fault for fault in (older, half, unchecked, patient, eager, swaps, forgets)}
+FAULTS = {
+    fault.__name__: fault
+    for fault in (
+        reverts_version,
+        applies_half,
+        applies_part_of_rejected,
+        keeps_silent_server,
+        sends_uncommitted,
+        ignores_expected_version,
+        begins_anew,
+    )
+}
 
 if __name__ == "__main__":
     for name in sys.argv.pop(1).split(","):
--- a/tests/config_distribution/process_fleet.py
+++ b/tests/config_distribution/process_fleet.py
@@ -35,7 +35,7 @@
         self.socket.sendall(self.frames.encode(NO_STATUS))
 
     def receive(self) -> Any:
-        """The next message, heartbeats among them; None address the connection is over."""
+        """The next message, heartbeats included; None where the connection has ended."""
         while not self.unread:
             try:
                 data = self.socket.recv(65536)
--- a/tests/config_distribution/test_broadcaster.py
+++ b/tests/config_distribution/test_broadcaster.py
@@ -132,6 +132,5 @@
     for number in range(MAX_REMEMBERED_WATCHERS + 50):
         broadcaster.on_watch_status(f"x{number}", NO_STATUS)
         broadcaster.on_disconnected(f"x{number}")
-    assert (
-        len(broadcaster.remembered) == MAX_REMEMBERED_WATCHERS and "n2" in broadcaster.remembered
-    )  # who is connected stays
+    assert len(broadcaster.remembered) == MAX_REMEMBERED_WATCHERS
+    assert "n2" in broadcaster.remembered  # a connected watcher is not forgotten
--- a/tests/config_distribution/test_cache.py
+++ b/tests/config_distribution/test_cache.py
@@ -41,7 +41,7 @@
         initial = initial_config(own, config)
         assert initial.applied is NO_VERSION and initial.config.names.request_classes == ("look-up",)
         assert expected in capsys.readouterr().err
-    # One that does not go with the file any more.
+    # A version that does not fit the dispatcher's file any more.
     wrong = '{"settings": {"RoundUs": -4}}'
     write_cache(config, VerifiedVersion(8, digest_of(wrong), wrong))
     assert initial_config(own, config).applied is NO_VERSION
--- a/tests/config_distribution/test_commands.py
+++ b/tests/config_distribution/test_commands.py
@@ -28,20 +28,20 @@
         assert await fleet.has_class("g01")
         assert (await fleet.admin_reply()).startswith("+OK version 1 applied\ndispatcher_config_version 1\n")
 
-        # The file is read again, and the version stays laid on it.
-        told = json.loads(fleet.own_file.read_text())
-        fleet.own_file.write_text(json.dumps({**told, "discovery": "127.0.0.1:2"}))
+        # The file is read again, and the version stays applied to it.
+        own = json.loads(fleet.own_file.read_text())
+        fleet.own_file.write_text(json.dumps({**own, "discovery": "127.0.0.1:2"}))
         fleet.processes["n0"].send_signal(signal.SIGHUP)
         await fleet.logs("n0", "new configuration: discovery is at 127.0.0.1:2 now")
         assert await fleet.has_class("g01")
 
-        # Somebody else's version is never written over unseen, and the same one is none.
+        # Another author's version is never overwritten unseen, and the same body makes no version.
         code, out = await fleet.publish(body_with_classes("g02"), "--expect", "0")
         assert (code, out) == (1, "not done: version 1 is in force, and 0 was expected\n")
         code, out = await fleet.publish(body_with_classes("g01"), "--json")
         assert (code, json.loads(out)["version"]) == (0, 1)
 
-        # What is a dispatcher's own, or of no use, is refused before anything is asked.
+        # A key of a dispatcher's own and an invalid value are rejected before any server is asked.
         code, out = await fleet.publish('{"settings": {"SlotNo": 3}}')
         assert code == 2 and "settings.SlotNo: a dispatcher's own" in out
         wrong = '{"settings": {"RoundUs": -4}}'
@@ -52,15 +52,15 @@
         code, out = await fleet.publish(own_key, "--against", str(fleet.own_file))
         assert code == 2 and "settings.Limits.Cancel is missing" in out
 
-        # Without the check it is refused at each dispatcher, and the old one goes on.
+        # Without the check it is rejected at each dispatcher, and the old version stays active.
         code, out = await fleet.publish(wrong, "--wait", "20")
         assert code == 1 and "rejected at n0: settings.RoundUs is -4" in out
         await fleet.logs("n0", "config: version 2 rejected: settings.RoundUs is -4")
         assert await fleet.has_class("g01")
         assert (await fleet.admin_reply()).startswith("-ERR version 2 rejected: settings.RoundUs is -4")
         code, out = await fleet.config("status", "--json")
-        told = json.loads(out)
-        assert code == 1 and list(told["fleet"]["refused"]) == ["n0"] and len(told["servers"]) == 3
+        status = json.loads(out)
+        assert code == 1 and list(status["fleet"]["refused"]) == ["n0"] and len(status["servers"]) == 3
 
         code, out = await fleet.config("rollback", "1", "--wait", "20")
         assert (code, out.splitlines()[0]) == (0, "version 3"), out
@@ -81,7 +81,7 @@
         assert (await fleet.config("show", "9"))[0] == 1
         assert "RoundUs" in (await fleet.config("diff"))[1]
 
-        # A restart with all servers gone goes on with the last version that was taken, from the cache.
+        # A restart without any server goes on with the last version that was applied, from the cache.
         assert await fleet.terminate("n0") == 0
         for name in SERVERS:
             fleet.processes[name].kill()
@@ -100,29 +100,29 @@
     async def script(fleet: ProcessFleet) -> None:
         assert (await fleet.publish(body_with_classes("g01")))[0] == 0
 
-        def asked(question: dict[str, Any]) -> list[Any]:
-            return [send_admin_request(where, SECRET, question) for where in fleet.peers.values()]
+        def ask_all(request: dict[str, Any]) -> list[Any]:
+            return [send_admin_request(address, SECRET, request) for address in fleet.peers.values()]
 
-        async def led(question: dict[str, Any]) -> Any:
-            """What the leader answers, as soon as there is one."""
+        async def ask_leader(request: dict[str, Any]) -> Any:
+            """The leader's reply, as soon as there is a leader."""
             while True:
-                for told in asked(question):
-                    if "leader" not in told and "unknown" not in told:
-                        return told
-                    assert told.get("leader", "") in {*fleet.peers.values(), ""} and not told["done"]
+                for reply in ask_all(request):
+                    if "leader" not in reply and "unknown" not in reply:
+                        return reply
+                    assert reply.get("leader", "") in {*fleet.peers.values(), ""} and not reply["done"]
                 await asyncio.sleep(0.05)
 
-        question = {"ask": "publish", "body": body_with_classes("g02"), "expect": 1, "by": "me", "id": "same"}
+        request = {"ask": "publish", "body": body_with_classes("g02"), "expect": 1, "by": "me", "id": "same"}
         for _ in range(3):
-            assert await led(question) == {"done": True, "version": 2, "why": ""}
-        for harmed in ({"body": 7}, {"body": "{"}, {"expect": -1}, {"expect": None}, {"by": ""}, {"id": 4}):
-            told = await led({**question, "id": "other", **harmed})
-            assert not told["done"] and told["bad"] and told["why"]
-        assert max(row[0] for rows in asked({"ask": "versions"}) for row in rows) == 2
+            assert await ask_leader(request) == {"done": True, "version": 2, "why": ""}
+        for invalid in ({"body": 7}, {"body": "{"}, {"expect": -1}, {"expect": None}, {"by": ""}, {"id": 4}):
+            reply = await ask_leader({**request, "id": "other", **invalid})
+            assert not reply["done"] and reply["bad"] and reply["why"]
+        assert max(row[0] for rows in ask_all({"ask": "versions"}) for row in rows) == 2
 
-        # Garbage, another secret, another cluster, a frame that was changed: closed, said, and nothing else.
+        # Another secret, another cluster, a changed frame, garbage: logged and closed, nothing else changes.
         host, port = fleet.clients["c1"].split(":")
-        for secret, cluster, harm in (
+        for secret, cluster, garbage in (
             (b"another secret, as long", "fleet", b""),
             (SECRET, "other", b""),
             (SECRET, "fleet", b"\x00\x00\x00\x05" + b"x" * 21),
@@ -130,14 +130,14 @@
         ):
             with socket.create_connection((host, int(port)), 10) as stranger:
                 frames = FrameCodec(secret, watcher_greeting("n9", cluster))
-                stranger.sendall(frames.greeting_frame() + harm)
+                stranger.sendall(frames.greeting_frame() + garbage)
                 while stranger.recv(65536):
                     pass
         await fleet.logs("c1", "config: message rejected:", times=4)
         assert all(
             row[0] != "n9" for row in send_admin_request(fleet.peers["c1"], SECRET, {"ask": "watchers"})
         )
-        # The same name again takes the place of the first, and who is too many is sent on.
+        # A second connection of one name replaces the first; a watcher too many is sent elsewhere.
         first, other = Stranger(fleet.clients["c2"], "n8"), Stranger(fleet.clients["c2"], "n9")
         assert (first.receive()["n"], other.receive()["n"]) == (2, 2)
         again, more = Stranger(fleet.clients["c2"], "n8"), Stranger(fleet.clients["c2"], "n10")
@@ -146,7 +146,7 @@
             pass
         for name in SERVERS:
             assert await fleet.terminate(name) == 0
-        # The versions are there again, also without --new.
+        # After a restart the versions are there, also without --new.
         for name in SERVERS:
             fleet.start(name, "config", "serve", str(fleet.folder / f"{name}.json"))
         while (await fleet.publish(body_with_classes("g02"), "--expect", "2"))[0]:
--- a/tests/config_distribution/test_processes.py
+++ b/tests/config_distribution/test_processes.py
@@ -56,10 +56,10 @@
 
 def test_checker_finds_each_faulty_watcher() -> None:
     faulty_programs = {
-        "a-d0": [FAULTY, "older"],
-        "b-d1": [FAULTY, "half"],
-        "a-d2": [FAULTY, "unchecked"],
-        "b-d3": [FAULTY, "patient"],
+        "a-d0": [FAULTY, "reverts_version"],
+        "b-d1": [FAULTY, "applies_half"],
+        "a-d2": [FAULTY, "applies_part_of_rejected"],
+        "b-d3": [FAULTY, "keeps_silent_server"],
     }
     plan = Plan(
         dispatchers=5, within=Span(4 * SECOND), lasts=Span(12 * SECOND), every=Span(SECOND), emptied=Span(0)
@@ -92,7 +92,7 @@
         leader_cut=Span(2400 * MS),
     )
     findings = findings_of(
-        play(plan, 3, regions(plan), dict.fromkeys(plan.server_names(), [FAULTY, "eager"]))
+        play(plan, 3, regions(plan), dict.fromkeys(plan.server_names(), [FAULTY, "sends_uncommitted"]))
     )
     assert [finding for finding in findings if "which was not committed" in finding], findings
 
@@ -105,7 +105,7 @@
         every=Span(300 * MS),
         emptied=Span(3 * SECOND),
     )
-    faulty_programs = dict.fromkeys(plan.server_names(), [FAULTY, "swaps,forgets"])
+    faulty_programs = dict.fromkeys(plan.server_names(), [FAULTY, "ignores_expected_version,begins_anew"])
     findings = findings_of(play(plan, 4, regions(plan), faulty_programs))
     for expected in ("won", "and came behind", "serves with an empty folder"):
         assert [finding for finding in findings if expected in finding], findings
