--- a/ploverspoke/service/service.py
+++ b/ploverspoke/service/service.py
@@ -11,6 +11,8 @@
 
 import uvloop
 
+from ploverspoke.protocol.discovery import parse_endpoint_list
+from ploverspoke.routing.active_settings import ActiveSettings
 from ploverspoke.routing.admin_server import AdminServer
 from ploverspoke.routing.client_server import ClientServer
 from ploverspoke.routing.load_gossip import GossipSocket
@@ -64,18 +66,16 @@
             loop, self.deadlines, resources.worker_connections, idle_timeout, connect_timeout
         )
         self.router = Router(
-            loop,
             self.deadlines,
             self.pool,
             config.discovery,
             config.seed,
-            settings,
-            config.names,
+            ActiveSettings(settings, config.names),
             request_log,
         )
         if config.peers:
-            self.router.peers = GossipSocket(
-                config.peers, settings.dispatcher_index, self.router.known_workers, self.router.heard
+            self.router.load_gossip = GossipSocket(
+                config.peers, settings.dispatcher_index, self.router.known_workers, self.router.on_gossip
             )
         self.client_server = ClientServer(
             loop, self.deadlines, self.router, resources.client_connections, resources.buffered_bytes
@@ -103,12 +103,14 @@
             self.admin_server.listener.open(*self.config.admin_address)
         if self.process_registry.enter():
             self._update_process_count()
-        if self.router.peers is not None:
-            await self.router.peers.open(self.loop)
+        if self.router.load_gossip is not None:
+            await self.router.load_gossip.open(self.loop)
         elif self.config.lacks_peers:
             log_line(NO_PEERS)
         has_predecessor = self.process_count > 1
-        self.router.begin(self.config.known_endpoints, from_known=not has_predecessor)
+        document = self.config.known_endpoints
+        known = None if document is None else parse_endpoint_list(dict(document))
+        self.router.start(known, resume=not has_predecessor)
         if has_predecessor:
             await self._first_list()
         if not self.shutdown_began_at:
@@ -133,7 +135,8 @@
     async def _first_list(self) -> None:
         """Wait for discovery's first answer: until this process is ready its predecessor serves."""
         until = self.deadlines.now() + FIRST_LIST_TIMEOUT
-        while not self.router.lists_told and self.deadlines.now() < until and not self.shutdown_began_at:
+        endpoints = self.router.endpoints
+        while not endpoints.lists_received and self.deadlines.now() < until and not self.shutdown_began_at:
             await asyncio.sleep(FIRST_LIST_CHECK_INTERVAL / SECOND)
 
     def _update_process_count(self) -> None:
@@ -144,8 +147,8 @@
             self.process_count = process_count
             resources = split_resources(self.descriptor_limit, self.config.memory_limit, process_count)
             self.pool.resize(resources.worker_connections)
-            self.client_server.most_sessions = resources.client_connections
-            self.client_server.most_buffered = resources.buffered_bytes
+            self.client_server.max_sessions = resources.client_connections
+            self.client_server.max_buffered_bytes = resources.buffered_bytes
         self.deadlines.schedule(self.deadlines.now() + PROCESS_COUNT_INTERVAL, self._update_process_count)
 
     # ---- A new configuration ----
@@ -168,23 +171,23 @@
         missing = first_missing_key(old.document, new.document)
         if missing is not None:
             raise InvalidValueError(key=missing, problem="is missing: the configuration in force has it")
-        if self.router.peers is None:
+        if self.router.load_gossip is None:
             # Peers are read at the start only, and without them there is no load gossip.
             new = new._replace(settings=replace(new.settings, gossip_allowed=False))
         settings_differ = new.settings != old.settings or new.names != old.names
         # A store keeps requests with the numbers of their classes: there these must not change.
-        settings_are_fixed = self.router.scribe is not None
+        settings_are_fixed = self.router.recorder is not None
         _log_keys_left_unchanged(old, new, settings_differ and settings_are_fixed)
         if new.discovery != old.discovery:
             log_line(f"new configuration: discovery is at {new.discovery} now")
-            self.router.move_roster(new.discovery)
+            self.router.endpoints.change_address(new.discovery)
         self.config = old._replace(discovery=new.discovery)
         if settings_differ and not settings_are_fixed:
             self._apply_settings(new)
 
     def _apply_settings(self, new: Config) -> None:
         log_line(f"new configuration: settings applied, classes={','.join(new.names.request_classes)}")
-        self.router.settings_changed(new.settings, new.names)
+        self.router.change_settings(new.settings, new.names)
         self.pool.max_idle_time = max_idle_time_for(new.settings.idle_timeout)
         self.pool.connect_timeout = new.settings.connect_timeout
         self.config = self.config._replace(settings=new.settings, names=new.names, document=new.document)
@@ -197,10 +200,10 @@
             return
         log_line("stopping: finishing the requests that were admitted")
         self.shutdown_began_at = self.deadlines.now()
-        if self.router.peers is not None:
-            self.router.peers.close()  # load gossip that still comes is for the successor
+        if self.router.load_gossip is not None:
+            self.router.load_gossip.close()  # load gossip that still comes is for the successor
         shares_socket = self.listening_socket is not None
-        self.client_server.leave(handing_over=shares_socket)
+        self.client_server.leave(hand_over=shares_socket)
         self._continue_shutdown(shutdown_schedule(self.router.settings, shares_socket))
 
     def _continue_shutdown(self, schedule: ShutdownSchedule) -> None:
@@ -210,7 +213,7 @@
         if elapsed >= (schedule.accept_until if is_empty else schedule.serve_until):
             self.client_server.shut()
         if elapsed >= schedule.answer_at:
-            self.router.answer_all()
+            self.router.completion.answer_all()
         is_finished = self.client_server.is_shut and self.client_server.is_empty()
         if is_finished or elapsed >= schedule.exit_at:
             self.stopped.set()
--- a/tests/test_lint_exceptions.py
+++ b/tests/test_lint_exceptions.py
@@ -13,8 +13,6 @@
         for package in (
             "consensus",
             "decisions",
-            "leases",
-            "routing",
             "testbed",
         )
     ),
