--- a/tests/routing/test_acceptance_rules.py
+++ b/tests/routing/test_acceptance_rules.py
@@ -22,22 +22,22 @@
 from ploverspoke.testbed.virtual import World as VirtualWorld
 from ploverspoke.testbed.worker import Worker
 from tests.decisions.harness import SETTINGS
-from tests.routing.test_race_conditions import (
+from tests.routing.harness import World, listed, message, play
+from tests.routing.race_harness import (
     CALM,
-    GRADES,
+    CLASS_NAMES,
     Clock,
     Gate,
     HeldWorker,
-    caller,
-    newest,
-    placed,
-    shown,
-    tell,
-    told_by,
+    connect_to,
+    deliver_list,
+    discovery_response,
+    endpoint_list,
+    newest_session,
     turns,
     until,
+    wait_for_kernel,
 )
-from tests.routing.test_service import World, listed, message, play
 
 MS, SECOND = 1_000_000, 1_000_000_000
 
@@ -53,7 +53,7 @@
     "429": b"HTTP/1.1 429 No\r\nContent-Length: 0\r\n\r\n",
     "500": b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n",
     "garbage": b"\x00\xff garbage\r\n\r\n",
-    "no list": told_by(b'{"version":"soon"}'),
+    "no list": discovery_response(b'{"version":"soon"}'),
     "half, then ends": HALF,
     "half, then silent": HALF,
     "ends": b"",
@@ -118,7 +118,7 @@
             if f"from={self.world.version}&".encode() in call:
                 peer.waits = True
             else:
-                self.tell(peer)
+                self.deliver_list(peer)
             return
         peer.transport.write(SAYS[self.way])
         if self.way in ("silent", "half, then silent"):
@@ -130,16 +130,18 @@
         elif self.way.endswith(("ends", "closed")):
             peer.transport.close()
 
-    def tell(self, peer: Troubled) -> None:
+    def deliver_list(self, peer: Troubled) -> None:
         peer.waits = False
-        peer.transport.write(told_by(shown(*self.world.entries, version=self.world.version)))
+        peer.transport.write(
+            discovery_response(endpoint_list(*self.world.entries, version=self.world.version))
+        )
 
     def change(self, *entries: dict[str, Any]) -> None:
         """What it has from now on; those that wait on a sound call hear of it."""
         self.world.entries, self.world.version = list(entries), self.world.version + 1
         for peer in list(self.peers.values()):
             if peer.waits and not peer.silent:
-                self.tell(peer)
+                self.deliver_list(peer)
 
 
 class Watched:
@@ -170,7 +172,7 @@
         """From the stand-in that every test has."""
         old = self.world.servers[-1]
         old.close()
-        for _, writer in self.world.told:
+        for _, writer in self.world.discovery_connections:
             writer.transport.abort()
         await until(lambda: self.failures)
 
@@ -259,29 +261,29 @@
 @MODES
 @pytest.mark.parametrize("times", [1, 8])
 @pytest.mark.parametrize("way", [way for way in WAYS if way not in TURNED_AWAY])
-def test_a_drain_is_heeded_in_time_after_one_kind_of_failure(way: str, times: int, mode: str) -> None:
+def test_drain_is_heeded_in_time_after_one_kind_of_failure(way: str, times: int, mode: str) -> None:
     play_troubles([(way, times)], 1, 10 * SECOND, mode)
 
 
 @pytest.mark.parametrize("order", list(itertools.permutations(KINDS, 2)))
-def test_a_drain_is_heeded_in_time_after_two_kinds_of_failure(order: tuple[str, ...]) -> None:
+def test_drain_is_heeded_in_time_after_two_kinds_of_failure(order: tuple[str, ...]) -> None:
     play_troubles([(way, 2) for way in order], 1, 10 * SECOND, "ask")
 
 
 @MODES
 @pytest.mark.parametrize("first", range(len(KINDS)))
-def test_a_drain_is_heeded_in_time_after_each_kind_of_failure(first: int, mode: str) -> None:
+def test_drain_is_heeded_in_time_after_each_kind_of_failure(first: int, mode: str) -> None:
     play_troubles([(way, 1) for way in KINDS[first:] + KINDS[:first]], 1, 10 * SECOND, mode)
 
 
 @MODES
-def test_a_drain_is_heeded_in_time_after_being_turned_away(mode: str) -> None:
+def test_drain_is_heeded_in_time_after_rejected_watches(mode: str) -> None:
     # One that is down may say so by 503: the pause after the last grew to 10 s.
     for way in TURNED_AWAY:
         play_troubles([(way, 6)], 5, 10 * SECOND, mode)
 
 
-def test_a_drain_is_heeded_in_time_where_the_list_need_not_be_asked_for_often() -> None:
+def test_drain_is_heeded_in_time_where_the_list_is_polled_rarely() -> None:
     # The pause follows the time that the settings give for asking, up to 12 s.
     for way in ("refuses", "never up", "garbage", "silent"):
         play_troubles([(way, 6)], 5, 60 * SECOND, "ask")
@@ -290,25 +292,25 @@
 # ---- 2: no attempt, first or further, begins once its client has closed ----
 
 
-@pytest.mark.parametrize("grade", GRADES)
+@pytest.mark.parametrize("class_name", CLASS_NAMES)
 @pytest.mark.parametrize("how", ["closed", "reset", "half closed", "queued behind", "while it comes up"])
 @pytest.mark.parametrize("after", range(4))
-def test_no_further_attempt_begins_once_its_client_has_left(after: int, how: str, grade: str) -> None:
+def test_no_retry_begins_once_its_client_has_disconnected(after: int, how: str, class_name: str) -> None:
     # The first is returned unstarted, and its client leaves so many turns later, before the next is written.
     async def script(world: World) -> None:
         worker, other = HeldWorker(), world.entries[0]
-        tell(world, listed("h", worker.port))
-        client = caller(world.port)
-        client.end.send(world.request("r", grade))
+        deliver_list(world, listed("h", worker.port))
+        client = connect_to(world.port)
+        client.end.send(world.request("r", class_name))
         await until(lambda: worker.copies("r"))
         if how == "queued behind":
-            client.end.send(world.request("behind", grade))
+            client.end.send(world.request("behind", class_name))
             await turns()
-        out, connection = next(iter(world.service.pool.connections)), newest(world).connection
-        tell(world, {**listed("h", worker.port), "state": "Terminating"}, other)
+        out, connection = next(iter(world.service.pool.connections)), newest_session(world).connection
+        deliver_list(world, {**listed("h", worker.port), "state": "Terminating"}, other)
         gate = Gate(world.service.pool) if how == "while it comes up" else None
         worker.peers[0].end.send(b"HTTP/1.1 503 Busy\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
-        placed(out.has_unread_data)
+        wait_for_kernel(out.has_unread_data)
         await turns(after)
         if gate is not None:
             await until(lambda: gate.waiting)
@@ -319,7 +321,7 @@
             client.end.shutdown(socket.SHUT_WR)
         else:
             client.close()
-        placed(connection.is_closed_by_peer)
+        wait_for_kernel(connection.is_closed_by_peer)
         begun = len(world.sent)
         if gate is not None:
             gate.event.set()
@@ -373,7 +375,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3, 4])
-def test_thirty_dispatchers_together_do_not_push_a_cold_worker_over(
+def test_thirty_dispatchers_do_not_overload_a_worker_that_warms_up(
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(Worker, "_tips", lambda *_: False)  # else it is down before the count is full
@@ -413,7 +415,7 @@
     return False
 
 
-def test_idle_clients_that_fill_the_descriptors_keep_nobody_from_the_list(tmp_path: Path) -> None:
+def test_idle_clients_at_the_descriptor_limit_do_not_block_the_endpoint_list(tmp_path: Path) -> None:
     async def run() -> None:
         world, path, most = World(), tmp_path / "config.json", 128
         discovery = await world.surround(2)
@@ -430,7 +432,7 @@
         await served("first")
         host, port = world.servers[-1].sockets[0].getsockname()
         world.servers[-1].close()
-        for _, told in world.told:
+        for _, told in world.discovery_connections:
             told.transport.abort()
         # Some say nothing, some ask once and stay, some have been served and stay: more than fit, all over.
         idle: list[asyncio.StreamWriter] = []
@@ -469,7 +471,7 @@
     uvloop.run(run())
 
 
-def test_restarted_beside_a_discovery_with_too_many_callers_all_are_soon_ready(tmp_path: Path) -> None:
+def test_restarted_fleet_is_ready_soon_beside_an_overloaded_discovery(tmp_path: Path) -> None:
     # Nine in ten within 10 s; and none may wait for a discovery that has answered nobody yet.
     count, call_takes, turned_away_after = 20, 0.33, 1.0
 
--- /dev/null
+++ b/tests/routing/test_endpoint_watch.py
@@ -0,0 +1,235 @@
+"""The watch on the endpoint list: silences, failures and restarts at any moment."""
+
+import asyncio
+import socket
+
+import pytest
+
+from ploverspoke.protocol.discovery import EndpointList, read_endpoint_list
+from ploverspoke.routing.endpoint_watch import EndpointWatch
+from ploverspoke.service.settings import parse_names, parse_settings
+from ploverspoke.transport.deadlines import Deadlines
+from tests.decisions.harness import SETTINGS
+from tests.routing.harness import (
+    World,
+    play,
+)
+from tests.routing.race_harness import (
+    CALM,
+    MS,
+    SECOND,
+    Clock,
+    HeldWorker,
+    Peer,
+    discovery_response,
+    endpoint_list,
+    run_on_loop,
+    turns,
+    until,
+)
+
+
+class HeldWatch:
+    """A watch, and a discovery that the test works by hand."""
+
+    def __init__(self, pushed: bool = False) -> None:
+        loop = asyncio.get_running_loop()
+        self.discovery, deadlines = HeldWorker(), Deadlines(loop)
+        self.clock, self.lists, self.lost = Clock(deadlines), list[int](), list[bool]()
+        self.clock.hold()
+        address, lost = f"127.0.0.1:{self.discovery.port}", self.lost.append
+        self.watch = EndpointWatch(deadlines, address, self.told, lost, 10 * SECOND, pushed)
+
+    def told(self, body: bytes) -> EndpointList:
+        received = read_endpoint_list(body)
+        self.lists.append(received.version)
+        return received
+
+    def calls(self) -> list[bytes]:
+        """Each call on each connection, in the order of connections."""
+        return [c for p in self.discovery.called() for c in p.read().split(b"\r\n\r\n") if c]
+
+    async def called(self, count: int) -> Peer:
+        await until(lambda: len(self.calls()) >= count, f"{count} calls")
+        await turns()
+        assert len(self.calls()) == count
+        return self.discovery.peers[-1]
+
+
+async def watching(pushed: bool = False) -> tuple[HeldWatch, Peer]:
+    """A watch that has had the whole list and made its next call, and the connection that this came over."""
+    held = HeldWatch(pushed)
+    held.watch.start()
+    (await held.called(1)).end.send(discovery_response(endpoint_list(version=5)))
+    return held, await held.called(2)
+
+
+def test_silent_watch_is_restarted_before_missed_changes_bind() -> None:
+    # It was given up just when that counted as told; the pause before the next call, the connection and the
+    # answer came on top of it, longer than the grace.
+    async def script() -> None:
+        held = HeldWatch()
+        held.watch.start()
+        peer = await held.called(1)
+        for silences in range(3):  # the whole list, a watch, and the same once more
+            if silences:
+                peer.end.send(
+                    discovery_response(endpoint_list(version=40 + silences))
+                    if silences == 1
+                    else b"HTTP/1.1 200 O"
+                )
+                if silences == 1:
+                    await held.called(3)
+            counts_as_told = 6 * SECOND if not silences else 12 * SECOND
+            held.clock.wake_after(counts_as_told - 3 * SECOND // 2)
+            await turns()
+            held.clock.wake_after(10 * MS)  # once more, after what lay unread
+            peer = await held.called(2 if not silences else 3 + silences)
+            assert not held.lost, "no pause is asked for"
+        assert b"from=41&" in held.calls()[-1]
+        peer.end.send(discovery_response(endpoint_list(version=42)))
+        await held.called(6)
+        assert held.lists == [41, 42] and held.discovery.peers[0].has_ended()
+        held.watch.stop()
+
+    run_on_loop(script)
+
+
+def test_drain_missed_by_a_silent_watch_is_heeded_within_the_grace_time() -> None:
+    async def script(world: World) -> None:
+        clock, grace = Clock(world.service.deadlines), 500 * MS
+        drained = [{**world.entries[0], "state": "Terminating"}, world.entries[1]]
+        await until(lambda: world.watches)
+        world.entries, world.version = drained, 2  # the watch that is open never says so
+        for _ in range(240):  # 12 s: the wait of 10 s, and 2 s until it counts as told
+            clock.wake_after(50 * MS)
+            await asyncio.sleep(0.001)
+        clock.wake_after(grace - 50 * MS)
+        await turns(100)
+        for number in range(8):
+            assert (await world.ask(world.request(f"r{number}")))[0] == 200
+        assert {worker for worker, _ in world.sent} == {"w1"}
+
+    play(script, workers=2, **CALM)
+
+
+LIST_7 = discovery_response(endpoint_list(version=7))
+
+
+@pytest.mark.parametrize(
+    ("said", "lists", "lost", "calls"),
+    [
+        # What comes in one go after the call for the watch: told, failures, and calls in all.
+        (LIST_7, [7], [], 3),
+        (discovery_response(endpoint_list(version=7), "Connection: close\r\n"), [7], [], 3),
+        (
+            LIST_7 + b"END",
+            [7],
+            [False],
+            2,
+        ),  # its end right behind the answer
+        (
+            LIST_7 * 2,
+            [7],
+            [False],
+            2,
+        ),  # twice: two calls went out on one connection
+        (LIST_7 + b"garbage", [7], [False], 2),
+        (discovery_response(b'{"version":"soon"}'), [], [False], 2),
+        (LIST_7[:-4] + b"END", [], [False], 2),
+        (b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", [], [True], 2),
+        (b"END", [], [False], 2),
+    ],
+)
+def test_watch_has_one_request_at_a_time(said: bytes, lists: list[int], lost: list[bool], calls: int) -> None:
+    async def script() -> None:
+        held, peer = await watching()
+        peer.end.send(said.removesuffix(b"END"))
+        if said.endswith(b"END"):
+            peer.end.shutdown(socket.SHUT_WR)
+        await until(lambda: held.lists[1:] == lists and (held.lost or len(held.calls()) == 3 or not lists))
+        await until(lambda: len(held.calls()) >= calls and len(held.lost) >= len(lost))
+        await turns(100)
+        open_now = [p for p in held.discovery.called() if not p.has_ended()]
+        if said.endswith(b"END") and lists and not held.lost:
+            await until(lambda: held.lost)
+        assert held.lists == [5, *lists] and held.lost == lost
+        assert len(open_now) == (0 if lost else 1)
+        if lost:
+            # The next watch is one watch: nothing of the last call is left over for it.
+            held.watch.start()
+            held.watch.start()
+            peer = await held.called(len(held.calls()) + 1)
+            peer.end.send(discovery_response(endpoint_list(version=9)))
+            await until(lambda: held.lists[-1] == 9)
+            assert held.lost == lost and sum(not p.has_ended() for p in held.discovery.called()) == 1
+        held.watch.stop()
+
+    run_on_loop(script)
+
+
+def test_response_unread_at_the_timeout_is_read() -> None:
+    # A process that was stopped wakes up with the deadline past, and with the answer in the kernel.
+    async def script() -> None:
+        held, peer = await watching()
+        peer.end.send(discovery_response(endpoint_list(version=6)))
+        held.clock.wake_after(13 * SECOND)
+        await held.called(3)
+        assert held.lists == [5, 6] and len(held.discovery.called()) == 1 and not held.lost
+        # One that drips is silent all the same.
+        peer.end.send(b"HTTP/1.1 200 O")
+        held.clock.wake_after(13 * SECOND)
+        await turns()
+        peer.end.send(b"K")
+        held.clock.wake_after(10 * MS)
+        await until(lambda: len(held.discovery.called()) == 2)
+        held.watch.stop()
+
+    run_on_loop(script)
+
+
+def test_pushed_watch_that_breaks_is_restarted_without_backoff() -> None:
+    # What changed in the pause counted as told, and the grace was over before it was heard.
+    async def script() -> None:
+        held, peer = await watching(pushed=True)
+        peer.reset()
+        held.discovery.peers.clear()
+        peer = await held.called(1)
+        assert b"from=5&" in held.calls()[0] and not held.lost
+        peer.reset()  # again at once: it is down, or ends each call
+        await until(lambda: held.lost)
+        assert held.lost == [False]
+
+    run_on_loop(script)
+
+
+def test_change_of_the_discovery_mode_applies_to_the_open_watch() -> None:
+    # After SIGHUP the watch went on as the settings at the start had it.
+    async def script(world: World) -> None:
+        clock, pushed = Clock(world.service.deadlines), {**SETTINGS, **CALM, "Discovery": "push"}
+        await until(lambda: world.watches)
+        world.service.router.change_settings(parse_settings(pushed), parse_names(pushed))
+        clock.hold()  # a pause never ends now
+        asked = world.watches
+        world.discovery_connections[-1][1].transport.abort()
+        await until(lambda: world.watches > asked)
+
+    play(script, workers=1, **CALM)
+
+
+def test_versions_that_go_back_make_the_watch_ask_for_the_whole_list() -> None:
+    async def script() -> None:
+        held = HeldWatch()
+        held.watch.start()
+        peer = await held.called(1)
+        for number, (version, full) in enumerate([(50, True), (3, False), (3, True), (4, False)]):
+            peer.end.send(discovery_response(endpoint_list(version=version, full=full)))
+            peer = await held.called(number + 2)
+        asked = [b"from=" in call for call in held.calls()]
+        assert asked == [False, True, False, True, True]
+        held.watch.stop()
+        peer.end.send(discovery_response(endpoint_list(version=5)))
+        await turns(100)
+        assert held.lists[-1] == 4, "a watch that was moved away from tells nothing"
+
+    run_on_loop(script)
--- a/tests/service/handover_harness.py
+++ b/tests/service/handover_harness.py
@@ -15,8 +15,7 @@
 
 from ploverspoke.testbed.processes.addresses import held_ports
 from tests.decisions.harness import SETTINGS
-from tests.routing.test_admin_server import call
-from tests.routing.test_service import World
+from tests.routing.harness import World, admin_call
 
 
 class ReplacedDispatcher:
@@ -63,7 +62,7 @@
     async def check(self) -> str:
         """What the latest process answers to `check`; empty where it does not listen for operators yet."""
         try:
-            return await call(self.world, b"check\n")
+            return await admin_call(self.world, b"check\n")
         except ConnectionError:
             return ""
 
--- a/tests/service/test_handover.py
+++ b/tests/service/test_handover.py
@@ -10,8 +10,7 @@
 
 from ploverspoke.transport.resource_limits import split_resources
 from ploverspoke.transport.units import MEBIBYTE
-from tests.routing.test_admin_server import call, figures, operations
-from tests.routing.test_service import World, message
+from tests.routing.harness import World, admin_call, admin_counters, message, operations_key
 
 from .handover_harness import ReplacedDispatcher, exit_code, play
 
@@ -41,8 +40,8 @@
 
 
 async def fulfilled(world: World) -> int:
-    shown = await figures(world)
-    return sum(shown[operations(name, "fulfilled")] for name in CLASSES)
+    shown = await admin_counters(world)
+    return sum(shown[operations_key(name, "fulfilled")] for name in CLASSES)
 
 
 async def replace(
@@ -58,7 +57,7 @@
     old.send_signal(signal.SIGTERM)
     await asyncio.sleep(0.1)
     world.admin_port = old_admin_port
-    assert (await call(world, b"check\n")).startswith("-ERR leaving")
+    assert (await admin_call(world, b"check\n")).startswith("-ERR leaving")
     await asyncio.sleep(0.2)  # every answer since has sent its client over
     old_fulfilled = await fulfilled(world)
     world.admin_port = new_admin_port
@@ -139,7 +138,7 @@
     for process in processes.values():
         process.send_signal(signal.SIGHUP)
     for dispatcher.world.admin_port in processes:
-        while (await figures(dispatcher.world))["dispatcher_cfg_accepted"] != 1:
+        while (await admin_counters(dispatcher.world))["dispatcher_cfg_accepted"] != 1:
             await asyncio.sleep(0.01)
 
 
--- a/tests/service/test_settings_change.py
+++ b/tests/service/test_settings_change.py
@@ -17,8 +17,7 @@
 from ploverspoke.service.config import read_config
 from ploverspoke.service.settings import parse_names, parse_settings
 from tests.decisions.harness import MS, SETTINGS, DispatchHarness, endpoint
-from tests.routing.test_admin_server import figures
-from tests.routing.test_service import World, play, turn_away
+from tests.routing.harness import World, admin_counters, play, turn_away
 
 Document = dict[str, Any]
 
@@ -157,7 +156,7 @@
             service.router.settings,
             service.router.active_settings.classes.numbers,
         ) == before
-        shown = await figures(world)
+        shown = await admin_counters(world)
         assert shown["dispatcher_cfg_invalid"] == 1 and shown["dispatcher_cfg_accepted"] == 0
 
     play(script)
@@ -200,7 +199,7 @@
         assert (await earlier)[0] == 503
         attempts = [request_id for _, request_id in world.sent]
         assert attempts.count("later") <= 1 < attempts.count("earlier") <= 6
-        shown = await figures(world)
+        shown = await admin_counters(world)
         assert shown["dispatcher_cfg_accepted"] == 2 and shown["dispatcher_cfg_invalid"] == 1
 
     play(script)
--- a/tests/store/request_log_harness.py
+++ b/tests/store/request_log_harness.py
@@ -6,7 +6,7 @@
 
 from ploverspoke.routing.answers import RecordedAnswer
 from ploverspoke.routing.request_log import CommitCallback, PreviousOutcome
-from tests.routing.test_service import World, play
+from tests.routing.harness import World, play
 
 
 class ControlledRequestLog:
@@ -81,4 +81,4 @@
     async def run(world: World) -> None:
         await scenario(world, request_log)
 
-    play(run, scribe=request_log, **settings)
+    play(run, request_log=request_log, **settings)
--- a/tests/store/test_router_with_request_log.py
+++ b/tests/store/test_router_with_request_log.py
@@ -10,7 +10,7 @@
 from ploverspoke.testbed.records import DISPATCHER_DOWN
 from ploverspoke.testbed.sockets import play_on_sockets
 from tests.decisions.harness import SECOND, SETTINGS, DispatchHarness, endpoint
-from tests.routing.test_service import World, message
+from tests.routing.harness import World, message
 from tests.store.request_log_harness import ControlledRequestLog, run_with_request_log
 from tests.testbed.test_model import WORLD
 
@@ -104,7 +104,7 @@
     # The last had left while it waited for a worker, and it was sent on all the same, whenever one was ready.
     async def scenario(world: World, log: ControlledRequestLog) -> None:
         ready = world.entries
-        await world.tell([{**entry, "state": "Terminating"} for entry in ready])
+        await world.change_list([{**entry, "state": "Terminating"} for entry in ready])
         _, writer = await world.connect()
         writer.write(world.request("r1", "book"))
         while not world.service.router.requests.open_count():
@@ -113,7 +113,7 @@
         for _ in range(200):
             await asyncio.sleep(0.001)
         assert not world.service.router.requests.open_count()
-        await world.tell(ready)
+        await world.change_list(ready)
         if client_returns:
             assert (await world.ask(world.request("r1", "book")))[0] == 503
         assert (await world.ask(world.request("r2", "book")))[0] == 200
--- a/tests/supervisor/harness.py
+++ b/tests/supervisor/harness.py
@@ -9,7 +9,7 @@
 from ploverspoke.supervisor.supervisor import ProcessSupervisor
 from ploverspoke.testbed.processes.addresses import held_ports
 from ploverspoke.transport.units import SECOND
-from tests.routing.test_service import World
+from tests.routing.harness import World
 
 EXAMPLE: dict[str, Any] = json.loads((Path(__file__).parents[2] / "deploy" / "example.json").read_text())
 
--- a/tests/supervisor/test_processes.py
+++ b/tests/supervisor/test_processes.py
@@ -10,7 +10,7 @@
 
 import uvloop
 
-from tests.routing.test_service import World, message
+from tests.routing.harness import World, message
 
 from .harness import SupervisedDispatchers
 
