--- a/ploverspoke/config_distribution/dynamic_config.py
+++ b/ploverspoke/config_distribution/dynamic_config.py
@@ -141,7 +141,7 @@
     applier = VersionApplier(service, own, applied)
     client = WatchClient(service.loop, watch_config, name, applier.apply, applied, seed)
     service.load_config = applier.reread
-    service.admin_server.calls["config"] = partial(admin_reply, client)
+    service.admin_server.commands["config"] = partial(admin_reply, client)
     return client
 
 
--- a/ploverspoke/routing/__init__.py
+++ b/ploverspoke/routing/__init__.py
@@ -1,1 +1,1 @@
-"""The host of the decisions: submissions and hand-offs in flight, and what ends them."""
+"""Runs the decisions on real sockets: clients and operators, requests and attempts, endpoints and gossip."""
--- a/ploverspoke/routing/active_settings.py
+++ b/ploverspoke/routing/active_settings.py
@@ -62,7 +62,7 @@
         return min(MAX_WATCH_WAIT, int(self.current.discovery_poll_interval))
 
     def is_pushed(self) -> bool:
-        """Whether the dispatcher counts as told of changes of the endpoint list without asking for them."""
+        """Whether changes of the endpoint list bind the dispatcher without being asked for."""
         return not self.current.discovery_polling
 
     def _translate_kind(self, number: int, names: Sequence[str]) -> int:
--- a/ploverspoke/routing/admin_server.py
+++ b/ploverspoke/routing/admin_server.py
@@ -32,16 +32,16 @@
         self.deadlines = deadlines
         self.client_server = client_server
         self.router = router
-        self.calls: dict[str, Callable[[], bytes]] = {"check": self._check, "vars": self._vars}
+        self.commands: dict[str, Callable[[], bytes]] = {"check": self._check, "vars": self._vars}
         self.connections: SlotTable[Connection] = SlotTable()
         self.sessions: dict[int, AdminConnection] = {}  # by their connection's number, oldest first
         self.listener = Listener(loop, deadlines, self._make_connection, self._has_room)
 
     def execute(self, command: str) -> bytes:
-        """The reply to a command; an unknown one, or a fault, is told in the reply."""
-        execute = self.calls.get(command)
+        """The reply to a command; it says so where that is unknown or has failed."""
+        execute = self.commands.get(command)
         if execute is None:
-            return admin.error_reply("expected one of " + ", ".join(self.calls))
+            return admin.error_reply("expected one of " + ", ".join(self.commands))
         try:
             return execute()
         except Exception:
--- a/ploverspoke/routing/client_session.py
+++ b/ploverspoke/routing/client_session.py
@@ -15,6 +15,7 @@
 from .admission import NotAdmitted
 from .answers import FinalAnswer
 from .requests import Request
+from .responses import OWN_TARGETS, UNSUCCESSFUL, redirect_response, status_response
 
 if TYPE_CHECKING:
     from .client_server import ClientServer
@@ -22,19 +23,10 @@
 REQUEST_TIMEOUT = 2500 * MILLISECOND  # for a request to come whole, the first from the connecting on
 RESPONSE_TIMEOUT = 10 * SECOND  # for a response to be read
 CLOSE_TIMEOUT = SECOND  # for a client to read the last response
-NO_LEADER_RETRY_AFTER = 200 * MILLISECOND  # advice to clients where no replica of the store leads
 # What a client sends ahead of its response is read, since its end comes behind it.
 UNCOUNTED_READ_AHEAD = 64 * 1024  # bytes that do not count as buffered
 MAX_READ_AHEAD = 256 * 1024  # bytes that are kept; a client that sends more is closed after its response
 MAX_DROPPED = 8 * 1024 * 1024  # bytes beyond those that are read and dropped; then the client has to wait
-OWN_TARGETS = "/-/"  # prefix of targets that the dispatcher itself answers
-STATUS_TARGETS = ("/-/ready", "/-/healthy")
-
-RESPONSES = {  # status and body of final answers that carry no result
-    FinalAnswer.REJECTED: (503, b"nacked"),
-    FinalAnswer.FAILED: (504, b"abandoned"),
-    FinalAnswer.INVALID_REQUEST: (400, b"no worker can use it"),
-}
 
 
 class ClientSession:
@@ -182,11 +174,11 @@
         self.keep_alive = message.keep_alive and not self.is_excess
         self._update_buffered_bytes()
         if message.target.startswith(OWN_TARGETS):
-            self._respond_with_status(message)
+            self._respond(*status_response(message, self.server.is_leaving))
             return
         leader = self.server.router.leader_redirect()
         if leader is not None:
-            self._redirect(leader, message.target)
+            self._respond(*redirect_response(leader, message.target))
             return
         try:
             self._admit(message)
@@ -221,8 +213,8 @@
         if answer is FinalAnswer.SUCCEEDED:
             self._respond(200, result.encode("utf-8", "surrogatepass"))
         else:
-            status, body = RESPONSES[answer]
-            self._respond(status, body, retry_after)
+            response = UNSUCCESSFUL[answer]
+            self._respond(response.status, response.body, retry_after)
 
     def has_disconnected(self) -> bool:
         """Whether the client has closed its connection, which is then closed here, too."""
@@ -238,24 +230,6 @@
         self.request = None
         self.hang_up()
 
-    def _redirect(self, leader: str, target: str) -> None:
-        """Another replica leads; where none is known to, one soon will."""
-        if leader:
-            self._respond(307, b"another replica leads", location=f"http://{leader}{target}")
-        else:
-            self._respond(503, b"no replica leads", NO_LEADER_RETRY_AFTER)
-
-    def _respond_with_status(self, message: HttpRequest) -> None:
-        """Answer a question about this process."""
-        if message.target.partition("?")[0] not in STATUS_TARGETS:
-            self._respond(404, b"not found")
-        elif message.method != "GET":
-            self._respond(405, b"ask by GET")
-        elif self.server.is_leaving:
-            self._respond(503, b"leaving")
-        else:
-            self._respond(200, b"ready")
-
     def _respond(self, status: int, body: bytes, retry_after: int = 0, location: str = "") -> None:
         self.is_answering = False
         self.request = None
--- a/ploverspoke/routing/endpoint_watch.py
+++ b/ploverspoke/routing/endpoint_watch.py
@@ -14,7 +14,7 @@
 
 MAX_CONNECTIONS = 2  # the next request may need one before the last one's is closed completely
 CONNECT_TIMEOUT = 2 * SECOND
-# The dispatcher counts as told of what a silent request keeps from it 2 s after the wait that it was
+# What a silent request keeps from the dispatcher binds it, as if received, 2 s after the wait that it was
 # allowed, or 6 s after it fell silent, if that is later or it was allowed none. The response to the next
 # request has to be here by then, and where all watches fall silent at once discovery works through the next
 # requests of all, one by one (six took 2 s). The response to a wait comes when that is over, also from a busy
@@ -133,9 +133,9 @@
         """`on_list` is given the body of each list, and may raise EndpointListError.
 
         `on_failure` is given whether discovery has too many requests; the watch has ended then. Discovery
-        may wait `max_wait` ns for a change. With `is_pushed` the dispatcher counts as told of changes
-        whether or not a watch is open, by an agent beside it that has no other callers: a watch that breaks
-        is restarted without the backoff that spreads requests.
+        may wait `max_wait` ns for a change. With `is_pushed` changes bind the dispatcher
+        whether or not a watch is open, since an agent beside it without other callers delivers them: a watch
+        that breaks is restarted without the backoff that spreads requests.
         """
         self.deadlines = deadlines
         self.address = address
--- a/ploverspoke/routing/outcomes.py
+++ b/ploverspoke/routing/outcomes.py
@@ -1,9 +1,12 @@
-"""What the end of a connection means to the decisions. Never-ran is said only where that is certain."""
+"""Maps the outcome of an exchange on a connection to the outcome of an attempt for the decisions.
+
+Outcomes that mean "it never ran" are given only where that is certain.
+"""
 
 from ploverspoke.decisions.interface import AttemptOutcome
 from ploverspoke.transport.outcomes import ExchangeOutcome
 
-OUTCOMES = {
+OUTCOMES: dict[ExchangeOutcome, AttemptOutcome] = {
     ExchangeOutcome.SUCCEEDED: AttemptOutcome.SUCCEEDED,
     ExchangeOutcome.FAILED: AttemptOutcome.WORKER_ERROR,
     ExchangeOutcome.NOT_STARTED: AttemptOutcome.FULL,  # never ran
--- a/ploverspoke/routing/worker_calls.py
+++ b/ploverspoke/routing/worker_calls.py
@@ -15,7 +15,7 @@
 
 
 class WorkerCallUser(Protocol):
-    """What a worker call sends, and who is told of its course."""
+    """What a worker call sends, and who is notified of its course."""
 
     def encode_request(self, time_left: int) -> bytes:
         """The bytes to send, where `time_left` ns remain for the call."""
@@ -62,7 +62,7 @@
         """
         self.pool = pool
         self.deadlines = pool.deadlines
-        self.user: WorkerCallUser | None = user  # None: told of the end
+        self.user: WorkerCallUser | None = user  # None: it was notified of the end
         self.reader = user.make_reader(self)
         self.connection: Connection | None = None
         self.pending_connection: PendingConnection | None = None
