--- a/tests/routing/harness.py
+++ b/tests/routing/harness.py
@@ -155,9 +155,9 @@
         )
         return (head + more + f"Content-Length: {len(body)}\r\n\r\n").encode() + body
 
-    async def ask(self, said: bytes) -> tuple[int, dict[str, str], bytes]:
+    async def ask(self, request: bytes) -> tuple[int, dict[str, str], bytes]:
         reader, writer = await self.connect()
-        writer.write(said)
+        writer.write(request)
         first, headers, body = await asyncio.wait_for(message(reader), 5)
         writer.close()
         return int(first.split()[1]), headers, body
@@ -174,7 +174,7 @@
         await world.start(workers, **how)
         await script(world)
         waiting = [s for s in world.service.router.requests if s.client is not None]
-        assert not waiting, "every submission is answered"
+        assert not waiting, "every request is answered"
         world.stop()
         return world
 
@@ -216,9 +216,9 @@
 # ---- What operators ask ----
 
 
-async def admin_call(world: World, said: bytes = b"vars\n") -> str:
+async def admin_call(world: World, command: bytes = b"vars\n") -> str:
     reader, writer = await asyncio.open_connection("127.0.0.1", world.admin_port)
-    writer.write(said)
+    writer.write(command)
     answer = await asyncio.wait_for(reader.read(), 1)
     writer.close()
     return answer.decode()
--- a/tests/routing/race_harness.py
+++ b/tests/routing/race_harness.py
@@ -31,8 +31,8 @@
 CALM: dict[str, Any] = {
     "Limits": {"Cancel": True, "ConnectTimeoutUs": 20_000_000, "MaxHandOffs": 6, "IdleCloseUs": 60_000_000},
     "ServiceGrades": [
-        {**class_name, "AbandonTimeUs": 30_000_000, "ExpectedTimeUs": 20_000_000}
-        for class_name in SETTINGS["ServiceGrades"]
+        {**request_class, "AbandonTimeUs": 30_000_000, "ExpectedTimeUs": 20_000_000}
+        for request_class in SETTINGS["ServiceGrades"]
     ],
 }
 
@@ -89,7 +89,7 @@
 
 
 class Gate:
-    """Connections that are up are told when it is opened."""
+    """Connections that are up are reported when it is opened."""
 
     def __init__(self, pool: ConnectionPool) -> None:
         self.loop, self.event, self.waiting = pool.loop, asyncio.Event(), 0
--- a/tests/routing/test_acceptance_rules.py
+++ b/tests/routing/test_acceptance_rules.py
@@ -39,15 +39,16 @@
     wait_for_kernel,
 )
 
+RUNS_LONG = True  # scheduled first: see tests/conftest.py
 MS, SECOND = 1_000_000, 1_000_000_000
 
-# ---- 1: a change counts as told 6 s after discovery had it and could be reached ----
+# ---- 1: a change binds 6 s after discovery had it and could be reached ----
 
-TOLD_AFTER = 6 * SECOND
-WAIT_OVER = 2 * SECOND  # for a call that fell silent, what it missed counts as told so long after its wait
+BINDS_AFTER = 6 * SECOND
+WAIT_OVER = 2 * SECOND  # what a silent request missed binds so long after its wait
 GRACE = 500 * MS  # from then on
 HALF = b'HTTP/1.1 200 OK\r\nContent-Length: 4000\r\n\r\n{"version":'
-SAYS = {
+RESPONSES = {
     "503": b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n",
     "503, closed": b"HTTP/1.1 503 No\r\nConnection: close\r\nContent-Length: 0\r\n\r\n",
     "429": b"HTTP/1.1 429 No\r\nContent-Length: 0\r\n\r\n",
@@ -60,15 +61,15 @@
     "resets": b"",
     "silent": b"",
 }
-WAYS = ["refuses", "never up", *SAYS]
+FAULTS = ["refuses", "never up", *RESPONSES]
 
 
-class Troubled(asyncio.Protocol):
-    """One connection to a discovery that is in some trouble; `waits`: it has a call that is not answered."""
+class FaultyConnection(asyncio.Protocol):
+    """One connection to a discovery that is with some fault; `waits`: it has a request without a response."""
 
-    def __init__(self, discovery: "TroubledDiscovery") -> None:
+    def __init__(self, discovery: "FaultyDiscovery") -> None:
         self.discovery, self.waits, self.came = discovery, False, b""
-        self.silent, self.told_at = False, 0  # for good; when what it misses counts as told
+        self.silent, self.binds_at = False, 0  # for good; when what it misses binds
 
     def connection_made(self, transport: Any) -> None:
         self.transport = transport
@@ -84,10 +85,10 @@
             self.discovery.asked(self, call)
 
 
-class TroubledDiscovery:
+class FaultyDiscovery:
     def __init__(self, world: World, port: int, clock: Clock) -> None:
         self.world, self.port, self.clock, self.way = world, port, clock, "well"
-        self.peers: dict[int, Troubled] = {}
+        self.peers: dict[int, FaultyConnection] = {}
         self.server: asyncio.Server | None = None
         self.held: list[socket.socket] = []
 
@@ -111,26 +112,26 @@
                 filler.connect_ex(("127.0.0.1", self.port))
             return
         loop = asyncio.get_running_loop()
-        self.server = await loop.create_server(lambda: Troubled(self), sock=listening)
+        self.server = await loop.create_server(lambda: FaultyConnection(self), sock=listening)
 
-    def asked(self, peer: Troubled, call: bytes) -> None:
+    def asked(self, peer: FaultyConnection, call: bytes) -> None:
         if self.way == "well":
             if f"from={self.world.version}&".encode() in call:
                 peer.waits = True
             else:
                 self.deliver_list(peer)
             return
-        peer.transport.write(SAYS[self.way])
+        peer.transport.write(RESPONSES[self.way])
         if self.way in ("silent", "half, then silent"):
             peer.waits = peer.silent = True
             waits = int(call.partition(b"hold_ms=")[2].split(b" ")[0] or 0) * MS
-            peer.told_at = self.clock.held_at + waits + WAIT_OVER
+            peer.binds_at = self.clock.held_at + waits + WAIT_OVER
         elif self.way == "resets":
             peer.transport.abort()
         elif self.way.endswith(("ends", "closed")):
             peer.transport.close()
 
-    def deliver_list(self, peer: Troubled) -> None:
+    def deliver_list(self, peer: FaultyConnection) -> None:
         peer.waits = False
         peer.transport.write(
             discovery_response(endpoint_list(*self.world.entries, version=self.world.version))
@@ -151,7 +152,7 @@
         self.world, self.router = world, world.service.router
         self.clock = Clock(world.service.deadlines)
         self.clock.hold()
-        self.discovery = TroubledDiscovery(world, world.servers[-1].sockets[0].getsockname()[1], self.clock)
+        self.discovery = FaultyDiscovery(world, world.servers[-1].sockets[0].getsockname()[1], self.clock)
         self.stale: Any = None  # a call that had no connection when discovery changed
         self.failures, watch = 0, self.router.endpoints.watch
         watch.on_failed = self.counted(watch.on_failed)  # type: ignore[method-assign]
@@ -161,10 +162,10 @@
         self.drawn = self.chance.fraction
         self.chance.fraction = lambda: 1 - 1e-9  # type: ignore[method-assign]
 
-    def counted(self, told: Callable[..., None]) -> Callable[..., None]:
+    def counted(self, report: Callable[..., None]) -> Callable[..., None]:
         def counts(call: Any, **named: bool) -> None:
             self.failures += self.call() is call
-            told(call, **named)
+            report(call, **named)
 
         return counts
 
@@ -194,7 +195,7 @@
         return peer is not None and peer.waits
 
     async def settle(self) -> None:
-        for _ in range(3):  # what is closed or told is heard a turn later
+        for _ in range(3):  # what is closed or reported is noticed a turn later
             await until(self.is_settled, f"does not settle while discovery {self.discovery.way}")
             await turns(6)
 
@@ -213,7 +214,7 @@
             await self.settle()
 
     async def fails(self, way: str, times: int) -> None:
-        """Discovery is in that trouble until so many calls have come to nothing, up to that very moment."""
+        """Discovery has that fault until so many requests have failed, up to that very moment."""
         await self.change_discovery(way)
         wanted = self.failures + times
         for _ in range(4 * times):  # no pause and no wait of a call is longer than a minute
@@ -224,10 +225,10 @@
         """It is well again, and has a drain in that moment."""
         world, clock = self.world, self.clock
         await self.change_discovery("well")
-        call, due = self.call(), clock.held_at + TOLD_AFTER
+        call, due = self.call(), clock.held_at + BINDS_AFTER
         if call is not None and call.connection is not None:
-            # One that fell silent: what it misses counts as told 2 s after its wait, if that is later.
-            due = max([due, *(peer.told_at for peer in self.discovery.peers.values())])
+            # What a silent one misses binds 2 s after its wait, if that is later.
+            due = max([due, *(peer.binds_at for peer in self.discovery.peers.values())])
         first, second = world.entries
         self.discovery.change({**first, "state": "Terminating"}, second)
         await self.pass_time(due + GRACE)
@@ -239,13 +240,13 @@
         assert {worker for worker, _ in world.sent} == {"w1"}
 
 
-def play_troubles(troubles: list[tuple[str, int]], dispatchers: int, ask_within: int, mode: str) -> None:
+def play_faults(faults: list[tuple[str, int]], dispatchers: int, ask_within: int, mode: str) -> None:
     async def script(world: World) -> None:
         await until(lambda: world.watches)
         await turns()
         watched = Watched(world)
         await watched.takes_over()
-        for way, times in troubles:
+        for way, times in faults:
             await watched.fails(way, times)
         await watched.drain_is_heeded()
 
@@ -254,39 +255,39 @@
 
 
 MODES = pytest.mark.parametrize("mode", ["ask", "push"])
-TURNED_AWAY = ("503", "503, closed", "429")
-KINDS = ("refuses", "never up", "silent", "half, then ends", "garbage", "503")
+REJECTING = ("503", "503, closed", "429")
+KINDS_OF_FAULT = ("refuses", "never up", "silent", "half, then ends", "garbage", "503")
 
 
 @MODES
 @pytest.mark.parametrize("times", [1, 8])
-@pytest.mark.parametrize("way", [way for way in WAYS if way not in TURNED_AWAY])
+@pytest.mark.parametrize("way", [way for way in FAULTS if way not in REJECTING])
 def test_drain_is_heeded_in_time_after_one_kind_of_failure(way: str, times: int, mode: str) -> None:
-    play_troubles([(way, times)], 1, 10 * SECOND, mode)
+    play_faults([(way, times)], 1, 10 * SECOND, mode)
 
 
-@pytest.mark.parametrize("order", list(itertools.permutations(KINDS, 2)))
+@pytest.mark.parametrize("order", list(itertools.permutations(KINDS_OF_FAULT, 2)))
 def test_drain_is_heeded_in_time_after_two_kinds_of_failure(order: tuple[str, ...]) -> None:
-    play_troubles([(way, 2) for way in order], 1, 10 * SECOND, "ask")
+    play_faults([(way, 2) for way in order], 1, 10 * SECOND, "ask")
 
 
 @MODES
-@pytest.mark.parametrize("first", range(len(KINDS)))
+@pytest.mark.parametrize("first", range(len(KINDS_OF_FAULT)))
 def test_drain_is_heeded_in_time_after_each_kind_of_failure(first: int, mode: str) -> None:
-    play_troubles([(way, 1) for way in KINDS[first:] + KINDS[:first]], 1, 10 * SECOND, mode)
+    play_faults([(way, 1) for way in KINDS_OF_FAULT[first:] + KINDS_OF_FAULT[:first]], 1, 10 * SECOND, mode)
 
 
 @MODES
 def test_drain_is_heeded_in_time_after_rejected_watches(mode: str) -> None:
     # One that is down may say so by 503: the pause after the last grew to 10 s.
-    for way in TURNED_AWAY:
-        play_troubles([(way, 6)], 5, 10 * SECOND, mode)
+    for way in REJECTING:
+        play_faults([(way, 6)], 5, 10 * SECOND, mode)
 
 
 def test_drain_is_heeded_in_time_where_the_list_is_polled_rarely() -> None:
     # The pause follows the time that the settings give for asking, up to 12 s.
     for way in ("refuses", "never up", "garbage", "silent"):
-        play_troubles([(way, 6)], 5, 60 * SECOND, "ask")
+        play_faults([(way, 6)], 5, 60 * SECOND, "ask")
 
 
 # ---- 2: no attempt, first or further, begins once its client has closed ----
@@ -432,8 +433,8 @@
         await served("first")
         host, port = world.servers[-1].sockets[0].getsockname()
         world.servers[-1].close()
-        for _, told in world.discovery_connections:
-            told.transport.abort()
+        for _, connection in world.discovery_connections:
+            connection.transport.abort()
         # Some say nothing, some ask once and stay, some have been served and stay: more than fit, all over.
         idle: list[asyncio.StreamWriter] = []
         most_held = 0
@@ -487,7 +488,7 @@
                     calls += 1
                     free_at = max(free_at, loop.time()) + call_takes
                     await asyncio.sleep(min(turned_away_after, free_at - loop.time()))
-                    writer.write(SAYS["503"])
+                    writer.write(RESPONSES["503"])
 
         server = await asyncio.start_server(discovery, "127.0.0.1", 0)
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
--- a/tests/routing/test_admin_server.py
+++ b/tests/routing/test_admin_server.py
@@ -1,4 +1,4 @@
-"""The operators' door and the figures: calls read in any pieces, and counts that add up."""
+"""The admin server and the counters: commands read in any pieces, and counts that add up."""
 
 import asyncio
 import random
@@ -21,7 +21,7 @@
 
 
 @pytest.mark.parametrize(
-    ("said", "call"),
+    ("data", "command"),
     [
         (b"check\n", "check"),
         (b"vars\r\n", "vars"),
@@ -36,17 +36,17 @@
         (b"a\rb\n", AdminCommandError),
     ],
 )
-def test_admin_command_reads_the_same_wherever_it_is_cut(said: bytes, call: Any) -> None:
-    for cut in range(len(said)):
+def test_admin_command_reads_the_same_wherever_it_is_cut(data: bytes, command: Any) -> None:
+    for cut in range(len(data)):
         reader, found = AdminCommandReader(), None
         try:
-            for part in (said[:cut], said[cut:]):
+            for part in (data[:cut], data[cut:]):
                 found = found if found is not None else reader.feed(memoryview(part))
             got: Any = found
         except AdminCommandError:
             got = AdminCommandError
-        assert got == call or (
-            b"\n" in said[:cut] and cut < len(said)
+        assert got == command or (
+            b"\n" in data[:cut] and cut < len(data)
         )  # what follows a whole call is not read
 
 
--- a/tests/routing/test_attempts.py
+++ b/tests/routing/test_attempts.py
@@ -20,8 +20,6 @@
     turn_away,
 )
 
-RUNS_LONG = True  # scheduled first: see tests/conftest.py
-
 
 @pytest.mark.parametrize("way", FAULTY_BEHAVIOURS)
 def test_non_idempotent_request_is_retried_only_if_it_never_ran(way: WorkerBehaviour) -> None:
@@ -35,7 +33,7 @@
 
 
 def test_request_that_a_worker_rejects_is_final_and_ejects_no_worker() -> None:
-    # Each sent such a job to one worker after the other, and their errors set them aside.
+    # Sent to one worker after the other, such a request made each of them be ejected for its errors.
     async def script(world: World) -> None:
         async def reject(reader: Any, writer: Any, headers: dict[str, str], body: bytes) -> None:
             writer.write(b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
@@ -60,12 +58,12 @@
 
 
 def test_request_on_a_dropped_connection_is_retried_and_runs_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Workers drop resting connections unseen, or reset new ones: irreversible jobs were lost with each.
+    # Workers drop idle connections silently, or reset new ones: non-idempotent requests were lost with each.
     # The stand-in shares our loop: on a busy machine it may read what we wrote some ms later.
     monkeypatch.setattr(worker_calls, "LAST_BYTE_DELAY", 100_000_000)
 
     async def script(world: World) -> None:
-        async def drop_jobs(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def drop_attempts(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while await reader.readexactly(1) != b"P":
                 await reader.readuntil(b"\r\n\r\n")
                 writer.write(b'HTTP/1.1 200 OK\r\nContent-Length: 18\r\n\r\n{"queue":0,"x0":4}')
@@ -73,7 +71,7 @@
             writer.transport.abort()
 
         dropped: list[asyncio.StreamWriter] = []
-        server = await asyncio.start_server(drop_jobs, "127.0.0.1", 0)
+        server = await asyncio.start_server(drop_attempts, "127.0.0.1", 0)
         world.servers.append(server)
         port = server.sockets[0].getsockname()[1]
         await world.change_list([{**world.entries[0], "addr": f"127.0.0.1:{port}"}, world.entries[1]])
@@ -141,20 +139,20 @@
             assert body == f"{request_id}:x".encode() and runs
         if class_name == "book":
             assert runs <= 1, "no effect twice"
-            assert status != 503 or not runs, "a nack promises that it never ran"
+            assert status != 503 or not runs, "a rejection promises that it never ran"
         await asyncio.sleep(0.3)
         assert sends == len([s for s in world.sent if s[1] == request_id]), "nothing after the answer"
 
     async def script(world: World) -> None:
-        async def trouble() -> None:
+        async def inject_faults() -> None:
             while True:
                 await asyncio.sleep(0.1)
                 name = f"w{chance.randrange(4)}"
                 world.behave[name] = chance.choice([world.serve, world.serve, *FAULTY_BEHAVIOURS])
 
-        troubled = asyncio.create_task(trouble())
+        injector = asyncio.create_task(inject_faults())
         await asyncio.gather(*(client(world, number) for number in range(80)))
-        troubled.cancel()
+        injector.cancel()
         await asyncio.sleep(1)
 
     play(script, workers=4)
--- a/tests/routing/test_client_requests.py
+++ b/tests/routing/test_client_requests.py
@@ -39,7 +39,7 @@
 
 
 @pytest.mark.parametrize(
-    ("said", "status"),
+    ("data", "status"),
     [
         (b"NONSENSE\r\n\r\n", 400),
         (b"POST /look HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\n\r\nx", 400),  # no Request-Id
@@ -61,17 +61,17 @@
         (b"POST /look HTTP/1.1\r\nRequest-Id: 1\r\nContent-Length: 65536\r\n\r\n" + b"x" * 65536, 200),
     ],
 )
-def test_invalid_request_gets_its_status_and_disturbs_no_other(said: bytes, status: int) -> None:
+def test_invalid_request_gets_its_status_and_disturbs_no_other(data: bytes, status: int) -> None:
     async def script(world: World) -> None:
         good = asyncio.create_task(world.ask(world.request("good")))
-        assert (await world.ask(said))[0] == status
+        assert (await world.ask(data))[0] == status
         assert (await good)[0] == 200
 
     play(script)
 
 
 @pytest.mark.parametrize(
-    ("said", "status"),
+    ("data", "status"),
     [
         # The rest of each never comes: they are refused by their heads.
         (b"POST /look HTTP/1.1\r\nRequest-Id: 1\r\nContent-Length: 60000000\r\n\r\n" + b"x" * 70_000, 413),
@@ -88,12 +88,12 @@
         (b"POST /look HTTP/1.1\r\nA: " + b"b" * 300_000, 400),  # was kept, as long as it came
     ],
 )
-def test_invalid_request_is_refused_by_its_head_and_not_forwarded(said: bytes, status: int) -> None:
+def test_invalid_request_is_refused_by_its_head_and_not_forwarded(data: bytes, status: int) -> None:
     async def script(world: World) -> None:
         world.behave = {"w0": say_nothing, "w1": say_nothing}
         first = asyncio.create_task(world.ask(world.request("taken")))
         await asyncio.sleep(0.05)
-        assert (await asyncio.wait_for(world.ask(said), 1))[0] == status
+        assert (await asyncio.wait_for(world.ask(data), 1))[0] == status
         assert {request for _, request in world.sent} == {"taken"}
         await first
 
@@ -101,7 +101,7 @@
 
 
 def test_silent_and_slow_clients_are_disconnected_and_served_ones_stay() -> None:
-    # A new connection that said nothing stayed for good, a started request for 10 s.
+    # A new connection that sent nothing stayed for good, a started request for 10 s.
     async def script(world: World) -> None:
         kept_reader, kept = await world.connect()
         kept.write(world.request("first"))
@@ -159,10 +159,10 @@
         world.behave = {"w0": say_nothing, "w1": say_nothing}
         held = [asyncio.create_task(world.ask(world.request(f"r{n}", body=b"x" * 65536))) for n in range(80)]
         await asyncio.sleep(0.3)
-        door = world.service.client_server
-        assert door.buffered_bytes + door.router.requests.body_bytes <= door.max_buffered_bytes + 65536
+        server = world.service.client_server
+        assert server.buffered_bytes + server.router.requests.body_bytes <= server.max_buffered_bytes + 65536
         assert {status for status, _, _ in await asyncio.gather(*held)} == {503}
-        assert not door.buffered_bytes and not door.router.requests.body_bytes
+        assert not server.buffered_bytes and not server.router.requests.body_bytes
 
     play(script, memory_mb=32)
 
--- a/tests/routing/test_endpoint_watch.py
+++ b/tests/routing/test_endpoint_watch.py
@@ -38,9 +38,9 @@
         self.clock, self.lists, self.lost = Clock(deadlines), list[int](), list[bool]()
         self.clock.hold()
         address, lost = f"127.0.0.1:{self.discovery.port}", self.lost.append
-        self.watch = EndpointWatch(deadlines, address, self.told, lost, 10 * SECOND, pushed)
+        self.watch = EndpointWatch(deadlines, address, self.take_list, lost, 10 * SECOND, pushed)
 
-    def told(self, body: bytes) -> EndpointList:
+    def take_list(self, body: bytes) -> EndpointList:
         received = read_endpoint_list(body)
         self.lists.append(received.version)
         return received
@@ -65,7 +65,7 @@
 
 
 def test_silent_watch_is_restarted_before_missed_changes_bind() -> None:
-    # It was given up just when that counted as told; the pause before the next call, the connection and the
+    # It was given up just when that began to bind; the pause before the next request, the connection and the
     # answer came on top of it, longer than the grace.
     async def script() -> None:
         held = HeldWatch()
@@ -100,8 +100,8 @@
         clock, grace = Clock(world.service.deadlines), 500 * MS
         drained = [{**world.entries[0], "state": "Terminating"}, world.entries[1]]
         await until(lambda: world.watches)
-        world.entries, world.version = drained, 2  # the watch that is open never says so
-        for _ in range(240):  # 12 s: the wait of 10 s, and 2 s until it counts as told
+        world.entries, world.version = drained, 2  # the watch that is open never reports it
+        for _ in range(240):  # 12 s: the wait of 10 s, and 2 s until it binds
             clock.wake_after(50 * MS)
             await asyncio.sleep(0.001)
         clock.wake_after(grace - 50 * MS)
@@ -117,9 +117,9 @@
 
 
 @pytest.mark.parametrize(
-    ("said", "lists", "lost", "calls"),
+    ("data", "lists", "lost", "calls"),
     [
-        # What comes in one go after the call for the watch: told, failures, and calls in all.
+        # What comes at once after the watch request: versions taken, failures, and requests in all.
         (LIST_7, [7], [], 3),
         (discovery_response(endpoint_list(version=7), "Connection: close\r\n"), [7], [], 3),
         (
@@ -141,17 +141,17 @@
         (b"END", [], [False], 2),
     ],
 )
-def test_watch_has_one_request_at_a_time(said: bytes, lists: list[int], lost: list[bool], calls: int) -> None:
+def test_watch_has_one_request_at_a_time(data: bytes, lists: list[int], lost: list[bool], calls: int) -> None:
     async def script() -> None:
         held, peer = await watching()
-        peer.end.send(said.removesuffix(b"END"))
-        if said.endswith(b"END"):
+        peer.end.send(data.removesuffix(b"END"))
+        if data.endswith(b"END"):
             peer.end.shutdown(socket.SHUT_WR)
         await until(lambda: held.lists[1:] == lists and (held.lost or len(held.calls()) == 3 or not lists))
         await until(lambda: len(held.calls()) >= calls and len(held.lost) >= len(lost))
         await turns(100)
         open_now = [p for p in held.discovery.called() if not p.has_ended()]
-        if said.endswith(b"END") and lists and not held.lost:
+        if data.endswith(b"END") and lists and not held.lost:
             await until(lambda: held.lost)
         assert held.lists == [5, *lists] and held.lost == lost
         assert len(open_now) == (0 if lost else 1)
@@ -189,7 +189,7 @@
 
 
 def test_pushed_watch_that_breaks_is_restarted_without_backoff() -> None:
-    # What changed in the pause counted as told, and the grace was over before it was heard.
+    # What changed in the pause began to bind, and the grace time was over before it was received.
     async def script() -> None:
         held, peer = await watching(pushed=True)
         peer.reset()
@@ -230,6 +230,6 @@
         held.watch.stop()
         peer.end.send(discovery_response(endpoint_list(version=5)))
         await turns(100)
-        assert held.lists[-1] == 4, "a watch that was moved away from tells nothing"
+        assert held.lists[-1] == 4, "a watch that was stopped reports nothing"
 
     run_on_loop(script)
--- a/tests/routing/test_program.py
+++ b/tests/routing/test_program.py
@@ -44,7 +44,7 @@
     async def run() -> None:
         world, moved = World(), World()
         path = tmp_path / "config.json"
-        process, told, log = await started(world, path)
+        process, document, log = await started(world, path)
         address = await moved.surround(0)  # by chance its list has the number of the first one's
         moved.entries = world.entries[1:]
         kept, writer = await world.connect()
@@ -59,11 +59,11 @@
         waits = asyncio.create_task(world.ask(world.request("taken", "book")))
         await asyncio.sleep(0.05)
         world.behave = {}
-        for bad in ("{", "[" * 100_000, json.dumps({**told, "discovery": "nowhere"})):
+        for bad in ("{", "[" * 100_000, json.dumps({**document, "discovery": "nowhere"})):
             await signalled(bad)
         assert moved.watches == 0 and log.read_text().count("the active one stays") == 3
-        await signalled(json.dumps({**told, "discovery": address, "listen": "127.0.0.1:9"}))
-        await signalled(json.dumps({**told, "discovery": address}))
+        await signalled(json.dumps({**document, "discovery": address, "listen": "127.0.0.1:9"}))
+        await signalled(json.dumps({**document, "discovery": address}))
         assert moved.watches == 2, "its whole list, and then the watch"
         assert "listen stays as it was" in log.read_text()
         assert (await waits)[0] == 504
@@ -74,7 +74,7 @@
         assert {worker for worker, _ in world.sent} == {"w1"}
         writer.close()
         # Twice at once, and beside the signal to end.
-        await signalled(json.dumps(told), signal.SIGHUP, signal.SIGHUP, signal.SIGTERM, signal.SIGHUP)
+        await signalled(json.dumps(document), signal.SIGHUP, signal.SIGHUP, signal.SIGTERM, signal.SIGHUP)
         assert await asyncio.wait_for(process.wait(), 4) == 0
         for server in world.servers + moved.servers:
             server.close()
--- a/tests/routing/test_race_conditions.py
+++ b/tests/routing/test_race_conditions.py
@@ -42,7 +42,7 @@
 @pytest.mark.parametrize("class_name", CLASS_NAMES)
 @pytest.mark.parametrize("what", ["drains", "gone", "moved", "left", "late", "lost"])
 def test_attempt_is_not_written_once_it_is_no_longer_allowed(what: str, class_name: str) -> None:
-    # A connection that came up late carried the request to a worker that had been told to be draining.
+    # A connection that came up late carried the request to a worker that was listed as draining by then.
     async def script(world: World) -> None:
         worker, other, clock = HeldWorker(), world.entries[0], Clock(world.service.deadlines)
         chosen = listed("h", worker.port)
@@ -88,7 +88,7 @@
     async def script(world: World) -> None:
         ready, clock = world.entries[0], Clock(world.service.deadlines)
         draining = {**ready, "state": "Terminating"}
-        await idle_client(world, class_name)  # its connection rests: the next goes out in the same turn
+        await idle_client(world, class_name)  # whose connection the next attempt goes over, in the same turn
         deliver_list(world, draining)
         client = connect_to(world.port)
         client.end.send(world.request("left", class_name))
@@ -110,7 +110,7 @@
         if how in ("in a turn before", "far ahead"):
             await until(
                 lambda: not world.service.router.requests.open_count(),
-                "not heard while nothing else happened",
+                "not noticed while nothing else happened",
             )
         else:
             wait_for_kernel(connection.is_closed_by_peer)
@@ -151,10 +151,10 @@
 
 
 @pytest.mark.parametrize("class_name", CLASS_NAMES)
-@pytest.mark.parametrize("said", [b"HTTP/1.1 503 Busy\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n", b""])
+@pytest.mark.parametrize("data", [b"HTTP/1.1 503 Busy\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n", b""])
 @pytest.mark.parametrize("request_first", [True, False])
 def test_idle_connection_with_unread_data_is_not_reused(
-    request_first: bool, said: bytes, class_name: str
+    request_first: bool, data: bytes, class_name: str
 ) -> None:
     # A second answer to the request before, late, was believed: a second copy went out beside the first.
     # Empty: the worker closes it, idle, under the request.
@@ -165,13 +165,13 @@
         kept = worker.peers[0]
         steps: list[Callable[[], Any]] = [
             lambda: client.end.send(world.request("r", class_name)),
-            (lambda: kept.end.send(said)) if said else kept.close,
+            (lambda: kept.end.send(data)) if data else kept.close,
         ]
         unread = [newest_session(world).connection, next(iter(world.service.pool.connections))]
         for step, connection in list(zip(steps, unread, strict=True))[:: 1 if request_first else -1]:
             step()
             wait_for_kernel(connection.has_unread_data)
-        if not said:
+        if not data:
             worker.peers.remove(kept)
         await until(lambda: worker.copies("r"))
         await turns(300)
@@ -183,29 +183,29 @@
 
 
 def test_idle_connection_that_receives_data_is_discarded_at_once() -> None:
-    # It was aborted, and until the loop told its end the next caller had it.
+    # It was aborted, and until the event loop reported its end the next user got it.
     async def script(world: World) -> None:
         await idle_client(world)
         pool, address = world.service.pool, world.entries[0]["addr"]
-        rested = next(iter(pool.connections))
+        idle = next(iter(pool.connections))
         next_one = RecordingPoolUser()
-        assert rested.user is not None
-        rested.user.on_data_available()
+        assert idle.user is not None
+        idle.user.on_data_available()
         pool.acquire(address, next_one)
         assert next_one.connection is None
         given = await until(lambda: next_one.connection)
-        assert given is not rested and pool.connection_count() == 1
+        assert given is not idle and pool.connection_count() == 1
         given.abort()
 
     play(script, workers=1, **CALM)
 
 
 @pytest.mark.parametrize(
-    "said",
+    "data",
     [b"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", b"HTTP/1.1 400 No\r\nContent-Length: 0\r\n\r\n"],
 )
-def test_response_before_the_last_byte_on_a_reused_connection_is_ignored(said: bytes) -> None:
-    # An irreversible one was answered as failed though no worker had had it whole.
+def test_response_before_the_last_byte_on_a_reused_connection_is_ignored(data: bytes) -> None:
+    # A non-idempotent request was answered as failed though no worker had had it whole.
     async def script(world: World) -> None:
         worker, clock = HeldWorker(), Clock(world.service.deadlines)
         deliver_list(world, listed("h", worker.port))
@@ -216,7 +216,7 @@
         client.end.send(world.request("r", "book"))
         await until(kept.read)
         assert not kept.requests(), "all but its last byte"
-        kept.end.send(said)
+        kept.end.send(data)
         await until(kept.has_ended)
         deliver_list(world, world.entries[0])
         clock.go_on()
@@ -263,20 +263,20 @@
 def test_connection_cancelled_while_pending_is_closed_and_counted_once(after: int, way: str) -> None:
     async def script() -> None:
         loop = asyncio.get_running_loop()
-        worker, pool, told = (
+        worker, pool, user = (
             HeldWorker(),
             ConnectionPool(loop, Deadlines(loop), 4, SECOND, 60 * SECOND),
             RecordingPoolUser(),
         )
 
-        opening = pool.acquire(f"127.0.0.1:{worker.port}", told)
+        opening = pool.acquire(f"127.0.0.1:{worker.port}", user)
         assert opening is not None
         await turns(after)
         getattr(opening, way)()
         pool.deadlines.cancel(opening.deadline)
-        await until(lambda: pool.connection_count() == 0, f"held for good: {told.connection}, {told.outcome}")
+        await until(lambda: pool.connection_count() == 0, f"held for good: {user.connection}, {user.outcome}")
         await turns()
-        assert pool.pending_count == 0 and (told.connection is None or told.outcome is None)
+        assert pool.pending_count == 0 and (user.connection is None or user.outcome is None)
         for peer in worker.called():
             await until(peer.has_ended)
 
--- a/tests/routing/test_shutdown_races.py
+++ b/tests/routing/test_shutdown_races.py
@@ -142,7 +142,7 @@
 def test_signal_during_the_start_is_kept_until_it_is_handled(
     name: str, held_start: Callable[[str], subprocess.Popen[bytes]]
 ) -> None:
-    # A new configuration that was told of while the program started ended it.
+    # A SIGHUP that came while the program started ended it.
     process = held_start(name)
     assert process.stderr is not None
     if name == "SIGHUP":
