--- /dev/null
+++ b/tests/consensus/raft_faults.py
@@ -0,0 +1,67 @@
+"""Faults that are planted in a Raft machine, which the simulation must find."""
+
+from typing import Any
+
+from ploverspoke.consensus.raft import Raft
+from ploverspoke.consensus.raft_state import Role
+from ploverspoke.consensus.wire_messages import AppendEntries, InstallSnapshot, RequestVote
+
+
+def votes_twice_in_a_term(raft: Raft) -> None:
+    """Forget the vote of the current term."""
+    handle = raft.handlers[RequestVote]
+
+    def faulty(sender: str, message: RequestVote) -> None:
+        raft.state.voted_for = ""
+        handle(sender, message)
+
+    raft.handlers[RequestVote] = faulty
+
+
+def commits_older_terms(raft: Raft) -> None:
+    """Commit by counting replicas, whatever the term (paper, figure 8)."""
+
+    def faulty() -> None:
+        index = raft.leadership.replicated_index()
+        if index > raft.commit_index:
+            raft.state.commit_to(index)
+
+    raft.replication.advance_commit_index = faulty  # type: ignore[method-assign]
+
+
+def acknowledges_before_sync(raft: Raft) -> None:
+    """Answer AppendEntries before the entries are written."""
+    handle = raft.handlers[AppendEntries]
+    replica: Any = raft.state.environment
+
+    def faulty(sender: str, message: AppendEntries) -> None:
+        kept, replica.batch.messages = replica.batch.messages, []
+        handle(sender, message)
+        for to, reply in replica.batch.messages:
+            replica.send_now(to, reply)
+        replica.batch.messages = kept
+
+    raft.handlers[AppendEntries] = faulty
+
+
+def reads_without_heartbeat(raft: Raft) -> None:
+    """Answer reads without asking whether this replica still leads."""
+
+    def faulty(token: int) -> None:
+        if raft.role is Role.LEADER:
+            raft.state.environment.on_read_ready(token, raft.commit_index)
+        else:
+            raft.state.environment.on_read_failed(token)
+
+    raft.reads.read = faulty  # type: ignore[method-assign]
+
+
+def installs_snapshot_over_newer_entries(raft: Raft) -> None:
+    """Install a snapshot that is older than the committed entries."""
+    handle = raft.handlers[InstallSnapshot]
+
+    def faulty(sender: str, message: InstallSnapshot) -> None:
+        raft.state.commit_index = min(raft.commit_index, message.last_index - 1)
+        handle(sender, message)
+
+    raft.handlers[InstallSnapshot] = faulty
