--- a/ploverspoke/consensus/cluster_config.py
+++ b/ploverspoke/consensus/cluster_config.py
@@ -5,7 +5,6 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from ploverspoke.service.config import address
 from ploverspoke.service.config_reader import ConfigError, ConfigSection
 
 from .membership import Member, Members
@@ -99,7 +98,7 @@
             raise ConfigError(message)
         replica = replicas.section(name)
         for key in ("peers", "clients"):
-            address(replica, key, None)
+            replica.address(key)
         addresses[name] = ReplicaAddresses(replica.text("peers"), replica.text("clients"))
     return addresses
 
--- a/ploverspoke/protocol/wire_names.py
+++ b/ploverspoke/protocol/wire_names.py
@@ -1,6 +1,8 @@
 """The names that wires and settings use, mapped to the names of this code."""
 
 # Headers of requests, in lower case as `HttpMessageReader` gives them.
+REQUEST_ID = "request-id"
+AFFINITY_KEY = "affinity-key"
 REQUEST_TIMEOUT = "request-timeout-ms"
 WORK_HINT = "work-hint"
 REQUEST_INFO = "request-info"  # pairs of name=value, of which only the one below is read
@@ -55,8 +57,8 @@
     "util": "busy_share",
     "recent_ms": "recent_milliseconds",
     "latency_ms": "recent_milliseconds",
-    "throughput": "satisfied_per_second",
-    "qps": "satisfied_per_second",
+    "throughput": "succeeded_per_second",
+    "qps": "succeeded_per_second",
     "errors_per_s": "errors_per_second",
     "eps": "errors_per_second",
     "x0": "x0",
