--- a/ploverspoke/routing/request_log.py
+++ b/ploverspoke/routing/request_log.py
@@ -6,6 +6,8 @@
 from collections.abc import Callable
 from typing import NamedTuple, Protocol
 
+from ploverspoke.decisions.interface import AttemptOutcome
+
 from .answers import Client, FinalAnswer, RecordedAnswer
 
 CommitCallback = Callable[[bool], None]  # called with whether it was committed; never from inside the call
@@ -49,7 +51,7 @@
     def record_attempt(self, request_id: str, worker: str, index: int, on_committed: CommitCallback) -> None:
         """Record that the attempt with this index, counted from 0, is about to be sent to the worker."""
 
-    def record_attempt_outcome(self, request_id: str, index: int, outcome: str) -> None:
+    def record_attempt_outcome(self, request_id: str, index: int, outcome: AttemptOutcome) -> None:
         """Record how an attempt ended; nothing waits for this commit."""
 
     def record_answer(
--- a/ploverspoke/routing/request_recorder.py
+++ b/ploverspoke/routing/request_recorder.py
@@ -127,7 +127,7 @@
 
     def record_outcome(self, request: Request, index: int, outcome: AttemptOutcome) -> None:
         """Record how an attempt ended; nothing waits for this commit."""
-        self.request_log.record_attempt_outcome(request.request_id, index, outcome.value)
+        self.request_log.record_attempt_outcome(request.request_id, index, outcome)
 
     def record_answer(self, request: Request, answer: RecordedAnswer, on_committed: CommitCallback) -> None:
         """Commit the final answer; the callback gets False where another one was committed first."""
--- a/ploverspoke/store/request_log.py
+++ b/ploverspoke/store/request_log.py
@@ -6,6 +6,7 @@
 from hashlib import blake2b
 
 from ploverspoke.consensus.raft import Role
+from ploverspoke.decisions.interface import AttemptOutcome
 from ploverspoke.decisions.settings import RequestClass
 from ploverspoke.routing.answers import FinalAnswer, RecordedAnswer
 from ploverspoke.routing.request_log import CommitCallback, PreviousOutcome
@@ -93,9 +94,9 @@
         now = self.node.clock.now()
         self.node.propose(StartAttempt(request_id, worker, index, now, time.time_ns()), on_committed)
 
-    def record_attempt_outcome(self, request_id: str, index: int, outcome: str) -> None:
+    def record_attempt_outcome(self, request_id: str, index: int, outcome: AttemptOutcome) -> None:
         """Commit how an attempt ended; nothing waits for it."""
-        self.node.propose(FinishAttempt(request_id, index, outcome), _ignore_commit)
+        self.node.propose(FinishAttempt(request_id, index, outcome.value), _ignore_commit)
 
     def record_answer(
         self, request_id: str, answer: RecordedAnswer, digest: bytes, on_committed: CommitCallback
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -35,6 +35,7 @@
 from ploverspoke.consensus.peer_links import PeerLinks
 from ploverspoke.consensus.persisted_state import WriteBatch
 from ploverspoke.consensus.storage import ReplicaStorage, restore_from_backup
+from ploverspoke.decisions.interface import AttemptOutcome
 from ploverspoke.leases.config import read_lease_server_config, read_lease_servers
 from ploverspoke.leases.server_node import EPOCH_KEY
 from ploverspoke.leases.state_machine import LeaseStateMachine
@@ -106,7 +107,7 @@
     digest = scribe.digest("POST", "/book/1", b"{}")
     scribe.record_request("job-1", 1, digest, 7 * SECOND, lambda yes: None)
     scribe.record_attempt("job-1", "w0", 1, lambda yes: None)
-    scribe.record_attempt_outcome("job-1", 1, "full")
+    scribe.record_attempt_outcome("job-1", 1, AttemptOutcome.FULL)
     answer = RecordedAnswer(FinalAnswer.SUCCEEDED, "fine")
     scribe.record_answer("job-1", answer, digest, lambda yes: None)
     return proposed
--- a/tests/store/request_log_harness.py
+++ b/tests/store/request_log_harness.py
@@ -4,6 +4,7 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
+from ploverspoke.decisions.interface import AttemptOutcome
 from ploverspoke.routing.answers import RecordedAnswer
 from ploverspoke.routing.request_log import CommitCallback, PreviousOutcome
 from tests.routing.harness import World, play
@@ -16,7 +17,7 @@
         self.leading = True
         self.held: list[tuple[str, CommitCallback]] = []  # calls that wait for their commit
         self.holds: set[str] = set()
-        self.outcomes: list[tuple[str, int, str]] = []
+        self.outcomes: list[tuple[str, int, AttemptOutcome]] = []
         self.previous: dict[str, PreviousOutcome] = {}
 
     def is_leader(self) -> bool:
@@ -44,7 +45,7 @@
     def record_attempt(self, request_id: str, worker: str, index: int, on_committed: CommitCallback) -> None:
         self._commit("attempt", on_committed)
 
-    def record_attempt_outcome(self, request_id: str, index: int, outcome: str) -> None:
+    def record_attempt_outcome(self, request_id: str, index: int, outcome: AttemptOutcome) -> None:
         self.outcomes.append((request_id, index, outcome))
 
     def record_answer(
