--- a/ploverspoke/store/daemon.py
+++ b/ploverspoke/store/daemon.py
@@ -33,7 +33,7 @@
         self.shared_body = ""  # JSON of the shared configuration; "": none was committed
 
     async def run(self, new: bool, join: str) -> None:
-        """Serve until the process is told to end.
+        """Serve until SIGTERM or SIGINT.
 
         `new` is the first start of a new store, `join` the fingerprint of the store that is joined. Raises
         ConfigError, ClusterMismatchError, CorruptionError, StorageError or OSError.
@@ -82,7 +82,7 @@
 def main(store: Path, new: bool = False, join: str = "") -> int:
     """Run the daemon with the replica's file `store` and give the exit code.
 
-    0: told to end. 2: the configuration or the storage cannot be used, and the reason was printed.
+    0: ended by SIGTERM or SIGINT. 2: the configuration or the storage cannot be used, and the reason was printed.
     """
 
     def run() -> None:
