--- a/ploverspoke/store/daemon.py
+++ b/ploverspoke/store/daemon.py
@@ -82,7 +82,7 @@
 def main(store: Path, new: bool = False, join: str = "") -> int:
     """Run the daemon with the replica's file `store` and give the exit code.
 
-    0: ended by SIGTERM or SIGINT. 2: the configuration or the storage cannot be used, and the reason was printed.
+    0: ended by a signal. 2: the configuration or the storage cannot be used, and the reason was printed.
     """
 
     def run() -> None:
