--- a/tests/leases/test_fleet_tasks.py
+++ b/tests/leases/test_fleet_tasks.py
@@ -5,8 +5,8 @@
 import os
 import sys
 import time
+from asyncio.subprocess import Process
 from pathlib import Path
-from typing import Any
 
 import msgspec
 import pytest
@@ -96,6 +96,38 @@
     run_with_lease_servers(tmp_path, script, {"both": MAX_HOLDERS})
 
 
+async def start_summary_writers(leases: Leases, path: Path, ports: list[int]) -> list[Process]:
+    options = ["--to", str(path), "--every", "0.2", "--for", "1.5"]
+    for port in ports:
+        options += ["--from", f"127.0.0.1:{port}"]
+    command = [sys.executable, "-m", "ploverspoke", "lease", "summary", str(leases.file), "one", *options]
+    return [await asyncio.create_subprocess_exec(*command, "--as", f"w{n}") for n in range(3)]
+
+
+async def read_tokens_and_kill_writers(call: Call, path: Path, writers: list[Process]) -> list[int]:
+    """The tokens of the summaries as they change; the writer of each is killed, but for the last."""
+    tokens: list[int] = []
+    killed: set[int] = set()
+    until = time.monotonic() + 30
+    while len(tokens) < 3:
+        assert time.monotonic() < until
+        await asyncio.sleep(0.05)
+        if not path.exists():
+            continue
+        summary = json.loads(path.read_text())  # whole, whenever it is read
+        assert summary["asked"] == 4 and summary["answered"] == 3
+        assert summary["sums"] == {"dispatcher_open_requests": 6, "dispatcher_cfg_accepted": 3}
+        if not tokens or summary["token"] != tokens[-1]:
+            tokens.append(summary["token"])
+            if len(killed) == 2:
+                break
+            holder = json.loads((await call("show", "one", "--json"))[1])["held"][0]["holder"]
+            number = int(holder[1])
+            killed.add(number)
+            writers[number].kill()
+    return tokens
+
+
 def test_summary_is_written_by_one_process_at_a_time_and_by_the_next_when_that_is_killed(
     tmp_path: Path,
 ) -> None:
@@ -105,46 +137,10 @@
             await dispatcher.open()
         nobody = held_ports(1)[0]
         path = tmp_path / "summary.json"
-        arguments = [
-            "lease",
-            "summary",
-            str(leases.file),
-            "one",
-            "--to",
-            str(path),
-            "--every",
-            "0.2",
-            "--for",
-            "1.5",
-        ]
-        for port in (*(dispatcher.port for dispatcher in dispatchers), nobody):
-            arguments += ["--from", f"127.0.0.1:{port}"]
-        writers = [
-            await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "ploverspoke", *arguments, "--as", f"w{n}"
-            )
-            for n in range(3)
-        ]
+        ports = [*(dispatcher.port for dispatcher in dispatchers), nobody]
+        writers = await start_summary_writers(leases, path, ports)
         try:
-            tokens: list[int] = []
-            killed: set[int] = set()
-            until = time.monotonic() + 30
-            while len(tokens) < 3:
-                assert time.monotonic() < until
-                await asyncio.sleep(0.05)
-                if not path.exists():
-                    continue
-                summary = json.loads(path.read_text())  # whole, whenever it is read
-                assert summary["asked"] == 4 and summary["answered"] == 3
-                assert summary["sums"] == {"dispatcher_open_requests": 6, "dispatcher_cfg_accepted": 3}
-                if not tokens or summary["token"] != tokens[-1]:
-                    tokens.append(summary["token"])
-                    if len(killed) == 2:
-                        break
-                    holder = json.loads((await call("show", "one", "--json"))[1])["held"][0]["holder"]
-                    number = int(holder[1])
-                    killed.add(number)
-                    writers[number].kill()
+            tokens = await read_tokens_and_kill_writers(call, path, writers)
             assert tokens == sorted(set(tokens)) and len(tokens) == 3
         finally:
             for writer in writers:
@@ -155,44 +151,53 @@
     run_with_lease_servers(tmp_path, script)
 
 
+EXAMPLE = Path(__file__).parents[2] / "deploy" / "example.json"
+
+
+async def run_store_command(*arguments: str) -> tuple[int, bytes]:
+    """Exit code and output."""
+    command = [sys.executable, "-m", "ploverspoke", "store", *arguments]
+    process = await asyncio.create_subprocess_exec(*command, stdout=asyncio.subprocess.PIPE)
+    output, _ = await process.communicate()
+    assert process.returncode is not None
+    return process.returncode, output
+
+
+async def start_store(leases: Leases, file: Path) -> None:
+    """A store of one replica, ready; its configuration is written to `file`."""
+    rig = leases.rig
+    place = rig.place("store", [], direct=["peers", "clients"])
+    config = {"cluster": "s", "name": "r1", "folder": "store", "secret_file": "secret"}
+    replicas = {"r1": {"peers": place.at("peers"), "clients": place.at("clients")}}
+    file.write_bytes(msgspec.json.encode({**config, "replicas": replicas}))
+    process = rig.add(place, "ploverspoke", ["serve", str(EXAMPLE), "--store", str(file)])
+    process.ready = listens(place.own, place.ports["peers"])
+    await rig.start(["store"], ["--new"])
+    while (await run_store_command("status", str(file)))[0]:
+        await asyncio.sleep(0.1)
+
+
 def test_configurations_of_many_publishers_never_interleave(tmp_path: Path) -> None:
     async def script(leases: Leases, call: Call) -> None:
-        rig = leases.rig
-        place = rig.place("store", [], direct=["peers", "clients"])
-        example = Path(__file__).parents[2] / "deploy" / "example.json"
-        told = {"cluster": "s", "name": "r1", "folder": "store", "secret_file": "secret"}
-        replicas = {"r1": {"peers": place.at("peers"), "clients": place.at("clients")}}
         store = tmp_path / "store.json"
-        store.write_bytes(msgspec.json.encode({**told, "replicas": replicas}))
-        process = rig.add(place, "ploverspoke", ["serve", str(example), "--store", str(store)])
-        process.ready = listens(place.own, place.ports["peers"])
-        await rig.start(["store"], ["--new"])
-        status = [sys.executable, "-m", "ploverspoke", "store", "status", str(store)]
-        while await (await asyncio.create_subprocess_exec(*status, stdout=asyncio.subprocess.DEVNULL)).wait():
-            await asyncio.sleep(0.1)
-        files = []
-        for n in range(4):
-            files.append(tmp_path / f"c{n}.json")
-            files[-1].write_text(json.dumps({**json.loads(example.read_text()), "note": n}))
-
-        async def publish(n: int) -> dict[str, Any]:
-            code, out = await call(
-                "publish", "one", str(store), str(files[n]), "--for", "3", "--as", f"p{n}", "--json"
-            )
-            assert code == 0, out
-            answer: dict[str, Any] = json.loads(out)
-            return answer
-
-        answers = await asyncio.gather(*(publish(n) for n in range(4)), *(publish(n) for n in range(4)))
-        assert sorted(answer["version"] for answer in answers) == list(range(1, 9))
-        words = [sys.executable, "-m", "ploverspoke", "store"]
-        for verb, more, code in (("configure", [str(files[0])], 1), ("configurations", ["--json"], 0)):
-            run = await asyncio.create_subprocess_exec(
-                *words, verb, str(store), *more, stdout=asyncio.subprocess.PIPE
-            )
-            out, _ = await run.communicate()
-            assert run.returncode == code, out
-        assert [row["version"] for row in json.loads(out)] == list(range(1, 9))
+        await start_store(leases, store)
+        files = [tmp_path / f"c{n}.json" for n in range(4)]
+        for n, file in enumerate(files):
+            file.write_text(json.dumps({**json.loads(EXAMPLE.read_text()), "note": n}))
+
+        async def publish(n: int) -> int:
+            options = ["--for", "3", "--as", f"p{n}", "--json"]
+            code, output = await call("publish", "one", str(store), str(files[n]), *options)
+            assert code == 0, output
+            return int(json.loads(output)["version"])
+
+        versions = await asyncio.gather(*(publish(n) for n in range(4)), *(publish(n) for n in range(4)))
+        assert sorted(versions) == list(range(1, 9))
+        code, without_token = await run_store_command("configure", str(store), str(files[0]))
+        assert code == 1, without_token
+        code, output = await run_store_command("configurations", str(store), "--json")
+        assert code == 0, output
+        assert [row["version"] for row in json.loads(output)] == list(range(1, 9))
 
     run_with_lease_servers(tmp_path, script)
 
