--- a/ploverspoke/config_distribution/broadcaster.py
+++ b/ploverspoke/config_distribution/broadcaster.py
@@ -12,9 +12,11 @@
 from collections import deque
 from typing import Protocol
 
-from .clock_units import MILLISECOND, NEVER, SECOND
+from ploverspoke.transport.units import MILLISECOND, SECOND
+
 from .messages import Heartbeat, ServerMessage, VersionMessage, WatchStatus, pack_version
 from .state_machine import Version, excess_versions
+from .time_constants import NEVER
 from .watcher_records import BroadcastCounters, ConnectedWatcher, RememberedWatcher, WatcherRow
 
 HEARTBEAT_INTERVAL = SECOND
--- a/ploverspoke/config_distribution/client.py
+++ b/ploverspoke/config_distribution/client.py
@@ -11,9 +11,9 @@
 from ploverspoke.consensus.framed_client import FramedClientConnection
 from ploverspoke.consensus.framing import FrameError
 from ploverspoke.transport.rate_limited_log import log_line
+from ploverspoke.transport.units import MILLISECOND, SECOND
 
 from .cache import CacheWriter
-from .clock_units import MILLISECOND, SECOND
 from .cluster_config import WatchConfig
 from .messages import NO_VERSION, VerifiedVersion, WatchStatus, watcher_greeting
 from .server_link import NO_HEARTBEAT
--- a/ploverspoke/config_distribution/server_link.py
+++ b/ploverspoke/config_distribution/server_link.py
@@ -1,6 +1,6 @@
 """A watcher's connection to one config server, as its decisions see it. Without I/O; times in ns."""
 
-from .clock_units import MILLISECOND, SECOND
+from ploverspoke.transport.units import MILLISECOND, SECOND
 
 GREETING_TIMEOUT = SECOND  # from the attempt to connect to the server's greeting
 SILENCE_TIMEOUT = 2500 * MILLISECOND  # two heartbeats are lost, and half of one
--- a/ploverspoke/config_distribution/server_node.py
+++ b/ploverspoke/config_distribution/server_node.py
@@ -10,6 +10,7 @@
 from ploverspoke.consensus.storage import ReplicaStorage
 from ploverspoke.service.config_reader import ConfigError
 from ploverspoke.transport.rate_limited_log import log_line
+from ploverspoke.transport.units import MILLISECOND, SECOND
 
 from .admin_messages import (
     LIST_VERSIONS,
@@ -23,11 +24,11 @@
     read_version_request,
 )
 from .broadcaster import VersionBroadcaster
-from .clock_units import MILLISECOND, NEVER, SECOND
 from .cluster_config import ConfigServerConfig
 from .messages import ServerMessage
 from .overlay import canonical_json, read_body
 from .state_machine import ConfigStateMachine, PublishCommand, Version, digest_of, short_digest
+from .time_constants import NEVER
 
 COMMITTED_KEY = "committed version"  # of the value kept in this replica's storage, beside the log
 # Without contact to a leader for as many election timeouts a server reports so to its watchers.
--- a/ploverspoke/config_distribution/server_selection.py
+++ b/ploverspoke/config_distribution/server_selection.py
@@ -6,7 +6,7 @@
 
 from collections.abc import Callable, Iterable
 
-from .clock_units import MILLISECOND, SECOND
+from ploverspoke.transport.units import MILLISECOND, SECOND
 
 # The first server of a round after a stable connection: at most this delay, drawn at random.
 FIRST_DELAY = 250 * MILLISECOND
--- a/ploverspoke/config_distribution/watcher.py
+++ b/ploverspoke/config_distribution/watcher.py
@@ -10,7 +10,8 @@
 from collections.abc import Sequence
 from typing import Protocol
 
-from .clock_units import NEVER, SECOND
+from ploverspoke.transport.units import SECOND
+
 from .errors import MessageRejectedError
 from .messages import (
     NO_VERSION,
@@ -26,6 +27,7 @@
 )
 from .server_link import NO_HEARTBEAT, ServerLink
 from .server_selection import LOCAL_TRIAL_INTERVAL, ServerSelector
+from .time_constants import NEVER
 from .version_receiver import VersionReceiver, WatcherCounters
 
 STATUS_INTERVAL = 4 * SECOND
