--- a/tests/routing/harness.py
+++ b/tests/routing/harness.py
@@ -103,7 +103,8 @@
                         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(load) + load)
                         continue
                     self.sent.append((name, headers["request-id"]))
-                    await self.behave.get(name, self.serve)(reader, writer, headers, body)
+                    behaviour: WorkerBehaviour = self.behave.get(name, self.serve)
+                    await behaviour(reader, writer, headers, body)
             except (asyncio.IncompleteReadError, ConnectionError):
                 pass
             finally:
--- a/tests/routing/test_attempts.py
+++ b/tests/routing/test_attempts.py
@@ -8,6 +8,7 @@
 
 import pytest
 
+from ploverspoke.decisions.interface import AttemptResult
 from ploverspoke.routing import worker_calls
 from tests.decisions.harness import SETTINGS
 from tests.routing.harness import (
@@ -103,7 +104,7 @@
 
 def test_exception_in_a_decision_is_logged_and_its_request_answered(capsys: Any) -> None:
     async def script(world: World) -> None:
-        def fault(*what: Any) -> None:
+        def fault(request_id: int, attempt: int, result: AttemptResult) -> None:
             raise ZeroDivisionError("a fault in the decisions")
 
         world.service.router.dispatcher.attempt_ended = fault  # type: ignore[method-assign]
