--- a/ploverspoke/protocol/discovery.py
+++ b/ploverspoke/protocol/discovery.py
@@ -29,6 +29,15 @@
     started_ms: int  # Unix time; 0: unknown
 
 
+class InvalidEntryError(EndpointListError):
+    """An entry of a list is invalid; carries the entries that stand before it."""
+
+    def __init__(self, *, reason: str, entries_before: list[EndpointEntry]) -> None:
+        """`reason` says what is wrong with the entry."""
+        super().__init__(reason=reason)
+        self.entries_before = entries_before
+
+
 class EndpointList(NamedTuple):
     """The answer to a watch request."""
 
@@ -83,7 +92,13 @@
     entries = document.get(wire.LIST_ENDPOINTS)
     if not isinstance(version, int) or not isinstance(is_complete, bool) or not isinstance(entries, list):
         raise EndpointListError(reason="the list lacks version, full or servers")
-    return EndpointList(version, is_complete, [_parse_entry(entry) for entry in entries])
+    parsed: list[EndpointEntry] = []
+    for entry in entries:
+        try:
+            parsed.append(_parse_entry(entry))
+        except EndpointListError as error:
+            raise InvalidEntryError(reason=error.reason, entries_before=parsed) from error
+    return EndpointList(version, is_complete, parsed)
 
 
 def _parse_entry(entry: JsonValue) -> EndpointEntry:
--- a/ploverspoke/routing/endpoints.py
+++ b/ploverspoke/routing/endpoints.py
@@ -8,6 +8,7 @@
 from ploverspoke.protocol.discovery import (
     EndpointEntry,
     EndpointList,
+    InvalidEntryError,
     read_endpoint_list,
 )
 from ploverspoke.protocol.wire_names import ENDPOINT_STATES
@@ -44,8 +45,14 @@
         self._report(known, is_complete=True)
 
     def receive_list(self, body: bytes) -> EndpointList:
-        """Take a list from discovery. Raises EndpointListError, with nothing changed."""
-        received = read_endpoint_list(body)
+        """Take a list from discovery. Raises EndpointListError, and the decisions hear of no part of it."""
+        try:
+            received = read_endpoint_list(body)
+        except InvalidEntryError as error:
+            # The entries before the invalid one are good: a worker's new address counts at once.
+            for entry in error.entries_before:
+                self._enter(entry)
+            raise
         self._report(received, received.is_complete)
         self.lists_received += 1
         if self.on_list is not None:
--- a/tests/routing/test_endpoint_watch.py
+++ b/tests/routing/test_endpoint_watch.py
@@ -1,11 +1,13 @@
 """The watch on the endpoint list: silences, failures and restarts at any moment."""
 
 import asyncio
+import json
 import socket
 
 import pytest
 
 from ploverspoke.protocol.discovery import EndpointList, read_endpoint_list
+from ploverspoke.protocol.errors import EndpointListError
 from ploverspoke.routing.endpoint_watch import EndpointWatch
 from ploverspoke.service.settings import parse_names, parse_settings
 from ploverspoke.transport.deadlines import Deadlines
@@ -233,3 +235,19 @@
         assert held.lists[-1] == 4, "a watch that was stopped reports nothing"
 
     run_on_loop(script)
+
+
+def test_entries_before_an_invalid_one_change_addresses_and_nothing_else() -> None:
+    async def script(world: World) -> None:
+        endpoints, dispatcher = world.service.router.endpoints, world.service.router.dispatcher
+        received, known = endpoints.lists_received, dict(dispatcher.workers)
+        moved = {**world.entries[0], "addr": "127.0.0.1:1"}
+        new = {**world.entries[0], "id": "new"}
+        with pytest.raises(EndpointListError):
+            endpoints.receive_list(
+                json.dumps({"version": 9, "full": True, "servers": [moved, 3, new]}).encode()
+            )
+        assert endpoints.addresses["w0"] == "127.0.0.1:1" and "new" not in endpoints.addresses
+        assert endpoints.lists_received == received and dispatcher.workers == known
+
+    play(script)
