--- a/ploverspoke/service/service.py
+++ b/ploverspoke/service/service.py
@@ -27,7 +27,6 @@
 from .config import NO_PEERS, Config, read_config
 from .config_reader import ConfigError, InvalidValueError, first_missing_key
 from .descriptor_limit import usable_descriptors
-from .earlier_names import EarlierName
 from .exit_codes import run_with_exit_code
 from .handover import ProcessRegistry
 from .inherited_socket import inherited_socket
@@ -220,12 +219,6 @@
         else:
             self.deadlines.schedule(now + schedule.check_interval, partial(self._continue_shutdown, schedule))
 
-    # Earlier names, until the tests of routing and decisions use them no more.
-    listening = EarlierName("listening_socket")
-    door = EarlierName("client_server")
-    operators = EarlierName("admin_server")
-    _leave = EarlierName("shut_down")
-
 
 def _log_keys_left_unchanged(old: Config, new: Config, settings_are_left: bool) -> None:
     """Log the keys that differ and wait for the next start."""
--- a/tests/decisions/test_load_gossip.py
+++ b/tests/decisions/test_load_gossip.py
@@ -200,11 +200,11 @@
         running = loop.create_task(service.run())
         octets = await asyncio.wait_for(loop.sock_recv(other, 999), 5)
         assert GossipReader().read(octets, []) == GossipMessage(0, 0, 0.0, [])
-        service._leave()
+        service.shut_down()
         await asyncio.wait_for(running, 5)
         other.close()
         silent = Service(loop, parse_config(told, {}))
-        silent.take_configuration(parse_config({**told, "peers": peers}, {}))
+        silent.apply_config(parse_config({**told, "peers": peers}, {}))
         assert not silent.router.settings.gossip_allowed
 
     asyncio.run(run())
--- a/tests/service/test_settings_change.py
+++ b/tests/service/test_settings_change.py
@@ -178,12 +178,10 @@
             service._reload_config()
 
         reload(settings({**CLASSES[0], "AbandonTimeUs": 700_000}, CLASSES[1]))
-        for number in range(6):
-            assert (await world.ask(world.request(f"r{number}", "look")))[0] == 200
-        assert (
-            service.router.settings.classes[service.router.active_settings.classes.numbers["look"]].deadline
-            == 700 * MS
-        )
+        for each in range(6):
+            assert (await world.ask(world.request(f"r{each}", "look")))[0] == 200
+        number = service.router.active_settings.classes.numbers["look"]
+        assert service.router.settings.classes[number].deadline == 700 * MS
 
         async def turn_away_late(*exchange: Any) -> None:
             await asyncio.sleep(0.1)
