--- a/ploverspoke/service/config_reader.py
+++ b/ploverspoke/service/config_reader.py
@@ -15,6 +15,7 @@
 JsonObject: TypeAlias = Mapping[str, Any]  # an object of such a document
 
 Choice = TypeVar("Choice")
+Value = TypeVar("Value")
 
 LAST_PORT = 65535
 LONGEST_MESSAGE = 300  # characters of an error that quotes a value: the value may be of any length
@@ -142,14 +143,16 @@
             raise self.invalid(name, f"a list of {least} objects or more")
         return [ConfigSection(value, f"{self.key_path(name)}[{index}]") for index, value in enumerate(found)]
 
-    def values(self, name: str, default: list[Any], kinds: type | tuple[type, ...]) -> list[Any]:
+    def values(
+        self, name: str, default: list[Value], kinds: type[Value] | tuple[type[Value], ...]
+    ) -> list[Value]:
         """Return a copy of the list under `name`, each of whose values is of one of `kinds`."""
         found = self._get(name, default)
         if not isinstance(found, list) or not all(isinstance(value, kinds) for value in found):
             raise self.invalid(name, "a list of values of one kind")
         return list(found)
 
-    def values_per_class(self, name: str, default: float, count: int) -> list[Any]:
+    def values_per_class(self, name: str, default: float, count: int) -> list[float]:
         """Return the list of `count` numbers under `name`, one for each request class.
 
         A missing or empty list is read as `count` times the default.
