--- a/tests/routing/test_acceptance_rules.py
+++ b/tests/routing/test_acceptance_rules.py
@@ -431,6 +431,11 @@
             assert (await asyncio.wait_for(message(kept), 5))[0] == "HTTP/1.1 200 OK"
 
         await served("first")
+        async with asyncio.timeout(
+            10
+        ):  # the first call of discovery comes at a random moment after the start
+            while not world.watches:
+                await asyncio.sleep(0.01)
         host, port = world.servers[-1].sockets[0].getsockname()
         world.servers[-1].close()
         for _, connection in world.discovery_connections:
