--- a/tests/config_distribution/process_fleet.py
+++ b/tests/config_distribution/process_fleet.py
@@ -74,7 +74,7 @@
         return path
 
     def start(self, name: str, *words: str) -> None:
-        with open(self.folder / f"{name}.log", "ab") as log:
+        with (self.folder / f"{name}.log").open("ab") as log:
             command = [sys.executable, "-m", "ploverspoke", *words]
             self.processes[name] = subprocess.Popen(command, stdout=log, stderr=log)
 
--- a/tests/config_distribution/test_overlay.py
+++ b/tests/config_distribution/test_overlay.py
@@ -29,8 +29,11 @@
     }
     applied: Any = apply_overlay(own, read_body(json.dumps(overlay)))
     assert applied["settings"] == {
-        **{"SlotNo": 7, "Zone": 1, "Localities": ["a", "b"]},
-        **{"Limits": {"MaxOpen": 3}, "Round": [1, 2]},
+        "SlotNo": 7,
+        "Zone": 1,
+        "Localities": ["a", "b"],
+        "Limits": {"MaxOpen": 3},
+        "Round": [1, 2],
     }
     assert (applied["name"], applied["discovery"], own["discovery"]) == ("n7", "b:1", "a:1")
     without_zone: Any = apply_overlay({**own, "settings": {"Zone": 5}}, overlay)
--- a/tests/config_distribution/test_processes.py
+++ b/tests/config_distribution/test_processes.py
@@ -92,7 +92,7 @@
         leader_cut=Span(2400 * MS),
     )
     findings = findings_of(
-        play(plan, 3, regions(plan), dict.fromkeys(plan.server_names(), [FAULTY, "sends_uncommitted"]))
+        play(plan, 3, regions(plan), {name: [FAULTY, "sends_uncommitted"] for name in plan.server_names()})
     )
     assert [finding for finding in findings if "which was not committed" in finding], findings
 
@@ -105,7 +105,7 @@
         every=Span(300 * MS),
         emptied=Span(3 * SECOND),
     )
-    faulty_programs = dict.fromkeys(plan.server_names(), [FAULTY, "ignores_expected_version,begins_anew"])
+    faulty_programs = {name: [FAULTY, "ignores_expected_version,begins_anew"] for name in plan.server_names()}
     findings = findings_of(play(plan, 4, regions(plan), faulty_programs))
     for expected in ("won", "and came behind", "serves with an empty folder"):
         assert [finding for finding in findings if expected in finding], findings
--- a/tests/decisions/harness.py
+++ b/tests/decisions/harness.py
@@ -306,7 +306,7 @@
     def check_accounting(self) -> None:
         """The slots that the dispatcher counts as in flight are those of the attempts that are."""
         for worker in self.dispatcher.workers.values():
-            out = [job for job in worker.out.values()]
+            out = list(worker.out.values())
             assert worker.in_flight == sum(job.type.slots for job in out) >= worker.running >= 0
             assert all(self.worker_of(job.id) == worker.name for job in out)
             assert set(worker.unstarted) <= set(worker.out)
--- a/tests/decisions/test_load_gossip.py
+++ b/tests/decisions/test_load_gossip.py
@@ -162,7 +162,7 @@
         peers = [
             GossipSocket(addresses, n, lambda: ["a"], lambda *told: heard.append(told)) for n in range(2)
         ]
-        old = GossipSocket(addresses, 1, lambda: [], lambda *told: None)
+        old = GossipSocket(addresses, 1, list, lambda *told: None)
         for each in (old, *peers):  # a process that replaces another opens the address while that has it
             await each.open(loop)
         old.close()
--- a/tests/decisions/test_mechanism.py
+++ b/tests/decisions/test_mechanism.py
@@ -1,5 +1,6 @@
 """The ordinary path, and one small case for each failure found."""
 
+import itertools
 from collections import deque
 
 import pytest
@@ -243,7 +244,7 @@
     harness.send_request(3, request_class=1, affinity_key="s")
     harness.advance(2 * SECOND)
     went = [t.worker for t in harness.attempts[3]]
-    assert len(went) > 1 and all(here != there for here, there in zip(went, went[1:], strict=False))
+    assert len(went) > 1 and all(here != there for here, there in itertools.pairwise(went))
 
 
 def test_a_subject_has_homes_by_its_share_of_the_latest_arrivals() -> None:
--- a/tests/leases/test_fleet_tasks.py
+++ b/tests/leases/test_fleet_tasks.py
@@ -2,7 +2,6 @@
 
 import asyncio
 import json
-import os
 import sys
 import time
 from asyncio.subprocess import Process
@@ -255,7 +254,7 @@
     first, second, third = (FleetSummary(at, 0, 0, {}, {}) for at in (1, 2, 3))
     assert write_summary(path, first, 5) and not write_summary(path, second, 4)
     assert write_summary(path, third, 6)
-    assert read_summary_token(path) == 6 and os.listdir(tmp_path)
+    assert read_summary_token(path) == 6 and any(tmp_path.iterdir())
     assert json.loads(path.read_text())["at"] == 3
     path.write_text("{")
     assert read_summary_token(path) == 0
--- a/tests/routing/test_acceptance_rules.py
+++ b/tests/routing/test_acceptance_rules.py
@@ -452,7 +452,7 @@
                     client.write(world.request(f"i{number}") if number % 3 == 1 else asks)
                     await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), 2)
             if number % 20 == 0:
-                held = len(os.listdir(f"/proc/{process.pid}/fd"))
+                held = len(list(Path(f"/proc/{process.pid}/fd").iterdir()))
                 most_held = max(most_held, held)
                 await served(f"during-{number}")
         assert 48 < most_held <= most - 8, f"{most_held} of {most} descriptors"
--- a/tests/routing/test_admin_server.py
+++ b/tests/routing/test_admin_server.py
@@ -28,8 +28,6 @@
         (b"\n", ""),
         (b"chec", None),
         (b"x" * 65, AdminCommandError),
-    ]
-    + [
         (b"check\nvars\n", AdminCommandError),
         ("čeka\n".encode(), AdminCommandError),
         (b"a\x00b\n", AdminCommandError),
@@ -67,7 +65,7 @@
             status, _, _ = await world.ask(world.request(f"f{number}", rng.choice(["look", "book"])))
             served += status == 200
             adds_up(world)
-        reader, writer = await world.connect()
+        _reader, writer = await world.connect()
         writer.write(world.request("gone"))  # its client leaves: an end that is not shown
         await writer.drain()
         writer.close()
@@ -90,7 +88,7 @@
     async def script(world: World) -> None:
         quiet = []
         for number in range(3 * MAX_SESSIONS):
-            reader, writer = await asyncio.open_connection("127.0.0.1", world.admin_port)
+            _reader, writer = await asyncio.open_connection("127.0.0.1", world.admin_port)
             writer.write(b"chec" if number % 2 else b"")
             quiet.append(writer)
         for _ in range(150):  # and more clients than there is room for
--- a/tests/routing/test_client_requests.py
+++ b/tests/routing/test_client_requests.py
@@ -18,7 +18,7 @@
         reader, writer = await world.connect()
         for number in range(20):
             writer.write(world.request(f"r{number}", body=b"abc"))
-            first, headers, body = await message(reader)
+            first, _headers, body = await message(reader)
             assert first == "HTTP/1.1 200 OK" and body == f"r{number}:abc".encode()
         assert world.service.pool.connection_count() <= 2
         writer.close()
--- a/tests/store/test_router_with_request_log.py
+++ b/tests/store/test_router_with_request_log.py
@@ -86,7 +86,7 @@
 
 def test_a_returning_client_waits_for_the_request_in_flight() -> None:
     async def scenario(world: World, log: ControlledRequestLog) -> None:
-        reader, writer = await world.connect()
+        _reader, writer = await world.connect()
         writer.write(world.request("r1", "book"))
         commit = await log.wait_for("attempt")
         writer.close()
--- a/tests/testbed/test_capacity_table.py
+++ b/tests/testbed/test_capacity_table.py
@@ -304,8 +304,8 @@
     assert (
         "Before, 680 changes of configuration a day, in force within 10 s: missing, carried by none" in text
     )
-    assert [one.row for one in table.missing][0] == "changes"
-    assert [one.row for one in table.missing_now][0] == "quotas"
+    assert table.missing[0].row == "changes"
+    assert table.missing_now[0].row == "quotas"
     assert table.row("changes").verdict == "holds for less than asked"
     full = {"starts_a_second": 118.0, "tasks_running": 4800.0}
     whole = msgspec.structs.replace(run, dispatchers=200, figures=full)
--- a/tests/testbed/test_processes_rig.py
+++ b/tests/testbed/test_processes_rig.py
@@ -103,7 +103,7 @@
     wants = [Want("dispatchers", 250, 40 * MEBIBYTE, 100), Want("workers", 1, MEBIBYTE, 20_001)]
     with pytest.raises(NoRoom, match="workers: 20001 descriptors in one process, 20000"):
         make_sure(wants, 24 << 30, 20_000)
-    with pytest.raises(NoRoom, match="10001 MiB wanted .250 dispatchers of 40 MiB"):
+    with pytest.raises(NoRoom, match=r"10001 MiB wanted .250 dispatchers of 40 MiB"):
         make_sure(wants, 4 << 30, 30_000)
     assert make_sure(wants, 24 << 30, 30_000) == "251 processes, 10001 MiB"
 
@@ -274,7 +274,7 @@
                 return False
 
             bad.ready = never
-            with pytest.raises(NotStarted, match="b did not come up; its log: (?s:.*)IndexError"):
+            with pytest.raises(NotStarted, match=r"b did not come up; its log: (?s:.*)IndexError"):
                 await rig.start()
         return list(rig.running.values())
 
