--- a/ploverspoke/decisions/context.py
+++ b/ploverspoke/decisions/context.py
@@ -20,6 +20,7 @@
     """Shared by the parts of one dispatcher."""
 
     def __init__(self, actions: DispatchActions, seed: int, settings: Settings) -> None:
+        """Begin with the settings of the start; the same seed gives the same draws."""
         self.actions = actions
         self.random = RandomNumbers(seed)
         self.timers = Timers(actions)
--- a/ploverspoke/decisions/dispatcher.py
+++ b/ploverspoke/decisions/dispatcher.py
@@ -25,6 +25,7 @@
     """One dispatcher, as its caller sees it."""
 
     def __init__(self, actions: DispatchActions, seed: int, settings: Settings) -> None:
+        """Build the parts; `actions` is called from inside the events only."""
         self.actions = actions
         self.parts = parts = build_parts(actions, seed, settings)
         self.request_path = RequestPath(parts)
--- a/ploverspoke/decisions/random_numbers.py
+++ b/ploverspoke/decisions/random_numbers.py
@@ -7,6 +7,7 @@
     """A linear congruential generator; only the high bits are used."""
 
     def __init__(self, seed: int) -> None:
+        """Begin at a seed; its first draw is dropped."""
         self.state = seed & 0xFFFF_FFFF_FFFF_FFFF
         self.fraction()
 
--- a/ploverspoke/decisions/state.py
+++ b/ploverspoke/decisions/state.py
@@ -47,6 +47,7 @@
     """What this dispatcher knows of one worker. Slots are counted, times are ns."""
 
     def __init__(self, endpoint: Endpoint, capacity: float) -> None:
+        """Begin with what the endpoint list shows and an estimate of its capacity."""
         self.name = endpoint.worker
         self.endpoint = endpoint
         self.ready = False
@@ -129,6 +130,7 @@
     """First-come queue of the requests with one slot count and machine kind."""
 
     def __init__(self, slots: float, machine_kind: int) -> None:
+        """Begin empty."""
         self.slots = slots
         self.machine_kind = machine_kind
         self.waiting: deque[Request] = deque()
@@ -152,6 +154,7 @@
     def __init__(
         self, request_id: int, class_number: int, rules: RequestClass, queue: RequestQueue, arrived_at: int
     ) -> None:
+        """Begin with the arrival; what is derived from settings is set by `Admission`."""
         self.id = request_id
         self.class_number = class_number
         self.rules = rules
@@ -221,6 +224,7 @@
     """Gives out timer tokens and remembers what each is for."""
 
     def __init__(self, actions: DispatchActions) -> None:
+        """Begin with the first token."""
         self.actions = actions
         self.pending: dict[int, Timer] = {}
         self.next_token = 1
@@ -240,6 +244,7 @@
     """Log for the person on call, limited since a flood would hide what matters."""
 
     def __init__(self, actions: DispatchActions, lines: int = 40) -> None:
+        """Write at most so many lines."""
         self.actions = actions
         self.lines_left = lines
 
