--- a/tests/decisions/test_fleet.py
+++ b/tests/decisions/test_fleet.py
@@ -1,7 +1,8 @@
 """Many dispatchers at once: what is harmless in one of them, and harmful in the sum of all."""
 
 from ploverspoke.decisions.interface import AttemptOutcome
-from tests.decisions.harness import MS, SECOND, DispatchHarness, endpoint
+from ploverspoke.decisions.state import SECOND
+from tests.decisions.harness import MS, DispatchHarness, endpoint
 from tests.decisions.test_load_probes import ASKING
 
 CALL_TAKES = 140 * MS  # of the roster's time, also for one that has been turned away meanwhile
--- a/tests/decisions/test_load_gossip.py
+++ b/tests/decisions/test_load_gossip.py
@@ -8,6 +8,7 @@
 import pytest
 
 from ploverspoke.decisions.interface import EndpointCondition, LoadGossip
+from ploverspoke.decisions.state import SECOND
 from ploverspoke.protocol.errors import GossipSyntaxError
 from ploverspoke.protocol.gossip_messages import (
     MAX_MESSAGE_SIZE,
@@ -21,9 +22,14 @@
 from ploverspoke.service.config import parse_config
 from ploverspoke.service.service import Service
 from ploverspoke.testbed.processes.addresses import held_ports
-from tests.decisions.harness import MS, SECOND, SETTINGS, Answer, DispatchHarness, endpoint, random_run
-
-TELLING = {"gossip_allowed": True, "gossip_cost": 0.01, "probing_allowed": False, "dispatcher_count": 9}
+from tests.decisions.harness import MS, SETTINGS, Answer, DispatchHarness, endpoint, random_run
+
+TELLING: dict[str, Any] = {
+    "gossip_allowed": True,
+    "gossip_cost": 0.01,
+    "probing_allowed": False,
+    "dispatcher_count": 9,
+}
 FULL = ["a", "a"]
 
 
@@ -163,13 +169,17 @@
             GossipSocket(addresses, n, lambda: ["a"], lambda *told: heard.append(told)) for n in range(2)
         ]
         old = GossipSocket(addresses, 1, list, lambda *told: None)
-        for each in (old, *peers):  # a process that replaces another opens the address while that has it
-            await each.open(loop)
+        for gossip_socket in (
+            old,
+            *peers,
+        ):  # a process that replaces another opens the address while that has it
+            await gossip_socket.open(loop)
         old.close()
         await asyncio.sleep(0.01)
         peers[0].send(None, LoadGossip(1, 3, 0.0, ["a"]))
         stranger = socket.socket(type=socket.SOCK_DGRAM)
         stranger.sendto(encode_gossip(GossipMessage(1, 4, 0.0, ["a"])), addresses[1])
+        assert peers[0].transport is not None
         peers[0].transport.sendto(b"garbage", addresses[1])
         for _ in range(100):
             await asyncio.sleep(0.01)
@@ -178,8 +188,8 @@
         await asyncio.sleep(0.05)
         assert heard == [(0, LoadGossip(1, 3, 0.0, ["a"]))]
         stranger.close()
-        for each in peers:
-            each.close()
+        for peer in peers:
+            peer.close()
 
     asyncio.run(run())
 
--- a/tests/decisions/test_load_probes.py
+++ b/tests/decisions/test_load_probes.py
@@ -1,12 +1,14 @@
 """What a dispatcher of a large fleet goes by: probes, live weights, its share of a cold worker."""
 
+from typing import Any
+
 import pytest
 
 from ploverspoke.decisions.interface import AttemptOutcome, LoadReport
-from ploverspoke.decisions.state import RequestQueue
-from tests.decisions.harness import MS, SECOND, DispatchHarness, endpoint
+from ploverspoke.decisions.state import SECOND, RequestQueue
+from tests.decisions.harness import MS, DispatchHarness, endpoint
 
-ASKING = {"probe_cost": 0.001, "machine_kind": [-1, -1, -1]}
+ASKING: dict[str, Any] = {"probe_cost": 0.001, "machine_kind": [-1, -1, -1]}
 
 
 def answer(
@@ -152,7 +154,7 @@
     harness = DispatchHarness([endpoint(n, kind=1) for n in "abcd"], deadline=[9 * SECOND] * 3)
     harness.dispatcher.parts.observations.start_delays[0].extend([MS, 3 * SECOND])
     harness.send_request(1, request_class=2, deadline_in=9 * SECOND)
-    waits_at = harness.dispatcher.workers[harness.worker_of(1)]
+    waits_at = harness.dispatcher.workers[str(harness.worker_of(1))]
     harness.advance(3 * SECOND)
     assert not harness.probes
     harness.advance(4 * SECOND)
--- a/tests/decisions/test_mechanism.py
+++ b/tests/decisions/test_mechanism.py
@@ -6,8 +6,8 @@
 import pytest
 
 from ploverspoke.decisions.interface import AttemptOutcome
-from ploverspoke.decisions.state import Placeholder
-from tests.decisions.harness import MS, SECOND, Answer, DispatchHarness, endpoint
+from ploverspoke.decisions.state import SECOND, Placeholder
+from tests.decisions.harness import MS, Answer, DispatchHarness, endpoint
 
 
 def test_a_placeholder_gives_its_place_to_an_arrival() -> None:
@@ -115,7 +115,7 @@
     harness = DispatchHarness([endpoint(n) for n in "abcd"])
     harness.send_request(1)
     harness.report_start(1)
-    first = harness.worker_of(1)
+    first = str(harness.worker_of(1))
     harness.send_request(2, request_class=2, deadline_in=9 * SECOND)
     harness.advance(1900 * MS)
     assert harness.attempts[1][0].outcome is AttemptOutcome.CANCELLED and first in harness.probes
@@ -128,7 +128,7 @@
     harness = DispatchHarness([endpoint(n) for n in "abcd"])
     harness.send_request(1)
     harness.report_start(1)
-    first = harness.worker_of(1)
+    first = str(harness.worker_of(1))
     harness.advance(1900 * MS)
     assert harness.probes == [first]
     harness.dispatcher.probe_completed(first, AttemptOutcome.SUCCEEDED, MS, None)
@@ -141,7 +141,7 @@
 def test_an_unreachable_worker_returns_only_after_a_probe() -> None:
     harness = DispatchHarness([endpoint(n) for n in "abcd"])
     harness.send_request(1)
-    worker = harness.dispatcher.workers[harness.worker_of(1)]
+    worker = harness.dispatcher.workers[str(harness.worker_of(1))]
     harness.end_attempt(1, AttemptOutcome.UNREACHABLE)
     harness.dispatcher.probe_completed(harness.probes.pop(), AttemptOutcome.UNREACHABLE, MS, None)
     assert worker.ejected
@@ -159,7 +159,7 @@
     # Where connections are reset now and then all workers were set aside within seconds.
     harness = DispatchHarness([endpoint(n) for n in "abc"], probing_allowed=probing)
     harness.send_request(0)
-    worker = harness.dispatcher.workers[harness.worker_of(0)]
+    worker = harness.dispatcher.workers[str(harness.worker_of(0))]
     harness.end_attempt(0, outcome)
     if probing:
         harness.send_request(1)
--- a/tests/decisions/test_rules.py
+++ b/tests/decisions/test_rules.py
@@ -3,7 +3,8 @@
 import pytest
 
 from ploverspoke.decisions.interface import AttemptOutcome, EndpointCondition
-from tests.decisions.harness import MS, SECOND, Answer, DispatchHarness, endpoint, random_run
+from ploverspoke.decisions.state import SECOND
+from tests.decisions.harness import MS, Answer, DispatchHarness, endpoint, random_run
 
 
 @pytest.mark.parametrize("seed", range(40))
@@ -115,7 +116,7 @@
         harness.dispatcher.endpoint_list_received([])
         assert harness.probes == (["a"] if only_draining else []), "one that is called gone is asked"
         if only_draining:
-            harness.dispatcher.probe_completed("a", "satisfied", MS, {"free_slots": 2.0})
+            harness.dispatcher.probe_completed("a", AttemptOutcome.SUCCEEDED, MS, {"free_slots": 2.0})
         harness.send_request(1)
         assert harness.worker_of(1) == ("a" if only_draining else None)
 
