--- a/tests/decisions/test_fleet.py
+++ b/tests/decisions/test_fleet.py
@@ -5,12 +5,12 @@
 from tests.decisions.harness import MS, DispatchHarness, endpoint
 from tests.decisions.test_load_probes import ASKING
 
-CALL_TAKES = 140 * MS  # of the roster's time, also for one that has been turned away meanwhile
+CALL_TAKES = 140 * MS  # of the endpoint list's time, also for one that has been turned away meanwhile
 TURNED_AWAY_AFTER = 2 * SECOND
 
 
 def watched(harnesses: list[DispatchHarness], span: int) -> list[int]:
-    """When each one's watch was taken up by a roster that works through their calls in turn; 0: never."""
+    """When each watch was taken up by a endpoint list that works through their calls in turn; 0: never."""
     start, free_at = harnesses[0].clock, harnesses[0].clock
     asked, since = [0] * len(harnesses), [0] * len(harnesses)
     lost: list[tuple[int, int]] = []
@@ -31,13 +31,13 @@
     return since
 
 
-def test_dispatchers_started_together_do_not_jam_the_roster() -> None:
+def test_dispatchers_started_together_do_not_jam_the_endpoint_list() -> None:
     workers = [endpoint(f"w{n}") for n in range(3)]
     since = watched([DispatchHarness(workers, seed, dispatcher_count=40) for seed in range(40)], 8 * SECOND)
     assert all(since) and max(since) < 8 * SECOND
 
 
-def test_those_turned_away_find_the_roster_free_later() -> None:
+def test_those_rejected_find_the_endpoint_list_free_later() -> None:
     # Without a list nothing can be sent, so all call at once; what is turned away must not fill the next
     # seconds.
     since = watched([DispatchHarness([], seed, dispatcher_count=40) for seed in range(40)], 25 * SECOND)
@@ -45,7 +45,7 @@
 
 
 def test_a_worker_that_calls_itself_unwell_is_left_alone_until_it_starts_anew() -> None:
-    # Each of many dispatchers lost submissions at each draining or failing worker, whose probes told all.
+    # Each of many dispatchers lost requests at each draining or failing worker, whose probes told all.
     harness = DispatchHarness([endpoint(name) for name in "abcdef"], **ASKING)
     for request_id in range(40):
         harness.send_request(request_id, request_class=2)
@@ -57,7 +57,7 @@
         if harness.worker_of(request_id):
             harness.end_attempt(request_id, AttemptOutcome.SUCCEEDED)
         harness.advance(100 * MS)
-    assert "a" not in {t.worker for tries in harness.attempts.values() for t in tries}
+    assert "a" not in {t.worker for attempts in harness.attempts.values() for t in attempts}
     assert harness.dispatcher.workers["a"].ejected
     harness.dispatcher.endpoints_changed([endpoint("a", started_at=harness.clock)])
     assert not harness.dispatcher.workers["a"].ejected, "another one has started in its place"
@@ -73,7 +73,7 @@
 
 
 def test_a_quick_error_makes_no_worker_known() -> None:
-    # Free at once and heard of just now, it was the one that irreversible submissions went to unasked.
+    # Free at once and heard of just now, it was the one that non-idempotent requests went to unasked.
     harness = DispatchHarness([endpoint("a"), endpoint("b")], **ASKING)
     for worker in harness.dispatcher.workers.values():
         worker.heard_at = harness.clock
--- a/tests/decisions/test_load_gossip.py
+++ b/tests/decisions/test_load_gossip.py
@@ -24,7 +24,7 @@
 from ploverspoke.testbed.processes.addresses import held_ports
 from tests.decisions.harness import MS, SETTINGS, Answer, DispatchHarness, endpoint, random_run
 
-TELLING: dict[str, Any] = {
+GOSSIP: dict[str, Any] = {
     "gossip_allowed": True,
     "gossip_cost": 0.01,
     "probing_allowed": False,
@@ -34,9 +34,9 @@
 
 
 def test_a_worker_that_others_fill_is_left_alone_until_that_fades() -> None:
-    harness = DispatchHarness([endpoint("a"), endpoint("b")], **TELLING)
-    for teller, held in ((1, FULL), (2, ["a"])):
-        harness.dispatcher.gossip_received(teller, LoadGossip(0, 1, 0.0, held))
+    harness = DispatchHarness([endpoint("a"), endpoint("b")], **GOSSIP)
+    for peer, held in ((1, FULL), (2, ["a"])):
+        harness.dispatcher.gossip_received(peer, LoadGossip(0, 1, 0.0, held))
     harness.send_request(1)
     harness.send_request(2)
     assert harness.worker_of(1) == harness.worker_of(2) == "b"
@@ -45,8 +45,8 @@
     assert harness.dispatcher.workers["a"].peer_slots == 0
 
 
-def test_late_doubled_and_foreign_tellings_change_nothing() -> None:
-    harness = DispatchHarness([endpoint("a")], **TELLING)
+def test_late_doubled_and_foreign_gossip_change_nothing() -> None:
+    harness = DispatchHarness([endpoint("a")], **GOSSIP)
     told = harness.dispatcher.gossip_received
     told(1, LoadGossip(0, 7, 0.0, ["a"]))
     told(1, LoadGossip(0, 6, 0.0, FULL))  # late
@@ -58,15 +58,15 @@
     assert harness.dispatcher.workers["a"].peer_slots == 2
 
 
-def test_a_telling_lifts_no_drain() -> None:
-    harness = DispatchHarness([endpoint("a")], **TELLING)
+def test_gossip_lifts_no_drain() -> None:
+    harness = DispatchHarness([endpoint("a")], **GOSSIP)
     harness.dispatcher.endpoints_changed([endpoint("a", EndpointCondition.DRAINING)])
     harness.dispatcher.gossip_received(1, LoadGossip(0, 1, 0.0, ["a"]))
     harness.send_request(1)
     assert harness.worker_of(1) is None
 
 
-def test_without_permission_nothing_is_told_or_heard() -> None:
+def test_without_permission_nothing_is_sent_or_used() -> None:
     harness = DispatchHarness([endpoint("a")])
     harness.dispatcher.gossip_received(1, LoadGossip(0, 1, 1.0, FULL))
     harness.send_request(1)
@@ -74,10 +74,10 @@
     assert not harness.gossip_sent and harness.dispatcher.workers["a"].peer_slots == 0
 
 
-def test_the_ring_of_the_zone_is_told_of_changes_only() -> None:
-    harness = DispatchHarness([endpoint("a")], **TELLING)
-    for teller, zone in ((5, 0), (3, 0), (4, 1)):
-        harness.dispatcher.gossip_received(teller, LoadGossip(zone, 1, 0.0, []))
+def test_the_ring_of_the_zone_hears_of_changes_only() -> None:
+    harness = DispatchHarness([endpoint("a")], **GOSSIP)
+    for peer, zone in ((5, 0), (3, 0), (4, 1)):
+        harness.dispatcher.gossip_received(peer, LoadGossip(zone, 1, 0.0, []))
     harness.advance(2 * SECOND)
     harness.gossip_sent.clear()
     harness.send_request(1)
@@ -91,7 +91,7 @@
 def test_another_zone_is_sent_to_only_where_starts_are_far_less_late() -> None:
     far = endpoint("f")._replace(zone=1)
     for own, other, where in ((0.8, 0.1, "f"), (0.8, 0.6, None), (0.8, None, None)):
-        harness = DispatchHarness([endpoint("a"), far], cross_zone_cost=0.02, **TELLING)
+        harness = DispatchHarness([endpoint("a"), far], cross_zone_cost=0.02, **GOSSIP)
         harness.dispatcher.gossip_received(1, LoadGossip(0, 1, own, ["a"] * 9))
         harness.dispatcher.parts.lateness.recent.extend([own] * 16)
         if other is not None:
@@ -102,21 +102,21 @@
 
 
 def test_refusals_follow_what_starts_have_waited() -> None:
-    harness = DispatchHarness([endpoint("a")], **TELLING)
+    harness = DispatchHarness([endpoint("a")], **GOSSIP)
     harness.dispatcher.parts.lateness.recent.extend([1.0] * 16)
     for number in range(100):
         harness.send_request(number, request_class=2, deadline_in=30 * SECOND)
     refused = sum(answer is Answer.REJECTED for answer in harness.answers.values())
     assert 60 < refused < 95
-    for teller in range(1, 9):
-        harness.dispatcher.gossip_received(teller, LoadGossip(0, 1, 0.0, []))
+    for peer in range(1, 9):
+        harness.dispatcher.gossip_received(peer, LoadGossip(0, 1, 0.0, []))
     for number in range(100, 200):
         harness.send_request(number, request_class=2, deadline_in=30 * SECOND)
     assert sum(answer is Answer.REJECTED for answer in harness.answers.values()) == refused
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_rules_hold_whatever_is_told(seed: int) -> None:
+def test_rules_hold_whatever_gossip_says(seed: int) -> None:
     """Also false tellings: of fleets that are full, late, doubled, of unknown workers and dispatchers."""
     chance = random.Random(seed)
     sent = DispatchHarness.send_request
@@ -129,11 +129,11 @@
 
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(DispatchHarness, "send_request", send_request)
-        harness = random_run(5000 + seed, 300, **TELLING)
+        harness = random_run(5000 + seed, 300, **GOSSIP)
     assert all(worker.peer_slots >= 0 for worker in harness.dispatcher.workers.values())
 
 
-def test_bytes_are_read_back_and_spoilt_ones_refused() -> None:
+def test_bytes_are_read_back_and_corrupt_ones_refused() -> None:
     reader, workers = GossipReader(), ["10.0.0.1:80", "10.0.0.2:80"]
     octets = encode_gossip(GossipMessage(2, 9, 0.5, [workers[1], "elsewhere:1", workers[1]]))
     assert reader.read(octets, workers) == GossipMessage(2, 9, 128 / 255, [workers[1], workers[1]])
@@ -144,7 +144,7 @@
             reader.read(bad, workers)
 
 
-def test_a_mark_that_two_workers_share_means_neither() -> None:
+def test_a_hash_that_two_workers_share_means_neither() -> None:
     seen: dict[int, str] = {}
     for number in range(100_000):
         name = f"10.{number // 251}.7:{number % 251}"
--- a/tests/decisions/test_load_probes.py
+++ b/tests/decisions/test_load_probes.py
@@ -24,7 +24,7 @@
     harness.dispatcher.probe_completed(worker, outcome, MS, load)
 
 
-def test_an_irreversible_one_goes_where_the_report_shows_less() -> None:
+def test_an_non_idempotent_one_goes_where_the_report_shows_less() -> None:
     harness = DispatchHarness([endpoint("a"), endpoint("b")], **ASKING)
     harness.send_request(1, request_class=2)
     assert sorted(harness.probes) == ["a", "b"] and harness.worker_of(1) is None
@@ -33,8 +33,9 @@
     assert harness.worker_of(1) == "b"
 
 
-def test_a_worker_without_a_report_yet_is_not_asked_again_and_again() -> None:
-    # At each start workers had none: the head asked until its credit was gone, and all behind it were nacked.
+def test_a_worker_without_a_report_yet_is_not_probed_again_and_again() -> None:
+    # At each start workers had none: the head asked until its credit was gone, and all behind it were
+    # rejected.
     harness = DispatchHarness([endpoint("a"), endpoint("b")], **ASKING)
     harness.send_request(1, request_class=2)
     harness.send_request(2, request_class=0)
@@ -45,13 +46,13 @@
     assert harness.worker_of(1) and harness.worker_of(2) and not harness.probes
 
 
-def test_what_can_be_taken_back_does_not_ask() -> None:
+def test_what_can_be_cancelled_does_not_probe() -> None:
     harness = DispatchHarness([endpoint("a"), endpoint("b")], **ASKING)
     harness.send_request(1, request_class=0)
     assert harness.worker_of(1) and not harness.probes
 
 
-def test_where_full_is_no_proof_a_labelled_one_asks_first() -> None:
+def test_where_full_is_no_proof_a_keyed_one_probes_first() -> None:
     # Trying bound it to its group and left work that ran on: at full size half of the attempts were shed.
     harness = DispatchHarness([endpoint("a"), endpoint("b")], full_may_have_run=True, **ASKING)
     harness.send_request(1, request_class=1)
@@ -60,7 +61,7 @@
     answer(harness, "b", 4.0, 0.0)
     assert harness.worker_of(1) == "b"
     harness.send_request(2, request_class=0)
-    assert harness.worker_of(2), "a redoable one still finds out by trying"
+    assert harness.worker_of(2), "a idempotent one still finds out by trying"
 
 
 def test_one_that_does_not_answer_is_not_waited_for() -> None:
@@ -72,7 +73,7 @@
     assert harness.worker_of(1) == "a"
 
 
-def test_an_unreachable_worker_is_found_out_without_losing_a_submission() -> None:
+def test_an_unreachable_worker_is_found_out_without_losing_a_request() -> None:
     harness = DispatchHarness([endpoint("a"), endpoint("b")], **ASKING)
     harness.send_request(1, request_class=2)
     answer(harness, "a", 0.0, 0.0, AttemptOutcome.UNREACHABLE)
@@ -121,7 +122,7 @@
     assert 50 < asked <= 2 * 52 + 8
 
 
-def test_a_full_fleet_is_not_searched_anew_for_each_submission() -> None:
+def test_a_full_fleet_is_not_searched_anew_for_each_request() -> None:
     harness = DispatchHarness([endpoint(f"w{i}") for i in range(300)])
     for worker in harness.dispatcher.workers.values():
         worker.capacity = worker.capacity_before_cut = 0.0
@@ -136,7 +137,7 @@
     )
 
 
-def test_many_dispatchers_together_give_a_cold_worker_work_from_the_start() -> None:
+def test_many_dispatchers_together_give_a_warming_worker_work_from_the_start() -> None:
     may_send = 0
     for seed in range(200):
         harness = DispatchHarness(
@@ -174,7 +175,7 @@
 
 
 @pytest.mark.parametrize(("waste_price", "least", "most"), [(0.0, 10, 40), (0.25, 1, 4)])
-def test_what_may_run_all_the_same_is_taken_back_the_less_the_dearer_that_is(
+def test_what_may_run_all_the_same_is_cancelled_the_less_the_dearer_that_is(
     waste_price: float, least: int, most: int
 ) -> None:
     # Workers that take no notice ran all that was taken back, and many dispatchers filled half of them so.
@@ -183,5 +184,5 @@
         harness.send_request(number)  # none of them starts
         harness.advance(20 * MS)
     harness.advance(500 * MS)
-    recalled = sum(t.cancelled for tries in harness.attempts.values() for t in tries)
+    recalled = sum(t.cancelled for attempts in harness.attempts.values() for t in attempts)
     assert least <= recalled <= most
--- a/tests/decisions/test_mechanism.py
+++ b/tests/decisions/test_mechanism.py
@@ -21,7 +21,7 @@
     assert harness.worker_of(2) == worker.name and not worker.placeholders
 
 
-def test_a_larger_job_takes_over_placeholders_until_none_is_left() -> None:
+def test_a_larger_request_takes_over_placeholders_until_none_is_left() -> None:
     harness = DispatchHarness([endpoint("a")])
     harness.send_request(1)
     harness.end_attempt(1, AttemptOutcome.SUCCEEDED)
@@ -34,7 +34,7 @@
     assert harness.worker_of(2) == "a" and not worker.placeholders
 
 
-def test_a_late_start_cuts_the_room_to_what_had_started() -> None:
+def test_a_late_start_cuts_the_capacity_to_what_had_started() -> None:
     harness = DispatchHarness([endpoint("a")])
     harness.send_request(1)
     harness.advance(MS)
@@ -58,7 +58,7 @@
     assert harness.worker_of(2) == "a" and harness.worker_of(3) is None
 
 
-def test_overdue_submissions_give_way_to_those_behind() -> None:
+def test_overdue_requests_give_way_to_those_behind() -> None:
     harness = DispatchHarness([])
     harness.send_request(1)
     harness.advance(10 * MS)
@@ -67,7 +67,7 @@
     assert harness.answers == {1: Answer.REJECTED}
 
 
-def test_repeats_of_a_subject_meet_on_one_worker() -> None:
+def test_repeats_of_an_affinity_key_meet_on_one_worker() -> None:
     harness = DispatchHarness([endpoint(n) for n in "abcdef"])
     places = set()
     for request_id in range(6):
@@ -78,13 +78,13 @@
     assert len(places) == 1
 
 
-def test_replacement_prefers_a_subject_with_its_home_there() -> None:
+def test_replacement_prefers_an_affinity_key_with_its_preferred_worker_there() -> None:
     harness = DispatchHarness([endpoint("a"), endpoint("b")])
     for name in "ab":
         harness.dispatcher.workers[name].capacity = harness.dispatcher.workers[name].capacity_before_cut = 0.0
     subjects = [f"s{n}" for n in range(9)]
-    for number, subject in enumerate(subjects):
-        harness.send_request(number, affinity_key=subject)
+    for number, affinity_key in enumerate(subjects):
+        harness.send_request(number, affinity_key=affinity_key)
     homes = [
         harness.dispatcher.parts.choice.tiers(-1, harness.dispatcher.open_requests[n])[0][0].name
         for n in range(9)
@@ -111,7 +111,7 @@
     assert harness.worker_of(1) is None and harness.worker_of(2) == "b"
 
 
-def test_a_silent_worker_is_set_aside_and_its_redoable_job_rescued() -> None:
+def test_a_silent_worker_is_ejected_and_its_idempotent_request_retried() -> None:
     harness = DispatchHarness([endpoint(n) for n in "abcd"])
     harness.send_request(1)
     harness.report_start(1)
@@ -155,8 +155,8 @@
 
 @pytest.mark.parametrize("probing", [True, False])
 @pytest.mark.parametrize("outcome", [AttemptOutcome.UNREACHABLE, AttemptOutcome.BROKEN_OFF])
-def test_one_broken_connection_dismisses_no_worker(outcome: AttemptOutcome, probing: bool) -> None:
-    # Where connections are reset now and then all workers were set aside within seconds.
+def test_one_broken_connection_ejects_no_worker(outcome: AttemptOutcome, probing: bool) -> None:
+    # Where connections are reset now and then all workers were ejected within seconds.
     harness = DispatchHarness([endpoint(n) for n in "abc"], probing_allowed=probing)
     harness.send_request(0)
     worker = harness.dispatcher.workers[str(harness.worker_of(0))]
@@ -176,14 +176,14 @@
     assert alone.dispatcher.workers["a"].ejected
 
 
-def test_only_a_part_of_the_workers_is_set_aside() -> None:
+def test_only_a_part_of_the_workers_is_ejected() -> None:
     harness = DispatchHarness([endpoint(n) for n in "abcdef"])
     for worker in list(harness.dispatcher.workers.values()):
         harness.dispatcher.parts.ejection.eject(worker, harness.clock)
     assert sum(w.ejected for w in harness.dispatcher.workers.values()) == 2
 
 
-def test_a_waiting_labelled_one_is_left_alone_while_its_rack_is_full() -> None:
+def test_a_waiting_keyed_one_is_left_alone_while_its_rack_is_full() -> None:
     harness = DispatchHarness([endpoint("a", rack=1), endpoint("b", rack=2)])
     harness.dispatcher.workers["b"].ready = False
     harness.send_request(1, request_class=1)
@@ -192,7 +192,7 @@
     assert harness.attempts[1][0].outcome is None
 
 
-def test_proof_knows_no_bound_on_the_set_aside_share() -> None:
+def test_proof_knows_no_bound_on_the_ejected_share() -> None:
     harness = DispatchHarness([endpoint(n) for n in "abc"])
     harness.send_request(1)
     while harness.attempts[1] and harness.worker_of(1):
@@ -202,7 +202,7 @@
     assert sum(w.ejected for w in harness.dispatcher.workers.values()) == len(harness.attempts[1]) > 1
 
 
-def test_an_irreversible_one_does_not_try_a_worker_that_has_just_returned() -> None:
+def test_an_non_idempotent_one_does_not_try_a_worker_that_has_just_returned() -> None:
     harness = DispatchHarness([endpoint("a", kind=1)])
     harness.dispatcher.parts.ejection._readmit(harness.dispatcher.workers["a"], harness.clock)
     harness.send_request(1, request_class=2)
@@ -210,7 +210,7 @@
     assert harness.worker_of(1) is None and harness.worker_of(2) == "a"
 
 
-def test_machines_that_a_grade_needs_are_left_to_it() -> None:
+def test_machines_that_a_class_needs_are_left_to_it() -> None:
     harness = DispatchHarness([endpoint("a", kind=1), endpoint("b", kind=0), endpoint("c", kind=1)])
     harness.send_request(1)
     assert harness.worker_of(1) == "b"
@@ -230,7 +230,7 @@
     assert harness.worker_of(2) is None
 
 
-def test_an_overtaken_hand_off_does_not_keep_its_worker_out() -> None:
+def test_an_overtaken_attempt_does_not_keep_its_worker_out() -> None:
     harness = DispatchHarness([endpoint("a", kind=1)])
     worker = harness.dispatcher.workers["a"]
     harness.send_request(1, request_class=2)
@@ -243,8 +243,8 @@
     )
 
 
-def test_a_bound_submission_is_not_taken_back_to_be_sent_to_the_same_worker() -> None:
-    # On sockets a labelled one went to the same worker six times over, a copy left there each time.
+def test_a_bound_request_is_not_cancelled_to_be_sent_to_the_same_worker() -> None:
+    # On sockets a keyed one went to the same worker six times over, a copy left there each time.
     harness = DispatchHarness([endpoint("a"), endpoint("b")])
     for request_id in (1, 2):
         harness.send_request(request_id, affinity_key="s")
@@ -257,9 +257,9 @@
     assert len(went) > 1 and all(here != there for here, there in itertools.pairwise(went))
 
 
-def test_a_subject_has_homes_by_its_share_of_the_latest_arrivals() -> None:
-    # One subject with a seventh of the traffic is more than a worker's load; thousands of others are no more
-    # than names, of which only the latest are kept.
+def test_an_affinity_key_has_preferred_workers_by_its_share_of_the_latest_arrivals() -> None:
+    # One key with a seventh of the traffic is more than a worker's load; thousands of others are no more than
+    # names, of which only the latest are kept.
     harness = DispatchHarness([endpoint(f"w{n}") for n in range(40)])
     for number in range(700):
         harness.dispatcher.parts.observations.affinity_keys.record(
--- a/tests/decisions/test_rules.py
+++ b/tests/decisions/test_rules.py
@@ -13,7 +13,7 @@
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_rules_hold_with_subjects_and_zones(seed: int) -> None:
+def test_rules_hold_with_affinity_keys_and_zones(seed: int) -> None:
     random_run(1000 + seed, 300, cross_zone_cost=0.02, probing_allowed=False)
 
 
@@ -22,13 +22,13 @@
     assert first.attempts == second.attempts and first.answers == second.answers
 
 
-def test_abandon_time_already_past_is_answered_at_once() -> None:
+def test_deadline_already_past_is_answered_at_once() -> None:
     harness = DispatchHarness([endpoint("a")])
     harness.send_request(1, deadline_in=0)
     assert harness.answers == {1: Answer.REJECTED} and not harness.attempts[1]
 
 
-def test_an_empty_roster_holds_and_then_answers() -> None:
+def test_an_empty_endpoint_list_holds_and_then_answers() -> None:
     harness = DispatchHarness([])
     harness.send_request(1)
     harness.advance(5 * SECOND)
@@ -50,7 +50,7 @@
         assert harness.worker_of(request_id) in ("b", None)
 
 
-def test_a_cold_worker_is_not_flooded() -> None:
+def test_a_warming_worker_is_not_flooded() -> None:
     harness = DispatchHarness([endpoint("a", started_at=100 * SECOND)])
     for request_id in range(20):
         harness.send_request(request_id)
@@ -62,7 +62,7 @@
     assert sent < 10
 
 
-def test_a_cold_worker_gets_some_work_however_many_dispatchers_there_are() -> None:
+def test_a_warming_worker_gets_some_work_however_many_dispatchers_there_are() -> None:
     harness = DispatchHarness([endpoint("a"), endpoint("b", started_at=100 * SECOND)], dispatcher_count=20)
     given = []
     for request_id in range(60):
@@ -98,16 +98,17 @@
 
 
 @pytest.mark.parametrize(
-    ("proof", "grade", "again"), [(True, 0, True), (False, 0, True), (True, 2, True), (False, 2, False)]
+    ("proof", "request_class", "again"),
+    [(True, 0, True), (False, 0, True), (True, 2, True), (False, 2, False)],
 )
-def test_after_a_full_answer(proof: bool, grade: int, again: bool) -> None:
+def test_after_a_full_answer(proof: bool, request_class: int, again: bool) -> None:
     harness = DispatchHarness([endpoint("a", kind=1), endpoint("b", kind=1)], full_may_have_run=not proof)
-    harness.send_request(1, grade)
+    harness.send_request(1, request_class)
     first = harness.worker_of(1)
     harness.end_attempt(1, AttemptOutcome.FULL)
     harness.advance(100 * MS)
     assert harness.worker_of(1) == ({"a": "b", "b": "a"}[str(first)] if again else None)
-    assert harness.answers == ({} if again else {1: Answer.FAILED}), "no other hand-off and no nack"
+    assert harness.answers == ({} if again else {1: Answer.FAILED}), "no other attempt and no rejection"
 
 
 def test_gone_binds_only_where_no_drain_is_needed() -> None:
