--- a/tests/decisions/test_fleet.py
+++ b/tests/decisions/test_fleet.py
@@ -10,7 +10,7 @@
 
 
 def watched(harnesses: list[DispatchHarness], span: int) -> list[int]:
-    """When each watch was taken up by a endpoint list that works through their calls in turn; 0: never."""
+    """When each watch was taken up by an endpoint list that works through their calls in turn; 0: never."""
     start, free_at = harnesses[0].clock, harnesses[0].clock
     asked, since = [0] * len(harnesses), [0] * len(harnesses)
     lost: list[tuple[int, int]] = []
