--- a/tests/decisions/test_load_probes.py
+++ b/tests/decisions/test_load_probes.py
@@ -1,11 +1,14 @@
 """What a dispatcher of a large fleet goes by: probes, live weights, its share of a cold worker."""
 
+from typing import Any
+
 import pytest
 
 from ploverspoke.decisions.interface import AttemptOutcome, LoadReport
-from tests.decisions.harness import MS, SECOND, DispatchHarness, endpoint
+from ploverspoke.decisions.state import SECOND, RequestQueue
+from tests.decisions.harness import MS, DispatchHarness, endpoint
 
-ASKING = {"probe_cost": 0.001, "machine_kind": [-1, -1, -1]}
+ASKING: dict[str, Any] = {"probe_cost": 0.001, "machine_kind": [-1, -1, -1]}
 
 
 def answer(
@@ -21,7 +24,7 @@
     harness.dispatcher.probe_completed(worker, outcome, MS, load)
 
 
-def test_an_irreversible_one_goes_where_the_report_shows_less() -> None:
+def test_an_non_idempotent_one_goes_where_the_report_shows_less() -> None:
     harness = DispatchHarness([endpoint("a"), endpoint("b")], **ASKING)
     harness.send_request(1, request_class=2)
     assert sorted(harness.probes) == ["a", "b"] and harness.worker_of(1) is None
@@ -30,8 +33,9 @@
     assert harness.worker_of(1) == "b"
 
 
-def test_a_worker_without_a_report_yet_is_not_asked_again_and_again() -> None:
-    # At each start workers had none: the head asked until its credit was gone, and all behind it were nacked.
+def test_a_worker_without_a_report_yet_is_not_probed_again_and_again() -> None:
+    # At each start workers had none: the head asked until its credit was gone, and all behind it were
+    # rejected.
     harness = DispatchHarness([endpoint("a"), endpoint("b")], **ASKING)
     harness.send_request(1, request_class=2)
     harness.send_request(2, request_class=0)
@@ -42,13 +46,13 @@
     assert harness.worker_of(1) and harness.worker_of(2) and not harness.probes
 
 
-def test_what_can_be_taken_back_does_not_ask() -> None:
+def test_what_can_be_cancelled_does_not_probe() -> None:
     harness = DispatchHarness([endpoint("a"), endpoint("b")], **ASKING)
     harness.send_request(1, request_class=0)
     assert harness.worker_of(1) and not harness.probes
 
 
-def test_where_full_is_no_proof_a_labelled_one_asks_first() -> None:
+def test_where_full_is_no_proof_a_keyed_one_probes_first() -> None:
     # Trying bound it to its group and left work that ran on: at full size half of the attempts were shed.
     harness = DispatchHarness([endpoint("a"), endpoint("b")], full_may_have_run=True, **ASKING)
     harness.send_request(1, request_class=1)
@@ -57,7 +61,7 @@
     answer(harness, "b", 4.0, 0.0)
     assert harness.worker_of(1) == "b"
     harness.send_request(2, request_class=0)
-    assert harness.worker_of(2), "a redoable one still finds out by trying"
+    assert harness.worker_of(2), "a idempotent one still finds out by trying"
 
 
 def test_one_that_does_not_answer_is_not_waited_for() -> None:
@@ -69,7 +73,7 @@
     assert harness.worker_of(1) == "a"
 
 
-def test_an_unreachable_worker_is_found_out_without_losing_a_submission() -> None:
+def test_an_unreachable_worker_is_found_out_without_losing_a_request() -> None:
     harness = DispatchHarness([endpoint("a"), endpoint("b")], **ASKING)
     harness.send_request(1, request_class=2)
     answer(harness, "a", 0.0, 0.0, AttemptOutcome.UNREACHABLE)
@@ -118,37 +122,40 @@
     assert 50 < asked <= 2 * 52 + 8
 
 
-def test_a_full_fleet_is_not_searched_anew_for_each_submission() -> None:
+def test_a_full_fleet_is_not_searched_anew_for_each_request() -> None:
     harness = DispatchHarness([endpoint(f"w{i}") for i in range(300)])
     for worker in harness.dispatcher.workers.values():
-        worker.room = worker.room_before_cut = 0.0
+        worker.capacity = worker.capacity_before_cut = 0.0
     harness.send_request(1)
-    barren = next(iter(harness.dispatcher.types.values())).barren_until
+    barren = next(iter(harness.dispatcher.parts.queues.values())).no_capacity_until
     assert barren > harness.clock
     for worker in harness.dispatcher.workers.values():
-        worker.room = worker.room_before_cut = 1.0
+        worker.capacity = worker.capacity_before_cut = 1.0
     harness.advance(barren - harness.clock)
-    assert harness.dispatcher._draw_two(next(iter(harness.dispatcher.types.values())), harness.clock, None)
+    assert harness.dispatcher.parts.choice.draw_two(
+        next(iter(harness.dispatcher.parts.queues.values())), harness.clock, None
+    )
 
 
-def test_many_dispatchers_together_give_a_cold_worker_work_from_the_start() -> None:
+def test_many_dispatchers_together_give_a_warming_worker_work_from_the_start() -> None:
     may_send = 0
     for seed in range(200):
         harness = DispatchHarness(
             [endpoint("a"), endpoint("b", started_at=100 * SECOND)], seed, dispatcher_count=200
         )
         dispatcher, harness.clock = harness.dispatcher, harness.clock + 4 * SECOND
-        dispatcher.warm_load, dispatcher.warm_load_at = 0.02, harness.clock
-        job_type = dispatcher._job_type(1.0, -1)
-        may_send += dispatcher._cold_budget_allows(dispatcher.workers["b"], job_type, harness.clock)
+        slow_start = dispatcher.parts.slow_start
+        slow_start.warm_load, slow_start.warm_load_at = 0.02, harness.clock
+        queue = RequestQueue(1.0, -1)
+        may_send += slow_start.allows(dispatcher.workers["b"], queue, harness.clock)
     assert 5 < may_send < 60
 
 
 def test_a_wait_is_no_silence_where_starts_come_late() -> None:
     harness = DispatchHarness([endpoint(n, kind=1) for n in "abcd"], deadline=[9 * SECOND] * 3)
-    harness.dispatcher.start_lags[0].extend([MS, 3 * SECOND])
+    harness.dispatcher.parts.observations.start_delays[0].extend([MS, 3 * SECOND])
     harness.send_request(1, request_class=2, deadline_in=9 * SECOND)
-    waits_at = harness.dispatcher.workers[harness.worker_of(1)]
+    waits_at = harness.dispatcher.workers[str(harness.worker_of(1))]
     harness.advance(3 * SECOND)
     assert not harness.probes
     harness.advance(4 * SECOND)
@@ -160,7 +167,7 @@
     for request_id in range(450):
         harness.send_request(request_id, request_class=2)
     for worker in harness.dispatcher.workers.values():
-        worker.free, worker.reported_at = 4.0, harness.clock
+        worker.reported_free, worker.reported_at = 4.0, harness.clock
     for probed in list(harness.probes):
         answer(harness, probed, 4.0, 0.0)
     harness.advance(SECOND)
@@ -168,7 +175,7 @@
 
 
 @pytest.mark.parametrize(("waste_price", "least", "most"), [(0.0, 10, 40), (0.25, 1, 4)])
-def test_what_may_run_all_the_same_is_taken_back_the_less_the_dearer_that_is(
+def test_what_may_run_all_the_same_is_cancelled_the_less_the_dearer_that_is(
     waste_price: float, least: int, most: int
 ) -> None:
     # Workers that take no notice ran all that was taken back, and many dispatchers filled half of them so.
@@ -177,5 +184,5 @@
         harness.send_request(number)  # none of them starts
         harness.advance(20 * MS)
     harness.advance(500 * MS)
-    recalled = sum(t.cancelled for tries in harness.attempts.values() for t in tries)
+    recalled = sum(t.cancelled for attempts in harness.attempts.values() for t in attempts)
     assert least <= recalled <= most
