--- a/ploverspoke/testbed/capacity/rows.py
+++ b/ploverspoke/testbed/capacity/rows.py
@@ -217,7 +217,7 @@
         demand=f"{size.jobs_a_day / DAY:.2g} jobs a second; {each:.2g} starts a second at one of "
         f"{facts.fewest} dispatchers",
         gives=f"each hands out its own; one dispatcher measured to {to:.3g} a second; {played}",
-        mechanism="`decisions/dispatcher.py`, `docs/design.md`",
+        mechanism="`decisions/queues.py`, `docs/design.md`",
         verdict=verdict,
         basis=basis,
         letter="a",
@@ -291,7 +291,7 @@
         demand="at the peak, and in trouble",
         gives="grades with expected times of their own; a queue is first come, first served within a slot "
         f"count and machine kind, but for those that are too late; nothing that runs makes way; {played}",
-        mechanism="`decisions/dispatcher.py` (patience, benefits), `docs/design.md`",
+        mechanism="`decisions/admission.py` (queueing budgets, weights), `docs/design.md`",
         verdict=verdict,
         basis=PLAYED,
         letter="a",
@@ -359,7 +359,7 @@
         demand=f"work stays near; {zone_part(facts.fleet, size.workers)} workers in a zone",
         gives="own zone first, others where it has no room; a region is not known: zones of the other are "
         f"no further away; {played}",
-        mechanism="`decisions/dispatcher.py` (`_tiers`), `docs/design.md`",
+        mechanism="`decisions/worker_choice.py` (`tiers`), `docs/design.md`",
         verdict=verdict,
         basis=PLAYED,
         letter="a",
@@ -458,7 +458,7 @@
             "machine",
             f"{failures.machines_a_day:g} machines fail a day",
             "set aside by its errors, then gone from discovery's list; by the play of a rack",
-            "`decisions/dispatcher.py`, `docs/on-call.md`",
+            "`decisions/outlier_ejection.py`, `docs/on-call.md`",
             "rack",  # as much as one machine, and more
         ),
         (
@@ -474,14 +474,14 @@
             f"a rack or switch every {failures.rack_every_days:g} days",
             f"as so many machines at once, {rack:g} assumed; repeats may be bound to a rack, nothing else "
             "goes by it",
-            "`decisions/dispatcher.py`, `docs/on-call.md`",
+            "`decisions/outlier_ejection.py`, `docs/on-call.md`",
             "rack",
         ),
         (
             "zone",
             f"a zone every {failures.zone_every_days:g} days",
             f"{zone:g} workers go and their dispatchers with them; other zones are drawn",
-            "`decisions/dispatcher.py` (`_tiers`), `docs/on-call.md`",
+            "`decisions/worker_choice.py` (`tiers`), `docs/on-call.md`",
             "zone",
         ),
     ]
