--- a/ploverspoke/consensus/framing.py
+++ b/ploverspoke/consensus/framing.py
@@ -123,9 +123,9 @@
         greeting = _decode_body(body)
         peer_nonce = greeting.get("nonce") if isinstance(greeting, dict) else None
         if not isinstance(peer_nonce, bytes):
-            raise FrameDecodeError("no greeting")
+            raise FrameDecodeError(reason="no greeting")
         if peer_nonce == self.nonce:
-            raise FrameDecodeError("our own greeting, sent back")
+            raise FrameDecodeError(reason="our own greeting, sent back")
         self.peer_greeting = greeting
         self._send_key = derive_key(self.secret, self.nonce + peer_nonce)
         self._receive_key = derive_key(self.secret, peer_nonce + self.nonce)
@@ -153,4 +153,4 @@
     try:
         return msgspec.msgpack.decode(body)
     except msgspec.DecodeError as error:
-        raise FrameDecodeError(f"no msgpack: {error}") from error
+        raise FrameDecodeError(reason=f"no msgpack: {error}") from error
--- a/ploverspoke/consensus/peer_links.py
+++ b/ploverspoke/consensus/peer_links.py
@@ -1,5 +1,7 @@
-"""Connections among replicas. Each replica connects to every other one and sends on that; it only receives on
-those that it accepts. Tools connect as well, and get their replies on the connection that they opened.
+"""Connections among replicas and from tools.
+
+Each replica connects to every other one and sends on that; it only receives on connections that it accepts.
+Tools connect as well, and get their replies on the connection that they opened.
 
 A lost connection is opened again. Messages for it are dropped meanwhile, since consensus repeats them.
 """
@@ -250,7 +252,7 @@
         if peer.cluster_fingerprint not in (self.links.identity.cluster_fingerprint, ANY_CLUSTER):
             raise GreetingError(wrong_cluster(self.peer_id))
         if peer.replica_id != self.peer_id:
-            raise GreetingError(f"{peer.replica_id} answers where {self.peer_id} was")
+            raise GreetingError(reason=f"{peer.replica_id} answers where {self.peer_id} was")
 
     def _write(self, data: bytes) -> None:
         assert self.transport is not None
@@ -262,7 +264,7 @@
     """Return what the other side's greeting says. Raises GreetingError."""
     greeting = frames.peer_greeting
     if greeting is None or "id" not in greeting or "store" not in greeting:
-        raise GreetingError("a greeting without id and store")
+        raise GreetingError(reason="a greeting without id and store")
     return PeerIdentity(str(greeting["id"]), str(greeting["store"]))
 
 
--- a/ploverspoke/consensus/wire_messages.py
+++ b/ploverspoke/consensus/wire_messages.py
@@ -150,7 +150,7 @@
     except msgspec.DecodeError as error:
         raise MessageError(str(error)) from error
     if not message.storage_id:
-        raise MessageError("it does not name the storage of its sender")
+        raise MessageError(reason="it does not name the storage of its sender")
     return message
 
 
--- a/ploverspoke/testbed/plots.py
+++ b/ploverspoke/testbed/plots.py
@@ -12,7 +12,7 @@
 
 matplotlib.use("svg")
 matplotlib.rcParams["svg.hashsalt"] = "ploverspoke"  # the same result gives the same file
-from matplotlib import pyplot  # noqa: E402
+from matplotlib import pyplot  # noqa: E402 - the backend is chosen before
 
 
 def write_plots(result: Result, out: Path) -> list[Path]:
