--- a/ploverspoke/consensus/peer_links.py
+++ b/ploverspoke/consensus/peer_links.py
@@ -115,7 +115,11 @@
             connection = OutboundConnection(self, replica_id)
             try:
                 # The factory is called before the next iteration binds `connection` anew.
-                await loop.create_connection(lambda: connection, host.strip("[]"), int(port))  # noqa: B023
+                await loop.create_connection(
+                    lambda: connection,  # noqa: B023 - called before the loop goes on
+                    host.strip("[]"),
+                    int(port),
+                )
                 self.outbound[replica_id] = connection
                 await connection.disconnected.wait()
             except OSError:
