--- a/ploverspoke/config_distribution/server_node.py
+++ b/ploverspoke/config_distribution/server_node.py
@@ -3,8 +3,6 @@
 import asyncio
 from typing import Protocol
 
-import msgspec
-
 from ploverspoke.consensus.admin_messages import KIND_KEY, WireMap
 from ploverspoke.consensus.node import ReplicaNode, Reply
 from ploverspoke.consensus.storage import ReplicaStorage
@@ -75,9 +73,8 @@
         Without a leader the log itself does not show which of its entries are committed.
         """
         self.versions.on_version = self._on_committed
-        saved = self.storage.load_value(COMMITTED_KEY)
-        if saved is not None:
-            version = msgspec.convert(saved, Version)
+        version = self.storage.load_value(COMMITTED_KEY, Version)
+        if version is not None:
             self.committed_number = version.number
             self.broadcaster.add_version(version)
             self.schedule_tick()
--- a/ploverspoke/config_distribution/state_machine.py
+++ b/ploverspoke/config_distribution/state_machine.py
@@ -104,8 +104,9 @@
 
     # ---- The replicated log ----
 
-    def apply(self, index: int, command: bytes) -> None:
-        """Apply a committed log entry; a command that only a later release knows changes nothing."""
+    def apply(self, index: int, command: object) -> None:
+        """Apply a committed log entry, bytes; a command that only a later release knows changes nothing."""
+        assert isinstance(command, bytes)
         if msgspec.msgpack.decode(command, type=_CommandHeader).name == PUBLISH_COMMAND:
             self._publish(msgspec.msgpack.decode(command, type=PublishCommand))
 
--- a/ploverspoke/consensus/framed_server.py
+++ b/ploverspoke/consensus/framed_server.py
@@ -7,7 +7,7 @@
 import abc
 import asyncio
 from collections.abc import Mapping
-from typing import Any, ClassVar, NamedTuple, cast
+from typing import ClassVar, NamedTuple, cast
 
 from ploverspoke.transport.rate_limited_log import log_line
 
@@ -151,7 +151,7 @@
         """Handle the loss of the current connection of a client."""
 
     def handle_greeting(  # noqa: B027 - optional: a subclass may name a client by its first message instead
-        self, connection: FramedConnection, greeting: Mapping[str, Any]
+        self, connection: FramedConnection, greeting: Mapping[str, object]
     ) -> None:
         """Handle a client's greeting, before its first message. Does nothing unless overridden."""
 
--- a/ploverspoke/consensus/framing.py
+++ b/ploverspoke/consensus/framing.py
@@ -12,7 +12,6 @@
 import secrets
 from collections.abc import Mapping
 from hashlib import blake2b
-from typing import Any
 
 import msgspec
 
@@ -88,7 +87,7 @@
         self._sent += 1
         return _frame(body, _mac(self._send_key, self._sent, body))
 
-    def decode(self, data: bytes) -> list[Any]:
+    def decode(self, data: bytes) -> list[object]:
         """Return the messages that `data` completes, as plain values. Raises FrameError.
 
         A greeting is none of them; it is put in `peer_greeting`.
@@ -121,9 +120,9 @@
     def _accept_greeting(self, mac: bytes, body: bytes) -> None:
         _check_mac(mac, _mac(derive_key(self.secret), 0, body))
         greeting = _decode_body(body)
-        peer_nonce = greeting.get("nonce") if isinstance(greeting, dict) else None
-        if not isinstance(peer_nonce, bytes):
+        if not isinstance(greeting, dict) or not isinstance(greeting.get("nonce"), bytes):
             raise FrameDecodeError(reason="no greeting")
+        peer_nonce: bytes = greeting["nonce"]
         if peer_nonce == self.nonce:
             raise FrameDecodeError(reason="our own greeting, sent back")
         self.peer_greeting = greeting
@@ -149,7 +148,7 @@
         raise FrameAuthenticationError
 
 
-def _decode_body(body: bytes) -> Any:
+def _decode_body(body: bytes) -> object:
     try:
         return msgspec.msgpack.decode(body)
     except msgspec.DecodeError as error:
--- a/ploverspoke/consensus/log.py
+++ b/ploverspoke/consensus/log.py
@@ -1,14 +1,14 @@
 """The replicated log in memory: the entries since the last snapshot. Durability is the driver's business."""
 
 from enum import StrEnum
-from typing import Any, Protocol, TypeAlias
+from typing import Protocol, TypeAlias
 
 import msgspec
 
 from .membership import Members, members_from_plain
 
 # What msgpack holds: None, bool, int, float, str, bytes, and lists and maps of them.
-PlainValue: TypeAlias = Any
+PlainValue: TypeAlias = object
 
 PLAIN_COMMAND_SIZE = 64  # bytes assumed for a command that is not bytes, when a message is filled
 
--- a/ploverspoke/consensus/raft_state.py
+++ b/ploverspoke/consensus/raft_state.py
@@ -4,7 +4,7 @@
 """
 
 from enum import StrEnum
-from typing import NamedTuple, Protocol
+from typing import NamedTuple, Protocol, cast
 
 from .log import Entry, EntryKind, PlainValue, Snapshot
 from .membership import Members
@@ -112,8 +112,7 @@
         """Return the members by the entries up to `index`."""
         for entry in reversed(self.log.membership_changes):
             if entry.index <= index:
-                members: Members = entry.data
-                return members
+                return cast(Members, entry.data)  # typed when it was read or proposed
         return self.snapshot_members
 
     def is_voter(self) -> bool:
--- a/ploverspoke/consensus/storage.py
+++ b/ploverspoke/consensus/storage.py
@@ -10,17 +10,19 @@
 from collections.abc import Iterator
 from contextlib import closing, contextmanager
 from pathlib import Path
-from typing import Self
+from typing import Self, TypeVar
 from zlib import crc32
 
 import msgspec
 
 from . import storage_schema as schema
 from .errors import ConsensusError
-from .log import Entry, EntryKind, Log, PlainValue, Snapshot, with_typed_members
-from .membership import Members, members_from_plain
+from .log import Entry, EntryKind, Log, Snapshot, with_typed_members
+from .membership import Members
 from .persisted_state import PersistedState, WriteBatch
 
+ValueT = TypeVar("ValueT")
+
 NOT_OPEN = "not open"
 
 
@@ -157,24 +159,24 @@
         if self.max_pages:
             connection.execute(f"pragma max_page_count = {self.max_pages}")
         connection.executescript(schema.TABLES)
-        if self.load_value(schema.FORMAT_KEY) is None:
+        if self.load_value(schema.FORMAT_KEY, int) is None:
             connection.execute("begin immediate")
             self._put(schema.FORMAT_KEY, schema.FORMAT)
             self._put(schema.STORAGE_ID_KEY, secrets.token_hex(schema.STORAGE_ID_BYTES))
             connection.execute("commit")
-        found = self.load_value(schema.FORMAT_KEY)
+        found = self.load_value(schema.FORMAT_KEY, int)
         if found != schema.FORMAT:
             raise ClusterMismatchError(self.path, f"has format {found}, this version reads {schema.FORMAT}")
 
     # ---- Reading ----
 
     def _read(self) -> None:
-        self.replica_id = self.load_value(schema.REPLICA_ID_KEY) or ""
-        self.cluster_fingerprint = self.load_value(schema.FINGERPRINT_KEY) or ""
-        current_term, voted_for = self.load_value(schema.VOTE_KEY) or (0, "")
+        self.replica_id = self.load_value(schema.REPLICA_ID_KEY, str) or ""
+        self.cluster_fingerprint = self.load_value(schema.FINGERPRINT_KEY, str) or ""
+        current_term, voted_for = self.load_value(schema.VOTE_KEY, tuple[int, str]) or (0, "")
         snapshot = self._read_snapshot()
         if snapshot is None:
-            first_members = members_from_plain(self.load_value(schema.FIRST_MEMBERS_KEY) or {})
+            first_members = self.load_value(schema.FIRST_MEMBERS_KEY, Members) or {}
             snapshot = Snapshot(0, 0, first_members, b"")
         log = Log(snapshot.index, snapshot.term)
         log.append(list(self._read_entries(snapshot.index + 1)))
@@ -184,7 +186,7 @@
             voted_for=voted_for,
             log=log,
             snapshot_data=snapshot.data,
-            storage_id=self.load_value(schema.STORAGE_ID_KEY),
+            storage_id=self.load_value(schema.STORAGE_ID_KEY, str) or "",
         )
 
     def _read_snapshot(self) -> Snapshot | None:
@@ -211,10 +213,15 @@
             yield with_typed_members(Entry(index, term, EntryKind(kind), data))
             expected += 1
 
-    def load_value(self, key: str) -> PlainValue:
-        """Return a value saved with `save_value`, as plain values; None if there is none."""
+    def load_value(self, key: str, value_type: type[ValueT]) -> ValueT | None:
+        """Return a saved value of that type; None if there is none. Raises CorruptionError."""
         row = self._opened().execute("select value from told where key = ?", (key,)).fetchone()
-        return None if row is None else msgspec.msgpack.decode(row[0])
+        if row is None:
+            return None
+        try:
+            return msgspec.msgpack.decode(row[0], type=value_type)
+        except msgspec.DecodeError as error:
+            raise CorruptionError(self.path, f"the value {key!r} cannot be read: {error}") from error
 
     def size_bytes(self) -> int:
         """Return the size of the file and its journal."""
--- a/ploverspoke/leases/backup_commands.py
+++ b/ploverspoke/leases/backup_commands.py
@@ -41,7 +41,7 @@
     config = read_config_or_exit(read_lease_server_config, file).replica
     storage = restore_backup(config, path)
     # Above every epoch that was begun before, as long as clocks do not go back between two restores.
-    epoch = max((storage.load_value(EPOCH_KEY) or 0) + 1, int(time.time()))
+    epoch = max((storage.load_value(EPOCH_KEY, int) or 0) + 1, int(time.time()))
     storage.save_value(EPOCH_KEY, epoch)
     storage.close()
     click.echo(f"restored {storage.path}, epoch {epoch}")
--- a/ploverspoke/leases/server_node.py
+++ b/ploverspoke/leases/server_node.py
@@ -1,7 +1,6 @@
 """A lease server on a disk and on sockets: drives a `LeaseManager` on a replica of a `LeaseStateMachine`."""
 
-from collections.abc import Callable
-from typing import Any
+from collections.abc import Callable, Mapping
 
 from ploverspoke.consensus.admin_messages import decode_request, encode_reply
 from ploverspoke.consensus.node import ReplicaNode, Reply
@@ -69,7 +68,7 @@
         """Lead, as all that was committed before is applied here."""
         if not confirmed or not self.is_elected() or self.manager.is_leader:
             return
-        self.manager.become_leader(self.storage.load_value(EPOCH_KEY) or 0)
+        self.manager.become_leader(self.storage.load_value(EPOCH_KEY, int) or 0)
         restored = " (restored)" if self.manager.is_restored() else ""
         log_line(f"lease server: {self.config.name} leads; {self.leases.total()} leases are held{restored}")
         if not self.ticking:
@@ -96,7 +95,7 @@
             renewed=self.manager.renewed,
         )
 
-    def handle_state_request(self, request: dict[str, Any], reply: Reply) -> bool:
+    def handle_state_request(self, request: Mapping[str, object], reply: Reply) -> bool:
         """Answer `LeasesRequest`, once a majority has confirmed who leads."""
         if decode_request(request, LeasesRequest) is None:
             return False
--- a/ploverspoke/store/node.py
+++ b/ploverspoke/store/node.py
@@ -63,16 +63,14 @@
 
     def saved_endpoints(self) -> EndpointList | None:
         """Give the endpoint list that is saved, if there is one."""
-        endpoints: EndpointList | None = self.storage.load_value(ENDPOINTS_KEY)
-        return endpoints
+        return self.storage.load_value(ENDPOINTS_KEY, EndpointList)
 
     def save_endpoints(self, endpoints: EndpointList) -> None:
         """Save the endpoint list in the background."""
         self.save_value(ENDPOINTS_KEY, endpoints)
 
     def _load_configuration(self) -> SavedConfiguration:
-        saved = self.storage.load_value(CONFIGURATION_KEY)
-        return SavedConfiguration() if saved is None else msgspec.convert(saved, SavedConfiguration)
+        return self.storage.load_value(CONFIGURATION_KEY, SavedConfiguration) or SavedConfiguration()
 
     def _configuration_committed(self, configuration: SharedConfiguration) -> None:
         if configuration.version <= self.saved_version:
--- a/ploverspoke/testbed/lease_bench.py
+++ b/ploverspoke/testbed/lease_bench.py
@@ -62,7 +62,7 @@
         if not self.greeted and self.frames.peer_greeting is not None:
             self.greeted = True
             self._ask()
-        for message in messages:
+        for message in cast(list[dict[str, Any]], messages):
             has = [row for row in message.get("has", ()) if row[0] in self.tokens]
             for name, token, _ in has:
                 self.load.renewed += self.tokens[name] == token
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -142,7 +142,9 @@
     entries = [[one.index, one.term, one.kind, encoded(one.data)] for one in persisted.log.entries]
     assert entries == told["entries"][told["snapshot_at"] :]
     assert disk.persisted.snapshot_data == (DATA / name / "snapshot.bin").read_bytes()
-    assert told["kept"] and {key: encoded(disk.load_value(key)) for key in told["kept"]} == told["kept"]
+    assert (
+        told["kept"] and {key: encoded(disk.load_value(key, object)) for key in told["kept"]} == told["kept"]
+    )
     disk.close()
 
 
@@ -167,7 +169,7 @@
 def test_a_store_is_restored_as_a_backup(name: str, tmp_path: Path) -> None:
     disk = restore_from_backup(tmp_path / "new", DATA / name / "store.db", "r3.1")
     term = read_json(f"{name}/written.json")["vote"][0]
-    assert disk.load_value("me") == "r3.1" and disk.load_value("vote") == [term + 1, ""]
+    assert disk.load_value("me", str) == "r3.1" and disk.load_value("vote", list[object]) == [term + 1, ""]
     assert disk.persisted.snapshot_data == (DATA / name / "snapshot.bin").read_bytes()
     disk.close()
 
