--- a/tests/decisions/test_load_gossip.py
+++ b/tests/decisions/test_load_gossip.py
@@ -47,14 +47,14 @@
 
 def test_late_doubled_and_foreign_gossip_change_nothing() -> None:
     harness = DispatchHarness([endpoint("a")], **GOSSIP)
-    told = harness.dispatcher.gossip_received
-    told(1, LoadGossip(0, 7, 0.0, ["a"]))
-    told(1, LoadGossip(0, 6, 0.0, FULL))  # late
-    told(1, LoadGossip(0, 7, 0.0, FULL))  # twice
-    told(0, LoadGossip(0, 8, 0.0, FULL))  # from ourselves
-    told(1, LoadGossip(0, 8, 0.0, ["nobody"]))
+    receive_gossip = harness.dispatcher.gossip_received
+    receive_gossip(1, LoadGossip(0, 7, 0.0, ["a"]))
+    receive_gossip(1, LoadGossip(0, 6, 0.0, FULL))  # late
+    receive_gossip(1, LoadGossip(0, 7, 0.0, FULL))  # twice
+    receive_gossip(0, LoadGossip(0, 8, 0.0, FULL))  # from ourselves
+    receive_gossip(1, LoadGossip(0, 8, 0.0, ["nobody"]))
     assert harness.dispatcher.workers["a"].peer_slots == 0 and set(harness.dispatcher.workers) == {"a"}
-    told(1, LoadGossip(0, 0, 0.0, FULL))  # a new start
+    receive_gossip(1, LoadGossip(0, 0, 0.0, FULL))  # a new start
     assert harness.dispatcher.workers["a"].peer_slots == 2
 
 
@@ -166,9 +166,10 @@
             each.close()
         heard: list[tuple[object, ...]] = []
         peers = [
-            GossipSocket(addresses, n, lambda: ["a"], lambda *told: heard.append(told)) for n in range(2)
+            GossipSocket(addresses, n, lambda: ["a"], lambda *arguments: heard.append(arguments))
+            for n in range(2)
         ]
-        old = GossipSocket(addresses, 1, list, lambda *told: None)
+        old = GossipSocket(addresses, 1, list, lambda *arguments: None)
         for gossip_socket in (
             old,
             *peers,
@@ -201,20 +202,20 @@
         other.bind(("127.0.0.1", 0))
         other.setblocking(False)
         limits = {**SETTINGS["Limits"], "Peers": True}
-        told: dict[str, Any] = {"discovery": "127.0.0.1:9"}
-        told["settings"] = {**SETTINGS, "PeersTotal": 2, "Limits": limits}
+        document: dict[str, Any] = {"discovery": "127.0.0.1:9"}
+        document["settings"] = {**SETTINGS, "PeersTotal": 2, "Limits": limits}
         ports = held_ports(2)
-        told["listen"] = f"127.0.0.1:{ports[0]}"
+        document["listen"] = f"127.0.0.1:{ports[0]}"
         peers = [f"127.0.0.1:{ports[1]}", f"127.0.0.1:{other.getsockname()[1]}"]
-        service = Service(loop, parse_config({**told, "peers": peers}, {}))
+        service = Service(loop, parse_config({**document, "peers": peers}, {}))
         running = loop.create_task(service.run())
         octets = await asyncio.wait_for(loop.sock_recv(other, 999), 5)
         assert GossipReader().read(octets, []) == GossipMessage(0, 0, 0.0, [])
         service.shut_down()
         await asyncio.wait_for(running, 5)
         other.close()
-        silent = Service(loop, parse_config(told, {}))
-        silent.apply_config(parse_config({**told, "peers": peers}, {}))
+        silent = Service(loop, parse_config(document, {}))
+        silent.apply_config(parse_config({**document, "peers": peers}, {}))
         assert not silent.router.settings.gossip_allowed
 
     asyncio.run(run())
--- a/tests/decisions/test_load_probes.py
+++ b/tests/decisions/test_load_probes.py
@@ -24,7 +24,7 @@
     harness.dispatcher.probe_completed(worker, outcome, MS, load)
 
 
-def test_an_non_idempotent_one_goes_where_the_report_shows_less() -> None:
+def test_a_non_idempotent_request_goes_where_the_report_shows_less() -> None:
     harness = DispatchHarness([endpoint("a"), endpoint("b")], **ASKING)
     harness.send_request(1, request_class=2)
     assert sorted(harness.probes) == ["a", "b"] and harness.worker_of(1) is None
--- a/tests/decisions/test_mechanism.py
+++ b/tests/decisions/test_mechanism.py
@@ -202,7 +202,7 @@
     assert sum(w.ejected for w in harness.dispatcher.workers.values()) == len(harness.attempts[1]) > 1
 
 
-def test_an_non_idempotent_one_does_not_try_a_worker_that_has_just_returned() -> None:
+def test_a_non_idempotent_request_does_not_try_a_worker_that_has_just_returned() -> None:
     harness = DispatchHarness([endpoint("a", kind=1)])
     harness.dispatcher.parts.ejection._readmit(harness.dispatcher.workers["a"], harness.clock)
     harness.send_request(1, request_class=2)
