--- a/ploverspoke/cli.py
+++ b/ploverspoke/cli.py
@@ -23,7 +23,7 @@
 
 LAZY_COMMANDS = {
     "testbed": LazyCommand(
-        "ploverspoke.testbed.commands",
+        "ploverspoke.testbed.commands.experiments",
         "testbed",
         "Experiments with the dispatcher on virtual time or sockets.",
     ),
@@ -37,7 +37,9 @@
         "ploverspoke.leases.commands", "lease", "Leases for tasks that belong to the whole fleet."
     ),
     "demo": LazyCommand(
-        "ploverspoke.testbed.demo", "demo", "See it work: workers, dispatchers and load on free ports."
+        "ploverspoke.testbed.commands.demo",
+        "demo",
+        "See it work: workers, dispatchers and load on free ports.",
     ),
 }
 
--- a/ploverspoke/testbed/__init__.py
+++ b/ploverspoke/testbed/__init__.py
@@ -1,3 +1,1 @@
-"""A world to prove the dispatcher in: a fleet model on virtual time and on sockets. Not part of the
-product.
-"""
+"""Provides a fleet model, on virtual time and on sockets, to test the dispatcher in; no product code."""
--- a/ploverspoke/testbed/capacity/__init__.py
+++ b/ploverspoke/testbed/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""What each role costs, measured as slopes, and what a fleet of a given size costs by them."""
+"""The capacity model: costs per unit of load, and what a fleet of a given size costs by them."""
--- a/ploverspoke/testbed/capacity/budgets.py
+++ b/ploverspoke/testbed/capacity/budgets.py
@@ -3,10 +3,10 @@
 import msgspec
 
 from .estimate import Figure, estimate, stops_at, total
-from .loads import ORDINARY, PEAK, STATED, WORKED_OUT, Amount, loads, telling
-from .size import Budget, Fleet
-from .slopes import Slopes
+from .fleet_size import Budget, FleetSize
+from .measured_costs import MeasuredCosts
 from .verdicts import HOLDS, NEAR, NOT_MEASURED, OVER
+from .workload import ORDINARY, PEAK, STATED, WORKED_OUT, Amount, telling, workload
 
 MB = 1_000_000
 DISPATCHER, WATCHING = "dispatcher", "dispatcher watching configuration"
@@ -37,14 +37,14 @@
 
 
 def figure_of(
-    slopes: Slopes, role: str, kind: str, sizes: dict[str, Amount], progress: bool = True
+    slopes: MeasuredCosts, role: str, kind: str, sizes: dict[str, Amount], progress: bool = True
 ) -> Figure:
     """Both ways together, of what goes two ways."""
     return total([estimate(slopes, role, name, sizes, progress) for name in FIGURES[kind]])
 
 
-def counted_sizes(fleet: Fleet, dispatchers: int, situation: str, counted: str) -> dict[str, Amount]:
-    sizes = dict(loads(fleet, dispatchers, situation)[DISPATCHER])
+def counted_sizes(fleet: FleetSize, dispatchers: int, situation: str, counted: str) -> dict[str, Amount]:
+    sizes = dict(workload(fleet, dispatchers, situation)[DISPATCHER])
     if counted in (CONTROL, TELLINGS, WATCHED):
         sizes["tasks_running"] = sizes["starts_a_second"] = Amount(0, WORKED_OUT)
     if counted == TELLINGS:
@@ -52,7 +52,7 @@
     return sizes
 
 
-def watching(slopes: Slopes, kind: str, changes: Amount) -> Figure:
+def watching(slopes: MeasuredCosts, kind: str, changes: Amount) -> Figure:
     """What a watch adds to a dispatcher: one that has it, less the same one that has none."""
     whole = figure_of(slopes, WATCHING, kind, {"changes_a_minute": changes})
     listed = {line.still.get("workers_listed", 0.0) for line in slopes.lines if line.role == WATCHING}
@@ -65,7 +65,9 @@
     return msgspec.structs.replace(total([whole, idle]), **more)
 
 
-def figures_of(fleet: Fleet, slopes: Slopes, dispatchers: int, situation: str, counted: str) -> list[Figure]:
+def figures_of(
+    fleet: FleetSize, slopes: MeasuredCosts, dispatchers: int, situation: str, counted: str
+) -> list[Figure]:
     """Share of a core, memory, bytes."""
     sizes = counted_sizes(fleet, dispatchers, situation, counted)
     kinds = ("core", "memory", "bytes")
@@ -95,7 +97,7 @@
     return HOLDS if all(one.value is not None and not one.without for one in figures) else NOT_MEASURED
 
 
-def budget_rows(fleet: Fleet, slopes: Slopes) -> list[BudgetRow]:
+def budget_rows(fleet: FleetSize, slopes: MeasuredCosts) -> list[BudgetRow]:
     found = []
     for counted in COUNTED:
         for dispatchers in fleet.size.dispatchers:
@@ -115,14 +117,16 @@
     return found
 
 
-def core_with(fleet: Fleet, slopes: Slopes, tasks: int, counted: str) -> float | None:
+def core_with(fleet: FleetSize, slopes: MeasuredCosts, tasks: int, counted: str) -> float | None:
     """The share of a core of one dispatcher with so many tasks running, at the peak of the largest fleet."""
     sizes = counted_sizes(fleet, max(fleet.size.dispatchers), PEAK, counted)
     sizes["tasks_running"] = Amount(tasks, STATED)
     return figure_of(slopes, DISPATCHER, "core", sizes, counted == PROGRESS).value
 
 
-def stop_of(fleet: Fleet, slopes: Slopes, figure: str, size: str, limit: float, counted: str) -> float | None:
+def stop_of(
+    fleet: FleetSize, slopes: MeasuredCosts, figure: str, size: str, limit: float, counted: str
+) -> float | None:
     """The size at which one dispatcher reaches the limit, at the peak of the largest fleet."""
     sizes = counted_sizes(fleet, max(fleet.size.dispatchers), PEAK, counted)
     return stops_at(slopes, DISPATCHER, figure, sizes, size, limit, counted == PROGRESS)
--- a/ploverspoke/testbed/capacity/estimate.py
+++ b/ploverspoke/testbed/capacity/estimate.py
@@ -12,8 +12,8 @@
 
 import msgspec
 
-from .loads import ASSUMED, ASSUMPTIONS, Amount
-from .slopes import Line, Slopes
+from .measured_costs import CostPerUnit, MeasuredCosts
+from .workload import ASSUMED, ASSUMPTIONS, Amount
 
 PROGRESS = "progress"  # in `still` of a line: whether the tasks told their progress
 VOTERS = ("keepers", "servers", "replicas")  # and how many of them there were
@@ -39,7 +39,7 @@
     contradicted: str
 
 
-def used(line: Line) -> Slope:
+def used(line: CostPerUnit) -> Slope:
     """The fit; where its points contradict it, the larger of the fit and the worst measured ratio.
 
     A fit that falls, of a figure that does not, is noise: then the highest point counts at every size.
@@ -56,13 +56,13 @@
     return Slope(base, worst, told)
 
 
-def lines_of(slopes: Slopes, role: str, figure: str, progress: bool) -> list[Line]:
+def lines_of(slopes: MeasuredCosts, role: str, figure: str, progress: bool) -> list[CostPerUnit]:
     """One line for each size. Of several the one with progress reports as asked for; then the one beside
     which most of all else stood: five keepers in place of three, 170 teams in place of one.
     """
-    found: dict[str, Line] = {}
+    found: dict[str, CostPerUnit] = {}
 
-    def fits(line: Line) -> tuple[bool, float]:
+    def fits(line: CostPerUnit) -> tuple[bool, float]:
         return line.still.get(PROGRESS, float(progress)) == progress, sum(line.still.values())
 
     for line in slopes.of(role, figure):
@@ -71,14 +71,16 @@
     return list(found.values())
 
 
-def along(line: Line, amount: Amount) -> Figure:
+def along(line: CostPerUnit, amount: Amount) -> Figure:
     """One line by itself, all else as it stood when it was measured."""
-    alone = Slopes(format=0, at="", text="", machine="", lines=[msgspec.structs.replace(line, still={})])
+    alone = MeasuredCosts(
+        format=0, at="", text="", machine="", lines=[msgspec.structs.replace(line, still={})]
+    )
     return estimate(alone, line.role, line.figure, {line.size: amount})
 
 
 def estimate(
-    slopes: Slopes, role: str, figure: str, sizes: Mapping[str, Amount], progress: bool = True
+    slopes: MeasuredCosts, role: str, figure: str, sizes: Mapping[str, Amount], progress: bool = True
 ) -> Figure:
     """`sizes` are what the role meets; a size of 0 need not have been measured."""
     lines = lines_of(slopes, role, figure, progress)
@@ -125,7 +127,7 @@
 
 
 def stops_at(
-    slopes: Slopes,
+    slopes: MeasuredCosts,
     role: str,
     figure: str,
     sizes: Mapping[str, Amount],
--- a/ploverspoke/testbed/capacity/size.py
+++ b/ploverspoke/testbed/capacity/fleet_size.py
@@ -1,7 +1,7 @@
 """Fleet files (`kind = "fleet"`): the size of a fleet, its budget and its failures, read and checked.
 
-`read_fleet` raises BadFleet with one line that names the key: unknown keys, wrong units, zero and negative
-sizes. The table `[play]` of the same file says what the scale tests play; it is read by whoever plays it.
+`read_fleet` raises FleetFileError with one line that names the key: unknown keys, wrong units, zero and
+negative sizes. The table `[play]` of the same file says what the scale tests run; `scenarios/` reads it.
 """
 
 import tomllib
@@ -10,10 +10,10 @@
 
 import msgspec
 
-from ..spans import Span, read_span
+from ..experiment_files.durations import Duration, parse_duration
 
 
-class BadFleet(ValueError):
+class FleetFileError(ValueError):
     """The file describes no fleet; the text says where and why."""
 
 
@@ -31,11 +31,11 @@
     tasks_running: int
     largest_gang: int
     teams: int
-    urgent_starts_within: Span
+    urgent_starts_within: Duration
     regions: int
     zones: int
     configuration_changes_a_day: int
-    configuration_in_force_within: Span
+    configuration_in_force_within: Duration
 
 
 class Budget(Part, frozen=True, kw_only=True):
@@ -54,10 +54,10 @@
     restarts_a_day: float
     rack_every_days: float
     zone_every_days: float
-    regions_apart: Span
+    regions_apart: Duration
 
 
-class Fleet(Part, frozen=True, kw_only=True):
+class FleetSize(Part, frozen=True, kw_only=True):
     kind: str
     name: str
     about: str = ""
@@ -67,43 +67,43 @@
     play: dict[str, Any] = {}
 
 
-def read_fleet(path: Path) -> Fleet:
-    """Raises BadFleet."""
+def read_fleet(path: Path) -> FleetSize:
+    """Raises FleetFileError."""
     try:
         told = tomllib.loads(path.read_text(encoding="utf-8"))
     except OSError as error:
-        raise BadFleet(f"{path}: {error.strerror}") from None
+        raise FleetFileError(f"{path}: {error.strerror}") from None
     except (UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
-        raise BadFleet(f"{path}: no TOML: {error}") from None
+        raise FleetFileError(f"{path}: no TOML: {error}") from None
     try:
         return fleet_of(told)
-    except BadFleet as error:
-        raise BadFleet(f"{path}: {error}") from None
+    except FleetFileError as error:
+        raise FleetFileError(f"{path}: {error}") from None
 
 
-def fleet_of(told: dict[str, Any]) -> Fleet:
-    """Raises BadFleet, naming the key."""
+def fleet_of(told: dict[str, Any]) -> FleetSize:
+    """Raises FleetFileError, naming the key."""
     try:
-        fleet = msgspec.convert(told, Fleet, dec_hook=_span_hook)
+        fleet = msgspec.convert(told, FleetSize, dec_hook=_span_hook)
     except msgspec.ValidationError as error:
-        raise BadFleet(str(error).replace("`$.", "`")) from None
+        raise FleetFileError(str(error).replace("`$.", "`")) from None
     if fleet.kind != "fleet":
-        raise BadFleet(f'kind: expected "fleet", got {fleet.kind!r}')
+        raise FleetFileError(f'kind: expected "fleet", got {fleet.kind!r}')
     for table in ("size", "budget", "failures"):
         part = getattr(fleet, table)
         for key in part.__struct_fields__:
             value = getattr(part, key)
             values = value if isinstance(value, list) else [value]
             if not values or any(one <= 0 for one in values):
-                raise BadFleet(f"{table}.{key}: expected more than 0, got {value!r}")
+                raise FleetFileError(f"{table}.{key}: expected more than 0, got {value!r}")
     if fleet.size.regions > fleet.size.zones:
-        raise BadFleet("size.regions: expected no more of them than zones")
+        raise FleetFileError("size.regions: expected no more of them than zones")
     if fleet.size.largest_gang > fleet.size.tasks_running:
-        raise BadFleet("size.largest_gang: expected no more than tasks_running")
+        raise FleetFileError("size.largest_gang: expected no more than tasks_running")
     return fleet
 
 
 def _span_hook(kind: type, value: Any) -> Any:
-    if kind is Span:
-        return read_span(value)
+    if kind is Duration:
+        return parse_duration(value)
     raise NotImplementedError(kind)
--- a/ploverspoke/testbed/capacity/fits.py
+++ b/ploverspoke/testbed/capacity/linear_fit.py
@@ -5,12 +5,12 @@
 
 import numpy as np
 
-from .slopes import MOST_RESIDUAL
+from .measured_costs import MOST_RESIDUAL
 
 FEWEST_POINTS = 3  # through two a line always goes
 
 
-class TooFewPoints(ValueError):
+class TooFewPointsError(ValueError):
     """No fit: fewer than three sizes were measured."""
 
 
@@ -23,13 +23,13 @@
 
 def fit(points: Sequence[tuple[float, float]], resolution: float = 0.0) -> Fit:
     """The line of least squares through (size, value), each point weighed by one over its value, since it is
-    parts of the value that are judged. Raises TooFewPoints.
+    parts of the value that are judged. Raises TooFewPointsError.
 
     A distance below `resolution` (in the value's unit) is none: nothing finer can be read. A point of value 0
     is set against the largest value.
     """
     if len({size for size, _ in points}) < FEWEST_POINTS:
-        raise TooFewPoints(f"{len(points)} points, {FEWEST_POINTS} different sizes are wanted")
+        raise TooFewPointsError(f"{len(points)} points, {FEWEST_POINTS} different sizes are wanted")
     sizes, values = (np.array(column, dtype=float) for column in zip(*points, strict=True))
     most = float(np.abs(values).max())
     if most == 0.0:
--- a/ploverspoke/testbed/capacity/machines.py
+++ b/ploverspoke/testbed/capacity/machines.py
@@ -4,8 +4,8 @@
 from itertools import combinations
 from typing import NamedTuple
 
-from .loads import larger_region
-from .size import Fleet
+from .fleet_size import FleetSize
+from .workload import larger_region
 
 KEEPER, REPLICA, SERVER = "keeper", "store replica", "config server"
 PUBLISHER, SUMMARY = "configuration publisher", "fleet summary"
@@ -27,7 +27,7 @@
     note: str
 
 
-def zones_of(fleet: Fleet) -> list[tuple[str, str]]:
+def zones_of(fleet: FleetSize) -> list[tuple[str, str]]:
     """Region and zone; the first region has as many as the larger one."""
     larger = larger_region(fleet)
     return [
@@ -36,7 +36,7 @@
     ]
 
 
-def layout(fleet: Fleet) -> list[Machine]:
+def layout(fleet: FleetSize) -> list[Machine]:
     """Voters in zones of their own, a majority of them in the larger region; the rest bear single tasks."""
     zones = zones_of(fleet)
     first = [zone for zone in zones if zone[0] == "r1"]
--- a/ploverspoke/testbed/capacity/slopes.py
+++ b/ploverspoke/testbed/capacity/measured_costs.py
@@ -13,11 +13,11 @@
 MOST_RESIDUAL = 0.15  # of the value at a point; over that the fit is contradicted
 
 
-class BadSlopes(ValueError):
+class CostFileError(ValueError):
     """The file holds no slopes of this format; the text says why."""
 
 
-class Line(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
+class CostPerUnit(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
     """One figure of one role against one size."""
 
     role: str  # "dispatcher", "keeper", "store replica", "discovery", "worker", ...
@@ -35,29 +35,29 @@
     note: str = ""  # what is to be known of it: other load, failed tries
 
 
-class Slopes(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
+class MeasuredCosts(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
     format: int
     at: str  # the day, as 2026-12-02
     text: str  # the commit that was measured
     machine: str  # cores and memory, no names
-    lines: list[Line]
+    lines: list[CostPerUnit]
 
-    def of(self, role: str, figure: str) -> list[Line]:
+    def of(self, role: str, figure: str) -> list[CostPerUnit]:
         return [line for line in self.lines if (line.role, line.figure) == (role, figure)]
 
 
-def read_slopes(path: Path) -> Slopes:
-    """Raises BadSlopes."""
+def read_measured_costs(path: Path) -> MeasuredCosts:
+    """Raises CostFileError."""
     try:
-        found: Slopes = msgspec.json.decode(path.read_bytes(), type=Slopes)
+        found: MeasuredCosts = msgspec.json.decode(path.read_bytes(), type=MeasuredCosts)
     except OSError as error:
-        raise BadSlopes(f"{path}: {error.strerror}") from None
+        raise CostFileError(f"{path}: {error.strerror}") from None
     except msgspec.DecodeError as error:
-        raise BadSlopes(f"{path}: no slopes: {error}") from None
+        raise CostFileError(f"{path}: no slopes: {error}") from None
     if found.format != FORMAT:
-        raise BadSlopes(f"{path}: format {found.format}, this version reads {FORMAT}")
+        raise CostFileError(f"{path}: format {found.format}, this version reads {FORMAT}")
     return found
 
 
-def write_slopes(slopes: Slopes, path: Path) -> None:
+def write_measured_costs(slopes: MeasuredCosts, path: Path) -> None:
     path.write_bytes(msgspec.json.format(msgspec.json.encode(slopes)) + b"\n")
--- /dev/null
+++ b/ploverspoke/testbed/capacity/measurements/__init__.py
@@ -0,0 +1,1 @@
+"""Measurements of what each role costs per unit of load."""
--- a/ploverspoke/testbed/capacity/config_server.py
+++ b/ploverspoke/testbed/capacity/measurements/config_server.py
@@ -28,19 +28,19 @@
 from ploverspoke.consensus.framing import FrameError
 from ploverspoke.consensus.replica_client import call_replica
 
-from .. import experiment as ex
-from ..processes.relay import OUTSIDE
-from ..processes.rig import Place, Rig, listens
-from ..processes.room import in_memory
-from ..processes.running import NotStarted
-from ..settings import settings_of
-from ..spans import SECOND
-from .dispatcher import SEED, WORKERS, stretch, told
-from .parts import Asked, Found, Part, lines_of
-from .process import Used, used
+from ...experiment_files import experiment as ex
+from ...experiment_files.durations import SECOND
+from ...models.deployment_settings import dispatcher_settings
+from ...processes.capacity_check import memory_backed_folder
+from ...processes.resource_usage import ResourceUsage, read_resource_usage
+from ...processes.rig import ProcessAddress, Rig, listens_at
+from ...processes.running_process import ProcessStartError
+from ...processes.tcp_proxy import OUTSIDE
+from .dispatcher import SEED, WORKERS, report_listener, settled_interval
+from .measurement_fleet import Act, MeasurementFleet, growth, run_fleet
+from .parts import Measurement, MeasurementRequest, MeasurementResult, cost_lines
 from .tools import HOW as RUN_HOW
 from .tools import run_command
-from .world import Act, World, growth, played
 
 SERVERS = 3
 SECRET = "a secret of the testbed's own"
@@ -65,7 +65,7 @@
 
 def body_of(size: int, number: int) -> str:
     """Grades of which one is worth more with each number, and teams until it has about so many bytes."""
-    settings = settings_of(ex.experiment_of(told(stretch(True))), 0)
+    settings = dispatcher_settings(ex.parse_experiment(report_listener(settled_interval(True))), 0)
     grades = settings["ServiceGrades"]
     grades[0]["Benefit"] = 1.0 + (number + 1) / 1000
     teams: list[dict[str, Any]] = []
@@ -81,7 +81,7 @@
 
     def __init__(self, rig: Rig) -> None:
         self.rig = rig
-        self.places: list[Place] = []
+        self.places: list[ProcessAddress] = []
         self.number = 0
 
     async def start(self) -> None:
@@ -96,12 +96,12 @@
             orders = {"cluster": CLUSTER, "secret_file": "secret", "replicas": replicas}
             own.write_bytes(msgspec.json.encode({**orders, "name": place.name, "folder": place.name}))
             server = rig.add(place, "ploverspoke", ["config", "serve", str(own)])
-            server.ready = listens(place.own, place.ports["clients"])
+            server.ready = listens_at(place.own, place.ports["clients"])
         await rig.open()
         await rig.start(None, ["--new"])
 
-    async def leader(self) -> Place:
-        """Raises NotStarted where none leads in time."""
+    async def leader(self) -> ProcessAddress:
+        """Raises ProcessStartError where none leads in time."""
         until = time.monotonic() + LEADS_WITHIN
         while time.monotonic() < until:
             for place in self.places:
@@ -112,25 +112,25 @@
                     if said.leads:
                         return place
             await asyncio.sleep(0.1)
-        raise NotStarted("no config server leads")
+        raise ProcessStartError("no config server leads")
 
     async def publish(self, size: int) -> None:
-        """The next version, of a body of so many bytes, as the command does it. Raises NotStarted."""
+        """The next version, of a body of so many bytes, as the command does it. Raises ProcessStartError."""
         servers = ConfigServers({p.name: p.at("peers") for p in self.places}, SECRET.encode())
         body = body_of(size, self.number)
         self.number += 1
         try:
             said = await asyncio.to_thread(publish_body, servers, body, None, "slopes", 5.0)
         except NoServerAvailableError as error:
-            raise NotStarted(f"a version could not be published: {error}") from None
+            raise ProcessStartError(f"a version could not be published: {error}") from None
         if not said.accepted:
-            raise NotStarted(f"a version was not taken: {said.reason}")
+            raise ProcessStartError(f"a version was not taken: {said.reason}")
 
     async def octets(self) -> tuple[float, Octets]:
         await self.rig.ask_relays({"by_link": True})
         return time.monotonic(), self.rig.counts["octets"]
 
-    def watch_file(self, place: Place) -> Path:
+    def watch_file(self, place: ProcessAddress) -> Path:
         path = self.rig.folder / "watch.json"
         orders = {"cluster": CLUSTER, "servers": [place.through("clients")], "secret_file": "secret"}
         path.write_bytes(msgspec.json.encode({**orders, "cache": "cache.json"}))
@@ -141,22 +141,24 @@
 
 
 async def _server(
-    watchers: int, changes: int, body: int, asked: Asked
+    watchers: int, changes: int, body: int, asked: MeasurementRequest
 ) -> tuple[float, dict[str, float], str]:
-    with tempfile.TemporaryDirectory(prefix="ploverspoke-slopes-", dir=in_memory()) as name:
+    with tempfile.TemporaryDirectory(prefix="ploverspoke-slopes-", dir=memory_backed_folder()) as name:
         try:
             async with Rig(Path(name), SEED) as rig:
                 found = await _measure(rig, watchers, changes, body, asked)
                 void = rig.void()
-        except (NotStarted, OSError, FrameError) as error:
+        except (ProcessStartError, OSError, FrameError) as error:
             found, void = {}, str(error) or "not ready in time"
     shown = void or f"core {found['core_share']:.2%}"
     asked.say(f"config server, {watchers} watchers, {changes} changes a minute of {body} bytes: {shown}")
     return float(watchers), found, void
 
 
-async def _measure(rig: Rig, watchers: int, changes: int, body: int, asked: Asked) -> dict[str, float]:
-    over, servers = stretch(asked.quick), Servers(rig)
+async def _measure(
+    rig: Rig, watchers: int, changes: int, body: int, asked: MeasurementRequest
+) -> dict[str, float]:
+    over, servers = settled_interval(asked.quick), Servers(rig)
     await servers.start()
     place = await servers.leader()
     await servers.publish(body)
@@ -176,15 +178,15 @@
             client.start()
         await asyncio.sleep(over.settled)
         if len(taken) != watchers:
-            raise NotStarted(f"{len(taken)} of {watchers} watchers have the first version")
-        looks: dict[str, list[tuple[int, Used]]] = {p.name: [] for p in servers.places}
+            raise ProcessStartError(f"{len(taken)} of {watchers} watchers have the first version")
+        looks: dict[str, list[tuple[int, ResourceUsage]]] = {p.name: [] for p in servers.places}
         before = await servers.octets()
         began, published, each = time.monotonic(), 0, 60 / changes if changes else 0.0
         while time.monotonic() < began + over.lasts:
             for name, seen in looks.items():
                 process = rig.running[name].process
                 if process is not None:
-                    seen.append((time.monotonic_ns(), used(process.pid)))
+                    seen.append((time.monotonic_ns(), read_resource_usage(process.pid)))
             if each and time.monotonic() >= began + 0.3 + published * each:
                 await servers.publish(body)
                 published += 1
@@ -193,7 +195,7 @@
         await asyncio.sleep(1.0)
         wanted = watchers * (1 + published)
         if len(taken) != wanted or (await servers.leader()).name != place.name:
-            raise NotStarted(f"{len(taken)} versions came to watchers where {wanted} were sent")
+            raise ProcessStartError(f"{len(taken)} versions came to watchers where {wanted} were sent")
     finally:
         for client in clients:
             client.close()
@@ -201,7 +203,7 @@
 
 
 def _figures(
-    leader: str, looks: dict[str, list[tuple[int, Used]]], before: tuple[float, Octets],
+    leader: str, looks: dict[str, list[tuple[int, ResourceUsage]]], before: tuple[float, Octets],
     after: tuple[float, Octets],
 ) -> dict[str, float]:  # fmt: skip
     took = after[0] - before[0]
@@ -236,7 +238,7 @@
 
 
 async def _all(
-    worlds: Sequence[Awaitable[tuple[float, dict[str, float], str]]], asked: Asked
+    worlds: Sequence[Awaitable[tuple[float, dict[str, float], str]]], asked: MeasurementRequest
 ) -> list[tuple[float, dict[str, float], str]]:
     if asked.together:
         return list(await asyncio.gather(*worlds))
@@ -246,42 +248,44 @@
 def _found(
     role: str, size: str, seen: Sequence[tuple[float, dict[str, float], str]], how: str,
     still: dict[str, float], more: str = "",
-) -> Found:  # fmt: skip
+) -> MeasurementResult:  # fmt: skip
     void = [f"{role}, {size} {at:g}: {why}" for at, _, why in seen if why]
     note = "; ".join([*(f"void: {text}" for text in void), *([more] if more else [])])
     points = [(at, figures) for at, figures, why in seen if not why]
-    return Found(lines_of(role, size, points, how, still, note), void)
+    return MeasurementResult(cost_lines(role, size, points, how, still, note), void)
 
 
-async def watchers(asked: Asked) -> Found:
+async def watchers(asked: MeasurementRequest) -> MeasurementResult:
     seen = await _all([_server(count, 0, BODIES[0], asked) for count in WATCHERS], asked)
     still = {"changes_a_minute": 0.0, "servers": float(SERVERS)}
     return _found("config server", "watchers", seen, HOW, still)
 
 
-async def changes_at_server(asked: Asked) -> Found:
-    found, count = Found([], []), WATCHERS[1]
+async def changes_at_server(asked: MeasurementRequest) -> MeasurementResult:
+    found, count = MeasurementResult([], []), WATCHERS[1]
     for body in BODIES:
         seen = await _all([_server(count, changes, body, asked) for changes in CHANGES], asked)
         sized = [(float(c), figures, why) for c, (_, figures, why) in zip(CHANGES, seen, strict=True)]
         still = {"watchers": float(count), "body_bytes": float(body), "servers": float(SERVERS)}
         one = _found("config server", "changes_a_minute", sized, HOW, still)
-        found = Found([*found.lines, *one.lines], [*found.void, *one.void])
+        found = MeasurementResult([*found.lines, *one.lines], [*found.void, *one.void])
     return found
 
 
 # ---- A dispatcher that watches ----
 
 
-async def _dispatcher(changes: int, body: int, asked: Asked) -> tuple[float, dict[str, float], str]:
+async def _dispatcher(
+    changes: int, body: int, asked: MeasurementRequest
+) -> tuple[float, dict[str, float], str]:
     """`changes` below 0: without a watch."""
-    over = stretch(asked.quick)
-    e = ex.experiment_of(told(over))
+    over = settled_interval(asked.quick)
+    e = ex.parse_experiment(report_listener(over))
     if changes < 0:
-        _, reading = await played(e, SEED, over.settled * SECOND)
+        _, reading = await run_fleet(e, SEED, over.settled * SECOND)
         return 0.0, reading.figures, reading.void
     octets: list[tuple[float, Octets]] = []
-    with tempfile.TemporaryDirectory(prefix="ploverspoke-slopes-", dir=in_memory()) as name:
+    with tempfile.TemporaryDirectory(prefix="ploverspoke-slopes-", dir=memory_backed_folder()) as name:
         try:
             async with Rig(Path(name), SEED) as rig:
                 servers = Servers(rig)
@@ -295,9 +299,9 @@
                     acts.append((int(at), partial(_publish, servers, body)))
                 acts.append((over.end * SECOND, partial(_octets, servers, octets)))
                 watch = servers.watch_file(place)
-                _, reading = await played(e, SEED, over.settled * SECOND, acts, watch=watch)
+                _, reading = await run_fleet(e, SEED, over.settled * SECOND, acts, watch=watch)
                 void = reading.void or rig.void()
-        except (NotStarted, OSError, FrameError) as error:
+        except (ProcessStartError, OSError, FrameError) as error:
             return float(changes), {}, str(error) or "not ready in time"
     if not void and len(octets) < 2:
         void = "too little was seen at the config servers"
@@ -314,17 +318,17 @@
     return float(changes), figures, void
 
 
-async def _publish(servers: Servers, body: int, world: World) -> None:
+async def _publish(servers: Servers, body: int, world: MeasurementFleet) -> None:
     await servers.publish(body)
     world.reloads += 1
 
 
-async def _octets(servers: Servers, octets: list[tuple[float, Octets]], world: World) -> None:
+async def _octets(servers: Servers, octets: list[tuple[float, Octets]], world: MeasurementFleet) -> None:
     octets.append(await servers.octets())
 
 
-async def changes_at_dispatcher(asked: Asked) -> Found:
-    found = Found([], [])
+async def changes_at_dispatcher(asked: MeasurementRequest) -> MeasurementResult:
+    found = MeasurementResult([], [])
     for body in BODIES:
         worlds = [_dispatcher(changes, body, asked) for changes in (-1, *CHANGES)]
         without, *seen = await _all(worlds, asked)
@@ -338,19 +342,19 @@
         still = {"body_bytes": float(body), "workers_listed": float(WORKERS)}
         role = "dispatcher watching configuration"
         one = _found(role, "changes_a_minute", seen, WATCHING_HOW, still, more)
-        found = Found([*found.lines, *one.lines], [*found.void, *one.void])
+        found = MeasurementResult([*found.lines, *one.lines], [*found.void, *one.void])
     return found
 
 
 # ---- The command that publishes ----
 
 
-async def publisher(asked: Asked) -> Found:
+async def publisher(asked: MeasurementRequest) -> MeasurementResult:
     """One run of `config publish`, from its start to the committed version."""
     seen = []
     for body in PUBLISHED:
         figures: dict[str, float] = {}
-        with tempfile.TemporaryDirectory(prefix="ploverspoke-slopes-", dir=in_memory()) as name:
+        with tempfile.TemporaryDirectory(prefix="ploverspoke-slopes-", dir=memory_backed_folder()) as name:
             try:
                 async with Rig(Path(name), SEED) as rig:
                     servers = Servers(rig)
@@ -360,7 +364,7 @@
                     path.write_text(body_of(body, 0))
                     words = ["config", "publish", str(rig.folder / f"{place.name}.json"), str(path)]
                     figures, void = await asyncio.to_thread(run_command, words), ""
-            except (NotStarted, OSError, FrameError) as error:
+            except (ProcessStartError, OSError, FrameError) as error:
                 void = str(error) or "not ready in time"
         asked.say(f"configuration publisher, {body} bytes: {void or figures['processor_seconds']}")
         seen.append((float(body), figures, void))
@@ -368,8 +372,8 @@
 
 
 PARTS = [
-    Part(("config server",), "watchers", watchers),
-    Part(("config server",), "changes_a_minute", changes_at_server),
-    Part(("dispatcher watching configuration",), "changes_a_minute", changes_at_dispatcher),
-    Part(("configuration publisher",), "body_bytes", publisher),
+    Measurement(("config server",), "watchers", watchers),
+    Measurement(("config server",), "changes_a_minute", changes_at_server),
+    Measurement(("dispatcher watching configuration",), "changes_a_minute", changes_at_dispatcher),
+    Measurement(("configuration publisher",), "body_bytes", publisher),
 ]
--- a/ploverspoke/testbed/capacity/dispatcher.py
+++ b/ploverspoke/testbed/capacity/measurements/dispatcher.py
@@ -9,11 +9,11 @@
 from functools import partial
 from typing import Any, NamedTuple
 
-from .. import experiment as ex
-from ..settings import settings_of
-from ..spans import SECOND
-from .parts import Asked, Found, Part, lines_of
-from .world import Act, Reading, World, played, rewrite
+from ...experiment_files import experiment as ex
+from ...experiment_files.durations import SECOND
+from ...models.deployment_settings import dispatcher_settings
+from .measurement_fleet import Act, MeasurementFleet, Reading, rewrite, run_fleet
+from .parts import Measurement, MeasurementRequest, MeasurementResult, cost_lines
 
 HOW = (
     "processor time of the scheduler's own count (schedstat), memory of /proc/PID/status, "
@@ -47,11 +47,11 @@
         return self.settled + self.lasts
 
 
-def stretch(quick: bool) -> Stretch:
+def settled_interval(quick: bool) -> Stretch:
     return Stretch(QUICK_SETTLED, QUICK_STRETCH) if quick else Stretch(SETTLED, STRETCH)
 
 
-def told(
+def report_listener(
     over: Stretch, workers: int = WORKERS, work: str = SHORT, rate: float = 0.0, **more: Any
 ) -> dict[str, Any]:
     """An experiment of one kind of task that nothing hurries."""
@@ -77,16 +77,16 @@
     role: str,
     size: str,
     worlds: Sequence[Planned],
-    asked: Asked,
+    asked: MeasurementRequest,
     still: dict[str, float],
     how: str = HOW,
-) -> Found:
+) -> MeasurementResult:
     """All these worlds, side by side or in turn, and the lines through them."""
-    over = stretch(asked.quick)
+    over = settled_interval(asked.quick)
 
     async def one(planned: Planned) -> tuple[float, Reading]:
-        e = ex.experiment_of(planned.told)
-        _, reading = await played(e, SEED, over.settled * SECOND, planned.acts(e))
+        e = ex.parse_experiment(planned.told)
+        _, reading = await run_fleet(e, SEED, over.settled * SECOND, planned.acts(e))
         at = reading.sizes.get(size, planned.size)
         shown = "void: " + reading.void if reading.void else f"core {reading.figures['core_share']:.3%}"
         asked.say(f"{role}, {size} {at:g}: {shown}")
@@ -99,27 +99,27 @@
     void = [f"{role}, {size} {at:g}: {reading.void}" for at, reading in found if reading.void]
     points = [(at, reading.figures) for at, reading in found if not reading.void]
     note = "; ".join(f"void: {text}" for text in void)
-    return Found(lines_of(role, size, points, how, still, note), void)
+    return MeasurementResult(cost_lines(role, size, points, how, still, note), void)
 
 
 # ---- The parts ----
 
 
-async def workers_listed(asked: Asked) -> Found:
-    over = stretch(asked.quick)
-    worlds = [Planned(count, told(over, count)) for count in (100, 300, 980)]
+async def workers_listed(asked: MeasurementRequest) -> MeasurementResult:
+    over = settled_interval(asked.quick)
+    worlds = [Planned(count, report_listener(over, count)) for count in (100, 300, 980)]
     return await series("dispatcher", "workers_listed", worlds, asked, {})
 
 
-async def tasks_running(asked: Asked) -> Found:
-    over = stretch(asked.quick)
-    found = Found([], [])
+async def tasks_running(asked: MeasurementRequest) -> MeasurementResult:
+    over = settled_interval(asked.quick)
+    found = MeasurementResult([], [])
     for progress in (1, 0):
         rules = {"progress_every": "1s" if progress else LONG}
         worlds = [
             Planned(
                 count,
-                told(
+                report_listener(
                     over,
                     work="900s",
                     worker_rules=rules,
@@ -130,20 +130,20 @@
         ]
         still = {"progress": float(progress), "workers_listed": float(WORKERS)}
         one = await series("dispatcher", "tasks_running", worlds, asked, still)
-        found = Found([*found.lines, *one.lines], [*found.void, *one.void])
+        found = MeasurementResult([*found.lines, *one.lines], [*found.void, *one.void])
     return found
 
 
-async def starts_a_second(asked: Asked) -> Found:
-    over = stretch(asked.quick)
-    worlds = [Planned(rate, told(over, rate=rate)) for rate in (1.0, 3.0, 9.0, 27.0)]
+async def starts_a_second(asked: MeasurementRequest) -> MeasurementResult:
+    over = settled_interval(asked.quick)
+    worlds = [Planned(rate, report_listener(over, rate=rate)) for rate in (1.0, 3.0, 9.0, 27.0)]
     still = {"progress": 0.0, "workers_listed": float(WORKERS)}
     return await series("dispatcher", "starts_a_second", worlds, asked, still)
 
 
-async def list_changes(asked: Asked) -> Found:
+async def list_changes(asked: MeasurementRequest) -> MeasurementResult:
     """Workers drain and come back, each a change when it does: nothing runs there."""
-    over, workers = stretch(asked.quick), 300
+    over, workers = settled_interval(asked.quick), 300
 
     def drains(a_second: float) -> list[dict[str, Any]]:
         each = 2.0 / a_second
@@ -153,25 +153,27 @@
             for n in range(count)
         ]
 
-    worlds = [Planned(rate, told(over, workers, troubles=drains(rate))) for rate in (1.0, 4.0, 16.0)]
+    worlds = [
+        Planned(rate, report_listener(over, workers, troubles=drains(rate))) for rate in (1.0, 4.0, 16.0)
+    ]
     return await series(
         "dispatcher", "list_changes_a_second", worlds, asked, {"workers_listed": float(workers)}
     )
 
 
-async def reloads(asked: Asked) -> Found:
-    over = stretch(asked.quick)
-    found = Found([], [])
+async def reloads(asked: MeasurementRequest) -> MeasurementResult:
+    over = settled_interval(asked.quick)
+    found = MeasurementResult([], [])
     for teams in (1, 170):
         customers = [{"name": f"team-{n}"} for n in range(teams)]
 
         worlds = [
-            Planned(float(rate), told(over, customers=customers), partial(_reloads, over, rate))
+            Planned(float(rate), report_listener(over, customers=customers), partial(_reloads, over, rate))
             for rate in (15, 30, 60, 120)
         ]
         still = {"teams": float(teams), "workers_listed": float(WORKERS)}
         one = await series("dispatcher", "reloads_a_minute", worlds, asked, still)
-        found = Found([*found.lines, *one.lines], [*found.void, *one.void])
+        found = MeasurementResult([*found.lines, *one.lines], [*found.void, *one.void])
     return found
 
 
@@ -185,10 +187,10 @@
 def reload(e: ex.Experiment, number: int) -> Act:
     """A file that differs from the one before, and SIGHUP; refused ones are a fault."""
 
-    def act(world: World) -> None:
+    def act(world: MeasurementFleet) -> None:
         program = world.programs[0]
         config = world.configs[0]
-        settings = settings_of(e, 0)
+        settings = dispatcher_settings(e, 0)
         settings["ServiceGrades"][0]["Benefit"] = 1.0 + 0.01 * (number + 1)
         rewrite(program, {**config, "settings": settings})
         program.signal(signal.SIGHUP)
@@ -197,12 +199,12 @@
     return act
 
 
-async def peers_telling(asked: Asked) -> Found:
-    over = stretch(asked.quick)
+async def peers_telling(asked: MeasurementRequest) -> MeasurementResult:
+    over = settled_interval(asked.quick)
     worlds = [
         Planned(
             float(count - 1),
-            told(over, rate=PEER_STARTS * count, dispatchers={"count": count, "talk": True}),
+            report_listener(over, rate=PEER_STARTS * count, dispatchers={"count": count, "talk": True}),
         )
         for count in (4, 11, 32)
     ]
@@ -213,10 +215,10 @@
 
 
 PARTS = [
-    Part(("dispatcher",), "workers_listed", workers_listed),
-    Part(("dispatcher",), "tasks_running", tasks_running),
-    Part(("dispatcher",), "starts_a_second", starts_a_second),
-    Part(("dispatcher",), "list_changes_a_second", list_changes),
-    Part(("dispatcher",), "reloads_a_minute", reloads),
-    Part(("dispatcher",), "peers_telling", peers_telling),
+    Measurement(("dispatcher",), "workers_listed", workers_listed),
+    Measurement(("dispatcher",), "tasks_running", tasks_running),
+    Measurement(("dispatcher",), "starts_a_second", starts_a_second),
+    Measurement(("dispatcher",), "list_changes_a_second", list_changes),
+    Measurement(("dispatcher",), "reloads_a_minute", reloads),
+    Measurement(("dispatcher",), "peers_telling", peers_telling),
 ]
--- a/ploverspoke/testbed/capacity/fleet.py
+++ b/ploverspoke/testbed/capacity/measurements/fleet.py
@@ -8,12 +8,12 @@
 from collections.abc import Sequence
 from typing import Any
 
-from .. import experiment as ex
-from ..spans import SECOND
+from ...experiment_files import experiment as ex
+from ...experiment_files.durations import SECOND
+from ..measured_costs import CostPerUnit
 from .dispatcher import PEER_STARTS, SEED
-from .parts import Asked, Found, Part, lines_of
-from .slopes import Line
-from .world import TRAFFIC, World, played
+from .measurement_fleet import TRAFFIC, MeasurementFleet, run_fleet
+from .parts import Measurement, MeasurementRequest, MeasurementResult, cost_lines
 
 ZONES, EACH = 7, 140
 WORKERS = ZONES * EACH
@@ -56,17 +56,17 @@
     ]
 
 
-async def _ordinary(count: int, asked: Asked) -> tuple[World, str]:
+async def _ordinary(count: int, asked: MeasurementRequest) -> tuple[MeasurementFleet, str]:
     settled = 4 if asked.quick else SETTLED
     end = settled + ORDINARY
     lasts = settled + (LOST_AT - SETTLED) + LOST_FOR + 4
-    e = ex.experiment_of(_told(count, lasts, troubles=_zone_lost(asked.quick)))
-    world, reading = await played(e, SEED, settled * SECOND, ends=end * SECOND)
+    e = ex.parse_experiment(_told(count, lasts, troubles=_zone_lost(asked.quick)))
+    world, reading = await run_fleet(e, SEED, settled * SECOND, ends=end * SECOND)
     asked.say(f"discovery and workers, {count} dispatchers: {reading.void or 'seen'}")
     return world, reading.void
 
 
-async def _restart(count: int, asked: Asked) -> tuple[World, str]:
+async def _restart(count: int, asked: MeasurementRequest) -> tuple[MeasurementFleet, str]:
     """All are killed at one moment and start again a second later, as fast as this machine does it."""
     trouble = {
         "what": "dispatcher killed",
@@ -75,12 +75,14 @@
         "dispatchers": list(range(count)),
     }
     told = _told(count, RESTARTED_AT + STARTING, troubles=[trouble], traffic=[{"rate": 0.0}])
-    world, reading = await played(ex.experiment_of(told), SEED, 2 * SECOND, ends=(RESTARTED_AT - 1) * SECOND)
+    world, reading = await run_fleet(
+        ex.parse_experiment(told), SEED, 2 * SECOND, ends=(RESTARTED_AT - 1) * SECOND
+    )
     asked.say(f"discovery, {count} dispatchers all restarted: {reading.void or 'seen'}")
     return world, reading.void
 
 
-async def dispatchers(asked: Asked) -> Found:
+async def dispatchers(asked: MeasurementRequest) -> MeasurementResult:
     sizes = SIZES[:3] if asked.quick else SIZES
     void: list[str] = []
     ordinary: list[tuple[float, dict[str, float]]] = []
@@ -102,18 +104,18 @@
         lost.append((count, _worst(world, gone, gone + 4)))
         back.append((count, _worst(world, returned, returned + 4)))
     still = {"workers_listed": float(WORKERS), "starts_a_second": PEER_STARTS}
-    lines: list[Line] = []
+    lines: list[CostPerUnit] = []
     for role, found, more in (
         ("discovery", ordinary, {}),
         ("discovery", lost, {"zone_lost_workers": float(EACH)}),
         ("discovery", back, {"zone_back_workers": float(EACH)}),
         ("worker", at_worker, {}),
     ):
-        lines += lines_of(role, "dispatchers", found, HOW, {**still, **more}, _note(void, role))
-    return Found(lines, void)
+        lines += cost_lines(role, "dispatchers", found, HOW, {**still, **more}, _note(void, role))
+    return MeasurementResult(lines, void)
 
 
-async def dispatchers_restarted(asked: Asked) -> Found:
+async def dispatchers_restarted(asked: MeasurementRequest) -> MeasurementResult:
     """In turn: a restart is all that this machine has."""
     void: list[str] = []
     points: list[tuple[float, dict[str, float]]] = []
@@ -126,7 +128,7 @@
             points.append((count, _worst(world, *span) | _calls(world, *span)))
     still = {"workers_listed": float(WORKERS)}
     note = _note(void, "discovery")
-    return Found(lines_of("discovery", "dispatchers_restarted", points, HOW, still, note), void)
+    return MeasurementResult(cost_lines("discovery", "dispatchers_restarted", points, HOW, still, note), void)
 
 
 def _note(void: Sequence[str], role: str) -> str:
@@ -137,7 +139,7 @@
 TURNED |= {"messages_in": "messages_out", "messages_out": "messages_in"}
 
 
-def _at_discovery(world: World) -> dict[str, float]:
+def _at_discovery(world: MeasurementFleet) -> dict[str, float]:
     """All dispatchers together; in and out from discovery's side."""
     begin, end = world.settled, world.ends
     rates = world.rates("discovery", TRAFFIC, begin, end)
@@ -145,7 +147,7 @@
     return {**found, "connections": world.mean("discovery", "connections", begin, end)}
 
 
-def _at_worker(world: World) -> dict[str, float]:
+def _at_worker(world: MeasurementFleet) -> dict[str, float]:
     """One worker's part, on average; in and out from its side."""
     begin, end = world.settled, world.ends
     rates = world.rates("workers", (*TRAFFIC, "connected", "probes"), begin, end)
@@ -155,20 +157,20 @@
     return {**found, "connections": open_ / WORKERS, "connections_made": made / WORKERS}
 
 
-def _worst(world: World, begin: int, end: int) -> dict[str, float]:
+def _worst(world: MeasurementFleet, begin: int, end: int) -> dict[str, float]:
     return {
         f"{TURNED[key]}_worst_second": world.worst("discovery", key, begin * SECOND, end * SECOND)
         for key in ("messages_out", "bytes_in")
     }
 
 
-def _calls(world: World, begin: int, end: int) -> dict[str, float]:
+def _calls(world: MeasurementFleet, begin: int, end: int) -> dict[str, float]:
     names = {"messages_out": "messages_after_restart", "bytes_in": "bytes_after_restart"}
     span = begin * SECOND, end * SECOND
     return {name: world.gained("discovery", key, *span) for key, name in names.items()}
 
 
 PARTS = [
-    Part(("discovery", "worker"), "dispatchers", dispatchers),
-    Part(("discovery",), "dispatchers_restarted", dispatchers_restarted),
+    Measurement(("discovery", "worker"), "dispatchers", dispatchers),
+    Measurement(("discovery",), "dispatchers_restarted", dispatchers_restarted),
 ]
--- a/ploverspoke/testbed/capacity/keeper.py
+++ b/ploverspoke/testbed/capacity/measurements/lease_server.py
@@ -20,15 +20,15 @@
 from ploverspoke.leases.client import LeaseClient
 from ploverspoke.leases.config import LeaseServers, read_lease_servers
 
-from ..processes.lease_run import Leases, Plan
-from ..processes.relay import OUTSIDE
-from ..processes.rig import Rig
-from ..processes.room import in_memory
-from ..processes.running import NotStarted
-from ..spans import SECOND, Span
-from .parts import Asked, Found, Part, lines_of
-from .process import Used, used
-from .world import growth
+from ...experiment_files.durations import SECOND, Duration
+from ...processes.capacity_check import memory_backed_folder
+from ...processes.resource_usage import ResourceUsage, read_resource_usage
+from ...processes.rig import Rig
+from ...processes.running_process import ProcessStartError
+from ...processes.tcp_proxy import OUTSIDE
+from ...scenarios.lease_scenario import LeaseFleet, LeaseScenario
+from .measurement_fleet import growth
+from .parts import Measurement, MeasurementRequest, MeasurementResult, cost_lines
 
 SIZES = (3, 5)  # keepers
 DURATION = 10  # s, of a lease
@@ -59,8 +59,8 @@
     changes: float = 0.0  # a second
 
 
-async def _leader(leases: Leases, secret: bytes) -> str:
-    """Its name. Raises NotStarted where none leads in time."""
+async def _leader(leases: LeaseFleet, secret: bytes) -> str:
+    """Its name. Raises ProcessStartError where none leads in time."""
     until = time.monotonic() + HELD_WITHIN
     while time.monotonic() < until:
         for place in leases.keepers:
@@ -71,7 +71,7 @@
                 if told.fields.get("leading"):
                     return place.name
         await asyncio.sleep(0.1)
-    raise NotStarted("no keeper leads")
+    raise ProcessStartError("no keeper leads")
 
 
 async def _changes(load: Load, until: float, done: list[float]) -> None:
@@ -98,21 +98,24 @@
     return counts.get(f"{others}>{name}", 0), counts.get(f"{name}>{others}", 0)
 
 
-async def _world(size: int, value: float, load_of: Callable[[LeaseServers], Load], asked: Asked) -> Seen:
-    with tempfile.TemporaryDirectory(prefix="ploverspoke-slopes-", dir=in_memory()) as name:
+async def _world(
+    size: int, value: float, load_of: Callable[[LeaseServers], Load], asked: MeasurementRequest
+) -> Seen:
+    with tempfile.TemporaryDirectory(prefix="ploverspoke-slopes-", dir=memory_backed_folder()) as name:
         try:
             async with Rig(Path(name), 1) as rig:
                 return await _measure(rig, size, value, load_of, asked)
-        except (NotStarted, OSError, TimeoutError) as error:
+        except (ProcessStartError, OSError, TimeoutError) as error:
             return Seen(value, {}, str(error) or "not ready in time")
 
 
 async def _measure(
-    rig: Rig, size: int, value: float, load_of: Callable[[LeaseServers], Load], asked: Asked
+    rig: Rig, size: int, value: float, load_of: Callable[[LeaseServers], Load], asked: MeasurementRequest
 ) -> Seen:
     settled, stretch = (QUICK_SETTLED, QUICK_STRETCH) if asked.quick else (SETTLED, STRETCH)
-    leases = Leases(
-        rig, Plan(keepers=size, contenders=0, names={"team-*": 1}, duration=Span(DURATION * SECOND))
+    leases = LeaseFleet(
+        rig,
+        LeaseScenario(keepers=size, contenders=0, names={"team-*": 1}, duration=Duration(DURATION * SECOND)),
     )
     await leases.start()
     secret = read_lease_servers(leases.file).secret
@@ -144,11 +147,11 @@
     return Seen(value, _figures(leader, looks, counts), rig.void())
 
 
-Looks = dict[str, list[tuple[int, Used]]]
+Looks = dict[str, list[tuple[int, ResourceUsage]]]
 
 
 async def _look_on(
-    rig: Rig, leases: Leases, stretch: float
+    rig: Rig, leases: LeaseFleet, stretch: float
 ) -> tuple[Looks, list[tuple[float, dict[str, int]]]]:
     looks: Looks = {place.name: [] for place in leases.keepers}
     counts = []
@@ -159,7 +162,7 @@
         for name, seen in looks.items():
             process = rig.running[name].process
             if process is not None:
-                seen.append((time.monotonic_ns(), used(process.pid)))
+                seen.append((time.monotonic_ns(), read_resource_usage(process.pid)))
         await asyncio.sleep(LOOKS_EVERY)
     await rig.ask_relays({"by_link": True})
     counts.append((time.monotonic(), rig.counts["octets"]))
@@ -196,10 +199,10 @@
     size: str,
     values: tuple[float, ...],
     load_of: Callable[[LeaseServers, float], Load],
-    asked: Asked,
+    asked: MeasurementRequest,
     still: Any,
-) -> Found:
-    found = Found([], [])
+) -> MeasurementResult:
+    found = MeasurementResult([], [])
     for keepers in SIZES:
         worlds: list[Awaitable[Seen]] = [
             _world(keepers, value, partial(_loaded, load_of, value), asked) for value in values
@@ -211,8 +214,8 @@
             asked.say(f"{keepers} keepers, {size} {one.size:g}: {told}")
         points = [(one.size, one.figures) for one in seen if not one.void]
         note = "; ".join(f"void: {text}" for text in void)
-        lines = lines_of("keeper", size, points, HOW, {"keepers": float(keepers), **still}, note)
-        found = Found([*found.lines, *lines], [*found.void, *void])
+        lines = cost_lines("keeper", size, points, HOW, {"keepers": float(keepers), **still}, note)
+        found = MeasurementResult([*found.lines, *lines], [*found.void, *void])
     return found
 
 
@@ -224,21 +227,21 @@
     return [LeaseClient(keepers, f"h{number}") for number in range(count)]
 
 
-async def holders(asked: Asked) -> Found:
+async def holders(asked: MeasurementRequest) -> MeasurementResult:
     def load(keepers: LeaseServers, value: float) -> Load:
         return Load(_clients(keepers, int(value)), 1)
 
     return await _series("holders", (50, 150, 300, 980), load, asked, {"names_each": 1.0})
 
 
-async def names(asked: Asked) -> Found:
+async def names(asked: MeasurementRequest) -> MeasurementResult:
     def load(keepers: LeaseServers, value: float) -> Load:
         return Load(_clients(keepers, NAMES_BY), int(value) // NAMES_BY)
 
     return await _series("names", (100, 400, 1000), load, asked, {"holders": float(NAMES_BY)})
 
 
-async def changes(asked: Asked) -> Found:
+async def changes(asked: MeasurementRequest) -> MeasurementResult:
     def load(keepers: LeaseServers, value: float) -> Load:
         return Load(_clients(keepers, CHANGES_BY), 1, value)
 
@@ -247,7 +250,7 @@
 
 
 PARTS = [
-    Part(("keeper",), "holders", holders),
-    Part(("keeper",), "names", names),
-    Part(("keeper",), "changes_of_holder_a_second", changes),
+    Measurement(("keeper",), "holders", holders),
+    Measurement(("keeper",), "names", names),
+    Measurement(("keeper",), "changes_of_holder_a_second", changes),
 ]
--- a/ploverspoke/testbed/capacity/world.py
+++ b/ploverspoke/testbed/capacity/measurements/measurement_fleet.py
@@ -18,14 +18,14 @@
 
 from ploverspoke.consensus.framing import FrameError
 
-from .. import experiment as ex
-from ..processes.child import Child
-from ..processes.rig import Place
-from ..processes.room import in_memory
-from ..processes.running import NotStarted, Running
-from ..sockets import Program, Stage
-from ..spans import MILLISECOND, SECOND
-from .process import Used, used
+from ...experiment_files import experiment as ex
+from ...experiment_files.durations import MILLISECOND, SECOND
+from ...processes.capacity_check import memory_backed_folder
+from ...processes.child_process import ChildProcess
+from ...processes.resource_usage import ResourceUsage, read_resource_usage
+from ...processes.rig import ProcessAddress
+from ...processes.running_process import ProcessStartError, RunningProcess
+from ...scenarios.socket_run import DispatcherProgram, SocketFleet
 
 LOOKS_EVERY = 500 * MILLISECOND
 AFTER = 400 * MILLISECOND  # the end of the stretch, until the stand-ins have told of it
@@ -36,7 +36,7 @@
 TAKEN = "new configuration: settings applied"
 TRAFFIC = ("bytes_in", "bytes_out", "messages_in", "messages_out")
 
-Act = Callable[["World"], Awaitable[None] | None]
+Act = Callable[["MeasurementFleet"], Awaitable[None] | None]
 
 
 class Reading(NamedTuple):
@@ -47,7 +47,7 @@
     void: str  # why it gives no point; "" where it does
 
 
-class Bare(Program):
+class Bare(DispatcherProgram):
     """The program without the rig's starter: it sends from the kernel's own choice of address."""
 
     def command(self) -> list[str]:
@@ -58,10 +58,10 @@
         self.words = ["serve", self.environment["RELAY_CONFIG"], "--watch", str(orders)]
 
     async def start(self, more: Any = ()) -> None:
-        await Running.start(self, more)
+        await RunningProcess.start(self, more)
 
 
-class World(Stage):
+class MeasurementFleet(SocketFleet):
     def __init__(
         self,
         e: ex.Experiment,
@@ -81,26 +81,28 @@
         self.acts = sorted(acts, key=lambda act: act[0])
         self.bare = e.dispatchers.count == 1
         self.reports: dict[str, list[dict[str, Any]]] = {kind: [] for kind in KINDS.values()}
-        self.looks: list[list[tuple[int, Used]]] = []  # by dispatcher
+        self.looks: list[list[tuple[int, ResourceUsage]]] = []  # by dispatcher
         self.relayed: list[tuple[int, dict[str, Any]]] = []
         self.configs: list[dict[str, Any]] = []
         self.reloads = 0  # that were asked for
 
     # ---- In place of the stage's own ----
 
-    def _hosts(self, places: list[Place]) -> list[str]:
+    def _hosts(self, places: list[ProcessAddress]) -> list[str]:
         return [SOURCE] if self.bare else super()._hosts(places)
 
-    def _program(self, place: Place, config: dict[str, Any], store: dict[str, Any] | None) -> Program:
+    def _program(
+        self, place: ProcessAddress, config: dict[str, Any], store: dict[str, Any] | None
+    ) -> DispatcherProgram:
         self.configs.append(config)
         if not self.bare:
-            return Program(self.rig, place, config, store)
+            return DispatcherProgram(self.rig, place, config, store)
         program = Bare(self.rig, place, config, store)
         if self.watch is not None:
             program.watch(self.watch)
         return program
 
-    def _begins(self, epoch: int, workers: Child, discovery: Child) -> None:
+    def _begins(self, epoch: int, workers: ChildProcess, discovery: ChildProcess) -> None:
         self.tasks.append(asyncio.create_task(self._listen(discovery, discovery)))
         self.tasks.append(asyncio.create_task(self._look_on(epoch)))
         self.tasks.append(asyncio.create_task(self._act(epoch)))
@@ -125,7 +127,7 @@
                 await asyncio.sleep(max(0, epoch + at - time.monotonic_ns()) / SECOND)
                 for looks, program in zip(self.looks, self.programs, strict=True):
                     if program.process is not None and program.lives():
-                        looks.append((time.monotonic_ns() - epoch, used(program.process.pid)))
+                        looks.append((time.monotonic_ns() - epoch, read_resource_usage(program.process.pid)))
                 if self.rig.relays is not None and (at == self.settled or at + LOOKS_EVERY > self.ends):
                     await self.rig.ask_relays({})
                     self.relayed.append((time.monotonic_ns() - epoch, self.rig.counts["links"]))
@@ -140,7 +142,7 @@
                 doing = act(self)
                 if doing is not None:
                     await doing
-            except (OSError, NotStarted, FrameError) as error:
+            except (OSError, ProcessStartError, FrameError) as error:
                 self.rig.faults.append(f"what was to be done could not be: {error}")
 
     # ---- What it was ----
@@ -263,27 +265,27 @@
     return float((told[-1][key] - told[0][key]) / took)
 
 
-async def played(
+async def run_fleet(
     e: ex.Experiment,
     seed: int,
     settled: int,
     acts: Sequence[tuple[int, Act]] = (),
     ends: int = 0,
     watch: Path | None = None,
-) -> tuple[World, Reading]:
-    """One world, in real time; one that does not come up is void. Raises NoRoom where it does not fit."""
-    with tempfile.TemporaryDirectory(prefix="ploverspoke-slopes-", dir=in_memory()) as name:
-        world = World(e, seed, Path(name), settled, acts, ends, watch)
+) -> tuple[MeasurementFleet, Reading]:
+    """Run one fleet in real time; one that does not start is void. Raises CapacityError."""
+    with tempfile.TemporaryDirectory(prefix="ploverspoke-slopes-", dir=memory_backed_folder()) as name:
+        world = MeasurementFleet(e, seed, Path(name), settled, acts, ends, watch)
         try:
             await world.play()
-        except (NotStarted, TimeoutError) as error:
+        except (ProcessStartError, TimeoutError) as error:
             world.rig.faults.append(str(error) or "a stand-in was not ready in time")
         finally:
             await world.close()
         return world, world.read()
 
 
-def rewrite(program: Program, config: dict[str, Any]) -> None:
+def rewrite(program: DispatcherProgram, config: dict[str, Any]) -> None:
     """Its configuration's file, whole at any moment."""
     path = Path(program.environment["RELAY_CONFIG"])
     fresh = path.with_suffix(".new")
--- a/ploverspoke/testbed/capacity/parts.py
+++ b/ploverspoke/testbed/capacity/measurements/parts.py
@@ -3,8 +3,8 @@
 from collections.abc import Awaitable, Callable, Sequence
 from typing import NamedTuple
 
-from .fits import TooFewPoints, fit
-from .slopes import Line
+from ..linear_fit import TooFewPointsError, fit
+from ..measured_costs import CostPerUnit
 
 UNITS = {
     "core_share": "cores",
@@ -28,12 +28,12 @@
 Say = Callable[[str], None]
 
 
-class Found(NamedTuple):
-    lines: list[Line]
+class MeasurementResult(NamedTuple):
+    lines: list[CostPerUnit]
     void: list[str]  # a line each
 
 
-class Asked(NamedTuple):
+class MeasurementRequest(NamedTuple):
     """How a part is to be measured."""
 
     say: Say
@@ -41,10 +41,10 @@
     together: bool = True  # small worlds side by side
 
 
-class Part(NamedTuple):
+class Measurement(NamedTuple):
     roles: tuple[str, ...]  # that it gives lines of
     size: str
-    measure: Callable[[Asked], Awaitable[Found]]
+    measure: Callable[[MeasurementRequest], Awaitable[MeasurementResult]]
 
     def name(self) -> str:
         return f"{self.roles[0]}/{self.size}"
@@ -59,24 +59,24 @@
     return "messages a second" if "messages" in figure else "bytes a second"
 
 
-def lines_of(
+def cost_lines(
     role: str,
     size: str,
     found: Sequence[tuple[float, dict[str, float]]],
     how: str,
     still: dict[str, float],
     note: str = "",
-) -> list[Line]:
+) -> list[CostPerUnit]:
     """One line a figure, where there are points enough; none else."""
     lines = []
     for figure in dict.fromkeys(key for _, figures in found for key in figures):
         points = [(at, figures[figure]) for at, figures in found if figure in figures]
         try:
             line = fit(points, GROWTH_RESOLUTION if figure == "memory_growth_bytes" else 0.0)
-        except TooFewPoints:
+        except TooFewPointsError:
             continue
         lines.append(
-            Line(
+            CostPerUnit(
                 role=role,
                 figure=figure,
                 size=size,
--- a/ploverspoke/testbed/capacity/store_replica.py
+++ b/ploverspoke/testbed/capacity/measurements/store_replica.py
@@ -14,14 +14,14 @@
 from ploverspoke.consensus.admin_messages import StatusRequest, StatusRow
 from ploverspoke.consensus.replica_client import call_replica
 
-from .. import experiment as ex
-from ..processes.room import in_memory
-from ..processes.timeline import Step
-from ..spans import SECOND, Span
-from .dispatcher import SEED, stretch
-from .parts import Asked, Found, Part, lines_of
-from .process import Used
-from .world import Act, World, growth, played
+from ...experiment_files import experiment as ex
+from ...experiment_files.durations import SECOND, Duration
+from ...processes.capacity_check import memory_backed_folder
+from ...processes.fault_timeline import FaultStep
+from ...processes.resource_usage import ResourceUsage
+from .dispatcher import SEED, settled_interval
+from .measurement_fleet import Act, MeasurementFleet, growth, run_fleet
+from .parts import Measurement, MeasurementRequest, MeasurementResult, cost_lines
 
 SIZES = (3, 5)  # replicas
 SECRET = b"a secret of the testbed's own"  # the stage's
@@ -65,31 +65,33 @@
         return next((n for n, told in self.status.items() if told.get("leads")), -1)
 
 
-async def _status(world: World, number: int) -> dict[str, Any]:
+async def _status(world: MeasurementFleet, number: int) -> dict[str, Any]:
     place = world.rig.places[f"d{number}"]
     status = await asyncio.to_thread(call_replica, place.at("peers"), SECRET, StatusRequest(), StatusRow)
     return dict(status.fields)
 
 
-async def _mark(world: World) -> Mark:
+async def _mark(world: MeasurementFleet) -> Mark:
     count = world.e.dispatchers.count
     status = {n: await _status(world, n) for n in range(count)}
     await world.rig.ask_relays({"by_link": True})
     return Mark(time.monotonic(), status, world.rig.counts["octets"])
 
 
-async def _marked(marks: list[Mark], world: World) -> None:
+async def _marked(marks: list[Mark], world: MeasurementFleet) -> None:
     marks.append(await _mark(world))
 
 
-async def _commits(replicas: int, rate: float, asked: Asked) -> tuple[float, dict[str, float], str]:
-    over, marks = stretch(asked.quick), list[Mark]()
+async def _commits(
+    replicas: int, rate: float, asked: MeasurementRequest
+) -> tuple[float, dict[str, float], str]:
+    over, marks = settled_interval(asked.quick), list[Mark]()
     acts: Sequence[tuple[int, Act]] = [
         (over.settled * SECOND, partial(_marked, marks)),
         (over.end * SECOND, partial(_marked, marks)),
     ]
-    e = ex.experiment_of(_told(rate, over.end, replicas))
-    world, reading = await played(e, SEED, over.settled * SECOND, acts)
+    e = ex.parse_experiment(_told(rate, over.end, replicas))
+    world, reading = await run_fleet(e, SEED, over.settled * SECOND, acts)
     void, size, figures = reading.void, rate, dict[str, float]()
     if not void and (len(marks) < 2 or marks[0].leader() != marks[1].leader() or marks[0].leader() < 0):
         void = "no replica led throughout"
@@ -107,7 +109,7 @@
 
 
 def _at_leader(
-    world: World, leader: int, before: dict[str, int], now: dict[str, int], took: float
+    world: MeasurementFleet, leader: int, before: dict[str, int], now: dict[str, int], took: float
 ) -> dict[str, float]:
     def rates(number: int) -> tuple[float, float]:
         name = f"d{number}"
@@ -115,7 +117,7 @@
         out = sum(n - before.get(ends, 0) for ends, n in now.items() if ends.startswith(f"{name}>"))
         return into / took, out / took
 
-    def core(looks: list[tuple[int, Used]]) -> float:
+    def core(looks: list[tuple[int, ResourceUsage]]) -> float:
         return (looks[-1][1].processor - looks[0][1].processor) / (looks[-1][0] - looks[0][0])
 
     others = [n for n in range(len(world.looks)) if n != leader]
@@ -133,9 +135,9 @@
     return found
 
 
-async def commits(asked: Asked) -> Found:
+async def commits(asked: MeasurementRequest) -> MeasurementResult:
     """Entries of the log; an irreversible submission makes four where its first hand-off ends it."""
-    found = Found([], [])
+    found = MeasurementResult([], [])
     for replicas in SIZES:
         worlds = [_commits(replicas, rate, asked) for rate in (2.0, 10.0, 50.0)]
         seen = await asyncio.gather(*worlds) if asked.together else [await world for world in worlds]
@@ -143,17 +145,21 @@
         points = [(size, figures) for size, figures, why in seen if not why]
         still = {"replicas": float(replicas)}
         note = "; ".join(f"void: {text}" for text in void)
-        lines = lines_of("store replica", "commits_a_second", points, HOW, still, note)
-        found = Found([*found.lines, *lines], [*found.void, *void])
+        lines = cost_lines("store replica", "commits_a_second", points, HOW, still, note)
+        found = MeasurementResult([*found.lines, *lines], [*found.void, *void])
     return found
 
 
-async def kept_state(asked: Asked) -> Found:
+async def kept_state(asked: MeasurementRequest) -> MeasurementResult:
     points, void = [], []
     for count in (5_000, 10_000, 20_000) if asked.quick else (10_000, 30_000, 100_000):
-        with tempfile.TemporaryDirectory(prefix="ploverspoke-slopes-", dir=in_memory()) as folder:
+        with tempfile.TemporaryDirectory(prefix="ploverspoke-slopes-", dir=memory_backed_folder()) as folder:
             process = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "ploverspoke.testbed.capacity.kept", str(count), folder,
+                sys.executable,
+                "-m",
+                "ploverspoke.testbed.capacity.measurements.stored_state",
+                str(count),
+                folder,
                 stdout=asyncio.subprocess.PIPE,
             )  # fmt: skip
             said, _ = await process.communicate()
@@ -165,16 +171,18 @@
         asked.say(f"store replica, kept_state {size:g}: {told['memory_bytes'] / 1e6:.1f} MB")
         points.append((float(size), {key: float(value) for key, value in told.items()}))
     note = "; ".join(f"void: {text}" for text in void)
-    return Found(lines_of("store replica", "kept_state", points, KEPT_HOW, {}, note), void)
+    return MeasurementResult(cost_lines("store replica", "kept_state", points, KEPT_HOW, {}, note), void)
 
 
-async def _away(away: float, snapshot_every: int, asked: Asked) -> tuple[float, dict[str, float], str]:
+async def _away(
+    away: float, snapshot_every: int, asked: MeasurementRequest
+) -> tuple[float, dict[str, float], str]:
     """One that does not lead is killed, and is back after so long."""
     settled = 2
     lasts = int(settled + away + 4 + CAUGHT_UP_WITHIN / 3)
     found: dict[str, float] = {}
 
-    async def act(world: World) -> None:
+    async def act(world: MeasurementFleet) -> None:
         before = await _mark(world)
         leader = before.leader()
         if leader < 0:
@@ -182,7 +190,7 @@
         gone = (leader + 1) % world.e.dispatchers.count
         name = f"d{gone}"
         applied = before.status[gone]["applied"]
-        step = Step(at=Span(0), what="kill", who=[name], lasts=Span(int(away * SECOND)))
+        step = FaultStep(at=Duration(0), what="kill", who=[name], lasts=Duration(int(away * SECOND)))
         await world.rig.on_process(step, name)  # back, and ready at its door
         began = time.monotonic()
         # What it had not when it was back at its replicas' port; the link counts from its death on.
@@ -197,8 +205,8 @@
             found["seconds"] = time.monotonic() - began
             found["bytes_sent"] = now.octets.get(f"d{leader}>{name}", 0) - first
 
-    e = ex.experiment_of(_told(AWAY_RATE, lasts, 3, snapshot_every=snapshot_every))
-    _, reading = await played(e, SEED, SECOND, [(settled * SECOND, act)], ends=settled * SECOND)
+    e = ex.parse_experiment(_told(AWAY_RATE, lasts, 3, snapshot_every=snapshot_every))
+    _, reading = await run_fleet(e, SEED, SECOND, [(settled * SECOND, act)], ends=settled * SECOND)
     void = reading.void or ("" if found else "it did not catch up while the world lasted")
     size = found.pop("missed_entries", away)
     shown = void or f"{found['seconds']:.3f} s, {found['bytes_sent']:,.0f} bytes"
@@ -206,8 +214,8 @@
     return size, found, void
 
 
-async def missed_entries(asked: Asked) -> Found:
-    found = Found([], [])
+async def missed_entries(asked: MeasurementRequest) -> MeasurementResult:
+    found = MeasurementResult([], [])
     for snapshot_every in (20_000, 200):
         worlds = [_away(away, snapshot_every, asked) for away in (1.0, 4.0, 10.0)]
         seen = await asyncio.gather(*worlds) if asked.together else [await world for world in worlds]
@@ -215,13 +223,13 @@
         points = [(size, figures) for size, figures, why in seen if not why]
         note = "; ".join(f"void: {text}" for text in void)
         still = {"replicas": 3.0, "snapshot_every": float(snapshot_every)}
-        lines = lines_of("store replica", "missed_entries", points, AWAY_HOW, still, note)
-        found = Found([*found.lines, *lines], [*found.void, *void])
+        lines = cost_lines("store replica", "missed_entries", points, AWAY_HOW, still, note)
+        found = MeasurementResult([*found.lines, *lines], [*found.void, *void])
     return found
 
 
 PARTS = [
-    Part(("store replica",), "commits_a_second", commits),
-    Part(("store replica",), "kept_state", kept_state),
-    Part(("store replica",), "missed_entries", missed_entries),
+    Measurement(("store replica",), "commits_a_second", commits),
+    Measurement(("store replica",), "kept_state", kept_state),
+    Measurement(("store replica",), "missed_entries", missed_entries),
 ]
--- a/ploverspoke/testbed/capacity/kept.py
+++ b/ploverspoke/testbed/capacity/measurements/stored_state.py
@@ -23,7 +23,7 @@
 )
 from ploverspoke.store.state_machine import RequestStateMachine
 
-from .process import used
+from ...processes.resource_usage import read_resource_usage
 
 RESULT = "x" * 64
 
@@ -49,9 +49,9 @@
     disk, ledger = ReplicaStorage(folder), RequestStateMachine()
     disk.open()
     disk.initialize("r0.1", "slopes", {})
-    before = used(os.getpid()).memory
+    before = read_resource_usage(os.getpid()).memory
     at = fill(ledger, count)
-    memory = used(os.getpid()).memory - before
+    memory = read_resource_usage(os.getpid()).memory - before
     kept = len(ledger.answered)
     began = time.perf_counter()
     disk.save_snapshot(Snapshot(at, 1, {}, ledger.take_snapshot()))
--- a/ploverspoke/testbed/capacity/tools.py
+++ b/ploverspoke/testbed/capacity/measurements/tools.py
@@ -15,16 +15,16 @@
 
 import msgspec
 
-from .. import experiment as ex
-from ..processes.lease_run import Leases, Plan
-from ..processes.rig import Rig, listens
-from ..processes.room import in_memory
-from ..processes.running import NotStarted
-from ..settings import settings_of
-from ..spans import SECOND, Span
-from .dispatcher import SEED, stretch, told
-from .parts import Asked, Found, Part, lines_of
-from .process import used
+from ...experiment_files import experiment as ex
+from ...experiment_files.durations import SECOND, Duration
+from ...models.deployment_settings import dispatcher_settings
+from ...processes.capacity_check import memory_backed_folder
+from ...processes.resource_usage import read_resource_usage
+from ...processes.rig import Rig, listens_at
+from ...processes.running_process import ProcessStartError
+from ...scenarios.lease_scenario import LeaseFleet, LeaseScenario
+from .dispatcher import SEED, report_listener, settled_interval
+from .parts import Measurement, MeasurementRequest, MeasurementResult, cost_lines
 
 HOW = "one run: the kernel's account when it ended (wait4), VmHWM while it ran; bytes are not counted"
 STANDING_HOW = "schedstat and /proc/PID/status of the supervisor, of its children as children_*"
@@ -37,7 +37,7 @@
 
 
 def run_command(words: Sequence[str]) -> dict[str, float]:
-    """Raises NotStarted where the command does not give 0."""
+    """Raises ProcessStartError where the command does not give 0."""
     began = time.monotonic()
     process = subprocess.Popen(
         [sys.executable, "-m", "ploverspoke", *words], stdout=subprocess.DEVNULL, stderr=subprocess.PIPE
@@ -46,7 +46,7 @@
     while not (ended := os.wait4(process.pid, os.WNOHANG))[0]:
         # Not the account's own maximum: that knows the process before it was this program.
         with contextlib.suppress(OSError):
-            peak = max(peak, used(process.pid).memory_peak)
+            peak = max(peak, read_resource_usage(process.pid).memory_peak)
         time.sleep(LOOKS_EVERY)
     _, status, account = ended
     process.returncode = os.waitstatus_to_exitcode(status)
@@ -54,7 +54,7 @@
     said = process.stderr.read()
     process.stderr.close()
     if process.returncode:
-        raise NotStarted(f"{' '.join(words[:2])} gave {process.returncode}: {said.decode()[-300:]}")
+        raise ProcessStartError(f"{' '.join(words[:2])} gave {process.returncode}: {said.decode()[-300:]}")
     return {
         "processor_seconds": account.ru_utime + account.ru_stime,
         "memory_peak_bytes": float(peak),
@@ -75,17 +75,19 @@
         "discovery": nobody,
         "seed": "1",
         "known": {"version": 1, "full": True, "servers": servers},
-        "settings": settings_of(ex.experiment_of(told(stretch(True))), 0),
+        "settings": dispatcher_settings(ex.parse_experiment(report_listener(settled_interval(True))), 0),
     }
 
 
 @asynccontextmanager
-async def _world(keepers: int, doors: int) -> AsyncIterator[tuple[Leases, list[str]]]:
-    """LeaseServers, and dispatchers with an operators' door each. Raises NotStarted."""
-    with tempfile.TemporaryDirectory(prefix="ploverspoke-slopes-", dir=in_memory()) as name:
+async def _world(keepers: int, doors: int) -> AsyncIterator[tuple[LeaseFleet, list[str]]]:
+    """LeaseServers, and dispatchers with an operators' door each. Raises ProcessStartError."""
+    with tempfile.TemporaryDirectory(prefix="ploverspoke-slopes-", dir=memory_backed_folder()) as name:
         async with Rig(Path(name), SEED) as rig:
-            plan = Plan(keepers=keepers, contenders=0, names={"team-*": 1}, duration=Span(10 * SECOND))
-            leases = Leases(rig, plan)
+            plan = LeaseScenario(
+                keepers=keepers, contenders=0, names={"team-*": 1}, duration=Duration(10 * SECOND)
+            )
+            leases = LeaseFleet(rig, plan)
             await leases.start()
             nobody = rig.place("nobody", direct=["none"]).at("none")
             admins = []
@@ -94,13 +96,15 @@
                 path = rig.folder / f"{place.name}.json"
                 path.write_bytes(msgspec.json.encode(_config(place.at("clients"), place.at("admin"), nobody)))
                 running = rig.add(place, "ploverspoke", [], {"RELAY_CONFIG": str(path)})
-                running.ready = listens(place.own, place.ports["admin"])
+                running.ready = listens_at(place.own, place.ports["admin"])
                 admins.append(place.at("admin"))
             await rig.start([f"d{number}" for number in range(doors)])
             yield leases, admins
 
 
-async def _command(role: str, size: str, value: int, keepers: int, doors: int, asked: Asked) -> Any:
+async def _command(
+    role: str, size: str, value: int, keepers: int, doors: int, asked: MeasurementRequest
+) -> Any:
     try:
         async with _world(keepers, doors) as (leases, admins):
             if role == "fleet summary":
@@ -115,36 +119,36 @@
             if role == "fleet summary":
                 answered = msgspec.json.decode(path.read_bytes())["answered"]
                 if answered != doors:
-                    raise NotStarted(f"{answered} of {doors} doors answered")
-    except (NotStarted, OSError, TimeoutError) as error:
+                    raise ProcessStartError(f"{answered} of {doors} doors answered")
+    except (ProcessStartError, OSError, TimeoutError) as error:
         asked.say(f"{role}, {size} {value}: void: {error}")
         return float(value), {}, str(error) or "not over in time"
     asked.say(f"{role}, {size} {value}: {figures['processor_seconds']:.2f} s of a core")
     return float(value), figures, ""
 
 
-def _found(role: str, size: str, seen: Sequence[Any], how: str, still: dict[str, float]) -> Found:
+def _found(role: str, size: str, seen: Sequence[Any], how: str, still: dict[str, float]) -> MeasurementResult:
     void = [f"{role}, {size} {at:g}: {why}" for at, _, why in seen if why]
     note = "; ".join(f"void: {text}" for text in void)
     points = [(at, figures) for at, figures, why in seen if not why]
-    return Found(lines_of(role, size, points, how, still, note), void)
+    return MeasurementResult(cost_lines(role, size, points, how, still, note), void)
 
 
-async def fleet_summary(asked: Asked) -> Found:
+async def fleet_summary(asked: MeasurementRequest) -> MeasurementResult:
     seen = [await _command("fleet summary", "doors", doors, 3, doors, asked) for doors in DOORS]
     return _found("fleet summary", "doors", seen, HOW, {"keepers": 3.0, "files": 1.0})
 
 
-async def rolling_restart(asked: Asked) -> Found:
+async def rolling_restart(asked: MeasurementRequest) -> MeasurementResult:
     """One place of the lease, a command that does nothing, one dispatcher that is back at once."""
     seen = [await _command("rolling restart", "keepers", keepers, keepers, 1, asked) for keepers in KEEPERS]
     return _found("rolling restart", "keepers", seen, HOW, {"dispatchers": 1.0})
 
 
-async def supervisor(asked: Asked) -> Found:
-    over, seen = stretch(asked.quick), []
+async def supervisor(asked: MeasurementRequest) -> MeasurementResult:
+    over, seen = settled_interval(asked.quick), []
     for count in PROCESSES:
-        with tempfile.TemporaryDirectory(prefix="ploverspoke-slopes-", dir=in_memory()) as name:
+        with tempfile.TemporaryDirectory(prefix="ploverspoke-slopes-", dir=memory_backed_folder()) as name:
             async with Rig(Path(name), SEED) as rig:
                 place = rig.place("s", direct=["clients", "admin", "none"])
                 path = rig.folder / "s.json"
@@ -152,12 +156,12 @@
                 del config["admin_addr"]
                 path.write_bytes(msgspec.json.encode(config))
                 running = rig.add(place, "ploverspoke", ["serve", str(path), "--processes", str(count)])
-                running.ready = listens(place.own, place.ports["clients"])
+                running.ready = listens_at(place.own, place.ports["clients"])
                 try:
                     await rig.start()
                     figures = await _standing(running.process, over.settled, over.lasts, count)
                     seen.append((float(count), figures, ""))
-                except (NotStarted, OSError) as error:
+                except (ProcessStartError, OSError) as error:
                     seen.append((float(count), {}, str(error)))
                 finally:
                     # Its children would outlive it where it is killed.
@@ -167,16 +171,16 @@
 
 
 async def _standing(process: Any, settled: int, lasts: int, count: int) -> dict[str, float]:
-    """Raises NotStarted where it has not as many children."""
+    """Raises ProcessStartError where it has not as many children."""
     await asyncio.sleep(settled)
     children = [
         int(pid) for pid in Path(f"/proc/{process.pid}/task/{process.pid}/children").read_text().split()
     ]
     if len(children) != count:
-        raise NotStarted(f"{len(children)} children of {count}")
-    begin, first = time.monotonic_ns(), [used(pid) for pid in (process.pid, *children)]
+        raise ProcessStartError(f"{len(children)} children of {count}")
+    begin, first = time.monotonic_ns(), [read_resource_usage(pid) for pid in (process.pid, *children)]
     await asyncio.sleep(lasts)
-    end, last = time.monotonic_ns(), [used(pid) for pid in (process.pid, *children)]
+    end, last = time.monotonic_ns(), [read_resource_usage(pid) for pid in (process.pid, *children)]
     shares = [(b.processor - a.processor) / (end - begin) for a, b in zip(first, last, strict=True)]
     return {
         "core_share": shares[0],
@@ -187,7 +191,7 @@
 
 
 PARTS = [
-    Part(("fleet summary",), "doors", fleet_summary),
-    Part(("rolling restart",), "keepers", rolling_restart),
-    Part(("supervisor",), "processes", supervisor),
+    Measurement(("fleet summary",), "doors", fleet_summary),
+    Measurement(("rolling restart",), "keepers", rolling_restart),
+    Measurement(("supervisor",), "processes", supervisor),
 ]
--- a/ploverspoke/testbed/capacity/rows.py
+++ b/ploverspoke/testbed/capacity/rows.py
@@ -24,7 +24,12 @@
     within,
 )
 from .estimate import Figure
-from .loads import (
+from .fleet_size import FleetSize
+from .machines import VOTERS, layout, losses, third_site
+from .measured_costs import MeasuredCosts
+from .scenario_results import ScenarioResult, ScenarioResults
+from .verdicts import FAILS, HOLDS, LESSER, MISSING, NOT_MEASURED, OVER, worst
+from .workload import (
     APART,
     DAY,
     MACHINE,
@@ -38,11 +43,6 @@
     running_time,
     zone_part,
 )
-from .machines import VOTERS, layout, losses, third_site
-from .played import Plays, Run
-from .size import Fleet
-from .slopes import Slopes
-from .verdicts import FAILS, HOLDS, LESSER, MISSING, NOT_MEASURED, OVER, worst
 
 SECOND = 1_000_000_000
 KB, MB = 1_000, 1_000_000
@@ -76,9 +76,9 @@
 class Facts(NamedTuple):
     """What all rows are worked out from."""
 
-    fleet: Fleet
-    slopes: Slopes
-    plays: Plays
+    fleet: FleetSize
+    slopes: MeasuredCosts
+    plays: ScenarioResults
     budget: list[BudgetRow]
     distributed: bool  # whether the distribution of configuration is counted in
 
@@ -91,14 +91,14 @@
         lines = [one for one in self.slopes.lines if (one.role, one.size) == ("dispatcher", size)]
         return max((line.measured_to for line in lines), default=0.0)
 
-    def runs(self, *plays: str) -> list[Run]:
+    def runs(self, *plays: str) -> list[ScenarioResult]:
         return [run for run in self.plays.runs if any(word in run.play for word in plays)]
 
     def stop(self, figure: str, size: str, limit: float, counted: str) -> float | None:
         return stop_of(self.fleet, self.slopes, figure, size, limit, counted)
 
 
-def judged(facts: Facts, runs: list[Run], words: Sequence[str] = ()) -> tuple[str, str]:
+def judged(facts: Facts, runs: list[ScenarioResult], words: Sequence[str] = ()) -> tuple[str, str]:
     """The verdict of the runs that count, and what they say; only of lines with one of the words, if any.
 
     What held in runs that all had less than the peak's load is called so.
@@ -125,7 +125,7 @@
     return (HOLDS if any(at_peak(facts, run) for run in counted) else LESSER), f"{told}, held"
 
 
-def at_peak(facts: Facts, run: Run) -> bool:
+def at_peak(facts: Facts, run: ScenarioResult) -> bool:
     """Whether it had the load of the peak, and as many dispatchers as there are at the least."""
     size, found = facts.fleet.size, run.figures
     starts, running = found.get("starts_a_second") or 0.0, found.get("tasks_running") or 0.0
--- a/ploverspoke/testbed/capacity/played.py
+++ b/ploverspoke/testbed/capacity/scenario_results.py
@@ -7,11 +7,11 @@
 FORMAT = 1
 
 
-class BadPlays(ValueError):
+class ScenarioResultsError(ValueError):
     """The file holds no plays of this format; the text says why."""
 
 
-class Run(msgspec.Struct, frozen=True, kw_only=True):
+class ScenarioResult(msgspec.Struct, frozen=True, kw_only=True):
     play: str  # "peak", "zone lost", ...
     seed: int
     dispatchers: int
@@ -24,25 +24,25 @@
     note: str = ""
 
 
-class Plays(msgspec.Struct, frozen=True, kw_only=True):
+class ScenarioResults(msgspec.Struct, frozen=True, kw_only=True):
     format: int
     at: str
     text: str  # the commit that was played
     machine: str
-    runs: list[Run]
+    runs: list[ScenarioResult]
 
 
-NONE = Plays(format=FORMAT, at="", text="", machine="", runs=[])
+NONE = ScenarioResults(format=FORMAT, at="", text="", machine="", runs=[])
 
 
-def read_plays(path: Path) -> Plays:
-    """Raises BadPlays."""
+def read_scenario_results(path: Path) -> ScenarioResults:
+    """Raises ScenarioResultsError."""
     try:
-        found: Plays = msgspec.json.decode(path.read_bytes(), type=Plays)
+        found: ScenarioResults = msgspec.json.decode(path.read_bytes(), type=ScenarioResults)
     except OSError as error:
-        raise BadPlays(f"{path}: {error.strerror}") from None
+        raise ScenarioResultsError(f"{path}: {error.strerror}") from None
     except msgspec.DecodeError as error:
-        raise BadPlays(f"{path}: no plays: {error}") from None
+        raise ScenarioResultsError(f"{path}: no plays: {error}") from None
     if found.format != FORMAT:
-        raise BadPlays(f"{path}: format {found.format}, this version reads {FORMAT}")
+        raise ScenarioResultsError(f"{path}: format {found.format}, this version reads {FORMAT}")
     return found
--- a/ploverspoke/testbed/capacity/table.py
+++ b/ploverspoke/testbed/capacity/table.py
@@ -10,12 +10,12 @@
 
 from .budgets import FIGURES, WATCHING, BudgetRow, budget_rows, figure_of
 from .estimate import Figure, along
-from .loads import PEAK, SITUATIONS, Amount, aside, loads
-from .played import Plays
+from .fleet_size import FleetSize
+from .measured_costs import CostPerUnit, MeasuredCosts
 from .rows import Facts, Row, size_rows
-from .size import Fleet
-from .slopes import Line, Slopes
+from .scenario_results import ScenarioResults
 from .verdicts import HOLDS, UNMET
+from .workload import PEAK, SITUATIONS, Amount, aside, workload
 
 SERVER = "config server"
 MOVES = 0.05  # a figure that changes by no more than this over all that was measured does not go by that size
@@ -63,7 +63,7 @@
 
 
 class Table(msgspec.Struct, frozen=True, kw_only=True):
-    fleet: Fleet
+    fleet: FleetSize
     before: list[Row]  # without the distribution of configuration
     rows: list[Row]
     budget: list[BudgetRow]
@@ -90,7 +90,7 @@
     return [Choice(row=row.key, letter=row.letter, needed_by=needed[row.key]) for row in unmet]
 
 
-def role_rows(fleet: Fleet, slopes: Slopes) -> list[RoleRow]:
+def role_rows(fleet: FleetSize, slopes: MeasuredCosts) -> list[RoleRow]:
     """Situations in which a role meets the same sizes share a row; sizes that were measured, at least."""
     found = []
     for role in ROLES:
@@ -98,7 +98,7 @@
             situations: dict[str, list[str]] = {}
             sizes: dict[str, dict[str, Amount]] = {}
             for situation in SITUATIONS:
-                met = loads(fleet, dispatchers, situation)[role]
+                met = workload(fleet, dispatchers, situation)[role]
                 known = {line.size for line in slopes.lines if line.role == role}
                 told = (f"{of.value:.4g} {name}" for name, of in met.items() if of.value and name in known)
                 state = ", ".join(told)
@@ -117,10 +117,10 @@
     return found
 
 
-def further_rows(fleet: Fleet, slopes: Slopes) -> list[Further]:
+def further_rows(fleet: FleetSize, slopes: MeasuredCosts) -> list[Further]:
     """Those that are no figure of all roles; in the worst second of a failure, for one."""
     common = {name for names in FIGURES.values() for name in names}
-    lines: dict[tuple[str, ...], Line] = {}
+    lines: dict[tuple[str, ...], CostPerUnit] = {}
     for line in slopes.lines:
         most = max(abs(value) for _, value in line.points)
         if line.figure in common or abs(line.slope * line.measured_to) <= MOVES * most:
@@ -133,7 +133,7 @@
     for line in lines.values():
         at = {}
         for dispatchers in fleet.size.dispatchers:
-            met = {**aside(fleet), **loads(fleet, dispatchers, PEAK).get(line.role, {})}
+            met = {**aside(fleet), **workload(fleet, dispatchers, PEAK).get(line.role, {})}
             if (amount := met.get(line.size)) is not None:
                 at[dispatchers] = along(line, amount)
         row = {"role": line.role, "figure": line.figure, "unit": line.unit, "size": line.size}
@@ -141,7 +141,7 @@
     return found
 
 
-def make_table(fleet: Fleet, slopes: Slopes, plays: Plays) -> Table:
+def make_table(fleet: FleetSize, slopes: MeasuredCosts, plays: ScenarioResults) -> Table:
     budget = budget_rows(fleet, slopes)
     before = size_rows(Facts(fleet, slopes, plays, budget, False))
     rows = size_rows(Facts(fleet, slopes, plays, budget, True))
--- a/ploverspoke/testbed/capacity/loads.py
+++ b/ploverspoke/testbed/capacity/workload.py
@@ -7,7 +7,7 @@
 from math import ceil
 from typing import Final, Literal, NamedTuple
 
-from .size import Fleet
+from .fleet_size import FleetSize
 
 STATED: Final = "stated"
 WORKED_OUT: Final = "worked out"
@@ -72,27 +72,27 @@
     return Amount(ASSUMPTIONS[name].value, ASSUMED)
 
 
-def zone_part(fleet: Fleet, whole: float) -> int:
+def zone_part(fleet: FleetSize, whole: float) -> int:
     """What the largest zone has of it."""
     return ceil(whole / fleet.size.zones)
 
 
-def larger_region(fleet: Fleet) -> int:
+def larger_region(fleet: FleetSize) -> int:
     """Zones of it, where zones are spread as evenly as can be."""
     return ceil(fleet.size.zones / fleet.size.regions)
 
 
-def running_time(fleet: Fleet) -> float:
+def running_time(fleet: FleetSize) -> float:
     """Seconds: at the peak as many end as start (Little's law)."""
     return fleet.size.tasks_running / fleet.size.task_starts_a_second
 
 
-def ordinary_starts(fleet: Fleet) -> Amount:
+def ordinary_starts(fleet: FleetSize) -> Amount:
     """A second: the day's jobs, each taken for the largest gang, since tasks a job are not stated."""
     return Amount(fleet.size.jobs_a_day * fleet.size.largest_gang / DAY, ASSUMED)
 
 
-def lost_workers(fleet: Fleet, situation: str) -> Amount:
+def lost_workers(fleet: FleetSize, situation: str) -> Amount:
     """That whoever is worst off can reach no more."""
     if situation in (MACHINE, RESTART):
         return Amount(1, WORKED_OUT)
@@ -105,7 +105,7 @@
     return Amount(0, WORKED_OUT)
 
 
-def list_changes(fleet: Fleet, situation: str) -> Amount:
+def list_changes(fleet: FleetSize, situation: str) -> Amount:
     """Of discovery's list, a second, over the worst minute; a lost worker is gone once."""
     ordinary = fleet.failures.restarts_a_day * ASSUMPTIONS["changes_a_restart"].value
     ordinary += 2 * fleet.failures.machines_a_day  # gone, and back
@@ -117,7 +117,7 @@
     return Amount(lost.value * each.value / MINUTE, origin)
 
 
-def configuration_changes(fleet: Fleet, situation: str) -> Amount:
+def configuration_changes(fleet: FleetSize, situation: str) -> Amount:
     """A minute."""
     a_day = fleet.size.configuration_changes_a_day
     if situation == ORDINARY:
@@ -127,7 +127,7 @@
     return assumed("changes_in_trouble")
 
 
-def dispatchers_left(fleet: Fleet, dispatchers: int, situation: str) -> int:
+def dispatchers_left(fleet: FleetSize, dispatchers: int, situation: str) -> int:
     """A lost zone takes its own along, a rack and a machine as many as sit on them."""
     if situation == ZONE:
         return dispatchers - zone_part(fleet, dispatchers)
@@ -136,7 +136,7 @@
     return dispatchers  # apart, each region keeps its own dispatchers and their work
 
 
-def loads(fleet: Fleet, dispatchers: int, situation: str) -> dict[str, dict[str, Amount]]:
+def workload(fleet: FleetSize, dispatchers: int, situation: str) -> dict[str, dict[str, Amount]]:
     """The sizes that each role meets, by their names in the slopes file.
 
     A failure strikes at the peak. Work is spread evenly; what ran on lost workers starts again within the
@@ -202,12 +202,12 @@
     }
 
 
-def telling(fleet: Fleet, dispatchers: int) -> Amount:
+def telling(fleet: FleetSize, dispatchers: int) -> Amount:
     """Peers that tell one dispatcher, where a telling has no price: all others of its zone, and two more."""
     return Amount(zone_part(fleet, dispatchers) - 1 + 2, ASSUMED)
 
 
-def aside(fleet: Fleet) -> dict[str, Amount]:
+def aside(fleet: FleetSize) -> dict[str, Amount]:
     """Sizes that no role meets all the time: what a replica has missed that was away as regions are apart."""
     minutes = fleet.failures.regions_apart / 1e9 / MINUTE
     return {"missed_entries": Amount(minutes * ASSUMPTIONS["changes_in_trouble"].value, ASSUMED)}
--- /dev/null
+++ b/ploverspoke/testbed/checkers/__init__.py
@@ -0,0 +1,1 @@
+"""Independent checkers of recorded histories; they share no code with what they check."""
--- a/ploverspoke/testbed/processes/distribution_check.py
+++ b/ploverspoke/testbed/checkers/distribution_checker.py
@@ -30,11 +30,11 @@
 from itertools import combinations
 from typing import Any, NamedTuple
 
-from ..spans import SECOND, write_span
-from .history import Happened
+from ..experiment_files.durations import SECOND, format_duration
+from ..processes.history import HistoryEvent
 
-FEWEST_VERSIONS = 20  # seen in force: with fewer a run proves nothing
-FEWEST_TROUBLES = 10
+MIN_VERSIONS = 20  # seen in force: with fewer a run proves nothing
+MIN_FAULTS = 10
 ANSWERS_WITHIN = 5 * SECOND  # a dispatcher that lives, some probe of many
 GOOD, REFUSABLE, UNACCEPTABLE = "good", "refusable", "unacceptable"
 ENDS_LIFE = ("kill", "restart", "empty", "older")
@@ -64,7 +64,7 @@
     life: int  # -1: on its way out or in
 
 
-class Verdict(NamedTuple):
+class DistributionVerdict(NamedTuple):
     findings: list[tuple[str, int]]  # what, and when
     versions: int  # seen in force somewhere
     troubles: int
@@ -75,7 +75,7 @@
     calm: list[float]  # s from the acknowledgement until in force, where nothing had been wrong
     troubled: list[float]  # the same, from the end of what was wrong
 
-    def void(self, versions: int = FEWEST_VERSIONS, troubles: int = FEWEST_TROUBLES) -> str:
+    def void(self, versions: int = MIN_VERSIONS, troubles: int = MIN_FAULTS) -> str:
         if not self.final:
             return "the versions were not read from a majority at the end: nothing can be judged"
         if self.versions < versions:
@@ -114,7 +114,7 @@
 class World:
     """Who lived and could reach whom, from what the rig did."""
 
-    def __init__(self, events: list[Happened]) -> None:
+    def __init__(self, events: list[HistoryEvent]) -> None:
         rig = [e for e in events if e.who == "rig"]
         nobody: dict[str, list[str]] = {"servers": [], "dispatchers": []}
         roles = next((e.detail for e in events if e.what == "roles"), nobody)
@@ -126,7 +126,7 @@
         self.ends: dict[str, list[Span]] = defaultdict(list)  # the same, where a life ends by it
         self.faults: list[tuple[Span, set[str], set[str]]] = []
         self.troubles = sum(e.what in ("lay", "reset", *OUT) for e in rig)
-        began: dict[Any, Happened] = {}
+        began: dict[Any, HistoryEvent] = {}
         for event in rig:
             if event.what in OUT:
                 began[event.what, event.detail] = event
@@ -139,7 +139,7 @@
         for event in began.values():
             self._over(event, self.whole[1])
 
-    def _over(self, event: Happened | None, until: int) -> None:
+    def _over(self, event: HistoryEvent | None, until: int) -> None:
         if event is None:
             return
         span = (event.at, until)
@@ -192,7 +192,7 @@
 
 
 class Judge:
-    def __init__(self, events: list[Happened], within: int) -> None:
+    def __init__(self, events: list[HistoryEvent], within: int) -> None:
         self.events, self.within = events, within
         self.world = World(events)
         self.found: dict[tuple[str, str], tuple[str, int]] = {}  # the first of each kind at each place
@@ -209,7 +209,7 @@
     def finding(self, kind: str, where: str, text: str, at: int) -> None:
         self.found.setdefault((kind, where), (text, at))
 
-    def judge(self) -> Verdict:
+    def judge(self) -> DistributionVerdict:
         for event in self.events:
             self._read(event)
         self._numbers()
@@ -232,7 +232,7 @@
             self._answers(dispatcher, rounds)
             self._doors(dispatcher, shown)
         findings = sorted(self.found.values(), key=lambda row: row[1])
-        return Verdict(
+        return DistributionVerdict(
             findings,
             len(in_force),
             self.world.troubles,
@@ -246,7 +246,7 @@
 
     # ---- What happened ----
 
-    def _read(self, event: Happened) -> None:
+    def _read(self, event: HistoryEvent) -> None:
         detail = event.detail
         if event.what == "wants":
             wanted = Wanted(*detail)
@@ -269,7 +269,7 @@
                 event.at,
             )
 
-    def _answer(self, event: Happened) -> None:
+    def _answer(self, event: HistoryEvent) -> None:
         one, server, done, version, why, sure = event.detail
         wanted = self.wanted[one]
         if done:
@@ -289,7 +289,7 @@
                 "unnamed", one, f"{server} refuses {one} and does not name {wanted.key}: {why!r}", event.at
             )
 
-    def _versions(self, event: Happened) -> None:
+    def _versions(self, event: HistoryEvent) -> None:
         server, rows, final = event.detail
         ids: dict[int, str] = {}
         last = 0
@@ -430,7 +430,7 @@
             must = newest[bisect_right(times, one.asked - self.within)]
             if version < must:
                 acknowledged = next(at for at, v in good if v == must)
-                late = write_span(one.asked - acknowledged)
+                late = format_duration(one.asked - acknowledged)
                 text = f"{dispatcher} is at version {version} {late} after {must} was acknowledged"
                 self.finding("late", dispatcher, f"{text}, and could reach it", one.asked)
         self._delays(good, shown, shorter)
@@ -503,7 +503,7 @@
             ends = [begin, *(at for at in times if begin <= at <= end), end]
             for one, other in zip(ends, ends[1:], strict=False):
                 if other - one > ANSWERS_WITHIN:
-                    text = f"{dispatcher} lives and answers nobody for {write_span(other - one)}"
+                    text = f"{dispatcher} lives and answers nobody for {format_duration(other - one)}"
                     self.finding("mute", dispatcher, text, one)
 
     def _doors(self, dispatcher: str, shown: list[tuple[Seen, int]]) -> None:
@@ -538,6 +538,6 @@
     return found
 
 
-def judge(events: list[Happened], within: int = 10 * SECOND) -> Verdict:
+def check_distribution_history(events: list[HistoryEvent], within: int = 10 * SECOND) -> DistributionVerdict:
     """`events` in order of time; `within` is ns."""
     return Judge(events, within).judge()
--- a/ploverspoke/testbed/processes/lease_check.py
+++ b/ploverspoke/testbed/checkers/lease_checker.py
@@ -10,9 +10,9 @@
 from collections import defaultdict
 from typing import NamedTuple
 
-from .history import Happened
+from ..processes.history import HistoryEvent
 
-FEWEST_CHANGES = 50  # of holder: with fewer a run proves nothing
+MIN_HOLDER_CHANGES = 50  # of holder: with fewer a run proves nothing
 
 
 class Tenure(NamedTuple):
@@ -24,7 +24,7 @@
     last: int
 
 
-class Verdict(NamedTuple):
+class LeaseVerdict(NamedTuple):
     findings: list[tuple[str, int]]  # what, and when
     effects: int  # looks that led to one, whether it came or not
     taken: int
@@ -32,11 +32,11 @@
     refused: int  # old tokens, by the resource
     names: int
 
-    def void(self, fewest: int = FEWEST_CHANGES) -> str:
+    def void(self, fewest: int = MIN_HOLDER_CHANGES) -> str:
         return "" if self.changes >= fewest else f"only {self.changes} changes of holder: that proves nothing"
 
 
-def judge(events: list[Happened], places: dict[str, int]) -> Verdict:
+def check_lease_history(events: list[HistoryEvent], places: dict[str, int]) -> LeaseVerdict:
     findings: list[tuple[str, int]] = []
     looks: dict[tuple[str, int], list[tuple[int, str]]] = defaultdict(list)
     highest: dict[str, int] = {}
@@ -69,10 +69,10 @@
         changes += sum(one.who != other.who for one, other in zip(of_name, of_name[1:], strict=False))
         findings += overlaps(name, of_name, places.get(name, 1))
     findings.sort(key=lambda row: row[1])
-    return Verdict(findings, sum(map(len, looks.values())), taken, changes, refused, len(tenures))
+    return LeaseVerdict(findings, sum(map(len, looks.values())), taken, changes, refused, len(tenures))
 
 
-def gaps(events: list[Happened], killed: str) -> list[float]:
+def takeover_gaps(events: list[HistoryEvent], killed: str) -> list[float]:
     """Seconds from each kill of a holder to the first look of another under the same name."""
     found = []
     acts = [event for event in events if event.what == "acts"]
--- a/ploverspoke/testbed/audit.py
+++ b/ploverspoke/testbed/checkers/request_audit.py
@@ -11,13 +11,13 @@
 from collections.abc import Iterable
 from typing import Any, NamedTuple
 
-from . import records
-from .experiment import Experiment
-from .records import Event
-from .spans import MILLISECOND, write_span
+from ..experiment_files.durations import MILLISECOND, format_duration
+from ..experiment_files.experiment import Experiment
+from ..models import event_records
+from ..models.event_records import Event
 
-VIRTUAL_SLACK = 5 * MILLISECOND
-SOCKETS_SLACK = 100 * MILLISECOND
+VIRTUAL_TOLERANCE = 5 * MILLISECOND
+SOCKETS_TOLERANCE = 100 * MILLISECOND
 STORE_LATE = 5000 * MILLISECOND  # past the abandon time, where a store keeps answers to be asked for
 KNOWN_SHARE = 2 / 3  # of what pushed a worker over came from dispatchers that had been told of its start
 LONGEST_TIMELINE = 40
@@ -135,7 +135,7 @@
         s.hand_offs.append(HandOff(event.at, event.worker, event.detail, event.dispatcher))
         since = self.told.get((event.dispatcher, event.worker))
         if since is not None and event.at > since + self.e.rules.stop_sending_within + self.slack:
-            late = write_span(event.at - since)
+            late = format_duration(event.at - since)
             self.find("3 drains", event, f"sent to {event.worker} {late} after it was told not to be ready")
 
     def _hand_off(self, event: Event, serial: int) -> HandOff | None:
@@ -216,7 +216,7 @@
             how = "its connection broke" if s.answers else "none came"
             self.find_for(name, "1 one answer", s.abandon_at, f"no final answer: {how}")
         elif answers and answers[0][0] > s.abandon_at + late:
-            by = write_span(answers[0][0] - s.abandon_at)
+            by = format_duration(answers[0][0] - s.abandon_at)
             self.find_for(name, "1 one answer", answers[0][0], f"answered {by} after its abandon time")
         if (
             answers
@@ -295,38 +295,38 @@
         if event.job >= 0:
             seen: Iterable[Event] = (x for x in self.events if x.job == event.job)
         else:
-            worker_only = (records.UP, records.DIED, records.FELL, records.TOLD)
+            worker_only = (event_records.UP, event_records.DIED, event_records.FELL, event_records.TOLD)
             seen = (x for x in self.events if x.worker == event.worker and x.what in worker_only)
         return [describe(x, self.e) for x in seen][:LONGEST_TIMELINE]
 
 
 READ: dict[str, Any] = {
-    records.SENT: Auditor._sent,
-    records.TAKEN: Auditor._taken,
-    records.ANSWERED: Auditor._answered,
-    records.LEFT: Auditor._left,
-    records.CAME: Auditor._came,
-    records.BEGAN: Auditor._began,
-    records.ENDED: Auditor._ended,
-    records.CLOSED: Auditor._closed,
-    records.TOLD: Auditor._told,
-    records.UP: Auditor._up,
-    records.FELL: Auditor._fell,
-    records.DISPATCHER_DOWN: Auditor._dispatcher_down,
-    records.DISPATCHER_UP: Auditor._dispatcher_up,
+    event_records.SENT: Auditor._sent,
+    event_records.TAKEN: Auditor._taken,
+    event_records.ANSWERED: Auditor._answered,
+    event_records.LEFT: Auditor._left,
+    event_records.CAME: Auditor._came,
+    event_records.BEGAN: Auditor._began,
+    event_records.ENDED: Auditor._ended,
+    event_records.CLOSED: Auditor._closed,
+    event_records.TOLD: Auditor._told,
+    event_records.UP: Auditor._up,
+    event_records.FELL: Auditor._fell,
+    event_records.DISPATCHER_DOWN: Auditor._dispatcher_down,
+    event_records.DISPATCHER_UP: Auditor._dispatcher_up,
 }
 
 
 def describe(event: Event, e: Experiment) -> str:
     """One line of a timeline."""
     detail = event.detail
-    if event.what == records.SENT:
+    if event.what == event_records.SENT:
         detail = f"{e.grades[detail[0]].name} ({e.grades[detail[0]].repeat}), try {detail[1] + 1}"
     who = f" d{event.dispatcher}" if event.dispatcher >= 0 else ""
     return f"{event.at / 1e9:11.6f} s  {event.submission:10}{who:5} {event.worker:5} {event.what}: {detail}"
 
 
-def audit(e: Experiment, events: Iterable[Event], slack: int) -> list[Finding]:
+def audit_requests(e: Experiment, events: Iterable[Event], slack: int) -> list[Finding]:
     racks: dict[str, int] = {}
     zones: dict[str, int] = {}
     for w in e.workers:
--- a/ploverspoke/testbed/hollow/judge.py
+++ b/ploverspoke/testbed/checkers/scale_checker.py
@@ -7,14 +7,14 @@
 import msgspec
 import numpy as np
 
-from .. import records
-from ..capacity.size import Fleet
-from ..experiment import Experiment, outages
-from ..records import Event
-from ..scores import RunScore
-from ..spans import MILLISECOND, SECOND
-from .plays import URGENT, Play
-from .stage import Sample
+from ..capacity.fleet_size import FleetSize
+from ..experiment_files.durations import MILLISECOND, SECOND
+from ..experiment_files.experiment import Experiment, outages
+from ..models import event_records
+from ..models.event_records import Event
+from ..reports.scores import RunScore
+from ..scenarios.scale_fleet import UsageSample
+from ..scenarios.scale_phases import URGENT, ScaleScenario
 
 FORMAT = 1
 AFTER_HEALING = 10 * SECOND  # in which what waited for the region comes
@@ -22,7 +22,7 @@
 NETWORK = ("workers", "discovery")  # stand-ins over the network; clients are beside their dispatchers
 
 
-class Run(msgspec.Struct, kw_only=True):
+class ScaleRow(msgspec.Struct, kw_only=True):
     """One play's row in the results."""
 
     play: str
@@ -37,26 +37,26 @@
     note: str = ""
 
 
-class Results(msgspec.Struct, kw_only=True):
+class ScaleResults(msgspec.Struct, kw_only=True):
     format: int
     at: str
     text: str
     machine: str
-    runs: list[Run] = []
+    runs: list[ScaleRow] = []
 
 
-class Seen(NamedTuple):
+class ScaleObservations(NamedTuple):
     """What there is of a run to judge it by."""
 
     e: Experiment
     events: Sequence[Event]
     score: RunScore
-    samples: Sequence[Sample]
+    samples: Sequence[UsageSample]
     changes: Sequence[Sequence[int]]  # ns until each was in force, by dispatcher; -1: it never was
     log_lines: int
 
 
-def figures_of(seen: Seen) -> dict[str, float]:
+def scale_metrics(seen: ScaleObservations) -> dict[str, float]:
     e = seen.e
     begin, end = e.counted_from, e.lasts
     count = e.dispatchers.count
@@ -64,7 +64,7 @@
     inside = [sample for sample in seen.samples if begin <= sample.at <= end]
     if len(inside) >= 2:
         found |= _used(inside, count)
-    began = [event for event in seen.events if event.what == records.BEGAN and begin <= event.at < end]
+    began = [event for event in seen.events if event.what == event_records.BEGAN and begin <= event.at < end]
     found["starts_a_second"] = len(began) / ((end - begin) / SECOND)
     found |= _urgent(seen)
     found["service"] = seen.score.service
@@ -73,13 +73,13 @@
         for how in ("jobs", "nacks", "abandoned", "broken"):
             found[f"{how}_{name}"] = getattr(grade, how)
     found["broken_rules"] = seen.score.broken_rules
-    found["fell_over"] = sum(event.what == records.FELL for event in seen.events)
+    found["fell_over"] = sum(event.what == event_records.FELL for event in seen.events)
     found["log_lines_a_dispatcher"] = seen.log_lines / count
     found |= _changes(seen.changes)
     return found
 
 
-def _used(inside: Sequence[Sample], count: int) -> dict[str, float]:
+def _used(inside: Sequence[UsageSample], count: int) -> dict[str, float]:
     first, last = inside[0], inside[-1]
     took = (last.at - first.at) / SECOND * count
     found = {
@@ -118,15 +118,15 @@
     due: dict[int, int] = {}
     began: dict[int, int] = {}
     for event in events:
-        if event.what == records.SENT and event.detail[0] == grade and event.detail[1] == 0:
+        if event.what == event_records.SENT and event.detail[0] == grade and event.detail[1] == 0:
             if e.counted_from <= event.detail[3] < e.lasts:
                 due[event.job] = event.detail[3]
-        elif event.what == records.BEGAN and event.job in due:
+        elif event.what == event_records.BEGAN and event.job in due:
             began.setdefault(event.job, event.at)
     return [began[job] - at if job in began else -1 for job, at in due.items()]
 
 
-def _urgent(seen: Seen) -> dict[str, float]:
+def _urgent(seen: ScaleObservations) -> dict[str, float]:
     waits = urgent_waits(seen.e, seen.events)
     done = [wait for wait in waits if wait >= 0]
     if not done:
@@ -169,8 +169,12 @@
         (self.held if holds else self.failed).append(text)
 
 
-def judge(
-    fleet: Fleet, play: Play, seen: Seen, figures: dict[str, float], void_kinds: Sequence[str]
+def check_scale_run(
+    fleet: FleetSize,
+    play: ScaleScenario,
+    seen: ScaleObservations,
+    figures: dict[str, float],
+    void_kinds: Sequence[str],
 ) -> Verdict:
     """Figures of a kind in which hollow and real differ are no ground for any of it."""
     v = Verdict()
@@ -208,7 +212,7 @@
     return v
 
 
-def _bounded(seen: Seen) -> list[tuple[str, bool]]:
+def _bounded(seen: ScaleObservations) -> list[tuple[str, bool]]:
     """Of the counted time's last third against its second: what is kept has come to rest."""
     begin, end = seen.e.counted_from, seen.e.lasts
     third = (end - begin) // 3
@@ -217,7 +221,7 @@
     ]
     if not all(parts):
         return [("too little was seen to say whether anything grows", False)]
-    kept: dict[str, Callable[[Sample], int]] = {
+    kept: dict[str, Callable[[UsageSample], int]] = {
         "memory of the processes": lambda s: s.used.resident,
         "descriptors": lambda s: s.used.descriptors,
         "deadlines kept": lambda s: s.used.inside.get("deadlines", 0),
@@ -234,7 +238,7 @@
     return found
 
 
-def healing(seen: Seen, play: Play) -> dict[str, float]:
+def healing(seen: ScaleObservations, play: ScaleScenario) -> dict[str, float]:
     """What a region's absence has gathered by its end, and what came at once when it was back."""
     begin = seen.e.counted_from + play.at
     end = begin + play.away
@@ -278,7 +282,7 @@
 # ---- Hollow against real ----
 
 # Over the network, each way. Calls of discovery alone are so few that where a stretch begins decides.
-KINDS: dict[str, Sequence[str]] = {
+METRIC_KINDS: dict[str, Sequence[str]] = {
     "bytes": ("network_bytes_in", "network_bytes_out", "clients_bytes_in", "clients_bytes_out"),
     "messages": (
         "network_messages_in",
@@ -298,13 +302,13 @@
 }
 
 
-def compare(
+def compare_metrics(
     hollow: dict[str, float], real: dict[str, float], differ_at_most: float
 ) -> tuple[dict[str, float], list[str]]:
     """Hollow beside real, figure by figure, and the kinds of which hollow figures are void."""
     ratios = {MEMORY: hollow.get(MEMORY, 0.0) / real[MEMORY]} if real.get(MEMORY) else {}
     void = []
-    for kind, keys in KINDS.items():
+    for kind, keys in METRIC_KINDS.items():
         for key in keys:
             if real.get(key):
                 ratios[key] = hollow.get(key, 0.0) / real[key]
@@ -313,7 +317,7 @@
     return ratios, void
 
 
-def marked(figures: dict[str, float], void_kinds: Sequence[str]) -> dict[str, float]:
+def mark_void_metrics(figures: dict[str, float], void_kinds: Sequence[str]) -> dict[str, float]:
     """Figures of a void kind keep their value and lose their standing: their name says so."""
     found = {}
     for name, value in figures.items():
--- a/ploverspoke/testbed/capacity/capacity_command.py
+++ b/ploverspoke/testbed/commands/capacity.py
@@ -6,11 +6,11 @@
 import click
 import msgspec
 
-from .played import NONE, BadPlays, read_plays
-from .render import BadPage, markdown, plain, put_in
-from .size import BadFleet, read_fleet
-from .slopes import BadSlopes, read_slopes
-from .table import make_table
+from ..capacity.fleet_size import FleetFileError, read_fleet
+from ..capacity.measured_costs import CostFileError, read_measured_costs
+from ..capacity.scenario_results import NONE, ScenarioResultsError, read_scenario_results
+from ..capacity.table import make_table
+from ..reports.capacity_table import CapacityPageError, markdown, plain, put_in
 
 FILE = click.Path(exists=True, dir_okay=False, path_type=Path)
 DEFAULT_SIZE = Path("experiments/fleet-ahead.toml")
@@ -37,15 +37,15 @@
     wrong, and the key is named.
     """
     try:
-        fleet, slopes = read_fleet(size), read_slopes(slopes_file)
-        plays = read_plays(plays_file) if plays_file is not None else NONE
+        fleet, slopes = read_fleet(size), read_measured_costs(slopes_file)
+        plays = read_scenario_results(plays_file) if plays_file is not None else NONE
         table = make_table(fleet, slopes, plays)
         text = markdown(table, slopes, plays)
         if write is not None:
             write.write_text(put_in(write.read_text(encoding="utf-8"), text), encoding="utf-8")
-    except (BadFleet, BadSlopes, BadPlays) as error:
+    except (FleetFileError, CostFileError, ScenarioResultsError) as error:
         raise click.UsageError(str(error)) from None
-    except BadPage as error:
+    except CapacityPageError as error:
         raise click.UsageError(f"{write}: {error}") from None
     if as_json:  # a Span is a whole number of nanoseconds
         click.echo(msgspec.json.format(msgspec.json.encode(table, enc_hook=int)).decode())
--- a/ploverspoke/testbed/demo.py
+++ b/ploverspoke/testbed/commands/demo.py
@@ -14,10 +14,10 @@
 from rich.table import Table
 from rich.text import Text
 
-from .commands import leave
-from .experiment import Experiment, experiment_of
-from .runner import FORMAT, Result, run_sockets, what_held
-from .tables import console, result_table, verdict
+from ..experiment_files.experiment import Experiment, parse_experiment
+from ..reports.tables import console, result_table, verdict
+from ..scenarios.experiment_runner import FORMAT, Result, run_sockets, what_held
+from .experiments import leave
 
 DEMO: dict[str, Any] = {
     "name": "demo",
@@ -120,7 +120,7 @@
     One worker is killed after 8 s and one hangs after 16 s. It ends with service by grade and the audit's
     verdict.
     """
-    e = experiment_of({**DEMO, "lasts": f"{seconds}s"})
+    e = parse_experiment({**DEMO, "lasts": f"{seconds}s"})
     folder = out or Path(tempfile.mkdtemp(prefix="ploverspoke-demo-"))
     board, show = Board(e), console()
     show.print("Starting two dispatchers and the stand-ins round them.")
--- a/ploverspoke/testbed/commands.py
+++ b/ploverspoke/testbed/commands/experiments.py
@@ -10,13 +10,13 @@
 import msgspec
 from rich.progress import Progress
 
-from .capacity.capacity_command import capacity
-from .capacity.command import slopes
-from .compare import compare
-from .experiment import BadExperiment, Experiment, read_experiment
-from .runner import Driver, Result, read_result, run_experiment
-from .scores import RunScore
-from .tables import console, differences_table, result_table, verdict
+from ..experiment_files.experiment import Experiment, ExperimentError, read_experiment
+from ..reports.comparison import compare_results
+from ..reports.scores import RunScore
+from ..reports.tables import console, differences_table, result_table, verdict
+from ..scenarios.experiment_runner import Driver, Result, read_result, run_experiment
+from .capacity import capacity
+from .measure_costs import slopes
 
 WRONG_CALL = 2
 
@@ -29,7 +29,7 @@
 def _read(path: Path, seeds: tuple[int, ...], policies: tuple[str, ...]) -> Experiment:
     try:
         e = read_experiment(path)
-    except BadExperiment as error:
+    except ExperimentError as error:
         raise click.UsageError(str(error)) from None
     changes: dict[str, object] = {}
     if seeds:
@@ -89,7 +89,7 @@
                 result = run_experiment(e, driver, out if events else None, lambda _: progress.advance(task))
         else:
             result = run_experiment(e, driver, out if events else None, _say)
-    except BadExperiment as error:
+    except ExperimentError as error:
         raise click.UsageError(str(error)) from None
     show.print(result_table(result))
     for line in verdict(result):
@@ -111,9 +111,9 @@
 def _run_processes(told: dict[str, Any], seeds: tuple[int, ...], out: Path | None) -> NoReturn:
     """LeaseServers and contenders, or config servers and dispatchers, in real time; a void run is no green
     one."""
-    from .processes.distribution_run import read_distribution_experiment, run_distribution
-    from .processes.lease_run import read_lease_experiment, run_leases
-    from .processes.timeline import BadTimeline
+    from ..processes.fault_timeline import TimelineError
+    from ..scenarios.distribution_scenario import read_distribution_experiment, run_distribution
+    from ..scenarios.lease_scenario import read_lease_experiment, run_leases
 
     e: Any
     play: Callable[[Any, int], dict[str, Any]]
@@ -122,7 +122,7 @@
             e, play = read_lease_experiment(told), run_leases
         else:
             e, play = read_distribution_experiment(told), run_distribution
-    except BadTimeline as error:
+    except TimelineError as error:
         raise click.UsageError(str(error)) from None
     results = []
     for seed in seeds or e.seeds:
@@ -146,11 +146,11 @@
 
 def _run_fleet(path: Path, plays: tuple[str, ...], out: Path | None, events: bool) -> NoReturn:
     """Many dispatchers in a few processes; a void run is no green one."""
-    from .capacity.size import BadFleet, read_fleet
-    from .hollow.judge import Run
-    from .hollow.run import run_fleet
+    from ..capacity.fleet_size import FleetFileError, read_fleet
+    from ..checkers.scale_checker import ScaleRow
+    from ..scenarios.scale_test import run_fleet
 
-    def say(row: Run) -> None:
+    def say(row: ScaleRow) -> None:
         print(
             f"{row.play}: " + "  ".join(f"{key}={value:g}" for key, value in row.figures.items()), flush=True
         )
@@ -167,7 +167,7 @@
     try:
         keep = out.parent if events and out is not None else None
         rows = run_fleet(read_fleet(path), plays, out, say, keep)
-    except (BadFleet, BadExperiment) as error:
+    except (FleetFileError, ExperimentError) as error:
         raise click.UsageError(str(error)) from None
     sys.exit(1 if any(row.void or row.failed for row in rows) else 0)
 
@@ -182,8 +182,8 @@
 
 def leave(result: Result, out: Path) -> None:
     """All files of a result."""
-    from .plots import write_histograms, write_plots
-    from .scores import as_json
+    from ..reports.plots import write_histograms, write_plots
+    from ..reports.scores import as_json
 
     out.mkdir(parents=True, exist_ok=True)
     (out / "result.json").write_bytes(as_json(result))
@@ -200,8 +200,8 @@
 def compare_(one: Path, other: Path, policies: tuple[str, str]) -> None:
     """Set two results side by side, pair by pair over the seeds."""
     try:
-        rows = compare(read_result(one), read_result(other), *policies)
-    except BadExperiment as error:
+        rows = compare_results(read_result(one), read_result(other), *policies)
+    except ExperimentError as error:
         raise click.UsageError(str(error)) from None
     if not rows:
         raise click.UsageError("no seed is in both results")
@@ -220,9 +220,9 @@
 @click.option("--leases", is_flag=True, help="What keepers of leases bear and cost, instead.")
 def bench(quick: bool, out: Path | None, store: bool, leases: bool) -> None:
     """Measure one dispatcher on one core against a bare relay, and the decisions' cost by fleet size."""
-    from .bench import measure, tables
-    from .lease_bench import lease_tables, measure_leases
-    from .store_bench import measure_store, store_tables
+    from ..scenarios.dispatcher_bench import measure, tables
+    from ..scenarios.lease_bench import lease_tables, measure_leases
+    from ..scenarios.store_bench import measure_store, store_tables
 
     def say(text: str) -> None:
         print(text, flush=True)
--- a/ploverspoke/testbed/capacity/command.py
+++ b/ploverspoke/testbed/commands/measure_costs.py
@@ -12,23 +12,30 @@
 import msgspec
 from rich.table import Table
 
-from ..processes.room import NoRoom
-from ..tables import console
-from . import config_server, dispatcher, fleet, keeper, store_replica, tools
-from .parts import Asked, Found, Part
-from .slopes import FORMAT, BadSlopes, Line, Slopes, read_slopes, write_slopes
+from ..capacity.measured_costs import (
+    FORMAT,
+    CostFileError,
+    CostPerUnit,
+    MeasuredCosts,
+    read_measured_costs,
+    write_measured_costs,
+)
+from ..capacity.measurements import config_server, dispatcher, fleet, lease_server, store_replica, tools
+from ..capacity.measurements.parts import Measurement, MeasurementRequest, MeasurementResult
+from ..processes.capacity_check import CapacityError
+from ..reports.tables import console
 
-PARTS: list[Part] = [
+PARTS: list[Measurement] = [
     *dispatcher.PARTS,
     *fleet.PARTS,
-    *keeper.PARTS,
+    *lease_server.PARTS,
     *store_replica.PARTS,
     *config_server.PARTS,
     *tools.PARTS,
 ]
 
 
-def chosen(words: Sequence[str], parts: Sequence[Part]) -> list[Part]:
+def chosen(words: Sequence[str], parts: Sequence[Measurement]) -> list[Measurement]:
     """The parts of these roles, or `role/size` for one of them; all where none is named. Raises KeyError."""
     for word in words:
         role, _, size = word.partition("/")
@@ -42,7 +49,7 @@
     ]
 
 
-def merged(old: Slopes | None, fresh: Slopes) -> Slopes:
+def merged(old: MeasuredCosts | None, fresh: MeasuredCosts) -> MeasuredCosts:
     """The fresh lines in place of the old ones of the same role and size; the others stay."""
     if old is None:
         return fresh
@@ -52,26 +59,26 @@
     return msgspec.structs.replace(fresh, lines=lines)
 
 
-async def measure(parts: Iterable[Part], asked: Asked) -> Found:
-    lines: list[Line] = []
+async def measure(parts: Iterable[Measurement], asked: MeasurementRequest) -> MeasurementResult:
+    lines: list[CostPerUnit] = []
     void: list[str] = []
     for part in parts:
         load = f"load of the machine at the start {os.getloadavg()[0]:.1f}"
         asked.say(f"{part.name()}: {load}")
         try:
             found = await part.measure(asked)
-        except NoRoom as error:
-            found = Found([], [f"{part.name()}: {error}"])
+        except CapacityError as error:
+            found = MeasurementResult([], [f"{part.name()}: {error}"])
         for line in found.lines:
             note = "; ".join(text for text in (line.note, load) if text)
             lines.append(msgspec.structs.replace(line, note=note))
         void += found.void
-    return Found(lines, void)
+    return MeasurementResult(lines, void)
 
 
-def slopes_of(lines: list[Line]) -> Slopes:
+def slopes_of(lines: list[CostPerUnit]) -> MeasuredCosts:
     commit = subprocess.run(["git", "rev-parse", "--short", "HEAD"], capture_output=True, text=True)
-    return Slopes(
+    return MeasuredCosts(
         format=FORMAT,
         at=datetime.date.today().isoformat(),
         text=commit.stdout.strip() or "unknown",
@@ -84,7 +91,7 @@
     return os.sysconf("SC_PHYS_PAGES") * os.sysconf("SC_PAGE_SIZE") / (1 << 30)
 
 
-def tables(lines: Sequence[Line]) -> list[Table]:
+def tables(lines: Sequence[CostPerUnit]) -> list[Table]:
     """One a role; figures that were 0 throughout are in the file only."""
     found = []
     for role in dict.fromkeys(line.role for line in lines):
@@ -103,9 +110,9 @@
     return found
 
 
-def _read(out: Path) -> Slopes | None:
-    """Raises BadSlopes."""
-    return read_slopes(out) if out.exists() else None
+def _read(out: Path) -> MeasuredCosts | None:
+    """Raises CostFileError."""
+    return read_measured_costs(out) if out.exists() else None
 
 
 def _say(text: str) -> None:
@@ -134,13 +141,13 @@
         raise click.UsageError(f"{error.args[0]!r} is no role; there are {known}") from None
     try:
         _read(out)
-    except BadSlopes as error:
+    except CostFileError as error:
         raise click.UsageError(str(error)) from None
-    found = asyncio.run(measure(parts, Asked(_say, quick, not in_turn)))
+    found = asyncio.run(measure(parts, MeasurementRequest(_say, quick, not in_turn)))
     fresh = slopes_of(found.lines)
     if found.lines:
         # Read again: another call may have measured another role meanwhile.
-        write_slopes(merged(_read(out), fresh), out)
+        write_measured_costs(merged(_read(out), fresh), out)
     against = [
         f"{line.role}, {line.figure} against {line.size}: residual {line.residual:.0%}"
         for line in found.lines
--- /dev/null
+++ b/ploverspoke/testbed/experiment_files/__init__.py
@@ -0,0 +1,1 @@
+"""Experiment files: TOML read into checked types."""
--- a/ploverspoke/testbed/spans.py
+++ b/ploverspoke/testbed/experiment_files/durations.py
@@ -7,19 +7,19 @@
 FORM = re.compile(r"(\d+(?:\.\d+)?)\s*(ns|us|ms|s|min)")
 
 
-class Span(int):
+class Duration(int):
     """A time in nanoseconds."""
 
 
-def read_span(text: object) -> Span:
+def parse_duration(text: object) -> Duration:
     """Raises ValueError where the number or its unit is missing."""
     found = FORM.fullmatch(text.strip()) if isinstance(text, str) else None
     if found is None:
         raise ValueError(f'expected a time with its unit (ns, us, ms, s, min), as "250ms", got {text!r}')
-    return Span(round(float(found[1]) * UNITS[found[2]]))
+    return Duration(round(float(found[1]) * UNITS[found[2]]))
 
 
-def write_span(span: float) -> str:
+def format_duration(span: float) -> str:
     """For people: three digits and the largest unit that leaves a whole part."""
     for unit in ("s", "ms", "us"):
         if span >= UNITS[unit]:
--- a/ploverspoke/testbed/experiment.py
+++ b/ploverspoke/testbed/experiment_files/experiment.py
@@ -1,6 +1,6 @@
 """Experiment files: TOML read into checked types.
 
-`read_experiment` raises BadExperiment with one line that names the key: what is unknown, of a wrong unit or
+`read_experiment` raises ExperimentError with one line that names the key: what is unknown, of a wrong unit or
 kind, names what does not exist, or lies beyond the end.
 """
 
@@ -13,12 +13,12 @@
 import msgspec
 import numpy as np
 
-from .chances import Streams
-from .processes.timeline import BadTimeline, Step, check
-from .spans import MILLISECOND, SECOND, Span, read_span
+from ..models.random_streams import RandomStreams
+from ..processes.fault_timeline import FaultStep, TimelineError, check_timeline
+from .durations import MILLISECOND, SECOND, Duration, parse_duration
 
 
-class BadExperiment(ValueError):
+class ExperimentError(ValueError):
     """The file is no experiment; the text says where and why."""
 
 
@@ -30,21 +30,21 @@
 
 
 class Fixed(Part, tag="fixed", tag_field="law", frozen=True, kw_only=True):
-    mean: Span
+    mean: Duration
 
     def sample(self, generator: np.random.Generator, count: int) -> np.ndarray:
         return np.full(count, float(self.mean))
 
 
 class Exponential(Part, tag="exponential", tag_field="law", frozen=True, kw_only=True):
-    mean: Span
+    mean: Duration
 
     def sample(self, generator: np.random.Generator, count: int) -> np.ndarray:
         return generator.exponential(self.mean, count)
 
 
 class Lognormal(Part, tag="lognormal", tag_field="law", frozen=True, kw_only=True):
-    mean: Span
+    mean: Duration
     sigma: float = 0.5  # of the logarithm
 
     def sample(self, generator: np.random.Generator, count: int) -> np.ndarray:
@@ -54,9 +54,9 @@
 class Pareto(Part, tag="pareto", tag_field="law", frozen=True, kw_only=True):
     """A heavy tail: chance of more than x falls with x to the power of -shape, from the least on."""
 
-    mean: Span
+    mean: Duration
     shape: float = 2.5
-    at_most: Span = Span(60 * SECOND)
+    at_most: Duration = Duration(60 * SECOND)
 
     def __post_init__(self) -> None:
         if self.shape <= 1:
@@ -79,13 +79,13 @@
     name: str
     repeat: Literal["redoable", "labelled", "irreversible"] = "redoable"
     group: Literal["all", "zone", "rack"] = "all"  # within which repeats of labelled ones are dropped
-    window: Span = Span(10 * SECOND)  # for which they are
-    expected_time: Span = Span(300 * MILLISECOND)
-    abandon_time: Span = Span(3 * SECOND)
+    window: Duration = Duration(10 * SECOND)  # for which they are
+    expected_time: Duration = Duration(300 * MILLISECOND)
+    abandon_time: Duration = Duration(3 * SECOND)
     benefit: float = 1.0
     overdue_benefit: float = 0.0
     kind: str = ""  # of machine that it needs
-    work: Law = Lognormal(mean=Span(30 * MILLISECOND))  # at speed 1
+    work: Law = Lognormal(mean=Duration(30 * MILLISECOND))  # at speed 1
     share: float = 1.0  # of the submissions, beside the other grades
     slots: dict[str, float] = {}  # slot counts and their shares; one slot where none are given
     subjects: int = 0  # that its jobs are about, drawn with shares that fall as 1/rank; 0: none
@@ -114,22 +114,22 @@
     start: Literal["in order", "any that fits"] = "in order"
     cancel_stops_work: bool = True
     tells_start: bool = True
-    progress_every: Span = Span(SECOND)
-    report_age: Span = Span(0)  # a load report may be so old
+    progress_every: Duration = Duration(SECOND)
+    report_age: Duration = Duration(0)  # a load report may be so old
     report_noise: float = 0.0  # standard deviation, in parts of the value
     subjects_kept: int = 200
     cold_share: float = 0.3
-    warm_within: Span = Span(8 * SECOND)
+    warm_within: Duration = Duration(8 * SECOND)
     tip_multiple: float = 3.0
-    fall_within: Span = Span(2 * SECOND)
-    down_after_fall: Span = Span(10 * SECOND)
+    fall_within: Duration = Duration(2 * SECOND)
+    down_after_fall: Duration = Duration(10 * SECOND)
 
 
 class Store(Part, frozen=True, kw_only=True):
     """Shared by all workers: what a job is about is fetched from it once for each worker."""
 
     at_once: int = 50
-    takes: Law = Exponential(mean=Span(5 * MILLISECOND))
+    takes: Law = Exponential(mean=Duration(5 * MILLISECOND))
 
 
 class Dispatchers(Part, frozen=True, kw_only=True):
@@ -142,18 +142,18 @@
 
 
 class Discovery(Part, frozen=True, kw_only=True):
-    tells_within: Span = Span(200 * MILLISECOND)  # a change is told a uniform part of it later
-    call_takes: Span = Span(MILLISECOND)  # calls are worked through in turn
-    notices_death: Span = Span(3 * SECOND)
+    tells_within: Duration = Duration(200 * MILLISECOND)  # a change is told a uniform part of it later
+    call_takes: Duration = Duration(MILLISECOND)  # calls are worked through in turn
+    notices_death: Duration = Duration(3 * SECOND)
 
 
 class Network(Part, frozen=True, kw_only=True):
-    near: Span = Span(200_000)  # one way, within a zone
-    far: Span = Span(2 * MILLISECOND)  # between zones
-    farther: Span = Span(0)  # between regions, where there are any
+    near: Duration = Duration(200_000)  # one way, within a zone
+    far: Duration = Duration(2 * MILLISECOND)  # between zones
+    farther: Duration = Duration(0)  # between regions, where there are any
     regions: list[list[str]] = []  # the zones of each; discovery stands in the first
-    client: Span = Span(100_000)  # between clients and dispatchers
-    connect_time_out: Span = Span(150 * MILLISECOND)
+    client: Duration = Duration(100_000)  # between clients and dispatchers
+    connect_time_out: Duration = Duration(150 * MILLISECOND)
 
 
 class Rules(Part, frozen=True, kw_only=True):
@@ -163,17 +163,19 @@
     recall: bool = True
     probing: bool = True
     come_back_advice: bool = True
-    longest_come_back: Span = Span(2 * SECOND)
-    stop_sending_within: Span = Span(500 * MILLISECOND)
+    longest_come_back: Duration = Duration(2 * SECOND)
+    stop_sending_within: Duration = Duration(500 * MILLISECOND)
     asks_first: bool = True  # the roster must be asked for
 
 
 class Clients(Part, frozen=True, kw_only=True):
     tries: int = 3
     retry: Literal["at once", "after a wait"] = "after a wait"
-    retry_wait: Law = Exponential(mean=Span(200 * MILLISECOND))
+    retry_wait: Law = Exponential(mean=Duration(200 * MILLISECOND))
     heeds_advice: bool = True
-    elsewhere_after: Span = Span(0)  # where there is a store: one that is not answered asks another replica
+    elsewhere_after: Duration = Duration(
+        0
+    )  # where there is a store: one that is not answered asks another replica
     leave_early: float = 0.0  # share that leaves at a random part of its abandon time
 
 
@@ -182,10 +184,10 @@
 
     rate: float  # a second
     to_rate: float | None = None  # reached in a ramp at the stretch's end
-    start: Span = Span(0)
-    end: Span | None = None  # that of the run where none is given
+    start: Duration = Duration(0)
+    end: Duration | None = None  # that of the run where none is given
     wave: float = 0.0  # part of the rate by which it swings
-    period: Span = Span(10 * SECOND)
+    period: Duration = Duration(10 * SECOND)
     burst: int = 1  # submissions that come at one instant
 
 
@@ -194,8 +196,8 @@
 
     of_workers: ClassVar[bool] = True
 
-    at: Span
-    lasts: Span
+    at: Duration
+    lasts: Duration
     workers: list[str] = []
     share: float = 0.0  # of the workers of that zone and kind, drawn from the seed
     zone: str = ""
@@ -221,8 +223,8 @@
 class Pauses(Trouble, tag="pauses", frozen=True, kw_only=True):
     """Short hangs, again and again."""
 
-    every: Span = Span(SECOND)
-    each: Span = Span(100 * MILLISECOND)
+    every: Duration = Duration(SECOND)
+    each: Duration = Duration(100 * MILLISECOND)
 
 
 class Slow(Trouble, tag="slow", frozen=True, kw_only=True):
@@ -234,7 +236,7 @@
 
 
 class LateReports(Trouble, tag="late reports", frozen=True, kw_only=True):
-    by: Span = Span(2 * SECOND)
+    by: Duration = Duration(2 * SECOND)
 
 
 class Resets(Trouble, tag="resets", frozen=True, kw_only=True):
@@ -295,8 +297,8 @@
     """One dispatcher after the other is killed or paused, drawn from the seed, each back before the next."""
 
     of_workers = False
-    every: Span = Span(6 * SECOND)
-    down: Span = Span(2 * SECOND)
+    every: Duration = Duration(6 * SECOND)
+    down: Duration = Duration(2 * SECOND)
     pauses: float = 0.3  # share that is paused in place of being killed
 
 
@@ -361,8 +363,8 @@
 class Experiment(Part, frozen=True, kw_only=True):
     name: str
     about: str = ""
-    lasts: Span
-    counted_from: Span = Span(0)  # submissions before that time do not count for service
+    lasts: Duration
+    counted_from: Duration = Duration(0)  # submissions before that time do not count for service
     seeds: list[int] = msgspec.field(default_factory=lambda: [1, 2, 3])
     policies: list[str] = msgspec.field(default_factory=lambda: ["ours"])
     grades: list[Grade]
@@ -377,7 +379,9 @@
     clients: Clients = Clients()
     traffic: list[Traffic]
     troubles: list[AnyTrouble] = []
-    timeline: list[Step] = []  # on sockets only: faults on processes d0, d1... and the links between them
+    timeline: list[
+        FaultStep
+    ] = []  # on sockets only: faults on processes d0, d1... and the links between them
     must_hold: MustHold = MustHold()
 
     def rules_at(self, at: int) -> tuple[list[str], int]:
@@ -415,20 +419,20 @@
     try:
         told = tomllib.loads(path.read_text(encoding="utf-8"))
     except OSError as error:
-        raise BadExperiment(f"{path}: {error.strerror}") from None
+        raise ExperimentError(f"{path}: {error.strerror}") from None
     except (UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
-        raise BadExperiment(f"{path}: no TOML: {error}") from None
+        raise ExperimentError(f"{path}: no TOML: {error}") from None
     try:
-        return experiment_of(told)
-    except BadExperiment as error:
-        raise BadExperiment(f"{path}: {error}") from None
+        return parse_experiment(told)
+    except ExperimentError as error:
+        raise ExperimentError(f"{path}: {error}") from None
 
 
-def experiment_of(told: dict[str, Any]) -> Experiment:
+def parse_experiment(told: dict[str, Any]) -> Experiment:
     try:
         experiment = msgspec.convert(told, Experiment, dec_hook=_span_hook)
     except msgspec.ValidationError as error:
-        raise BadExperiment(str(error).replace("`$.", "`")) from None
+        raise ExperimentError(str(error).replace("`$.", "`")) from None
     _check(experiment)
     return experiment
 
@@ -439,8 +443,8 @@
 
 
 def _span_hook(kind: type, value: Any) -> Any:
-    if kind is Span:
-        return value if isinstance(value, Span) else read_span(value)
+    if kind is Duration:
+        return value if isinstance(value, Duration) else parse_duration(value)
     raise NotImplementedError(kind)
 
 
@@ -449,7 +453,7 @@
 
     def must(holds: bool, key: str, why: str) -> None:
         if not holds:
-            raise BadExperiment(f"{key}: {why}")
+            raise ExperimentError(f"{key}: {why}")
 
     must(e.lasts > 0, "lasts", "must be more than nothing")
     must(e.counted_from < e.lasts, "counted_from", "lies beyond the end")
@@ -490,9 +494,9 @@
         must(e.network.farther >= e.network.far, "network.farther", "is less than far")
     _check_troubles(e, must)
     try:
-        check(e.timeline, [f"d{number}" for number in range(e.dispatchers.count)])
-    except BadTimeline as error:
-        raise BadExperiment(str(error)) from None
+        check_timeline(e.timeline, [f"d{number}" for number in range(e.dispatchers.count)])
+    except TimelineError as error:
+        raise ExperimentError(str(error)) from None
     for grade in e.must_hold.service_of_grade:
         must(any(g.name == grade for g in e.grades), f"must_hold.service_of_grade.{grade}", "no such grade")
     for policy in e.must_hold.over:
@@ -546,7 +550,7 @@
         if isinstance(t, DispatcherKilled | DispatcherPaused | DispatcherRestarted | DispatcherReplaced):
             found += [(t.at, t.at + t.lasts, d, kinds[type(t)]) for d in t.dispatchers]
         elif isinstance(t, KilledAtRandom):
-            draw = Streams(seed).draws(f"outages {number}")
+            draw = RandomStreams(seed).draws(f"outages {number}")
             at: int = t.at
             while at + t.down <= t.at + t.lasts:
                 which = draw.below(e.dispatchers.count)
--- a/ploverspoke/testbed/relay.py
+++ b/ploverspoke/testbed/fakes/baseline_dispatcher.py
@@ -11,7 +11,7 @@
 from ploverspoke.service.config import read_config
 from ploverspoke.service.service import Service
 
-from .baselines import RandomPick
+from ..models.baseline_policies import RandomPick
 
 
 def main() -> None:
--- a/ploverspoke/testbed/standins/rig.py
+++ b/ploverspoke/testbed/fakes/bench_endpoints.py
@@ -1,6 +1,7 @@
 """What `testbed bench` measures with: a worker that answers at once, and clients that do nothing but send.
 
-`python -m ploverspoke.testbed.standins.rig worker COUNT` prints its ports and serves until its input ends.
+`python -m ploverspoke.testbed.fakes.bench_endpoints worker COUNT` prints its ports and serves until its input
+ends.
 `... rig load PORT CLIENTS SECONDS RATE GRADE START` prints what it measured: closed loop where RATE is 0,
 else an open loop of so many a second, whose waits count from when each one was due.
 """
@@ -15,16 +16,16 @@
 import uvloop
 from hdrh.histogram import HdrHistogram
 
-from .process import say
-from .wire import LAST_CHUNK, Reader, answer, chunk
+from .fake_process import send_message
+from .http_wire import LAST_CHUNK, HttpReader, encode_chunk, encode_response
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-LOAD = answer(200, "OK", b'{"backlog":0,"x0":1000}')
+LOAD = encode_response(200, "OK", b'{"backlog":0,"x0":1000}')
 
 
 class QuickWorker(asyncio.Protocol):
     def __init__(self) -> None:
-        self.reader = Reader()
+        self.reader = HttpReader()
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -37,18 +38,18 @@
                 self.transport.write(LOAD)
                 continue
             if message.first.startswith("POST /plain"):
-                self.transport.write(answer(200, "OK", b"done"))  # to a client itself: no chunks
+                self.transport.write(encode_response(200, "OK", b"done"))  # to a client itself: no chunks
                 continue
             name = message.headers["request-id"].encode()
-            started = chunk(b'{"id":"%b","from":"w","state":"started"}\n' % name)
-            done = chunk(b'{"id":"%b","from":"w","state":"done","result":"done"}\n' % name)
+            started = encode_chunk(b'{"id":"%b","from":"w","state":"started"}\n' % name)
+            done = encode_chunk(b'{"id":"%b","from":"w","state":"done","result":"done"}\n' % name)
             self.transport.write(HEAD + started + done + LAST_CHUNK)
 
 
 class LoadClient(asyncio.Protocol):
     def __init__(self, load: "Load") -> None:
         self.load = load
-        self.reader = Reader()
+        self.reader = HttpReader()
         self.transport: asyncio.Transport | None = None
         self.due = 0
 
@@ -146,7 +147,7 @@
 async def worker(count: int) -> None:
     loop = asyncio.get_running_loop()
     servers = [await loop.create_server(QuickWorker, "127.0.0.1", 0) for _ in range(count)]
-    say({"ports": [server.sockets[0].getsockname()[1] for server in servers]})
+    send_message({"ports": [server.sockets[0].getsockname()[1] for server in servers]})
     await loop.run_in_executor(None, sys.stdin.read)
 
 
--- a/ploverspoke/testbed/standins/counters.py
+++ b/ploverspoke/testbed/fakes/byte_counters.py
@@ -29,7 +29,7 @@
         return {name: getattr(self, name) for name in self.__slots__}
 
 
-class Counters:
+class ByteCounters:
     """All dispatchers of a run; whoever is none of them counts for nothing."""
 
     def __init__(self, dispatchers: int) -> None:
--- a/ploverspoke/testbed/standins/clients.py
+++ b/ploverspoke/testbed/fakes/client_process.py
@@ -4,12 +4,12 @@
 from collections import Counter
 from typing import Any, cast
 
-from .. import experiment as ex
-from ..clients import Clients, Request
-from ..schedule import schedule
-from ..spans import MILLISECOND
-from .process import Spec, StandIn, say
-from .wire import BadWire, Reader
+from ..experiment_files import experiment as ex
+from ..experiment_files.durations import MILLISECOND
+from ..models.clients import ClientRequest, Clients
+from ..models.request_schedule import draw_schedule
+from .fake_process import FakeProcess, FakeProcessSpec, send_message
+from .http_wire import HttpReader, HttpSyntaxError
 
 SENT_ON = 307
 HOWS = {200: "satisfied", 503: "nacked", 429: "nacked", 504: "abandoned"}
@@ -18,12 +18,12 @@
 
 
 class ClientConnection(asyncio.Protocol):
-    def __init__(self, clients: "ClientStandIn", dispatcher: int) -> None:
+    def __init__(self, clients: "FakeClients", dispatcher: int) -> None:
         self.clients = clients
         self.dispatcher = dispatcher
-        self.reader = Reader()
+        self.reader = HttpReader()
         self.transport: asyncio.Transport | None = None
-        self.request: Request | None = None
+        self.request: ClientRequest | None = None
         self.used = 0
         self.wrote_at = 0
         self.traffic = clients.counters.of(dispatcher)
@@ -33,7 +33,7 @@
         self.traffic.connected += 1
         self.traffic.connections += 1
 
-    def carry(self, request: Request) -> None:
+    def carry(self, request: ClientRequest) -> None:
         assert self.transport is not None
         self.request = request
         request.connection = self
@@ -52,7 +52,7 @@
                 self.traffic.messages_out += 1
                 request, self.request = self.request, None
                 if request is None:
-                    say({"fault": f"an answer that nobody waits for: {message.first[:40]!r}"})
+                    send_message({"fault": f"an answer that nobody waits for: {message.first[:40]!r}"})
                     continue
                 status = int(message.first.split(" ")[1])
                 if status == SENT_ON:
@@ -69,14 +69,14 @@
                 come_back = float(message.headers.get("retry-after", 0))
                 how = HOWS.get(status, "rejected")
                 if how == "satisfied" and message.body != f"{request.id} done".encode():
-                    say({"fault": f"{request.id} was answered with another's result"})
+                    send_message({"fault": f"{request.id} was answered with another's result"})
                     how = "rejected"
                 if message.headers.get("connection", "") != "close":
                     self.clients.rest(self)
                 self.clients.count[how] += 1
                 self.clients.model.answered(request, how, int(come_back * 1e9))
-        except (BadWire, ValueError) as error:
-            say({"fault": f"a dispatcher's answer: {error}"})
+        except (HttpSyntaxError, ValueError) as error:
+            send_message({"fault": f"a dispatcher's answer: {error}"})
             self.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -100,10 +100,10 @@
             self.transport.abort()
 
 
-class ClientStandIn(StandIn):
-    def __init__(self, spec: Spec, part: int) -> None:
+class FakeClients(FakeProcess):
+    def __init__(self, spec: FakeProcessSpec, part: int) -> None:
         super().__init__(spec, part)
-        jobs = schedule(self.e, self.seed)[part :: spec.clients]
+        jobs = draw_schedule(self.e, self.seed)[part :: spec.clients]
         self.model = Clients(self.e, self.seed, jobs, self.clock, self.seen, self._send, self._close, part)
         self.jobs = len(jobs)
         self.idle: dict[int, list[ClientConnection]] = {d: [] for d in range(self.e.dispatchers.count)}
@@ -134,7 +134,7 @@
             "behind": self.model.latest,
         }
 
-    def message(self, request: Request) -> bytes:
+    def message(self, request: ClientRequest) -> bytes:
         job = request.job
         left = max(1, (request.abandon_at - self.clock.now()) // MILLISECOND)
         lines = [f"Request-Id: {request.id}\r\nRequest-Timeout-Ms: {left}\r\n"]
@@ -149,7 +149,7 @@
 
     # ---- Connections ----
 
-    def _send(self, request: Request) -> None:
+    def _send(self, request: ClientRequest) -> None:
         idle = self.idle[request.asked_at]
         if idle:
             idle.pop().carry(request)
@@ -160,12 +160,12 @@
         else:
             self.connect(request)
 
-    def connect(self, request: Request, again: bool = False) -> None:
+    def connect(self, request: ClientRequest, again: bool = False) -> None:
         task = self.loop.create_task(self._connect(request, again))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def _connect(self, request: Request, again: bool) -> None:
+    async def _connect(self, request: ClientRequest, again: bool) -> None:
         connection = ClientConnection(self, request.asked_at)
         try:
             host, _, port = self.dispatchers[request.asked_at].rpartition(":")
@@ -187,7 +187,7 @@
         """Of a URL that another replica gave."""
         return self.dispatchers.index(location.split("/")[2])
 
-    def broke(self, request: Request) -> None:
+    def broke(self, request: ClientRequest) -> None:
         self.count["broken"] += 1
         self.model.answered(request, "broken")
 
@@ -200,7 +200,7 @@
         if connection in idle:
             idle.remove(connection)
 
-    def _close(self, request: Request) -> None:
+    def _close(self, request: ClientRequest) -> None:
         connection = request.connection
         if isinstance(connection, ClientConnection) and connection.request is request:
             connection.request = None
--- a/ploverspoke/testbed/processes/distribution_clients.py
+++ b/ploverspoke/testbed/fakes/config_clients.py
@@ -1,6 +1,6 @@
 """All that meets config servers and dispatchers from outside, one process: publishers, probers, a discovery.
 
-`python -m ploverspoke.testbed.processes.distribution_clients SPEC`. Lines on its input: `{"go": true}` starts
+`python -m ploverspoke.testbed.fakes.config_clients SPEC`. Lines on its input: `{"go": true}` starts
 it; `{"last": true}` publishes a last good body and one that checks refuse, and publishers rest from then on,
 `{"read": true}` reads from all servers what they have. Each is answered with a line. What was done, and what
 came of it, goes to a history on the machine's clock; see `distribution_check` for the events.
@@ -24,10 +24,10 @@
 from ploverspoke.consensus.framing import FrameError
 from ploverspoke.consensus.replica_client import send_admin_request
 
-from ..spans import SECOND
-from ..standins.process import say
-from .distribution_check import GOOD, REFUSABLE, UNACCEPTABLE
-from .history import History, true_now
+from ..checkers.distribution_checker import GOOD, REFUSABLE, UNACCEPTABLE
+from ..experiment_files.durations import SECOND
+from ..processes.history import History, monotonic_now
+from .fake_process import send_message
 
 ANSWERS_WITHIN = 1.0  # seconds, a dispatcher
 TRIES_FOR = 8 * SECOND  # under one id
@@ -41,7 +41,7 @@
 ABANDON_US = 500_000
 
 
-class Spec(msgspec.Struct):
+class ConfigClientsSpec(msgspec.Struct):
     seed: int
     history: str
     secret: str
@@ -95,7 +95,7 @@
 
 
 class Clients:
-    def __init__(self, spec: Spec) -> None:
+    def __init__(self, spec: ConfigClientsSpec) -> None:
         self.spec = spec
         self.chance = random.Random(f"{spec.seed} publishers")
         self.history = History(Path(spec.history), "clients")
@@ -120,7 +120,7 @@
         for _ in range(2):
             server = await asyncio.start_server(self.discover, self.spec.discovery, 0, backlog=256)
             self.discoveries.append("{}:{}".format(*server.sockets[0].getsockname()))
-        say({"discovery": self.discoveries[0]})
+        send_message({"discovery": self.discoveries[0]})
 
     def go(self) -> None:
         work = [self.publish_on(number) for number in range(self.spec.publishers)]
@@ -133,9 +133,9 @@
 
     async def watch(self) -> None:
         while True:
-            due = true_now() + int(LATE_EVERY * SECOND)
+            due = monotonic_now() + int(LATE_EVERY * SECOND)
             await asyncio.sleep(LATE_EVERY)
-            self.late = max(self.late, true_now() - due)
+            self.late = max(self.late, monotonic_now() - due)
 
     # ---- Publishing ----
 
@@ -179,7 +179,7 @@
 
     async def publish(self, made: Publication, stubborn: bool) -> bool:
         """Whether it was acknowledged. Who is not stubborn lets it go where no answer came."""
-        until = true_now() + TRIES_FOR
+        until = monotonic_now() + TRIES_FOR
         question = {
             "ask": "publish",
             "body": made.body,
@@ -187,7 +187,7 @@
             "by": "testbed",
             "id": made.id,
         }
-        while true_now() < until and not self.hurried:
+        while monotonic_now() < until and not self.hurried:
             server = self.leader
             self.history.add("sends", [made.id, server])
             if self.chance.random() < 0.2:  # it comes twice, one behind the other or not
@@ -243,8 +243,8 @@
 
     async def one(self, kind: str) -> None:
         """Until one of that kind is acknowledged."""
-        until = true_now() + TRIES_FOR
-        while true_now() < until and not self.hurried:
+        until = monotonic_now() + TRIES_FOR
+        while monotonic_now() < until and not self.hurried:
             expect = await self.latest()
             if expect >= 0 and await self.publish(self.publication(kind, expect), True):
                 return
@@ -259,7 +259,7 @@
         self.hurried = False
         await self.one(GOOD)
         await self.one(REFUSABLE)
-        say({"last": self.tags, "late": self.late})
+        send_message({"last": self.tags, "late": self.late})
 
     async def hush_on(self) -> None:
         while await self.goes_on(self.spec.hush_every):
@@ -276,7 +276,7 @@
             rows = await self.ask(server, {"ask": "watchers"})
             if isinstance(rows, list):
                 self.history.add("watchers", [server, rows])
-        say({"read": True, "late": self.late})
+        send_message({"read": True, "late": self.late})
 
     # ---- Probing ----
 
@@ -286,16 +286,16 @@
         await asyncio.sleep(chance.random() * every)
         number = 0
         while True:
-            due = true_now() + self.spec.probe_every
+            due = monotonic_now() + self.spec.probe_every
             number += 1
             with contextlib.suppress(OSError, TimeoutError, ValueError):
                 await self.round(dispatcher, wide=number % WIDE_EVERY == 0)
                 if number % DOOR_EVERY == 0:
                     await self.door(dispatcher)
-            await asyncio.sleep(max(every / 4, (due - true_now()) / SECOND))
+            await asyncio.sleep(max(every / 4, (due - monotonic_now()) / SECOND))
 
     async def round(self, dispatcher: str, wide: bool) -> None:
-        asked, now = true_now(), self.in_force[dispatcher]
+        asked, now = monotonic_now(), self.in_force[dispatcher]
         there: list[str] = []
         missed: list[str] = []
 
@@ -322,7 +322,7 @@
         return int(answer.split()[1]) != 404
 
     async def door(self, dispatcher: str) -> None:
-        asked = true_now()
+        asked = monotonic_now()
         answer = await self.exchange(self.spec.dispatchers[dispatcher][1], b"config\n")
         self.history.add("door", [dispatcher, asked, answer.decode(errors="replace").strip()])
 
@@ -364,7 +364,7 @@
         yield head.split()[1].decode()
 
 
-async def live(spec: Spec) -> None:
+async def live(spec: ConfigClientsSpec) -> None:
     clients = Clients(spec)
     await clients.open()
     lines = asyncio.StreamReader()
@@ -375,10 +375,10 @@
         told = msgspec.json.decode(line)
         if "go" in told:
             clients.go()
-            say({"go": True})
+            send_message({"go": True})
         for word in told.keys() & calls.keys():
             await calls[word]()
 
 
 if __name__ == "__main__":
-    uvloop.run(live(msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=Spec)))
+    uvloop.run(live(msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=ConfigClientsSpec)))
--- a/ploverspoke/testbed/standins/process.py
+++ b/ploverspoke/testbed/fakes/fake_process.py
@@ -17,10 +17,10 @@
 import msgspec
 import uvloop
 
-from ..clock import AnyTimer
-from ..experiment import Experiment, experiment_from_builtins
-from ..records import Records, write_records
-from .counters import Counters
+from ..experiment_files.experiment import Experiment, experiment_from_builtins
+from ..models.event_records import Records, write_records
+from ..models.virtual_clock import AnyTimer
+from .byte_counters import ByteCounters
 
 TELLS_EVERY = 0.25  # seconds
 LOOKS_EVERY = 0.02  # at its own clock
@@ -57,7 +57,7 @@
         return LoopTimer(self.loop.call_later(left / 1e9, call, *what))
 
 
-class Spec(msgspec.Struct):
+class FakeProcessSpec(msgspec.Struct):
     """A run as the stand-ins read it."""
 
     experiment: dict[str, Any]
@@ -70,10 +70,10 @@
     tells_traffic: bool = False  # whoever asks for it has to listen to every stand-in
 
 
-class StandIn:
+class FakeProcess:
     """One process. `begin` and `heard` are a kind's own."""
 
-    def __init__(self, spec: Spec, part: int) -> None:
+    def __init__(self, spec: FakeProcessSpec, part: int) -> None:
         self.loop = asyncio.get_running_loop()
         self.clock = LoopClock(self.loop)
         self.seen = Records()
@@ -82,7 +82,7 @@
         self.part = part
         self.e: Experiment = experiment_from_builtins(spec.experiment)
         self.seed = spec.seed
-        self.counters = Counters(len(spec.hosts))
+        self.counters = ByteCounters(len(spec.hosts))
 
     async def prepare(self) -> dict[str, Any]:
         """Open what there is to open; gives what is told first."""
@@ -103,17 +103,19 @@
         return {}
 
 
-def say(told: dict[str, Any]) -> None:
+def send_message(told: dict[str, Any]) -> None:
     sys.stdout.buffer.write(msgspec.json.encode(told) + b"\n")
     sys.stdout.buffer.flush()
 
 
-async def live(kind: Callable[[Spec, int], StandIn], spec: Spec, name: str, part: int) -> None:
+async def live(
+    kind: Callable[[FakeProcessSpec, int], FakeProcess], spec: FakeProcessSpec, name: str, part: int
+) -> None:
     stand_in = kind(spec, part)
     loop = asyncio.get_running_loop()
     lines: asyncio.StreamReader = asyncio.StreamReader()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(lines), sys.stdin)
-    say(await stand_in.prepare())
+    send_message(await stand_in.prepare())
     tasks: list[asyncio.Task[None]] = []
     while line := await lines.readline():
         told = msgspec.json.decode(line)
@@ -130,19 +132,19 @@
     for task in tasks:
         task.cancel()
     write_records(stand_in.seen.events, Path(spec.records) / f"{name}-{part}.jsonl")
-    say({"over": True})
+    send_message({"over": True})
 
 
-async def _tell(stand_in: StandIn) -> None:
+async def _tell(stand_in: FakeProcess) -> None:
     while True:
         await asyncio.sleep(TELLS_EVERY)
         told = {"late": stand_in.late, **stand_in.counts()}
         if stand_in.spec.tells_traffic:
             told |= {"counted_at": stand_in.clock.now(), "traffic": stand_in.counters.told()}
-        say(told)
+        send_message(told)
 
 
-async def _watch(stand_in: StandIn) -> None:
+async def _watch(stand_in: FakeProcess) -> None:
     """How late this process is with what is due: what it saw then is in no order that means something."""
     while True:
         due = stand_in.clock.now() + int(LOOKS_EVERY * 1e9)
@@ -150,6 +152,6 @@
         stand_in.late = max(stand_in.late, stand_in.clock.now() - due)
 
 
-def run(kind: Callable[[Spec, int], StandIn], name: str, spec_path: Path, part: int) -> None:
-    spec: Spec = msgspec.json.decode(spec_path.read_bytes(), type=Spec)
+def run(kind: Callable[[FakeProcessSpec, int], FakeProcess], name: str, spec_path: Path, part: int) -> None:
+    spec: FakeProcessSpec = msgspec.json.decode(spec_path.read_bytes(), type=FakeProcessSpec)
     uvloop.run(live(kind, spec, name, part))
--- a/ploverspoke/testbed/list_age/discovery.py
+++ b/ploverspoke/testbed/fakes/faulty_discovery.py
@@ -11,7 +11,7 @@
 from typing import Any, NamedTuple
 from urllib.parse import parse_qs, urlsplit
 
-from ..standins.wire import answer
+from .http_wire import encode_response
 
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
@@ -177,10 +177,10 @@
         if writer.transport.is_closing():
             return False  # nothing is written to it any more
         if failure is Failure.REJECTED:
-            writer.write(answer(503, "Busy", b""))
+            writer.write(encode_response(503, "Busy", b""))
             return True
         body = b'{"version":"soon"}' if failure is Failure.INVALID else self._list(dispatcher, version)
-        writer.write(answer(200, "OK", body))
+        writer.write(encode_response(200, "OK", body))
         return True
 
     def _next_failure(self) -> Failure | None:
--- a/ploverspoke/testbed/processes/contender.py
+++ b/ploverspoke/testbed/fakes/lease_candidate.py
@@ -18,7 +18,7 @@
 from ploverspoke.leases.client import LeaseClient
 from ploverspoke.leases.config import read_lease_servers
 
-from .history import History, true_now
+from ..processes.history import History, monotonic_now
 
 WAITS_AT_MOST = 3600.0  # seconds, for a lease
 REACHES_WITHIN = 0.5
@@ -46,7 +46,7 @@
         self.at = 0
 
     def time_left(self, name: str) -> int:
-        self.at = true_now()
+        self.at = monotonic_now()
         return self.client.time_left(name)
 
     def token(self, name: str) -> int:
@@ -57,7 +57,7 @@
     def __init__(self, spec: Spec) -> None:
         self.spec = spec
         self.history = History(Path(spec.history), spec.name)
-        self.chance = random.Random(f"{spec.seed} {spec.name} {true_now()}")
+        self.chance = random.Random(f"{spec.seed} {spec.name} {monotonic_now()}")
         self.client = LeaseClient(read_lease_servers(Path(spec.keepers)), spec.name)
         self.streams: dict[str, tuple[asyncio.StreamReader, asyncio.StreamWriter]] = {}  # by lease
 
@@ -74,8 +74,8 @@
                 continue
             self.history.add("held", [name, token, client.time_left(name)])
             until = self.chance.expovariate(1 / 0.5) if self.chance.random() > spec.keeps else float("inf")
-            began = true_now()
-            while client.token(name) == token and (true_now() - began) / 1e9 < until:
+            began = monotonic_now()
+            while client.token(name) == token and (monotonic_now() - began) / 1e9 < until:
                 looks = Looks(client)
                 step = guarded_task.GuardedStep(spec.step, partial(self.effect, looks, name))
                 if not await guarded_task.run_guarded_steps(looks, name, [step]):
--- a/ploverspoke/testbed/soak/clients.py
+++ b/ploverspoke/testbed/fakes/persistent_clients.py
@@ -5,7 +5,7 @@
 import random
 from collections import Counter
 
-from .workers import SoakWorkers
+from .recording_workers import RecordingWorkers
 
 DEADLINE = 0.9  # seconds, of both classes of the deployment
 ANSWER_SLACK = 0.5  # after that an answer earns nothing; later it counts as lost
@@ -13,10 +13,10 @@
 RECONNECT_PAUSE = 0.02
 
 
-class SoakClients:
+class PersistentClients:
     """All clients, and what became of their requests."""
 
-    def __init__(self, port: int, workers: SoakWorkers, randomness: random.Random) -> None:
+    def __init__(self, port: int, workers: RecordingWorkers, randomness: random.Random) -> None:
         """Clients of the dispatcher at that port."""
         self.port = port
         self.workers = workers
--- a/ploverspoke/testbed/processes/resource.py
+++ b/ploverspoke/testbed/fakes/protected_resource.py
@@ -1,9 +1,9 @@
 """A stand-in resource, a process of its own: what is done to it under which token, as it comes.
 
-`python -m ploverspoke.testbed.processes.resource HOST PORT HISTORY FENCED...`. Contenders send lines of name,
-token and time of the look. Each is written to the history with the time at which it came, whether it was
-taken, and who sent it (by its address). Nothing of the product is in it: for the names FENCED it refuses a
-token that is lower than the highest it has seen.
+`python -m ploverspoke.testbed.fakes.protected_resource HOST PORT HISTORY FENCED...`. Contenders send lines of
+name, token and time of the look. Each is written to the history with the time at which it came, whether it
+was taken, and who sent it (by its address). Nothing of the product is in it: for the names FENCED it refuses
+a token that is lower than the highest it has seen.
 """
 
 import asyncio
@@ -12,8 +12,8 @@
 
 import uvloop
 
-from ..standins.process import say
-from .history import History
+from ..processes.history import History
+from .fake_process import send_message
 
 BACKLOG = 512
 
@@ -43,7 +43,7 @@
         writer.close()
 
     await asyncio.start_server(came, host, port, backlog=BACKLOG)
-    say({"open": port})
+    send_message({"open": port})
     await asyncio.get_running_loop().run_in_executor(None, sys.stdin.read)
 
 
--- a/ploverspoke/testbed/soak/workers.py
+++ b/ploverspoke/testbed/fakes/recording_workers.py
@@ -7,7 +7,7 @@
 from collections import defaultdict
 from typing import Any, NamedTuple
 
-from ..standins.wire import LAST_CHUNK, answer, chunk
+from .http_wire import LAST_CHUNK, encode_chunk, encode_response
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 LONGEST_RUN = 0.06  # seconds, for most requests
@@ -25,7 +25,7 @@
     has_run: bool
 
 
-class SoakWorkers:
+class RecordingWorkers:
     """All workers; one that drains answers health checks unwell and returns requests unstarted."""
 
     def __init__(self, count: int, randomness: random.Random) -> None:
@@ -68,7 +68,9 @@
     ) -> None:
         is_draining = name in self.draining
         if head.startswith("GET "):
-            writer.write(answer(503, "Draining", b"") if is_draining else answer(200, "OK", LOAD))
+            writer.write(
+                encode_response(503, "Draining", b"") if is_draining else encode_response(200, "OK", LOAD)
+            )
             return
         lines = (line.split(": ", 1) for line in head.split("\r\n")[1:] if line)
         headers = {key.lower(): value for key, value in lines}
@@ -79,7 +81,7 @@
         self.arrivals.append(arrival)
         self.by_request[request_id].append(arrival)
         if is_draining:
-            writer.write(answer(503, "Draining", b"", "Not-Started: 1\r\n"))
+            writer.write(encode_response(503, "Draining", b"", "Not-Started: 1\r\n"))
             return
         writer.write(HEAD + _line({"id": request_id, "from": name, "state": "started"}))
         longest = LONG_RUN if self.random.random() < LONG_SHARE else LONGEST_RUN
@@ -89,4 +91,4 @@
 
 
 def _line(line: dict[str, str]) -> bytes:
-    return chunk(json.dumps(line).encode() + b"\n")
+    return encode_chunk(json.dumps(line).encode() + b"\n")
--- a/ploverspoke/testbed/standins/worker.py
+++ b/ploverspoke/testbed/fakes/worker_server.py
@@ -9,16 +9,16 @@
 
 import msgspec
 
-from .. import records
-from ..chances import Streams
-from ..fleet import RESET_WITHIN, Fleet, Nobody
+from ..models import event_records
+from ..models.faults import ConnectionFaults, StoreFaults, WorkerFaults, ZoneCuts
+from ..models.random_streams import RandomStreams
+from ..models.request_schedule import ScheduledRequest, draw_schedule
+from ..models.worker import Execution, Worker
+from ..models.worker_fleet import RESET_WITHIN, IgnoringListener, WorkerFleet
 from ..processes.addresses import bound
-from ..processes.room import most_descriptors
-from ..schedule import Job, schedule
-from ..troubles import Connections, Cuts, FleetTroubles, StoreTroubles
-from ..worker import Run, Worker
-from .process import Spec, StandIn, say
-from .wire import LAST_CHUNK, BadWire, Message, Reader, answer, chunk
+from ..processes.capacity_check import descriptor_limit
+from .fake_process import FakeProcess, FakeProcessSpec, send_message
+from .http_wire import LAST_CHUNK, HttpMessage, HttpReader, HttpSyntaxError, encode_chunk, encode_response
 
 BACKLOG = 256
 
@@ -30,9 +30,9 @@
         self.there = there
         self.fleet = there.fleet
         self.dispatcher = self.zone = -1
-        self.reader = Reader()
+        self.reader = HttpReader()
         self.transport: asyncio.Transport | None = None
-        self.run: Run | None = None
+        self.run: Execution | None = None
         self.requests = 0
         self.silent = False  # whatever is written is swallowed
         self.traffic = there.fleet.counters.of(-1)
@@ -41,7 +41,7 @@
         self.transport = cast(asyncio.Transport, transport)
         self.dispatcher = self.fleet.dispatchers.get(transport.get_extra_info("peername")[0], -1)
         if self.dispatcher < 0:
-            say({"fault": f"{self.there.worker.name} was called by somebody who is no dispatcher"})
+            send_message({"fault": f"{self.there.worker.name} was called by somebody who is no dispatcher"})
             self.abort()
             return
         self.zone = self.dispatcher % len(self.fleet.e.zones())
@@ -63,8 +63,8 @@
                     clock.at(clock.now() + delay, self._message, message)
                 else:
                     self._message(message)
-        except BadWire as error:
-            say({"fault": f"{self.there.worker.name} was sent: {error}"})
+        except HttpSyntaxError as error:
+            send_message({"fault": f"{self.there.worker.name} was sent: {error}"})
             self.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -83,7 +83,7 @@
 
     # ---- Requests ----
 
-    def _message(self, message: Message) -> None:
+    def _message(self, message: HttpMessage) -> None:
         self.requests += 1
         worker = self.there.worker
         if self.transport is None or not worker.up:
@@ -95,26 +95,26 @@
         submission = message.headers.get("request-id", "")
         job = self.fleet.job(submission)
         if job is None:
-            self._write(answer(404 if not submission else 400, "No", b""))
-            say({"fault": f"{worker.name} was sent an id that no client sent: {submission!r}"})
+            self._write(encode_response(404 if not submission else 400, "No", b""))
+            send_message({"fault": f"{worker.name} was sent an id that no client sent: {submission!r}"})
             return
         draws, connections = self.fleet.draws, self.fleet.connections
-        if self.requests > 1 and draws.happens(Connections.share(connections.drops, worker.name)):
+        if self.requests > 1 and draws.happens(ConnectionFaults.share(connections.drops, worker.name)):
             self.abort()
             return
         label = message.headers.get("job-label", "")
-        run = Run(submission, job, self.dispatcher, self, label)
+        run = Execution(submission, job, self.dispatcher, self, label)
         self.run = run
-        if draws.happens(Connections.share(connections.silences, worker.name)):
+        if draws.happens(ConnectionFaults.share(connections.silences, worker.name)):
             self.silent = True
             if draws.happens(0.5):
                 return
-        elif draws.happens(Connections.share(connections.resets, worker.name)):
+        elif draws.happens(ConnectionFaults.share(connections.resets, worker.name)):
             after = int(draws.fraction() * RESET_WITHIN)
             self.fleet.clock.at(self.fleet.clock.now() + after, self._reset, run)
         worker.take(run)
 
-    def _reset(self, run: Run) -> None:
+    def _reset(self, run: Execution) -> None:
         if self.run is run and not run.over:
             self.abort()
 
@@ -124,25 +124,25 @@
         if worker.frozen:
             worker.while_frozen.append((self._probe, path))
         elif path == "/-/load":
-            self._write(answer(200, "OK", msgspec.json.encode(worker.report())))
+            self._write(encode_response(200, "OK", msgspec.json.encode(worker.report())))
         elif path == "/-/healthy":
-            self._write(answer(200, "OK", b""))
+            self._write(encode_response(200, "OK", b""))
         else:
-            self._write(answer(404, "Not Found", b""))
+            self._write(encode_response(404, "Not Found", b""))
 
     # ---- What the model tells ----
 
-    def run_started(self, run: Run) -> None:
+    def run_started(self, run: Execution) -> None:
         self._line(run, {"state": "started"}, first=True)
 
-    def run_progressed(self, run: Run, share: float) -> None:
+    def run_progressed(self, run: Execution, share: float) -> None:
         self._line(run, {"state": "running", "share": share})
 
-    def run_ended(self, run: Run, how: str) -> None:
+    def run_ended(self, run: Execution, how: str) -> None:
         if how == "lost":
             self.abort()
         elif how == "returned" and not run.begun:
-            self._write(answer(503, "Service Unavailable", b"", "Not-Started: 1\r\n"))
+            self._write(encode_response(503, "Service Unavailable", b"", "Not-Started: 1\r\n"))
         elif how == "done":
             first = not (run.begun and self.there.worker.rules.tells_start)
             self._line(run, {"state": "done", "result": f"{run.submission} done"}, first, last=True)
@@ -150,14 +150,14 @@
             first = not (run.begun and self.there.worker.rules.tells_start)
             self._line(run, {"state": how}, first, last=True)
 
-    def _line(self, run: Run, said: dict[str, Any], first: bool = False, last: bool = False) -> None:
+    def _line(self, run: Execution, said: dict[str, Any], first: bool = False, last: bool = False) -> None:
         if self.run is not run:
             return
         text = msgspec.json.encode({"id": run.submission, "from": self.there.worker.name, **said}) + b"\n"
         if said["state"] == "running" and not self.silent:
-            self.traffic.progress_bytes += len(chunk(text))
+            self.traffic.progress_bytes += len(encode_chunk(text))
         head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" if first else b""
-        self._write(head + chunk(text) + (LAST_CHUNK if last else b""))
+        self._write(head + encode_chunk(text) + (LAST_CHUNK if last else b""))
 
     def _write(self, data: bytes) -> None:
         if self.silent or self.transport is None:
@@ -181,19 +181,19 @@
         self.traffic.bytes_in += len(data)
         self.traffic.messages_in += 1
 
-    def _note_closed(self, run: Run) -> None:
+    def _note_closed(self, run: Execution) -> None:
         there, now = self.there, self.fleet.clock.now()
         if run.serial:
             name = there.worker.name
             self.fleet.seen.add(
-                now, records.CLOSED, run.submission, run.job.number, self.dispatcher, name, run.serial
+                now, event_records.CLOSED, run.submission, run.job.number, self.dispatcher, name, run.serial
             )
 
 
 class Listening:
     """One worker's socket. Its port stays taken while the worker is down."""
 
-    def __init__(self, fleet: "WorkerStandIn", worker: Worker) -> None:
+    def __init__(self, fleet: "FakeWorkers", worker: Worker) -> None:
         self.fleet = fleet
         self.worker = worker
         zones = range(len(fleet.e.zones()))
@@ -225,25 +225,25 @@
         return self.fleet.cuts is not None and self.fleet.cuts.between(zone, self.worker.zone)
 
 
-class WorkerStandIn(StandIn):
+class FakeWorkers(FakeProcess):
     """All workers of some zones: racks and the store are shared among those of one process."""
 
-    def __init__(self, spec: Spec, part: int) -> None:
+    def __init__(self, spec: FakeProcessSpec, part: int) -> None:
         super().__init__(spec, part)
-        self.jobs: list[Job] = schedule(self.e, self.seed)
-        self.fleet = Fleet(self.e, self.seed, self.clock, self.seen)
+        self.jobs: list[ScheduledRequest] = draw_schedule(self.e, self.seed)
+        self.fleet = WorkerFleet(self.e, self.seed, self.clock, self.seen)
         self.fleet.workers = {
             name: worker
             for name, worker in self.fleet.workers.items()
             if worker.zone % spec.worker_processes == part
         }
-        self.draws = Streams(self.seed).draws("sockets")
-        self.connections = Connections()
-        self.nobody = Nobody()
+        self.draws = RandomStreams(self.seed).draws("sockets")
+        self.connections = ConnectionFaults()
+        self.nobody = IgnoringListener()
         self.tasks: set[asyncio.Task[None]] = set()
         self.dispatchers = {host: number for number, host in enumerate(spec.hosts)}
         self.listening = {name: Listening(self, worker) for name, worker in self.fleet.workers.items()}
-        self.cuts: Cuts | None = None  # before the run nothing is cut
+        self.cuts: ZoneCuts | None = None  # before the run nothing is cut
 
     def moved(self, by: int) -> None:
         super().moved(by)
@@ -251,20 +251,20 @@
             worker.last_reports.clear()
 
     async def prepare(self) -> dict[str, Any]:
-        most_descriptors()
+        descriptor_limit()
         for there in self.listening.values():
             await there.open()
         return {"addresses": {name: f"{there.host}:{there.port}" for name, there in self.listening.items()}}
 
     def begin(self, told: dict[str, Any]) -> None:
-        self.cuts = Cuts(self.e, self.clock)
+        self.cuts = ZoneCuts(self.e, self.clock)
         workers = list(self.fleet.workers.values())
-        troubles = FleetTroubles(
+        troubles = WorkerFaults(
             self.e, self.seed, self.clock, workers, self.connections, self._died, self._returned
         )
-        troubles.on_fall = lambda worker: say({"fell": worker})
-        troubles.on_back = lambda worker: say({"back": worker})
-        StoreTroubles(self.e, self.clock, self.fleet.store)
+        troubles.on_fall = lambda worker: send_message({"fell": worker})
+        troubles.on_back = lambda worker: send_message({"back": worker})
+        StoreFaults(self.e, self.clock, self.fleet.store)
 
     def counts(self) -> dict[str, Any]:
         return {
@@ -275,7 +275,7 @@
             },
         }
 
-    def job(self, submission: str) -> Job | None:
+    def job(self, submission: str) -> ScheduledRequest | None:
         number, dash, _ = submission.partition("-")
         try:
             return self.jobs[int(number, 16)] if dash else None
@@ -301,4 +301,4 @@
     return "slow" if worker.slowed else "up"
 
 
-KIND: Callable[[Spec, int], StandIn] = WorkerStandIn
+KIND: Callable[[FakeProcessSpec, int], FakeProcess] = FakeWorkers
--- a/ploverspoke/testbed/clients.py
+++ b/ploverspoke/testbed/models/clients.py
@@ -7,24 +7,24 @@
 
 from collections.abc import Callable, Sequence
 
-from . import records
-from .chances import Draws, Streams
-from .clock import AnyTimer, Clock
-from .experiment import Experiment
-from .records import Records
-from .schedule import Job
-from .spans import MILLISECOND
+from ..experiment_files.durations import MILLISECOND
+from ..experiment_files.experiment import Experiment
+from . import event_records
+from .event_records import Records
+from .random_streams import RandomDraws, RandomStreams
+from .request_schedule import ScheduledRequest
+from .virtual_clock import AnyTimer, Clock
 
 LATE = 5 * MILLISECOND  # a first try that goes out later than this is the generator's fault, and is told
 ASK_AGAIN = 40 * MILLISECOND  # the same id, at another replica; doubled each time...
 MOST_DOUBLED = 5  # ...so often, else those that wait for a leader keep it from leading
 SENT_ON_AT_ONCE = 2  # so often; two replicas may name each other
-LATE_ASKS = 5000 * MILLISECOND  # past the abandon time an answer is still asked for
+LATE_ANSWER_ALLOWANCE = 5000 * MILLISECOND  # past the abandon time an answer is still asked for
 TWICE = 0.1  # share of answered ones that are asked for once more, elsewhere
 LEAST_PATIENCE = 5 * MILLISECOND
 
 
-class Request:
+class ClientRequest:
     """One submission: one try of one job."""
 
     __slots__ = (
@@ -44,7 +44,13 @@
     )
 
     def __init__(
-        self, job: Job, tries: int, dispatcher: int, sent_at: int, abandon_at: int, labelled: bool
+        self,
+        job: ScheduledRequest,
+        tries: int,
+        dispatcher: int,
+        sent_at: int,
+        abandon_at: int,
+        labelled: bool,
     ) -> None:
         self.job = job
         self.tries = tries  # before this one
@@ -69,11 +75,11 @@
         self,
         e: Experiment,
         seed: int,
-        jobs: Sequence[Job],
+        jobs: Sequence[ScheduledRequest],
         clock: Clock,
         records_: Records,
-        send: Callable[[Request], None],
-        close: Callable[[Request], None],
+        send: Callable[[ClientRequest], None],
+        close: Callable[[ClientRequest], None],
         part: int = 0,
     ) -> None:
         """`send` carries one submission; `close` ends the connection of one that is not waited for any
@@ -85,8 +91,8 @@
         self.records = records_
         self.send = send
         self.close = close
-        streams = Streams(seed)
-        self.draws: Draws = streams.draws(f"clients {part}")
+        streams = RandomStreams(seed)
+        self.draws: RandomDraws = streams.draws(f"clients {part}")
         self.waits = streams.generator(f"retry waits {part}")
         self.next = 0
         self.out = 0
@@ -108,27 +114,27 @@
             behind = now - job.at
             if behind > max(LATE, self.latest):
                 self.latest = behind
-                self.records.add(now, records.BEHIND, job=job.number, detail=behind)
+                self.records.add(now, event_records.BEHIND, job=job.number, detail=behind)
             # Waits count from when it was due, not from when we got round to it.
             self._try(job, 0, job.dispatcher, job.at)
         self._plan_next()
 
-    def _try(self, job: Job, tries: int, dispatcher: int, first_sent: int) -> None:
+    def _try(self, job: ScheduledRequest, tries: int, dispatcher: int, first_sent: int) -> None:
         now = self.clock.now()
         grade = self.e.grades[job.grade]
         abandon_at = first_sent + grade.abandon_time
         labelled = grade.repeat == "labelled"
-        request = Request(job, tries, dispatcher, now, abandon_at, labelled)
+        request = ClientRequest(job, tries, dispatcher, now, abandon_at, labelled)
         self.records.add(
             now,
-            records.SENT,
+            event_records.SENT,
             request.id,
             job.number,
             dispatcher,
             detail=[job.grade, tries, abandon_at, first_sent],
         )
         self.out += 1
-        late = LATE_ASKS if self.e.dispatchers.store else 50 * MILLISECOND
+        late = LATE_ANSWER_ALLOWANCE if self.e.dispatchers.store else 50 * MILLISECOND
         request.timers.append(self.clock.at(abandon_at + late, self._unanswered, request))
         if job.leaves_after and not tries:
             request.timers.append(self.clock.at(first_sent + job.leaves_after, self._leave, request))
@@ -136,28 +142,28 @@
 
     # ---- What the driver says ----
 
-    def taken(self, request: Request) -> None:
+    def taken(self, request: ClientRequest) -> None:
         if not request.over:
-            self._note(records.TAKEN, request)
+            self._note(event_records.TAKEN, request)
 
-    def answered(self, request: Request, how: str, come_back_after: int = 0) -> None:
+    def answered(self, request: ClientRequest, how: str, come_back_after: int = 0) -> None:
         """Satisfied, nacked, abandoned, rejected, or broken: the connection ended without an answer."""
         if self.e.dispatchers.store and how == "broken" and not request.over:
             self._bring_again(request, (request.asked_at + 1) % self.e.dispatchers.count)
             return
         if request.over:
             # What comes after an answer is for the auditor.
-            self._note(records.ANSWERED, request, how)
+            self._note(event_records.ANSWERED, request, how)
             return
         self._end(request)
-        self._note(records.ANSWERED, request, how)
+        self._note(event_records.ANSWERED, request, how)
         if self.e.dispatchers.store and self.draws.happens(TWICE):
             self.clock.at(self.clock.now() + ASK_AGAIN, self._ask_twice, request)
         repeat = self.e.grades[request.job.grade].repeat
         if how == "nacked" or (how == "broken" and repeat == "redoable"):
             self._again(request, come_back_after)
 
-    def never_taken(self, request: Request) -> None:
+    def never_taken(self, request: ClientRequest) -> None:
         """No connection came up: the next dispatcher is tried at once."""
         if request.over:
             return
@@ -165,17 +171,17 @@
             self._bring_again(request, (request.asked_at + 1) % self.e.dispatchers.count)
             return
         self._end(request)
-        self._note(records.NEVER_TAKEN, request)
+        self._note(event_records.NEVER_TAKEN, request)
         self._again(request, 0, at_once=True)
 
-    def sent_on(self, request: Request, to: int) -> None:
+    def sent_on(self, request: ClientRequest, to: int) -> None:
         """Another replica leads: the same id goes there."""
         if request.is_asked():
             self._bring_again(request, to, at_once=True)
 
     # ---- Inside ----
 
-    def _bring_again(self, request: Request, to: int, at_once: bool = False) -> None:
+    def _bring_again(self, request: ClientRequest, to: int, at_once: bool = False) -> None:
         request.asked_at = to
         request.asks += 1
         wait = 0.0
@@ -183,29 +189,29 @@
             wait = (ASK_AGAIN << min(request.asks, MOST_DOUBLED)) * (0.5 + self.draws.fraction())
         self.clock.at(self.clock.now() + int(wait), self._bring, request)
 
-    def _bring(self, request: Request) -> None:
+    def _bring(self, request: ClientRequest) -> None:
         if request.is_asked():
             self._send(request)
 
-    def _ask_twice(self, request: Request) -> None:
+    def _ask_twice(self, request: ClientRequest) -> None:
         """Whoever asks again, anywhere, must hear the same; the driver tells by `answered`."""
         request.twice = True
         request.asked_at = (request.asked_at + 1) % self.e.dispatchers.count
         self.send(request)
 
-    def _send(self, request: Request) -> None:
+    def _send(self, request: ClientRequest) -> None:
         self.send(request)
         after = self.e.clients.elsewhere_after
         if self.e.dispatchers.store and after:
             request.timers.append(self.clock.at(self.clock.now() + after, self._elsewhere, request))
 
-    def _elsewhere(self, request: Request) -> None:
+    def _elsewhere(self, request: ClientRequest) -> None:
         """A replica that is paused neither answers nor hangs up."""
         if not request.over:
             self.close(request)
             self._bring_again(request, (request.asked_at + 1) % self.e.dispatchers.count, at_once=True)
 
-    def _again(self, request: Request, come_back_after: int, at_once: bool = False) -> None:
+    def _again(self, request: ClientRequest, come_back_after: int, at_once: bool = False) -> None:
         told = self.e.clients
         if request.tries + 1 >= told.tries:
             return
@@ -221,25 +227,25 @@
             first_sent = request.abandon_at - self.e.grades[request.job.grade].abandon_time
             self.clock.at(now + int(wait), self._try, request.job, request.tries + 1, other, first_sent)
 
-    def _leave(self, request: Request) -> None:
+    def _leave(self, request: ClientRequest) -> None:
         if not request.over:
             self._end(request)
-            self._note(records.LEFT, request)
+            self._note(event_records.LEFT, request)
             self.close(request)
 
-    def _unanswered(self, request: Request) -> None:
+    def _unanswered(self, request: ClientRequest) -> None:
         if not request.over:
             self._end(request)
-            self._note(records.UNANSWERED, request)
+            self._note(event_records.UNANSWERED, request)
             self.close(request)
 
-    def _end(self, request: Request) -> None:
+    def _end(self, request: ClientRequest) -> None:
         request.over = True
         self.out -= 1
         for timer in request.timers:
             timer.call_off()
 
-    def _note(self, what: str, request: Request, detail: str = "") -> None:
+    def _note(self, what: str, request: ClientRequest, detail: str = "") -> None:
         self.records.add(
             self.clock.now(), what, request.id, request.job.number, request.dispatcher, detail=detail
         )
--- a/ploverspoke/testbed/settings.py
+++ b/ploverspoke/testbed/models/deployment_settings.py
@@ -2,14 +2,14 @@
 
 from typing import Any
 
-from .experiment import Experiment
-from .spans import MICROSECOND
+from ..experiment_files.durations import MICROSECOND
+from ..experiment_files.experiment import Experiment
 
 REPEATS = {"redoable": "free", "labelled": "guarded", "irreversible": "single_shot"}
 GROUPS = {"all": "all", "zone": "zone", "rack": "cell"}
 
 
-def settings_of(e: Experiment, dispatcher: int, at: int = 0) -> dict[str, Any]:
+def dispatcher_settings(e: Experiment, dispatcher: int, at: int = 0) -> dict[str, Any]:
     """As they are at that time of the run."""
 
     def us(span: int) -> int:
--- a/ploverspoke/testbed/roster.py
+++ b/ploverspoke/testbed/models/discovery.py
@@ -3,14 +3,14 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
-from . import records
-from .chances import Draws
-from .clock import Clock
-from .experiment import Discovery
-from .records import Records
+from ..experiment_files.experiment import Discovery
+from . import event_records
+from .event_records import Records
+from .random_streams import RandomDraws
+from .virtual_clock import Clock
 
 
-class Entry(NamedTuple):
+class EndpointEntry(NamedTuple):
     """One worker as the list shows it; a driver adds what its wire needs."""
 
     worker: str
@@ -21,7 +21,7 @@
     started_at: int  # ns of the run's clock; 0: long past
 
 
-class Call:
+class DiscoveryCall:
     """A watch or a look of one dispatcher; answered once, with a version, whether it is whole, and
     entries.
     """
@@ -32,22 +32,22 @@
         self.answer: Callable[..., None] | None = answer
 
 
-class Roster:
-    def __init__(self, told: Discovery, clock: Clock, records_: Records, draws: Draws) -> None:
+class DiscoveryModel:
+    def __init__(self, told: Discovery, clock: Clock, records_: Records, draws: RandomDraws) -> None:
         self.told = told
         self.clock = clock
         self.records = records_
         self.draws = draws
         self.version = 1
-        self.entries: dict[str, Entry] = {}
+        self.entries: dict[str, EndpointEntry] = {}
         self.changed_in: dict[str, int] = {}
-        self.waiting: list[Call] = []
+        self.waiting: list[DiscoveryCall] = []
         self.free_at = 0  # when the calls so far are worked through
         self.down: set[int] = set()  # troubles
         # Whether nothing passes between us and that dispatcher.
         self.unreached: Callable[[int], bool] = lambda dispatcher: False
 
-    def enter(self, entry: Entry) -> None:
+    def enter(self, entry: EndpointEntry) -> None:
         self.entries[entry.worker] = entry
         self.changed_in[entry.worker] = self.version
 
@@ -65,7 +65,7 @@
             late = int(self.draws.fraction() * self.told.tells_within)
             self.clock.at(self.clock.now() + late, self._work_through, call)
 
-    def call(self, call: Call, hold: int) -> None:
+    def call(self, call: DiscoveryCall, hold: int) -> None:
         """A watch waits for something newer than its version, so long at the most; a look is answered at
         once.
         """
@@ -86,17 +86,17 @@
     def come_up(self, trouble: int) -> None:
         self.down.discard(trouble)
 
-    def _hold_is_over(self, call: Call) -> None:
+    def _hold_is_over(self, call: DiscoveryCall) -> None:
         if call in self.waiting:
             self.waiting.remove(call)
             self._work_through(call)
 
-    def _work_through(self, call: Call) -> None:
+    def _work_through(self, call: DiscoveryCall) -> None:
         now = self.clock.now()
         self.free_at = max(now, self.free_at) + self.told.call_takes
         self.clock.at(self.free_at, self._tell, call)
 
-    def _tell(self, call: Call) -> None:
+    def _tell(self, call: DiscoveryCall) -> None:
         if self.down or self.unreached(call.dispatcher):
             self._answer(call, None)
             return
@@ -107,7 +107,7 @@
             entries = [e for e in entries if e.condition != "gone"]
         self._answer(call, (self.version, whole, entries))
 
-    def _answer(self, call: Call, told: Any) -> None:
+    def _answer(self, call: DiscoveryCall, told: Any) -> None:
         answer, call.answer = call.answer, None
         if answer is None:
             return
@@ -115,11 +115,11 @@
             self._note_told(call.dispatcher, told[1], told[2])
         answer(told)
 
-    def _note_told(self, dispatcher: int, whole: bool, entries: list[Entry]) -> None:
+    def _note_told(self, dispatcher: int, whole: bool, entries: list[EndpointEntry]) -> None:
         """What a dispatcher knows from now on: rules three and four count from here."""
         now = self.clock.now()
         conditions = {e.worker: e.condition for e in entries}
         if whole:
             conditions = {**dict.fromkeys(self.entries, "gone"), **conditions}
         for worker, condition in conditions.items():
-            self.records.add(now, records.TOLD, dispatcher=dispatcher, worker=worker, detail=condition)
+            self.records.add(now, event_records.TOLD, dispatcher=dispatcher, worker=worker, detail=condition)
--- a/ploverspoke/testbed/records.py
+++ b/ploverspoke/testbed/models/event_records.py
@@ -81,6 +81,6 @@
             yield decoder.decode(line)
 
 
-def merged(parts: Iterable[Iterable[Event]]) -> list[Event]:
+def merge_records(parts: Iterable[Iterable[Event]]) -> list[Event]:
     """In order of time; events of one instant stay in the order in which their source saw them."""
     return sorted((event for part in parts for event in part), key=lambda event: event.at)
--- a/ploverspoke/testbed/troubles.py
+++ b/ploverspoke/testbed/models/faults.py
@@ -7,11 +7,11 @@
 
 from collections.abc import Callable, Sequence
 
-from . import experiment as ex
-from .chances import Streams
-from .clock import Clock
-from .roster import Roster
-from .store import SharedStore
+from ..experiment_files import experiment as ex
+from .discovery import DiscoveryModel
+from .random_streams import RandomStreams
+from .shared_store import SharedStore
+from .virtual_clock import Clock
 from .worker import Worker
 
 FALLEN = -1  # in place of a trouble's number
@@ -34,7 +34,9 @@
         ]
         if t.share:
             count = max(1, round(t.share * len(pool)))
-            chosen = Streams(seed).generator(f"trouble {number}").choice(len(pool), count, replace=False)
+            chosen = (
+                RandomStreams(seed).generator(f"trouble {number}").choice(len(pool), count, replace=False)
+            )
             pool = [pool[i] for i in sorted(chosen)]
         found.append(pool)
     return found
@@ -44,7 +46,7 @@
     pass
 
 
-class Connections:
+class ConnectionFaults:
     """What troubles do to hand-offs' connections, by worker: the highest share of those in force."""
 
     def __init__(self) -> None:
@@ -58,7 +60,7 @@
         return max(there.values()) if there else 0.0
 
 
-class FleetTroubles:
+class WorkerFaults:
     """Plays the troubles of workers, store and discovery on one process's models.
 
     `died` and `returned` tell the driver, which owns the connections; `listed` tells discovery.
@@ -70,7 +72,7 @@
         seed: int,
         clock: Clock,
         workers: Sequence[Worker],
-        connections: Connections,
+        connections: ConnectionFaults,
         died: Callable[[Worker], None],
         returned: Callable[[Worker], None],
     ) -> None:
@@ -170,10 +172,10 @@
             self.returned(worker)
 
 
-class RosterTroubles:
+class DiscoveryFaults:
     """What discovery does and shows, on its own process's models: planned changes, deaths that it notices."""
 
-    def __init__(self, e: ex.Experiment, seed: int, clock: Clock, roster: Roster) -> None:
+    def __init__(self, e: ex.Experiment, seed: int, clock: Clock, roster: DiscoveryModel) -> None:
         self.e = e
         self.clock = clock
         self.roster = roster
@@ -216,7 +218,7 @@
             self.roster.change(worker, "ready", max(1, self.clock.now()))
 
 
-class StoreTroubles:
+class StoreFaults:
     def __init__(self, e: ex.Experiment, clock: Clock, store: SharedStore | None) -> None:
         for number, t in enumerate(e.troubles):
             if store is not None and isinstance(t, ex.StoreJam):
@@ -224,7 +226,7 @@
                 clock.at(t.at + t.lasts, store.jams.__delitem__, number)
 
 
-class Cuts:
+class ZoneCuts:
     """Which zones nothing passes between at the moment."""
 
     def __init__(self, e: ex.Experiment, clock: Clock) -> None:
