--- a/ploverspoke/testbed/chances.py
+++ b/ploverspoke/testbed/models/random_streams.py
@@ -8,7 +8,7 @@
 import numpy as np
 
 
-class Draws:
+class RandomDraws:
     """Single numbers out of one stream, drawn in blocks: one call of numpy for each would be most of the
     time.
     """
@@ -39,12 +39,12 @@
         return share > 0 and (share >= 1 or self.fraction() < share)
 
 
-class Streams:
+class RandomStreams:
     def __init__(self, seed: int) -> None:
         self.seed = seed
 
     def generator(self, concern: str) -> np.random.Generator:
         return np.random.default_rng(np.random.SeedSequence([self.seed, crc32(concern.encode())]))
 
-    def draws(self, concern: str) -> Draws:
-        return Draws(self.generator(concern))
+    def draws(self, concern: str) -> RandomDraws:
+        return RandomDraws(self.generator(concern))
--- a/ploverspoke/testbed/schedule.py
+++ b/ploverspoke/testbed/models/request_schedule.py
@@ -6,12 +6,12 @@
 
 import numpy as np
 
-from .chances import Streams
-from .experiment import Experiment, Traffic, shares
-from .spans import SECOND
+from ..experiment_files.durations import SECOND
+from ..experiment_files.experiment import Experiment, Traffic, shares
+from .random_streams import RandomStreams
 
 
-class Job(NamedTuple):
+class ScheduledRequest(NamedTuple):
     number: int
     at: int  # when it is first handed in
     grade: int
@@ -23,9 +23,9 @@
     leaves_after: int  # 0: the client stays
 
 
-def schedule(e: Experiment, seed: int) -> list[Job]:
+def draw_schedule(e: Experiment, seed: int) -> list[ScheduledRequest]:
     """All first tries, in order of time."""
-    streams = Streams(seed)
+    streams = RandomStreams(seed)
     times = np.sort(np.concatenate([_arrivals(t, e, streams, n) for n, t in enumerate(e.traffic)]))
     count = len(times)
     grades = streams.generator("grades").choice(len(e.grades), count, p=shares([g.share for g in e.grades]))
@@ -50,7 +50,7 @@
             draw = streams.generator(f"subjects {grade.name}")
             subjects[of_grade] = draw.choice(grade.subjects, len(of_grade), p=ranks)
     return [
-        Job(
+        ScheduledRequest(
             n,
             int(times[n]),
             int(grades[n]),
@@ -65,7 +65,7 @@
     ]
 
 
-def _arrivals(traffic: Traffic, e: Experiment, streams: Streams, number: int) -> np.ndarray:
+def _arrivals(traffic: Traffic, e: Experiment, streams: RandomStreams, number: int) -> np.ndarray:
     """Poisson, thinned from the highest rate of the stretch; each point is a burst."""
     end = e.lasts if traffic.end is None else traffic.end
     last = traffic.rate if traffic.to_rate is None else traffic.to_rate
--- a/ploverspoke/testbed/store.py
+++ b/ploverspoke/testbed/models/shared_store.py
@@ -6,9 +6,9 @@
 from collections.abc import Callable
 from typing import Any
 
-from .chances import Streams
-from .clock import Clock
-from .experiment import Store
+from ..experiment_files.experiment import Store
+from .random_streams import RandomStreams
+from .virtual_clock import Clock
 
 DRAWN = 4096
 
@@ -23,7 +23,7 @@
 
 
 class SharedStore:
-    def __init__(self, told: Store, clock: Clock, streams: Streams) -> None:
+    def __init__(self, told: Store, clock: Clock, streams: RandomStreams) -> None:
         self.told = told
         self.clock = clock
         self.generator = streams.generator("store")
--- a/ploverspoke/testbed/virtual.py
+++ b/ploverspoke/testbed/models/virtual_run.py
@@ -15,20 +15,20 @@
 from ploverspoke.routing.request_classes import RequestClassTable
 from ploverspoke.service.settings import parse_settings
 
-from . import experiment as ex
-from . import records
-from .baselines import POLICIES
-from .chances import Draws, Streams
-from .clients import Clients, Request
-from .clock import AnyTimer, VirtualClock
-from .fleet import RESET_WITHIN, Fleet, Nobody
-from .records import Event, Records
-from .roster import Call, Entry, Roster
-from .schedule import schedule
-from .settings import settings_of
-from .spans import MILLISECOND, SECOND
-from .troubles import Connections, Cuts, FleetTroubles, RosterTroubles, StoreTroubles
-from .worker import Run, Worker
+from ..experiment_files import experiment as ex
+from ..experiment_files.durations import MILLISECOND, SECOND
+from . import event_records
+from .baseline_policies import POLICIES
+from .clients import ClientRequest, Clients
+from .deployment_settings import dispatcher_settings
+from .discovery import DiscoveryCall, DiscoveryModel, EndpointEntry
+from .event_records import Event, Records
+from .faults import ConnectionFaults, DiscoveryFaults, StoreFaults, WorkerFaults, ZoneCuts
+from .random_streams import RandomDraws, RandomStreams
+from .request_schedule import draw_schedule
+from .virtual_clock import AnyTimer, VirtualClock
+from .worker import Execution, Worker
+from .worker_fleet import RESET_WITHIN, IgnoringListener, WorkerFleet
 
 PROBE_TIME_OUT = 250 * MILLISECOND
 HOLD = 10 * SECOND  # of one watch
@@ -38,7 +38,7 @@
 FINAL_CALM = 2 * SECOND  # after the last abandon time
 
 
-def _endpoint(entry: Entry) -> Endpoint:
+def _endpoint(entry: EndpointEntry) -> Endpoint:
     condition = EndpointCondition(entry.condition)
     return Endpoint(entry.worker, entry.zone, entry.kind, entry.rack, condition, 1.0, entry.started_at)
 
@@ -58,18 +58,18 @@
         self.sent_at = dispatcher.clock.time
         self.open = True
         self.reached = False  # its last byte is on its way on a connection that is up
-        self.run: Run | None = None
+        self.run: Execution | None = None
         self.timers: list[AnyTimer] = []
 
     # What the worker tells travels back to the dispatcher.
 
-    def run_started(self, run: Run) -> None:
+    def run_started(self, run: Execution) -> None:
         self._back(self.dispatcher.started, self)
 
-    def run_progressed(self, run: Run, share: float) -> None:
+    def run_progressed(self, run: Execution, share: float) -> None:
         self._back(self.dispatcher.progressed, self, share)
 
-    def run_ended(self, run: Run, how: str) -> None:
+    def run_ended(self, run: Execution, how: str) -> None:
         self._back(self.dispatcher.ended, self, ENDS[how])
 
     def _back(self, call: Callable[..., None], *what: Any) -> None:
@@ -87,7 +87,7 @@
 
     __slots__ = ("answered", "grade", "hand_offs", "number", "request")
 
-    def __init__(self, number: int, grade: int, request: Request) -> None:
+    def __init__(self, number: int, grade: int, request: ClientRequest) -> None:
         self.number = number
         self.grade = grade  # its number with this dispatcher
         self.request = request
@@ -111,7 +111,7 @@
 class VirtualDispatcher:
     """The host of one dispatcher's decisions."""
 
-    def __init__(self, world: "World", number: int, policy: str, start: int) -> None:
+    def __init__(self, world: "VirtualRun", number: int, policy: str, start: int) -> None:
         self.world = world
         self.clock = world.clock
         self.number = number
@@ -124,7 +124,7 @@
         self.taken: dict[int, Taken] = {}
         self.resting: dict[str, int] = {}  # connections, by worker
         self.version: int | None = None
-        self.draws: Draws = world.streams.draws(f"network {number} {start}")
+        self.draws: RandomDraws = world.streams.draws(f"network {number} {start}")
         seed = world.streams.seed * 1_000_003 + number * 7919 + start
         true_load = partial(world.true_load, self.zone) if policy == "all-seeing" else None
         self.settings = world.settings[self.zone]
@@ -141,7 +141,7 @@
     # ---- From clients ----
 
     @held_while_paused
-    def arrived(self, request: Request) -> None:
+    def arrived(self, request: ClientRequest) -> None:
         job = request.job
         grade = self.rows.numbers[self.world.e.grades[job.grade].name]
         taken = Taken(self.next, grade, request)
@@ -152,7 +152,7 @@
         self.decisions.request_arrived(taken.number, grade, job.slots, abandon_at, 0, job.subject)
 
     @held_while_paused
-    def left(self, request: Request) -> None:
+    def left(self, request: ClientRequest) -> None:
         for taken in self.taken.values():
             if taken.request is request and not taken.answered:
                 taken.answered = True
@@ -201,7 +201,7 @@
             return
         request = hand_off.submission.request
         hand_off.reached = True
-        run = hand_off.run = Run(request.id, request.job, self.number, hand_off, request.label)
+        run = hand_off.run = Execution(request.id, request.job, self.number, hand_off, request.label)
         if world.shares(world.connections.silences, worker.name, self.draws):
             run.listener = world.nobody
             if self.draws.happens(0.5):
@@ -268,13 +268,13 @@
     def _call_roster(self) -> None:
         if self.alive:
             # A look at the whole list starts each watch, as on sockets.
-            self.world.roster.call(Call(self.number, self.version, self._roster_said), HOLD)
+            self.world.roster.call(DiscoveryCall(self.number, self.version, self._roster_said), HOLD)
 
-    def _roster_said(self, told: tuple[int, bool, list[Entry]] | None) -> None:
+    def _roster_said(self, told: tuple[int, bool, list[EndpointEntry]] | None) -> None:
         self.clock.at(self.clock.time + self.world.e.network.near, self._tell_roster, told)
 
     @held_while_paused
-    def _tell_roster(self, told: tuple[int, bool, list[Entry]] | None) -> None:
+    def _tell_roster(self, told: tuple[int, bool, list[EndpointEntry]] | None) -> None:
         if not self.alive:
             return
         if told is None:
@@ -347,7 +347,7 @@
         # The network's own word: a worker behind a cut sees no end of the connection.
         self.world.seen.add(
             self.clock.time,
-            records.CLOSED,
+            event_records.CLOSED,
             run.submission,
             run.job.number,
             self.number,
@@ -360,7 +360,7 @@
             )
 
     @staticmethod
-    def _cancelled(run: Run, worker: Worker) -> None:
+    def _cancelled(run: Execution, worker: Worker) -> None:
         if worker.up:
             worker.cancel(run)
 
@@ -403,7 +403,7 @@
         self.taken.clear()
 
 
-class World:
+class VirtualRun:
     """One run of one experiment under one policy and one seed."""
 
     def __init__(self, e: ex.Experiment, seed: int, policy: str) -> None:
@@ -411,16 +411,18 @@
         self.policy = policy
         self.clock = VirtualClock()
         self.seen = Records()
-        self.streams = Streams(seed)
+        self.streams = RandomStreams(seed)
         zones = e.zones()
-        self.fleet = Fleet(e, seed, self.clock, self.seen)
-        self.nobody = Nobody()
-        self.roster = Roster(e.discovery, self.clock, self.seen, self.streams.draws("discovery"))
+        self.fleet = WorkerFleet(e, seed, self.clock, self.seen)
+        self.nobody = IgnoringListener()
+        self.roster = DiscoveryModel(e.discovery, self.clock, self.seen, self.streams.draws("discovery"))
         for name, worker in self.fleet.workers.items():
-            self.roster.enter(Entry(name, worker.zone, worker.kind, self.fleet.rack_of[name], "ready", 0))
+            self.roster.enter(
+                EndpointEntry(name, worker.zone, worker.kind, self.fleet.rack_of[name], "ready", 0)
+            )
         self.first_list = (1, True, list(self.roster.entries.values()))
-        self.connections = Connections()
-        self.cuts = Cuts(e, self.clock)
+        self.connections = ConnectionFaults()
+        self.cuts = ZoneCuts(e, self.clock)
         self.roster.unreached = lambda dispatcher: not self.cuts.reaches_discovery(dispatcher % len(zones))
         self.latency = [[e.one_way(a, b) for b in range(len(zones))] for a in range(len(zones))]
         self.settings = self._current_settings()
@@ -431,19 +433,19 @@
         workers = list(self.fleet.workers.values())
         if e.timeline or e.dispatchers.talk:
             key = "timeline" if e.timeline else "dispatchers.talk"
-            raise ex.BadExperiment(f"{key}: played on sockets only")
-        self.fleet_troubles = FleetTroubles(
+            raise ex.ExperimentError(f"{key}: played on sockets only")
+        self.fleet_troubles = WorkerFaults(
             e, seed, self.clock, workers, self.connections, self._worker_died, _nothing
         )
-        roster_troubles = RosterTroubles(e, seed, self.clock, self.roster)
+        roster_troubles = DiscoveryFaults(e, seed, self.clock, self.roster)
         self.fleet_troubles.on_fall = roster_troubles.fell
         self.fleet_troubles.on_back = roster_troubles.back
-        StoreTroubles(e, self.clock, self.fleet.store)
+        StoreFaults(e, self.clock, self.fleet.store)
         self.dispatchers = [VirtualDispatcher(self, n, policy, 0) for n in range(e.dispatchers.count)]
         self.outgoing: list[VirtualDispatcher] = []  # replaced, and not ended yet
         self.starts = [0] * e.dispatchers.count
         if e.dispatchers.store:
-            raise ex.BadExperiment("dispatchers.store: a store is played on sockets only")
+            raise ex.ExperimentError("dispatchers.store: a store is played on sockets only")
         for begin, end, number, how in ex.outages(e, seed):
             if how == "paused":
                 self.clock.at(begin, self._pause, number, end)
@@ -454,7 +456,7 @@
             self.clock.at(begin, self._leave if how == "restarted" else self._kill, number)
             self.clock.at(end, self._restart, number)
         self.clients = Clients(
-            e, seed, schedule(e, seed), self.clock, self.seen, self._send, self._client_closed
+            e, seed, draw_schedule(e, seed), self.clock, self.seen, self._send, self._client_closed
         )
         self.clients.start()
 
@@ -475,8 +477,8 @@
     def is_cut(self, one: int, other: int) -> bool:
         return bool(self.cuts.cut) and self.cuts.between(one, other)
 
-    def shares(self, of: dict[str, dict[int, float]], worker: str, draws: Draws) -> bool:
-        return bool(of) and draws.happens(Connections.share(of, worker))
+    def shares(self, of: dict[str, dict[int, float]], worker: str, draws: RandomDraws) -> bool:
+        return bool(of) and draws.happens(ConnectionFaults.share(of, worker))
 
     def true_load(self, zone: int, worker: str) -> float:
         """For the all-seeing baseline; what cannot be reached from that zone comes last."""
@@ -486,14 +488,14 @@
 
     # ---- Clients ----
 
-    def _send(self, request: Request) -> None:
+    def _send(self, request: ClientRequest) -> None:
         dispatcher = self.dispatchers[request.dispatcher]
         if not dispatcher.alive or dispatcher.leaving:
             self.clock.at(self.clock.time + 2 * self.e.network.client, self.clients.never_taken, request)
         else:
             self.clock.at(self.clock.time + self.e.network.client, self._arrives, request, dispatcher)
 
-    def _arrives(self, request: Request, dispatcher: VirtualDispatcher) -> None:
+    def _arrives(self, request: ClientRequest, dispatcher: VirtualDispatcher) -> None:
         if request.over:
             return
         if not dispatcher.alive:
@@ -502,19 +504,19 @@
         self.clients.taken(request)
         dispatcher.arrived(request)
 
-    def _client_closed(self, request: Request) -> None:
+    def _client_closed(self, request: ClientRequest) -> None:
         for process in self._processes():
             if process.alive and process.number == request.dispatcher:
                 self.clock.at(self.clock.time + self.e.network.client, self._client_gone, request, process)
 
-    def _client_gone(self, request: Request, dispatcher: VirtualDispatcher) -> None:
+    def _client_gone(self, request: ClientRequest, dispatcher: VirtualDispatcher) -> None:
         if dispatcher.alive:
             dispatcher.left(request)
 
-    def answer(self, request: Request, how: str, come_back_after: int) -> None:
+    def answer(self, request: ClientRequest, how: str, come_back_after: int) -> None:
         self.clock.at(self.clock.time + self.e.network.client, self._answered, request, how, come_back_after)
 
-    def _answered(self, request: Request, how: str, come_back_after: int) -> None:
+    def _answered(self, request: ClientRequest, how: str, come_back_after: int) -> None:
         self.clients.answered(request, how, come_back_after)
 
     # ---- Troubles ----
@@ -531,7 +533,7 @@
 
     def _kill(self, number: int) -> None:
         if self.dispatchers[number].alive:
-            self.seen.add(self.clock.time, records.DISPATCHER_DOWN, dispatcher=number)
+            self.seen.add(self.clock.time, event_records.DISPATCHER_DOWN, dispatcher=number)
             self.dispatchers[number].die()
 
     def _leave(self, number: int) -> None:
@@ -540,7 +542,7 @@
         """
         dispatcher = self.dispatchers[number]
         if dispatcher.alive and not dispatcher.leaving:
-            self.seen.add(self.clock.time, records.DISPATCHER_LEAVES, dispatcher=number)
+            self.seen.add(self.clock.time, event_records.DISPATCHER_LEAVES, dispatcher=number)
             dispatcher.leaving = True
 
     def _processes(self) -> list[VirtualDispatcher]:
@@ -568,7 +570,7 @@
 
     def _current_settings(self) -> list[Settings]:
         told = range(min(len(self.e.zones()), self.e.dispatchers.count))
-        return [parse_settings(settings_of(self.e, n, self.clock.time)) for n in told]
+        return [parse_settings(dispatcher_settings(self.e, n, self.clock.time)) for n in told]
 
     def _change_settings(self) -> None:
         self.settings = self._current_settings()
@@ -586,7 +588,7 @@
         elif old.alive:
             return
         self.starts[number] += 1
-        self.seen.add(self.clock.time, records.DISPATCHER_UP, dispatcher=number)
+        self.seen.add(self.clock.time, event_records.DISPATCHER_UP, dispatcher=number)
         self.dispatchers[number] = VirtualDispatcher(self, number, self.policy, self.starts[number])
 
 
@@ -594,5 +596,7 @@
     pass
 
 
-def play(e: ex.Experiment, seed: int, policy: str, told: Callable[[int], None] | None = None) -> list[Event]:
-    return World(e, seed, policy).run(told)
+def run_virtual_time(
+    e: ex.Experiment, seed: int, policy: str, told: Callable[[int], None] | None = None
+) -> list[Event]:
+    return VirtualRun(e, seed, policy).run(told)
--- a/ploverspoke/testbed/worker.py
+++ b/ploverspoke/testbed/models/worker.py
@@ -9,28 +9,28 @@
 from collections import OrderedDict, deque
 from typing import Any, Protocol
 
-from . import records
-from .chances import Draws
-from .clock import AnyTimer, Clock
-from .experiment import Experiment, Workers
-from .records import Records
-from .schedule import Job
-from .store import SharedStore
+from ..experiment_files.experiment import Experiment, Workers
+from . import event_records
+from .event_records import Records
+from .random_streams import RandomDraws
+from .request_schedule import ScheduledRequest
+from .shared_store import SharedStore
+from .virtual_clock import AnyTimer, Clock
 
 WARM_STEPS = 10  # in which a cold worker's rate rises
 QUICK = 1_000_000  # ns that a quick error takes
 
 
 class RunListener(Protocol):
-    def run_started(self, run: "Run") -> None: ...
+    def run_started(self, run: "Execution") -> None: ...
 
-    def run_progressed(self, run: "Run", share: float) -> None: ...
+    def run_progressed(self, run: "Execution", share: float) -> None: ...
 
-    def run_ended(self, run: "Run", how: str) -> None:
+    def run_ended(self, run: "Execution", how: str) -> None:
         """Done, failed, returned (never started) or lost; said at most once, and not after a cancel."""
 
 
-class Run:
+class Execution:
     """One hand-off at a worker."""
 
     __slots__ = (
@@ -54,7 +54,7 @@
     )
 
     def __init__(
-        self, submission: str, job: Job, dispatcher: int, listener: RunListener, label: str = ""
+        self, submission: str, job: ScheduledRequest, dispatcher: int, listener: RunListener, label: str = ""
     ) -> None:
         self.submission = submission
         self.job = job
@@ -71,8 +71,8 @@
         self.progress: AnyTimer | None = None
         self.fetching = False
         self.fetch: Any = None  # at the store
-        self.waits_on: Run | None = None  # the run that this one repeats
-        self.followers: list[Run] = []
+        self.waits_on: Execution | None = None  # the run that this one repeats
+        self.followers: list[Execution] = []
 
 
 class Rack:
@@ -80,16 +80,18 @@
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
-        self.runs: dict[str, tuple[int, Run, bool]] = {}  # by label: since when, the run, whether it is done
+        self.runs: dict[
+            str, tuple[int, Execution, bool]
+        ] = {}  # by label: since when, the run, whether it is done
 
-    def repeated(self, label: str, window: int) -> Run | None:
+    def repeated(self, label: str, window: int) -> Execution | None:
         since, run, _ = self.runs.get(label, (-1, None, False))
         return run if run is not None and self.clock.now() - since < window else None
 
-    def remembers(self, run: Run) -> None:
+    def remembers(self, run: Execution) -> None:
         self.runs[run.label] = (self.clock.now(), run, False)
 
-    def forgets(self, run: Run) -> None:
+    def forgets(self, run: Execution) -> None:
         """It was lost before its effect."""
         if run.label in self.runs and self.runs[run.label][1] is run:
             del self.runs[run.label]
@@ -104,7 +106,7 @@
         clock: Clock,
         records_: Records,
         racks: dict[int, Rack],
-        draws: Draws,
+        draws: RandomDraws,
     ) -> None:
         self.name = name
         self.zone = e.zones().index(told.zone)
@@ -124,8 +126,8 @@
         self.warm_at = 0
         self.serial = 0
         self.free = float(told.slots)
-        self.waiting: deque[Run] = deque()
-        self.running: dict[Run, None] = {}
+        self.waiting: deque[Execution] = deque()
+        self.running: dict[Execution, None] = {}
         self.held: OrderedDict[str, None] = OrderedDict()  # subjects, the latest last
         self.arrived_work: deque[tuple[int, float, int]] = deque()
         self.work_in = 0.0
@@ -142,24 +144,24 @@
 
     # ---- What the driver says ----
 
-    def take(self, run: Run) -> None:
+    def take(self, run: Execution) -> None:
         """A request's last byte has come."""
         self.serial += 1
         run.serial = self.serial
-        self._note(records.CAME, run, run.serial)
+        self._note(event_records.CAME, run, run.serial)
         if self.frozen:
             self.while_frozen.append((self._admit, run))
         else:
             self._admit(run)
 
-    def _admit(self, run: Run) -> None:
+    def _admit(self, run: Execution) -> None:
         now, job = self.clock.now(), run.job
         if self.warm_at > now and self._tips(run, now):
             return
         if self.failing and self.draws.happens(max(self.failing.values())):
             run.timer = self.clock.at(now + QUICK, self._finish, run, "failed")
             run.begun = True
-            self._note(records.BEGAN, run, run.serial)
+            self._note(event_records.BEGAN, run, run.serial)
             self.running[run] = None
             self.free -= job.slots
             return
@@ -169,7 +171,7 @@
             self.waiting.pop()
             self._end(run, "returned")
 
-    def cancel(self, run: Run) -> None:
+    def cancel(self, run: Execution) -> None:
         """The dispatcher has closed the connection."""
         if self.frozen:
             self.while_frozen.append((self.cancel, run))
@@ -239,7 +241,7 @@
         self.up = False
         self.frozen.clear()
         late, self.while_frozen = self.while_frozen, []
-        self.records.add(self.clock.now(), records.DIED, worker=self.name)
+        self.records.add(self.clock.now(), event_records.DIED, worker=self.name)
         for call, run in late:
             if call == self._admit:
                 self._end(run, "lost")
@@ -262,7 +264,7 @@
         self.arrived_work.clear()
         self.work_in = 0.0
         self.last_reports.clear()
-        self.records.add(now, records.UP, worker=self.name)
+        self.records.add(now, event_records.UP, worker=self.name)
         for step in range(1, WARM_STEPS + 1):
             self.clock.at(now + self.rules.warm_within * step // WARM_STEPS, self.change_rate)
         self.change_rate()
@@ -287,7 +289,7 @@
 
     # ---- Inside ----
 
-    def _tips(self, run: Run, now: int) -> bool:
+    def _tips(self, run: Execution, now: int) -> bool:
         """Whether all together have sent more than a cold worker bears: rule four's own figure."""
         span, work = self.rules.fall_within, run.job.work * run.job.slots
         self.arrived_work.append((now, work, run.dispatcher))
@@ -300,7 +302,9 @@
         sent: dict[str, int] = {}  # work, by dispatcher
         for _, part, dispatcher in self.arrived_work:
             sent[str(dispatcher)] = sent.get(str(dispatcher), 0) + int(part)
-        self.records.add(now, records.FELL, worker=self.name, detail=[int(self.work_in), int(bears), sent])
+        self.records.add(
+            now, event_records.FELL, worker=self.name, detail=[int(self.work_in), int(bears), sent]
+        )
         if self.on_fall is not None:
             self.on_fall(self)
         return True
@@ -318,7 +322,7 @@
             else:
                 return
 
-    def _begin(self, run: Run) -> None:
+    def _begin(self, run: Execution) -> None:
         job, grade = run.job, self.grades[run.job.grade]
         if run.label:
             earlier = self.racks[job.grade].repeated(run.label, grade.window)
@@ -329,7 +333,7 @@
         self.free -= job.slots
         self.running[run] = None
         run.begun = True
-        self._note(records.BEGAN, run, run.serial)
+        self._note(event_records.BEGAN, run, run.serial)
         if self.rules.tells_start:
             run.listener.run_started(run)
             if not run.over:
@@ -344,7 +348,7 @@
         else:
             self._go_on(run)
 
-    def _follow(self, run: Run, earlier: Run) -> None:
+    def _follow(self, run: Execution, earlier: Execution) -> None:
         """A repeat is not run: it gets the end of the first one."""
         run.waits_on = earlier
         if earlier.over:
@@ -352,7 +356,7 @@
             return
         earlier.followers.append(run)
 
-    def _fetched(self, run: Run) -> None:
+    def _fetched(self, run: Execution) -> None:
         run.fetching = False
         run.fetch = None
         if run.over or not self.up:
@@ -368,7 +372,7 @@
         self.held.move_to_end(subject)
         return True
 
-    def _go_on(self, run: Run) -> None:
+    def _go_on(self, run: Execution) -> None:
         """Settle up what was done at the old rate; go on at the present one."""
         now = self.clock.now()
         run.left = max(0.0, run.left - (now - run.settled_at) * run.rate) if run.rate > 0 else run.left
@@ -380,7 +384,7 @@
         if self.rate > 0:
             run.timer = self.clock.at(now + int(run.left / self.rate), self._finish, run, "done")
 
-    def _progress(self, run: Run) -> None:
+    def _progress(self, run: Execution) -> None:
         if run.over:
             return
         if not self.frozen:
@@ -388,7 +392,7 @@
             run.listener.run_progressed(run, round(done, 3))
         run.progress = self.clock.at(self.clock.now() + self.rules.progress_every, self._progress, run)
 
-    def _finish(self, run: Run, how: str) -> None:
+    def _finish(self, run: Execution, how: str) -> None:
         self._stop(run)
         if run in self.running:
             del self.running[run]
@@ -402,7 +406,7 @@
         if self.on_empty is not None and self.is_empty():
             self.on_empty(self)
 
-    def _stop(self, run: Run) -> None:
+    def _stop(self, run: Execution) -> None:
         for timer in (run.timer, run.progress):
             if timer is not None:
                 timer.call_off()
@@ -410,27 +414,27 @@
             self.store.call_off(run.fetch)
             run.fetch = None
 
-    def _end(self, run: Run, how: str) -> None:
+    def _end(self, run: Execution, how: str) -> None:
         if run.over:
             return
         if run.waits_on is None:
-            self._note(records.ENDED, run, [run.serial, how])
+            self._note(event_records.ENDED, run, [run.serial, how])
         self._tell_end(run, how)
         for follower in run.followers:
             # The first has not had its effect: what stood in for it does not count as done either.
             self._tell_end(follower, how if how == "done" else "lost")
         run.followers.clear()
 
-    def _tell_end(self, run: Run, how: str) -> None:
+    def _tell_end(self, run: Execution, how: str) -> None:
         if run.over:
             return
         run.over = True
         if run.waits_on is not None:
-            self._note(records.ENDED, run, [run.serial, "repeat dropped" if how == "done" else how])
+            self._note(event_records.ENDED, run, [run.serial, "repeat dropped" if how == "done" else how])
         if how != "recalled":
             run.listener.run_ended(run, how)
 
-    def _note(self, what: str, run: Run, detail: Any) -> None:
+    def _note(self, what: str, run: Execution, detail: Any) -> None:
         self.records.add(
             self.clock.now(), what, run.submission, run.job.number, run.dispatcher, self.name, detail
         )
--- a/ploverspoke/testbed/fleet.py
+++ b/ploverspoke/testbed/models/worker_fleet.py
@@ -2,25 +2,25 @@
 
 from collections.abc import Callable
 
-from . import experiment as ex
-from .chances import Streams
-from .clock import Clock
-from .records import Records
-from .spans import MILLISECOND
-from .store import SharedStore
-from .worker import Rack, Run, Worker
+from ..experiment_files import experiment as ex
+from ..experiment_files.durations import MILLISECOND
+from .event_records import Records
+from .random_streams import RandomStreams
+from .shared_store import SharedStore
+from .virtual_clock import Clock
+from .worker import Execution, Rack, Worker
 
 RESET_WITHIN = 50 * MILLISECOND  # a connection that is to break does so at a random time in here
 
 
-class Nobody:
+class IgnoringListener:
     """Hears what a worker tells on a connection that has fallen silent."""
 
-    def run_started(self, run: Run) -> None: ...
+    def run_started(self, run: Execution) -> None: ...
 
-    def run_progressed(self, run: Run, share: float) -> None: ...
+    def run_progressed(self, run: Execution, share: float) -> None: ...
 
-    def run_ended(self, run: Run, how: str) -> None: ...
+    def run_ended(self, run: Execution, how: str) -> None: ...
 
 
 def racks_of(e: ex.Experiment, clock: Clock) -> Callable[[int, int], dict[int, Rack]]:
@@ -38,11 +38,11 @@
     return racks
 
 
-class Fleet:
+class WorkerFleet:
     """Workers and their store."""
 
     def __init__(self, e: ex.Experiment, seed: int, clock: Clock, seen: Records) -> None:
-        streams = Streams(seed)
+        streams = RandomStreams(seed)
         self.workers: dict[str, Worker] = {}
         self.rack_of: dict[str, int] = {}
         self.store = SharedStore(e.store, clock, streams) if e.store is not None else None
--- a/ploverspoke/testbed/processes/__init__.py
+++ b/ploverspoke/testbed/processes/__init__.py
@@ -1,1 +1,1 @@
-"""Many real processes of the program on loopback, with faults between any two of them."""
+"""Processes of the program on loopback: start and end, addresses, TCP proxies with link faults."""
--- a/ploverspoke/testbed/processes/addresses.py
+++ b/ploverspoke/testbed/processes/addresses.py
@@ -14,12 +14,12 @@
 STAND_INS, OWN, RELAYED = 0, 1, 128  # where the rows of each kind begin
 
 
-class NoAddress(RuntimeError):
+class AddressUnavailableError(RuntimeError):
     """No block, or no port, is to be had."""
 
 
 class Block:
-    """One block, ours until `close`. Raises NoAddress where all are taken."""
+    """One block, ours until `close`. Raises AddressUnavailableError where all are taken."""
 
     def __init__(self) -> None:
         blocks = LAST_BLOCK - FIRST_BLOCK + 1
@@ -35,11 +35,11 @@
                 continue
             self.number, self.mark = number, mark
             return
-        raise NoAddress(f"all {blocks} blocks of loopback addresses are in use")
+        raise AddressUnavailableError(f"all {blocks} blocks of loopback addresses are in use")
 
     def _address(self, row: int, number: int) -> str:
         if number >= ROWS * A_ROW:
-            raise NoAddress(f"a block has {ROWS * A_ROW} addresses, {number + 1} are wanted")
+            raise AddressUnavailableError(f"a block has {ROWS * A_ROW} addresses, {number + 1} are wanted")
         return f"127.{self.number}.{row + number // A_ROW}.{1 + number % A_ROW}"
 
     def stand_in(self, number: int) -> str:
@@ -54,7 +54,7 @@
         return self._address(RELAYED, number)
 
     def hold(self, host: str) -> int:
-        """A port there that stays ours, free for both TCP and UDP. Raises NoAddress."""
+        """A port there that stays ours, free for both TCP and UDP. Raises AddressUnavailableError."""
         for _ in range(20):
             held = bound(host, 0)
             port: int = held.getsockname()[1]
@@ -66,7 +66,7 @@
                 continue
             self.held.append(held)
             return port
-        raise NoAddress(f"no port at {host}")
+        raise AddressUnavailableError(f"no port at {host}")
 
     def close(self) -> None:
         for held in self.held:
--- a/ploverspoke/testbed/processes/room.py
+++ b/ploverspoke/testbed/processes/capacity_check.py
@@ -10,18 +10,18 @@
 LEFT_FREE = 512 * MEBIBYTE
 
 
-class NoRoom(RuntimeError):
+class CapacityError(RuntimeError):
     """The run wants more than there is; the text says what of."""
 
 
-class Want(NamedTuple):
+class ResourceDemand(NamedTuple):
     what: str
     processes: int
     memory: int  # bytes each
     descriptors: int  # each; they are counted by process
 
 
-def in_memory() -> str | None:
+def memory_backed_folder() -> str | None:
     """A place for files that no slow disk is behind, where the machine has one."""
     place = "/dev/shm"
     return place if os.access(place, os.W_OK) and shutil.disk_usage(place).free > LEFT_FREE else None
@@ -32,10 +32,10 @@
     for line in Path("/proc/meminfo").read_text().splitlines():
         if line.startswith("MemAvailable:"):
             return int(line.split()[1]) * 1024
-    raise NoRoom("/proc/meminfo does not tell what is available")
+    raise CapacityError("/proc/meminfo does not tell what is available")
 
 
-def most_descriptors() -> int:
+def descriptor_limit() -> int:
     """Of one process, once the soft limit is at the hard one, where it is put."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if hard == resource.RLIM_INFINITY or soft < hard:
@@ -43,19 +43,21 @@
     return hard if hard != resource.RLIM_INFINITY else 1 << 20
 
 
-def make_sure(wants: list[Want], memory: int | None = None, descriptors: int | None = None) -> str:
-    """What is wanted, in a line. Raises NoRoom, naming what does not fit."""
+def check_capacity(
+    wants: list[ResourceDemand], memory: int | None = None, descriptors: int | None = None
+) -> str:
+    """What is wanted, in a line. Raises CapacityError, naming what does not fit."""
     has_memory = free_memory() if memory is None else memory
-    has_descriptors = most_descriptors() if descriptors is None else descriptors
+    has_descriptors = descriptor_limit() if descriptors is None else descriptors
     for want in wants:
         if want.descriptors > has_descriptors:
-            raise NoRoom(
+            raise CapacityError(
                 f"{want.what}: {want.descriptors} descriptors in one process, {has_descriptors} are allowed"
             )
     total = sum(want.processes * want.memory for want in wants)
     if total + LEFT_FREE > has_memory:
         parts = ", ".join(f"{w.processes} {w.what} of {w.memory // MEBIBYTE} MiB" for w in wants)
-        raise NoRoom(
+        raise CapacityError(
             f"{total // MEBIBYTE} MiB wanted ({parts}), {max(0, has_memory - LEFT_FREE) // MEBIBYTE} are free"
         )
     return f"{sum(w.processes for w in wants)} processes, {total // MEBIBYTE} MiB"
--- a/ploverspoke/testbed/processes/child.py
+++ b/ploverspoke/testbed/processes/child_process.py
@@ -7,15 +7,17 @@
 
 import msgspec
 
-STOP_WITHIN = 10.0  # seconds
+STOP_TIMEOUT = 10.0  # seconds
 
 
-class Child:
+class ChildProcess:
     def __init__(self, process: asyncio.subprocess.Process) -> None:
         self.process = process
 
     @classmethod
-    async def start(cls, module: str, words: Sequence[str], errors: IO[bytes] | None = None) -> "Child":
+    async def start(
+        cls, module: str, words: Sequence[str], errors: IO[bytes] | None = None
+    ) -> "ChildProcess":
         pipe = asyncio.subprocess.PIPE
         process = await asyncio.create_subprocess_exec(
             sys.executable, "-m", module, *words, stdin=pipe, stdout=pipe, stderr=errors, limit=1 << 22
@@ -38,7 +40,7 @@
         if self.process.stdin is not None:
             self.process.stdin.close()
         try:
-            await asyncio.wait_for(self.process.wait(), STOP_WITHIN)
+            await asyncio.wait_for(self.process.wait(), STOP_TIMEOUT)
         except TimeoutError:
             self.process.kill()
             await self.process.wait()
--- a/ploverspoke/testbed/list_age/processes.py
+++ b/ploverspoke/testbed/processes/dispatcher_process.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from ..processes.addresses import held_ports
+from .addresses import held_ports
 
 SETTINGS: dict[str, Any] = {
     "Discovery": "ask",
--- a/ploverspoke/testbed/processes/controls.py
+++ b/ploverspoke/testbed/processes/fault_controls.py
@@ -9,7 +9,7 @@
 SIZE = 8 * len(FIELDS)
 
 
-class Controls:
+class FaultControls:
     """All zero at first: the process is as it would be without."""
 
     def __init__(self, path: Path, new: bool = False) -> None:
--- a/ploverspoke/testbed/processes/timeline.py
+++ b/ploverspoke/testbed/processes/fault_timeline.py
@@ -10,9 +10,9 @@
 
 import msgspec
 
-from ..spans import MILLISECOND, SECOND, Span, write_span
+from ..experiment_files.durations import MILLISECOND, SECOND, Duration, format_duration
 
-ON_LINKS = ("delay", "loss", "double", "reorder", "cut", "slow", "silent", "reset", "rough")
+LINK_FAULTS = ("delay", "loss", "double", "reorder", "cut", "slow", "silent", "reset", "rough")
 ON_PROCESSES = (
     "kill",
     "pause",
@@ -30,67 +30,71 @@
 LAST = ("pause", "starve", "disk full", "disk fails", "slow sync")  # those on processes with an end
 
 
-class BadTimeline(ValueError):
+class TimelineError(ValueError):
     """The text names the row and the key."""
 
 
-class Step(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+class FaultStep(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """Times are ns from the start of the run."""
 
-    at: Span
+    at: Duration
     what: str
     who: list[str] = []
     to: list[str] = []  # empty: everyone
-    lasts: Span = Span(0)  # links: 0 is until the end; "kill", "empty", "older": how long it stays down
+    lasts: Duration = Duration(
+        0
+    )  # links: 0 is until the end; "kill", "empty", "older": how long it stays down
     both: bool = False  # the links back, too
-    delay: Span = Span(0)
-    jitter: Span = Span(0)
+    delay: Duration = Duration(0)
+    jitter: Duration = Duration(0)
     share: float = 0.0
     rate: float = 0.0  # bytes a second; of a clock, beside the machine's
     ahead: float = 0.0  # s, of the wall clock; negative: behind
 
     def told(self) -> str:
-        words = [write_span(self.at), self.what, ",".join(self.who) or "all"]
-        if self.what in ON_LINKS:
+        words = [format_duration(self.at), self.what, ",".join(self.who) or "all"]
+        if self.what in LINK_FAULTS:
             words += ["<>" if self.both else ">", ",".join(self.to) or "all"]
         if self.lasts:
-            words += ["for", write_span(self.lasts)]
+            words += ["for", format_duration(self.lasts)]
         return " ".join(words)
 
 
-def check(steps: Sequence[Step], names: Sequence[str]) -> list[Step]:
-    """In order of time. Raises BadTimeline."""
+def check_timeline(steps: Sequence[FaultStep], names: Sequence[str]) -> list[FaultStep]:
+    """In order of time. Raises TimelineError."""
     for number, step in enumerate(steps):
         row = f"timeline[{number}]"
-        if step.what not in ON_LINKS + ON_PROCESSES:
-            raise BadTimeline(f"{row}.what: {step.what!r} is none of {', '.join(ON_LINKS + ON_PROCESSES)}")
+        if step.what not in LINK_FAULTS + ON_PROCESSES:
+            raise TimelineError(
+                f"{row}.what: {step.what!r} is none of {', '.join(LINK_FAULTS + ON_PROCESSES)}"
+            )
         for key in ("who", "to"):
             for name in getattr(step, key):
                 if name not in names:
-                    raise BadTimeline(f"{row}.{key}: no process is called {name!r}")
+                    raise TimelineError(f"{row}.{key}: no process is called {name!r}")
         if step.what in ON_PROCESSES and not step.who:
-            raise BadTimeline(f"{row}.who: expected at least one process")
+            raise TimelineError(f"{row}.who: expected at least one process")
         if step.what in LAST and not step.lasts:
-            raise BadTimeline(f"{row}.lasts: expected how long it lasts")
+            raise TimelineError(f"{row}.lasts: expected how long it lasts")
         if step.what in ("slow", "clock") and step.rate <= 0:
-            raise BadTimeline(f"{row}.rate: expected more than 0")
+            raise TimelineError(f"{row}.rate: expected more than 0")
         if step.what in ("loss", "double", "reorder") and not 0 < step.share <= 1:
-            raise BadTimeline(f"{row}.share: expected more than 0 and at most 1")
+            raise TimelineError(f"{row}.share: expected more than 0 and at most 1")
         if step.what == "delay" and not (step.delay or step.jitter):
-            raise BadTimeline(f"{row}.delay: expected a time, here or in jitter")
+            raise TimelineError(f"{row}.delay: expected a time, here or in jitter")
     return sorted(steps, key=lambda step: step.at)
 
 
-class Weight(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+class FaultWeight(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """A kind of trouble that a drawn timeline has."""
 
     what: str
     who: list[str]
-    every: Span  # on the average, one from another's begin
-    lasts: list[Span]  # the shortest and the longest
+    every: Duration  # on the average, one from another's begin
+    lasts: list[Duration]  # the shortest and the longest
 
 
-def drawn(weights: Sequence[Weight], lasts: int, seed: int, calm: int = 0) -> list[Step]:
+def draw_timeline(weights: Sequence[FaultWeight], lasts: int, seed: int, calm: int = 0) -> list[FaultStep]:
     """The same for the same seed. Nothing begins in the last `calm` ns, and nothing lasts into them."""
     found = []
     for number, weight in enumerate(weights):
@@ -101,16 +105,16 @@
             # Short ones are as frequent as long ones by the decade: drawn evenly, few would be short.
             span = shortest * (longest / shortest) ** chance.random() if shortest else 0
             span = min(span, lasts - calm - at)
-            found.append(_step(weight, Span(int(at)), Span(int(span)), chance))
+            found.append(_step(weight, Duration(int(at)), Duration(int(span)), chance))
             at += chance.expovariate(1.0) * weight.every
     return sorted(found, key=lambda step: step.at)
 
 
-def _step(weight: Weight, at: Span, lasts: Span, chance: Random) -> Step:
+def _step(weight: FaultWeight, at: Duration, lasts: Duration, chance: Random) -> FaultStep:
     one = chance.choice(weight.who)
     values: dict[str, Any] = {"at": at, "what": weight.what, "who": [one], "lasts": lasts}
     if weight.what in LAST and not lasts:
-        values["lasts"] = Span(MILLISECOND)
+        values["lasts"] = Duration(MILLISECOND)
     if weight.what == "cut":
         # One direction or both, towards some or towards all.
         values["both"] = chance.random() < 0.4
@@ -121,14 +125,20 @@
             values["who"], values["to"] = values["to"], [one]
     elif weight.what in ("loss", "double", "reorder"):
         values["share"] = chance.choice([0.05, 0.2, 0.5])
-        values["jitter"] = Span(2 * SECOND)
+        values["jitter"] = Duration(2 * SECOND)
     elif weight.what == "rough":
-        values |= {"share": chance.choice([0.02, 0.1]), "jitter": Span(chance.choice([5, 50]) * MILLISECOND)}
+        values |= {
+            "share": chance.choice([0.02, 0.1]),
+            "jitter": Duration(chance.choice([5, 50]) * MILLISECOND),
+        }
         values["both"] = True
     elif weight.what == "delay":
-        values |= {"delay": Span(chance.choice([5, 50, 300]) * MILLISECOND), "jitter": Span(20 * MILLISECOND)}
+        values |= {
+            "delay": Duration(chance.choice([5, 50, 300]) * MILLISECOND),
+            "jitter": Duration(20 * MILLISECOND),
+        }
     elif weight.what == "slow":
         values["rate"] = chance.choice([2_000.0, 20_000.0])
     elif weight.what == "wall jumps":
         values["ahead"] = chance.choice([-3600.0, -60.0, 60.0, 3600.0])
-    return Step(**values)
+    return FaultStep(**values)
--- a/ploverspoke/testbed/processes/history.py
+++ b/ploverspoke/testbed/processes/history.py
@@ -11,11 +11,11 @@
 
 import msgspec
 
-true_now = time.monotonic_ns
+monotonic_now = time.monotonic_ns
 ROUND_IT = 20  # events shown round a finding
 
 
-class Happened(NamedTuple):
+class HistoryEvent(NamedTuple):
     at: int  # ns of the machine's monotonic clock
     who: str
     what: str
@@ -31,25 +31,25 @@
 
     def add(self, what: str, detail: Any = None, at: int | None = None) -> int:
         """Gives the time that was written."""
-        at = true_now() if at is None else at
-        self.file.write(msgspec.json.encode(Happened(at, self.who, what, detail)) + b"\n")
+        at = monotonic_now() if at is None else at
+        self.file.write(msgspec.json.encode(HistoryEvent(at, self.who, what, detail)) + b"\n")
         return at
 
 
-def read_history(path: Path) -> Iterator[Happened]:
+def read_history(path: Path) -> Iterator[HistoryEvent]:
     """Up to the last whole line."""
-    decoder: msgspec.json.Decoder[Happened] = msgspec.json.Decoder(Happened)
+    decoder: msgspec.json.Decoder[HistoryEvent] = msgspec.json.Decoder(HistoryEvent)
     for line in path.read_bytes().splitlines(keepends=True):
         if line.endswith(b"\n"):
             yield decoder.decode(line)
 
 
-def read_histories(folder: Path) -> list[Happened]:
+def read_histories(folder: Path) -> list[HistoryEvent]:
     parts = (read_history(path) for path in sorted(folder.glob("*.history")))
     return sorted((event for part in parts for event in part), key=lambda event: event.at)
 
 
-def around(events: list[Happened], at: int, count: int = ROUND_IT) -> list[str]:
+def events_around(events: list[HistoryEvent], at: int, count: int = ROUND_IT) -> list[str]:
     """The events next to that time, as lines; times in ms from it."""
     near = sorted(sorted(events, key=lambda e: abs(e.at - at))[:count], key=lambda e: e.at)
     return [f"{(e.at - at) / 1e6:+10.3f} ms  {e.who}  {e.what}  {e.detail}" for e in near]
--- a/ploverspoke/testbed/processes/links.py
+++ b/ploverspoke/testbed/processes/link_faults.py
@@ -9,13 +9,13 @@
 
 import msgspec
 
-from ..spans import MILLISECOND, SECOND
+from ..experiment_files.durations import MILLISECOND, SECOND
 
 AGAIN_AFTER = 200 * MILLISECOND  # a lost piece of a stream: the kernel would send it again after so long
 MOST_AGAIN = 6  # times, each twice as late
 
 
-class Fault(msgspec.Struct, frozen=True):
+class LinkFault(msgspec.Struct, frozen=True):
     """Of the links from any of `origin` to any of `target`; an empty list is everyone."""
 
     origin: list[str] = []
@@ -39,12 +39,12 @@
 
     def __init__(self, fraction: Callable[[], float]) -> None:
         self.fraction = fraction
-        self.faults: dict[int, Fault] = {}
-        self.now = Fault()  # all of them together
+        self.faults: dict[int, LinkFault] = {}
+        self.now = LinkFault()  # all of them together
         self.free_at = 0  # when a slow link has sent what it was given so far
         self.passed = self.lost = self.doubled = self.late = self.octets = 0
 
-    def lay(self, number: int, fault: Fault) -> None:
+    def lay(self, number: int, fault: LinkFault) -> None:
         self.faults[number] = fault
         self._together()
 
@@ -55,7 +55,7 @@
     def _together(self) -> None:
         all_of = list(self.faults.values())
         rates = [f.rate for f in all_of if f.rate]
-        self.now = Fault(
+        self.now = LinkFault(
             delay=sum(f.delay for f in all_of),
             jitter=sum(f.jitter for f in all_of),
             loss=max((f.loss for f in all_of), default=0.0),
@@ -116,7 +116,7 @@
         """`chance` gives a stream of fractions for a link's name: one link's draws shift no other's."""
         self.chance = chance
         self.links: dict[tuple[str, str], Link] = {}
-        self.faults: dict[int, Fault] = {}
+        self.faults: dict[int, LinkFault] = {}
 
     def link(self, origin: str, target: str) -> Link:
         found = self.links.get((origin, target))
@@ -127,7 +127,7 @@
                     found.lay(number, fault)
         return found
 
-    def lay(self, number: int, fault: Fault) -> None:
+    def lay(self, number: int, fault: LinkFault) -> None:
         self.faults[number] = fault
         for link in self._covered(fault):
             link.lay(number, fault)
@@ -137,7 +137,7 @@
         for link in self._covered(fault) if fault is not None else ():
             link.lift(number)
 
-    def _covered(self, fault: Fault) -> Iterable[Link]:
+    def _covered(self, fault: LinkFault) -> Iterable[Link]:
         return [link for ends, link in self.links.items() if fault.covers(*ends)]
 
     def counts(self) -> dict[str, Any]:
--- a/ploverspoke/testbed/hollow/said.py
+++ b/ploverspoke/testbed/processes/process_log.py
@@ -6,7 +6,7 @@
 from ploverspoke.transport import rate_limited_log
 
 
-class Said(rate_limited_log.RateLimitedLog):
+class DispatcherLog(rate_limited_log.RateLimitedLog):
     """One dispatcher's lines, with its name before them."""
 
     def __init__(self, name: str) -> None:
@@ -19,13 +19,13 @@
         super().write(f"{self.name}: {line}")
 
 
-WHOSE: ContextVar[Said] = ContextVar("whose log lines")
-_nobody = Said("nobody")
+CURRENT_LOG: ContextVar[DispatcherLog] = ContextVar("whose log lines")
+_nobody = DispatcherLog("nobody")
 
 
 def log_line(line: str) -> None:
     """The loop calls everything in the context in which it was asked for: so it is known whose line it is."""
-    WHOSE.get(_nobody).write(line)
+    CURRENT_LOG.get(_nobody).write(line)
 
 
 def install() -> None:
--- a/ploverspoke/testbed/capacity/process.py
+++ b/ploverspoke/testbed/processes/resource_usage.py
@@ -7,13 +7,13 @@
 PAGE = os.sysconf("SC_PAGE_SIZE")
 
 
-class Used(NamedTuple):
+class ResourceUsage(NamedTuple):
     processor: int  # ns, of all its threads
     memory: int  # bytes that are resident now
     memory_peak: int  # the most so far
 
 
-def used(pid: int) -> Used:
+def read_resource_usage(pid: int) -> ResourceUsage:
     """Raises OSError where it has ended.
 
     /proc/PID/stat counts in hundredths of a second, more than an idle dispatcher takes in ten; the
@@ -24,7 +24,7 @@
     fields = dict(line.split(":", 1) for line in (folder / "status").read_text().splitlines() if ":" in line)
     if "VmRSS" not in fields:
         raise ProcessLookupError(f"process {pid} has ended")
-    return Used(processor, _kibibytes(fields["VmRSS"]), _kibibytes(fields["VmHWM"]))
+    return ResourceUsage(processor, _kibibytes(fields["VmRSS"]), _kibibytes(fields["VmHWM"]))
 
 
 def _kibibytes(text: str) -> int:
--- a/ploverspoke/testbed/processes/rig.py
+++ b/ploverspoke/testbed/processes/rig.py
@@ -21,26 +21,26 @@
 
 import msgspec
 
-from ..spans import MILLISECOND, SECOND, write_span
+from ..experiment_files.durations import MILLISECOND, SECOND, format_duration
 from .addresses import Block
-from .child import STOP_WITHIN, Child
-from .controls import FAILS, FULL
-from .history import Happened, History, around, read_histories, true_now
-from .links import Fault
-from .relay import Spec, Stood
-from .room import MEBIBYTE, Want, make_sure
-from .running import NotStarted, Running
-from .timeline import ON_LINKS, Step
+from .capacity_check import MEBIBYTE, ResourceDemand, check_capacity
+from .child_process import STOP_TIMEOUT, ChildProcess
+from .fault_controls import FAILS, FULL
+from .fault_timeline import LINK_FAULTS, FaultStep
+from .history import History, HistoryEvent, events_around, monotonic_now, read_histories
+from .link_faults import LinkFault
+from .running_process import ProcessStartError, RunningProcess
+from .tcp_proxy import ProxiedProcess, ProxySpec
 
 STARTS_A_CORE = 3  # at once: a start is a second of processor time, and some waiting
 MOST_LATE = 400 * MILLISECOND  # of a step, or of the rig's own loop: past that a run is void
 LOOKS_EVERY = 50 * MILLISECOND
 PROCESS_MEMORY = 48 * MEBIBYTE
-RELAY = "ploverspoke.testbed.processes.relay"
+RELAY = "ploverspoke.testbed.processes.tcp_proxy"
 DISKS = {"disk full": FULL, "disk fails": FAILS}
 
 
-class Place(NamedTuple):
+class ProcessAddress(NamedTuple):
     """Where one process is."""
 
     name: str
@@ -60,14 +60,14 @@
 
 class Rig:
     def __init__(self, folder: Path, seed: int) -> None:
-        """Raises NoAddress."""
+        """Raises AddressUnavailableError."""
         self.folder, self.seed = folder, seed
         self.block = Block()
-        self.places: dict[str, Place] = {}
-        self.stood: dict[str, Stood] = {}
-        self.running: dict[str, Running] = {}
-        self.children: list[Child] = []
-        self.relays: Child | None = None
+        self.places: dict[str, ProcessAddress] = {}
+        self.stood: dict[str, ProxiedProcess] = {}
+        self.running: dict[str, RunningProcess] = {}
+        self.children: list[ChildProcess] = []
+        self.relays: ChildProcess | None = None
         self.counts: dict[str, Any] = {}  # the relays', as last heard
         self.asking = asyncio.Lock()
         self.next_fault = 1
@@ -79,7 +79,7 @@
             lambda name, how: None
         )  # before it is killed or told to end
         self.on_up: Callable[[str], None] = lambda name: None
-        self.ends_within = STOP_WITHIN  # seconds, of one that is told to
+        self.ends_within = STOP_TIMEOUT  # seconds, of one that is told to
         self.latest = 0  # ns
         self.all_done = asyncio.Event()  # nothing is left to wait for, though time is
         self.skipped = 0  # steps on a process that was busy
@@ -102,53 +102,66 @@
         streams: Sequence[str] = (),
         datagrams: Sequence[str] = (),
         direct: Sequence[str] = (),
-    ) -> Place:
-        """An address, with ports by name; the relays stand for all but `direct`. Raises NoAddress."""
+    ) -> ProcessAddress:
+        """An address, with ports by name; the proxy stands for all but `direct`.
+
+        Raises AddressUnavailableError.
+        """
         number = len(self.places)
         own, relayed = self.block.own(number), self.block.relayed(number)
         ports = {port: self.block.hold(own) for port in (*streams, *datagrams, *direct)}
-        self.places[name] = Place(name, number, own, relayed, ports)
-        self.stood[name] = Stood(
+        self.places[name] = ProcessAddress(name, number, own, relayed, ports)
+        self.stood[name] = ProxiedProcess(
             name, own, relayed, [ports[port] for port in streams], [ports[port] for port in datagrams]
         )
         return self.places[name]
 
     def add(
-        self, place: Place, module: str, words: Sequence[str], environment: Mapping[str, str] | None = None
-    ) -> Running:
-        running = Running(self.block, place.number, place.name, self.folder, module, words, environment)
+        self,
+        place: ProcessAddress,
+        module: str,
+        words: Sequence[str],
+        environment: Mapping[str, str] | None = None,
+    ) -> RunningProcess:
+        running = RunningProcess(
+            self.block, place.number, place.name, self.folder, module, words, environment
+        )
         self.running[place.name] = running
         return running
 
-    def make_sure(self, more: Sequence[Want] = ()) -> str:
-        """What the run wants, in a line. Raises NoRoom, before anything is started."""
+    def check_capacity(self, more: Sequence[ResourceDemand] = ()) -> str:
+        """What the run wants, in a line. Raises CapacityError, before anything is started."""
         own = 64 + 6 * len(self.places) + 4 * len(self.running)
-        wants = [Want("processes", len(self.running), PROCESS_MEMORY, 0), Want("rig", 1, 0, own), *more]
-        return make_sure(wants)
+        wants = [
+            ResourceDemand("processes", len(self.running), PROCESS_MEMORY, 0),
+            ResourceDemand("rig", 1, 0, own),
+            *more,
+        ]
+        return check_capacity(wants)
 
     async def open(self) -> None:
-        """Bring up the relays, where there is anything to stand for. Raises NoRoom or NotStarted."""
-        self.make_sure()
+        """Start the proxy, where it has anything to do. Raises CapacityError or ProcessStartError."""
+        self.check_capacity()
         if not any(one.streams or one.datagrams for one in self.stood.values()):
             return
         spec = self.folder / "relays.json"
-        spec.write_bytes(msgspec.json.encode(Spec(self.seed, list(self.stood.values()))))
+        spec.write_bytes(msgspec.json.encode(ProxySpec(self.seed, list(self.stood.values()))))
         self.relays = await self.child(RELAY, [str(spec)])
         if await self.relays.hear() is None:
-            raise NotStarted("the relays ended at their start")
+            raise ProcessStartError("the relays ended at their start")
 
-    async def child(self, module: str, words: Sequence[str], log: str = "") -> Child:
+    async def child(self, module: str, words: Sequence[str], log: str = "") -> ChildProcess:
         """A stand-in, ended with the rest. What it says of itself goes to a log of that name, if any."""
         if log:
             with (self.folder / f"{log}.log").open("ab") as file:
-                child = await Child.start(module, words, file)
+                child = await ChildProcess.start(module, words, file)
         else:
-            child = await Child.start(module, words)
+            child = await ChildProcess.start(module, words)
         self.children.append(child)
         return child
 
     async def start(self, names: Iterable[str] | None = None, more: Sequence[str] = ()) -> None:
-        """All of these, in groups that the machine bears. Raises NotStarted."""
+        """All of these, in groups that the machine bears. Raises ProcessStartError."""
         await in_groups(self.running[name].start(more) for name in (self.running if names is None else names))
 
     # ---- Faults on links ----
@@ -162,7 +175,7 @@
             raise RuntimeError("the relays have ended")
         self.counts = heard
 
-    async def lay(self, fault: Fault) -> int:
+    async def lay(self, fault: LinkFault) -> int:
         """Gives the number by which it is lifted."""
         number, self.next_fault = self.next_fault, self.next_fault + 1
         self.history.add("lay", [number, msgspec.to_builtins(fault)])
@@ -173,18 +186,18 @@
         await self.ask_relays({"lift": number})
         self.history.add("lift", number)
 
-    async def reset(self, fault: Fault) -> None:
+    async def reset(self, fault: LinkFault) -> None:
         self.history.add("reset", msgspec.to_builtins(fault))
         await self.ask_relays({"reset": msgspec.to_builtins(fault)})
 
     # ---- The timeline ----
 
     def now(self) -> int:
-        return true_now() - self.epoch
+        return monotonic_now() - self.epoch
 
-    async def play(self, steps: Sequence[Step], lasts: int, begins: int | None = None) -> None:
+    async def play(self, steps: Sequence[FaultStep], lasts: int, begins: int | None = None) -> None:
         """Do all that and wait until it is over. `lasts` is ns; it begins now, or then on the true clock."""
-        self.epoch = true_now() if begins is None else begins
+        self.epoch = monotonic_now() if begins is None else begins
         self.history.add("begin", [self.seed, [step.told() for step in steps]])
         watch = asyncio.create_task(self._watch())
         for step in steps:
@@ -203,26 +216,26 @@
     async def _watch(self) -> None:
         """How late the rig itself is: a machine that is too slow proves nothing."""
         while True:
-            due = true_now() + LOOKS_EVERY
+            due = monotonic_now() + LOOKS_EVERY
             await asyncio.sleep(LOOKS_EVERY / SECOND)
-            self.latest = max(self.latest, true_now() - due)
+            self.latest = max(self.latest, monotonic_now() - due)
 
-    def _begin(self, step: Step) -> None:
+    def _begin(self, step: FaultStep) -> None:
         task = asyncio.create_task(self._step(step))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def _step(self, step: Step) -> None:
+    async def _step(self, step: FaultStep) -> None:
         try:
-            if step.what in ON_LINKS:
+            if step.what in LINK_FAULTS:
                 await self._on_links(step)
                 self.done += 1
             else:
                 await asyncio.gather(*(self.on_process(step, name) for name in step.who))
-        except (NotStarted, RuntimeError) as error:
+        except (ProcessStartError, RuntimeError) as error:
             self.faults.append(f"{step.told()}: {error}")
 
-    async def _on_links(self, step: Step) -> None:
+    async def _on_links(self, step: FaultStep) -> None:
         fault = fault_of(step)
         both = [fault, msgspec.structs.replace(fault, origin=fault.target, target=fault.origin)]
         if step.what == "reset":
@@ -235,7 +248,7 @@
             for number in numbers:
                 await self.lift(number)
 
-    async def on_process(self, step: Step, name: str) -> None:
+    async def on_process(self, step: FaultStep, name: str) -> None:
         process = self.running[name]
         if step.what == "wall jumps":
             process.wall_jumps(int(step.ahead * SECOND))
@@ -253,11 +266,11 @@
         self.history.add(f"{step.what} is over", name)
         self.done += 1
 
-    async def _do(self, step: Step, process: Running) -> None:
-        until = true_now() + step.lasts
+    async def _do(self, step: FaultStep, process: RunningProcess) -> None:
+        until = monotonic_now() + step.lasts
 
         async def meanwhile() -> None:
-            await asyncio.sleep(max(0.0, (until - true_now()) / SECOND))
+            await asyncio.sleep(max(0.0, (until - monotonic_now()) / SECOND))
 
         if step.what == "pause":
             process.pause()
@@ -292,10 +305,10 @@
     def void(self) -> str:
         """Why the run proves nothing; "" where it does."""
         if self.latest > MOST_LATE:
-            return f"the machine was too slow: the rig itself was late by {write_span(self.latest)}"
+            return f"the machine was too slow: the rig itself was late by {format_duration(self.latest)}"
         return ""
 
-    def happened(self) -> list[Happened]:
+    def happened(self) -> list[HistoryEvent]:
         """All histories, in order of time; those of processes that still run up to now."""
         return read_histories(self.folder)
 
@@ -304,7 +317,9 @@
         events = self.happened()
         timeline: list[str] = next((e.detail[1] for e in events if e.what == "begin"), [])
         lines = [finding, f"seed {self.seed}; timeline:", *(f"  {row}" for row in timeline)]
-        return "\n".join([*lines, "what happened round it:", *(f"  {row}" for row in around(events, at))])
+        return "\n".join(
+            [*lines, "what happened round it:", *(f"  {row}" for row in events_around(events, at))]
+        )
 
     async def close(self) -> None:
         for task in list(self.tasks):
@@ -322,7 +337,7 @@
         self.block.close()
 
 
-def fault_of(step: Step) -> Fault:
+def fault_of(step: FaultStep) -> LinkFault:
     """What a step on links lays."""
     kinds: dict[str, dict[str, Any]] = {
         "delay": {"delay": int(step.delay), "jitter": int(step.jitter)},
@@ -335,7 +350,7 @@
         "reset": {},
         "rough": {"loss": step.share, "double": step.share, "jitter": int(step.jitter)},
     }
-    return Fault(origin=step.who, target=step.to, **kinds[step.what])
+    return LinkFault(origin=step.who, target=step.to, **kinds[step.what])
 
 
 async def in_groups(starts: Iterable[Awaitable[None]]) -> None:
@@ -355,7 +370,7 @@
 Ready = Callable[[], Awaitable[bool]]
 
 
-def listens(host: str, port: int) -> Ready:
+def listens_at(host: str, port: int) -> Ready:
     """Ready once somebody takes connections there."""
 
     async def ready() -> bool:
--- a/ploverspoke/testbed/processes/running.py
+++ b/ploverspoke/testbed/processes/running_process.py
@@ -13,8 +13,8 @@
 import msgspec
 
 from .addresses import Block
-from .controls import Controls
-from .starter import Plan
+from .fault_controls import FaultControls
+from .starter import StartPlan
 
 READY_WITHIN = 20.0  # seconds
 LOOKS_EVERY = 0.02
@@ -22,11 +22,11 @@
 LOG_TAIL = 2000
 
 
-class NotStarted(RuntimeError):
+class ProcessStartError(RuntimeError):
     """A process of the run did not come up."""
 
 
-class Running:
+class RunningProcess:
     """Started any number of times with the same words. Its folder outlives its processes."""
 
     def __init__(
@@ -55,17 +55,17 @@
         self.paused = False
         self.plan = folder / f"{name}.plan.json"
         controls = folder / f"{name}.controls"
-        self.controls = Controls(controls, new=True)
-        self._plan = Plan(name, self.own, self.relayed, str(controls), str(folder / f"{name}.history"))
+        self.controls = FaultControls(controls, new=True)
+        self._plan = StartPlan(name, self.own, self.relayed, str(controls), str(folder / f"{name}.history"))
         self.ready: Callable[[], Awaitable[bool]] | None = None
         self.starving: asyncio.Task[None] | None = None
 
     # ---- Starts and ends ----
 
     async def start(self, more: Sequence[str] = ()) -> None:
-        """Raises NotStarted where it does not get ready, its log's end in the text."""
+        """Raises ProcessStartError where it does not get ready, its log's end in the text."""
         if self.lives():
-            raise NotStarted(f"{self.name} runs already: one handle is for one process")
+            raise ProcessStartError(f"{self.name} runs already: one handle is for one process")
         self.plan.write_bytes(msgspec.json.encode(msgspec.structs.replace(self._plan, rate=self.rate)))
         self.starts += 1
         self.paused = False
@@ -81,7 +81,7 @@
         until = time.monotonic() + READY_WITHIN
         while self.ready is not None:
             if self.process.returncode is not None or time.monotonic() > until:
-                raise NotStarted(f"{self.name} did not come up; its log: {self.tail()}")
+                raise ProcessStartError(f"{self.name} did not come up; its log: {self.tail()}")
             with contextlib.suppress(OSError):
                 if await self.ready():
                     return
--- a/ploverspoke/testbed/processes/starter.py
+++ b/ploverspoke/testbed/processes/starter.py
@@ -20,13 +20,13 @@
 import msgspec
 import uvloop
 
-from .controls import FAILS, FULL, Controls
-from .history import History, true_now
+from .fault_controls import FAILS, FULL, FaultControls
+from .history import History, monotonic_now
 
 PR_SET_PDEATHSIG = 1
 
 
-class Plan(msgspec.Struct):
+class StartPlan(msgspec.Struct):
     name: str
     source: str  # its own address
     relayed: str  # the relays' address for it
@@ -36,15 +36,15 @@
 
 
 class Clock:
-    def __init__(self, plan: Plan, controls: Controls) -> None:
+    def __init__(self, plan: StartPlan, controls: FaultControls) -> None:
         self.rate = plan.rate
         self.controls = controls
-        self.began = true_now()
+        self.began = monotonic_now()
         self.true_wall = time.time_ns
 
     def monotonic_ns(self) -> int:
         ahead = self.controls.get("clock_ahead")
-        return self.began + int((true_now() - self.began) * self.rate) + ahead
+        return self.began + int((monotonic_now() - self.began) * self.rate) + ahead
 
     def monotonic(self) -> float:
         return self.monotonic_ns() / 1e9
@@ -60,7 +60,7 @@
             setattr(time, name, getattr(self, name))
 
 
-def loop_of(plan: Plan, clock: Clock) -> type[uvloop.Loop]:
+def loop_of(plan: StartPlan, clock: Clock) -> type[uvloop.Loop]:
     class Loop(uvloop.Loop):
         async def create_connection(  # type: ignore[override]
             self, factory: Any, host: Any = None, port: Any = None, **more: Any
@@ -103,7 +103,7 @@
     return Loop if plan.rate == 1.0 else Drifting
 
 
-def disk_of(controls: Controls) -> type[sqlite3.Connection]:
+def disk_of(controls: FaultControls) -> type[sqlite3.Connection]:
     class Connection(sqlite3.Connection):
         """Commits are where a disk fails; what was written before one is rolled back by whoever is told."""
 
@@ -125,9 +125,9 @@
 os_sleep = time.sleep
 
 
-def exchange(plan: Plan) -> None:
+def exchange(plan: StartPlan) -> None:
     """Put all of it in place. What is imported afterwards sees nothing else."""
-    controls, history = Controls(Path(plan.controls)), History(Path(plan.history), plan.name)
+    controls, history = FaultControls(Path(plan.controls)), History(Path(plan.history), plan.name)
     clock = Clock(plan, controls)
     clock.install()
     uvloop.Loop = loop_of(plan, clock)  # type: ignore[misc]
@@ -151,7 +151,7 @@
 def main() -> None:
     # Whoever started it ends it by its handle; should that one be killed, nothing stays behind.
     ctypes.CDLL(None).prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
-    plan: Plan = msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=Plan)
+    plan: StartPlan = msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=StartPlan)
     exchange(plan)
     module = sys.argv[2]
     sys.argv = [module, *sys.argv[3:]]
--- a/ploverspoke/testbed/processes/relay.py
+++ b/ploverspoke/testbed/processes/tcp_proxy.py
@@ -1,7 +1,7 @@
 """The relays of a run, one process: they stand for each process at an address of its own, and pass on.
 
-`python -m ploverspoke.testbed.processes.relay SPEC`. Lines on its input lay faults on links, lift them and
-reset streams; it answers each with a line when that is done. The end of the input ends it.
+`python -m ploverspoke.testbed.processes.tcp_proxy SPEC`. Lines on its input lay faults on links, lift them
+and reset streams; it answers each with a line when that is done. The end of the input ends it.
 
 A sender is known by its own address. A datagram goes on from the address at which the relays stand for its
 sender, since that is where the receiver believes it to be. A cut holds what is on its way in a stream, as a
@@ -21,16 +21,16 @@
 import msgspec
 import uvloop
 
-from ..standins.process import say
-from .history import true_now
-from .links import Fault, Link, Links
+from ..fakes.fake_process import send_message
+from .history import monotonic_now
+from .link_faults import Link, LinkFault, Links
 
 MOST_HELD = 1 << 20  # bytes on one way; its sender waits then
 BACKLOG = 1024
 OUTSIDE = "outside"  # whoever has no address of its own: tools and tests
 
 
-class Stood(msgspec.Struct):
+class ProxiedProcess(msgspec.Struct):
     """One process, as the relays know it."""
 
     name: str
@@ -40,9 +40,9 @@
     datagrams: list[int] = []
 
 
-class Spec(msgspec.Struct):
+class ProxySpec(msgspec.Struct):
     seed: int
-    processes: list[Stood]
+    processes: list[ProxiedProcess]
 
 
 class Way:
@@ -59,7 +59,7 @@
 
     def put(self, data: bytes | None) -> None:
         # The end takes no time of its own, but comes behind all that was sent.
-        at = true_now() if data is None else self.link.piece(true_now(), len(data))
+        at = monotonic_now() if data is None else self.link.piece(monotonic_now(), len(data))
         self.last = max(self.last, at)
         self.queue.append((self.last, data))
         self.held += len(data or b"")
@@ -74,7 +74,7 @@
         sink = self.sink
         while self.queue and sink is not None and not self.link.now.cut:
             at, data = self.queue[0]
-            left = at - true_now()
+            left = at - monotonic_now()
             if left > 0:
                 self.timer = asyncio.get_running_loop().call_later(left / 1e9, self.pump)
                 return
@@ -124,7 +124,7 @@
 class Stream:
     """A connection of two processes, in two."""
 
-    def __init__(self, relays: "Relays", origin: str, target: Stood, port: int) -> None:
+    def __init__(self, relays: "TcpProxy", origin: str, target: ProxiedProcess, port: int) -> None:
         self.relays = relays
         self.origin, self.target, self.port = origin, target, port
         self.there, self.back = relays.links.link(origin, target.name), relays.links.link(target.name, origin)
@@ -165,7 +165,7 @@
 class Datagrams(asyncio.DatagramProtocol):
     """The relays' socket for one process and port."""
 
-    def __init__(self, relays: "Relays", stood: Stood, port: int) -> None:
+    def __init__(self, relays: "TcpProxy", stood: ProxiedProcess, port: int) -> None:
         self.relays, self.stood, self.port = relays, stood, port
         self.transport: asyncio.DatagramTransport | None = None
 
@@ -178,7 +178,7 @@
         if sender is None or stands is None:
             self.relays.strange += 1
             return
-        now = true_now()
+        now = monotonic_now()
         for at in self.relays.links.link(sender.name, self.stood.name).datagram(now, len(data)):
             if at <= now:
                 stands.pass_on(data, self.stood.own, self.port)
@@ -192,8 +192,8 @@
             self.transport.sendto(data, (host, port))
 
 
-class Relays:
-    def __init__(self, spec: Spec) -> None:
+class TcpProxy:
+    def __init__(self, spec: ProxySpec) -> None:
         self.spec = spec
         self.links = Links(lambda name: random.Random(f"{spec.seed} {name}").random)
         self.by_own = {one.own: one for one in spec.processes}
@@ -221,11 +221,11 @@
 
     def heard(self, told: dict[str, Any]) -> dict[str, Any]:
         if "lay" in told:
-            self.links.lay(told["lay"], msgspec.convert(told["fault"], Fault))
+            self.links.lay(told["lay"], msgspec.convert(told["fault"], LinkFault))
         elif "lift" in told:
             self.links.lift(told["lift"])
         elif "reset" in told:
-            fault = msgspec.convert(told["reset"], Fault)
+            fault = msgspec.convert(told["reset"], LinkFault)
             for stream in list(self.streams):
                 if fault.covers(stream.origin, stream.target.name):
                     stream.reset()
@@ -244,7 +244,7 @@
 class Waiting(asyncio.Protocol):
     """A connection of which it is not known yet from whom it is."""
 
-    def __init__(self, relays: Relays, target: Stood, port: int) -> None:
+    def __init__(self, relays: TcpProxy, target: ProxiedProcess, port: int) -> None:
         self.relays, self.target, self.port = relays, target, port
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -264,16 +264,16 @@
 TASKS: set[asyncio.Task[None]] = set()
 
 
-async def live(spec: Spec) -> None:
-    relays = Relays(spec)
+async def live(spec: ProxySpec) -> None:
+    relays = TcpProxy(spec)
     await relays.open()
     loop = asyncio.get_running_loop()
     lines = asyncio.StreamReader()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(lines), sys.stdin)
-    say({"open": len(spec.processes)})
+    send_message({"open": len(spec.processes)})
     while line := await lines.readline():
-        say(relays.heard(msgspec.json.decode(line)))
+        send_message(relays.heard(msgspec.json.decode(line)))
 
 
 if __name__ == "__main__":
-    uvloop.run(live(msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=Spec)))
+    uvloop.run(live(msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=ProxySpec)))
--- /dev/null
+++ b/ploverspoke/testbed/reports/__init__.py
@@ -0,0 +1,1 @@
+"""Tables, plots, comparisons and Markdown made from results."""
--- a/ploverspoke/testbed/capacity/render.py
+++ b/ploverspoke/testbed/reports/capacity_table.py
@@ -3,14 +3,14 @@
 import textwrap
 from collections.abc import Iterable, Sequence
 
-from .budgets import MB, figure_of
-from .estimate import Figure, total
-from .loads import ASSUMPTIONS, PEAK, loads
-from .machines import layout, losses, splits
-from .played import Plays
-from .slopes import Slopes
-from .table import ROLES, Choice, Table
-from .verdicts import FAILS, HOLDS, LESSER, MISSING, NEAR, NOT_MEASURED, OVER
+from ..capacity.budgets import MB, figure_of
+from ..capacity.estimate import Figure, total
+from ..capacity.machines import layout, losses, splits
+from ..capacity.measured_costs import MeasuredCosts
+from ..capacity.scenario_results import ScenarioResults
+from ..capacity.table import ROLES, Choice, Table
+from ..capacity.verdicts import FAILS, HOLDS, LESSER, MISSING, NEAR, NOT_MEASURED, OVER
+from ..capacity.workload import ASSUMPTIONS, PEAK, workload
 
 WIDTH = 128
 NOTHING = "nothing"
@@ -49,7 +49,7 @@
 }
 
 
-class BadPage(ValueError):
+class CapacityPageError(ValueError):
     """The page has no place for the table; the text says why."""
 
 
@@ -220,10 +220,10 @@
     return [*rows_of(heading, rows), ""] if rows else ["None was measured.", ""]
 
 
-def machine_tables(table: Table, slopes: Slopes) -> list[str]:
+def machine_tables(table: Table, slopes: MeasuredCosts) -> list[str]:
     fleet = table.fleet
     machines = layout(fleet)
-    met = loads(fleet, max(fleet.size.dispatchers), PEAK)
+    met = workload(fleet, max(fleet.size.dispatchers), PEAK)
     rows = []
     for one in machines:
         core, memory = (
@@ -266,7 +266,7 @@
     return lines
 
 
-def plays_table(plays: Plays) -> list[str]:
+def plays_table(plays: ScenarioResults) -> list[str]:
     if not plays.runs:
         return ["No scale test was played."]
     rows = []
@@ -325,7 +325,7 @@
     return lines
 
 
-def note_lines(slopes: Slopes) -> list[str]:
+def note_lines(slopes: MeasuredCosts) -> list[str]:
     """What the file says of its lines, once for each role and what it was measured along."""
     sizes: dict[tuple[str, str], set[str]] = {}
     for line in slopes.lines:
@@ -342,7 +342,7 @@
     )
 
 
-def markdown(table: Table, slopes: Slopes, plays: Plays) -> str:
+def markdown(table: Table, slopes: MeasuredCosts, plays: ScenarioResults) -> str:
     """What stands between the markers of the page."""
     lines = [
         "## The answer", "", *answer(table), "",
@@ -368,15 +368,15 @@
 
 
 def put_in(page: str, text: str) -> str:
-    """The page with the text between its markers. Raises BadPage."""
+    """The page with the text between its markers. Raises CapacityPageError."""
     head, found, rest = page.partition(BEGIN)
     _, ended, tail = rest.partition(END)
     if not found or not ended or BEGIN in rest:
-        raise BadPage(f"expected {BEGIN} and {END} in it, once each")
+        raise CapacityPageError(f"expected {BEGIN} and {END} in it, once each")
     return f"{head}{BEGIN}\n{text}{END}{tail}"
 
 
 def between(page: str) -> str:
-    """What stands between the markers. Raises BadPage."""
+    """What stands between the markers. Raises CapacityPageError."""
     put_in(page, "")
     return page.partition(BEGIN)[2].partition(END)[0].removeprefix("\n")
--- a/ploverspoke/testbed/compare.py
+++ b/ploverspoke/testbed/reports/comparison.py
@@ -4,7 +4,7 @@
 from statistics import fmean, stdev
 from typing import NamedTuple
 
-from .runner import Result
+from ..scenarios.experiment_runner import Result
 
 # Two-sided 95% of Student's t, by degrees of freedom; past the last the normal distribution's.
 STUDENT = (
@@ -50,7 +50,7 @@
     return Difference(what, one, other, other - one, margin, len(pairs))
 
 
-def compare(
+def compare_results(
     one: Result, other: Result, policy_one: str = "ours", policy_other: str = "ours"
 ) -> list[Difference]:
     """Service in all and by grade; empty where no seed is in both."""
--- a/ploverspoke/testbed/plots.py
+++ b/ploverspoke/testbed/reports/plots.py
@@ -6,9 +6,9 @@
 
 import matplotlib
 
-from .runner import Result
+from ..experiment_files.durations import SECOND
+from ..scenarios.experiment_runner import Result
 from .scores import merged_histogram
-from .spans import SECOND
 
 matplotlib.use("svg")
 matplotlib.rcParams["svg.hashsalt"] = "ploverspoke"  # the same result gives the same file
--- a/ploverspoke/testbed/scores.py
+++ b/ploverspoke/testbed/reports/scores.py
@@ -7,11 +7,11 @@
 import msgspec
 from hdrh.histogram import HdrHistogram
 
-from . import records
-from .audit import Finding
-from .experiment import Experiment
-from .records import Event
-from .spans import MICROSECOND, SECOND
+from ..checkers.request_audit import Finding
+from ..experiment_files.durations import MICROSECOND, SECOND
+from ..experiment_files.experiment import Experiment
+from ..models import event_records
+from ..models.event_records import Event
 
 HIGHEST = 3_600_000_000  # microseconds that a histogram can hold
 PERCENTILES = (50.0, 90.0, 99.0, 99.9)
@@ -66,10 +66,10 @@
     by_worker: dict[str, list[int]] = {name: [0] * (e.lasts // SECOND + 1) for name in e.worker_names()}
     for event in events:
         seen[event.what] += 1
-        if event.what == records.SENT:
+        if event.what == event_records.SENT:
             if event.detail[1] == 0:
                 first[event.job] = (event.detail[0], event.detail[3])
-        elif event.what == records.ANSWERED:
+        elif event.what == event_records.ANSWERED:
             if event.job not in answer or answer[event.job][1] != "satisfied":
                 answer[event.job] = (event.at, event.detail)
             if event.job in first:
@@ -77,12 +77,12 @@
                 g.nacks += event.detail == "nacked"
                 g.abandoned += event.detail == "abandoned"
                 g.broken += event.detail == "broken"
-        elif event.what == records.LEFT:
+        elif event.what == event_records.LEFT:
             left.add(event.job)
-        elif event.what == records.BEGAN:
+        elif event.what == event_records.BEGAN:
             row = by_worker[event.worker]
             row[min(event.at // SECOND, len(row) - 1)] += 1
-        elif event.what == records.BEHIND:
+        elif event.what == event_records.BEHIND:
             behind = max(behind, event.detail)
     histograms = [HdrHistogram(1, HIGHEST, 3) for _ in e.grades]
     earned: dict[int, float] = defaultdict(float)
@@ -125,8 +125,8 @@
             f"rule {f.rule}: {f.text}" + "".join(f"\n    {line}" for line in f.timeline) for f in told[:10]
         ],
         broken_rules=len(told),
-        hand_offs=seen[records.CAME],
-        submissions=seen[records.SENT],
+        hand_offs=seen[event_records.CAME],
+        submissions=seen[event_records.SENT],
         behind_ms=behind / 1e6,
         void=void,
         over_time=[[float(s), earned[s] / possible[s]] for s in sorted(possible) if possible[s]],
--- a/ploverspoke/testbed/tables.py
+++ b/ploverspoke/testbed/reports/tables.py
@@ -6,8 +6,8 @@
 from rich.console import Console
 from rich.table import Table
 
-from .compare import Difference
-from .runner import Result
+from ..scenarios.experiment_runner import Result
+from .comparison import Difference
 
 
 def result_table(result: Result) -> Table:
--- a/ploverspoke/testbed/hollow/asker.py
+++ b/ploverspoke/testbed/scale/config_poller.py
@@ -15,8 +15,8 @@
 import msgspec
 import uvloop
 
-from ..standins.process import say
-from ..standins.wire import BadWire, Reader
+from ..fakes.fake_process import send_message
+from ..fakes.http_wire import HttpReader, HttpSyntaxError
 
 ASKS_EVERY = 0.05  # seconds, of each dispatcher that does not know one: so exact is what is told
 GIVES_UP = 30.0  # seconds
@@ -39,7 +39,7 @@
         self.asker = asker
         self.number = number
         self.door = door
-        self.reader = Reader()
+        self.reader = HttpReader()
         self.transport: asyncio.Transport | None = None
         self.asked: Change | None = None  # and not answered yet
         self.unknown: deque[Change] = deque()
@@ -71,7 +71,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self.reader = Reader()
+        self.reader = HttpReader()
 
     def data_received(self, data: bytes) -> None:
         try:
@@ -83,7 +83,7 @@
                     self.unknown.popleft()
                     self.asker.known(change, self.number)
                     self._ask()
-        except BadWire:
+        except HttpSyntaxError:
             if self.transport is not None:
                 self.transport.abort()
 
@@ -116,7 +116,7 @@
 
     def _tell(self, change: Change) -> None:
         if self.open.pop(change.number, None) is not None:
-            say({"change": change.number, "took": change.took})
+            send_message({"change": change.number, "took": change.took})
 
 
 async def live() -> None:
--- a/ploverspoke/testbed/hollow/process.py
+++ b/ploverspoke/testbed/scale/dispatcher_host.py
@@ -18,17 +18,17 @@
 import msgspec
 import uvloop
 
-from ..processes.room import most_descriptors
-from .dispatcher import HollowDispatcher, Place
+from ..processes.capacity_check import descriptor_limit
+from .simulated_dispatcher import DispatcherAddress, SimulatedDispatcher
 
 LOOKS_EVERY = 0.02  # seconds, at its own loop
 PAGE = os.sysconf("SC_PAGE_SIZE")
 
 
-class Spec(msgspec.Struct):
+class DispatcherHostSpec(msgspec.Struct):
     """What all hollow processes of a run are told."""
 
-    parts: list[list[Place]]  # the dispatchers of each process
+    parts: list[list[DispatcherAddress]]  # the dispatchers of each process
 
 
 def tell(told: dict[str, Any]) -> None:
@@ -36,11 +36,11 @@
     sys.stdout.buffer.flush()
 
 
-class HollowProcess:
-    def __init__(self, loop: asyncio.AbstractEventLoop, places: list[Place]) -> None:
+class DispatcherHost:
+    def __init__(self, loop: asyncio.AbstractEventLoop, places: list[DispatcherAddress]) -> None:
         self.loop = loop
         self.places = {place.number: place for place in places}
-        self.living: dict[int, HollowDispatcher] = {}
+        self.living: dict[int, SimulatedDispatcher] = {}
         self.late = 0  # ns, since the run began: what dispatchers did then they would not have done so late
         self.calls = {
             "start": self.start,
@@ -68,7 +68,7 @@
         if number in self.living:
             tell({"ended": number, "why": "it runs already"})
             return
-        dispatcher = HollowDispatcher(self.loop, self.places[number], self._ended)
+        dispatcher = SimulatedDispatcher(self.loop, self.places[number], self._ended)
         dispatcher.on_serving = lambda number: tell({"serves": number})
         self.living[number] = dispatcher
 
@@ -103,10 +103,10 @@
             self.late = max(self.late, time.monotonic_ns() - due)
 
 
-async def live(places: list[Place]) -> None:
-    most_descriptors()
+async def live(places: list[DispatcherAddress]) -> None:
+    descriptor_limit()
     loop = asyncio.get_running_loop()
-    process = HollowProcess(loop, places)
+    process = DispatcherHost(loop, places)
     lines = asyncio.StreamReader()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(lines), sys.stdin)
     tell({"up": True})
@@ -117,5 +117,5 @@
 
 
 def run(path: Path, part: int) -> None:
-    spec: Spec = msgspec.json.decode(path.read_bytes(), type=Spec)
+    spec: DispatcherHostSpec = msgspec.json.decode(path.read_bytes(), type=DispatcherHostSpec)
     uvloop.run(live(spec.parts[part]))
--- a/ploverspoke/testbed/hollow/dispatcher.py
+++ b/ploverspoke/testbed/scale/simulated_dispatcher.py
@@ -15,13 +15,13 @@
 from ploverspoke.service.service import Service
 from ploverspoke.transport.connections import Connection
 
-from .loops import OwnLoop
-from .said import WHOSE, Said
+from ..processes.process_log import CURRENT_LOG, DispatcherLog
+from .dispatcher_loop import OwnLoop
 
 RESET = struct.pack("ii", 1, 0)  # SO_LINGER: closed with a reset, whatever was unsent
 
 
-class Place(NamedTuple):
+class DispatcherAddress(NamedTuple):
     """Where one hollow dispatcher is, and where it finds its configuration."""
 
     number: int
@@ -31,22 +31,22 @@
     watch: str = ""  # path of what `serve --watch` is given; "": it watches nothing
 
 
-class HollowDispatcher:
+class SimulatedDispatcher:
     """One life of one dispatcher. `ended` is told of its end, with why; "": it was told to."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, place: Place, ended: Callable[[int, str], None]
+        self, loop: asyncio.AbstractEventLoop, place: DispatcherAddress, ended: Callable[[int, str], None]
     ) -> None:
         self.place = place
         self.ended = ended
-        self.said = Said(place.name)
+        self.said = DispatcherLog(place.name)
         self.loop = OwnLoop(loop, place.address)
         self.service: Service | None = None
         self.watching: Any = None
         self.serves = False
         self.on_serving: Callable[[int], None] = lambda number: None
         context = copy_context()
-        context.run(WHOSE.set, self.said)
+        context.run(CURRENT_LOG.set, self.said)
         self.task = loop.create_task(self._run(), context=context)
 
     async def _run(self) -> None:
@@ -130,9 +130,9 @@
         }
 
 
-def copy_context_of(said: Said) -> Any:
+def copy_context_of(said: DispatcherLog) -> Any:
     context = copy_context()
-    context.run(WHOSE.set, said)
+    context.run(CURRENT_LOG.set, said)
     return context
 
 
--- a/ploverspoke/testbed/hollow/programs.py
+++ b/ploverspoke/testbed/scale/simulated_programs.py
@@ -8,30 +8,30 @@
 
 import msgspec
 
-from ..processes.child import Child
-from ..processes.running import NotStarted
-from .dispatcher import Place
+from ..processes.child_process import ChildProcess
+from ..processes.running_process import ProcessStartError
+from .simulated_dispatcher import DispatcherAddress
 
 READY_WITHIN = 30.0  # seconds: several start at once in one process
 COUNTED_WITHIN = 5.0
-MODULE = "ploverspoke.testbed.hollow"
+MODULE = "ploverspoke.testbed.scale"
 
 
-class HollowChild:
+class SimulatedDispatcherHost:
     """One hollow process."""
 
-    def __init__(self, child: Child) -> None:
+    def __init__(self, child: ChildProcess) -> None:
         self.child = child
-        self.programs: dict[int, HollowProgram] = {}
+        self.programs: dict[int, SimulatedDispatcherProgram] = {}
         self.asked: asyncio.Future[dict[str, Any]] | None = None
         self.listening: asyncio.Task[None] | None = None
         self.gone = False
 
     async def listen(self) -> None:
-        """Raises NotStarted where it does not come up; from then on it is heard until its end."""
+        """Raises ProcessStartError where it does not come up; from then on it is heard until its end."""
         told = await asyncio.wait_for(self.child.hear(), READY_WITHIN)
         if told is None:
-            raise NotStarted("a hollow process ended at its start")
+            raise ProcessStartError("a hollow process ended at its start")
         self.listening = asyncio.create_task(self._listen())
 
     async def _listen(self) -> None:
@@ -47,20 +47,22 @@
             program.has_ended("its process has ended")
 
     async def counts(self) -> dict[str, Any]:
-        """Raises NotStarted where it says nothing: it hangs, or is gone."""
+        """Raises ProcessStartError where it says nothing: it hangs, or is gone."""
         if self.asked is None or self.asked.done():
             self.asked = asyncio.get_running_loop().create_future()
             self.child.tell({"count": True})
         try:
             return await asyncio.wait_for(asyncio.shield(self.asked), COUNTED_WITHIN)
         except TimeoutError:
-            raise NotStarted("a hollow process does not say what it uses") from None
+            raise ProcessStartError("a hollow process does not say what it uses") from None
 
 
-class HollowProgram:
+class SimulatedDispatcherProgram:
     """One dispatcher in one of them; what the rig does to a process of its own it does here, too."""
 
-    def __init__(self, child: HollowChild, place: Place, config: dict[str, Any]) -> None:
+    def __init__(
+        self, child: SimulatedDispatcherHost, place: DispatcherAddress, config: dict[str, Any]
+    ) -> None:
         self.child = child
         self.place = place
         self.name = place.name
@@ -97,13 +99,13 @@
 
     async def start(self, more: Sequence[str] = ()) -> None:
         if self.lives():
-            raise NotStarted(f"{self.name} runs already: one handle is for one process")
+            raise ProcessStartError(f"{self.name} runs already: one handle is for one process")
         self.starts += 1
         self.state = "starting"
         self.child.child.tell({"start": self.place.number})
         await self._until("serving", "down", within=READY_WITHIN)
         if self.state != "serving":
-            raise NotStarted(f"{self.name} did not come up: {self.why or self.state}")
+            raise ProcessStartError(f"{self.name} did not come up: {self.why or self.state}")
 
     async def end(self, number: signal.Signals, within: float) -> None:
         """As its process ends: told to, or at once; past the time (s) it is killed."""
--- a/ploverspoke/testbed/hollow/changing.py
+++ b/ploverspoke/testbed/scenarios/config_change_fleet.py
@@ -7,24 +7,24 @@
 
 import msgspec
 
-from .. import experiment as ex
-from ..processes.child import Child
-from ..processes.rig import Place, listens
-from ..processes.running import NotStarted, Running
-from ..settings import settings_of
-from ..sockets import Told
-from ..spans import SECOND
-from . import dispatcher
-from .plays import Play
-from .programs import MODULE, HollowProgram
-from .stage import HollowStage, Shape
+from ..experiment_files import experiment as ex
+from ..experiment_files.durations import SECOND
+from ..models.deployment_settings import dispatcher_settings
+from ..processes.child_process import ChildProcess
+from ..processes.rig import ProcessAddress, listens_at
+from ..processes.running_process import ProcessStartError, RunningProcess
+from ..scale import simulated_dispatcher
+from ..scale.simulated_programs import MODULE, SimulatedDispatcherProgram
+from .scale_fleet import ProcessCounts, SimulatedScaleFleet
+from .scale_phases import ScaleScenario
+from .socket_run import ReportListener
 
 ADDED = "change"  # grades that changes add: change-1, change-2...
 SECRET = b"a secret of the testbed's own"
 FIRST_ANSWER = 10.0  # seconds, for a leader to take a version
 
 
-class Changing(HollowStage):
+class ConfigChangeFleet(SimulatedScaleFleet):
     """Each change is a grade more, brought to every dispatcher by an operator's hand."""
 
     def __init__(
@@ -32,22 +32,22 @@
         e: ex.Experiment,
         seed: int,
         folder: Path,
-        shape: Shape,
-        play: Play,
-        told: Told | None = None,
+        shape: ProcessCounts,
+        play: ScaleScenario,
+        told: ReportListener | None = None,
     ) -> None:
         super().__init__(e, seed, folder, shape, told)
         self.play_ = play
         self.took: list[list[int]] = []  # ns until each was in force, by dispatcher
         self.carried = 0  # bytes, of all that brought them
-        self.asker: Child | None = None
+        self.asker: ChildProcess | None = None
 
-    async def _before(self, places: list[Place]) -> None:
+    async def _before(self, places: list[ProcessAddress]) -> None:
         await super()._before(places)
-        self.asker = await self.rig.child(f"{MODULE}.asker", [])
+        self.asker = await self.rig.child(f"{MODULE}.config_poller", [])
         self.asker.tell({"doors": [place.at("clients") for place in places]})
 
-    def _begins(self, epoch: int, workers: Child, discovery: Child) -> None:
+    def _begins(self, epoch: int, workers: ChildProcess, discovery: ChildProcess) -> None:
         super()._begins(epoch, workers, discovery)
         self.tasks.append(asyncio.create_task(self._hear_asker()))
         self.tasks.append(asyncio.create_task(self._change(epoch)))
@@ -76,12 +76,14 @@
             msgspec.structs.replace(like, name=f"{ADDED}-{n}", benefit=1.0 + n / 100)
             for n in range(1, number + 1)
         ]
-        return settings_of(msgspec.structs.replace(self.e, grades=[*self.e.grades, *more]), dispatcher)
+        return dispatcher_settings(
+            msgspec.structs.replace(self.e, grades=[*self.e.grades, *more]), dispatcher
+        )
 
     async def bring(self, number: int) -> None:
         """A file for each, and a signal for each."""
         for at, program in enumerate(self.programs):
-            assert isinstance(program, HollowProgram)
+            assert isinstance(program, SimulatedDispatcherProgram)
             program.config = {**program.config, "settings": self.changed(number, at)}
             program.write()
             self.carried += Path(program.place.config).stat().st_size
@@ -89,17 +91,19 @@
             await asyncio.sleep(0)
 
 
-class Watched(Changing):
+class WatchedConfigFleet(ConfigChangeFleet):
     """Each change is a version at config servers, real processes, that all dispatchers watch.
 
     Relays stand between watchers and servers, and count the bytes both ways.
     """
 
-    def __init__(self, e: ex.Experiment, seed: int, folder: Path, shape: Shape, play: Play) -> None:
+    def __init__(
+        self, e: ex.Experiment, seed: int, folder: Path, shape: ProcessCounts, play: ScaleScenario
+    ) -> None:
         super().__init__(e, seed, folder, shape, play)
         names = [f"c{number}" for number in range(play.config_servers)]
         self.server_places = [self.rig.place(name, ["clients"], [], direct=["peers"]) for name in names]
-        self.servers: list[Running] = []
+        self.servers: list[RunningProcess] = []
         self.octets = 0  # that the relays had carried when the changes began
 
     def _replicas(self, relayed: bool) -> dict[str, dict[str, str]]:
@@ -111,20 +115,22 @@
             for place in self.server_places
         }
 
-    async def _before(self, places: list[Place]) -> None:
+    async def _before(self, places: list[ProcessAddress]) -> None:
         (self.folder / "secret").write_bytes(SECRET)
         for place in self.server_places:
             file = self.folder / f"{place.name}.config.json"
             told = {"cluster": "testbed", "name": place.name, "folder": place.name, "secret_file": "secret"}
             file.write_bytes(msgspec.json.encode({**told, "replicas": self._replicas(relayed=False)}))
             words = ["config", "serve", str(file)]
-            server = Running(self.rig.block, place.number, place.name, self.folder, "ploverspoke", words)
-            server.ready = listens(place.own, place.ports["clients"])
+            server = RunningProcess(
+                self.rig.block, place.number, place.name, self.folder, "ploverspoke", words
+            )
+            server.ready = listens_at(place.own, place.ports["clients"])
             self.servers.append(server)
         await asyncio.gather(*(server.start(["--new"]) for server in self.servers))
         await super()._before(places)
 
-    def _place(self, number: int, place: Place) -> dispatcher.Place:
+    def _place(self, number: int, place: ProcessAddress) -> simulated_dispatcher.DispatcherAddress:
         servers = [place.through("clients") for place in self.server_places]
         near = servers[number % len(servers)]
         told = {"cluster": "testbed", "servers": servers, "near": [near], "secret_file": "secret"}
@@ -154,9 +160,9 @@
         try:
             found = await asyncio.to_thread(publish, servers, text, None, "testbed", FIRST_ANSWER)
         except NoServerAvailableError as error:
-            raise NotStarted(f"no config server leads: {error}") from None
+            raise ProcessStartError(f"no config server leads: {error}") from None
         if not found.accepted:
-            raise NotStarted(f"version {number} is not published: {found.reason}")
+            raise ProcessStartError(f"version {number} is not published: {found.reason}")
 
     async def close(self) -> None:
         await asyncio.gather(*(server.kill() for server in self.servers))
--- a/ploverspoke/testbed/bench.py
+++ b/ploverspoke/testbed/scenarios/dispatcher_bench.py
@@ -20,11 +20,11 @@
 import msgspec
 from rich.table import Table
 
-from . import experiment as ex
-from .baselines import POLICIES, Policy
-from .experiment import experiment_of
-from .processes.addresses import held_ports
-from .settings import settings_of
+from ..experiment_files import experiment as ex
+from ..experiment_files.experiment import parse_experiment
+from ..models.baseline_policies import POLICIES, Policy
+from ..models.deployment_settings import dispatcher_settings
+from ..processes.addresses import held_ports
 
 CLIENTS = (1, 8, 32, 128)
 WORKERS = 8
@@ -81,7 +81,7 @@
         return cores[number % len(cores)]
 
     rounds, seconds = (1, 1.0) if quick else (3, 2.5)
-    rig = "ploverspoke.testbed.standins.rig"
+    rig = "ploverspoke.testbed.fakes.bench_endpoints"
     workers = [Process(["-m", rig, "worker", str(WORKERS // 2)], core(2 + n)) for n in range(2)]
     rows: list[dict[str, Any]] = []
     generator = []
@@ -104,7 +104,9 @@
         with tempfile.TemporaryDirectory(prefix="ploverspoke-bench-") as folder:
             programs = {
                 "dispatcher": _program(Path(folder), "ploverspoke", worker_ports, core(0)),
-                "bare relay": _program(Path(folder), "ploverspoke.testbed.relay", worker_ports, core(0)),
+                "bare relay": _program(
+                    Path(folder), "ploverspoke.testbed.fakes.baseline_dispatcher", worker_ports, core(0)
+                ),
             }
             try:
                 for clients in CLIENTS:
@@ -160,7 +162,7 @@
         "seed": "1",
         "limits": {"sockets": 1024, "memory_mb": 192},
         "known": {"version": 1, "full": True, "servers": servers},
-        "settings": settings_of(e, 0),
+        "settings": dispatcher_settings(e, 0),
     }
     path = folder / f"{module}.json"
     path.write_bytes(msgspec.json.encode(config))
@@ -179,7 +181,7 @@
 
 
 def _world(workers: int, dispatchers: int, lasts: str, rate: float) -> ex.Experiment:
-    return experiment_of(
+    return parse_experiment(
         {
             "name": f"{workers} workers",
             "lasts": lasts,
@@ -244,7 +246,7 @@
 
 def _decisions(quick: bool, say: Say) -> list[dict[str, Any]]:
     """Microseconds of decisions for each submission, one dispatcher at a load that grows with its fleet."""
-    from .virtual import World
+    from ..models.virtual_run import VirtualRun
 
     rows = []
     POLICIES["timed"] = Timed
@@ -255,7 +257,7 @@
             costs = []
             for seed in range(1 if quick else 3):
                 Timed.spent = Timed.host_spent = 0.0
-                world = World(e, seed, "timed")
+                world = VirtualRun(e, seed, "timed")
                 world.run()
                 costs.append(Timed.spent / max(1, world.clients.next) * 1e6)
             rows.append({"workers": workers, "us_each": median(costs)})
--- a/ploverspoke/testbed/processes/distribution_run.py
+++ b/ploverspoke/testbed/scenarios/distribution_scenario.py
@@ -17,18 +17,23 @@
 from ploverspoke.consensus.framing import FrameError
 from ploverspoke.consensus.replica_client import call_replica
 
-from ..spans import MILLISECOND, SECOND, Span, read_span, write_span
-from .child import Child
-from .distribution_check import FEWEST_TROUBLES, FEWEST_VERSIONS, Verdict, judge
-from .distribution_clients import Spec, grades_of
-from .history import Happened, around, true_now
-from .links import Fault
-from .rig import Place, Rig, listens
-from .room import in_memory
-from .running import NotStarted, Running
-from .timeline import BadTimeline, Step, Weight, check, drawn
-
-MODULE = "ploverspoke.testbed.processes"
+from ..checkers.distribution_checker import (
+    MIN_FAULTS,
+    MIN_VERSIONS,
+    DistributionVerdict,
+    check_distribution_history,
+)
+from ..experiment_files.durations import MILLISECOND, SECOND, Duration, format_duration, parse_duration
+from ..fakes.config_clients import ConfigClientsSpec, grades_of
+from ..processes.capacity_check import memory_backed_folder
+from ..processes.child_process import ChildProcess
+from ..processes.fault_timeline import FaultStep, FaultWeight, TimelineError, check_timeline, draw_timeline
+from ..processes.history import HistoryEvent, events_around, monotonic_now
+from ..processes.link_faults import LinkFault
+from ..processes.rig import ProcessAddress, Rig, listens_at
+from ..processes.running_process import ProcessStartError, RunningProcess
+
+MODULE = "ploverspoke.testbed.fakes"
 SECRET = "a secret of the testbed's own"
 REGIONS = ("a", "b")
 QUIET = 2 * SECOND  # at the end, beyond `within`
@@ -40,33 +45,35 @@
 Instead = Mapping[str, Sequence[str]]  # modules and their first words, by process: for planted faults
 
 
-class Plan(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
+class DistributionScenario(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
     """What is played. Times of troubles are means; 0: none of that kind."""
 
     servers: int = 3
     dispatchers: int = 6
-    lasts: Span = Span(25 * SECOND)
-    within: Span = Span(10 * SECOND)  # of the promise
+    lasts: Duration = Duration(25 * SECOND)
+    within: Duration = Duration(10 * SECOND)  # of the promise
     publishers: int = 3
-    every: Span = Span(600 * MILLISECOND)  # between two publications of one publisher
+    every: Duration = Duration(600 * MILLISECOND)  # between two publications of one publisher
     stubborn: float = 0.75  # share of publications that are tried again where no answer came
     near_one: bool = False  # each dispatcher prefers one server, in turn, and not those of its region
-    probe: Span = Span(150 * MILLISECOND)  # between two rounds at one dispatcher
-    election: Span = Span(200 * MILLISECOND)
+    probe: Duration = Duration(150 * MILLISECOND)  # between two rounds at one dispatcher
+    election: Duration = Duration(200 * MILLISECOND)
     snapshot_every: int = 100
-    far: Span = Span(20 * MILLISECOND)  # from one region to the other
-    kills: Span = Span(3 * SECOND)
-    pauses: Span = Span(3 * SECOND)
-    cuts: Span = Span(2 * SECOND)
-    rough: Span = Span(3 * SECOND)
-    emptied: Span = Span(8 * SECOND)  # a server's folder is lost, and found again
-    leader_cut: Span = Span(
+    far: Duration = Duration(20 * MILLISECOND)  # from one region to the other
+    kills: Duration = Duration(3 * SECOND)
+    pauses: Duration = Duration(3 * SECOND)
+    cuts: Duration = Duration(2 * SECOND)
+    rough: Duration = Duration(3 * SECOND)
+    emptied: Duration = Duration(8 * SECOND)  # a server's folder is lost, and found again
+    leader_cut: Duration = Duration(
         0
     )  # so often whoever leads then is cut off from the other servers, nearly as long
-    hushes: Span = Span(0)  # nothing is published behind one that is refused, for `within` and a second
-    apart_at: Span = Span(0)  # the regions lose each other then
-    apart: Span = Span(0)  # for so long
-    seen_every: Span = Span(0)  # memory, log and bytes are looked at
+    hushes: Duration = Duration(
+        0
+    )  # nothing is published behind one that is refused, for `within` and a second
+    apart_at: Duration = Duration(0)  # the regions lose each other then
+    apart: Duration = Duration(0)  # for so long
+    seen_every: Duration = Duration(0)  # memory, log and bytes are looked at
 
     def region(self, number: int) -> str:
         return REGIONS[number % len(REGIONS)]
@@ -83,9 +90,11 @@
 
 
 class MustHold(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    versions: int = FEWEST_VERSIONS  # seen in force; with fewer a run is void
-    troubles: int = FEWEST_TROUBLES
-    calm: Span = Span(0)  # the longest from the acknowledgement until in force, where nothing is wrong
+    versions: int = MIN_VERSIONS  # seen in force; with fewer a run is void
+    troubles: int = MIN_FAULTS
+    calm: Duration = Duration(
+        0
+    )  # the longest from the acknowledgement until in force, where nothing is wrong
 
 
 class DistributionExperiment(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
@@ -96,7 +105,7 @@
     about: str = ""
     seeds: list[int]
     calm: bool = False  # nothing is done to anybody
-    plan: Plan = Plan()
+    plan: DistributionScenario = DistributionScenario()
     must_hold: MustHold = MustHold()
 
 
@@ -113,23 +122,23 @@
 
 
 class Outcome(NamedTuple):
-    verdict: Verdict
+    verdict: DistributionVerdict
     void: str
     faults: list[str]  # what went wrong by itself
     shown: list[str]  # findings, each with what happened round it
-    events: list[Happened]
-    steps: list[Step]
+    events: list[HistoryEvent]
+    steps: list[FaultStep]
     links: dict[str, int]
     looked: list[Looked]
 
 
-def timeline(plan: Plan, seed: int) -> list[Step]:
+def timeline(plan: DistributionScenario, seed: int) -> list[FaultStep]:
     """The troubles of a run, by its seed."""
     servers, dispatchers = plan.server_names(), plan.dispatcher_names()
     everyone = [*servers, *dispatchers]
-    short = [Span(100 * MILLISECOND), Span(3 * SECOND)]
-    longer = [Span(100 * MILLISECOND), Span(6 * SECOND)]
-    once = [Span(0), Span(0)]
+    short = [Duration(100 * MILLISECOND), Duration(3 * SECOND)]
+    longer = [Duration(100 * MILLISECOND), Duration(6 * SECOND)]
+    once = [Duration(0), Duration(0)]
     weights = [
         ("kill", dispatchers, plan.kills, short),
         ("kill", servers, plan.kills * 2, short),
@@ -144,9 +153,9 @@
         ("rough", everyone, plan.rough, longer),
         ("reset", dispatchers, plan.rough * 2, once),
     ]
-    steps = drawn(
+    steps = draw_timeline(
         [
-            Weight(what=what, who=who, every=Span(every), lasts=lasts)
+            FaultWeight(what=what, who=who, every=Duration(every), lasts=lasts)
             for what, who, every, lasts in weights
             if every
         ],
@@ -157,37 +166,39 @@
     if any(step.what == "older" for step in steps):
         # Folders are copied first: then there is an older one to start with.
         steps = [step for step in steps if step.at >= FIRST or not set(step.who) & set(dispatchers)]
-        steps += [Step(at=Span(COPIED_AT), what="copy", who=[name]) for name in dispatchers]
+        steps += [FaultStep(at=Duration(COPIED_AT), what="copy", who=[name]) for name in dispatchers]
     return [*steps, *regions(plan)]
 
 
-def regions(plan: Plan) -> list[Step]:
+def regions(plan: DistributionScenario) -> list[FaultStep]:
     """How far they are from one another, and when they are apart."""
     names = [*plan.server_names(), *plan.dispatcher_names()]
     one, other = ([name for name in names if name.startswith(region)] for region in REGIONS)
     steps = []
     if plan.far:
-        jitter = Span(plan.far // 4)
+        jitter = Duration(plan.far // 4)
         steps.append(
-            Step(at=Span(0), what="delay", who=one, to=other, both=True, delay=plan.far, jitter=jitter)
+            FaultStep(
+                at=Duration(0), what="delay", who=one, to=other, both=True, delay=plan.far, jitter=jitter
+            )
         )
     if plan.apart:
-        steps.append(Step(at=plan.apart_at, what="cut", who=one, to=other, both=True, lasts=plan.apart))
+        steps.append(FaultStep(at=plan.apart_at, what="cut", who=one, to=other, both=True, lasts=plan.apart))
     return steps
 
 
 class Distribution:
     """The processes of one run on a rig."""
 
-    def __init__(self, rig: Rig, plan: Plan, instead: Instead) -> None:
+    def __init__(self, rig: Rig, plan: DistributionScenario, instead: Instead) -> None:
         self.rig, self.plan, self.instead = rig, plan, instead
-        self.servers: list[Place] = []
-        self.dispatchers: list[Place] = []
-        self.clients: Child | None = None
+        self.servers: list[ProcessAddress] = []
+        self.dispatchers: list[ProcessAddress] = []
+        self.clients: ChildProcess | None = None
         self.looked: list[Looked] = []
         self.late = 0
 
-    def add(self, place: Place, words: list[str]) -> Running:
+    def add(self, place: ProcessAddress, words: list[str]) -> RunningProcess:
         module, *first = self.instead.get(place.name, ["ploverspoke"])
         return self.rig.add(place, module, [*first, *words])
 
@@ -212,7 +223,7 @@
             path = rig.folder / f"{place.name}.json"
             path.write_bytes(msgspec.json.encode(told))
             server = self.add(place, ["config", "serve", str(path)])
-            server.ready = listens(place.own, place.ports["clients"])
+            server.ready = listens_at(place.own, place.ports["clients"])
         self.dispatchers = [
             rig.place(name, direct=["submissions", "operators"]) for name in plan.dispatcher_names()
         ]
@@ -223,7 +234,7 @@
         await rig.start([place.name for place in self.servers], ["--new"])
         await rig.start([place.name for place in self.dispatchers])
 
-    def add_dispatcher(self, number: int, place: Place, discovery: str) -> None:
+    def add_dispatcher(self, number: int, place: ProcessAddress, discovery: str) -> None:
         folder, region = self.rig.folder, self.plan.region(number)
         clients = {server.name: server.through("clients") for server in self.servers}
         near = [where for name, where in clients.items() if name.startswith(region)]
@@ -264,12 +275,12 @@
             (folder / f"{place.name}.{name}.json").write_bytes(msgspec.json.encode(told))
         paths = {name: str(folder / f"{place.name}.{name}.json") for name in files}
         dispatcher = self.add(place, ["serve", paths["own"], "--watch", paths["watch"]])
-        dispatcher.ready = listens(place.own, place.ports["submissions"])
+        dispatcher.ready = listens_at(place.own, place.ports["submissions"])
 
     async def start_clients(self) -> str:
         """Gives the address of discovery."""
         rig, plan = self.rig, self.plan
-        spec = Spec(
+        spec = ConfigClientsSpec(
             rig.seed,
             str(rig.folder / "clients.history"),
             SECRET,
@@ -286,10 +297,10 @@
         )
         path = rig.folder / "clients.json"
         path.write_bytes(msgspec.json.encode(spec))
-        self.clients = await rig.child(f"{MODULE}.distribution_clients", [str(path)])
+        self.clients = await rig.child(f"{MODULE}.config_clients", [str(path)])
         told = await self.clients.hear()
         if told is None:
-            raise NotStarted("publishers and probers ended at their start")
+            raise ProcessStartError("publishers and probers ended at their start")
         return str(told["discovery"])
 
     async def tell(self, word: str) -> None:
@@ -297,7 +308,7 @@
         self.clients.tell({word: True})
         told = await self.clients.hear()
         if told is None:
-            raise NotStarted(f"publishers and probers ended before {word!r} was done")
+            raise ProcessStartError(f"publishers and probers ended before {word!r} was done")
         self.late = max(self.late, told.get("late", 0))
 
     # ---- While it is played ----
@@ -317,7 +328,7 @@
                 finally:
                     self.rig.busy.discard(running.name)
 
-    async def empty(self, running: Running) -> None:
+    async def empty(self, running: RunningProcess) -> None:
         history, aside = self.rig.history, running.folder.with_suffix(".aside")
         history.add("empty", running.name)
         await running.kill()
@@ -326,7 +337,7 @@
         try:
             await running.start()
             history.add("serves empty", running.name)
-        except NotStarted:
+        except ProcessStartError:
             history.add("refuses", running.name)
         await running.kill()
         shutil.rmtree(running.folder)
@@ -357,7 +368,7 @@
                 continue
             others = [place.name for place in self.servers if place.name != leader]
             ways = [([leader], others), (others, [leader])]
-            numbers = [await rig.lay(Fault(origin=one, target=other, cut=True)) for one, other in ways]
+            numbers = [await rig.lay(LinkFault(origin=one, target=other, cut=True)) for one, other in ways]
             await asyncio.sleep(every * 0.9 / SECOND)
             for number in numbers:
                 await rig.lift(number)
@@ -395,7 +406,7 @@
         await self.tell("last")
 
 
-def memory(running: Running) -> int:
+def memory(running: RunningProcess) -> int:
     """Bytes that are resident; 0 where it does not live."""
     try:
         assert running.process is not None
@@ -415,20 +426,22 @@
     return found
 
 
-def shown_with(finding: str, at: int, seed: int, steps: list[Step], events: list[Happened]) -> str:
+def shown_with(finding: str, at: int, seed: int, steps: list[FaultStep], events: list[HistoryEvent]) -> str:
     """A finding with what it takes to look into it; of the many probes, those that it speaks of."""
     near = [e for e in events if e.what not in ("probe", "door") or e.detail[0] in finding]
     rows = [f"seed {seed}; timeline:", *(f"  {step.told()}" for step in steps), "what happened round it:"]
-    return "\n".join([finding, *rows, *(f"  {row}" for row in around(near, at, SHOWN))])
+    return "\n".join([finding, *rows, *(f"  {row}" for row in events_around(near, at, SHOWN))])
 
 
-async def _play(plan: Plan, seed: int, folder: Path, steps: list[Step] | None, instead: Instead) -> Outcome:
+async def _play(
+    plan: DistributionScenario, seed: int, folder: Path, steps: list[FaultStep] | None, instead: Instead
+) -> Outcome:
     async with Rig(folder, seed) as rig:
         run = Distribution(rig, plan, instead)
         await run.start()
-        played = check(timeline(plan, seed) if steps is None else steps, list(rig.places))
+        played = check_timeline(timeline(plan, seed) if steps is None else steps, list(rig.places))
         await run.tell("go")
-        begins = true_now()
+        begins = monotonic_now()
         rig.epoch = begins
         meanwhile = [asyncio.create_task(run.finish())]
         others = []
@@ -447,18 +460,23 @@
                 task.cancel()
         await run.tell("read")
         events = rig.happened()
-        verdict = judge(events, plan.within)
+        verdict = check_distribution_history(events, plan.within)
         shown = [shown_with(what, at, seed, played, events) for what, at in verdict.findings[:3]]
     void = rig.void()
     if not void and run.late > MOST_LATE:
-        void = f"the machine was too slow: publishers and probers were late by {write_span(run.late)}"
+        void = f"the machine was too slow: publishers and probers were late by {format_duration(run.late)}"
     links = rig.counts.get("links", {})
     return Outcome(verdict, void, rig.faults, shown, events, played, links, run.looked)
 
 
-def play(plan: Plan, seed: int, steps: list[Step] | None = None, instead: Instead | None = None) -> Outcome:
+def run_distribution_scenario(
+    plan: DistributionScenario,
+    seed: int,
+    steps: list[FaultStep] | None = None,
+    instead: Instead | None = None,
+) -> Outcome:
     """One run, in real time; `steps` in place of the timeline that the seed draws."""
-    with tempfile.TemporaryDirectory(prefix="ploverspoke-distribution-", dir=in_memory()) as name:
+    with tempfile.TemporaryDirectory(prefix="ploverspoke-distribution-", dir=memory_backed_folder()) as name:
         return asyncio.run(_play(plan, seed, Path(name), steps, instead or {}))
 
 
@@ -466,27 +484,29 @@
 
 
 def read_distribution_experiment(told: dict[str, Any]) -> DistributionExperiment:
-    """Raises BadTimeline, naming the key."""
+    """Raises TimelineError, naming the key."""
     try:
-        found = msgspec.convert(told, DistributionExperiment, dec_hook=lambda kind, value: read_span(value))
+        found = msgspec.convert(
+            told, DistributionExperiment, dec_hook=lambda kind, value: parse_duration(value)
+        )
     except msgspec.ValidationError as error:
-        raise BadTimeline(str(error)) from None
+        raise TimelineError(str(error)) from None
     except ValueError as error:
-        raise BadTimeline(f"plan: {error}") from None
+        raise TimelineError(f"plan: {error}") from None
     plan = found.plan
     if plan.servers not in (3, 5):
-        raise BadTimeline("plan.servers: expected 3 or 5")
+        raise TimelineError("plan.servers: expected 3 or 5")
     if not 1 <= plan.dispatchers <= 64 or not 1 <= plan.publishers <= 16:
-        raise BadTimeline("plan.dispatchers: expected 1 to 64, and plan.publishers 1 to 16")
+        raise TimelineError("plan.dispatchers: expected 1 to 64, and plan.publishers 1 to 16")
     for key in ("every", "probe", "election", "within"):
         if getattr(plan, key) <= 0:
-            raise BadTimeline(f"plan.{key}: expected more than 0")
+            raise TimelineError(f"plan.{key}: expected more than 0")
     if plan.lasts < 2 * plan.calm():
-        raise BadTimeline(
-            f"plan.lasts: expected at least {write_span(2 * plan.calm())}, twice plan.within and more"
+        raise TimelineError(
+            f"plan.lasts: expected at least {format_duration(2 * plan.calm())}, twice plan.within and more"
         )
     if plan.apart and plan.apart_at + plan.apart + plan.calm() > plan.lasts:
-        raise BadTimeline("plan.apart: expected an end that leaves plan.within of plan.lasts")
+        raise TimelineError("plan.apart: expected an end that leaves plan.within of plan.lasts")
     return found
 
 
@@ -494,7 +514,7 @@
     return round(sorted_[min(len(sorted_) - 1, int(len(sorted_) * share))], 3) if sorted_ else 0.0
 
 
-def grown(plan: Plan, looked: list[Looked]) -> dict[str, Any]:
+def grown(plan: DistributionScenario, looked: list[Looked]) -> dict[str, Any]:
     """While the regions are apart, and when they are together again; nothing where they never are."""
     if not plan.apart or len(looked) < 2:
         return {}
@@ -518,8 +538,12 @@
 
 def run_distribution(e: DistributionExperiment, seed: int) -> dict[str, Any]:
     """One seed: figures, `void`, what `failed`, and findings with what happened round them."""
-    calm = msgspec.structs.replace(e.plan, emptied=Span(0))
-    outcome = play(calm, seed, regions(calm)) if e.calm else play(e.plan, seed)
+    calm = msgspec.structs.replace(e.plan, emptied=Duration(0))
+    outcome = (
+        run_distribution_scenario(calm, seed, regions(calm))
+        if e.calm
+        else run_distribution_scenario(e.plan, seed)
+    )
     verdict, must = outcome.verdict, e.must_hold
     void = outcome.void or verdict.void(must.versions, must.troubles)
     failed = [*(what for what, _ in verdict.findings), *outcome.faults]
--- a/ploverspoke/testbed/runner.py
+++ b/ploverspoke/testbed/scenarios/experiment_runner.py
@@ -15,10 +15,10 @@
 
 import msgspec
 
-from .audit import SOCKETS_SLACK, VIRTUAL_SLACK, audit
-from .experiment import BadExperiment, Experiment
-from .records import write_records
-from .scores import RunScore, as_json, score
+from ..checkers.request_audit import SOCKETS_TOLERANCE, VIRTUAL_TOLERANCE, audit_requests
+from ..experiment_files.experiment import Experiment, ExperimentError
+from ..models.event_records import write_records
+from ..reports.scores import RunScore, as_json, score
 
 Driver = Literal["virtual", "sockets"]
 FORMAT = 1  # of result.json
@@ -43,15 +43,15 @@
 
 def run_virtual(e: Experiment, seed: int, policy: str, keep: Path | None = None) -> RunScore:
     """One run on virtual time; its events are written to `keep` where that is given."""
-    from .virtual import play
+    from ..models.virtual_run import run_virtual_time
 
     began = time.perf_counter()
     with _without_collector():
-        events = play(e, seed, policy)
+        events = run_virtual_time(e, seed, policy)
     took = time.perf_counter() - began
     if keep is not None:
         write_records(events, keep)
-    found = score(e, policy, seed, events, audit(e, events, VIRTUAL_SLACK))
+    found = score(e, policy, seed, events, audit_requests(e, events, VIRTUAL_TOLERANCE))
     found.ran_for_s = took
     return found
 
@@ -72,12 +72,14 @@
     e: Experiment, seed: int, keep: Path | None, told: Callable[[Any], None] | None = None
 ) -> RunScore:
     """One run of the real program on loopback sockets; `told` hears what happens, some times a second."""
-    from .sockets import play_on_sockets
+    from .socket_run import run_on_sockets
 
-    played = play_on_sockets(e, seed, told)
+    played = run_on_sockets(e, seed, told)
     if keep is not None:
         write_records(played.events, keep)
-    found = score(e, "ours", seed, played.events, audit(e, played.events, SOCKETS_SLACK), played.void)
+    found = score(
+        e, "ours", seed, played.events, audit_requests(e, played.events, SOCKETS_TOLERANCE), played.void
+    )
     found.ran_for_s = played.took_s
     return found
 
@@ -108,13 +110,13 @@
 def run_experiment(
     e: Experiment, driver: Driver, out: Path | None = None, told: Callable[[RunScore], None] | None = None
 ) -> Result:
-    from .baselines import POLICIES
+    from ..models.baseline_policies import POLICIES
 
     for policy in e.policies:
         if policy not in POLICIES:
-            raise BadExperiment(f"policies: {policy!r} is none of {', '.join(POLICIES)}")
+            raise ExperimentError(f"policies: {policy!r} is none of {', '.join(POLICIES)}")
     if driver == "sockets" and "ours" not in e.policies:
-        raise BadExperiment("policies: on sockets only 'ours' is played")
+        raise ExperimentError("policies: on sockets only 'ours' is played")
     if out is not None:
         out.mkdir(parents=True, exist_ok=True)
     done = []
@@ -163,12 +165,12 @@
 
 
 def read_result(path: Path) -> Result:
-    """Raises BadExperiment where there is no result of this format."""
+    """Raises ExperimentError where there is no result of this format."""
     file = path / "result.json" if path.is_dir() else path
     try:
         result: Result = msgspec.json.decode(file.read_bytes(), type=Result)
     except (OSError, msgspec.DecodeError) as error:
-        raise BadExperiment(f"{file}: no result: {error}") from None
+        raise ExperimentError(f"{file}: no result: {error}") from None
     if result.format != FORMAT:
-        raise BadExperiment(f"{file}: format {result.format}, this version reads {FORMAT}")
+        raise ExperimentError(f"{file}: format {result.format}, this version reads {FORMAT}")
     return result
--- a/ploverspoke/testbed/lease_bench.py
+++ b/ploverspoke/testbed/scenarios/lease_bench.py
@@ -21,10 +21,10 @@
 from ploverspoke.leases.client import LeaseClient
 from ploverspoke.leases.config import LeaseServers, read_lease_servers
 
-from .processes.lease_run import Leases, Plan
-from .processes.rig import Rig
-from .processes.room import in_memory
-from .spans import SECOND, Span
+from ..experiment_files.durations import SECOND, Duration
+from ..processes.capacity_check import memory_backed_folder
+from ..processes.rig import Rig
+from .lease_scenario import LeaseFleet, LeaseScenario
 
 SIZES = (3, 5)  # keepers
 CONNECTIONS = 64  # of the load
@@ -123,7 +123,7 @@
     return 0.0
 
 
-async def _leader(leases: Leases, keepers: LeaseServers) -> tuple[str, int]:
+async def _leader(leases: LeaseFleet, keepers: LeaseServers) -> tuple[str, int]:
     """Its address for holders, past the relays, and its process."""
     while True:
         for place in leases.keepers:
@@ -137,9 +137,9 @@
 
 
 async def _measure(size: int, seconds: float, folder: Path, say: Say) -> dict[str, Any]:
-    plan = Plan(keepers=size, contenders=0, names={"team-*": 1}, duration=Span(10 * SECOND))
+    plan = LeaseScenario(keepers=size, contenders=0, names={"team-*": 1}, duration=Duration(10 * SECOND))
     async with Rig(folder, 1) as rig:
-        leases = Leases(rig, plan)
+        leases = LeaseFleet(rig, plan)
         await leases.start()
         keepers = read_lease_servers(leases.file)
         where, pid = await _leader(leases, keepers)
@@ -174,7 +174,7 @@
 def measure_leases(quick: bool, say: Say) -> LeaseFigures:
     rows = []
     for size in SIZES[:1] if quick else SIZES:
-        with tempfile.TemporaryDirectory(prefix="ploverspoke-leases-", dir=in_memory()) as name:
+        with tempfile.TemporaryDirectory(prefix="ploverspoke-leases-", dir=memory_backed_folder()) as name:
             rows.append(asyncio.run(_measure(size, 3.0 if quick else 10.0, Path(name), say)))
     return LeaseFigures(rows)
 
--- a/ploverspoke/testbed/processes/lease_run.py
+++ b/ploverspoke/testbed/scenarios/lease_scenario.py
@@ -7,23 +7,23 @@
 
 import msgspec
 
-from ..spans import MILLISECOND, SECOND, Span, read_span, write_span
-from . import contender
-from .child import Child
-from .history import Happened, read_history
-from .lease_check import FEWEST_CHANGES, Verdict, gaps, judge
-from .rig import Place, Rig, listens
-from .room import in_memory
-from .running import Running
-from .timeline import BadTimeline, Step, Weight, check, drawn
+from ..checkers.lease_checker import MIN_HOLDER_CHANGES, LeaseVerdict, check_lease_history, takeover_gaps
+from ..experiment_files.durations import MILLISECOND, SECOND, Duration, format_duration, parse_duration
+from ..fakes import lease_candidate
+from ..processes.capacity_check import memory_backed_folder
+from ..processes.child_process import ChildProcess
+from ..processes.fault_timeline import FaultStep, FaultWeight, TimelineError, check_timeline, draw_timeline
+from ..processes.history import HistoryEvent, read_history
+from ..processes.rig import ProcessAddress, Rig, listens_at
+from ..processes.running_process import RunningProcess
 
 HOLDER_KILLED = "holder killed"
 CALM = 6 * SECOND  # at the end, without troubles
-MODULE = "ploverspoke.testbed.processes"
+MODULE = "ploverspoke.testbed.fakes"
 SECRET = "a secret of the testbed's own"
 
 
-class Plan(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
+class LeaseScenario(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
     """What is played. Times of troubles are means."""
 
     keepers: int = 5
@@ -31,21 +31,21 @@
     names: dict[str, int] = msgspec.field(
         default_factory=lambda: {"one": 1, "two": 1, "three": 3}
     )  # and places
-    lasts: Span = Span(60 * SECOND)
-    duration: Span = Span(SECOND)
-    election: Span = Span(100 * MILLISECOND)
-    kills: Span = Span(3 * SECOND)
-    pauses: Span = Span(2 * SECOND)
-    cuts: Span = Span(2 * SECOND)
-    rough: Span = Span(4 * SECOND)
+    lasts: Duration = Duration(60 * SECOND)
+    duration: Duration = Duration(SECOND)
+    election: Duration = Duration(100 * MILLISECOND)
+    kills: Duration = Duration(3 * SECOND)
+    pauses: Duration = Duration(2 * SECOND)
+    cuts: Duration = Duration(2 * SECOND)
+    rough: Duration = Duration(4 * SECOND)
     many: int = 0  # further names, of one place each
     each: int = 0  # so many of those each contender wants, and none of `names`; 0: all
-    rest: Span = Span(20 * MILLISECOND)  # between two effects under a lease
+    rest: Duration = Duration(20 * MILLISECOND)  # between two effects under a lease
     drifting: bool = True
     fenced: bool = True
     outlasts: bool = False  # a planted fault, for tests of the checker: see `contender.Spec`
     keeps: float = 0.05  # chance that a contender goes on for good
-    holder_killed: Span = Span(0)  # so often the holder of the first name is killed; 0: never
+    holder_killed: Duration = Duration(0)  # so often the holder of the first name is killed; 0: never
 
     def places(self) -> dict[str, int]:
         return {**self.names, **{f"n{number}": 1 for number in range(self.many)}}
@@ -58,8 +58,8 @@
 
 
 class MustHold(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    changes: int = FEWEST_CHANGES  # of holder, over all names; with fewer a run is void
-    gap: Span = Span(0)  # from a kill of the holder to another's first look, at the 99th percentile
+    changes: int = MIN_HOLDER_CHANGES  # of holder, over all names; with fewer a run is void
+    gap: Duration = Duration(0)  # from a kill of the holder to another's first look, at the 99th percentile
     kills: int = 0  # of holders, with fewer a run is void
     none_lost: bool = False  # no lease is lost by one that lives
 
@@ -72,49 +72,51 @@
     about: str = ""
     seeds: list[int]
     calm: bool = False  # nothing is done to anybody, but for kills of holders
-    plan: Plan = Plan()
+    plan: LeaseScenario = LeaseScenario()
     must_hold: MustHold = MustHold()
 
 
 class Outcome(NamedTuple):
-    verdict: Verdict
+    verdict: LeaseVerdict
     void: str
     faults: list[str]  # what went wrong by itself
     shown: list[str]  # findings, each with what happened round it
-    events: list[Happened]
-    steps: list[Step]
+    events: list[HistoryEvent]
+    steps: list[FaultStep]
     links: dict[str, int]
 
 
-def timeline(plan: Plan, seed: int) -> list[Step]:
+def timeline(plan: LeaseScenario, seed: int) -> list[FaultStep]:
     """The troubles of a run, by its seed."""
     keepers = [f"k{n}" for n in range(plan.keepers)]
     contenders = [f"c{n}" for n in range(plan.contenders)]
-    longest = [Span(100 * MILLISECOND), Span(10 * SECOND)]
-    short = [Span(100 * MILLISECOND), Span(2 * SECOND)]
+    longest = [Duration(100 * MILLISECOND), Duration(10 * SECOND)]
+    short = [Duration(100 * MILLISECOND), Duration(2 * SECOND)]
     weights = [
-        Weight(what="kill", who=contenders, every=plan.kills, lasts=short),
-        Weight(what="kill", who=keepers, every=Span(plan.kills * 2), lasts=short),
-        Weight(what="pause", who=contenders, every=plan.pauses, lasts=longest),
-        Weight(what="pause", who=keepers, every=Span(plan.pauses * 3), lasts=short),
-        Weight(what="cut", who=[*keepers, *contenders], every=plan.cuts, lasts=short),
-        Weight(what="cut", who=keepers, every=Span(plan.cuts * 3), lasts=short),
-        Weight(what="cut", who=[*contenders, "r"], every=Span(plan.cuts * 2), lasts=short),
-        Weight(what="rough", who=[*keepers, *contenders, "r"], every=plan.rough, lasts=short),
-        Weight(what="wall jumps", who=keepers, every=Span(5 * SECOND), lasts=[Span(0), Span(0)]),
-        Weight(what="reset", who=contenders, every=plan.rough, lasts=[Span(0), Span(0)]),
+        FaultWeight(what="kill", who=contenders, every=plan.kills, lasts=short),
+        FaultWeight(what="kill", who=keepers, every=Duration(plan.kills * 2), lasts=short),
+        FaultWeight(what="pause", who=contenders, every=plan.pauses, lasts=longest),
+        FaultWeight(what="pause", who=keepers, every=Duration(plan.pauses * 3), lasts=short),
+        FaultWeight(what="cut", who=[*keepers, *contenders], every=plan.cuts, lasts=short),
+        FaultWeight(what="cut", who=keepers, every=Duration(plan.cuts * 3), lasts=short),
+        FaultWeight(what="cut", who=[*contenders, "r"], every=Duration(plan.cuts * 2), lasts=short),
+        FaultWeight(what="rough", who=[*keepers, *contenders, "r"], every=plan.rough, lasts=short),
+        FaultWeight(
+            what="wall jumps", who=keepers, every=Duration(5 * SECOND), lasts=[Duration(0), Duration(0)]
+        ),
+        FaultWeight(what="reset", who=contenders, every=plan.rough, lasts=[Duration(0), Duration(0)]),
     ]
-    return drawn(weights, plan.lasts, seed, calm=CALM)
+    return draw_timeline(weights, plan.lasts, seed, calm=CALM)
 
 
-class Leases:
+class LeaseFleet:
     """The processes of one run on a rig."""
 
-    def __init__(self, rig: Rig, plan: Plan) -> None:
+    def __init__(self, rig: Rig, plan: LeaseScenario) -> None:
         self.rig, self.plan = rig, plan
-        self.keepers: list[Place] = []
-        self.contenders: list[Running] = []
-        self.resource: Child | None = None
+        self.keepers: list[ProcessAddress] = []
+        self.contenders: list[RunningProcess] = []
+        self.resource: ChildProcess | None = None
         self.file = rig.folder / "keepers.json"
 
     async def start(self) -> None:
@@ -140,12 +142,12 @@
             own = rig.folder / f"{place.name}.json"
             own.write_bytes(msgspec.json.encode({**common, "name": place.name, "folder": place.name}))
             keeper = rig.add(place, "ploverspoke", ["lease-server", str(own)])
-            keeper.ready = listens(place.own, place.ports["clients"])
+            keeper.ready = listens_at(place.own, place.ports["clients"])
         resource = rig.place("r", ["act"])
         for number in range(plan.contenders):
             place = rig.place(f"c{number}")
             spec = rig.folder / f"{place.name}.spec.json"
-            told = contender.Spec(
+            told = lease_candidate.Spec(
                 place.name,
                 rig.seed,
                 str(self.file),
@@ -159,7 +161,7 @@
                 plan.outlasts,
             )
             spec.write_bytes(msgspec.json.encode(told))
-            running = rig.add(place, f"{MODULE}.contender", [str(spec)])
+            running = rig.add(place, f"{MODULE}.lease_candidate", [str(spec)])
             if plan.drifting:
                 running.rate = (0.95, 1.0, 1.05)[number % 3]
             self.contenders.append(running)
@@ -168,7 +170,7 @@
         # Where several may hold a lease, no order of tokens says whose is old.
         fenced = [name for name, places in plan.places().items() if places == 1 and plan.fenced]
         words = [resource.own, str(resource.ports["act"]), history, *fenced]
-        self.resource = await rig.child(f"{MODULE}.resource", words)
+        self.resource = await rig.child(f"{MODULE}.protected_resource", words)
         await self.resource.hear()
         await rig.start([place.name for place in self.keepers], ["--new"])
         await rig.start([running.name for running in self.contenders])
@@ -189,44 +191,44 @@
                 await holder.start()
 
 
-async def _play(plan: Plan, seed: int, folder: Path, steps: list[Step] | None) -> Outcome:
+async def _play(plan: LeaseScenario, seed: int, folder: Path, steps: list[FaultStep] | None) -> Outcome:
     async with Rig(folder, seed) as rig:
-        leases = Leases(rig, plan)
+        leases = LeaseFleet(rig, plan)
         await leases.start()
         names = list(rig.places)
-        played = check(timeline(plan, seed) if steps is None else steps, names)
+        played = check_timeline(timeline(plan, seed) if steps is None else steps, names)
         killing = asyncio.create_task(leases.kill_holders()) if plan.holder_killed else None
         await rig.play(played, plan.lasts)
         if killing is not None:
             killing.cancel()
         events = rig.happened()
-    verdict = judge(events, plan.places())
+    verdict = check_lease_history(events, plan.places())
     shown = [rig.shown(what, at) for what, at in verdict.findings[:3]]
     return Outcome(verdict, rig.void(), rig.faults, shown, events, played, rig.counts.get("links", {}))
 
 
 def read_lease_experiment(told: dict[str, Any]) -> LeaseExperiment:
-    """Raises BadTimeline, naming the key."""
+    """Raises TimelineError, naming the key."""
     try:
-        found = msgspec.convert(told, LeaseExperiment, dec_hook=lambda kind, value: read_span(value))
+        found = msgspec.convert(told, LeaseExperiment, dec_hook=lambda kind, value: parse_duration(value))
     except msgspec.ValidationError as error:
-        raise BadTimeline(str(error)) from None
+        raise TimelineError(str(error)) from None
     except ValueError as error:
-        raise BadTimeline(f"plan: {error}") from None
+        raise TimelineError(f"plan: {error}") from None
     if not found.plan.names or min(found.plan.names.values()) < 1:
-        raise BadTimeline("plan.names: expected names, each with 1 place or more")
+        raise TimelineError("plan.names: expected names, each with 1 place or more")
     if found.plan.each > found.plan.many:
-        raise BadTimeline("plan.each: expected at most plan.many")
+        raise TimelineError("plan.each: expected at most plan.many")
     if found.plan.keepers not in (1, 3, 5) or found.plan.contenders < 1:
-        raise BadTimeline("plan.keepers: expected 1, 3 or 5, and plan.contenders 1 or more")
+        raise TimelineError("plan.keepers: expected 1, 3 or 5, and plan.contenders 1 or more")
     return found
 
 
 def run_leases(e: LeaseExperiment, seed: int) -> dict[str, Any]:
     """One seed: figures, `void`, what `failed`, and findings with what happened round them."""
-    outcome = play(e.plan, seed, [] if e.calm else None)
+    outcome = run_lease_scenario(e.plan, seed, [] if e.calm else None)
     verdict, must = outcome.verdict, e.must_hold
-    waits = gaps(outcome.events, HOLDER_KILLED)
+    waits = takeover_gaps(outcome.events, HOLDER_KILLED)
     lost = [event for event in outcome.events if event.what == "lost"]
     p99 = waits[int(len(waits) * 0.99) - 1] if len(waits) > 1 else 0.0
     void = outcome.void or verdict.void(must.changes)
@@ -235,7 +237,7 @@
     failed = [*(what for what, _ in verdict.findings), *outcome.faults]
     if must.gap and p99 * SECOND > must.gap:
         failed.append(
-            f"another acts {p99:.2f} s after a kill, {write_span(must.gap)} at the most were wanted"
+            f"another acts {p99:.2f} s after a kill, {format_duration(must.gap)} at the most were wanted"
         )
     if must.none_lost and lost:
         failed.append(f"{len(lost)} leases were lost by holders that live, the first: {lost[0].detail}")
@@ -254,7 +256,7 @@
     return {**figures, "void": void, "failed": failed, "shown": outcome.shown}
 
 
-def play(plan: Plan, seed: int, steps: list[Step] | None = None) -> Outcome:
+def run_lease_scenario(plan: LeaseScenario, seed: int, steps: list[FaultStep] | None = None) -> Outcome:
     """One run, in real time; `steps` in place of the timeline that the seed draws."""
-    with tempfile.TemporaryDirectory(prefix="ploverspoke-leases-", dir=in_memory()) as name:
+    with tempfile.TemporaryDirectory(prefix="ploverspoke-leases-", dir=memory_backed_folder()) as name:
         return asyncio.run(_play(plan, seed, Path(name), steps))
--- a/ploverspoke/testbed/hollow/stage.py
+++ b/ploverspoke/testbed/scenarios/scale_fleet.py
@@ -9,17 +9,17 @@
 
 import msgspec
 
-from .. import experiment as ex
-from ..processes.child import Child
-from ..processes.rig import Place
-from ..processes.room import MEBIBYTE, NoRoom, Want, free_memory
-from ..processes.running import NotStarted
-from ..schedule import schedule
-from ..sockets import MOST_BEHIND, Program, Stage, Told, wants
-from ..spans import SECOND, write_span
-from . import dispatcher
-from .process import Spec
-from .programs import MODULE, HollowChild, HollowProgram
+from ..experiment_files import experiment as ex
+from ..experiment_files.durations import SECOND, format_duration
+from ..models.request_schedule import draw_schedule
+from ..processes.capacity_check import MEBIBYTE, CapacityError, ResourceDemand, free_memory
+from ..processes.child_process import ChildProcess
+from ..processes.rig import ProcessAddress
+from ..processes.running_process import ProcessStartError
+from ..scale import simulated_dispatcher
+from ..scale.dispatcher_host import DispatcherHostSpec
+from ..scale.simulated_programs import MODULE, SimulatedDispatcherHost, SimulatedDispatcherProgram
+from .socket_run import MAX_LATENESS, DispatcherProgram, ReportListener, SocketFleet, resource_demands
 
 LISTS_WITHIN, LOOKS_EVERY = 30.0, 0.1  # seconds
 COUNTS_EVERY = 2 * SECOND
@@ -35,7 +35,7 @@
 TRAFFIC = ("bytes_in", "bytes_out", "messages_in", "messages_out", "progress_bytes", "probes", "connections")
 
 
-class Shape(NamedTuple):
+class ProcessCounts(NamedTuple):
     """How a run is spread over processes."""
 
     hollow: int  # 0: each dispatcher is a process of its own
@@ -54,27 +54,32 @@
     inside: dict[str, int]
 
 
-class Sample(NamedTuple):
+class UsageSample(NamedTuple):
     at: int  # ns of the run
     used: Used
     traffic: dict[str, dict[str, int]]  # by kind of stand-in, over all dispatchers
     running: int  # tasks, as the workers have it
 
 
-class FleetStage(Stage):
+class ScaleFleet(SocketFleet):
     """A stage that is counted as it is played, and over once nobody waits for anything."""
 
     def __init__(
-        self, e: ex.Experiment, seed: int, folder: Path, shape: Shape, told: Told | None = None
+        self,
+        e: ex.Experiment,
+        seed: int,
+        folder: Path,
+        shape: ProcessCounts,
+        told: ReportListener | None = None,
     ) -> None:
         super().__init__(e, seed, folder, self._noted)
         self.listener = told
         self.shape = shape
         self.worker_processes = shape.workers
         self.tells_traffic = True
-        self.jobs = len(schedule(e, seed))
+        self.jobs = len(draw_schedule(e, seed))
         self.latest: dict[int, dict[str, Any]] = {}  # what each stand-in told last
-        self.samples: list[Sample] = []
+        self.samples: list[UsageSample] = []
         self.quiet_since = -1
         self.late_first = ""  # which stand-in first was too late, and when
 
@@ -83,31 +88,33 @@
     def _client_processes(self) -> int:
         return self.shape.clients
 
-    def _wants(self) -> list[Want]:
+    def _wants(self) -> list[ResourceDemand]:
         if self.shape.workers > 1 and (
             self.e.store is not None
             or any(g.repeat == "labelled" and g.group == "all" for g in self.e.grades)
         ):
-            raise ex.BadExperiment("worker processes: what all zones share can't be spread over several")
+            raise ex.ExperimentError("worker processes: what all zones share can't be spread over several")
         found = [self._dispatchers_want()]
-        for want in wants(self.e):
+        for want in resource_demands(self.e):
             count = {"workers": self.shape.workers, "clients": self.shape.clients}.get(want.what, 1)
             found.append(want._replace(processes=count, descriptors=want.descriptors // count + 64))
         self._must_have_cores()
         half = total_memory() // 2
         wanted = sum(want.processes * want.memory for want in found)
         if wanted > half:
-            raise NoRoom(f"{wanted // MEBIBYTE} MiB wanted, {half // MEBIBYTE} are half of the machine's")
+            raise CapacityError(
+                f"{wanted // MEBIBYTE} MiB wanted, {half // MEBIBYTE} are half of the machine's"
+            )
         return found
 
-    def _dispatchers_want(self) -> Want:
+    def _dispatchers_want(self) -> ResourceDemand:
         raise NotImplementedError
 
     def _must_have_cores(self) -> None:
         needed, running, starts = cores_for(self.e)
         has = self.shape.cores or len(sched_getaffinity(0))
         if needed > has:
-            raise NoRoom(
+            raise CapacityError(
                 f"{needed:.1f} cores wanted ({running:.0f} tasks running, {starts:.0f} starts a second, "
                 f"{self.e.dispatchers.count} dispatchers), {has:g} are there"
             )
@@ -116,7 +123,7 @@
         await super().play()
         self.samples.append(await self.sample())
 
-    async def _started(self, discovery: Child) -> None:
+    async def _started(self, discovery: ChildProcess) -> None:
         """All have the list: at no other time so many take it in at once, and that held them up."""
         count = self.e.dispatchers.count
         async with asyncio.timeout(LISTS_WITHIN):
@@ -133,13 +140,13 @@
 
     # ---- While it runs ----
 
-    def _begins(self, epoch: int, workers: Child, discovery: Child) -> None:
+    def _begins(self, epoch: int, workers: ChildProcess, discovery: ChildProcess) -> None:
         self.tasks.append(asyncio.create_task(self._listen(discovery, discovery)))
         self.tasks.append(asyncio.create_task(self._sample(epoch)))
 
     def _noted(self, told: dict[str, Any]) -> None:
         self.latest[told["child"]] = told
-        if told.get("late", 0) > MOST_BEHIND and not self.late_first:
+        if told.get("late", 0) > MAX_LATENESS and not self.late_first:
             self.late_first = f"{kind_of(told)} by {told['at'] / SECOND:.1f} s"
         if self.listener is not None:
             self.listener(told)
@@ -159,10 +166,10 @@
             for number in range(1 << 30):
                 await asyncio.sleep(max(0, epoch + number * COUNTS_EVERY - time.monotonic_ns()) / SECOND)
                 self.samples.append(await self.sample())
-        except (NotStarted, OSError) as error:
+        except (ProcessStartError, OSError) as error:
             self.rig.faults.append(f"what dispatchers use could not be seen: {error}")
 
-    async def sample(self) -> Sample:
+    async def sample(self) -> UsageSample:
         used = await self.used()
         traffic: dict[str, dict[str, int]] = {}
         for told in self.latest.values():
@@ -174,7 +181,7 @@
                 for key in TRAFFIC:
                     there[key] += one[key]
         running = sum(told["running"] for told in self.latest.values() if "running" in told)
-        return Sample(self.rig.now(), used, traffic, running)
+        return UsageSample(self.rig.now(), used, traffic, running)
 
     async def used(self) -> Used:
         raise NotImplementedError
@@ -184,52 +191,61 @@
         return f"{found} (first {self.late_first})" if found and self.late_first else found
 
 
-class HollowStage(FleetStage):
+class SimulatedScaleFleet(ScaleFleet):
     def __init__(
-        self, e: ex.Experiment, seed: int, folder: Path, shape: Shape, told: Told | None = None
+        self,
+        e: ex.Experiment,
+        seed: int,
+        folder: Path,
+        shape: ProcessCounts,
+        told: ReportListener | None = None,
     ) -> None:
         super().__init__(e, seed, folder, shape, told)
-        self.children: list[HollowChild] = []
+        self.children: list[SimulatedDispatcherHost] = []
         self.hollow_late = self.hollow_late_at = 0  # ns; when it was first seen to be too much
 
-    def _dispatchers_want(self) -> Want:
+    def _dispatchers_want(self) -> ResourceDemand:
         each = -(-self.e.dispatchers.count // self.shape.hollow)
         _, running, starts = cores_for(self.e)
         per = running / self.e.dispatchers.count * 3 + starts / self.e.dispatchers.count * 30
         descriptors = 64 + int(each * (DESCRIPTORS_A_DISPATCHER + per))
-        return Want(
+        return ResourceDemand(
             "hollow processes", self.shape.hollow, PROCESS_MEMORY + each * DISPATCHER_MEMORY, descriptors
         )
 
-    async def _before(self, places: list[Place]) -> None:
+    async def _before(self, places: list[ProcessAddress]) -> None:
         await super()._before(places)
-        parts: list[list[dispatcher.Place]] = [[] for _ in range(self.shape.hollow)]
+        parts: list[list[simulated_dispatcher.DispatcherAddress]] = [[] for _ in range(self.shape.hollow)]
         for number, place in enumerate(places):
             parts[number % self.shape.hollow].append(self._place(number, place))
         spec = self.folder / "hollow.json"
-        spec.write_bytes(msgspec.json.encode(Spec(parts)))
+        spec.write_bytes(msgspec.json.encode(DispatcherHostSpec(parts)))
         for part in range(self.shape.hollow):
             child = await self.rig.child(MODULE, [str(spec), str(part)], log=f"d-hollow-{part}")
-            self.children.append(HollowChild(child))
+            self.children.append(SimulatedDispatcherHost(child))
         for one in self.children:
             await one.listen()
             assert one.listening is not None
             self.tasks.append(one.listening)
 
-    def _place(self, number: int, place: Place) -> dispatcher.Place:
-        return dispatcher.Place(number, place.name, place.own, str(self.folder / f"{place.name}.json"))
+    def _place(self, number: int, place: ProcessAddress) -> simulated_dispatcher.DispatcherAddress:
+        return simulated_dispatcher.DispatcherAddress(
+            number, place.name, place.own, str(self.folder / f"{place.name}.json")
+        )
 
-    def _program(self, place: Place, config: dict[str, Any], store: dict[str, Any] | None) -> Program:
+    def _program(
+        self, place: ProcessAddress, config: dict[str, Any], store: dict[str, Any] | None
+    ) -> DispatcherProgram:
         number = len(self.programs)
         child = self.children[number % self.shape.hollow]
         # To the rig it is a process like others: it is started, ended and killed in the same way.
-        return cast(Program, HollowProgram(child, self._place(number, place), config))
+        return cast(DispatcherProgram, SimulatedDispatcherProgram(child, self._place(number, place), config))
 
     async def _listed(self) -> int:
         told = await asyncio.gather(*(one.counts() for one in self.children))
         return sum(one["listed"] for one in told)
 
-    def _begins(self, epoch: int, workers: Child, discovery: Child) -> None:
+    def _begins(self, epoch: int, workers: ChildProcess, discovery: ChildProcess) -> None:
         for one in self.children:
             one.child.tell({"begin": True})
         super()._begins(epoch, workers, discovery)
@@ -237,7 +253,7 @@
     async def used(self) -> Used:
         told = await asyncio.gather(*(one.counts() for one in self.children))
         late = max(one["late"] for one in told)
-        if late > MOST_BEHIND >= self.hollow_late:
+        if late > MAX_LATENESS >= self.hollow_late:
             self.hollow_late_at = self.rig.now()
         self.hollow_late = max(self.hollow_late, late)
         inside: dict[str, int] = {}
@@ -253,27 +269,31 @@
         )
 
     def void(self) -> str:
-        if self.hollow_late > MOST_BEHIND:
-            late = write_span(self.hollow_late)
+        if self.hollow_late > MAX_LATENESS:
+            late = format_duration(self.hollow_late)
             first = f"first by {self.hollow_late_at / SECOND:.0f} s"
             return f"hollow dispatchers held each other up: their loop was late by {late} ({first})"
         return super().void()
 
 
-class Alone(Program):
+class Alone(DispatcherProgram):
     """The program in a process of its own, with nothing of the rig's in it but an address to send from."""
 
     def command(self) -> list[str]:
-        return [sys.executable, "-m", f"{MODULE}.alone", self.own, self.module]
+        return [sys.executable, "-m", f"{MODULE}.single_dispatcher", self.own, self.module]
 
 
-class RealStage(FleetStage):
+class RealScaleFleet(ScaleFleet):
     """Each dispatcher a process, as it is in use: what hollow ones are compared with."""
 
-    def _dispatchers_want(self) -> Want:
-        return Want("dispatchers", self.e.dispatchers.count, PROCESS_MEMORY, self.e.dispatchers.sockets)
+    def _dispatchers_want(self) -> ResourceDemand:
+        return ResourceDemand(
+            "dispatchers", self.e.dispatchers.count, PROCESS_MEMORY, self.e.dispatchers.sockets
+        )
 
-    def _program(self, place: Place, config: dict[str, Any], store: dict[str, Any] | None) -> Program:
+    def _program(
+        self, place: ProcessAddress, config: dict[str, Any], store: dict[str, Any] | None
+    ) -> DispatcherProgram:
         return Alone(self.rig, place, config, store)
 
     async def used(self) -> Used:
--- a/ploverspoke/testbed/hollow/plays.py
+++ b/ploverspoke/testbed/scenarios/scale_phases.py
@@ -1,23 +1,23 @@
 """The table `[play]` of a fleet file: what the scale tests play, checked, and the world of each play.
 
-`plays_of` raises BadFleet with one line that names the key.
+`plays_of` raises FleetFileError with one line that names the key.
 """
 
 from typing import Any, Literal
 
 import msgspec
 
-from .. import experiment as ex
-from ..capacity.size import BadFleet, Fleet, Part
-from ..spans import SECOND, Span, read_span
-from .stage import Shape
+from ..capacity.fleet_size import FleetFileError, FleetSize, Part
+from ..experiment_files import experiment as ex
+from ..experiment_files.durations import SECOND, Duration, parse_duration
+from .scale_fleet import ProcessCounts
 
 What = Literal["steady", "zone lost", "rack lost", "region cut", "changes", "restart"]
 URGENT, ORDINARY = "urgent", "ordinary"  # grades; the first is the one that has to begin in time
 STRUCK = ("zone lost", "rack lost", "region cut", "restart")
 
 
-class Play(Part, frozen=True, kw_only=True):
+class ScaleScenario(Part, frozen=True, kw_only=True):
     """One world. What is not given of its load is that of the fleet's peak."""
 
     name: str
@@ -25,9 +25,9 @@
     starts_a_second: float = 0.0
     tasks_running: float = 0.0
     dispatchers: int = 0
-    lasts: Span  # counted, once all that is to run does
-    at: Span = Span(0)  # into that time, what happens begins
-    away: Span = Span(0)  # how long the zone, the rack or the region is, or a restarted dispatcher
+    lasts: Duration  # counted, once all that is to run does
+    at: Duration = Duration(0)  # into that time, what happens begins
+    away: Duration = Duration(0)  # how long the zone, the rack or the region is, or a restarted dispatcher
     zone: str = ""
     region: int = 1
     changes: int = 0  # of configuration, spread over the time
@@ -42,11 +42,11 @@
     dispatchers: int
     starts_a_second: float
     tasks_running: float
-    lasts: Span
+    lasts: Duration
     differ_at_most: float = 0.15
 
 
-class Plays(Part, frozen=True, kw_only=True):
+class ScaleScenarios(Part, frozen=True, kw_only=True):
     seed: int = 1
     dispatchers: int
     hollow_processes: int
@@ -55,36 +55,36 @@
     slots: int  # of a worker
     racks_a_zone: int
     regions: list[list[str]]  # the zones of each
-    near: Span
-    far: Span
-    farther: Span
+    near: Duration
+    far: Duration
+    farther: Duration
     urgent_share: float  # of the starts
-    urgent_mean: Span
+    urgent_mean: Duration
     compared: Compared
-    worlds: list[Play]
+    worlds: list[ScaleScenario]
 
 
-def plays_of(fleet: Fleet) -> Plays:
-    """Raises BadFleet, naming the key."""
+def read_scale_scenarios(fleet: FleetSize) -> ScaleScenarios:
+    """Raises FleetFileError, naming the key."""
     try:
-        found = msgspec.convert(fleet.play, Plays, dec_hook=_span_hook)
+        found = msgspec.convert(fleet.play, ScaleScenarios, dec_hook=_span_hook)
     except msgspec.ValidationError as error:
         text = str(error).replace("`$.", "`play.").replace("`$`", "`play`")
-        raise BadFleet(text if "`play" in text else f"{text} - at `play`") from None
+        raise FleetFileError(text if "`play" in text else f"{text} - at `play`") from None
     _check(fleet, found)
     return found
 
 
 def _span_hook(kind: type, value: Any) -> Any:
-    if kind is Span:
-        return read_span(value)
+    if kind is Duration:
+        return parse_duration(value)
     raise NotImplementedError(kind)
 
 
-def _check(fleet: Fleet, plays: Plays) -> None:
+def _check(fleet: FleetSize, plays: ScaleScenarios) -> None:
     def must(holds: bool, key: str, why: str) -> None:
         if not holds:
-            raise BadFleet(f"play.{key}: {why}")
+            raise FleetFileError(f"play.{key}: {why}")
 
     for key in (
         "dispatchers",
@@ -132,13 +132,13 @@
 # ---- Worlds ----
 
 
-def shape_of(plays: Plays) -> Shape:
-    return Shape(plays.hollow_processes, plays.worker_processes, plays.client_processes)
+def process_counts(plays: ScaleScenarios) -> ProcessCounts:
+    return ProcessCounts(plays.hollow_processes, plays.worker_processes, plays.client_processes)
 
 
-def compared_world(fleet: Fleet, plays: Plays) -> Play:
+def comparison_scenario(fleet: FleetSize, plays: ScaleScenarios) -> ScaleScenario:
     c = plays.compared
-    return Play(
+    return ScaleScenario(
         name="hollow and real",
         starts_a_second=c.starts_a_second,
         tasks_running=c.tasks_running,
@@ -147,7 +147,7 @@
     )
 
 
-def world_of(fleet: Fleet, plays: Plays, play: Play) -> ex.Experiment:
+def experiment_for(fleet: FleetSize, plays: ScaleScenarios, play: ScaleScenario) -> ex.Experiment:
     """The experiment of a play: until `counted_from` the load comes up, then `lasts` are counted."""
     starts = play.starts_a_second or fleet.size.task_starts_a_second
     running = play.tasks_running or fleet.size.tasks_running
@@ -155,10 +155,10 @@
     urgent = plays.urgent_mean
     mean = (running / starts * SECOND - plays.urgent_share * urgent) / (1 - plays.urgent_share)
     if mean <= 0:
-        raise BadFleet(f"play: {play.name}: so few tasks run that ordinary ones would last no time")
-    ordinary = Span(int(mean))
-    begins = Span(ordinary + 5 * SECOND)  # as many run by then as will
-    lasts = Span(begins + play.lasts)
+        raise FleetFileError(f"play: {play.name}: so few tasks run that ordinary ones would last no time")
+    ordinary = Duration(int(mean))
+    begins = Duration(ordinary + 5 * SECOND)  # as many run by then as will
+    lasts = Duration(begins + play.lasts)
     told: dict[str, Any] = {
         "name": f"{fleet.name}: {play.name}",
         "lasts": lasts,
@@ -168,8 +168,8 @@
             {
                 "name": URGENT,
                 "share": plays.urgent_share,
-                "expected_time": Span(fleet.size.urgent_starts_within + urgent),
-                "abandon_time": Span(3 * (fleet.size.urgent_starts_within + urgent)),
+                "expected_time": Duration(fleet.size.urgent_starts_within + urgent),
+                "abandon_time": Duration(3 * (fleet.size.urgent_starts_within + urgent)),
                 "benefit": 4.0,
                 "work": {"law": "fixed", "mean": urgent},
             },
@@ -177,8 +177,8 @@
                 "name": ORDINARY,
                 "repeat": "irreversible",
                 "share": 1 - plays.urgent_share,
-                "expected_time": Span(int(ordinary * 1.2) + 3 * SECOND),
-                "abandon_time": Span(int(ordinary * 1.2) + 10 * SECOND),
+                "expected_time": Duration(int(ordinary * 1.2) + 3 * SECOND),
+                "abandon_time": Duration(int(ordinary * 1.2) + 10 * SECOND),
                 "work": {"law": "fixed", "mean": ordinary},
             },
         ],
@@ -196,10 +196,10 @@
         "traffic": [{"rate": starts}],
         "troubles": troubles_of(fleet, plays, play, count, begins),
     }
-    return ex.experiment_of(told)
+    return ex.parse_experiment(told)
 
 
-def workers_of(fleet: Fleet, plays: Plays) -> list[dict[str, Any]]:
+def workers_of(fleet: FleetSize, plays: ScaleScenarios) -> list[dict[str, Any]]:
     """All of them, evenly over the zones and their racks."""
     zones = [zone for region in plays.regions for zone in region]
     racks = len(zones) * plays.racks_a_zone
@@ -213,8 +213,10 @@
     return found
 
 
-def troubles_of(fleet: Fleet, plays: Plays, play: Play, count: int, begins: int) -> list[dict[str, Any]]:
-    when = {"at": Span(begins + play.at), "lasts": play.away}
+def troubles_of(
+    fleet: FleetSize, plays: ScaleScenarios, play: ScaleScenario, count: int, begins: int
+) -> list[dict[str, Any]]:
+    when = {"at": Duration(begins + play.at), "lasts": play.away}
     if play.what == "zone lost":
         return [{"what": "crash", "zone": play.zone, **when}]
     if play.what == "rack lost":
@@ -226,7 +228,7 @@
     return []
 
 
-def in_first_rack(fleet: Fleet, plays: Plays, zone: str) -> list[str]:
+def in_first_rack(fleet: FleetSize, plays: ScaleScenarios, zone: str) -> list[str]:
     first = 0
     for group in workers_of(fleet, plays):
         if group["zone"] == zone:
@@ -235,14 +237,14 @@
     return []
 
 
-def restarts_of(play: Play, count: int, begins: int) -> list[dict[str, Any]]:
+def restarts_of(play: ScaleScenario, count: int, begins: int) -> list[dict[str, Any]]:
     """A part at a time, evenly over the time."""
     each = max(1, round(count * play.at_once))
     parts = [list(range(first, min(count, first + each))) for first in range(0, count, each)]
     return [
         {
             "what": "dispatcher restarted",
-            "at": Span(begins + play.at + number * (play.lasts - play.at - play.away) // len(parts)),
+            "at": Duration(begins + play.at + number * (play.lasts - play.at - play.away) // len(parts)),
             "dispatchers": part,
             "lasts": play.away,
         }
--- a/ploverspoke/testbed/hollow/run.py
+++ b/ploverspoke/testbed/scenarios/scale_test.py
@@ -11,47 +11,61 @@
 
 import msgspec
 
-from .. import experiment as ex
-from ..audit import SOCKETS_SLACK, audit
-from ..capacity.size import Fleet
-from ..processes.room import NoRoom, in_memory
-from ..processes.running import NotStarted
-from ..records import merged, read_records, write_records
-from ..scores import score
-from .changing import Changing, Watched
-from .judge import (
+from ..capacity.fleet_size import FleetSize
+from ..checkers.request_audit import SOCKETS_TOLERANCE, audit_requests
+from ..checkers.scale_checker import (
     BY_NATURE,
     FORMAT,
-    KINDS,
-    Results,
-    Run,
-    Seen,
+    METRIC_KINDS,
+    ScaleObservations,
+    ScaleResults,
+    ScaleRow,
     bounded_by_length,
-    compare,
-    figures_of,
+    check_scale_run,
+    compare_metrics,
     healing,
-    judge,
-    marked,
+    mark_void_metrics,
+    scale_metrics,
+)
+from ..experiment_files import experiment as ex
+from ..models.event_records import merge_records, read_records, write_records
+from ..processes.capacity_check import CapacityError, memory_backed_folder
+from ..processes.running_process import ProcessStartError
+from ..reports.scores import score
+from .config_change_fleet import ConfigChangeFleet, WatchedConfigFleet
+from .scale_fleet import ProcessCounts, RealScaleFleet, ScaleFleet, SimulatedScaleFleet, total_memory
+from .scale_phases import (
+    ScaleScenario,
+    ScaleScenarios,
+    comparison_scenario,
+    experiment_for,
+    process_counts,
+    read_scale_scenarios,
 )
-from .plays import Play, Plays, compared_world, plays_of, shape_of, world_of
-from .stage import FleetStage, HollowStage, RealStage, Shape, total_memory
 
 COMPARED = "hollow and real"
 LENGTHS = "absences of two lengths"
 
 
 def stage_of(
-    play: Play, plays: Plays, e: ex.Experiment, folder: Path, hollow: bool, shape: Shape | None = None
-) -> FleetStage:
-    shape = shape_of(plays) if shape is None else shape
+    play: ScaleScenario,
+    plays: ScaleScenarios,
+    e: ex.Experiment,
+    folder: Path,
+    hollow: bool,
+    shape: ProcessCounts | None = None,
+) -> ScaleFleet:
+    shape = process_counts(plays) if shape is None else shape
     if not hollow:
-        return RealStage(e, plays.seed, folder, shape._replace(hollow=0))
+        return RealScaleFleet(e, plays.seed, folder, shape._replace(hollow=0))
     if play.what != "changes":
-        return HollowStage(e, plays.seed, folder, shape)
-    return (Watched if play.by == "watch" else Changing)(e, plays.seed, folder, shape, play)
+        return SimulatedScaleFleet(e, plays.seed, folder, shape)
+    return (WatchedConfigFleet if play.by == "watch" else ConfigChangeFleet)(
+        e, plays.seed, folder, shape, play
+    )
 
 
-async def _play(stage: FleetStage) -> None:
+async def _play(stage: ScaleFleet) -> None:
     try:
         await stage.play()
     finally:
@@ -59,18 +73,18 @@
 
 
 def play_one(
-    fleet: Fleet,
-    plays: Plays,
-    play: Play,
+    fleet: FleetSize,
+    plays: ScaleScenarios,
+    play: ScaleScenario,
     *,
     hollow: bool = True,
     void_kinds: Sequence[str] = (),
     keep: Path | None = None,
-) -> Run:
+) -> ScaleRow:
     """Raises nothing that a run can bring: one that does not fit or come up is void, and says why."""
-    e = world_of(fleet, plays, play)
+    e = experiment_for(fleet, plays, play)
     count = e.dispatchers.count
-    row = Run(
+    row = ScaleRow(
         play=play.name,
         seed=plays.seed,
         dispatchers=count,
@@ -79,31 +93,33 @@
         void="",
         figures={},
     )
-    with tempfile.TemporaryDirectory(prefix="ploverspoke-fleet-", dir=in_memory()) as name:
+    with tempfile.TemporaryDirectory(prefix="ploverspoke-fleet-", dir=memory_backed_folder()) as name:
         folder = Path(name)
         stage = stage_of(play, plays, e, folder, hollow)
         try:
             asyncio.run(_play(stage))
-        except (NoRoom, NotStarted, TimeoutError) as error:
+        except (CapacityError, ProcessStartError, TimeoutError) as error:
             row.void = str(error) or "a process was not ready in time"
             return row
-        events = merged([stage.seen.events, *(read_records(path) for path in sorted(folder.glob("*.jsonl")))])
+        events = merge_records(
+            [stage.seen.events, *(read_records(path) for path in sorted(folder.glob("*.jsonl")))]
+        )
         lines = sum(path.read_bytes().count(b"\n") for path in folder.glob("d*.log"))
     if keep is not None:
         write_records(events, keep)
     row.void = stage.void()
-    found = score(e, "ours", plays.seed, events, audit(e, events, SOCKETS_SLACK), row.void)
-    changes = stage.took if isinstance(stage, Changing) else []
-    seen = Seen(e, events, found, stage.samples, changes, lines)
-    figures = figures_of(seen)
+    found = score(e, "ours", plays.seed, events, audit_requests(e, events, SOCKETS_TOLERANCE), row.void)
+    changes = stage.took if isinstance(stage, ConfigChangeFleet) else []
+    seen = ScaleObservations(e, events, found, stage.samples, changes, lines)
+    figures = scale_metrics(seen)
     if play.what == "region cut":
         figures |= healing(seen, play)
-    if isinstance(stage, Changing):
+    if isinstance(stage, ConfigChangeFleet):
         figures["carried_bytes_a_change_a_dispatcher"] = stage.carried / play.changes / count
-    verdict = judge(fleet, play, seen, figures, void_kinds)
+    verdict = check_scale_run(fleet, play, seen, figures, void_kinds)
     if play.what == "changes" and len(changes) < play.changes:
         verdict.demand(False, f"{len(changes)} of {play.changes} changes were seen to the end")
-    row.figures = {key: round(value, 6) for key, value in marked(figures, void_kinds).items()}
+    row.figures = {key: round(value, 6) for key, value in mark_void_metrics(figures, void_kinds).items()}
     row.held = verdict.held
     row.failed = [*verdict.failed, *(text.splitlines()[0] for text in found.findings[:5])]
     if void_kinds:
@@ -111,13 +127,13 @@
     return row
 
 
-def compare_both(fleet: Fleet, plays: Plays) -> tuple[list[Run], list[str]]:
+def compare_both(fleet: FleetSize, plays: ScaleScenarios) -> tuple[list[ScaleRow], list[str]]:
     """The same experiment and seed with hollow and with real dispatchers, and the kinds that are void."""
-    play = compared_world(fleet, plays)
+    play = comparison_scenario(fleet, plays)
     processes = max(1, plays.hollow_processes * plays.compared.dispatchers // plays.dispatchers)
     few = msgspec.structs.replace(plays, hollow_processes=processes)
     rows = [play_one(fleet, few, play, hollow=hollow) for hollow in (True, False)]
-    both = Run(
+    both = ScaleRow(
         play=COMPARED,
         seed=plays.seed,
         dispatchers=plays.compared.dispatchers,
@@ -131,14 +147,14 @@
     rows[0].play, rows[1].play = f"{COMPARED}: hollow", f"{COMPARED}: real"
     if both.void:
         return [*rows, both], [BY_NATURE]
-    ratios, void = compare(rows[0].figures, rows[1].figures, plays.compared.differ_at_most)
+    ratios, void = compare_metrics(rows[0].figures, rows[1].figures, plays.compared.differ_at_most)
     both.figures = {key: round(value, 4) for key, value in ratios.items()}
-    both.held = [kind for kind in KINDS if kind not in void]
+    both.held = [kind for kind in METRIC_KINDS if kind not in void]
     both.failed = [f"{kind}: hollow figures of it are void" for kind in void]
     return [*rows, both], [*void, BY_NATURE]
 
 
-def compare_lengths(fleet: Fleet, plays: Plays, rows: Sequence[Run]) -> Run | None:
+def compare_lengths(fleet: FleetSize, plays: ScaleScenarios, rows: Sequence[ScaleRow]) -> ScaleRow | None:
     """Two absences of a region that were both played: what grows with their length."""
     worlds = {play.name: play for play in plays.worlds if play.what == "region cut"}
     latest = {row.play: row for row in rows if row.play in worlds}  # one that was played again counts once
@@ -148,7 +164,7 @@
     short, long = played[0], played[-1]
     times = worlds[long.play].away / worlds[short.play].away
     verdict = bounded_by_length(short.figures, long.figures, times)
-    return Run(
+    return ScaleRow(
         play=LENGTHS,
         seed=plays.seed,
         dispatchers=long.dispatchers,
@@ -162,25 +178,25 @@
 
 
 def run_fleet(
-    fleet: Fleet,
+    fleet: FleetSize,
     names: Sequence[str],
     out: Path | None,
-    told: Callable[[Run], None],
+    told: Callable[[ScaleRow], None],
     keep: Path | None = None,
-) -> list[Run]:
+) -> list[ScaleRow]:
     """All plays, or those named; each is written to `out` as soon as it is over, beside what is there.
 
-    Raises BadFleet where the table of plays is wrong, BadExperiment where a name is none of them.
+    Raises FleetFileError where the table of plays is wrong, ExperimentError where a name is none of them.
     """
-    plays = plays_of(fleet)
+    plays = read_scale_scenarios(fleet)
     known = [COMPARED, *(play.name for play in plays.worlds)]
     for name in names:
         if name not in known:
-            raise ex.BadExperiment(f"--play: {name!r} is none of {', '.join(known)}")
-    rows: list[Run] = []
+            raise ex.ExperimentError(f"--play: {name!r} is none of {', '.join(known)}")
+    rows: list[ScaleRow] = []
     results = read_results(out)
 
-    def done(*more: Run) -> None:
+    def done(*more: ScaleRow) -> None:
         for row in more:
             rows.append(row)
             results.runs.append(row)
@@ -209,11 +225,11 @@
     return rows
 
 
-def call_void(row: Run, void_kinds: Sequence[str]) -> None:
+def call_void(row: ScaleRow, void_kinds: Sequence[str]) -> None:
     """What a comparison takes from a hollow play's row: figures are marked, judgements by them go."""
     if not row.hollow or row.play.startswith(COMPARED) or row.play == LENGTHS:
         return
-    row.figures = marked(row.figures, void_kinds)
+    row.figures = mark_void_metrics(row.figures, void_kinds)
     openings = tuple(kind for kind in void_kinds if kind != BY_NATURE)
     if openings:
         row.held = [text for text in row.held if not text.startswith(openings)]
@@ -225,22 +241,22 @@
     return f"void by kind, since hollow and real differ there: {', '.join(void_kinds)}"
 
 
-def void_before(rows: Sequence[Run]) -> list[str]:
+def void_before(rows: Sequence[ScaleRow]) -> list[str]:
     """What the last comparison that was no void one has found."""
     last = next((row for row in reversed(rows) if row.play == COMPARED and not row.void), None)
     found = [] if last is None else [text.partition(":")[0] for text in last.failed]
     return [*found, BY_NATURE]
 
 
-def read_results(out: Path | None) -> Results:
+def read_results(out: Path | None) -> ScaleResults:
     now = time.strftime("%Y-%m-%d", time.gmtime())
-    fresh = Results(format=FORMAT, at=now, text=commit(), machine=machine())
+    fresh = ScaleResults(format=FORMAT, at=now, text=commit(), machine=machine())
     if out is None or not out.exists():
         return fresh
     try:
-        fresh.runs = msgspec.json.decode(out.read_bytes(), type=Results).runs
+        fresh.runs = msgspec.json.decode(out.read_bytes(), type=ScaleResults).runs
     except (OSError, msgspec.DecodeError) as error:
-        raise ex.BadExperiment(f"{out}: no results of plays: {error}") from None
+        raise ex.ExperimentError(f"{out}: no results of plays: {error}") from None
     return fresh
 
 
--- a/ploverspoke/testbed/soak/run.py
+++ b/ploverspoke/testbed/scenarios/soak.py
@@ -8,10 +8,10 @@
 from pathlib import Path
 from typing import Any
 
-from ..list_age.discovery import Failure, ScriptedDiscovery
-from ..list_age.processes import DispatcherProcess
-from .clients import DEADLINE, SoakClients, hold_idle_connections
-from .workers import SoakWorkers
+from ..fakes.faulty_discovery import Failure, ScriptedDiscovery
+from ..fakes.persistent_clients import DEADLINE, PersistentClients, hold_idle_connections
+from ..fakes.recording_workers import RecordingWorkers
+from ..processes.dispatcher_process import DispatcherProcess
 
 LASTS = 22.0  # seconds
 WORKERS = 5
@@ -53,7 +53,7 @@
         self.seed = seed
         self.folder = folder
         self.loop = asyncio.get_running_loop()
-        self.workers = SoakWorkers(WORKERS, random.Random(seed + 1))
+        self.workers = RecordingWorkers(WORKERS, random.Random(seed + 1))
         self.verdict = Verdict(seed)
         self.drained_at: dict[str, float] = {}
         self.known_since: dict[str, float] = {}  # a later process learns of a drain from its start on
@@ -66,7 +66,7 @@
         self.discoveries = [ScriptedDiscovery(entries), ScriptedDiscovery(entries)]
         self.addresses = [await each.address_for(0) for each in self.discoveries]
         self.dispatcher = self._dispatcher()
-        self.clients = SoakClients(self.dispatcher.port, self.workers, random.Random(self.seed + 2))
+        self.clients = PersistentClients(self.dispatcher.port, self.workers, random.Random(self.seed + 2))
         await self.dispatcher.start()
         self.tasks = [self.loop.create_task(self._watch_lateness())]
         running = [self.loop.create_task(self.clients.run(n)) for n in range(CLIENTS)]
--- a/ploverspoke/testbed/sockets.py
+++ b/ploverspoke/testbed/scenarios/socket_run.py
@@ -13,27 +13,27 @@
 
 import msgspec
 
-from . import experiment as ex
-from . import records
-from .clients import LATE_ASKS
-from .processes.child import Child
-from .processes.history import Happened
-from .processes.rig import Place, Rig
-from .processes.room import MEBIBYTE, Want, in_memory
-from .processes.running import NotStarted, Running
-from .processes.timeline import Step
-from .records import Event, Records, merged, read_records
-from .settings import settings_of
-from .spans import MILLISECOND, SECOND, Span, write_span
+from ..experiment_files import experiment as ex
+from ..experiment_files.durations import MILLISECOND, SECOND, Duration, format_duration
+from ..models import event_records
+from ..models.clients import LATE_ANSWER_ALLOWANCE
+from ..models.deployment_settings import dispatcher_settings
+from ..models.event_records import Event, Records, merge_records, read_records
+from ..processes.capacity_check import MEBIBYTE, ResourceDemand, memory_backed_folder
+from ..processes.child_process import ChildProcess
+from ..processes.fault_timeline import FaultStep
+from ..processes.history import HistoryEvent
+from ..processes.rig import ProcessAddress, Rig
+from ..processes.running_process import ProcessStartError, RunningProcess
 
 LEAD = 300 * MILLISECOND  # from the word to start to the start
 READY_WITHIN = 20.0  # seconds
-MOST_BEHIND = 100 * MILLISECOND  # of the load generator and the stand-ins; past that a run is void
+MAX_LATENESS = 100 * MILLISECOND  # of the load generator and the stand-ins; past that a run is void
 FINAL_CALM = SECOND
 STAND_IN_MEMORY = 256 * MEBIBYTE
 KEPT_BY_DISPATCHERS = 21  # seconds, a connection to a worker that rests
 
-Told = Callable[[dict[str, Any]], None]
+ReportListener = Callable[[dict[str, Any]], None]
 
 
 class Played(NamedTuple):
@@ -41,15 +41,15 @@
     void: str
     took_s: float
     logs: str  # what dispatchers wrote, the last lines
-    history: list[Happened]  # what was done to them, and what they said
+    history: list[HistoryEvent]  # what was done to them, and what they said
     links: dict[str, int]  # what the relays counted
 
 
-class Program(Running):
+class DispatcherProgram(RunningProcess):
     """One dispatcher: the real program, ready once it says so at its door."""
 
     def __init__(
-        self, rig: Rig, place: Place, config: dict[str, Any], store: dict[str, Any] | None = None
+        self, rig: Rig, place: ProcessAddress, config: dict[str, Any], store: dict[str, Any] | None = None
     ) -> None:
         path = rig.folder / f"{place.name}.json"
         path.write_bytes(msgspec.json.encode(config))
@@ -84,33 +84,33 @@
     return sum(max(t.rate, t.to_rate or 0.0) * (1 + t.wave) for t in e.traffic)
 
 
-def wants(e: ex.Experiment) -> list[Want]:
+def resource_demands(e: ex.Experiment) -> list[ResourceDemand]:
     """What stand-ins need beside the dispatchers: memory, and descriptors in one process."""
     dispatchers, rate = e.dispatchers.count, _most_a_second(e)
     workers = sum(group.count for group in e.workers)
     # Each hand-off may leave a connection behind that rests, but there is no more than one a slot and pair.
     resting = min(dispatchers * workers * 4, int(rate * 1.5 * KEPT_BY_DISPATCHERS))
     return [
-        Want("workers", 1, STAND_IN_MEMORY, 64 + 2 * workers + resting),
-        Want("discovery", 1, STAND_IN_MEMORY, 64 + 2 * dispatchers),
-        Want("clients", client_processes(e), STAND_IN_MEMORY, 64 + 8 * dispatchers),
+        ResourceDemand("workers", 1, STAND_IN_MEMORY, 64 + 2 * workers + resting),
+        ResourceDemand("discovery", 1, STAND_IN_MEMORY, 64 + 2 * dispatchers),
+        ResourceDemand("clients", client_processes(e), STAND_IN_MEMORY, 64 + 8 * dispatchers),
     ]
 
 
-def outage_steps(e: ex.Experiment, seed: int) -> list[Step]:
+def outage_steps(e: ex.Experiment, seed: int) -> list[FaultStep]:
     """What the file's troubles do to dispatchers, and its timeline, in order of time."""
     whats = {"killed": "kill", "paused": "pause", "restarted": "restart"}
     found = [
-        Step(at=Span(begin), what=whats[how], who=[f"d{number}"], lasts=Span(end - begin))
+        FaultStep(at=Duration(begin), what=whats[how], who=[f"d{number}"], lasts=Duration(end - begin))
         for begin, end, number, how in ex.outages(e, seed)
     ]
     return sorted([*found, *e.timeline], key=lambda step: step.at)
 
 
-class Stage:
+class SocketFleet:
     """All processes of one run."""
 
-    def __init__(self, e: ex.Experiment, seed: int, folder: Path, told: Told | None) -> None:
+    def __init__(self, e: ex.Experiment, seed: int, folder: Path, told: ReportListener | None) -> None:
         self.e = e
         self.seed = seed
         self.folder = folder
@@ -121,7 +121,7 @@
         self.rig.ends_within = max(g.abandon_time for g in e.grades) / SECOND + 0.7
         self.behind = 0
         self.late = 0  # the stand-ins
-        self.programs: list[Program] = []
+        self.programs: list[DispatcherProgram] = []
         self.tasks: list[asyncio.Task[None]] = []
         self.tells_traffic = False
         self.worker_processes = 1
@@ -129,7 +129,9 @@
     async def play(self) -> None:
         e, rig = self.e, self.rig
         if any(isinstance(t, ex.DispatcherReplaced | ex.SettingsChanged) for t in e.troubles):
-            raise ex.BadExperiment("troubles: replacing and changed settings are played on virtual time only")
+            raise ex.ExperimentError(
+                "troubles: replacing and changed settings are played on virtual time only"
+            )
         clients, parts = self._client_processes(), self.worker_processes
         streams, datagrams = ["peers"] * e.dispatchers.store, ["talk"] * e.dispatchers.talk
         names = [f"d{number}" for number in range(e.dispatchers.count)]
@@ -146,11 +148,11 @@
             "worker_processes": parts,
         }
         spec.write_bytes(msgspec.json.encode(told))
-        rig.make_sure(self._wants())
+        rig.check_capacity(self._wants())
         await rig.open()
         kinds = {"workers": parts, "discovery": 1, "clients": clients}
         stand_ins = [
-            await rig.child("ploverspoke.testbed.standins", [kind, str(spec), str(part)])
+            await rig.child("ploverspoke.testbed.fakes", [kind, str(spec), str(part)])
             for kind, count in kinds.items()
             for part in range(count)
         ]
@@ -181,39 +183,41 @@
 
     # ---- What another stage may do in another way ----
 
-    def _hosts(self, places: list[Place]) -> list[str]:
+    def _hosts(self, places: list[ProcessAddress]) -> list[str]:
         """The addresses that dispatchers send from."""
         return [place.own for place in places]
 
     def _client_processes(self) -> int:
         return client_processes(self.e)
 
-    def _wants(self) -> list[Want]:
-        return wants(self.e)
+    def _wants(self) -> list[ResourceDemand]:
+        return resource_demands(self.e)
 
-    async def _before(self, places: list[Place]) -> None:
+    async def _before(self, places: list[ProcessAddress]) -> None:
         """What dispatchers need to be there before they are."""
 
-    async def _started(self, discovery: Child) -> None:
+    async def _started(self, discovery: ChildProcess) -> None:
         """All dispatchers serve, and the run is about to begin."""
 
-    def _program(self, place: Place, config: dict[str, Any], store: dict[str, Any] | None) -> Program:
-        return Program(self.rig, place, config, store)
+    def _program(
+        self, place: ProcessAddress, config: dict[str, Any], store: dict[str, Any] | None
+    ) -> DispatcherProgram:
+        return DispatcherProgram(self.rig, place, config, store)
 
-    def _begins(self, epoch: int, workers: Child, discovery: Child) -> None:
+    def _begins(self, epoch: int, workers: ChildProcess, discovery: ChildProcess) -> None:
         """All has started; the run begins then."""
 
     def _end(self) -> int:
         end = self.e.lasts + max(g.abandon_time for g in self.e.grades) + FINAL_CALM
-        return end + (LATE_ASKS if self.e.dispatchers.store else 0)
+        return end + (LATE_ANSWER_ALLOWANCE if self.e.dispatchers.store else 0)
 
-    async def _first(self, child: Child) -> dict[str, Any]:
+    async def _first(self, child: ChildProcess) -> dict[str, Any]:
         told = await asyncio.wait_for(child.hear(), READY_WITHIN)
         if told is None:
-            raise NotStarted("a stand-in ended at its start")
+            raise ProcessStartError("a stand-in ended at its start")
         return told
 
-    def _config(self, number: int, places: list[Place], discovery: str) -> dict[str, Any]:
+    def _config(self, number: int, places: list[ProcessAddress], discovery: str) -> dict[str, Any]:
         e = self.e
         config: dict[str, Any] = {
             "name": f"d{number}",
@@ -221,13 +225,13 @@
             "discovery": discovery,
             "seed": f"{self.seed * 1_000_003 + number:x}",
             "limits": {"sockets": e.dispatchers.sockets, "memory_mb": e.dispatchers.memory_mb},
-            "settings": settings_of(e, number),
+            "settings": dispatcher_settings(e, number),
         }
         if e.dispatchers.talk:
             config["peers"] = [place.through("talk") for place in places]
         return config
 
-    def _store(self, number: int, places: list[Place]) -> dict[str, Any]:
+    def _store(self, number: int, places: list[ProcessAddress]) -> dict[str, Any]:
         (self.folder / "secret").write_text("a secret of the testbed's own")
         replicas = {
             f"r{n}": {"peers": place.through("peers"), "clients": place.at("clients")}
@@ -237,7 +241,7 @@
         told = {"cluster": "testbed", "name": f"r{number}", "folder": folder, "secret_file": "secret"}
         return {**told, "replicas": replicas, "snapshot_every": self.e.dispatchers.snapshot_every}
 
-    async def _listen(self, child: Child, discovery: Child) -> None:
+    async def _listen(self, child: ChildProcess, discovery: ChildProcess) -> None:
         while (told := await child.hear()) is not None:
             if "fault" in told:
                 self.rig.faults.append(told["fault"])
@@ -249,11 +253,11 @@
                 self.told({"at": self.rig.now(), "child": id(child), **told})
 
     def _down(self, name: str, how: str) -> None:
-        what = records.DISPATCHER_LEAVES if how == "restart" else records.DISPATCHER_DOWN
+        what = event_records.DISPATCHER_LEAVES if how == "restart" else event_records.DISPATCHER_DOWN
         self.seen.add(self.rig.now(), what, dispatcher=int(name[1:]))
 
     def _up(self, name: str) -> None:
-        self.seen.add(self.rig.now(), records.DISPATCHER_UP, dispatcher=int(name[1:]))
+        self.seen.add(self.rig.now(), event_records.DISPATCHER_UP, dispatcher=int(name[1:]))
 
     async def close(self) -> None:
         """End all that was started, whatever happened."""
@@ -263,31 +267,31 @@
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
     def void(self) -> str:
-        if self.behind > MOST_BEHIND:
-            return f"the load generator fell behind by {write_span(self.behind)}"
-        if self.late > MOST_BEHIND:
-            return f"the machine was too slow: a stand-in was late by {write_span(self.late)}"
+        if self.behind > MAX_LATENESS:
+            return f"the load generator fell behind by {format_duration(self.behind)}"
+        if self.late > MAX_LATENESS:
+            return f"the machine was too slow: a stand-in was late by {format_duration(self.late)}"
         if self.rig.faults:
             return f"{len(self.rig.faults)} faults, the first: {self.rig.faults[0]}"
         return self.rig.void()
 
 
-def play_on_sockets(e: ex.Experiment, seed: int, told: Told | None = None) -> Played:
-    """One run, in real time. Raises NotStarted where a process does not come up, NoRoom where none fits."""
+def run_on_sockets(e: ex.Experiment, seed: int, told: ReportListener | None = None) -> Played:
+    """Run once, in real time. Raises ProcessStartError, and CapacityError where it does not fit."""
     began = time.monotonic()
-    with tempfile.TemporaryDirectory(prefix="ploverspoke-testbed-", dir=in_memory()) as name:
+    with tempfile.TemporaryDirectory(prefix="ploverspoke-testbed-", dir=memory_backed_folder()) as name:
         folder = Path(name)
-        stage = Stage(e, seed, folder, told)
+        stage = SocketFleet(e, seed, folder, told)
         asyncio.run(_play(stage))
         parts = [read_records(path) for path in sorted(folder.glob("*.jsonl"))]
-        events = merged([stage.seen.events, *parts])
+        events = merge_records([stage.seen.events, *parts])
         history = stage.rig.happened()
         logs = "\n".join(path.read_text()[-2000:] for path in sorted(folder.glob("d*.log")))
     counts = stage.rig.counts.get("links", {})
     return Played(events, stage.void(), time.monotonic() - began, logs, history, counts)
 
 
-async def _play(stage: Stage) -> None:
+async def _play(stage: SocketFleet) -> None:
     try:
         await stage.play()
     finally:
--- a/ploverspoke/testbed/store_bench.py
+++ b/ploverspoke/testbed/scenarios/store_bench.py
@@ -35,10 +35,10 @@
 )
 from ploverspoke.store.state_machine import RequestStateMachine
 
-from .bench import WORKERS, Process
-from .experiment import experiment_of
-from .processes.addresses import held_ports
-from .settings import settings_of
+from ..experiment_files.experiment import parse_experiment
+from ..models.deployment_settings import dispatcher_settings
+from ..processes.addresses import held_ports
+from .dispatcher_bench import WORKERS, Process
 
 SECRET = b"a secret of the bench's own"
 SIZES = (0, 1, 3, 5)  # replicas; 0: no store
@@ -80,7 +80,7 @@
                 "discovery": f"127.0.0.1:{nobody}",
                 "seed": "1",
                 "known": {"version": 1, "full": True, "servers": servers},
-                "settings": settings_of(e, 0),
+                "settings": dispatcher_settings(e, 0),
             }
             (folder / f"c{n}.json").write_bytes(msgspec.json.encode(config))
             replicas = {
@@ -153,7 +153,7 @@
 
 def _world() -> Any:
     grade = {"name": "book", "repeat": "irreversible", "expected_time": "1s", "abandon_time": "2s"}
-    return experiment_of(
+    return parse_experiment(
         {
             "name": "store",
             "lasts": "1s",
@@ -167,7 +167,7 @@
 
 def measure_store(quick: bool, say: Say) -> StoreFigures:
     cores = sorted(os.sched_getaffinity(0))
-    rig = "ploverspoke.testbed.standins.rig"
+    rig = "ploverspoke.testbed.fakes.bench_endpoints"
     workers = Process(["-m", rig, "worker", str(WORKERS)], cores[-1])
     try:
         ports = workers.line()["ports"]
@@ -198,7 +198,7 @@
                             port = replicas.clients[leader]
                             words = [str(port), str(clients), str(seconds), "0", grade, str(start)]
                             load = Process(
-                                ["-m", "ploverspoke.testbed.standins.rig", "load", *words], cores[-2]
+                                ["-m", "ploverspoke.testbed.fakes.bench_endpoints", "load", *words], cores[-2]
                             )
                             found.setdefault((size, clients), []).append(load.line())
                             load.process.wait()
--- a/ploverspoke/testbed/soak/__init__.py
+++ b/ploverspoke/testbed/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A soak: one real dispatcher through signals, restarts and faults of discovery, with clients that stay."""
+"""Former place of the soak; the command is `python -m ploverspoke.testbed.commands.soak`."""
