--- a/tests/config_distribution/test_processes.py
+++ b/tests/config_distribution/test_processes.py
@@ -5,19 +5,19 @@
 import pytest
 from click.testing import CliRunner
 
-from ploverspoke.testbed import commands
-from ploverspoke.testbed.processes.distribution_run import (
+from ploverspoke.testbed.commands import experiments
+from ploverspoke.testbed.experiment_files.durations import MILLISECOND, SECOND, Duration
+from ploverspoke.testbed.processes.fault_timeline import LINK_FAULTS, FaultStep, TimelineError
+from ploverspoke.testbed.scenarios.distribution_scenario import (
+    DistributionScenario,
     Looked,
     Outcome,
-    Plan,
     grown,
-    play,
     read_distribution_experiment,
     regions,
+    run_distribution_scenario,
     timeline,
 )
-from ploverspoke.testbed.processes.timeline import ON_LINKS, BadTimeline, Step
-from ploverspoke.testbed.spans import MILLISECOND, SECOND, Span
 
 RUNS_LONG = True  # scheduled first: see tests/conftest.py
 
@@ -32,18 +32,18 @@
 
 
 def test_acknowledged_versions_are_applied_in_time_through_kills_pauses_cuts_and_lost_folders() -> None:
-    plan = Plan(kills=Span(2 * SECOND))
+    plan = DistributionScenario(kills=Duration(2 * SECOND))
     # All that is done to two dispatchers; of the drawn faults some may be skipped where two would meet.
     own_steps = [
-        Step(at=Span(3 * SECOND), what="empty", who=["a-d4"], lasts=Span(200 * MS)),
-        Step(at=Span(6 * SECOND), what="older", who=["a-d4"], lasts=Span(200 * MS)),
-        Step(at=Span(9 * SECOND), what="restart", who=["a-d4"]),
-        Step(at=Span(12 * SECOND), what="pause", who=["a-d4"], lasts=Span(700 * MS)),
-        Step(at=Span(3 * SECOND), what="kill", who=["a-d2"], lasts=Span(200 * MS)),
+        FaultStep(at=Duration(3 * SECOND), what="empty", who=["a-d4"], lasts=Duration(200 * MS)),
+        FaultStep(at=Duration(6 * SECOND), what="older", who=["a-d4"], lasts=Duration(200 * MS)),
+        FaultStep(at=Duration(9 * SECOND), what="restart", who=["a-d4"]),
+        FaultStep(at=Duration(12 * SECOND), what="pause", who=["a-d4"], lasts=Duration(700 * MS)),
+        FaultStep(at=Duration(3 * SECOND), what="kill", who=["a-d2"], lasts=Duration(200 * MS)),
     ]
     apart = {"a-d2", "a-d4"}
-    others = [s for s in timeline(plan, 53) if s.what in (*ON_LINKS, "copy") or not apart & set(s.who)]
-    played = play(plan, 53, [*others, *own_steps])
+    others = [s for s in timeline(plan, 53) if s.what in (*LINK_FAULTS, "copy") or not apart & set(s.who)]
+    played = run_distribution_scenario(plan, 53, [*others, *own_steps])
     assert played.shown == [], "\n".join(played.shown)
     assert (played.void, played.faults, played.verdict.void()) == ("", [], "")
     assert played.verdict.refusals == plan.dispatchers
@@ -61,12 +61,16 @@
         "a-d2": [FAULTY, "applies_part_of_rejected"],
         "b-d3": [FAULTY, "keeps_silent_server"],
     }
-    plan = Plan(
-        dispatchers=5, within=Span(4 * SECOND), lasts=Span(12 * SECOND), every=Span(SECOND), emptied=Span(0)
+    plan = DistributionScenario(
+        dispatchers=5,
+        within=Duration(4 * SECOND),
+        lasts=Duration(12 * SECOND),
+        every=Duration(SECOND),
+        emptied=Duration(0),
     )
     # The one local server of b-d3 is paused for most of the run.
-    paused = Step(at=Span(2 * SECOND), what="pause", who=["b-s1"], lasts=Span(9 * SECOND))
-    findings = findings_of(play(plan, 2, [*regions(plan), paused], faulty_programs))
+    paused = FaultStep(at=Duration(2 * SECOND), what="pause", who=["b-s1"], lasts=Duration(9 * SECOND))
+    findings = findings_of(run_distribution_scenario(plan, 2, [*regions(plan), paused], faulty_programs))
     for expected in (
         "a-d0 went back from version",
         "b-d1 has half of tag",
@@ -80,39 +84,41 @@
 def test_checker_finds_a_server_that_sends_uncommitted_versions() -> None:
     # The leader is cut off from the other servers, not from publishers and watchers, and is asked to commit
     # what it cannot; the others elect another leader and commit, and no publisher repeats its request.
-    plan = Plan(
-        within=Span(2 * SECOND),
-        lasts=Span(12 * SECOND),
+    plan = DistributionScenario(
+        within=Duration(2 * SECOND),
+        lasts=Duration(12 * SECOND),
         publishers=4,
-        every=Span(100 * MS),
-        election=Span(600 * MS),
+        every=Duration(100 * MS),
+        election=Duration(600 * MS),
         stubborn=0.0,
         near_one=True,
-        emptied=Span(0),
-        leader_cut=Span(2400 * MS),
+        emptied=Duration(0),
+        leader_cut=Duration(2400 * MS),
     )
     findings = findings_of(
-        play(plan, 3, regions(plan), {name: [FAULTY, "sends_uncommitted"] for name in plan.server_names()})
+        run_distribution_scenario(
+            plan, 3, regions(plan), {name: [FAULTY, "sends_uncommitted"] for name in plan.server_names()}
+        )
     )
     assert [finding for finding in findings if "which was not committed" in finding], findings
 
 
 def test_checker_finds_servers_that_ignore_the_expected_version_or_begin_anew() -> None:
-    plan = Plan(
+    plan = DistributionScenario(
         dispatchers=2,
-        within=Span(2 * SECOND),
-        lasts=Span(8 * SECOND),
-        every=Span(300 * MS),
-        emptied=Span(3 * SECOND),
+        within=Duration(2 * SECOND),
+        lasts=Duration(8 * SECOND),
+        every=Duration(300 * MS),
+        emptied=Duration(3 * SECOND),
     )
     faulty_programs = {name: [FAULTY, "ignores_expected_version,begins_anew"] for name in plan.server_names()}
-    findings = findings_of(play(plan, 4, regions(plan), faulty_programs))
+    findings = findings_of(run_distribution_scenario(plan, 4, regions(plan), faulty_programs))
     for expected in ("won", "and came behind", "serves with an empty folder"):
         assert [finding for finding in findings if expected in finding], findings
 
 
 def test_seed_gives_the_same_faults_and_a_calm_end() -> None:
-    plan = Plan(lasts=Span(60 * SECOND))
+    plan = DistributionScenario(lasts=Duration(60 * SECOND))
     steps = timeline(plan, 7)
     assert steps == timeline(plan, 7) != timeline(plan, 8)
     assert all(step.at + step.lasts <= plan.lasts - plan.calm() for step in steps)
@@ -136,20 +142,22 @@
 )
 def test_invalid_experiment_is_rejected_with_its_key(wrong: dict[str, object], key: str) -> None:
     experiment = {"kind": "distribution", "name": "n", "seeds": [1], "plan": wrong}
-    with pytest.raises(BadTimeline, match=key):
+    with pytest.raises(TimelineError, match=key):
         read_distribution_experiment(experiment)
-    assert read_distribution_experiment({**experiment, "plan": {}}).plan == Plan()
+    assert read_distribution_experiment({**experiment, "plan": {}}).plan == DistributionScenario()
 
 
 def test_command_names_the_key_of_an_invalid_experiment(tmp_path: Path) -> None:
     path = tmp_path / "wrong.toml"
     path.write_text('kind = "distribution"\nname = "wrong"\nseeds = [1]\n[plan]\nservers = 4\n')
-    result = CliRunner().invoke(commands.testbed, ["run", str(path)])
+    result = CliRunner().invoke(experiments.testbed, ["run", str(path)])
     assert result.exit_code == 2 and "plan.servers: expected 3 or 5" in result.output
 
 
 def test_growth_while_regions_are_apart_is_measured_on_its_own() -> None:
-    plan = Plan(lasts=Span(100 * SECOND), apart_at=Span(20 * SECOND), apart=Span(60 * SECOND))
+    plan = DistributionScenario(
+        lasts=Duration(100 * SECOND), apart_at=Duration(20 * SECOND), apart=Duration(60 * SECOND)
+    )
     # One region's servers grow by a byte a second, folders by ten; octets are twice as many afterwards.
     looked = [
         Looked(at * SECOND, 1000 + at, 1000, 5000, 5000, 10 * at, 100 * at + 100 * max(0, at - 80))
@@ -159,4 +167,4 @@
     assert figures["apart_servers_a_grow_bytes"] == 45 and figures["apart_servers_b_grow_bytes"] == 0
     assert figures["apart_folders_grow_bytes"] == 450
     assert (figures["before_octets_a_second"], figures["healing_octets_a_second"]) == (100, 200)
-    assert grown(Plan(), looked) == {}
+    assert grown(DistributionScenario(), looked) == {}
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from ploverspoke.testbed.processes.room import in_memory
+from ploverspoke.testbed.processes.capacity_check import memory_backed_folder
 from tests.expected_failures import ExpectedFailures
 
 WORKERS = 4  # most tests wait for processes and sockets; the explorers have processes of their own
@@ -19,7 +19,7 @@
 
 
 def pytest_configure(config: pytest.Config) -> None:
-    where = in_memory()
+    where = memory_backed_folder()
     if where is not None and config.option.basetemp is None:
         folder = tempfile.mkdtemp(prefix="ploverspoke-tests-", dir=where)
         config.add_cleanup(lambda: shutil.rmtree(folder, ignore_errors=True))
--- a/tests/decisions/harness.py
+++ b/tests/decisions/harness.py
@@ -24,7 +24,7 @@
     Settings,
 )
 from ploverspoke.decisions.state import MILLISECOND, SECOND
-from ploverspoke.testbed.list_age.processes import SETTINGS as SETTINGS
+from ploverspoke.testbed.processes.dispatcher_process import SETTINGS as SETTINGS
 
 MS = MILLISECOND
 DECISION_SETTINGS = Settings(
--- a/tests/leases/lease_server_rig.py
+++ b/tests/leases/lease_server_rig.py
@@ -6,20 +6,22 @@
 from collections.abc import Awaitable, Callable
 from pathlib import Path
 
-from ploverspoke.testbed.processes.lease_run import Leases, Plan
+from ploverspoke.testbed.experiment_files.durations import SECOND, Duration
 from ploverspoke.testbed.processes.rig import Rig
-from ploverspoke.testbed.spans import SECOND, Span
+from ploverspoke.testbed.scenarios.lease_scenario import LeaseFleet, LeaseScenario
 
 Call = Callable[..., Awaitable[tuple[int, str]]]  # command and arguments; gives exit code and output
 
 
 def run_with_lease_servers(
-    tmp_path: Path, script: Callable[[Leases, Call], Awaitable[None]], names: dict[str, int] | None = None
+    tmp_path: Path, script: Callable[[LeaseFleet, Call], Awaitable[None]], names: dict[str, int] | None = None
 ) -> None:
     """Starts three real lease servers on a rig, then runs the script, which may call `ploverspoke lease`."""
-    plan = Plan(keepers=3, contenders=0, names=names or {"one": 1, "two": 1}, duration=Span(4 * SECOND))
+    plan = LeaseScenario(
+        keepers=3, contenders=0, names=names or {"one": 1, "two": 1}, duration=Duration(4 * SECOND)
+    )
 
-    async def call(leases: Leases, command: str, *arguments: str) -> tuple[int, str]:
+    async def call(leases: LeaseFleet, command: str, *arguments: str) -> tuple[int, str]:
         process = await asyncio.create_subprocess_exec(
             *(sys.executable, "-m", "ploverspoke", "lease", command, str(leases.file), *arguments),
             stdout=subprocess.PIPE,
@@ -31,7 +33,7 @@
 
     async def run() -> None:
         async with Rig(tmp_path, 1) as rig:
-            leases = Leases(rig, plan)
+            leases = LeaseFleet(rig, plan)
             await leases.start()
             while (await call(leases, "status"))[0]:
                 await asyncio.sleep(0.1)
--- a/tests/leases/test_fleet_tasks.py
+++ b/tests/leases/test_fleet_tasks.py
@@ -21,8 +21,8 @@
 from ploverspoke.store.log_commands import CommitConfiguration, encode_command
 from ploverspoke.store.state_machine import RequestStateMachine
 from ploverspoke.testbed.processes.addresses import held_ports
-from ploverspoke.testbed.processes.lease_run import Leases
-from ploverspoke.testbed.processes.rig import listens
+from ploverspoke.testbed.processes.rig import listens_at
+from ploverspoke.testbed.scenarios.lease_scenario import LeaseFleet
 from tests.leases.lease_server_rig import Call, run_with_lease_servers
 
 RUNS_LONG = True  # scheduled first: see tests/conftest.py
@@ -71,7 +71,7 @@
 def test_no_more_dispatchers_are_out_than_may_hold_the_lease_and_a_failed_one_frees_it(
     tmp_path: Path,
 ) -> None:
-    async def script(leases: Leases, call: Call) -> None:
+    async def script(leases: LeaseFleet, call: Call) -> None:
         dispatchers = [FakeDispatcher() for _ in range(DISPATCHERS)]
         for dispatcher in dispatchers:
             await dispatcher.open()
@@ -95,7 +95,7 @@
     run_with_lease_servers(tmp_path, script, {"both": MAX_HOLDERS})
 
 
-async def start_summary_writers(leases: Leases, path: Path, ports: list[int]) -> list[Process]:
+async def start_summary_writers(leases: LeaseFleet, path: Path, ports: list[int]) -> list[Process]:
     options = ["--to", str(path), "--every", "0.2", "--for", "1.5"]
     for port in ports:
         options += ["--from", f"127.0.0.1:{port}"]
@@ -130,7 +130,7 @@
 def test_summary_is_written_by_one_process_at_a_time_and_by_the_next_when_that_is_killed(
     tmp_path: Path,
 ) -> None:
-    async def script(leases: Leases, call: Call) -> None:
+    async def script(leases: LeaseFleet, call: Call) -> None:
         dispatchers = [FakeDispatcher() for _ in range(3)]
         for dispatcher in dispatchers:
             await dispatcher.open()
@@ -162,7 +162,7 @@
     return process.returncode, output
 
 
-async def start_store(leases: Leases, file: Path) -> None:
+async def start_store(leases: LeaseFleet, file: Path) -> None:
     """A store of one replica, ready; its configuration is written to `file`."""
     rig = leases.rig
     place = rig.place("store", [], direct=["peers", "clients"])
@@ -170,14 +170,14 @@
     replicas = {"r1": {"peers": place.at("peers"), "clients": place.at("clients")}}
     file.write_bytes(msgspec.json.encode({**config, "replicas": replicas}))
     process = rig.add(place, "ploverspoke", ["serve", str(EXAMPLE), "--store", str(file)])
-    process.ready = listens(place.own, place.ports["peers"])
+    process.ready = listens_at(place.own, place.ports["peers"])
     await rig.start(["store"], ["--new"])
     while (await run_store_command("status", str(file)))[0]:
         await asyncio.sleep(0.1)
 
 
 def test_configurations_of_many_publishers_never_interleave(tmp_path: Path) -> None:
-    async def script(leases: Leases, call: Call) -> None:
+    async def script(leases: LeaseFleet, call: Call) -> None:
         store = tmp_path / "store.json"
         await start_store(leases, store)
         files = [tmp_path / f"c{n}.json" for n in range(4)]
--- a/tests/leases/test_lease_checker.py
+++ b/tests/leases/test_lease_checker.py
@@ -2,15 +2,15 @@
 
 import pytest
 
-from ploverspoke.testbed.processes.history import Happened
-from ploverspoke.testbed.processes.lease_check import gaps, judge
-from ploverspoke.testbed.spans import MILLISECOND
+from ploverspoke.testbed.checkers.lease_checker import check_lease_history, takeover_gaps
+from ploverspoke.testbed.experiment_files.durations import MILLISECOND
+from ploverspoke.testbed.processes.history import HistoryEvent
 
 MS = MILLISECOND
 
 
-def row(at: int, who: str, what: str, *detail: object) -> Happened:
-    return Happened(at * MS, who, what, list(detail))
+def row(at: int, who: str, what: str, *detail: object) -> HistoryEvent:
+    return HistoryEvent(at * MS, who, what, list(detail))
 
 
 CLEAN = [
@@ -33,19 +33,19 @@
         ([row(30, "resource", "effect", "n", 1, 10, True, "a")], "n: token 1 was taken after 2"),
     ],
 )
-def test_checker_finds_each_kind_of_violation(more: list[Happened], found: str) -> None:
-    findings = judge(sorted([*CLEAN, *more]), {"n": 1}).findings
+def test_checker_finds_each_kind_of_violation(more: list[HistoryEvent], found: str) -> None:
+    findings = check_lease_history(sorted([*CLEAN, *more]), {"n": 1}).findings
     assert (not findings) if not found else any(found in what for what, _ in findings)
 
 
 def test_checker_counts_holders_at_once_and_gaps() -> None:
     both = [row(0, "a", "acts", "n", 1), row(1, "b", "acts", "n", 2), row(9, "a", "acts", "n", 1)]
-    assert not judge(both, {"n": 2}).findings and judge(both, {"n": 1}).findings
+    assert not check_lease_history(both, {"n": 2}).findings and check_lease_history(both, {"n": 1}).findings
     third = [*both, row(1, "c", "acts", "n", 3)]
-    assert judge(sorted(third), {"n": 2}).findings
+    assert check_lease_history(sorted(third), {"n": 2}).findings
     killed = [
         row(10, "rig", "holder killed", "a", "n"),
         row(1200, "a", "acts", "n", 4),
         row(1300, "c", "acts", "n", 5),
     ]
-    assert gaps(sorted([*both, *killed]), "holder killed") == [1.29]
+    assert takeover_gaps(sorted([*both, *killed]), "holder killed") == [1.29]
--- a/tests/leases/test_lease_commands.py
+++ b/tests/leases/test_lease_commands.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 from ploverspoke.consensus.framing import FrameCodec
-from ploverspoke.testbed.processes.lease_run import Leases
+from ploverspoke.testbed.scenarios.lease_scenario import LeaseFleet
 from tests.leases.lease_server_rig import Call, run_with_lease_servers
 
 RUNS_LONG = True  # scheduled first: see tests/conftest.py
@@ -58,7 +58,7 @@
     assert (await call("run", "one", "--for", "4", "--grace", "2", "--", "true"))[0] == 2
 
 
-async def run_command_while_the_majority_is_paused(leases: Leases, call: Call) -> None:
+async def run_command_while_the_majority_is_paused(leases: LeaseFleet, call: Call) -> None:
     """The command is terminated, and killed where it ignores that."""
     running = asyncio.create_task(call("run", "two", *RUN_OPTIONS, IGNORES_TERM))
     while (await call("show", "two"))[0]:
@@ -76,7 +76,7 @@
 
 
 def test_operators_acquire_show_and_release_leases_and_run_commands_under_them(tmp_path: Path) -> None:
-    async def script(leases: Leases, call: Call) -> None:
+    async def script(leases: LeaseFleet, call: Call) -> None:
         token = await acquire_show_and_release(call)
         await run_commands_and_wrong_calls(call, token)
         await run_command_while_the_majority_is_paused(leases, call)
@@ -87,7 +87,7 @@
 def test_restored_lease_servers_grant_higher_tokens_after_the_longest_lease(
     tmp_path: Path,
 ) -> None:
-    async def script(leases: Leases, call: Call) -> None:
+    async def script(leases: LeaseFleet, call: Call) -> None:
         backup = tmp_path / "backup.db"
         files = [tmp_path / f"k{n}.json" for n in range(3)]
 
@@ -131,7 +131,7 @@
 
 
 def test_client_with_another_secret_or_a_malformed_message_changes_nothing(tmp_path: Path) -> None:
-    async def script(leases: Leases, call: Call) -> None:
+    async def script(leases: LeaseFleet, call: Call) -> None:
         place = leases.keepers[0]
         for secret, message in (
             (b"another secret than theirs", None),
--- a/tests/leases/test_lease_processes.py
+++ b/tests/leases/test_lease_processes.py
@@ -2,9 +2,9 @@
 
 import pytest
 
-from ploverspoke.testbed.processes.lease_run import Plan, play
-from ploverspoke.testbed.processes.timeline import Step
-from ploverspoke.testbed.spans import MILLISECOND, SECOND, Span
+from ploverspoke.testbed.experiment_files.durations import MILLISECOND, SECOND, Duration
+from ploverspoke.testbed.processes.fault_timeline import FaultStep
+from ploverspoke.testbed.scenarios.lease_scenario import LeaseScenario, run_lease_scenario
 
 RUNS_LONG = True  # scheduled first: see tests/conftest.py
 
@@ -12,7 +12,7 @@
 
 
 def test_no_two_holders_act_at_once_through_kills_pauses_partitions_and_clock_drift() -> None:
-    played = play(Plan(lasts=Span(60 * SECOND)), 1)
+    played = run_lease_scenario(LeaseScenario(lasts=Duration(60 * SECOND)), 1)
     assert played.shown == [], "\n".join(played.shown)
     assert (played.void, played.faults, played.verdict.void()) == ("", [], "")
     assert played.verdict.taken > 2000 and played.verdict.names == 3
@@ -24,11 +24,15 @@
 def test_late_effect_is_rejected_by_its_fencing_token_and_found_without_one(fenced: bool) -> None:
     # Each in turn does not reach the resource for a while: what it has sent comes when others act by then.
     steps = [
-        Step(at=Span(n * 700 * MS), what="cut", who=[f"c{n % 4}"], to=["r"], lasts=Span(2 * SECOND))
+        FaultStep(
+            at=Duration(n * 700 * MS), what="cut", who=[f"c{n % 4}"], to=["r"], lasts=Duration(2 * SECOND)
+        )
         for n in range(1, 14)
     ]
-    plan = Plan(keepers=3, contenders=4, names={"one": 1}, lasts=Span(12 * SECOND), fenced=fenced)
-    played = play(plan, 1, steps)
+    plan = LeaseScenario(
+        keepers=3, contenders=4, names={"one": 1}, lasts=Duration(12 * SECOND), fenced=fenced
+    )
+    played = run_lease_scenario(plan, 1, steps)
     assert (played.void, played.faults) == ("", [])
     if fenced:
         assert played.shown == [] and played.verdict.refused > 0
@@ -41,22 +45,26 @@
     # Each in turn does not reach the lease servers for a while, and the next is given the lease by then.
     servers = ["k0", "k1", "k2"]
     steps = [
-        Step(at=Span(n * 1500 * MS), what="cut", who=[f"c{n % 4}"], to=servers, lasts=Span(2500 * MS))
+        FaultStep(
+            at=Duration(n * 1500 * MS), what="cut", who=[f"c{n % 4}"], to=servers, lasts=Duration(2500 * MS)
+        )
         for n in range(1, 6)
     ]
-    plan = Plan(keepers=3, contenders=4, names={"one": 1}, lasts=Span(9 * SECOND), keeps=1.0, outlasts=True)
-    played = play(plan, 1, steps)
+    plan = LeaseScenario(
+        keepers=3, contenders=4, names={"one": 1}, lasts=Duration(9 * SECOND), keeps=1.0, outlasts=True
+    )
+    played = run_lease_scenario(plan, 1, steps)
     assert (played.void, played.faults) == ("", []) and "act at once" in played.shown[0]
 
 
 def test_no_holder_acts_after_expiry_without_a_majority_and_all_continue_when_it_is_back() -> None:
     begins, lasts = 4 * SECOND, 6 * SECOND
     steps = [
-        Step(at=Span(begins), what="pause", who=["k0", "k1"], lasts=Span(lasts)),
-        Step(at=Span(begins), what="kill", who=["k2"], lasts=Span(lasts)),
+        FaultStep(at=Duration(begins), what="pause", who=["k0", "k1"], lasts=Duration(lasts)),
+        FaultStep(at=Duration(begins), what="kill", who=["k2"], lasts=Duration(lasts)),
     ]
-    plan = Plan(keepers=5, contenders=8, names={"one": 1, "two": 1}, lasts=Span(16 * SECOND))
-    played = play(plan, 3, steps)
+    plan = LeaseScenario(keepers=5, contenders=8, names={"one": 1, "two": 1}, lasts=Duration(16 * SECOND))
+    played = run_lease_scenario(plan, 3, steps)
     assert (played.shown, played.void, played.faults) == ([], "", [])
     epoch = next(event.at for event in played.events if event.what == "begin")
     acts = [(event.at - epoch) / SECOND for event in played.events if event.what == "acts"]
--- a/tests/routing/test_acceptance_rules.py
+++ b/tests/routing/test_acceptance_rules.py
@@ -15,11 +15,11 @@
 import pytest
 import uvloop
 
-from ploverspoke.testbed.experiment import experiment_of
+from ploverspoke.testbed.experiment_files.experiment import parse_experiment
+from ploverspoke.testbed.models.event_records import CAME, UP
+from ploverspoke.testbed.models.virtual_run import VirtualRun as VirtualWorld
+from ploverspoke.testbed.models.worker import Worker
 from ploverspoke.testbed.processes.addresses import held_ports
-from ploverspoke.testbed.records import CAME, UP
-from ploverspoke.testbed.virtual import World as VirtualWorld
-from ploverspoke.testbed.worker import Worker
 from tests.decisions.harness import SETTINGS
 from tests.routing.faulty_discovery import FAULTS, RESPONSES, Watched
 from tests.routing.harness import World, listed, message, play
@@ -143,7 +143,7 @@
     at the worst moment, N being what the settings allow then; and how many they got in all.
     """
     work, slots = 200 * MS, 2
-    e = experiment_of(
+    e = parse_experiment(
         {
             "name": "cold",
             "lasts": "10s",
--- a/tests/routing/test_stale_endpoint_list.py
+++ b/tests/routing/test_stale_endpoint_list.py
@@ -23,8 +23,8 @@
 
 import uvloop
 
-from ploverspoke.testbed.list_age.discovery import Failure, ScriptedDiscovery
-from ploverspoke.testbed.list_age.processes import DispatcherProcess
+from ploverspoke.testbed.fakes.faulty_discovery import Failure, ScriptedDiscovery
+from ploverspoke.testbed.processes.dispatcher_process import DispatcherProcess
 from tests.routing.harness import World, message
 
 RUNS_LONG = True  # scheduled first: see tests/conftest.py
--- a/tests/store/test_router_with_request_log.py
+++ b/tests/store/test_router_with_request_log.py
@@ -5,14 +5,14 @@
 import pytest
 
 from ploverspoke.routing.request_log import PreviousOutcome
-from ploverspoke.testbed.audit import SOCKETS_SLACK, audit
-from ploverspoke.testbed.experiment import experiment_of
-from ploverspoke.testbed.records import DISPATCHER_DOWN
-from ploverspoke.testbed.sockets import play_on_sockets
+from ploverspoke.testbed.checkers.request_audit import SOCKETS_TOLERANCE, audit_requests
+from ploverspoke.testbed.experiment_files.experiment import parse_experiment
+from ploverspoke.testbed.models.event_records import DISPATCHER_DOWN
+from ploverspoke.testbed.scenarios.socket_run import run_on_sockets
 from tests.decisions.harness import SECOND, SETTINGS, DispatchHarness, endpoint
 from tests.routing.harness import World, message
 from tests.store.request_log_harness import ControlledRequestLog, run_with_request_log
-from tests.testbed.test_model import WORLD
+from tests.testbed.harness import SMALL_EXPERIMENT
 
 RUNS_LONG = True  # scheduled first: see tests/conftest.py
 
@@ -170,15 +170,15 @@
         {"what": "dispatcher paused", "at": "16s", "lasts": "1s", "dispatchers": [1]},
         {"what": "dispatcher paused", "at": "18s", "lasts": "1s", "dispatchers": [2]},
     ]
-    experiment = experiment_of(
+    experiment = parse_experiment(
         {
-            **WORLD,
+            **SMALL_EXPERIMENT,
             "lasts": "20s",
             "dispatchers": {"count": 3, "store": True},
             "clients": {"elsewhere_after": "500ms"},
             "troubles": outages,
         }
     )
-    played = play_on_sockets(experiment, 1)
-    assert audit(experiment, played.events, SOCKETS_SLACK) == []
+    played = run_on_sockets(experiment, 1)
+    assert audit_requests(experiment, played.events, SOCKETS_TOLERANCE) == []
     assert sum(event.what == DISPATCHER_DOWN for event in played.events) == 3
--- a/tests/testbed/test_capacity_table.py
+++ b/tests/testbed/capacity/test_capacity_table.py
@@ -12,16 +12,33 @@
 from ploverspoke.cli import main
 from ploverspoke.testbed.capacity.budgets import CONTROL, PROGRESS, STARTS, WATCHED
 from ploverspoke.testbed.capacity.estimate import estimate, stops_at
-from ploverspoke.testbed.capacity.loads import APART, ORDINARY, PEAK, ZONE, Amount, loads
+from ploverspoke.testbed.capacity.fleet_size import FleetFileError, fleet_of, read_fleet
 from ploverspoke.testbed.capacity.machines import layout, losses, splits, third_site
-from ploverspoke.testbed.capacity.played import NONE, Plays, Run, read_plays
-from ploverspoke.testbed.capacity.render import BEGIN, END, BadPage, between, markdown, put_in
+from ploverspoke.testbed.capacity.measured_costs import (
+    CostPerUnit,
+    MeasuredCosts,
+    read_measured_costs,
+    write_measured_costs,
+)
 from ploverspoke.testbed.capacity.rows import Need, Row
-from ploverspoke.testbed.capacity.size import BadFleet, fleet_of, read_fleet
-from ploverspoke.testbed.capacity.slopes import Line, Slopes, read_slopes, write_slopes
+from ploverspoke.testbed.capacity.scenario_results import (
+    NONE,
+    ScenarioResult,
+    ScenarioResults,
+    read_scenario_results,
+)
 from ploverspoke.testbed.capacity.table import Table, choose, make_table
+from ploverspoke.testbed.capacity.workload import APART, ORDINARY, PEAK, ZONE, Amount, workload
+from ploverspoke.testbed.reports.capacity_table import (
+    BEGIN,
+    END,
+    CapacityPageError,
+    between,
+    markdown,
+    put_in,
+)
 
-ROOT = Path(__file__).parents[2]
+ROOT = Path(__file__).parents[3]
 FLEET = ROOT / "experiments/fleet-ahead.toml"
 SLOPES = ROOT / "experiments/fleet-ahead-slopes.json"
 PLAYS = ROOT / "experiments/fleet-ahead-plays.json"
@@ -57,7 +74,7 @@
     ],
 )
 def test_a_wrong_fleet_file_names_the_key(table: str, key: str, value: object) -> None:
-    with pytest.raises(BadFleet) as error:
+    with pytest.raises(FleetFileError) as error:
         fleet_of(told(table, key, value))
     assert key in str(error.value) and "\n" not in str(error.value)
 
@@ -65,23 +82,23 @@
 def test_a_missing_key_and_another_kind_are_named() -> None:
     whole = tomllib.loads(FLEET.read_text())
     del whole["budget"]["memory_mb"]
-    with pytest.raises(BadFleet, match="memory_mb"):
+    with pytest.raises(FleetFileError, match="memory_mb"):
         fleet_of(whole)
-    with pytest.raises(BadFleet, match="kind"):
+    with pytest.raises(FleetFileError, match="kind"):
         fleet_of({**tomllib.loads(FLEET.read_text()), "kind": "leases"})
 
 
-def line(figure: str, size: str, points: list[tuple[float, float]], **more: Any) -> Line:
+def line(figure: str, size: str, points: list[tuple[float, float]], **more: Any) -> CostPerUnit:
     """Through its first and last point."""
     (x0, y0), (x1, y1) = points[0], points[-1]
     slope = (y1 - y0) / (x1 - x0)
     fit = {"intercept": y0 - slope * x0, "slope": slope, "residual": 0.0, "contradicted": False, "unit": "-"}
     asked = {"role": "dispatcher", "figure": figure, "size": size, "points": points, "measured_to": x1}
-    return Line(**{**asked, **fit, **more})
+    return CostPerUnit(**{**asked, **fit, **more})
 
 
-def slopes(*lines: Line) -> Slopes:
-    return Slopes(format=1, at="2026-12-02", text="abc", machine="made up", lines=list(lines))
+def slopes(*lines: CostPerUnit) -> MeasuredCosts:
+    return MeasuredCosts(format=1, at="2026-12-02", text="abc", machine="made up", lines=list(lines))
 
 
 def sizes(**amounts: float) -> dict[str, Amount]:
@@ -212,22 +229,22 @@
 # ---- The fleet ----
 
 
-def made(measured: Slopes, plays: Plays = NONE) -> Table:
+def made(measured: MeasuredCosts, plays: ScenarioResults = NONE) -> Table:
     return make_table(read_fleet(FLEET), measured, plays)
 
 
 def test_what_a_dispatcher_meets_by_hand() -> None:
     fleet = read_fleet(FLEET)
-    peak = loads(fleet, 200, PEAK)["dispatcher"]
+    peak = workload(fleet, 200, PEAK)["dispatcher"]
     assert peak["tasks_running"].value == 24 and peak["starts_a_second"].value == pytest.approx(0.6)
     # 9,400 jobs of 64 tasks at the most over a day, 200 dispatchers.
-    ordinary = loads(fleet, 200, ORDINARY)["dispatcher"]["starts_a_second"]
+    ordinary = workload(fleet, 200, ORDINARY)["dispatcher"]["starts_a_second"]
     assert ordinary.value == pytest.approx(9400 * 64 / 86400 / 200) and ordinary.origin == "assumed"
     # 140 of 980 workers go with 29 of 200 dispatchers; 685.7 tasks start again within the minute.
-    zone = loads(fleet, 200, ZONE)["dispatcher"]
+    zone = workload(fleet, 200, ZONE)["dispatcher"]
     assert zone["starts_a_second"].value == pytest.approx((120 + 4800 / 7 / 60) / 171)
     assert zone["list_changes_a_second"].value == pytest.approx(140 / 60)
-    assert loads(fleet, 200, APART)["dispatcher"]["list_changes_a_second"].value == pytest.approx(560 / 60)
+    assert workload(fleet, 200, APART)["dispatcher"]["list_changes_a_second"].value == pytest.approx(560 / 60)
 
 
 def test_a_budget_is_held_against_what_counts_as_control() -> None:
@@ -296,9 +313,9 @@
 def test_with_the_distribution_measured_the_row_is_shown_before_and_after() -> None:
     server = line("core_share", "watchers", [(10.0, 0.001), (400.0, 0.02)], role="config server")
     held = ["changes in force at the last dispatcher within 10000 ms"]
-    run = Run(play="many changes, from config servers", seed=1, dispatchers=50, held=held)
-    by_hand = Run(play="many changes, by signals", seed=1, dispatchers=50, failed=held)
-    played = Plays(format=1, at="2026-12-02", text="abc", machine="made up", runs=[run, by_hand])
+    run = ScenarioResult(play="many changes, from config servers", seed=1, dispatchers=50, held=held)
+    by_hand = ScenarioResult(play="many changes, by signals", seed=1, dispatchers=50, failed=held)
+    played = ScenarioResults(format=1, at="2026-12-02", text="abc", machine="made up", runs=[run, by_hand])
     table = made(slopes(server), played)
     text = markdown(table, slopes(server), played)
     assert (
@@ -315,9 +332,11 @@
 
 
 def test_a_play_that_failed_or_is_void_is_said() -> None:
-    failed = Run(play="zone lost", seed=1, dispatchers=50, failed=["urgent work began within 3.4 s: 3.9 s"])
-    void = Run(play="rack", seed=1, dispatchers=50, void="the machine was too slow", held=["all"])
-    played = Plays(format=1, at="2026-12-02", text="abc", machine="made up", runs=[failed, void])
+    failed = ScenarioResult(
+        play="zone lost", seed=1, dispatchers=50, failed=["urgent work began within 3.4 s: 3.9 s"]
+    )
+    void = ScenarioResult(play="rack", seed=1, dispatchers=50, void="the machine was too slow", held=["all"])
+    played = ScenarioResults(format=1, at="2026-12-02", text="abc", machine="made up", runs=[failed, void])
     table = made(slopes(), played)
     assert table.row("zone").verdict == "fails" and "3.9 s" in table.row("zone").gives
     assert table.row("rack").verdict == "not measured" and "too slow" in table.row("rack").gives
@@ -326,11 +345,11 @@
 
 def test_half_of_the_peak_is_no_failure_and_no_proof() -> None:
     figures: dict[str, float | None] = {"starts_a_second": 60.0, "tasks_running": 2400.0}
-    half = Run(
+    half = ScenarioResult(
         play="peak minute, half of it", seed=1, dispatchers=100, figures=figures,
         held=["urgent work begun within 3400 ms", "no broken rule (0 found)"],
     )  # fmt: skip
-    played = Plays(format=1, at="2026-12-02", text="abc", machine="made up", runs=[half])
+    played = ScenarioResults(format=1, at="2026-12-02", text="abc", machine="made up", runs=[half])
     table = made(slopes(), played)
     for key in ("workers", "starts", "tasks", "urgent", "zones"):
         assert table.row(key).verdict == "holds for less than asked", key
@@ -355,7 +374,7 @@
 
 def test_the_command_writes_between_the_markers_and_says_what_does_not_hold(tmp_path: Path) -> None:
     file, page = tmp_path / "slopes.json", tmp_path / "page.md"
-    write_slopes(slopes(LISTED), file)
+    write_measured_costs(slopes(LISTED), file)
     page.write_text(f"before\n{BEGIN}\nstale\n{END}\nafter\n")
     code, said = call(str(file), "--size", str(FLEET), "--write", str(page))
     assert code == 1 and "was not measured: workers, starts, tasks, gangs" in said
@@ -368,7 +387,7 @@
 
 def test_a_wrong_file_or_page_is_refused(tmp_path: Path) -> None:
     file, size, page = tmp_path / "slopes.json", tmp_path / "size.toml", tmp_path / "page.md"
-    write_slopes(slopes(LISTED), file)
+    write_measured_costs(slopes(LISTED), file)
     size.write_text(FLEET.read_text().replace("workers = 980", "workers = 0"))
     page.write_text("no markers\n")
     for words, says in (
@@ -381,14 +400,14 @@
         code, said = call(*words)
         assert code == 2 and says in said, said
     assert page.read_text() == "no markers\n"
-    with pytest.raises(BadPage):
+    with pytest.raises(CapacityPageError):
         put_in(f"{END} {BEGIN}", "")
 
 
 def test_the_page_is_what_the_files_come_to() -> None:
     """And what it says outside of that has no figure of its own."""
-    measured = read_slopes(SLOPES)
-    plays = read_plays(PLAYS) if PLAYS.exists() else NONE
+    measured = read_measured_costs(SLOPES)
+    plays = read_scenario_results(PLAYS) if PLAYS.exists() else NONE
     page = PAGE.read_text()
     text = markdown(made(measured, plays), measured, plays)
     assert between(page) == text, "ploverspoke testbed capacity SLOPES --plays PLAYS --write docs/CAPACITY.md"
--- a/tests/testbed/test_capacity_slopes.py
+++ b/tests/testbed/capacity/test_measured_costs.py
@@ -6,15 +6,26 @@
 import pytest
 from click.testing import CliRunner
 
-from ploverspoke.testbed.capacity import command
-from ploverspoke.testbed.capacity.dispatcher import Stretch, reload, told
-from ploverspoke.testbed.capacity.fits import TooFewPoints, fit
-from ploverspoke.testbed.capacity.parts import Asked, Found, Part, lines_of
-from ploverspoke.testbed.capacity.process import used
-from ploverspoke.testbed.capacity.slopes import BadSlopes, Line, Slopes, read_slopes, write_slopes
-from ploverspoke.testbed.capacity.world import played
-from ploverspoke.testbed.experiment import experiment_of
-from ploverspoke.testbed.spans import SECOND
+from ploverspoke.testbed.capacity.linear_fit import TooFewPointsError, fit
+from ploverspoke.testbed.capacity.measured_costs import (
+    CostFileError,
+    CostPerUnit,
+    MeasuredCosts,
+    read_measured_costs,
+    write_measured_costs,
+)
+from ploverspoke.testbed.capacity.measurements.dispatcher import Stretch, reload, report_listener
+from ploverspoke.testbed.capacity.measurements.measurement_fleet import run_fleet
+from ploverspoke.testbed.capacity.measurements.parts import (
+    Measurement,
+    MeasurementRequest,
+    MeasurementResult,
+    cost_lines,
+)
+from ploverspoke.testbed.commands import measure_costs
+from ploverspoke.testbed.experiment_files.durations import SECOND
+from ploverspoke.testbed.experiment_files.experiment import parse_experiment
+from ploverspoke.testbed.processes.resource_usage import read_resource_usage
 
 
 def test_a_straight_line_is_found_and_a_bent_one_contradicted() -> None:
@@ -44,72 +55,74 @@
 
 
 def test_two_sizes_make_no_fit() -> None:
-    with pytest.raises(TooFewPoints):
+    with pytest.raises(TooFewPointsError):
         fit([(1, 1.0), (2, 2.0)])
-    with pytest.raises(TooFewPoints):
+    with pytest.raises(TooFewPointsError):
         fit([(1, 1.0), (1, 1.1), (2, 2.0), (2, 2.1)])
-    assert lines_of("r", "s", [(1.0, {"core_share": 1.0}), (2.0, {"core_share": 2.0})], "", {}) == []
+    assert cost_lines("r", "s", [(1.0, {"core_share": 1.0}), (2.0, {"core_share": 2.0})], "", {}) == []
 
 
-def lines(role: str, size: str, slope: float) -> list[Line]:
-    return lines_of(role, size, [(x, {"core_share": slope * x}) for x in (1.0, 2.0, 3.0)], "how", {"k": 1.0})
+def lines(role: str, size: str, slope: float) -> list[CostPerUnit]:
+    return cost_lines(
+        role, size, [(x, {"core_share": slope * x}) for x in (1.0, 2.0, 3.0)], "how", {"k": 1.0}
+    )
 
 
-def slopes(*found: Line) -> Slopes:
-    return Slopes(format=1, at="2026-12-02", text="abc", machine="8 cores", lines=list(found))
+def slopes(*found: CostPerUnit) -> MeasuredCosts:
+    return MeasuredCosts(format=1, at="2026-12-02", text="abc", machine="8 cores", lines=list(found))
 
 
 def test_the_file_reads_back_and_says_what_is_wrong_with_it(tmp_path: Path) -> None:
     path = tmp_path / "slopes.json"
-    write_slopes(slopes(*lines("dispatcher", "tasks_running", 2.0)), path)
-    (line,) = read_slopes(path).of("dispatcher", "core_share")
+    write_measured_costs(slopes(*lines("dispatcher", "tasks_running", 2.0)), path)
+    (line,) = read_measured_costs(path).of("dispatcher", "core_share")
     assert (line.unit, line.measured_to, line.points[0]) == ("cores", 3.0, (1.0, 2.0))
     assert line.still == {"k": 1.0} and line.slope == pytest.approx(2.0)
     path.write_text(path.read_text().replace('"format": 1', '"format": 9'))
-    with pytest.raises(BadSlopes, match="format 9"):
-        read_slopes(path)
+    with pytest.raises(CostFileError, match="format 9"):
+        read_measured_costs(path)
     for text in ("{}", "no json", '{"format": 1, "strange": 2}'):
         path.write_text(text)
-        with pytest.raises(BadSlopes):
-            read_slopes(path)
-    with pytest.raises(BadSlopes):
-        read_slopes(tmp_path / "none.json")
+        with pytest.raises(CostFileError):
+            read_measured_costs(path)
+    with pytest.raises(CostFileError):
+        read_measured_costs(tmp_path / "none.json")
 
 
 def test_a_later_call_replaces_only_the_sizes_that_it_measured() -> None:
     old = slopes(*lines("dispatcher", "a", 1.0), *lines("dispatcher", "b", 1.0), *lines("keeper", "a", 1.0))
-    new = command.merged(old, slopes(*lines("dispatcher", "a", 5.0)))
+    new = measure_costs.merged(old, slopes(*lines("dispatcher", "a", 5.0)))
     found = {(line.role, line.size): round(line.slope) for line in new.lines}
     assert found == {("dispatcher", "a"): 5, ("dispatcher", "b"): 1, ("keeper", "a"): 1}
-    assert command.merged(None, old) == old
+    assert measure_costs.merged(None, old) == old
 
 
-async def _found(asked: Asked) -> Found:
-    return Found(lines("dispatcher", "a", 2.0), [])
+async def _found(asked: MeasurementRequest) -> MeasurementResult:
+    return MeasurementResult(lines("dispatcher", "a", 2.0), [])
 
 
-async def _void(asked: Asked) -> Found:
-    return Found([], ["dispatcher, b 3: the rig was late"])
+async def _void(asked: MeasurementRequest) -> MeasurementResult:
+    return MeasurementResult([], ["dispatcher, b 3: the rig was late"])
 
 
 def test_the_command_says_what_was_void_and_what_it_does_not_know(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    parts = [Part(("dispatcher",), "a", _found), Part(("dispatcher", "worker"), "b", _void)]
-    monkeypatch.setattr(command, "PARTS", parts)
+    parts = [Measurement(("dispatcher",), "a", _found), Measurement(("dispatcher", "worker"), "b", _void)]
+    monkeypatch.setattr(measure_costs, "PARTS", parts)
     out = tmp_path / "slopes.json"
     run = CliRunner().invoke
 
-    done = run(command.slopes, ["dispatcher/a", "--out", str(out)])
-    assert done.exit_code == 0 and "core_share" in done.output and len(read_slopes(out).lines) == 1
-    done = run(command.slopes, ["dispatcher", "--out", str(out)])
+    done = run(measure_costs.slopes, ["dispatcher/a", "--out", str(out)])
+    assert done.exit_code == 0 and "core_share" in done.output and len(read_measured_costs(out).lines) == 1
+    done = run(measure_costs.slopes, ["dispatcher", "--out", str(out)])
     assert done.exit_code == 1 and "void: dispatcher, b 3: the rig was late" in done.output
-    done = run(command.slopes, ["worker", "--json", "--out", str(out)])
-    assert done.exit_code == 1 and '"void": [\n' in done.output and len(read_slopes(out).lines) == 1
-    done = run(command.slopes, ["nobody", "--out", str(out)])
+    done = run(measure_costs.slopes, ["worker", "--json", "--out", str(out)])
+    assert done.exit_code == 1 and '"void": [\n' in done.output and len(read_measured_costs(out).lines) == 1
+    done = run(measure_costs.slopes, ["nobody", "--out", str(out)])
     assert done.exit_code == 2 and "nobody" in done.output
     out.write_text("{}")
-    done = run(command.slopes, ["worker", "--out", str(out)])
+    done = run(measure_costs.slopes, ["worker", "--out", str(out)])
     assert done.exit_code == 2 and out.read_text() == "{}"
 
 
@@ -117,9 +130,9 @@
     """Eight long tasks run and tell their progress; one reload; nothing else passes in the stretch."""
     over = Stretch(2, 3)
     traffic = [{"rate": 8.0, "start": "0s", "end": "1s"}]
-    e = experiment_of(told(over, 5, work="900s", traffic=traffic))
+    e = parse_experiment(report_listener(over, 5, work="900s", traffic=traffic))
     acts = [(int(2.2 * SECOND), reload(e, 0))]
-    world, _ = asyncio.run(played(e, 1, over.settled * SECOND, acts))
+    world, _ = asyncio.run(run_fleet(e, 1, over.settled * SECOND, acts))
     reports = {kind: told_[-1] for kind, told_ in world.reports.items()}
     (at_workers,), (at_clients,) = reports["workers"]["traffic"], reports["clients"]["traffic"]
     (at_discovery,) = reports["discovery"]["traffic"]
@@ -146,4 +159,4 @@
         return process.pid
 
     with pytest.raises(OSError):
-        used(asyncio.run(ended()))
+        read_resource_usage(asyncio.run(ended()))
--- a/tests/testbed/test_distribution_check.py
+++ b/tests/testbed/checkers/test_distribution_checker.py
@@ -4,19 +4,19 @@
 
 import pytest
 
-from ploverspoke.testbed.processes.distribution_check import World, gaps, joined, judge
-from ploverspoke.testbed.processes.history import Happened
-from ploverspoke.testbed.spans import SECOND
+from ploverspoke.testbed.checkers.distribution_checker import World, check_distribution_history, gaps, joined
+from ploverspoke.testbed.experiment_files.durations import SECOND
+from ploverspoke.testbed.processes.history import HistoryEvent
 
 MS = 1_000_000
 SERVERS, DISPATCHERS = ["s0", "s1", "s2"], ["d0", "d1"]
 ENDS = 40_000  # ms
 KEY = "settings.Limits.MaxHandOffs"
-Story = list[Happened]
+Story = list[HistoryEvent]
 
 
-def row(at: int, who: str, what: str, detail: object = None) -> Happened:
-    return Happened(at * MS, who, what, detail)
+def row(at: int, who: str, what: str, detail: object = None) -> HistoryEvent:
+    return HistoryEvent(at * MS, who, what, detail)
 
 
 def published(at: int, tag: int, version: int, kind: str = "good", expect: int = -1) -> Story:
@@ -29,7 +29,7 @@
     ]
 
 
-def probed(at: int, dispatcher: str, tag: int, there: str = "ab") -> Happened:
+def probed(at: int, dispatcher: str, tag: int, there: str = "ab") -> HistoryEvent:
     names = [f"g{tag}{part}" for part in there]
     missed = [f"g{tag}{part}" for part in "ab" if part not in there]
     return row(at + 5, "prober", "probe", [dispatcher, at * MS, names, [*missed, "g99a"]])
@@ -144,7 +144,7 @@
 
 @pytest.mark.parametrize("told", [told for _, told in GOOD], ids=[name for name, _ in GOOD])
 def test_a_history_without_a_break_passes(told: Callable[[], Story]) -> None:
-    verdict = judge(told())
+    verdict = check_distribution_history(told())
     assert verdict.findings == [] and verdict.judged > 0 and verdict.versions >= 2
     assert verdict.void(versions=2, troubles=0) == "" and verdict.void(versions=20).startswith("only")
 
@@ -234,12 +234,12 @@
     ("found", "told"), [(found, told) for _, found, told in BROKEN], ids=[name for name, _, _ in BROKEN]
 )
 def test_each_kind_of_break_is_found(found: str, told: Callable[[], Story]) -> None:
-    findings = [what for what, _ in judge(told()).findings]
+    findings = [what for what, _ in check_distribution_history(told()).findings]
     assert any(found in what for what in findings), findings
 
 
 def test_what_is_too_little_is_void_and_delays_are_counted_from_the_acknowledgement_or_the_healing() -> None:
-    verdict = judge(
+    verdict = check_distribution_history(
         story(PUBLISHED, probes("d0", IN_TIME), probes("d1", {13_000: 3}), laid(500, 12_050, CUT))
     )
     assert verdict.findings == [] and verdict.acknowledged == 3 and verdict.troubles == 1
@@ -247,9 +247,11 @@
     assert [round(one, 3) for one in verdict.troubled] == [0.955] * 3
     assert verdict.void(3, 2) == "only 1 troubles: that proves nothing"
     unread = [event for event in story(PUBLISHED, both(IN_TIME)) if event.what != "versions"]
-    assert "not read" in judge(unread).void(0, 0)
+    assert "not read" in check_distribution_history(unread).void(0, 0)
     cut = {"origin": SERVERS, "target": SERVERS, "cut": True}
-    assert "long enough" in judge(story(PUBLISHED, both(IN_TIME), laid(0, ENDS, cut))).void(0, 0)
+    assert "long enough" in check_distribution_history(
+        story(PUBLISHED, both(IN_TIME), laid(0, ENDS, cut))
+    ).void(0, 0)
 
 
 def test_spans_and_who_can_reach_whom() -> None:
--- a/tests/testbed/test_audit.py
+++ b/tests/testbed/checkers/test_request_audit.py
@@ -8,11 +8,11 @@
 
 from ploverspoke.decisions.interface import AttemptOutcome, AttemptResult, Endpoint, EndpointCondition
 from ploverspoke.decisions.settings import Idempotency, Settings
-from ploverspoke.testbed.audit import VIRTUAL_SLACK, Finding, audit
-from ploverspoke.testbed.baselines import POLICIES, Open, TwoChoices
-from ploverspoke.testbed.records import Event
-from ploverspoke.testbed.virtual import play
-from tests.testbed.test_model import MS, world
+from ploverspoke.testbed.checkers.request_audit import VIRTUAL_TOLERANCE, Finding, audit_requests
+from ploverspoke.testbed.models.baseline_policies import POLICIES, Open, TwoChoices
+from ploverspoke.testbed.models.event_records import Event
+from ploverspoke.testbed.models.virtual_run import run_virtual_time
+from tests.testbed.harness import MILLISECOND, small_experiment
 
 CRASH = {"what": "crash", "at": "1s", "lasts": "2s", "workers": ["w0"]}
 DRAIN = {"what": "drain", "at": "1s", "lasts": "4s", "workers": ["w0"]}
@@ -111,8 +111,8 @@
 ) -> None:
     monkeypatch.setitem(POLICIES, "faulty", faulty)
     tender = {"tip_multiple": 1.0, "cold_share": 0.2} if CRASH in troubles else {}
-    e = world(troubles=troubles, discovery={"notices_death": "500ms"}, worker_rules=tender)
-    findings = audit(e, play(e, 1, "faulty"), VIRTUAL_SLACK)
+    e = small_experiment(troubles=troubles, discovery={"notices_death": "500ms"}, worker_rules=tender)
+    findings = audit_requests(e, run_virtual_time(e, 1, "faulty"), VIRTUAL_TOLERANCE)
     assert {f.rule for f in findings} == {rule}
     assert findings[0].timeline, "the first finding prints what was seen"
 
@@ -122,8 +122,8 @@
     hang = {"what": "hang", "at": "2s", "lasts": "2s", "workers": ["w2"]}
     silent = {"what": "silences", "at": "1s", "lasts": "4s", "errors": 0.05}
     workers = [CRASH, {**DRAIN, "workers": ["w1"]}, hang, silent, {**ERRORS, "workers": ["w3"]}]
-    e = world(troubles=[*workers, FEWER, STRICTER, REPLACED])
-    assert audit(e, play(e, 1, policy), VIRTUAL_SLACK) == []
+    e = small_experiment(troubles=[*workers, FEWER, STRICTER, REPLACED])
+    assert audit_requests(e, run_virtual_time(e, 1, policy), VIRTUAL_TOLERANCE) == []
 
 
 # ---- Cases at the edge, as single events ----
@@ -132,11 +132,11 @@
 def seen(*events: tuple[Any, ...], grade: int = 0) -> list[Finding]:
     """Submission 0-0 of that grade, sent at 0 with an abandon time of 1 s, and what follows."""
     first = [
-        Event(0, "sent", "0-0", 0, 0, "", [grade, 0, 1000 * MS, 0]),
-        Event(1 * MS, "taken", "0-0", 0, 0),
+        Event(0, "sent", "0-0", 0, 0, "", [grade, 0, 1000 * MILLISECOND, 0]),
+        Event(1 * MILLISECOND, "taken", "0-0", 0, 0),
     ]
-    rest = [Event(at * MS, what, "0-0", 0, 0, *more) for at, what, *more in events]
-    return audit(world(), [*first, *rest], VIRTUAL_SLACK)
+    rest = [Event(at * MILLISECOND, what, "0-0", 0, 0, *more) for at, what, *more in events]
+    return audit_requests(small_experiment(), [*first, *rest], VIRTUAL_TOLERANCE)
 
 
 def test_a_hand_off_within_the_grace_of_a_drain_is_none_too_late() -> None:
--- a/tests/testbed/test_files.py
+++ b/tests/testbed/commands/test_experiment_commands.py
@@ -11,18 +11,18 @@
 from click.testing import CliRunner
 
 from ploverspoke.cli import main
-from ploverspoke.testbed.capacity.size import read_fleet
-from ploverspoke.testbed.compare import compare, difference
-from ploverspoke.testbed.experiment import BadExperiment, experiment_of, read_experiment
-from ploverspoke.testbed.hollow.plays import plays_of, world_of
-from ploverspoke.testbed.processes.distribution_run import read_distribution_experiment
-from ploverspoke.testbed.processes.lease_run import read_lease_experiment
-from ploverspoke.testbed.processes.timeline import BadTimeline
-from ploverspoke.testbed.runner import read_result, run_experiment
-from ploverspoke.testbed.scores import merged_histogram
-from tests.testbed.test_model import WORLD, world
+from ploverspoke.testbed.capacity.fleet_size import read_fleet
+from ploverspoke.testbed.experiment_files.experiment import ExperimentError, parse_experiment, read_experiment
+from ploverspoke.testbed.processes.fault_timeline import TimelineError
+from ploverspoke.testbed.reports.comparison import compare_results, difference
+from ploverspoke.testbed.reports.scores import merged_histogram
+from ploverspoke.testbed.scenarios.distribution_scenario import read_distribution_experiment
+from ploverspoke.testbed.scenarios.experiment_runner import read_result, run_experiment
+from ploverspoke.testbed.scenarios.lease_scenario import read_lease_experiment
+from ploverspoke.testbed.scenarios.scale_phases import experiment_for, read_scale_scenarios
+from tests.testbed.harness import SMALL_EXPERIMENT, small_experiment
 
-SHIPPED = sorted((Path(__file__).parents[2] / "experiments").glob("*.toml"))
+SHIPPED = sorted((Path(__file__).parents[3] / "experiments").glob("*.toml"))
 
 
 @pytest.mark.parametrize("path", SHIPPED, ids=lambda p: p.stem)
@@ -30,8 +30,10 @@
     told = tomllib.loads(path.read_text())
     if told.get("kind") == "fleet":
         fleet = read_fleet(path)
-        plays = plays_of(fleet)
-        assert fleet.name == path.stem and all(world_of(fleet, plays, play).seeds for play in plays.worlds)
+        plays = read_scale_scenarios(fleet)
+        assert fleet.name == path.stem and all(
+            experiment_for(fleet, plays, play).seeds for play in plays.worlds
+        )
         return
     readers: dict[str, Callable[[dict[str, Any]], Any]] = {
         "leases": read_lease_experiment,
@@ -70,8 +72,8 @@
 
 @pytest.mark.parametrize(("change", "says"), BAD, ids=lambda x: x if isinstance(x, str) else "")
 def test_a_wrong_file_gets_one_line_that_names_the_key(change: dict[str, Any], says: str) -> None:
-    with pytest.raises(BadExperiment) as told:
-        experiment_of({**WORLD, **change})
+    with pytest.raises(ExperimentError) as told:
+        parse_experiment({**SMALL_EXPERIMENT, **change})
     assert says in str(told.value) and "\n" not in str(told.value)
 
 
@@ -88,20 +90,22 @@
     ],
 )
 def test_a_wrong_file_of_leases_names_the_key(change: dict[str, Any], says: str) -> None:
-    with pytest.raises(BadTimeline) as told:
+    with pytest.raises(TimelineError) as told:
         read_lease_experiment({"kind": "leases", "name": "x", "seeds": [1], **change})
     assert says in str(told.value)
 
 
 def test_a_result_is_left_and_read_again(tmp_path: Path) -> None:
-    e = world(seeds=[1, 2], policies=["ours", "random"], must_hold={"service": 0.5, "over": {"random": 2.0}})
+    e = small_experiment(
+        seeds=[1, 2], policies=["ours", "random"], must_hold={"service": 0.5, "over": {"random": 2.0}}
+    )
     result = run_experiment(e, "virtual", tmp_path)
     assert len(result.held) == 2 and "over random" in result.failed[0]
     again = read_result(tmp_path)
     assert again.runs == result.runs
     grade = again.runs[0].grades["look"]
     assert merged_histogram([grade.histogram]).get_total_count() == grade.timely + grade.overdue
-    rows = compare(again, again, "random", "ours")
+    rows = compare_results(again, again, "random", "ours")
     assert rows[0].what == "service" and rows[0].pairs == 2
 
 
@@ -142,7 +146,7 @@
 
 def test_check_names_the_key_of_a_wrong_configuration(tmp_path: Path) -> None:
     run = CliRunner()
-    example = Path(__file__).parents[2] / "deploy" / "example.json"
+    example = Path(__file__).parents[3] / "deploy" / "example.json"
     assert run.invoke(main, ["check", str(example)]).exit_code == 0
     wrong = write(tmp_path / "wrong.json", example.read_text().replace('"free"', '"often"'))
     told = run.invoke(main, ["check", wrong])
@@ -168,8 +172,14 @@
 def test_the_stand_ins_share_no_code_with_the_program() -> None:
     # With the same parsers they would have the same faults.
     program = "import sys, ploverspoke.testbed.{}; print(*sys.modules)"
-    beside = ("processes.resource", "processes.lease_check", "processes.relay")
-    for module in (*(f"standins.{name}" for name in ("worker", "discovery", "clients", "rig")), *beside):
+    beside = ("fakes.protected_resource", "checkers.lease_checker", "processes.tcp_proxy")
+    for module in (
+        *(
+            f"fakes.{name}"
+            for name in ("worker_server", "discovery_server", "client_process", "bench_endpoints")
+        ),
+        *beside,
+    ):
         words = [sys.executable, "-c", program.format(module)]
         modules = subprocess.run(words, capture_output=True, text=True, check=True).stdout.split()
         ours = {
--- /dev/null
+++ b/tests/testbed/harness.py
@@ -0,0 +1,29 @@
+"""A small experiment that tests of the testbed vary."""
+
+from typing import Any
+
+from ploverspoke.testbed.experiment_files.experiment import Experiment, parse_experiment
+
+MILLISECOND, SECOND = 1_000_000, 1_000_000_000
+
+SMALL_EXPERIMENT: dict[str, Any] = {
+    "name": "small",
+    "lasts": "6s",
+    "grades": [
+        {"name": "look", "expected_time": "300ms", "abandon_time": "1s", "overdue_benefit": 0.2},
+        {
+            "name": "book",
+            "repeat": "irreversible",
+            "expected_time": "400ms",
+            "abandon_time": "1s",
+            "benefit": 3.0,
+        },
+    ],
+    "workers": [{"count": 4}],
+    "traffic": [{"rate": 60.0}],
+}
+
+
+def small_experiment(**changes: Any) -> Experiment:
+    """Four workers and sixty requests a second for six seconds, with top-level keys changed."""
+    return parse_experiment({**SMALL_EXPERIMENT, **changes})
--- a/tests/testbed/test_model.py
+++ b/tests/testbed/models/test_models.py
@@ -7,39 +7,17 @@
 import numpy as np
 import pytest
 
-from ploverspoke.testbed import records
-from ploverspoke.testbed.audit import VIRTUAL_SLACK, audit
-from ploverspoke.testbed.chances import Streams
-from ploverspoke.testbed.clients import Clients, Request
-from ploverspoke.testbed.clock import VirtualClock
-from ploverspoke.testbed.experiment import Experiment, Workers, experiment_of
-from ploverspoke.testbed.records import Records
-from ploverspoke.testbed.schedule import Job, schedule
-from ploverspoke.testbed.virtual import play
-from ploverspoke.testbed.worker import Run, Worker
-
-MS, SECOND = 1_000_000, 1_000_000_000
-
-WORLD: dict[str, Any] = {
-    "name": "small",
-    "lasts": "6s",
-    "grades": [
-        {"name": "look", "expected_time": "300ms", "abandon_time": "1s", "overdue_benefit": 0.2},
-        {
-            "name": "book",
-            "repeat": "irreversible",
-            "expected_time": "400ms",
-            "abandon_time": "1s",
-            "benefit": 3.0,
-        },
-    ],
-    "workers": [{"count": 4}],
-    "traffic": [{"rate": 60.0}],
-}
-
-
-def world(**changes: Any) -> Experiment:
-    return experiment_of({**WORLD, **changes})
+from ploverspoke.testbed.checkers.request_audit import VIRTUAL_TOLERANCE, audit_requests
+from ploverspoke.testbed.experiment_files.experiment import Experiment, Workers
+from ploverspoke.testbed.models import event_records
+from ploverspoke.testbed.models.clients import ClientRequest, Clients
+from ploverspoke.testbed.models.event_records import Records
+from ploverspoke.testbed.models.random_streams import RandomStreams
+from ploverspoke.testbed.models.request_schedule import ScheduledRequest, draw_schedule
+from ploverspoke.testbed.models.virtual_clock import VirtualClock
+from ploverspoke.testbed.models.virtual_run import run_virtual_time
+from ploverspoke.testbed.models.worker import Execution, Worker
+from tests.testbed.harness import MILLISECOND, SECOND, small_experiment
 
 
 class Heard:
@@ -52,31 +30,33 @@
         self.end = ""
         self.ended_at = -1
 
-    def run_started(self, run: Run) -> None:
+    def run_started(self, run: Execution) -> None:
         self.started = self.clock.now()
 
-    def run_progressed(self, run: Run, share: float) -> None: ...
+    def run_progressed(self, run: Execution, share: float) -> None: ...
 
-    def run_ended(self, run: Run, how: str) -> None:
+    def run_ended(self, run: Execution, how: str) -> None:
         assert not self.end, "an end is told once"
         self.end, self.ended_at = how, self.clock.now()
 
 
 def one_worker(clock: VirtualClock, **changes: Any) -> Worker:
     rules = {k: changes.pop(k) for k in list(changes) if k in ("start", "cancel_stops_work", "report_age")}
-    e = world(worker_rules=rules)
-    return Worker("w0", Workers(count=1, **changes), e, clock, Records(), {}, Streams(1).draws("worker"))
+    e = small_experiment(worker_rules=rules)
+    return Worker(
+        "w0", Workers(count=1, **changes), e, clock, Records(), {}, RandomStreams(1).draws("worker")
+    )
 
 
-def job(number: int, work: int, slots: float = 1.0) -> Job:
-    return Job(number, 0, 0, slots, work, "", 0, 0, 0)
+def job(number: int, work: int, slots: float = 1.0) -> ScheduledRequest:
+    return ScheduledRequest(number, 0, 0, slots, work, "", 0, 0, 0)
 
 
 def take(
     worker: Worker, clock: VirtualClock, work: int, slots: float = 1.0, number: int = 0
-) -> tuple[Run, Heard]:
+) -> tuple[Execution, Heard]:
     heard = Heard(clock)
-    run = Run(f"{number:x}-0", job(number, work, slots), 0, heard)
+    run = Execution(f"{number:x}-0", job(number, work, slots), 0, heard)
     worker.take(run)
     return run, heard
 
@@ -86,7 +66,7 @@
     clock = VirtualClock()
     worker = one_worker(clock, slots=servers, waiting=room)
     generator = np.random.default_rng(seed)
-    mean = 10 * MS
+    mean = 10 * MILLISECOND
     at = np.cumsum(generator.exponential(mean / load / servers, customers))
     work = generator.exponential(mean, customers)
     heard: list[Heard] = []
@@ -118,7 +98,7 @@
     offered = servers * load
     b = erlang_b(servers, offered)
     must_wait = b / (1 - load * (1 - b))
-    expected = must_wait * 10 * MS / (servers * (1 - load))
+    expected = must_wait * 10 * MILLISECOND / (servers * (1 - load))
     low, high = interval(waits)
     assert low <= expected <= high
 
@@ -132,8 +112,8 @@
 def test_a_worker_without_waiting_room_takes_what_fits() -> None:
     clock = VirtualClock()
     worker = one_worker(clock, slots=1, waiting=0)
-    _, first = take(worker, clock, 10 * MS)
-    _, second = take(worker, clock, 10 * MS, number=1)
+    _, first = take(worker, clock, 10 * MILLISECOND)
+    _, second = take(worker, clock, 10 * MILLISECOND, number=1)
     clock.run(SECOND)
     assert (first.end, second.end) == ("done", "returned")
 
@@ -142,9 +122,9 @@
 def test_a_large_job_blocks_the_queue_only_where_starts_are_in_order(start: str, ends_first: bool) -> None:
     clock = VirtualClock()
     worker = one_worker(clock, slots=2, start=start)
-    take(worker, clock, 100 * MS)
-    _, large = take(worker, clock, 10 * MS, slots=2.0, number=1)
-    _, small = take(worker, clock, 10 * MS, number=2)
+    take(worker, clock, 100 * MILLISECOND)
+    _, large = take(worker, clock, 10 * MILLISECOND, slots=2.0, number=1)
+    _, small = take(worker, clock, 10 * MILLISECOND, number=2)
     clock.run(SECOND)
     assert (small.ended_at < large.ended_at) == ends_first
 
@@ -152,21 +132,21 @@
 def test_overlapping_troubles_end_in_any_order() -> None:
     clock = VirtualClock()
     worker = one_worker(clock)
-    _, heard = take(worker, clock, 100 * MS)
-    clock.at(10 * MS, worker.slow, 1, 2.0)
-    clock.at(20 * MS, worker.slow, 2, 5.0)
-    clock.at(40 * MS, worker.recover, 1)
-    clock.at(60 * MS, worker.recover, 2)
+    _, heard = take(worker, clock, 100 * MILLISECOND)
+    clock.at(10 * MILLISECOND, worker.slow, 1, 2.0)
+    clock.at(20 * MILLISECOND, worker.slow, 2, 5.0)
+    clock.at(40 * MILLISECOND, worker.recover, 1)
+    clock.at(60 * MILLISECOND, worker.recover, 2)
     clock.run(SECOND)
     # 10 ms whole, 10 at a half, 20 at a tenth, 20 at a fifth: 21 of 100 are done at 60 ms.
-    assert heard.ended_at == pytest.approx(139 * MS, abs=1000)
+    assert heard.ended_at == pytest.approx(139 * MILLISECOND, abs=1000)
 
 
 def test_a_hang_over_a_crash_does_not_wake_the_dead() -> None:
     clock = VirtualClock()
     worker = one_worker(clock)
     worker.freeze(1)
-    _, heard = take(worker, clock, 10 * MS)
+    _, heard = take(worker, clock, 10 * MILLISECOND)
     worker.die()
     worker.thaw(1)
     clock.run(SECOND)
@@ -178,10 +158,10 @@
         clock = VirtualClock()
         worker = one_worker(clock)
         if dies_first:
-            clock.at(10 * MS, worker.die)
-        _, heard = take(worker, clock, 10 * MS)
+            clock.at(10 * MILLISECOND, worker.die)
+        _, heard = take(worker, clock, 10 * MILLISECOND)
         if not dies_first:
-            clock.at(10 * MS, worker.die)
+            clock.at(10 * MILLISECOND, worker.die)
         clock.run(SECOND)
         assert heard.end == ("lost" if dies_first else "done")
 
@@ -190,9 +170,9 @@
     for stops in (True, False):
         clock = VirtualClock()
         worker = one_worker(clock, cancel_stops_work=stops)
-        run, _ = take(worker, clock, 100 * MS)
-        clock.at(10 * MS, worker.cancel, run)
-        clock.run(50 * MS)
+        run, _ = take(worker, clock, 100 * MILLISECOND)
+        clock.at(10 * MILLISECOND, worker.cancel, run)
+        clock.run(50 * MILLISECOND)
         assert (run in worker.running) != stops
 
 
@@ -202,14 +182,14 @@
     worker.report()
     take(worker, clock, SECOND)
     assert worker.report()["x0"] == 1.0
-    clock.run(250 * MS)
+    clock.run(250 * MILLISECOND)
     worker.report()
-    clock.run(500 * MS)
+    clock.run(500 * MILLISECOND)
     assert worker.report()["x0"] == 0.0
 
 
 def events_of(e: Experiment, seed: int, policy: str = "ours") -> str:
-    return "\n".join(map(str, play(e, seed, policy)))
+    return "\n".join(map(str, run_virtual_time(e, seed, policy)))
 
 
 TROUBLED = [
@@ -221,19 +201,21 @@
 
 @pytest.mark.parametrize("policy", ["ours", "two choices"])
 def test_the_same_seed_gives_the_same_bytes(policy: str) -> None:
-    e = world(troubles=TROUBLED, clients={"leave_early": 0.05})
+    e = small_experiment(troubles=TROUBLED, clients={"leave_early": 0.05})
     assert events_of(e, 3, policy) == events_of(e, 3, policy) != events_of(e, 4, policy)
 
 
 def test_thousands_of_arrivals_at_one_instant_stay_deterministic() -> None:
-    e = world(lasts="2s", traffic=[{"rate": 1000.0, "burst": 2000}])
-    assert len({j.at for j in schedule(e, 5)}) < 10
+    e = small_experiment(lasts="2s", traffic=[{"rate": 1000.0, "burst": 2000}])
+    assert len({j.at for j in draw_schedule(e, 5)}) < 10
     assert events_of(e, 5) == events_of(e, 5)
 
 
 def test_a_change_of_one_concern_shifts_no_other() -> None:
-    plain = schedule(world(), 1)
-    longer = schedule(world(clients={"leave_early": 0.5}, customers=[{"name": "a"}, {"name": "b"}]), 1)
+    plain = draw_schedule(small_experiment(), 1)
+    longer = draw_schedule(
+        small_experiment(clients={"leave_early": 0.5}, customers=[{"name": "a"}, {"name": "b"}]), 1
+    )
     assert [(j.at, j.grade, j.work) for j in plain] == [(j.at, j.grade, j.work) for j in longer]
 
 
@@ -241,29 +223,29 @@
     """A loop that does nothing for a while, as a busy machine's."""
 
     def now(self) -> int:
-        return self.time + (300 * MS if SECOND < self.time < 2 * SECOND else 0)
+        return self.time + (300 * MILLISECOND if SECOND < self.time < 2 * SECOND else 0)
 
 
 def test_a_generator_that_falls_behind_says_so_and_counts_waits_from_when_they_were_due() -> None:
-    e, clock, seen = world(), HeldUpClock(), Records()
-    sent: list[Request] = []
-    answer: Callable[[Request], None] = sent.append
-    clients = Clients(e, 1, schedule(e, 1), clock, seen, answer, lambda request: None)
+    e, clock, seen = small_experiment(), HeldUpClock(), Records()
+    sent: list[ClientRequest] = []
+    answer: Callable[[ClientRequest], None] = sent.append
+    clients = Clients(e, 1, draw_schedule(e, 1), clock, seen, answer, lambda request: None)
     clients.start()
     clock.run(6 * SECOND)
-    behind = [event for event in seen.events if event.what == records.BEHIND]
-    assert behind and clients.latest >= 300 * MS
+    behind = [event for event in seen.events if event.what == event_records.BEHIND]
+    assert behind and clients.latest >= 300 * MILLISECOND
     late = next(r for r in sent if r.job.number == behind[-1].job)
     assert late.abandon_at == late.job.at + e.grades[late.job.grade].abandon_time
-    assert len(sent) >= len(schedule(e, 1)), "the offered load is not slowed"
+    assert len(sent) >= len(draw_schedule(e, 1)), "the offered load is not slowed"
 
 
 def test_a_paused_dispatcher_works_through_what_piled_up_and_is_none_the_worse_for_others() -> None:
     pause = {"what": "dispatcher paused", "at": "2s", "lasts": "500ms", "dispatchers": [0]}
-    events = play(world(troubles=[pause]), 1, "ours")
-    answered = [e for e in events if e.what == records.ANSWERED]
+    events = run_virtual_time(small_experiment(troubles=[pause]), 1, "ours")
+    answered = [e for e in events if e.what == event_records.ANSWERED]
     stopped = [e for e in answered if e.dispatcher == 0 and 2.001 * SECOND < e.at < 2.5 * SECOND]
     went_on = [e for e in answered if e.dispatcher == 1 and 2 * SECOND < e.at < 2.5 * SECOND]
     woke = [e for e in answered if e.dispatcher == 0 and 2.5 * SECOND <= e.at < 2.51 * SECOND]
     assert not stopped and went_on and len(woke) > 3
-    assert audit(world(), events, VIRTUAL_SLACK) == []
+    assert audit_requests(small_experiment(), events, VIRTUAL_TOLERANCE) == []
--- a/tests/testbed/test_processes_rig.py
+++ b/tests/testbed/processes/test_rig.py
@@ -12,20 +12,31 @@
 import pytest
 import uvloop
 
-from ploverspoke.testbed.audit import SOCKETS_SLACK, audit
-from ploverspoke.testbed.experiment import BadExperiment
+from ploverspoke.testbed.checkers.request_audit import SOCKETS_TOLERANCE, audit_requests
+from ploverspoke.testbed.experiment_files.durations import SECOND, Duration
+from ploverspoke.testbed.experiment_files.experiment import ExperimentError
 from ploverspoke.testbed.processes.addresses import Block, bound, held_ports
-from ploverspoke.testbed.processes.history import History, around, read_history
-from ploverspoke.testbed.processes.links import Fault, Link, Links
-from ploverspoke.testbed.processes.relay import Relays, Spec, Stood
+from ploverspoke.testbed.processes.capacity_check import (
+    MEBIBYTE,
+    CapacityError,
+    ResourceDemand,
+    check_capacity,
+)
+from ploverspoke.testbed.processes.fault_timeline import (
+    FaultStep,
+    FaultWeight,
+    TimelineError,
+    check_timeline,
+    draw_timeline,
+)
+from ploverspoke.testbed.processes.history import History, events_around, read_history
+from ploverspoke.testbed.processes.link_faults import Link, LinkFault, Links
 from ploverspoke.testbed.processes.rig import Rig
-from ploverspoke.testbed.processes.room import MEBIBYTE, NoRoom, Want, make_sure
-from ploverspoke.testbed.processes.running import NotStarted, Running
-from ploverspoke.testbed.processes.timeline import BadTimeline, Step, Weight, check, drawn
-from ploverspoke.testbed.runner import run_virtual
-from ploverspoke.testbed.sockets import play_on_sockets
-from ploverspoke.testbed.spans import SECOND, Span
-from tests.testbed.test_model import WORLD, world
+from ploverspoke.testbed.processes.running_process import ProcessStartError, RunningProcess
+from ploverspoke.testbed.processes.tcp_proxy import ProxiedProcess, ProxySpec, TcpProxy
+from ploverspoke.testbed.scenarios.experiment_runner import run_virtual
+from ploverspoke.testbed.scenarios.socket_run import run_on_sockets
+from tests.testbed.harness import SMALL_EXPERIMENT, small_experiment
 
 RUNS_LONG = True  # scheduled first: see tests/conftest.py
 
@@ -35,17 +46,17 @@
 @pytest.mark.parametrize(
     ("fault", "arrivals", "pieces"),
     [
-        (Fault(), [[0]], [0]),
-        (Fault(cut=True), [[]], [0]),  # a stream's piece is held by its way, not by the link
-        (Fault(delay=5 * MS), [[5 * MS]], [5 * MS]),
-        (Fault(loss=1.0), [[]], [(200 + 400 + 800 + 1600 + 3200 + 6400) * MS]),
-        (Fault(double=1.0), [[0, 0]], [0]),
-        (Fault(delay=MS, reorder=1.0), [[3 * MS]], [MS]),
-        (Fault(rate=1000.0), [[100 * MS], [200 * MS]], [300 * MS]),  # one behind the other
+        (LinkFault(), [[0]], [0]),
+        (LinkFault(cut=True), [[]], [0]),  # a stream's piece is held by its way, not by the link
+        (LinkFault(delay=5 * MS), [[5 * MS]], [5 * MS]),
+        (LinkFault(loss=1.0), [[]], [(200 + 400 + 800 + 1600 + 3200 + 6400) * MS]),
+        (LinkFault(double=1.0), [[0, 0]], [0]),
+        (LinkFault(delay=MS, reorder=1.0), [[3 * MS]], [MS]),
+        (LinkFault(rate=1000.0), [[100 * MS], [200 * MS]], [300 * MS]),  # one behind the other
     ],
 )
 def test_a_link_brings_what_its_fault_says(
-    fault: Fault, arrivals: list[list[int]], pieces: list[int]
+    fault: LinkFault, arrivals: list[list[int]], pieces: list[int]
 ) -> None:
     link = Link(lambda: 0.0)
     link.lay(1, fault)
@@ -58,9 +69,9 @@
 def test_faults_lie_over_one_another_and_count_for_links_that_come_later() -> None:
     links = Links(lambda name: random.Random(name).random)
     first = links.link("a", "b")
-    links.lay(1, Fault(origin=["a"], cut=True))
-    links.lay(2, Fault(delay=MS))
-    links.lay(3, Fault(target=["b"], delay=MS))
+    links.lay(1, LinkFault(origin=["a"], cut=True))
+    links.lay(2, LinkFault(delay=MS))
+    links.lay(3, LinkFault(target=["b"], delay=MS))
     assert first.now.cut and first.now.delay == 2 * MS
     assert links.link("a", "c").now.cut and links.link("c", "b").now.delay == 2 * MS
     assert not links.link("b", "a").now.cut  # one direction only
@@ -83,29 +94,41 @@
     ],
 )
 def test_a_wrong_timeline_is_refused_by_its_key(step: dict[str, Any], key: str) -> None:
-    with pytest.raises(BadTimeline) as caught:
-        check([Step(at=Span(0), **step)], ["a"])
+    with pytest.raises(TimelineError) as caught:
+        check_timeline([FaultStep(at=Duration(0), **step)], ["a"])
     assert str(caught.value).startswith(key)
 
 
 def test_a_drawn_timeline_is_its_seeds_and_keeps_the_calm_at_the_end() -> None:
     weights = [
-        Weight(what=what, who=["a", "b", "c"], every=Span(SECOND), lasts=[Span(100 * MS), Span(9 * SECOND)])
+        FaultWeight(
+            what=what,
+            who=["a", "b", "c"],
+            every=Duration(SECOND),
+            lasts=[Duration(100 * MS), Duration(9 * SECOND)],
+        )
         for what in ("kill", "pause", "cut", "rough", "wall jumps", "slow", "delay", "double")
     ]
-    steps = drawn(weights, 60 * SECOND, 1, calm=10 * SECOND)
-    assert steps == drawn(weights, 60 * SECOND, 1, calm=10 * SECOND) != drawn(weights, 60 * SECOND, 2)
-    assert check(steps, ["a", "b", "c"]) == steps
+    steps = draw_timeline(weights, 60 * SECOND, 1, calm=10 * SECOND)
+    assert (
+        steps
+        == draw_timeline(weights, 60 * SECOND, 1, calm=10 * SECOND)
+        != draw_timeline(weights, 60 * SECOND, 2)
+    )
+    assert check_timeline(steps, ["a", "b", "c"]) == steps
     assert len(steps) > 200 and all(step.at + step.lasts <= 50 * SECOND for step in steps)
 
 
 def test_what_does_not_fit_is_refused_with_what_is_wanted() -> None:
-    wants = [Want("dispatchers", 250, 40 * MEBIBYTE, 100), Want("workers", 1, MEBIBYTE, 20_001)]
-    with pytest.raises(NoRoom, match="workers: 20001 descriptors in one process, 20000"):
-        make_sure(wants, 24 << 30, 20_000)
-    with pytest.raises(NoRoom, match=r"10001 MiB wanted .250 dispatchers of 40 MiB"):
-        make_sure(wants, 4 << 30, 30_000)
-    assert make_sure(wants, 24 << 30, 30_000) == "251 processes, 10001 MiB"
+    wants = [
+        ResourceDemand("dispatchers", 250, 40 * MEBIBYTE, 100),
+        ResourceDemand("workers", 1, MEBIBYTE, 20_001),
+    ]
+    with pytest.raises(CapacityError, match="workers: 20001 descriptors in one process, 20000"):
+        check_capacity(wants, 24 << 30, 20_000)
+    with pytest.raises(CapacityError, match=r"10001 MiB wanted .250 dispatchers of 40 MiB"):
+        check_capacity(wants, 4 << 30, 30_000)
+    assert check_capacity(wants, 24 << 30, 30_000) == "251 processes, 10001 MiB"
 
 
 def test_blocks_and_ports_are_held_and_a_program_can_listen_where_one_is_held() -> None:
@@ -133,7 +156,7 @@
     (tmp_path / "a.history").open("ab").write(b'[51,"a"')
     events = list(read_history(tmp_path / "a.history"))
     assert [e.detail for e in events] == list(range(50))
-    assert around(events, 10 * MS, 3)[0].startswith("    -1.000 ms  a  step  9")
+    assert events_around(events, 10 * MS, 3)[0].startswith("    -1.000 ms  a  step  9")
 
 
 async def until(found: Callable[[], Any], seconds: float = 10.0) -> Any:
@@ -166,9 +189,10 @@
     async def scene() -> None:
         ports = [block.hold(block.own(n)) for n in range(2)]
         stood = [
-            Stood(name, block.own(n), block.relayed(n), [ports[n]], [ports[n]]) for n, name in enumerate("ab")
+            ProxiedProcess(name, block.own(n), block.relayed(n), [ports[n]], [ports[n]])
+            for n, name in enumerate("ab")
         ]
-        relays = Relays(Spec(1, stood))
+        relays = TcpProxy(ProxySpec(1, stood))
         await relays.open()
         a, b = stood
         await asyncio.start_server(serve, b.own, ports[1])
@@ -238,7 +262,7 @@
         async with Rig(tmp_path, 1) as rig:
             for name, rate in (("true", 1.0), ("fast", 2.0), ("slow", 0.5)):
                 place = rig.place(name)
-                process = rig.add(place, "tests.testbed.probe", ["127.0.0.1", port, "0.4"])
+                process = rig.add(place, "tests.testbed.processes.probe", ["127.0.0.1", port, "0.4"])
                 process.rate = rate
                 process.wall_jumps(3600 * SECOND if name == "slow" else 0)
             await rig.start()
@@ -253,7 +277,7 @@
                 told[place.name] = {"took": took, **found, "ahead": found["wall"] - time.time()}
 
             await asyncio.gather(*(ask(place) for place in rig.places.values()))
-            assert isinstance(rig.running["true"], Running) and rig.running["true"].lives()
+            assert isinstance(rig.running["true"], RunningProcess) and rig.running["true"].lives()
             rig.running["true"].pause()
         assert not any(process.lives() for process in rig.running.values())
 
@@ -265,16 +289,18 @@
 
 
 def test_nothing_is_left_running_when_a_process_of_the_rig_does_not_come_up(tmp_path: Path) -> None:
-    async def scene() -> list[Running]:
+    async def scene() -> list[RunningProcess]:
         async with Rig(tmp_path, 1) as rig:
-            rig.add(rig.place("a"), "tests.testbed.probe", ["127.0.0.1", str(held_ports(1)[0]), "1"])
-            bad = rig.add(rig.place("b"), "tests.testbed.probe", ["no number"])
+            rig.add(
+                rig.place("a"), "tests.testbed.processes.probe", ["127.0.0.1", str(held_ports(1)[0]), "1"]
+            )
+            bad = rig.add(rig.place("b"), "tests.testbed.processes.probe", ["no number"])
 
             async def never() -> bool:
                 return False
 
             bad.ready = never
-            with pytest.raises(NotStarted, match=r"b did not come up; its log: (?s:.*)IndexError"):
+            with pytest.raises(ProcessStartError, match=r"b did not come up; its log: (?s:.*)IndexError"):
                 await rig.start()
         return list(rig.running.values())
 
@@ -293,10 +319,12 @@
         {"at": "7500ms", "what": "pause", "who": ["d0"], "lasts": "700ms"},
         {"at": "9s", "what": "cut", "to": ["d1"], "lasts": "800ms"},
     ]
-    grades = [{**grade, "abandon_time": "3s"} for grade in WORLD["grades"]]
-    e = world(lasts="10s", grades=grades, dispatchers={"count": 3, "store": True}, timeline=troubles)
-    played = play_on_sockets(e, 1)
-    assert audit(e, played.events, SOCKETS_SLACK) == []
+    grades = [{**grade, "abandon_time": "3s"} for grade in SMALL_EXPERIMENT["grades"]]
+    e = small_experiment(
+        lasts="10s", grades=grades, dispatchers={"count": 3, "store": True}, timeline=troubles
+    )
+    played = run_on_sockets(e, 1)
+    assert audit_requests(e, played.events, SOCKETS_TOLERANCE) == []
     said = [event.detail for event in played.history if event.what == "says"]
     for text in ("disk I/O error", "disk is full", "the disk can be written again"):
         assert any(text in line for line in said), text
@@ -310,17 +338,17 @@
 
 def test_dispatchers_talk_through_relays_and_a_cut_between_them_is_felt_there_only() -> None:
     talk = {"count": 3, "talk": True}
-    e = world(
+    e = small_experiment(
         lasts="3s",
         dispatchers=talk,
         timeline=[{"at": "0s", "what": "cut", "who": ["d0"], "to": ["d1"]}],
     )
-    played = play_on_sockets(e, 1)
-    assert audit(e, played.events, SOCKETS_SLACK) == []
+    played = run_on_sockets(e, 1)
+    assert audit_requests(e, played.events, SOCKETS_TOLERANCE) == []
     assert played.links["passed"] > 10 and played.links["lost"] > 0
     cut = [{"at": "0s", "what": "cut"}]
     for told, key in (({"dispatchers": talk}, "dispatchers.talk"), ({"timeline": cut}, "timeline")):
-        with pytest.raises(BadExperiment, match=key):
-            run_virtual(world(**told), 1, "ours")
-    with pytest.raises(BadExperiment, match=r"timeline\[0\].who"):
-        world(timeline=[{"at": "0s", "what": "kill", "who": ["d7"]}])
+        with pytest.raises(ExperimentError, match=key):
+            run_virtual(small_experiment(**told), 1, "ours")
+    with pytest.raises(ExperimentError, match=r"timeline\[0\].who"):
+        small_experiment(timeline=[{"at": "0s", "what": "kill", "who": ["d7"]}])
--- a/tests/testbed/test_hollow.py
+++ b/tests/testbed/scale/test_scale.py
@@ -13,26 +13,37 @@
 from click.testing import CliRunner
 
 from ploverspoke.cli import main
-from ploverspoke.testbed.audit import SOCKETS_SLACK, VIRTUAL_SLACK, audit
-from ploverspoke.testbed.capacity.size import BadFleet, fleet_of
-from ploverspoke.testbed.experiment import BadExperiment, Experiment
-from ploverspoke.testbed.hollow import stage as stages
-from ploverspoke.testbed.hollow.dispatcher import Place
-from ploverspoke.testbed.hollow.judge import Seen, bounded_by_length, compare, healing, marked, urgent_waits
-from ploverspoke.testbed.hollow.plays import Play, plays_of, world_of
-from ploverspoke.testbed.hollow.process import HollowProcess, Spec
-from ploverspoke.testbed.hollow.programs import MODULE, HollowChild, HollowProgram
-from ploverspoke.testbed.hollow.stage import HollowStage, Sample, Shape, Used
+from ploverspoke.testbed.capacity.fleet_size import FleetFileError, fleet_of
+from ploverspoke.testbed.checkers.request_audit import SOCKETS_TOLERANCE, VIRTUAL_TOLERANCE, audit_requests
+from ploverspoke.testbed.checkers.scale_checker import (
+    ScaleObservations,
+    bounded_by_length,
+    compare_metrics,
+    healing,
+    mark_void_metrics,
+    urgent_waits,
+)
+from ploverspoke.testbed.experiment_files.durations import Duration
+from ploverspoke.testbed.experiment_files.experiment import Experiment, ExperimentError
+from ploverspoke.testbed.models.deployment_settings import dispatcher_settings
+from ploverspoke.testbed.models.event_records import BEGAN, CAME, SENT, Event, merge_records, read_records
+from ploverspoke.testbed.models.virtual_run import run_virtual_time
 from ploverspoke.testbed.processes.addresses import Block
-from ploverspoke.testbed.processes.child import Child
-from ploverspoke.testbed.processes.room import NoRoom
-from ploverspoke.testbed.records import BEGAN, CAME, SENT, Event, merged, read_records
-from ploverspoke.testbed.scores import RunScore
-from ploverspoke.testbed.settings import settings_of
-from ploverspoke.testbed.sockets import MOST_BEHIND
-from ploverspoke.testbed.spans import Span
-from ploverspoke.testbed.virtual import play
-from tests.testbed.test_model import SECOND, world
+from ploverspoke.testbed.processes.capacity_check import CapacityError
+from ploverspoke.testbed.processes.child_process import ChildProcess
+from ploverspoke.testbed.reports.scores import RunScore
+from ploverspoke.testbed.scale.dispatcher_host import DispatcherHost, DispatcherHostSpec
+from ploverspoke.testbed.scale.simulated_dispatcher import DispatcherAddress
+from ploverspoke.testbed.scale.simulated_programs import (
+    MODULE,
+    SimulatedDispatcherHost,
+    SimulatedDispatcherProgram,
+)
+from ploverspoke.testbed.scenarios import scale_fleet as stages
+from ploverspoke.testbed.scenarios.scale_fleet import ProcessCounts, SimulatedScaleFleet, UsageSample, Used
+from ploverspoke.testbed.scenarios.scale_phases import ScaleScenario, experiment_for, read_scale_scenarios
+from ploverspoke.testbed.scenarios.socket_run import MAX_LATENESS
+from tests.testbed.harness import SECOND, small_experiment
 
 RUNS_LONG = True  # scheduled first: see tests/conftest.py
 
@@ -98,7 +109,9 @@
 class Hollow:
     """Some dispatchers in one process, and a discovery that notes who calls and says nothing."""
 
-    def __init__(self, child: HollowChild, programs: list[HollowProgram], callers: set[str]) -> None:
+    def __init__(
+        self, child: SimulatedDispatcherHost, programs: list[SimulatedDispatcherProgram], callers: set[str]
+    ) -> None:
         self.child = child
         self.programs = programs
         self.callers = callers
@@ -131,16 +144,16 @@
 
     server = await asyncio.start_server(called, block.stand_in(1), 0)
     discovery = f"{block.stand_in(1)}:{server.sockets[0].getsockname()[1]}"
-    places = [Place(n, f"d{n}", block.own(n), str(folder / f"d{n}.json")) for n in range(count)]
+    places = [DispatcherAddress(n, f"d{n}", block.own(n), str(folder / f"d{n}.json")) for n in range(count)]
     spec = folder / "hollow.json"
-    spec.write_bytes(msgspec.json.encode(Spec([places])))
+    spec.write_bytes(msgspec.json.encode(DispatcherHostSpec([places])))
     with (folder / "log").open("wb") as log:
-        child = HollowChild(await Child.start(MODULE, [str(spec), "0"], log))
-    e = world(dispatchers={"count": count})
+        child = SimulatedDispatcherHost(await ChildProcess.start(MODULE, [str(spec), "0"], log))
+    e = small_experiment(dispatchers={"count": count})
     try:
         await child.listen()
         programs = [
-            HollowProgram(
+            SimulatedDispatcherProgram(
                 child,
                 place,
                 {
@@ -148,7 +161,7 @@
                     "listen": f"{place.address}:{block.hold(place.address)}",
                     "discovery": discovery,
                     "seed": f"{place.number}",
-                    "settings": settings_of(e, place.number),
+                    "settings": dispatcher_settings(e, place.number),
                 },
             )
             for place in places
@@ -203,8 +216,10 @@
         assert await there.asks(0, "POST /look", same) == 409 != first
         assert await there.asks(1, "POST /look", same) == first
         # A setting that is changed at one binds that one.
-        e = world(dispatchers={"count": 2}, grades=[{"name": name} for name in ("look", "book", "more")])
-        there.programs[0].config["settings"] = settings_of(e, 0)
+        e = small_experiment(
+            dispatchers={"count": 2}, grades=[{"name": name} for name in ("look", "book", "more")]
+        )
+        there.programs[0].config["settings"] = dispatcher_settings(e, 0)
         there.programs[0].write()
         there.programs[0].read_again()
         while await there.asks(0, "GET /more") == 404:
@@ -225,8 +240,8 @@
 # ---- Worlds ----
 
 
-def play_hollow(e: Experiment, folder: Path, shape: Shape) -> tuple[HollowStage, list[Event]]:
-    stage = HollowStage(e, 1, folder, shape)
+def play_hollow(e: Experiment, folder: Path, shape: ProcessCounts) -> tuple[SimulatedScaleFleet, list[Event]]:
+    stage = SimulatedScaleFleet(e, 1, folder, shape)
 
     async def whole() -> None:
         try:
@@ -236,11 +251,11 @@
 
     asyncio.run(whole())
     parts = [read_records(path) for path in sorted(folder.glob("*.jsonl"))]
-    return stage, merged([stage.seen.events, *parts])
+    return stage, merge_records([stage.seen.events, *parts])
 
 
 def test_a_world_with_a_zone_lost_and_a_region_cut_keeps_the_rules(tmp_path: Path) -> None:
-    e = world(
+    e = small_experiment(
         lasts="5s",
         dispatchers={"count": 9},
         workers=THREE_ZONES,
@@ -252,9 +267,9 @@
             {"what": "dispatcher restarted", "at": "2s", "lasts": "2500ms", "dispatchers": [4]},
         ],
     )
-    stage, events = play_hollow(e, tmp_path, Shape(hollow=2, workers=2, clients=1))
+    stage, events = play_hollow(e, tmp_path, ProcessCounts(hollow=2, workers=2, clients=1))
     assert stage.rig.faults == []
-    assert audit(e, events, SOCKETS_SLACK) == []
+    assert audit_requests(e, events, SOCKETS_TOLERANCE) == []
     assert {event.dispatcher for event in events if event.what == CAME} == set(range(9))
     sent = {event.job for event in events if event.what == SENT}
     began = {event.job for event in events if event.what == BEGAN}
@@ -272,15 +287,15 @@
     trouble = {"what": "region cut", "at": "2s", "lasts": "2s"}
     # The second region has less than its dispatchers need, so they send into the first.
     workers = [{"count": 3, "zone": "a"}, {"count": 3, "zone": "b"}, {"count": 1, "slots": 1, "zone": "c"}]
-    e = world(
+    e = small_experiment(
         dispatchers={"count": 6},
         workers=workers,
         network=REGIONS,
         troubles=[trouble],
         traffic=[{"rate": 200.0}],
     )
-    events = play(e, 1, "ours")
-    assert audit(e, events, VIRTUAL_SLACK) == []
+    events = run_virtual_time(e, 1, "ours")
+    assert audit_requests(e, events, VIRTUAL_TOLERANCE) == []
     zone_of = {name: number // 3 for number, name in enumerate(e.worker_names())}
     came = [event for event in events if event.what == CAME]
     across = [x for x in came if e.region(x.dispatcher % 3) != e.region(zone_of[x.worker])]
@@ -298,8 +313,8 @@
     ],
 )
 def test_bad_regions_are_named(network: dict[str, Any], trouble: list[Any], key: str) -> None:
-    with pytest.raises(BadExperiment, match=f"^{key.replace('[', '.')}".replace("]", ".")):
-        world(workers=THREE_ZONES, network=network, troubles=trouble)
+    with pytest.raises(ExperimentError, match=f"^{key.replace('[', '.')}".replace("]", ".")):
+        small_experiment(workers=THREE_ZONES, network=network, troubles=trouble)
 
 
 # ---- What does not fit, and what is void ----
@@ -311,28 +326,28 @@
     async def no_child(*what: Any) -> None:
         raise AssertionError("something was started")
 
-    monkeypatch.setattr(Child, "start", no_child)
-    e = world(dispatchers={"count": 40}, workers=THREE_ZONES)
-    with pytest.raises(NoRoom, match=r"cores wanted .*40 dispatchers\), 0.01 are there"):
-        play_hollow(e, tmp_path, Shape(2, 1, 1, cores=0.01))
+    monkeypatch.setattr(ChildProcess, "start", no_child)
+    e = small_experiment(dispatchers={"count": 40}, workers=THREE_ZONES)
+    with pytest.raises(CapacityError, match=r"cores wanted .*40 dispatchers\), 0.01 are there"):
+        play_hollow(e, tmp_path, ProcessCounts(2, 1, 1, cores=0.01))
     monkeypatch.setattr(stages, "total_memory", lambda: 1 << 30)
-    with pytest.raises(NoRoom, match="MiB wanted, 512 are half of the machine's"):
-        play_hollow(e, tmp_path, Shape(2, 1, 1))
+    with pytest.raises(CapacityError, match="MiB wanted, 512 are half of the machine's"):
+        play_hollow(e, tmp_path, ProcessCounts(2, 1, 1))
     monkeypatch.undo()
-    shared = world(grades=[{"name": "a", "repeat": "labelled"}], workers=THREE_ZONES)
-    with pytest.raises(BadExperiment, match="worker processes"):
-        play_hollow(shared, tmp_path, Shape(2, 2, 1))
+    shared = small_experiment(grades=[{"name": "a", "repeat": "labelled"}], workers=THREE_ZONES)
+    with pytest.raises(ExperimentError, match="worker processes"):
+        play_hollow(shared, tmp_path, ProcessCounts(2, 2, 1))
 
 
 def test_a_run_whose_dispatchers_held_each_other_up_is_void(tmp_path: Path) -> None:
-    stage = HollowStage(world(), 1, tmp_path, Shape(1, 1, 1))
+    stage = SimulatedScaleFleet(small_experiment(), 1, tmp_path, ProcessCounts(1, 1, 1))
     assert stage.void() == ""
-    stage.hollow_late = MOST_BEHIND + 1
+    stage.hollow_late = MAX_LATENESS + 1
     assert "held each other up" in stage.void()
     stage.rig.block.close()
 
     async def held_up() -> int:
-        process = HollowProcess(asyncio.get_running_loop(), [])
+        process = DispatcherHost(asyncio.get_running_loop(), [])
         process.heard({"begin": True})
         await asyncio.sleep(0)
         time.sleep(0.15)
@@ -341,7 +356,7 @@
         process.watch.cancel()
         return process.late
 
-    assert asyncio.run(held_up()) > MOST_BEHIND
+    assert asyncio.run(held_up()) > MAX_LATENESS
 
 
 # ---- The file and its judgement ----
@@ -366,44 +381,51 @@
     ],
 )
 def test_what_is_wrong_in_the_plays_is_named(changes: dict[str, Any], key: str) -> None:
-    with pytest.raises(BadFleet) as caught:
-        plays_of(fleet_of(fleet_with(**changes)))
+    with pytest.raises(FleetFileError) as caught:
+        read_scale_scenarios(fleet_of(fleet_with(**changes)))
     assert key in str(caught.value)
 
 
 def test_a_play_has_the_load_that_the_file_states() -> None:
     fleet = fleet_of(FLEET)
-    plays = plays_of(fleet)
-    e = world_of(fleet, plays, plays.worlds[0])
+    plays = read_scale_scenarios(fleet)
+    e = experiment_for(fleet, plays, plays.worlds[0])
     _, running, starts = stages.cores_for(e)
     assert (round(running, 6), starts) == (12.0, 20.0)
     assert len(e.worker_names()) == 9 and e.zones() == ["a", "b", "c"] and e.dispatchers.count == 4
 
 
 def test_figures_are_judged_as_they_should_be() -> None:
-    e = world(grades=[{"name": "urgent"}, {"name": "ordinary"}], counted_from="1s")
+    e = small_experiment(grades=[{"name": "urgent"}, {"name": "ordinary"}], counted_from="1s")
     sent = [
         Event(n * SECOND, SENT, f"{n}-0", n, 0, detail=[0, 0, 9 * SECOND, n * SECOND]) for n in (0, 1, 2, 3)
     ]
     sent.append(Event(3 * SECOND, SENT, "4-0", 4, 0, detail=[1, 0, 9 * SECOND, 3 * SECOND]))
     began = [Event(n * SECOND + n, BEGAN, f"{n}-{again}", n, 0, "w0", 1) for n in (1, 2) for again in (0, 1)]
-    assert urgent_waits(e, merged([sent, began])) == [1, 2, -1]
-    ratios, void = compare(
+    assert urgent_waits(e, merge_records([sent, began])) == [1, 2, -1]
+    ratios, void = compare_metrics(
         {"core_share": 0.8, "network_bytes_in": 1.1}, {"core_share": 1.0, "network_bytes_in": 1.0}, 0.15
     )
     assert void == ["processor time"] and ratios == {"network_bytes_in": 1.1, "core_share": 0.8}
-    assert marked({"core_share": 1.0, "service": 2.0}, void) == {"core_share (void)": 1.0, "service": 2.0}
+    assert mark_void_metrics({"core_share": 1.0, "service": 2.0}, void) == {
+        "core_share (void)": 1.0,
+        "service": 2.0,
+    }
     grown = bounded_by_length({"away_open": 10.0, "service": 1.0}, {"away_open": 20.0, "service": 1.0}, 2.0)
     assert len(grown.failed) == 1 and "away_open 2.00 times" in grown.failed[0] and grown.held == []
 
 
 def test_what_an_absence_gathers_is_read_from_its_own_time() -> None:
-    e = world(grades=[{"name": "urgent"}], lasts="30s", counted_from="2s")
-    cut = Play(
-        name="cut", what="region cut", lasts=Span(28 * SECOND), at=Span(4 * SECOND), away=Span(10 * SECOND)
+    e = small_experiment(grades=[{"name": "urgent"}], lasts="30s", counted_from="2s")
+    cut = ScaleScenario(
+        name="cut",
+        what="region cut",
+        lasts=Duration(28 * SECOND),
+        at=Duration(4 * SECOND),
+        away=Duration(10 * SECOND),
     )
 
-    def sample(second: int) -> Sample:
+    def sample(second: int) -> UsageSample:
         away = 6 < second <= 16
         used = Used(
             0,
@@ -413,9 +435,11 @@
             {"open": 8 if away else 2, "said": second},
         )
         octets = {"bytes_in": 100 * second, "bytes_out": 0}
-        return Sample(second * SECOND, used, {"workers": octets, "discovery": octets}, 0)
+        return UsageSample(second * SECOND, used, {"workers": octets, "discovery": octets}, 0)
 
-    seen = Seen(e, [], cast(RunScore, None), [sample(second) for second in range(0, 30, 2)], [], 0)
+    seen = ScaleObservations(
+        e, [], cast(RunScore, None), [sample(second) for second in range(0, 30, 2)], [], 0
+    )
     assert healing(seen, cut) == {
         "away_resident_mb": 7.0,
         "away_descriptors": 60,
--- a/tests/testbed/test_soak.py
+++ b/tests/testbed/scenarios/test_soak.py
@@ -4,7 +4,7 @@
 
 import uvloop
 
-from ploverspoke.testbed.soak.run import Verdict, play_seed
+from ploverspoke.testbed.scenarios.soak import Verdict, play_seed
 
 RUNS_LONG = True  # scheduled first: see tests/conftest.py
 SEEDS = (101, 102, 106, 109)  # the last two have a crowd
--- a/tests/testbed/test_sockets.py
+++ b/tests/testbed/scenarios/test_socket_run.py
@@ -4,19 +4,19 @@
 
 import pytest
 
-from ploverspoke.testbed import sockets
-from ploverspoke.testbed.audit import SOCKETS_SLACK, audit
-from ploverspoke.testbed.processes.child import Child
-from ploverspoke.testbed.processes.running import NotStarted
-from ploverspoke.testbed.records import CAME, SENT
-from ploverspoke.testbed.scores import score
-from ploverspoke.testbed.sockets import play_on_sockets
-from ploverspoke.testbed.standins.wire import BadWire, Reader, answer, chunk
-from tests.testbed.test_model import world
+from ploverspoke.testbed.checkers.request_audit import SOCKETS_TOLERANCE, audit_requests
+from ploverspoke.testbed.fakes.http_wire import HttpReader, HttpSyntaxError, encode_chunk, encode_response
+from ploverspoke.testbed.models.event_records import CAME, SENT
+from ploverspoke.testbed.processes.child_process import ChildProcess
+from ploverspoke.testbed.processes.running_process import ProcessStartError
+from ploverspoke.testbed.reports.scores import score
+from ploverspoke.testbed.scenarios import socket_run
+from ploverspoke.testbed.scenarios.socket_run import run_on_sockets
+from tests.testbed.harness import small_experiment
 
 
 def test_a_short_experiment_on_sockets_keeps_the_rules() -> None:
-    e = world(
+    e = small_experiment(
         lasts="4s",
         troubles=[
             {"what": "crash", "at": "1s", "lasts": "1s", "workers": ["w0"]},
@@ -25,8 +25,8 @@
         ],
     )
     told: list[dict[str, object]] = []
-    played = play_on_sockets(e, 1, told.append)
-    findings = audit(e, played.events, SOCKETS_SLACK)
+    played = run_on_sockets(e, 1, told.append)
+    findings = audit_requests(e, played.events, SOCKETS_TOLERANCE)
     found = score(e, "ours", 1, played.events, findings, played.void)
     assert findings == [] and found.submissions > 150 and found.hand_offs > 150
     assert {event.dispatcher for event in played.events if event.what == CAME} == {0, 1}
@@ -38,27 +38,27 @@
 
 
 def test_the_stand_ins_own_reader_cuts_and_refuses() -> None:
-    reader = Reader()
-    whole = answer(200, "OK", b"body") + answer(503, "No", b"")
+    reader = HttpReader()
+    whole = encode_response(200, "OK", b"body") + encode_response(503, "No", b"")
     found = [m for at in range(len(whole)) for m in reader.feed(whole[at : at + 1])]
     assert [m.body for m in found] == [b"body", b""] and not reader.is_inside()
     for bad in (b"HTTP/1.1 200 OK\r\nnothing\r\n\r\n", b"HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n"):
-        with pytest.raises(BadWire):
-            Reader().feed(bad)
-    assert chunk(b"abc") == b"3\r\nabc\r\n"
+        with pytest.raises(HttpSyntaxError):
+            HttpReader().feed(bad)
+    assert encode_chunk(b"abc") == b"3\r\nabc\r\n"
 
 
 def test_nothing_is_left_running_when_a_process_does_not_come_up(monkeypatch: pytest.MonkeyPatch) -> None:
     started: list[asyncio.subprocess.Process] = []
-    start = Child.start
+    start = ChildProcess.start
 
-    async def noted(module: str, words: list[str]) -> Child:
+    async def noted(module: str, words: list[str]) -> ChildProcess:
         child = await start(module, words)
         started.append(child.process)
         return child
 
-    monkeypatch.setattr(Child, "start", noted)
-    monkeypatch.setattr(sockets.Stage, "_config", lambda *_: {"listen": "nowhere", "settings": {}})
-    with pytest.raises(NotStarted):
-        play_on_sockets(world(lasts="2s"), 1)
+    monkeypatch.setattr(ChildProcess, "start", noted)
+    monkeypatch.setattr(socket_run.SocketFleet, "_config", lambda *_: {"listen": "nowhere", "settings": {}})
+    with pytest.raises(ProcessStartError):
+        run_on_sockets(small_experiment(lasts="2s"), 1)
     assert started and all(process.returncode is not None for process in started)
