--- a/tests/test_lint_exceptions.py
+++ b/tests/test_lint_exceptions.py
@@ -9,7 +9,18 @@
 TESTS = "tests/**"
 NOQA_WITH_REASON = re.compile(r"# noqa: [A-Z0-9, ]+ - \S")
 # Packages that do not keep all rules yet. A package leaves this list for good once it keeps them.
-LEFT = {"ploverspoke/testbed/**"}
+LEFT = {
+    "ploverspoke/testbed/capacity/**",
+    "ploverspoke/testbed/checkers/**",
+    "ploverspoke/testbed/commands/**",
+    "ploverspoke/testbed/experiment_files/**",
+    "ploverspoke/testbed/fakes/**",
+    "ploverspoke/testbed/models/**",
+    "ploverspoke/testbed/processes/**",
+    "ploverspoke/testbed/reports/**",
+    "ploverspoke/testbed/scale/**",
+    "ploverspoke/testbed/scenarios/**",
+}
 
 
 def test_only_unfinished_packages_have_lint_exceptions() -> None:
