--- a/ploverspoke/consensus/raft.py
+++ b/ploverspoke/consensus/raft.py
@@ -11,7 +11,6 @@
 """
 
 from collections.abc import Callable
-from typing import Any
 
 from .election import Election
 from .leadership import Leadership
@@ -20,6 +19,7 @@
 from .log_receiver import LogReceiver
 from .membership import Members
 from .membership_changes import MembershipChanges
+from .message_dispatch import MessageDispatcher
 from .persisted_state import PersistedState
 from .raft_state import RaftEnvironment, RaftState, RaftTimeouts
 from .raft_state import Role as Role
@@ -40,7 +40,6 @@
     TimeoutNow,
 )
 
-MessageHandler = Callable[[str, Any], None]  # the id of the sender, and a message of the handler's type
 DEFAULT_TIMEOUTS = RaftTimeouts()
 
 
@@ -67,20 +66,23 @@
         self.membership_changes = MembershipChanges(state, self.leadership, self.replication)
         self.log_receiver = LogReceiver(state, self._follow)
         self.snapshot_receiver = SnapshotReceiver(state, self._follow)
-        self.handlers: dict[type, MessageHandler] = {
-            RequestVote: self.election.handle_request_vote,
-            RequestVoteReply: self.election.handle_request_vote_reply,
-            PreVote: self.election.handle_pre_vote,
-            PreVoteReply: self.election.handle_pre_vote_reply,
-            TimeoutNow: self.election.handle_timeout_now,
-            AppendEntries: self.log_receiver.handle_append_entries,
-            AppendEntriesReply: self.replication.handle_append_entries_reply,
-            InstallSnapshot: self.snapshot_receiver.handle_install_snapshot,
-            InstallSnapshotReply: self.replication.handle_install_snapshot_reply,
-            StaleTerm: _ignore,  # its term has been taken over by the rules for all servers
-        }
+        self.messages = self._message_dispatcher()
         self._storage_ids: dict[str, str] = {}  # of the other replicas, as first seen
 
+    def _message_dispatcher(self) -> MessageDispatcher:
+        messages = MessageDispatcher()
+        messages.register(RequestVote, self.election.handle_request_vote)
+        messages.register(RequestVoteReply, self.election.handle_request_vote_reply)
+        messages.register(PreVote, self.election.handle_pre_vote)
+        messages.register(PreVoteReply, self.election.handle_pre_vote_reply)
+        messages.register(TimeoutNow, self.election.handle_timeout_now)
+        messages.register(AppendEntries, self.log_receiver.handle_append_entries)
+        messages.register(AppendEntriesReply, self.replication.handle_append_entries_reply)
+        messages.register(InstallSnapshot, self.snapshot_receiver.handle_install_snapshot)
+        messages.register(InstallSnapshotReply, self.replication.handle_install_snapshot_reply)
+        messages.register(StaleTerm, _ignore)  # its term is taken over by the rules for all servers
+        return messages
+
     # ---- State ----
 
     @property
@@ -157,7 +159,7 @@
         elif message.term < current_term:
             self._answer_stale(sender, message)
             return
-        self.handlers[type(message)](sender, message)
+        self.messages.dispatch(sender, message)
 
     def propose(self, commands: list[PlainValue]) -> int:
         """Append commands; returns the index of the last, or 0 if this replica takes no proposals."""
--- a/tests/consensus/raft_faults.py
+++ b/tests/consensus/raft_faults.py
@@ -1,21 +1,20 @@
-"""Faults that are planted in a Raft machine, which the simulation must find."""
-
-from typing import Any
+"""Faults that are put into one replica's Raft, which the simulation must find."""
 
 from ploverspoke.consensus.raft import Raft
 from ploverspoke.consensus.raft_state import Role
+from ploverspoke.consensus.replica import Replica
 from ploverspoke.consensus.wire_messages import AppendEntries, InstallSnapshot, RequestVote
 
 
 def votes_twice_in_a_term(raft: Raft) -> None:
     """Forget the vote of the current term."""
-    handle = raft.handlers[RequestVote]
+    handle = raft.election.handle_request_vote
 
     def faulty(sender: str, message: RequestVote) -> None:
         raft.state.voted_for = ""
         handle(sender, message)
 
-    raft.handlers[RequestVote] = faulty
+    raft.messages.register(RequestVote, faulty)
 
 
 def commits_older_terms(raft: Raft) -> None:
@@ -31,17 +30,18 @@
 
 def acknowledges_before_sync(raft: Raft) -> None:
     """Answer AppendEntries before the entries are written."""
-    handle = raft.handlers[AppendEntries]
-    replica: Any = raft.state.environment
+    handle = raft.log_receiver.handle_append_entries
+    replica = raft.state.environment
+    assert isinstance(replica, Replica)
 
     def faulty(sender: str, message: AppendEntries) -> None:
-        kept, replica.batch.messages = replica.batch.messages, []
+        held_back, replica.batch.messages = replica.batch.messages, []
         handle(sender, message)
         for to, reply in replica.batch.messages:
             replica.send_now(to, reply)
-        replica.batch.messages = kept
+        replica.batch.messages = held_back
 
-    raft.handlers[AppendEntries] = faulty
+    raft.messages.register(AppendEntries, faulty)
 
 
 def reads_without_heartbeat(raft: Raft) -> None:
@@ -58,10 +58,10 @@
 
 def installs_snapshot_over_newer_entries(raft: Raft) -> None:
     """Install a snapshot that is older than the committed entries."""
-    handle = raft.handlers[InstallSnapshot]
+    handle = raft.snapshot_receiver.handle_install_snapshot
 
     def faulty(sender: str, message: InstallSnapshot) -> None:
         raft.state.commit_index = min(raft.commit_index, message.last_index - 1)
         handle(sender, message)
 
-    raft.handlers[InstallSnapshot] = faulty
+    raft.messages.register(InstallSnapshot, faulty)
