--- a/ploverspoke/consensus/framed_client.py
+++ b/ploverspoke/consensus/framed_client.py
@@ -6,12 +6,13 @@
 from typing import ClassVar, cast
 
 from ploverspoke.transport.rate_limited_log import log_line
+from ploverspoke.transport.stream_protocol import StreamProtocol
 
 from .cluster_config import split_address
 from .framing import FrameCodec, FrameError
 
 
-class FramedClientConnection(asyncio.Protocol, abc.ABC):
+class FramedClientConnection(StreamProtocol, asyncio.Protocol, abc.ABC):
     """A connection to one server, used once. A subclass handles what arrives.
 
     Errors of the types in `server_errors`, raised while received bytes are handled, are logged and abort the
@@ -24,8 +25,8 @@
 
     def __init__(self, secret: bytes, greeting: Mapping[str, str | int]) -> None:
         """`greeting` is the first message that the server receives, without the nonce."""
+        super().__init__()
         self.frames = FrameCodec(secret, dict(greeting))
-        self.transport: asyncio.Transport | None = None
         self.ready = False  # the server has greeted
         self.closed = False
 
@@ -65,7 +66,7 @@
     def close(self) -> None:
         """Close the connection at once, or as soon as it is made; no handler is called again."""
         self.closed = True
-        self._abort()
+        self.abort()
 
     # ---- Called by asyncio ----
 
@@ -98,8 +99,4 @@
                     self.on_message(message)
         except self.server_errors as error:
             log_line(f"{self.log_name}: a message of a server is refused: {error}")
-            self._abort()
-
-    def _abort(self) -> None:
-        if self.transport is not None:
-            self.transport.abort()
+            self.abort()
--- a/ploverspoke/consensus/framed_server.py
+++ b/ploverspoke/consensus/framed_server.py
@@ -10,6 +10,7 @@
 from typing import ClassVar, NamedTuple, cast
 
 from ploverspoke.transport.rate_limited_log import log_line
+from ploverspoke.transport.stream_protocol import StreamProtocol
 
 from .cluster_config import split_address
 from .framing import FrameCodec, FrameError
@@ -25,14 +26,14 @@
     max_unregistered: int  # such connections at once
 
 
-class FramedConnection(asyncio.Protocol):
+class FramedConnection(StreamProtocol, asyncio.Protocol):
     """One accepted connection. It is created by its server, which is told of all that happens on it."""
 
     def __init__(self, server: "FramedServer") -> None:
         """Put the greeting together; it is sent when the connection is made."""
+        super().__init__()
         self.server = server
         self.frames = FrameCodec(server.secret, dict(server.greeting()))
-        self.transport: asyncio.Transport | None = None
         self.client_name = ""  # set by the server once the client has said it
         self.registered = False
         self.greeted = False
@@ -83,16 +84,6 @@
         self.transport.write(data)
         return len(data)
 
-    def close(self) -> None:
-        """Close the connection once everything written has been sent."""
-        if self.transport is not None:
-            self.transport.close()
-
-    def abort(self) -> None:
-        """Close the connection at once; unsent bytes are dropped."""
-        if self.transport is not None:
-            self.transport.abort()
-
     def start_registration_timer(self, timeout: float) -> None:
         """Abort the connection after `timeout` seconds unless the timer is cancelled before."""
         self.registration_timer = asyncio.get_running_loop().call_later(timeout, self.abort)
--- a/ploverspoke/consensus/peer_links.py
+++ b/ploverspoke/consensus/peer_links.py
@@ -13,6 +13,7 @@
 import msgspec
 
 from ploverspoke.transport.rate_limited_log import log_line
+from ploverspoke.transport.stream_protocol import StreamProtocol
 
 from .errors import ConsensusError
 from .framing import FrameCodec, FrameError
@@ -85,7 +86,7 @@
                 del self._connecting[replica_id]
                 connection = self.outbound.pop(replica_id, None)
                 if connection is not None:
-                    connection.close()
+                    connection.abort()
         loop = asyncio.get_running_loop()
         for replica_id, address in addresses.items():
             if replica_id not in self._connecting:
@@ -106,7 +107,7 @@
             task.cancel()
         connections: list[InboundConnection | OutboundConnection] = [*self.inbound, *self.outbound.values()]
         for connection in connections:
-            connection.close()
+            connection.abort()
 
     async def _keep_connected(self, replica_id: str, address: str) -> None:
         host, _, port = address.rpartition(":")
@@ -127,14 +128,14 @@
             await asyncio.sleep(RECONNECT_DELAY)
 
 
-class InboundConnection(asyncio.Protocol):
+class InboundConnection(StreamProtocol, asyncio.Protocol):
     """A connection that a peer or a tool has opened."""
 
     def __init__(self, links: PeerLinks) -> None:
         """Prepare a connection that is being accepted."""
+        super().__init__()
         self.links = links
         self.frames = FrameCodec(links.secret, links.identity.greeting())
-        self.transport: asyncio.Transport | None = None
         self.sender = ""  # "": not known yet
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -156,18 +157,13 @@
         except (ConsensusError, KeyError, TypeError, msgspec.DecodeError) as error:
             self.links.refused_connections += 1
             log_line(f"store: a connection is refused: {error}")
-            self.close()
+            self.abort()
 
     def reply(self, message: object) -> None:
         """Answer a tool, if it is still there."""
         if self.transport is not None:
             self.transport.write(self.frames.encode(message))
 
-    def close(self) -> None:
-        """Close the connection at once."""
-        if self.transport is not None:
-            self.transport.abort()
-
     def _handle(self, body: bytes) -> None:
         if not self.sender:
             self.sender = self._checked_sender()
@@ -183,15 +179,15 @@
         return peer.replica_id
 
 
-class OutboundConnection(asyncio.Protocol):
+class OutboundConnection(StreamProtocol, asyncio.Protocol):
     """A connection that this replica has opened to a peer."""
 
     def __init__(self, links: PeerLinks, peer_id: str) -> None:
         """Prepare a connection to the replica `peer_id`."""
+        super().__init__()
         self.links = links
         self.peer_id = peer_id
         self.frames = FrameCodec(links.secret, links.identity.greeting())
-        self.transport: asyncio.Transport | None = None
         self.ready = False  # the greeting of the expected peer has come
         self.disconnected = asyncio.Event()
         self._written = 0  # bytes
@@ -220,7 +216,7 @@
         except (FrameError, GreetingError) as error:
             self.links.refused_connections += 1
             log_line(f"store: {error}")
-            self.close()
+            self.abort()
 
     def send(self, message: object) -> None:
         """Send a message; drop it if the peer has not greeted yet or does not read."""
@@ -231,17 +227,12 @@
             self.links.stalled_connections += 1
             # `connection_lost` is called a turn later: until then nothing more is written, or counted.
             self.ready = False
-            self.transport.abort()
+            self.abort()
         elif unsent > MAX_UNSENT_BYTES:
             self.links.dropped_messages += 1
         else:
             self._write(self.frames.encode(message))
 
-    def close(self) -> None:
-        """Close the connection at once."""
-        if self.transport is not None:
-            self.transport.abort()
-
     def _is_stalled(self, unsent: int) -> bool:
         now = asyncio.get_running_loop().time()
         flushed = self._written - unsent
--- a/ploverspoke/transport/connections.py
+++ b/ploverspoke/transport/connections.py
@@ -7,6 +7,7 @@
 
 from .buffers import ReadBuffer
 from .slot_table import SlotTable
+from .stream_protocol import StreamProtocol
 
 
 class ConnectionUser(Protocol):
@@ -29,7 +30,7 @@
         """Parse the bytes; the view is not valid afterwards."""
 
 
-class Connection(asyncio.BufferedProtocol):
+class Connection(StreamProtocol, asyncio.BufferedProtocol):
     """A connection with its read buffer, and the user that it serves at the moment."""
 
     def __init__(
@@ -43,13 +44,13 @@
         `address` is the address that was connected to, and `table` gives the connection a number while it
         is open.
         """
+        super().__init__()
         self.table = table
         self.address = address
         self.is_retired = False  # to be closed after its present use
         self.number = 0
         self.on_accepted = on_accepted
         self.user: ConnectionUser | None = None
-        self.transport: asyncio.Transport | None = None
         self.buffer = ReadBuffer()
         self.is_open = False
         self.has_unsent_data = False  # some written bytes are not in the kernel yet
@@ -147,16 +148,6 @@
             else:
                 self.transport.resume_reading()
 
-    def close(self) -> None:
-        """Close the connection once all written bytes are sent."""
-        if self.transport is not None:
-            self.transport.close()
-
-    def abort(self) -> None:
-        """Close the connection now; unsent bytes are dropped."""
-        if self.transport is not None:
-            self.transport.abort()
-
     def discard(self) -> None:
         """Abort, and report the end at once.
 
--- /dev/null
+++ b/ploverspoke/transport/stream_protocol.py
@@ -0,0 +1,21 @@
+"""What all protocols of stream connections share: their transport, and the two ways to close it."""
+
+import asyncio
+
+
+class StreamProtocol(asyncio.BaseProtocol):
+    """A protocol with its transport, which is None before the connection is made and may be after its end."""
+
+    def __init__(self) -> None:
+        """Begin without a connection."""
+        self.transport: asyncio.Transport | None = None
+
+    def close(self) -> None:
+        """Close the connection once all written bytes are sent; does nothing without one."""
+        if self.transport is not None:
+            self.transport.close()
+
+    def abort(self) -> None:
+        """Close the connection at once; unsent bytes are dropped. Does nothing without one."""
+        if self.transport is not None:
+            self.transport.abort()
