--- a/ploverspoke/config_distribution/server_node.py
+++ b/ploverspoke/config_distribution/server_node.py
@@ -4,7 +4,8 @@
 from typing import Protocol
 
 from ploverspoke.consensus.admin_messages import KIND_KEY, WireMap
-from ploverspoke.consensus.node import ReplicaNode, Reply
+from ploverspoke.consensus.node import ReplicaNode
+from ploverspoke.consensus.peer_links import Reply
 from ploverspoke.consensus.storage import ReplicaStorage
 from ploverspoke.service.config_reader import ConfigError
 from ploverspoke.transport.rate_limited_log import log_line
--- a/ploverspoke/consensus/admin_requests.py
+++ b/ploverspoke/consensus/admin_requests.py
@@ -1,7 +1,7 @@
 """Answers the requests that tools send to a replica: status, changes of members, transfer and backup."""
 
 from pathlib import Path
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 import msgspec
 
@@ -20,20 +20,48 @@
     encode_reply,
     unknown_request_reply,
 )
-from .cluster_config import initial_replica_id
+from .cluster_config import ReplicaConfig, initial_replica_id
 from .membership import Member, Members, find_by_name
-from .peer_links import Reply
+from .peer_links import PeerLinks, Reply
 from .raft_state import Role
 from .replica import Replica
+from .replica_driver import WriteCounters
+from .storage import ReplicaStorage
+from .storage_thread import StorageThread
 
-if TYPE_CHECKING:
-    from .node import ReplicaNode
+
+class AdministeredReplica(Protocol):
+    """What the requests of tools read and do at a replica."""
+
+    config: ReplicaConfig
+    replica: Replica | None  # None: the storage cannot be used
+    storage: ReplicaStorage
+    storage_thread: StorageThread
+    storage_error: str  # "": the storage can be used
+    storage_failures: int
+    write_counters: WriteCounters
+    peer_links: PeerLinks
+
+    def members(self) -> Members:
+        """The members by replica id, as they are known here."""
+
+    def change_members(self, members: Members) -> bool:
+        """Begin to replace the members; returns False if that cannot be now."""
+
+    def transfer(self, name: str) -> bool:
+        """Begin to hand leadership to the voter of that name; returns False if this replica cannot."""
+
+    def state_status(self) -> msgspec.Struct | WireMap:
+        """The part of the status that is about the state machine."""
+
+    def handle_state_request(self, request: dict[str, object], reply: Reply) -> bool:
+        """Answer a tool's request about the state machine; returns False if it is none."""
 
 
 class AdminRequests:
     """The requests that every replica answers, whatever its state machine."""
 
-    def __init__(self, node: "ReplicaNode") -> None:
+    def __init__(self, node: AdministeredReplica) -> None:
         """Answer for `node`."""
         self.node = node
 
@@ -72,7 +100,7 @@
     return {**members, replica_id or initial_replica_id(request.name): member}
 
 
-def status_fields(node: "ReplicaNode") -> WireMap:
+def status_fields(node: AdministeredReplica) -> WireMap:
     """Return the status of a replica as tools get it."""
     parts: list[msgspec.Struct | WireMap] = [_replica_status(node), node.state_status()]
     if node.replica is not None:
@@ -83,7 +111,7 @@
     return fields
 
 
-def _replica_status(node: "ReplicaNode") -> ReplicaStatus:
+def _replica_status(node: AdministeredReplica) -> ReplicaStatus:
     return ReplicaStatus(
         name=node.config.name,
         cluster=node.config.cluster,
--- a/ploverspoke/consensus/node.py
+++ b/ploverspoke/consensus/node.py
@@ -19,8 +19,7 @@
 from .cluster_config import ReplicaConfig, initial_replica_id, split_address
 from .log import PlainValue, StateMachine
 from .membership import Member, Members, find_by_name
-from .peer_links import PeerIdentity, PeerLinks
-from .peer_links import Reply as Reply
+from .peer_links import PeerIdentity, PeerLinks, Reply
 from .persisted_state import WriteBatch
 from .raft_state import RaftTimeouts, Role
 from .replica import Replica, RoleListener, Runtime
--- a/ploverspoke/leases/server_node.py
+++ b/ploverspoke/leases/server_node.py
@@ -3,7 +3,8 @@
 from collections.abc import Callable, Mapping
 
 from ploverspoke.consensus.admin_messages import decode_request, encode_reply
-from ploverspoke.consensus.node import ReplicaNode, Reply
+from ploverspoke.consensus.node import ReplicaNode
+from ploverspoke.consensus.peer_links import Reply
 from ploverspoke.consensus.raft_state import Role
 from ploverspoke.transport.rate_limited_log import log_line
 from ploverspoke.transport.units import MILLISECOND
--- a/ploverspoke/store/node.py
+++ b/ploverspoke/store/node.py
@@ -11,7 +11,8 @@
     encode_reply,
 )
 from ploverspoke.consensus.cluster_config import ReplicaConfig
-from ploverspoke.consensus.node import ReplicaNode, Reply
+from ploverspoke.consensus.node import ReplicaNode
+from ploverspoke.consensus.peer_links import Reply
 from ploverspoke.consensus.storage import ReplicaStorage
 
 from .admin_messages import ConfigurationRow, ConfigurationsRequest, ConfigureReply, ConfigureRequest
