--- a/ploverspoke/consensus/replica_driver.py
+++ b/ploverspoke/consensus/replica_driver.py
@@ -9,14 +9,14 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
+from ploverspoke.transport.units import SECOND
+
 from .log import EntryKind
 from .persisted_state import WriteBatch
 from .replica import Replica
 from .storage import ReplicaStorage
 from .storage_thread import StorageThread
 
-NANOSECONDS = 1e9  # of a second
-
 
 @dataclass
 class WriteCounters:
@@ -111,6 +111,7 @@
         self._is_taking_snapshot = True
 
         def on_done(error: Exception | None) -> None:
+            """Compact the log before a snapshot that was written."""
             self._is_taking_snapshot = False
             if self._is_stopped:
                 return
@@ -127,7 +128,7 @@
                 return
             self._timer.cancel()
         self._timer_at = tick_at
-        delay = max(0, tick_at - time.monotonic_ns()) / NANOSECONDS
+        delay = max(0, tick_at - time.monotonic_ns()) / SECOND
         self._timer = self._loop.call_later(delay, self._on_timer)
 
     def _on_timer(self) -> None:
--- a/ploverspoke/consensus/server.py
+++ b/ploverspoke/consensus/server.py
@@ -6,11 +6,10 @@
 from typing import Protocol
 
 from ploverspoke.transport.rate_limited_log import log_line
+from ploverspoke.transport.units import SECOND
 
 from .node import ReplicaNode
 
-NANOSECONDS = 1e9  # of a second
-
 
 class ClientFacingServer(Protocol):
     """Where the clients of a replica connect."""
@@ -52,5 +51,5 @@
     """Make another voter the leader before this one stops, so that the others need no election time-out."""
     for member in node.members().values():
         if member.votes and member.name != node.config.name and node.transfer(member.name):
-            await asyncio.sleep(node.config.election_timeout / NANOSECONDS)
+            await asyncio.sleep(node.config.election_timeout / SECOND)
             return
--- a/ploverspoke/consensus/storage_thread.py
+++ b/ploverspoke/consensus/storage_thread.py
@@ -26,6 +26,7 @@
         """Queue a call; `on_done` gets the exception that it raised, or None, on the running event loop."""
 
         def on_future_done(future: asyncio.Future[object]) -> None:
+            """Pass on the exception; one that would end the process is raised."""
             error = future.exception()
             if error is not None and not isinstance(error, Exception):
                 raise error
