--- a/ploverspoke/config_distribution/dynamic_config.py
+++ b/ploverspoke/config_distribution/dynamic_config.py
@@ -5,7 +5,6 @@
 """
 
 import asyncio
-import gc
 import os
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
@@ -21,6 +20,7 @@
 from ploverspoke.service.exit_codes import run_with_exit_code
 from ploverspoke.service.service import Service
 from ploverspoke.service.startup import block_signals
+from ploverspoke.transport.garbage_collection import freeze_startup_objects
 from ploverspoke.transport.rate_limited_log import log_line
 
 from .cache import read_cache
@@ -103,7 +103,7 @@
         except ValueError as error:
             service.config = before
             raise VersionRejectedError(version.number, str(error)) from error
-        except Exception:
+        except Exception:  # whatever a check raises, the configuration before it stays in effect
             service.config = before
             raise
         service.config = service.config._replace(document=new.document)
@@ -165,8 +165,7 @@
     service.inherit_socket(os.environ)
     client = attach_watch(service, watch_config, own, applied)
     service.on_ready = client.start
-    gc.collect()
-    gc.freeze()
+    freeze_startup_objects()
     try:
         loop.run_until_complete(service.run())
     finally:
--- a/ploverspoke/config_distribution/version_receiver.py
+++ b/ploverspoke/config_distribution/version_receiver.py
@@ -100,8 +100,7 @@
             reason = error.reason
         except ValueError as error:
             reason = str(error)
-        except Exception as error:
-            # Whatever a check stumbles over: the active version stays, and the reason is reported.
+        except Exception as error:  # a fault in a check: the active version stays, the reason is reported
             reason = f"{type(error).__name__}: {error}"
         else:
             self.counters.versions_applied += 1
--- a/ploverspoke/consensus/server.py
+++ b/ploverspoke/consensus/server.py
@@ -1,14 +1,19 @@
-"""One replica as a process of its own, with the server for its clients, until a signal ends it."""
+"""Runs one replica as a process of its own, with the server for its clients, until a signal ends it."""
 
 import asyncio
-import gc
 import signal
+from collections.abc import Callable, Coroutine
 from typing import Protocol
 
+import uvloop
+
+from ploverspoke.service.exit_codes import run_with_exit_code
+from ploverspoke.transport.garbage_collection import freeze_startup_objects
 from ploverspoke.transport.rate_limited_log import log_line
 from ploverspoke.transport.units import SECOND
 
 from .node import ReplicaNode
+from .storage import ClusterMismatchError, CorruptionError, StorageError
 
 
 class ClientFacingServer(Protocol):
@@ -21,6 +26,17 @@
         """Stop listening and close all connections."""
 
 
+def run_replica_process(serve: Callable[[], Coroutine[object, object, None]]) -> int:
+    """Run what `serve` returns on an event loop, and return the exit code of the process.
+
+    0: it was ended by a signal. 2: the configuration or the storage cannot be used, and the reason was
+    printed.
+    """
+    return run_with_exit_code(
+        lambda: uvloop.run(serve()), ClusterMismatchError, CorruptionError, StorageError
+    )
+
+
 async def serve_replica(
     log_prefix: str, node: ReplicaNode, client_server: ClientFacingServer, new: bool, join: str
 ) -> None:
@@ -35,8 +51,7 @@
     try:
         await node.open(new, join)
         await client_server.open()
-        gc.collect()
-        gc.freeze()
+        freeze_startup_objects()
         config = node.config
         log_line(f"{log_prefix}: {config.name} serves at {config.replicas[config.name].client}")
         await stopped.wait()
--- a/ploverspoke/store/daemon.py
+++ b/ploverspoke/store/daemon.py
@@ -1,19 +1,16 @@
 """The dispatcher as one replica of a store: `service/service.py` with a replicated request log."""
 
 import asyncio
-import gc
 import os
 from pathlib import Path
 from typing import cast
 
-import uvloop
-
 from ploverspoke.consensus.cluster_config import ReplicaConfig, read_replica_config
-from ploverspoke.consensus.storage import ClusterMismatchError, CorruptionError, StorageError
+from ploverspoke.consensus.server import run_replica_process
 from ploverspoke.service.config import Config, read_config_document
 from ploverspoke.service.config_reader import ConfigError
-from ploverspoke.service.exit_codes import run_with_exit_code
 from ploverspoke.service.service import Service
+from ploverspoke.transport.garbage_collection import freeze_startup_objects
 from ploverspoke.transport.rate_limited_log import log_line
 
 from .endpoint_cache import EndpointCache, EndpointList
@@ -44,8 +41,7 @@
             self.shared_body = self.node.saved_configuration()
             self.service = self._build_service(self.read_config())
             self.node.on_configuration = self._apply_configuration
-            gc.collect()
-            gc.freeze()
+            freeze_startup_objects()
             await self.service.run()
         finally:
             await self.node.close()
@@ -80,12 +76,8 @@
 
 
 def main(store: Path, new: bool = False, join: str = "") -> int:
-    """Run the daemon with the replica's file `store` and give the exit code.
+    """Run the daemon with the replica's file `store` and return the exit code of `run_replica_process`.
 
-    0: ended by a signal. 2: the configuration or the storage cannot be used, and the reason was printed.
+    `new` and `join` are those of `StoreDaemon.run`.
     """
-
-    def run() -> None:
-        uvloop.run(StoreDaemon(read_replica_config(store)).run(new, join))
-
-    return run_with_exit_code(run, ClusterMismatchError, CorruptionError, StorageError)
+    return run_replica_process(lambda: StoreDaemon(read_replica_config(store)).run(new, join))
--- a/ploverspoke/transport/deadlines.py
+++ b/ploverspoke/transport/deadlines.py
@@ -91,7 +91,6 @@
             deadline.done = True
             try:
                 deadline.callback()
-            except Exception:
-                # A fault in one callback must not stop the others; it is logged with its trace.
+            except Exception:  # a fault in one callback must not stop the others
                 log_line("a deadline's callback failed: " + traceback.format_exc())
         self._arm()
