--- a/ploverspoke/consensus/cluster_config.py
+++ b/ploverspoke/consensus/cluster_config.py
@@ -6,14 +6,16 @@
 from typing import NamedTuple
 
 from ploverspoke.service.config_reader import ConfigError, ConfigSection
+from ploverspoke.transport.units import MILLISECOND
 
 from .membership import Member, Members
 
 NAME = re.compile(r"[a-z0-9][a-z0-9-]{0,31}")
 MIN_SECRET_BYTES = 16
-MILLISECOND = 1_000_000  # ns
-DEFAULT_ELECTION_MS, MIN_ELECTION_MS = 200, 50
-DEFAULT_SNAPSHOT_EVERY, MIN_SNAPSHOT_EVERY = 20_000, 100  # entries
+DEFAULT_ELECTION_MS = 200
+MIN_ELECTION_MS = 50
+DEFAULT_SNAPSHOT_EVERY = 20_000  # log entries
+MIN_SNAPSHOT_EVERY = 100
 
 
 class ReplicaAddresses(NamedTuple):
--- a/ploverspoke/consensus/framed_server.py
+++ b/ploverspoke/consensus/framed_server.py
@@ -1,7 +1,7 @@
 """Serves clients over authenticated frames: an asyncio server with one current connection for each client.
 
 `FramedServer` owns the listening socket and all accepted connections. What the frames mean is up to its
-subclass: it names a client (`FramedServer.register`) once that has said enough, and handles its messages.
+subclass: it names a client (`FramedServer.register`) once it is known, and handles its messages.
 """
 
 import abc
@@ -27,14 +27,14 @@
 
 
 class FramedConnection(StreamProtocol, asyncio.Protocol):
-    """One accepted connection. It is created by its server, which is told of all that happens on it."""
+    """One accepted connection. It is created by its server, to which it reports all events."""
 
     def __init__(self, server: "FramedServer") -> None:
         """Put the greeting together; it is sent when the connection is made."""
         super().__init__()
         self.server = server
         self.frames = FrameCodec(server.secret, dict(server.greeting()))
-        self.client_name = ""  # set by the server once the client has said it
+        self.client_name = ""  # set by the server once the client has sent it
         self.registered = False
         self.greeted = False
         self.registration_timer: asyncio.TimerHandle | None = None
@@ -46,7 +46,7 @@
         self.transport.write(self.frames.greeting_frame())
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Tell the server; called by asyncio."""
+        """Report the end to the server; called by asyncio."""
         self.transport = None
         self.cancel_registration_timer()
         self.server.remove_connection(self)
--- a/ploverspoke/consensus/framing.py
+++ b/ploverspoke/consensus/framing.py
@@ -63,7 +63,7 @@
     """The frames of one connection, both ways."""
 
     def __init__(self, secret: bytes, greeting: Mapping[str, object]) -> None:
-        """Prepare a connection; `greeting` is what the other side is told of this one."""
+        """Prepare a connection; `greeting` is the first message to the other side."""
         self.secret = secret
         self.nonce = secrets.token_bytes(NONCE_BYTES)
         self.greeting_body = msgspec.msgpack.encode({**greeting, "nonce": self.nonce})
--- a/ploverspoke/consensus/log_receiver.py
+++ b/ploverspoke/consensus/log_receiver.py
@@ -62,7 +62,7 @@
         state.environment.truncate_entries_from(index)
 
     def _reject(self, sender: str, message: AppendEntries, previous_index: int) -> None:
-        """Tell the leader where the logs may agree: before the whole conflicting term."""
+        """Report to the leader where the logs may agree: before the whole conflicting term."""
         log = self.state.log
         is_missing = previous_index > log.last_index()
         next_index = log.last_index() + 1 if is_missing else log.first_of_term(previous_index)
--- a/ploverspoke/consensus/node.py
+++ b/ploverspoke/consensus/node.py
@@ -271,7 +271,7 @@
 
     def _reopen_and_write(self) -> None:
         self.storage.reopen()
-        # A vote that is written once more changes nothing, and shows whether there is room.
+        # A vote that is written once more changes nothing, and shows whether the disk can be written.
         batch = WriteBatch()
         batch.vote = (self.storage.persisted.current_term, self.storage.persisted.voted_for)
         self.storage.write(batch)
--- a/ploverspoke/consensus/raft.py
+++ b/ploverspoke/consensus/raft.py
@@ -202,7 +202,7 @@
         return has_leader and not message.is_transfer
 
     def _answer_stale(self, sender: str, message: Message) -> None:
-        """Tell the sender of a request our term, so that an old leader steps down."""
+        """Send our term to the sender of a request, so that an old leader steps down."""
         if isinstance(message, AppendEntries | InstallSnapshot | RequestVote | PreVote):
             self.state.send(sender, StaleTerm(term=self.state.current_term))
 
--- a/ploverspoke/consensus/raft_state.py
+++ b/ploverspoke/consensus/raft_state.py
@@ -6,12 +6,15 @@
 from enum import StrEnum
 from typing import NamedTuple, Protocol, cast
 
+from ploverspoke.transport.units import MILLISECOND
+
 from .log import Entry, EntryKind, PlainValue, Snapshot
 from .membership import Members
 from .persisted_state import PersistedState
 from .wire_messages import Message
 
-MILLISECOND = 1_000_000  # ns
+DEFAULT_ELECTION_TIMEOUT = 200 * MILLISECOND
+DEFAULT_HEARTBEAT_INTERVAL = 50 * MILLISECOND
 
 
 class Role(StrEnum):
@@ -27,8 +30,8 @@
 class RaftTimeouts(NamedTuple):
     """The timing of elections and heartbeats, in nanoseconds."""
 
-    election: int = 200 * MILLISECOND  # at least; at most twice that
-    heartbeat: int = 50 * MILLISECOND
+    election: int = DEFAULT_ELECTION_TIMEOUT  # at least; at most twice that
+    heartbeat: int = DEFAULT_HEARTBEAT_INTERVAL
 
 
 class RaftEnvironment(Protocol):
@@ -79,7 +82,7 @@
 
 
 class RaftState:
-    """Term, vote, log, role and commit index, and the ways to change them that tell the environment."""
+    """Term, vote, log, role and commit index, and the ways to change them, which notify the environment."""
 
     def __init__(
         self,
--- a/ploverspoke/consensus/replica.py
+++ b/ploverspoke/consensus/replica.py
@@ -183,7 +183,7 @@
         self._fail_waiting()
 
     def on_role_changed(self, role: Role, leader_id: str) -> None:
-        """Tell the listeners; what waits for this replica as the leader fails when it is none."""
+        """Notify the listeners; what waits for this replica as the leader fails when it is none."""
         if role is not Role.LEADER:
             self._fail_waiting()
         for listener in self.role_listeners:
--- a/ploverspoke/consensus/replica_driver.py
+++ b/ploverspoke/consensus/replica_driver.py
@@ -27,7 +27,7 @@
 
 
 class DriverCallbacks(NamedTuple):
-    """What a driver tells its node."""
+    """What a driver reports to its node."""
 
     on_members_written: Callable[[], None]  # the members may have changed
     on_failure: Callable[[Exception], None]  # the storage cannot be written
--- a/ploverspoke/leases/client.py
+++ b/ploverspoke/leases/client.py
@@ -17,6 +17,7 @@
 CONNECT_TIMEOUT = 1.0  # seconds
 FINAL_RELEASE_TIME = 0.05  # seconds that the last request has to be sent
 MAX_SLEEP = 60.0  # seconds
+START_ID_BYTES = 6  # random
 
 
 class LeaseServerConnection(FramedClientConnection):
@@ -31,7 +32,7 @@
         self.client = client
 
     def on_connected(self) -> None:
-        """Tell the client that it can send."""
+        """Let the client send."""
         self.client.on_connected(self)
 
     def on_message(self, message: object) -> None:
@@ -39,7 +40,7 @@
         self.client.on_message(self, message)
 
     def on_disconnected(self) -> None:
-        """Tell the client that the connection is lost."""
+        """Report the loss to the client."""
         self.client.on_disconnected(self)
 
 
@@ -53,7 +54,7 @@
     def __init__(self, servers: LeaseServers, name: str, start: str = "") -> None:
         """`start` distinguishes this start of the process from others; random unless given."""
         self.servers = servers
-        self.holder_id = f"{name}/{start or os.urandom(6).hex()}"
+        self.holder_id = f"{name}/{start or os.urandom(START_ID_BYTES).hex()}"
         self.holder = LeaseHolder(self)
         self.loop = asyncio.get_running_loop()
         # Not all clients begin with the first server.
--- a/ploverspoke/leases/command_options.py
+++ b/ploverspoke/leases/command_options.py
@@ -6,7 +6,7 @@
 import sys
 from collections.abc import Callable, Coroutine
 from pathlib import Path
-from typing import Any, NamedTuple, TypeVar
+from typing import Concatenate, NamedTuple, ParamSpec, TypeVar
 
 import click
 
@@ -23,11 +23,22 @@
 from .config import LeaseServers, read_lease_servers
 from .errors import NoLeaderError
 
-NOT_HELD, NO_LEADER, LEASE_ENDED, NOT_READY = 1, 3, 4, 5  # exit codes
+# Exit codes
+NOT_HELD = 1
+NO_LEADER = 3
+LEASE_ENDED = 4
+NOT_READY = 5
+
+DEFAULT_DURATION = 30.0  # seconds
 
 NAME_ARGUMENT = click.argument("name")
 DURATION_OPTION = click.option(
-    "--for", "seconds", type=float, default=30.0, show_default=True, help="Duration of the lease, s."
+    "--for",
+    "seconds",
+    type=float,
+    default=DEFAULT_DURATION,
+    show_default=True,
+    help="Duration of the lease, s.",
 )
 HOLDER_OPTION = click.option(
     "--as", "holder", default=socket.gethostname, help="The holder's name; a start is added."
@@ -35,6 +46,7 @@
 COMMAND_ARGUMENT = click.argument("command", nargs=-1, required=True, type=click.UNPROCESSED)
 
 ResultT = TypeVar("ResultT")
+Options = ParamSpec("Options")
 
 
 class LeaseArguments(NamedTuple):
@@ -51,7 +63,7 @@
         return int(self.seconds * SECOND)
 
 
-def lease_arguments(command: Callable[..., None]) -> Callable[..., None]:
+def lease_arguments(command: Callable[Concatenate[LeaseArguments, Options], None]) -> Callable[..., None]:
     """Give a click command FILE, NAME, --for and --as as one `LeaseArguments`, its first parameter."""
 
     @FILE_ARGUMENT
@@ -59,8 +71,10 @@
     @DURATION_OPTION
     @HOLDER_OPTION
     @functools.wraps(command)
-    def with_arguments(file: Path, name: str, seconds: float, holder: str, **options: Any) -> None:
-        command(LeaseArguments(file, name, seconds, holder), **options)
+    def with_arguments(
+        file: Path, name: str, seconds: float, holder: str, *args: Options.args, **options: Options.kwargs
+    ) -> None:
+        command(LeaseArguments(file, name, seconds, holder), *args, **options)
 
     return with_arguments
 
@@ -73,12 +87,13 @@
 def run_with_client(
     servers: LeaseServers,
     holder: str,
-    use: Callable[[LeaseClient], Coroutine[Any, Any, ResultT]],
+    use: Callable[[LeaseClient], Coroutine[object, object, ResultT]],
     start: str = "",
 ) -> ResultT:
     """Run `use` on an event loop with a client, which releases at the end what it still wants."""
 
     async def run() -> ResultT:
+        """Run `use` with a client, and close it."""
         client = LeaseClient(servers, holder, start)
         try:
             return await use(client)
--- a/ploverspoke/leases/commands.py
+++ b/ploverspoke/leases/commands.py
@@ -35,6 +35,10 @@
 from .guarded_process import guard_process, start_under_lease
 
 RESTART_GRACES = 8  # of the lease's duration: how much of it COMMAND has from TERM to KILL
+DEFAULT_READY_TIMEOUT = 30.0  # seconds
+DEFAULT_RESTART_WAIT = 3600.0  # seconds
+DEFAULT_PUBLISH_WAIT = 60.0  # seconds
+DEFAULT_SUMMARY_INTERVAL = 10.0  # seconds
 PUBLISH_STEPS = 3  # of the lease's duration: how much of it a commit may take
 
 
@@ -66,8 +70,20 @@
 @lease_arguments
 @COMMAND_ARGUMENT
 @click.option("--ready", required=True, help="The admin address (admin_addr) of what is restarted.")
-@click.option("--within", type=float, default=30.0, show_default=True, help="Seconds for it to be back.")
-@click.option("--wait", type=float, default=3600.0, show_default=True, help="Seconds to wait for the lease.")
+@click.option(
+    "--within",
+    type=float,
+    default=DEFAULT_READY_TIMEOUT,
+    show_default=True,
+    help="Seconds for it to be back.",
+)
+@click.option(
+    "--wait",
+    type=float,
+    default=DEFAULT_RESTART_WAIT,
+    show_default=True,
+    help="Seconds to wait for the lease.",
+)
 def restart(
     arguments: LeaseArguments, command: tuple[str, ...], ready: str, within: float, wait: float
 ) -> None:
@@ -80,7 +96,8 @@
     """
     name = arguments.name
 
-    async def use(client: LeaseClient) -> int:
+    async def restart_under_lease(client: LeaseClient) -> int:
+        """Run COMMAND under the lease and wait for the dispatcher; returns the exit code."""
         guarded = await start_under_lease(client, name, arguments.duration, wait, command)
         if guarded is None:
             return NOT_HELD
@@ -93,14 +110,20 @@
         client.keep_until_expiry()
         return LEASE_ENDED if code == LEASE_ENDED else NOT_READY
 
-    sys.exit(run_with_client(read_servers(arguments.file), arguments.holder, use))
+    sys.exit(run_with_client(read_servers(arguments.file), arguments.holder, restart_under_lease))
 
 
 @lease.command()
 @lease_arguments
 @click.argument("store_file", type=EXISTING_FILE)
 @click.argument("configuration", type=EXISTING_FILE)
-@click.option("--wait", type=float, default=60.0, show_default=True, help="Seconds to wait for the lease.")
+@click.option(
+    "--wait",
+    type=float,
+    default=DEFAULT_PUBLISH_WAIT,
+    show_default=True,
+    help="Seconds to wait for the lease.",
+)
 @JSON_OPTION
 def publish(
     arguments: LeaseArguments, store_file: Path, configuration: Path, wait: float, as_json: bool
@@ -116,7 +139,9 @@
     servers = read_servers(arguments.file)
     store, body = read_configuration(store_file, configuration)
 
-    async def use(client: LeaseClient) -> ConfigureReply | None:
+    async def publish_when_held(client: LeaseClient) -> ConfigureReply | None:
+        """Acquire the lease and commit under it; None: no reply came in time."""
+
         def commit(token: int) -> ConfigureReply:
             return commit_configuration(store, ConfigureRequest(body, client.holder_id, token))
 
@@ -131,7 +156,7 @@
             return ConfigureReply(done=False, why=str(error))
 
     try:
-        reply = run_with_client(servers, arguments.holder, use)
+        reply = run_with_client(servers, arguments.holder, publish_when_held)
     except ReplicaUnavailableError as error:
         exit_with_failure(error, as_json)
     _print_publish_result(reply, as_json)
@@ -157,7 +182,7 @@
 @click.option(
     "--to", "path", type=click.Path(path_type=Path), required=True, help="The file, replaced whole."
 )
-@click.option("--every", type=float, default=10.0, show_default=True, help="Seconds.")
+@click.option("--every", type=float, default=DEFAULT_SUMMARY_INTERVAL, show_default=True, help="Seconds.")
 @click.option("--times", type=int, default=0, help="End after so many files; 0: go on.")
 def summary(
     arguments: LeaseArguments, addresses: tuple[str, ...], path: Path, every: float, times: int
@@ -170,10 +195,11 @@
     name = arguments.name
     plan = SummaryPlan(list(addresses), path, every, times)
 
-    async def use(client: LeaseClient) -> bool:
+    async def summarise_while_held(client: LeaseClient) -> bool:
+        """Write summaries; False where the lease is rejected."""
         wanted = client.want(name, arguments.duration)
         wanted.on_lost = lambda reason: click.echo(f"{name}: {reason}", err=True)
         return await summarise(client, name, plan)
 
-    completed = run_with_client(read_servers(arguments.file), arguments.holder, use)
+    completed = run_with_client(read_servers(arguments.file), arguments.holder, summarise_while_held)
     sys.exit(0 if completed else NOT_HELD)
--- a/ploverspoke/leases/fleet_tasks.py
+++ b/ploverspoke/leases/fleet_tasks.py
@@ -25,6 +25,7 @@
 from .messages import NO_TOKEN
 
 MAX_CONCURRENT_CALLS = 32
+LOCK_FILE_MODE = 0o644
 WRITE_DURATION = SECOND // 10  # ns, to write a summary
 
 ReplyT = TypeVar("ReplyT")
@@ -47,6 +48,7 @@
     reply: ReplyT | None = None
 
     async def run_commit(token: int) -> None:
+        """Commit on a thread of its own, and note that this has begun."""
         nonlocal started, reply
         started = True
         reply = await asyncio.to_thread(commit, token)
@@ -61,7 +63,7 @@
 
 
 class FleetSummary(msgspec.Struct):
-    """What all dispatchers say of themselves."""
+    """The counters of all dispatchers at one time."""
 
     at: float  # Unix time, seconds
     asked: int  # dispatchers
@@ -105,6 +107,7 @@
         collected.append(await collect_summary(plan.admin_addresses))
 
     async def write(token: int) -> None:
+        """Replace the file, under the token of the lease."""
         nonlocal written
         written = write_summary(plan.path, collected[0], token)
 
@@ -117,7 +120,7 @@
 
 
 async def collect_summary(admin_addresses: Iterable[str]) -> FleetSummary:
-    """Ask each dispatcher for its counters (`vars`), and add up what they say."""
+    """Ask each dispatcher for its counters (`vars`), and add them up."""
     started_at = time.time()
     concurrency = asyncio.Semaphore(MAX_CONCURRENT_CALLS)
 
@@ -171,7 +174,8 @@
 @contextmanager
 def _locked(path: Path) -> Iterator[None]:
     """Hold a lock beside the file, which the end of this process frees, too."""
-    lock = os.open(path.with_name(f".{path.name}.lock"), os.O_CREAT | os.O_RDWR | os.O_CLOEXEC, 0o644)
+    lock_path = path.with_name(f".{path.name}.lock")
+    lock = os.open(lock_path, os.O_CREAT | os.O_RDWR | os.O_CLOEXEC, LOCK_FILE_MODE)
     try:
         fcntl.flock(lock, fcntl.LOCK_EX)
         yield
--- a/ploverspoke/leases/guarded_process.py
+++ b/ploverspoke/leases/guarded_process.py
@@ -17,6 +17,7 @@
 TOKEN_VARIABLE = "PLOVERSPOKE_LEASE_TOKEN"
 PR_SET_PDEATHSIG = 1  # of prctl(2)
 MIN_POLL_INTERVAL, MAX_POLL_INTERVAL = 0.01, 0.25  # seconds
+KILL_MARGINS_PER_GRACE = 4  # it is killed while the lease has a quarter of the grace left
 SIGNAL_EXIT_CODE = 128  # plus the signal's number, as shells do
 
 
@@ -58,7 +59,7 @@
     It is terminated while the lease has a little more than `grace` ns left, and killed at a quarter of that.
     """
     process = guarded.process
-    kill_at = grace // 4  # time left, ns
+    kill_at = grace // KILL_MARGINS_PER_GRACE  # time left, ns
     terminate_at = grace + kill_at
     ended = asyncio.ensure_future(process.wait())
     terminated = False
--- a/ploverspoke/leases/holding_commands.py
+++ b/ploverspoke/leases/holding_commands.py
@@ -32,6 +32,8 @@
 RELEASE_TIMEOUT = 2.0  # seconds
 RELEASE_POLL_INTERVAL = 0.02  # seconds
 MIN_DURATION_IN_GRACES = 4
+DEFAULT_WAIT = 3600.0  # seconds, of `run`
+DEFAULT_GRACE = 2.0  # seconds
 
 
 class Acquisition(NamedTuple):
@@ -69,7 +71,8 @@
     Prints holder and token, and for how long it is certainly held. Exit 1 where it is not acquired.
     """
 
-    async def use(client: LeaseClient) -> Acquisition:
+    async def acquire_and_keep(client: LeaseClient) -> Acquisition:
+        """Acquire the lease and leave it to expire."""
         reasons: list[str] = []
         client.want(arguments.name, arguments.duration).on_lost = reasons.append
         token = await client.wait_until_held(arguments.name, REQUEST_TIME + wait)
@@ -78,7 +81,7 @@
         reason = reasons[-1] if reasons else None
         return Acquisition(arguments.name, client.holder_id, token, left_s, reason)
 
-    acquisition = run_with_client(read_servers(arguments.file), arguments.holder, use)
+    acquisition = run_with_client(read_servers(arguments.file), arguments.holder, acquire_and_keep)
     click.echo(acquisition.as_json() if as_json else acquisition.describe())
     sys.exit(0 if acquisition.token else NOT_HELD)
 
@@ -111,7 +114,8 @@
 def _release(servers: LeaseServers, name: str, holder: str, token: int) -> None:
     """Send the release under the holder's own id, and wait a while for the response."""
 
-    async def use(client: LeaseClient) -> None:
+    async def send_release(client: LeaseClient) -> None:
+        """Send the release until it is answered, or RELEASE_TIMEOUT is over."""
         client.release_token(name, token)
         with contextlib.suppress(TimeoutError):  # whether it was released is looked at afterwards
             async with asyncio.timeout(RELEASE_TIMEOUT):
@@ -119,14 +123,16 @@
                     await asyncio.sleep(RELEASE_POLL_INTERVAL)
 
     holder_name, _, start = holder.rpartition("/")
-    run_with_client(servers, holder_name, use, start)
+    run_with_client(servers, holder_name, send_release, start)
 
 
 @click.command()
 @lease_arguments
 @COMMAND_ARGUMENT
-@click.option("--wait", type=float, default=3600.0, show_default=True, help="Seconds to wait for it.")
-@click.option("--grace", type=float, default=2.0, show_default=True, help="Seconds from TERM to KILL.")
+@click.option("--wait", type=float, default=DEFAULT_WAIT, show_default=True, help="Seconds to wait for it.")
+@click.option(
+    "--grace", type=float, default=DEFAULT_GRACE, show_default=True, help="Seconds from TERM to KILL."
+)
 def run(arguments: LeaseArguments, command: tuple[str, ...], wait: float, grace: float) -> None:
     """Run COMMAND under a lease: `lease run FILE NAME -- COMMAND`. Its token is in PLOVERSPOKE_LEASE_TOKEN.
 
@@ -139,7 +145,8 @@
         message = f"--grace {grace:g}: at most a quarter of --for {arguments.seconds:g}"
         raise click.UsageError(message)
 
-    async def use(client: LeaseClient) -> int:
+    async def run_under_lease(client: LeaseClient) -> int:
+        """Run COMMAND while the lease is held; returns the exit code."""
         guarded = await start_under_lease(client, arguments.name, arguments.duration, wait, command)
         if guarded is None:
             return NOT_HELD
@@ -149,4 +156,4 @@
         outcome = await guard_process(client, guarded, grace_time)
         return LEASE_ENDED if outcome.lease_ended else outcome.exit_code
 
-    sys.exit(run_with_client(read_servers(arguments.file), arguments.holder, use))
+    sys.exit(run_with_client(read_servers(arguments.file), arguments.holder, run_under_lease))
--- a/ploverspoke/leases/manager.py
+++ b/ploverspoke/leases/manager.py
@@ -70,7 +70,7 @@
         self.restored_until = 0  # leases granted before the restore may be held until then
         self.epoch_proposed = False
         self.expires_at: dict[int, int] = {}  # by token
-        self.ended_tokens: set[int] = set()  # that the log says or will say to have ended
+        self.ended_tokens: set[int] = set()  # whose end is in the log or proposed
         self.queues = WaitingQueues()
         self.proposed_grants: set[str] = set()  # names
         self.latest_request: dict[str, int] = {}  # by holder
@@ -245,7 +245,7 @@
             self._grant_next(name)
 
     def _grant_next(self, name: str) -> None:
-        """Propose a grant to who is next where there is room, else note when there will be."""
+        """Propose a grant to who is next where one may be made, else note when one may."""
         definition = self.definitions.find(name)
         if name not in self.queues.by_name or definition is None or name in self.proposed_grants:
             return
--- a/ploverspoke/leases/messages.py
+++ b/ploverspoke/leases/messages.py
@@ -13,7 +13,9 @@
 NO_TOKEN = 0
 HOLDER, LEASE_SERVER = "holder", "lease server"  # kinds of senders
 
-WireInteger = Annotated[int, msgspec.Meta(ge=0, lt=1 << 62)]
+WIRE_INTEGER_END = 1 << 62  # exclusive
+
+WireInteger = Annotated[int, msgspec.Meta(ge=0, lt=WIRE_INTEGER_END)]
 
 
 class _Row(msgspec.Struct, array_like=True, forbid_unknown_fields=True):
--- a/ploverspoke/leases/server_node.py
+++ b/ploverspoke/leases/server_node.py
@@ -102,6 +102,7 @@
             return False
 
         def on_decided(leads: bool) -> None:
+            """Reply what the leader knows; a follower knows nothing."""
             found = self.list_leases() if leads and self.manager.is_leader else FollowerReply()
             reply(encode_reply(found))
 
--- a/ploverspoke/leases/state_machine.py
+++ b/ploverspoke/leases/state_machine.py
@@ -25,7 +25,7 @@
 
 
 class GrantCommand(msgspec.Struct, array_like=True, tag="grant"):
-    """Ends the expired tokens, then grants the lease to a holder if there is room."""
+    """Ends the expired tokens, then grants the lease to a holder unless it has its most."""
 
     name: str
     holder: str
--- a/ploverspoke/leases/waiting_queue.py
+++ b/ploverspoke/leases/waiting_queue.py
@@ -10,7 +10,7 @@
     """A holder that wants a lease and does not have it."""
 
     def __init__(self, holder: str, duration: int, waiting_since: int, requested_at: int) -> None:
-        """`waiting_since` gives its place in the queue, `requested_at` when it was heard from last."""
+        """`waiting_since` gives its place in the queue, `requested_at` when its last request came."""
         self.holder = holder
         self.duration = duration
         self.waiting_since = waiting_since
--- a/ploverspoke/transport/connection_pool.py
+++ b/ploverspoke/transport/connection_pool.py
@@ -17,7 +17,7 @@
 # Of the time after which the other side closes an idle connection: a request that crosses the close is lost.
 MAX_IDLE_FRACTION = 0.7
 MAX_BREAKS_KEPT = 16  # of connections that broke when they were reused
-MIN_BREAKS_FOR_LIMIT = 4  # so many recent ones tell how long an idle connection is safe
+MIN_BREAKS_FOR_LIMIT = 4  # recent ones, from which a safe idle time can be estimated
 BREAK_IS_RECENT = 10 * SECOND
 MIN_CLEANUP_INTERVAL = 250 * MILLISECOND
 OUT_OF_RESOURCES = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
@@ -172,7 +172,7 @@
 
         A connection that was idle for less than `max_idle_time` ns (None: any time) is reused, and
         `on_connected` is called before this returns None. Else a new one is established and returned while
-        pending, or `on_connect_failed` is called where there is no room for it.
+        pending, or `on_connect_failed` is called where the pool is full.
         """
         now = self.deadlines.now()
         idle = self.idle.get(address)
--- a/ploverspoke/transport/listener.py
+++ b/ploverspoke/transport/listener.py
@@ -14,7 +14,7 @@
 BACKLOG = 512
 ACCEPTS_PER_TURN = 8  # their first bytes are read before more are accepted: a flood would evict its own
 FIRST_BYTES_WITHIN = 20 * MILLISECOND  # a new connection that sent nothing for so long may be evicted
-RETRY_AFTER = 10 * MILLISECOND  # when there is no room for one more
+RETRY_AFTER = 10 * MILLISECOND  # when there is no capacity for one more
 FINISH_TRIES = 20  # to accept what waits before the socket is closed
 SETUP_TRIES = 5  # to hand a connection to the event loop
 MOMENTARY_ERRORS = frozenset(
@@ -30,13 +30,13 @@
         loop: asyncio.AbstractEventLoop,
         deadlines: Deadlines,
         make_connection: Callable[[], Connection],
-        has_room: Callable[[int], bool],
+        has_capacity: Callable[[int], bool],
     ) -> None:
-        """`has_room` is given the number of accepted connections that are not set up yet."""
+        """`has_capacity` is given the number of accepted connections that are not set up yet."""
         self.loop = loop
         self.deadlines = deadlines
         self.make_connection = make_connection
-        self.has_room = has_room
+        self.has_capacity = has_capacity
         self.socket: socket.socket | None = None
         self.is_finishing = False
         self.setup_tasks: set[asyncio.Task[None]] = set()
@@ -86,7 +86,7 @@
         for _ in range(limit):
             if self.socket is None:
                 return True
-            if not self.has_room(len(self.setup_tasks)):
+            if not self.has_capacity(len(self.setup_tasks)):
                 self._pause(self.socket)
                 return False
             try:
