--- a/ploverspoke/config_distribution/admin_client.py
+++ b/ploverspoke/config_distribution/admin_client.py
@@ -46,6 +46,7 @@
     """The replies of all servers, asked at once, in the order of the file."""
 
     def ask(server: str) -> ServerReply[ReplyT]:
+        """Return the reply of one server, or the error in its place."""
         try:
             reply = call_replica(servers.peers[server], servers.secret, request, reply_type)
         except (OSError, FrameError) as error:
@@ -131,6 +132,7 @@
         self.unknown: PublishReply | None = None  # an attempt may have been committed
 
     def run(self, timeout: float) -> PublishReply:
+        """Attempt it until there is a final reply, or `timeout` seconds are over. Raises as `publish`."""
         deadline = time.monotonic() + timeout
         while True:
             leader = find_leader(self.servers)
--- a/ploverspoke/config_distribution/admin_messages.py
+++ b/ploverspoke/config_distribution/admin_messages.py
@@ -69,7 +69,7 @@
     """The part of a status that only config servers have; counters begin with the process."""
 
     version: int  # the latest; 0: none
-    has_recent_leader: bool = msgspec.field(name="fresh")  # it leads, or heard from a leader lately
+    has_recent_leader: bool = msgspec.field(name="fresh")  # it leads, or a leader has lately sent something
     watchers: int  # connected
     watchers_behind: int
     versions_sent: int = msgspec.field(name="pushes")
--- a/ploverspoke/config_distribution/broadcaster.py
+++ b/ploverspoke/config_distribution/broadcaster.py
@@ -39,7 +39,7 @@
         """The monotonic clock, ns."""
 
     def has_recent_leader(self) -> bool:
-        """Whether this replica leads, or has heard from a leader lately."""
+        """Whether this replica leads, or has lately received something from one."""
 
     def send(self, name: str, message: ServerMessage) -> int:
         """Send to that watcher; the bytes that it takes on the wire."""
@@ -70,7 +70,7 @@
         self.watchers: dict[str, ConnectedWatcher] = {}
         self.watchers_behind: dict[str, ConnectedWatcher] = {}  # in the order in which they are served
         self.heartbeats_due: deque[tuple[int, ConnectedWatcher]] = deque()  # the earliest first
-        self.remembered: dict[str, RememberedWatcher] = {}  # the latest heard last
+        self.remembered: dict[str, RememberedWatcher] = {}  # in the order of their latest status
         self.byte_budget = float(bytes_per_second)
         self.budget_updated_at = environment.now()
         self.next_tick = NEVER
@@ -109,7 +109,7 @@
             watcher = self.watchers[name] = ConnectedWatcher(name, status, now)
             self.heartbeats_due.append((now + HEARTBEAT_INTERVAL, watcher))
             self._tick_by(now + HEARTBEAT_INTERVAL)
-        watcher.status, watcher.heard_at = status, now
+        watcher.status, watcher.last_received_at = status, now
         watcher.sent_at, watcher.was_resent = 0, False
         self.remembered.pop(name, None)
         self.remembered[name] = RememberedWatcher(status, now)
@@ -141,7 +141,7 @@
         return Heartbeat(self.latest_number(), self.environment.has_recent_leader())
 
     def watcher_rows(self) -> list[WatcherRow]:
-        """What is known of each watcher that was heard, also of those that are no longer connected."""
+        """What is known of each watcher that has sent a status, also of those not connected now."""
         now = self.environment.now()
         return [
             WatcherRow(
@@ -149,7 +149,7 @@
                 watcher.status.applied_version,
                 watcher.status.received_version,
                 self._rejection(watcher.status),
-                round((now - watcher.heard_at) / SECOND, 3),
+                round((now - watcher.last_received_at) / SECOND, 3),
                 watcher.is_connected,
             )
             for name, watcher in self.remembered.items()
@@ -242,7 +242,7 @@
             _, watcher = self.heartbeats_due.popleft()
             if self.watchers.get(watcher.name) is not watcher:
                 continue  # it is no longer connected
-            if now - watcher.heard_at > WATCHER_TIMEOUT:
+            if now - watcher.last_received_at > WATCHER_TIMEOUT:
                 self.counters.silent_watchers += 1
                 self.on_disconnected(watcher.name)
                 self.environment.disconnect(watcher.name, "it sent no status in time")
@@ -253,7 +253,7 @@
             self._tick_by(max(self.heartbeats_due[0][0], now + TURN))
 
     def _limit_remembered(self) -> None:
-        """Forget the watcher that was heard longest ago, but none that is connected."""
+        """Forget the watcher whose latest status is the oldest, but none that is connected."""
         if len(self.remembered) > MAX_REMEMBERED_WATCHERS:
             disconnected = (n for n, watcher in self.remembered.items() if not watcher.is_connected)
             oldest = next(disconnected, None)
--- a/ploverspoke/config_distribution/client.py
+++ b/ploverspoke/config_distribution/client.py
@@ -32,7 +32,7 @@
     config_received_version: int  # the latest that arrived intact; 0: none
     config_connected: int  # 1: a server is watched
     config_server_version: int  # the latest one of that server; -1: unknown
-    config_silent_ms: int  # since the server was last heard; -1: there is none
+    config_silent_ms: int  # since the server last sent something; -1: there is none
     config_versions_applied: int
     config_versions_rejected: int
     config_messages_rejected: int
@@ -198,7 +198,7 @@
             config_received_version=versions.received.number,
             config_connected=int(self.watcher.is_connected()),
             config_server_version=link.server_version if link is not None else NO_HEARTBEAT,
-            config_silent_ms=(self.now() - link.heard_at) // MILLISECOND if link is not None else -1,
+            config_silent_ms=(self.now() - link.last_received_at) // MILLISECOND if link is not None else -1,
             config_versions_applied=counters.versions_applied,
             config_versions_rejected=counters.versions_rejected,
             config_messages_rejected=counters.messages_rejected,
--- a/ploverspoke/config_distribution/fleet_status.py
+++ b/ploverspoke/config_distribution/fleet_status.py
@@ -17,7 +17,7 @@
     applied: list[str] = msgspec.field(name="in_force", default_factory=list)  # this version or a later one
     behind: list[str] = msgspec.field(default_factory=list)
     rejected: dict[str, str] = msgspec.field(name="refused", default_factory=dict)  # why, by name
-    # Seconds since a dispatcher that is not connected was heard, by its name.
+    # Seconds since the last status of a dispatcher that is not connected, by its name.
     disconnected: dict[str, float] = msgspec.field(name="away", default_factory=dict)
     # Servers that gave no reply: who watches them is not known.
     silent_servers: list[str] = msgspec.field(name="unheard", default_factory=list)
@@ -56,5 +56,5 @@
 
 
 def _precedence(row: WatcherRow) -> tuple[bool, float]:
-    # A connection counts before what was heard last: a dispatcher leaves a trace at its old server.
+    # A connection counts before what was received last: a dispatcher leaves a trace at its old server.
     return not row.is_connected, row.silent_seconds
--- a/ploverspoke/config_distribution/messages.py
+++ b/ploverspoke/config_distribution/messages.py
@@ -51,7 +51,7 @@
     """What a server sends once a second."""
 
     latest_version: int = msgspec.field(name="n")  # 0: none
-    has_recent_leader: bool = msgspec.field(name="l")  # it leads, or heard from a leader lately
+    has_recent_leader: bool = msgspec.field(name="l")  # it leads, or a leader has lately sent something
 
 
 class VersionMessage(msgspec.Struct, frozen=True, tag="push", tag_field="k"):
--- a/ploverspoke/config_distribution/server_node.py
+++ b/ploverspoke/config_distribution/server_node.py
@@ -95,7 +95,7 @@
         return self.clock.monotonic()
 
     def has_recent_leader(self) -> bool:
-        """Whether this replica leads, or has heard from a leader lately."""
+        """Whether this replica leads, or has lately received something from one."""
         return self.is_in_contact(self.leader_contact_timeout)
 
     def send(self, name: str, message: ServerMessage) -> int:
--- a/ploverspoke/config_distribution/watcher.py
+++ b/ploverspoke/config_distribution/watcher.py
@@ -109,7 +109,7 @@
         now, link = self.environment.now(), self._find_link(link_id)
         if link is None:
             return
-        link.heard_at = now
+        link.last_received_at = now
         try:
             self._handle(link, message, now)
         except MessageRejectedError as error:
@@ -182,11 +182,12 @@
         if link.is_healthy:
             link.healthy_at = now
         if link is self.trial_link:
-            self._judge_trial(link, now)
+            self._evaluate_trial(link, now)
         elif link.is_healthy and not self.servers.is_remote(link.address):
             self.servers.trials = 0
 
-    def _judge_trial(self, trial: ServerLink, now: int) -> None:
+    def _evaluate_trial(self, trial: ServerLink, now: int) -> None:
+        """Watch the server that was tried where it is better than the present one; leave it otherwise."""
         link = self.link
         assert link is not None  # a trial takes the place of the watched server when that one is lost
         if not self._is_better(trial, link):
--- a/ploverspoke/config_distribution/watcher_records.py
+++ b/ploverspoke/config_distribution/watcher_records.py
@@ -25,7 +25,7 @@
         """`now` is the time of its first status."""
         self.name = name
         self.status = status
-        self.heard_at = now
+        self.last_received_at = now
         self.sent_at = 0  # when a version was sent that no status has answered yet; 0: none
         self.was_resent = False
         self.next_version_at = 0
@@ -34,10 +34,10 @@
 class RememberedWatcher:
     """The last status of a watcher, also of one that is no longer connected."""
 
-    def __init__(self, status: WatchStatus, heard_at: int) -> None:
+    def __init__(self, status: WatchStatus, last_received_at: int) -> None:
         """A watcher that is connected."""
         self.status = status
-        self.heard_at = heard_at
+        self.last_received_at = last_received_at
         self.is_connected = True
 
 
--- a/ploverspoke/store/recovery.py
+++ b/ploverspoke/store/recovery.py
@@ -33,7 +33,7 @@
 def recover_request(
     request: OpenRequest, idempotency: Idempotency, full_may_have_run: bool = False
 ) -> Recovery:
-    """Judge an open request of a class with that idempotency.
+    """Decide how an open request of a class with that idempotency may end.
 
     `full_may_have_run`: workers also shed what they had begun, so "full" is no proof that it did not run.
     """
--- a/ploverspoke/store/request_log.py
+++ b/ploverspoke/store/request_log.py
@@ -1,4 +1,4 @@
-"""Commits for the router what must be committed before it may happen, and ends what others left open."""
+"""Commits the router's requests, attempts and answers, and ends what an earlier leader left open."""
 
 import asyncio
 import time
@@ -11,6 +11,7 @@
 from ploverspoke.routing.answers import FinalAnswer, RecordedAnswer
 from ploverspoke.routing.request_log import CommitCallback, PreviousOutcome
 from ploverspoke.transport.rate_limited_log import log_line
+from ploverspoke.transport.units import SECOND
 
 from .log_commands import (
     AcceptRequest,
@@ -22,7 +23,7 @@
 from .recovery import Recovery, RecoveryVerdict, answer_at_deadline, recover_request
 from .snapshot import AttemptRecord, OpenRequest
 
-AFTER_DEADLINE = 0.05  # seconds, in which the client's own answer may still be on its way
+ANSWER_GRACE = 0.05  # seconds after a deadline in which the answer of its own dispatcher may still come
 DIGEST_BYTES = 16
 
 
@@ -52,18 +53,18 @@
         return self.is_leading and self.node.leads()
 
     def leader_address(self) -> str:
-        """Give the leader's address for clients; "" where it is this replica or is not known."""
+        """Return the leader's address for clients; "" where it is this replica or is not known."""
         own_address = self.node.config.replicas[self.node.config.name].client
         leader_address = self.node.leader_client_address()
         return "" if leader_address == own_address else leader_address
 
     def digest(self, method: str, target: str, body: bytes) -> bytes:
-        """Give a digest that tells two requests under one id apart."""
+        """Return a digest by which two different requests under one id can be told apart."""
         head = f"{method} {target}\n".encode("utf-8", "surrogatepass")
         return blake2b(head + body, digest_size=DIGEST_BYTES).digest()
 
     def previous_outcome(self, request_id: str) -> PreviousOutcome | None:
-        """Give what is known of an id from before; None where it is new."""
+        """Return what is known of an id from before; None where it is new."""
         answered = self.node.requests.answered.get(request_id)
         if answered is not None:
             answer = RecordedAnswer(answered.answer, answered.result)
@@ -71,7 +72,7 @@
         request = self.node.requests.open_requests.get(request_id)
         if request is None:
             return None
-        recovery = self._judge(request)
+        recovery = self._recovery_of(request)
         first = recovery.may_have_run
         if first is None:
             return PreviousOutcome(None, request.digest, recovery.attempts, "", 0)
@@ -101,12 +102,12 @@
     def record_answer(
         self, request_id: str, answer: RecordedAnswer, digest: bytes, on_committed: CommitCallback
     ) -> None:
-        """Commit the final answer; `on_committed` hears False where another one stands."""
+        """Commit the final answer; `on_committed` gets False where another one stands."""
 
         def on_answer_committed(is_committed: bool) -> None:
-            # Another answer may have been committed first: then that one stands, and ours is not given.
-            kept = self.node.requests.answered.get(request_id)
-            is_ours = kept is not None and RecordedAnswer(kept.answer, kept.result) == answer
+            """Report False where another answer was committed first: that one stands."""
+            recorded = self.node.requests.answered.get(request_id)
+            is_ours = recorded is not None and RecordedAnswer(recorded.answer, recorded.result) == answer
             on_committed(is_committed and is_ours)
 
         now = self.node.clock.now()
@@ -115,7 +116,7 @@
         )
 
     def _time_since(self, attempt: AttemptRecord) -> int:
-        """Give ns since the attempt started, by the longer of two clocks.
+        """Return the ns since the attempt started, by the longer of two clocks.
 
         The replicated clock stands still while no replica runs, the wall clock may have been set back; past
         the window in which workers drop duplicates nothing must run again.
@@ -135,7 +136,7 @@
             self.on_lost()
 
     def _take_over(self, is_current: bool) -> None:
-        """Begin to lead: all that was committed before is applied here, so what is open can be judged."""
+        """Begin to lead, and end what is open: all that was committed before is applied here."""
         if not is_current:
             return
         self.is_leading = True
@@ -146,10 +147,10 @@
 
     def _recover(self, request_id: str, request: OpenRequest) -> None:
         self.recovered += 1
-        if self._judge(request).verdict is RecoveryVerdict.MUST_FAIL:
+        if self._recovery_of(request).verdict is RecoveryVerdict.MUST_FAIL:
             self._end(request_id, FinalAnswer.FAILED)
         else:
-            delay = (request.deadline - self.node.clock.now()) / 1e9 + AFTER_DEADLINE
+            delay = (request.deadline - self.node.clock.now()) / SECOND + ANSWER_GRACE
             asyncio.get_running_loop().call_later(max(0.0, delay), self._on_deadline, request_id)
 
     def _on_deadline(self, request_id: str) -> None:
@@ -159,7 +160,7 @@
         request_class = self.request_classes[request.request_class]
         self._end(request_id, answer_at_deadline(request, request_class, self.full_may_have_run))
 
-    def _judge(self, request: OpenRequest) -> Recovery:
+    def _recovery_of(self, request: OpenRequest) -> Recovery:
         idempotency = self.request_classes[request.request_class].idempotency
         return recover_request(request, idempotency, self.full_may_have_run)
 
@@ -169,4 +170,4 @@
 
 
 def _ignore_commit(is_committed: bool) -> None:
-    """Wait for nothing: what is lost here the next leader judges again."""
+    """Wait for nothing: the next leader ends what is lost here."""
