--- a/tests/config_distribution/faulty_distribution.py
+++ b/tests/config_distribution/faulty_distribution.py
@@ -5,7 +5,6 @@
 
 import asyncio
 import sys
-from typing import Any
 
 from ploverspoke.config_distribution import (
     dynamic_config,
@@ -16,6 +15,11 @@
     state_machine,
     version_receiver,
 )
+from ploverspoke.config_distribution.admin_messages import read_publish_request
+from ploverspoke.config_distribution.errors import VersionRejectedError
+from ploverspoke.consensus.admin_messages import WireMap
+from ploverspoke.consensus.peer_links import Reply
+from ploverspoke.service.config import parse_config
 
 
 def reverts_version() -> None:
@@ -41,9 +45,11 @@
     apply_overlay = overlay.apply_overlay
 
     def apply_first_class(own: object, body: overlay.JsonObject) -> object:
-        patched: Any = apply_overlay(own, body)
-        settings = {**patched["settings"], "ServiceGrades": patched["settings"]["ServiceGrades"][:1]}
-        return {**patched, "settings": settings}
+        patched = apply_overlay(own, body)
+        assert isinstance(patched, dict)
+        settings = patched["settings"]
+        first_class = settings["ServiceGrades"][:1]
+        return {**patched, "settings": {**settings, "ServiceGrades": first_class}}
 
     vars(dynamic_config)["apply_overlay"] = apply_first_class
 
@@ -55,11 +61,12 @@
     def apply_good_part(self: dynamic_config.VersionApplier, version: messages.VerifiedVersion) -> None:
         try:
             apply(self, version)
-        except dynamic_config.VersionRejectedError:
-            settings: Any = overlay.read_body(version.body)["settings"]
+        except VersionRejectedError:
+            settings = overlay.read_body(version.body)["settings"]
+            assert isinstance(settings, dict)
             good_part: overlay.JsonObject = {"settings": {"ServiceGrades": settings["ServiceGrades"]}}
             patched = overlay.apply_overlay(self.own.document, good_part)
-            self.service.apply_config(dynamic_config.parse_config(patched, self.own.environment))
+            self.service.apply_config(parse_config(patched, self.own.environment))
             raise
 
     vars(dynamic_config)["VersionApplier"].apply = apply_good_part
@@ -74,14 +81,16 @@
     """A server that sends versions that are not committed."""
     publish = server_node.ConfigServerNode._publish
 
-    def send_at_once(self: server_node.ConfigServerNode, question: Any, reply: Any) -> None:
-        latest, body = self.versions.latest_number(), question["body"]
-        if self.leads() and question["expect"] == latest:
-            digest = state_machine.digest_of(body)
-            version = state_machine.Version(latest + 1, body, digest, digest, "planted", question["id"])
+    def send_at_once(self: server_node.ConfigServerNode, message: WireMap, reply: Reply) -> None:
+        latest, request = self.versions.latest_number(), read_publish_request(message)
+        if self.leads() and request.expected_version == latest:
+            digest = state_machine.digest_of(request.body)
+            version = state_machine.Version(
+                latest + 1, request.body, digest, digest, "uncommitted", request.request_id
+            )
             self.broadcaster.add_version(version)
             self.schedule_tick()
-        publish(self, question, reply)
+        publish(self, message, reply)
 
     vars(server_node)["ConfigServerNode"]._publish = send_at_once
 
--- a/tests/config_distribution/samples.py
+++ b/tests/config_distribution/samples.py
@@ -1,7 +1,6 @@
 """Versions with numbered bodies, as the tests of this folder use them."""
 
 import json
-from typing import Any
 
 import msgspec
 
@@ -30,9 +29,9 @@
     return WatchStatus(number, version(number).digest, number, "", 0)
 
 
-def decoded(message: msgspec.Struct) -> Any:
+def decoded(message: msgspec.Struct) -> dict[str, object]:
     """A message as the other side decodes it."""
-    return msgspec.msgpack.decode(msgspec.msgpack.encode(message))
+    return msgspec.msgpack.decode(msgspec.msgpack.encode(message), type=dict[str, object])
 
 
 def whole(number: int, cluster: str = CLUSTER) -> VersionMessage:
--- a/tests/config_distribution/test_commands.py
+++ b/tests/config_distribution/test_commands.py
@@ -5,7 +5,6 @@
 import signal
 import socket
 from pathlib import Path
-from typing import Any
 
 from ploverspoke.config_distribution.messages import watcher_greeting
 from ploverspoke.consensus.framing import FrameCodec
@@ -96,29 +95,37 @@
     with_fleet(tmp_path, script)
 
 
+def first_columns(rows: object) -> list[int | str]:
+    """Return the first value of each row of a reply: a version's number, or a watcher's name."""
+    assert isinstance(rows, list)
+    return [row[0] for row in rows]
+
+
 def test_repeated_publish_commits_once_and_strangers_change_nothing(tmp_path: Path) -> None:
     async def script(fleet: ProcessFleet) -> None:
         assert (await fleet.publish(body_with_classes("g01")))[0] == 0
 
-        def ask_all(request: dict[str, Any]) -> list[Any]:
+        def ask_all(request: dict[str, object]) -> list[object]:
             return [send_admin_request(address, SECRET, request) for address in fleet.peers.values()]
 
-        async def ask_leader(request: dict[str, Any]) -> Any:
+        async def ask_leader(request: dict[str, object]) -> dict[str, object]:
             """The leader's reply, as soon as there is a leader."""
             while True:
                 for reply in ask_all(request):
+                    assert isinstance(reply, dict)
                     if "leader" not in reply and "unknown" not in reply:
                         return reply
                     assert reply.get("leader", "") in {*fleet.peers.values(), ""} and not reply["done"]
                 await asyncio.sleep(0.05)
 
-        request = {"ask": "publish", "body": body_with_classes("g02"), "expect": 1, "by": "me", "id": "same"}
+        request: dict[str, object] = {"ask": "publish", "body": body_with_classes("g02"), "expect": 1}
+        request |= {"by": "me", "id": "same"}
         for _ in range(3):
             assert await ask_leader(request) == {"done": True, "version": 2, "why": ""}
         for invalid in ({"body": 7}, {"body": "{"}, {"expect": -1}, {"expect": None}, {"by": ""}, {"id": 4}):
             reply = await ask_leader({**request, "id": "other", **invalid})
             assert not reply["done"] and reply["bad"] and reply["why"]
-        assert max(row[0] for rows in ask_all({"ask": "versions"}) for row in rows) == 2
+        assert max(number for rows in ask_all({"ask": "versions"}) for number in first_columns(rows)) == 2
 
         # Another secret, another cluster, a changed frame, garbage: logged and closed, nothing else changes.
         host, port = fleet.clients["c1"].split(":")
@@ -134,9 +141,7 @@
                 while stranger.recv(65536):
                     pass
         await fleet.logs("c1", "config: message rejected:", times=4)
-        assert all(
-            row[0] != "n9" for row in send_admin_request(fleet.peers["c1"], SECRET, {"ask": "watchers"})
-        )
+        assert "n9" not in first_columns(send_admin_request(fleet.peers["c1"], SECRET, {"ask": "watchers"}))
         # A second connection of one name replaces the first; a watcher too many is sent elsewhere.
         first, other = Stranger(fleet.clients["c2"], "n8"), Stranger(fleet.clients["c2"], "n9")
         assert (first.receive()["n"], other.receive()["n"]) == (2, 2)
--- a/tests/config_distribution/test_fleet.py
+++ b/tests/config_distribution/test_fleet.py
@@ -25,15 +25,23 @@
     assert fleet.whole_versions_sent() == 100  # the first; then deltas
 
 
+def cut_off_servers(fleet: VirtualFleet, *servers: str) -> None:
+    """Nothing passes between these servers and any watcher."""
+    for watcher in fleet.watchers:
+        for server in servers:
+            fleet.cut(watcher.name, server)
+
+
+def crash_servers(fleet: VirtualFleet, *servers: str) -> None:
+    for server in servers:
+        fleet.servers[server].crash()
+
+
 FAULTS: dict[str, Callable[[VirtualFleet], None]] = {
-    "a server's machine is gone": lambda fleet: [fleet.cut(watcher.name, "s0") for watcher in fleet.watchers]
-    and None,
-    "a server dies": lambda fleet: fleet.servers["s0"].crash(),
-    "two servers die": lambda fleet: [fleet.servers[name].crash() for name in ("s0", "s3")] and None,
-    "four servers are gone": lambda fleet: [
-        fleet.cut(watcher.name, f"s{n}") for watcher in fleet.watchers for n in range(4)
-    ]
-    and None,
+    "a server's machine is gone": lambda fleet: cut_off_servers(fleet, "s0"),
+    "a server dies": lambda fleet: crash_servers(fleet, "s0"),
+    "two servers die": lambda fleet: crash_servers(fleet, "s0", "s3"),
+    "four servers are gone": lambda fleet: cut_off_servers(fleet, "s0", "s1", "s2", "s3"),
     "nothing comes from a server": lambda fleet: fleet.cuts.update(
         ("s0", watcher.name) for watcher in fleet.watchers
     ),
--- a/tests/config_distribution/test_messages.py
+++ b/tests/config_distribution/test_messages.py
@@ -1,7 +1,6 @@
 """Messages of config servers and watchers: what is accepted, and what is rejected with which reason."""
 
 import zlib
-from typing import Any
 
 import pytest
 
@@ -22,7 +21,7 @@
 from .samples import body, decoded, status, version, whole
 
 
-def verified(message: Any, base_body: str) -> VerifiedVersion:
+def verified(message: object, base_body: str) -> VerifiedVersion:
     parsed = read_server_message(message)
     assert isinstance(parsed, UnverifiedVersion)
     return parsed.verify("fleet", base_body)
@@ -35,7 +34,7 @@
     assert len(delta.compressed_body) < 60 and len(whole(2).compressed_body) > 500
 
 
-def corrupt(**fields: Any) -> Any:
+def corrupt(**fields: object) -> dict[str, object]:
     return {**decoded(whole(2)), **fields}
 
 
@@ -58,7 +57,7 @@
         (decoded(pack_version("fleet", version(2), body(7))), "not ours"),
     ],
 )
-def test_corrupt_or_foreign_version_message_is_rejected(message: Any, expected: str) -> None:
+def test_corrupt_or_foreign_version_message_is_rejected(message: object, expected: str) -> None:
     with pytest.raises(MessageRejectedError, match=expected):
         verified(message, body(1))
 
@@ -68,7 +67,15 @@
     assert read_watch_status(decoded(full)) == full
     assert read_server_message(decoded(Heartbeat(4, True))) == Heartbeat(4, True)
     good = decoded(status(1))
-    bad = [None, [], {}, {**good, "k": "beat"}, {**good, "n": "1"}, {**good, "f": -1}, {**good, "w": None}]
+    bad: list[object] = [
+        None,
+        [],
+        {},
+        {**good, "k": "beat"},
+        {**good, "n": "1"},
+        {**good, "f": -1},
+        {**good, "w": None},
+    ]
     for message in [*bad, {**good, "d": "text"}, {**good, "d": b"x"}, {**good, "n": 1 << 60}]:
         with pytest.raises(MessageRejectedError):
             read_watch_status(message)
--- a/tests/consensus/test_admin_messages.py
+++ b/tests/consensus/test_admin_messages.py
@@ -3,7 +3,7 @@
 import json
 import socket
 from collections.abc import Mapping
-from typing import Any
+from typing import TypeVar
 
 import pytest
 
@@ -36,7 +36,8 @@
 )
 
 SECRET = b"a secret of the test"
-REQUESTS: list[tuple[AdminRequest, dict[str, Any]]] = [
+ReplyT = TypeVar("ReplyT")
+REQUESTS: list[tuple[AdminRequest, dict[str, object]]] = [
     (StatusRequest(), {"ask": "status"}),
     (
         add_member_request("r4", "a:1", "a:2", votes=False),
@@ -52,14 +53,15 @@
 
 
 @pytest.mark.parametrize(("request_", "on_wire"), REQUESTS)
-def test_a_request_keeps_its_keys_and_their_order(request_: AdminRequest, on_wire: dict[str, Any]) -> None:
+def test_a_request_keeps_its_keys_and_their_order(request_: AdminRequest, on_wire: dict[str, object]) -> None:
     assert json.dumps(encode_request(request_)) == json.dumps(on_wire)
-    kinds = {type(one): None for one, _ in REQUESTS}
-    assert decode_request(on_wire, *kinds) == request_
+    request_types = {type(each): None for each, _ in REQUESTS}
+    assert decode_request(on_wire, *request_types) == request_
 
 
 def test_a_request_of_another_kind_is_unknown_and_a_malformed_one_is_rejected() -> None:
-    for raw in (None, [], "status", {}, {"ask": "no such"}, {"ask": ["status"]}, {"ask": "members"}):
+    other_kinds: list[object] = [None, [], "status", {}, {"ask": "no such"}, {"ask": ["status"]}]
+    for raw in [*other_kinds, {"ask": "members"}]:
         assert decode_request(raw, StatusRequest, BackupRequest) is None
     with pytest.raises(MalformedRequestError) as caught:
         decode_request({"ask": "members", "peers": "a:1"}, StatusRequest, ChangeMemberRequest)
@@ -89,7 +91,7 @@
 class FakeConnection:
     """A connection to a replica that gives one reply, or closes where there is none."""
 
-    def __init__(self, reply: Any) -> None:
+    def __init__(self, reply: object) -> None:
         self.frames = FrameCodec(SECRET, {"id": "r1.1", "store": ""})
         self.reply = reply
         self.unread = [self.frames.greeting_frame()]
@@ -110,7 +112,7 @@
         return self.unread.pop(0) if self.unread else b""
 
 
-def call(monkeypatch: pytest.MonkeyPatch, reply: Any, reply_type: type[Any]) -> Any:
+def call(monkeypatch: pytest.MonkeyPatch, reply: object, reply_type: type[ReplyT]) -> ReplyT:
     monkeypatch.setattr(socket, "create_connection", lambda *_: FakeConnection(reply))
     return call_replica("127.0.0.1:1", SECRET, StatusRequest(), reply_type)
 
--- a/tests/consensus/test_command_line.py
+++ b/tests/consensus/test_command_line.py
@@ -63,7 +63,7 @@
 
 
 def test_rows_are_lines_without_members_or_one_document(capsys: pytest.CaptureFixture[str]) -> None:
-    rows = [{"name": "r1", "leads": True, "members": ["r1"]}, {"name": "r2"}]
+    rows: list[dict[str, object]] = [{"name": "r1", "leads": True, "members": ["r1"]}, {"name": "r2"}]
     print_rows(rows, as_json=False)
     assert capsys.readouterr().out == "name=r1  leads=True\nname=r2\n"
     print_rows(rows, as_json=True)
--- a/tests/consensus/test_framed_connections.py
+++ b/tests/consensus/test_framed_connections.py
@@ -1,7 +1,6 @@
 """`FramedServer` and `FramedClientConnection` on transports that are kept in memory."""
 
 import asyncio
-from typing import Any
 
 import pytest
 
@@ -25,7 +24,7 @@
         self.unsent = 0
         self.closed = ""
 
-    def write(self, data: Any) -> None:
+    def write(self, data: bytes | bytearray | memoryview) -> None:
         self.written += data
 
     def get_write_buffer_size(self) -> int:
@@ -56,7 +55,7 @@
     def handle_message(self, connection: FramedConnection, message: object) -> None:
         if not connection.registered:
             assert connection.frames.peer_greeting is not None
-            connection.client_name = connection.frames.peer_greeting["id"]
+            connection.client_name = str(connection.frames.peer_greeting["id"])
             self.register(connection)
         connection.write(message)
 
--- a/tests/leases/lease_raft_simulation.py
+++ b/tests/leases/lease_raft_simulation.py
@@ -1,7 +1,6 @@
 """Test harness: leases in simulated schedules, on replicas of the real consensus in place of a model."""
 
 from collections.abc import Callable
-from typing import Any
 
 import msgspec
 
@@ -13,12 +12,12 @@
 from tests.leases.lease_simulation import DURATION, MIN_DURATION, MS, NAME, Variants
 
 
-class CountedLeases:
-    """LeaseStateMachine, with the count of entries that the consensus explorer asks for."""
+class CountingLeaseStateMachine:
+    """LeaseStateMachine, with the count of entries that the consensus simulation checks."""
 
     def __init__(self) -> None:
         self.leases = LeaseStateMachine()
-        self.values: list[Any] = []
+        self.values: list[object] = []
 
     def apply(self, index: int, command: object) -> None:
         self.values.append(command)
@@ -33,11 +32,11 @@
         self.leases.restore_snapshot(leases)
 
 
-class RaftNode(consensus.SimulatedReplica):
+class LeaseRaftReplica(consensus.SimulatedReplica):
     """A replica with a manager on it, as `leases/server_node.py` puts them together."""
 
-    cluster: "RaftWorld"
-    state_machine_type = CountedLeases
+    cluster: "LeaseRaftCluster"
+    state_machine_type = CountingLeaseStateMachine
 
     def start(self) -> None:
         super().start()
@@ -48,11 +47,14 @@
     def role_changed(self, role: Role, leader: str) -> None:
         if role is Role.LEADER:
             super().role_changed(role, leader)
-            self.cluster.later.append((self, self.incarnation, self._confirm_lead))
+            self._defer(self._confirm_leadership)
         elif self.manager.is_leader:
             self.manager.lose_leadership()
 
-    def _confirm_lead(self) -> None:
+    def _defer(self, call: Callable[[], None]) -> None:
+        self.cluster.deferred_calls.append((self, self.incarnation, call))
+
+    def _confirm_leadership(self) -> None:
         self.replica.read(self._begin_to_lead)
 
     def _begin_to_lead(self, confirmed: bool) -> None:
@@ -64,12 +66,12 @@
     def now(self) -> int:
         return self.cluster.now
 
-    def propose(self, command: LeaseCommand, then: Callable[[bool], None]) -> None:
+    def propose(self, command: LeaseCommand, on_decided: Callable[[bool], None]) -> None:
         entry = msgspec.to_builtins(command)  # as a follower receives it
-        self.cluster.later.append((self, self.incarnation, lambda: self.replica.propose([entry], then)))
+        self._defer(lambda: self.replica.propose([entry], on_decided))
 
-    def confirm_leadership(self, then: Callable[[bool], None]) -> None:
-        self.cluster.later.append((self, self.incarnation, lambda: self.replica.read(then)))
+    def confirm_leadership(self, on_decided: Callable[[bool], None]) -> None:
+        self._defer(lambda: self.replica.read(on_decided))
 
     def send(self, holder: str, response: LeaseResponse) -> None:
         self.cluster.responses.append((int(holder), response))
@@ -78,34 +80,35 @@
 class RaftHolder:
     """The environment of a holder; its clock runs up to 5% fast or slow beside the lease servers'."""
 
-    def __init__(self, world: "RaftWorld", number: int) -> None:
-        self.world, self.number = world, number
+    def __init__(self, cluster: "LeaseRaftCluster", number: int) -> None:
+        self.cluster, self.number = cluster, number
         self.rate = (0.95, 1.0, 1.05)[number % 3]
-        self.at = number % len(world.nodes)
-        self.holder = world.variants.holder(self)
+        self.server_number = number % len(cluster.nodes)
+        self.holder = cluster.variants.holder(self)
 
     def now(self) -> int:
-        return int(self.world.now * self.rate)
+        return int(self.cluster.now * self.rate)
 
     def send(self, request: LeaseRequest) -> None:
-        self.world.requests.append((f"n{self.at}", str(self.number), request))
+        self.cluster.requests.append((f"n{self.server_number}", str(self.number), request))
 
     def try_next_server(self) -> None:
-        self.at = (self.at + 1) % len(self.world.nodes)
+        self.server_number = (self.server_number + 1) % len(self.cluster.nodes)
 
 
-class RaftWorld(consensus.SimulatedCluster):
-    replica_type = RaftNode
+class LeaseRaftCluster(consensus.SimulatedCluster):
+    replica_type = LeaseRaftReplica
 
     def __init__(self, seed: int, variants: Variants | None = None) -> None:
         self.variants = variants or Variants()
         self.definitions = LeaseDefinitions({NAME: LeaseDefinition(1, DURATION)}, MIN_DURATION)
-        self.later: list[tuple[RaftNode, int, Callable[[], None]]] = []  # what a loop would do next
+        # What an event loop would do next: replica, its incarnation, call.
+        self.deferred_calls: list[tuple[LeaseRaftReplica, int, Callable[[], None]]] = []
         self.responses: list[tuple[int, LeaseResponse]] = []
         self.requests: list[tuple[str, str, LeaseRequest]] = []
         super().__init__(seed, 3)
         self.holders = [RaftHolder(self, number) for number in range(3)]
-        self.acting: set[tuple[int, int]] = set()
+        self.holding: set[tuple[int, int]] = set()
         self.highest = self.changes = 0
         for each in self.holders:
             each.holder.want(NAME, DURATION)
@@ -115,29 +118,31 @@
 
     def check(self) -> None:
         super().check()
-        acting = {(h.number, h.holder.token(NAME)) for h in self.holders if h.holder.time_left(NAME)}
-        consensus.require(len(acting) <= 1, f"two hold it at once: {sorted(acting)}")
-        for number, token in acting - self.acting:
+        holding = {
+            (each.number, each.holder.token(NAME)) for each in self.holders if each.holder.time_left(NAME)
+        }
+        consensus.require(len(holding) <= 1, f"two hold it at once: {sorted(holding)}")
+        for number, token in holding - self.holding:
             consensus.require(
                 token >= self.highest, f"holder {number} begins under {token}, not {self.highest}"
             )
             self.changes += token > self.highest
             self.highest = max(self.highest, token)
-        self.acting = acting
+        self.holding = holding
 
     def step(self) -> None:
         chance = self.random
-        for node, incarnation, call in self.later if chance.random() < 0.8 else ():
-            if node.is_running and node.incarnation == incarnation:
+        for replica, incarnation, call in self.deferred_calls if chance.random() < 0.8 else ():
+            if replica.is_running and replica.incarnation == incarnation:
                 call()
         if chance.random() < 0.9:
-            self.later.clear()
+            self.deferred_calls.clear()
         if self.requests and chance.random() < 0.7:
             to, holder, request = self.requests.pop(
                 0 if chance.random() < 0.8 else chance.randrange(len(self.requests))
             )
             node = self.nodes[to]
-            assert isinstance(node, RaftNode)
+            assert isinstance(node, LeaseRaftReplica)
             if node.is_running:
                 node.manager.handle_request(holder, request)
         if self.responses and chance.random() < 0.7:
@@ -148,7 +153,7 @@
         if chance.random() < 0.05:
             self.now += chance.choice([100, 500, 1000, 2000]) * MS
         for node in self.nodes.values():
-            assert isinstance(node, RaftNode)
+            assert isinstance(node, LeaseRaftReplica)
             if node.is_running:
                 node.manager.tick()
         for each in self.holders:
@@ -160,13 +165,13 @@
         super().step()
 
 
-def explore_raft(seed: int, steps: int = 1500, variants: Variants | None = None) -> RaftWorld:
+def explore_raft(seed: int, steps: int = 1500, variants: Variants | None = None) -> LeaseRaftCluster:
     """One schedule on real replicas of the consensus. Raises consensus.InvariantViolationError."""
-    world = RaftWorld(seed, variants)
+    cluster = LeaseRaftCluster(seed, variants)
     try:
         for _ in range(steps):
-            world.step()
+            cluster.step()
     except Exception as error:
-        error.add_note(f"raft, seed {seed}, step {world.steps}")
+        error.add_note(f"raft, seed {seed}, step {cluster.steps}")
         raise
-    return world
+    return cluster
--- a/tests/leases/lease_server_rig.py
+++ b/tests/leases/lease_server_rig.py
@@ -3,14 +3,16 @@
 import asyncio
 import subprocess
 import sys
-from collections.abc import Awaitable, Callable
+from collections.abc import Awaitable, Callable, Coroutine
 from pathlib import Path
 
 from ploverspoke.testbed.experiment_files.durations import SECOND, Duration
 from ploverspoke.testbed.processes.rig import Rig
 from ploverspoke.testbed.scenarios.lease_scenario import LeaseFleet, LeaseScenario
 
-Call = Callable[..., Awaitable[tuple[int, str]]]  # command and arguments; gives exit code and output
+Call = Callable[
+    ..., Coroutine[object, object, tuple[int, str]]
+]  # command and arguments; gives exit code and output
 
 
 def run_with_lease_servers(
--- a/tests/leases/test_lease_simulation.py
+++ b/tests/leases/test_lease_simulation.py
@@ -73,4 +73,4 @@
 
 def test_drift_margin_covers_two_clocks_that_differ_by_five_percent_each() -> None:
     assert (1 - DRIFT) / 0.95 <= 1 / 1.05
-    assert holder_module.DRIFT == DRIFT
+    assert vars(holder_module)["DRIFT"] == DRIFT
--- a/tests/store/cluster_harness.py
+++ b/tests/store/cluster_harness.py
@@ -4,7 +4,7 @@
 import json
 from collections.abc import Awaitable, Callable
 from pathlib import Path
-from typing import Any
+from typing import TypeVar
 
 import uvloop
 
@@ -14,6 +14,9 @@
 from ploverspoke.store.node import StoreNode
 from ploverspoke.testbed.processes.addresses import held_ports
 
+ValueT = TypeVar("ValueT")
+FULL_DISK_PAGES = 60
+
 
 class Cluster:
     """The replicas r0, r1, ... of one store, each with a folder below `folder`."""
@@ -23,26 +26,33 @@
         self.size = size
         ports = held_ports(2 * (size + spare))
         self.addresses = {
-            f"r{n}": {"peers": f"127.0.0.1:{ports[2 * n]}", "clients": f"127.0.0.1:{ports[2 * n + 1]}"}
-            for n in range(size + spare)
+            f"r{number}": {
+                "peers": f"127.0.0.1:{ports[2 * number]}",
+                "clients": f"127.0.0.1:{ports[2 * number + 1]}",
+            }
+            for number in range(size + spare)
         }
         self.nodes: dict[str, StoreNode] = {}
         (folder / "secret").write_text("a secret that is long enough")
 
-    def write_config(self, replica: str, **changes: Any) -> Path:
-        first = {n: a for n, a in self.addresses.items() if int(n[1:]) < self.size or n == replica}
+    def write_config(self, replica: str, **changes: object) -> Path:
+        replicas = {
+            name: addresses
+            for name, addresses in self.addresses.items()
+            if int(name[1:]) < self.size or name == replica
+        }
         document = {
             "cluster": "trips",
             "name": replica,
             "folder": replica,
             "secret_file": "secret",
-            "replicas": first,
+            "replicas": replicas,
         }
         path = self.folder / f"{replica}.json"
         path.write_text(json.dumps({**document, "snapshot_every": 100, **changes}))
         return path
 
-    async def start(self, name: str, new: bool = False, join: str = "", **changes: Any) -> StoreNode:
+    async def start(self, name: str, new: bool = False, join: str = "", **changes: object) -> StoreNode:
         node = self.nodes[name] = StoreNode(read_replica_config(self.write_config(name, **changes)))
         await node.open(new, join)
         return node
@@ -54,18 +64,24 @@
         return await until(self.leader)
 
     def leader(self) -> StoreNode | None:
-        return next((n for n in self.nodes.values() if n.leads()), None)
+        return next((node for node in self.nodes.values() if node.leads()), None)
 
     async def change_members(self, change: Callable[[Members], Members]) -> None:
         """By whoever leads by then: a sync that takes longer than an election time-out moves the lead."""
-        await until(lambda: (n := self.leader()) is not None and n.change_members(change(n.members())))
+
+        def begin_change() -> bool:
+            leader = self.leader()
+            return leader is not None and leader.change_members(change(leader.members()))
+
+        await until(begin_change)
 
     async def close(self) -> None:
         for name in list(self.nodes):
             await self.stop(name)
 
 
-async def until(condition: Callable[[], Any], seconds: float = 10.0) -> Any:
+async def until(condition: Callable[[], ValueT | None], seconds: float = 10.0) -> ValueT:
+    """Wait until the condition returns something true, and return that."""
     for _ in range(int(seconds * 100)):
         value = condition()
         if value:
@@ -76,20 +92,25 @@
 
 def commit(node: StoreNode, body: str) -> Awaitable[bool]:
     """A configuration with that body; whether it is committed."""
-    future = asyncio.get_running_loop().create_future()
-    command = CommitConfiguration(body, "test", 1)
-    node.propose(command, lambda committed: future.cancelled() or future.set_result(committed))
+    future: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
+
+    def on_decided(is_committed: bool) -> None:
+        if not future.cancelled():
+            future.set_result(is_committed)
+
+    node.propose(CommitConfiguration(body, "test", 1), on_decided)
     return future
 
 
 def bodies(node: StoreNode) -> list[str]:
-    return [c.body for c in node.requests.configurations]
+    return [configuration.body for configuration in node.requests.configurations]
 
 
 def fill_disk(node: StoreNode) -> None:
-    """No room for more than 60 pages from now on."""
-    node.storage.max_pages = 60
-    node.storage.connection.execute("pragma max_page_count = 60")
+    """Let its storage grow to FULL_DISK_PAGES pages and no further from now on."""
+    node.storage.max_pages = FULL_DISK_PAGES
+    assert node.storage.connection is not None
+    node.storage.connection.execute(f"pragma max_page_count = {FULL_DISK_PAGES}")
 
 
 def run_cluster(
@@ -100,8 +121,8 @@
     async def run() -> None:
         cluster = Cluster(folder, size, spare)
         try:
-            for n in range(size):
-                await cluster.start(f"r{n}", new=True)
+            for number in range(size):
+                await cluster.start(f"r{number}", new=True)
             await scenario(cluster)
         finally:
             await cluster.close()
--- a/tests/store/test_node.py
+++ b/tests/store/test_node.py
@@ -8,9 +8,28 @@
 
 from ploverspoke.consensus.membership import Member
 from ploverspoke.consensus.storage import ClusterMismatchError
+from ploverspoke.store.node import StoreNode
 from tests.store.cluster_harness import Cluster, bodies, commit, fill_disk, run_cluster, until
 
 
+def snapshot_index(node: StoreNode) -> int:
+    assert node.replica is not None
+    return node.replica.raft.log.snapshot_index
+
+
+def transfer_leadership(cluster: Cluster, name: str) -> bool:
+    """Have the leader, where there is one, begin to hand over to the replica of that name."""
+    leader = cluster.leader()
+    return leader is not None and leader.transfer(name)
+
+
+def members_all_vote(node: StoreNode) -> bool:
+    """Whether the node knows its members, and each of them has a vote."""
+    members = node.status()["members"]
+    assert isinstance(members, list)
+    return bool(members) and all(member["votes"] for member in members)
+
+
 @pytest.mark.parametrize("size", [1, 3])
 def test_committed_entries_survive_a_restart_of_all_replicas(size: int, tmp_path: Path) -> None:
     async def scenario(cluster: Cluster) -> None:
@@ -18,8 +37,8 @@
         assert await commit(leader, "one") and await commit(leader, "two")
         for name in list(cluster.nodes):
             await cluster.stop(name)
-        for n in range(size):
-            await cluster.start(f"r{n}")
+        for number in range(size):
+            await cluster.start(f"r{number}")
         leader = await cluster.wait_for_leader()
         await until(lambda: bodies(leader) == ["one", "two"])
 
@@ -33,12 +52,12 @@
         assert await commit(old, "first")
         await cluster.stop(name)
         leader = await cluster.wait_for_leader()
-        for n in range(150):
-            assert await commit(leader, f"c{n}")
-        await until(lambda: leader.replica.raft.log.snapshot_index >= 100)
+        for number in range(150):
+            assert await commit(leader, f"c{number}")
+        await until(lambda: snapshot_index(leader) >= 100)
         back = await cluster.start(name)
         await until(lambda: bodies(back)[-1:] == ["c149"])
-        assert back.replica.raft.log.snapshot_index >= 100
+        assert snapshot_index(back) >= 100
 
     run_cluster(tmp_path, 3, scenario)
 
@@ -48,8 +67,8 @@
         old = await cluster.wait_for_leader()
         assert await commit(old, "kept")
         fill_disk(old)
-        for n in range(200):
-            if not await commit(old, f"{n} " + "x" * 3000):
+        for number in range(200):
+            if not await commit(old, f"{number} " + "x" * 3000):
                 break
         assert old.storage_failures and not old.leads()
         leader = await cluster.wait_for_leader()
@@ -67,12 +86,12 @@
 
     async def scenario(cluster: Cluster) -> None:
         leader = await cluster.wait_for_leader()
-        followers = [n for n in cluster.nodes.values() if n is not leader][:full]
+        followers = [node for node in cluster.nodes.values() if node is not leader][:full]
         for node in followers:
             fill_disk(node)
         acknowledged = []
-        for n in range(120):
-            body = f"{n} " + "x" * 3000
+        for number in range(120):
+            body = f"{number} " + "x" * 3000
             if not await asyncio.wait_for(commit(leader, body), 5):
                 break
             acknowledged.append(body)
@@ -83,7 +102,7 @@
         await until(lambda: all(node.replica is not None for node in followers))
         leader = await cluster.wait_for_leader()
         assert await commit(leader, "after")
-        await until(lambda: all(bodies(n)[-1:] == ["after"] for n in cluster.nodes.values()))
+        await until(lambda: all(bodies(node)[-1:] == ["after"] for node in cluster.nodes.values()))
         assert acknowledged[-1] in bodies(leader)
 
     run_cluster(tmp_path, 3, scenario)
@@ -92,7 +111,7 @@
 def test_nothing_is_acknowledged_without_a_quorum(tmp_path: Path) -> None:
     async def scenario(cluster: Cluster) -> None:
         leader = await cluster.wait_for_leader()
-        for name in [n for n in cluster.nodes if n != leader.config.name]:
+        for name in [name for name in cluster.nodes if name != leader.config.name]:
             await cluster.stop(name)
         assert not await commit(leader, "lost")
         await until(lambda: not leader.leads())
@@ -104,7 +123,7 @@
     async def scenario(cluster: Cluster) -> None:
         leader = await cluster.wait_for_leader()
         assert await commit(leader, "one")
-        lost = next(n for n in cluster.nodes if n != leader.config.name)
+        lost = next(name for name in cluster.nodes if name != leader.config.name)
         await cluster.stop(lost)
         for path in (tmp_path / lost).iterdir():
             path.unlink()
@@ -112,16 +131,19 @@
             await cluster.start(lost)
         cluster.nodes.pop(lost)
         fingerprint = leader.status()["store"]
+        assert isinstance(fingerprint, str)
         await cluster.change_members(
-            lambda m: {id_: member for id_, member in m.items() if member.name != lost}
+            lambda members: {id_: member for id_, member in members.items() if member.name != lost}
         )
         fresh = await cluster.start("r3", join=fingerprint)
-        learner = Member("r3", *cluster.addresses["r3"].values(), votes=False)
-        await cluster.change_members(lambda m: {**m, "r3.1": learner})
+        addresses = cluster.addresses["r3"]
+        learner = Member("r3", addresses["peers"], addresses["clients"], votes=False)
+        await cluster.change_members(lambda members: {**members, "r3.1": learner})
         await until(lambda: bodies(fresh) == ["one"])
-        await cluster.change_members(lambda m: {**m, "r3.1": msgspec.structs.replace(learner, votes=True)})
-        await until(lambda: fresh.status()["members"] and all(m["votes"] for m in fresh.status()["members"]))
-        await until(lambda: fresh.leads() or ((n := cluster.leader()) is not None and n.transfer("r3")))
+        voter = msgspec.structs.replace(learner, votes=True)
+        await cluster.change_members(lambda members: {**members, "r3.1": voter})
+        await until(lambda: members_all_vote(fresh))
+        await until(lambda: fresh.leads() or transfer_leadership(cluster, "r3"))
         await until(fresh.leads)
         assert await commit(fresh, "two")
 
--- a/tests/store/test_router_with_request_log.py
+++ b/tests/store/test_router_with_request_log.py
@@ -4,12 +4,13 @@
 
 import pytest
 
+from ploverspoke.decisions.state import SECOND
 from ploverspoke.routing.request_log import PreviousOutcome
 from ploverspoke.testbed.checkers.request_audit import SOCKETS_TOLERANCE, audit_requests
 from ploverspoke.testbed.experiment_files.experiment import parse_experiment
 from ploverspoke.testbed.models.event_records import DISPATCHER_DOWN
 from ploverspoke.testbed.scenarios.socket_run import run_on_sockets
-from tests.decisions.harness import SECOND, SETTINGS, DispatchHarness, endpoint
+from tests.decisions.harness import SETTINGS, DispatchHarness, endpoint
 from tests.routing.harness import World, message
 from tests.store.request_log_harness import ControlledRequestLog, run_with_request_log
 from tests.testbed.harness import SMALL_EXPERIMENT
