--- a/ploverspoke/decisions/admission.py
+++ b/ploverspoke/decisions/admission_policy.py
@@ -3,7 +3,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from .attempts import Retries
+from .attempt_policy import RetryPolicy
 from .context import Context
 from .gossip import GossipExchange
 from .interface import EndReason
@@ -16,14 +16,14 @@
 
 
 @dataclass(eq=False)
-class Admission:
+class AdmissionPolicy:
     """Refuses requests, and keeps the queueing budgets of those that wait."""
 
     context: Context
     observations: Observations
     queues: Mapping[tuple[float, int], RequestQueue]
     gossip: GossipExchange
-    retries: Retries
+    retries: RetryPolicy
 
     def refuses(self, request: Request, now: int) -> bool:
         """Whether it is refused on arrival, at random, where starts come late and no load is reported."""
--- a/ploverspoke/decisions/attempts.py
+++ b/ploverspoke/decisions/attempt_policy.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(eq=False)
-class Retries:
+class RetryPolicy:
     """Decides whether a request may be sent again, and ends it where it may not."""
 
     context: Context
@@ -68,7 +68,7 @@
 
 
 @dataclass(eq=False)
-class Attempts:
+class AttemptPolicy:
     """Starts attempts, checks on those in flight, and cancels those that get nowhere."""
 
     context: Context
--- a/ploverspoke/decisions/parts.py
+++ b/ploverspoke/decisions/parts.py
@@ -2,12 +2,12 @@
 
 from dataclasses import dataclass
 
-from .admission import Admission
-from .attempts import Attempts, Retries
+from .admission_policy import AdmissionPolicy
+from .attempt_policy import AttemptPolicy, RetryPolicy
 from .capacity import CapacityEstimates, SlowStart
 from .context import Context
 from .endpoint_polling import EndpointPolling
-from .endpoints import EndpointUpdates
+from .endpoint_updates import EndpointUpdates
 from .gossip import GossipExchange
 from .gossip_state import PeerReports
 from .interface import DispatchActions
@@ -38,9 +38,9 @@
     choice: WorkerChoice
     ejection: OutlierEjection
     probes: LoadProbes
-    attempts: Attempts
-    retries: Retries
-    admission: Admission
+    attempts: AttemptPolicy
+    retries: RetryPolicy
+    admission: AdmissionPolicy
     clock: SharedClock
     service: QueueService
     endpoints: EndpointUpdates
@@ -64,8 +64,8 @@
     choice = WorkerChoice(context, workers, seen, capacity, slow_start, gossip, validity, confirmation)
     ejection = OutlierEjection(context, workers, choice)
     probes = LoadProbes(context, seen, reports, capacity, ejection)
-    attempts = Attempts(context, requests, seen, capacity, gossip, slow_start, choice, ejection)
-    retries = Retries(context, workers, requests)
+    attempts = AttemptPolicy(context, requests, seen, capacity, gossip, slow_start, choice, ejection)
+    retries = RetryPolicy(context, workers, requests)
     clock = SharedClock(context, seen, workers, queues)
     return Parts(
         workers=workers,
@@ -83,7 +83,7 @@
         probes=probes,
         attempts=attempts,
         retries=retries,
-        admission=Admission(context, seen, queues, gossip, retries),
+        admission=AdmissionPolicy(context, seen, queues, gossip, retries),
         clock=clock,
         service=QueueService(context, clock, choice, capacity, probes, attempts),
         endpoints=EndpointUpdates(context, workers, choice, slow_start, ejection),
--- a/ploverspoke/decisions/queues.py
+++ b/ploverspoke/decisions/queues.py
@@ -8,7 +8,7 @@
 from itertools import islice
 from math import exp, log
 
-from .attempts import Attempts
+from .attempt_policy import AttemptPolicy
 from .capacity import CapacityEstimates
 from .context import Context
 from .load_probes import HEARD_RECENTLY_NS, REPORT_FRESH_NS, LoadProbes
@@ -75,7 +75,7 @@
     choice: WorkerChoice
     capacity: CapacityEstimates
     probes: LoadProbes
-    attempts: Attempts
+    attempts: AttemptPolicy
 
     def tick(self, now: int) -> None:
         """A drawn queue's head goes to a worker with capacity, or an idle queue leaves a placeholder."""
--- a/ploverspoke/decisions/state.py
+++ b/ploverspoke/decisions/state.py
@@ -159,7 +159,7 @@
     def __init__(
         self, request_id: int, class_number: int, rules: RequestClass, queue: RequestQueue, arrived_at: int
     ) -> None:
-        """Begin with the arrival; what is derived from settings is set by `Admission`."""
+        """Begin with the arrival; what is derived from settings is set by `AdmissionPolicy`."""
         self.id = request_id
         self.class_number = class_number
         self.rules = rules
--- a/ploverspoke/routing/attempts.py
+++ b/ploverspoke/routing/attempt_sender.py
@@ -11,7 +11,7 @@
 from .answers import FinalAnswer
 from .completion import RequestCompletion
 from .context import RoutingContext
-from .endpoints import EndpointDirectory
+from .endpoint_directory import EndpointDirectory
 from .outcomes import OUTCOMES
 from .request_log import PendingAttempt
 from .request_recorder import RequestRecorder
@@ -22,7 +22,7 @@
 class AttemptCall:
     """One attempt as the user of a worker call."""
 
-    def __init__(self, attempts: "Attempts", request: Request, index: int, worker: str) -> None:
+    def __init__(self, attempts: "AttemptSender", request: Request, index: int, worker: str) -> None:
         """`index` counts the attempts of the request from 0."""
         self.attempts = attempts
         self.request = request
@@ -68,7 +68,7 @@
         self.attempts.on_ended(self, outcome, result, load)
 
 
-class Attempts:
+class AttemptSender:
     """Starts and cancels attempts as the decisions ask for it, and reports what becomes of them."""
 
     def __init__(
--- a/ploverspoke/routing/client_session.py
+++ b/ploverspoke/routing/client_session.py
@@ -12,9 +12,9 @@
 from ploverspoke.transport.rate_limited_log import log_line
 from ploverspoke.transport.units import MILLISECOND, SECOND
 
-from .admission import NotAdmitted
 from .answers import FinalAnswer
 from .close_reasons import CloseReason, reason_after_response
+from .request_admission import NotAdmitted
 from .requests import Request
 from .responses import OWN_TARGETS, UNSUCCESSFUL, redirect_response, status_response
 
--- a/ploverspoke/routing/health_checks.py
+++ b/ploverspoke/routing/health_checks.py
@@ -9,7 +9,7 @@
 from ploverspoke.transport.units import MILLISECOND
 
 from .context import RoutingContext
-from .endpoints import EndpointDirectory
+from .endpoint_directory import EndpointDirectory
 from .outcomes import OUTCOMES
 from .worker_calls import WorkerCall
 
--- a/ploverspoke/routing/admission.py
+++ b/ploverspoke/routing/request_admission.py
@@ -31,7 +31,7 @@
     ANSWERED_BEFORE = auto()  # its client was given the recorded answer
 
 
-class Admission:
+class RequestAdmission:
     """The way of a request from a client to the decisions."""
 
     def __init__(
--- a/ploverspoke/routing/router.py
+++ b/ploverspoke/routing/router.py
@@ -12,16 +12,16 @@
 from ploverspoke.transport.rate_limited_log import log_line
 
 from .active_settings import ActiveSettings
-from .admission import Admission
 from .answers import FinalAnswer
-from .attempts import Attempts
+from .attempt_sender import AttemptSender
 from .completion import RequestCompletion
 from .context import RoutingContext
 from .counters import Counters
-from .endpoints import EndpointDirectory
+from .endpoint_directory import EndpointDirectory
 from .event_queue import EventQueue
 from .health_checks import HealthChecks
 from .load_gossip import GossipSocket
+from .request_admission import RequestAdmission
 from .request_journal import RequestJournal
 from .request_log import RequestLog
 from .request_recorder import RequestRecorder
@@ -66,9 +66,9 @@
         )
         self.recorder = None if request_log is None else RequestRecorder(context, request_log)
         self.completion = RequestCompletion(context, self.recorder)
-        self.admission = Admission(context, self.completion, self.recorder)
+        self.admission = RequestAdmission(context, self.completion, self.recorder)
         self.endpoints = EndpointDirectory(context, discovery_address)
-        self.attempts = Attempts(context, self.endpoints, self.completion, self.recorder)
+        self.attempts = AttemptSender(context, self.endpoints, self.completion, self.recorder)
         self.health_checks = HealthChecks(context, self.endpoints)
 
     @property
--- a/ploverspoke/testbed/capacity/rows.py
+++ b/ploverspoke/testbed/capacity/rows.py
@@ -291,7 +291,7 @@
         demand="at the peak, and in trouble",
         gives="grades with expected times of their own; a queue is first come, first served within a slot "
         f"count and machine kind, but for those that are too late; nothing that runs makes way; {played}",
-        mechanism="`decisions/admission.py` (queueing budgets, weights), `docs/design.md`",
+        mechanism="`decisions/admission_policy.py` (queueing budgets, weights), `docs/design.md`",
         verdict=verdict,
         basis=PLAYED,
         letter="a",
