--- a/ploverspoke/decisions/admission_policy.py
+++ b/ploverspoke/decisions/admission_policy.py
@@ -10,14 +10,14 @@
 from .observations import Observations
 from .state import MILLISECOND, NO_WORKER, Request, RequestQueue
 
-QUEUEING_SHARE = 0.5  # of the time left before it must start that a request may wait here
-HIGHEST_REFUSAL_CHANCE = 0.9
-LATENESS_ACCEPTED = 0.3  # mean lateness of starts up to which none is refused
+QUEUEING_SHARE = 0.5  # of the time left before it must start, which a request may wait here
+MAX_REFUSAL_CHANCE = 0.9
+MAX_ACCEPTED_LATENESS = 0.3  # mean lateness of starts, 0 to 1, up to which no request is refused
 
 
 @dataclass(eq=False)
 class AdmissionPolicy:
-    """Refuses requests, and keeps the queueing budgets of those that wait."""
+    """Refuses requests on arrival, and sets and checks the queueing budgets of the others."""
 
     context: Context
     observations: Observations
@@ -26,16 +26,16 @@
     retries: RetryPolicy
 
     def refuses(self, request: Request, now: int) -> bool:
-        """Whether it is refused on arrival, at random, where starts come late and no load is reported."""
+        """Whether to refuse a request at random, where starts come late and no load is reported."""
         settings = self.context.settings
         if settings.probing_allowed or request.retry_group is not None:
             return False
         lateness = self.gossip.zone_lateness(settings.zone, now)
-        chance = min(HIGHEST_REFUSAL_CHANCE, lateness - LATENESS_ACCEPTED)
+        chance = min(MAX_REFUSAL_CHANCE, lateness - MAX_ACCEPTED_LATENESS)
         return chance > 0 and self.context.random.fraction() < chance
 
     def set_deadlines(self, request: Request, deadline: int, work_hint: int) -> None:
-        """Set until when it must start to be on time, from its client's first try, and how long it waits."""
+        """Set the latest start that is on time, from the client's first attempt on, and queueing budget."""
         number, rules = request.class_number, request.rules
         request.deadline = deadline
         request.last_send_at = deadline - self.context.settings.batch_interval
@@ -48,18 +48,18 @@
         if work_hint:
             own_work = running_time = work_hint
         time_left = max(0, rules.latency_objective + rules.latency_stretch * own_work - running_time)
-        # When not all can be on time, those of little weight make way first: they wait for less.
+        # When not all can be on time, requests of low weight are given up first: their budgets are shorter.
         rank = rules.priority_weight / self.context.highest_weight
         request.on_time_until = int(first_tried_at + time_left)
         request.queueing_deadline = int(first_tried_at + QUEUEING_SHARE * rank * time_left)
 
     def start_timer(self, request: Request, now: int) -> None:
-        """A request waits from now on: check on it when its budget or its time is over."""
+        """Schedule the check of a request that begins to wait, at the end of its budget or of its time."""
         when = request.queueing_deadline if now < request.queueing_deadline else request.last_send_at
         self.context.timers.start(request, min(when, request.last_send_at))
 
     def is_exhausted(self, request: Request, now: int) -> bool:
-        """Whether it has used up its budget and makes way for those that can still be on time."""
+        """Whether a request has used up its queueing budget, and others wait that can still be on time."""
         if now < request.queueing_deadline or request.retry_group not in (None, NO_WORKER):
             return False
         if not request.rules.overdue_weight:
@@ -68,7 +68,7 @@
         return any(len(queue.waiting) > (queue is request.queue) for queue in self.queues.values())
 
     def check(self, request: Request, now: int) -> None:
-        """The timer of a waiting request has fired: it waits on or is given up."""
+        """Let a waiting request wait on or give it up, when its timer has fired."""
         if request.queue.probed and now < request.last_send_at:
             # The answers come first: they take no longer than a few round trips.
             answered_at = request.queue.probed_until + MILLISECOND
--- a/ploverspoke/decisions/attempt_policy.py
+++ b/ploverspoke/decisions/attempt_policy.py
@@ -13,8 +13,9 @@
 from .state import ALL_WORKERS, MILLISECOND, NO_WORKER, SECOND, EarlierAttempts, Request, RetryGroup, Worker
 from .worker_choice import WorkerChoice
 
-LONGEST_START_FACTOR = 2  # a wait this many times as long as any of the latest starts is silence
-CHECK_INTERVAL_NS = 100 * MILLISECOND
+SILENT_START_FACTOR = 2  # a wait for a start is silence beyond so many times the longest recent one
+MIN_CHECK_INTERVAL_NS = 100 * MILLISECOND
+CHECKS_PER_WAIT = 4  # the interval between checks grows to a quarter of the wait so far
 START_WAIT_SHARE = 0.5  # of a request's queueing budget, after which it is cancelled
 NEVER_CANCELLED_NS = 30 * SECOND
 FAILED_HEALTH_CHECKS = (*CONNECTION_FAILURES, AttemptOutcome.TIMED_OUT)
@@ -30,7 +31,7 @@
     earlier_attempts: dict[int, EarlierAttempts] = field(default_factory=dict)
 
     def resume(self, request: Request) -> None:
-        """Count what was done for the request by another dispatcher, if anything was."""
+        """Take over the count of attempts that another dispatcher made for the request, if any."""
         earlier = self.earlier_attempts.pop(request.id, None)
         if earlier is None:
             return
@@ -39,7 +40,7 @@
             request.last_send_at = 0
         if earlier.may_have_run_on and request.rules.idempotency is not Idempotency.IDEMPOTENT:
             worker = self.workers.get(earlier.may_have_run_on)
-            # Of a worker that is not listed any more the group is not known: it goes nowhere.
+            # The group of a worker that is no longer listed is unknown: no worker is allowed.
             group = NO_WORKER if worker is None else request.group_after_attempt(worker)
             self._bind(request, group, earlier.sent_at)
 
@@ -52,13 +53,13 @@
         return now < request.last_send_at and request.attempts < request.rules.max_attempts
 
     def _bind(self, request: Request, group: RetryGroup | None, sent_at: int) -> None:
-        """Keep it among the workers that drop duplicates, and only until they forget it."""
+        """Restrict retries to the workers that drop duplicates, within the window in which they do."""
         request.retry_group = group
         window = 0 if group == NO_WORKER else request.rules.retry_window
         request.last_send_at = min(request.last_send_at, sent_at + window)
 
     def give_up(self, request: Request, reason: EndReason) -> None:
-        """Final answer without success: rejected where a retry is harmless, else failed."""
+        """End a request without success: rejected where a retry is harmless, else failed."""
         del self.open_requests[request.id]
         idempotent = request.rules.idempotency is Idempotency.IDEMPOTENT
         if idempotent or request.retry_group is None or request.retry_group == ALL_WORKERS:
@@ -69,7 +70,7 @@
 
 @dataclass(eq=False)
 class AttemptPolicy:
-    """Starts attempts, checks on those in flight, and cancels those that get nowhere."""
+    """Starts attempts, checks those in flight, and cancels those that are stuck."""
 
     context: Context
     open_requests: Mapping[int, Request]
@@ -87,7 +88,7 @@
         self.cancel_credit = min(self.cancel_credit + cancels, most)
 
     def start(self, request: Request, worker: Worker, now: int) -> None:
-        """Send a request; it times out one batch before the deadline, which leaves time to answer."""
+        """Send a request; the attempt times out one batch before the deadline, to leave time to answer."""
         request.begin_attempt(worker, now)
         worker.begin_attempt(request, now)
         self.capacity.occupy(request, worker, now)
@@ -101,27 +102,29 @@
             self.context.timers.start(request, request.check_at)
 
     def check(self, request: Request, worker: Worker, now: int) -> None:
-        """See whether the worker has gone silent on the attempt, and cancel what is stuck."""
+        """Detect whether the worker has gone silent on the attempt, and cancel what is stuck."""
         if now < request.check_at:
             return
         limit = self.context.silence_limit
-        # A started request owes a report at each interval, else its worker owes any at all.
-        heard_at = request.heard_at if request.started_at else max(worker.heard_at, request.sent_at)
+        # A worker reports on each request that has started; before that any report of its own counts.
+        last_contact_at = (
+            request.last_contact_at if request.started_at else max(worker.last_contact_at, request.sent_at)
+        )
         if not request.started_at:
-            # In a jam starts come late everywhere: only one far later than the others' tells a hung worker.
+            # Under overload all starts come late: only one far later than the others' shows a hung worker.
             longest = max(self.observations.start_delays[worker.endpoint.zone], default=0)
-            limit = max(limit, LONGEST_START_FACTOR * longest)
-        is_silent = now - heard_at >= limit
+            limit = max(limit, SILENT_START_FACTOR * longest)
+        is_silent = now - last_contact_at >= limit
         if is_silent and self.context.settings.probing_allowed:
-            # Silence on one connection may be that connection's: a health check tells.
+            # The connection alone may be at fault: a health check shows whether the worker is.
             self.ejection.suspect(worker, now)
         elif is_silent:
             self.ejection.eject(worker, now)
         self._cancel_stuck(worker.attempts.values() if worker.ejected else [request], worker, is_silent, now)
-        request.check_at = now + limit if is_silent else heard_at + limit
+        request.check_at = now + limit if is_silent else last_contact_at + limit
         if not request.started_at and self._may_cancel(request):
-            # In a jam all wait long: checks grow rarer with the wait, or they alone would use up the CPU.
-            next_check = now + max(CHECK_INTERVAL_NS, (now - request.sent_at) // 4)
+            # Under overload all wait long: at a fixed interval the checks alone would use up the CPU.
+            next_check = now + max(MIN_CHECK_INTERVAL_NS, (now - request.sent_at) // CHECKS_PER_WAIT)
             request.check_at = min(request.check_at, next_check)
         self.context.timers.start(request, request.check_at)
 
@@ -132,7 +135,7 @@
                 request.cancelled = True
 
     def health_checked(self, worker: Worker, outcome: AttemptOutcome, now: int) -> None:
-        """A health check has ended: where it failed, what is in flight there is cancelled."""
+        """Eject the worker after a failed health check, and cancel the attempts in flight there."""
         if outcome in FAILED_HEALTH_CHECKS:
             self.ejection.eject(worker, now, is_proven=outcome is not AttemptOutcome.TIMED_OUT)
             self._cancel_stuck(worker.attempts.values(), worker, worker.ejected, now)
@@ -140,9 +143,9 @@
             self.ejection.record_probe(worker, outcome, now)
 
     def confirmation_ended(self, worker: Worker, outcome: AttemptOutcome, now: int) -> None:
-        """A check of a worker that the list no longer covered has ended."""
+        """Take the result of a health check that was sent because the endpoint list had expired."""
         if outcome is AttemptOutcome.WORKER_ERROR:
-            # It says itself that it fails or drains.
+            # The worker itself reports that it fails or drains.
             self.ejection.eject(worker, now)
         elif outcome is not AttemptOutcome.NOT_SENT:
             self.health_checked(worker, outcome, now)
@@ -162,7 +165,7 @@
             return NEVER_CANCELLED_NS
         share = int((request.queueing_deadline - request.arrived_at) * START_WAIT_SHARE)
         limit = max(self.capacity.prompt_start(worker), share)
-        # One that must stay in its group comes back to workers as full, and may run twice there.
+        # A request that must stay in its group finds other workers as full, and may run twice there.
         if (request.group_after_attempt(worker) or ALL_WORKERS) != ALL_WORKERS:
             return max(limit, self.observations.class_running_time(request.class_number))
         return limit
@@ -173,7 +176,7 @@
             return may_cancel
         if request.started_at or now - request.sent_at <= self._start_limit(request, worker):
             return False
-        # One that merely waits is moved only where there is capacity, and seldom: it may run anyway.
+        # One that merely waits is cancelled only where another worker has capacity, and seldom: it may run.
         group, request.retry_group = request.retry_group, request.group_after_attempt(worker)
         moves = self.cancel_credit >= 1 and bool(self.choice.draw_two(request.queue, now, request))
         request.retry_group = group
--- a/ploverspoke/decisions/capacity.py
+++ b/ploverspoke/decisions/capacity.py
@@ -8,13 +8,13 @@
 from .observations import Observations
 from .state import MILLISECOND, SECOND, Request, RequestQueue, Worker
 
-INITIAL_CAPACITY = 2.0  # slots that a worker is taken to have before anything is known of it
-RECOVERY_PER_WAIT = 2  # a cut slot recovers in this many times the wait that cut it, at least
-LONGEST_RECOVERY_NS = 30 * SECOND
-PENDING_RUNNING_TIMES = 3  # mean running times after which an attempt without a start shows no full worker
+INITIAL_CAPACITY = 2.0  # slots, before anything is known of a worker
+RECOVERY_PER_WAIT = 2  # a slot recovers in at least so many times the wait for which it was cut
+MAX_RECOVERY_NS = 30 * SECOND
+MAX_PENDING_RUNNING_TIMES = 3  # after so many mean running times without a start an attempt may be lost
 PROMPT_FACTOR = 3  # a delay is prompt within this many times the shortest recent one...
 PROMPT_MARGIN_NS = 10 * MILLISECOND  # ...and this
-WARMING_SHARE = 0.5  # of what a worker that warms up can bear
+WARMING_SHARE = 0.5  # of the load that a worker can bear while it warms up
 WARM_LOAD_MAX_AGE_NS = 20 * MILLISECOND
 
 
@@ -26,7 +26,7 @@
 
 @dataclass(eq=False)
 class CapacityEstimates:
-    """Keeps the estimates, which are stored in each `Worker`."""
+    """Updates the capacity estimate that each `Worker` stores."""
 
     context: Context
     workers: Mapping[str, Worker]
@@ -34,7 +34,7 @@
     gossip: GossipExchange
 
     def free(self, worker: Worker, now: int) -> float:
-        """Estimated free slots; placeholders count only beside real requests of ours."""
+        """Estimated free slots; placeholders count only beside this dispatcher's requests in flight there."""
         if worker.capacity < worker.capacity_before_cut:
             recovered = (now - worker.capacity_at) / worker.recovery_time
             worker.capacity = min(worker.capacity_before_cut, worker.capacity + recovered)
@@ -48,12 +48,12 @@
         return free
 
     def has_pending_start(self, worker: Worker, now: int) -> bool:
-        """Whether an attempt there has not started promptly: then it is full, whatever the estimate says."""
+        """Whether an attempt there has not started promptly, which shows a full worker."""
         if not worker.unstarted or not self.context.settings.workers_report_start:
             return False
         due = now - self.prompt_start(worker)
-        # One that a later one has overtaken, or that waits on and on, may be lost: no sign of a full worker.
-        forgotten = now - PENDING_RUNNING_TIMES * self.observations.mean_running_time()
+        # An attempt that a later one has overtaken, or that waits very long, may be lost: it shows nothing.
+        forgotten = now - MAX_PENDING_RUNNING_TIMES * self.observations.mean_running_time()
         lost = max(worker.latest_start_sent_at, forgotten)
         return any(lost < sent_at < due for sent_at in worker.unstarted.values())
 
@@ -62,13 +62,13 @@
         return prompt_limit(self.observations.start_delays[worker.endpoint.zone], SECOND)
 
     def occupy(self, request: Request, worker: Worker, now: int) -> None:
-        """An attempt takes its slots, and the place of placeholders that it does not fit beside."""
+        """Count an attempt, and drop the placeholders for which no slots are left."""
         while self.free(worker, now) < 0 and worker.placeholders:
             worker.placeholders.popleft()
         request.slots_in_use = worker.in_flight + self.gossip.peer_slots(worker)
 
     def record_start(self, request: Request, worker: Worker, wait: int, now: int) -> None:
-        """An attempt has started; a late start is read as FULL, which workers with queues answer too late."""
+        """Update the estimate at a start; a late one counts as FULL, which workers with queues send late."""
         if wait <= self.prompt_start(worker):
             worker.recovery_time = max(MILLISECOND, worker.recovery_time / 2)
             self.accepted(worker, request.slots_in_use)
@@ -78,24 +78,24 @@
         self.cut(worker, worker.running + self.gossip.peer_slots(worker), recovery_time, now)
 
     def accepted(self, worker: Worker, slots_in_use: float) -> None:
-        """One more slot for an accepted attempt, but no more than one beyond what was in use at once."""
+        """Add one slot for an accepted attempt, up to one more than were in use when it was sent."""
         worker.capacity = max(worker.capacity, min(worker.capacity + 1, slots_in_use + 1))
         worker.capacity_before_cut = max(worker.capacity, worker.capacity_before_cut)
 
     def cut(self, worker: Worker, capacity: float, recovery_time: float, now: int) -> None:
-        """Lower the estimate, which then recovers by a slot in a mean running time at the least."""
+        """Lower the estimate, which then recovers by one slot in a mean running time at the earliest."""
         if capacity < worker.capacity:
             worker.capacity_before_cut = max(capacity + 1, INITIAL_CAPACITY)
             worker.capacity = capacity
             worker.capacity_at = now
             between_attempts = int(len(self.workers) * SECOND / self.observations.arrival_rate(now))
             shortest = max(self.observations.mean_running_time(), recovery_time, between_attempts)
-            worker.recovery_time = min(shortest, LONGEST_RECOVERY_NS)
+            worker.recovery_time = min(shortest, MAX_RECOVERY_NS)
 
 
 @dataclass(eq=False)
 class SlowStart:
-    """Budgets of workers that warm up: a part of what warm ones are given (docs/design.md, rule 4)."""
+    """Budgets of workers that warm up: a part of the load of warm ones (docs/design.md, rule 4)."""
 
     context: Context
     workers: Mapping[str, Worker]
@@ -104,12 +104,12 @@
     warm_load_at: int = -SECOND
 
     def begin(self, worker: Worker, now: int) -> None:
-        """A process has started; a random part of one request keeps dispatchers from sending at once."""
+        """Start a worker's budget at a random part of one request, so that dispatchers do not coincide."""
         worker.slow_start_budget = self.context.random.fraction() * self.observations.mean_running_time()
         worker.slow_start_budget_at = now
 
     def allows(self, worker: Worker, queue: RequestQueue, now: int) -> bool:
-        """Whether the budget of a worker that warms up covers a request; it grows with time and warmth."""
+        """Whether the budget of a worker that warms up covers a request; its rate grows until it is warm."""
         settings = self.context.settings
         warmth = min(1.0, max(0.0, 1 - (worker.warm_at - now) / settings.warmup_period))
         share = settings.warmup_share + (1 - settings.warmup_share) * warmth
@@ -123,7 +123,7 @@
         return worker.slow_start_budget >= cost
 
     def charge(self, worker: Worker, queue: RequestQueue, now: int) -> None:
-        """An attempt goes there."""
+        """Charge an attempt to the budget of a worker that warms up."""
         if worker.warm_at > now:
             worker.slow_start_budget -= queue.expected_work()
 
--- a/ploverspoke/decisions/context.py
+++ b/ploverspoke/decisions/context.py
@@ -1,4 +1,4 @@
-"""What all parts of a dispatcher share: its actions, timers, random numbers and settings."""
+"""The context shared by all parts of a dispatcher: its actions, timers, random numbers and settings."""
 
 from .interface import DispatchActions, never_ran
 from .random_numbers import RandomNumbers
@@ -8,11 +8,13 @@
 GOSSIP_BUDGET = 0.02  # points of service that gossip may cost
 MESSAGE_SHARE = 16 / 256  # of a full message's price, for a request and receiver
 PROBE_BUDGET = 0.006  # points of service that load probes may cost
-MOST_PROBES = 8.0  # for one request on average, whatever their price
-CANCEL_BUDGET = 0.02  # points of service that cancelled attempts may cost, should they run all the same
+MAX_PROBES_PER_REQUEST = 8.0  # on average, whatever their price
+MIN_PRICE = 1e-9  # points of service; prices may be configured as 0
+MIN_MESSAGE_PRICE = 1e-6
+CANCEL_BUDGET = 0.02  # points of service that cancelled attempts may cost if they run all the same
 SAVED_REQUESTS = 4  # requests' worth of probes, and of cancellations, that can be saved up
-SILENT_HALF_INTERVALS = 3  # of progress reports, without one
-TICKS_PER_OBJECTIVE = 4  # of the shared clock at the least, in the shortest latency objective
+SILENT_HALF_INTERVALS = 3  # half progress intervals without a report, which count as silence
+TICKS_PER_OBJECTIVE = 4  # the fewest ticks of the shared clock within the shortest latency objective
 DISCOVERY_CALL_NS = 125 * MILLISECOND  # of service discovery's time
 
 
@@ -47,8 +49,12 @@
         self.probed_classes = {Idempotency.NON_IDEMPOTENT}
         if settings.full_may_have_run:
             self.probed_classes.add(Idempotency.IDEMPOTENT_WITH_KEY)
-        self.gossip_fanout = max(1, int(GOSSIP_BUDGET / max(1e-6, MESSAGE_SHARE * settings.gossip_cost)))
-        self.probes_per_request = min(MOST_PROBES, PROBE_BUDGET / max(1e-9, settings.probe_cost))
-        self.cancels_per_request = CANCEL_BUDGET / max(1e-9, settings.waste_cost)
+        self.gossip_fanout = max(
+            1, int(GOSSIP_BUDGET / max(MIN_MESSAGE_PRICE, MESSAGE_SHARE * settings.gossip_cost))
+        )
+        self.probes_per_request = min(
+            MAX_PROBES_PER_REQUEST, PROBE_BUDGET / max(MIN_PRICE, settings.probe_cost)
+        )
+        self.cancels_per_request = CANCEL_BUDGET / max(MIN_PRICE, settings.waste_cost)
         self.silence_limit = settings.progress_interval * SILENT_HALF_INTERVALS // 2
         self.time_for_all_calls = time_for_all_calls(settings)
--- a/ploverspoke/decisions/dispatcher.py
+++ b/ploverspoke/decisions/dispatcher.py
@@ -1,4 +1,4 @@
-"""The events of a dispatcher, one method for each; what follows is decided by the part that each goes to.
+"""The events of a dispatcher, one method for each, which passes it to the part that decides.
 
 Its caller builds one `Dispatcher` with its own actions, a seed and the settings, then calls one method for
 each event. `docs/design.md` says where each decision comes from. Dispatchers share nothing but load gossip.
@@ -15,7 +15,7 @@
     LoadGossip,
     LoadReport,
 )
-from .parts import build_parts
+from .parts import Parts
 from .request_path import RequestPath
 from .settings import Settings
 from .state import EarlierAttempts, PeriodicTimer, ProbePurpose, Request, RequestQueue, Worker
@@ -27,7 +27,7 @@
     def __init__(self, actions: DispatchActions, seed: int, settings: Settings) -> None:
         """Build the parts; `actions` is called from inside the events only."""
         self.actions = actions
-        self.parts = parts = build_parts(actions, seed, settings)
+        self.parts = parts = Parts(actions, seed, settings)
         self.request_path = RequestPath(parts)
         self.random = parts.context.random
         self.workers = parts.workers
@@ -36,18 +36,21 @@
     # ---- Events ----
 
     def started(self) -> None:
-        """All that is known at the start has been reported; from now on the endpoint list is followed."""
+        """Begin to watch the endpoint list and to send gossip: the state at the start has been reported."""
         now = self.actions.now()
         self.parts.gossip.begin(now)
         self.parts.polling.begin(bool(self.workers), now)
 
     def settings_changed(self, settings: Settings, predecessors: Mapping[int, int]) -> None:
-        """They bind what arrives from now on; a new class number may follow another and keep its times."""
+        """Apply new settings to what arrives from now on.
+
+        `predecessors` maps a new class number to the one whose measured times it takes over.
+        """
         context = self.parts.context
         for number in set(settings.active_classes) - set(context.settings.active_classes):
             self.parts.observations.begin_class(number, predecessors.get(number))
         context.apply(settings)
-        self.parts.choice.forget_tiers()
+        self.parts.choice.clear_cached_tiers()
 
     def request_arrived(
         self,
@@ -87,7 +90,7 @@
         """A worker reports that it goes on with a request."""
         request = self.open_requests.get(request_id)
         if request is not None and request.worker is not None and attempt == request.attempts - 1:
-            request.heard_at = request.worker.heard_at = self.actions.now()
+            request.last_contact_at = request.worker.last_contact_at = self.actions.now()
 
     def attempt_ended(self, request_id: int, attempt: int, result: AttemptResult) -> None:
         """An attempt has ended; where the request is still open it is retried or answered."""
@@ -97,13 +100,13 @@
             self.request_path.attempt_ended(request, worker, result, self.actions.now())
 
     def client_disconnected(self, request_id: int) -> None:
-        """Nobody waits for the request any more."""
+        """Drop a request for whose answer nobody waits any more."""
         request = self.open_requests.pop(request_id, None)
         if request is not None and request.worker is None and request in request.queue.waiting:
             request.queue.waiting.remove(request)
 
     def endpoint_list_received(self, endpoints: Iterable[Endpoint]) -> None:
-        """The whole list: workers that it does not show are gone."""
+        """Apply a whole list: workers that it does not contain are gone."""
         endpoints = list(endpoints)
         self.endpoints_changed(endpoints)
         shown = {endpoint.worker for endpoint in endpoints}
@@ -111,7 +114,7 @@
         self.endpoints_changed([endpoint._replace(condition=EndpointCondition.GONE) for endpoint in absent])
 
     def endpoints_changed(self, endpoints: Iterable[Endpoint]) -> None:
-        """Changes of the list, in order."""
+        """Apply changes of the list, in order."""
         now = self.actions.now()
         self.parts.polling.answered()
         for endpoint in endpoints:
@@ -129,7 +132,7 @@
     def endpoint_watch_failed(self, is_rejected: bool = False, is_unreachable: bool = False) -> None:
         """The watch of the list has ended without an answer, or service discovery was too busy for it.
 
-        `is_unreachable`: it has certainly nothing to tell, as nobody listens there.
+        `is_unreachable`: nobody listens at its address, so no change of the list is binding.
         """
         self.parts.polling.watch_failed(is_rejected, is_unreachable, self.actions.now())
 
@@ -154,7 +157,7 @@
         if outcome is AttemptOutcome.SUCCEEDED and load:
             parts.reports.record(worker, load, now)
         elif outcome is AttemptOutcome.SUCCEEDED:
-            worker.heard_at = now
+            worker.last_contact_at = now
         if purpose is ProbePurpose.LOAD:
             parts.probes.record_answer(worker, outcome, elapsed, now)
             parts.service.probe_answered(worker, now)
@@ -172,11 +175,11 @@
         if isinstance(timer, Request):
             self._check_request(timer, now)
         elif isinstance(timer, RequestQueue):
-            # Some that were probed have not answered in time, or none had to be probed again.
+            # Some probed workers have not answered in time, or all had a fresh report.
             if timer.probed and now >= timer.probed_until:
                 parts.service.settle(timer, now)
         elif isinstance(timer, Worker):
-            parts.ejection.period_over(timer, now)
+            parts.ejection.ejection_ended(timer, now)
         elif timer is PeriodicTimer.CLOCK_TICK:
             parts.service.tick(now)
         elif timer is PeriodicTimer.WATCH_ENDPOINTS:
@@ -194,7 +197,7 @@
             self.parts.admission.check(request, now)
 
     def gossip_received(self, peer: int, gossip: LoadGossip) -> None:
-        """Another dispatcher tells where it has slots in flight, each named once."""
+        """Another dispatcher reports where it has slots in flight, one entry for each."""
         self.parts.gossip.receive(peer, gossip, self.actions.now())
 
     # ---- Queries ----
@@ -213,10 +216,10 @@
         return self.parts.validity.expirations
 
     def listed_workers(self) -> list[Worker]:
-        """Workers that the endpoint list shows, ready or draining."""
+        """Workers on the endpoint list, ready or draining."""
         gone = EndpointCondition.GONE
         return [worker for worker in self.workers.values() if worker.endpoint.condition is not gone]
 
     def is_out_of_rotation(self, worker: Worker) -> bool:
-        """Whether nothing would be sent to it now, had it capacity."""
+        """Whether nothing is sent to the worker, whatever its capacity."""
         return not worker.ready or worker.ejected
--- a/ploverspoke/decisions/endpoint_polling.py
+++ b/ploverspoke/decisions/endpoint_polling.py
@@ -1,32 +1,41 @@
-"""When service discovery is called: spread over time, and in time for the list to stay valid."""
+"""When service discovery is called: spread over time, with backoff, before the endpoint list expires."""
 
 from dataclasses import dataclass
+from typing import NamedTuple
 
 from .context import Context
 from .list_validity import ListValidity
 from .state import MILLISECOND, SECOND, PeriodicTimer
 
 FIRST_BACKOFF_NS = 250 * MILLISECOND
-MOST_DOUBLINGS = 5
-LONGEST_OWN_BACKOFF_NS = 3 * SECOND
-LONGEST_BACKOFF_NS = 5 * SECOND  # less than the time after which a change binds
+MAX_DOUBLINGS = 5
+MAX_BACKOFF_NS = 3 * SECOND
+MAX_BACKOFF_AFTER_REJECTION_NS = 5 * SECOND  # less than the delay after which a change is binding
 # While the list is valid a backoff takes only a part of the time left, so that several calls come before it
 # expires: each would be bounded without that, but not their sum. Once it has expired there is no such hurry.
-SHARE_OF_TIME_LEFT = 0.6
-ANSWER_TIME_NS = 250 * MILLISECOND  # that the last of these calls is given
-LEAST_TIME_LEFT_NS = 400 * MILLISECOND  # with less, the list expires before an answer
-# A backoff is waited by chance from this share of it on, which keeps dispatchers apart.
-LEAST_SHARE = 0.5
-MOST_SHARE = 1.5
+TIME_LEFT_SHARE = 0.6
+ANSWER_TIME_NS = 250 * MILLISECOND  # for the last call before the expiry to be answered
+MIN_TIME_LEFT_NS = 400 * MILLISECOND  # with less, the list expires before any answer
+# A backoff is multiplied by a random factor in this range (jitter), which spreads the calls of dispatchers.
+MIN_JITTER = 0.5
+MAX_JITTER = 1.5
+MAX_JITTER_AFTER_REJECTION = 1.0
 PUSH_RETRY_NS = 100 * MILLISECOND  # an agent that pushes lists has no other callers
-MOVE_BINDS_AFTER_NS = 3500 * MILLISECOND  # half a second before changes at another address bind
+MOVE_BINDING_DELAY_NS = 3500 * MILLISECOND  # half a second before changes at another address are binding
 MOVE_SPREAD_SHARE = 0.2  # of the time that the calls of all dispatchers take
-LONGEST_MOVE_SPREAD_NS = SECOND
+MAX_MOVE_SPREAD_NS = SECOND
+
+
+class Backoff(NamedTuple):
+    """The time until the next call, and why it is that long."""
+
+    delay: int  # ns
+    reason: str  # for the log
 
 
 @dataclass(eq=False)
 class EndpointPolling:
-    """Calls service discovery so that dispatchers do not find each other in its queue."""
+    """Schedules the calls to service discovery so that those of many dispatchers do not coincide."""
 
     context: Context
     validity: ListValidity
@@ -36,16 +45,19 @@
 
     def begin(self, has_workers: bool, now: int) -> None:
         """Watch the list from a random moment on, or at once where no worker is known."""
-        if self.context.settings.discovery_polling and has_workers:
-            self._call_after(int(self.context.random.fraction() * self.context.time_for_all_calls), now)
-        elif self.context.settings.discovery_polling:
+        if not self.context.settings.discovery_polling:
+            return
+        if has_workers:
+            spread = self.context.time_for_all_calls
+            self._call_after(int(self.context.random.fraction() * spread), now)
+        else:
             self.context.actions.watch_endpoints()
 
     def moved(self, now: int) -> None:
-        """Discovery has another address: all dispatchers have to call there."""
+        """Discovery has another address, which all dispatchers have to call."""
         self.failures = 0
-        self.validity.shorten(now + MOVE_BINDS_AFTER_NS)
-        spread = min(self.context.time_for_all_calls * MOVE_SPREAD_SHARE, LONGEST_MOVE_SPREAD_NS)
+        self.validity.shorten(now + MOVE_BINDING_DELAY_NS)
+        spread = min(self.context.time_for_all_calls * MOVE_SPREAD_SHARE, MAX_MOVE_SPREAD_NS)
         if not self.context.settings.discovery_polling:
             spread = 0
         delay = int(spread * self.context.random.fraction())
@@ -54,7 +66,7 @@
             self._call_after(delay, now)
 
     def answered(self) -> None:
-        """A list has come, or has been confirmed."""
+        """A list was received or confirmed."""
         self.failures = 0
         self.due_token = 0
 
@@ -66,46 +78,51 @@
         return True
 
     def watch_failed(self, is_rejected: bool, is_unreachable: bool, now: int) -> None:
-        """Watch again after a backoff; `is_unreachable`: discovery certainly has nothing to tell now."""
+        """Watch again after a backoff; `is_unreachable`: nobody listens at discovery's address."""
         self.failures += 1
         settings = self.context.settings
         if is_unreachable and not settings.probing_allowed and self.validity.is_valid(now):
-            # Nothing binds while it cannot be reached, and without health checks there is only the list.
+            # No change is binding while discovery is unreachable, and no health check could replace the list.
             self.validity.confirm(now, now)
         if settings.discovery_polling:
-            delay, reason = self._backoff(is_rejected, now)
+            backoff = self._backoff(is_rejected, now)
         else:
-            delay, reason = PUSH_RETRY_NS, "the agent has no other callers"
-            self.validity.shorten(now + self.validity.pushed_validity())
-        self._call_after(delay, now)
-        if self.failures & (self.failures - 1) == 0:  # the first, the second, the fourth and so on
-            why = "rejected" if is_rejected else "failed"
+            backoff = Backoff(PUSH_RETRY_NS, "the agent has no other callers")
+            self.validity.shorten(now + self.validity.pushed_ttl())
+        self._call_after(backoff.delay, now)
+        self._log_failure(is_rejected, backoff)
+
+    def _log_failure(self, is_rejected: bool, backoff: Backoff) -> None:
+        is_power_of_two = self.failures & (self.failures - 1) == 0
+        if is_power_of_two:
+            outcome = "rejected" if is_rejected else "failed"
             self.context.log.write(
-                f"endpoint watch {why}, {self.failures} in a row; "
-                f"next call in {delay / SECOND:.2f} s: {reason}"
+                f"endpoint watch {outcome}, {self.failures} in a row; "
+                f"next call in {backoff.delay / SECOND:.2f} s: {backoff.reason}"
             )
 
     def call_was_silent(self, as_of: int, now: int) -> None:
-        """An agent that pushes lists is silent while it learns nothing: what it gets later binds later."""
+        """Renew a pushed list: its agent is silent while it learns nothing, so no change is binding yet."""
         settings = self.context.settings
         if not settings.discovery_polling and not settings.probing_allowed and self.validity.is_valid(now):
             self.validity.confirm(as_of, now)
 
-    def _backoff(self, is_rejected: bool, now: int) -> tuple[int, str]:
-        longest = self.context.settings.discovery_poll_interval // 4
-        backoff = min(FIRST_BACKOFF_NS << min(self.failures, MOST_DOUBLINGS), longest, LONGEST_OWN_BACKOFF_NS)
-        reason, most_share = "it grows with each failure", MOST_SHARE
+    def _backoff(self, is_rejected: bool, now: int) -> Backoff:
+        """Exponential backoff with jitter, shortened where the list expires soon."""
+        longest = min(self.context.settings.discovery_poll_interval // 4, MAX_BACKOFF_NS)
+        delay = min(FIRST_BACKOFF_NS << min(self.failures, MAX_DOUBLINGS), longest)
+        reason, max_jitter = "it grows with each failure", MAX_JITTER
         if is_rejected:
             # Discovery has too many calls: those of all dispatchers need their time.
-            backoff = min(max(backoff, self.context.time_for_all_calls), LONGEST_BACKOFF_NS)
-            reason, most_share = "it leaves time for the calls of all", 1.0
-        left = self.validity.time_left(now)
-        if left is not None and left - ANSWER_TIME_NS > LEAST_TIME_LEFT_NS:
-            share = int(SHARE_OF_TIME_LEFT * (left - ANSWER_TIME_NS) / most_share)
-            if share < backoff:
-                backoff, reason = share, "the list expires soon"
-        chance = (most_share - LEAST_SHARE) * self.context.random.fraction()
-        return int(backoff * (LEAST_SHARE + chance)), reason
+            delay = min(max(delay, self.context.time_for_all_calls), MAX_BACKOFF_AFTER_REJECTION_NS)
+            reason, max_jitter = "it leaves time for the calls of all", MAX_JITTER_AFTER_REJECTION
+        time_left = self.validity.time_left(now)
+        if time_left is not None and time_left - ANSWER_TIME_NS > MIN_TIME_LEFT_NS:
+            affordable = int(TIME_LEFT_SHARE * (time_left - ANSWER_TIME_NS) / max_jitter)
+            if affordable < delay:
+                delay, reason = affordable, "the list expires soon"
+        jitter = (max_jitter - MIN_JITTER) * self.context.random.fraction()
+        return Backoff(int(delay * (MIN_JITTER + jitter)), reason)
 
     def _call_after(self, delay: int, now: int) -> None:
         self.due_at = now + delay
--- a/ploverspoke/decisions/endpoint_updates.py
+++ b/ploverspoke/decisions/endpoint_updates.py
@@ -1,4 +1,4 @@
-"""The endpoint list: who is ready, and who has started anew."""
+"""Changes of the endpoint list: which workers are ready, and which have restarted."""
 
 from dataclasses import dataclass
 
@@ -21,22 +21,22 @@
     ejection: OutlierEjection
 
     def update(self, endpoint: Endpoint, now: int) -> None:
-        """Take a worker as the list shows it now."""
+        """Apply the current entry of a worker."""
         worker = self.workers.get(endpoint.worker)
         if worker is None:
             worker = self.workers[endpoint.worker] = Worker(endpoint, INITIAL_CAPACITY)
         before, started_at = worker.endpoint, endpoint.started_at
         if started_at > before.started_at or (started_at and not worker.warm_at):
-            worker.begin_anew(started_at + self.context.settings.warmup_period, INITIAL_CAPACITY)
-            self.choice.forget_tiers()
+            worker.reset_after_restart(started_at + self.context.settings.warmup_period, INITIAL_CAPACITY)
+            self.choice.clear_cached_tiers()
             self.slow_start.begin(worker, now)
         is_gone = endpoint.condition is EndpointCondition.GONE
         worker.drained = endpoint.condition is EndpointCondition.DRAINING or (worker.drained and is_gone)
-        # Where only a drain is binding, the list does not tell who is up: one that is called gone is probed.
+        # Where only a drain is binding, the list does not show who is up: a worker listed as gone is probed.
         is_probed = is_gone and not worker.drained and self.context.settings.only_draining_is_binding
         ready = endpoint.condition is EndpointCondition.READY or is_probed
         if (ready, *endpoint[1:3]) != (worker.ready, *before[1:3]):
-            self.choice.forget_tiers()
+            self.choice.clear_cached_tiers()
         worker.endpoint = endpoint
         worker.ready = ready
         if is_probed:
--- a/ploverspoke/decisions/gossip.py
+++ b/ploverspoke/decisions/gossip.py
@@ -1,4 +1,4 @@
-"""Load gossip: when and to whom it is sent, and what is made of that of the peers (docs/messages.md)."""
+"""Load gossip: when it is sent and to whom, and how that of peers is used (docs/messages.md)."""
 
 from dataclasses import dataclass, field
 
@@ -16,7 +16,7 @@
 
 @dataclass(eq=False)
 class GossipExchange:
-    """Sends this dispatcher's gossip and uses that of its peers, which is a hint and no more."""
+    """Sends this dispatcher's gossip, and uses that of its peers as a hint."""
 
     context: Context
     lateness: StartLateness
@@ -29,13 +29,13 @@
     next_send_at: int = 0  # 0: none is due
 
     def begin(self, now: int) -> None:
-        """Greet all peers twice, as the first message may be lost."""
+        """Announce this dispatcher to all peers, twice as the first message may be lost."""
         if self.context.settings.gossip_allowed:
             self.send(now, to_all=True)
             self.context.timers.start(PeriodicTimer.GOSSIP_TO_ALL, now + SEND_INTERVAL_NS)
 
     def slots_changed(self, worker: Worker, now: int) -> None:
-        """The slots in flight at a worker have changed: the peers of the zone are told soon."""
+        """Notify the peers of the zone soon: the slots in flight at a worker have changed."""
         self.busy.update(worker)
         self._send_soon(now)
 
@@ -66,7 +66,7 @@
         return ring[: self.context.gossip_fanout] + drawn
 
     def receive(self, peer: int, gossip: LoadGossip, now: int) -> None:
-        """Take a peer's gossip; one that has just started is answered at once."""
+        """Record a peer's gossip; one of the own zone that has just started is answered soon."""
         settings = self.context.settings
         if not settings.gossip_allowed or peer == settings.dispatcher_index:
             return
@@ -78,17 +78,17 @@
             self._send_soon(now)
 
     def expire(self, now: int) -> None:
-        """Forget what is too old."""
+        """Drop reports that are too old."""
         self.reports.drop_older(now - EXPIRY_NS)
 
     def peer_slots(self, worker: Worker) -> float:
-        """Slots that other dispatchers are taken to have there, with those that are not heard of."""
+        """Estimated slots of other dispatchers there, extrapolated to those whose gossip is not received."""
         if not worker.peer_slots:
             return 0.0
         return worker.peer_slots * max(1.0, len(self.peers.local) / self.context.gossip_fanout)
 
     def zone_lateness(self, zone: int, now: int) -> float:
-        """Mean of its dispatchers; of a zone that nothing is heard of the worst is assumed."""
+        """Mean start lateness of the zone's dispatchers, 0 to 1; the worst where no report is known."""
         known = self.reports.lateness(zone)
         known += [self.lateness.current(now)] if zone == self.context.settings.zone else []
         return sum(known) / len(known) if known else 1.0
--- a/ploverspoke/decisions/gossip_state.py
+++ b/ploverspoke/decisions/gossip_state.py
@@ -1,4 +1,4 @@
-"""State of load gossip: what peers have told, which peers there are, and where own slots are in flight."""
+"""State of load gossip: the peers, their latest reports, and where own slots are in flight."""
 
 from bisect import insort
 from collections.abc import Mapping
@@ -9,6 +9,10 @@
 from .interface import LoadGossip
 from .state import Worker
 
+# Sequence numbers are compared as serial numbers (RFC 1982), as they wrap around.
+SEQUENCE_MODULUS = 255
+MAX_SEQUENCE_LEAD = 128
+
 
 class PeerReport(NamedTuple):
     """Latest gossip of one peer."""
@@ -31,7 +35,11 @@
         """Replace a peer's last report; False where the message is late or a duplicate."""
         known, sequence = self.by_peer.get(peer), gossip.sequence
         # 0 is the first after a start, 255 is followed by 1.
-        if known is not None and sequence and not 0 < (sequence - known.sequence) % 255 < 128:
+        if (
+            known is not None
+            and sequence
+            and not 0 < (sequence - known.sequence) % SEQUENCE_MODULUS < MAX_SEQUENCE_LEAD
+        ):
             return False
         self._drop(peer)
         named = [self.workers[name] for name in gossip.workers if name in self.workers]
@@ -60,7 +68,7 @@
 
 @dataclass(eq=False)
 class KnownPeers:
-    """Peers that were ever heard of, in order of their numbers."""
+    """Peers from which gossip was ever received, in order of their numbers."""
 
     local: list[int] = field(default_factory=list)  # of this dispatcher's zone
     remote: list[int] = field(default_factory=list)
@@ -79,12 +87,12 @@
     by_name: dict[str, Worker] = field(default_factory=dict)
 
     def update(self, worker: Worker) -> None:
-        """The attempts at a worker have changed."""
+        """Record whether a worker has attempts in flight."""
         if worker.attempts:
             self.by_name[worker.name] = worker
         else:
             self.by_name.pop(worker.name, None)
 
     def slots(self) -> list[str]:
-        """Worker of each slot in flight."""
+        """The worker of each slot in flight, once for each slot."""
         return [worker.name for worker in self.by_name.values() for _ in range(ceil(worker.in_flight))]
--- a/ploverspoke/decisions/interface.py
+++ b/ploverspoke/decisions/interface.py
@@ -8,7 +8,7 @@
 from enum import Enum, StrEnum
 from typing import NamedTuple, Protocol
 
-LoadReport = Mapping[str, float]  # fields that a worker reports of its own load, by name
+LoadReport = Mapping[str, float]  # by name of the field
 
 
 class AttemptOutcome(StrEnum):
@@ -50,7 +50,7 @@
     TOO_LATE = "too_late"  # no attempt that begins now could be answered in time
     REFUSED_AT_RANDOM = "refused_at_random"  # starts come late, and no load is reported
     QUEUEING_BUDGET_USED = "queueing_budget_used"
-    NO_ROOM = "no_room"  # more requests, connections or bytes than the limits allow
+    NO_CAPACITY = "no_room"  # more requests, connections or bytes than the limits allow
     NO_DECISION = "no_decision"  # after a fault of the decisions, or at the end of a shutdown
     NO_FURTHER_ATTEMPT = "no_further_attempt"  # after one that failed: no time, no attempts or no group left
 
@@ -78,7 +78,7 @@
 
 
 class LoadGossip(NamedTuple):
-    """What a dispatcher tells its peers of its own load."""
+    """What a dispatcher sends to its peers about its own load."""
 
     zone: int
     sequence: int  # 0: first after a start; then 1 to 255, and 1 again
--- a/ploverspoke/decisions/load_probes.py
+++ b/ploverspoke/decisions/load_probes.py
@@ -1,4 +1,4 @@
-"""Load probes: workers are asked for their load before a request goes to one that cannot be taken back."""
+"""Load probes: workers are asked for their load before a request is sent that cannot be cancelled."""
 
 from dataclasses import dataclass
 
@@ -9,9 +9,9 @@
 from .outlier_ejection import OutlierEjection
 from .state import MILLISECOND, SECOND, ProbePurpose, Request, RequestQueue, Worker
 
-PROMPT_ANSWER_NS = 50 * MILLISECOND  # while no answer was seen
-HEARD_RECENTLY_NS = SECOND  # a worker heard of since then need not be probed
-REPORT_FRESH_NS = 300 * MILLISECOND  # a report that arrived since then need not be asked for again
+PROMPT_ANSWER_NS = 50 * MILLISECOND  # while no answer has been measured
+CONTACT_MAX_AGE_NS = SECOND  # a worker with a more recent report of any kind need not be probed
+REPORT_MAX_AGE_NS = 300 * MILLISECOND  # a more recent load report is used without a probe
 
 
 @dataclass(eq=False)
@@ -37,17 +37,17 @@
             return False
         if request.rules.idempotency not in self.context.probed_classes and settings.cancel_allowed:
             return False
-        # One whose latest end was an error answers quickly, and is no better known for that.
+        # A worker whose latest attempt ended in an error answers quickly, which says nothing of its load.
         for worker in drawn:
-            if now - worker.heard_at >= HEARD_RECENTLY_NS or (worker.errors and worker.errors[-1]):
+            if now - worker.last_contact_at >= CONTACT_MAX_AGE_NS or (worker.errors and worker.errors[-1]):
                 return self.context.probes_per_request >= len(drawn)
         return False
 
     def send(self, request: Request, drawn: list[Worker], now: int) -> bool:
-        """Probe them, as far as the credit goes that comes with requests and with time."""
+        """Probe workers for the head of a queue, if the credit suffices; it grows with requests and time."""
         since, self.sent_at = now - self.sent_at, now
         self.add_credit(self.context.probes_per_request * since / SECOND)
-        stale = [worker for worker in drawn if now - worker.reported_at > REPORT_FRESH_NS]
+        stale = [worker for worker in drawn if now - worker.reported_at > REPORT_MAX_AGE_NS]
         if self.credit < len(stale):
             return False
         queue = request.queue
@@ -73,11 +73,11 @@
         else:
             self.capacity.cut(worker, worker.running, 0, now)
             if outcome is AttemptOutcome.WORKER_ERROR:
-                # It says itself that it fails or drains, long before service discovery does.
+                # The worker reports that it fails or drains, long before service discovery does.
                 self.ejection.eject(worker, now)
 
     def expected_delay(self, worker: Worker, now: int) -> float:
-        """Rank of a worker that answered: the lower, the sooner a request is served there."""
+        """A relative measure of the delay at a worker, by its report: the lower, the better."""
         load = 2 + self.reports.load(worker, now) / self.reports.slots(worker)
         return self.observations.slowdown(worker) * load
 
--- a/ploverspoke/decisions/observations.py
+++ b/ploverspoke/decisions/observations.py
@@ -1,6 +1,6 @@
 """Measurements of the dispatcher's own traffic: arrivals, running times, and delays before starts.
 
-Means of recent samples and no decision; what follows from them is decided where they are used.
+They are means of recent samples; the decisions that use them stand elsewhere.
 """
 
 from collections import defaultdict, deque
@@ -11,28 +11,31 @@
 from .interface import LoadReport
 from .state import MILLISECOND, SECOND, Request, RequestQueue, Worker
 
-FEWEST_RUNNING_TIMES = 8  # of a class, for a mean
-KIND_WEIGHT = 1  # of the machine kind's mean slowdown, beside a worker's own samples
-FEWEST_KEYS = 150  # for a share of the arrivals
-LARGEST_SLOWDOWN = 4.0
-SHORTEST_ARRIVAL_SPAN_NS = 100 * MILLISECOND
-REPORT_AGE_NS = SECOND  # a report may be so old: what was sent since may not be in it
+MIN_RUNNING_TIMES = 8  # samples of a class, for a mean
+KIND_WEIGHT = 1  # of the machine kind's mean slowdown, in samples of a worker's own
+MIN_ARRIVALS_WITH_KEY = 150  # assumed at the least for a key's share of the arrivals
+MAX_SLOWDOWN = 4.0
+MIN_ARRIVAL_SPAN_NS = 100 * MILLISECOND
+REPORT_DELAY_NS = SECOND  # a load report may not contain what was sent within this time
 RECENT_STARTS = 16  # of which the mean lateness is taken
+RECENT_SAMPLES = 32  # of arrivals, running times and delays
+RECENT_KIND_SLOWDOWNS = 64  # of a machine kind
+RECENT_KEYS = 512
 
 
 def _recent() -> deque[int]:
-    return deque(maxlen=32)
+    return deque(maxlen=RECENT_SAMPLES)
 
 
 def _recent_slowdowns() -> deque[float]:
-    return deque(maxlen=64)
+    return deque(maxlen=RECENT_KIND_SLOWDOWNS)
 
 
 @dataclass(eq=False)
 class AffinityKeys:
     """Affinity keys of the latest arrivals."""
 
-    recent: deque[str] = field(default_factory=lambda: deque(maxlen=512))
+    recent: deque[str] = field(default_factory=lambda: deque(maxlen=RECENT_KEYS))
 
     def record(self, affinity_key: str) -> None:
         """A request has arrived with this key, "" for none."""
@@ -41,7 +44,7 @@
 
     def share(self, affinity_key: str) -> float:
         """The key's share of the arrivals, where it came more than once."""
-        arrivals = max(FEWEST_KEYS, len(self.recent))
+        arrivals = max(MIN_ARRIVALS_WITH_KEY, len(self.recent))
         return max(0, self.recent.count(affinity_key) - 1) / arrivals
 
 
@@ -61,9 +64,9 @@
     mean_over_queues: int = 0  # 0: to be computed anew
 
     def begin_class(self, number: int, predecessor: int | None) -> None:
-        """A class number has new rules; where it follows another, the running times are those of that one."""
+        """Reset the samples of a class number with new rules; running times are taken from a predecessor."""
         known = self.class_running_times[predecessor] if predecessor is not None else ()
-        self.class_running_times[number] = deque(known, maxlen=32)
+        self.class_running_times[number] = deque(known, maxlen=RECENT_SAMPLES)
         self.shortest_mean.pop(number, None)
         self.times_given.pop(number, None)
 
@@ -74,14 +77,14 @@
         self.mean_over_queues = 0
         if request.started_at:
             usual = self.class_running_time(request.class_number) or running_time or 1
-            slowdown = min(LARGEST_SLOWDOWN, running_time / usual)
+            slowdown = min(MAX_SLOWDOWN, running_time / usual)
             worker.slowdowns.append(slowdown)
             self.kind_slowdowns[worker.endpoint.machine_kind].append(slowdown)
             self.class_running_times[request.class_number].append(running_time)
 
     def arrival_rate(self, now: int) -> float:
         """Arrivals a second, from the last few."""
-        return len(self.arrivals) * SECOND / max(now - self.arrivals[0], SHORTEST_ARRIVAL_SPAN_NS)
+        return len(self.arrivals) * SECOND / max(now - self.arrivals[0], MIN_ARRIVAL_SPAN_NS)
 
     def mean_running_time(self) -> int:
         """Mean over the queues' means in ns, one second where none is known."""
@@ -91,7 +94,7 @@
         return self.mean_over_queues
 
     def slowdown(self, worker: Worker) -> float:
-        """Running times there over their class's mean: its own few, and those of its machine kind."""
+        """Mean ratio of running times there to their class's mean, blended with that of the machine kind."""
         kind = self.kind_slowdowns[worker.endpoint.machine_kind]
         usual = sum(kind) / len(kind) if kind else 1.0
         return (sum(worker.slowdowns) + KIND_WEIGHT * usual) / (len(worker.slowdowns) + KIND_WEIGHT)
@@ -99,12 +102,12 @@
     def class_running_time(self, number: int) -> int:
         """Mean running time of a request class in ns, 0 while too few are known."""
         known = self.class_running_times[number]
-        return sum(known) // len(known) if len(known) >= FEWEST_RUNNING_TIMES else 0
+        return sum(known) // len(known) if len(known) >= MIN_RUNNING_TIMES else 0
 
 
 @dataclass(eq=False)
 class StartLateness:
-    """How late attempts start, in parts of the wait that a mean request of the most urgent class can bear."""
+    """How late attempts start, relative to the wait that a request of the most urgent class tolerates."""
 
     context: Context
     observations: Observations
@@ -112,17 +115,17 @@
     recent: deque[float] = field(default_factory=lambda: deque(maxlen=RECENT_STARTS))
 
     def record(self, delay: int) -> None:
-        """An attempt started so late."""
-        self.recent.append(min(1.0, delay / self._bearable_wait()))
+        """Record the delay (ns) before an attempt started."""
+        self.recent.append(min(1.0, delay / self._tolerable_wait()))
 
     def current(self, now: int) -> float:
         """Mean of the latest starts and of the waits of those yet to start."""
-        bearable = self._bearable_wait()
+        tolerable = self._tolerable_wait()
         pending = [each for each in self.open_requests.values() if each.worker and not each.started_at]
-        waits = [min(1.0, (now - request.sent_at) / bearable) for request in pending]
+        waits = [min(1.0, (now - request.sent_at) / tolerable) for request in pending]
         return (sum(waits) + sum(self.recent)) / max(RECENT_STARTS, len(waits) + len(self.recent))
 
-    def _bearable_wait(self) -> int:
+    def _tolerable_wait(self) -> int:
         settings, shortest_mean = self.context.settings, self.observations.shortest_mean
         rows = ((settings.classes[number], number) for number in settings.active_classes)
         waits = (
@@ -134,7 +137,7 @@
 
 @dataclass(eq=False)
 class LoadReports:
-    """What workers report of their load, kept in each `Worker`."""
+    """Load reports of workers, stored in each `Worker`."""
 
     # Most slots reported free at once, by machine kind.
     most_free: dict[int, float] = field(default_factory=lambda: defaultdict(float))
@@ -149,8 +152,8 @@
         worker.reported_waiting = load.get("waiting", in_excess)
 
     def load(self, worker: Worker, now: int) -> float:
-        """Slots wanted there over those it has, as reported and with what was sent since."""
-        since = now - REPORT_AGE_NS
+        """Slots in demand there beyond those it has: the report and what was sent since."""
+        since = now - REPORT_DELAY_NS
         sent = sum(request.queue.slots for request in worker.attempts.values() if request.sent_at > since)
         return worker.reported_waiting - worker.reported_free + sent
 
--- a/ploverspoke/decisions/outlier_ejection.py
+++ b/ploverspoke/decisions/outlier_ejection.py
@@ -1,4 +1,4 @@
-"""Outlier ejection: workers that fail, fall silent or cannot be reached get nothing for a while."""
+"""Outlier ejection: workers that fail, fall silent or cannot be reached are sent nothing for a while."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -9,8 +9,8 @@
 from .worker_choice import WorkerChoice
 
 EJECTION_NS = 8 * SECOND  # plus a random part of up to half of it
-ERRORS_TO_EJECT = 2  # among a worker's latest ends
-EJECTED_SHARE = 3  # at most one in so many workers is ejected on suspicion
+ERRORS_TO_EJECT = 2  # among the latest attempts at a worker
+WORKERS_PER_EJECTION = 3  # at most one worker in so many is ejected on suspicion
 CAPACITY_AFTER_EJECTION = 1.0
 
 
@@ -23,7 +23,7 @@
     choice: WorkerChoice
 
     def record_outcome(self, worker: Worker, outcome: AttemptOutcome, now: int) -> None:
-        """An attempt there has ended."""
+        """Record how an attempt at a worker ended."""
         if outcome in CONNECTION_FAILURES:
             self.suspect(worker, now)
         elif outcome is AttemptOutcome.SUCCEEDED:
@@ -34,7 +34,7 @@
                 self.eject(worker, now)
 
     def suspect(self, worker: Worker, now: int) -> None:
-        """A connection broke, did not come up or fell silent: proof is a health check, or a second break."""
+        """Suspect a worker with a failed or silent connection; a health check or second failure proves it."""
         if self.context.settings.probing_allowed:
             if not worker.ejected and worker.probe is None:
                 worker.probe = ProbePurpose.HEALTH
@@ -45,22 +45,22 @@
             self.eject(worker, now, is_proven=True)
 
     def eject(self, worker: Worker, now: int, is_proven: bool = False) -> None:
-        """Send nothing there for a while; on suspicion alone only a part of the workers."""
-        # Proof knows no bound and does not use it up: else a lost zone would hide failing workers elsewhere.
+        """Eject a worker for a while; on suspicion alone only a limited part of the workers."""
+        # Workers ejected on proof do not count: else a lost zone would protect failing ones elsewhere.
         ready = [each for each in self.workers.values() if each.ready]
         counted = [each.ejected for each in ready if not (each.ejected and each.unreachable)]
-        too_many = (sum(counted) + 1) * EJECTED_SHARE > len(counted)
+        too_many = (sum(counted) + 1) * WORKERS_PER_EJECTION > len(counted)
         if worker.ejected or (too_many and not is_proven):
             return
         worker.ejected, worker.unreachable = True, is_proven
-        self.choice.forget_tiers()
+        self.choice.clear_cached_tiers()
         reason, count = "unreachable" if is_proven else "suspected", sum(each.ejected for each in ready)
         self.context.log.write(f"{worker.name} ejected: {reason}; {count} are now")
         worker.placeholders.clear()
-        self._start_period(worker, now)
+        self._start_ejection_timer(worker, now)
 
-    def period_over(self, worker: Worker, now: int) -> None:
-        """Ejected long enough: a probe, where permitted, spares the first request sent there again."""
+    def ejection_ended(self, worker: Worker, now: int) -> None:
+        """Readmit a worker, where permitted only after a probe that it answers well."""
         if not worker.ejected:
             return
         if self.context.settings.probing_allowed and worker.ready:
@@ -70,19 +70,19 @@
             self._readmit(worker, now)
 
     def record_probe(self, worker: Worker, outcome: AttemptOutcome, now: int) -> None:
-        """A probe of a worker that may be ejected has ended."""
+        """Readmit an ejected worker after a good probe, or prolong its ejection."""
         if worker.ejected and outcome is AttemptOutcome.SUCCEEDED:
             self._readmit(worker, now)
         elif worker.ejected:
-            self._start_period(worker, now)
+            self._start_ejection_timer(worker, now)
 
     def _readmit(self, worker: Worker, now: int) -> None:
-        """It returns with capacity for little, and one more error ejects it again."""
+        """Readmit a worker on probation, with little capacity: one more error ejects it again."""
         worker.ejected = False
-        self.choice.forget_tiers()
+        self.choice.clear_cached_tiers()
         worker.probation_until = now + EJECTION_NS
         worker.capacity = worker.capacity_before_cut = CAPACITY_AFTER_EJECTION
 
-    def _start_period(self, worker: Worker, now: int) -> None:
+    def _start_ejection_timer(self, worker: Worker, now: int) -> None:
         duration = int(EJECTION_NS * (1 + self.context.random.fraction() / 2))
         self.context.timers.start(worker, now + duration)
--- a/ploverspoke/decisions/parts.py
+++ b/ploverspoke/decisions/parts.py
@@ -1,7 +1,5 @@
 """Composition of a dispatcher: its parts, each handed what it uses."""
 
-from dataclasses import dataclass
-
 from .admission_policy import AdmissionPolicy
 from .attempt_policy import AttemptPolicy, RetryPolicy
 from .capacity import CapacityEstimates, SlowStart
@@ -21,73 +19,50 @@
 from .worker_choice import WorkerChoice
 
 
-@dataclass(frozen=True, slots=True)
 class Parts:
-    """All parts of one dispatcher."""
-
-    workers: dict[str, Worker]
-    queues: dict[tuple[float, int], RequestQueue]
-    open_requests: dict[int, Request]
-    context: Context
-    observations: Observations
-    lateness: StartLateness
-    reports: LoadReports
-    gossip: GossipExchange
-    capacity: CapacityEstimates
-    slow_start: SlowStart
-    choice: WorkerChoice
-    ejection: OutlierEjection
-    probes: LoadProbes
-    attempts: AttemptPolicy
-    retries: RetryPolicy
-    admission: AdmissionPolicy
-    clock: SharedClock
-    service: QueueService
-    endpoints: EndpointUpdates
-    validity: ListValidity
-    confirmation: HealthConfirmation
-    polling: EndpointPolling
-
+    """All parts of one dispatcher, and the state that they share."""
 
-def build_parts(actions: DispatchActions, seed: int, settings: Settings) -> Parts:
-    """Build the parts of one dispatcher; the same seed gives the same decisions."""
-    workers: dict[str, Worker] = {}
-    queues: dict[tuple[float, int], RequestQueue] = {}
-    requests: dict[int, Request] = {}
-    context = Context(actions, seed, settings)
-    seen, reports = Observations(queues), LoadReports()
-    lateness = StartLateness(context, seen, requests)
-    gossip = GossipExchange(context, lateness, PeerReports(workers))
-    capacity = CapacityEstimates(context, workers, seen, gossip)
-    slow_start = SlowStart(context, workers, seen)
-    validity, confirmation = ListValidity(context), HealthConfirmation(context)
-    choice = WorkerChoice(context, workers, seen, capacity, slow_start, gossip, validity, confirmation)
-    ejection = OutlierEjection(context, workers, choice)
-    probes = LoadProbes(context, seen, reports, capacity, ejection)
-    attempts = AttemptPolicy(context, requests, seen, capacity, gossip, slow_start, choice, ejection)
-    retries = RetryPolicy(context, workers, requests)
-    clock = SharedClock(context, seen, workers, queues)
-    return Parts(
-        workers=workers,
-        queues=queues,
-        open_requests=requests,
-        context=context,
-        observations=seen,
-        lateness=lateness,
-        reports=reports,
-        gossip=gossip,
-        capacity=capacity,
-        slow_start=slow_start,
-        choice=choice,
-        ejection=ejection,
-        probes=probes,
-        attempts=attempts,
-        retries=retries,
-        admission=AdmissionPolicy(context, seen, queues, gossip, retries),
-        clock=clock,
-        service=QueueService(context, clock, choice, capacity, probes, attempts),
-        endpoints=EndpointUpdates(context, workers, choice, slow_start, ejection),
-        validity=validity,
-        confirmation=confirmation,
-        polling=EndpointPolling(context, validity),
-    )
+    def __init__(self, actions: DispatchActions, seed: int, settings: Settings) -> None:
+        """Build the parts; the same seed gives the same decisions."""
+        self.workers: dict[str, Worker] = {}
+        self.queues: dict[tuple[float, int], RequestQueue] = {}
+        self.open_requests: dict[int, Request] = {}
+        self.context = context = Context(actions, seed, settings)
+        self.observations = Observations(self.queues)
+        self.reports = LoadReports()
+        self.lateness = StartLateness(context, self.observations, self.open_requests)
+        self.gossip = GossipExchange(context, self.lateness, PeerReports(self.workers))
+        self.capacity = CapacityEstimates(context, self.workers, self.observations, self.gossip)
+        self.slow_start = SlowStart(context, self.workers, self.observations)
+        self.validity = ListValidity(context)
+        self.confirmation = HealthConfirmation(context)
+        self.polling = EndpointPolling(context, self.validity)
+        self.choice = WorkerChoice(
+            context,
+            self.workers,
+            self.observations,
+            self.capacity,
+            self.slow_start,
+            self.gossip,
+            self.validity,
+            self.confirmation,
+        )
+        self.ejection = OutlierEjection(context, self.workers, self.choice)
+        self.probes = LoadProbes(context, self.observations, self.reports, self.capacity, self.ejection)
+        self.attempts = AttemptPolicy(
+            context,
+            self.open_requests,
+            self.observations,
+            self.capacity,
+            self.gossip,
+            self.slow_start,
+            self.choice,
+            self.ejection,
+        )
+        self.retries = RetryPolicy(context, self.workers, self.open_requests)
+        self.admission = AdmissionPolicy(context, self.observations, self.queues, self.gossip, self.retries)
+        self.clock = SharedClock(context, self.observations, self.workers, self.queues)
+        self.service = QueueService(
+            context, self.clock, self.choice, self.capacity, self.probes, self.attempts
+        )
+        self.endpoints = EndpointUpdates(context, self.workers, self.choice, self.slow_start, self.ejection)
--- a/ploverspoke/decisions/queues.py
+++ b/ploverspoke/decisions/queues.py
@@ -1,4 +1,4 @@
-"""Service of the queues: their shared clock, and which waiting request goes where.
+"""Scheduling of waiting requests: the queues' shared clock, and which request goes to which worker.
 
 RMS-RF-AD+ of "Randomized Algorithms for Scheduling Multi-Resource Jobs in the Cloud" (Psychas and Ghaderi).
 """
@@ -11,16 +11,16 @@
 from .attempt_policy import AttemptPolicy
 from .capacity import CapacityEstimates
 from .context import Context
-from .load_probes import HEARD_RECENTLY_NS, REPORT_FRESH_NS, LoadProbes
+from .load_probes import CONTACT_MAX_AGE_NS, REPORT_MAX_AGE_NS, LoadProbes
 from .observations import Observations
 from .state import SECOND, PeriodicTimer, Request, RequestQueue, Worker
 from .worker_choice import SEARCH_INTERVAL_NS, WorkerChoice
 
 TICKS_PER_ARRIVAL = 5
-LONGEST_GAP_NS = SECOND
+MAX_TICK_GAP_NS = SECOND
 EPSILON = 0.5  # of the source's weight function
-HEAD_LENGTH = 16  # how far a queue is searched for a request that suits a place better than its head
-PROBE_ROUNDS = 3  # for one request, while no worker reports a free slot
+SEARCH_DEPTH = 16  # requests from the head on among which one that suits a worker is searched
+MAX_PROBE_ROUNDS = 3  # for one request, while no worker reports a free slot
 
 
 @dataclass(eq=False)
@@ -34,18 +34,18 @@
     is_running: bool = False
 
     def has_waiting(self) -> bool:
-        """Whether any request waits."""
+        """Whether any request is waiting."""
         return any(queue.waiting for queue in self.queues.values())
 
     def run(self, now: int) -> None:
-        """Start the next tick's timer. While nothing waits the clock stands still."""
+        """Start the next tick's timer; while no request waits the clock is stopped."""
         if self.is_running or not self.has_waiting():
             return
         self.is_running = True
-        # With few requests the arrivals alone would set a clock too slow for any of them.
+        # With few requests the rate of arrivals alone would give too slow a clock.
         rate = max(TICKS_PER_ARRIVAL * self.observations.arrival_rate(now), self.context.least_tick_rate)
         gap = -log(1.0 - self.context.random.fraction()) / rate
-        self.context.timers.start(PeriodicTimer.CLOCK_TICK, now + min(int(gap * SECOND), LONGEST_GAP_NS))
+        self.context.timers.start(PeriodicTimer.CLOCK_TICK, now + min(int(gap * SECOND), MAX_TICK_GAP_NS))
 
     def draw_queue(self) -> RequestQueue:
         """The queue of this tick, drawn with a chance proportional to exp(weight)."""
@@ -68,7 +68,7 @@
 
 @dataclass(eq=False)
 class QueueService:
-    """Takes requests from the queues at ticks, probe answers and freed places."""
+    """Sends waiting requests at clock ticks, at probe answers and when slots become free."""
 
     context: Context
     clock: SharedClock
@@ -78,7 +78,7 @@
     attempts: AttemptPolicy
 
     def tick(self, now: int) -> None:
-        """A drawn queue's head goes to a worker with capacity, or an idle queue leaves a placeholder."""
+        """Send the head of a randomly drawn queue, or leave a placeholder where that queue is empty."""
         queue = self.clock.draw_queue()
         if queue.waiting:
             self.serve(queue, now)
@@ -89,10 +89,10 @@
         self.clock.run(now)
 
     def serve(self, queue: RequestQueue, now: int) -> None:
-        """The head goes to the better of two drawn, or both are probed for it first."""
+        """Send the head to the better of two workers drawn at random, or probe both first."""
         if queue.probed or now < queue.no_capacity_until:
             return
-        # A head bound to its group must not block those behind it when the group has no capacity.
+        # A head that is restricted to a group must not block the others when the group has no capacity.
         for request in self._heads(queue):
             drawn = self.choice.draw_two(queue, now, request)
             if drawn and self.probes.are_needed(request, drawn, now):
@@ -104,9 +104,9 @@
         queue.no_capacity_until = now + SEARCH_INTERVAL_NS
 
     def _heads(self, queue: RequestQueue) -> list[Request]:
-        """Those bound to a group or with an affinity key, up to the first that may go anywhere."""
+        """The first requests up to one that is restricted neither by a group nor by an affinity key."""
         heads = []
-        for request in islice(queue.waiting, HEAD_LENGTH):
+        for request in islice(queue.waiting, SEARCH_DEPTH):
             heads.append(request)
             if request.retry_group is None and not request.affinity_key:
                 break
@@ -117,7 +117,7 @@
         self.attempts.start(request, worker, now)
 
     def replace(self, queue: RequestQueue, worker: Worker, now: int) -> None:
-        """A request was served: another of its queue may take the place, or leave a placeholder there."""
+        """Fill the slots of a served request with another of its queue, or with a placeholder."""
         if not worker.ready or worker.ejected or not self.clock.has_waiting():
             return
         if self.context.random.fraction() >= self.clock.replacement_chance(queue):
@@ -127,10 +127,10 @@
             return
         if self.capacity.has_pending_start(worker, now):
             return
-        # In a backlog most places are filled here; one whose key's data is held here saves a fetch.
+        # Most slots are filled here under load; a request whose key's data this worker has saves a fetch.
         preferring = [
             request
-            for request in islice(queue.waiting, HEAD_LENGTH)
+            for request in islice(queue.waiting, SEARCH_DEPTH)
             if request.affinity_key and worker in self.choice.tiers(queue.machine_kind, request)[0]
         ]
         for request in preferring + self._heads(queue):
@@ -139,27 +139,31 @@
                 return
 
     def worker_confirmed(self, now: int) -> None:
-        """A worker may be sent to again: the heads of all queues are looked at."""
+        """Serve all queues after a health check has confirmed a worker."""
         for queue in self.clock.queues.values():
             queue.no_capacity_until = now
             if queue.waiting:
                 self.serve(queue, now)
 
     def probe_answered(self, worker: Worker, now: int) -> None:
-        """Decide for each queue whose probes are all answered."""
+        """Settle each queue whose probes are all answered."""
         for queue in self.clock.queues.values():
             if worker in queue.probed and all(each.probe is None for each in queue.probed):
                 self.settle(queue, now)
 
     def settle(self, queue: RequestQueue, now: int) -> None:
-        """The head goes to the better of those that answered, or to none where all may wait too long."""
+        """Send the head to the best worker that answered, or to none where the wait may be too long."""
         answered = [worker for worker in queue.probed if worker.probe is None and not worker.ejected]
-        reported = [worker for worker in answered if now - worker.reported_at <= REPORT_FRESH_NS]
-        # A worker that has just started has no report yet. Probed on and on, the head would block its queue.
-        heard = [] if reported else [each for each in answered if now - each.heard_at < HEARD_RECENTLY_NS]
+        reported = [worker for worker in answered if now - worker.reported_at <= REPORT_MAX_AGE_NS]
+        # A worker that has just started has no report yet; probing it again and again would block the queue.
+        in_contact = (
+            [] if reported else [each for each in answered if now - each.last_contact_at < CONTACT_MAX_AGE_NS]
+        )
         queue.probed = []
         for request in self._heads(queue):
-            usable = [worker for worker in heard if self.choice.has_capacity(worker, queue, now, request)]
+            usable = [
+                worker for worker in in_contact if self.choice.has_capacity(worker, queue, now, request)
+            ]
             if usable:
                 self._send(request, self.choice.better(usable, request), now)
                 break
@@ -172,17 +176,17 @@
             self.serve(queue, now)
 
     def _send_by_report(self, request: Request, allowed: list[Worker], now: int) -> bool:
-        """Send to the best of them; False where it waits on, for other probes or a better worker."""
+        """Send to the best by the load reports; False where the request waits for other probes or workers."""
         probes, queue = self.probes, request.queue
         ranked = [(probes.expected_delay(worker, now), worker) for worker in allowed]
         best = min(ranked, key=lambda pair: (pair[1] is request.failed_on, pair[0]))[1]
         request.any_zone = True
-        if request.probe_rounds < PROBE_ROUNDS and probes.reports.load(best, now) + queue.slots > 0:
+        if request.probe_rounds < MAX_PROBE_ROUNDS and probes.reports.load(best, now) + queue.slots > 0:
             others = [each for each in self.choice.draw_two(queue, now, request) if each not in allowed]
             if others and probes.send(request, [best, *others], now):
                 return False
-        # A report is late, so all that read it must not decide alike: the longer the wait beside what the
-        # request can bear, the fewer go. One that is late by now goes only where it need not wait.
+        # Reports are delayed, and all dispatchers that read one must not decide alike: the longer the wait
+        # relative to the time left, the fewer send. A late request is sent only where it need not wait.
         wait = probes.expected_wait(best, queue, now)
         if wait and wait >= self.context.random.fraction() * max(0, request.on_time_until - now):
             for worker in allowed:
--- a/ploverspoke/decisions/random_numbers.py
+++ b/ploverspoke/decisions/random_numbers.py
@@ -2,22 +2,29 @@
 
 from collections.abc import Sequence
 
+# Knuth's MMIX generator.
+MULTIPLIER = 6364136223846793005
+INCREMENT = 1442695040888963407
+STATE_MASK = 0xFFFF_FFFF_FFFF_FFFF  # 64 bits
+FRACTION_BITS = 32
+FRACTION_SCALE = float(1 << FRACTION_BITS)
+
 
 class RandomNumbers:
     """A linear congruential generator; only the high bits are used."""
 
     def __init__(self, seed: int) -> None:
         """Begin at a seed; its first draw is dropped."""
-        self.state = seed & 0xFFFF_FFFF_FFFF_FFFF
+        self.state = seed & STATE_MASK
         self.fraction()
 
     def fraction(self) -> float:
-        """At least 0 and less than 1."""
-        self.state = (self.state * 6364136223846793005 + 1442695040888963407) & 0xFFFF_FFFF_FFFF_FFFF
-        return (self.state >> 32) / 4294967296.0
+        """Draw a number of at least 0 and less than 1."""
+        self.state = (self.state * MULTIPLIER + INCREMENT) & STATE_MASK
+        return (self.state >> FRACTION_BITS) / FRACTION_SCALE
 
     def weighted(self, weights: Sequence[float]) -> int:
-        """An index, drawn with a chance proportional to its weight."""
+        """Draw an index with a chance proportional to its weight."""
         draw, drawn = self.fraction() * sum(weights), 0
         while drawn < len(weights) - 1 and draw >= weights[drawn]:
             draw -= weights[drawn]
@@ -25,5 +32,5 @@
         return drawn
 
     def below(self, limit: int) -> int:
-        """At least 0 and less than the limit."""
+        """Draw a whole number of at least 0 and less than the limit."""
         return int(self.fraction() * limit)
--- a/ploverspoke/decisions/request_path.py
+++ b/ploverspoke/decisions/request_path.py
@@ -1,4 +1,4 @@
-"""The path of a request, in order: its arrival, an attempt's start and end, and what is learnt from them."""
+"""The lifecycle of a request: its arrival, the start and end of attempts, and what is measured at each."""
 
 from dataclasses import dataclass
 
@@ -9,12 +9,12 @@
 
 @dataclass(eq=False)
 class RequestPath:
-    """Takes each request from part to part."""
+    """Passes each request through the parts of the dispatcher."""
 
     parts: Parts
 
     def arrived(self, request: Request, affinity_key: str, deadline: int, work_hint: int) -> None:
-        """The ordinary path, from top to bottom."""
+        """Admit a request, and send it or let it wait."""
         parts, queue, now = self.parts, request.queue, request.arrived_at
         parts.observations.arrivals.append(now)
         parts.gossip.expire(now)
@@ -31,7 +31,7 @@
         if parts.admission.refuses(request, now):
             parts.retries.give_up(request, EndReason.REFUSED_AT_RANDOM)
             return
-        # A placeholder of its queue gives up its place; a queue where nothing waits takes a tick at once.
+        # The request takes a placeholder's slots; a queue where nothing waits is served at once.
         drawn = parts.choice.worker_with_placeholder(queue, now)
         if not drawn and not queue.waiting:
             drawn = parts.choice.draw_two(queue, now, request)
@@ -39,7 +39,7 @@
         if drawn and not needs_probes:
             parts.attempts.start(request, parts.choice.better(drawn, request), now)
             return
-        # Else it waits its turn; probe answers, ticks and replacements draw from the queue's head.
+        # Otherwise it waits: probe answers, ticks and freed slots take requests from the queue's head.
         queue.waiting.append(request)
         if needs_probes:
             parts.probes.send(request, drawn, now)
@@ -50,9 +50,9 @@
         parts.clock.run(now)
 
     def attempt_started(self, request: Request, worker: Worker, now: int) -> None:
-        """Its worker has begun it."""
+        """Record that the worker has begun the request."""
         delay = now - request.sent_at
-        request.started_at = request.heard_at = worker.heard_at = now
+        request.started_at = request.last_contact_at = worker.last_contact_at = now
         worker.probation_until = 0
         self.parts.capacity.record_start(request, worker, delay, now)
         worker.begin_running(request)
@@ -60,23 +60,23 @@
         self.parts.lateness.record(delay)
 
     def attempt_ended(self, request: Request, worker: Worker, result: AttemptResult, now: int) -> None:
-        """Learn from the end of an attempt, retry or answer the request, and fill its place."""
+        """Record the end of an attempt, retry or answer the request, and fill the freed slots."""
         parts, outcome = self.parts, result.outcome
         if outcome in ANSWERS:
-            worker.heard_at = now
+            worker.last_contact_at = now
         worker.end_attempt(request)
         parts.gossip.slots_changed(worker, now)
-        self._learn_from(request, worker, result, now)
+        self._update_estimates(request, worker, result, now)
         parts.ejection.record_outcome(worker, outcome, now)
         if result.is_closed:
             parts.open_requests.pop(request.id, None)
         if request.id in parts.open_requests:
             self._retry(request, worker, outcome, now)
-        # Where many dispatchers each keep one waiting, replacement would keep the queue long for good.
+        # Where many dispatchers have one request waiting each, replacement would keep a worker's queue long.
         if outcome is AttemptOutcome.SUCCEEDED and not request.started_too_late:
             parts.service.replace(request.queue, worker, now)
 
-    def _learn_from(self, request: Request, worker: Worker, result: AttemptResult, now: int) -> None:
+    def _update_estimates(self, request: Request, worker: Worker, result: AttemptResult, now: int) -> None:
         capacity, outcome = self.parts.capacity, result.outcome
         if outcome is AttemptOutcome.SUCCEEDED:
             self.parts.observations.record_success(request, worker, result.elapsed, now)
@@ -86,7 +86,7 @@
             in_use = worker.in_flight + self.parts.gossip.peer_slots(worker)
             capacity.cut(worker, in_use, 2 * worker.recovery_time, now)
         elif outcome is AttemptOutcome.CANCELLED and not request.started_at:
-            # Bound to its group, it was drawn for the same full worker again and again.
+            # A request restricted to its group would be sent to the same full worker again and again.
             if request.group_after_attempt(worker):
                 capacity.cut(worker, worker.running, 0, now)
 
--- a/ploverspoke/decisions/settings.py
+++ b/ploverspoke/decisions/settings.py
@@ -6,6 +6,8 @@
 from dataclasses import dataclass
 from enum import Enum
 
+ANY_MACHINE_KIND = -1
+
 
 class Idempotency(Enum):
     """Whether a request may run more than once."""
@@ -42,7 +44,7 @@
     idempotency: Idempotency
     retry_scope: RetryScope
     retry_window: int  # ns from an attempt, in which workers recognize its duplicates
-    machine_kind: int  # that it needs; -1: any
+    machine_kind: int  # that it needs, or ANY_MACHINE_KIND
     latency_stretch: float  # of a request's own running time, added to the objective
     max_attempts: int
 
@@ -74,7 +76,7 @@
     max_open_requests: int
     full_may_have_run: bool  # a worker that answers "full" may have begun the request
     only_draining_is_binding: bool  # an endpoint that is called gone may still be up
-    warmup_share: float  # of a warm worker's load that a cold one bears at first
+    warmup_share: float  # of a warm worker's load that a worker bears at its start
     warmup_period: int  # ns
     overload_multiple: float
     overload_window: int  # ns
--- a/ploverspoke/decisions/state.py
+++ b/ploverspoke/decisions/state.py
@@ -11,6 +11,7 @@
 MILLISECOND = 1_000_000
 SECOND = 1_000_000_000
 RECENT_ENDS = 8  # of attempts at a worker
+LONG_AGO_NS = -3600 * SECOND
 RECENT_SLOWDOWNS = 8  # of requests at a worker
 RECENT_RUNNING_TIMES = 16  # of a queue
 
@@ -59,11 +60,11 @@
         self.attempts: dict[int, Request] = {}  # in flight there, by request
         self.unstarted: dict[int, int] = {}  # those without a known start, and when they were sent
         self.latest_start_sent_at = 0  # when the latest attempt that has started was sent
-        self.heard_at = 0  # latest report on any attempt
-        # When the latest health check was sent that it answered well. That it takes an attempt says nothing:
-        # workers that drain may do so.
-        self.healthy_at = -SECOND * 3600
-        self.next_check_at = 0  # it is not asked for that sooner
+        self.last_contact_at = 0  # latest report on any attempt
+        # When the latest health check was sent that it answered well. Attempts do not count: draining workers
+        # may take them.
+        self.healthy_at = LONG_AGO_NS
+        self.next_check_at = 0  # no health check is sent before, once the list has expired
         # Capacity estimate.
         self.capacity = capacity
         self.capacity_before_cut = capacity
@@ -86,8 +87,8 @@
         self.reported_free = 0.0
         self.reported_at = 0
 
-    def begin_anew(self, warm_at: int, capacity: float) -> None:
-        """Another process has started: what was held against the one before it does not count."""
+    def reset_after_restart(self, warm_at: int, capacity: float) -> None:
+        """Reset what is known of the worker's previous process: another one has started."""
         self.warm_at = warm_at
         self.capacity = self.capacity_before_cut = capacity
         self.ejected = False
@@ -106,7 +107,7 @@
         self.unstarted.pop(request.id, None)
 
     def end_attempt(self, request: "Request") -> None:
-        """Count a request no more."""
+        """Stop counting a request."""
         request.worker = None
         self.in_flight -= request.queue.slots
         if request.started_at:
@@ -179,14 +180,14 @@
         self.worker: Worker | None = None
         self.sent_at = 0
         self.started_at = 0
-        self.heard_at = 0
+        self.last_contact_at = 0
         self.check_at = 0
         self.cancelled = False
         self.started_too_late = False  # after a wait of more than its queueing budget
         self.slots_in_use = 0.0  # at its worker when it was sent, its own among them
 
     def begin_attempt(self, worker: Worker, now: int) -> None:
-        """It is sent to a worker."""
+        """Record that it is sent to a worker."""
         self.attempts += 1
         self.worker = worker
         self.sent_at = now
--- a/ploverspoke/decisions/worker_choice.py
+++ b/ploverspoke/decisions/worker_choice.py
@@ -11,14 +11,15 @@
 from .gossip import GossipExchange
 from .list_validity import HealthConfirmation, ListValidity
 from .observations import Observations
-from .settings import Idempotency
+from .settings import ANY_MACHINE_KIND, Idempotency
 from .state import MILLISECOND, Request, RequestQueue, Worker
 
 SEARCH_INTERVAL_NS = 20 * MILLISECOND  # a search of all workers that found none is not repeated sooner
-TIERS_KEPT = 2000
-PREFERRED_WORKER_LOAD = 0.75  # of a mean worker's load that one preferred worker of a key takes
-MORE_PREFERRED = 2  # workers, where the preferred ones have no capacity
-FAR_LESS_LATE = 0.5  # than its own zone another must be to be sent to
+MAX_CACHED_TIERS = 2000  # entries of the cache
+PREFERRED_WORKER_LOAD = 0.75  # of a mean worker's load, with one key's requests
+PREFERRED_ROUNDING = 0.3  # part of a preferred worker that is rounded down
+EXTRA_PREFERRED_WORKERS = 2  # of a key, used where the preferred ones have no capacity
+OTHER_ZONE_LATENESS_SHARE = 0.5  # another zone is used only below this part of the own zone's lateness
 
 WorkerTest = Callable[[Worker, RequestQueue, int, Request | None], bool]
 Tiers = list[list[Worker]]  # best first
@@ -27,7 +28,7 @@
 
 @dataclass(eq=False)
 class WorkerChoice:
-    """Says where a request may go and draws a worker for it."""
+    """Determines which workers a request may go to, and draws among them."""
 
     context: Context
     workers: Mapping[str, Worker]
@@ -37,11 +38,11 @@
     gossip: GossipExchange
     validity: ListValidity
     confirmation: HealthConfirmation
-    kept_tiers: dict[TierKey, Tiers] = field(default_factory=dict)
+    cached_tiers: dict[TierKey, Tiers] = field(default_factory=dict)
 
-    def forget_tiers(self) -> None:
-        """The readiness, zone or kind of a worker has changed."""
-        self.kept_tiers.clear()
+    def clear_cached_tiers(self) -> None:
+        """Sort the workers anew: the readiness, zone or kind of one has changed."""
+        self.cached_tiers.clear()
 
     def draw_two(self, queue: RequestQueue, now: int, request: Request | None) -> list[Worker]:
         """Two drawn at random among those with capacity in the first tier that has any; else one, or none."""
@@ -54,7 +55,7 @@
         if not narrow:
             queue.no_capacity_until = now + SEARCH_INTERVAL_NS
         if self.context.settings.probing_allowed and not self.validity.is_valid(now):
-            self.confirmation.request(self._draw(queue, now, request, self._is_worth_a_check), now)
+            self.confirmation.request(self._draw(queue, now, request, self._needs_health_check), now)
         return []
 
     def _draw(
@@ -64,7 +65,7 @@
         for tier in self.tiers(queue.machine_kind, request):
             found: list[Worker] = []
             left = self._without_late_zones(tier, now) if settings.gossip_allowed else list(tier)
-            # Drawing until two have capacity gives the same pairs as a list of all that have, for less work.
+            # Drawing until two have capacity gives the same pairs as a list of all that have, at less cost.
             while left and len(found) < 2:
                 worker = left.pop(random.below(len(left)))
                 if is_usable(worker, queue, now, request):
@@ -74,54 +75,54 @@
         return []
 
     def _without_late_zones(self, tier: list[Worker], now: int) -> list[Worker]:
-        """Other zones' queues are not known: one is better only where its starts are far less late."""
+        """Drop workers of other zones unless starts are far less late there: their queues are unknown."""
         own = self.context.settings.zone
-        limit = FAR_LESS_LATE * self.gossip.zone_lateness(own, now)
+        limit = OTHER_ZONE_LATENESS_SHARE * self.gossip.zone_lateness(own, now)
         zones = {worker.endpoint.zone for worker in tier}
         allowed = {zone for zone in zones if zone == own or self.gossip.zone_lateness(zone, now) < limit}
         return [worker for worker in tier if worker.endpoint.zone in allowed]
 
     def preferred_count(self, affinity_key: str) -> int:
-        """How many workers are to hold a key's data: as many as its share of the arrivals would fill."""
+        """Number of preferred workers of a key: as many as its share of the arrivals would fill."""
         if not affinity_key:
             return 0
         share = self.observations.affinity_keys.share(affinity_key)
-        return max(1, ceil(share * len(self.workers) / PREFERRED_WORKER_LOAD - 0.3))
+        return max(1, ceil(share * len(self.workers) / PREFERRED_WORKER_LOAD - PREFERRED_ROUNDING))
 
     def tiers(self, machine_kind: int, request: Request | None) -> Tiers:
-        """Those that may be drawn, best first; the own zone comes first where crossing has a price."""
+        """The workers that may be drawn, best first; the own zone first where crossing zones has a cost."""
         key = request.affinity_key if request is not None else ""
-        # Not again once workers probed for the request had no capacity.
+        # Once the workers probed for the request had no capacity, other zones are as good.
         may_cross = bool(key) or (request is not None and request.any_zone)
         own_zone_first = bool(self.context.settings.cross_zone_cost) and not may_cross
         preferred = self.preferred_count(key)
         tier_key = (machine_kind, own_zone_first, key, preferred)
-        found = self.kept_tiers.get(tier_key)
+        found = self.cached_tiers.get(tier_key)
         if found is None:
             found = self._sorted_tiers(machine_kind, own_zone_first)
             if key:
-                # Rendezvous hashing: all dispatchers send a key to the same workers, then to the next few.
-                last = preferred + MORE_PREFERRED
+                # Rendezvous hashing: all dispatchers prefer the same workers for a key, then the next few.
+                last = preferred + EXTRA_PREFERRED_WORKERS
                 ranked = [sorted(tier, key=lambda w: crc32((key + w.name).encode())) for tier in found]
                 found = [part for tier in ranked for part in (tier[:preferred], tier[preferred:last])]
-            if len(self.kept_tiers) > TIERS_KEPT:
-                self.kept_tiers.clear()
-            self.kept_tiers[tier_key] = found
+            if len(self.cached_tiers) > MAX_CACHED_TIERS:
+                self.cached_tiers.clear()
+            self.cached_tiers[tier_key] = found
         return found
 
     def _sorted_tiers(self, machine_kind: int, own_zone_first: bool) -> Tiers:
         tiers: dict[tuple[bool, bool], list[Worker]] = defaultdict(list)
         for worker in self.workers.values():
             kind = worker.endpoint.machine_kind
-            if worker.ready and not worker.ejected and machine_kind in (-1, kind):
-                # Machines that some class cannot do without are left to it while others have capacity.
-                is_needed = machine_kind == -1 and kind in self.context.needed_kinds
+            if worker.ready and not worker.ejected and machine_kind in (ANY_MACHINE_KIND, kind):
+                # Machine kinds that some class requires are left to it while others have capacity.
+                is_needed = machine_kind == ANY_MACHINE_KIND and kind in self.context.needed_kinds
                 is_remote = own_zone_first and worker.endpoint.zone != self.context.settings.zone
                 tiers[is_needed, is_remote].append(worker)
         return [tiers[rank] for rank in sorted(tiers)]
 
     def better(self, drawn: list[Worker], request: Request | None) -> Worker:
-        """The one with fewer slots in flight, of equals the faster; last the one that it failed on."""
+        """The worker with fewer slots in flight, of equals the faster; last one where it failed."""
         failed_on, peer_slots = None if request is None else request.failed_on, self.gossip.peer_slots
         slowdown = self.observations.slowdown
         return min(drawn, key=lambda w: (w is failed_on, w.in_flight + peer_slots(w), slowdown(w)))
@@ -143,7 +144,7 @@
             and self._allows_if_confirmed(worker, queue, now, request)
         )
 
-    def _is_worth_a_check(
+    def _needs_health_check(
         self, worker: Worker, queue: RequestQueue, now: int, request: Request | None
     ) -> bool:
         return self.confirmation.is_due(worker, now) and self._has_capacity_if_confirmed(
@@ -157,11 +158,11 @@
     def _allows_if_confirmed(
         self, worker: Worker, queue: RequestQueue, now: int, request: Request | None
     ) -> bool:
-        if not worker.ready or queue.machine_kind not in (-1, worker.endpoint.machine_kind):
+        if not worker.ready or queue.machine_kind not in (ANY_MACHINE_KIND, worker.endpoint.machine_kind):
             return False
         is_risky = request is not None and request.rules.idempotency is Idempotency.NON_IDEMPOTENT
         if worker.probation_until > now and is_risky and self.context.any_idempotent:
-            return False  # it would be lost with its worker: others try one that was just readmitted
+            return False  # it would be lost with the worker: other requests test one that was just readmitted
         if worker.warm_at > now and not self.slow_start.allows(worker, queue, now):
             return False
         if request is None or request.retry_group is None:
@@ -169,7 +170,7 @@
         return now < request.last_send_at and request.may_retry_at(worker)
 
     def worker_with_placeholder(self, queue: RequestQueue, now: int) -> list[Worker]:
-        """A worker that holds a placeholder for this queue, which is used up."""
+        """A worker with a placeholder for this queue, which is used up; none where no worker has one."""
         for worker in self.workers.values():
             if worker.placeholders and worker.ready and not worker.ejected:
                 worker.expire_placeholders(now)
--- a/ploverspoke/routing/close_reasons.py
+++ b/ploverspoke/routing/close_reasons.py
@@ -12,13 +12,13 @@
     SENT_TOO_MUCH = "sent_too_much"  # ahead of its response
     NOTHING_SENT = "nothing_sent"  # in the time that a new connection is given
     RESPONSE_NOT_READ = "response_not_read"
-    NO_ROOM = "no_room"  # for this connection or its request
+    NO_CAPACITY = "no_room"  # for this connection or its request
     EVICTED = "evicted"  # idle, to make room for another
     SHUTDOWN = "shutdown"  # or the handover to another process
     OTHER_LEADER = "other_leader"  # another replica of the store answers its request
 
 
-def reason_after_response(status: int, has_dropped: bool, is_ending: bool, has_room: bool) -> CloseReason:
+def reason_after_response(status: int, has_dropped: bool, is_ending: bool, has_capacity: bool) -> CloseReason:
     """Why a connection ends with a response; `is_ending`: the process shuts down or hands over."""
     if 400 <= status < 500:
         return CloseReason.INVALID_REQUEST
@@ -26,4 +26,4 @@
         return CloseReason.SENT_TOO_MUCH
     if is_ending:
         return CloseReason.SHUTDOWN
-    return CloseReason.CLIENT_ASKED if has_room else CloseReason.NO_ROOM
+    return CloseReason.CLIENT_ASKED if has_capacity else CloseReason.NO_CAPACITY
--- a/ploverspoke/routing/request_journal.py
+++ b/ploverspoke/routing/request_journal.py
@@ -49,7 +49,7 @@
 
     def turned_away(self) -> None:
         """Count a request for which there is no room."""
-        self.request_ends[EndReason.NO_ROOM] += 1
+        self.request_ends[EndReason.NO_CAPACITY] += 1
 
     def client_closed(self, reason: CloseReason, request: Request | None) -> None:
         """Count the end of a client's connection; `request`: which it still waited for."""
--- a/tests/decisions/test_endpoint_polling.py
+++ b/tests/decisions/test_endpoint_polling.py
@@ -5,7 +5,7 @@
 import pytest
 
 from ploverspoke.decisions.interface import AttemptOutcome
-from ploverspoke.decisions.list_validity import VALIDITY_NS
+from ploverspoke.decisions.list_validity import LIST_TTL_NS
 from ploverspoke.decisions.state import SECOND
 from tests.decisions.harness import MS, DispatchHarness, endpoint
 
@@ -14,7 +14,7 @@
     """A dispatcher whose list has just expired."""
     harness = DispatchHarness([endpoint(name) for name in names], **settings)
     harness.dispatcher.endpoint_list_confirmed(harness.clock)
-    harness.advance(VALIDITY_NS)
+    harness.advance(LIST_TTL_NS)
     return harness
 
 
@@ -38,7 +38,7 @@
     assert harness.probes == ["a"] and not harness.attempts[1]
     harness.dispatcher.probe_completed("a", AttemptOutcome.SUCCEEDED, MS, {})
     assert harness.worker_of(1) == "a"
-    span = min(VALIDITY_NS, 4 * poll_interval)
+    span = min(LIST_TTL_NS, 4 * poll_interval)
     harness.advance(span - 2 * MS)
     assert harness.dispatcher.may_send_to("a")
     harness.advance(2 * MS)
--- a/tests/decisions/test_fleet.py
+++ b/tests/decisions/test_fleet.py
@@ -76,7 +76,7 @@
     # Free at once and heard of just now, it was the one that non-idempotent requests went to unasked.
     harness = DispatchHarness([endpoint("a"), endpoint("b")], **ASKING)
     for worker in harness.dispatcher.workers.values():
-        worker.heard_at = harness.clock
+        worker.last_contact_at = harness.clock
     harness.send_request(1, request_class=2)
     failed = harness.worker_of(1)
     assert failed and not harness.probes
