--- a/ploverspoke/routing/active_settings.py
+++ b/ploverspoke/routing/active_settings.py
@@ -1,4 +1,4 @@
-"""The settings that the router goes by, and the numbers under which it knows the names of the deployment."""
+"""The current settings of the router, and the numbers that stand for the names of the deployment."""
 
 from collections.abc import Collection, Sequence
 from dataclasses import replace
@@ -7,6 +7,7 @@
 from ploverspoke.decisions.settings import DeploymentNames, Idempotency, Settings
 
 from .request_classes import RequestClassTable
+from .watch_pace import PaceLimits
 
 
 class ActiveSettings:
@@ -55,12 +56,12 @@
         """Whether requests of the class may run more than once."""
         return self.current.classes[class_number].idempotency
 
-    def watch_pace(self) -> tuple[int, int]:
-        """The arguments of `WatchPace`."""
-        return time_for_all_calls(self.current), int(self.current.discovery_poll_interval)
+    def watch_pace(self) -> PaceLimits:
+        """The limits of the watch on discovery."""
+        return PaceLimits(time_for_all_calls(self.current), int(self.current.discovery_poll_interval))
 
     def is_pushed(self) -> bool:
-        """Whether changes of the endpoint list bind the dispatcher without being asked for."""
+        """Whether changes of the endpoint list are pushed, and binding without a call for them."""
         return not self.current.discovery_polling
 
     def _translate_kind(self, number: int, names: Sequence[str]) -> int:
--- a/ploverspoke/routing/admin_connection.py
+++ b/ploverspoke/routing/admin_connection.py
@@ -1,30 +1,39 @@
 """One operator's connection: one command, one reply, the end."""
 
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 from ploverspoke.protocol import admin
 from ploverspoke.protocol.errors import AdminCommandError
 from ploverspoke.transport.connections import Connection
+from ploverspoke.transport.deadlines import Deadlines
 from ploverspoke.transport.units import SECOND
 
-if TYPE_CHECKING:
-    from .admin_server import AdminServer
+COMMAND_TIMEOUT = 2 * SECOND  # for the complete command, and again for the reply to be read
 
-COMMAND_TIMEOUT = 2 * SECOND  # for the command to come whole, and again for the reply to be read
+
+class AdminConnectionOwner(Protocol):
+    """What a connection needs of the server that accepted it."""
+
+    deadlines: Deadlines
+
+    def execute(self, command: str) -> bytes:
+        """The reply to a command, an error reply where it failed."""
+
+    def forget(self, session: "AdminConnection") -> None:
+        """The connection has ended."""
 
 
 class AdminConnection:
     """Owner of one operator's connection."""
 
-    def __init__(self, server: "AdminServer", connection: Connection) -> None:
-        """Begin to read; the server knows the session until its connection has ended."""
+    def __init__(self, server: AdminConnectionOwner, connection: Connection) -> None:
+        """Begin to read; the server is notified when the connection has ended."""
         self.server = server
         self.connection = connection
         self.reader = admin.AdminCommandReader()
         self.began_at = server.deadlines.now()
         self.is_answered = False
         self.deadline = server.deadlines.schedule(self.began_at + COMMAND_TIMEOUT, self._on_timeout)
-        server.sessions[connection.number] = self
         connection.user = self
 
     def hang_up(self) -> None:
@@ -34,7 +43,7 @@
     # ---- Events of the connection ----
 
     def on_data_available(self) -> None:
-        """Read the command, and reply once it is complete; what comes behind it is dropped."""
+        """Read the command, and reply once it is complete; bytes after it are dropped."""
         if self.is_answered:
             self.connection.buffer.consume(len(self.connection.buffer))
             return
--- a/ploverspoke/routing/admin_server.py
+++ b/ploverspoke/routing/admin_server.py
@@ -1,4 +1,4 @@
-"""The server for operators: commands are answered from the state of the process when they come."""
+"""The server for operators: answers commands from the current state of the process."""
 
 import asyncio
 import traceback
@@ -15,7 +15,7 @@
 from .client_server import ClientServer
 from .router import Router
 
-MAX_SESSIONS = 16  # of the descriptors that transport/resource_limits.py keeps back
+MAX_SESSIONS = 16  # their descriptors are reserved in transport/resource_limits.py
 
 
 class AdminServer:
@@ -35,17 +35,16 @@
         self.commands: dict[str, Callable[[], bytes]] = {"check": self._check, "vars": self._vars}
         self.connections: SlotTable[Connection] = SlotTable()
         self.sessions: dict[int, AdminConnection] = {}  # by their connection's number, oldest first
-        self.listener = Listener(loop, deadlines, self._make_connection, self._has_room)
+        self.listener = Listener(loop, deadlines, self._make_connection, self._may_accept)
 
     def execute(self, command: str) -> bytes:
-        """The reply to a command; it says so where that is unknown or has failed."""
+        """The reply to a command, an error reply where it is unknown or has failed."""
         execute = self.commands.get(command)
         if execute is None:
             return admin.error_reply("expected one of " + ", ".join(self.commands))
         try:
             return execute()
-        except Exception:
-            # A fault in a report must not disturb what the process is there for.
+        except Exception:  # any fault of a report: requests of clients must not suffer from it
             log_line(f"an admin command failed: {traceback.format_exc()}")
             return admin.error_reply("a fault of ours")
 
@@ -81,16 +80,16 @@
         yield admin.counter_line("endpoint_list_expirations", dispatcher.list_expirations())
         yield from self.router.request_journal.lines()
 
-    # ---- Room for connections ----
+    # ---- Limit on connections ----
 
     def _make_connection(self) -> Connection:
         return Connection(self.connections, self._on_accepted)
 
     def _on_accepted(self, connection: Connection) -> None:
-        AdminConnection(self, connection)
+        self.sessions[connection.number] = AdminConnection(self, connection)
 
-    def _has_room(self, pending_count: int) -> bool:
-        """Whether to accept one more connection; the oldest without a command makes room for it."""
+    def _may_accept(self, pending_count: int) -> bool:
+        """Whether to accept one more connection; at the limit the oldest without a command is closed."""
         if len(self.sessions) + pending_count < MAX_SESSIONS:
             return True
         oldest = next((session for session in self.sessions.values() if not session.is_answered), None)
--- a/ploverspoke/routing/attempt_sender.py
+++ b/ploverspoke/routing/attempt_sender.py
@@ -1,4 +1,4 @@
-"""Attempts: requests as they are sent to workers, from the decision to the outcome."""
+"""Sends attempts to workers and reports their outcomes to the decisions."""
 
 from functools import partial
 
@@ -10,7 +10,7 @@
 
 from .answers import FinalAnswer
 from .completion import RequestCompletion
-from .context import RoutingContext
+from .context import RouterPart, RoutingContext
 from .endpoint_directory import EndpointDirectory
 from .outcomes import OUTCOMES
 from .request_log import PendingAttempt
@@ -64,12 +64,12 @@
         self.attempts.events.emit(event, self.request.number)
 
     def on_ended(self, outcome: ExchangeOutcome, result: str, load: LoadReport | None) -> None:
-        """Take the outcome."""
+        """Pass on the outcome."""
         self.attempts.on_ended(self, outcome, result, load)
 
 
-class AttemptSender:
-    """Starts and cancels attempts as the decisions ask for it, and reports what becomes of them."""
+class AttemptSender(RouterPart):
+    """Starts and cancels attempts for the decisions, and reports their outcomes."""
 
     def __init__(
         self,
@@ -79,14 +79,7 @@
         recorder: RequestRecorder | None,
     ) -> None:
         """With a `recorder` attempts are committed before they are sent."""
-        self.deadlines = context.deadlines
-        self.pool = context.pool
-        self.settings = context.settings
-        self.counters = context.counters
-        self.requests = context.requests
-        self.dispatcher = context.dispatcher
-        self.events = context.events
-        self.journal = context.request_journal
+        super().__init__(context)
         self.endpoints = endpoints
         self.completion = completion
         self.recorder = recorder
@@ -123,11 +116,12 @@
         self.events.emit(event, request_number)
 
     def _send_once_recorded(self, recorder: RequestRecorder, call: AttemptCall, timeout: int) -> None:
-        """A request that must not run twice is not sent before that is committed."""
+        """Send a request that must not run twice only once the attempt is committed."""
         request, send_until = call.request, self.deadlines.now() + timeout
         pending = request.attempts[call.index] = PendingAttempt()
 
         def on_committed(is_committed: bool) -> None:
+            """Send the attempt unless it was withheld or its time is over."""
             if request.attempts[call.index] is not pending:
                 return
             time_left = send_until - self.deadlines.now()
@@ -159,7 +153,7 @@
         request = call.request
         allowed = (
             request.client is not None
-            # It may be draining or gone by now, or too little is known of it.
+            # The worker may be draining or gone by now, or the endpoint list may have expired.
             and self.dispatcher.may_send_to(call.worker)
             and self.endpoints.addresses.get(call.worker) == call.address
             and (self.recorder is None or self.recorder.is_leader())
@@ -180,11 +174,11 @@
         if outcome is ExchangeOutcome.SUCCEEDED:
             self.completion.answer(request, FinalAnswer.SUCCEEDED, result)
         elif outcome is ExchangeOutcome.REJECTED:
-            # Sent to one worker after the other it would make the decisions eject each of them.
+            # It is not retried: the decisions would eject one worker after the other for it.
             self.completion.answer(request, FinalAnswer.INVALID_REQUEST)
         elapsed = self.deadlines.now() - call.decided_at
         list_age = self.endpoints.journal.list_age()
-        self.journal.attempt_ended(request, call.worker, call.index, outcome, elapsed, list_age)
+        self.request_journal.attempt_ended(request, call.worker, call.index, outcome, elapsed, list_age)
         attempt_result = AttemptResult(call.worker, OUTCOMES[outcome], elapsed, request.client is None, load)
         event = partial(self.dispatcher.attempt_ended, request.number, call.index, attempt_result)
         self.events.emit(event, request.number)
--- a/ploverspoke/routing/client_server.py
+++ b/ploverspoke/routing/client_server.py
@@ -1,4 +1,4 @@
-"""The server for clients: accepts their connections and evicts idle ones where there is no more room."""
+"""The server for clients: accepts their connections, and evicts idle ones at the limit."""
 
 import asyncio
 
@@ -12,6 +12,9 @@
 from .close_reasons import CloseReason
 from .router import Router
 
+# Beyond the limit on sessions one more in seven is accepted, only to reject its request.
+SESSIONS_WITH_EXCESS, SESSIONS_WITHOUT_EXCESS = 8, 7
+
 
 class ClientServer:
     """Owner of the listening socket for clients and of the sessions with them."""
@@ -37,7 +40,7 @@
         self.is_leaving = False  # not ready for new clients
         self.is_handing_over = False  # other processes accept what comes next
         self.is_shut = False  # nothing is accepted any more
-        self.listener = Listener(loop, deadlines, self._make_connection, self._has_room)
+        self.listener = Listener(loop, deadlines, self._make_connection, self._may_accept)
 
     def is_full(self) -> bool:
         """Whether requests hold more memory than they may."""
@@ -74,23 +77,27 @@
         for session in self.sessions.values():
             session.close_if_idle()
 
-    # ---- Room for connections ----
+    # ---- Limit on connections ----
 
     def _make_connection(self) -> Connection:
         return Connection(self.connections, self._on_accepted)
 
     def _on_accepted(self, connection: Connection) -> None:
         session = ClientSession(self, connection)
+        self.sessions[connection.number] = self.unserved[connection.number] = session
         if len(self.sessions) > self.max_sessions:
-            log_line(f"{len(self.sessions)} client connections and none idle: turning the newest away")
+            log_line(f"{len(self.sessions)} client connections and none idle: rejecting the newest")
             session.is_excess = True
 
-    def _has_room(self, pending_count: int) -> bool:
+    def _may_accept(self, pending_count: int) -> bool:
         """Whether to accept one more connection, if only to reject its request; else it waits."""
         session_count = len(self.sessions) + pending_count
         if session_count < self.max_sessions or self._evict_one():
             return True
-        return self._oldest_unserved() is None and session_count < self.max_sessions * 8 // 7
+        return (
+            self._oldest_unserved() is None
+            and session_count < self.max_sessions * SESSIONS_WITH_EXCESS // SESSIONS_WITHOUT_EXCESS
+        )
 
     def _evict_one(self) -> bool:
         """Close the oldest session that has sent nothing for a while, else the one idle for the longest."""
--- a/ploverspoke/routing/client_session.py
+++ b/ploverspoke/routing/client_session.py
@@ -1,14 +1,15 @@
 """One client's connection: its requests are read one after the other, and each gets its response."""
 
+import asyncio
 import traceback
 from collections import deque
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 from ploverspoke.protocol import clients
 from ploverspoke.protocol.clients import HttpRequest
 from ploverspoke.protocol.errors import HttpSyntaxError, MessageTooLongError
 from ploverspoke.transport.connections import Connection
-from ploverspoke.transport.deadlines import Deadline
+from ploverspoke.transport.deadlines import Deadline, Deadlines
 from ploverspoke.transport.rate_limited_log import log_line
 from ploverspoke.transport.units import MILLISECOND, SECOND
 
@@ -17,24 +18,41 @@
 from .request_admission import NotAdmitted
 from .requests import Request
 from .responses import OWN_TARGETS, UNSUCCESSFUL, redirect_response, status_response
+from .router import Router
 
-if TYPE_CHECKING:
-    from .client_server import ClientServer
-
-REQUEST_TIMEOUT = 2500 * MILLISECOND  # for a request to come whole, the first from the connecting on
+REQUEST_TIMEOUT = 2500 * MILLISECOND  # for a complete request, the first from the connect on
 RESPONSE_TIMEOUT = 10 * SECOND  # for a response to be read
 CLOSE_TIMEOUT = SECOND  # for a client to read the last response
-# What a client sends ahead of its response is read, since its end comes behind it.
+# What a client sends ahead of its response (pipelining) is read, as its disconnect comes after that.
 UNCOUNTED_READ_AHEAD = 64 * 1024  # bytes that do not count as buffered
 MAX_READ_AHEAD = 256 * 1024  # bytes that are kept; a client that sends more is closed after its response
 MAX_DROPPED = 8 * 1024 * 1024  # bytes beyond those that are read and dropped; then the client has to wait
 
 
+class ClientSessionOwner(Protocol):
+    """What a session needs of the server that accepted its connection."""
+
+    loop: asyncio.AbstractEventLoop
+    deadlines: Deadlines
+    router: Router
+    unserved: dict[int, "ClientSession"]  # by connection number, those without an admitted request
+    buffered_bytes: int  # of requests that are not admitted yet, in all sessions
+    is_leaving: bool  # not ready for new clients
+    is_handing_over: bool  # other processes accept what comes next
+    is_shut: bool  # nothing is accepted any more
+
+    def is_full(self) -> bool:
+        """Whether requests hold more memory than they may."""
+
+    def forget(self, session: "ClientSession") -> None:
+        """The session has ended."""
+
+
 class ClientSession:
     """Owner of one client's connection; implements `Client` and `RequestListener`."""
 
-    def __init__(self, server: "ClientServer", connection: Connection) -> None:
-        """Begin to read; the server knows the session until its connection has ended."""
+    def __init__(self, server: ClientSessionOwner, connection: Connection) -> None:
+        """Begin to read; the server is notified when the connection has ended."""
         self.server = server
         self.connection = connection
         self.reader = clients.RequestReader(self)
@@ -48,11 +66,9 @@
         self.dropped_bytes = 0  # that came beyond what may be sent ahead
         self.buffered_bytes = 0  # of requests, read and not admitted yet
         self.was_served = False  # a request of this session was admitted
-        self.is_excess = False  # there is no room for this session: its request is rejected
+        self.is_excess = False  # beyond the limit on sessions: its request is rejected
         self.idle_since = server.deadlines.now()
         self.deadline: Deadline | None = None  # for the client to send or to read
-        server.sessions[connection.number] = self
-        server.unserved[connection.number] = self
         connection.user = self
         self._watch_pace()
 
@@ -142,12 +158,12 @@
             elif self.failure is not None:
                 self._respond(self.failure.status, str(self.failure).encode())
             elif len(self.connection.buffer):
-                self._feed_reader()
+                self._parse_buffer()
             else:
                 break
         self._watch_pace()
 
-    def _feed_reader(self) -> None:
+    def _parse_buffer(self) -> None:
         try:
             self.connection.feed(self.reader)
         except HttpSyntaxError as error:
@@ -160,9 +176,9 @@
         """There is no memory for more requests: reject what was read, and close."""
         admission = self.server.router.admission
         for message in self.queue:
-            admission.count_turned_away(message.target)
+            admission.count_rejected(message.target)
         if self.reader.in_message and not self.reader.in_head:
-            admission.count_turned_away(self.reader.target.decode("latin-1"))
+            admission.count_rejected(self.reader.target.decode("latin-1"))
         self.queue.clear()
         self.keep_alive = False
         self.answer(FinalAnswer.REJECTED)
@@ -188,23 +204,22 @@
             self._admit(message)
         except HttpSyntaxError as error:
             self._respond(error.status, str(error).encode())
-        except Exception:
-            # A fault in the router must not leave the client without a response.
+        except Exception:  # any fault of the router: the client must get a response all the same
             log_line(f"a request could not be admitted: {traceback.format_exc()}")
             self._respond(500, b"a fault of ours")
 
     def _admit(self, message: HttpRequest) -> None:
-        """Admit the request, or reject it where there is no room. Raises HttpSyntaxError."""
+        """Admit the request, or reject it for lack of capacity. Raises HttpSyntaxError."""
         admission = self.server.router.admission
         if self.is_excess:
-            admission.count_turned_away(message.target)
+            admission.count_rejected(message.target)
             self.answer(FinalAnswer.REJECTED)
             return
         admitted = admission.admit(self, message)
         if admitted is NotAdmitted.NO_CAPACITY:
             self.answer(FinalAnswer.REJECTED)
             return
-        # A client that only asks whether this process is ready is not served: hundreds pushed others out.
+        # A client that only checks whether this process is ready is not served, and may be evicted.
         self.was_served = True
         self.server.unserved.pop(self.connection.number, None)
         if self.is_answering and isinstance(admitted, Request):
--- a/ploverspoke/routing/completion.py
+++ b/ploverspoke/routing/completion.py
@@ -7,24 +7,18 @@
 from ploverspoke.transport.rate_limited_log import log_line
 
 from .answers import Client, FinalAnswer, RecordedAnswer
-from .context import RoutingContext
+from .context import RouterPart, RoutingContext
 from .counters import RequestEnd, UnansweredEnd
 from .request_recorder import RequestRecorder
 from .requests import Request
 
 
-class RequestCompletion:
+class RequestCompletion(RouterPart):
     """Gives each request its one end."""
 
     def __init__(self, context: RoutingContext, recorder: RequestRecorder | None) -> None:
         """With a `recorder` answers are committed before they are given."""
-        self.deadlines = context.deadlines
-        self.settings = context.settings
-        self.counters = context.counters
-        self.requests = context.requests
-        self.dispatcher = context.dispatcher
-        self.events = context.events
-        self.journal = context.request_journal
+        super().__init__(context)
         self.recorder = recorder
 
     def answer(
@@ -53,9 +47,10 @@
         recorded: RecordedAnswer,
         retry_after: int,
     ) -> None:
-        """Whoever asks for the request again, here or at another replica, must get the same answer."""
+        """Answer once the answer is committed: a retry, here or at another replica, must get the same one."""
 
         def on_committed(is_committed: bool) -> None:
+            """Answer the client, or leave the answer to the leader."""
             recorder.forget(request)
             if is_committed:
                 client.answer(recorded.answer, recorded.result, retry_after)
@@ -97,7 +92,7 @@
         """After a fault, or at shutdown: reject what cannot have run or is idempotent, fail the others."""
         if request is None or request.client is None:
             return
-        self.journal.request_ended(request, "answered", EndReason.NO_DECISION)
+        self.request_journal.request_ended(request, "answered", EndReason.NO_DECISION)
         idempotency = self.settings.idempotency(request.class_number)
         if request.attempts and idempotency is not Idempotency.IDEMPOTENT:
             self.answer(request, FinalAnswer.FAILED)
--- a/ploverspoke/routing/context.py
+++ b/ploverspoke/routing/context.py
@@ -1,4 +1,4 @@
-"""What the parts of the router share."""
+"""The objects that the parts of the router share."""
 
 from dataclasses import dataclass
 
@@ -25,3 +25,18 @@
     dispatcher: Dispatcher
     events: EventQueue
     request_journal: RequestJournal
+
+
+class RouterPart:
+    """Base class of the parts of the router: the shared objects as attributes of each part."""
+
+    def __init__(self, context: RoutingContext) -> None:
+        """Take the shared objects from the context."""
+        self.deadlines = context.deadlines
+        self.pool = context.pool
+        self.settings = context.settings
+        self.counters = context.counters
+        self.requests = context.requests
+        self.dispatcher = context.dispatcher
+        self.events = context.events
+        self.request_journal = context.request_journal
--- a/ploverspoke/routing/counters.py
+++ b/ploverspoke/routing/counters.py
@@ -53,7 +53,7 @@
         """Count the one end of an admitted request."""
         self.ends.setdefault(class_name, Counter())[end] += 1
 
-    def count_turned_away(self, class_name: str) -> None:
+    def count_rejected(self, class_name: str) -> None:
         """Count a request that was rejected because there is no capacity for it."""
         self.count_admitted()
         self.count_end(class_name, FinalAnswer.REJECTED)
--- a/ploverspoke/routing/endpoint_directory.py
+++ b/ploverspoke/routing/endpoint_directory.py
@@ -1,4 +1,4 @@
-"""The endpoint list: where workers are, as discovery lists them, and the watch that keeps it up to date."""
+"""The directory of endpoints: workers' addresses from discovery, and the watch that keeps them up to date."""
 
 from collections.abc import Callable
 from functools import partial
@@ -12,47 +12,40 @@
 )
 from ploverspoke.protocol.wire_names import ENDPOINT_STATES
 
-from .context import RoutingContext
+from .context import RouterPart, RoutingContext
 from .endpoint_watch import EndpointWatch
 from .start_times import StartTimes
 from .watch_journal import CallOutcome, CallReason, WatchJournal
 from .watch_pace import WatchPace
 
 
-class EndpointDirectory:
-    """Follows discovery, keeps the workers' addresses and passes each change on to the decisions."""
+class EndpointDirectory(RouterPart):
+    """Follows discovery, stores the workers' addresses and reports each change to the decisions."""
 
     def __init__(self, context: RoutingContext, discovery_address: str) -> None:
-        """`discovery_address` is "host:port"; nothing is asked there before the watch is started."""
-        self.deadlines = context.deadlines
-        self.pool = context.pool
-        self.settings = context.settings
-        self.dispatcher = context.dispatcher
-        self.events = context.events
+        """`discovery_address` is "host:port"; it is not called before the watch is started."""
+        super().__init__(context)
         self.addresses: dict[str, str] = {}  # by worker; also of those that are gone
         self.lists_received = 0  # from discovery, since the start
         self.on_list: Callable[[bytes], None] | None = None  # given the body of each list
-        self.start_times = StartTimes(context.deadlines.now)
-        self.journal = WatchJournal(context.deadlines.now)
+        self.start_times = StartTimes(self.deadlines.now)
+        self.journal = WatchJournal(self.deadlines.now)
         self.watch = self._make_watch(discovery_address)
-        self.has_moved = False  # to another address, which was not called yet
+        self.has_moved = False  # to another address that has not been called yet
 
     def load_known(self, known: EndpointList, resume: bool) -> None:
-        """Begin with a list from before the start.
-
-        With `resume` discovery is asked only for what is newer, else for the whole list.
-        """
+        """Begin with a stored list; with `resume` only newer changes are requested, else the whole list."""
         self.watch.version = known.version if resume else None
         self._report(known, is_complete=True)
 
     def receive_list(self, body: bytes) -> EndpointList:
-        """Take a list from discovery. Raises EndpointListError, and the decisions hear of no part of it."""
+        """Apply a list from discovery. Raises EndpointListError, and no part of it is reported."""
         try:
             received = read_endpoint_list(body)
         except InvalidEntryError as error:
-            # The entries before the invalid one are good: a worker's new address counts at once.
+            # The entries before the invalid one are valid: the new addresses of workers apply at once.
             for entry in error.entries_before:
-                self._enter(entry)
+                self._store_entry(entry)
             raise
         self._report(received, received.is_complete)
         self.lists_received += 1
@@ -61,20 +54,20 @@
         return received
 
     def start_watch(self) -> None:
-        """Watch the list, if that is not done already."""
+        """Watch the list, unless the watch is running."""
         reason = CallReason.ADDRESS_CHANGED if self.has_moved else CallReason.DUE
         self.has_moved = False
         self.watch.start(reason)
 
     def change_address(self, address: str) -> None:
-        """Watch at another address, from the whole list on: its versions are its own."""
+        """Watch at another address, from the whole list on, as versions differ between addresses."""
         self.watch.stop()
         self.watch = self._make_watch(address)
         self.has_moved = True
         self.events.emit(partial(self.dispatcher.discovery_moved))
 
     def apply_settings(self) -> None:
-        """Let the watch follow the current settings."""
+        """Apply the current settings to the watch."""
         self.watch.pace.configure(*self.settings.watch_pace())
         self.watch.is_pushed = self.settings.is_pushed()
 
@@ -89,7 +82,7 @@
         )
 
     def list_confirmed(self, as_of: int) -> None:
-        """Report that all that discovery had at that time has been received."""
+        """Report that everything that discovery had at that time has been received."""
         self.events.emit(partial(self.dispatcher.endpoint_list_confirmed, as_of))
 
     def list_time_left(self) -> int | None:
@@ -97,26 +90,26 @@
         return self.dispatcher.list_time_left()
 
     def call_was_silent(self, as_of: int) -> None:
-        """Report a call that was to be answered at once, and was not."""
+        """Report that a call for an immediate response was not answered in time."""
         self.events.emit(partial(self.dispatcher.endpoint_watch_silent, as_of))
 
     def watch_failed(self, outcome: CallOutcome) -> None:
-        """Leave it to the decisions when to watch again."""
+        """Report the failure: the decisions choose when to watch again."""
         is_rejected = outcome is CallOutcome.REJECTED
         is_unreachable = outcome is CallOutcome.REFUSED
         event = partial(self.dispatcher.endpoint_watch_failed, is_rejected, is_unreachable)
         self.events.emit(event)
 
     def _report(self, received: EndpointList, is_complete: bool) -> None:
-        endpoints = [self._enter(entry) for entry in received.entries]
+        endpoints = [self._store_entry(entry) for entry in received.entries]
         if is_complete:
             self.events.emit(partial(self.dispatcher.endpoint_list_received, endpoints))
         else:
             self.events.emit(partial(self.dispatcher.endpoints_changed, endpoints))
 
-    def _enter(self, entry: EndpointEntry) -> Endpoint:
-        """Keep the worker's address; connections to where it is no longer are not used again."""
-        # Nothing new is sent to a worker in a state that is not known.
+    def _store_entry(self, entry: EndpointEntry) -> Endpoint:
+        """Store the worker's address, and retire the connections to its former one."""
+        # A worker in an unknown state gets no new attempts.
         condition = EndpointCondition(ENDPOINT_STATES.get(entry.state, EndpointCondition.DRAINING.value))
         known_address = self.addresses.get(entry.name)
         is_gone = condition is EndpointCondition.GONE
--- a/ploverspoke/routing/endpoint_watch.py
+++ b/ploverspoke/routing/endpoint_watch.py
@@ -1,4 +1,4 @@
-"""The watch on one address of discovery: one request after the other, until one fails."""
+"""The watch on one address of discovery by long polling: one request after the other, until one fails."""
 
 from typing import Protocol
 
@@ -16,38 +16,39 @@
 
 MAX_CONNECTIONS = 2  # the next request may need one before the last one's is closed completely
 CONNECT_TIMEOUT = 2 * SECOND
-# For connection and response, beyond the wait that discovery is allowed. Crowded, it works through the calls
-# of all one by one and gives up those that wait for over 2 s; where that is too short, the next gets more.
+# For connection and response, beyond the wait that discovery is allowed. Under overload discovery handles
+# calls one by one and rejects those that have waited for over 2 s. After a call without a response the
+# timeout doubles.
 RESPONSE_TIMEOUT = 2250 * MILLISECOND
 MAX_RESPONSE_TIMEOUT = 2 * RESPONSE_TIMEOUT
 WAIT_TOLERANCE = 20 * MILLISECOND  # by which a wait may end early
-MIN_IMMEDIATE_RETRY_INTERVAL = SECOND  # a broken watch is no more often restarted without a backoff
+MIN_IMMEDIATE_RETRY_INTERVAL = SECOND  # between restarts of a broken watch without a backoff
 
 
 class WatchListener(Protocol):
-    """Whoever is told of lists and failures."""
+    """Receives the lists and the failures of a watch."""
 
     def receive_list(self, body: bytes) -> EndpointList:
         """Take the body of a list. Raises EndpointListError."""
 
     def list_confirmed(self, as_of: int) -> None:
-        """All that discovery had at that time (monotonic ns) has been received."""
+        """Everything that discovery had at that time (monotonic ns) has been received."""
 
     def list_time_left(self) -> int | None:
         """Time in ns until the list expires, less than 0 after that; None: it does not."""
 
     def call_was_silent(self, as_of: int) -> None:
-        """A call that was begun then, to be answered at once, was not answered in time."""
+        """A call that began at that time and asked for an immediate response was not answered in time."""
 
     def watch_failed(self, outcome: CallOutcome) -> None:
         """The watch has ended."""
 
 
 class WatchRequest:
-    """One request, from its connection to its end; it reports nothing once the watch has another one."""
+    """One request, from its connection to its end; it is ignored once the watch has another one."""
 
     def __init__(self, watch: "EndpointWatch", reason: CallReason) -> None:
-        """Ask for what is newer than the version that the watch has."""
+        """Request the changes after the version that the watch has."""
         self.watch = watch
         self.version = watch.version
         self.call = watch.journal.begin(reason, watch.address, watch.version)
@@ -60,7 +61,7 @@
         self.reader = discovery.EndpointListReader(self._on_complete)
         self.body: bytes | None = None  # of the response, when that is complete
         self.is_reusable = False  # the connection, after the response
-        self.was_read_at_timeout = False  # what lay unread when the time was over
+        self.was_read_at_timeout = False  # bytes that were unread at the timeout
 
     def begin(self) -> None:
         """Get a connection, unless the watch has another request by now."""
@@ -100,14 +101,14 @@
         connection.write(discovery.encode_watch_request(self.version, self.max_wait, watch.address))
 
     def on_connect_failed(self, outcome: ExchangeOutcome) -> None:
-        """Fail."""
+        """End the watch with a failure."""
         self.pending_connection = None
         is_refused = outcome is ExchangeOutcome.CONNECTION_REFUSED
         ended = CallOutcome.REFUSED if is_refused else CallOutcome.NOT_CONNECTED
         self.watch.on_failed(self, outcome=ended, detail=outcome.name.lower())
 
     def on_data_available(self) -> None:
-        """Read the response; a complete list is taken, whatever comes behind it."""
+        """Read the response; a complete list is taken, whatever follows it."""
         if self.connection is None:
             return
         outcome, detail = CallOutcome.ANSWERED, ""
@@ -126,7 +127,7 @@
             self.watch.on_answered(self)
 
     def on_disconnected(self) -> None:
-        """Fail."""
+        """End the watch with a failure."""
         self.connection = None
         self.watch.on_failed(self, outcome=CallOutcome.BROKEN)
 
@@ -134,10 +135,10 @@
         """Do nothing: a request is written at once."""
 
     def confirmed_at(self) -> int:
-        """The time as of which the response tells all that discovery had.
+        """The time (monotonic ns) as of which the response is complete, which renews the list.
 
         A response without a change was written when the wait was over. Any other may have been written at
-        any time since the request, and have been read late, as this process may have been stopped.
+        any time since the request, and read late, as this process may have been suspended.
         """
         elapsed, received = self.watch.deadlines.now() - self.sent_at, self.received
         has_no_change = received is not None and not received.entries and received.version == self.version
@@ -157,7 +158,7 @@
     def _on_timeout(self) -> None:
         has_unread_data = self.connection is not None and self.connection.has_unread_data()
         if has_unread_data and not self.was_read_at_timeout:
-            # This process may have been stopped: what came in time is read first.
+            # This process may have been suspended: what arrived in time is read first.
             self.was_read_at_timeout = True
             self._set_deadline(MILLISECOND)
         else:
@@ -176,11 +177,11 @@
         pace: WatchPace,
         is_pushed: bool = False,
     ) -> None:
-        """Discovery may wait as long for a change as `pace` says.
+        """`pace` sets how long discovery may wait for a change.
 
-        With `is_pushed` changes bind the dispatcher whether or not a watch is open, since an agent beside it
-        without other callers delivers them: a watch that breaks is restarted without the backoff that
-        spreads requests.
+        With `is_pushed` an agent on this machine without other callers delivers changes, which are binding
+        whether or not a watch is open: a watch that breaks is restarted without the backoff that spreads
+        the requests of dispatchers.
         """
         self.deadlines = deadlines
         self.address = address
@@ -193,18 +194,18 @@
         self.pool = ConnectionPool(
             deadlines.loop, deadlines, MAX_CONNECTIONS, CONNECT_TIMEOUT, CONNECT_TIMEOUT
         )
-        self.consecutive_timeouts = 0  # of requests that were to be answered at once
-        self.request: WatchRequest | None = None  # None: nobody watches
+        self.consecutive_timeouts = 0  # of requests that asked for an immediate response
+        self.request: WatchRequest | None = None  # None: the watch is not running
         self.is_stopped = False
 
     def start(self, reason: CallReason = CallReason.DUE) -> None:
-        """Begin to watch, if that is not done already."""
+        """Begin to watch, unless the watch is running."""
         if self.request is None and not self.is_stopped:
             self.request = WatchRequest(self, reason)
-            self.deadlines.loop.call_soon(self.request.begin)  # never from inside the call that asked for it
+            self.deadlines.loop.call_soon(self.request.begin)  # never from inside the call of the decisions
 
     def stop(self) -> None:
-        """End for good: another watch has taken over, and nothing more is reported here."""
+        """End the watch for good: another one replaces it, and nothing more is reported here."""
         self.is_stopped = True
         request, self.request = self.request, None
         if request is not None:
@@ -221,7 +222,7 @@
         return self.pace.wait(time_left, is_continued=reason is CallReason.ANSWERED)
 
     def response_timeout(self, max_wait: int) -> int:
-        """How long (ns) a request may take that lets discovery wait for `max_wait` ns."""
+        """The timeout (ns) of a request that lets discovery wait for `max_wait` ns."""
         if max_wait:
             return max_wait + self.pace.lateness_limit()
         if self.is_pushed:
@@ -233,13 +234,12 @@
         body, requested_version = request.body or b"", request.version
         try:
             request.received = received = self.listener.receive_list(body)
-        except Exception as error:
-            # Whatever a list holds, it must not end the watch for good.
+        except Exception as error:  # any fault in taking a list: it must not end the watch for good
             return f"{type(error).__name__}: {error}"
         if requested_version is None and not received.is_complete:
             return "a part of the list, where all of it was asked for"
-        # Versions that went back are those of a restarted discovery: it would not report what it changed
-        # before it reaches the version that is known here.
+        # Lower versions are those of a restarted discovery, which would omit the changes up to the version
+        # that is known here.
         went_back = requested_version is not None and received.version < requested_version
         self.version = None if went_back and not received.is_complete else received.version
         return ""
@@ -247,12 +247,12 @@
     def on_answered(self, request: WatchRequest) -> None:
         """Send the next request at once, over the same connection if possible."""
         if self.request is not request:
-            return  # the list that was reported has ended the watch
+            return  # taking the list has ended the watch
         connection = request.release()
         self.consecutive_timeouts = 0
         self.journal.end(request.call, CallOutcome.ANSWERED)
         self.pace.record(request.max_wait, self.deadlines.now() - request.sent_at)
-        if self.version is not None:  # else something is known to be missing
+        if self.version is not None:  # else the list is known to be incomplete
             self.listener.list_confirmed(request.confirmed_at())
         self.request = WatchRequest(self, CallReason.ANSWERED)
         if connection is not None and request.is_reusable:
@@ -263,7 +263,7 @@
             self.request.begin()
 
     def on_silent(self, request: WatchRequest) -> None:
-        """Send the next request at once: it may be this connection alone, and the wait was backoff enough."""
+        """Send the next request at once: the connection alone may be at fault, and the wait was a backoff."""
         request.abort()
         if self.request is request:
             if not request.max_wait:
@@ -274,7 +274,7 @@
             self.request.begin()
 
     def on_failed(self, request: WatchRequest, outcome: CallOutcome, detail: str = "") -> None:
-        """End the watch and report it; a pushed one is first restarted once."""
+        """End the watch and report the failure; a pushed one is first restarted once."""
         request.abort()
         if self.request is not request:
             return
--- a/ploverspoke/routing/event_queue.py
+++ b/ploverspoke/routing/event_queue.py
@@ -20,7 +20,7 @@
     def emit(self, event: partial[None], request_number: int | None = None) -> None:
         """Deliver an event now, or, from inside a call of the decisions, once that call is over.
 
-        An exception is logged with its trace; the request that the event was about must not suffer by it.
+        An exception is logged with its trace, and `on_failure` is called for the request.
         """
         self.events.append((event, request_number))
         if self.is_delivering:
@@ -30,7 +30,7 @@
             event, request_number = self.events.popleft()
             try:
                 event()
-            except Exception:
+            except Exception:  # any fault of a decision: the events after it are delivered all the same
                 name = getattr(event.func, "__name__", event.func)
                 log_line(f"a decision failed in {name}: {traceback.format_exc()}")
                 if request_number is not None:
--- a/ploverspoke/routing/health_checks.py
+++ b/ploverspoke/routing/health_checks.py
@@ -8,7 +8,7 @@
 from ploverspoke.transport.outcomes import ExchangeOutcome
 from ploverspoke.transport.units import MILLISECOND
 
-from .context import RoutingContext
+from .context import RouterPart, RoutingContext
 from .endpoint_directory import EndpointDirectory
 from .outcomes import OUTCOMES
 from .worker_calls import WorkerCall
@@ -60,16 +60,12 @@
             self.checks.report(self, outcome, load)
 
 
-class HealthChecks:
+class HealthChecks(RouterPart):
     """Sends health checks as the decisions ask for them."""
 
     def __init__(self, context: RoutingContext, endpoints: EndpointDirectory) -> None:
         """`endpoints` has the workers' addresses."""
-        self.deadlines = context.deadlines
-        self.pool = context.pool
-        self.settings = context.settings
-        self.dispatcher = context.dispatcher
-        self.events = context.events
+        super().__init__(context)
         self.endpoints = endpoints
 
     def start(self, worker: str) -> None:
--- a/ploverspoke/routing/request_admission.py
+++ b/ploverspoke/routing/request_admission.py
@@ -16,12 +16,13 @@
 
 from .answers import Client
 from .completion import RequestCompletion
-from .context import RoutingContext
+from .context import RouterPart, RoutingContext
 from .request_recorder import RequestRecorder
 from .requests import Request
 
 # The final answer is due this long before the client gives up, but no more than a tenth of its timeout.
 MAX_ANSWER_MARGIN = 20 * MILLISECOND
+TIMEOUT_PER_MARGIN = 10
 
 
 class NotAdmitted(Enum):
@@ -31,20 +32,14 @@
     ANSWERED_BEFORE = auto()  # its client was given the recorded answer
 
 
-class RequestAdmission:
-    """The way of a request from a client to the decisions."""
+class RequestAdmission(RouterPart):
+    """Checks requests of clients and reports those that it admits to the decisions."""
 
     def __init__(
         self, context: RoutingContext, completion: RequestCompletion, recorder: RequestRecorder | None
     ) -> None:
-        """With a `recorder` requests are committed before the decisions hear of them."""
-        self.deadlines = context.deadlines
-        self.settings = context.settings
-        self.counters = context.counters
-        self.requests = context.requests
-        self.dispatcher = context.dispatcher
-        self.events = context.events
-        self.journal = context.request_journal
+        """With a `recorder` requests are committed before they are reported to the decisions."""
+        super().__init__(context)
         self.completion = completion
         self.recorder = recorder
 
@@ -75,10 +70,10 @@
             if known is not None:
                 return known
         if len(self.requests) >= self.settings.current.max_open_requests:
-            self.counters.count_turned_away(self.settings.class_name(class_number))
-            self.journal.turned_away()
+            self.counters.count_rejected(self.settings.class_name(class_number))
+            self.request_journal.rejected_for_capacity()
             return NotAdmitted.NO_CAPACITY
-        deadline = self.deadlines.now() + timeout - min(MAX_ANSWER_MARGIN, timeout // 10)
+        deadline = self.deadlines.now() + timeout - min(MAX_ANSWER_MARGIN, timeout // TIMEOUT_PER_MARGIN)
         request = Request(client, class_number, message, deadline)
         self._register(request)
         affinity_key = message.headers.get(AFFINITY_KEY, "")
@@ -99,12 +94,12 @@
             self.recorder.record_request(request, client, on_admitted, on_lost)
         return request
 
-    def count_turned_away(self, target: str) -> None:
-        """Count a request that the server rejects itself, if it names a request class."""
+    def count_rejected(self, target: str) -> None:
+        """Count a request that the server rejects for lack of capacity, if it names a request class."""
         class_name = clients.request_class_name(target)
         if class_name in self.settings.classes.numbers:
-            self.counters.count_turned_away(class_name)
-            self.journal.turned_away()
+            self.counters.count_rejected(class_name)
+            self.request_journal.rejected_for_capacity()
 
     def _class_number(self, target: str) -> int:
         class_number = self.settings.classes.numbers.get(clients.request_class_name(target))
@@ -113,7 +108,7 @@
         return class_number
 
     def _check_id_is_unused(self, request_id: str) -> None:
-        # With a store the request log tells whether it is the same request.
+        # With a store the request log shows whether it is the same request.
         if request_id in self.requests.recent_ids and self.recorder is None:
             raise RequestIdInUseError(reason="request-id is in use")
 
--- a/ploverspoke/routing/request_journal.py
+++ b/ploverspoke/routing/request_journal.py
@@ -1,4 +1,4 @@
-"""A record of what became of requests: ends of attempts, and why a request was rejected or failed."""
+"""Counts and logs of how requests ended: outcomes of attempts, and why a request was rejected or failed."""
 
 from collections import Counter
 from collections.abc import Iterator
@@ -13,11 +13,11 @@
 from .requests import Request
 
 BURST_LINES = 20
-LINES_PER_SECOND = 1.0  # beside all other lines, which these must not crowd out
+LINES_PER_SECOND = 1.0  # a limit of its own, so that other lines are not suppressed
 
 
 class RequestJournal:
-    """Counts every end, and logs as many as a rate of its own allows."""
+    """Counts every end, and logs them at a limited rate."""
 
     def __init__(self) -> None:
         """Begin with nothing counted."""
@@ -47,8 +47,8 @@
             f"request {request.request_id} {answer}: {reason.value}, {len(request.attempts)} attempts made"
         )
 
-    def turned_away(self) -> None:
-        """Count a request for which there is no room."""
+    def rejected_for_capacity(self) -> None:
+        """Count a request that is rejected for lack of capacity."""
         self.request_ends[EndReason.NO_CAPACITY] += 1
 
     def client_closed(self, reason: CloseReason, request: Request | None) -> None:
--- a/ploverspoke/routing/request_recorder.py
+++ b/ploverspoke/routing/request_recorder.py
@@ -10,20 +10,17 @@
 from ploverspoke.protocol.wire_names import REQUEST_ID
 
 from .answers import Client, RecordedAnswer
-from .context import RoutingContext
+from .context import RouterPart, RoutingContext
 from .request_log import CommitCallback, PreviousOutcome, RequestLog, WaitingClients
 from .requests import Request
 
 
-class RequestRecorder:
+class RequestRecorder(RouterPart):
     """The router's side of the request log; exists only where there is a store."""
 
     def __init__(self, context: RoutingContext, request_log: RequestLog) -> None:
         """`request_log` is that of the store."""
-        self.deadlines = context.deadlines
-        self.settings = context.settings
-        self.dispatcher = context.dispatcher
-        self.events = context.events
+        super().__init__(context)
         self.request_log = request_log
         self.open_requests: dict[str, Request] = {}  # by request id, until the answer is committed
 
--- a/ploverspoke/routing/start_times.py
+++ b/ploverspoke/routing/start_times.py
@@ -1,21 +1,20 @@
-"""Starts of workers on the monotonic clock; discovery gives them in Unix time."""
+"""Start times of workers on the monotonic clock, converted from discovery's Unix time."""
 
 import time
 from collections.abc import Callable
 
 from ploverspoke.transport.units import MILLISECOND
 
-# A start is listed no later than this after it: one that is new in a list came no earlier than so long before
-# the list was last confirmed.
-LATEST_LISTING = 3500 * MILLISECOND
+# A start is listed at most so long after it: one that is new in a list is at most so much older than the last
+# confirmation before it.
+MAX_LISTING_DELAY = 3500 * MILLISECOND
 
 
 class StartTimes:
-    """Converts starts; what this machine's wall clock does after the program's start changes none of them.
+    """Converts start times; later steps of this machine's wall clock have no effect on them.
 
-    The difference of both clocks is taken once, so that a step of the wall clock moves no known start.
-    Where the clock that discovery goes by was stepped, too, a new start would seem to lie in the future or
-    long ago: it is taken for what is possible.
+    The offset between the clocks is measured once. Where discovery's clock was stepped, a new start would
+    lie in the future or too far back: it is clamped to the possible range.
     """
 
     def __init__(self, now: Callable[[], int], wall_clock: Callable[[], int] = time.time_ns) -> None:
@@ -33,7 +32,7 @@
             return 0
         known_ms, started_at = self.known.get(worker, (0, 0))
         if known_ms != started_ms:
-            earliest = 1 if confirmed_at is None else confirmed_at - LATEST_LISTING
+            earliest = 1 if confirmed_at is None else confirmed_at - MAX_LISTING_DELAY
             converted = started_ms * MILLISECOND - self.offset
             started_at = max(1, min(self.now(), max(converted, earliest)))
             self.known[worker] = started_ms, started_at
--- a/ploverspoke/routing/watch_journal.py
+++ b/ploverspoke/routing/watch_journal.py
@@ -1,4 +1,4 @@
-"""A record of the calls to discovery: ids, why each was made, how it ended, and how old the list was then."""
+"""Counts and logs of the calls to discovery: why each was made, how it ended, and the age of the list."""
 
 from collections import Counter
 from collections.abc import Callable, Iterator
@@ -11,7 +11,7 @@
 
 
 class CallReason(Enum):
-    """Why a call was made at the time at which it was made."""
+    """Why a call was made at that time."""
 
     DUE = "due"  # the first one, or the one after a backoff
     ADDRESS_CHANGED = "address changed"
@@ -24,11 +24,11 @@
     """How a call ended."""
 
     ANSWERED = "answered"
-    REJECTED = "rejected"  # discovery has too many calls, or is down
-    REFUSED = "refused"  # the connection: nobody listens there
+    REJECTED = "rejected"  # discovery is overloaded or unavailable
+    REFUSED = "refused"  # the connection, as nobody listens there
     NOT_CONNECTED = "not_connected"
     BROKEN = "broken"  # the connection ended before the answer
-    INVALID = "invalid"  # no list, or no HTTP
+    INVALID = "invalid"  # the response is no list, or no HTTP
     TIMED_OUT = "timed_out"
     ABANDONED = "abandoned"  # another address is watched now
 
@@ -40,12 +40,12 @@
     number: int
     reason: CallReason
     address: str
-    version: int | None  # that it asks for changes of; None: the whole list
+    version: int | None  # newer changes are requested; None: the whole list
     began_at: int
 
 
 class WatchJournal:
-    """Numbers the calls, counts their ends and logs them, of equal ones in a row fewer and fewer."""
+    """Numbers the calls, counts their outcomes, and logs equal outcomes in a row ever more rarely."""
 
     def __init__(self, now: Callable[[], int]) -> None:
         """`now` is the monotonic clock, in ns."""
@@ -62,7 +62,7 @@
         return WatchCall(self.calls_begun, reason, address, version, self.now())
 
     def end(self, call: WatchCall, outcome: CallOutcome, detail: str = "") -> None:
-        """Count the end of a call, and log it unless it is one more like the last; `detail` says more."""
+        """Count the end of a call, and log it unless its outcome repeats; `detail` is added to the line."""
         self.outcomes[outcome] += 1
         if outcome is CallOutcome.ABANDONED:
             self._log(call, outcome, detail, 1)
--- a/ploverspoke/simulator/adapter.py
+++ b/ploverspoke/simulator/adapter.py
@@ -90,8 +90,7 @@
             self._dispatch(number, message)
         except CodecError:
             raise
-        except Exception as error:
-            # A fault of one dispatcher: the simulator is told, the others go on.
+        except Exception as error:  # any fault of one dispatcher: it is reported, the others go on
             traceback.print_exc(file=sys.stderr)
             self.shared.replies.append(encode_fault(number, error))
 
--- a/tests/routing/test_start_times.py
+++ b/tests/routing/test_start_times.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from ploverspoke.routing.start_times import LATEST_LISTING, StartTimes
+from ploverspoke.routing.start_times import MAX_LISTING_DELAY, StartTimes
 
 MS, SECOND, HOUR = 1_000_000, 1_000_000_000, 3600 * 1_000_000_000
 EPOCH = 1_700_000_000 * SECOND
@@ -35,7 +35,7 @@
     known = clocks.starts.convert("w0", clocks.listed(490 * SECOND), None)
     listed_before, clocks.step_there, clocks.time = clocks.listed(490 * SECOND), there, 600 * SECOND
     fresh = clocks.starts.convert("w1", clocks.listed(599 * SECOND), 598 * SECOND)
-    assert 598 * SECOND - LATEST_LISTING <= fresh <= 600 * SECOND
+    assert 598 * SECOND - MAX_LISTING_DELAY <= fresh <= 600 * SECOND
     assert clocks.starts.convert("w0", listed_before, 598 * SECOND) == known
     clocks.time = 700 * SECOND
     assert clocks.starts.convert("w1", clocks.listed(599 * SECOND), 699 * SECOND) == fresh
--- a/tests/routing/test_watch_pace.py
+++ b/tests/routing/test_watch_pace.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from ploverspoke.routing.watch_pace import CROWDED_LATENESS, WatchPace
+from ploverspoke.routing.watch_pace import OVERLOAD_LATENESS, WatchPace
 
 MS, SECOND = 1_000_000, 1_000_000_000
 VALID = 5 * SECOND
@@ -29,7 +29,7 @@
     assert waits.lateness_limit() > SECOND
     for _ in range(2):
         waits.record(4 * SECOND, 4 * SECOND + MS)
-    assert waits.lateness < CROWDED_LATENESS and waits.wait(VALID, is_continued=True) < 4 * SECOND
+    assert waits.lateness < OVERLOAD_LATENESS and waits.wait(VALID, is_continued=True) < 4 * SECOND
 
 
 def test_one_late_answer_makes_no_wait_that_outlasts_the_list() -> None:
