--- a/ploverspoke/cli.py
+++ b/ploverspoke/cli.py
@@ -23,7 +23,7 @@
 
 LAZY_COMMANDS = {
     "testbed": LazyCommand(
-        "ploverspoke.testbed.commands.experiments",
+        "ploverspoke.testbed.commands.main",
         "testbed",
         "Experiments with the dispatcher on virtual time or sockets.",
     ),
--- a/ploverspoke/testbed/checkers/request_audit.py
+++ b/ploverspoke/testbed/checkers/request_audit.py
@@ -235,7 +235,7 @@
             )
 
     def _repeats(self, name: str, s: Submission) -> None:
-        grade = self.e.grades[s.grade]
+        grade = self.e.request_classes[s.grade]
         repeat = self.e.rules_at(s.taken_at)[0][s.grade]
         if repeat == "redoable":
             return
@@ -321,7 +321,8 @@
     """One line of a timeline."""
     detail = event.detail
     if event.what == event_records.SENT:
-        detail = f"{e.grades[detail[0]].name} ({e.grades[detail[0]].repeat}), try {detail[1] + 1}"
+        request_class = e.request_classes[detail[0]]
+        detail = f"{request_class.name} ({request_class.idempotency}), try {detail[1] + 1}"
     who = f" d{event.dispatcher}" if event.dispatcher >= 0 else ""
     return f"{event.at / 1e9:11.6f} s  {event.submission:10}{who:5} {event.worker:5} {event.what}: {detail}"
 
--- a/ploverspoke/testbed/checkers/scale_checker.py
+++ b/ploverspoke/testbed/checkers/scale_checker.py
@@ -68,10 +68,12 @@
     found["starts_a_second"] = len(began) / ((end - begin) / SECOND)
     found |= _urgent(seen)
     found["service"] = seen.score.service
-    for name, grade in seen.score.grades.items():
+    for name, grade in seen.score.request_classes.items():
         found[f"service_of_{name}"] = grade.service
-        for how in ("jobs", "nacks", "abandoned", "broken"):
-            found[f"{how}_{name}"] = getattr(grade, how)
+        found[f"jobs_{name}"] = grade.requests
+        found[f"nacks_{name}"] = grade.rejected
+        found[f"abandoned_{name}"] = grade.failed
+        found[f"broken_{name}"] = grade.broken
     found["broken_rules"] = seen.score.broken_rules
     found["fell_over"] = sum(event.what == event_records.FELL for event in seen.events)
     found["log_lines_a_dispatcher"] = seen.log_lines / count
@@ -114,7 +116,7 @@
 
 def urgent_waits(e: Experiment, events: Sequence[Event]) -> list[int]:
     """Of each urgent job of the counted time: ns from when it was due until it began; -1: never."""
-    grade = next((number for number, g in enumerate(e.grades) if g.name == URGENT), -1)
+    grade = next((number for number, g in enumerate(e.request_classes) if g.name == URGENT), -1)
     due: dict[int, int] = {}
     began: dict[int, int] = {}
     for event in events:
@@ -198,7 +200,9 @@
         v.demand(holds, text)
     if play.what == "restart":
         lost = sum(
-            int(figures[f"{how}_{grade.name}"]) for how in ("abandoned", "broken") for grade in seen.e.grades
+            int(figures[f"{how}_{grade.name}"])
+            for how in ("abandoned", "broken")
+            for grade in seen.e.request_classes
         )
         v.demand(not lost, f"running tasks live through a restart of their dispatcher ({lost} did not)")
     if seen.changes:
--- a/ploverspoke/testbed/commands/demo.py
+++ b/ploverspoke/testbed/commands/demo.py
@@ -1,23 +1,25 @@
-"""`ploverspoke demo`: everything on free loopback ports, thirty seconds of load, two troubles, live."""
+"""`ploverspoke demo`: a small fleet on loopback ports under load and two faults, shown live."""
 
 import sys
 import tempfile
 import time
 from collections import deque
+from collections.abc import Callable
 from pathlib import Path
 from typing import Any
 
 import click
-import msgspec
-from rich.console import Group
+from rich.console import Console, Group
 from rich.live import Live
 from rich.table import Table
 from rich.text import Text
 
+from ..experiment_files.durations import SECOND
 from ..experiment_files.experiment import Experiment, parse_experiment
-from ..reports.tables import console, result_table, verdict
-from ..scenarios.experiment_runner import FORMAT, Result, run_sockets, what_held
-from .experiments import leave
+from ..reports.scores import RunScore
+from ..reports.tables import make_console, result_table, verdict_lines
+from ..scenarios.experiment_runner import make_result, run_sockets
+from .result_files import print_plain, write_result
 
 DEMO: dict[str, Any] = {
     "name": "demo",
@@ -64,49 +66,75 @@
         {"what": "hang", "at": "16s", "lasts": "7s", "workers": ["w4"]},
     ],
 }
-SPARKS = " ▁▂▃▄▅▆▇█"
-COLOURS = {"up": "green", "cold": "cyan", "hung": "yellow", "down": "red", "slow": "magenta"}
-SHOWN_EVERY = 1.0  # seconds, where there is no terminal
-
-
-class Board:
-    """What is shown while it runs, from what the stand-ins tell."""
-
-    def __init__(self, e: Experiment) -> None:
-        self.e = e
-        self.at = 0.0
-        self.workers: dict[str, list[Any]] = {}
-        self.clients: dict[int, dict[str, Any]] = {}
-        self.history: dict[str, deque[float]] = {name: deque(maxlen=40) for name in e.worker_names()}
-
-    def told(self, told: dict[str, Any]) -> None:
-        self.at = told["at"] / 1e9
-        if "workers" in told:
-            self.workers = told["workers"]
+LOAD_BARS = " ▁▂▃▄▅▆▇█"
+STATE_COLOURS = {"up": "green", "cold": "cyan", "hung": "yellow", "down": "red", "slow": "magenta"}
+STATE_NAMES = {"cold": "warming up"}  # shown in place of the fakes' own word
+OUTCOME_NAMES = {"satisfied": "succeeded", "nacked": "rejected", "abandoned": "failed", "broken": "broken"}
+LOAD_HISTORY = 40  # reports
+PRINT_INTERVAL = 1.0  # seconds, where there is no terminal
+REFRESHES_PER_SECOND = 4
+
+Report = dict[str, Any]  # what a fake process reports, as JSON
+
+
+class StatusBoard:
+    """The state of the fleet while it runs, from the reports of the fakes."""
+
+    def __init__(self, experiment: Experiment) -> None:
+        """Start without any report."""
+        self.experiment = experiment
+        self.time = 0.0  # seconds of the run
+        self.workers: dict[str, list[Any]] = {}  # state, load and attempts served, by name
+        self.clients: dict[int, Report] = {}  # the latest report, by process
+        self.loads: dict[str, deque[float]] = {
+            name: deque(maxlen=LOAD_HISTORY) for name in experiment.worker_names()
+        }
+
+    def on_report(self, report: Report) -> None:
+        """Take over one report of a fake process."""
+        self.time = report["at"] / SECOND
+        if "workers" in report:
+            self.workers = report["workers"]
             for name, (_, load, _) in self.workers.items():
-                self.history[name].append(load)
-        elif "answers" in told:
-            self.clients[told["child"]] = told
-
-    def count(self, how: str) -> int:
-        return sum(c["answers"].get(how, 0) for c in self.clients.values())
-
-    def line(self) -> str:
-        sent, out = (sum(c[key] for c in self.clients.values()) for key in ("sent", "out"))
-        hows = ", ".join(f"{self.count(how)} {how}" for how in ("satisfied", "nacked", "abandoned", "broken"))
-        return f"{max(0.0, self.at):5.1f} s: {sent} handed in, {hows}, {out} out"
-
-    def picture(self) -> Group:
+                self.loads[name].append(load)
+        elif "answers" in report:
+            self.clients[report["child"]] = report
+
+    def status_line(self) -> str:
+        """Return the counts of requests by outcome, in a line."""
+        sent = sum(client["sent"] for client in self.clients.values())
+        in_flight = sum(client["out"] for client in self.clients.values())
+        outcomes = ", ".join(f"{self._count(key)} {name}" for key, name in OUTCOME_NAMES.items())
+        return f"{max(0.0, self.time):5.1f} s: {sent} requests sent, {outcomes}, {in_flight} in flight"
+
+    def _count(self, outcome: str) -> int:
+        return sum(client["answers"].get(outcome, 0) for client in self.clients.values())
+
+    def worker_states(self) -> str:
+        """Return the state of each worker, in a line."""
+        return " ".join(f"{name}:{_state_name(state)}" for name, (state, _, _) in self.workers.items())
+
+    def render(self) -> Group:
+        """Return the screen: counts, active faults and a table of the workers."""
         table = Table(box=None, pad_edge=False)
-        for heading in ("worker", "kind", "state", "hand-offs", "load, the last 10 s"):
+        for heading in ("worker", "kind", "state", "attempts", "load, the last 10 s"):
             table.add_column(heading)
-        kinds = [w.kind for w in self.e.workers for _ in range(w.count)]
+        kinds = [group.kind for group in self.experiment.workers for _ in range(group.count)]
         for (name, (state, _, served)), kind in zip(self.workers.items(), kinds, strict=True):
-            bars = "".join(SPARKS[min(8, round(load * 8))] for load in self.history[name])
-            table.add_row(name, kind, Text(state, style=COLOURS[state]), str(served), bars)
-        troubles = [t for t in self.e.troubles if t.at <= self.at * 1e9 < t.at + t.lasts]
-        now = "; ".join(f"{t.name}: {', '.join(t.workers)}" for t in troubles) or "all is well"
-        return Group(Text(self.line()), Text(now, style="red" if troubles else "green"), table)
+            top = len(LOAD_BARS) - 1
+            bars = "".join(LOAD_BARS[min(top, round(load * top))] for load in self.loads[name])
+            table.add_row(name, kind, Text(_state_name(state), style=STATE_COLOURS[state]), str(served), bars)
+        return Group(Text(self.status_line()), self._fault_line(), table)
+
+    def _fault_line(self) -> Text:
+        now = self.time * SECOND
+        active = [fault for fault in self.experiment.faults if fault.at <= now < fault.at + fault.lasts]
+        text = "; ".join(f"{fault.name}: {', '.join(fault.workers)}" for fault in active)
+        return Text(text or "no fault", style="red" if active else "green")
+
+
+def _state_name(state: str) -> str:
+    return STATE_NAMES.get(state, state)
 
 
 @click.command()
@@ -117,41 +145,49 @@
 def demo(out: Path | None, seconds: int) -> None:
     """See it work: discovery, six workers of two kinds, two dispatchers and mixed load, on free ports.
 
-    One worker is killed after 8 s and one hangs after 16 s. It ends with service by grade and the audit's
-    verdict.
+    One worker is killed after 8 s and one hangs after 16 s. It ends with the service by request class and the
+    verdict of an audit.
     """
-    e = parse_experiment({**DEMO, "lasts": f"{seconds}s"})
+    experiment = parse_experiment({**DEMO, "lasts": f"{seconds}s"})
     folder = out or Path(tempfile.mkdtemp(prefix="ploverspoke-demo-"))
-    board, show = Board(e), console()
-    show.print("Starting two dispatchers and the stand-ins round them.")
-    if show.is_terminal:
-        with Live(console=show, refresh_per_second=4) as screen:
-
-            def paint(told: dict[str, Any]) -> None:
-                board.told(told)
-                if board.workers:
-                    screen.update(board.picture())
-
-            run = run_sockets(e, e.seeds[0], None, paint)
-    else:
-        last = time.monotonic()
-
-        def say(told: dict[str, Any]) -> None:
-            nonlocal last
-            board.told(told)
-            if time.monotonic() - last >= SHOWN_EVERY:
-                last = time.monotonic()
-                states = " ".join(f"{name}:{state}" for name, (state, _, _) in board.workers.items())
-                print(f"{board.line()}  {states}", flush=True)
-
-        run = run_sockets(e, e.seeds[0], None, say)
-    held, failed = what_held(e, [run])
-    result = Result(FORMAT, "sockets", msgspec.to_builtins(e, enc_hook=int), [run], held, failed)
-    leave(result, folder)
-    show.print(result_table(result))
-    for line in verdict(result):
-        show.print(line, markup=False, highlight=False, soft_wrap=True)
-    show.print(
-        f"plots: {folder}/service.svg, waits.svg, workers.svg", markup=False, highlight=False, soft_wrap=True
-    )
-    sys.exit(1 if failed else 0)
+    console = make_console()
+    console.print("Starting two dispatchers, fake workers, discovery and clients.")
+    run = _run_live(experiment, console) if console.is_terminal else _run_printing(experiment)
+    result = make_result(experiment, "sockets", [run])
+    write_result(result, folder)
+    console.print(result_table(result))
+    for line in verdict_lines(result):
+        print_plain(console, line)
+    print_plain(console, f"plots: {folder}/service.svg, waits.svg, workers.svg")
+    sys.exit(1 if result.failed else 0)
+
+
+def _run_live(experiment: Experiment, console: Console) -> RunScore:
+    """Run the experiment while the terminal shows its state."""
+    board = StatusBoard(experiment)
+    with Live(console=console, refresh_per_second=REFRESHES_PER_SECOND) as screen:
+
+        def show(report: Report) -> None:
+            board.on_report(report)
+            if board.workers:
+                screen.update(board.render())
+
+        return run_sockets(experiment, experiment.seeds[0], None, show)
+
+
+def _run_printing(experiment: Experiment) -> RunScore:
+    """Run the experiment and print a line of its state in each interval."""
+    return run_sockets(experiment, experiment.seeds[0], None, _line_printer(StatusBoard(experiment)))
+
+
+def _line_printer(board: StatusBoard) -> Callable[[Report], None]:
+    printed_at = time.monotonic()
+
+    def on_report(report: Report) -> None:
+        nonlocal printed_at
+        board.on_report(report)
+        if time.monotonic() - printed_at >= PRINT_INTERVAL:
+            printed_at = time.monotonic()
+            print(f"{board.status_line()}  {board.worker_states()}", flush=True)
+
+    return on_report
--- a/ploverspoke/testbed/commands/measure_costs.py
+++ b/ploverspoke/testbed/commands/measure_costs.py
@@ -23,7 +23,7 @@
 from ..capacity.measurements import config_server, dispatcher, fleet, lease_server, store_replica, tools
 from ..capacity.measurements.parts import Measurement, MeasurementRequest, MeasurementResult
 from ..processes.capacity_check import CapacityError
-from ..reports.tables import console
+from ..reports.tables import make_console
 
 PARTS: list[Measurement] = [
     *dispatcher.PARTS,
@@ -158,7 +158,7 @@
         click.echo(msgspec.json.format(msgspec.json.encode(told)).decode())
     else:
         for table in tables(found.lines):
-            console().print(table)
+            make_console().print(table)
         for text in found.void:
             click.echo(f"void: {text}")
         for text in against:
--- a/ploverspoke/testbed/experiment_files/experiment.py
+++ b/ploverspoke/testbed/experiment_files/experiment.py
@@ -70,20 +70,31 @@
 Law = Fixed | Exponential | Lognormal | Pareto
 
 
-# ---- The world ----
-
-
-class Grade(Part, frozen=True, kw_only=True):
-    """A service grade, with the work that its jobs are."""
+# ---- The fleet ----
+
+
+class RequestClass(
+    Part,
+    frozen=True,
+    kw_only=True,
+    rename={
+        "idempotency": "repeat",
+        "latency_objective": "expected_time",
+        "deadline": "abandon_time",
+        "weight": "benefit",
+        "overdue_weight": "overdue_benefit",
+    },
+):
+    """A request class (`[[grades]]`), with the work of its requests."""
 
     name: str
-    repeat: Literal["redoable", "labelled", "irreversible"] = "redoable"
+    idempotency: Literal["redoable", "labelled", "irreversible"] = "redoable"
     group: Literal["all", "zone", "rack"] = "all"  # within which repeats of labelled ones are dropped
     window: Duration = Duration(10 * SECOND)  # for which they are
-    expected_time: Duration = Duration(300 * MILLISECOND)
-    abandon_time: Duration = Duration(3 * SECOND)
-    benefit: float = 1.0
-    overdue_benefit: float = 0.0
+    latency_objective: Duration = Duration(300 * MILLISECOND)
+    deadline: Duration = Duration(3 * SECOND)
+    weight: float = 1.0
+    overdue_weight: float = 0.0
     kind: str = ""  # of machine that it needs
     work: Law = Lognormal(mean=Duration(30 * MILLISECOND))  # at speed 1
     share: float = 1.0  # of the submissions, beside the other grades
@@ -91,7 +102,7 @@
     subjects: int = 0  # that its jobs are about, drawn with shares that fall as 1/rank; 0: none
 
 
-class Customer(Part, frozen=True, kw_only=True):
+class Tenant(Part, frozen=True, kw_only=True):
     name: str
     share: float = 1.0
 
@@ -191,7 +202,7 @@
     burst: int = 1  # submissions that come at one instant
 
 
-class Trouble(Part, tag_field="what", frozen=True, kw_only=True):
+class Fault(Part, tag_field="what", frozen=True, kw_only=True):
     """Begins at a time and ends after another; several may lie over one another."""
 
     of_workers: ClassVar[bool] = True
@@ -208,92 +219,92 @@
         return str(self.__struct_config__.tag)
 
 
-class Crash(Trouble, tag="crash", frozen=True, kw_only=True):
+class Crash(Fault, tag="crash", frozen=True, kw_only=True):
     """The process dies; it returns cold."""
 
 
-class Drain(Trouble, tag="drain", frozen=True, kw_only=True):
+class Drain(Fault, tag="drain", frozen=True, kw_only=True):
     """Told to end: finishes what it has, is gone, returns cold."""
 
 
-class Hang(Trouble, tag="hang", frozen=True, kw_only=True):
+class Hang(Fault, tag="hang", frozen=True, kw_only=True):
     """Says and does nothing; then goes on."""
 
 
-class Pauses(Trouble, tag="pauses", frozen=True, kw_only=True):
+class Pauses(Fault, tag="pauses", frozen=True, kw_only=True):
     """Short hangs, again and again."""
 
     every: Duration = Duration(SECOND)
     each: Duration = Duration(100 * MILLISECOND)
 
 
-class Slow(Trouble, tag="slow", frozen=True, kw_only=True):
+class Slow(Fault, tag="slow", frozen=True, kw_only=True):
     factor: float = 4.0
 
 
-class QuickErrors(Trouble, tag="quick errors", frozen=True, kw_only=True):
+class QuickErrors(Fault, tag="quick errors", frozen=True, kw_only=True):
     errors: float = 1.0  # share of its jobs that fail at once
 
 
-class LateReports(Trouble, tag="late reports", frozen=True, kw_only=True):
+class LateReports(Fault, tag="late reports", frozen=True, kw_only=True):
     by: Duration = Duration(2 * SECOND)
 
 
-class Resets(Trouble, tag="resets", frozen=True, kw_only=True):
+class Resets(Fault, tag="resets", frozen=True, kw_only=True):
     """Connections of hand-offs break under way."""
 
     errors: float = 0.1
 
 
-class Silences(Trouble, tag="silences", frozen=True, kw_only=True):
+class Silences(Fault, tag="silences", frozen=True, kw_only=True):
     """Connections of hand-offs stay open and say nothing more."""
 
     errors: float = 0.1
 
 
-class DropsAtRest(Trouble, tag="drops at rest", frozen=True, kw_only=True):
+class DropsAtRest(Fault, tag="drops at rest", frozen=True, kw_only=True):
     """Connections at rest are dropped unseen; the next request on one breaks."""
 
     errors: float = 0.1
 
 
-class ZoneCut(Trouble, tag="zone cut", frozen=True, kw_only=True):
+class ZoneCut(Fault, tag="zone cut", frozen=True, kw_only=True):
     """Nothing passes between that zone and the others."""
 
     of_workers = False
 
 
-class RegionCut(Trouble, tag="region cut", frozen=True, kw_only=True):
+class RegionCut(Fault, tag="region cut", frozen=True, kw_only=True):
     """Nothing passes between that region and the others, nor between it and a discovery in another."""
 
     of_workers = False
     region: int = 1  # its place in network.regions
 
 
-class StoreJam(Trouble, tag="store jam", frozen=True, kw_only=True):
+class StoreJam(Fault, tag="store jam", frozen=True, kw_only=True):
     of_workers = False
     factor: float = 10.0
 
 
-class DiscoveryDown(Trouble, tag="discovery down", frozen=True, kw_only=True):
+class DiscoveryDown(Fault, tag="discovery down", frozen=True, kw_only=True):
     of_workers = False
 
 
-class DispatcherKilled(Trouble, tag="dispatcher killed", frozen=True, kw_only=True):
+class DispatcherKilled(Fault, tag="dispatcher killed", frozen=True, kw_only=True):
     """SIGKILL; it starts again from nothing when this ends."""
 
     of_workers = False
     dispatchers: list[int] = []
 
 
-class DispatcherPaused(Trouble, tag="dispatcher paused", frozen=True, kw_only=True):
+class DispatcherPaused(Fault, tag="dispatcher paused", frozen=True, kw_only=True):
     """SIGSTOP, and SIGCONT when this ends."""
 
     of_workers = False
     dispatchers: list[int] = []
 
 
-class KilledAtRandom(Trouble, tag="killed at random", frozen=True, kw_only=True):
+class KilledAtRandom(Fault, tag="killed at random", frozen=True, kw_only=True):
     """One dispatcher after the other is killed or paused, drawn from the seed, each back before the next."""
 
     of_workers = False
@@ -302,14 +313,14 @@
     pauses: float = 0.3  # share that is paused in place of being killed
 
 
-class DispatcherRestarted(Trouble, tag="dispatcher restarted", frozen=True, kw_only=True):
+class DispatcherRestarted(Fault, tag="dispatcher restarted", frozen=True, kw_only=True):
     """SIGTERM, then a new start when this ends."""
 
     of_workers = False
     dispatchers: list[int] = []
 
 
-class DispatcherReplaced(Trouble, tag="dispatcher replaced", frozen=True, kw_only=True):
+class DispatcherReplaced(Fault, tag="dispatcher replaced", frozen=True, kw_only=True):
     """A second process starts beside it at its address; once that serves, the first is told to end.
 
     It has until this ends; both are one dispatcher to the rules.
@@ -319,15 +330,17 @@
     dispatchers: list[int] = []
 
 
-class SettingsChanged(Trouble, tag="settings changed", frozen=True, kw_only=True):
+class SettingsChanged(
+    Fault, tag="settings changed", frozen=True, kw_only=True, rename={"idempotency": "repeat"}
+):
     """Other rules for what is taken while this lasts; what is open keeps those that it was taken under."""
 
     of_workers = False
-    repeat: dict[str, Literal["redoable", "irreversible"]] = {}  # by grade
+    idempotency: dict[str, Literal["redoable", "irreversible"]] = {}  # by grade
     most_hand_offs: int | None = None
 
 
-AnyTrouble = (
+AnyFault = (
     Crash
     | Drain
     | Hang
@@ -360,15 +373,20 @@
     over: dict[str, float] = {}  # baseline -> by so much more service, at the least
 
 
-class Experiment(Part, frozen=True, kw_only=True):
+class Experiment(
+    Part,
+    frozen=True,
+    kw_only=True,
+    rename={"request_classes": "grades", "tenants": "customers", "faults": "troubles"},
+):
     name: str
     about: str = ""
     lasts: Duration
     counted_from: Duration = Duration(0)  # submissions before that time do not count for service
     seeds: list[int] = msgspec.field(default_factory=lambda: [1, 2, 3])
     policies: list[str] = msgspec.field(default_factory=lambda: ["ours"])
-    grades: list[Grade]
-    customers: list[Customer] = msgspec.field(default_factory=lambda: [Customer(name="all")])
+    request_classes: list[RequestClass]
+    tenants: list[Tenant] = msgspec.field(default_factory=lambda: [Tenant(name="all")])
     workers: list[Workers]
     worker_rules: WorkerRules = WorkerRules()
     store: Store | None = None
@@ -378,7 +396,7 @@
     rules: Rules = Rules()
     clients: Clients = Clients()
     traffic: list[Traffic]
-    troubles: list[AnyTrouble] = []
+    faults: list[AnyFault] = []
     timeline: list[
         FaultStep
     ] = []  # on sockets only: faults on processes d0, d1... and the links between them
@@ -386,10 +404,12 @@
 
     def rules_at(self, at: int) -> tuple[list[str], int]:
         """What binds a submission taken then: whether it may be repeated, by grade, and how often sent."""
-        repeat, most = [g.repeat for g in self.grades], self.rules.most_hand_offs
-        for t in self.troubles:
+        repeat, most = [g.idempotency for g in self.request_classes], self.rules.most_hand_offs
+        for t in self.faults:
             if isinstance(t, SettingsChanged) and t.at <= at < t.at + t.lasts:
-                repeat = [t.repeat.get(g.name, r) for g, r in zip(self.grades, repeat, strict=True)]
+                repeat = [
+                    t.idempotency.get(g.name, r) for g, r in zip(self.request_classes, repeat, strict=True)
+                ]
                 most = most if t.most_hand_offs is None else t.most_hand_offs
         return list(repeat), most
 
@@ -457,11 +477,11 @@
 
     must(e.lasts > 0, "lasts", "must be more than nothing")
     must(e.counted_from < e.lasts, "counted_from", "lies beyond the end")
-    for key, listed in (("seeds", e.seeds), ("policies", e.policies), ("grades", e.grades)):
+    for key, listed in (("seeds", e.seeds), ("policies", e.policies), ("grades", e.request_classes)):
         must(len(listed) > 0, key, "none is given")
     must(bool(e.workers), "workers", "none are given")
     must(bool(e.traffic), "traffic", "none is given")
-    must(len({g.name for g in e.grades}) == len(e.grades), "grades", "two have one name")
+    must(len({g.name for g in e.request_classes}) == len(e.request_classes), "grades", "two have one name")
     must(e.dispatchers.count > 0, "dispatchers.count", "must be 1 or more")
     for at, w in enumerate(e.workers):
         must(
@@ -470,10 +490,10 @@
             "count, slots and speed must be over 0",
         )
     most = max(w.slots for w in e.workers)
-    for at, g in enumerate(e.grades):
+    for at, g in enumerate(e.request_classes):
         must(not g.kind or g.kind in e.kinds(), f"grades[{at}].kind", f"no worker is a {g.kind!r}")
-        must(g.share >= 0 and g.benefit >= 0, f"grades[{at}]", "share and benefit must not be below 0")
-        must(g.expected_time <= g.abandon_time, f"grades[{at}].expected_time", "is beyond abandon_time")
+        must(g.share >= 0 and g.weight >= 0, f"grades[{at}]", "share and benefit must not be below 0")
+        must(g.latency_objective <= g.deadline, f"grades[{at}].latency_objective", "is beyond abandon_time")
         for slots in g.slots:
             must(
                 _is_number(slots) and 0 < float(slots) <= most,
@@ -492,20 +512,24 @@
     if placed:
         must(sorted(placed) == sorted(e.zones()), "network.regions", "each zone has to be in one of them")
         must(e.network.farther >= e.network.far, "network.farther", "is less than far")
-    _check_troubles(e, must)
+    _check_faults(e, must)
     try:
         check_timeline(e.timeline, [f"d{number}" for number in range(e.dispatchers.count)])
     except TimelineError as error:
         raise ExperimentError(str(error)) from None
     for grade in e.must_hold.service_of_grade:
-        must(any(g.name == grade for g in e.grades), f"must_hold.service_of_grade.{grade}", "no such grade")
+        must(
+            any(g.name == grade for g in e.request_classes),
+            f"must_hold.service_of_grade.{grade}",
+            "no such grade",
+        )
     for policy in e.must_hold.over:
         must(policy in e.policies, f"must_hold.over.{policy}", "is not among the policies")
 
 
-def _check_troubles(e: Experiment, must: Any) -> None:
+def _check_faults(e: Experiment, must: Any) -> None:
     names = set(e.worker_names())
-    for at, t in enumerate(e.troubles):
+    for at, t in enumerate(e.faults):
         key = f"troubles[{at}]"
         must(t.at + t.lasts <= e.lasts, key, f"{t.name!r} ends beyond the end of the run")
         must(set(t.workers) <= names, f"{key}.workers", f"unknown: {sorted(set(t.workers) - names)}")
@@ -521,7 +545,11 @@
                 "network.regions has none of that number",
             )
         if isinstance(t, SettingsChanged):
-            must(set(t.repeat) <= {g.name for g in e.grades}, f"{key}.repeat", "names a grade that is none")
+            must(
+                set(t.idempotency) <= {g.name for g in e.request_classes},
+                f"{key}.repeat",
+                "names a grade that is none",
+            )
             must(t.most_hand_offs is None or t.most_hand_offs > 0, f"{key}.most_hand_offs", "must be over 0")
         if isinstance(t, DispatcherKilled | DispatcherPaused | DispatcherRestarted | DispatcherReplaced):
             known = all(0 <= d < e.dispatchers.count for d in t.dispatchers)
@@ -546,7 +574,7 @@
         DispatcherReplaced: "replaced",
     }
     found: list[tuple[int, int, int, str]] = []
-    for number, t in enumerate(e.troubles):
+    for number, t in enumerate(e.faults):
         if isinstance(t, DispatcherKilled | DispatcherPaused | DispatcherRestarted | DispatcherReplaced):
             found += [(t.at, t.at + t.lasts, d, kinds[type(t)]) for d in t.dispatchers]
         elif isinstance(t, KilledAtRandom):
--- a/ploverspoke/testbed/fakes/client_process.py
+++ b/ploverspoke/testbed/fakes/client_process.py
@@ -110,7 +110,8 @@
         self.dispatchers: list[str] = []
         self.count: Counter[str] = Counter()
         self.heads = [
-            f"POST /{g.name} HTTP/1.1\r\nHost: testbed\r\nContent-Length: 4\r\n" for g in self.e.grades
+            f"POST /{g.name} HTTP/1.1\r\nHost: testbed\r\nContent-Length: 4\r\n"
+            for g in self.e.request_classes
         ]
         self.leaving = [
             (begin + FRONT_NOTICES, end, d)
@@ -144,7 +145,7 @@
             lines.append(f"Request-Info: slots={job.slots:g}\r\n")
         if request.label:
             lines.append(f"Job-Label: {request.label}\r\n")
-        lines.append(f"Tenant: {self.e.customers[job.customer].name}\r\n\r\nwork")
+        lines.append(f"Tenant: {self.e.tenants[job.customer].name}\r\n\r\nwork")
         return (self.heads[job.grade] + "".join(lines)).encode("latin-1")
 
     # ---- Connections ----
--- a/ploverspoke/testbed/fakes/discovery_server.py
+++ b/ploverspoke/testbed/fakes/discovery_server.py
@@ -110,12 +110,12 @@
         elif "who was told" in told:
             send_message({"told": sum(one.bytes_in > 0 for one in self.counters.traffic)})
         elif "fell" in told:
-            self.troubles.fell(told["fell"])
+            self.faults.fell(told["fell"])
         elif "back" in told:
-            self.troubles.back(told["back"])
+            self.faults.back(told["back"])
 
     def begin(self, told: dict[str, Any]) -> None:
-        self.troubles = DiscoveryFaults(self.e, self.seed, self.clock, self.roster)
+        self.faults = DiscoveryFaults(self.e, self.seed, self.clock, self.roster)
         cuts, zones = ZoneCuts(self.e, self.clock), len(self.zones)
         self.roster.unreached = lambda dispatcher: not cuts.reaches_discovery(dispatcher % zones)
 
--- a/ploverspoke/testbed/models/clients.py
+++ b/ploverspoke/testbed/models/clients.py
@@ -121,9 +121,9 @@
 
     def _try(self, job: ScheduledRequest, tries: int, dispatcher: int, first_sent: int) -> None:
         now = self.clock.now()
-        grade = self.e.grades[job.grade]
-        abandon_at = first_sent + grade.abandon_time
-        labelled = grade.repeat == "labelled"
+        grade = self.e.request_classes[job.grade]
+        abandon_at = first_sent + grade.deadline
+        labelled = grade.idempotency == "labelled"
         request = ClientRequest(job, tries, dispatcher, now, abandon_at, labelled)
         self.records.add(
             now,
@@ -159,7 +159,7 @@
         self._note(event_records.ANSWERED, request, how)
         if self.e.dispatchers.store and self.draws.happens(TWICE):
             self.clock.at(self.clock.now() + ASK_AGAIN, self._ask_twice, request)
-        repeat = self.e.grades[request.job.grade].repeat
+        repeat = self.e.request_classes[request.job.grade].idempotency
         if how == "nacked" or (how == "broken" and repeat == "redoable"):
             self._again(request, come_back_after)
 
@@ -224,7 +224,7 @@
         other = (request.dispatcher + 1 + self.draws.below(count - 1)) % count if count > 1 else 0
         now = self.clock.now()
         if now + wait + LEAST_PATIENCE < request.abandon_at:
-            first_sent = request.abandon_at - self.e.grades[request.job.grade].abandon_time
+            first_sent = request.abandon_at - self.e.request_classes[request.job.grade].deadline
             self.clock.at(now + int(wait), self._try, request.job, request.tries + 1, other, first_sent)
 
     def _leave(self, request: ClientRequest) -> None:
--- a/ploverspoke/testbed/models/deployment_settings.py
+++ b/ploverspoke/testbed/models/deployment_settings.py
@@ -31,19 +31,19 @@
                 "Repeat": REPEATS[r],
                 "Group": GROUPS[g.group],
                 "RepeatWindowUs": us(g.window),
-                "ExpectedTimeUs": us(g.expected_time),
-                "AbandonTimeUs": us(g.abandon_time),
-                "Benefit": g.benefit,
-                "OverdueBenefit": g.overdue_benefit,
+                "ExpectedTimeUs": us(g.latency_objective),
+                "AbandonTimeUs": us(g.deadline),
+                "Benefit": g.weight,
+                "OverdueBenefit": g.overdue_weight,
             }
-            for g, r in zip(e.grades, repeat, strict=True)
+            for g, r in zip(e.request_classes, repeat, strict=True)
         ],
-        "Tenants": [{"Name": c.name, "Portion": c.share} for c in e.customers],
+        "Tenants": [{"Name": c.name, "Portion": c.share} for c in e.tenants],
         "Domain": {
             "TellsStart": workers.tells_start,
             "ProgressUs": us(workers.progress_every),
             "ReportX0": "free slots",
-            "ClassKind": [kinds.index(g.kind) if g.kind else -1 for g in e.grades],
+            "ClassKind": [kinds.index(g.kind) if g.kind else -1 for g in e.request_classes],
         },
         "Report": {"Via": "on_probe", "Fields": ["backlog", "x0"]},
         "Limits": {
--- a/ploverspoke/testbed/models/faults.py
+++ b/ploverspoke/testbed/models/faults.py
@@ -23,7 +23,7 @@
     kinds = [(w.zone, w.kind) for w in e.workers for _ in range(w.count)]
     names = e.worker_names()
     found = []
-    for number, t in enumerate(e.troubles):
+    for number, t in enumerate(e.faults):
         if t.workers or not t.of_workers:
             found.append(list(t.workers))
             continue
@@ -83,12 +83,12 @@
         self.died = died
         self.returned = returned
         self.down: dict[str, set[int]] = {w.name: set() for w in workers}
-        self.next_fall = len(e.troubles)
+        self.next_fall = len(e.faults)
         self.on_fall: Callable[[str], None] = _unheard  # told of those pushed over, and when they are back
         self.on_back: Callable[[str], None] = _unheard
         for worker in workers:
             worker.on_fall = self.fell
-        for number, (trouble, names) in enumerate(zip(e.troubles, struck(e, seed), strict=True)):
+        for number, (trouble, names) in enumerate(zip(e.faults, struck(e, seed), strict=True)):
             ours = [self.workers[n] for n in names if n in self.workers]
             for worker in ours:
                 clock.at(trouble.at, self._begin, number, trouble, worker)
@@ -106,7 +106,7 @@
         self._come_back(number, worker)
         self.on_back(worker.name)
 
-    def _begin(self, number: int, t: ex.Trouble, worker: Worker) -> None:
+    def _begin(self, number: int, t: ex.Fault, worker: Worker) -> None:
         if isinstance(t, ex.Crash):
             self._go_down(number, worker)
         elif isinstance(t, ex.Drain):
@@ -133,7 +133,7 @@
         elif isinstance(t, ex.DropsAtRest):
             self.connections.drops.setdefault(worker.name, {})[number] = t.errors
 
-    def _end(self, number: int, t: ex.Trouble, worker: Worker) -> None:
+    def _end(self, number: int, t: ex.Fault, worker: Worker) -> None:
         if isinstance(t, LIKE_CRASH):
             if worker.up:
                 self._go_down(number, worker)  # a drain's time is over with work still there
@@ -180,7 +180,7 @@
         self.clock = clock
         self.roster = roster
         self.down: dict[str, set[int]] = {}
-        for number, (t, names) in enumerate(zip(e.troubles, struck(e, seed), strict=True)):
+        for number, (t, names) in enumerate(zip(e.faults, struck(e, seed), strict=True)):
             end = t.at + t.lasts
             if isinstance(t, ex.DiscoveryDown):
                 clock.at(t.at, roster.go_down, number)
@@ -220,7 +220,7 @@
 
 class StoreFaults:
     def __init__(self, e: ex.Experiment, clock: Clock, store: SharedStore | None) -> None:
-        for number, t in enumerate(e.troubles):
+        for number, t in enumerate(e.faults):
             if store is not None and isinstance(t, ex.StoreJam):
                 clock.at(t.at, store.jams.__setitem__, number, t.factor)
                 clock.at(t.at + t.lasts, store.jams.__delitem__, number)
@@ -233,7 +233,7 @@
         self.cut: dict[int, frozenset[int]] = {}  # zones on the one side, by the trouble's number
         self.calls_cut: dict[int, frozenset[int]] = {}  # zones that do not reach discovery
         zones = e.zones()
-        for number, t in enumerate(e.troubles):
+        for number, t in enumerate(e.faults):
             if isinstance(t, ex.ZoneCut):
                 self._plan(clock, self.cut, number, t, frozenset([zones.index(t.zone)]))
             elif isinstance(t, ex.RegionCut):
@@ -244,7 +244,7 @@
 
     @staticmethod
     def _plan(
-        clock: Clock, of: dict[int, frozenset[int]], number: int, t: ex.Trouble, side: frozenset[int]
+        clock: Clock, of: dict[int, frozenset[int]], number: int, t: ex.Fault, side: frozenset[int]
     ) -> None:
         clock.at(t.at, of.__setitem__, number, side)
         clock.at(t.at + t.lasts, of.__delitem__, number)
--- a/ploverspoke/testbed/models/request_schedule.py
+++ b/ploverspoke/testbed/models/request_schedule.py
@@ -28,9 +28,11 @@
     streams = RandomStreams(seed)
     times = np.sort(np.concatenate([_arrivals(t, e, streams, n) for n, t in enumerate(e.traffic)]))
     count = len(times)
-    grades = streams.generator("grades").choice(len(e.grades), count, p=shares([g.share for g in e.grades]))
+    grades = streams.generator("grades").choice(
+        len(e.request_classes), count, p=shares([g.share for g in e.request_classes])
+    )
     customers = streams.generator("customers").choice(
-        len(e.customers), count, p=shares([c.share for c in e.customers])
+        len(e.tenants), count, p=shares([c.share for c in e.tenants])
     )
     dispatchers = streams.generator("dispatchers").integers(0, e.dispatchers.count, count)
     leaving = streams.generator("leaving")
@@ -38,7 +40,7 @@
     work = np.zeros(count)
     slots = np.ones(count)
     subjects = np.full(count, -1)
-    for number, grade in enumerate(e.grades):
+    for number, grade in enumerate(e.request_classes):
         of_grade = np.flatnonzero(grades == number)
         work[of_grade] = grade.work.sample(streams.generator(f"work {grade.name}"), len(of_grade))
         if grade.slots:
@@ -56,10 +58,10 @@
             int(grades[n]),
             float(slots[n]),
             max(1, int(work[n])),
-            f"{e.grades[grades[n]].name}/{subjects[n]}" if subjects[n] >= 0 else "",
+            f"{e.request_classes[grades[n]].name}/{subjects[n]}" if subjects[n] >= 0 else "",
             int(customers[n]),
             int(dispatchers[n]),
-            int(leaves[n] * e.grades[grades[n]].abandon_time),
+            int(leaves[n] * e.request_classes[grades[n]].deadline),
         )
         for n in range(count)
     ]
--- a/ploverspoke/testbed/models/virtual_run.py
+++ b/ploverspoke/testbed/models/virtual_run.py
@@ -128,13 +128,13 @@
         seed = world.streams.seed * 1_000_003 + number * 7919 + start
         true_load = partial(world.true_load, self.zone) if policy == "all-seeing" else None
         self.settings = world.settings[self.zone]
-        self.rows = RequestClassTable([g.name for g in world.e.grades])
+        self.rows = RequestClassTable([g.name for g in world.e.request_classes])
         self.decisions = POLICIES[policy](self, seed, self.settings, true_load)
         self._tell_roster(world.first_list)
         self.decisions.started()
 
     def settings_changed(self, settings: Settings) -> None:
-        names, in_use = [g.name for g in self.world.e.grades], {t.grade for t in self.taken.values()}
+        names, in_use = [g.name for g in self.world.e.request_classes], {t.grade for t in self.taken.values()}
         self.settings, takes_over = self.rows.apply(self.settings, settings, names, in_use)
         self.decisions.settings_changed(self.settings, takes_over)
 
@@ -143,7 +143,7 @@
     @held_while_paused
     def arrived(self, request: ClientRequest) -> None:
         job = request.job
-        grade = self.rows.numbers[self.world.e.grades[job.grade].name]
+        grade = self.rows.numbers[self.world.e.request_classes[job.grade].name]
         taken = Taken(self.next, grade, request)
         self.next += 1
         self.taken[taken.number] = taken
@@ -426,7 +426,7 @@
         self.roster.unreached = lambda dispatcher: not self.cuts.reaches_discovery(dispatcher % len(zones))
         self.latency = [[e.one_way(a, b) for b in range(len(zones))] for a in range(len(zones))]
         self.settings = self._current_settings()
-        for t in e.troubles:
+        for t in e.faults:
             if isinstance(t, ex.SettingsChanged):
                 self.clock.at(t.at, self._change_settings)
                 self.clock.at(t.at + t.lasts, self._change_settings)
@@ -462,7 +462,7 @@
 
     def run(self, told: Callable[[int], None] | None = None) -> list[Event]:
         """To the end and until all that was taken must be answered; `told` hears the time once a second."""
-        end = self.e.lasts + max(g.abandon_time for g in self.e.grades) + FINAL_CALM
+        end = self.e.lasts + max(g.deadline for g in self.e.request_classes) + FINAL_CALM
         for second in range(SECOND, end + SECOND, SECOND):
             self.clock.run(min(second, end))
             if told is not None:
--- a/ploverspoke/testbed/models/worker.py
+++ b/ploverspoke/testbed/models/worker.py
@@ -115,7 +115,7 @@
         self.speed = told.speed
         self.most_waiting = told.waiting
         self.rules = e.worker_rules
-        self.grades = e.grades
+        self.request_classes = e.request_classes
         self.clock = clock
         self.records = records_
         self.racks = racks  # by labelled grade
@@ -323,7 +323,7 @@
                 return
 
     def _begin(self, run: Execution) -> None:
-        job, grade = run.job, self.grades[run.job.grade]
+        job, grade = run.job, self.request_classes[run.job.grade]
         if run.label:
             earlier = self.racks[job.grade].repeated(run.label, grade.window)
             if earlier is not None and earlier is not run:
--- a/ploverspoke/testbed/models/worker_fleet.py
+++ b/ploverspoke/testbed/models/worker_fleet.py
@@ -29,8 +29,8 @@
 
     def racks(zone: int, rack: int) -> dict[int, Rack]:
         found = {}
-        for number, grade in enumerate(e.grades):
-            if grade.repeat == "labelled":
+        for number, grade in enumerate(e.request_classes):
+            if grade.idempotency == "labelled":
                 key = (number, grade.group, {"all": 0, "zone": zone, "rack": rack}[grade.group])
                 found[number] = known.setdefault(key, Rack(clock))
         return found
--- a/ploverspoke/testbed/reports/comparison.py
+++ b/ploverspoke/testbed/reports/comparison.py
@@ -1,13 +1,13 @@
-"""Two results side by side: the difference for each seed that both have, and its interval."""
+"""Compares two results pair by pair over the seeds that both have, with confidence intervals."""
 
 from math import sqrt
 from statistics import fmean, stdev
 from typing import NamedTuple
 
-from ..scenarios.experiment_runner import Result
+from .experiment_result import OWN_POLICY, Result
 
-# Two-sided 95% of Student's t, by degrees of freedom; past the last the normal distribution's.
-STUDENT = (
+# Two-sided 95% quantiles of Student's t distribution, from one degree of freedom on.
+STUDENT_T_95 = (
     12.706,
     4.303,
     3.182,
@@ -24,49 +24,51 @@
     2.145,
     2.131,
 )
-NORMAL = 1.96
+NORMAL_95 = 1.96  # of the normal distribution, for more degrees of freedom
 
 
 class Difference(NamedTuple):
-    what: str
-    one: float
-    other: float
-    by: float  # other less one, the mean over the pairs
+    """One metric on two sides: means, and the mean difference (second less first) with its interval."""
+
+    metric: str
+    first: float
+    second: float
+    mean: float
     margin: float  # half of the 95% interval; infinite with a single pair
     pairs: int
 
     def is_clear(self) -> bool:
-        """Whether the interval leaves out no difference at all."""
-        return abs(self.by) > self.margin
+        """Whether the interval excludes zero."""
+        return abs(self.mean) > self.margin
 
 
-def difference(what: str, pairs: list[tuple[float, float]]) -> Difference:
-    one, other = fmean(a for a, _ in pairs), fmean(b for _, b in pairs)
+def paired_difference(metric: str, pairs: list[tuple[float, float]]) -> Difference:
+    """Estimate the mean difference of paired samples (Student's paired t interval)."""
+    first, second = fmean(a for a, _ in pairs), fmean(b for _, b in pairs)
     margin = float("inf")
     if len(pairs) > 1:
         degrees = len(pairs) - 1
-        factor = STUDENT[degrees - 1] if degrees <= len(STUDENT) else NORMAL
-        margin = factor * stdev(b - a for a, b in pairs) / sqrt(len(pairs))
-    return Difference(what, one, other, other - one, margin, len(pairs))
+        quantile = STUDENT_T_95[degrees - 1] if degrees <= len(STUDENT_T_95) else NORMAL_95
+        margin = quantile * stdev(b - a for a, b in pairs) / sqrt(len(pairs))
+    return Difference(metric, first, second, second - first, margin, len(pairs))
 
 
 def compare_results(
-    one: Result, other: Result, policy_one: str = "ours", policy_other: str = "ours"
+    first: Result, second: Result, first_policy: str = OWN_POLICY, second_policy: str = OWN_POLICY
 ) -> list[Difference]:
-    """Service in all and by grade; empty where no seed is in both."""
-    left = {r.seed: r for r in one.of(policy_one) if not r.void}
-    right = {r.seed: r for r in other.of(policy_other) if not r.void}
-    seeds = [s for s in left if s in right]
-    if not seeds:
+    """Compare service, by request class too, p99 latency and broken rules; empty where no seed is in both."""
+    left = {run.seed: run for run in first.runs_of(first_policy) if not run.void}
+    right = {run.seed: run for run in second.runs_of(second_policy) if not run.void}
+    pairs = [(left[seed], right[seed]) for seed in left if seed in right]
+    if not pairs:
         return []
-    rows = [difference("service", [(left[s].service, right[s].service) for s in seeds])]
-    for grade in left[seeds[0]].grades:
-        if grade in right[seeds[0]].grades:
-            pairs = [(left[s].grades[grade].service, right[s].grades[grade].service) for s in seeds]
-            rows.append(difference(f"service of {grade}", pairs))
-            waits = [
-                (left[s].grades[grade].waits_ms["p99"], right[s].grades[grade].waits_ms["p99"]) for s in seeds
-            ]
-            rows.append(difference(f"p99 wait of {grade}, ms", waits))
-    rows.append(difference("broken rules", [(left[s].broken_rules, right[s].broken_rules) for s in seeds]))
+    rows = [paired_difference("service", [(a.service, b.service) for a, b in pairs])]
+    for name in pairs[0][0].request_classes:
+        if name not in pairs[0][1].request_classes:
+            continue
+        scores = [(a.request_classes[name], b.request_classes[name]) for a, b in pairs]
+        rows.append(paired_difference(f"service of {name}", [(a.service, b.service) for a, b in scores]))
+        latencies = [(a.latencies_ms["p99"], b.latencies_ms["p99"]) for a, b in scores]
+        rows.append(paired_difference(f"p99 latency of {name}, ms", latencies))
+    rows.append(paired_difference("broken rules", [(a.broken_rules, b.broken_rules) for a, b in pairs]))
     return rows
--- /dev/null
+++ b/ploverspoke/testbed/reports/experiment_result.py
@@ -0,0 +1,48 @@
+"""The result of an experiment, as `result.json` holds it."""
+
+from pathlib import Path
+from typing import Any, Literal
+
+import msgspec
+
+from ..experiment_files.experiment import ExperimentError
+from .scores import RunScore
+
+Driver = Literal["virtual", "sockets"]
+FORMAT = 1  # of result.json
+OWN_POLICY = "ours"  # the dispatcher's own decisions, beside the baseline policies
+
+
+class Result(msgspec.Struct):
+    """All runs of one experiment, and which of its demands held."""
+
+    format: int
+    driver: Driver
+    experiment: dict[str, Any]  # the experiment as builtins, durations in ns
+    runs: list[RunScore]
+    held: list[str]
+    failed: list[str]
+
+    def runs_of(self, policy: str) -> list[RunScore]:
+        """Return the runs of one policy, one for each seed."""
+        return [run for run in self.runs if run.policy == policy]
+
+    def policies(self) -> list[str]:
+        """Return the policies in the order in which they first ran."""
+        return list(dict.fromkeys(run.policy for run in self.runs))
+
+
+def read_result(path: Path) -> Result:
+    """Read `result.json`, given by itself or by its folder.
+
+    Raises:
+        ExperimentError: there is no result, or one of another format.
+    """
+    file = path / "result.json" if path.is_dir() else path
+    try:
+        result: Result = msgspec.json.decode(file.read_bytes(), type=Result)
+    except (OSError, msgspec.DecodeError) as error:
+        raise ExperimentError(f"{file}: no result: {error}") from None
+    if result.format != FORMAT:
+        raise ExperimentError(f"{file}: format {result.format}, this version reads {FORMAT}")
+    return result
--- a/ploverspoke/testbed/reports/scores.py
+++ b/ploverspoke/testbed/reports/scores.py
@@ -1,148 +1,244 @@
-"""What a run was worth, from what clients and workers saw."""
+"""Scores one run by what clients and workers saw: service, latencies and outcomes by request class."""
 
 from collections import Counter, defaultdict
 from collections.abc import Iterable, Sequence
-from typing import Any
+from typing import Any, NamedTuple
 
 import msgspec
 from hdrh.histogram import HdrHistogram
 
 from ..checkers.request_audit import Finding
-from ..experiment_files.durations import MICROSECOND, SECOND
-from ..experiment_files.experiment import Experiment
+from ..experiment_files.durations import MICROSECOND, MILLISECOND, SECOND
+from ..experiment_files.experiment import Experiment, RequestClass
 from ..models import event_records
 from ..models.event_records import Event
 
-HIGHEST = 3_600_000_000  # microseconds that a histogram can hold
+MAX_LATENCY_US = 3_600_000_000  # the highest value of a histogram
+HISTOGRAM_DIGITS = 3  # significant decimal digits
 PERCENTILES = (50.0, 90.0, 99.0, 99.9)
+MAX_SHOWN_FINDINGS = 10
+# Outcomes, as event records have them.
+SUCCEEDED, REJECTED, FAILED, BROKEN = "satisfied", "nacked", "abandoned", "broken"
 
 
-class GradeScore(msgspec.Struct):
-    """One service grade over one run; waits are those of satisfied jobs, from the first try on."""
+class RequestClassScore(
+    msgspec.Struct,
+    rename={
+        "requests": "jobs",
+        "rejected": "nacks",
+        "failed": "abandoned",
+        "latencies_ms": "waits_ms",
+    },
+):
+    """Results of one request class over one run; latencies of succeeded requests count from the first try."""
 
-    jobs: int = 0
-    timely: int = 0
-    overdue: int = 0
-    nacks: int = 0
-    abandoned: int = 0
-    broken: int = 0
-    left: int = 0
-    service: float = 0.0  # benefit earned, of what could be
-    waits_ms: dict[str, float] = {}
-    histogram: str = ""  # HdrHistogram of the waits in microseconds, as its own encoding has it
+    requests: int = 0
+    timely: int = 0  # succeeded within the latency objective
+    overdue: int = 0  # succeeded after it, before the deadline
+    rejected: int = 0
+    failed: int = 0
+    broken: int = 0  # the connection broke
+    left: int = 0  # the client left before an answer
+    service: float = 0.0  # weight earned, as a share of what could be earned
+    latencies_ms: dict[str, float] = {}  # by percentile, as "p99"
+    histogram: str = ""  # of the latencies in microseconds, in HdrHistogram's encoding
 
 
-class RunScore(msgspec.Struct):
+class RunScore(
+    msgspec.Struct,
+    rename={
+        "request_classes": "grades",
+        "attempts": "hand_offs",
+        "requests": "submissions",
+        "lateness_ms": "behind_ms",
+    },
+):
+    """Results of one run: one experiment, policy and seed. The encoded names are those of stored results."""
+
     policy: str
     seed: int
     service: float
-    grades: dict[str, GradeScore]
-    findings: list[str]  # broken rules, first ones with their timelines
+    request_classes: dict[str, RequestClassScore]
+    findings: list[str]  # broken rules; the first ones, each with its timeline
     broken_rules: int
-    hand_offs: int
-    submissions: int
-    behind_ms: float  # by which the load generator was, at the worst
-    void: str  # why the figures mean nothing; "": they do
-    over_time: list[list[float]]  # [second, service of the jobs first sent in it]
-    by_worker: dict[str, list[int]]  # jobs begun, for each second
+    attempts: int
+    requests: int
+    lateness_ms: float  # of the load generator, at most
+    void: str  # why the run proves nothing; empty where it does
+    over_time: list[list[float]]  # [second, service of the requests first sent in it]
+    by_worker: dict[str, list[int]]  # requests begun, for each second
     events: int
     ran_for_s: float = 0.0
 
 
-def score(
-    e: Experiment,
+class _FirstTry(NamedTuple):
+    request_class: int
+    sent_at: int  # ns of the run
+
+
+class _Answer(NamedTuple):
+    at: int  # ns of the run
+    outcome: str
+
+
+NO_ANSWER = _Answer(0, "")
+
+
+class _Observations:
+    """What the events of a run say of each request, read once and in order."""
+
+    def __init__(self, experiment: Experiment) -> None:
+        seconds = experiment.lasts // SECOND + 1
+        self.scores = [RequestClassScore() for _ in experiment.request_classes]
+        self.first_tries: dict[int, _FirstTry] = {}  # by request number
+        self.answers: dict[int, _Answer] = {}
+        self.left: set[int] = set()
+        self.event_counts: Counter[str] = Counter()
+        self.lateness = 0  # ns
+        self.by_worker = {name: [0] * seconds for name in experiment.worker_names()}
+
+    def read(self, event: Event) -> None:
+        self.event_counts[event.what] += 1
+        if event.what == event_records.SENT:
+            self._read_sent(event)
+        elif event.what == event_records.ANSWERED:
+            self._read_answer(event)
+        elif event.what == event_records.LEFT:
+            self.left.add(event.job)
+        elif event.what == event_records.BEGAN:
+            by_second = self.by_worker[event.worker]
+            by_second[min(event.at // SECOND, len(by_second) - 1)] += 1
+        elif event.what == event_records.BEHIND:
+            self.lateness = max(self.lateness, event.detail)
+
+    def _read_sent(self, event: Event) -> None:
+        request_class, tries, _, first_sent_at = event.detail
+        if tries == 0:
+            self.first_tries[event.job] = _FirstTry(request_class, first_sent_at)
+
+    def _read_answer(self, event: Event) -> None:
+        known = self.answers.get(event.job)
+        if known is None or known.outcome != SUCCEEDED:
+            self.answers[event.job] = _Answer(event.at, event.detail)
+        if event.job not in self.first_tries:
+            return
+        score = self.scores[self.first_tries[event.job].request_class]
+        score.rejected += event.detail == REJECTED
+        score.failed += event.detail == FAILED
+        score.broken += event.detail == BROKEN
+
+
+class _Service:
+    """Weight earned and weight that could be earned, by second and by request class."""
+
+    def __init__(self, class_count: int) -> None:
+        self.earned: dict[int, float] = defaultdict(float)
+        self.possible: dict[int, float] = defaultdict(float)
+        self.earned_by_class = [0.0] * class_count
+        self.possible_by_class = [0.0] * class_count
+
+    def add(self, request_class: int, second: int, earned: float, possible: float) -> None:
+        self.earned[second] += earned
+        self.possible[second] += possible
+        self.earned_by_class[request_class] += earned
+        self.possible_by_class[request_class] += possible
+
+    def total(self) -> float:
+        return sum(self.earned.values()) / max(1e-9, sum(self.possible.values()))
+
+    def of_class(self, request_class: int) -> float:
+        possible = self.possible_by_class[request_class]
+        return self.earned_by_class[request_class] / possible if possible else 1.0
+
+    def over_time(self) -> list[list[float]]:
+        seconds = (second for second in sorted(self.possible) if self.possible[second])
+        return [[float(second), self.earned[second] / self.possible[second]] for second in seconds]
+
+
+def score_run(
+    experiment: Experiment,
     policy: str,
     seed: int,
     events: Sequence[Event],
     findings: Iterable[Finding],
     void: str = "",
 ) -> RunScore:
-    first: dict[int, tuple[int, int]] = {}  # grade and first sent at, by job
-    answer: dict[int, tuple[int, str]] = {}
-    left: set[int] = set()
-    seen: Counter[str] = Counter()
-    behind = 0
-    grades = [GradeScore() for _ in e.grades]
-    by_worker: dict[str, list[int]] = {name: [0] * (e.lasts // SECOND + 1) for name in e.worker_names()}
+    """Score the events of one run, in order of time; `findings` are those of the audit of the same run."""
+    observations = _Observations(experiment)
     for event in events:
-        seen[event.what] += 1
-        if event.what == event_records.SENT:
-            if event.detail[1] == 0:
-                first[event.job] = (event.detail[0], event.detail[3])
-        elif event.what == event_records.ANSWERED:
-            if event.job not in answer or answer[event.job][1] != "satisfied":
-                answer[event.job] = (event.at, event.detail)
-            if event.job in first:
-                g = grades[first[event.job][0]]
-                g.nacks += event.detail == "nacked"
-                g.abandoned += event.detail == "abandoned"
-                g.broken += event.detail == "broken"
-        elif event.what == event_records.LEFT:
-            left.add(event.job)
-        elif event.what == event_records.BEGAN:
-            row = by_worker[event.worker]
-            row[min(event.at // SECOND, len(row) - 1)] += 1
-        elif event.what == event_records.BEHIND:
-            behind = max(behind, event.detail)
-    histograms = [HdrHistogram(1, HIGHEST, 3) for _ in e.grades]
-    earned: dict[int, float] = defaultdict(float)
-    possible: dict[int, float] = defaultdict(float)
-    by_grade = [[0.0, 0.0] for _ in e.grades]
-    for job, (number, sent_at) in first.items():
-        grade, g = e.grades[number], grades[number]
-        if job in left:
-            g.left += 1
-            continue
-        at, how = answer.get(job, (0, ""))
-        took = at - sent_at
-        worth = 0.0
-        if how == "satisfied":
-            histograms[number].record_value(max(1, took // MICROSECOND))
-            if took <= grade.expected_time:
-                g.timely += 1
-                worth = grade.benefit
-            elif took <= grade.abandon_time:
-                g.overdue += 1
-                worth = grade.overdue_benefit
-        g.jobs += 1
-        if sent_at >= e.counted_from:
-            second = sent_at // SECOND
-            earned[second] += worth
-            possible[second] += grade.benefit
-            by_grade[number][0] += worth
-            by_grade[number][1] += grade.benefit
-    for g, (gained, could), histogram in zip(grades, by_grade, histograms, strict=True):
-        g.service = gained / could if could else 1.0
-        g.waits_ms = {f"p{p:g}": histogram.get_value_at_percentile(p) / 1000 for p in PERCENTILES}
-        g.histogram = histogram.encode().decode("ascii")
-    told = list(findings)
+        observations.read(event)
+    service = _score_requests(experiment, observations)
+    broken_rules = list(findings)
     return RunScore(
         policy=policy,
         seed=seed,
-        service=sum(earned.values()) / max(1e-9, sum(possible.values())),
-        grades={told_.name: g for told_, g in zip(e.grades, grades, strict=True)},
-        findings=[
-            f"rule {f.rule}: {f.text}" + "".join(f"\n    {line}" for line in f.timeline) for f in told[:10]
-        ],
-        broken_rules=len(told),
-        hand_offs=seen[event_records.CAME],
-        submissions=seen[event_records.SENT],
-        behind_ms=behind / 1e6,
+        service=service.total(),
+        request_classes={
+            request_class.name: score
+            for request_class, score in zip(experiment.request_classes, observations.scores, strict=True)
+        },
+        findings=[_describe(finding) for finding in broken_rules[:MAX_SHOWN_FINDINGS]],
+        broken_rules=len(broken_rules),
+        attempts=observations.event_counts[event_records.CAME],
+        requests=observations.event_counts[event_records.SENT],
+        lateness_ms=observations.lateness / MILLISECOND,
         void=void,
-        over_time=[[float(s), earned[s] / possible[s]] for s in sorted(possible) if possible[s]],
-        by_worker=by_worker,
+        over_time=service.over_time(),
+        by_worker=observations.by_worker,
         events=len(events),
     )
 
 
-def merged_histogram(encoded: Iterable[str]) -> HdrHistogram:
-    """One histogram of several runs'."""
-    whole = HdrHistogram(1, HIGHEST, 3)
+def _score_requests(experiment: Experiment, observations: _Observations) -> _Service:
+    """Fill in the scores of the request classes from all requests, and return the service."""
+    scores = observations.scores
+    histograms = [HdrHistogram(1, MAX_LATENCY_US, HISTOGRAM_DIGITS) for _ in scores]
+    service = _Service(len(scores))
+    for number, first in observations.first_tries.items():
+        score, request_class = scores[first.request_class], experiment.request_classes[first.request_class]
+        if number in observations.left:
+            score.left += 1
+            continue
+        answer = observations.answers.get(number, NO_ANSWER)
+        earned = 0.0
+        if answer.outcome == SUCCEEDED:
+            latency = answer.at - first.sent_at
+            histograms[first.request_class].record_value(max(1, latency // MICROSECOND))
+            earned = _count_success(score, request_class, latency)
+        score.requests += 1
+        if first.sent_at >= experiment.counted_from:
+            service.add(first.request_class, first.sent_at // SECOND, earned, request_class.weight)
+    for number, (score, histogram) in enumerate(zip(scores, histograms, strict=True)):
+        score.service = service.of_class(number)
+        score.latencies_ms = {f"p{p:g}": histogram.get_value_at_percentile(p) / 1000 for p in PERCENTILES}
+        score.histogram = histogram.encode().decode("ascii")
+    return service
+
+
+def _count_success(score: RequestClassScore, request_class: RequestClass, latency: int) -> float:
+    """Count a succeeded request as timely or overdue; return the weight that it earned."""
+    if latency <= request_class.latency_objective:
+        score.timely += 1
+        return request_class.weight
+    if latency <= request_class.deadline:
+        score.overdue += 1
+        return request_class.overdue_weight
+    return 0.0
+
+
+def _describe(finding: Finding) -> str:
+    return f"rule {finding.rule}: {finding.text}" + "".join(f"\n    {line}" for line in finding.timeline)
+
+
+def merge_histograms(encoded: Iterable[str]) -> HdrHistogram:
+    """Merge histograms in HdrHistogram's encoding into one."""
+    merged = HdrHistogram(1, MAX_LATENCY_US, HISTOGRAM_DIGITS)
     for text in encoded:
         if text:
-            whole.decode_and_add(text.encode("ascii"))
-    return whole
+            merged.decode_and_add(text.encode("ascii"))
+    return merged
 
 
-def as_json(value: Any) -> bytes:
+def encode_json(value: Any) -> bytes:
+    """Encode as indented JSON; durations become whole nanoseconds."""
     return msgspec.json.format(msgspec.json.encode(value, enc_hook=int))
--- a/ploverspoke/testbed/scenarios/config_change_fleet.py
+++ b/ploverspoke/testbed/scenarios/config_change_fleet.py
@@ -71,13 +71,13 @@
 
     def changed(self, number: int, dispatcher: int) -> dict[str, Any]:
         """The settings of that dispatcher with so many changes."""
-        like = self.e.grades[-1]
+        like = self.e.request_classes[-1]
         more = [
-            msgspec.structs.replace(like, name=f"{ADDED}-{n}", benefit=1.0 + n / 100)
+            msgspec.structs.replace(like, name=f"{ADDED}-{n}", weight=1.0 + n / 100)
             for n in range(1, number + 1)
         ]
         return dispatcher_settings(
-            msgspec.structs.replace(self.e, grades=[*self.e.grades, *more]), dispatcher
+            msgspec.structs.replace(self.e, request_classes=[*self.e.request_classes, *more]), dispatcher
         )
 
     async def bring(self, number: int) -> None:
--- a/ploverspoke/testbed/scenarios/experiment_runner.py
+++ b/ploverspoke/testbed/scenarios/experiment_runner.py
@@ -1,6 +1,4 @@
-"""Runs an experiment: each policy with each seed, several at once on virtual time, one after the
-other on sockets.
-"""
+"""Runs an experiment: each policy with each seed, in parallel on virtual time, in turn on sockets."""
 
 import gc
 import time
@@ -11,166 +9,165 @@
 from os import sched_getaffinity
 from pathlib import Path
 from statistics import fmean
-from typing import Any, Literal
+from typing import Any, NamedTuple
 
 import msgspec
 
 from ..checkers.request_audit import SOCKETS_TOLERANCE, VIRTUAL_TOLERANCE, audit_requests
 from ..experiment_files.experiment import Experiment, ExperimentError
 from ..models.event_records import write_records
-from ..reports.scores import RunScore, as_json, score
+from ..reports.experiment_result import FORMAT, OWN_POLICY, Driver, Result
+from ..reports.scores import RunScore, encode_json, score_run
 
-Driver = Literal["virtual", "sockets"]
-FORMAT = 1  # of result.json
 
-
-class Result(msgspec.Struct):
-    """What result.json holds."""
-
-    format: int
-    driver: Driver
-    experiment: dict[str, Any]
-    runs: list[RunScore]
-    held: list[str]
-    failed: list[str]
-
-    def of(self, policy: str) -> list[RunScore]:
-        return [r for r in self.runs if r.policy == policy]
-
-    def policies(self) -> list[str]:
-        return list(dict.fromkeys(r.policy for r in self.runs))
-
-
-def run_virtual(e: Experiment, seed: int, policy: str, keep: Path | None = None) -> RunScore:
-    """One run on virtual time; its events are written to `keep` where that is given."""
+def run_virtual(experiment: Experiment, seed: int, policy: str, events_path: Path | None = None) -> RunScore:
+    """Run once on virtual time; write the events to `events_path` where it is given."""
     from ..models.virtual_run import run_virtual_time
 
     began = time.perf_counter()
-    with _without_collector():
-        events = run_virtual_time(e, seed, policy)
+    with _without_garbage_collection():
+        events = run_virtual_time(experiment, seed, policy)
     took = time.perf_counter() - began
-    if keep is not None:
-        write_records(events, keep)
-    found = score(e, policy, seed, events, audit_requests(e, events, VIRTUAL_TOLERANCE))
-    found.ran_for_s = took
-    return found
+    if events_path is not None:
+        write_records(events, events_path)
+    findings = audit_requests(experiment, events, VIRTUAL_TOLERANCE)
+    score = score_run(experiment, policy, seed, events, findings)
+    score.ran_for_s = took
+    return score
 
 
 @contextmanager
-def _without_collector() -> Iterator[None]:
-    """A run's records stay: to look through them again and again takes a fifth of its time."""
-    was = gc.isenabled()
+def _without_garbage_collection() -> Iterator[None]:
+    """Switch the cycle collector off: the records of a run all stay, and scanning them is slow."""
+    was_enabled = gc.isenabled()
     gc.disable()
     try:
         yield
     finally:
-        if was:
+        if was_enabled:
             gc.enable()
 
 
 def run_sockets(
-    e: Experiment, seed: int, keep: Path | None, told: Callable[[Any], None] | None = None
+    experiment: Experiment,
+    seed: int,
+    events_path: Path | None,
+    on_report: Callable[[Any], None] | None = None,
 ) -> RunScore:
-    """One run of the real program on loopback sockets; `told` hears what happens, some times a second."""
+    """Run the real program once on loopback sockets; `on_report` gets the fakes' reports as they come."""
     from .socket_run import run_on_sockets
 
-    played = run_on_sockets(e, seed, told)
-    if keep is not None:
-        write_records(played.events, keep)
-    found = score(
-        e, "ours", seed, played.events, audit_requests(e, played.events, SOCKETS_TOLERANCE), played.void
-    )
-    found.ran_for_s = played.took_s
-    return found
+    played = run_on_sockets(experiment, seed, on_report)
+    if events_path is not None:
+        write_records(played.events, events_path)
+    findings = audit_requests(experiment, played.events, SOCKETS_TOLERANCE)
+    score = score_run(experiment, OWN_POLICY, seed, played.events, findings, played.void)
+    score.ran_for_s = played.took_s
+    return score
 
 
-def runs(e: Experiment, driver: Driver, out: Path | None) -> Iterator[RunScore]:
-    """All runs, each as soon as it is over."""
+def run_all(experiment: Experiment, driver: Driver, folder: Path | None) -> Iterator[RunScore]:
+    """Yield all runs, each as soon as it is over; events are written below `folder` where it is given."""
 
-    def kept(policy: str, seed: int) -> Path | None:
-        return None if out is None else out / f"events-{policy.replace(' ', '-')}-{seed}.jsonl"
+    def events_path(policy: str, seed: int) -> Path | None:
+        return None if folder is None else folder / f"events-{policy.replace(' ', '-')}-{seed}.jsonl"
 
     if driver == "sockets":
-        for seed in e.seeds:
-            yield run_sockets(e, seed, kept("ours", seed))
+        for seed in experiment.seeds:
+            yield run_sockets(experiment, seed, events_path(OWN_POLICY, seed))
         return
-    tasks = [(seed, policy) for policy in e.policies for seed in e.seeds]
-    cores = min(len(sched_getaffinity(0)), len(tasks))
-    if cores == 1:
+    tasks = [(seed, policy) for policy in experiment.policies for seed in experiment.seeds]
+    processes = min(len(sched_getaffinity(0)), len(tasks))
+    if processes == 1:
         for seed, policy in tasks:
-            yield run_virtual(e, seed, policy, kept(policy, seed))
+            yield run_virtual(experiment, seed, policy, events_path(policy, seed))
         return
-    # Fresh processes: a fork would share this one's threads and locks.
-    with ProcessPoolExecutor(cores, mp_context=get_context("spawn")) as pool:
-        waits = [pool.submit(run_virtual, e, seed, policy, kept(policy, seed)) for seed, policy in tasks]
-        for wait in as_completed(waits):
-            yield wait.result()
+    # Spawned, since a fork would share this process's threads and locks.
+    with ProcessPoolExecutor(processes, mp_context=get_context("spawn")) as pool:
+        futures = [
+            pool.submit(run_virtual, experiment, seed, policy, events_path(policy, seed))
+            for seed, policy in tasks
+        ]
+        for future in as_completed(futures):
+            yield future.result()
 
 
 def run_experiment(
-    e: Experiment, driver: Driver, out: Path | None = None, told: Callable[[RunScore], None] | None = None
+    experiment: Experiment,
+    driver: Driver,
+    folder: Path | None = None,
+    on_run: Callable[[RunScore], None] | None = None,
 ) -> Result:
+    """Run all policies and seeds; with `folder`, `result.json` and the events are written there.
+
+    Raises:
+        ExperimentError: a policy is unknown, or cannot run with this driver.
+    """
+    _check_policies(experiment, driver)
+    if folder is not None:
+        folder.mkdir(parents=True, exist_ok=True)
+    runs = []
+    for run in run_all(experiment, driver, folder):
+        runs.append(run)
+        if on_run is not None:
+            on_run(run)
+    runs.sort(key=lambda run: (experiment.policies.index(run.policy), experiment.seeds.index(run.seed)))
+    result = make_result(experiment, driver, runs)
+    if folder is not None:
+        (folder / "result.json").write_bytes(encode_json(result))
+    return result
+
+
+def _check_policies(experiment: Experiment, driver: Driver) -> None:
     from ..models.baseline_policies import POLICIES
 
-    for policy in e.policies:
+    for policy in experiment.policies:
         if policy not in POLICIES:
             raise ExperimentError(f"policies: {policy!r} is none of {', '.join(POLICIES)}")
-    if driver == "sockets" and "ours" not in e.policies:
+    if driver == "sockets" and OWN_POLICY not in experiment.policies:
         raise ExperimentError("policies: on sockets only 'ours' is played")
-    if out is not None:
-        out.mkdir(parents=True, exist_ok=True)
-    done = []
-    for run in runs(e, driver, out):
-        done.append(run)
-        if told is not None:
-            told(run)
-    done.sort(key=lambda r: (e.policies.index(r.policy), e.seeds.index(r.seed)))
-    held, failed = what_held(e, done)
-    result = Result(FORMAT, driver, msgspec.to_builtins(e, enc_hook=int), done, held, failed)
-    if out is not None:
-        (out / "result.json").write_bytes(as_json(result))
-    return result
 
 
-def what_held(e: Experiment, done: list[RunScore]) -> tuple[list[str], list[str]]:
-    """The demands of the file on our own policy, each with the figure; a void run fails them all."""
-    ours = [r for r in done if r.policy == "ours"]
-    held: list[str] = []
-    failed: list[str] = []
+def make_result(experiment: Experiment, driver: Driver, runs: list[RunScore]) -> Result:
+    """Check the demands of the experiment and put runs and demands together."""
+    demands = check_demands(experiment, runs)
+    builtins = msgspec.to_builtins(experiment, enc_hook=int)
+    return Result(FORMAT, driver, builtins, runs, demands.held, demands.failed)
+
+
+class Demands(NamedTuple):
+    """The demands of an experiment file on the own policy, each as a line with its metric."""
+
+    held: list[str]
+    failed: list[str]
 
-    def demand(holds: bool, text: str) -> None:
-        (held if holds else failed).append(text)
+    def add(self, holds: bool, text: str) -> None:
+        """Add one demand."""
+        (self.held if holds else self.failed).append(text)
 
-    for run in ours:
+
+def check_demands(experiment: Experiment, runs: list[RunScore]) -> Demands:
+    """Check what the table `[must_hold]` demands, on means over the seeds; a void run is a failed demand."""
+    demands = Demands([], [])
+    own_runs = [run for run in runs if run.policy == OWN_POLICY]
+    for run in own_runs:
         if run.void:
-            failed.append(f"seed {run.seed} is void: {run.void}")
-    if not ours:
-        return held, failed
-    must = e.must_hold
-    if must.rules:
-        broken = sum(r.broken_rules for r in ours)
-        demand(not broken, f"no broken rule ({broken} found)")
-    service = fmean(r.service for r in ours)
-    if must.service:
-        demand(service >= must.service, f"service {service:.4f} of {must.service} or more")
-    for grade, least in must.service_of_grade.items():
-        found = fmean(r.grades[grade].service for r in ours)
-        demand(found >= least, f"service of {grade} {found:.4f} of {least} or more")
-    for policy, by in must.over.items():
-        others = [r.service for r in done if r.policy == policy]
+            demands.failed.append(f"seed {run.seed} is void: {run.void}")
+    if not own_runs:
+        return demands
+    must_hold = experiment.must_hold
+    if must_hold.rules:
+        broken = sum(run.broken_rules for run in own_runs)
+        demands.add(not broken, f"no broken rule ({broken} found)")
+    service = fmean(run.service for run in own_runs)
+    if must_hold.service:
+        demands.add(service >= must_hold.service, f"service {service:.4f} of {must_hold.service} or more")
+    for name, minimum in must_hold.service_of_grade.items():
+        found = fmean(run.request_classes[name].service for run in own_runs)
+        demands.add(found >= minimum, f"service of {name} {found:.4f} of {minimum} or more")
+    for policy, margin in must_hold.over.items():
+        others = [run.service for run in runs if run.policy == policy]
         if others:
             ahead = service - fmean(others)
-            demand(ahead >= by, f"{ahead:+.4f} over {policy}, {by:+} or more wanted")
-    return held, failed
-
-
-def read_result(path: Path) -> Result:
-    """Raises ExperimentError where there is no result of this format."""
-    file = path / "result.json" if path.is_dir() else path
-    try:
-        result: Result = msgspec.json.decode(file.read_bytes(), type=Result)
-    except (OSError, msgspec.DecodeError) as error:
-        raise ExperimentError(f"{file}: no result: {error}") from None
-    if result.format != FORMAT:
-        raise ExperimentError(f"{file}: format {result.format}, this version reads {FORMAT}")
-    return result
+            demands.add(ahead >= margin, f"{ahead:+.4f} over {policy}, {margin:+} or more wanted")
+    return demands
--- a/ploverspoke/testbed/scenarios/scale_fleet.py
+++ b/ploverspoke/testbed/scenarios/scale_fleet.py
@@ -91,7 +91,7 @@
     def _wants(self) -> list[ResourceDemand]:
         if self.shape.workers > 1 and (
             self.e.store is not None
-            or any(g.repeat == "labelled" and g.group == "all" for g in self.e.grades)
+            or any(g.idempotency == "labelled" and g.group == "all" for g in self.e.request_classes)
         ):
             raise ex.ExperimentError("worker processes: what all zones share can't be spread over several")
         found = [self._dispatchers_want()]
@@ -317,8 +317,8 @@
 def cores_for(e: ex.Experiment) -> tuple[float, float, float]:
     """Cores that a run wants, with the tasks running and the starts a second at its peak."""
     starts = max(max(t.rate, t.to_rate or 0.0) * (1 + t.wave) for t in e.traffic)
-    whole = sum(g.share for g in e.grades)
-    running = starts * sum(g.share / whole * g.work.mean / SECOND for g in e.grades)
+    whole = sum(g.share for g in e.request_classes)
+    running = starts * sum(g.share / whole * g.work.mean / SECOND for g in e.request_classes)
     reports = SECOND / e.worker_rules.progress_every
     needed = running * reports * CORES_A_TASK + starts * CORES_A_START
     return needed + e.dispatchers.count * CORES_A_DISPATCHER, running, starts
--- a/ploverspoke/testbed/scenarios/scale_test.py
+++ b/ploverspoke/testbed/scenarios/scale_test.py
@@ -31,7 +31,7 @@
 from ..models.event_records import merge_records, read_records, write_records
 from ..processes.capacity_check import CapacityError, memory_backed_folder
 from ..processes.running_process import ProcessStartError
-from ..reports.scores import score
+from ..reports.scores import score_run
 from .config_change_fleet import ConfigChangeFleet, WatchedConfigFleet
 from .scale_fleet import ProcessCounts, RealScaleFleet, ScaleFleet, SimulatedScaleFleet, total_memory
 from .scale_phases import (
@@ -108,7 +108,7 @@
     if keep is not None:
         write_records(events, keep)
     row.void = stage.void()
-    found = score(e, "ours", plays.seed, events, audit_requests(e, events, SOCKETS_TOLERANCE), row.void)
+    found = score_run(e, "ours", plays.seed, events, audit_requests(e, events, SOCKETS_TOLERANCE), row.void)
     changes = stage.took if isinstance(stage, ConfigChangeFleet) else []
     seen = ScaleObservations(e, events, found, stage.samples, changes, lines)
     figures = scale_metrics(seen)
--- a/ploverspoke/testbed/scenarios/socket_run.py
+++ b/ploverspoke/testbed/scenarios/socket_run.py
@@ -118,7 +118,7 @@
         self.seen = Records()
         self.rig = Rig(folder, seed)
         self.rig.on_down, self.rig.on_up = self._down, self._up
-        self.rig.ends_within = max(g.abandon_time for g in e.grades) / SECOND + 0.7
+        self.rig.ends_within = max(g.deadline for g in e.request_classes) / SECOND + 0.7
         self.behind = 0
         self.late = 0  # the stand-ins
         self.programs: list[DispatcherProgram] = []
@@ -128,7 +128,7 @@
 
     async def play(self) -> None:
         e, rig = self.e, self.rig
-        if any(isinstance(t, ex.DispatcherReplaced | ex.SettingsChanged) for t in e.troubles):
+        if any(isinstance(t, ex.DispatcherReplaced | ex.SettingsChanged) for t in e.faults):
             raise ex.ExperimentError(
                 "troubles: replacing and changed settings are played on virtual time only"
             )
@@ -208,7 +208,7 @@
         """All has started; the run begins then."""
 
     def _end(self) -> int:
-        end = self.e.lasts + max(g.abandon_time for g in self.e.grades) + FINAL_CALM
+        end = self.e.lasts + max(g.deadline for g in self.e.request_classes) + FINAL_CALM
         return end + (LATE_ANSWER_ALLOWANCE if self.e.dispatchers.store else 0)
 
     async def _first(self, child: ChildProcess) -> dict[str, Any]:
--- a/tests/testbed/commands/test_experiment_commands.py
+++ b/tests/testbed/commands/test_experiment_commands.py
@@ -14,10 +14,11 @@
 from ploverspoke.testbed.capacity.fleet_size import read_fleet
 from ploverspoke.testbed.experiment_files.experiment import ExperimentError, parse_experiment, read_experiment
 from ploverspoke.testbed.processes.fault_timeline import TimelineError
-from ploverspoke.testbed.reports.comparison import compare_results, difference
-from ploverspoke.testbed.reports.scores import merged_histogram
+from ploverspoke.testbed.reports.comparison import compare_results, paired_difference
+from ploverspoke.testbed.reports.experiment_result import read_result
+from ploverspoke.testbed.reports.scores import merge_histograms
 from ploverspoke.testbed.scenarios.distribution_scenario import read_distribution_experiment
-from ploverspoke.testbed.scenarios.experiment_runner import read_result, run_experiment
+from ploverspoke.testbed.scenarios.experiment_runner import run_experiment
 from ploverspoke.testbed.scenarios.lease_scenario import read_lease_experiment
 from ploverspoke.testbed.scenarios.scale_phases import experiment_for, read_scale_scenarios
 from tests.testbed.harness import SMALL_EXPERIMENT, small_experiment
@@ -63,7 +64,7 @@
         "dispatchers",
     ),
     ({"grades": [{"name": "a", "kind": "fast"}]}, "grades[0].kind"),
-    ({"grades": [{"name": "a", "expected_time": "9s"}]}, "grades[0].expected_time"),
+    ({"grades": [{"name": "a", "expected_time": "9s"}]}, "grades[0].latency_objective"),
     ({"grades": [{"name": "a", "slots": {"9": 1.0}}]}, "grades[0].slots"),
     ({"must_hold": {"over": {"random": 0.1}}}, "must_hold.over.random"),
     ({"grades": [{"name": "a", "work": {"law": "pareto", "mean": "5ms", "shape": 1.0}}]}, "shape"),
@@ -103,15 +104,15 @@
     assert len(result.held) == 2 and "over random" in result.failed[0]
     again = read_result(tmp_path)
     assert again.runs == result.runs
-    grade = again.runs[0].grades["look"]
-    assert merged_histogram([grade.histogram]).get_total_count() == grade.timely + grade.overdue
+    grade = again.runs[0].request_classes["look"]
+    assert merge_histograms([grade.histogram]).get_total_count() == grade.timely + grade.overdue
     rows = compare_results(again, again, "random", "ours")
-    assert rows[0].what == "service" and rows[0].pairs == 2
+    assert rows[0].metric == "service" and rows[0].pairs == 2
 
 
 def test_an_interval_needs_more_than_one_pair() -> None:
-    assert not difference("x", [(1.0, 2.0)]).is_clear()
-    assert difference("x", [(1.0, 2.0), (1.1, 2.1), (0.9, 1.9)]).is_clear()
+    assert not paired_difference("x", [(1.0, 2.0)]).is_clear()
+    assert paired_difference("x", [(1.0, 2.0), (1.1, 2.1), (0.9, 1.9)]).is_clear()
 
 
 def write(path: Path, text: str) -> str:
--- a/tests/testbed/models/test_models.py
+++ b/tests/testbed/models/test_models.py
@@ -236,7 +236,7 @@
     behind = [event for event in seen.events if event.what == event_records.BEHIND]
     assert behind and clients.latest >= 300 * MILLISECOND
     late = next(r for r in sent if r.job.number == behind[-1].job)
-    assert late.abandon_at == late.job.at + e.grades[late.job.grade].abandon_time
+    assert late.abandon_at == late.job.at + e.request_classes[late.job.grade].deadline
     assert len(sent) >= len(draw_schedule(e, 1)), "the offered load is not slowed"
 
 
--- a/tests/testbed/scenarios/test_socket_run.py
+++ b/tests/testbed/scenarios/test_socket_run.py
@@ -9,7 +9,7 @@
 from ploverspoke.testbed.models.event_records import CAME, SENT
 from ploverspoke.testbed.processes.child_process import ChildProcess
 from ploverspoke.testbed.processes.running_process import ProcessStartError
-from ploverspoke.testbed.reports.scores import score
+from ploverspoke.testbed.reports.scores import score_run
 from ploverspoke.testbed.scenarios import socket_run
 from ploverspoke.testbed.scenarios.socket_run import run_on_sockets
 from tests.testbed.harness import small_experiment
@@ -27,8 +27,8 @@
     told: list[dict[str, object]] = []
     played = run_on_sockets(e, 1, told.append)
     findings = audit_requests(e, played.events, SOCKETS_TOLERANCE)
-    found = score(e, "ours", 1, played.events, findings, played.void)
-    assert findings == [] and found.submissions > 150 and found.hand_offs > 150
+    found = score_run(e, "ours", 1, played.events, findings, played.void)
+    assert findings == [] and found.requests > 150 and found.attempts > 150
     assert {event.dispatcher for event in played.events if event.what == CAME} == {0, 1}
     assert any("workers" in t for t in told) and any("answers" in t for t in told)
     # Every job was sent, whatever the machine was busy with; how late is told, and is no matter here.
