--- /dev/null
+++ b/ploverspoke/testbed/commands/demo.py
@@ -0,0 +1,193 @@
+"""`ploverspoke demo`: a small fleet on loopback ports under load and two faults, shown live."""
+
+import sys
+import tempfile
+import time
+from collections import deque
+from collections.abc import Callable
+from pathlib import Path
+from typing import Any
+
+import click
+from rich.console import Console, Group
+from rich.live import Live
+from rich.table import Table
+from rich.text import Text
+
+from ..experiment_files.durations import SECOND
+from ..experiment_files.experiment import Experiment, parse_experiment
+from ..reports.scores import RunScore
+from ..reports.tables import make_console, result_table, verdict_lines
+from ..scenarios.experiment_runner import make_result, run_sockets
+from .result_files import print_plain, write_result
+
+DEMO: dict[str, Any] = {
+    "name": "demo",
+    "lasts": "30s",
+    "counted_from": "1s",
+    "seeds": [1],
+    "dispatchers": {"count": 2},
+    "grades": [
+        {
+            "name": "look-up",
+            "share": 6.0,
+            "expected_time": "300ms",
+            "abandon_time": "2s",
+            "work": {"law": "lognormal", "mean": "60ms", "sigma": 0.5},
+        },
+        {
+            "name": "change",
+            "share": 2.0,
+            "repeat": "labelled",
+            "window": "5s",
+            "expected_time": "400ms",
+            "abandon_time": "3s",
+            "benefit": 2.0,
+            "work": {"law": "lognormal", "mean": "80ms", "sigma": 0.5},
+        },
+        {
+            "name": "book",
+            "share": 2.0,
+            "repeat": "irreversible",
+            "expected_time": "500ms",
+            "abandon_time": "3s",
+            "benefit": 4.0,
+            "work": {"law": "lognormal", "mean": "80ms", "sigma": 0.5},
+        },
+    ],
+    "workers": [
+        {"count": 3, "kind": "full-speed", "slots": 4},
+        {"count": 3, "kind": "slower", "slots": 4, "speed": 0.6},
+    ],
+    "worker_rules": {"warm_within": "5s"},
+    "traffic": [{"rate": 100.0}],
+    "troubles": [
+        {"what": "crash", "at": "8s", "lasts": "6s", "workers": ["w1"]},
+        {"what": "hang", "at": "16s", "lasts": "7s", "workers": ["w4"]},
+    ],
+}
+LOAD_BARS = " ▁▂▃▄▅▆▇█"
+STATE_COLOURS = {"up": "green", "cold": "cyan", "hung": "yellow", "down": "red", "slow": "magenta"}
+STATE_NAMES = {"cold": "warming up"}  # shown in place of the fakes' own word
+OUTCOME_NAMES = {"satisfied": "succeeded", "nacked": "rejected", "abandoned": "failed", "broken": "broken"}
+LOAD_HISTORY = 40  # reports
+PRINT_INTERVAL = 1.0  # seconds, where there is no terminal
+REFRESHES_PER_SECOND = 4
+
+Report = dict[str, Any]  # what a fake process reports, as JSON
+
+
+class StatusBoard:
+    """The state of the fleet while it runs, from the reports of the fakes."""
+
+    def __init__(self, experiment: Experiment) -> None:
+        """Start without any report."""
+        self.experiment = experiment
+        self.time = 0.0  # seconds of the run
+        self.workers: dict[str, list[Any]] = {}  # state, load and attempts served, by name
+        self.clients: dict[int, Report] = {}  # the latest report, by process
+        self.loads: dict[str, deque[float]] = {
+            name: deque(maxlen=LOAD_HISTORY) for name in experiment.worker_names()
+        }
+
+    def on_report(self, report: Report) -> None:
+        """Take over one report of a fake process."""
+        self.time = report["at"] / SECOND
+        if "workers" in report:
+            self.workers = report["workers"]
+            for name, (_, load, _) in self.workers.items():
+                self.loads[name].append(load)
+        elif "answers" in report:
+            self.clients[report["child"]] = report
+
+    def status_line(self) -> str:
+        """Return the counts of requests by outcome, in a line."""
+        sent = sum(client["sent"] for client in self.clients.values())
+        in_flight = sum(client["out"] for client in self.clients.values())
+        outcomes = ", ".join(f"{self._count(key)} {name}" for key, name in OUTCOME_NAMES.items())
+        return f"{max(0.0, self.time):5.1f} s: {sent} requests sent, {outcomes}, {in_flight} in flight"
+
+    def _count(self, outcome: str) -> int:
+        return sum(client["answers"].get(outcome, 0) for client in self.clients.values())
+
+    def worker_states(self) -> str:
+        """Return the state of each worker, in a line."""
+        return " ".join(f"{name}:{_state_name(state)}" for name, (state, _, _) in self.workers.items())
+
+    def render(self) -> Group:
+        """Return the screen: counts, active faults and a table of the workers."""
+        table = Table(box=None, pad_edge=False)
+        for heading in ("worker", "kind", "state", "attempts", "load, the last 10 s"):
+            table.add_column(heading)
+        kinds = [group.kind for group in self.experiment.workers for _ in range(group.count)]
+        for (name, (state, _, served)), kind in zip(self.workers.items(), kinds, strict=True):
+            top = len(LOAD_BARS) - 1
+            bars = "".join(LOAD_BARS[min(top, round(load * top))] for load in self.loads[name])
+            table.add_row(name, kind, Text(_state_name(state), style=STATE_COLOURS[state]), str(served), bars)
+        return Group(Text(self.status_line()), self._fault_line(), table)
+
+    def _fault_line(self) -> Text:
+        now = self.time * SECOND
+        active = [fault for fault in self.experiment.faults if fault.at <= now < fault.at + fault.lasts]
+        text = "; ".join(f"{fault.name}: {', '.join(fault.workers)}" for fault in active)
+        return Text(text or "no fault", style="red" if active else "green")
+
+
+def _state_name(state: str) -> str:
+    return STATE_NAMES.get(state, state)
+
+
+@click.command()
+@click.option("--out", type=click.Path(file_okay=False, path_type=Path), help="Where the plots go.")
+@click.option(
+    "--seconds", type=click.IntRange(28, 600), default=30, show_default=True, help="How long it runs."
+)
+def demo(out: Path | None, seconds: int) -> None:
+    """See it work: discovery, six workers of two kinds, two dispatchers and mixed load, on free ports.
+
+    One worker is killed after 8 s and one hangs after 16 s. It ends with the service by request class and the
+    verdict of an audit.
+    """
+    experiment = parse_experiment({**DEMO, "lasts": f"{seconds}s"})
+    folder = out or Path(tempfile.mkdtemp(prefix="ploverspoke-demo-"))
+    console = make_console()
+    console.print("Starting two dispatchers, fake workers, discovery and clients.")
+    run = _run_live(experiment, console) if console.is_terminal else _run_printing(experiment)
+    result = make_result(experiment, "sockets", [run])
+    write_result(result, folder)
+    console.print(result_table(result))
+    for line in verdict_lines(result):
+        print_plain(console, line)
+    print_plain(console, f"plots: {folder}/service.svg, waits.svg, workers.svg")
+    sys.exit(1 if result.failed else 0)
+
+
+def _run_live(experiment: Experiment, console: Console) -> RunScore:
+    """Run the experiment while the terminal shows its state."""
+    board = StatusBoard(experiment)
+    with Live(console=console, refresh_per_second=REFRESHES_PER_SECOND) as screen:
+
+        def show(report: Report) -> None:
+            board.on_report(report)
+            if board.workers:
+                screen.update(board.render())
+
+        return run_sockets(experiment, experiment.seeds[0], None, show)
+
+
+def _run_printing(experiment: Experiment) -> RunScore:
+    """Run the experiment and print a line of its state in each interval."""
+    return run_sockets(experiment, experiment.seeds[0], None, _line_printer(StatusBoard(experiment)))
+
+
+def _line_printer(board: StatusBoard) -> Callable[[Report], None]:
+    printed_at = time.monotonic()
+
+    def on_report(report: Report) -> None:
+        nonlocal printed_at
+        board.on_report(report)
+        if time.monotonic() - printed_at >= PRINT_INTERVAL:
+            printed_at = time.monotonic()
+            print(f"{board.status_line()}  {board.worker_states()}", flush=True)
+
+    return on_report
--- a/ploverspoke/testbed/troubles.py
+++ b/ploverspoke/testbed/models/faults.py
@@ -7,11 +7,11 @@
 
 from collections.abc import Callable, Sequence
 
-from . import experiment as ex
-from .chances import Streams
-from .clock import Clock
-from .roster import Roster
-from .store import SharedStore
+from ..experiment_files import experiment as ex
+from .discovery import DiscoveryModel
+from .random_streams import RandomStreams
+from .shared_store import SharedStore
+from .virtual_clock import Clock
 from .worker import Worker
 
 FALLEN = -1  # in place of a trouble's number
@@ -23,7 +23,7 @@
     kinds = [(w.zone, w.kind) for w in e.workers for _ in range(w.count)]
     names = e.worker_names()
     found = []
-    for number, t in enumerate(e.troubles):
+    for number, t in enumerate(e.faults):
         if t.workers or not t.of_workers:
             found.append(list(t.workers))
             continue
@@ -34,7 +34,9 @@
         ]
         if t.share:
             count = max(1, round(t.share * len(pool)))
-            chosen = Streams(seed).generator(f"trouble {number}").choice(len(pool), count, replace=False)
+            chosen = (
+                RandomStreams(seed).generator(f"trouble {number}").choice(len(pool), count, replace=False)
+            )
             pool = [pool[i] for i in sorted(chosen)]
         found.append(pool)
     return found
@@ -44,7 +46,7 @@
     pass
 
 
-class Connections:
+class ConnectionFaults:
     """What troubles do to hand-offs' connections, by worker: the highest share of those in force."""
 
     def __init__(self) -> None:
@@ -58,7 +60,7 @@
         return max(there.values()) if there else 0.0
 
 
-class FleetTroubles:
+class WorkerFaults:
     """Plays the troubles of workers, store and discovery on one process's models.
 
     `died` and `returned` tell the driver, which owns the connections; `listed` tells discovery.
@@ -70,7 +72,7 @@
         seed: int,
         clock: Clock,
         workers: Sequence[Worker],
-        connections: Connections,
+        connections: ConnectionFaults,
         died: Callable[[Worker], None],
         returned: Callable[[Worker], None],
     ) -> None:
@@ -81,12 +83,12 @@
         self.died = died
         self.returned = returned
         self.down: dict[str, set[int]] = {w.name: set() for w in workers}
-        self.next_fall = len(e.troubles)
+        self.next_fall = len(e.faults)
         self.on_fall: Callable[[str], None] = _unheard  # told of those pushed over, and when they are back
         self.on_back: Callable[[str], None] = _unheard
         for worker in workers:
             worker.on_fall = self.fell
-        for number, (trouble, names) in enumerate(zip(e.troubles, struck(e, seed), strict=True)):
+        for number, (trouble, names) in enumerate(zip(e.faults, struck(e, seed), strict=True)):
             ours = [self.workers[n] for n in names if n in self.workers]
             for worker in ours:
                 clock.at(trouble.at, self._begin, number, trouble, worker)
@@ -104,7 +106,7 @@
         self._come_back(number, worker)
         self.on_back(worker.name)
 
-    def _begin(self, number: int, t: ex.Trouble, worker: Worker) -> None:
+    def _begin(self, number: int, t: ex.Fault, worker: Worker) -> None:
         if isinstance(t, ex.Crash):
             self._go_down(number, worker)
         elif isinstance(t, ex.Drain):
@@ -131,7 +133,7 @@
         elif isinstance(t, ex.DropsAtRest):
             self.connections.drops.setdefault(worker.name, {})[number] = t.errors
 
-    def _end(self, number: int, t: ex.Trouble, worker: Worker) -> None:
+    def _end(self, number: int, t: ex.Fault, worker: Worker) -> None:
         if isinstance(t, LIKE_CRASH):
             if worker.up:
                 self._go_down(number, worker)  # a drain's time is over with work still there
@@ -170,15 +172,15 @@
             self.returned(worker)
 
 
-class RosterTroubles:
+class DiscoveryFaults:
     """What discovery does and shows, on its own process's models: planned changes, deaths that it notices."""
 
-    def __init__(self, e: ex.Experiment, seed: int, clock: Clock, roster: Roster) -> None:
+    def __init__(self, e: ex.Experiment, seed: int, clock: Clock, roster: DiscoveryModel) -> None:
         self.e = e
         self.clock = clock
         self.roster = roster
         self.down: dict[str, set[int]] = {}
-        for number, (t, names) in enumerate(zip(e.troubles, struck(e, seed), strict=True)):
+        for number, (t, names) in enumerate(zip(e.faults, struck(e, seed), strict=True)):
             end = t.at + t.lasts
             if isinstance(t, ex.DiscoveryDown):
                 clock.at(t.at, roster.go_down, number)
@@ -216,22 +218,22 @@
             self.roster.change(worker, "ready", max(1, self.clock.now()))
 
 
-class StoreTroubles:
+class StoreFaults:
     def __init__(self, e: ex.Experiment, clock: Clock, store: SharedStore | None) -> None:
-        for number, t in enumerate(e.troubles):
+        for number, t in enumerate(e.faults):
             if store is not None and isinstance(t, ex.StoreJam):
                 clock.at(t.at, store.jams.__setitem__, number, t.factor)
                 clock.at(t.at + t.lasts, store.jams.__delitem__, number)
 
 
-class Cuts:
+class ZoneCuts:
     """Which zones nothing passes between at the moment."""
 
     def __init__(self, e: ex.Experiment, clock: Clock) -> None:
         self.cut: dict[int, frozenset[int]] = {}  # zones on the one side, by the trouble's number
         self.calls_cut: dict[int, frozenset[int]] = {}  # zones that do not reach discovery
         zones = e.zones()
-        for number, t in enumerate(e.troubles):
+        for number, t in enumerate(e.faults):
             if isinstance(t, ex.ZoneCut):
                 self._plan(clock, self.cut, number, t, frozenset([zones.index(t.zone)]))
             elif isinstance(t, ex.RegionCut):
@@ -242,7 +244,7 @@
 
     @staticmethod
     def _plan(
-        clock: Clock, of: dict[int, frozenset[int]], number: int, t: ex.Trouble, side: frozenset[int]
+        clock: Clock, of: dict[int, frozenset[int]], number: int, t: ex.Fault, side: frozenset[int]
     ) -> None:
         clock.at(t.at, of.__setitem__, number, side)
         clock.at(t.at + t.lasts, of.__delitem__, number)
--- a/ploverspoke/testbed/schedule.py
+++ b/ploverspoke/testbed/models/request_schedule.py
@@ -6,12 +6,12 @@
 
 import numpy as np
 
-from .chances import Streams
-from .experiment import Experiment, Traffic, shares
-from .spans import SECOND
+from ..experiment_files.durations import SECOND
+from ..experiment_files.experiment import Experiment, Traffic, shares
+from .random_streams import RandomStreams
 
 
-class Job(NamedTuple):
+class ScheduledRequest(NamedTuple):
     number: int
     at: int  # when it is first handed in
     grade: int
@@ -23,14 +23,16 @@
     leaves_after: int  # 0: the client stays
 
 
-def schedule(e: Experiment, seed: int) -> list[Job]:
+def draw_schedule(e: Experiment, seed: int) -> list[ScheduledRequest]:
     """All first tries, in order of time."""
-    streams = Streams(seed)
+    streams = RandomStreams(seed)
     times = np.sort(np.concatenate([_arrivals(t, e, streams, n) for n, t in enumerate(e.traffic)]))
     count = len(times)
-    grades = streams.generator("grades").choice(len(e.grades), count, p=shares([g.share for g in e.grades]))
+    grades = streams.generator("grades").choice(
+        len(e.request_classes), count, p=shares([g.share for g in e.request_classes])
+    )
     customers = streams.generator("customers").choice(
-        len(e.customers), count, p=shares([c.share for c in e.customers])
+        len(e.tenants), count, p=shares([c.share for c in e.tenants])
     )
     dispatchers = streams.generator("dispatchers").integers(0, e.dispatchers.count, count)
     leaving = streams.generator("leaving")
@@ -38,7 +40,7 @@
     work = np.zeros(count)
     slots = np.ones(count)
     subjects = np.full(count, -1)
-    for number, grade in enumerate(e.grades):
+    for number, grade in enumerate(e.request_classes):
         of_grade = np.flatnonzero(grades == number)
         work[of_grade] = grade.work.sample(streams.generator(f"work {grade.name}"), len(of_grade))
         if grade.slots:
@@ -50,22 +52,22 @@
             draw = streams.generator(f"subjects {grade.name}")
             subjects[of_grade] = draw.choice(grade.subjects, len(of_grade), p=ranks)
     return [
-        Job(
+        ScheduledRequest(
             n,
             int(times[n]),
             int(grades[n]),
             float(slots[n]),
             max(1, int(work[n])),
-            f"{e.grades[grades[n]].name}/{subjects[n]}" if subjects[n] >= 0 else "",
+            f"{e.request_classes[grades[n]].name}/{subjects[n]}" if subjects[n] >= 0 else "",
             int(customers[n]),
             int(dispatchers[n]),
-            int(leaves[n] * e.grades[grades[n]].abandon_time),
+            int(leaves[n] * e.request_classes[grades[n]].deadline),
         )
         for n in range(count)
     ]
 
 
-def _arrivals(traffic: Traffic, e: Experiment, streams: Streams, number: int) -> np.ndarray:
+def _arrivals(traffic: Traffic, e: Experiment, streams: RandomStreams, number: int) -> np.ndarray:
     """Poisson, thinned from the highest rate of the stretch; each point is a burst."""
     end = e.lasts if traffic.end is None else traffic.end
     last = traffic.rate if traffic.to_rate is None else traffic.to_rate
