--- a/ploverspoke/testbed/capacity/measurements/measurement_fleet.py
+++ b/ploverspoke/testbed/capacity/measurements/measurement_fleet.py
@@ -76,7 +76,7 @@
         super().__init__(e, seed, folder, self._hear)
         self.tells_traffic = True
         self.settled = settled
-        self.ends = ends or e.lasts
+        self.ends = ends or e.duration
         self.watch = watch
         self.acts = sorted(acts, key=lambda act: act[0])
         self.bare = e.dispatchers.count == 1
@@ -108,7 +108,7 @@
         self.tasks.append(asyncio.create_task(self._act(epoch)))
 
     def _end(self) -> int:
-        return self.e.lasts + AFTER
+        return self.e.duration + AFTER
 
     # ---- While it runs ----
 
--- a/ploverspoke/testbed/checkers/request_audit.py
+++ b/ploverspoke/testbed/checkers/request_audit.py
@@ -134,7 +134,7 @@
             return
         s.hand_offs.append(HandOff(event.at, event.worker, event.detail, event.dispatcher))
         since = self.told.get((event.dispatcher, event.worker))
-        if since is not None and event.at > since + self.e.rules.stop_sending_within + self.slack:
+        if since is not None and event.at > since + self.e.rules.drain_grace + self.slack:
             late = format_duration(event.at - since)
             self.find("3 drains", event, f"sent to {event.worker} {late} after it was told not to be ready")
 
@@ -239,7 +239,7 @@
         repeat = self.e.rules_at(s.taken_at)[0][s.grade]
         if repeat == "redoable":
             return
-        groups = self.group_of[grade.group]
+        groups = self.group_of[grade.retry_scope]
         first: HandOff | None = None
         for h in s.hand_offs:
             if first is None:
@@ -257,16 +257,16 @@
                     name,
                     "2 repeats",
                     h.came,
-                    f"labelled, to {h.worker} outside the {grade.group} of {first.worker}",
+                    f"labelled, to {h.worker} outside the {grade.retry_scope} of {first.worker}",
                 )
                 return
-            elif h.came - first.came > grade.window + self.slack:
+            elif h.came - first.came > grade.retry_window + self.slack:
                 self.find_for(
                     name, "2 repeats", h.came, f"labelled, to {h.worker} after the window of {first.worker}"
                 )
                 return
         nacked = next((at for at, how in s.answers if how == "nacked"), -1)
-        bound = repeat == "irreversible" or grade.group != "all"
+        bound = repeat == "irreversible" or grade.retry_scope != "all"
         if nacked >= 0 and first is not None and first.came < nacked and bound:
             self.find_for(name, "2 repeats", nacked, f"nacked, though {first.worker} may have run it")
 
--- a/ploverspoke/testbed/checkers/scale_checker.py
+++ b/ploverspoke/testbed/checkers/scale_checker.py
@@ -58,7 +58,7 @@
 
 def scale_metrics(seen: ScaleObservations) -> dict[str, float]:
     e = seen.e
-    begin, end = e.counted_from, e.lasts
+    begin, end = e.measured_from, e.duration
     count = e.dispatchers.count
     found: dict[str, float] = {}
     inside = [sample for sample in seen.samples if begin <= sample.at <= end]
@@ -121,7 +121,7 @@
     began: dict[int, int] = {}
     for event in events:
         if event.what == event_records.SENT and event.detail[0] == grade and event.detail[1] == 0:
-            if e.counted_from <= event.detail[3] < e.lasts:
+            if e.measured_from <= event.detail[3] < e.duration:
                 due[event.job] = event.detail[3]
         elif event.what == event_records.BEGAN and event.job in due:
             began.setdefault(event.job, event.at)
@@ -218,7 +218,7 @@
 
 def _bounded(seen: ScaleObservations) -> list[tuple[str, bool]]:
     """Of the counted time's last third against its second: what is kept has come to rest."""
-    begin, end = seen.e.counted_from, seen.e.lasts
+    begin, end = seen.e.measured_from, seen.e.duration
     third = (end - begin) // 3
     parts = [
         [s for s in seen.samples if begin + n * third <= s.at < begin + (n + 1) * third] for n in range(3)
@@ -244,7 +244,7 @@
 
 def healing(seen: ScaleObservations, play: ScaleScenario) -> dict[str, float]:
     """What a region's absence has gathered by its end, and what came at once when it was back."""
-    begin = seen.e.counted_from + play.at
+    begin = seen.e.measured_from + play.at
     end = begin + play.away
     before = [s for s in seen.samples if s.at <= begin]
     away = [s for s in seen.samples if begin < s.at <= end]
--- a/ploverspoke/testbed/commands/demo.py
+++ b/ploverspoke/testbed/commands/demo.py
@@ -119,7 +119,7 @@
         table = Table(box=None, pad_edge=False)
         for heading in ("worker", "kind", "state", "attempts", "load, the last 10 s"):
             table.add_column(heading)
-        kinds = [group.kind for group in self.experiment.workers for _ in range(group.count)]
+        kinds = [group.machine_kind for group in self.experiment.workers for _ in range(group.count)]
         for (name, (state, _, served)), kind in zip(self.workers.items(), kinds, strict=True):
             top = len(LOAD_BARS) - 1
             bars = "".join(LOAD_BARS[min(top, round(load * top))] for load in self.loads[name])
@@ -128,7 +128,9 @@
 
     def _fault_line(self) -> Text:
         now = self.time * SECOND
-        active = [fault for fault in self.experiment.faults if fault.at <= now < fault.at + fault.lasts]
+        active = [
+            fault for fault in self.experiment.faults if fault.start <= now < fault.start + fault.duration
+        ]
         text = "; ".join(f"{fault.name}: {', '.join(fault.workers)}" for fault in active)
         return Text(text or "no fault", style="red" if active else "green")
 
--- a/ploverspoke/testbed/commands/run.py
+++ b/ploverspoke/testbed/commands/run.py
@@ -67,7 +67,7 @@
         _run_processes(document, seeds, out)
     checked = _read_experiment(experiment, seeds, policies)
     # Neither replicas nor links among dispatchers exist on virtual time.
-    needs_sockets = checked.dispatchers.store or checked.dispatchers.talk or bool(checked.timeline)
+    needs_sockets = checked.dispatchers.store or checked.dispatchers.gossip or bool(checked.timeline)
     driver: Driver = "sockets" if sockets or needs_sockets else "virtual"
     if driver == "sockets" and not policies:
         checked = msgspec.structs.replace(checked, policies=[OWN_POLICY])
--- a/ploverspoke/testbed/fakes/worker_server.py
+++ b/ploverspoke/testbed/fakes/worker_server.py
@@ -144,10 +144,10 @@
         elif how == "returned" and not run.begun:
             self._write(encode_response(503, "Service Unavailable", b"", "Not-Started: 1\r\n"))
         elif how == "done":
-            first = not (run.begun and self.there.worker.rules.tells_start)
+            first = not (run.begun and self.there.worker.rules.reports_start)
             self._line(run, {"state": "done", "result": f"{run.submission} done"}, first, last=True)
         else:
-            first = not (run.begun and self.there.worker.rules.tells_start)
+            first = not (run.begun and self.there.worker.rules.reports_start)
             self._line(run, {"state": how}, first, last=True)
 
     def _line(self, run: Execution, said: dict[str, Any], first: bool = False, last: bool = False) -> None:
@@ -198,7 +198,7 @@
         self.worker = worker
         zones = range(len(fleet.e.zones()))
         # Within a zone it is the machine's own.
-        self.more = [max(0, fleet.e.one_way(zone, worker.zone) - fleet.e.network.near) for zone in zones]
+        self.more = [max(0, fleet.e.one_way(zone, worker.zone) - fleet.e.network.same_zone) for zone in zones]
         self.connections: set[WorkerConnection] = set()
         self.server: asyncio.Server | None = None
         self.host = fleet.spec.own_hosts["workers"]
--- a/ploverspoke/testbed/models/clients.py
+++ b/ploverspoke/testbed/models/clients.py
@@ -201,7 +201,7 @@
 
     def _send(self, request: ClientRequest) -> None:
         self.send(request)
-        after = self.e.clients.elsewhere_after
+        after = self.e.clients.failover_timeout
         if self.e.dispatchers.store and after:
             request.timers.append(self.clock.at(self.clock.now() + after, self._elsewhere, request))
 
@@ -213,12 +213,12 @@
 
     def _again(self, request: ClientRequest, come_back_after: int, at_once: bool = False) -> None:
         told = self.e.clients
-        if request.tries + 1 >= told.tries:
+        if request.tries + 1 >= told.max_attempts:
             return
         wait = 0.0
-        if not at_once and told.retry == "after a wait":
-            wait = float(told.retry_wait.sample(self.waits, 1)[0])
-            if told.heeds_advice:
+        if not at_once and told.retry_timing == "after a wait":
+            wait = float(told.retry_backoff.sample(self.waits, 1)[0])
+            if told.honors_retry_after:
                 wait = max(wait, come_back_after * self.draws.fraction())
         count = self.e.dispatchers.count
         other = (request.dispatcher + 1 + self.draws.below(count - 1)) % count if count > 1 else 0
--- a/ploverspoke/testbed/models/discovery.py
+++ b/ploverspoke/testbed/models/discovery.py
@@ -62,7 +62,7 @@
         self.changed_in[worker] = self.version
         waiting, self.waiting = self.waiting, []
         for call in waiting:
-            late = int(self.draws.fraction() * self.told.tells_within)
+            late = int(self.draws.fraction() * self.told.max_notification_delay)
             self.clock.at(self.clock.now() + late, self._work_through, call)
 
     def call(self, call: DiscoveryCall, hold: int) -> None:
@@ -93,7 +93,7 @@
 
     def _work_through(self, call: DiscoveryCall) -> None:
         now = self.clock.now()
-        self.free_at = max(now, self.free_at) + self.told.call_takes
+        self.free_at = max(now, self.free_at) + self.told.call_time
         self.clock.at(self.free_at, self._tell, call)
 
     def _tell(self, call: DiscoveryCall) -> None:
--- a/ploverspoke/testbed/models/faults.py
+++ b/ploverspoke/testbed/models/faults.py
@@ -20,17 +20,17 @@
 
 def struck(e: ex.Experiment, seed: int) -> list[list[str]]:
     """The workers of each trouble, by name; those given by a share are drawn from the seed."""
-    kinds = [(w.zone, w.kind) for w in e.workers for _ in range(w.count)]
+    kinds = [(w.zone, w.machine_kind) for w in e.workers for _ in range(w.count)]
     names = e.worker_names()
     found = []
     for number, t in enumerate(e.faults):
-        if t.workers or not t.of_workers:
+        if t.workers or not t.affects_workers:
             found.append(list(t.workers))
             continue
         pool = [
             n
             for n, (zone, kind) in zip(names, kinds, strict=True)
-            if t.zone in ("", zone) and t.kind in ("", kind)
+            if t.zone in ("", zone) and t.machine_kind in ("", kind)
         ]
         if t.share:
             count = max(1, round(t.share * len(pool)))
@@ -91,8 +91,8 @@
         for number, (trouble, names) in enumerate(zip(e.faults, struck(e, seed), strict=True)):
             ours = [self.workers[n] for n in names if n in self.workers]
             for worker in ours:
-                clock.at(trouble.at, self._begin, number, trouble, worker)
-                clock.at(trouble.at + trouble.lasts, self._end, number, trouble, worker)
+                clock.at(trouble.start, self._begin, number, trouble, worker)
+                clock.at(trouble.start + trouble.duration, self._end, number, trouble, worker)
 
     def fell(self, worker: Worker) -> None:
         """Pushed over while cold: it stays down for its time."""
@@ -100,7 +100,7 @@
         self.next_fall += 1
         self._go_down(number, worker)
         self.on_fall(worker.name)
-        self.clock.at(self.clock.now() + self.e.worker_rules.down_after_fall, self._rise, number, worker)
+        self.clock.at(self.clock.now() + self.e.worker_rules.overload_downtime, self._rise, number, worker)
 
     def _rise(self, number: int, worker: Worker) -> None:
         self._come_back(number, worker)
@@ -113,9 +113,7 @@
             self.down[worker.name].add(number)
             worker.on_empty = lambda w: self._go_down(number, w)
             if worker.is_empty():
-                self.clock.at(
-                    self.clock.now() + self.e.rules.stop_sending_within, self._drained, number, worker
-                )
+                self.clock.at(self.clock.now() + self.e.rules.drain_grace, self._drained, number, worker)
         elif isinstance(t, ex.Hang):
             worker.freeze(number)
         elif isinstance(t, ex.Pauses):
@@ -123,15 +121,15 @@
         elif isinstance(t, ex.Slow):
             worker.slow(number, t.factor)
         elif isinstance(t, ex.QuickErrors):
-            worker.failing[number] = t.errors
+            worker.failing[number] = t.probability
         elif isinstance(t, ex.LateReports):
-            worker.reports_late[number] = t.by
+            worker.reports_late[number] = t.delay
         elif isinstance(t, ex.Resets):
-            self.connections.resets.setdefault(worker.name, {})[number] = t.errors
+            self.connections.resets.setdefault(worker.name, {})[number] = t.probability
         elif isinstance(t, ex.Silences):
-            self.connections.silences.setdefault(worker.name, {})[number] = t.errors
+            self.connections.silences.setdefault(worker.name, {})[number] = t.probability
         elif isinstance(t, ex.DropsAtRest):
-            self.connections.drops.setdefault(worker.name, {})[number] = t.errors
+            self.connections.drops.setdefault(worker.name, {})[number] = t.probability
 
     def _end(self, number: int, t: ex.Fault, worker: Worker) -> None:
         if isinstance(t, LIKE_CRASH):
@@ -148,11 +146,11 @@
 
     def _pause(self, number: int, t: ex.Pauses, worker: Worker) -> None:
         now = self.clock.now()
-        if now + t.each >= t.at + t.lasts:
+        if now + t.pause >= t.start + t.duration:
             return
         worker.freeze(number)
-        self.clock.at(now + t.each, worker.thaw, number)
-        self.clock.at(now + t.every, self._pause, number, t, worker)
+        self.clock.at(now + t.pause, worker.thaw, number)
+        self.clock.at(now + t.interval, self._pause, number, t, worker)
 
     def _drained(self, number: int, worker: Worker) -> None:
         if number in self.down[worker.name] and worker.up and worker.is_empty():
@@ -181,15 +179,15 @@
         self.roster = roster
         self.down: dict[str, set[int]] = {}
         for number, (t, names) in enumerate(zip(e.faults, struck(e, seed), strict=True)):
-            end = t.at + t.lasts
+            end = t.start + t.duration
             if isinstance(t, ex.DiscoveryDown):
-                clock.at(t.at, roster.go_down, number)
+                clock.at(t.start, roster.go_down, number)
                 clock.at(end, roster.come_up, number)
             for worker in names:
                 if isinstance(t, ex.Drain):
-                    clock.at(t.at, self._drains, number, worker)
+                    clock.at(t.start, self._drains, number, worker)
                 elif isinstance(t, ex.Crash):
-                    clock.at(t.at, self._dies, number, worker)
+                    clock.at(t.start, self._dies, number, worker)
                 if isinstance(t, LIKE_CRASH):
                     clock.at(end, self._returns, number, worker)
 
@@ -206,7 +204,9 @@
 
     def _dies(self, number: int, worker: str) -> None:
         self.down.setdefault(worker, set()).add(number)
-        self.clock.at(self.clock.now() + self.e.discovery.notices_death, self._notices, number, worker)
+        self.clock.at(
+            self.clock.now() + self.e.discovery.failure_detection_time, self._notices, number, worker
+        )
 
     def _notices(self, number: int, worker: str) -> None:
         if number in self.down.get(worker, ()):
@@ -222,8 +222,8 @@
     def __init__(self, e: ex.Experiment, clock: Clock, store: SharedStore | None) -> None:
         for number, t in enumerate(e.faults):
             if store is not None and isinstance(t, ex.StoreJam):
-                clock.at(t.at, store.jams.__setitem__, number, t.factor)
-                clock.at(t.at + t.lasts, store.jams.__delitem__, number)
+                clock.at(t.start, store.jams.__setitem__, number, t.factor)
+                clock.at(t.start + t.duration, store.jams.__delitem__, number)
 
 
 class ZoneCuts:
@@ -246,8 +246,8 @@
     def _plan(
         clock: Clock, of: dict[int, frozenset[int]], number: int, t: ex.Fault, side: frozenset[int]
     ) -> None:
-        clock.at(t.at, of.__setitem__, number, side)
-        clock.at(t.at + t.lasts, of.__delitem__, number)
+        clock.at(t.start, of.__setitem__, number, side)
+        clock.at(t.start + t.duration, of.__delitem__, number)
 
     def between(self, one: int, other: int) -> bool:
         return bool(self.cut) and any((one in side) != (other in side) for side in self.cut.values())
--- a/ploverspoke/testbed/models/request_schedule.py
+++ b/ploverspoke/testbed/models/request_schedule.py
@@ -36,21 +36,21 @@
     )
     dispatchers = streams.generator("dispatchers").integers(0, e.dispatchers.count, count)
     leaving = streams.generator("leaving")
-    leaves = np.where(leaving.random(count) < e.clients.leave_early, leaving.random(count), 0.0)
+    leaves = np.where(leaving.random(count) < e.clients.early_disconnect_share, leaving.random(count), 0.0)
     work = np.zeros(count)
     slots = np.ones(count)
     subjects = np.full(count, -1)
     for number, grade in enumerate(e.request_classes):
         of_grade = np.flatnonzero(grades == number)
         work[of_grade] = grade.work.sample(streams.generator(f"work {grade.name}"), len(of_grade))
-        if grade.slots:
+        if grade.slot_shares:
             draw = streams.generator(f"slots {grade.name}")
-            counts = [float(s) for s in grade.slots]
-            slots[of_grade] = draw.choice(counts, len(of_grade), p=shares(list(grade.slots.values())))
-        if grade.subjects:
-            ranks = shares(1 / np.arange(1, grade.subjects + 1))
+            counts = [float(s) for s in grade.slot_shares]
+            slots[of_grade] = draw.choice(counts, len(of_grade), p=shares(list(grade.slot_shares.values())))
+        if grade.affinity_keys:
+            ranks = shares(1 / np.arange(1, grade.affinity_keys + 1))
             draw = streams.generator(f"subjects {grade.name}")
-            subjects[of_grade] = draw.choice(grade.subjects, len(of_grade), p=ranks)
+            subjects[of_grade] = draw.choice(grade.affinity_keys, len(of_grade), p=ranks)
     return [
         ScheduledRequest(
             n,
@@ -69,16 +69,16 @@
 
 def _arrivals(traffic: Traffic, e: Experiment, streams: RandomStreams, number: int) -> np.ndarray:
     """Poisson, thinned from the highest rate of the stretch; each point is a burst."""
-    end = e.lasts if traffic.end is None else traffic.end
-    last = traffic.rate if traffic.to_rate is None else traffic.to_rate
-    top = max(traffic.rate, last) * (1 + traffic.wave)
+    end = e.duration if traffic.end is None else traffic.end
+    last = traffic.rate if traffic.end_rate is None else traffic.end_rate
+    top = max(traffic.rate, last) * (1 + traffic.wave_amplitude)
     if top <= 0:
         return np.zeros(0)
     draw = streams.generator(f"arrivals {number}")
     span = end - traffic.start
-    count = draw.poisson(top * span / SECOND / traffic.burst)
+    count = draw.poisson(top * span / SECOND / traffic.burst_size)
     at = np.sort(draw.random(count)) * span
     rate = traffic.rate + (last - traffic.rate) * at / span
-    rate = rate * (1 + traffic.wave * np.sin(2 * np.pi * at / traffic.period))
+    rate = rate * (1 + traffic.wave_amplitude * np.sin(2 * np.pi * at / traffic.wave_period))
     kept = at[draw.random(count) * top < rate]
-    return np.repeat(kept + traffic.start, traffic.burst)
+    return np.repeat(kept + traffic.start, traffic.burst_size)
--- a/ploverspoke/testbed/models/shared_store.py
+++ b/ploverspoke/testbed/models/shared_store.py
@@ -34,7 +34,7 @@
 
     def fetch(self, done: Callable[..., None], what: Any) -> Fetch:
         fetch = Fetch(done, what)
-        if self.at_work < self.told.at_once:
+        if self.at_work < self.told.max_concurrent:
             self._begin(fetch)
         else:
             self.waiting.append(fetch)
@@ -47,7 +47,7 @@
     def _begin(self, fetch: Fetch) -> None:
         self.at_work += 1
         if not self.drawn:
-            self.drawn = self.told.takes.sample(self.generator, DRAWN).tolist()
+            self.drawn = self.told.fetch_time.sample(self.generator, DRAWN).tolist()
         takes = self.drawn.pop()
         for factor in self.jams.values():
             takes *= factor
@@ -55,7 +55,7 @@
 
     def _over(self, fetch: Fetch) -> None:
         self.at_work -= 1
-        while self.waiting and self.at_work < self.told.at_once:
+        while self.waiting and self.at_work < self.told.max_concurrent:
             following = self.waiting.popleft()
             if not following.off:
                 self._begin(following)
--- a/ploverspoke/testbed/models/virtual_run.py
+++ b/ploverspoke/testbed/models/virtual_run.py
@@ -185,7 +185,7 @@
                 hand_off.timers.append(clock.at(now + one_way, self._reaches, hand_off))
         elif cut or there.frozen:
             hand_off.timers.append(
-                clock.at(now + world.e.network.connect_time_out, self.ended, hand_off, "unreachable")
+                clock.at(now + world.e.network.connect_timeout, self.ended, hand_off, "unreachable")
             )
         elif not there.up:
             hand_off.timers.append(clock.at(now + 2 * one_way, self.ended, hand_off, "unreachable"))
@@ -262,7 +262,7 @@
             self.decisions.probe_completed(worker, AttemptOutcome(outcome), self.clock.time - sent_at, load)
 
     def watch_endpoints(self) -> None:
-        self.clock.at(self.clock.time + self.world.e.network.near, self._call_roster)
+        self.clock.at(self.clock.time + self.world.e.network.same_zone, self._call_roster)
 
     @held_while_paused
     def _call_roster(self) -> None:
@@ -271,7 +271,7 @@
             self.world.roster.call(DiscoveryCall(self.number, self.version, self._roster_said), HOLD)
 
     def _roster_said(self, told: tuple[int, bool, list[EndpointEntry]] | None) -> None:
-        self.clock.at(self.clock.time + self.world.e.network.near, self._tell_roster, told)
+        self.clock.at(self.clock.time + self.world.e.network.same_zone, self._tell_roster, told)
 
     @held_while_paused
     def _tell_roster(self, told: tuple[int, bool, list[EndpointEntry]] | None) -> None:
@@ -428,10 +428,10 @@
         self.settings = self._current_settings()
         for t in e.faults:
             if isinstance(t, ex.SettingsChanged):
-                self.clock.at(t.at, self._change_settings)
-                self.clock.at(t.at + t.lasts, self._change_settings)
+                self.clock.at(t.start, self._change_settings)
+                self.clock.at(t.start + t.duration, self._change_settings)
         workers = list(self.fleet.workers.values())
-        if e.timeline or e.dispatchers.talk:
+        if e.timeline or e.dispatchers.gossip:
             key = "timeline" if e.timeline else "dispatchers.talk"
             raise ex.ExperimentError(f"{key}: played on sockets only")
         self.fleet_troubles = WorkerFaults(
@@ -462,7 +462,7 @@
 
     def run(self, told: Callable[[int], None] | None = None) -> list[Event]:
         """To the end and until all that was taken must be answered; `told` hears the time once a second."""
-        end = self.e.lasts + max(g.deadline for g in self.e.request_classes) + FINAL_CALM
+        end = self.e.duration + max(g.deadline for g in self.e.request_classes) + FINAL_CALM
         for second in range(SECOND, end + SECOND, SECOND):
             self.clock.run(min(second, end))
             if told is not None:
@@ -491,9 +491,13 @@
     def _send(self, request: ClientRequest) -> None:
         dispatcher = self.dispatchers[request.dispatcher]
         if not dispatcher.alive or dispatcher.leaving:
-            self.clock.at(self.clock.time + 2 * self.e.network.client, self.clients.never_taken, request)
+            self.clock.at(
+                self.clock.time + 2 * self.e.network.client_to_dispatcher, self.clients.never_taken, request
+            )
         else:
-            self.clock.at(self.clock.time + self.e.network.client, self._arrives, request, dispatcher)
+            self.clock.at(
+                self.clock.time + self.e.network.client_to_dispatcher, self._arrives, request, dispatcher
+            )
 
     def _arrives(self, request: ClientRequest, dispatcher: VirtualDispatcher) -> None:
         if request.over:
@@ -507,14 +511,22 @@
     def _client_closed(self, request: ClientRequest) -> None:
         for process in self._processes():
             if process.alive and process.number == request.dispatcher:
-                self.clock.at(self.clock.time + self.e.network.client, self._client_gone, request, process)
+                self.clock.at(
+                    self.clock.time + self.e.network.client_to_dispatcher, self._client_gone, request, process
+                )
 
     def _client_gone(self, request: ClientRequest, dispatcher: VirtualDispatcher) -> None:
         if dispatcher.alive:
             dispatcher.left(request)
 
     def answer(self, request: ClientRequest, how: str, come_back_after: int) -> None:
-        self.clock.at(self.clock.time + self.e.network.client, self._answered, request, how, come_back_after)
+        self.clock.at(
+            self.clock.time + self.e.network.client_to_dispatcher,
+            self._answered,
+            request,
+            how,
+            come_back_after,
+        )
 
     def _answered(self, request: ClientRequest, how: str, come_back_after: int) -> None:
         self.clients.answered(request, how, come_back_after)
--- a/ploverspoke/testbed/models/worker.py
+++ b/ploverspoke/testbed/models/worker.py
@@ -110,10 +110,10 @@
     ) -> None:
         self.name = name
         self.zone = e.zones().index(told.zone)
-        self.kind = e.kinds().index(told.kind)
+        self.kind = e.kinds().index(told.machine_kind)
         self.slots = told.slots
         self.speed = told.speed
-        self.most_waiting = told.waiting
+        self.most_waiting = told.queue_limit
         self.rules = e.worker_rules
         self.request_classes = e.request_classes
         self.clock = clock
@@ -259,14 +259,14 @@
         now = self.clock.now()
         self.up = True
         self.started_at = max(1, now)
-        self.warm_at = now + self.rules.warm_within
+        self.warm_at = now + self.rules.warmup_period
         self.held.clear()
         self.arrived_work.clear()
         self.work_in = 0.0
         self.last_reports.clear()
         self.records.add(now, event_records.UP, worker=self.name)
         for step in range(1, WARM_STEPS + 1):
-            self.clock.at(now + self.rules.warm_within * step // WARM_STEPS, self.change_rate)
+            self.clock.at(now + self.rules.warmup_period * step // WARM_STEPS, self.change_rate)
         self.change_rate()
 
     def warmth(self) -> float:
@@ -274,7 +274,7 @@
         left = self.warm_at - self.clock.now()
         if left <= 0:
             return 1.0
-        return self.rules.cold_share + (1 - self.rules.cold_share) * (1 - left / self.rules.warm_within)
+        return self.rules.warmup_share + (1 - self.rules.warmup_share) * (1 - left / self.rules.warmup_period)
 
     def change_rate(self) -> None:
         rate = 0.0 if self.frozen else self.speed * self.warmth()
@@ -291,12 +291,12 @@
 
     def _tips(self, run: Execution, now: int) -> bool:
         """Whether all together have sent more than a cold worker bears: rule four's own figure."""
-        span, work = self.rules.fall_within, run.job.work * run.job.slots
+        span, work = self.rules.overload_window, run.job.work * run.job.slots
         self.arrived_work.append((now, work, run.dispatcher))
         self.work_in += work
         while self.arrived_work[0][0] < now - span:
             self.work_in -= self.arrived_work.popleft()[1]
-        bears = self.rules.tip_multiple * self.warmth() * self.speed * self.slots * span
+        bears = self.rules.overload_multiple * self.warmth() * self.speed * self.slots * span
         if self.work_in <= bears or len(self.arrived_work) < 2:
             return False
         sent: dict[str, int] = {}  # work, by dispatcher
@@ -310,7 +310,7 @@
         return True
 
     def _start_some(self) -> None:
-        any_fits = self.rules.start == "any that fits"
+        any_fits = self.rules.queue_order == "any that fits"
         at = 0
         while at < len(self.waiting):
             run = self.waiting[at]
@@ -325,7 +325,7 @@
     def _begin(self, run: Execution) -> None:
         job, grade = run.job, self.request_classes[run.job.grade]
         if run.label:
-            earlier = self.racks[job.grade].repeated(run.label, grade.window)
+            earlier = self.racks[job.grade].repeated(run.label, grade.retry_window)
             if earlier is not None and earlier is not run:
                 self._follow(run, earlier)
                 return
@@ -334,11 +334,11 @@
         self.running[run] = None
         run.begun = True
         self._note(event_records.BEGAN, run, run.serial)
-        if self.rules.tells_start:
+        if self.rules.reports_start:
             run.listener.run_started(run)
             if not run.over:
                 run.progress = self.clock.at(
-                    self.clock.now() + self.rules.progress_every, self._progress, run
+                    self.clock.now() + self.rules.progress_interval, self._progress, run
                 )
         if run.over:
             return
@@ -362,7 +362,7 @@
         if run.over or not self.up:
             return
         self.held[run.job.subject] = None
-        if len(self.held) > self.rules.subjects_kept:
+        if len(self.held) > self.rules.cached_keys:
             self.held.popitem(last=False)
         self._go_on(run)
 
@@ -390,7 +390,7 @@
         if not self.frozen:
             done = 0.0 if run.fetching else 1 - run.left / run.job.work
             run.listener.run_progressed(run, round(done, 3))
-        run.progress = self.clock.at(self.clock.now() + self.rules.progress_every, self._progress, run)
+        run.progress = self.clock.at(self.clock.now() + self.rules.progress_interval, self._progress, run)
 
     def _finish(self, run: Execution, how: str) -> None:
         self._stop(run)
--- a/ploverspoke/testbed/models/worker_fleet.py
+++ b/ploverspoke/testbed/models/worker_fleet.py
@@ -31,7 +31,7 @@
         found = {}
         for number, grade in enumerate(e.request_classes):
             if grade.idempotency == "labelled":
-                key = (number, grade.group, {"all": 0, "zone": zone, "rack": rack}[grade.group])
+                key = (number, grade.retry_scope, {"all": 0, "zone": zone, "rack": rack}[grade.retry_scope])
                 found[number] = known.setdefault(key, Rack(clock))
         return found
 
--- a/ploverspoke/testbed/reports/scores.py
+++ b/ploverspoke/testbed/reports/scores.py
@@ -88,7 +88,7 @@
     """What the events of a run say of each request, read once and in order."""
 
     def __init__(self, experiment: Experiment) -> None:
-        seconds = experiment.lasts // SECOND + 1
+        seconds = experiment.duration // SECOND + 1
         self.scores = [RequestClassScore() for _ in experiment.request_classes]
         self.first_tries: dict[int, _FirstTry] = {}  # by request number
         self.answers: dict[int, _Answer] = {}
@@ -206,7 +206,7 @@
             histograms[first.request_class].record_value(max(1, latency // MICROSECOND))
             earned = _count_success(score, request_class, latency)
         score.requests += 1
-        if first.sent_at >= experiment.counted_from:
+        if first.sent_at >= experiment.measured_from:
             service.add(first.request_class, first.sent_at // SECOND, earned, request_class.weight)
     for number, (score, histogram) in enumerate(zip(scores, histograms, strict=True)):
         score.service = service.of_class(number)
--- a/ploverspoke/testbed/scenarios/config_change_fleet.py
+++ b/ploverspoke/testbed/scenarios/config_change_fleet.py
@@ -59,7 +59,7 @@
 
     async def _change(self, epoch: int) -> None:
         assert self.asker is not None
-        play, begins = self.play_, epoch + self.e.counted_from
+        play, begins = self.play_, epoch + self.e.measured_from
         every = play.lasts // (play.changes + 1)
         try:
             for number in range(1, play.changes + 1):
@@ -139,11 +139,11 @@
         return super()._place(number, place)._replace(watch=str(watch))
 
     async def _change(self, epoch: int) -> None:
-        await asyncio.sleep(max(0, epoch + self.e.counted_from - time.monotonic_ns()) / SECOND)
+        await asyncio.sleep(max(0, epoch + self.e.measured_from - time.monotonic_ns()) / SECOND)
         await self.rig.ask_relays({})
         self.octets = self.rig.counts["links"]["octets"]
         await super()._change(epoch)
-        await asyncio.sleep(max(0, epoch + self.e.lasts - time.monotonic_ns()) / SECOND)
+        await asyncio.sleep(max(0, epoch + self.e.duration - time.monotonic_ns()) / SECOND)
         await self.rig.ask_relays({})
         self.carried = self.rig.counts["links"]["octets"] - self.octets
 
--- a/ploverspoke/testbed/scenarios/experiment_runner.py
+++ b/ploverspoke/testbed/scenarios/experiment_runner.py
@@ -155,17 +155,19 @@
             demands.failed.append(f"seed {run.seed} is void: {run.void}")
     if not own_runs:
         return demands
-    must_hold = experiment.must_hold
-    if must_hold.rules:
+    must_hold = experiment.acceptance
+    if must_hold.rules_hold:
         broken = sum(run.broken_rules for run in own_runs)
         demands.add(not broken, f"no broken rule ({broken} found)")
     service = fmean(run.service for run in own_runs)
-    if must_hold.service:
-        demands.add(service >= must_hold.service, f"service {service:.4f} of {must_hold.service} or more")
-    for name, minimum in must_hold.service_of_grade.items():
+    if must_hold.min_service:
+        demands.add(
+            service >= must_hold.min_service, f"service {service:.4f} of {must_hold.min_service} or more"
+        )
+    for name, minimum in must_hold.min_service_by_class.items():
         found = fmean(run.request_classes[name].service for run in own_runs)
         demands.add(found >= minimum, f"service of {name} {found:.4f} of {minimum} or more")
-    for policy, margin in must_hold.over.items():
+    for policy, margin in must_hold.min_margin_over.items():
         others = [run.service for run in runs if run.policy == policy]
         if others:
             ahead = service - fmean(others)
--- a/ploverspoke/testbed/scenarios/scale_fleet.py
+++ b/ploverspoke/testbed/scenarios/scale_fleet.py
@@ -91,7 +91,7 @@
     def _wants(self) -> list[ResourceDemand]:
         if self.shape.workers > 1 and (
             self.e.store is not None
-            or any(g.idempotency == "labelled" and g.group == "all" for g in self.e.request_classes)
+            or any(g.idempotency == "labelled" and g.retry_scope == "all" for g in self.e.request_classes)
         ):
             raise ex.ExperimentError("worker processes: what all zones share can't be spread over several")
         found = [self._dispatchers_want()]
@@ -154,7 +154,7 @@
             clients = [one for one in self.latest.values() if "sent" in one]
             if len(clients) < self.shape.clients or sum(one["sent"] for one in clients) < self.jobs:
                 return
-            if told["at"] < self.e.lasts or any(one["out"] for one in clients):
+            if told["at"] < self.e.duration or any(one["out"] for one in clients):
                 self.quiet_since = -1
             elif self.quiet_since < 0:
                 self.quiet_since = told["at"]
@@ -288,7 +288,7 @@
 
     def _dispatchers_want(self) -> ResourceDemand:
         return ResourceDemand(
-            "dispatchers", self.e.dispatchers.count, PROCESS_MEMORY, self.e.dispatchers.sockets
+            "dispatchers", self.e.dispatchers.count, PROCESS_MEMORY, self.e.dispatchers.max_sockets
         )
 
     def _program(
@@ -316,10 +316,10 @@
 
 def cores_for(e: ex.Experiment) -> tuple[float, float, float]:
     """Cores that a run wants, with the tasks running and the starts a second at its peak."""
-    starts = max(max(t.rate, t.to_rate or 0.0) * (1 + t.wave) for t in e.traffic)
+    starts = max(max(t.rate, t.end_rate or 0.0) * (1 + t.wave_amplitude) for t in e.traffic)
     whole = sum(g.share for g in e.request_classes)
     running = starts * sum(g.share / whole * g.work.mean / SECOND for g in e.request_classes)
-    reports = SECOND / e.worker_rules.progress_every
+    reports = SECOND / e.worker_rules.progress_interval
     needed = running * reports * CORES_A_TASK + starts * CORES_A_START
     return needed + e.dispatchers.count * CORES_A_DISPATCHER, running, starts
 
--- a/ploverspoke/testbed/scenarios/socket_run.py
+++ b/ploverspoke/testbed/scenarios/socket_run.py
@@ -81,7 +81,7 @@
 
 
 def _most_a_second(e: ex.Experiment) -> float:
-    return sum(max(t.rate, t.to_rate or 0.0) * (1 + t.wave) for t in e.traffic)
+    return sum(max(t.rate, t.end_rate or 0.0) * (1 + t.wave_amplitude) for t in e.traffic)
 
 
 def resource_demands(e: ex.Experiment) -> list[ResourceDemand]:
@@ -133,7 +133,7 @@
                 "troubles: replacing and changed settings are played on virtual time only"
             )
         clients, parts = self._client_processes(), self.worker_processes
-        streams, datagrams = ["peers"] * e.dispatchers.store, ["talk"] * e.dispatchers.talk
+        streams, datagrams = ["peers"] * e.dispatchers.store, ["talk"] * e.dispatchers.gossip
         names = [f"d{number}" for number in range(e.dispatchers.count)]
         places = [rig.place(name, streams, datagrams, direct=["clients"]) for name in names]
         spec = self.folder / "spec.json"
@@ -208,7 +208,7 @@
         """All has started; the run begins then."""
 
     def _end(self) -> int:
-        end = self.e.lasts + max(g.deadline for g in self.e.request_classes) + FINAL_CALM
+        end = self.e.duration + max(g.deadline for g in self.e.request_classes) + FINAL_CALM
         return end + (LATE_ANSWER_ALLOWANCE if self.e.dispatchers.store else 0)
 
     async def _first(self, child: ChildProcess) -> dict[str, Any]:
@@ -224,10 +224,10 @@
             "listen": places[number].at("clients"),
             "discovery": discovery,
             "seed": f"{self.seed * 1_000_003 + number:x}",
-            "limits": {"sockets": e.dispatchers.sockets, "memory_mb": e.dispatchers.memory_mb},
+            "limits": {"sockets": e.dispatchers.max_sockets, "memory_mb": e.dispatchers.memory_mb},
             "settings": dispatcher_settings(e, number),
         }
-        if e.dispatchers.talk:
+        if e.dispatchers.gossip:
             config["peers"] = [place.through("talk") for place in places]
         return config
 
@@ -239,7 +239,7 @@
         }
         folder = places[number].name
         told = {"cluster": "testbed", "name": f"r{number}", "folder": folder, "secret_file": "secret"}
-        return {**told, "replicas": replicas, "snapshot_every": self.e.dispatchers.snapshot_every}
+        return {**told, "replicas": replicas, "snapshot_every": self.e.dispatchers.snapshot_interval}
 
     async def _listen(self, child: ChildProcess, discovery: ChildProcess) -> None:
         while (told := await child.hear()) is not None:
--- a/tests/routing/test_acceptance_rules.py
+++ b/tests/routing/test_acceptance_rules.py
@@ -168,12 +168,14 @@
     for event in VirtualWorld(e, seed, policy).run():
         if event.what == UP:
             up[event.worker], came[event.worker] = event.at, []
-        elif event.what == CAME and event.at - up.get(event.worker, -rules.warm_within) < rules.warm_within:
-            warmth = (event.at - up[event.worker]) / rules.warm_within
-            share = rules.cold_share + (1 - rules.cold_share) * warmth
-            allowed = rules.tip_multiple * share * slots * rules.fall_within / work
+        elif (
+            event.what == CAME and event.at - up.get(event.worker, -rules.warmup_period) < rules.warmup_period
+        ):
+            warmth = (event.at - up[event.worker]) / rules.warmup_period
+            share = rules.warmup_share + (1 - rules.warmup_share) * warmth
+            allowed = rules.overload_multiple * share * slots * rules.overload_window / work
             came[event.worker].append(event.at)
-            late = [at for at in came[event.worker] if at > event.at - rules.fall_within]
+            late = [at for at in came[event.worker] if at > event.at - rules.overload_window]
             most, in_all = max(most, len(late) - allowed - 2 * math.sqrt(allowed) - 2), in_all + 1
     return most, in_all
 
--- a/tests/testbed/models/test_models.py
+++ b/tests/testbed/models/test_models.py
@@ -64,7 +64,7 @@
 def queue_of(servers: int, room: int, load: float, customers: int, seed: int) -> list[Heard]:
     """Poisson arrivals of exponential work at one worker; load is offered work for each server."""
     clock = VirtualClock()
-    worker = one_worker(clock, slots=servers, waiting=room)
+    worker = one_worker(clock, slots=servers, queue_limit=room)
     generator = np.random.default_rng(seed)
     mean = 10 * MILLISECOND
     at = np.cumsum(generator.exponential(mean / load / servers, customers))
@@ -111,7 +111,7 @@
 
 def test_a_worker_without_waiting_room_takes_what_fits() -> None:
     clock = VirtualClock()
-    worker = one_worker(clock, slots=1, waiting=0)
+    worker = one_worker(clock, slots=1, queue_limit=0)
     _, first = take(worker, clock, 10 * MILLISECOND)
     _, second = take(worker, clock, 10 * MILLISECOND, number=1)
     clock.run(SECOND)
