--- a/ploverspoke/testbed/experiment_files/experiment.py
+++ b/ploverspoke/testbed/experiment_files/experiment.py
@@ -607,7 +607,7 @@
             f"no worker is a {g.machine_kind!r}",
         )
         must(g.share >= 0 and g.weight >= 0, f"grades[{at}]", "share and benefit must not be below 0")
-        must(g.latency_objective <= g.deadline, f"grades[{at}].latency_objective", "is beyond abandon_time")
+        must(g.latency_objective <= g.deadline, f"grades[{at}].expected_time", "is beyond abandon_time")
         for slots in g.slot_shares:
             must(
                 _is_number(slots) and 0 < float(slots) <= most,
--- a/tests/testbed/commands/test_experiment_commands.py
+++ b/tests/testbed/commands/test_experiment_commands.py
@@ -64,7 +64,7 @@
         "dispatchers",
     ),
     ({"grades": [{"name": "a", "kind": "fast"}]}, "grades[0].kind"),
-    ({"grades": [{"name": "a", "expected_time": "9s"}]}, "grades[0].latency_objective"),
+    ({"grades": [{"name": "a", "expected_time": "9s"}]}, "grades[0].expected_time"),
     ({"grades": [{"name": "a", "slots": {"9": 1.0}}]}, "grades[0].slots"),
     ({"must_hold": {"over": {"random": 0.1}}}, "must_hold.over.random"),
     ({"grades": [{"name": "a", "work": {"law": "pareto", "mean": "5ms", "shape": 1.0}}]}, "shape"),
