--- a/ploverspoke/testbed/capacity/measurements/config_server.py
+++ b/ploverspoke/testbed/capacity/measurements/config_server.py
@@ -31,9 +31,11 @@
 from ...experiment_files import experiment as ex
 from ...experiment_files.durations import SECOND
 from ...models.deployment_settings import dispatcher_settings
+from ...processes.addresses import ProcessAddress
 from ...processes.capacity_check import memory_backed_folder
+from ...processes.readiness import accepts_connections
 from ...processes.resource_usage import ResourceUsage, read_resource_usage
-from ...processes.rig import ProcessAddress, Rig, listens_at
+from ...processes.rig import Rig
 from ...processes.running_process import ProcessStartError
 from ...processes.tcp_proxy import OUTSIDE
 from .dispatcher import SEED, WORKERS, report_listener, settled_interval
@@ -87,18 +89,19 @@
     async def start(self) -> None:
         rig = self.rig
         (rig.folder / "secret").write_text(SECRET)
-        self.places = [rig.place(f"c{n}", ["peers", "clients"]) for n in range(SERVERS)]
+        self.places = [rig.allocate_address(f"c{n}", ["peers", "clients"]) for n in range(SERVERS)]
         replicas = {
-            p.name: {"peers": p.through("peers"), "clients": p.through("clients")} for p in self.places
+            p.name: {"peers": p.proxied_endpoint("peers"), "clients": p.proxied_endpoint("clients")}
+            for p in self.places
         }
         for place in self.places:
             own = rig.folder / f"{place.name}.json"
             orders = {"cluster": CLUSTER, "secret_file": "secret", "replicas": replicas}
             own.write_bytes(msgspec.json.encode({**orders, "name": place.name, "folder": place.name}))
-            server = rig.add(place, "ploverspoke", ["config", "serve", str(own)])
-            server.ready = listens_at(place.own, place.ports["clients"])
-        await rig.open()
-        await rig.start(None, ["--new"])
+            server = rig.add_process(place, "ploverspoke", ["config", "serve", str(own)])
+            server.ready = accepts_connections(place.host, place.ports["clients"])
+        await rig.open_proxy()
+        await rig.start_processes(None, ["--new"])
 
     async def leader(self) -> ProcessAddress:
         """Raises ProcessStartError where none leads in time."""
@@ -107,7 +110,7 @@
             for place in self.places:
                 with contextlib.suppress(OSError, FrameError):
                     said = await asyncio.to_thread(
-                        call_replica, place.at("peers"), SECRET.encode(), StatusRequest(), StatusRow
+                        call_replica, place.endpoint("peers"), SECRET.encode(), StatusRequest(), StatusRow
                     )
                     if said.leads:
                         return place
@@ -116,7 +119,7 @@
 
     async def publish(self, size: int) -> None:
         """The next version, of a body of so many bytes, as the command does it. Raises ProcessStartError."""
-        servers = ConfigServers({p.name: p.at("peers") for p in self.places}, SECRET.encode())
+        servers = ConfigServers({p.name: p.endpoint("peers") for p in self.places}, SECRET.encode())
         body = body_of(size, self.number)
         self.number += 1
         try:
@@ -127,12 +130,12 @@
             raise ProcessStartError(f"a version was not taken: {said.reason}")
 
     async def octets(self) -> tuple[float, Octets]:
-        await self.rig.ask_relays({"by_link": True})
-        return time.monotonic(), self.rig.counts["octets"]
+        await self.rig.link_faults.read_counters(by_link=True)
+        return time.monotonic(), self.rig.link_faults.counters.bytes_by_link
 
     def watch_file(self, place: ProcessAddress) -> Path:
         path = self.rig.folder / "watch.json"
-        orders = {"cluster": CLUSTER, "servers": [place.through("clients")], "secret_file": "secret"}
+        orders = {"cluster": CLUSTER, "servers": [place.proxied_endpoint("clients")], "secret_file": "secret"}
         path.write_bytes(msgspec.json.encode({**orders, "cache": "cache.json"}))
         return path
 
@@ -147,7 +150,7 @@
         try:
             async with Rig(Path(name), SEED) as rig:
                 found = await _measure(rig, watchers, changes, body, asked)
-                void = rig.void()
+                void = rig.void_reason()
         except (ProcessStartError, OSError, FrameError) as error:
             found, void = {}, str(error) or "not ready in time"
     shown = void or f"core {found['core_share']:.2%}"
@@ -171,7 +174,7 @@
     clients = []
     for n in range(watchers):
         cache = rig.folder / f"cache-{n}.json"
-        orders = WatchConfig(CLUSTER, [place.through("clients")], [], SECRET.encode(), cache)
+        orders = WatchConfig(CLUSTER, [place.proxied_endpoint("clients")], [], SECRET.encode(), cache)
         clients.append(WatchClient(loop, orders, f"d{n}", take, seed=n))
     try:
         for client in clients:
@@ -184,7 +187,7 @@
         began, published, each = time.monotonic(), 0, 60 / changes if changes else 0.0
         while time.monotonic() < began + over.lasts:
             for name, seen in looks.items():
-                process = rig.running[name].process
+                process = rig.processes[name].process
                 if process is not None:
                     seen.append((time.monotonic_ns(), read_resource_usage(process.pid)))
             if each and time.monotonic() >= began + 0.3 + published * each:
@@ -300,7 +303,7 @@
                 acts.append((over.end * SECOND, partial(_octets, servers, octets)))
                 watch = servers.watch_file(place)
                 _, reading = await run_fleet(e, SEED, over.settled * SECOND, acts, watch=watch)
-                void = reading.void or rig.void()
+                void = reading.void or rig.void_reason()
         except (ProcessStartError, OSError, FrameError) as error:
             return float(changes), {}, str(error) or "not ready in time"
     if not void and len(octets) < 2:
--- a/ploverspoke/testbed/capacity/measurements/lease_server.py
+++ b/ploverspoke/testbed/capacity/measurements/lease_server.py
@@ -66,7 +66,7 @@
         for place in leases.keepers:
             with contextlib.suppress(OSError):
                 told = await asyncio.to_thread(
-                    call_replica, place.at("peers"), secret, StatusRequest(), StatusRow
+                    call_replica, place.endpoint("peers"), secret, StatusRequest(), StatusRow
                 )
                 if told.fields.get("leading"):
                     return place.name
@@ -120,8 +120,8 @@
     await leases.start()
     secret = read_lease_servers(leases.file).secret
     leader = await _leader(leases, secret)
-    place = rig.places[leader]
-    load = load_of(LeaseServers({}, [place.through("clients")], secret))
+    place = rig.addresses[leader]
+    load = load_of(LeaseServers({}, [place.proxied_endpoint("clients")], secret))
     for n, client in enumerate(load.clients):
         for k in range(load.names):
             client.want(f"team-h{n}-{k}", DURATION * SECOND)
@@ -144,7 +144,7 @@
         await asyncio.gather(*(client.close() for client in load.clients))
     if load.changes:
         value = sum(begin <= at <= begin + stretch for at in changed) / stretch
-    return Seen(value, _figures(leader, looks, counts), rig.void())
+    return Seen(value, _figures(leader, looks, counts), rig.void_reason())
 
 
 Looks = dict[str, list[tuple[int, ResourceUsage]]]
@@ -156,16 +156,16 @@
     looks: Looks = {place.name: [] for place in leases.keepers}
     counts = []
     until = time.monotonic() + stretch
-    await rig.ask_relays({"by_link": True})
-    counts.append((time.monotonic(), rig.counts["octets"]))
+    await rig.link_faults.read_counters(by_link=True)
+    counts.append((time.monotonic(), rig.link_faults.counters.bytes_by_link))
     while time.monotonic() < until:
         for name, seen in looks.items():
-            process = rig.running[name].process
+            process = rig.processes[name].process
             if process is not None:
                 seen.append((time.monotonic_ns(), read_resource_usage(process.pid)))
         await asyncio.sleep(LOOKS_EVERY)
-    await rig.ask_relays({"by_link": True})
-    counts.append((time.monotonic(), rig.counts["octets"]))
+    await rig.link_faults.read_counters(by_link=True)
+    counts.append((time.monotonic(), rig.link_faults.counters.bytes_by_link))
     return looks, counts
 
 
--- a/ploverspoke/testbed/capacity/measurements/measurement_fleet.py
+++ b/ploverspoke/testbed/capacity/measurements/measurement_fleet.py
@@ -1,7 +1,7 @@
 """A world in which one size has a value, and what the dispatchers in it used over a settled stretch.
 
 The dispatcher that is measured is the program as users start it, with nothing between it and the kernel: the
-rig's `starter.py` would cost it time at each look at the clock. Worlds of several dispatchers need that
+rig's `launcher.py` would cost it time at each look at the clock. Worlds of several dispatchers need that
 starter, by which each has an address of its own; they are read for messages and bytes.
 """
 
@@ -20,10 +20,11 @@
 
 from ...experiment_files import experiment as ex
 from ...experiment_files.durations import MILLISECOND, SECOND
+from ...processes.addresses import ProcessAddress
 from ...processes.capacity_check import memory_backed_folder
 from ...processes.child_process import ChildProcess
+from ...processes.link_faults import LinkCounters
 from ...processes.resource_usage import ResourceUsage, read_resource_usage
-from ...processes.rig import ProcessAddress
 from ...processes.running_process import ProcessStartError, RunningProcess
 from ...scenarios.socket_run import DispatcherProgram, SocketFleet
 
@@ -55,7 +56,7 @@
 
     def watch(self, orders: Path) -> None:
         """It takes versions of the configuration from those that this file names."""
-        self.words = ["serve", self.environment["RELAY_CONFIG"], "--watch", str(orders)]
+        self.arguments = ["serve", self.environment["RELAY_CONFIG"], "--watch", str(orders)]
 
     async def start(self, more: Any = ()) -> None:
         await RunningProcess.start(self, more)
@@ -82,7 +83,7 @@
         self.bare = e.dispatchers.count == 1
         self.reports: dict[str, list[dict[str, Any]]] = {kind: [] for kind in KINDS.values()}
         self.looks: list[list[tuple[int, ResourceUsage]]] = []  # by dispatcher
-        self.relayed: list[tuple[int, dict[str, Any]]] = []
+        self.relayed: list[tuple[int, LinkCounters]] = []
         self.configs: list[dict[str, Any]] = []
         self.reloads = 0  # that were asked for
 
@@ -126,14 +127,14 @@
             while at <= self.ends:
                 await asyncio.sleep(max(0, epoch + at - time.monotonic_ns()) / SECOND)
                 for looks, program in zip(self.looks, self.programs, strict=True):
-                    if program.process is not None and program.lives():
+                    if program.process is not None and program.is_running():
                         looks.append((time.monotonic_ns() - epoch, read_resource_usage(program.process.pid)))
-                if self.rig.relays is not None and (at == self.settled or at + LOOKS_EVERY > self.ends):
-                    await self.rig.ask_relays({})
-                    self.relayed.append((time.monotonic_ns() - epoch, self.rig.counts["links"]))
+                if self.rig.link_faults.is_open() and (at == self.settled or at + LOOKS_EVERY > self.ends):
+                    await self.rig.link_faults.read_counters()
+                    self.relayed.append((time.monotonic_ns() - epoch, self.rig.link_faults.counters.links))
                 at += LOOKS_EVERY
         except OSError as error:
-            self.rig.faults.append(f"a dispatcher could not be looked at: {error}")
+            self.rig.errors.append(f"a dispatcher could not be looked at: {error}")
 
     async def _act(self, epoch: int) -> None:
         for at, act in self.acts:
@@ -143,7 +144,7 @@
                 if doing is not None:
                     await doing
             except (OSError, ProcessStartError, FrameError) as error:
-                self.rig.faults.append(f"what was to be done could not be: {error}")
+                self.rig.errors.append(f"what was to be done could not be: {error}")
 
     # ---- What it was ----
 
@@ -198,7 +199,7 @@
         by_peers = self._told_by_peers(count)
         # All that a dispatcher sends and hears, whoever is at the other end.
         figures |= {key: rate + by_peers.get(f"peer_{key}", 0.0) for key, rate in total.items()} | by_peers
-        taken = sum(Path(p.log.name).read_text().count(TAKEN) for p in self.programs)
+        taken = sum(p.log_path.read_text().count(TAKEN) for p in self.programs)
         if taken != self.reloads:
             return Reading({}, {}, f"{self.reloads} reloads were asked for, {taken} were taken")
         return Reading(sizes, figures, self._refused())
@@ -234,7 +235,10 @@
             return {}
         (begin, first), (end, last) = self.relayed[0], self.relayed[-1]
         took = (end - begin) / SECOND * count
-        octets, datagrams = ((last[key] - first[key]) / took for key in ("octets", "passed"))
+        octets, datagrams = (
+            (now - before) / took
+            for now, before in ((last.bytes_passed, first.bytes_passed), (last.passed, first.passed))
+        )
         return {
             "peer_bytes_in": octets,
             "peer_bytes_out": octets,
@@ -279,7 +283,7 @@
         try:
             await world.play()
         except (ProcessStartError, TimeoutError) as error:
-            world.rig.faults.append(str(error) or "a stand-in was not ready in time")
+            world.rig.errors.append(str(error) or "a stand-in was not ready in time")
         finally:
             await world.close()
         return world, world.read()
--- a/ploverspoke/testbed/capacity/measurements/store_replica.py
+++ b/ploverspoke/testbed/capacity/measurements/store_replica.py
@@ -66,16 +66,18 @@
 
 
 async def _status(world: MeasurementFleet, number: int) -> dict[str, Any]:
-    place = world.rig.places[f"d{number}"]
-    status = await asyncio.to_thread(call_replica, place.at("peers"), SECRET, StatusRequest(), StatusRow)
+    place = world.rig.addresses[f"d{number}"]
+    status = await asyncio.to_thread(
+        call_replica, place.endpoint("peers"), SECRET, StatusRequest(), StatusRow
+    )
     return dict(status.fields)
 
 
 async def _mark(world: MeasurementFleet) -> Mark:
     count = world.e.dispatchers.count
     status = {n: await _status(world, n) for n in range(count)}
-    await world.rig.ask_relays({"by_link": True})
-    return Mark(time.monotonic(), status, world.rig.counts["octets"])
+    await world.rig.link_faults.read_counters(by_link=True)
+    return Mark(time.monotonic(), status, world.rig.link_faults.counters.bytes_by_link)
 
 
 async def _marked(marks: list[Mark], world: MeasurementFleet) -> None:
@@ -191,7 +193,7 @@
         name = f"d{gone}"
         applied = before.status[gone]["applied"]
         step = FaultStep(at=Duration(0), what="kill", who=[name], lasts=Duration(int(away * SECOND)))
-        await world.rig.on_process(step, name)  # back, and ready at its door
+        await world.rig.timeline.apply_to_process(step, name)  # back, and ready at its door
         began = time.monotonic()
         # What it had not when it was back at its replicas' port; the link counts from its death on.
         first = before.octets.get(f"d{leader}>{name}", 0)
--- a/ploverspoke/testbed/capacity/measurements/tools.py
+++ b/ploverspoke/testbed/capacity/measurements/tools.py
@@ -19,8 +19,9 @@
 from ...experiment_files.durations import SECOND, Duration
 from ...models.deployment_settings import dispatcher_settings
 from ...processes.capacity_check import memory_backed_folder
+from ...processes.readiness import accepts_connections
 from ...processes.resource_usage import read_resource_usage
-from ...processes.rig import Rig, listens_at
+from ...processes.rig import Rig
 from ...processes.running_process import ProcessStartError
 from ...scenarios.lease_scenario import LeaseFleet, LeaseScenario
 from .dispatcher import SEED, report_listener, settled_interval
@@ -89,16 +90,18 @@
             )
             leases = LeaseFleet(rig, plan)
             await leases.start()
-            nobody = rig.place("nobody", direct=["none"]).at("none")
+            nobody = rig.allocate_address("nobody", direct=["none"]).endpoint("none")
             admins = []
             for number in range(doors):
-                place = rig.place(f"d{number}", direct=["clients", "admin"])
+                place = rig.allocate_address(f"d{number}", direct=["clients", "admin"])
                 path = rig.folder / f"{place.name}.json"
-                path.write_bytes(msgspec.json.encode(_config(place.at("clients"), place.at("admin"), nobody)))
-                running = rig.add(place, "ploverspoke", [], {"RELAY_CONFIG": str(path)})
-                running.ready = listens_at(place.own, place.ports["admin"])
-                admins.append(place.at("admin"))
-            await rig.start([f"d{number}" for number in range(doors)])
+                path.write_bytes(
+                    msgspec.json.encode(_config(place.endpoint("clients"), place.endpoint("admin"), nobody))
+                )
+                running = rig.add_process(place, "ploverspoke", [], {"RELAY_CONFIG": str(path)})
+                running.ready = accepts_connections(place.host, place.ports["admin"])
+                admins.append(place.endpoint("admin"))
+            await rig.start_processes([f"d{number}" for number in range(doors)])
             yield leases, admins
 
 
@@ -150,22 +153,24 @@
     for count in PROCESSES:
         with tempfile.TemporaryDirectory(prefix="ploverspoke-slopes-", dir=memory_backed_folder()) as name:
             async with Rig(Path(name), SEED) as rig:
-                place = rig.place("s", direct=["clients", "admin", "none"])
+                place = rig.allocate_address("s", direct=["clients", "admin", "none"])
                 path = rig.folder / "s.json"
-                config = _config(place.at("clients"), place.at("admin"), place.at("none"))
+                config = _config(place.endpoint("clients"), place.endpoint("admin"), place.endpoint("none"))
                 del config["admin_addr"]
                 path.write_bytes(msgspec.json.encode(config))
-                running = rig.add(place, "ploverspoke", ["serve", str(path), "--processes", str(count)])
-                running.ready = listens_at(place.own, place.ports["clients"])
+                running = rig.add_process(
+                    place, "ploverspoke", ["serve", str(path), "--processes", str(count)]
+                )
+                running.ready = accepts_connections(place.host, place.ports["clients"])
                 try:
-                    await rig.start()
+                    await rig.start_processes()
                     figures = await _standing(running.process, over.settled, over.lasts, count)
                     seen.append((float(count), figures, ""))
                 except (ProcessStartError, OSError) as error:
                     seen.append((float(count), {}, str(error)))
                 finally:
                     # Its children would outlive it where it is killed.
-                    await running.end(signal.SIGTERM, RUN_WITHIN)
+                    await running.stop(signal.SIGTERM, RUN_WITHIN)
         asked.say(f"supervisor, processes {count}: {seen[-1][2] or 'seen'}")
     return _found("supervisor", "processes", seen, STANDING_HOW, {"workers_listed": float(SERVERS)})
 
--- a/ploverspoke/testbed/checkers/distribution_checker.py
+++ b/ploverspoke/testbed/checkers/distribution_checker.py
@@ -125,16 +125,16 @@
         self.out: dict[str, list[Span]] = defaultdict(list)  # by process
         self.ends: dict[str, list[Span]] = defaultdict(list)  # the same, where a life ends by it
         self.faults: list[tuple[Span, set[str], set[str]]] = []
-        self.troubles = sum(e.what in ("lay", "reset", *OUT) for e in rig)
+        self.troubles = sum(e.what in ("add fault", "reset", *OUT) for e in rig)
         began: dict[Any, HistoryEvent] = {}
         for event in rig:
             if event.what in OUT:
                 began[event.what, event.detail] = event
             elif event.what.endswith(" is over"):
                 self._over(began.pop((event.what.removesuffix(" is over"), event.detail), None), event.at)
-            elif event.what == "lay":
+            elif event.what == "add fault":
                 began[event.detail[0]] = event
-            elif event.what == "lift":
+            elif event.what == "remove fault":
                 self._over(began.pop(event.detail, None), event.at)
         for event in began.values():
             self._over(event, self.whole[1])
@@ -143,7 +143,7 @@
         if event is None:
             return
         span = (event.at, until)
-        if event.what == "lay":
+        if event.what == "add fault":
             fault = event.detail[1]
             if fault.get("cut") or fault.get("silent"):
                 self.faults.append((span, set(fault.get("origin", ())), set(fault.get("target", ()))))
@@ -453,7 +453,7 @@
         said = [
             (event.at, found)
             for event in self.events
-            if event.who == dispatcher and event.what == "says"
+            if event.who == dispatcher and event.what == "log"
             if (found := REFUSAL.search(str(event.detail))) is not None
         ]
         for at, version, one in by_time:
--- a/ploverspoke/testbed/fakes/worker_server.py
+++ b/ploverspoke/testbed/fakes/worker_server.py
@@ -15,7 +15,7 @@
 from ..models.request_schedule import ScheduledRequest, draw_schedule
 from ..models.worker import Execution, Worker
 from ..models.worker_fleet import RESET_WITHIN, IgnoringListener, WorkerFleet
-from ..processes.addresses import bound
+from ..processes.addresses import bind_without_listening
 from ..processes.capacity_check import descriptor_limit
 from .fake_process import FakeProcess, FakeProcessSpec, send_message
 from .http_wire import LAST_CHUNK, HttpMessage, HttpReader, HttpSyntaxError, encode_chunk, encode_response
@@ -202,12 +202,12 @@
         self.connections: set[WorkerConnection] = set()
         self.server: asyncio.Server | None = None
         self.host = fleet.spec.own_hosts["workers"]
-        self.held = bound(self.host, 0)
+        self.held = bind_without_listening(self.host, 0)
         self.port: int = self.held.getsockname()[1]
 
     async def open(self) -> None:
         self.server = await asyncio.get_running_loop().create_server(
-            lambda: WorkerConnection(self), sock=bound(self.host, self.port), backlog=BACKLOG
+            lambda: WorkerConnection(self), sock=bind_without_listening(self.host, self.port), backlog=BACKLOG
         )
 
     def close(self) -> None:
--- a/ploverspoke/testbed/processes/__init__.py
+++ b/ploverspoke/testbed/processes/__init__.py
@@ -1,1 +1,1 @@
-"""Processes of the program on loopback: start and end, addresses, TCP proxies with link faults."""
+"""Processes of one run on loopback: start and end, addresses, and faults on them and their links."""
--- a/ploverspoke/testbed/processes/addresses.py
+++ b/ploverspoke/testbed/processes/addresses.py
@@ -1,91 +1,142 @@
-"""Addresses on loopback that are one run's alone: a process has one of its own, and keeps its ports.
+"""Loopback addresses that belong to one run: each process has its own host, and keeps its ports.
 
-A run takes one of the blocks 127.N.0.0/16 for as long as it lives. In it each process has its own address,
-by which others know who sends, and another at which the relays stand for it. A port is bound by whoever
-hands it out and stays bound, so that nobody else can get it between two starts of the process.
+A run holds one of the blocks 127.N.0.0/16 while it lives. In its block each process has a host of its own, by
+which others know the sender, and a second one at which the proxy stands in front of it. Whoever hands out a
+port binds it and keeps it bound, so that nobody else can get it between two starts of the process.
 """
 
 import os
 import socket
+from typing import NamedTuple
 
 FIRST_BLOCK, LAST_BLOCK = 16, 250
-A_ROW = 250  # addresses in a row of a block
-ROWS = 100
-STAND_INS, OWN, RELAYED = 0, 1, 128  # where the rows of each kind begin
+HOSTS_PER_ROW = 250  # a row is the third number of an address
+ROWS_PER_KIND = 100
+FIRST_FAKE_ROW, FIRST_PROCESS_ROW, FIRST_PROXY_ROW = 0, 1, 128
+PORT_ATTEMPTS = 20
+LOCALHOST = "127.0.0.1"
 
 
 class AddressUnavailableError(RuntimeError):
-    """No block, or no port, is to be had."""
+    """Base of the errors of this module: no address is free."""
 
 
-class Block:
-    """One block, ours until `close`. Raises AddressUnavailableError where all are taken."""
+class BlocksInUseError(AddressUnavailableError):
+    """Other processes hold all blocks."""
+
+    def __init__(self, blocks: int) -> None:
+        """`blocks` is how many there are."""
+        super().__init__(f"all {blocks} blocks of loopback addresses are in use")
+        self.blocks = blocks
+
+
+class BlockExhaustedError(AddressUnavailableError):
+    """One block has too few addresses for the run."""
+
+    def __init__(self, limit: int, wanted: int) -> None:
+        """`limit` is how many a block has."""
+        super().__init__(f"a block has {limit} addresses, {wanted} are wanted")
+        self.limit, self.wanted = limit, wanted
+
+
+class NoFreePortError(AddressUnavailableError):
+    """A host has no port that is free for both TCP and UDP."""
+
+    def __init__(self, host: str) -> None:
+        """Keep the host."""
+        super().__init__(f"no port at {host}")
+        self.host = host
+
+
+class ProcessAddress(NamedTuple):
+    """Where one process listens, and where the proxy stands in front of it."""
+
+    name: str
+    number: int
+    host: str
+    proxy_host: str
+    ports: dict[str, int]  # by their names
+
+    def endpoint(self, port: str) -> str:
+        """The process's own `host:port`, without the proxy."""
+        return f"{self.host}:{self.ports[port]}"
+
+    def proxied_endpoint(self, port: str) -> str:
+        """The `host:port` at which other processes reach it through the proxy."""
+        return f"{self.proxy_host}:{self.ports[port]}"
+
+
+class AddressBlock:
+    """One block of loopback addresses, held until `close`."""
 
     def __init__(self) -> None:
+        """Take a free block. Raises BlocksInUseError if there is none."""
         blocks = LAST_BLOCK - FIRST_BLOCK + 1
-        self.held: list[socket.socket] = []
+        self._bound_sockets: list[socket.socket] = []
         for n in range(blocks):
             number = FIRST_BLOCK + (os.getpid() + n) % blocks
-            # A name that ends with its process, however that ends: no file can be left behind.
-            mark = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM)
+            # An abstract socket name ends with its process, however that ends: no lock file is left behind.
+            lock = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM)
             try:
-                mark.bind(f"\0ploverspoke-block-{number}")
+                lock.bind(f"\0ploverspoke-block-{number}")
             except OSError:
-                mark.close()
+                lock.close()
                 continue
-            self.number, self.mark = number, mark
+            self.number, self._lock = number, lock
             return
-        raise AddressUnavailableError(f"all {blocks} blocks of loopback addresses are in use")
-
-    def _address(self, row: int, number: int) -> str:
-        if number >= ROWS * A_ROW:
-            raise AddressUnavailableError(f"a block has {ROWS * A_ROW} addresses, {number + 1} are wanted")
-        return f"127.{self.number}.{row + number // A_ROW}.{1 + number % A_ROW}"
-
-    def stand_in(self, number: int) -> str:
-        return self._address(STAND_INS, number)
-
-    def own(self, number: int) -> str:
-        """Where process `number` listens and sends from."""
-        return self._address(OWN, number)
-
-    def relayed(self, number: int) -> str:
-        """Where the relays stand for it."""
-        return self._address(RELAYED, number)
-
-    def hold(self, host: str) -> int:
-        """A port there that stays ours, free for both TCP and UDP. Raises AddressUnavailableError."""
-        for _ in range(20):
-            held = bound(host, 0)
-            port: int = held.getsockname()[1]
+        raise BlocksInUseError(blocks)
+
+    def _host(self, first_row: int, number: int) -> str:
+        if number >= ROWS_PER_KIND * HOSTS_PER_ROW:
+            raise BlockExhaustedError(ROWS_PER_KIND * HOSTS_PER_ROW, number + 1)
+        return f"127.{self.number}.{first_row + number // HOSTS_PER_ROW}.{1 + number % HOSTS_PER_ROW}"
+
+    def fake_host(self, number: int) -> str:
+        """The host of a fake server."""
+        return self._host(FIRST_FAKE_ROW, number)
+
+    def process_host(self, number: int) -> str:
+        """The host at which process `number` listens and from which it sends."""
+        return self._host(FIRST_PROCESS_ROW, number)
+
+    def proxy_host(self, number: int) -> str:
+        """The host at which the proxy stands in front of process `number`."""
+        return self._host(FIRST_PROXY_ROW, number)
+
+    def reserve_port(self, host: str) -> int:
+        """Bind a port that is free for both TCP and UDP, until `close`. Raises NoFreePortError."""
+        for _ in range(PORT_ATTEMPTS):
+            stream = bind_without_listening(host, 0)
+            port: int = stream.getsockname()[1]
             try:
-                with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as other:
-                    other.bind((host, port))
+                with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as datagram:
+                    datagram.bind((host, port))
             except OSError:
-                held.close()
+                stream.close()
                 continue
-            self.held.append(held)
+            self._bound_sockets.append(stream)
             return port
-        raise AddressUnavailableError(f"no port at {host}")
+        raise NoFreePortError(host)
 
     def close(self) -> None:
-        for held in self.held:
-            held.close()
-        self.mark.close()
+        """Release the block and its ports."""
+        for bind_without_listening in self._bound_sockets:
+            bind_without_listening.close()
+        self._lock.close()
 
 
-def bound(host: str, port: int) -> socket.socket:
-    """A socket that has the port and does not listen: another that says the same may, and it stays taken."""
-    held = socket.socket()
-    held.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    held.bind((host, port))
-    return held
+def bind_without_listening(host: str, port: int) -> socket.socket:
+    """Bind a TCP socket that keeps the port: a listener that also sets SO_REUSEADDR may still bind it."""
+    bind_without_listening = socket.socket()
+    bind_without_listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    bind_without_listening.bind((host, port))
+    return bind_without_listening
 
 
-HELD: list[socket.socket] = []  # as long as this process lives
+_reserved_sockets: list[socket.socket] = []  # kept until this process ends
 
 
-def held_ports(count: int) -> list[int]:
-    """Ports at 127.0.0.1 that nobody listens on, and nobody but who names them can get."""
-    HELD.extend(bound("127.0.0.1", 0) for _ in range(count))
-    return [held.getsockname()[1] for held in HELD[-count:]]
+def reserve_ports(count: int) -> list[int]:
+    """Reserve ports at 127.0.0.1 on which nobody listens, until this process ends."""
+    _reserved_sockets.extend(bind_without_listening(LOCALHOST, 0) for _ in range(count))
+    return [bind_without_listening.getsockname()[1] for bind_without_listening in _reserved_sockets[-count:]]
--- a/ploverspoke/testbed/processes/capacity_check.py
+++ b/ploverspoke/testbed/processes/capacity_check.py
@@ -1,4 +1,4 @@
-"""Whether a run fits on this machine: told before anything is started."""
+"""Checks before a run starts whether the machine has the memory and the descriptors that it wants."""
 
 import os
 import resource
@@ -7,57 +7,95 @@
 from typing import NamedTuple
 
 MEBIBYTE = 1 << 20
-LEFT_FREE = 512 * MEBIBYTE
+RESERVED_MEMORY = 512 * MEBIBYTE  # bytes, left to the rest of the machine
+UNLIMITED_DESCRIPTORS = 1 << 20  # taken as the limit where the kernel sets none
+MEMORY_FOLDER = "/dev/shm"
+MEMORY_INFO = Path("/proc/meminfo")
 
 
 class CapacityError(RuntimeError):
-    """The run wants more than there is; the text says what of."""
+    """The run wants more than the machine has; the text names the resource."""
+
+
+class FreeMemoryUnknownError(CapacityError):
+    """The kernel doesn't tell how much memory is free."""
+
+    def __init__(self) -> None:
+        """Name the source."""
+        super().__init__(f"{MEMORY_INFO} does not tell what is available")
 
 
 class ResourceDemand(NamedTuple):
+    """What a group of processes wants."""
+
     what: str
     processes: int
-    memory: int  # bytes each
-    descriptors: int  # each; they are counted by process
+    memory: int  # bytes of each process
+    descriptors: int  # of each process, since their limit holds for one process
+
+
+class DescriptorLimitError(CapacityError):
+    """One process wants more open files than it may have."""
+
+    def __init__(self, demand: ResourceDemand, limit: int) -> None:
+        """`limit` is of one process."""
+        super().__init__(
+            f"{demand.what}: {demand.descriptors} descriptors in one process, {limit} are allowed"
+        )
+        self.demand, self.limit = demand, limit
+
+
+class InsufficientMemoryError(CapacityError):
+    """All processes together want more memory than is free."""
+
+    def __init__(self, demands: list[ResourceDemand], free: int) -> None:
+        """`free` is in bytes, without what is left to the rest of the machine."""
+        parts = ", ".join(f"{d.processes} {d.what} of {d.memory // MEBIBYTE} MiB" for d in demands)
+        wanted = total_memory(demands) // MEBIBYTE
+        super().__init__(f"{wanted} MiB wanted ({parts}), {free // MEBIBYTE} are free")
+        self.demands, self.free = demands, free
+
+
+def total_memory(demands: list[ResourceDemand]) -> int:
+    """The bytes that all processes want."""
+    return sum(demand.processes * demand.memory for demand in demands)
 
 
 def memory_backed_folder() -> str | None:
-    """A place for files that no slow disk is behind, where the machine has one."""
-    place = "/dev/shm"
-    return place if os.access(place, os.W_OK) and shutil.disk_usage(place).free > LEFT_FREE else None
+    """The parent folder for files that no slow disk may delay, where the machine has one with space."""
+    is_usable = os.access(MEMORY_FOLDER, os.W_OK) and shutil.disk_usage(MEMORY_FOLDER).free > RESERVED_MEMORY
+    return MEMORY_FOLDER if is_usable else None
 
 
 def free_memory() -> int:
-    """Bytes that can be had without swapping."""
-    for line in Path("/proc/meminfo").read_text().splitlines():
+    """The bytes that the machine can give without swapping. Raises FreeMemoryUnknownError."""
+    for line in MEMORY_INFO.read_text().splitlines():
         if line.startswith("MemAvailable:"):
             return int(line.split()[1]) * 1024
-    raise CapacityError("/proc/meminfo does not tell what is available")
+    raise FreeMemoryUnknownError
 
 
 def descriptor_limit() -> int:
-    """Of one process, once the soft limit is at the hard one, where it is put."""
+    """Raise this process's soft limit of open files to the hard limit, and return that."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if hard == resource.RLIM_INFINITY or soft < hard:
         resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
-    return hard if hard != resource.RLIM_INFINITY else 1 << 20
+    return hard if hard != resource.RLIM_INFINITY else UNLIMITED_DESCRIPTORS
 
 
 def check_capacity(
-    wants: list[ResourceDemand], memory: int | None = None, descriptors: int | None = None
+    demands: list[ResourceDemand], memory: int | None = None, descriptors: int | None = None
 ) -> str:
-    """What is wanted, in a line. Raises CapacityError, naming what does not fit."""
-    has_memory = free_memory() if memory is None else memory
-    has_descriptors = descriptor_limit() if descriptors is None else descriptors
-    for want in wants:
-        if want.descriptors > has_descriptors:
-            raise CapacityError(
-                f"{want.what}: {want.descriptors} descriptors in one process, {has_descriptors} are allowed"
-            )
-    total = sum(want.processes * want.memory for want in wants)
-    if total + LEFT_FREE > has_memory:
-        parts = ", ".join(f"{w.processes} {w.what} of {w.memory // MEBIBYTE} MiB" for w in wants)
-        raise CapacityError(
-            f"{total // MEBIBYTE} MiB wanted ({parts}), {max(0, has_memory - LEFT_FREE) // MEBIBYTE} are free"
-        )
-    return f"{sum(w.processes for w in wants)} processes, {total // MEBIBYTE} MiB"
+    """Check the demands against the machine, or against `memory` (bytes) and `descriptors` where given.
+
+    Returns the demands in one line. Raises CapacityError, naming what doesn't fit.
+    """
+    available_memory = free_memory() if memory is None else memory
+    available_descriptors = descriptor_limit() if descriptors is None else descriptors
+    for demand in demands:
+        if demand.descriptors > available_descriptors:
+            raise DescriptorLimitError(demand, available_descriptors)
+    total = total_memory(demands)
+    if total + RESERVED_MEMORY > available_memory:
+        raise InsufficientMemoryError(demands, max(0, available_memory - RESERVED_MEMORY))
+    return f"{sum(d.processes for d in demands)} processes, {total // MEBIBYTE} MiB"
--- a/ploverspoke/testbed/processes/child_process.py
+++ b/ploverspoke/testbed/processes/child_process.py
@@ -1,42 +1,56 @@
-"""A stand-in process, spoken with over its pipes: JSON lines both ways. The end of its input ends it."""
+"""A child process that exchanges JSON lines over its pipes; the end of its input ends it."""
 
 import asyncio
 import sys
 from collections.abc import Sequence
-from typing import IO, Any
+from typing import IO, Any, TypeVar
 
 import msgspec
 
 STOP_TIMEOUT = 10.0  # seconds
+MAX_LINE = 1 << 22  # bytes of one message from a child
+
+Message = TypeVar("Message")
 
 
 class ChildProcess:
+    """A running child and its two pipes."""
+
     def __init__(self, process: asyncio.subprocess.Process) -> None:
+        """Wrap a process whose standard input and output are pipes."""
         self.process = process
 
     @classmethod
     async def start(
-        cls, module: str, words: Sequence[str], errors: IO[bytes] | None = None
+        cls, module: str, arguments: Sequence[str], stderr: IO[bytes] | None = None
     ) -> "ChildProcess":
-        pipe = asyncio.subprocess.PIPE
+        """Run `python -m module arguments`; its standard error goes to `stderr`, or to ours."""
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", module, *words, stdin=pipe, stdout=pipe, stderr=errors, limit=1 << 22
+            *(sys.executable, "-m", module, *arguments),
+            stdin=asyncio.subprocess.PIPE,
+            stdout=asyncio.subprocess.PIPE,
+            stderr=stderr,
+            limit=MAX_LINE,
         )
         return cls(process)
 
-    async def hear(self) -> dict[str, Any] | None:
-        """None where it has ended."""
+    async def receive(self) -> dict[str, Any] | None:
+        """The child's next message; None once it has ended."""
+        return await self.receive_as(dict[str, Any])
+
+    async def receive_as(self, message_type: type[Message]) -> Message | None:
+        """The child's next message as this type; None once it has ended."""
         assert self.process.stdout is not None
         line = await self.process.stdout.readline()
-        told: dict[str, Any] | None = msgspec.json.decode(line) if line else None
-        return told
+        return msgspec.json.decode(line, type=message_type) if line else None
 
-    def tell(self, told: dict[str, Any]) -> None:
+    def send(self, message: object) -> None:
+        """Send a struct or a map to the child."""
         assert self.process.stdin is not None
-        self.process.stdin.write(msgspec.json.encode(told) + b"\n")
+        self.process.stdin.write(msgspec.json.encode(message) + b"\n")
 
     async def stop(self) -> None:
-        """What it still says is not heard."""
+        """Close the child's input and wait for its end; past the timeout it is killed."""
         if self.process.stdin is not None:
             self.process.stdin.close()
         try:
--- a/ploverspoke/testbed/processes/dispatcher_process.py
+++ b/ploverspoke/testbed/processes/dispatcher_process.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from .addresses import held_ports
+from .addresses import reserve_ports
 
 SETTINGS: dict[str, Any] = {
     "Discovery": "ask",
@@ -39,7 +39,7 @@
 
     def __init__(self, folder: Path, number: int, discovery: str, seed: int, **settings: Any) -> None:
         """Prepare its configuration; `settings` replace those above."""
-        self.port = held_ports(1)[0]
+        self.port = reserve_ports(1)[0]
         self.path = folder / f"dispatcher-{number}.json"
         self.log = self.path.with_suffix(".log")
         self.document: dict[str, Any] = {
--- a/ploverspoke/testbed/processes/fault_controls.py
+++ b/ploverspoke/testbed/processes/fault_controls.py
@@ -1,29 +1,53 @@
-"""What the rig can change in a running process: a few numbers in a file that both have mapped."""
+"""Faults that the rig sets in a running process: numbers in a file that both have mapped into memory."""
 
 import mmap
 import struct
+from enum import IntEnum
 from pathlib import Path
 
-FIELDS = ("wall_ahead", "clock_ahead", "disk", "sync_takes")  # ns, ns, one of the modes, ns
-WELL, FULL, FAILS = range(3)  # of a disk
-SIZE = 8 * len(FIELDS)
+NUMBER_FORMAT = "q"
+NUMBER_SIZE = struct.calcsize(NUMBER_FORMAT)
+
+
+class Control(IntEnum):
+    """One number in the file, by its position."""
+
+    WALL_CLOCK_OFFSET = 0  # ns
+    MONOTONIC_CLOCK_OFFSET = 1  # ns
+    DISK_MODE = 2  # a DiskMode
+    SYNC_DELAY = 3  # ns that each commit takes longer
+
+
+class DiskMode(IntEnum):
+    """How the disk of a process behaves."""
+
+    HEALTHY = 0
+    FULL = 1
+    FAILING = 2
+
+
+FILE_SIZE = NUMBER_SIZE * len(Control)
 
 
 class FaultControls:
-    """All zero at first: the process is as it would be without."""
+    """The mapped numbers; while all are zero, the process runs without faults."""
 
     def __init__(self, path: Path, new: bool = False) -> None:
+        """Map the file; `new` writes it first, with zeros. Raises OSError."""
         if new:
-            path.write_bytes(bytes(SIZE))
+            path.write_bytes(bytes(FILE_SIZE))
         with path.open("r+b") as file:
-            self.memory = mmap.mmap(file.fileno(), SIZE)
+            self._memory = mmap.mmap(file.fileno(), FILE_SIZE)
 
-    def get(self, field: str) -> int:
-        found: int = struct.unpack_from("q", self.memory, 8 * FIELDS.index(field))[0]
-        return found
+    def get(self, control: Control) -> int:
+        """Read a number."""
+        value: int = struct.unpack_from(NUMBER_FORMAT, self._memory, NUMBER_SIZE * control)[0]
+        return value
 
-    def put(self, field: str, value: int) -> None:
-        struct.pack_into("q", self.memory, 8 * FIELDS.index(field), value)
+    def set(self, control: Control, value: int) -> None:
+        """Write a number; the process sees it at once."""
+        struct.pack_into(NUMBER_FORMAT, self._memory, NUMBER_SIZE * control, value)
 
     def close(self) -> None:
-        self.memory.close()
+        """Unmap the file."""
+        self._memory.close()
--- a/ploverspoke/testbed/processes/history.py
+++ b/ploverspoke/testbed/processes/history.py
@@ -1,7 +1,7 @@
-"""Histories: what processes claim and what stand-ins saw, a JSON array a line, all on one monotonic clock.
+"""Histories: what processes claim and what fakes observe, one JSON array a line, on one monotonic clock.
 
-The clock is the machine's own, also in a process whose clock the rig has exchanged: this module must be
-imported before that is done.
+The clock is the machine's own, also in a process whose clock the rig replaces: this module must be imported
+before that.
 """
 
 import time
@@ -12,10 +12,12 @@
 import msgspec
 
 monotonic_now = time.monotonic_ns
-ROUND_IT = 20  # events shown round a finding
+EVENTS_SHOWN = 20  # around a finding
 
 
 class HistoryEvent(NamedTuple):
+    """One line of a history."""
+
     at: int  # ns of the machine's monotonic clock
     who: str
     what: str
@@ -23,21 +25,22 @@
 
 
 class History:
-    """One process's file. Each line is written when it happens: a kill loses none that was written."""
+    """Writes one process's history. It is unbuffered: a kill loses no event that was added."""
 
     def __init__(self, path: Path, who: str) -> None:
-        self.file = path.open("ab", buffering=0)
+        """Open the file to append to it; `who` is the name in its events."""
+        self._file = path.open("ab", buffering=0)
         self.who = who
 
     def add(self, what: str, detail: Any = None, at: int | None = None) -> int:
-        """Gives the time that was written."""
+        """Append an event at that time (ns), or now; returns its time."""
         at = monotonic_now() if at is None else at
-        self.file.write(msgspec.json.encode(HistoryEvent(at, self.who, what, detail)) + b"\n")
+        self._file.write(msgspec.json.encode(HistoryEvent(at, self.who, what, detail)) + b"\n")
         return at
 
 
 def read_history(path: Path) -> Iterator[HistoryEvent]:
-    """Up to the last whole line."""
+    """Read the events of one file, up to its last complete line."""
     decoder: msgspec.json.Decoder[HistoryEvent] = msgspec.json.Decoder(HistoryEvent)
     for line in path.read_bytes().splitlines(keepends=True):
         if line.endswith(b"\n"):
@@ -45,11 +48,13 @@
 
 
 def read_histories(folder: Path) -> list[HistoryEvent]:
-    parts = (read_history(path) for path in sorted(folder.glob("*.history")))
-    return sorted((event for part in parts for event in part), key=lambda event: event.at)
+    """Read the events of all histories in a folder, in order of time."""
+    histories = (read_history(path) for path in sorted(folder.glob("*.history")))
+    return sorted((event for history in histories for event in history), key=lambda event: event.at)
 
 
-def events_around(events: list[HistoryEvent], at: int, count: int = ROUND_IT) -> list[str]:
-    """The events next to that time, as lines; times in ms from it."""
-    near = sorted(sorted(events, key=lambda e: abs(e.at - at))[:count], key=lambda e: e.at)
-    return [f"{(e.at - at) / 1e6:+10.3f} ms  {e.who}  {e.what}  {e.detail}" for e in near]
+def events_around(events: list[HistoryEvent], at: int, count: int = EVENTS_SHOWN) -> list[str]:
+    """Format the events nearest to that time, one a line, with their distance from it in ms."""
+    by_distance = sorted(events, key=lambda event: abs(event.at - at))
+    nearest = sorted(by_distance[:count], key=lambda event: event.at)
+    return [f"{(e.at - at) / 1e6:+10.3f} ms  {e.who}  {e.what}  {e.detail}" for e in nearest]
--- a/ploverspoke/testbed/processes/link_faults.py
+++ b/ploverspoke/testbed/processes/link_faults.py
@@ -1,150 +1,181 @@
-"""What becomes of what goes from one process to another, without I/O: time and chance come from outside.
+"""Faults on network links between processes, without I/O: the caller passes the time and the random numbers.
 
-A link is one direction between two processes. Faults lie over one another, each with a number by which it is
-lifted again: delays add up, the worst loss counts, one cut is enough.
+A link is one direction between two processes. Several faults may be active on it, each with a number by which
+it is removed again: delays add up, of losses the highest counts, and one cut is enough.
 """
 
 from collections.abc import Callable, Iterable
-from typing import Any
+from typing import NamedTuple
 
 import msgspec
 
 from ..experiment_files.durations import MILLISECOND, SECOND
 
-AGAIN_AFTER = 200 * MILLISECOND  # a lost piece of a stream: the kernel would send it again after so long
-MOST_AGAIN = 6  # times, each twice as late
+RETRANSMIT_TIMEOUT = (
+    200 * MILLISECOND
+)  # the kernel's shortest, after a segment was lost; it doubles each time
+MAX_RETRANSMITS = 6
+
+RandomFraction = Callable[[], float]  # a number from 0 up to 1
 
 
 class LinkFault(msgspec.Struct, frozen=True):
-    """Of the links from any of `origin` to any of `target`; an empty list is everyone."""
+    """A fault on the links from each of `origin` to each of `target`; an empty list is every process."""
 
     origin: list[str] = []
     target: list[str] = []
     delay: int = 0  # ns
-    jitter: int = 0  # ns at the most, drawn for each datagram or piece
+    jitter: int = 0  # ns at most, drawn for each datagram or segment
     loss: float = 0.0  # share
-    double: float = 0.0  # share of datagrams that come twice
-    double_late: int = 0  # ns at the most, the second after the first
-    reorder: float = 0.0  # share of datagrams that come behind later ones
+    duplicate: float = 0.0  # share of datagrams that arrive twice
+    duplicate_delay: int = 0  # ns at most from the first to the second
+    reorder: float = 0.0  # share of datagrams that arrive behind later ones
     cut: bool = False
-    rate: float = 0.0  # bytes a second; 0: no bound
-    silent: bool = False  # new connections are taken and never heard of again
+    rate: float = 0.0  # bytes a second; 0: unlimited
+    silent: bool = False  # new connections are accepted and never served
 
     def covers(self, origin: str, target: str) -> bool:
+        """Whether the link between these processes has the fault."""
         return (not self.origin or origin in self.origin) and (not self.target or target in self.target)
 
 
+class LinkCounters(NamedTuple):
+    """What happened to datagrams and segments."""
+
+    passed: int = 0
+    lost: int = 0
+    duplicated: int = 0
+    delayed: int = 0  # reordered, or sent again
+    bytes_passed: int = 0
+
+
 class Link:
-    """One direction. Counts what happened to it."""
+    """One direction between two processes, with its faults and counters."""
 
-    def __init__(self, fraction: Callable[[], float]) -> None:
-        self.fraction = fraction
+    def __init__(self, random_fraction: RandomFraction) -> None:
+        """A link without faults."""
+        self.random_fraction = random_fraction
         self.faults: dict[int, LinkFault] = {}
-        self.now = LinkFault()  # all of them together
-        self.free_at = 0  # when a slow link has sent what it was given so far
-        self.passed = self.lost = self.doubled = self.late = self.octets = 0
+        self.effective = LinkFault()  # all faults together
+        self._free_at = 0  # ns; when a slow link has sent what it was given so far
+        self._passed = self._lost = self._duplicated = self._delayed = 0
+        self.bytes_passed = 0
 
-    def lay(self, number: int, fault: LinkFault) -> None:
+    def add_fault(self, number: int, fault: LinkFault) -> None:
+        """Activate a fault."""
         self.faults[number] = fault
-        self._together()
+        self.effective = combine_faults(self.faults.values())
 
-    def lift(self, number: int) -> None:
+    def remove_fault(self, number: int) -> None:
+        """Deactivate a fault; does nothing if it isn't active."""
         if self.faults.pop(number, None) is not None:
-            self._together()
-
-    def _together(self) -> None:
-        all_of = list(self.faults.values())
-        rates = [f.rate for f in all_of if f.rate]
-        self.now = LinkFault(
-            delay=sum(f.delay for f in all_of),
-            jitter=sum(f.jitter for f in all_of),
-            loss=max((f.loss for f in all_of), default=0.0),
-            double=max((f.double for f in all_of), default=0.0),
-            double_late=max((f.double_late for f in all_of), default=0),
-            reorder=max((f.reorder for f in all_of), default=0.0),
-            cut=any(f.cut for f in all_of),
-            rate=min(rates, default=0.0),
-            silent=any(f.silent for f in all_of),
-        )
-
-    def _happens(self, share: float) -> bool:
-        return share > 0 and self.fraction() < share
-
-    def _sent_at(self, now: int, size: int) -> int:
-        """When its last byte has left, and the way is over."""
-        rate = self.now.rate
-        if rate:
-            self.free_at = max(now, self.free_at) + int(size / rate * SECOND)
-            now = self.free_at
-        jitter = self.now.jitter
-        return now + self.now.delay + (int(self.fraction() * jitter) if jitter else 0)
-
-    def datagram(self, now: int, size: int) -> list[int]:
-        """When it arrives: never, once or twice."""
-        f = self.now
-        if f.cut or self._happens(f.loss):
-            self.lost += 1
+            self.effective = combine_faults(self.faults.values())
+
+    def counters(self) -> LinkCounters:
+        """What happened so far."""
+        return LinkCounters(self._passed, self._lost, self._duplicated, self._delayed, self.bytes_passed)
+
+    def datagram_arrivals(self, now: int, size: int) -> list[int]:
+        """When a datagram of that many bytes arrives (ns): never, once or twice."""
+        fault = self.effective
+        if fault.cut or self._occurs(fault.loss):
+            self._lost += 1
             return []
-        at = self._sent_at(now, size)
-        if self._happens(f.reorder):
-            self.late += 1
-            at += f.delay + f.jitter + MILLISECOND
-        self.passed += 1
-        self.octets += size
-        if self._happens(f.double):
-            self.doubled += 1
-            return [at, at + int(self.fraction() * f.double_late)]
-        return [at]
-
-    def piece(self, now: int, size: int) -> int:
-        """When a piece of a stream arrives, unless there is a cut then: it may be late, and is never lost."""
-        at, again = self._sent_at(now, size), AGAIN_AFTER
-        for _ in range(MOST_AGAIN):
-            if not self._happens(self.now.loss):
+        arrives_at = self._arrival(now, size)
+        if self._occurs(fault.reorder):
+            self._delayed += 1
+            arrives_at += fault.delay + fault.jitter + MILLISECOND
+        self._passed += 1
+        self.bytes_passed += size
+        if self._occurs(fault.duplicate):
+            self._duplicated += 1
+            return [arrives_at, arrives_at + int(self.random_fraction() * fault.duplicate_delay)]
+        return [arrives_at]
+
+    def segment_arrival(self, now: int, size: int) -> int:
+        """When a part of a stream arrives (ns): it may be late, and is never lost.
+
+        During a cut the caller holds it back.
+        """
+        arrives_at, timeout = self._arrival(now, size), RETRANSMIT_TIMEOUT
+        for _ in range(MAX_RETRANSMITS):
+            if not self._occurs(self.effective.loss):
                 break
-            self.late += 1
-            at, again = at + again, 2 * again
-        self.passed += 1
-        self.octets += size
-        return at
+            self._delayed += 1
+            arrives_at += timeout
+            timeout *= 2
+        self._passed += 1
+        self.bytes_passed += size
+        return arrives_at
+
+    def _occurs(self, share: float) -> bool:
+        return share > 0 and self.random_fraction() < share
+
+    def _arrival(self, now: int, size: int) -> int:
+        """When the last byte arrives, by the link's rate, delay and jitter."""
+        rate = self.effective.rate
+        if rate:
+            self._free_at = max(now, self._free_at) + int(size / rate * SECOND)
+            now = self._free_at
+        jitter = self.effective.jitter
+        return now + self.effective.delay + (int(self.random_fraction() * jitter) if jitter else 0)
 
 
-class Links:
-    """All links among so many processes, made when they are first asked for."""
+class LinkTable:
+    """All links between processes, created when they are first asked for."""
 
-    def __init__(self, chance: Callable[[str], Callable[[], float]]) -> None:
-        """`chance` gives a stream of fractions for a link's name: one link's draws shift no other's."""
-        self.chance = chance
-        self.links: dict[tuple[str, str], Link] = {}
-        self.faults: dict[int, LinkFault] = {}
+    def __init__(self, random_stream: Callable[[str], RandomFraction]) -> None:
+        """`random_stream` gives a stream for a link's name: one link's draws change no other's."""
+        self._random_stream = random_stream
+        self._links: dict[tuple[str, str], Link] = {}
+        self._faults: dict[int, LinkFault] = {}
 
     def link(self, origin: str, target: str) -> Link:
-        found = self.links.get((origin, target))
+        """The link in that direction."""
+        found = self._links.get((origin, target))
         if found is None:
-            found = self.links[origin, target] = Link(self.chance(f"{origin}>{target}"))
-            for number, fault in self.faults.items():
+            found = self._links[origin, target] = Link(self._random_stream(f"{origin}>{target}"))
+            for number, fault in self._faults.items():
                 if fault.covers(origin, target):
-                    found.lay(number, fault)
+                    found.add_fault(number, fault)
         return found
 
-    def lay(self, number: int, fault: LinkFault) -> None:
-        self.faults[number] = fault
+    def add_fault(self, number: int, fault: LinkFault) -> None:
+        """Activate a fault on all links that it covers, also on later ones."""
+        self._faults[number] = fault
         for link in self._covered(fault):
-            link.lay(number, fault)
+            link.add_fault(number, fault)
 
-    def lift(self, number: int) -> None:
-        fault = self.faults.pop(number, None)
+    def remove_fault(self, number: int) -> None:
+        """Deactivate a fault; does nothing if it isn't active."""
+        fault = self._faults.pop(number, None)
         for link in self._covered(fault) if fault is not None else ():
-            link.lift(number)
-
-    def _covered(self, fault: LinkFault) -> Iterable[Link]:
-        return [link for ends, link in self.links.items() if fault.covers(*ends)]
-
-    def counts(self) -> dict[str, Any]:
-        """What passed, was lost, came twice, came late; over all links."""
-        kinds = ("passed", "lost", "doubled", "late", "octets")
-        return {kind: sum(getattr(link, kind) for link in self.links.values()) for kind in kinds}
-
-    def octets(self) -> dict[str, int]:
-        """What passed on each link, as "origin>target"."""
-        return {f"{origin}>{target}": link.octets for (origin, target), link in self.links.items()}
+            link.remove_fault(number)
+
+    def counters(self) -> LinkCounters:
+        """The sums over all links."""
+        each = [link.counters() for link in self._links.values()]
+        return LinkCounters(*map(sum, zip(*each, strict=True))) if each else LinkCounters()
+
+    def bytes_by_link(self) -> dict[str, int]:
+        """The bytes that passed each link, by "origin>target"."""
+        return {f"{origin}>{target}": link.bytes_passed for (origin, target), link in self._links.items()}
+
+    def _covered(self, fault: LinkFault) -> list[Link]:
+        return [link for (origin, target), link in self._links.items() if fault.covers(origin, target)]
+
+
+def combine_faults(faults: Iterable[LinkFault]) -> LinkFault:
+    """The effect of several faults on one link."""
+    active = list(faults)
+    return LinkFault(
+        delay=sum(fault.delay for fault in active),
+        jitter=sum(fault.jitter for fault in active),
+        loss=max((fault.loss for fault in active), default=0.0),
+        duplicate=max((fault.duplicate for fault in active), default=0.0),
+        duplicate_delay=max((fault.duplicate_delay for fault in active), default=0),
+        reorder=max((fault.reorder for fault in active), default=0.0),
+        cut=any(fault.cut for fault in active),
+        rate=min((fault.rate for fault in active if fault.rate), default=0.0),
+        silent=any(fault.silent for fault in active),
+    )
--- a/ploverspoke/testbed/processes/process_log.py
+++ b/ploverspoke/testbed/processes/process_log.py
@@ -1,4 +1,4 @@
-"""Log lines of many dispatchers in one process: each has a bound of its own, as in a process of its own."""
+"""Gives each of many dispatchers in one process its own rate-limited log, as in a process of its own."""
 
 import sys
 from contextvars import ContextVar
@@ -7,29 +7,40 @@
 
 
 class DispatcherLog(rate_limited_log.RateLimitedLog):
-    """One dispatcher's lines, with its name before them."""
+    """The log of one dispatcher; its name precedes each line."""
 
     def __init__(self, name: str) -> None:
+        """Start an empty log."""
         super().__init__()
         self.name = name
-        self.count = 0  # asked to be said, held back ones too
+        self.count = 0  # lines, also those that the rate limit dropped
 
     def write(self, line: str) -> None:
+        """Count the line and write it if the rate limit allows."""
         self.count += 1
         super().write(f"{self.name}: {line}")
 
 
-CURRENT_LOG: ContextVar[DispatcherLog] = ContextVar("whose log lines")
-_nobody = DispatcherLog("nobody")
+class ImportOrderError(RuntimeError):
+    """The product was imported before its log was replaced."""
+
+    def __init__(self) -> None:
+        """Build the text."""
+        super().__init__("the program was imported before its log lines could be told apart")
+
+
+# Callbacks run in the context that was current when they were scheduled: it tells whose line it is.
+CURRENT_LOG: ContextVar[DispatcherLog] = ContextVar("log of the current dispatcher")
+_unassigned_log = DispatcherLog("nobody")
 
 
 def log_line(line: str) -> None:
-    """The loop calls everything in the context in which it was asked for: so it is known whose line it is."""
-    CURRENT_LOG.get(_nobody).write(line)
+    """Write a line to the log of the dispatcher in whose context this runs."""
+    CURRENT_LOG.get(_unassigned_log).write(line)
 
 
 def install() -> None:
-    """Before the program is imported: what is imported later takes this one."""
+    """Replace the product's `log_line`. Raises ImportOrderError if the product was imported before."""
     if any(name.startswith("ploverspoke.service") for name in sys.modules):
-        raise RuntimeError("the program was imported before its log lines could be told apart")
+        raise ImportOrderError
     rate_limited_log.log_line = log_line
--- /dev/null
+++ b/ploverspoke/testbed/processes/readiness.py
@@ -0,0 +1,18 @@
+"""Checks whether a started process is ready."""
+
+import asyncio
+from collections.abc import Awaitable, Callable
+
+# Tells whether the process is ready. It may raise OSError where it is not.
+ReadinessCheck = Callable[[], Awaitable[bool]]
+
+
+def accepts_connections(host: str, port: int) -> ReadinessCheck:
+    """A check that passes once a TCP connection to that address can be opened."""
+
+    async def is_ready() -> bool:
+        _, writer = await asyncio.open_connection(host, port)
+        writer.close()
+        return True
+
+    return is_ready
--- a/ploverspoke/testbed/processes/resource_usage.py
+++ b/ploverspoke/testbed/processes/resource_usage.py
@@ -1,30 +1,38 @@
-"""What a process of the machine has used so far, as the kernel counts it."""
+"""Reads from the kernel how much CPU time and memory a process has used."""
 
-import os
 from pathlib import Path
 from typing import NamedTuple
 
-PAGE = os.sysconf("SC_PAGE_SIZE")
+
+class ProcessEndedError(ProcessLookupError):
+    """The process has ended."""
+
+    def __init__(self, pid: int) -> None:
+        """Keep its id."""
+        super().__init__(f"process {pid} has ended")
+        self.pid = pid
 
 
 class ResourceUsage(NamedTuple):
-    processor: int  # ns, of all its threads
-    memory: int  # bytes that are resident now
-    memory_peak: int  # the most so far
+    """The usage of one process up to now."""
+
+    processor: int  # ns of CPU time, of all its threads
+    memory: int  # resident bytes now
+    memory_peak: int  # the highest number of resident bytes so far
 
 
 def read_resource_usage(pid: int) -> ResourceUsage:
-    """Raises OSError where it has ended.
+    """Read the usage of a running process. Raises OSError if it has ended.
 
-    /proc/PID/stat counts in hundredths of a second, more than an idle dispatcher takes in ten; the
-    scheduler's own figures are nanoseconds.
+    CPU time is from `schedstat`, in ns: /proc/PID/stat counts in hundredths of a second, too coarse for an
+    idle dispatcher.
     """
     folder = Path(f"/proc/{pid}")
-    processor = sum(int(path.read_text().split()[0]) for path in folder.glob("task/*/schedstat"))
+    cpu_time = sum(int(path.read_text().split()[0]) for path in folder.glob("task/*/schedstat"))
     fields = dict(line.split(":", 1) for line in (folder / "status").read_text().splitlines() if ":" in line)
     if "VmRSS" not in fields:
-        raise ProcessLookupError(f"process {pid} has ended")
-    return ResourceUsage(processor, _kibibytes(fields["VmRSS"]), _kibibytes(fields["VmHWM"]))
+        raise ProcessEndedError(pid)
+    return ResourceUsage(cpu_time, _kibibytes(fields["VmRSS"]), _kibibytes(fields["VmHWM"]))
 
 
 def _kibibytes(text: str) -> int:
--- a/ploverspoke/testbed/processes/running_process.py
+++ b/ploverspoke/testbed/processes/running_process.py
@@ -7,169 +7,200 @@
 import signal
 import sys
 import time
-from collections.abc import Awaitable, Callable, Mapping, Sequence
+from collections.abc import Mapping, Sequence
 from pathlib import Path
 
 import msgspec
 
-from .addresses import Block
-from .fault_controls import FaultControls
-from .starter import StartPlan
+from .addresses import ProcessAddress
+from .fault_controls import Control, DiskMode, FaultControls
+from .launcher import LaunchPlan
+from .readiness import ReadinessCheck
 
-READY_WITHIN = 20.0  # seconds
-LOOKS_EVERY = 0.02
-RUNS_FOR, STOPS_FOR = 0.02, 0.18  # seconds, of one that is starved of the processor
-LOG_TAIL = 2000
+READY_TIMEOUT = 20.0  # seconds
+READY_POLL_INTERVAL = 0.02  # seconds
+STARVED_RUN, STARVED_PAUSE = 0.02, 0.18  # seconds; a starved process gets a tenth of the time
+LOG_TAIL = 2000  # characters
+LAUNCHER_MODULE = "ploverspoke.testbed.processes.launcher"
 
 
 class ProcessStartError(RuntimeError):
-    """A process of the run did not come up."""
+    """A process of the run did not become ready.
+
+    Attributes:
+        process: Its name; empty where the problem names it.
+        problem: What it did, as a sentence that may begin with the name.
+    """
+
+    def __init__(self, problem: str, *, process: str = "") -> None:
+        """Build the sentence of both."""
+        super().__init__(f"{process} {problem}" if process else problem)
+        self.process, self.problem = process, problem
 
 
 class RunningProcess:
-    """Started any number of times with the same words. Its folder outlives its processes."""
+    """A process that is started any number of times with the same arguments. Its folder outlives it."""
 
     def __init__(
         self,
-        block: Block,
-        number: int,
-        name: str,
+        address: ProcessAddress,
         folder: Path,
         module: str,
-        words: Sequence[str] = (),
+        arguments: Sequence[str] = (),
         environment: Mapping[str, str] | None = None,
     ) -> None:
-        self.name = name
-        self.own, self.relayed = block.own(number), block.relayed(number)
-        self.number = number
-        self.folder = folder / name  # what it keeps
+        """Create its folder, log and controls in the run's folder."""
+        self.name = address.name
+        self.host = address.host
+        self.folder = folder / self.name  # the process's own data
         self.folder.mkdir(exist_ok=True)
-        self.older = folder / f"{name}.older"
-        self.log = (folder / f"{name}.log").open("ab")
+        self.folder_copy = folder / f"{self.name}.older"
         self.module = module
-        self.words = list(words)
+        self.arguments = list(arguments)
         self.environment = dict(environment or {})
+        self.ready: ReadinessCheck | None = None
+        self.clock_rate = 1.0  # relative to the machine's, from its next start on
         self.process: asyncio.subprocess.Process | None = None
         self.starts = 0
-        self.rate = 1.0  # of its clock, from its next start on
-        self.paused = False
-        self.plan = folder / f"{name}.plan.json"
-        controls = folder / f"{name}.controls"
-        self.controls = FaultControls(controls, new=True)
-        self._plan = StartPlan(name, self.own, self.relayed, str(controls), str(folder / f"{name}.history"))
-        self.ready: Callable[[], Awaitable[bool]] | None = None
-        self.starving: asyncio.Task[None] | None = None
+        self.log_path = folder / f"{self.name}.log"
+        self._log = self.log_path.open("ab")
+        controls, history = folder / f"{self.name}.controls", folder / f"{self.name}.history"
+        self._controls = FaultControls(controls, new=True)
+        self._plan_file = folder / f"{self.name}.plan.json"
+        self._plan = LaunchPlan(self.name, self.host, address.proxy_host, str(controls), str(history))
+        self._is_paused = False
+        self._starvation: asyncio.Task[None] | None = None
 
-    # ---- Starts and ends ----
+    # ---- Start and end ----
 
     async def start(self, more: Sequence[str] = ()) -> None:
-        """Raises ProcessStartError where it does not get ready, its log's end in the text."""
-        if self.lives():
-            raise ProcessStartError(f"{self.name} runs already: one handle is for one process")
-        self.plan.write_bytes(msgspec.json.encode(msgspec.structs.replace(self._plan, rate=self.rate)))
+        """Start it, with `more` arguments this time, and wait until it is ready.
+
+        Raises ProcessStartError, with the end of its log, if it does not become ready in time.
+        """
+        if self.is_running():
+            raise ProcessStartError(process=self.name, problem="runs already: one handle is for one process")
+        plan = msgspec.structs.replace(self._plan, clock_rate=self.clock_rate)
+        self._plan_file.write_bytes(msgspec.json.encode(plan))
         self.starts += 1
-        self.paused = False
+        self._is_paused = False
         self.process = await asyncio.create_subprocess_exec(
-            *self.command(),
-            *self.words,
-            *more,
+            *(*self.command(), *self.arguments, *more),
             env={**os.environ, **self.environment},
             stdin=asyncio.subprocess.DEVNULL,
-            stdout=self.log,
-            stderr=self.log,
+            stdout=self._log,
+            stderr=self._log,
         )
-        until = time.monotonic() + READY_WITHIN
+        await self._wait_until_ready(self.process)
+
+    async def _wait_until_ready(self, process: asyncio.subprocess.Process) -> None:
+        deadline = time.monotonic() + READY_TIMEOUT
         while self.ready is not None:
-            if self.process.returncode is not None or time.monotonic() > until:
-                raise ProcessStartError(f"{self.name} did not come up; its log: {self.tail()}")
+            if process.returncode is not None or time.monotonic() > deadline:
+                raise ProcessStartError(
+                    process=self.name, problem=f"did not come up; its log: {self.log_tail()}"
+                )
             with contextlib.suppress(OSError):
                 if await self.ready():
                     return
-            await asyncio.sleep(LOOKS_EVERY)
+            await asyncio.sleep(READY_POLL_INTERVAL)
 
     def command(self) -> list[str]:
-        starter = "ploverspoke.testbed.processes.starter"
-        return [sys.executable, "-m", starter, str(self.plan), self.module]
+        """The command line without its arguments; subclasses may run the module another way."""
+        return [sys.executable, "-m", LAUNCHER_MODULE, str(self._plan_file), self.module]
 
-    async def end(self, number: signal.Signals, within: float) -> None:
-        """Send it a signal and wait for its end; past the time (s) it is killed."""
+    async def stop(self, number: signal.Signals, timeout: float) -> None:
+        """Send it a signal and wait for its end; past the timeout (s) it is killed."""
         if self.process is None:
             return
-        self.starve(False)
+        self.stop_starving()
         self.signal(number)
-        if self.paused:
+        if self._is_paused:
             self.resume()
         try:
-            await asyncio.wait_for(self.process.wait(), within)
+            await asyncio.wait_for(self.process.wait(), timeout)
         except TimeoutError:
             self.process.kill()
             await self.process.wait()
 
     async def kill(self) -> None:
-        await self.end(signal.SIGKILL, READY_WITHIN)
+        """End it at once."""
+        await self.stop(signal.SIGKILL, READY_TIMEOUT)
 
     def signal(self, number: signal.Signals) -> None:
+        """Send it a signal, if it runs."""
         if self.process is not None and self.process.returncode is None:
             with contextlib.suppress(ProcessLookupError):
                 self.process.send_signal(number)
 
-    def pause(self) -> None:
-        self.paused = True
-        self.signal(signal.SIGSTOP)
-
-    def resume(self) -> None:
-        self.paused = False
-        self.signal(signal.SIGCONT)
-
-    def lives(self) -> bool:
+    def is_running(self) -> bool:
+        """Whether it was started and has not ended."""
         return self.process is not None and self.process.returncode is None
 
-    def crashed(self) -> bool:
-        """Whether it has ended, and neither as it was told nor by our kill."""
+    def has_crashed(self) -> bool:
+        """Whether it has ended with an error or by a signal other than our kill."""
         return self.process is not None and self.process.returncode not in (None, 0, -signal.SIGKILL)
 
-    def tail(self) -> str:
-        return Path(self.log.name).read_text(errors="replace")[-LOG_TAIL:]
+    def log_tail(self) -> str:
+        """The end of its log."""
+        return self.log_path.read_text(errors="replace")[-LOG_TAIL:]
 
     def close(self) -> None:
-        self.log.close()
-        self.controls.close()
+        """Close its log and its controls."""
+        self._log.close()
+        self._controls.close()
+
+    # ---- Faults ----
+
+    def pause(self) -> None:
+        """Stop it until `resume`."""
+        self._is_paused = True
+        self.signal(signal.SIGSTOP)
+
+    def resume(self) -> None:
+        """Let it run again."""
+        self._is_paused = False
+        self.signal(signal.SIGCONT)
 
-    # ---- Its surroundings ----
+    def start_starving(self) -> None:
+        """Give it a tenth of the time, in slices."""
+        self.stop_starving()
+        self._starvation = asyncio.get_running_loop().create_task(self._starve())
 
-    def starve(self, yes: bool) -> None:
-        """It gets a tenth of the time, in slices."""
-        if self.starving is not None:
-            self.starving.cancel()
-            self.starving = None
+    def stop_starving(self) -> None:
+        """Give it all the time again."""
+        if self._starvation is not None:
+            self._starvation.cancel()
+            self._starvation = None
             self.resume()
-        if yes:
-            self.starving = asyncio.get_running_loop().create_task(self._starve())
 
     async def _starve(self) -> None:
         while True:
             self.pause()
-            await asyncio.sleep(STOPS_FOR)
+            await asyncio.sleep(STARVED_PAUSE)
             self.resume()
-            await asyncio.sleep(RUNS_FOR)
+            await asyncio.sleep(STARVED_RUN)
 
-    def wall_jumps(self, ahead: int) -> None:
-        """Its wall clock is so many ns ahead of the machine's."""
-        self.controls.put("wall_ahead", ahead)
+    def set_wall_clock_offset(self, offset: int) -> None:
+        """Put its wall clock that many ns ahead of the machine's; negative: behind."""
+        self._controls.set(Control.WALL_CLOCK_OFFSET, offset)
 
-    def disk(self, mode: int, sync_takes: int = 0) -> None:
-        self.controls.put("disk", mode)
-        self.controls.put("sync_takes", sync_takes)
+    def set_disk_fault(self, mode: DiskMode, sync_delay: int = 0) -> None:
+        """Change how its disk behaves; each commit takes `sync_delay` ns longer."""
+        self._controls.set(Control.DISK_MODE, mode)
+        self._controls.set(Control.SYNC_DELAY, sync_delay)
 
     def copy_folder(self) -> None:
-        """For a later start with an older copy. The process must not run meanwhile, or be a paused one."""
-        shutil.rmtree(self.older, ignore_errors=True)
-        shutil.copytree(self.folder, self.older)
+        """Copy its folder for `restore_folder_copy`. The process must be paused, or not run."""
+        shutil.rmtree(self.folder_copy, ignore_errors=True)
+        shutil.copytree(self.folder, self.folder_copy)
 
-    def empty_folder(self) -> None:
+    def clear_folder(self) -> None:
+        """Delete its data. The process must not run."""
         shutil.rmtree(self.folder)
         self.folder.mkdir()
 
-    def older_folder(self) -> None:
+    def restore_folder_copy(self) -> None:
+        """Replace its data by the copy. The process must not run."""
         shutil.rmtree(self.folder)
-        shutil.copytree(self.older, self.folder)
+        shutil.copytree(self.folder_copy, self.folder)
--- a/ploverspoke/testbed/processes/tcp_proxy.py
+++ b/ploverspoke/testbed/processes/tcp_proxy.py
@@ -1,279 +1,187 @@
-"""The relays of a run, one process: they stand for each process at an address of its own, and pass on.
+"""The proxy of a run, one process: it stands in front of each process at a host of its own, and forwards.
 
-`python -m ploverspoke.testbed.processes.tcp_proxy SPEC`. Lines on its input lay faults on links, lift them
-and reset streams; it answers each with a line when that is done. The end of the input ends it.
+`python -m ploverspoke.testbed.processes.tcp_proxy SPEC`. Lines on its input add and remove faults on links
+and reset connections (`proxy_messages.py`); it answers each once that is done. The end of the input ends it.
 
-A sender is known by its own address. A datagram goes on from the address at which the relays stand for its
-sender, since that is where the receiver believes it to be. A cut holds what is on its way in a stream, as a
-network does whose packets are sent again, and a connection made through a cut is taken and silent. What a
-closed connection has sent still arrives. Half-closed streams are closed.
+A sender is known by its own host. A datagram is forwarded from the host at which the proxy stands in front of
+its sender, since that is where the receiver believes it to be.
 """
 
 import asyncio
 import random
-import socket
-import struct
 import sys
-from collections import deque
+from functools import partial
 from pathlib import Path
-from typing import Any, cast
+from typing import cast
 
 import msgspec
 import uvloop
 
-from ..fakes.fake_process import send_message
 from .history import monotonic_now
-from .link_faults import Link, LinkFault, Links
+from .link_faults import LinkFault, LinkTable
+from .proxied_stream import ProxiedStream, StreamAddress
+from .proxy_messages import (
+    AddLinkFault,
+    ProxiedProcess,
+    ProxyCounters,
+    ProxyReady,
+    ProxyRequest,
+    ProxySpec,
+    ReadCounters,
+    RemoveLinkFault,
+    ResetConnections,
+)
 
-MOST_HELD = 1 << 20  # bytes on one way; its sender waits then
 BACKLOG = 1024
-OUTSIDE = "outside"  # whoever has no address of its own: tools and tests
-
-
-class ProxiedProcess(msgspec.Struct):
-    """One process, as the relays know it."""
-
-    name: str
-    own: str
-    relayed: str
-    streams: list[int] = []  # ports
-    datagrams: list[int] = []
-
-
-class ProxySpec(msgspec.Struct):
-    seed: int
-    processes: list[ProxiedProcess]
-
-
-class Way:
-    """One direction of a stream."""
-
-    def __init__(self, link: Link) -> None:
-        self.link = link
-        self.queue: deque[tuple[int, bytes | None]] = deque()  # when, what; None: the end
-        self.held = 0
-        self.source: Side | None = None
-        self.sink: Side | None = None
-        self.last = 0
-        self.timer: asyncio.TimerHandle | None = None
-
-    def put(self, data: bytes | None) -> None:
-        # The end takes no time of its own, but comes behind all that was sent.
-        at = monotonic_now() if data is None else self.link.piece(monotonic_now(), len(data))
-        self.last = max(self.last, at)
-        self.queue.append((self.last, data))
-        self.held += len(data or b"")
-        if self.held > MOST_HELD and self.source is not None and self.source.transport is not None:
-            self.source.transport.pause_reading()
-        self.pump()
-
-    def pump(self) -> None:
-        if self.timer is not None:
-            self.timer.cancel()
-            self.timer = None
-        sink = self.sink
-        while self.queue and sink is not None and not self.link.now.cut:
-            at, data = self.queue[0]
-            left = at - monotonic_now()
-            if left > 0:
-                self.timer = asyncio.get_running_loop().call_later(left / 1e9, self.pump)
-                return
-            self.queue.popleft()
-            if data is None:
-                sink.end()
-                return
-            self.held -= len(data)
-            if sink.transport is not None:
-                sink.transport.write(data)
-            if self.held <= MOST_HELD and self.source is not None and self.source.transport is not None:
-                self.source.transport.resume_reading()
-
-
-class Side(asyncio.Protocol):
-    """A relay's end of a connection: `out` takes what comes from here, `into` brings what goes there."""
-
-    def __init__(self, stream: "Stream", out: Way, into: Way) -> None:
-        self.stream, self.out, self.into = stream, out, into
-        self.transport: asyncio.Transport | None = None
-        self.over = False
+OUTSIDE = "outside"  # the name of whoever has no host of its own: tools and tests
 
-    def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)
-        self.out.source = self
-        self.into.sink = self
-        self.into.pump()
-
-    def data_received(self, data: bytes) -> None:
-        if not self.stream.silent:
-            self.out.put(data)
-
-    def connection_lost(self, exc: Exception | None) -> None:
-        self.transport = None
-        if not self.over:
-            self.over = True
-            if not self.stream.silent:
-                self.out.put(None)
-        self.stream.side_over()
-
-    def end(self) -> None:
-        self.over = True
-        if self.transport is not None:
-            self.transport.close()
-
-
-class Stream:
-    """A connection of two processes, in two."""
-
-    def __init__(self, relays: "TcpProxy", origin: str, target: ProxiedProcess, port: int) -> None:
-        self.relays = relays
-        self.origin, self.target, self.port = origin, target, port
-        self.there, self.back = relays.links.link(origin, target.name), relays.links.link(target.name, origin)
-        self.silent = self.there.now.silent
-        out, into = Way(self.there), Way(self.back)
-        self.ways = (out, into)
-        self.near, self.far = Side(self, out, into), Side(self, into, out)
-        relays.streams.add(self)
-
-    async def dial(self, source: str) -> None:
-        loop = asyncio.get_running_loop()
-        try:
-            await loop.create_connection(
-                lambda: self.far, self.target.own, self.port, local_addr=(source, 0) if source else None
-            )
-        except OSError:
-            self.reset()
-
-    def reset(self) -> None:
-        for side in (self.near, self.far):
-            side.over = True
-            if side.transport is not None:
-                # Closed without lingering: the other end reads a reset, not an end.
-                taken = side.transport.get_extra_info("socket")
-                taken.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-                side.transport.abort()
-        self.relays.streams.discard(self)
-
-    def pump(self) -> None:
-        for way in self.ways:
-            way.pump()
-
-    def side_over(self) -> None:
-        if self.near.transport is None and self.far.transport is None:
-            self.relays.streams.discard(self)
-
-
-class Datagrams(asyncio.DatagramProtocol):
-    """The relays' socket for one process and port."""
-
-    def __init__(self, relays: "TcpProxy", stood: ProxiedProcess, port: int) -> None:
-        self.relays, self.stood, self.port = relays, stood, port
+
+class DatagramPort(asyncio.DatagramProtocol):
+    """The proxy's socket for one process and port."""
+
+    def __init__(self, proxy: "TcpProxy", process: ProxiedProcess, port: int) -> None:
+        """Stand in front of that process."""
+        self.proxy, self.process, self.port = proxy, process, port
         self.transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Keep the transport."""
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str | int, ...]) -> None:
-        sender = self.relays.by_own.get(str(addr[0]))
-        stands = self.relays.sockets.get((sender.name, int(addr[1]))) if sender is not None else None
-        if sender is None or stands is None:
-            self.relays.strange += 1
+        """Forward a datagram, from the proxy's port of its sender, as the link has it."""
+        sender = self.proxy.process_by_host.get(str(addr[0]))
+        sender_port = (
+            self.proxy.datagram_ports.get((sender.name, int(addr[1]))) if sender is not None else None
+        )
+        if sender is None or sender_port is None:
+            self.proxy.unknown_datagrams += 1
             return
         now = monotonic_now()
-        for at in self.relays.links.link(sender.name, self.stood.name).datagram(now, len(data)):
-            if at <= now:
-                stands.pass_on(data, self.stood.own, self.port)
+        send = partial(sender_port.send, data, self.process.host, self.port)
+        for arrives_at in self.proxy.links.link(sender.name, self.process.name).datagram_arrivals(
+            now, len(data)
+        ):
+            if arrives_at <= now:
+                send()
             else:
-                asyncio.get_running_loop().call_later(
-                    (at - now) / 1e9, stands.pass_on, data, self.stood.own, self.port
-                )
+                asyncio.get_running_loop().call_later((arrives_at - now) / 1e9, send)
 
-    def pass_on(self, data: bytes, host: str, port: int) -> None:
+    def send(self, data: bytes, host: str, port: int) -> None:
+        """Send a datagram from here."""
         if self.transport is not None:
             self.transport.sendto(data, (host, port))
 
 
+class StreamPort(asyncio.Protocol):
+    """A new connection, until its peer's host tells from which process it is."""
+
+    def __init__(self, proxy: "TcpProxy", target: ProxiedProcess, port: int) -> None:
+        """Stand in front of that process."""
+        self.proxy, self.target, self.port = proxy, target, port
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Hand the connection over to a stream."""
+        origin = self.proxy.process_by_host.get(transport.get_extra_info("peername")[0])
+        stream = self.proxy.accept_stream(origin, self.target, self.port)
+        transport.set_protocol(stream.origin_end)
+        stream.origin_end.connection_made(transport)
+        if not stream.is_silent:
+            self.proxy.connect_stream(stream, origin.host if origin is not None else "")
+
+
 class TcpProxy:
+    """Forwards streams and datagrams between processes, with faults on the links between them."""
+
     def __init__(self, spec: ProxySpec) -> None:
+        """A proxy that does not listen yet."""
         self.spec = spec
-        self.links = Links(lambda name: random.Random(f"{spec.seed} {name}").random)
-        self.by_own = {one.own: one for one in spec.processes}
-        self.streams: set[Stream] = set()
-        self.sockets: dict[tuple[str, int], Datagrams] = {}
-        self.strange = 0  # datagrams from nobody we know
-        self.taken = 0  # connections
+        self.links = LinkTable(lambda name: random.Random(f"{spec.seed} {name}").random)
+        self.process_by_host = {process.host: process for process in spec.processes}
+        self.datagram_ports: dict[tuple[str, int], DatagramPort] = {}  # by process and port
+        self.unknown_datagrams = 0
+        self._streams: set[ProxiedStream] = set()
+        self._accepted_connections = 0
+        self._connecting: set[asyncio.Task[None]] = set()
 
     async def open(self) -> None:
-        loop = asyncio.get_running_loop()
-        for one in self.spec.processes:
-            for port in one.streams:
-                await loop.create_server(
-                    lambda one=one, port=port: Waiting(self, one, port),  # type: ignore[misc]
-                    one.relayed,
-                    port,
-                    backlog=BACKLOG,
-                )
-            for port in one.datagrams:
-                stands = self.sockets[one.name, port] = Datagrams(self, one, port)
-                await loop.create_datagram_endpoint(
-                    lambda stands=stands: stands,  # type: ignore[misc]
-                    local_addr=(one.relayed, port),
-                )
-
-    def heard(self, told: dict[str, Any]) -> dict[str, Any]:
-        if "lay" in told:
-            self.links.lay(told["lay"], msgspec.convert(told["fault"], LinkFault))
-        elif "lift" in told:
-            self.links.lift(told["lift"])
-        elif "reset" in told:
-            fault = msgspec.convert(told["reset"], LinkFault)
-            for stream in list(self.streams):
-                if fault.covers(stream.origin, stream.target.name):
-                    stream.reset()
-        for stream in list(self.streams):
-            stream.pump()
-        more = {"octets": self.links.octets()} if "by_link" in told else {}
-        return {
-            **more,
-            "links": self.links.counts(),
-            "streams": len(self.streams),
-            "taken": self.taken,
-            "strange": self.strange,
-        }
-
-
-class Waiting(asyncio.Protocol):
-    """A connection of which it is not known yet from whom it is."""
-
-    def __init__(self, relays: TcpProxy, target: ProxiedProcess, port: int) -> None:
-        self.relays, self.target, self.port = relays, target, port
-
-    def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        origin = self.relays.by_own.get(transport.get_extra_info("peername")[0])
-        self.relays.taken += 1
-        stream = Stream(self.relays, origin.name if origin is not None else OUTSIDE, self.target, self.port)
-        transport.set_protocol(stream.near)
-        stream.near.connection_made(transport)
-        if not stream.silent:
-            task = asyncio.get_running_loop().create_task(
-                stream.dial(origin.own if origin is not None else "")
-            )
-            TASKS.add(task)
-            task.add_done_callback(TASKS.discard)
-
-
-TASKS: set[asyncio.Task[None]] = set()
-
-
-async def live(spec: ProxySpec) -> None:
-    relays = TcpProxy(spec)
-    await relays.open()
-    loop = asyncio.get_running_loop()
+        """Listen at all ports. Raises OSError."""
+        for process in self.spec.processes:
+            for port in process.stream_ports:
+                await self._listen_for_streams(process, port)
+            for port in process.datagram_ports:
+                await self._listen_for_datagrams(process, port)
+
+    async def _listen_for_streams(self, process: ProxiedProcess, port: int) -> None:
+        await asyncio.get_running_loop().create_server(
+            lambda: StreamPort(self, process, port), process.proxy_host, port, backlog=BACKLOG
+        )
+
+    async def _listen_for_datagrams(self, process: ProxiedProcess, port: int) -> None:
+        datagram_port = self.datagram_ports[process.name, port] = DatagramPort(self, process, port)
+        await asyncio.get_running_loop().create_datagram_endpoint(
+            lambda: datagram_port, local_addr=(process.proxy_host, port)
+        )
+
+    def accept_stream(
+        self, origin: ProxiedProcess | None, target: ProxiedProcess, port: int
+    ) -> ProxiedStream:
+        """Count a connection and create its stream; `origin` is None for one from outside."""
+        self._accepted_connections += 1
+        name = origin.name if origin is not None else OUTSIDE
+        address = StreamAddress(name, target.name, target.host, port)
+        forward, backward = self.links.link(name, target.name), self.links.link(target.name, name)
+        stream = ProxiedStream(address, forward, backward, self._streams.discard)
+        self._streams.add(stream)
+        return stream
+
+    def connect_stream(self, stream: ProxiedStream, source_host: str) -> None:
+        """Begin to connect to the stream's target."""
+        task = asyncio.get_running_loop().create_task(stream.connect(source_host))
+        self._connecting.add(task)
+        task.add_done_callback(self._connecting.discard)
+
+    def handle(self, request: ProxyRequest) -> ProxyCounters:
+        """Carry out a request and deliver what it lets through."""
+        match request:
+            case AddLinkFault(number, fault):
+                self.links.add_fault(number, fault)
+            case RemoveLinkFault(number):
+                self.links.remove_fault(number)
+            case ResetConnections(fault):
+                self._reset_connections(fault)
+        for stream in list(self._streams):
+            stream.deliver()
+        with_links = isinstance(request, ReadCounters) and request.by_link
+        return ProxyCounters(
+            links=self.links.counters(),
+            open_streams=len(self._streams),
+            accepted_connections=self._accepted_connections,
+            unknown_datagrams=self.unknown_datagrams,
+            bytes_by_link=self.links.bytes_by_link() if with_links else {},
+        )
+
+    def _reset_connections(self, fault: LinkFault) -> None:
+        for stream in list(self._streams):
+            if fault.covers(stream.address.origin, stream.address.target):
+                stream.reset()
+
+
+def _write_message(message: msgspec.Struct) -> None:
+    sys.stdout.buffer.write(msgspec.json.encode(message) + b"\n")
+    sys.stdout.buffer.flush()
+
+
+async def serve(spec: ProxySpec) -> None:
+    """Run a proxy until the end of the standard input."""
+    proxy = TcpProxy(spec)
+    await proxy.open()
     lines = asyncio.StreamReader()
-    await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(lines), sys.stdin)
-    send_message({"open": len(spec.processes)})
+    await asyncio.get_running_loop().connect_read_pipe(lambda: asyncio.StreamReaderProtocol(lines), sys.stdin)
+    _write_message(ProxyReady(len(spec.processes)))
     while line := await lines.readline():
-        send_message(relays.heard(msgspec.json.decode(line)))
+        _write_message(proxy.handle(msgspec.json.decode(line, type=ProxyRequest)))
 
 
 if __name__ == "__main__":
-    uvloop.run(live(msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=ProxySpec)))
+    uvloop.run(serve(msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=ProxySpec)))
--- /dev/null
+++ b/ploverspoke/testbed/processes/timeline_player.py
@@ -0,0 +1,170 @@
+"""Applies the steps of a fault timeline to processes and links, each at its time."""
+
+import asyncio
+import contextlib
+import signal
+from collections.abc import Callable, Mapping, Sequence
+
+import msgspec
+
+from ..experiment_files.durations import MILLISECOND, SECOND
+from .child_process import STOP_TIMEOUT
+from .fault_controls import DiskMode
+from .fault_timeline import LINK_FAULTS, FaultStep, make_link_fault
+from .history import History, monotonic_now
+from .link_fault_controller import LinkFaultController
+from .running_process import ProcessStartError, RunningProcess
+
+LATENESS_CHECK_INTERVAL = 50 * MILLISECOND
+DISK_MODES = {"disk full": DiskMode.FULL, "disk fails": DiskMode.FAILING, "slow sync": DiskMode.HEALTHY}
+RESTARTS = ("kill", "restart", "empty", "older")
+
+
+class TimelinePlayer:
+    """Plays a timeline. The hooks are called before a process is stopped, and once it is ready again."""
+
+    def __init__(
+        self,
+        processes: Mapping[str, RunningProcess],
+        link_faults: LinkFaultController,
+        history: History,
+        errors: list[str],
+    ) -> None:
+        """`processes` by name, to which the rig may still add; a step that fails is appended to `errors`."""
+        self.on_process_down: Callable[[str, str], None] = lambda name, step_kind: None
+        self.on_process_up: Callable[[str], None] = lambda name: None
+        self.stop_timeout = STOP_TIMEOUT  # seconds, of a process that is restarted
+        self.epoch = 0  # ns of the machine's monotonic clock, when the timeline began
+        self.max_lateness = 0  # ns, of a step or of this process's event loop
+        self.finished = asyncio.Event()  # set to end the run early
+        self.busy: set[str] = set()  # names of processes to which a step is being applied
+        self._processes = processes
+        self._link_faults = link_faults
+        self._history = history
+        self._errors = errors
+        self._tasks: set[asyncio.Task[None]] = set()
+
+    def now(self) -> int:
+        """The time since the timeline began, in ns."""
+        return monotonic_now() - self.epoch
+
+    async def play(
+        self, steps: Sequence[FaultStep], duration: int, seed: int, starts_at: int | None = None
+    ) -> None:
+        """Apply the steps and wait until `duration` (ns) has passed, or `finished` is set.
+
+        It begins at `starts_at` of the machine's monotonic clock, or now. The history names the seed.
+        """
+        self.epoch = monotonic_now() if starts_at is None else starts_at
+        self._history.add("begin", [seed, [step.describe() for step in steps]])
+        lateness_watch = asyncio.create_task(self._watch_lateness())
+        for step in steps:
+            await asyncio.sleep(max(0.0, (step.at - self.now()) / SECOND))
+            self.max_lateness = max(self.max_lateness, self.now() - step.at)
+            self._begin_step(step)
+        with contextlib.suppress(TimeoutError):
+            await asyncio.wait_for(self.finished.wait(), max(0.0, (duration - self.now()) / SECOND))
+        lateness_watch.cancel()
+        for task in list(self._tasks):
+            await task
+        if self._link_faults.is_open():
+            await self._link_faults.read_counters()
+        self._history.add("end")
+
+    async def close(self) -> None:
+        """Cancel the steps that are under way."""
+        for task in list(self._tasks):
+            task.cancel()
+        await asyncio.gather(*self._tasks, return_exceptions=True)
+
+    async def _watch_lateness(self) -> None:
+        """Measure how late this event loop is: on a machine that is too slow a run shows nothing."""
+        while True:
+            due = monotonic_now() + LATENESS_CHECK_INTERVAL
+            await asyncio.sleep(LATENESS_CHECK_INTERVAL / SECOND)
+            self.max_lateness = max(self.max_lateness, monotonic_now() - due)
+
+    def _begin_step(self, step: FaultStep) -> None:
+        task = asyncio.create_task(self._apply_step(step))
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
+
+    async def _apply_step(self, step: FaultStep) -> None:
+        try:
+            if step.what in LINK_FAULTS:
+                await self._apply_to_links(step)
+            else:
+                await asyncio.gather(*(self.apply_to_process(step, name) for name in step.who))
+        except (ProcessStartError, RuntimeError) as error:
+            self._errors.append(f"{step.describe()}: {error}")
+
+    async def _apply_to_links(self, step: FaultStep) -> None:
+        forward = make_link_fault(step)
+        backward = msgspec.structs.replace(forward, origin=forward.target, target=forward.origin)
+        faults = [forward, backward] if step.both else [forward]
+        if step.what == "reset":
+            for fault in faults:
+                await self._link_faults.reset_connections(fault)
+            return
+        numbers = [await self._link_faults.add_fault(fault) for fault in faults]
+        if step.lasts:
+            await asyncio.sleep(step.lasts / SECOND)
+            for number in numbers:
+                await self._link_faults.remove_fault(number)
+
+    async def apply_to_process(self, step: FaultStep, name: str) -> None:
+        """Apply a step to one process and return when it is over.
+
+        A process that is busy with another step, or does not run, is skipped.
+        """
+        process = self._processes[name]
+        if step.what == "wall jumps":
+            process.set_wall_clock_offset(int(step.ahead * SECOND))
+        elif step.what == "clock":
+            process.clock_rate = step.rate
+        elif name in self.busy or not process.is_running():
+            return
+        self.busy.add(name)
+        self._history.add(step.what, name)
+        try:
+            await self._apply_process_fault(step, process)
+        finally:
+            self.busy.discard(name)
+        self._history.add(f"{step.what} is over", name)
+
+    async def _apply_process_fault(self, step: FaultStep, process: RunningProcess) -> None:
+        ends_at = monotonic_now() + step.lasts
+        if step.what == "pause":
+            process.pause()
+            await _sleep_until(ends_at)
+            process.resume()
+        elif step.what == "starve":
+            process.start_starving()
+            await _sleep_until(ends_at)
+            process.stop_starving()
+        elif step.what in DISK_MODES:
+            process.set_disk_fault(DISK_MODES[step.what], step.delay)
+            await _sleep_until(ends_at)
+            process.set_disk_fault(DiskMode.HEALTHY)
+        elif step.what == "copy":
+            process.pause()
+            process.copy_folder()
+            process.resume()
+        elif step.what in RESTARTS:
+            await self._restart(step, process, ends_at)
+
+    async def _restart(self, step: FaultStep, process: RunningProcess, starts_at: int) -> None:
+        self.on_process_down(process.name, step.what)
+        number = signal.SIGTERM if step.what == "restart" else signal.SIGKILL
+        await process.stop(number, self.stop_timeout)
+        if step.what == "empty":
+            process.clear_folder()
+        elif step.what == "older":
+            process.restore_folder_copy()
+        await _sleep_until(starts_at)
+        await process.start()
+        self.on_process_up(process.name)
+
+
+async def _sleep_until(at: int) -> None:
+    await asyncio.sleep(max(0.0, (at - monotonic_now()) / SECOND))
--- a/ploverspoke/testbed/scale/simulated_programs.py
+++ b/ploverspoke/testbed/scale/simulated_programs.py
@@ -29,13 +29,13 @@
 
     async def listen(self) -> None:
         """Raises ProcessStartError where it does not come up; from then on it is heard until its end."""
-        told = await asyncio.wait_for(self.child.hear(), READY_WITHIN)
+        told = await asyncio.wait_for(self.child.receive(), READY_WITHIN)
         if told is None:
             raise ProcessStartError("a hollow process ended at its start")
         self.listening = asyncio.create_task(self._listen())
 
     async def _listen(self) -> None:
-        while (told := await self.child.hear()) is not None:
+        while (told := await self.child.receive()) is not None:
             if "serves" in told:
                 self.programs[told["serves"]].comes_up()
             elif "ended" in told:
@@ -50,7 +50,7 @@
         """Raises ProcessStartError where it says nothing: it hangs, or is gone."""
         if self.asked is None or self.asked.done():
             self.asked = asyncio.get_running_loop().create_future()
-            self.child.tell({"count": True})
+            self.child.send({"count": True})
         try:
             return await asyncio.wait_for(asyncio.shield(self.asked), COUNTED_WITHIN)
         except TimeoutError:
@@ -98,47 +98,47 @@
     # ---- What the rig does ----
 
     async def start(self, more: Sequence[str] = ()) -> None:
-        if self.lives():
+        if self.is_running():
             raise ProcessStartError(f"{self.name} runs already: one handle is for one process")
         self.starts += 1
         self.state = "starting"
-        self.child.child.tell({"start": self.place.number})
+        self.child.child.send({"start": self.place.number})
         await self._until("serving", "down", within=READY_WITHIN)
         if self.state != "serving":
             raise ProcessStartError(f"{self.name} did not come up: {self.why or self.state}")
 
-    async def end(self, number: signal.Signals, within: float) -> None:
+    async def stop(self, number: signal.Signals, timeout: float) -> None:
         """As its process ends: told to, or at once; past the time (s) it is killed."""
-        if not self.lives():
+        if not self.is_running():
             return
         self.state = "ending"
         if number == signal.SIGTERM:
             self._tell("end")
-            await self._until("down", within=within)
-        if self.lives():
+            await self._until("down", within=timeout)
+        if self.is_running():
             self._tell("kill")
             await self._until("down", within=READY_WITHIN)
 
     async def kill(self) -> None:
-        await self.end(signal.SIGKILL, READY_WITHIN)
+        await self.stop(signal.SIGKILL, READY_WITHIN)
 
     def read_again(self) -> None:
         """What SIGHUP says; the new configuration stands in its file."""
         self._tell("read again")
 
-    def lives(self) -> bool:
+    def is_running(self) -> bool:
         return self.state != "down"
 
-    def crashed(self) -> bool:
+    def has_crashed(self) -> bool:
         return bool(self.by_itself)
 
-    def tail(self) -> str:
+    def log_tail(self) -> str:
         return self.by_itself
 
     def close(self) -> None: ...
 
     def _tell(self, what: str) -> None:
-        self.child.child.tell({what: self.place.number})
+        self.child.child.send({what: self.place.number})
 
     async def _until(self, *states: str, within: float) -> None:
         try:
--- a/ploverspoke/testbed/scale/single_dispatcher.py
+++ b/ploverspoke/testbed/scale/single_dispatcher.py
@@ -1,6 +1,6 @@
 """One dispatcher in a process of its own, sending from an address of its own: `alone ADDRESS MODULE`.
 
-What hollow dispatchers are compared with: of the rig's `starter.py` it has nothing but the address, since
+What hollow dispatchers are compared with: of the rig's `launcher.py` it has nothing but the address, since
 the rest costs time at each look at the clock.
 """
 
--- a/ploverspoke/testbed/scenarios/config_change_fleet.py
+++ b/ploverspoke/testbed/scenarios/config_change_fleet.py
@@ -10,8 +10,9 @@
 from ..experiment_files import experiment as ex
 from ..experiment_files.durations import SECOND
 from ..models.deployment_settings import dispatcher_settings
+from ..processes.addresses import ProcessAddress
 from ..processes.child_process import ChildProcess
-from ..processes.rig import ProcessAddress, listens_at
+from ..processes.readiness import accepts_connections
 from ..processes.running_process import ProcessStartError, RunningProcess
 from ..scale import simulated_dispatcher
 from ..scale.simulated_programs import MODULE, SimulatedDispatcherProgram
@@ -44,8 +45,8 @@
 
     async def _before(self, places: list[ProcessAddress]) -> None:
         await super()._before(places)
-        self.asker = await self.rig.child(f"{MODULE}.config_poller", [])
-        self.asker.tell({"doors": [place.at("clients") for place in places]})
+        self.asker = await self.rig.start_child(f"{MODULE}.config_poller", [])
+        self.asker.send({"doors": [place.endpoint("clients") for place in places]})
 
     def _begins(self, epoch: int, workers: ChildProcess, discovery: ChildProcess) -> None:
         super()._begins(epoch, workers, discovery)
@@ -54,7 +55,7 @@
 
     async def _hear_asker(self) -> None:
         assert self.asker is not None
-        while (told := await self.asker.hear()) is not None:
+        while (told := await self.asker.receive()) is not None:
             self.took.append(told["took"])
 
     async def _change(self, epoch: int) -> None:
@@ -64,10 +65,10 @@
         try:
             for number in range(1, play.changes + 1):
                 await asyncio.sleep(max(0, begins + number * every - time.monotonic_ns()) / SECOND)
-                self.asker.tell({"change": number, "grade": f"{ADDED}-{number}"})
+                self.asker.send({"change": number, "grade": f"{ADDED}-{number}"})
                 await self.bring(number)
         except (OSError, RuntimeError) as error:
-            self.rig.faults.append(f"a change could not be made: {error}")
+            self.rig.errors.append(f"a change could not be made: {error}")
 
     def changed(self, number: int, dispatcher: int) -> dict[str, Any]:
         """The settings of that dispatcher with so many changes."""
@@ -102,15 +103,17 @@
     ) -> None:
         super().__init__(e, seed, folder, shape, play)
         names = [f"c{number}" for number in range(play.config_servers)]
-        self.server_places = [self.rig.place(name, ["clients"], [], direct=["peers"]) for name in names]
+        self.server_places = [
+            self.rig.allocate_address(name, ["clients"], [], direct=["peers"]) for name in names
+        ]
         self.servers: list[RunningProcess] = []
         self.octets = 0  # that the relays had carried when the changes began
 
     def _replicas(self, relayed: bool) -> dict[str, dict[str, str]]:
         return {
             place.name: {
-                "peers": place.at("peers"),
-                "clients": place.through("clients") if relayed else place.at("clients"),
+                "peers": place.endpoint("peers"),
+                "clients": place.proxied_endpoint("clients") if relayed else place.endpoint("clients"),
             }
             for place in self.server_places
         }
@@ -122,16 +125,14 @@
             told = {"cluster": "testbed", "name": place.name, "folder": place.name, "secret_file": "secret"}
             file.write_bytes(msgspec.json.encode({**told, "replicas": self._replicas(relayed=False)}))
             words = ["config", "serve", str(file)]
-            server = RunningProcess(
-                self.rig.block, place.number, place.name, self.folder, "ploverspoke", words
-            )
-            server.ready = listens_at(place.own, place.ports["clients"])
+            server = RunningProcess(place, self.folder, "ploverspoke", words)
+            server.ready = accepts_connections(place.host, place.ports["clients"])
             self.servers.append(server)
         await asyncio.gather(*(server.start(["--new"]) for server in self.servers))
         await super()._before(places)
 
     def _place(self, number: int, place: ProcessAddress) -> simulated_dispatcher.DispatcherAddress:
-        servers = [place.through("clients") for place in self.server_places]
+        servers = [place.proxied_endpoint("clients") for place in self.server_places]
         near = servers[number % len(servers)]
         told = {"cluster": "testbed", "servers": servers, "near": [near], "secret_file": "secret"}
         watch = self.folder / f"{place.name}.watch.json"
@@ -140,12 +141,12 @@
 
     async def _change(self, epoch: int) -> None:
         await asyncio.sleep(max(0, epoch + self.e.counted_from - time.monotonic_ns()) / SECOND)
-        await self.rig.ask_relays({})
-        self.octets = self.rig.counts["links"]["octets"]
+        await self.rig.link_faults.read_counters()
+        self.octets = self.rig.link_faults.counters.links.bytes_passed
         await super()._change(epoch)
         await asyncio.sleep(max(0, epoch + self.e.lasts - time.monotonic_ns()) / SECOND)
-        await self.rig.ask_relays({})
-        self.carried = self.rig.counts["links"]["octets"] - self.octets
+        await self.rig.link_faults.read_counters()
+        self.carried = self.rig.link_faults.counters.links.bytes_passed - self.octets
 
     async def bring(self, number: int) -> None:
         """One version, published as an operator's tool does."""
@@ -155,7 +156,7 @@
 
         told = self.changed(number, 0)
         body = {"settings": {key: told[key] for key in ("ServiceGrades", "Domain")}}
-        servers = ConfigServers({place.name: place.at("peers") for place in self.server_places}, SECRET)
+        servers = ConfigServers({place.name: place.endpoint("peers") for place in self.server_places}, SECRET)
         text = msgspec.json.encode(body).decode()
         try:
             found = await asyncio.to_thread(publish, servers, text, None, "testbed", FIRST_ANSWER)
--- a/ploverspoke/testbed/scenarios/dispatcher_bench.py
+++ b/ploverspoke/testbed/scenarios/dispatcher_bench.py
@@ -24,7 +24,7 @@
 from ..experiment_files.experiment import parse_experiment
 from ..models.baseline_policies import POLICIES, Policy
 from ..models.deployment_settings import dispatcher_settings
-from ..processes.addresses import held_ports
+from ..processes.addresses import reserve_ports
 
 CLIENTS = (1, 8, 32, 128)
 WORKERS = 8
@@ -142,7 +142,7 @@
     """A dispatcher or the relay, with a list of workers that it is given at start; nobody is at its
     discovery.
     """
-    [port, nobody] = held_ports(2)
+    [port, nobody] = reserve_ports(2)
     e = _world(WORKERS, 1, "10s", 100.0)
     servers = [
         {
--- a/ploverspoke/testbed/scenarios/distribution_scenario.py
+++ b/ploverspoke/testbed/scenarios/distribution_scenario.py
@@ -25,12 +25,14 @@
 )
 from ..experiment_files.durations import MILLISECOND, SECOND, Duration, format_duration, parse_duration
 from ..fakes.config_clients import ConfigClientsSpec, grades_of
+from ..processes.addresses import ProcessAddress
 from ..processes.capacity_check import memory_backed_folder
 from ..processes.child_process import ChildProcess
 from ..processes.fault_timeline import FaultStep, FaultWeight, TimelineError, check_timeline, draw_timeline
 from ..processes.history import HistoryEvent, events_around, monotonic_now
-from ..processes.link_faults import LinkFault
-from ..processes.rig import ProcessAddress, Rig, listens_at
+from ..processes.link_faults import LinkCounters, LinkFault
+from ..processes.readiness import accepts_connections
+from ..processes.rig import Rig
 from ..processes.running_process import ProcessStartError, RunningProcess
 
 MODULE = "ploverspoke.testbed.fakes"
@@ -128,7 +130,7 @@
     shown: list[str]  # findings, each with what happened round it
     events: list[HistoryEvent]
     steps: list[FaultStep]
-    links: dict[str, int]
+    links: LinkCounters
     looked: list[Looked]
 
 
@@ -200,15 +202,16 @@
 
     def add(self, place: ProcessAddress, words: list[str]) -> RunningProcess:
         module, *first = self.instead.get(place.name, ["ploverspoke"])
-        return self.rig.add(place, module, [*first, *words])
+        return self.rig.add_process(place, module, [*first, *words])
 
     async def start(self) -> None:
         rig, plan = self.rig, self.plan
         rig.history.add("roles", {"servers": plan.server_names(), "dispatchers": plan.dispatcher_names()})
         (rig.folder / "secret").write_text(SECRET)
-        self.servers = [rig.place(name, ["peers", "clients"]) for name in plan.server_names()]
+        self.servers = [rig.allocate_address(name, ["peers", "clients"]) for name in plan.server_names()]
         replicas = {
-            p.name: {"peers": p.through("peers"), "clients": p.through("clients")} for p in self.servers
+            p.name: {"peers": p.proxied_endpoint("peers"), "clients": p.proxied_endpoint("clients")}
+            for p in self.servers
         }
         for place in self.servers:
             told = {
@@ -223,20 +226,21 @@
             path = rig.folder / f"{place.name}.json"
             path.write_bytes(msgspec.json.encode(told))
             server = self.add(place, ["config", "serve", str(path)])
-            server.ready = listens_at(place.own, place.ports["clients"])
+            server.ready = accepts_connections(place.host, place.ports["clients"])
         self.dispatchers = [
-            rig.place(name, direct=["submissions", "operators"]) for name in plan.dispatcher_names()
+            rig.allocate_address(name, direct=["submissions", "operators"])
+            for name in plan.dispatcher_names()
         ]
-        await rig.open()
+        await rig.open_proxy()
         discovery = await self.start_clients()
         for number, place in enumerate(self.dispatchers):
             self.add_dispatcher(number, place, discovery)
-        await rig.start([place.name for place in self.servers], ["--new"])
-        await rig.start([place.name for place in self.dispatchers])
+        await rig.start_processes([place.name for place in self.servers], ["--new"])
+        await rig.start_processes([place.name for place in self.dispatchers])
 
     def add_dispatcher(self, number: int, place: ProcessAddress, discovery: str) -> None:
         folder, region = self.rig.folder, self.plan.region(number)
-        clients = {server.name: server.through("clients") for server in self.servers}
+        clients = {server.name: server.proxied_endpoint("clients") for server in self.servers}
         near = [where for name, where in clients.items() if name.startswith(region)]
         if self.plan.near_one:
             near = [list(clients.values())[number % len(clients)]]
@@ -249,8 +253,8 @@
         }
         own = {
             "name": place.name,
-            "listen": place.at("submissions"),
-            "admin_addr": place.at("operators"),
+            "listen": place.endpoint("submissions"),
+            "admin_addr": place.endpoint("operators"),
             "discovery": discovery,
             "settings": {
                 "Discovery": "push",
@@ -275,7 +279,7 @@
             (folder / f"{place.name}.{name}.json").write_bytes(msgspec.json.encode(told))
         paths = {name: str(folder / f"{place.name}.{name}.json") for name in files}
         dispatcher = self.add(place, ["serve", paths["own"], "--watch", paths["watch"]])
-        dispatcher.ready = listens_at(place.own, place.ports["submissions"])
+        dispatcher.ready = accepts_connections(place.host, place.ports["submissions"])
 
     async def start_clients(self) -> str:
         """Gives the address of discovery."""
@@ -284,10 +288,13 @@
             rig.seed,
             str(rig.folder / "clients.history"),
             SECRET,
-            {place.name: place.at("peers") for place in self.servers},
-            {place.through("peers"): place.name for place in self.servers},
-            {place.name: [place.at("submissions"), place.at("operators")] for place in self.dispatchers},
-            rig.block.stand_in(0),
+            {place.name: place.endpoint("peers") for place in self.servers},
+            {place.proxied_endpoint("peers"): place.name for place in self.servers},
+            {
+                place.name: [place.endpoint("submissions"), place.endpoint("operators")]
+                for place in self.dispatchers
+            },
+            rig.block.fake_host(0),
             plan.publishers,
             int(plan.every),
             plan.stubborn,
@@ -297,16 +304,16 @@
         )
         path = rig.folder / "clients.json"
         path.write_bytes(msgspec.json.encode(spec))
-        self.clients = await rig.child(f"{MODULE}.config_clients", [str(path)])
-        told = await self.clients.hear()
+        self.clients = await rig.start_child(f"{MODULE}.config_clients", [str(path)])
+        told = await self.clients.receive()
         if told is None:
             raise ProcessStartError("publishers and probers ended at their start")
         return str(told["discovery"])
 
     async def tell(self, word: str) -> None:
         assert self.clients is not None
-        self.clients.tell({word: True})
-        told = await self.clients.hear()
+        self.clients.send({word: True})
+        told = await self.clients.receive()
         if told is None:
             raise ProcessStartError(f"publishers and probers ended before {word!r} was done")
         self.late = max(self.late, told.get("late", 0))
@@ -318,15 +325,15 @@
         folder is found again.
         """
         chance = Random(f"{self.rig.seed} emptied")
-        while self.rig.now() < self.plan.lasts - self.plan.calm() - self.plan.emptied // 2:
+        while self.rig.timeline.now() < self.plan.lasts - self.plan.calm() - self.plan.emptied // 2:
             await asyncio.sleep(self.plan.emptied * (0.5 + chance.random()) / SECOND / 1.5)
-            running = self.rig.running[chance.choice(self.servers).name]
-            if running.name not in self.rig.busy and running.lives():
-                self.rig.busy.add(running.name)
+            running = self.rig.processes[chance.choice(self.servers).name]
+            if running.name not in self.rig.timeline.busy and running.is_running():
+                self.rig.timeline.busy.add(running.name)
                 try:
                     await self.empty(running)
                 finally:
-                    self.rig.busy.discard(running.name)
+                    self.rig.timeline.busy.discard(running.name)
 
     async def empty(self, running: RunningProcess) -> None:
         history, aside = self.rig.history, running.folder.with_suffix(".aside")
@@ -350,7 +357,7 @@
         for place in self.servers:
             try:
                 told = await asyncio.to_thread(
-                    call_replica, place.at("peers"), SECRET.encode(), StatusRequest(), StatusRow
+                    call_replica, place.endpoint("peers"), SECRET.encode(), StatusRequest(), StatusRow
                 )
             except (OSError, FrameError):
                 continue
@@ -361,23 +368,26 @@
     async def cut_leaders_off(self) -> None:
         """From the other servers, and not from those that publish and watch."""
         every, rig = self.plan.leader_cut, self.rig
-        while rig.now() < self.plan.lasts - self.plan.calm() - every:
+        while rig.timeline.now() < self.plan.lasts - self.plan.calm() - every:
             leader = await self.leader()
             if not leader:
                 await asyncio.sleep(0.05)
                 continue
             others = [place.name for place in self.servers if place.name != leader]
             ways = [([leader], others), (others, [leader])]
-            numbers = [await rig.lay(LinkFault(origin=one, target=other, cut=True)) for one, other in ways]
+            numbers = [
+                await rig.link_faults.add_fault(LinkFault(origin=one, target=other, cut=True))
+                for one, other in ways
+            ]
             await asyncio.sleep(every * 0.9 / SECOND)
             for number in numbers:
-                await rig.lift(number)
+                await rig.link_faults.remove_fault(number)
             await asyncio.sleep(every * 0.1 / SECOND)
 
     async def look(self) -> None:
         while True:
-            await self.rig.ask_relays({})
-            running = self.rig.running
+            await self.rig.link_faults.read_counters()
+            running = self.rig.processes
             held = {
                 (kind, region): sum(
                     memory(running[place.name]) for place in places if place.name.startswith(region)
@@ -386,10 +396,10 @@
                 for region in REGIONS
             }
             folders = sum(size(running[place.name].folder) for place in self.servers)
-            octets = self.rig.counts["links"]["octets"]
+            octets = self.rig.link_faults.counters.links.bytes_passed
             self.looked.append(
                 Looked(
-                    self.rig.now(),
+                    self.rig.timeline.now(),
                     held["s", "a"],
                     held["s", "b"],
                     held["d", "a"],
@@ -402,7 +412,7 @@
 
     async def finish(self) -> None:
         """Publishers rest in time for what they did to be judged."""
-        await asyncio.sleep(max(0.0, (self.plan.lasts - self.plan.calm() - self.rig.now()) / SECOND))
+        await asyncio.sleep(max(0.0, (self.plan.lasts - self.plan.calm() - self.rig.timeline.now()) / SECOND))
         await self.tell("last")
 
 
@@ -429,7 +439,7 @@
 def shown_with(finding: str, at: int, seed: int, steps: list[FaultStep], events: list[HistoryEvent]) -> str:
     """A finding with what it takes to look into it; of the many probes, those that it speaks of."""
     near = [e for e in events if e.what not in ("probe", "door") or e.detail[0] in finding]
-    rows = [f"seed {seed}; timeline:", *(f"  {step.told()}" for step in steps), "what happened round it:"]
+    rows = [f"seed {seed}; timeline:", *(f"  {step.describe()}" for step in steps), "what happened round it:"]
     return "\n".join([finding, *rows, *(f"  {row}" for row in events_around(near, at, SHOWN))])
 
 
@@ -439,10 +449,10 @@
     async with Rig(folder, seed) as rig:
         run = Distribution(rig, plan, instead)
         await run.start()
-        played = check_timeline(timeline(plan, seed) if steps is None else steps, list(rig.places))
+        played = check_timeline(timeline(plan, seed) if steps is None else steps, list(rig.addresses))
         await run.tell("go")
         begins = monotonic_now()
-        rig.epoch = begins
+        rig.timeline.epoch = begins
         meanwhile = [asyncio.create_task(run.finish())]
         others = []
         if plan.emptied:
@@ -459,14 +469,14 @@
             for task in [*meanwhile, *others]:
                 task.cancel()
         await run.tell("read")
-        events = rig.happened()
+        events = rig.read_events()
         verdict = check_distribution_history(events, plan.within)
         shown = [shown_with(what, at, seed, played, events) for what, at in verdict.findings[:3]]
-    void = rig.void()
+    void = rig.void_reason()
     if not void and run.late > MOST_LATE:
         void = f"the machine was too slow: publishers and probers were late by {format_duration(run.late)}"
-    links = rig.counts.get("links", {})
-    return Outcome(verdict, void, rig.faults, shown, events, played, links, run.looked)
+    links = rig.link_faults.counters.links
+    return Outcome(verdict, void, rig.errors, shown, events, played, links, run.looked)
 
 
 def run_distribution_scenario(
--- a/ploverspoke/testbed/scenarios/lease_bench.py
+++ b/ploverspoke/testbed/scenarios/lease_bench.py
@@ -128,11 +128,11 @@
     while True:
         for place in leases.keepers:
             told = await asyncio.to_thread(
-                call_replica, place.at("peers"), keepers.secret, StatusRequest(), StatusRow
+                call_replica, place.endpoint("peers"), keepers.secret, StatusRequest(), StatusRow
             )
-            process = leases.rig.running[place.name].process
+            process = leases.rig.processes[place.name].process
             if told.fields.get("leading") and process is not None:
-                return place.at("clients"), process.pid
+                return place.endpoint("clients"), process.pid
         await asyncio.sleep(0.1)
 
 
--- a/ploverspoke/testbed/scenarios/lease_scenario.py
+++ b/ploverspoke/testbed/scenarios/lease_scenario.py
@@ -10,11 +10,14 @@
 from ..checkers.lease_checker import MIN_HOLDER_CHANGES, LeaseVerdict, check_lease_history, takeover_gaps
 from ..experiment_files.durations import MILLISECOND, SECOND, Duration, format_duration, parse_duration
 from ..fakes import lease_candidate
+from ..processes.addresses import ProcessAddress
 from ..processes.capacity_check import memory_backed_folder
 from ..processes.child_process import ChildProcess
 from ..processes.fault_timeline import FaultStep, FaultWeight, TimelineError, check_timeline, draw_timeline
 from ..processes.history import HistoryEvent, read_history
-from ..processes.rig import ProcessAddress, Rig, listens_at
+from ..processes.link_faults import LinkCounters
+from ..processes.readiness import accepts_connections
+from ..processes.rig import Rig
 from ..processes.running_process import RunningProcess
 
 HOLDER_KILLED = "holder killed"
@@ -83,7 +86,7 @@
     shown: list[str]  # findings, each with what happened round it
     events: list[HistoryEvent]
     steps: list[FaultStep]
-    links: dict[str, int]
+    links: LinkCounters
 
 
 def timeline(plan: LeaseScenario, seed: int) -> list[FaultStep]:
@@ -122,9 +125,10 @@
     async def start(self) -> None:
         rig, plan = self.rig, self.plan
         (rig.folder / "secret").write_text(SECRET)
-        self.keepers = [rig.place(f"k{n}", ["peers", "clients"]) for n in range(plan.keepers)]
+        self.keepers = [rig.allocate_address(f"k{n}", ["peers", "clients"]) for n in range(plan.keepers)]
         replicas = {
-            p.name: {"peers": p.through("peers"), "clients": p.through("clients")} for p in self.keepers
+            p.name: {"peers": p.proxied_endpoint("peers"), "clients": p.proxied_endpoint("clients")}
+            for p in self.keepers
         }
         common: dict[str, Any] = {
             "cluster": "testbed",
@@ -141,17 +145,17 @@
         for place in self.keepers:
             own = rig.folder / f"{place.name}.json"
             own.write_bytes(msgspec.json.encode({**common, "name": place.name, "folder": place.name}))
-            keeper = rig.add(place, "ploverspoke", ["lease-server", str(own)])
-            keeper.ready = listens_at(place.own, place.ports["clients"])
-        resource = rig.place("r", ["act"])
+            keeper = rig.add_process(place, "ploverspoke", ["lease-server", str(own)])
+            keeper.ready = accepts_connections(place.host, place.ports["clients"])
+        resource = rig.allocate_address("r", ["act"])
         for number in range(plan.contenders):
-            place = rig.place(f"c{number}")
+            place = rig.allocate_address(f"c{number}")
             spec = rig.folder / f"{place.name}.spec.json"
             told = lease_candidate.Spec(
                 place.name,
                 rig.seed,
                 str(self.file),
-                resource.through("act"),
+                resource.proxied_endpoint("act"),
                 str(rig.folder / f"{place.name}.acts.history"),
                 plan.wanted(number),
                 int(plan.duration),
@@ -161,30 +165,30 @@
                 plan.outlasts,
             )
             spec.write_bytes(msgspec.json.encode(told))
-            running = rig.add(place, f"{MODULE}.lease_candidate", [str(spec)])
+            running = rig.add_process(place, f"{MODULE}.lease_candidate", [str(spec)])
             if plan.drifting:
-                running.rate = (0.95, 1.0, 1.05)[number % 3]
+                running.clock_rate = (0.95, 1.0, 1.05)[number % 3]
             self.contenders.append(running)
-        await rig.open()
+        await rig.open_proxy()
         history = str(rig.folder / "resource.history")
         # Where several may hold a lease, no order of tokens says whose is old.
         fenced = [name for name, places in plan.places().items() if places == 1 and plan.fenced]
-        words = [resource.own, str(resource.ports["act"]), history, *fenced]
-        self.resource = await rig.child(f"{MODULE}.protected_resource", words)
-        await self.resource.hear()
-        await rig.start([place.name for place in self.keepers], ["--new"])
-        await rig.start([running.name for running in self.contenders])
+        words = [resource.host, str(resource.ports["act"]), history, *fenced]
+        self.resource = await rig.start_child(f"{MODULE}.protected_resource", words)
+        await self.resource.receive()
+        await rig.start_processes([place.name for place in self.keepers], ["--new"])
+        await rig.start_processes([running.name for running in self.contenders])
 
     async def kill_holders(self) -> None:
         """The one whose effects came last on the first name is killed, and started again a while later."""
         name, every = next(iter(self.plan.names)), self.plan.holder_killed / SECOND
-        by_address = {self.rig.places[running.name].own: running for running in self.contenders}
+        by_address = {self.rig.addresses[running.name].host: running for running in self.contenders}
         history = self.rig.folder / "resource.history"
         while True:
             await asyncio.sleep(every)
             effects = [e.detail for e in read_history(history) if e.what == "effect" and e.detail[0] == name]
             holder = by_address[effects[-1][4]] if effects else None
-            if holder is not None and holder.lives():
+            if holder is not None and holder.is_running():
                 self.rig.history.add(HOLDER_KILLED, [holder.name, name])
                 await holder.kill()
                 await asyncio.sleep(every / 4)
@@ -195,16 +199,18 @@
     async with Rig(folder, seed) as rig:
         leases = LeaseFleet(rig, plan)
         await leases.start()
-        names = list(rig.places)
+        names = list(rig.addresses)
         played = check_timeline(timeline(plan, seed) if steps is None else steps, names)
         killing = asyncio.create_task(leases.kill_holders()) if plan.holder_killed else None
         await rig.play(played, plan.lasts)
         if killing is not None:
             killing.cancel()
-        events = rig.happened()
+        events = rig.read_events()
     verdict = check_lease_history(events, plan.places())
-    shown = [rig.shown(what, at) for what, at in verdict.findings[:3]]
-    return Outcome(verdict, rig.void(), rig.faults, shown, events, played, rig.counts.get("links", {}))
+    shown = [rig.describe_finding(what, at) for what, at in verdict.findings[:3]]
+    return Outcome(
+        verdict, rig.void_reason(), rig.errors, shown, events, played, rig.link_faults.counters.links
+    )
 
 
 def read_lease_experiment(told: dict[str, Any]) -> LeaseExperiment:
--- a/ploverspoke/testbed/scenarios/scale_fleet.py
+++ b/ploverspoke/testbed/scenarios/scale_fleet.py
@@ -12,9 +12,9 @@
 from ..experiment_files import experiment as ex
 from ..experiment_files.durations import SECOND, format_duration
 from ..models.request_schedule import draw_schedule
+from ..processes.addresses import ProcessAddress
 from ..processes.capacity_check import MEBIBYTE, CapacityError, ResourceDemand, free_memory
 from ..processes.child_process import ChildProcess
-from ..processes.rig import ProcessAddress
 from ..processes.running_process import ProcessStartError
 from ..scale import simulated_dispatcher
 from ..scale.dispatcher_host import DispatcherHostSpec
@@ -128,7 +128,7 @@
         count = self.e.dispatchers.count
         async with asyncio.timeout(LISTS_WITHIN):
             while True:
-                discovery.tell({"who was told": True})
+                discovery.send({"who was told": True})
                 told = (await self._first(discovery)).get("told", 0)
                 if told >= count and await self._listed() >= count:
                     return
@@ -159,7 +159,7 @@
             elif self.quiet_since < 0:
                 self.quiet_since = told["at"]
             elif told["at"] - self.quiet_since > QUIET:
-                self.rig.all_done.set()
+                self.rig.timeline.finished.set()
 
     async def _sample(self, epoch: int) -> None:
         try:
@@ -167,7 +167,7 @@
                 await asyncio.sleep(max(0, epoch + number * COUNTS_EVERY - time.monotonic_ns()) / SECOND)
                 self.samples.append(await self.sample())
         except (ProcessStartError, OSError) as error:
-            self.rig.faults.append(f"what dispatchers use could not be seen: {error}")
+            self.rig.errors.append(f"what dispatchers use could not be seen: {error}")
 
     async def sample(self) -> UsageSample:
         used = await self.used()
@@ -181,7 +181,7 @@
                 for key in TRAFFIC:
                     there[key] += one[key]
         running = sum(told["running"] for told in self.latest.values() if "running" in told)
-        return UsageSample(self.rig.now(), used, traffic, running)
+        return UsageSample(self.rig.timeline.now(), used, traffic, running)
 
     async def used(self) -> Used:
         raise NotImplementedError
@@ -221,7 +221,7 @@
         spec = self.folder / "hollow.json"
         spec.write_bytes(msgspec.json.encode(DispatcherHostSpec(parts)))
         for part in range(self.shape.hollow):
-            child = await self.rig.child(MODULE, [str(spec), str(part)], log=f"d-hollow-{part}")
+            child = await self.rig.start_child(MODULE, [str(spec), str(part)], log=f"d-hollow-{part}")
             self.children.append(SimulatedDispatcherHost(child))
         for one in self.children:
             await one.listen()
@@ -230,7 +230,7 @@
 
     def _place(self, number: int, place: ProcessAddress) -> simulated_dispatcher.DispatcherAddress:
         return simulated_dispatcher.DispatcherAddress(
-            number, place.name, place.own, str(self.folder / f"{place.name}.json")
+            number, place.name, place.host, str(self.folder / f"{place.name}.json")
         )
 
     def _program(
@@ -247,14 +247,14 @@
 
     def _begins(self, epoch: int, workers: ChildProcess, discovery: ChildProcess) -> None:
         for one in self.children:
-            one.child.tell({"begin": True})
+            one.child.send({"begin": True})
         super()._begins(epoch, workers, discovery)
 
     async def used(self) -> Used:
         told = await asyncio.gather(*(one.counts() for one in self.children))
         late = max(one["late"] for one in told)
         if late > MAX_LATENESS >= self.hollow_late:
-            self.hollow_late_at = self.rig.now()
+            self.hollow_late_at = self.rig.timeline.now()
         self.hollow_late = max(self.hollow_late, late)
         inside: dict[str, int] = {}
         for one in told:
@@ -280,7 +280,7 @@
     """The program in a process of its own, with nothing of the rig's in it but an address to send from."""
 
     def command(self) -> list[str]:
-        return [sys.executable, "-m", f"{MODULE}.single_dispatcher", self.own, self.module]
+        return [sys.executable, "-m", f"{MODULE}.single_dispatcher", self.host, self.module]
 
 
 class RealScaleFleet(ScaleFleet):
@@ -299,7 +299,7 @@
     async def used(self) -> Used:
         cpu = resident = most = serving = 0
         for program in self.programs:
-            if program.process is None or not program.lives():
+            if program.process is None or not program.is_running():
                 continue
             proc = Path(f"/proc/{program.process.pid}")
             cpu += sum(int(path.read_text().split()[0]) for path in proc.glob("task/*/schedstat"))
--- a/ploverspoke/testbed/scenarios/socket_run.py
+++ b/ploverspoke/testbed/scenarios/socket_run.py
@@ -19,11 +19,13 @@
 from ..models.clients import LATE_ANSWER_ALLOWANCE
 from ..models.deployment_settings import dispatcher_settings
 from ..models.event_records import Event, Records, merge_records, read_records
+from ..processes.addresses import ProcessAddress
 from ..processes.capacity_check import MEBIBYTE, ResourceDemand, memory_backed_folder
 from ..processes.child_process import ChildProcess
 from ..processes.fault_timeline import FaultStep
 from ..processes.history import HistoryEvent
-from ..processes.rig import ProcessAddress, Rig
+from ..processes.link_faults import LinkCounters
+from ..processes.rig import Rig
 from ..processes.running_process import ProcessStartError, RunningProcess
 
 LEAD = 300 * MILLISECOND  # from the word to start to the start
@@ -42,7 +44,7 @@
     took_s: float
     logs: str  # what dispatchers wrote, the last lines
     history: list[HistoryEvent]  # what was done to them, and what they said
-    links: dict[str, int]  # what the relays counted
+    links: LinkCounters  # what the relays counted
 
 
 class DispatcherProgram(RunningProcess):
@@ -59,13 +61,13 @@
             file.write_bytes(msgspec.json.encode(store))
             words = ["serve", str(path), "--store", str(file)]
         environment = {"RELAY_CONFIG": str(path)}
-        super().__init__(rig.block, place.number, place.name, rig.folder, "ploverspoke", words, environment)
-        self.door = (place.own, place.ports["clients"])
+        super().__init__(place, rig.folder, "ploverspoke", words, environment)
+        self.door = (place.host, place.ports["clients"])
         self.ready = self._is_ready
 
     async def start(self, more: Any = ()) -> None:
         # A store that is new begins so; one that was emptied later must not.
-        await super().start(["--new"] if self.words and not self.starts else more)
+        await super().start(["--new"] if self.arguments and not self.starts else more)
 
     async def _is_ready(self) -> bool:
         reader, writer = await asyncio.open_connection(*self.door)
@@ -117,8 +119,8 @@
         self.told = told
         self.seen = Records()
         self.rig = Rig(folder, seed)
-        self.rig.on_down, self.rig.on_up = self._down, self._up
-        self.rig.ends_within = max(g.deadline for g in e.request_classes) / SECOND + 0.7
+        self.rig.timeline.on_process_down, self.rig.timeline.on_process_up = self._down, self._up
+        self.rig.timeline.stop_timeout = max(g.deadline for g in e.request_classes) / SECOND + 0.7
         self.behind = 0
         self.late = 0  # the stand-ins
         self.programs: list[DispatcherProgram] = []
@@ -135,7 +137,7 @@
         clients, parts = self._client_processes(), self.worker_processes
         streams, datagrams = ["peers"] * e.dispatchers.store, ["talk"] * e.dispatchers.talk
         names = [f"d{number}" for number in range(e.dispatchers.count)]
-        places = [rig.place(name, streams, datagrams, direct=["clients"]) for name in names]
+        places = [rig.allocate_address(name, streams, datagrams, direct=["clients"]) for name in names]
         spec = self.folder / "spec.json"
         told = {
             "experiment": msgspec.to_builtins(e, enc_hook=int),
@@ -143,16 +145,16 @@
             "records": str(self.folder),
             "clients": clients,
             "hosts": self._hosts(places),
-            "own_hosts": {"workers": rig.block.stand_in(1), "discovery": rig.block.stand_in(2)},
+            "own_hosts": {"workers": rig.block.fake_host(1), "discovery": rig.block.fake_host(2)},
             "tells_traffic": self.tells_traffic,
             "worker_processes": parts,
         }
         spec.write_bytes(msgspec.json.encode(told))
         rig.check_capacity(self._wants())
-        await rig.open()
+        await rig.open_proxy()
         kinds = {"workers": parts, "discovery": 1, "clients": clients}
         stand_ins = [
-            await rig.child("ploverspoke.testbed.fakes", [kind, str(spec), str(part)])
+            await rig.start_child("ploverspoke.testbed.fakes", [kind, str(spec), str(part)])
             for kind, count in kinds.items()
             for part in range(count)
         ]
@@ -164,19 +166,19 @@
         for child in others:
             await self._first(child)
         # Discovery answers dispatchers from their start on, so it hears of the workers before them.
-        discovery.tell({"workers": worker_addresses})
+        discovery.send({"workers": worker_addresses})
         await self._before(places)
         for number, place in enumerate(places):
             config = self._config(number, places, discovery_address)
             store = self._store(number, places) if e.dispatchers.store else None
             program = self._program(place, config, store)
-            rig.running[place.name] = program
+            rig.processes[place.name] = program
             self.programs.append(program)
-        await rig.start()
+        await rig.start_processes()
         await self._started(discovery)
         epoch = time.monotonic_ns() + LEAD
         for child in stand_ins:
-            child.tell({"start": epoch, "dispatchers": [place.at("clients") for place in places]})
+            child.send({"start": epoch, "dispatchers": [place.endpoint("clients") for place in places]})
         self.tasks += [asyncio.create_task(self._listen(child, discovery)) for child in (*workers, *others)]
         self._begins(epoch, workers[0], discovery)
         await rig.play(outage_steps(e, self.seed), self._end(), epoch)
@@ -185,7 +187,7 @@
 
     def _hosts(self, places: list[ProcessAddress]) -> list[str]:
         """The addresses that dispatchers send from."""
-        return [place.own for place in places]
+        return [place.host for place in places]
 
     def _client_processes(self) -> int:
         return client_processes(self.e)
@@ -212,7 +214,7 @@
         return end + (LATE_ANSWER_ALLOWANCE if self.e.dispatchers.store else 0)
 
     async def _first(self, child: ChildProcess) -> dict[str, Any]:
-        told = await asyncio.wait_for(child.hear(), READY_WITHIN)
+        told = await asyncio.wait_for(child.receive(), READY_WITHIN)
         if told is None:
             raise ProcessStartError("a stand-in ended at its start")
         return told
@@ -221,20 +223,20 @@
         e = self.e
         config: dict[str, Any] = {
             "name": f"d{number}",
-            "listen": places[number].at("clients"),
+            "listen": places[number].endpoint("clients"),
             "discovery": discovery,
             "seed": f"{self.seed * 1_000_003 + number:x}",
             "limits": {"sockets": e.dispatchers.sockets, "memory_mb": e.dispatchers.memory_mb},
             "settings": dispatcher_settings(e, number),
         }
         if e.dispatchers.talk:
-            config["peers"] = [place.through("talk") for place in places]
+            config["peers"] = [place.proxied_endpoint("talk") for place in places]
         return config
 
     def _store(self, number: int, places: list[ProcessAddress]) -> dict[str, Any]:
         (self.folder / "secret").write_text("a secret of the testbed's own")
         replicas = {
-            f"r{n}": {"peers": place.through("peers"), "clients": place.at("clients")}
+            f"r{n}": {"peers": place.proxied_endpoint("peers"), "clients": place.endpoint("clients")}
             for n, place in enumerate(places)
         }
         folder = places[number].name
@@ -242,22 +244,22 @@
         return {**told, "replicas": replicas, "snapshot_every": self.e.dispatchers.snapshot_every}
 
     async def _listen(self, child: ChildProcess, discovery: ChildProcess) -> None:
-        while (told := await child.hear()) is not None:
+        while (told := await child.receive()) is not None:
             if "fault" in told:
-                self.rig.faults.append(told["fault"])
+                self.rig.errors.append(told["fault"])
             if "fell" in told or "back" in told:
-                discovery.tell(told)
+                discovery.send(told)
             self.behind = max(self.behind, told.get("behind", 0))
             self.late = max(self.late, told.get("late", 0))
             if self.told is not None:
-                self.told({"at": self.rig.now(), "child": id(child), **told})
+                self.told({"at": self.rig.timeline.now(), "child": id(child), **told})
 
     def _down(self, name: str, how: str) -> None:
         what = event_records.DISPATCHER_LEAVES if how == "restart" else event_records.DISPATCHER_DOWN
-        self.seen.add(self.rig.now(), what, dispatcher=int(name[1:]))
+        self.seen.add(self.rig.timeline.now(), what, dispatcher=int(name[1:]))
 
     def _up(self, name: str) -> None:
-        self.seen.add(self.rig.now(), event_records.DISPATCHER_UP, dispatcher=int(name[1:]))
+        self.seen.add(self.rig.timeline.now(), event_records.DISPATCHER_UP, dispatcher=int(name[1:]))
 
     async def close(self) -> None:
         """End all that was started, whatever happened."""
@@ -271,9 +273,9 @@
             return f"the load generator fell behind by {format_duration(self.behind)}"
         if self.late > MAX_LATENESS:
             return f"the machine was too slow: a stand-in was late by {format_duration(self.late)}"
-        if self.rig.faults:
-            return f"{len(self.rig.faults)} faults, the first: {self.rig.faults[0]}"
-        return self.rig.void()
+        if self.rig.errors:
+            return f"{len(self.rig.errors)} faults, the first: {self.rig.errors[0]}"
+        return self.rig.void_reason()
 
 
 def run_on_sockets(e: ex.Experiment, seed: int, told: ReportListener | None = None) -> Played:
@@ -285,9 +287,9 @@
         asyncio.run(_play(stage))
         parts = [read_records(path) for path in sorted(folder.glob("*.jsonl"))]
         events = merge_records([stage.seen.events, *parts])
-        history = stage.rig.happened()
+        history = stage.rig.read_events()
         logs = "\n".join(path.read_text()[-2000:] for path in sorted(folder.glob("d*.log")))
-    counts = stage.rig.counts.get("links", {})
+    counts = stage.rig.link_faults.counters.links
     return Played(events, stage.void(), time.monotonic() - began, logs, history, counts)
 
 
--- a/ploverspoke/testbed/scenarios/store_bench.py
+++ b/ploverspoke/testbed/scenarios/store_bench.py
@@ -37,7 +37,7 @@
 
 from ..experiment_files.experiment import parse_experiment
 from ..models.deployment_settings import dispatcher_settings
-from ..processes.addresses import held_ports
+from ..processes.addresses import reserve_ports
 from .dispatcher_bench import WORKERS, Process
 
 SECRET = b"a secret of the bench's own"
@@ -65,7 +65,7 @@
         self.size = size
         self.cores = cores
         count = max(1, size)
-        ports = held_ports(2 * count + 1)
+        ports = reserve_ports(2 * count + 1)
         self.clients, self.peers, nobody = ports[:count], ports[count : 2 * count], ports[-1]
         (folder / "secret").write_bytes(SECRET)
         e = _world()
--- a/tests/config_distribution/process_fleet.py
+++ b/tests/config_distribution/process_fleet.py
@@ -14,7 +14,7 @@
 from ploverspoke.cli import main as command_line
 from ploverspoke.config_distribution.messages import watcher_greeting
 from ploverspoke.consensus.framing import FrameCodec
-from ploverspoke.testbed.processes.addresses import held_ports
+from ploverspoke.testbed.processes.addresses import reserve_ports
 
 from .own_files import SECRET, write_own_config
 from .samples import NO_STATUS
@@ -52,7 +52,7 @@
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
-        ports = held_ports(8)
+        ports = reserve_ports(8)
         (folder / "secret").write_bytes(SECRET)
         self.peers = {name: f"127.0.0.1:{ports[at]}" for at, name in enumerate(SERVERS)}
         self.clients = {name: f"127.0.0.1:{ports[3 + at]}" for at, name in enumerate(SERVERS)}
--- a/tests/config_distribution/test_processes.py
+++ b/tests/config_distribution/test_processes.py
@@ -49,7 +49,13 @@
     assert played.verdict.refusals == plan.dispatchers
     done = {event.what for event in played.events if event.who == "rig"}
     expected = {"kill", "pause", "restart", "empty", "older"}
-    assert done >= {"lay", "lift", "reset", "refuses", *(f"{what} is over" for what in expected)}
+    assert done >= {
+        "add fault",
+        "remove fault",
+        "reset",
+        "refuses",
+        *(f"{what} is over" for what in expected),
+    }
     kinds = {event.detail[2] for event in played.events if event.what == "wants"}
     assert kinds == {"good", "refusable", "unacceptable"}
 
--- a/tests/consensus/test_command_line.py
+++ b/tests/consensus/test_command_line.py
@@ -17,7 +17,7 @@
     read_config_or_exit,
     request_status,
 )
-from ploverspoke.testbed.processes.addresses import held_ports
+from ploverspoke.testbed.processes.addresses import reserve_ports
 
 SECRET = b"a secret of the test"
 
@@ -25,7 +25,7 @@
 @pytest.fixture
 def silent_address() -> str:
     """An address where nothing listens."""
-    return f"127.0.0.1:{held_ports(1)[0]}"
+    return f"127.0.0.1:{reserve_ports(1)[0]}"
 
 
 def test_a_replica_that_does_not_reply_has_a_row_that_says_so(silent_address: str) -> None:
--- a/tests/decisions/test_load_gossip.py
+++ b/tests/decisions/test_load_gossip.py
@@ -21,7 +21,7 @@
 from ploverspoke.routing.load_gossip import GossipSocket
 from ploverspoke.service.config import parse_config
 from ploverspoke.service.service import Service
-from ploverspoke.testbed.processes.addresses import held_ports
+from ploverspoke.testbed.processes.addresses import reserve_ports
 from tests.decisions.harness import MS, SETTINGS, Answer, DispatchHarness, endpoint, random_run
 
 GOSSIP: dict[str, Any] = {
@@ -204,7 +204,7 @@
         limits = {**SETTINGS["Limits"], "Peers": True}
         document: dict[str, Any] = {"discovery": "127.0.0.1:9"}
         document["settings"] = {**SETTINGS, "PeersTotal": 2, "Limits": limits}
-        ports = held_ports(2)
+        ports = reserve_ports(2)
         document["listen"] = f"127.0.0.1:{ports[0]}"
         peers = [f"127.0.0.1:{ports[1]}", f"127.0.0.1:{other.getsockname()[1]}"]
         service = Service(loop, parse_config({**document, "peers": peers}, {}))
--- a/tests/leases/test_fleet_tasks.py
+++ b/tests/leases/test_fleet_tasks.py
@@ -20,8 +20,8 @@
 from ploverspoke.leases.guarded_task import GuardedStep, run_guarded_steps
 from ploverspoke.store.log_commands import CommitConfiguration, encode_command
 from ploverspoke.store.state_machine import RequestStateMachine
-from ploverspoke.testbed.processes.addresses import held_ports
-from ploverspoke.testbed.processes.rig import listens_at
+from ploverspoke.testbed.processes.addresses import reserve_ports
+from ploverspoke.testbed.processes.readiness import accepts_connections
 from ploverspoke.testbed.scenarios.lease_scenario import LeaseFleet
 from tests.leases.lease_server_rig import Call, run_with_lease_servers
 
@@ -134,7 +134,7 @@
         dispatchers = [FakeDispatcher() for _ in range(3)]
         for dispatcher in dispatchers:
             await dispatcher.open()
-        nobody = held_ports(1)[0]
+        nobody = reserve_ports(1)[0]
         path = tmp_path / "summary.json"
         ports = [*(dispatcher.port for dispatcher in dispatchers), nobody]
         writers = await start_summary_writers(leases, path, ports)
@@ -165,13 +165,13 @@
 async def start_store(leases: LeaseFleet, file: Path) -> None:
     """A store of one replica, ready; its configuration is written to `file`."""
     rig = leases.rig
-    place = rig.place("store", [], direct=["peers", "clients"])
+    place = rig.allocate_address("store", [], direct=["peers", "clients"])
     config = {"cluster": "s", "name": "r1", "folder": "store", "secret_file": "secret"}
-    replicas = {"r1": {"peers": place.at("peers"), "clients": place.at("clients")}}
+    replicas = {"r1": {"peers": place.endpoint("peers"), "clients": place.endpoint("clients")}}
     file.write_bytes(msgspec.json.encode({**config, "replicas": replicas}))
-    process = rig.add(place, "ploverspoke", ["serve", str(EXAMPLE), "--store", str(file)])
-    process.ready = listens_at(place.own, place.ports["peers"])
-    await rig.start(["store"], ["--new"])
+    process = rig.add_process(place, "ploverspoke", ["serve", str(EXAMPLE), "--store", str(file)])
+    process.ready = accepts_connections(place.host, place.ports["peers"])
+    await rig.start_processes(["store"], ["--new"])
     while (await run_store_command("status", str(file)))[0]:
         await asyncio.sleep(0.1)
 
--- a/tests/leases/test_lease_commands.py
+++ b/tests/leases/test_lease_commands.py
@@ -65,12 +65,12 @@
         await asyncio.sleep(0.05)
     began = time.monotonic()
     for name in ("k0", "k1"):
-        leases.rig.running[name].pause()
+        leases.rig.processes[name].pause()
     code, output = await running
     assert code == 4 and "cannot be renewed" in output and time.monotonic() - began < 10
     assert (await call("list"))[0] == 3
     for name in ("k0", "k1"):
-        leases.rig.running[name].resume()
+        leases.rig.processes[name].resume()
     while (await call("acquire", "one", "--for", "2"))[0]:
         await asyncio.sleep(0.1)
 
@@ -105,13 +105,13 @@
         assert await run_tool("backup", files[0], str(backup)) == 0
         later = [await acquire_token() for _ in range(2)]
         assert later[0] < later[1]
-        servers = [leases.rig.running[f"k{n}"] for n in range(3)]
+        servers = [leases.rig.processes[f"k{n}"] for n in range(3)]
         for server, file in zip(servers, files, strict=True):
-            await server.end(signal.SIGTERM, 10)
+            await server.stop(signal.SIGTERM, 10)
             assert await run_tool("restore", file, str(backup)) == 2  # never written over
-            server.empty_folder()
+            server.clear_folder()
             assert await run_tool("restore", file, str(backup)) == 0
-        await leases.rig.start()
+        await leases.rig.start_processes()
         began = time.monotonic()
         assert await acquire_token() > later[1]
         # The longest declared is 12 s: what was given after the backup may go on for that long.
@@ -119,11 +119,11 @@
 
         # One alone whose folder was emptied does not come back as what it was.
         await servers[0].kill()
-        servers[0].empty_folder()
+        servers[0].clear_folder()
         servers[0].ready = None
         await servers[0].start()
         assert servers[0].process is not None and await servers[0].process.wait() == 2
-        assert "a new store begins with --new" in servers[0].tail()
+        assert "a new store begins with --new" in servers[0].log_tail()
         servers[0].process = None
         assert await acquire_token() > later[1]
 
@@ -138,7 +138,7 @@
             (b"a secret of the testbed's own", {"n": "x"}),
         ):
             frames = FrameCodec(secret, {"id": "stranger/1", "store": ""})
-            with socket.create_connection((place.own, place.ports["clients"]), 5) as connection:
+            with socket.create_connection((place.host, place.ports["clients"]), 5) as connection:
                 connection.sendall(frames.greeting_frame())
                 if message is not None:
                     while frames.peer_greeting is None:
@@ -146,8 +146,8 @@
                     connection.sendall(frames.encode(message))
                 while connection.recv(4096):  # until it is closed on us
                     pass
-        server = leases.rig.running["k0"]
-        assert server.lives() and (await call("status"))[0] == 0
-        assert "wrong MAC" in server.tail() and "no message" in server.tail()
+        server = leases.rig.processes["k0"]
+        assert server.is_running() and (await call("status"))[0] == 0
+        assert "wrong MAC" in server.log_tail() and "no message" in server.log_tail()
 
     run_with_lease_servers(tmp_path, script)
--- a/tests/leases/test_lease_processes.py
+++ b/tests/leases/test_lease_processes.py
@@ -17,7 +17,7 @@
     assert (played.void, played.faults, played.verdict.void()) == ("", [], "")
     assert played.verdict.taken > 2000 and played.verdict.names == 3
     done = {event.what for event in played.events if event.who == "rig"}
-    assert done >= {"kill is over", "pause is over", "lay", "lift", "wall jumps"}
+    assert done >= {"kill is over", "pause is over", "add fault", "remove fault", "wall jumps"}
 
 
 @pytest.mark.parametrize("fenced", [True, False])
--- a/tests/routing/faulty_discovery.py
+++ b/tests/routing/faulty_discovery.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from ploverspoke.testbed.processes.addresses import bound
+from ploverspoke.testbed.processes.addresses import bind_without_listening
 from tests.routing.harness import World
 from tests.routing.race_harness import Clock, discovery_response, endpoint_list, turns, until
 
@@ -67,7 +67,7 @@
         self.server, self.held = None, []
         if way == "refuses":
             return
-        listening = bound("127.0.0.1", self.port)
+        listening = bind_without_listening("127.0.0.1", self.port)
         if way == "never up":
             # Its queue is full, as that of a machine that was cut off: nothing answers a new connection.
             listening.listen(0)
--- a/tests/routing/harness.py
+++ b/tests/routing/harness.py
@@ -14,7 +14,7 @@
 from ploverspoke.service.config_reader import Address
 from ploverspoke.service.service import Service
 from ploverspoke.service.settings import parse_names, parse_settings
-from ploverspoke.testbed.processes.addresses import held_ports
+from ploverspoke.testbed.processes.addresses import reserve_ports
 from tests.decisions.harness import SETTINGS
 
 WorkerBehaviour = Callable[
@@ -93,7 +93,7 @@
         discovery = await asyncio.start_server(self._discovery, "127.0.0.1", 0)
         self.servers.append(discovery)
         # Held until they are used: a port found free and released was taken by a run beside this one.
-        self.port, self.admin_port = held_ports(2)
+        self.port, self.admin_port = reserve_ports(2)
         return f"127.0.0.1:{discovery.sockets[0].getsockname()[1]}"
 
     def _worker(self, name: str) -> Callable[..., Coroutine[Any, Any, None]]:
--- a/tests/routing/test_acceptance_rules.py
+++ b/tests/routing/test_acceptance_rules.py
@@ -19,7 +19,7 @@
 from ploverspoke.testbed.models.event_records import CAME, UP
 from ploverspoke.testbed.models.virtual_run import VirtualRun as VirtualWorld
 from ploverspoke.testbed.models.worker import Worker
-from ploverspoke.testbed.processes.addresses import held_ports
+from ploverspoke.testbed.processes.addresses import reserve_ports
 from tests.decisions.harness import SETTINGS
 from tests.routing.faulty_discovery import FAULTS, RESPONSES, Watched
 from tests.routing.harness import World, listed, message, play
@@ -300,7 +300,7 @@
 
         server = await asyncio.start_server(discovery, "127.0.0.1", 0)
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-        ports = held_ports(count)
+        ports = reserve_ports(count)
         known = {"version": 1, "full": True, "servers": [listed("w0", 9)]}
         configs = [
             {"listen": f"127.0.0.1:{port}", "discovery": address, **({"known": known} if number % 2 else {})}
--- a/tests/routing/test_shutdown_races.py
+++ b/tests/routing/test_shutdown_races.py
@@ -11,7 +11,7 @@
 import pytest
 
 from ploverspoke.routing.client_session import ClientSession
-from ploverspoke.testbed.processes.addresses import held_ports
+from ploverspoke.testbed.processes.addresses import reserve_ports
 from tests.decisions.harness import SETTINGS
 from tests.routing.harness import World, play
 from tests.routing.race_harness import (
@@ -118,7 +118,7 @@
 def held_start(tmp_path: Path) -> Iterator[Callable[[str], subprocess.Popen[bytes]]]:
     """The program, with a signal to it just while its imports are under way."""
     started: list[subprocess.Popen[bytes]] = []
-    path, (listen, discovery) = tmp_path / "config.json", held_ports(2)
+    path, (listen, discovery) = tmp_path / "config.json", reserve_ports(2)
     addresses = {"listen": f"127.0.0.1:{listen}", "discovery": f"127.0.0.1:{discovery}"}
     path.write_text(json.dumps({**addresses, "settings": SETTINGS}))
 
--- a/tests/service/handover_harness.py
+++ b/tests/service/handover_harness.py
@@ -13,7 +13,7 @@
 
 import uvloop
 
-from ploverspoke.testbed.processes.addresses import held_ports
+from ploverspoke.testbed.processes.addresses import reserve_ports
 from tests.decisions.harness import SETTINGS
 from tests.routing.harness import World, admin_call
 
@@ -47,7 +47,7 @@
 
     def spawn(self) -> subprocess.Popen[bytes]:
         """Start a process; operators' calls of the world go to it from now on."""
-        [self.world.admin_port] = held_ports(1)
+        [self.world.admin_port] = reserve_ports(1)
         descriptor = self.listening.fileno()
         environment = {
             **os.environ,
--- a/tests/store/cluster_harness.py
+++ b/tests/store/cluster_harness.py
@@ -12,7 +12,7 @@
 from ploverspoke.consensus.membership import Members
 from ploverspoke.store.log_commands import CommitConfiguration
 from ploverspoke.store.node import StoreNode
-from ploverspoke.testbed.processes.addresses import held_ports
+from ploverspoke.testbed.processes.addresses import reserve_ports
 
 
 class Cluster:
@@ -21,7 +21,7 @@
     def __init__(self, folder: Path, size: int, spare: int = 0) -> None:
         self.folder = folder
         self.size = size
-        ports = held_ports(2 * (size + spare))
+        ports = reserve_ports(2 * (size + spare))
         self.addresses = {
             f"r{n}": {"peers": f"127.0.0.1:{ports[2 * n]}", "clients": f"127.0.0.1:{ports[2 * n + 1]}"}
             for n in range(size + spare)
--- a/tests/supervisor/harness.py
+++ b/tests/supervisor/harness.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from ploverspoke.supervisor.supervisor import ProcessSupervisor
-from ploverspoke.testbed.processes.addresses import held_ports
+from ploverspoke.testbed.processes.addresses import reserve_ports
 from ploverspoke.transport.units import SECOND
 from tests.routing.harness import World
 
@@ -85,7 +85,7 @@
     """The real command with several processes, in front of the fake workers of `World`."""
 
     def __init__(self, folder: Path, world: World, discovery: str, count: int) -> None:
-        [self.port] = held_ports(1)
+        [self.port] = reserve_ports(1)
         self.config_path = folder / "c.json"
         self.document = {
             **EXAMPLE,
--- a/tests/test_lint_exceptions.py
+++ b/tests/test_lint_exceptions.py
@@ -16,7 +16,6 @@
     "ploverspoke/testbed/experiment_files/**",
     "ploverspoke/testbed/fakes/**",
     "ploverspoke/testbed/models/**",
-    "ploverspoke/testbed/processes/**",
     "ploverspoke/testbed/reports/**",
     "ploverspoke/testbed/scale/**",
     "ploverspoke/testbed/scenarios/**",
--- a/tests/testbed/checkers/test_distribution_checker.py
+++ b/tests/testbed/checkers/test_distribution_checker.py
@@ -67,7 +67,7 @@
 
 
 def laid(at: int, until: int, fault: dict[str, object], number: int = 1) -> Story:
-    return [row(at, "rig", "lay", [number, fault]), row(until, "rig", "lift", number)]
+    return [row(at, "rig", "add fault", [number, fault]), row(until, "rig", "remove fault", number)]
 
 
 def done(at: int, until: int, what: str, name: str) -> Story:
@@ -112,7 +112,7 @@
         "a refused body changes nothing and is reported",
         lambda: story(
             PUBLISHED, published(4000, 4, 4, "refusable"), both(IN_TIME),
-            [row(4300, d, "says", f"config: version 4 rejected: {KEY} is 0") for d in DISPATCHERS],
+            [row(4300, d, "log", f"config: version 4 rejected: {KEY} is 0") for d in DISPATCHERS],
             [row(39_000, "reader", "watchers", ["s0", [["d0", 3, 4, f"{KEY} is 0", 0.1, True]]])],
             ids=["p1", "p2", "p3", "p4"],
         ),
@@ -216,7 +216,7 @@
                    both({1200: 1, 2200: 2}))),
     ("6: reported without its key", f"d0 did not say in time that version 3 is refused for {KEY}",
      lambda: story(published(1000, 1, 1), published(2000, 2, 2), published(3000, 3, 3, "refusable"),
-                   both({1200: 1, 2200: 2}), [row(3200, "d0", "says", "config: version 3 refused: bad")])),
+                   both({1200: 1, 2200: 2}), [row(3200, "d0", "log", "config: version 3 refused: bad")])),
     ("6: a server took what it must not", "s0 took p3, whose settings.Limits.MaxHandOffs no server may take",
      lambda: story(published(1000, 1, 1), published(2000, 2, 2), published(3000, 3, 3, "unacceptable"),
                    both({1200: 1, 2200: 2}))),
--- a/tests/testbed/processes/test_rig.py
+++ b/tests/testbed/processes/test_rig.py
@@ -15,7 +15,7 @@
 from ploverspoke.testbed.checkers.request_audit import SOCKETS_TOLERANCE, audit_requests
 from ploverspoke.testbed.experiment_files.durations import SECOND, Duration
 from ploverspoke.testbed.experiment_files.experiment import ExperimentError
-from ploverspoke.testbed.processes.addresses import Block, bound, held_ports
+from ploverspoke.testbed.processes.addresses import AddressBlock, bind_without_listening, reserve_ports
 from ploverspoke.testbed.processes.capacity_check import (
     MEBIBYTE,
     CapacityError,
@@ -30,10 +30,18 @@
     draw_timeline,
 )
 from ploverspoke.testbed.processes.history import History, events_around, read_history
-from ploverspoke.testbed.processes.link_faults import Link, LinkFault, Links
+from ploverspoke.testbed.processes.link_faults import Link, LinkFault, LinkTable
+from ploverspoke.testbed.processes.proxy_messages import (
+    AddLinkFault,
+    ProxiedProcess,
+    ProxySpec,
+    ReadCounters,
+    RemoveLinkFault,
+    ResetConnections,
+)
 from ploverspoke.testbed.processes.rig import Rig
 from ploverspoke.testbed.processes.running_process import ProcessStartError, RunningProcess
-from ploverspoke.testbed.processes.tcp_proxy import ProxiedProcess, ProxySpec, TcpProxy
+from ploverspoke.testbed.processes.tcp_proxy import TcpProxy
 from ploverspoke.testbed.scenarios.experiment_runner import run_virtual
 from ploverspoke.testbed.scenarios.socket_run import run_on_sockets
 from tests.testbed.harness import SMALL_EXPERIMENT, small_experiment
@@ -50,7 +58,7 @@
         (LinkFault(cut=True), [[]], [0]),  # a stream's piece is held by its way, not by the link
         (LinkFault(delay=5 * MS), [[5 * MS]], [5 * MS]),
         (LinkFault(loss=1.0), [[]], [(200 + 400 + 800 + 1600 + 3200 + 6400) * MS]),
-        (LinkFault(double=1.0), [[0, 0]], [0]),
+        (LinkFault(duplicate=1.0), [[0, 0]], [0]),
         (LinkFault(delay=MS, reorder=1.0), [[3 * MS]], [MS]),
         (LinkFault(rate=1000.0), [[100 * MS], [200 * MS]], [300 * MS]),  # one behind the other
     ],
@@ -59,25 +67,25 @@
     fault: LinkFault, arrivals: list[list[int]], pieces: list[int]
 ) -> None:
     link = Link(lambda: 0.0)
-    link.lay(1, fault)
-    assert [link.datagram(0, 100) for _ in arrivals] == arrivals
-    assert [link.piece(0, 100) for _ in pieces] == pieces
-    link.lift(1)
-    assert link.datagram(SECOND, 100) == [SECOND]
+    link.add_fault(1, fault)
+    assert [link.datagram_arrivals(0, 100) for _ in arrivals] == arrivals
+    assert [link.segment_arrival(0, 100) for _ in pieces] == pieces
+    link.remove_fault(1)
+    assert link.datagram_arrivals(SECOND, 100) == [SECOND]
 
 
 def test_faults_lie_over_one_another_and_count_for_links_that_come_later() -> None:
-    links = Links(lambda name: random.Random(name).random)
+    links = LinkTable(lambda name: random.Random(name).random)
     first = links.link("a", "b")
-    links.lay(1, LinkFault(origin=["a"], cut=True))
-    links.lay(2, LinkFault(delay=MS))
-    links.lay(3, LinkFault(target=["b"], delay=MS))
-    assert first.now.cut and first.now.delay == 2 * MS
-    assert links.link("a", "c").now.cut and links.link("c", "b").now.delay == 2 * MS
-    assert not links.link("b", "a").now.cut  # one direction only
-    links.lift(1)
-    links.lift(1)
-    assert not first.now.cut and first.now.delay == 2 * MS
+    links.add_fault(1, LinkFault(origin=["a"], cut=True))
+    links.add_fault(2, LinkFault(delay=MS))
+    links.add_fault(3, LinkFault(target=["b"], delay=MS))
+    assert first.effective.cut and first.effective.delay == 2 * MS
+    assert links.link("a", "c").effective.cut and links.link("c", "b").effective.delay == 2 * MS
+    assert not links.link("b", "a").effective.cut  # one direction only
+    links.remove_fault(1)
+    links.remove_fault(1)
+    assert not first.effective.cut and first.effective.delay == 2 * MS
 
 
 @pytest.mark.parametrize(
@@ -132,19 +140,19 @@
 
 
 def test_blocks_and_ports_are_held_and_a_program_can_listen_where_one_is_held() -> None:
-    one, other = Block(), Block()
+    one, other = AddressBlock(), AddressBlock()
     try:
         assert one.number != other.number
-        port = one.hold(one.own(0))
+        port = one.reserve_port(one.process_host(0))
         with pytest.raises(OSError, match="in use"), socket.socket() as thief:
-            thief.bind((one.own(0), port))
-        with bound(one.own(0), port) as listening:
+            thief.bind((one.process_host(0), port))
+        with bind_without_listening(one.process_host(0), port) as listening:
             listening.listen()
-        assert len(set(held_ports(50))) == 50
+        assert len(set(reserve_ports(50))) == 50
     finally:
         one.close()
         other.close()
-    again = Block()
+    again = AddressBlock()
     assert again.number == one.number
     again.close()
 
@@ -168,7 +176,7 @@
 
 
 def test_relays_pass_on_hold_and_reset_streams_and_datagrams() -> None:
-    block = Block()
+    block = AddressBlock()
 
     class Heard(asyncio.DatagramProtocol):
         def datagram_received(self, data: bytes, addr: tuple[str | int, ...]) -> None:
@@ -187,60 +195,60 @@
         writer.close()
 
     async def scene() -> None:
-        ports = [block.hold(block.own(n)) for n in range(2)]
+        ports = [block.reserve_port(block.process_host(n)) for n in range(2)]
         stood = [
-            ProxiedProcess(name, block.own(n), block.relayed(n), [ports[n]], [ports[n]])
+            ProxiedProcess(name, block.process_host(n), block.proxy_host(n), [ports[n]], [ports[n]])
             for n, name in enumerate("ab")
         ]
-        relays = TcpProxy(ProxySpec(1, stood))
-        await relays.open()
+        proxy = TcpProxy(ProxySpec(1, stood))
+        await proxy.open()
         a, b = stood
-        await asyncio.start_server(serve, b.own, ports[1])
+        await asyncio.start_server(serve, b.host, ports[1])
         loop = asyncio.get_running_loop()
-        talk, _ = await loop.create_datagram_endpoint(asyncio.DatagramProtocol, local_addr=(a.own, ports[0]))
-        await loop.create_datagram_endpoint(Heard, local_addr=(b.own, ports[1]))
+        talk, _ = await loop.create_datagram_endpoint(asyncio.DatagramProtocol, local_addr=(a.host, ports[0]))
+        await loop.create_datagram_endpoint(Heard, local_addr=(b.host, ports[1]))
 
         async def dial() -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-            return await asyncio.open_connection(b.relayed, ports[1], local_addr=(a.own, 0))
+            return await asyncio.open_connection(b.proxy_host, ports[1], local_addr=(a.host, 0))
 
         reader, writer = await dial()
         writer.write(b"one")
-        assert await reader.read(10) == b"ONE" and senders == [a.own]
-        talk.sendto(b"x", (b.relayed, ports[1]))
-        await until(lambda: datagrams == [(b"x", a.relayed)])  # it seems to come from where a is believed
+        assert await reader.read(10) == b"ONE" and senders == [a.host]
+        talk.sendto(b"x", (b.proxy_host, ports[1]))
+        await until(lambda: datagrams == [(b"x", a.proxy_host)])  # it seems to come from where a is believed
 
         # Answers are cut off, what is asked arrives; then the other way round.
-        relays.heard({"lay": 1, "fault": {"origin": ["b"], "target": ["a"], "cut": True}})
+        proxy.handle(AddLinkFault(1, LinkFault(origin=["b"], target=["a"], cut=True)))
         writer.write(b"two")
         await until(lambda: came[-1] == b"two")
         with pytest.raises(TimeoutError):
             await asyncio.wait_for(reader.read(10), 0.05)
-        relays.heard({"lay": 2, "fault": {"origin": ["a"], "cut": True}})
-        relays.heard({"lift": 1})
+        proxy.handle(AddLinkFault(2, LinkFault(origin=["a"], cut=True)))
+        proxy.handle(RemoveLinkFault(1))
         assert await reader.read(10) == b"TWO"
         writer.write(b"three")
-        talk.sendto(b"y", (b.relayed, ports[1]))
+        talk.sendto(b"y", (b.proxy_host, ports[1]))
         writer.close()  # the end comes behind what was sent before it
         await asyncio.sleep(0.05)
         assert came[-1] == b"two" and len(datagrams) == 1
-        relays.heard({"lift": 2})
+        proxy.handle(RemoveLinkFault(2))
         await until(lambda: came[-2:] == [b"three", b"end"])
 
         reader, writer = await dial()
         writer.write(b"four")
         await reader.read(10)
-        relays.heard({"reset": {"origin": ["a"], "target": ["b"]}})
+        proxy.handle(ResetConnections(LinkFault(origin=["a"], target=["b"])))
         with pytest.raises(ConnectionResetError):
             await reader.read(10)
-        relays.heard({"lay": 3, "fault": {"silent": True}})
+        proxy.handle(AddLinkFault(3, LinkFault(silent=True)))
         reader, writer = await dial()
         writer.write(b"five")
         with pytest.raises(TimeoutError):
             await asyncio.wait_for(reader.read(10), 0.05)
-        relays.heard({"lift": 3})
+        proxy.handle(RemoveLinkFault(3))
         assert b"five" not in came and len(senders) == 2
-        counts = relays.heard({})
-        assert counts["taken"] == 3 and counts["links"]["lost"] == 1
+        counters = proxy.handle(ReadCounters())
+        assert counters.accepted_connections == 3 and counters.links.lost == 1
 
     try:
         uvloop.run(asyncio.wait_for(scene(), 30))
@@ -261,25 +269,25 @@
         port = str(server.sockets[0].getsockname()[1])
         async with Rig(tmp_path, 1) as rig:
             for name, rate in (("true", 1.0), ("fast", 2.0), ("slow", 0.5)):
-                place = rig.place(name)
-                process = rig.add(place, "tests.testbed.processes.probe", ["127.0.0.1", port, "0.4"])
-                process.rate = rate
-                process.wall_jumps(3600 * SECOND if name == "slow" else 0)
-            await rig.start()
+                place = rig.allocate_address(name)
+                process = rig.add_process(place, "tests.testbed.processes.probe", ["127.0.0.1", port, "0.4"])
+                process.clock_rate = rate
+                process.set_wall_clock_offset(3600 * SECOND if name == "slow" else 0)
+            await rig.start_processes()
             await until(lambda: len(streams) == 3)
 
             async def ask(place: Any) -> None:
-                reader, writer = streams[place.own]
+                reader, writer = streams[place.host]
                 began = time.monotonic()
                 writer.write(b"\n")
                 found = json.loads(await reader.readline())
                 took = time.monotonic() - began
                 told[place.name] = {"took": took, **found, "ahead": found["wall"] - time.time()}
 
-            await asyncio.gather(*(ask(place) for place in rig.places.values()))
-            assert isinstance(rig.running["true"], RunningProcess) and rig.running["true"].lives()
-            rig.running["true"].pause()
-        assert not any(process.lives() for process in rig.running.values())
+            await asyncio.gather(*(ask(place) for place in rig.addresses.values()))
+            assert isinstance(rig.processes["true"], RunningProcess) and rig.processes["true"].is_running()
+            rig.processes["true"].pause()
+        assert not any(process.is_running() for process in rig.processes.values())
 
     asyncio.run(asyncio.wait_for(scene(), 30))
     # All believe to have slept as long; on the true clock that was half as long, or twice.
@@ -291,20 +299,22 @@
 def test_nothing_is_left_running_when_a_process_of_the_rig_does_not_come_up(tmp_path: Path) -> None:
     async def scene() -> list[RunningProcess]:
         async with Rig(tmp_path, 1) as rig:
-            rig.add(
-                rig.place("a"), "tests.testbed.processes.probe", ["127.0.0.1", str(held_ports(1)[0]), "1"]
+            rig.add_process(
+                rig.allocate_address("a"),
+                "tests.testbed.processes.probe",
+                ["127.0.0.1", str(reserve_ports(1)[0]), "1"],
             )
-            bad = rig.add(rig.place("b"), "tests.testbed.processes.probe", ["no number"])
+            bad = rig.add_process(rig.allocate_address("b"), "tests.testbed.processes.probe", ["no number"])
 
             async def never() -> bool:
                 return False
 
             bad.ready = never
             with pytest.raises(ProcessStartError, match=r"b did not come up; its log: (?s:.*)IndexError"):
-                await rig.start()
-        return list(rig.running.values())
+                await rig.start_processes()
+        return list(rig.processes.values())
 
-    assert not any(process.lives() for process in asyncio.run(asyncio.wait_for(scene(), 30)))
+    assert not any(process.is_running() for process in asyncio.run(asyncio.wait_for(scene(), 30)))
 
 
 def test_replicas_keep_the_rules_when_clocks_jump_disks_fail_and_links_are_cut_one_way() -> None:
@@ -325,13 +335,13 @@
     )
     played = run_on_sockets(e, 1)
     assert audit_requests(e, played.events, SOCKETS_TOLERANCE) == []
-    said = [event.detail for event in played.history if event.what == "says"]
+    said = [event.detail for event in played.history if event.what == "log"]
     for text in ("disk I/O error", "disk is full", "the disk can be written again"):
         assert any(text in line for line in said), text
     answered = [event for event in played.events if event.detail == "satisfied"]
     assert len(answered) > 100 and {event.what for event in played.history} >= {
-        "lay",
-        "lift",
+        "add fault",
+        "remove fault",
         "pause is over",
     }
 
@@ -345,7 +355,7 @@
     )
     played = run_on_sockets(e, 1)
     assert audit_requests(e, played.events, SOCKETS_TOLERANCE) == []
-    assert played.links["passed"] > 10 and played.links["lost"] > 0
+    assert played.links.passed > 10 and played.links.lost > 0
     cut = [{"at": "0s", "what": "cut"}]
     for told, key in (({"dispatchers": talk}, "dispatchers.talk"), ({"timeline": cut}, "timeline")):
         with pytest.raises(ExperimentError, match=key):
--- a/tests/testbed/scale/test_scale.py
+++ b/tests/testbed/scale/test_scale.py
@@ -28,7 +28,7 @@
 from ploverspoke.testbed.models.deployment_settings import dispatcher_settings
 from ploverspoke.testbed.models.event_records import BEGAN, CAME, SENT, Event, merge_records, read_records
 from ploverspoke.testbed.models.virtual_run import run_virtual_time
-from ploverspoke.testbed.processes.addresses import Block
+from ploverspoke.testbed.processes.addresses import AddressBlock
 from ploverspoke.testbed.processes.capacity_check import CapacityError
 from ploverspoke.testbed.processes.child_process import ChildProcess
 from ploverspoke.testbed.reports.scores import RunScore
@@ -135,16 +135,18 @@
 
 @asynccontextmanager
 async def hollow(folder: Path, count: int) -> AsyncIterator[Hollow]:
-    block, callers = Block(), set[str]()
+    block, callers = AddressBlock(), set[str]()
 
     async def called(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         callers.add(writer.get_extra_info("peername")[0])
         await reader.read()
         writer.close()
 
-    server = await asyncio.start_server(called, block.stand_in(1), 0)
-    discovery = f"{block.stand_in(1)}:{server.sockets[0].getsockname()[1]}"
-    places = [DispatcherAddress(n, f"d{n}", block.own(n), str(folder / f"d{n}.json")) for n in range(count)]
+    server = await asyncio.start_server(called, block.fake_host(1), 0)
+    discovery = f"{block.fake_host(1)}:{server.sockets[0].getsockname()[1]}"
+    places = [
+        DispatcherAddress(n, f"d{n}", block.process_host(n), str(folder / f"d{n}.json")) for n in range(count)
+    ]
     spec = folder / "hollow.json"
     spec.write_bytes(msgspec.json.encode(DispatcherHostSpec([places])))
     with (folder / "log").open("wb") as log:
@@ -158,7 +160,7 @@
                 place,
                 {
                     "name": place.name,
-                    "listen": f"{place.address}:{block.hold(place.address)}",
+                    "listen": f"{place.address}:{block.reserve_port(place.address)}",
                     "discovery": discovery,
                     "seed": f"{place.number}",
                     "settings": dispatcher_settings(e, place.number),
@@ -195,8 +197,8 @@
             await held[1][0].read()
         with pytest.raises(ConnectionRefusedError):
             await there.asks(1, "GET /-/ready")
-        assert await there.serving() == 2 and not there.programs[1].crashed()
-        await there.programs[2].end(signal.SIGTERM, 10)
+        assert await there.serving() == 2 and not there.programs[1].has_crashed()
+        await there.programs[2].stop(signal.SIGTERM, 10)
         assert await held[2][0].read() == b"" and there.programs[2].why == ""
         held[0][1].write(b"GET /-/ready HTTP/1.1\r\nHost: test\r\n\r\n")
         assert b" 200 " in await held[0][0].readuntil(b"ready")
@@ -268,7 +270,7 @@
         ],
     )
     stage, events = play_hollow(e, tmp_path, ProcessCounts(hollow=2, workers=2, clients=1))
-    assert stage.rig.faults == []
+    assert stage.rig.errors == []
     assert audit_requests(e, events, SOCKETS_TOLERANCE) == []
     assert {event.dispatcher for event in events if event.what == CAME} == set(range(9))
     sent = {event.job for event in events if event.what == SENT}
