--- a/ploverspoke/testbed/capacity/measurements/config_server.py
+++ b/ploverspoke/testbed/capacity/measurements/config_server.py
@@ -371,7 +371,7 @@
     return _found("configuration publisher", "body_bytes", seen, RUN_HOW, {"servers": float(SERVERS)})
 
 
-PARTS = [
+MEASUREMENTS = [
     Measurement(("config server",), "watchers", watchers),
     Measurement(("config server",), "changes_a_minute", changes_at_server),
     Measurement(("dispatcher watching configuration",), "changes_a_minute", changes_at_dispatcher),
--- a/ploverspoke/testbed/capacity/measurements/dispatcher.py
+++ b/ploverspoke/testbed/capacity/measurements/dispatcher.py
@@ -214,7 +214,7 @@
     )
 
 
-PARTS = [
+MEASUREMENTS = [
     Measurement(("dispatcher",), "workers_listed", workers_listed),
     Measurement(("dispatcher",), "tasks_running", tasks_running),
     Measurement(("dispatcher",), "starts_a_second", starts_a_second),
--- a/ploverspoke/testbed/capacity/measurements/fleet.py
+++ b/ploverspoke/testbed/capacity/measurements/fleet.py
@@ -170,7 +170,7 @@
     return {name: world.gained("discovery", key, *span) for key, name in names.items()}
 
 
-PARTS = [
+MEASUREMENTS = [
     Measurement(("discovery", "worker"), "dispatchers", dispatchers),
     Measurement(("discovery",), "dispatchers_restarted", dispatchers_restarted),
 ]
--- a/ploverspoke/testbed/capacity/measurements/lease_server.py
+++ b/ploverspoke/testbed/capacity/measurements/lease_server.py
@@ -249,7 +249,7 @@
     return await _series("changes_of_holder_a_second", (5, 20, 80), load, asked, still)
 
 
-PARTS = [
+MEASUREMENTS = [
     Measurement(("keeper",), "holders", holders),
     Measurement(("keeper",), "names", names),
     Measurement(("keeper",), "changes_of_holder_a_second", changes),
--- a/ploverspoke/testbed/capacity/measurements/store_replica.py
+++ b/ploverspoke/testbed/capacity/measurements/store_replica.py
@@ -228,7 +228,7 @@
     return found
 
 
-PARTS = [
+MEASUREMENTS = [
     Measurement(("store replica",), "commits_a_second", commits),
     Measurement(("store replica",), "kept_state", kept_state),
     Measurement(("store replica",), "missed_entries", missed_entries),
--- a/ploverspoke/testbed/capacity/measurements/tools.py
+++ b/ploverspoke/testbed/capacity/measurements/tools.py
@@ -190,7 +190,7 @@
     }
 
 
-PARTS = [
+MEASUREMENTS = [
     Measurement(("fleet summary",), "doors", fleet_summary),
     Measurement(("rolling restart",), "keepers", rolling_restart),
     Measurement(("supervisor",), "processes", supervisor),
--- a/ploverspoke/testbed/commands/capacity.py
+++ b/ploverspoke/testbed/commands/capacity.py
@@ -46,8 +46,9 @@
     except (FleetFileError, CostFileError, ScenarioResultsError) as error:
         raise click.UsageError(str(error)) from None
     except CapacityPageError as error:
-        raise click.UsageError(f"{write}: {error}") from None
-    if as_json:  # a Span is a whole number of nanoseconds
+        message = f"{write}: {error}"
+        raise click.UsageError(message) from error
+    if as_json:  # a Duration is a whole number of nanoseconds
         click.echo(msgspec.json.format(msgspec.json.encode(table, enc_hook=int)).decode())
     elif as_markdown:
         click.echo(text, nl=False)
--- a/ploverspoke/testbed/commands/compare.py
+++ b/ploverspoke/testbed/commands/compare.py
@@ -9,6 +9,8 @@
 from ..reports.experiment_result import read_result
 from ..reports.tables import differences_table, make_console
 
+NO_COMMON_SEED = "no seed is in both results"
+
 
 @click.command()
 @click.argument("one", type=click.Path(exists=True, path_type=Path))
@@ -23,5 +25,5 @@
     except ExperimentError as error:
         raise click.UsageError(str(error)) from None
     if not rows:
-        raise click.UsageError("no seed is in both results")
+        raise click.UsageError(NO_COMMON_SEED)
     make_console().print(differences_table(rows, (f"{one} {policies[0]}", f"{other} {policies[1]}")))
--- a/ploverspoke/testbed/commands/demo.py
+++ b/ploverspoke/testbed/commands/demo.py
@@ -168,6 +168,7 @@
     with Live(console=console, refresh_per_second=REFRESHES_PER_SECOND) as screen:
 
         def show(report: Report) -> None:
+            """Redraw the screen after a report."""
             board.on_report(report)
             if board.workers:
                 screen.update(board.render())
@@ -184,6 +185,7 @@
     printed_at = time.monotonic()
 
     def on_report(report: Report) -> None:
+        """Print a line if the last one is old enough."""
         nonlocal printed_at
         board.on_report(report)
         if time.monotonic() - printed_at >= PRINT_INTERVAL:
--- a/ploverspoke/testbed/commands/measure_costs.py
+++ b/ploverspoke/testbed/commands/measure_costs.py
@@ -1,4 +1,4 @@
-"""`ploverspoke testbed slopes`: measure roles, keep the lines in a file, show them."""
+"""`ploverspoke testbed slopes`: measures what roles cost per unit of load and keeps the results in a file."""
 
 import asyncio
 import datetime
@@ -10,7 +10,6 @@
 
 import click
 import msgspec
-from rich.table import Table
 
 from ..capacity.measured_costs import (
     FORMAT,
@@ -23,144 +22,141 @@
 from ..capacity.measurements import config_server, dispatcher, fleet, lease_server, store_replica, tools
 from ..capacity.measurements.parts import Measurement, MeasurementRequest, MeasurementResult
 from ..processes.capacity_check import CapacityError
+from ..reports.cost_tables import cost_tables
 from ..reports.tables import make_console
 
-PARTS: list[Measurement] = [
-    *dispatcher.PARTS,
-    *fleet.PARTS,
-    *lease_server.PARTS,
-    *store_replica.PARTS,
-    *config_server.PARTS,
-    *tools.PARTS,
+GIBIBYTE = 1 << 30
+MEASUREMENTS: list[Measurement] = [
+    *dispatcher.MEASUREMENTS,
+    *fleet.MEASUREMENTS,
+    *lease_server.MEASUREMENTS,
+    *store_replica.MEASUREMENTS,
+    *config_server.MEASUREMENTS,
+    *tools.MEASUREMENTS,
 ]
 
 
-def chosen(words: Sequence[str], parts: Sequence[Measurement]) -> list[Measurement]:
-    """The parts of these roles, or `role/size` for one of them; all where none is named. Raises KeyError."""
+class UnknownRoleError(KeyError):
+    """A word on the command line names no role, or no load of a role."""
+
+    def __init__(self, word: str) -> None:
+        """`word` is as it was given."""
+        super().__init__(word)
+        self.word = word
+
+
+def choose_measurements(words: Sequence[str], measurements: Sequence[Measurement]) -> list[Measurement]:
+    """Return those of the named roles or `role/load`; all where none is named. Raises UnknownRoleError."""
+    chosen: set[int] = set()
     for word in words:
         role, _, size = word.partition("/")
-        if not any(role in part.roles and size in ("", part.size) for part in parts):
-            raise KeyError(word)
-    named = [word.partition("/") for word in words]
-    return [
-        part
-        for part in parts
-        if not words or any(role in part.roles and size in ("", part.size) for role, _, size in named)
-    ]
-
-
-def merged(old: MeasuredCosts | None, fresh: MeasuredCosts) -> MeasuredCosts:
-    """The fresh lines in place of the old ones of the same role and size; the others stay."""
+        matching = [
+            number
+            for number, measurement in enumerate(measurements)
+            if role in measurement.roles and size in ("", measurement.size)
+        ]
+        if not matching:
+            raise UnknownRoleError(word)
+        chosen.update(matching)
+    return [measurement for number, measurement in enumerate(measurements) if not words or number in chosen]
+
+
+def merge_costs(old: MeasuredCosts | None, fresh: MeasuredCosts) -> MeasuredCosts:
+    """Replace old costs of the same role and load by the fresh ones; the others stay."""
     if old is None:
         return fresh
-    done = {(line.role, line.size) for line in fresh.lines}
-    kept = [line for line in old.lines if (line.role, line.size) not in done]
+    measured = {(line.role, line.size) for line in fresh.lines}
+    kept = [line for line in old.lines if (line.role, line.size) not in measured]
     lines = sorted([*kept, *fresh.lines], key=lambda line: (line.role, line.size))
     return msgspec.structs.replace(fresh, lines=lines)
 
 
-async def measure(parts: Iterable[Measurement], asked: MeasurementRequest) -> MeasurementResult:
+async def measure(measurements: Iterable[Measurement], request: MeasurementRequest) -> MeasurementResult:
+    """Run the measurements one after another; one that does not fit on the machine is void."""
     lines: list[CostPerUnit] = []
     void: list[str] = []
-    for part in parts:
+    for measurement in measurements:
         load = f"load of the machine at the start {os.getloadavg()[0]:.1f}"
-        asked.say(f"{part.name()}: {load}")
+        request.say(f"{measurement.name()}: {load}")
         try:
-            found = await part.measure(asked)
+            result = await measurement.measure(request)
         except CapacityError as error:
-            found = MeasurementResult([], [f"{part.name()}: {error}"])
-        for line in found.lines:
+            result = MeasurementResult([], [f"{measurement.name()}: {error}"])
+        for line in result.lines:
             note = "; ".join(text for text in (line.note, load) if text)
             lines.append(msgspec.structs.replace(line, note=note))
-        void += found.void
+        void += result.void
     return MeasurementResult(lines, void)
 
 
-def slopes_of(lines: list[CostPerUnit]) -> MeasuredCosts:
+def describe_costs(lines: list[CostPerUnit]) -> MeasuredCosts:
+    """Add the day, the commit and the machine to what was measured."""
     commit = subprocess.run(["git", "rev-parse", "--short", "HEAD"], capture_output=True, text=True)
+    memory = os.sysconf("SC_PHYS_PAGES") * os.sysconf("SC_PAGE_SIZE") / GIBIBYTE
     return MeasuredCosts(
         format=FORMAT,
         at=datetime.date.today().isoformat(),
         text=commit.stdout.strip() or "unknown",
-        machine=f"{len(os.sched_getaffinity(0))} cores, {_memory_gib():.0f} GB",
+        machine=f"{len(os.sched_getaffinity(0))} cores, {memory:.0f} GB",
         lines=lines,
     )
 
 
-def _memory_gib() -> float:
-    return os.sysconf("SC_PHYS_PAGES") * os.sysconf("SC_PAGE_SIZE") / (1 << 30)
-
-
-def tables(lines: Sequence[CostPerUnit]) -> list[Table]:
-    """One a role; figures that were 0 throughout are in the file only."""
-    found = []
-    for role in dict.fromkeys(line.role for line in lines):
-        table = Table(title=role, title_justify="left")
-        for heading in ("figure", "size", "still", "intercept", "slope", "residual", "measured to", ""):
-            table.add_column(heading, justify="left" if heading in ("figure", "size", "still") else "right")
-        for line in lines:
-            if line.role == role and any(value for _, value in line.points):
-                still = " ".join(f"{key}={value:g}" for key, value in line.still.items())
-                table.add_row(
-                    f"{line.figure} ({line.unit})", line.size, still, f"{line.intercept:.4g}",
-                    f"{line.slope:.4g}", f"{line.residual:.1%}", f"{line.measured_to:g}",
-                    "CONTRADICTED" if line.contradicted else "",
-                )  # fmt: skip
-        found.append(table)
-    return found
-
+def _read_if_there(path: Path) -> MeasuredCosts | None:
+    return read_measured_costs(path) if path.exists() else None
 
-def _read(out: Path) -> MeasuredCosts | None:
-    """Raises CostFileError."""
-    return read_measured_costs(out) if out.exists() else None
 
-
-def _say(text: str) -> None:
+def _print_progress(text: str) -> None:
     click.echo(text, err=True)
 
 
 @click.command()
 @click.argument("roles", nargs=-1, metavar="[ROLE...]")
 @click.option(
-    "--out", type=click.Path(dir_okay=False, path_type=Path), required=True, help="The slopes file."
+    "--out", type=click.Path(dir_okay=False, path_type=Path), required=True, help="The file of the costs."
 )
-@click.option("--quick", is_flag=True, help="Shorter stretches: for a look, not for the file that is kept.")
-@click.option("--in-turn", is_flag=True, help="No worlds side by side: several times as long.")
-@click.option("--json", "as_json", is_flag=True, help="For tools: the lines of this call.")
+@click.option("--quick", is_flag=True, help="Shorter intervals: for a look, not for the file that is kept.")
+@click.option("--in-turn", is_flag=True, help="No fleets side by side: several times as long.")
+@click.option("--json", "as_json", is_flag=True, help="For tools: the costs of this call.")
 def slopes(roles: tuple[str, ...], out: Path, quick: bool, in_turn: bool, as_json: bool) -> None:
-    """Measure what each ROLE costs against its sizes, and keep the lines in a file.
+    """Measure what each ROLE costs per unit of load, and keep the costs in a file.
 
-    Without a ROLE all are measured; ROLE/SIZE is one size of one. What the file has of other roles and
-    sizes stays. Exit 0: done. 1: a world was void or a fit is contradicted by its points, and it is named.
-    2: the call or the file is wrong.
+    Without a ROLE all are measured; ROLE/LOAD is one load of one. What the file has of other roles and
+    loads stays. Exit 0: done. 1: a run was void or a fit is contradicted by its points, and it is named. 2:
+    the call or the file is wrong.
     """
     try:
-        parts = chosen(roles, PARTS)
-    except KeyError as error:
-        known = ", ".join(dict.fromkeys(role for part in PARTS for role in part.roles))
-        raise click.UsageError(f"{error.args[0]!r} is no role; there are {known}") from None
-    try:
-        _read(out)
+        measurements = choose_measurements(roles, MEASUREMENTS)
+        _read_if_there(out)  # a wrong file ends the call before anything is measured
+    except UnknownRoleError as error:
+        known = ", ".join(dict.fromkeys(role for each in MEASUREMENTS for role in each.roles))
+        message = f"{error.word!r} is no role; there are {known}"
+        raise click.UsageError(message) from error
     except CostFileError as error:
-        raise click.UsageError(str(error)) from None
-    found = asyncio.run(measure(parts, MeasurementRequest(_say, quick, not in_turn)))
-    fresh = slopes_of(found.lines)
-    if found.lines:
+        raise click.UsageError(str(error)) from error
+    request = MeasurementRequest(_print_progress, quick, not in_turn)
+    result = asyncio.run(measure(measurements, request))
+    fresh = describe_costs(result.lines)
+    if result.lines:
         # Read again: another call may have measured another role meanwhile.
-        write_measured_costs(merged(_read(out), fresh), out)
-    against = [
-        f"{line.role}, {line.figure} against {line.size}: residual {line.residual:.0%}"
-        for line in found.lines
-        if line.contradicted
-    ]
+        write_measured_costs(merge_costs(_read_if_there(out), fresh), out)
+    contradicted = [_describe_contradicted(line) for line in result.lines if line.contradicted]
+    _print_costs(fresh, result.void, contradicted, as_json)
+    sys.exit(1 if result.void or contradicted else 0)
+
+
+def _describe_contradicted(line: CostPerUnit) -> str:
+    return f"{line.role}, {line.figure} against {line.size}: residual {line.residual:.0%}"
+
+
+def _print_costs(fresh: MeasuredCosts, void: list[str], contradicted: list[str], as_json: bool) -> None:
     if as_json:
-        told = {**msgspec.to_builtins(fresh), "void": found.void, "contradicted": against}
-        click.echo(msgspec.json.format(msgspec.json.encode(told)).decode())
-    else:
-        for table in tables(found.lines):
-            make_console().print(table)
-        for text in found.void:
-            click.echo(f"void: {text}")
-        for text in against:
-            click.echo(f"CONTRADICTED: {text}")
-    sys.exit(1 if found.void or against else 0)
+        document = {**msgspec.to_builtins(fresh), "void": void, "contradicted": contradicted}
+        click.echo(msgspec.json.format(msgspec.json.encode(document)).decode())
+        return
+    for table in cost_tables(fresh.lines):
+        make_console().print(table)
+    for text in void:
+        click.echo(f"void: {text}")
+    for text in contradicted:
+        click.echo(f"CONTRADICTED: {text}")
--- a/ploverspoke/testbed/commands/run.py
+++ b/ploverspoke/testbed/commands/run.py
@@ -4,7 +4,7 @@
 import tomllib
 from collections.abc import Callable, Mapping
 from pathlib import Path
-from typing import Any, NoReturn
+from typing import Any, NoReturn, TypedDict, Unpack
 
 import click
 import msgspec
@@ -18,12 +18,26 @@
 from ..scenarios.experiment_runner import run_experiment
 from .result_files import print_plain, write_result
 
+OUT_IS_FILE = "--out: {} is a file, a folder is wanted"
+OUT_IS_FOLDER = "--out: {} is a folder, a file is wanted"
+# Keys of the result of a run of processes that are printed on lines of their own.
 NOT_METRICS = (
     "void",
     "failed",
     "shown",
     "looked",
-)  # keys of a process run's result that have lines of their own
+)
+
+
+class RunOptions(TypedDict):
+    """The options of the command, as click passes them."""
+
+    sockets: bool
+    seeds: tuple[int, ...]
+    policies: tuple[str, ...]
+    out: Path | None
+    events: bool
+    scenarios: tuple[str, ...]
 
 
 @click.command()
@@ -42,15 +56,7 @@
 @click.option(
     "--play", "scenarios", multiple=True, help="Of a fleet file: only this scenario; may be repeated."
 )
-def run(
-    experiment: Path,
-    sockets: bool,
-    seeds: tuple[int, ...],
-    policies: tuple[str, ...],
-    out: Path | None,
-    events: bool,
-    scenarios: tuple[str, ...],
-) -> None:
+def run(experiment: Path, **options: Unpack[RunOptions]) -> None:
     """Run an EXPERIMENT file and check its demands.
 
     Kinds "leases" and "distribution" run real processes, kind "fleet" simulated dispatchers; of that, --out
@@ -59,19 +65,21 @@
     Exit 0: all that must hold held. 1: something did not, and is named. 2: the file or the call is wrong.
     """
     document = _read_document(experiment)
-    if document.get("kind") == "fleet":
-        _run_fleet(experiment, scenarios, out, events)
+    kind, out = document.get("kind"), options["out"]
+    if kind == "fleet":
+        _run_fleet(experiment, options["scenarios"], out, options["events"])
     if out is not None and out.is_file():
-        raise click.UsageError(f"--out: {out} is a file, a folder is wanted")
-    if document.get("kind") in ("leases", "distribution"):
-        _run_processes(document, seeds, out)
-    checked = _read_experiment(experiment, seeds, policies)
+        raise click.UsageError(OUT_IS_FILE.format(out))
+    if kind in ("leases", "distribution"):
+        _run_processes(document, options["seeds"], out)
+    policies = options["policies"]
+    checked = _read_experiment(experiment, options["seeds"], policies)
     # Neither replicas nor links among dispatchers exist on virtual time.
     needs_sockets = checked.dispatchers.store or checked.dispatchers.talk or bool(checked.timeline)
-    driver: Driver = "sockets" if sockets or needs_sockets else "virtual"
+    driver: Driver = "sockets" if options["sockets"] or needs_sockets else "virtual"
     if driver == "sockets" and not policies:
         checked = msgspec.structs.replace(checked, policies=[OWN_POLICY])
-    _run_and_report(checked, driver, out, events)
+    _run_and_report(checked, driver, out, options["events"])
 
 
 def _run_and_report(experiment: Experiment, driver: Driver, out: Path | None, events: bool) -> NoReturn:
@@ -176,6 +184,7 @@
     from ..scenarios.scale_test import run_fleet
 
     def print_row(row: ScaleRow) -> None:
+        """Print the result of one scenario."""
         metrics = {key: f"{value:g}" for key, value in row.figures.items()}
         print(f"{row.play}: {_key_value_pairs(metrics)}", flush=True)
         if row.void:
@@ -185,7 +194,7 @@
                 print(f"  {label}: {line}", flush=True)
 
     if out is not None and out.is_dir():
-        raise click.UsageError(f"--out: {out} is a folder, a file is wanted")
+        raise click.UsageError(OUT_IS_FOLDER.format(out))
     events_folder = out.parent if events and out is not None else None
     try:
         rows = run_fleet(read_fleet(path), scenarios, out, print_row, events_folder)
--- a/ploverspoke/testbed/commands/soak.py
+++ b/ploverspoke/testbed/commands/soak.py
@@ -1,4 +1,4 @@
-"""`python -m ploverspoke.testbed.soak`: many seeds, several at once."""
+"""Runs the soak on many seeds, several at once: `python -m ploverspoke.testbed.commands.soak`."""
 
 import asyncio
 import sys
@@ -8,22 +8,28 @@
 
 from ..scenarios.soak import Verdict, play_seed
 
+MAX_SHOWN_PROBLEMS = 4  # of one seed
 
-async def _play(first: int, count: int, at_once: int) -> list[Verdict]:
+
+async def _run_seeds(first: int, count: int, at_once: int) -> list[Verdict]:
     limit = asyncio.Semaphore(at_once)
 
-    async def one(seed: int) -> Verdict:
+    async def run_seed(seed: int) -> Verdict:
+        """Run one seed once there is room for it."""
         async with limit:
             verdict = await play_seed(seed)
-        print(
-            f"seed {seed}: {verdict.requests} requests, {verdict.served} served, {verdict.drains} drains, "
-            f"{verdict.restarts} restarts, late by {verdict.lateness * 1000:.0f} ms: "
-            f"{'; '.join(verdict.problems[:4]) or 'sound'}",
-            flush=True,
-        )
+        print(_describe(verdict), flush=True)
         return verdict
 
-    return list(await asyncio.gather(*(one(seed) for seed in range(first, first + count))))
+    return list(await asyncio.gather(*(run_seed(seed) for seed in range(first, first + count))))
+
+
+def _describe(verdict: Verdict) -> str:
+    counts = (
+        f"{verdict.requests} requests, {verdict.served} served, {verdict.drains} drains, "
+        f"{verdict.restarts} restarts, late by {verdict.lateness * 1000:.0f} ms"
+    )
+    return f"seed {verdict.seed}: {counts}: {'; '.join(verdict.problems[:MAX_SHOWN_PROBLEMS]) or 'sound'}"
 
 
 @click.command()
@@ -32,12 +38,11 @@
 @click.option("--at-once", default=5, help="How many run side by side.")
 def main(first: int, seeds: int, at_once: int) -> None:
     """Soak a real dispatcher; exits with 1 where anything was wrong."""
-    verdicts = uvloop.run(_play(first, seeds, at_once))
-    wrong = [verdict.seed for verdict in verdicts if verdict.problems]
-    print(
-        f"{len(verdicts) - len(wrong)} of {len(verdicts)} seeds sound" + (f"; not: {wrong}" if wrong else "")
-    )
-    sys.exit(bool(wrong))
+    verdicts = uvloop.run(_run_seeds(first, seeds, at_once))
+    unsound = [verdict.seed for verdict in verdicts if verdict.problems]
+    note = f"; not: {unsound}" if unsound else ""
+    print(f"{len(verdicts) - len(unsound)} of {len(verdicts)} seeds sound{note}")
+    sys.exit(bool(unsound))
 
 
 if __name__ == "__main__":
--- a/ploverspoke/testbed/reports/experiment_result.py
+++ b/ploverspoke/testbed/reports/experiment_result.py
@@ -13,6 +13,16 @@
 OWN_POLICY = "ours"  # the dispatcher's own decisions, beside the baseline policies
 
 
+class ResultError(ExperimentError):
+    """A file holds no result that this version reads."""
+
+    def __init__(self, file: Path, reason: str) -> None:
+        """`reason` says what is wrong with the file."""
+        super().__init__(f"{file}: {reason}")
+        self.file = file
+        self.reason = reason
+
+
 class Result(msgspec.Struct):
     """All runs of one experiment, and which of its demands held."""
 
@@ -36,13 +46,13 @@
     """Read `result.json`, given by itself or by its folder.
 
     Raises:
-        ExperimentError: there is no result, or one of another format.
+        ResultError: there is no result, or one of another format.
     """
     file = path / "result.json" if path.is_dir() else path
     try:
         result: Result = msgspec.json.decode(file.read_bytes(), type=Result)
     except (OSError, msgspec.DecodeError) as error:
-        raise ExperimentError(f"{file}: no result: {error}") from None
+        raise ResultError(file, f"no result: {error}") from error
     if result.format != FORMAT:
-        raise ExperimentError(f"{file}: format {result.format}, this version reads {FORMAT}")
+        raise ResultError(file, f"format {result.format}, this version reads {FORMAT}")
     return result
--- a/tests/test_lint_exceptions.py
+++ b/tests/test_lint_exceptions.py
@@ -12,12 +12,11 @@
 LEFT = {
     "ploverspoke/testbed/capacity/**",
     "ploverspoke/testbed/checkers/**",
-    "ploverspoke/testbed/commands/**",
     "ploverspoke/testbed/experiment_files/**",
     "ploverspoke/testbed/fakes/**",
     "ploverspoke/testbed/models/**",
     "ploverspoke/testbed/processes/**",
-    "ploverspoke/testbed/reports/**",
+    "ploverspoke/testbed/reports/capacity_table.py",
     "ploverspoke/testbed/scale/**",
     "ploverspoke/testbed/scenarios/**",
 }
--- a/tests/testbed/capacity/test_measured_costs.py
+++ b/tests/testbed/capacity/test_measured_costs.py
@@ -91,10 +91,10 @@
 
 def test_a_later_call_replaces_only_the_sizes_that_it_measured() -> None:
     old = slopes(*lines("dispatcher", "a", 1.0), *lines("dispatcher", "b", 1.0), *lines("keeper", "a", 1.0))
-    new = measure_costs.merged(old, slopes(*lines("dispatcher", "a", 5.0)))
+    new = measure_costs.merge_costs(old, slopes(*lines("dispatcher", "a", 5.0)))
     found = {(line.role, line.size): round(line.slope) for line in new.lines}
     assert found == {("dispatcher", "a"): 5, ("dispatcher", "b"): 1, ("keeper", "a"): 1}
-    assert measure_costs.merged(None, old) == old
+    assert measure_costs.merge_costs(None, old) == old
 
 
 async def _found(asked: MeasurementRequest) -> MeasurementResult:
@@ -109,7 +109,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     parts = [Measurement(("dispatcher",), "a", _found), Measurement(("dispatcher", "worker"), "b", _void)]
-    monkeypatch.setattr(measure_costs, "PARTS", parts)
+    monkeypatch.setattr(measure_costs, "MEASUREMENTS", parts)
     out = tmp_path / "slopes.json"
     run = CliRunner().invoke
 
