--- a/ploverspoke/testbed/capacity/budgets.py
+++ b/ploverspoke/testbed/capacity/budgets.py
@@ -1,132 +1,154 @@
-"""What a dispatcher spends on control, by what is counted as control, against the budget. Without I/O."""
+"""What a dispatcher spends on control, for several definitions of control, against its budget."""
+
+from typing import NamedTuple
 
 import msgspec
 
-from .estimate import Figure, estimate, stops_at, total
+from .estimate import Estimate, Limit, estimate, load_at_limit, total
 from .fleet_size import Budget, FleetSize
 from .measured_costs import MeasuredCosts
 from .verdicts import HOLDS, NEAR, NOT_MEASURED, OVER
-from .workload import ORDINARY, PEAK, STATED, WORKED_OUT, Amount, telling, workload
+from .workload import ORDINARY, PEAK, STATED, WORKED_OUT, Amount, gossip_peers, workload
 
-MB = 1_000_000
-DISPATCHER, WATCHING = "dispatcher", "dispatcher watching configuration"
-FIGURES = {
+MEGABYTE = 1_000_000
+DISPATCHER, WATCHING = "dispatcher", "dispatcher watching configuration"  # roles
+# What each kind of estimate adds up; what goes two ways counts both.
+METRICS = {
     "messages": ("messages_in", "messages_out"),
     "core": ("core_share",),
     "memory": ("memory_bytes",),
     "bytes": ("bytes_in", "bytes_out"),
     "growth": ("memory_growth_bytes",),
 }
+# What is counted as control.
 CONTROL = "control alone: the list, its changes, new settings; no task"
 STARTS = "and starts and ends of tasks, without progress reports"
 PROGRESS = "and progress reports, one a second of each task"
-TELLINGS = "control alone, and tellings of all dispatchers of a zone"
+GOSSIP = "control alone, and tellings of all dispatchers of a zone"
 WATCHED = "control alone, and configuration watched at config servers"
 EVERYTHING = "starts, progress reports and configuration watched"
-COUNTED = (CONTROL, STARTS, PROGRESS, TELLINGS, WATCHED, EVERYTHING)
+SCOPES = (CONTROL, STARTS, PROGRESS, GOSSIP, WATCHED, EVERYTHING)
+
+
+class Spending(NamedTuple):
+    """What one dispatcher spends: a share of a core, bytes of memory, bytes a second."""
+
+    core: Estimate
+    memory: Estimate
+    bytes: Estimate
+
 
+class BudgetRow(msgspec.Struct, frozen=True, kw_only=True, rename={"scope": "counted"}):
+    """What one dispatcher spends in one situation, against the budget."""
 
-class BudgetRow(msgspec.Struct, frozen=True, kw_only=True):
-    counted: str  # what counts as control
+    scope: str  # what is counted as control, one of SCOPES
     dispatchers: int
     situation: str
-    core: Figure
-    memory: Figure
-    bytes: Figure
+    core: Estimate
+    memory: Estimate
+    bytes: Estimate
     verdict: str
 
 
-def figure_of(
-    slopes: MeasuredCosts, role: str, kind: str, sizes: dict[str, Amount], progress: bool = True
-) -> Figure:
-    """Both ways together, of what goes two ways."""
-    return total([estimate(slopes, role, name, sizes, progress) for name in FIGURES[kind]])
+def estimate_kind(
+    costs: MeasuredCosts, role: str, kind: str, loads: dict[str, Amount], progress: bool = True
+) -> Estimate:
+    """Estimate one kind of METRICS for a role."""
+    return total([estimate(costs, role, metric, loads, progress) for metric in METRICS[kind]])
 
 
-def counted_sizes(fleet: FleetSize, dispatchers: int, situation: str, counted: str) -> dict[str, Amount]:
-    sizes = dict(workload(fleet, dispatchers, situation)[DISPATCHER])
-    if counted in (CONTROL, TELLINGS, WATCHED):
-        sizes["tasks_running"] = sizes["starts_a_second"] = Amount(0, WORKED_OUT)
-    if counted == TELLINGS:
-        sizes["peers_telling"] = telling(fleet, dispatchers)
-    return sizes
+def scope_loads(fleet: FleetSize, dispatchers: int, situation: str, scope: str) -> dict[str, Amount]:
+    """Return the loads of a dispatcher that the scope counts."""
+    loads = dict(workload(fleet, dispatchers, situation)[DISPATCHER])
+    if scope in (CONTROL, GOSSIP, WATCHED):
+        loads["tasks_running"] = loads["starts_a_second"] = Amount(0, WORKED_OUT)
+    if scope == GOSSIP:
+        loads["peers_telling"] = gossip_peers(fleet, dispatchers)
+    return loads
 
 
-def watching(slopes: MeasuredCosts, kind: str, changes: Amount) -> Figure:
-    """What a watch adds to a dispatcher: one that has it, less the same one that has none."""
-    whole = figure_of(slopes, WATCHING, kind, {"changes_a_minute": changes})
-    listed = {line.still.get("workers_listed", 0.0) for line in slopes.lines if line.role == WATCHING}
-    sizes = {line.size: Amount(0, WORKED_OUT) for line in slopes.lines if line.role == DISPATCHER}
-    sizes["workers_listed"] = Amount(max(listed, default=0.0), STATED)
-    idle = figure_of(slopes, DISPATCHER, kind, sizes)
+def watch_cost(costs: MeasuredCosts, kind: str, changes: Amount) -> Estimate:
+    """Estimate what a watch adds: a dispatcher that has one, less the same dispatcher without."""
+    whole = estimate_kind(costs, WATCHING, kind, {"changes_a_minute": changes})
+    listed = {line.fixed_loads.get("workers_listed", 0.0) for line in costs.lines if line.role == WATCHING}
+    loads = {line.load: Amount(0, WORKED_OUT) for line in costs.lines if line.role == DISPATCHER}
+    loads["workers_listed"] = Amount(max(listed, default=0.0), STATED)
+    idle = estimate_kind(costs, DISPATCHER, kind, loads)
     if whole.value is None or idle.value is None:
-        return Figure(value=None, origin=NOT_MEASURED)
-    more = {"value": max(0.0, whole.value - idle.value), "origin": "worked out"}
-    return msgspec.structs.replace(total([whole, idle]), **more)
-
-
-def figures_of(
-    fleet: FleetSize, slopes: MeasuredCosts, dispatchers: int, situation: str, counted: str
-) -> list[Figure]:
-    """Share of a core, memory, bytes."""
-    sizes = counted_sizes(fleet, dispatchers, situation, counted)
-    kinds = ("core", "memory", "bytes")
-    progress = counted in (PROGRESS, EVERYTHING)
-    if counted not in (WATCHED, EVERYTHING):
-        return [figure_of(slopes, DISPATCHER, kind, sizes, progress) for kind in kinds]
-    changes, sizes["reloads_a_minute"] = sizes["reloads_a_minute"], Amount(0, WORKED_OUT)
-    found = []
-    for kind in kinds:
-        parts = [figure_of(slopes, DISPATCHER, kind, sizes, progress), watching(slopes, kind, changes)]
-        unknown = any(part.value is None for part in parts)
-        found.append(Figure(value=None, origin=NOT_MEASURED) if unknown else total(parts))
-    return found
-
-
-def within(budget: Budget, core: Figure, memory: Figure, octets: Figure) -> str:
-    """Over where any figure is, near where it may be by what its lines miss their points by; else it holds
-    where all were measured along all that is met.
+        return Estimate(value=None, origin=NOT_MEASURED)
+    difference = max(0.0, whole.value - idle.value)
+    return msgspec.structs.replace(total([whole, idle]), value=difference, origin=WORKED_OUT)
+
+
+def estimate_spending(
+    fleet: FleetSize, costs: MeasuredCosts, dispatchers: int, situation: str, scope: str
+) -> Spending:
+    """Estimate what one dispatcher spends on what the scope counts."""
+    loads = scope_loads(fleet, dispatchers, situation, scope)
+    progress = scope in (PROGRESS, EVERYTHING)
+    if scope not in (WATCHED, EVERYTHING):
+        return Spending(
+            *(estimate_kind(costs, DISPATCHER, kind, loads, progress) for kind in Spending._fields)
+        )
+    changes, loads["reloads_a_minute"] = loads["reloads_a_minute"], Amount(0, WORKED_OUT)
+    estimates = []
+    for kind in Spending._fields:
+        parts = [
+            estimate_kind(costs, DISPATCHER, kind, loads, progress),
+            watch_cost(costs, kind, changes),
+        ]
+        is_unknown = any(part.value is None for part in parts)
+        estimates.append(Estimate(value=None, origin=NOT_MEASURED) if is_unknown else total(parts))
+    return Spending(*estimates)
+
+
+def budget_verdict(budget: Budget, spending: Spending) -> str:
+    """Compare spending with the budget.
+
+    Over where any estimate is, near where one may be by its relative error; else it holds where all were
+    measured along all their loads.
     """
-    figures = (core, memory, octets)
-    limits = (budget.core_share, budget.memory_mb * MB, budget.bytes_a_second)
-    parts = [(one.value or 0.0) / limit for one, limit in zip(figures, limits, strict=True)]
-    if max(parts) > 1:
+    limits = (budget.core_share, budget.memory_mb * MEGABYTE, budget.bytes_a_second)
+    shares = [(each.value or 0.0) / limit for each, limit in zip(spending, limits, strict=True)]
+    if max(shares) > 1:
         return OVER
-    if any(part * (1 + one.off_by) > 1 for part, one in zip(parts, figures, strict=True)):
+    if any(share * (1 + each.relative_error) > 1 for share, each in zip(shares, spending, strict=True)):
         return NEAR
-    return HOLDS if all(one.value is not None and not one.without for one in figures) else NOT_MEASURED
+    is_whole = all(each.value is not None and not each.missing for each in spending)
+    return HOLDS if is_whole else NOT_MEASURED
 
 
-def budget_rows(fleet: FleetSize, slopes: MeasuredCosts) -> list[BudgetRow]:
-    found = []
-    for counted in COUNTED:
+def budget_rows(fleet: FleetSize, costs: MeasuredCosts) -> list[BudgetRow]:
+    """Return a row for each scope, number of dispatchers, and situation without a failure."""
+    rows = []
+    for scope in SCOPES:
         for dispatchers in fleet.size.dispatchers:
             for situation in (ORDINARY, PEAK):
-                core, memory, octets = figures_of(fleet, slopes, dispatchers, situation, counted)
-                found.append(
+                spending = estimate_spending(fleet, costs, dispatchers, situation, scope)
+                rows.append(
                     BudgetRow(
-                        counted=counted,
+                        scope=scope,
                         dispatchers=dispatchers,
                         situation=situation,
-                        core=core,
-                        memory=memory,
-                        bytes=octets,
-                        verdict=within(fleet.budget, core, memory, octets),
+                        core=spending.core,
+                        memory=spending.memory,
+                        bytes=spending.bytes,
+                        verdict=budget_verdict(fleet.budget, spending),
                     )
                 )
-    return found
+    return rows
 
 
-def core_with(fleet: FleetSize, slopes: MeasuredCosts, tasks: int, counted: str) -> float | None:
-    """The share of a core of one dispatcher with so many tasks running, at the peak of the largest fleet."""
-    sizes = counted_sizes(fleet, max(fleet.size.dispatchers), PEAK, counted)
-    sizes["tasks_running"] = Amount(tasks, STATED)
-    return figure_of(slopes, DISPATCHER, "core", sizes, counted == PROGRESS).value
+def core_share_with_tasks(fleet: FleetSize, costs: MeasuredCosts, tasks: int, scope: str) -> float | None:
+    """Estimate the core share of a dispatcher with so many running tasks, at the largest fleet's peak."""
+    loads = scope_loads(fleet, max(fleet.size.dispatchers), PEAK, scope)
+    loads["tasks_running"] = Amount(tasks, STATED)
+    return estimate_kind(costs, DISPATCHER, "core", loads, scope == PROGRESS).value
 
 
-def stop_of(
-    fleet: FleetSize, slopes: MeasuredCosts, figure: str, size: str, limit: float, counted: str
+def dispatcher_load_at_limit(
+    fleet: FleetSize, costs: MeasuredCosts, limit: Limit, scope: str
 ) -> float | None:
-    """The size at which one dispatcher reaches the limit, at the peak of the largest fleet."""
-    sizes = counted_sizes(fleet, max(fleet.size.dispatchers), PEAK, counted)
-    return stops_at(slopes, DISPATCHER, figure, sizes, size, limit, counted == PROGRESS)
+    """Return the load at which one dispatcher reaches the limit, at the largest fleet's peak."""
+    loads = scope_loads(fleet, max(fleet.size.dispatchers), PEAK, scope)
+    return load_at_limit(costs, DISPATCHER, limit, loads, scope == PROGRESS)
--- a/ploverspoke/testbed/capacity/estimate.py
+++ b/ploverspoke/testbed/capacity/estimate.py
@@ -1,164 +1,250 @@
-"""One figure of one role at given sizes, from measured lines: its value, where that comes from, and how far
-the lines were stretched.
+"""Estimates one metric of one role at given loads from measured costs, with the origin of the value.
 
-    value = base + sum of slope x size, over the sizes along which the figure was measured
+    value = base + sum of slope x load, over the loads along which the metric was measured
 
-The base is what is left of a line's intercept once the other sizes that stood still while it was measured are
-taken out; where lines differ on it, the largest counts. What was not measured is named, and never 0.
+The base is what is left of a line's intercept once the loads that were fixed while it was measured are taken
+out; where lines differ on it, the largest counts. What was not measured is named, and never counted as 0.
 """
 
-from collections.abc import Mapping
+from collections.abc import Mapping, Sequence
 from typing import NamedTuple
 
 import msgspec
 
 from .measured_costs import CostPerUnit, MeasuredCosts
-from .workload import ASSUMED, ASSUMPTIONS, Amount
+from .workload import ASSUMED, ASSUMPTIONS, WORKED_OUT, Amount
 
-PROGRESS = "progress"  # in `still` of a line: whether the tasks told their progress
-VOTERS = ("keepers", "servers", "replicas")  # and how many of them there were
+PROGRESS = "progress"  # in `fixed_loads`: 1 where tasks reported their progress, else 0
+VOTERS = ("keepers", "servers", "replicas")  # in `fixed_loads`: how many voters there were
+MEASURED = "measured"
 NOT_MEASURED = "not measured"
-MOST_STRETCH = 10.0  # times the largest measured size; a stop further away is not told
-COUNTS = 0.05  # an assumed size that makes up less than this of a figure does not make it assumed
+ORIGINS = (MEASURED, WORKED_OUT, ASSUMED)  # from the surest
+MAX_EXTRAPOLATION = 10.0  # times the largest measured load; a limit further away is not reported
+MIN_ASSUMED_SHARE = 0.05  # an assumed load with a smaller share of a value does not make it assumed
 
 
-class Figure(msgspec.Struct, frozen=True, kw_only=True):
+class Estimate(
+    msgspec.Struct,
+    frozen=True,
+    kw_only=True,
+    rename={"extrapolated": "stretched", "relative_error": "off_by", "missing": "without"},
+):
+    """The value of a metric, and what it rests on."""
+
     value: float | None  # None: not measured
-    origin: str  # "measured", "worked out", "assumed", "not measured"
-    stretched: list[str] = []  # lines that were used beyond what was measured
-    contradicted: list[str] = []  # lines that their points contradict, and what was used in place of the fit
-    off_by: float = 0.0  # what the lines miss their points by, each weighed by its part of the value
-    without: list[str] = []  # what was not measured and is not in the value: "bytes_in by workers_listed"
+    origin: str  # one of ORIGINS, or NOT_MEASURED
+    extrapolated: list[str] = []  # costs that were used beyond what was measured
+    contradicted: list[str] = []  # costs that their points contradict, and what was used in place of the fit
+    relative_error: float = 0.0  # what the costs miss their points by, each weighed by its part of the value
+    missing: list[str] = []  # what was not measured and is not in the value: "bytes_in by workers_listed"
 
 
-class Slope(NamedTuple):
-    """What is used of a line."""
+class EffectiveCost(NamedTuple):
+    """What is used of a measured cost."""
 
     base: float
-    each: float
-    contradicted: str
+    per_unit: float
+    contradicted: str  # what is used in place of the fit; empty: the fit
 
 
-def used(line: CostPerUnit) -> Slope:
-    """The fit; where its points contradict it, the larger of the fit and the worst measured ratio.
+def effective_cost(line: CostPerUnit) -> EffectiveCost:
+    """Return the fit; where its points contradict it, the larger of the fit and the worst measured ratio.
 
-    A fit that falls, of a figure that does not, is noise: then the highest point counts at every size.
+    A fit that falls, of a metric that does not, is noise: then the highest point counts at every load.
     """
     if not line.contradicted and line.slope < 0:
-        return Slope(max([line.intercept, *(value for _, value in line.points)]), 0.0, "")
+        return EffectiveCost(max([line.intercept, *(value for _, value in line.points)]), 0.0, "")
     if not line.contradicted:
-        return Slope(line.intercept, line.slope, "")
+        return EffectiveCost(line.intercept, line.slope, "")
     base = max(0.0, line.intercept)
-    ratios = [(value - base) / size for size, value in line.points if size > 0]
+    ratios = [(value - base) / load for load, value in line.points if load > 0]
     worst = max([line.slope, *ratios])
-    name = "the worst measured ratio" if worst > line.slope else "the fit, the larger of the two"
-    told = f"{line.role}, {line.figure} by {line.size}: residual {line.residual:.0%}, {name} is used"
-    return Slope(base, worst, told)
+    choice = "the worst measured ratio" if worst > line.slope else "the fit, the larger of the two"
+    text = f"{line.role}, {line.metric} by {line.load}: residual {line.residual:.0%}, {choice} is used"
+    return EffectiveCost(base, worst, text)
+
 
+def choose_lines(costs: MeasuredCosts, role: str, metric: str, progress: bool) -> list[CostPerUnit]:
+    """Return one line for each load.
 
-def lines_of(slopes: MeasuredCosts, role: str, figure: str, progress: bool) -> list[CostPerUnit]:
-    """One line for each size. Of several the one with progress reports as asked for; then the one beside
-    which most of all else stood: five keepers in place of three, 170 teams in place of one.
+    Of several the one with progress reports as asked for; then the one with the largest fixed loads: five
+    lease servers in place of three, 170 teams in place of one.
     """
-    found: dict[str, CostPerUnit] = {}
 
-    def fits(line: CostPerUnit) -> tuple[bool, float]:
-        return line.still.get(PROGRESS, float(progress)) == progress, sum(line.still.values())
+    def preference(line: CostPerUnit) -> tuple[bool, float]:
+        """Order lines of one load; the largest is taken."""
+        fixed = line.fixed_loads
+        return fixed.get(PROGRESS, float(progress)) == progress, sum(fixed.values())
 
-    for line in slopes.of(role, figure):
-        if line.size not in found or fits(line) > fits(found[line.size]):
-            found[line.size] = line
-    return list(found.values())
+    chosen: dict[str, CostPerUnit] = {}
+    for line in costs.of(role, metric):
+        if line.load not in chosen or preference(line) > preference(chosen[line.load]):
+            chosen[line.load] = line
+    return list(chosen.values())
 
 
-def along(line: CostPerUnit, amount: Amount) -> Figure:
-    """One line by itself, all else as it stood when it was measured."""
-    alone = MeasuredCosts(
-        format=0, at="", text="", machine="", lines=[msgspec.structs.replace(line, still={})]
-    )
-    return estimate(alone, line.role, line.figure, {line.size: amount})
+def estimate_line(line: CostPerUnit, amount: Amount) -> Estimate:
+    """Estimate from one line by itself, all other loads as they were when it was measured."""
+    lines = [msgspec.structs.replace(line, fixed_loads={})]
+    costs = MeasuredCosts(format=0, date="", commit="", machine="", lines=lines)
+    return estimate(costs, line.role, line.metric, {line.load: amount})
 
 
 def estimate(
-    slopes: MeasuredCosts, role: str, figure: str, sizes: Mapping[str, Amount], progress: bool = True
-) -> Figure:
-    """`sizes` are what the role meets; a size of 0 need not have been measured."""
-    lines = lines_of(slopes, role, figure, progress)
+    costs: MeasuredCosts, role: str, metric: str, loads: Mapping[str, Amount], progress: bool = True
+) -> Estimate:
+    """Estimate a metric at the loads of the role; a load of 0 need not have been measured."""
+    lines = choose_lines(costs, role, metric, progress)
     if not lines:
-        return Figure(value=None, origin=NOT_MEASURED)
-    slope = {line.size: used(line) for line in lines}
-    # What is not there adds nothing, neither does the world in which it was measured.
-    counted = [line for line in lines if (met := sizes.get(line.size)) and met.value > 0] or lines
+        return Estimate(value=None, origin=NOT_MEASURED)
+    effective = {line.load: effective_cost(line) for line in lines}
+    # A load that is not there adds nothing, neither does the fleet in which it was measured.
+    counted = [line for line in lines if line.load in loads and loads[line.load].value > 0] or lines
+    if _is_measured_point(counted, effective, loads):
+        value, origin, error = _point_value(counted[0], loads), MEASURED, 0.0
+        if _is_assumed(counted, effective, loads, value):
+            origin = ASSUMED
+    else:
+        parts = _parts(counted, effective, loads)
+        value = sum(parts.values(), _base(counted, effective))
+        origin = ASSUMED if _is_assumed(counted, effective, loads, value) else WORKED_OUT
+        error = _relative_error(counted, effective, loads, value)
+    return Estimate(
+        value=value,
+        origin=origin,
+        extrapolated=_extrapolated(counted, loads),
+        contradicted=[text for line in counted if (text := effective[line.load].contradicted)],
+        relative_error=error,
+        missing=[f"{metric} by {load}" for load in _unknown_loads(lines, loads)],
+    )
+
+
+def _is_measured_point(
+    counted: Sequence[CostPerUnit], effective: Mapping[str, EffectiveCost], loads: Mapping[str, Amount]
+) -> bool:
+    """Whether a single load counts, and a point was measured at just its amount."""
+    line = counted[0]
+    if len(counted) != 1 or line.load not in loads or effective[line.load].contradicted:
+        return False
+    return any(load == loads[line.load].value for load, _ in line.points)
+
+
+def _point_value(line: CostPerUnit, loads: Mapping[str, Amount]) -> float:
+    return next(value for load, value in line.points if load == loads[line.load].value)
+
+
+def _base(counted: Sequence[CostPerUnit], effective: Mapping[str, EffectiveCost]) -> float:
     base = 0.0
     for line in counted:
-        others = sum(slope[size].each * at for size, at in line.still.items() if size in slope)
-        base = max(base, slope[line.size].base - others)
-    value, assumed, off = base, 0.0, 0.0
-    stretched, known = [], False
+        others = sum(
+            effective[load].per_unit * amount
+            for load, amount in line.fixed_loads.items()
+            if load in effective
+        )
+        base = max(base, effective[line.load].base - others)
+    return base
+
+
+def _parts(
+    counted: Sequence[CostPerUnit], effective: Mapping[str, EffectiveCost], loads: Mapping[str, Amount]
+) -> dict[str, float]:
+    """Return what each load adds to the base; loads that the caller does not know are reported as missing."""
+    return {
+        line.load: effective[line.load].per_unit * loads[line.load].value
+        for line in counted
+        if line.load in loads
+    }
+
+
+def _is_assumed(
+    counted: Sequence[CostPerUnit],
+    effective: Mapping[str, EffectiveCost],
+    loads: Mapping[str, Amount],
+    value: float,
+) -> bool:
+    """Whether assumed loads have more than a small share of the value."""
+    parts = _parts(counted, effective, loads)
+    assumed = sum(part for load, part in parts.items() if loads[load].origin == ASSUMED)
+    return bool(value) and assumed > MIN_ASSUMED_SHARE * value
+
+
+def _relative_error(
+    counted: Sequence[CostPerUnit],
+    effective: Mapping[str, EffectiveCost],
+    loads: Mapping[str, Amount],
+    value: float,
+) -> float:
+    """Return the residuals of the lines, each weighed by its part of the value."""
+    if not value:
+        return 0.0
+    parts = _parts(counted, effective, loads)
+    errors = (
+        parts[line.load] * line.residual for line in counted if line.load in parts and not line.contradicted
+    )
+    return sum(errors) / value
+
+
+def _extrapolated(counted: Sequence[CostPerUnit], loads: Mapping[str, Amount]) -> list[str]:
+    """Return a text for each load that is larger than what was measured, fewer voters included."""
+    voters = ASSUMPTIONS["voters"].value
+    texts = []
     for line in counted:
-        amount = sizes.get(line.size)
+        amount = loads.get(line.load)
         if amount is None:
-            continue  # told under `without`
-        value += slope[line.size].each * amount.value
-        assumed += slope[line.size].each * amount.value * (amount.origin == ASSUMED)
-        off += slope[line.size].each * amount.value * line.residual * (not line.contradicted)
-        if amount.value > line.measured_to:
-            stretched.append(f"{line.size}: measured to {line.measured_to:g}, used at {amount.value:.4g}")
+            continue
+        if amount.value > line.max_load:
+            texts.append(f"{line.load}: measured to {line.max_load:g}, used at {amount.value:.4g}")
         for name in VOTERS:
-            if (there := line.still.get(name)) is not None and there < ASSUMPTIONS["voters"].value:
-                stretched.append(f"{name}: measured to {there:g}, used at {ASSUMPTIONS['voters'].value:g}")
-        known = known or any(at == amount.value for at, _ in line.points)
-    unknown = [size for size, amount in sizes.items() if amount.value > 0 and size not in slope]
-    unknown += [f"{line.size}, which this table does not know" for line in lines if line.size not in sizes]
-    without = [f"{figure} by {size}" for size in unknown]
-    straight = len(counted) == 1 and known and not slope[counted[0].size].contradicted
-    if straight:
-        value = next(v for at, v in counted[0].points if at == sizes[counted[0].size].value)
-    origin = "assumed" if value and assumed > COUNTS * value else "measured" if straight else "worked out"
-    contradicted = [told for line in counted if (told := slope[line.size].contradicted)]
-    return Figure(
-        value=value,
-        origin=origin,
-        stretched=list(dict.fromkeys(stretched)),
-        contradicted=contradicted,
-        off_by=0.0 if straight or not value else off / value,
-        without=without,
-    )
+            if name in line.fixed_loads and line.fixed_loads[name] < voters:
+                texts.append(f"{name}: measured to {line.fixed_loads[name]:g}, used at {voters:g}")
+    return list(dict.fromkeys(texts))
+
+
+def _unknown_loads(lines: Sequence[CostPerUnit], loads: Mapping[str, Amount]) -> list[str]:
+    """Return the loads that were not measured, and measured ones that the caller does not know."""
+    measured = {line.load for line in lines}
+    unknown = [load for load, amount in loads.items() if amount.value > 0 and load not in measured]
+    unknown += [f"{line.load}, which this table does not know" for line in lines if line.load not in loads]
+    return unknown
+
 
+class Limit(NamedTuple):
+    """A limit on a metric that is reached by one growing load."""
 
-def stops_at(
-    slopes: MeasuredCosts,
-    role: str,
-    figure: str,
-    sizes: Mapping[str, Amount],
-    size: str,
-    limit: float,
-    progress: bool = True,
+    metric: str
+    load: str
+    value: float
+
+
+def load_at_limit(
+    costs: MeasuredCosts, role: str, limit: Limit, loads: Mapping[str, Amount], progress: bool = True
 ) -> float | None:
-    """The size at which the figure reaches its limit, the others as given.
+    """Return the load at which the metric reaches its limit, the other loads as given.
 
-    None: not measured, or further than MOST_STRETCH times what was measured, of which nothing is known.
+    None: not measured, or beyond MAX_EXTRAPOLATION times what was measured, where nothing is known.
     """
-    line = next((one for one in lines_of(slopes, role, figure, progress) if one.size == size), None)
-    if line is None or (each := used(line).each) <= 0:
+    lines = choose_lines(costs, role, limit.metric, progress)
+    line = next((each for each in lines if each.load == limit.load), None)
+    if line is None or (per_unit := effective_cost(line).per_unit) <= 0:
+        return None
+    others = {**loads, limit.load: Amount(0, ASSUMED)}
+    rest = estimate(costs, role, limit.metric, others, progress)
+    if rest.value is None:
         return None
-    rest = estimate(slopes, role, figure, {**sizes, size: Amount(0, ASSUMED)}, progress)
-    stop = None if rest.value is None else max(0.0, (limit - rest.value) / each)
-    return stop if stop is not None and stop <= MOST_STRETCH * line.measured_to else None
-
-
-def total(parts: list[Figure]) -> Figure:
-    """The sum of figures of one kind; what was not measured of one is named."""
-    values = [one.value for one in parts if one.value is not None]
-    order = ["measured", "worked out", "assumed"]
-    origins = [one.origin for one in parts if one.value is not None]
-    origin = "worked out" if len(values) > 1 else "measured"
-    origin = max([origin, *origins], key=order.index) if values else NOT_MEASURED
-    return Figure(
+    at_limit = max(0.0, (limit.value - rest.value) / per_unit)
+    return at_limit if at_limit <= MAX_EXTRAPOLATION * line.max_load else None
+
+
+def total(parts: Sequence[Estimate]) -> Estimate:
+    """Add estimates of one unit; what was not measured of one is named."""
+    values = [part.value for part in parts if part.value is not None]
+    origins = [part.origin for part in parts if part.value is not None]
+    origin = WORKED_OUT if len(values) > 1 else MEASURED
+    return Estimate(
         value=sum(values) if values else None,
-        origin=origin,
-        stretched=sorted({text for one in parts for text in one.stretched}),
-        contradicted=sorted({text for one in parts for text in one.contradicted}),
-        off_by=max((one.off_by for one in parts), default=0.0),
-        without=sorted({text for one in parts for text in one.without}),
+        origin=max([origin, *origins], key=ORIGINS.index) if values else NOT_MEASURED,
+        extrapolated=sorted({text for part in parts for text in part.extrapolated}),
+        contradicted=sorted({text for part in parts for text in part.contradicted}),
+        relative_error=max((part.relative_error for part in parts), default=0.0),
+        missing=sorted({text for part in parts for text in part.missing}),
     )
--- a/ploverspoke/testbed/capacity/fleet_size.py
+++ b/ploverspoke/testbed/capacity/fleet_size.py
@@ -1,7 +1,6 @@
 """Fleet files (`kind = "fleet"`): the size of a fleet, its budget and its failures, read and checked.
 
-`read_fleet` raises FleetFileError with one line that names the key: unknown keys, wrong units, zero and
-negative sizes. The table `[play]` of the same file says what the scale tests run; `scenarios/` reads it.
+The table `[play]` of the same file has the scenarios of the scale tests, which `scenarios/` reads.
 """
 
 import tomllib
@@ -14,18 +13,26 @@
 
 
 class FleetFileError(ValueError):
-    """The file describes no fleet; the text says where and why."""
+    """The file describes no fleet; the text is one line that names the key."""
+
+    def __init__(self, key: str, reason: str) -> None:
+        """`key` is the key or file at fault; `reason` says what is wrong with it."""
+        super().__init__(f"{key}: {reason}" if key else reason)
+        self.key = key
+        self.reason = reason
 
 
 class Part(msgspec.Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
-    """What all tables of a file have in common: an unknown key is an error."""
+    """Base of all tables of a file: an unknown key is an error."""
 
 
-class Size(Part, frozen=True, kw_only=True):
-    """What the operators state of the fleet."""
+class Size(
+    Part, frozen=True, kw_only=True, rename={"config_applied_within": "configuration_in_force_within"}
+):
+    """The size that the operators state."""
 
     workers: int
-    dispatchers: list[int]  # how many there are is not stated: each of these is worked out
+    dispatchers: list[int]  # the number is not stated: each of these is estimated
     jobs_a_day: int
     task_starts_a_second: float  # at the peak
     tasks_running: int
@@ -35,7 +42,7 @@
     regions: int
     zones: int
     configuration_changes_a_day: int
-    configuration_in_force_within: Duration
+    config_applied_within: Duration
 
 
 class Budget(Part, frozen=True, kw_only=True):
@@ -48,7 +55,7 @@
 
 
 class Failures(Part, frozen=True, kw_only=True):
-    """How often what fails."""
+    """How often each kind of failure comes."""
 
     machines_a_day: float
     restarts_a_day: float
@@ -57,53 +64,58 @@
     regions_apart: Duration
 
 
-class FleetSize(Part, frozen=True, kw_only=True):
+class FleetSize(Part, frozen=True, kw_only=True, rename={"scenarios": "play"}):
+    """A fleet file."""
+
     kind: str
     name: str
     about: str = ""
     size: Size
     budget: Budget
     failures: Failures
-    play: dict[str, Any] = {}
+    scenarios: dict[str, Any] = {}  # not checked here
 
 
 def read_fleet(path: Path) -> FleetSize:
-    """Raises FleetFileError."""
+    """Read and check a fleet file. Raises FleetFileError, naming the file."""
     try:
-        told = tomllib.loads(path.read_text(encoding="utf-8"))
+        document = tomllib.loads(path.read_text(encoding="utf-8"))
     except OSError as error:
-        raise FleetFileError(f"{path}: {error.strerror}") from None
+        raise FleetFileError(str(path), error.strerror or str(error)) from error
     except (UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
-        raise FleetFileError(f"{path}: no TOML: {error}") from None
+        raise FleetFileError(str(path), f"no TOML: {error}") from error
     try:
-        return fleet_of(told)
+        return parse_fleet(document)
     except FleetFileError as error:
-        raise FleetFileError(f"{path}: {error}") from None
+        raise FleetFileError(str(path), str(error)) from error
 
 
-def fleet_of(told: dict[str, Any]) -> FleetSize:
-    """Raises FleetFileError, naming the key."""
+def parse_fleet(document: dict[str, Any]) -> FleetSize:
+    """Check a document: unknown keys, units, zero and negative sizes. Raises FleetFileError."""
     try:
-        fleet = msgspec.convert(told, FleetSize, dec_hook=_span_hook)
+        fleet = msgspec.convert(document, FleetSize, dec_hook=_decode_duration)
     except msgspec.ValidationError as error:
-        raise FleetFileError(str(error).replace("`$.", "`")) from None
+        raise FleetFileError("", str(error).replace("`$.", "`")) from error
     if fleet.kind != "fleet":
-        raise FleetFileError(f'kind: expected "fleet", got {fleet.kind!r}')
-    for table in ("size", "budget", "failures"):
-        part = getattr(fleet, table)
-        for key in part.__struct_fields__:
-            value = getattr(part, key)
-            values = value if isinstance(value, list) else [value]
-            if not values or any(one <= 0 for one in values):
-                raise FleetFileError(f"{table}.{key}: expected more than 0, got {value!r}")
+        raise FleetFileError("kind", f'expected "fleet", got {fleet.kind!r}')
+    for name, table in (("size", fleet.size), ("budget", fleet.budget), ("failures", fleet.failures)):
+        _check_positive(name, table)
     if fleet.size.regions > fleet.size.zones:
-        raise FleetFileError("size.regions: expected no more of them than zones")
+        raise FleetFileError("size.regions", "expected no more of them than zones")
     if fleet.size.largest_gang > fleet.size.tasks_running:
-        raise FleetFileError("size.largest_gang: expected no more than tasks_running")
+        raise FleetFileError("size.largest_gang", "expected no more than tasks_running")
     return fleet
 
 
-def _span_hook(kind: type, value: Any) -> Any:
+def _check_positive(name: str, table: Part) -> None:
+    for field, key in zip(table.__struct_fields__, table.__struct_encode_fields__, strict=True):
+        value = getattr(table, field)
+        values = value if isinstance(value, list) else [value]
+        if not values or any(each <= 0 for each in values):
+            raise FleetFileError(f"{name}.{key}", f"expected more than 0, got {value!r}")
+
+
+def _decode_duration(kind: type, value: Any) -> Any:
     if kind is Duration:
         return parse_duration(value)
     raise NotImplementedError(kind)
--- a/ploverspoke/testbed/capacity/linear_fit.py
+++ b/ploverspoke/testbed/capacity/linear_fit.py
@@ -1,43 +1,49 @@
-"""A straight line through what was measured, and whether the points bear it out."""
+"""Weighted linear fits through measured points, and whether the points contradict the line."""
 
 from collections.abc import Sequence
 from typing import NamedTuple
 
 import numpy as np
 
-from .measured_costs import MOST_RESIDUAL
+from .measured_costs import MAX_RESIDUAL
 
-FEWEST_POINTS = 3  # through two a line always goes
+MIN_POINTS = 3  # a line goes through any two
 
 
 class TooFewPointsError(ValueError):
-    """No fit: fewer than three sizes were measured."""
+    """There is no fit: fewer than three different loads were measured."""
 
+    def __init__(self, points: int) -> None:
+        """`points` is how many there were."""
+        super().__init__(f"{points} points, {MIN_POINTS} different sizes are wanted")
+        self.points = points
+
+
+class LinearFit(NamedTuple):
+    """A line through points; the residual is the largest distance of a point, as a share of its value."""
 
-class Fit(NamedTuple):
     intercept: float
     slope: float
-    residual: float  # the largest distance of a point from the line, as a part of its value
-    contradicted: bool
+    residual: float
+    contradicted: bool  # whether the residual is over MAX_RESIDUAL
 
 
-def fit(points: Sequence[tuple[float, float]], resolution: float = 0.0) -> Fit:
-    """The line of least squares through (size, value), each point weighed by one over its value, since it is
-    parts of the value that are judged. Raises TooFewPointsError.
+def fit_line(points: Sequence[tuple[float, float]], resolution: float = 0.0) -> LinearFit:
+    """Fit a line of least squares through (load, value), each point weighed by one over its value.
 
-    A distance below `resolution` (in the value's unit) is none: nothing finer can be read. A point of value 0
-    is set against the largest value.
+    A distance below `resolution` (in the unit of the value) counts as none. A point of value 0 is weighed by
+    the largest value. Raises TooFewPointsError.
     """
-    if len({size for size, _ in points}) < FEWEST_POINTS:
-        raise TooFewPointsError(f"{len(points)} points, {FEWEST_POINTS} different sizes are wanted")
-    sizes, values = (np.array(column, dtype=float) for column in zip(*points, strict=True))
-    most = float(np.abs(values).max())
-    if most == 0.0:
-        return Fit(0.0, 0.0, 0.0, False)
-    against = np.where(values == 0.0, most, np.abs(values))
-    columns = np.stack([np.ones_like(sizes), sizes], axis=1) / against[:, None]
-    (intercept, slope), *_ = np.linalg.lstsq(columns, values / against, rcond=None)
-    apart = np.abs(intercept + slope * sizes - values)
-    apart[apart <= resolution] = 0.0
-    residual = float((apart / against).max())
-    return Fit(float(intercept), float(slope), residual, residual > MOST_RESIDUAL)
+    if len({load for load, _ in points}) < MIN_POINTS:
+        raise TooFewPointsError(len(points))
+    loads, values = (np.array(column, dtype=float) for column in zip(*points, strict=True))
+    largest = float(np.abs(values).max())
+    if largest == 0.0:
+        return LinearFit(0.0, 0.0, 0.0, False)
+    scale = np.where(values == 0.0, largest, np.abs(values))
+    columns = np.stack([np.ones_like(loads), loads], axis=1) / scale[:, None]
+    (intercept, slope), *_ = np.linalg.lstsq(columns, values / scale, rcond=None)
+    distances = np.abs(intercept + slope * loads - values)
+    distances[distances <= resolution] = 0.0
+    residual = float((distances / scale).max())
+    return LinearFit(float(intercept), float(slope), residual, residual > MAX_RESIDUAL)
--- a/ploverspoke/testbed/capacity/measured_costs.py
+++ b/ploverspoke/testbed/capacity/measured_costs.py
@@ -1,8 +1,9 @@
-"""The slopes file: what was measured of each role, one line for each figure along one size.
+"""Measured costs of each role per unit of load, and the file that keeps them.
 
-    value of a figure = intercept + sum of slope x size, over the sizes that the figure was measured along
+    value of a metric = intercept + sum of slope x load, over the loads along which it was measured
 
-The points are kept beside the fit. A fit that its points contradict is kept and called so.
+The points are kept beside the fit; a fit that its points contradict is kept and marked. The encoded names are
+those of the file.
 """
 
 from pathlib import Path
@@ -10,54 +11,82 @@
 import msgspec
 
 FORMAT = 1
-MOST_RESIDUAL = 0.15  # of the value at a point; over that the fit is contradicted
+MAX_RESIDUAL = 0.15  # of the value at a point; a fit with a larger one is contradicted
 
 
 class CostFileError(ValueError):
-    """The file holds no slopes of this format; the text says why."""
-
-
-class CostPerUnit(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """One figure of one role against one size."""
+    """The file holds no costs of this format."""
+
+    def __init__(self, path: Path, reason: str) -> None:
+        """`reason` says what is wrong with the file."""
+        super().__init__(f"{path}: {reason}")
+        self.path = path
+        self.reason = reason
+
+
+class CostPerUnit(
+    msgspec.Struct,
+    frozen=True,
+    kw_only=True,
+    forbid_unknown_fields=True,
+    rename={
+        "metric": "figure",
+        "load": "size",
+        "max_load": "measured_to",
+        "fixed_loads": "still",
+        "method": "how",
+    },
+):
+    """One metric of one role against one load: the fit and its points."""
 
     role: str  # "dispatcher", "keeper", "store replica", "discovery", "worker", ...
-    figure: str  # "core_share", "memory_bytes", "bytes_in", "bytes_out", "messages_in", "messages_out"
-    size: str  # what was varied: "workers_listed", "tasks_running", "starts_a_second", ...
-    unit: str  # of the figure: "cores", "bytes", "bytes a second", "messages a second"
-    points: list[tuple[float, float]]  # (size, figure), as measured
+    metric: str  # "core_share", "memory_bytes", "bytes_in", "bytes_out", "messages_in", "messages_out"
+    load: str  # what was varied: "workers_listed", "tasks_running", "starts_a_second", ...
+    unit: str  # of the metric: "cores", "bytes", "bytes a second", "messages a second"
+    points: list[tuple[float, float]]  # (load, value), as measured
     intercept: float
     slope: float
-    residual: float  # the largest, as a part of the measured value
-    contradicted: bool  # residual over MOST_RESIDUAL
-    measured_to: float  # the largest size that was measured
-    still: dict[str, float] = {}  # the other sizes, while this one was varied
-    how: str = ""  # where the figure was read, in a few words
-    note: str = ""  # what is to be known of it: other load, failed tries
-
+    residual: float  # the largest, as a share of the measured value
+    contradicted: bool  # whether the residual is over MAX_RESIDUAL
+    max_load: float  # the largest that was measured
+    fixed_loads: dict[str, float] = {}  # the other loads, while this one was varied
+    method: str = ""  # how the metric was read, in a few words
+    note: str = ""  # what a reader should know of it: other load, failed tries
+
+
+class MeasuredCosts(
+    msgspec.Struct,
+    frozen=True,
+    kw_only=True,
+    forbid_unknown_fields=True,
+    rename={"date": "at", "commit": "text"},
+):
+    """All measured costs, as the file keeps them."""
 
-class MeasuredCosts(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
     format: int
-    at: str  # the day, as 2026-12-02
-    text: str  # the commit that was measured
+    date: str  # as 2026-12-02
+    commit: str  # that was measured
     machine: str  # cores and memory, no names
     lines: list[CostPerUnit]
 
-    def of(self, role: str, figure: str) -> list[CostPerUnit]:
-        return [line for line in self.lines if (line.role, line.figure) == (role, figure)]
+    def of(self, role: str, metric: str) -> list[CostPerUnit]:
+        """Return the costs of one metric of one role, one for each load."""
+        return [line for line in self.lines if (line.role, line.metric) == (role, metric)]
 
 
 def read_measured_costs(path: Path) -> MeasuredCosts:
-    """Raises CostFileError."""
+    """Read a file of costs. Raises CostFileError."""
     try:
-        found: MeasuredCosts = msgspec.json.decode(path.read_bytes(), type=MeasuredCosts)
+        costs: MeasuredCosts = msgspec.json.decode(path.read_bytes(), type=MeasuredCosts)
     except OSError as error:
-        raise CostFileError(f"{path}: {error.strerror}") from None
+        raise CostFileError(path, error.strerror or str(error)) from error
     except msgspec.DecodeError as error:
-        raise CostFileError(f"{path}: no slopes: {error}") from None
-    if found.format != FORMAT:
-        raise CostFileError(f"{path}: format {found.format}, this version reads {FORMAT}")
-    return found
+        raise CostFileError(path, f"no slopes: {error}") from error
+    if costs.format != FORMAT:
+        raise CostFileError(path, f"format {costs.format}, this version reads {FORMAT}")
+    return costs
 
 
-def write_measured_costs(slopes: MeasuredCosts, path: Path) -> None:
-    path.write_bytes(msgspec.json.format(msgspec.json.encode(slopes)) + b"\n")
+def write_measured_costs(costs: MeasuredCosts, path: Path) -> None:
+    """Write a file of costs."""
+    path.write_bytes(msgspec.json.format(msgspec.json.encode(costs)) + b"\n")
--- a/ploverspoke/testbed/capacity/measurements/config_server.py
+++ b/ploverspoke/testbed/capacity/measurements/config_server.py
@@ -38,7 +38,7 @@
 from ...processes.tcp_proxy import OUTSIDE
 from .dispatcher import SEED, WORKERS, report_listener, settled_interval
 from .measurement_fleet import Act, MeasurementFleet, growth, run_fleet
-from .parts import Measurement, MeasurementRequest, MeasurementResult, cost_lines
+from .parts import MeasuredLoad, Measurement, MeasurementRequest, MeasurementResult, cost_lines
 from .tools import HOW as RUN_HOW
 from .tools import run_command
 
@@ -252,7 +252,7 @@
     void = [f"{role}, {size} {at:g}: {why}" for at, _, why in seen if why]
     note = "; ".join([*(f"void: {text}" for text in void), *([more] if more else [])])
     points = [(at, figures) for at, figures, why in seen if not why]
-    return MeasurementResult(cost_lines(role, size, points, how, still, note), void)
+    return MeasurementResult(cost_lines(MeasuredLoad(role, size, how, still, note), points), void)
 
 
 async def watchers(asked: MeasurementRequest) -> MeasurementResult:
--- a/ploverspoke/testbed/capacity/measurements/dispatcher.py
+++ b/ploverspoke/testbed/capacity/measurements/dispatcher.py
@@ -13,7 +13,7 @@
 from ...experiment_files.durations import SECOND
 from ...models.deployment_settings import dispatcher_settings
 from .measurement_fleet import Act, MeasurementFleet, Reading, rewrite, run_fleet
-from .parts import Measurement, MeasurementRequest, MeasurementResult, cost_lines
+from .parts import MeasuredLoad, Measurement, MeasurementRequest, MeasurementResult, cost_lines
 
 HOW = (
     "processor time of the scheduler's own count (schedstat), memory of /proc/PID/status, "
@@ -99,7 +99,7 @@
     void = [f"{role}, {size} {at:g}: {reading.void}" for at, reading in found if reading.void]
     points = [(at, reading.figures) for at, reading in found if not reading.void]
     note = "; ".join(f"void: {text}" for text in void)
-    return MeasurementResult(cost_lines(role, size, points, how, still, note), void)
+    return MeasurementResult(cost_lines(MeasuredLoad(role, size, how, still, note), points), void)
 
 
 # ---- The parts ----
--- a/ploverspoke/testbed/capacity/measurements/fleet.py
+++ b/ploverspoke/testbed/capacity/measurements/fleet.py
@@ -13,7 +13,7 @@
 from ..measured_costs import CostPerUnit
 from .dispatcher import PEER_STARTS, SEED
 from .measurement_fleet import TRAFFIC, MeasurementFleet, run_fleet
-from .parts import Measurement, MeasurementRequest, MeasurementResult, cost_lines
+from .parts import MeasuredLoad, Measurement, MeasurementRequest, MeasurementResult, cost_lines
 
 ZONES, EACH = 7, 140
 WORKERS = ZONES * EACH
@@ -111,7 +111,9 @@
         ("discovery", back, {"zone_back_workers": float(EACH)}),
         ("worker", at_worker, {}),
     ):
-        lines += cost_lines(role, "dispatchers", found, HOW, {**still, **more}, _note(void, role))
+        lines += cost_lines(
+            MeasuredLoad(role, "dispatchers", HOW, {**still, **more}, _note(void, role)), found
+        )
     return MeasurementResult(lines, void)
 
 
@@ -128,7 +130,9 @@
             points.append((count, _worst(world, *span) | _calls(world, *span)))
     still = {"workers_listed": float(WORKERS)}
     note = _note(void, "discovery")
-    return MeasurementResult(cost_lines("discovery", "dispatchers_restarted", points, HOW, still, note), void)
+    return MeasurementResult(
+        cost_lines(MeasuredLoad("discovery", "dispatchers_restarted", HOW, still, note), points), void
+    )
 
 
 def _note(void: Sequence[str], role: str) -> str:
--- a/ploverspoke/testbed/capacity/measurements/lease_server.py
+++ b/ploverspoke/testbed/capacity/measurements/lease_server.py
@@ -28,7 +28,7 @@
 from ...processes.tcp_proxy import OUTSIDE
 from ...scenarios.lease_scenario import LeaseFleet, LeaseScenario
 from .measurement_fleet import growth
-from .parts import Measurement, MeasurementRequest, MeasurementResult, cost_lines
+from .parts import MeasuredLoad, Measurement, MeasurementRequest, MeasurementResult, cost_lines
 
 SIZES = (3, 5)  # keepers
 DURATION = 10  # s, of a lease
@@ -214,7 +214,9 @@
             asked.say(f"{keepers} keepers, {size} {one.size:g}: {told}")
         points = [(one.size, one.figures) for one in seen if not one.void]
         note = "; ".join(f"void: {text}" for text in void)
-        lines = cost_lines("keeper", size, points, HOW, {"keepers": float(keepers), **still}, note)
+        lines = cost_lines(
+            MeasuredLoad("keeper", size, HOW, {"keepers": float(keepers), **still}, note), points
+        )
         found = MeasurementResult([*found.lines, *lines], [*found.void, *void])
     return found
 
--- a/ploverspoke/testbed/capacity/measurements/parts.py
+++ b/ploverspoke/testbed/capacity/measurements/parts.py
@@ -1,9 +1,9 @@
-"""A part: one size of one role, varied; what it gives is lines, and the worlds that were void."""
+"""Measurements: one load of one role, varied; the results are costs and the runs that were void."""
 
 from collections.abc import Awaitable, Callable, Sequence
 from typing import NamedTuple
 
-from ..linear_fit import TooFewPointsError, fit
+from ..linear_fit import TooFewPointsError, fit_line
 from ..measured_costs import CostPerUnit
 
 UNITS = {
@@ -23,73 +23,89 @@
     "messages_after_restart": "messages",
     "bytes_after_restart": "bytes",
 }
-GROWTH_RESOLUTION = 4096.0  # a page a second
-
-Say = Callable[[str], None]
+PREFIXES = ("follower_", "children_")  # of metrics that have the unit of the rest of their name
+GROWTH_METRIC = "memory_growth_bytes"
+GROWTH_RESOLUTION = 4096.0  # bytes a second: a page of memory
 
 
 class MeasurementResult(NamedTuple):
+    """Costs, and a line for each run that was void."""
+
     lines: list[CostPerUnit]
-    void: list[str]  # a line each
+    void: list[str]
+
+    def plus(self, other: "MeasurementResult") -> "MeasurementResult":
+        """Return both results as one."""
+        return MeasurementResult([*self.lines, *other.lines], [*self.void, *other.void])
 
 
 class MeasurementRequest(NamedTuple):
-    """How a part is to be measured."""
+    """How to measure."""
 
-    say: Say
+    say: Callable[[str], None]  # reports progress
     quick: bool = False
-    together: bool = True  # small worlds side by side
+    together: bool = True  # small fleets side by side
 
 
 class Measurement(NamedTuple):
-    roles: tuple[str, ...]  # that it gives lines of
-    size: str
+    """One load of one role, and how its costs are measured."""
+
+    roles: tuple[str, ...]  # that the results are about
+    load: str
     measure: Callable[[MeasurementRequest], Awaitable[MeasurementResult]]
 
     def name(self) -> str:
-        return f"{self.roles[0]}/{self.size}"
-
-
-def unit_of(figure: str) -> str:
-    if figure in UNITS:
-        return UNITS[figure]
-    for prefix in ("follower_", "children_"):
-        if figure.startswith(prefix):
-            return unit_of(figure.removeprefix(prefix))
-    return "messages a second" if "messages" in figure else "bytes a second"
-
-
-def cost_lines(
-    role: str,
-    size: str,
-    found: Sequence[tuple[float, dict[str, float]]],
-    how: str,
-    still: dict[str, float],
-    note: str = "",
-) -> list[CostPerUnit]:
-    """One line a figure, where there are points enough; none else."""
+        """Return the name that the command line takes."""
+        return f"{self.roles[0]}/{self.load}"
+
+
+def unit_of(metric: str) -> str:
+    """Return the unit of a metric."""
+    if metric in UNITS:
+        return UNITS[metric]
+    for prefix in PREFIXES:
+        if metric.startswith(prefix):
+            return unit_of(metric.removeprefix(prefix))
+    return "messages a second" if "messages" in metric else "bytes a second"
+
+
+class MeasuredLoad(NamedTuple):
+    """What was varied, and what was not."""
+
+    role: str
+    load: str
+    method: str  # how the metrics were read
+    fixed_loads: dict[str, float]
+    note: str = ""
+
+
+def cost_lines(measured: MeasuredLoad, points: Sequence[tuple[float, dict[str, float]]]) -> list[CostPerUnit]:
+    """Fit a line for each metric with enough points; `points` are loads with their metrics."""
+    names = dict.fromkeys(name for _, metrics in points for name in metrics)
     lines = []
-    for figure in dict.fromkeys(key for _, figures in found for key in figures):
-        points = [(at, figures[figure]) for at, figures in found if figure in figures]
+    for name in names:
+        values = [(load, metrics[name]) for load, metrics in points if name in metrics]
         try:
-            line = fit(points, GROWTH_RESOLUTION if figure == "memory_growth_bytes" else 0.0)
+            lines.append(_cost_line(measured, name, values))
         except TooFewPointsError:
             continue
-        lines.append(
-            CostPerUnit(
-                role=role,
-                figure=figure,
-                size=size,
-                unit=unit_of(figure),
-                points=points,
-                intercept=line.intercept,
-                slope=line.slope,
-                residual=line.residual,
-                contradicted=line.contradicted,
-                measured_to=max(at for at, _ in points),
-                still=still,
-                how=how,
-                note=note,
-            )
-        )
     return lines
+
+
+def _cost_line(measured: MeasuredLoad, metric: str, points: list[tuple[float, float]]) -> CostPerUnit:
+    fit = fit_line(points, GROWTH_RESOLUTION if metric == GROWTH_METRIC else 0.0)
+    return CostPerUnit(
+        role=measured.role,
+        metric=metric,
+        load=measured.load,
+        unit=unit_of(metric),
+        points=points,
+        intercept=fit.intercept,
+        slope=fit.slope,
+        residual=fit.residual,
+        contradicted=fit.contradicted,
+        max_load=max(load for load, _ in points),
+        fixed_loads=measured.fixed_loads,
+        method=measured.method,
+        note=measured.note,
+    )
--- a/ploverspoke/testbed/capacity/measurements/store_replica.py
+++ b/ploverspoke/testbed/capacity/measurements/store_replica.py
@@ -21,7 +21,7 @@
 from ...processes.resource_usage import ResourceUsage
 from .dispatcher import SEED, settled_interval
 from .measurement_fleet import Act, MeasurementFleet, growth, run_fleet
-from .parts import Measurement, MeasurementRequest, MeasurementResult, cost_lines
+from .parts import MeasuredLoad, Measurement, MeasurementRequest, MeasurementResult, cost_lines
 
 SIZES = (3, 5)  # replicas
 SECRET = b"a secret of the testbed's own"  # the stage's
@@ -145,7 +145,7 @@
         points = [(size, figures) for size, figures, why in seen if not why]
         still = {"replicas": float(replicas)}
         note = "; ".join(f"void: {text}" for text in void)
-        lines = cost_lines("store replica", "commits_a_second", points, HOW, still, note)
+        lines = cost_lines(MeasuredLoad("store replica", "commits_a_second", HOW, still, note), points)
         found = MeasurementResult([*found.lines, *lines], [*found.void, *void])
     return found
 
@@ -171,7 +171,9 @@
         asked.say(f"store replica, kept_state {size:g}: {told['memory_bytes'] / 1e6:.1f} MB")
         points.append((float(size), {key: float(value) for key, value in told.items()}))
     note = "; ".join(f"void: {text}" for text in void)
-    return MeasurementResult(cost_lines("store replica", "kept_state", points, KEPT_HOW, {}, note), void)
+    return MeasurementResult(
+        cost_lines(MeasuredLoad("store replica", "kept_state", KEPT_HOW, {}, note), points), void
+    )
 
 
 async def _away(
@@ -223,7 +225,7 @@
         points = [(size, figures) for size, figures, why in seen if not why]
         note = "; ".join(f"void: {text}" for text in void)
         still = {"replicas": 3.0, "snapshot_every": float(snapshot_every)}
-        lines = cost_lines("store replica", "missed_entries", points, AWAY_HOW, still, note)
+        lines = cost_lines(MeasuredLoad("store replica", "missed_entries", AWAY_HOW, still, note), points)
         found = MeasurementResult([*found.lines, *lines], [*found.void, *void])
     return found
 
--- a/ploverspoke/testbed/capacity/measurements/tools.py
+++ b/ploverspoke/testbed/capacity/measurements/tools.py
@@ -24,7 +24,7 @@
 from ...processes.running_process import ProcessStartError
 from ...scenarios.lease_scenario import LeaseFleet, LeaseScenario
 from .dispatcher import SEED, report_listener, settled_interval
-from .parts import Measurement, MeasurementRequest, MeasurementResult, cost_lines
+from .parts import MeasuredLoad, Measurement, MeasurementRequest, MeasurementResult, cost_lines
 
 HOW = "one run: the kernel's account when it ended (wait4), VmHWM while it ran; bytes are not counted"
 STANDING_HOW = "schedstat and /proc/PID/status of the supervisor, of its children as children_*"
@@ -131,7 +131,7 @@
     void = [f"{role}, {size} {at:g}: {why}" for at, _, why in seen if why]
     note = "; ".join(f"void: {text}" for text in void)
     points = [(at, figures) for at, figures, why in seen if not why]
-    return MeasurementResult(cost_lines(role, size, points, how, still, note), void)
+    return MeasurementResult(cost_lines(MeasuredLoad(role, size, how, still, note), points), void)
 
 
 async def fleet_summary(asked: MeasurementRequest) -> MeasurementResult:
--- a/ploverspoke/testbed/capacity/scenario_results.py
+++ b/ploverspoke/testbed/capacity/scenario_results.py
@@ -1,4 +1,4 @@
-"""The plays file: what the scale tests found, one entry for each run."""
+"""Results of the scale tests, and the file that keeps them. The encoded names are those of the file."""
 
 from pathlib import Path
 
@@ -8,41 +8,56 @@
 
 
 class ScenarioResultsError(ValueError):
-    """The file holds no plays of this format; the text says why."""
+    """The file holds no results of this format."""
 
+    def __init__(self, path: Path, reason: str) -> None:
+        """`reason` says what is wrong with the file."""
+        super().__init__(f"{path}: {reason}")
+        self.path = path
+        self.reason = reason
 
-class ScenarioResult(msgspec.Struct, frozen=True, kw_only=True):
-    play: str  # "peak", "zone lost", ...
+
+class ScenarioResult(
+    msgspec.Struct,
+    frozen=True,
+    kw_only=True,
+    rename={"scenario": "play", "simulated": "hollow", "metrics": "figures"},
+):
+    """One run of one scenario."""
+
+    scenario: str  # "peak", "zone lost", ...
     seed: int
     dispatchers: int
     processes: int = 0
-    hollow: bool = True
-    void: str = ""  # why the run proves nothing; empty: it counts
-    figures: dict[str, float | None] = {}  # None: void or not had
+    simulated: bool = True  # several dispatchers in a process
+    void: str = ""  # why the run proves nothing; empty where it does
+    metrics: dict[str, float | None] = {}  # None: void, or not measured
     held: list[str] = []
     failed: list[str] = []
     note: str = ""
 
 
-class ScenarioResults(msgspec.Struct, frozen=True, kw_only=True):
+class ScenarioResults(msgspec.Struct, frozen=True, kw_only=True, rename={"date": "at", "commit": "text"}):
+    """All runs, as the file keeps them."""
+
     format: int
-    at: str
-    text: str  # the commit that was played
+    date: str
+    commit: str  # that was run
     machine: str
     runs: list[ScenarioResult]
 
 
-NONE = ScenarioResults(format=FORMAT, at="", text="", machine="", runs=[])
+NO_RESULTS = ScenarioResults(format=FORMAT, date="", commit="", machine="", runs=[])
 
 
 def read_scenario_results(path: Path) -> ScenarioResults:
-    """Raises ScenarioResultsError."""
+    """Read a file of results. Raises ScenarioResultsError."""
     try:
-        found: ScenarioResults = msgspec.json.decode(path.read_bytes(), type=ScenarioResults)
+        results: ScenarioResults = msgspec.json.decode(path.read_bytes(), type=ScenarioResults)
     except OSError as error:
-        raise ScenarioResultsError(f"{path}: {error.strerror}") from None
+        raise ScenarioResultsError(path, error.strerror or str(error)) from error
     except msgspec.DecodeError as error:
-        raise ScenarioResultsError(f"{path}: no plays: {error}") from None
-    if found.format != FORMAT:
-        raise ScenarioResultsError(f"{path}: format {found.format}, this version reads {FORMAT}")
-    return found
+        raise ScenarioResultsError(path, f"no plays: {error}") from error
+    if results.format != FORMAT:
+        raise ScenarioResultsError(path, f"format {results.format}, this version reads {FORMAT}")
+    return results
--- a/ploverspoke/testbed/capacity/table.py
+++ b/ploverspoke/testbed/capacity/table.py
@@ -1,33 +1,33 @@
-"""The whole table: rows of the size, budgets, what each role costs, and which mechanism is missing first.
+"""The whole capacity table: requirements, budgets, costs of each role, and what is missing first.
 
-Without I/O. The rows are worked out twice: as they were without the distribution of configuration, by which
-it was chosen, and as they are with it.
+The requirements are assessed twice: without the distribution of configuration, by which it was chosen, and
+with it.
 """
 
 from collections.abc import Sequence
 
 import msgspec
 
-from .budgets import FIGURES, WATCHING, BudgetRow, budget_rows, figure_of
-from .estimate import Figure, along
+from .budgets import METRICS, WATCHING, BudgetRow, budget_rows, estimate_kind
+from .estimate import Estimate, estimate_line
 from .fleet_size import FleetSize
 from .measured_costs import CostPerUnit, MeasuredCosts
-from .rows import Facts, Row, size_rows
+from .requirement import Facts, Requirement
+from .requirements import assess_requirements
 from .scenario_results import ScenarioResults
 from .verdicts import HOLDS, UNMET
-from .workload import PEAK, SITUATIONS, Amount, aside, workload
+from .workload import PEAK, SITUATIONS, Amount, temporary_loads, workload
 
-SERVER = "config server"
-MOVES = 0.05  # a figure that changes by no more than this over all that was measured does not go by that size
-# Who carries each role: module and page.
+MIN_CHANGE = 0.05  # share of a metric; one that changes less over all that was measured is independent
+# What carries each role: module and page.
 ROLES = {
     "dispatcher": "`routing/`, `decisions/` (`docs/architecture.md`)",
     WATCHING: "`config_distribution/watcher.py` (`docs/distribution.md`); a whole one, idle",
-    "discovery": "the platform's; `routing/endpoint_watch.py` asks it (`docs/architecture.md`)",
-    "worker": "the platform's; `routing/worker_calls.py` asks it (`docs/architecture.md`)",
+    "discovery": "the platform's; `routing/endpoint_watch.py` calls it (`docs/architecture.md`)",
+    "worker": "the platform's; `routing/worker_calls.py` calls it (`docs/architecture.md`)",
     "keeper": "`leases/manager.py` (`docs/leases.md`)",
     "store replica": "`store/node.py` (`docs/store.md`)",
-    SERVER: "`config_distribution/broadcaster.py` (`docs/distribution.md`)",
+    "config server": "`config_distribution/broadcaster.py` (`docs/distribution.md`)",
     "configuration publisher": (
         "`config_distribution/commands.py` (`docs/distribution.md`), `leases/fleet_tasks.py`"
     ),
@@ -37,121 +37,165 @@
 }
 
 
-class RoleRow(msgspec.Struct, frozen=True, kw_only=True):
+class RoleRow(msgspec.Struct, frozen=True, kw_only=True, rename={"loads": "state", "estimates": "figures"}):
+    """What one role costs under the same loads."""
+
     role: str
     dispatchers: int
-    situations: list[str]  # in which it meets these sizes
-    state: str
-    figures: dict[str, Figure]  # by "messages", "core", "memory", "bytes", "growth"
+    situations: list[str]  # that have these loads
+    loads: str  # as a text
+    estimates: dict[str, Estimate]  # by the kinds of METRICS
 
 
-class Further(msgspec.Struct, frozen=True, kw_only=True):
-    """A figure that only some roles have, along one size, at the peak."""
+class RoleMetric(
+    msgspec.Struct,
+    frozen=True,
+    kw_only=True,
+    rename={"metric": "figure", "load": "size", "fixed_loads": "still", "estimates": "at"},
+):
+    """A metric that only some roles have, along one load, at the peak."""
 
     role: str
-    figure: str
+    metric: str
     unit: str
-    size: str
-    still: dict[str, float]
-    at: dict[int, Figure]  # by dispatchers
+    load: str
+    fixed_loads: dict[str, float]
+    estimates: dict[int, Estimate]  # by the number of dispatchers
+
+
+class MissingMechanism(msgspec.Struct, frozen=True, kw_only=True, rename={"priority": "letter"}):
+    """A requirement that does not hold."""
 
+    row: str  # its key
+    priority: str
+    needed_by: list[str]  # keys of requirements that need its mechanism
 
-class Choice(msgspec.Struct, frozen=True, kw_only=True):
-    row: str
-    letter: str
-    needed_by: list[str]
 
+class CapacityTable(
+    msgspec.Struct,
+    frozen=True,
+    kw_only=True,
+    rename={"requirements": "rows", "role_metrics": "further"},
+):
+    """All that the page shows. The encoded names are those of the command's JSON."""
 
-class Table(msgspec.Struct, frozen=True, kw_only=True):
     fleet: FleetSize
-    before: list[Row]  # without the distribution of configuration
-    rows: list[Row]
+    before: list[Requirement]  # without the distribution of configuration
+    requirements: list[Requirement]
     budget: list[BudgetRow]
     roles: list[RoleRow]
-    further: list[Further]
-    missing: list[Choice]  # of `before`, the first first
-    missing_now: list[Choice]
+    role_metrics: list[RoleMetric]
+    missing: list[MissingMechanism]  # of `before`, the first to build first
+    missing_now: list[MissingMechanism]
 
-    def row(self, key: str) -> Row:
-        return next(row for row in self.rows if row.key == key)
+    def requirement(self, key: str) -> Requirement:
+        """Return the requirement with that key."""
+        return next(each for each in self.requirements if each.key == key)
 
-    def wanting(self) -> list[Row]:
-        """What does not hold, or was not measured."""
-        return [row for row in self.rows if row.verdict != HOLDS]
+    def unmet(self) -> list[Requirement]:
+        """Return what does not hold, or was not measured."""
+        return [each for each in self.requirements if each.verdict != HOLDS]
 
 
-def choose(rows: Sequence[Row]) -> list[Choice]:
-    """The rows that do not hold, first the one to mend first: a before b before c, then by how many others
-    need its mechanism, then as they stand. What was not measured is none of them; the page names it.
-    """
-    needed = {row.key: [other.key for other in rows if row.key in dict(other.needs)] for row in rows}
-    unmet = [row for row in rows if row.verdict in UNMET]
-    unmet.sort(key=lambda row: (row.letter, -len(needed[row.key])))
-    return [Choice(row=row.key, letter=row.letter, needed_by=needed[row.key]) for row in unmet]
-
+def order_missing(requirements: Sequence[Requirement]) -> list[MissingMechanism]:
+    """Order the requirements that do not hold, the one to build first at the front.
 
-def role_rows(fleet: FleetSize, slopes: MeasuredCosts) -> list[RoleRow]:
-    """Situations in which a role meets the same sizes share a row; sizes that were measured, at least."""
-    found = []
+    By priority, then by how many others need its mechanism, then as they stand. What was not measured is none
+    of them; the page names it.
+    """
+    needed_by = {
+        each.key: [other.key for other in requirements if each.key in dict(other.needs)]
+        for each in requirements
+    }
+    unmet = [each for each in requirements if each.verdict in UNMET]
+    unmet.sort(key=lambda each: (each.priority, -len(needed_by[each.key])))
+    return [
+        MissingMechanism(row=each.key, priority=each.priority, needed_by=needed_by[each.key])
+        for each in unmet
+    ]
+
+
+def role_rows(fleet: FleetSize, costs: MeasuredCosts) -> list[RoleRow]:
+    """Return the costs of each role; situations with the same measured loads share a row."""
+    rows = []
     for role in ROLES:
+        measured = {line.load for line in costs.lines if line.role == role}
         for dispatchers in fleet.size.dispatchers:
             situations: dict[str, list[str]] = {}
-            sizes: dict[str, dict[str, Amount]] = {}
+            loads: dict[str, dict[str, Amount]] = {}
             for situation in SITUATIONS:
-                met = workload(fleet, dispatchers, situation)[role]
-                known = {line.size for line in slopes.lines if line.role == role}
-                told = (f"{of.value:.4g} {name}" for name, of in met.items() if of.value and name in known)
-                state = ", ".join(told)
-                situations.setdefault(state, []).append(situation)
-                sizes[state] = met
-            found += [
+                amounts = workload(fleet, dispatchers, situation)[role]
+                text = _describe_loads(amounts, measured)
+                situations.setdefault(text, []).append(situation)
+                loads[text] = amounts
+            rows += [
                 RoleRow(
                     role=role,
                     dispatchers=dispatchers,
-                    situations=situations[state],
-                    state=state.replace("_", " "),
-                    figures={kind: figure_of(slopes, role, kind, sizes[state]) for kind in FIGURES},
+                    situations=situations[text],
+                    loads=text.replace("_", " "),
+                    estimates={kind: estimate_kind(costs, role, kind, loads[text]) for kind in METRICS},
                 )
-                for state in situations
+                for text in situations
             ]
-    return found
+    return rows
 
 
-def further_rows(fleet: FleetSize, slopes: MeasuredCosts) -> list[Further]:
-    """Those that are no figure of all roles; in the worst second of a failure, for one."""
-    common = {name for names in FIGURES.values() for name in names}
-    lines: dict[tuple[str, ...], CostPerUnit] = {}
-    for line in slopes.lines:
-        most = max(abs(value) for _, value in line.points)
-        if line.figure in common or abs(line.slope * line.measured_to) <= MOVES * most:
-            continue
-        # Of lines that differ in how much stood beside them only: five keepers in place of three.
-        beside = (line.role, line.figure, line.size, *sorted(line.still))
-        if beside not in lines or sum(line.still.values()) > sum(lines[beside].still.values()):
-            lines[beside] = line
-    found = []
-    for line in lines.values():
-        at = {}
+def _describe_loads(amounts: dict[str, Amount], measured: set[str]) -> str:
+    texts = (
+        f"{amount.value:.4g} {name}" for name, amount in amounts.items() if amount.value and name in measured
+    )
+    return ", ".join(texts)
+
+
+def role_metrics(fleet: FleetSize, costs: MeasuredCosts) -> list[RoleMetric]:
+    """Return the metrics that not all roles have, as those of the worst second of a failure."""
+    rows = []
+    for line in _role_metric_lines(costs):
+        estimates = {}
         for dispatchers in fleet.size.dispatchers:
-            met = {**aside(fleet), **workload(fleet, dispatchers, PEAK).get(line.role, {})}
-            if (amount := met.get(line.size)) is not None:
-                at[dispatchers] = along(line, amount)
-        row = {"role": line.role, "figure": line.figure, "unit": line.unit, "size": line.size}
-        found.append(Further(**row, still=line.still, at=at))
-    return found
-
-
-def make_table(fleet: FleetSize, slopes: MeasuredCosts, plays: ScenarioResults) -> Table:
-    budget = budget_rows(fleet, slopes)
-    before = size_rows(Facts(fleet, slopes, plays, budget, False))
-    rows = size_rows(Facts(fleet, slopes, plays, budget, True))
-    return Table(
+            loads = {**temporary_loads(fleet), **workload(fleet, dispatchers, PEAK).get(line.role, {})}
+            if line.load in loads:
+                estimates[dispatchers] = estimate_line(line, loads[line.load])
+        rows.append(
+            RoleMetric(
+                role=line.role,
+                metric=line.metric,
+                unit=line.unit,
+                load=line.load,
+                fixed_loads=line.fixed_loads,
+                estimates=estimates,
+            )
+        )
+    return rows
+
+
+def _role_metric_lines(costs: MeasuredCosts) -> list[CostPerUnit]:
+    """Choose lines; of those that differ only in the amounts of fixed loads, the one with the largest."""
+    common = {name for names in METRICS.values() for name in names}
+    chosen: dict[tuple[str, ...], CostPerUnit] = {}
+    for line in costs.lines:
+        largest = max(abs(value) for _, value in line.points)
+        if line.metric in common or abs(line.slope * line.max_load) <= MIN_CHANGE * largest:
+            continue
+        key = (line.role, line.metric, line.load, *sorted(line.fixed_loads))
+        if key not in chosen or sum(line.fixed_loads.values()) > sum(chosen[key].fixed_loads.values()):
+            chosen[key] = line
+    return list(chosen.values())
+
+
+def make_table(fleet: FleetSize, costs: MeasuredCosts, results: ScenarioResults) -> CapacityTable:
+    """Assess a fleet by measured costs and results of scenarios."""
+    budget = budget_rows(fleet, costs)
+    before = assess_requirements(Facts(fleet, costs, results, budget, False))
+    requirements = assess_requirements(Facts(fleet, costs, results, budget, True))
+    return CapacityTable(
         fleet=fleet,
         before=before,
-        rows=rows,
+        requirements=requirements,
         budget=budget,
-        roles=role_rows(fleet, slopes),
-        further=further_rows(fleet, slopes),
-        missing=choose(before),
-        missing_now=choose(rows),
+        roles=role_rows(fleet, costs),
+        role_metrics=role_metrics(fleet, costs),
+        missing=order_missing(before),
+        missing_now=order_missing(requirements),
     )
--- a/ploverspoke/testbed/checkers/scale_checker.py
+++ b/ploverspoke/testbed/checkers/scale_checker.py
@@ -206,7 +206,7 @@
         )
         v.demand(not lost, f"running tasks live through a restart of their dispatcher ({lost} did not)")
     if seen.changes:
-        within = fleet.size.configuration_in_force_within / MILLISECOND
+        within = fleet.size.config_applied_within / MILLISECOND
         never, last = int(figures["changes_never_in_force"]), figures.get("in_force_at_the_last_ms", 0.0)
         v.demand(
             not never and last <= within,
--- a/ploverspoke/testbed/commands/measure_costs.py
+++ b/ploverspoke/testbed/commands/measure_costs.py
@@ -49,11 +49,11 @@
     """Return those of the named roles or `role/load`; all where none is named. Raises UnknownRoleError."""
     chosen: set[int] = set()
     for word in words:
-        role, _, size = word.partition("/")
+        role, _, load = word.partition("/")
         matching = [
             number
             for number, measurement in enumerate(measurements)
-            if role in measurement.roles and size in ("", measurement.size)
+            if role in measurement.roles and load in ("", measurement.load)
         ]
         if not matching:
             raise UnknownRoleError(word)
@@ -65,9 +65,9 @@
     """Replace old costs of the same role and load by the fresh ones; the others stay."""
     if old is None:
         return fresh
-    measured = {(line.role, line.size) for line in fresh.lines}
-    kept = [line for line in old.lines if (line.role, line.size) not in measured]
-    lines = sorted([*kept, *fresh.lines], key=lambda line: (line.role, line.size))
+    measured = {(line.role, line.load) for line in fresh.lines}
+    kept = [line for line in old.lines if (line.role, line.load) not in measured]
+    lines = sorted([*kept, *fresh.lines], key=lambda line: (line.role, line.load))
     return msgspec.structs.replace(fresh, lines=lines)
 
 
@@ -76,14 +76,14 @@
     lines: list[CostPerUnit] = []
     void: list[str] = []
     for measurement in measurements:
-        load = f"load of the machine at the start {os.getloadavg()[0]:.1f}"
-        request.say(f"{measurement.name()}: {load}")
+        machine_load = f"load of the machine at the start {os.getloadavg()[0]:.1f}"
+        request.say(f"{measurement.name()}: {machine_load}")
         try:
             result = await measurement.measure(request)
         except CapacityError as error:
             result = MeasurementResult([], [f"{measurement.name()}: {error}"])
         for line in result.lines:
-            note = "; ".join(text for text in (line.note, load) if text)
+            note = "; ".join(text for text in (line.note, machine_load) if text)
             lines.append(msgspec.structs.replace(line, note=note))
         void += result.void
     return MeasurementResult(lines, void)
@@ -95,8 +95,8 @@
     memory = os.sysconf("SC_PHYS_PAGES") * os.sysconf("SC_PAGE_SIZE") / GIBIBYTE
     return MeasuredCosts(
         format=FORMAT,
-        at=datetime.date.today().isoformat(),
-        text=commit.stdout.strip() or "unknown",
+        date=datetime.date.today().isoformat(),
+        commit=commit.stdout.strip() or "unknown",
         machine=f"{len(os.sched_getaffinity(0))} cores, {memory:.0f} GB",
         lines=lines,
     )
@@ -146,7 +146,7 @@
 
 
 def _describe_contradicted(line: CostPerUnit) -> str:
-    return f"{line.role}, {line.figure} against {line.size}: residual {line.residual:.0%}"
+    return f"{line.role}, {line.metric} against {line.load}: residual {line.residual:.0%}"
 
 
 def _print_costs(fresh: MeasuredCosts, void: list[str], contradicted: list[str], as_json: bool) -> None:
--- /dev/null
+++ b/ploverspoke/testbed/reports/capacity_page/__init__.py
@@ -0,0 +1,1 @@
+"""The capacity table as Markdown for `docs/CAPACITY.md` and as plain text for a terminal."""
--- /dev/null
+++ b/ploverspoke/testbed/reports/capacity_page/page.py
@@ -0,0 +1,87 @@
+"""The page as a whole, its place in a Markdown file, and the same for a terminal."""
+
+from ...capacity.measured_costs import MeasuredCosts
+from ...capacity.scenario_results import ScenarioResults
+from ...capacity.table import CapacityTable
+from .answer import answer_lines
+from .reservations import assumption_table, note_lines, reservation_lines
+from .tables import (
+    budget_table,
+    machine_tables,
+    needs_table,
+    requirement_table,
+    role_metric_table,
+    role_tables,
+    scenario_table,
+)
+
+BEGIN, END = "<!-- capacity: begin -->", "<!-- capacity: end -->"
+LEGEND = (
+    "Marks: **m** measured, **w** worked out from measured slopes, **a** rests on an assumption, too; `*` a "
+    "slope was used beyond\nthe sizes that were measured; `!` the points contradict the fit, and the larger "
+    "of the fit and the worst measured ratio was\ntaken; `+` something else adds to it that was not measured."
+    " KB and MB are 1,000 and 1,000,000 bytes, both ways together."
+)
+
+
+class CapacityPageError(ValueError):
+    """The page has no place for the table."""
+
+    def __init__(self) -> None:
+        """The text names the markers."""
+        super().__init__(f"expected {BEGIN} and {END} in it, once each")
+
+
+def render_markdown(table: CapacityTable, costs: MeasuredCosts, results: ScenarioResults) -> str:
+    """Return the text between the markers of the page."""
+    measured = f"Slopes measured at {costs.commit}, {costs.date}, on {costs.machine}."
+    sections = {
+        "The answer": answer_lines(table),
+        "The lines of the size": [
+            *requirement_table(table),
+            "",
+            "Which row needs what another lacks:",
+            "",
+            *needs_table(table),
+        ],
+        "The budget of a dispatcher": [LEGEND, "", *budget_table(table)],
+        "Each role, on a day and in the worst minute of each failure": [
+            *role_tables(table),
+            "Figures that only some roles have, along one size at the peak:",
+            "",
+            *role_metric_table(table)[:-1],
+        ],
+        "The machines": machine_tables(table, costs),
+        "The scale tests": scenario_table(results),
+        "How far it was stretched, and what was assumed": [
+            measured,
+            "",
+            *reservation_lines(table),
+            *note_lines(costs),
+            *assumption_table(),
+        ],
+    }
+    parts = ["\n".join([f"## {heading}", "", *lines]) for heading, lines in sections.items()]
+    return "\n\n".join(parts) + "\n"
+
+
+def render_plain(table: CapacityTable) -> str:
+    """Return the answer and the verdicts for a terminal."""
+    lines = [line.replace("**", "") for line in answer_lines(table)]
+    lines += ["", *(f"{each.verdict:<13} {each.line}: {each.design}" for each in table.requirements)]
+    return "\n".join(lines)
+
+
+def replace_between_markers(page: str, text: str) -> str:
+    """Return the page with the text between its markers. Raises CapacityPageError."""
+    head, found, rest = page.partition(BEGIN)
+    _, ended, tail = rest.partition(END)
+    if not found or not ended or BEGIN in rest:
+        raise CapacityPageError
+    return f"{head}{BEGIN}\n{text}{END}{tail}"
+
+
+def text_between_markers(page: str) -> str:
+    """Return what stands between the markers. Raises CapacityPageError."""
+    replace_between_markers(page, "")
+    return page.partition(BEGIN)[2].partition(END)[0].removeprefix("\n")
--- a/ploverspoke/testbed/reports/cost_tables.py
+++ b/ploverspoke/testbed/reports/cost_tables.py
@@ -27,12 +27,12 @@
 
 def _cells(line: CostPerUnit) -> list[str]:
     return [
-        f"{line.figure} ({line.unit})",
-        line.size,
-        " ".join(f"{key}={value:g}" for key, value in line.still.items()),
+        f"{line.metric} ({line.unit})",
+        line.load,
+        " ".join(f"{key}={value:g}" for key, value in line.fixed_loads.items()),
         f"{line.intercept:.4g}",
         f"{line.slope:.4g}",
         f"{line.residual:.1%}",
-        f"{line.measured_to:g}",
+        f"{line.max_load:g}",
         "CONTRADICTED" if line.contradicted else "",
     ]
--- a/ploverspoke/testbed/scenarios/scale_phases.py
+++ b/ploverspoke/testbed/scenarios/scale_phases.py
@@ -67,10 +67,10 @@
 def read_scale_scenarios(fleet: FleetSize) -> ScaleScenarios:
     """Raises FleetFileError, naming the key."""
     try:
-        found = msgspec.convert(fleet.play, ScaleScenarios, dec_hook=_span_hook)
+        found = msgspec.convert(fleet.scenarios, ScaleScenarios, dec_hook=_span_hook)
     except msgspec.ValidationError as error:
         text = str(error).replace("`$.", "`play.").replace("`$`", "`play`")
-        raise FleetFileError(text if "`play" in text else f"{text} - at `play`") from None
+        raise FleetFileError("", text if "`play" in text else f"{text} - at `play`") from None
     _check(fleet, found)
     return found
 
@@ -84,7 +84,7 @@
 def _check(fleet: FleetSize, plays: ScaleScenarios) -> None:
     def must(holds: bool, key: str, why: str) -> None:
         if not holds:
-            raise FleetFileError(f"play.{key}: {why}")
+            raise FleetFileError(f"play.{key}", why)
 
     for key in (
         "dispatchers",
@@ -155,7 +155,7 @@
     urgent = plays.urgent_mean
     mean = (running / starts * SECOND - plays.urgent_share * urgent) / (1 - plays.urgent_share)
     if mean <= 0:
-        raise FleetFileError(f"play: {play.name}: so few tasks run that ordinary ones would last no time")
+        raise FleetFileError("play", f"{play.name}: so few tasks run that ordinary ones would last no time")
     ordinary = Duration(int(mean))
     begins = Duration(ordinary + 5 * SECOND)  # as many run by then as will
     lasts = Duration(begins + play.lasts)
--- a/tests/testbed/capacity/test_measured_costs.py
+++ b/tests/testbed/capacity/test_measured_costs.py
@@ -6,7 +6,7 @@
 import pytest
 from click.testing import CliRunner
 
-from ploverspoke.testbed.capacity.linear_fit import TooFewPointsError, fit
+from ploverspoke.testbed.capacity.linear_fit import TooFewPointsError, fit_line
 from ploverspoke.testbed.capacity.measured_costs import (
     CostFileError,
     CostPerUnit,
@@ -17,6 +17,7 @@
 from ploverspoke.testbed.capacity.measurements.dispatcher import Stretch, reload, report_listener
 from ploverspoke.testbed.capacity.measurements.measurement_fleet import run_fleet
 from ploverspoke.testbed.capacity.measurements.parts import (
+    MeasuredLoad,
     Measurement,
     MeasurementRequest,
     MeasurementResult,
@@ -29,55 +30,58 @@
 
 
 def test_a_straight_line_is_found_and_a_bent_one_contradicted() -> None:
-    line = fit([(1, 5.0), (2, 7.0), (10, 23.0)])
+    line = fit_line([(1, 5.0), (2, 7.0), (10, 23.0)])
     assert line.intercept == pytest.approx(3) and line.slope == pytest.approx(2)
     assert line.residual < 1e-9 and not line.contradicted
-    bent = fit([(1, 1.0), (10, 100.0), (100, 10_000.0)])
+    bent = fit_line([(1, 1.0), (10, 100.0), (100, 10_000.0)])
     assert bent.contradicted and bent.residual > 0.15
 
 
 def test_a_fit_that_is_just_over_the_limit_is_contradicted() -> None:
     # Three points at even steps, the middle one off: weights of nearly 1 share it out, a third on each end.
-    assert not fit([(0, 1.0), (1, 1.2), (2, 1.0)]).contradicted
-    assert fit([(0, 1.0), (1, 1.5), (2, 1.0)]).contradicted
+    assert not fit_line([(0, 1.0), (1, 1.2), (2, 1.0)]).contradicted
+    assert fit_line([(0, 1.0), (1, 1.5), (2, 1.0)]).contradicted
 
 
 def test_flat_lines_and_points_at_nothing() -> None:
-    flat = fit([(100, 4.0), (300, 4.0), (980, 4.0)])
+    flat = fit_line([(100, 4.0), (300, 4.0), (980, 4.0)])
     assert flat.slope == pytest.approx(0, abs=1e-12) and flat.intercept == pytest.approx(4)
-    assert fit([(1, 0.0), (2, 0.0), (3, 0.0)]) == (0.0, 0.0, 0.0, False)
-    assert fit([(0, 0.0), (1, 2.0), (2, 4.0)]).residual < 1e-9
+    assert fit_line([(1, 0.0), (2, 0.0), (3, 0.0)]) == (0.0, 0.0, 0.0, False)
+    assert fit_line([(0, 0.0), (1, 2.0), (2, 4.0)]).residual < 1e-9
 
 
 def test_what_is_finer_than_can_be_read_contradicts_nothing() -> None:
     points = [(1.0, 10.0), (2.0, 0.0), (3.0, 10.0)]
-    assert fit(points).contradicted and not fit(points, resolution=10.0).contradicted
+    assert fit_line(points).contradicted and not fit_line(points, resolution=10.0).contradicted
 
 
 def test_two_sizes_make_no_fit() -> None:
     with pytest.raises(TooFewPointsError):
-        fit([(1, 1.0), (2, 2.0)])
+        fit_line([(1, 1.0), (2, 2.0)])
     with pytest.raises(TooFewPointsError):
-        fit([(1, 1.0), (1, 1.1), (2, 2.0), (2, 2.1)])
-    assert cost_lines("r", "s", [(1.0, {"core_share": 1.0}), (2.0, {"core_share": 2.0})], "", {}) == []
+        fit_line([(1, 1.0), (1, 1.1), (2, 2.0), (2, 2.1)])
+    assert (
+        cost_lines(MeasuredLoad("r", "s", "", {}), [(1.0, {"core_share": 1.0}), (2.0, {"core_share": 2.0})])
+        == []
+    )
 
 
 def lines(role: str, size: str, slope: float) -> list[CostPerUnit]:
     return cost_lines(
-        role, size, [(x, {"core_share": slope * x}) for x in (1.0, 2.0, 3.0)], "how", {"k": 1.0}
+        MeasuredLoad(role, size, "how", {"k": 1.0}), [(x, {"core_share": slope * x}) for x in (1.0, 2.0, 3.0)]
     )
 
 
 def slopes(*found: CostPerUnit) -> MeasuredCosts:
-    return MeasuredCosts(format=1, at="2026-12-02", text="abc", machine="8 cores", lines=list(found))
+    return MeasuredCosts(format=1, date="2026-12-02", commit="abc", machine="8 cores", lines=list(found))
 
 
 def test_the_file_reads_back_and_says_what_is_wrong_with_it(tmp_path: Path) -> None:
     path = tmp_path / "slopes.json"
     write_measured_costs(slopes(*lines("dispatcher", "tasks_running", 2.0)), path)
     (line,) = read_measured_costs(path).of("dispatcher", "core_share")
-    assert (line.unit, line.measured_to, line.points[0]) == ("cores", 3.0, (1.0, 2.0))
-    assert line.still == {"k": 1.0} and line.slope == pytest.approx(2.0)
+    assert (line.unit, line.max_load, line.points[0]) == ("cores", 3.0, (1.0, 2.0))
+    assert line.fixed_loads == {"k": 1.0} and line.slope == pytest.approx(2.0)
     path.write_text(path.read_text().replace('"format": 1', '"format": 9'))
     with pytest.raises(CostFileError, match="format 9"):
         read_measured_costs(path)
@@ -92,7 +96,7 @@
 def test_a_later_call_replaces_only_the_sizes_that_it_measured() -> None:
     old = slopes(*lines("dispatcher", "a", 1.0), *lines("dispatcher", "b", 1.0), *lines("keeper", "a", 1.0))
     new = measure_costs.merge_costs(old, slopes(*lines("dispatcher", "a", 5.0)))
-    found = {(line.role, line.size): round(line.slope) for line in new.lines}
+    found = {(line.role, line.load): round(line.slope) for line in new.lines}
     assert found == {("dispatcher", "a"): 5, ("dispatcher", "b"): 1, ("keeper", "a"): 1}
     assert measure_costs.merge_costs(None, old) == old
 
--- a/tests/testbed/scale/test_scale.py
+++ b/tests/testbed/scale/test_scale.py
@@ -13,7 +13,7 @@
 from click.testing import CliRunner
 
 from ploverspoke.cli import main
-from ploverspoke.testbed.capacity.fleet_size import FleetFileError, fleet_of
+from ploverspoke.testbed.capacity.fleet_size import FleetFileError, parse_fleet
 from ploverspoke.testbed.checkers.request_audit import SOCKETS_TOLERANCE, VIRTUAL_TOLERANCE, audit_requests
 from ploverspoke.testbed.checkers.scale_checker import (
     ScaleObservations,
@@ -382,12 +382,12 @@
 )
 def test_what_is_wrong_in_the_plays_is_named(changes: dict[str, Any], key: str) -> None:
     with pytest.raises(FleetFileError) as caught:
-        read_scale_scenarios(fleet_of(fleet_with(**changes)))
+        read_scale_scenarios(parse_fleet(fleet_with(**changes)))
     assert key in str(caught.value)
 
 
 def test_a_play_has_the_load_that_the_file_states() -> None:
-    fleet = fleet_of(FLEET)
+    fleet = parse_fleet(FLEET)
     plays = read_scale_scenarios(fleet)
     e = experiment_for(fleet, plays, plays.worlds[0])
     _, running, starts = stages.cores_for(e)
