--- a/ploverspoke/config_distribution/dynamic_config.py
+++ b/ploverspoke/config_distribution/dynamic_config.py
@@ -4,8 +4,6 @@
 a file. Where none did, or no server ever answered, it is the file alone.
 """
 
-import asyncio
-import gc
 import os
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
@@ -13,13 +11,16 @@
 from pathlib import Path
 from typing import NamedTuple
 
-import uvloop
-
 from ploverspoke.protocol import admin
 from ploverspoke.service.config import Config, parse_config, read_config_document, without_known_endpoints
-from ploverspoke.service.config_reader import InvalidValueError, JsonDocument, first_missing_key
+from ploverspoke.service.config_reader import (
+    ConfigSection,
+    InvalidValueError,
+    JsonDocument,
+    first_missing_key,
+)
 from ploverspoke.service.exit_codes import run_with_exit_code
-from ploverspoke.service.service import Service
+from ploverspoke.service.service import Service, create_service, run_service
 from ploverspoke.service.startup import block_signals
 from ploverspoke.transport.rate_limited_log import log_line
 
@@ -98,7 +99,9 @@
         service, before = self.service, self.service.config
         try:
             new = self.own.with_body(version.body)
-            service.config = before._replace(document=without_known_endpoints(self.own.document))
+            service.config = before._replace(
+                document=without_known_endpoints(ConfigSection(self.own.document).value)
+            )
             service.apply_config(new)
         except ValueError as error:
             service.config = before
@@ -159,16 +162,12 @@
     watch_config = read_watch_config(watch_file)
     own = read_own_config(os.environ)
     config, applied = initial_config(own, watch_config)
-    loop = uvloop.new_event_loop()
-    asyncio.set_event_loop(loop)
-    service = Service(loop, config)
+    service = create_service(config)
     service.inherit_socket(os.environ)
     client = attach_watch(service, watch_config, own, applied)
     service.on_ready = client.start
-    gc.collect()
-    gc.freeze()
     try:
-        loop.run_until_complete(service.run())
+        run_service(service)
     finally:
         client.close()
 
--- a/ploverspoke/decisions/endpoint_polling.py
+++ b/ploverspoke/decisions/endpoint_polling.py
@@ -9,6 +9,7 @@
 
 FIRST_BACKOFF_NS = 250 * MILLISECOND
 MAX_DOUBLINGS = 5
+BACKOFFS_PER_POLL_INTERVAL = 4  # at the least
 MAX_BACKOFF_NS = 3 * SECOND
 MAX_BACKOFF_AFTER_REJECTION_NS = 5 * SECOND  # less than the delay after which a change is binding
 # While the list is valid a backoff takes only a part of the time left, so that several calls come before it
@@ -109,7 +110,9 @@
 
     def _backoff(self, is_rejected: bool, now: int) -> Backoff:
         """Exponential backoff with jitter, shortened where the list expires soon."""
-        longest = min(self.context.settings.discovery_poll_interval // 4, MAX_BACKOFF_NS)
+        longest = min(
+            self.context.settings.discovery_poll_interval // BACKOFFS_PER_POLL_INTERVAL, MAX_BACKOFF_NS
+        )
         delay = min(FIRST_BACKOFF_NS << min(self.failures, MAX_DOUBLINGS), longest)
         reason, max_jitter = "it grows with each failure", MAX_JITTER
         if is_rejected:
--- a/ploverspoke/decisions/endpoint_updates.py
+++ b/ploverspoke/decisions/endpoint_updates.py
@@ -35,7 +35,8 @@
         # Where only a drain is binding, the list does not show who is up: a worker listed as gone is probed.
         is_probed = is_gone and not worker.drained and self.context.settings.only_draining_is_binding
         ready = endpoint.condition is EndpointCondition.READY or is_probed
-        if (ready, *endpoint[1:3]) != (worker.ready, *before[1:3]):
+        is_moved = (endpoint.zone, endpoint.machine_kind) != (before.zone, before.machine_kind)
+        if ready != worker.ready or is_moved:
             self.choice.clear_cached_tiers()
         worker.endpoint = endpoint
         worker.ready = ready
--- a/ploverspoke/decisions/gossip.py
+++ b/ploverspoke/decisions/gossip.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 
 from .context import Context
-from .gossip_state import BusyWorkers, KnownPeers, PeerReports
+from .gossip_state import SEQUENCE_MODULUS, BusyWorkers, KnownPeers, PeerReports
 from .interface import LoadGossip
 from .observations import StartLateness
 from .state import MILLISECOND, SECOND, PeriodicTimer, Worker
@@ -54,7 +54,7 @@
             zone, lateness = self.context.settings.zone, self.lateness.current(now)
             gossip = LoadGossip(zone, self.sequence, lateness, held)
             self.context.actions.send_gossip(None if to_all else peers, gossip)
-            self.last_sent, self.sent_at, self.sequence = held, now, self.sequence % 255 + 1
+            self.last_sent, self.sent_at, self.sequence = held, now, self.sequence % SEQUENCE_MODULUS + 1
         self.next_send_at = self.sent_at + SEND_INTERVAL_NS if held else 0
         if held:
             self.context.timers.start(PeriodicTimer.GOSSIP, self.next_send_at)
--- a/ploverspoke/decisions/state.py
+++ b/ploverspoke/decisions/state.py
@@ -11,6 +11,8 @@
 MILLISECOND = 1_000_000
 SECOND = 1_000_000_000
 RECENT_ENDS = 8  # of attempts at a worker
+LOG_BURST_LINES = 40
+LOG_INTERVAL_NS = 10 * SECOND  # for each further line
 LONG_AGO_NS = -3600 * SECOND
 RECENT_SLOWDOWNS = 8  # of requests at a worker
 RECENT_RUNNING_TIMES = 16  # of a queue
@@ -250,7 +252,9 @@
 class LimitedLog:
     """Log for the person on call, limited since a flood would hide what matters."""
 
-    def __init__(self, actions: DispatchActions, lines: int = 40, interval: int = 10 * SECOND) -> None:
+    def __init__(
+        self, actions: DispatchActions, lines: int = LOG_BURST_LINES, interval: int = LOG_INTERVAL_NS
+    ) -> None:
         """Write so many lines at once, and one more for each `interval` ns."""
         self.actions = actions
         self.lines = lines
--- a/ploverspoke/protocol/discovery.py
+++ b/ploverspoke/protocol/discovery.py
@@ -1,7 +1,7 @@
 """HTTP with discovery: requests for changes of the endpoint list, and the lists in its responses."""
 
 from collections.abc import Callable, Mapping
-from typing import NamedTuple
+from typing import NamedTuple, TypedDict
 
 import httptools
 
@@ -10,7 +10,7 @@
 from . import wire_names as wire
 from .errors import EndpointListError, HttpSyntaxError, WatchRejectedError
 from .http_messages import HttpMessageReader, encode_head
-from .json_values import JsonValue, is_finite, parse_json
+from .json_values import is_finite, parse_json
 
 MAX_LIST_SIZE = 1024 * 1024  # bytes; in memory a parsed list takes ten times as many
 OVERLOADED = (429, 503)  # statuses
@@ -38,6 +38,14 @@
         self.entries_before = entries_before
 
 
+class EndpointListDocument(TypedDict):
+    """An endpoint list in the JSON form that discovery gives and configurations hold."""
+
+    version: int
+    full: bool  # false: only the entries that changed
+    servers: list[dict[str, object]]
+
+
 class EndpointList(NamedTuple):
     """The answer to a watch request."""
 
@@ -84,7 +92,7 @@
     return parse_endpoint_list(parse_json(body))
 
 
-def parse_endpoint_list(document: JsonValue) -> EndpointList:
+def parse_endpoint_list(document: object) -> EndpointList:
     """Return the list in a JSON document. Raises EndpointListError."""
     if not isinstance(document, Mapping):
         raise EndpointListError(reason="the list is no JSON object")
@@ -101,7 +109,7 @@
     return EndpointList(version, is_complete, parsed)
 
 
-def _parse_entry(entry: JsonValue) -> EndpointEntry:
+def _parse_entry(entry: object) -> EndpointEntry:
     if not isinstance(entry, Mapping):
         raise EndpointListError(reason="an entry of the list is no object")
     name, address = entry.get(wire.ENDPOINT_NAME), entry.get(wire.ENDPOINT_ADDRESS, "")
--- a/ploverspoke/service/config.py
+++ b/ploverspoke/service/config.py
@@ -8,10 +8,10 @@
 from dataclasses import replace
 from pathlib import Path
 from types import MappingProxyType
-from typing import NamedTuple
+from typing import NamedTuple, cast
 
 from ploverspoke.decisions.settings import DeploymentNames, Settings
-from ploverspoke.protocol.discovery import parse_endpoint_list
+from ploverspoke.protocol.discovery import EndpointListDocument, parse_endpoint_list
 from ploverspoke.protocol.errors import EndpointListError
 from ploverspoke.transport.units import MEBIBYTE
 
@@ -20,8 +20,9 @@
 
 CONFIG_VARIABLE = "RELAY_CONFIG"
 DEFAULT_NAME = "dispatcher"
-DEFAULT_SOCKETS, FEWEST_SOCKETS = 1024, 64
-DEFAULT_MEMORY_MB, LEAST_MEMORY_MB = 192, 32
+DEFAULT_SOCKETS, MIN_SOCKETS = 1024, 64
+DEFAULT_MEMORY_MB, MIN_MEMORY_MB = 192, 32
+SEED_BASE = 16
 
 # Logged and printed where `Config.lacks_peers`.
 NO_PEERS = "messages are permitted and cannot be sent: the configuration has no addresses (peers)"
@@ -38,7 +39,7 @@
     seed: int
     descriptor_limit: int  # open descriptors of the whole process
     memory_limit: int  # bytes, of the whole process
-    known_endpoints: JsonObject | None  # the latest known endpoint list, in discovery's form
+    known_endpoints: EndpointListDocument | None  # the latest known endpoint list
     settings: Settings
     names: DeploymentNames
     document: JsonObject = NO_KEYS  # the file as it was read, without the endpoint list
@@ -63,11 +64,12 @@
             key=CONFIG_VARIABLE, problem="is not set: expected the path of the configuration"
         )
     try:
-        return json.loads(Path(path).read_text(encoding="utf-8"))
+        document: JsonDocument = json.loads(Path(path).read_text(encoding="utf-8"))
     except OSError as error:
         raise ConfigError(key=CONFIG_VARIABLE, problem=f"{path} cannot be read: {error.strerror}") from error
     except (ValueError, RecursionError) as error:
         raise ConfigError(key=CONFIG_VARIABLE, problem=f"{path} is no JSON: {error}") from error
+    return document
 
 
 def parse_config(document: JsonDocument, environment: Mapping[str, str]) -> Config:
@@ -89,8 +91,8 @@
         admin_address=_parse_admin_address(top, environment.get("RELAY_ADMIN_ADDR")),
         discovery=top.text("discovery", environment.get("RELAY_DISCOVERY")),
         seed=seed,
-        descriptor_limit=limits.integer("sockets", DEFAULT_SOCKETS, least=FEWEST_SOCKETS),
-        memory_limit=limits.integer("memory_mb", DEFAULT_MEMORY_MB, least=LEAST_MEMORY_MB) * MEBIBYTE,
+        descriptor_limit=limits.integer("sockets", DEFAULT_SOCKETS, least=MIN_SOCKETS),
+        memory_limit=limits.integer("memory_mb", DEFAULT_MEMORY_MB, least=MIN_MEMORY_MB) * MEBIBYTE,
         known_endpoints=known_endpoints,
         settings=replace(settings, gossip_allowed=bool(peers)),
         names=parse_names(top.value["settings"], "settings"),
@@ -114,12 +116,12 @@
 def _parse_seed(top: ConfigSection) -> int:
     text = top.text("seed", "0")
     try:
-        return int(text, 16)
+        return int(text, SEED_BASE)
     except ValueError as error:
         raise top.invalid("seed", "a hexadecimal number in a text") from error
 
 
-def _parse_known_endpoints(top: ConfigSection) -> JsonObject | None:
+def _parse_known_endpoints(top: ConfigSection) -> EndpointListDocument | None:
     known = top.value.get("known")
     if known is None:
         return None
@@ -127,8 +129,7 @@
         parse_endpoint_list(known)
     except EndpointListError as error:
         raise top.invalid("known", f"a list in discovery's form ({error})") from error
-    known_endpoints: JsonObject = known
-    return known_endpoints
+    return cast(EndpointListDocument, known)
 
 
 def _parse_peers(top: ConfigSection, settings: Settings) -> list[Address]:
--- a/ploverspoke/service/config_reader.py
+++ b/ploverspoke/service/config_reader.py
@@ -6,19 +6,19 @@
 
 import ipaddress
 from collections.abc import Mapping
-from typing import Any, NamedTuple, TypeAlias, TypeVar
+from typing import NamedTuple, TypeAlias, TypeVar
 
 from ploverspoke.protocol.json_values import is_finite
 from ploverspoke.transport.units import MICROSECOND
 
-JsonDocument: TypeAlias = Any  # a JSON document or part of one that has not been checked yet
-JsonObject: TypeAlias = Mapping[str, Any]  # an object of such a document
+JsonDocument: TypeAlias = object  # a JSON document or part of one that has not been checked yet
+JsonObject: TypeAlias = Mapping[str, object]  # an object of such a document
 
 Choice = TypeVar("Choice")
 Value = TypeVar("Value")
 
 LAST_PORT = 65535
-LONGEST_MESSAGE = 300  # characters of an error that quotes a value: the value may be of any length
+MAX_MESSAGE_LENGTH = 300  # characters of an error that quotes a value: the value may be of any length
 
 
 class ConfigError(ValueError):
@@ -125,7 +125,7 @@
         """Return (not raise) the error for the key `name`; `expected` says what the value should be."""
         found = "is missing" if name not in self.value else f"is {self.value[name]!r}"
         return InvalidValueError(
-            key=self.key_path(name), problem=f"{found}: expected {expected}", longest=LONGEST_MESSAGE
+            key=self.key_path(name), problem=f"{found}: expected {expected}", longest=MAX_MESSAGE_LENGTH
         )
 
     def _get(self, name: str, default: JsonDocument) -> JsonDocument:
--- a/ploverspoke/service/handover.py
+++ b/ploverspoke/service/handover.py
@@ -1,6 +1,6 @@
-"""Tells how many processes of one dispatcher live, as two do while one replaces the other.
+"""Counts the live processes of one dispatcher: there are two while one replaces the other.
 
-Each holds a lock on a file of its own in a directory that all of them know. The system releases the lock when
+Each holds a lock on a file of its own in a directory that they share. The system releases the lock when
 the process ends, however it ends: a file without a lock belongs to a dead process and counts for nothing.
 """
 
@@ -12,6 +12,8 @@
 
 FILE_PREFIX = "ploverspoke-"
 NO_DESCRIPTOR = -1
+SUFFIX_BYTES = 4  # of a file's name, random
+FILE_MODE = 0o600
 
 
 class ProcessRegistry:
@@ -31,10 +33,10 @@
         """
         if self.directory is None:
             return False
-        file_name = f"{FILE_PREFIX}{os.getpid()}-{os.urandom(4).hex()}"
+        file_name = f"{FILE_PREFIX}{os.getpid()}-{os.urandom(SUFFIX_BYTES).hex()}"
         hidden = self.directory / f".{file_name}"
         try:
-            self.lock_descriptor = os.open(hidden, os.O_CREAT | os.O_RDWR | os.O_CLOEXEC, 0o600)
+            self.lock_descriptor = os.open(hidden, os.O_CREAT | os.O_RDWR | os.O_CLOEXEC, FILE_MODE)
             fcntl.flock(self.lock_descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
             # Locked before it becomes visible: another process would take it for a dead one's.
             hidden.rename(self.directory / file_name)
@@ -55,7 +57,7 @@
         try:
             paths = list(self.directory.iterdir())
         except OSError:
-            return 0  # asked again in a moment; meanwhile the process counts as the only one
+            return 0  # the next count follows soon; until then the process counts as the only one
         return sum(
             _is_locked(path)
             for path in paths
@@ -76,7 +78,7 @@
 
 
 def _is_locked(path: Path) -> bool:
-    """Tell whether the file's process lives; the file of a dead one is removed."""
+    """Whether the file's process lives; the file of a dead one is removed."""
     try:
         descriptor = os.open(path, os.O_RDWR | os.O_CLOEXEC)
     except OSError:
--- a/ploverspoke/service/inherited_socket.py
+++ b/ploverspoke/service/inherited_socket.py
@@ -6,8 +6,8 @@
 from .config_reader import InvalidValueError
 
 VARIABLE = "RELAY_PASSED_SOCKET"
-MOST_DIGITS = 7  # of a descriptor's number
-LONGEST_MESSAGE = 200  # characters of an error that quotes the variable
+MAX_DIGITS = 7  # of a descriptor's number
+MAX_MESSAGE_LENGTH = 200  # characters of an error that quotes the variable
 
 
 def inherited_socket(environment: Mapping[str, str]) -> socket.socket | None:
@@ -22,9 +22,9 @@
     invalid = InvalidValueError(
         key=VARIABLE,
         problem=f"is {value!r}: expected the number of a descriptor that listens for TCP",
-        longest=LONGEST_MESSAGE,
+        longest=MAX_MESSAGE_LENGTH,
     )
-    if not (value.isascii() and value.isdigit() and len(value) <= MOST_DIGITS):
+    if not (value.isascii() and value.isdigit() and len(value) <= MAX_DIGITS):
         raise invalid
     try:
         inherited = socket.socket(fileno=int(value))
--- a/ploverspoke/service/key_tracking.py
+++ b/ploverspoke/service/key_tracking.py
@@ -4,7 +4,7 @@
 
 from .config_reader import JsonDocument, JsonObject
 
-# The list of workers is in discovery's form and has keys of its own: it is not looked into.
+# The list of workers is in discovery's form and has keys of its own, which are not tracked.
 UNTRACKED_PATH = "known"
 
 
@@ -26,7 +26,7 @@
         return self.value[key]
 
     def __contains__(self, key: object) -> bool:
-        """Tell whether the key is there; this alone does not count as reading it."""
+        """Whether the key is there; this alone does not count as reading it."""
         return key in self.value
 
     def __iter__(self) -> Iterator[str]:
--- a/ploverspoke/service/migration.py
+++ b/ploverspoke/service/migration.py
@@ -6,17 +6,19 @@
 import copy
 import json
 import os
-from collections.abc import Mapping, Sequence
+from collections.abc import Sequence
 from dataclasses import dataclass
 from enum import StrEnum
 from pathlib import Path
-from typing import Any
+from typing import TypeAlias, cast
 
 from .config import parse_config, read_config_document
-from .config_reader import ConfigError, JsonObject
+from .config_reader import ConfigError, ConfigSection, JsonObject
 from .key_tracking import TrackedObject
 
-# Keys that mean nothing where workers are neither probed nor report load: section, key.
+MutableJsonObject: TypeAlias = dict[str, object]
+
+# Keys without effect where workers are neither probed nor report load: section, key.
 UNUSED_KEYS = (("Domain", "ReportX0"), ("Domain", "ReportX1"), ("Tariffs", "Probe"))
 
 
@@ -73,9 +75,9 @@
         `peers` are the addresses of all dispatchers in the order of `SlotNo`; empty: load gossip stays as
         it is.
         """
-        self.document: dict[str, Any] = copy.deepcopy(dict(old))
-        self.settings: dict[str, Any] = self.document["settings"]
-        self.limits: dict[str, Any] = self.settings.setdefault("Limits", {})
+        self.document: MutableJsonObject = copy.deepcopy(dict(old))
+        self.settings = cast(MutableJsonObject, self.document["settings"])
+        self.limits = cast(MutableJsonObject, self.settings.setdefault("Limits", {}))
         self.peers = list(peers)
         self.notes: list[MigrationNote] = []
 
@@ -96,15 +98,16 @@
             self._changed("settings.Limits.Probing", "workers may not be probed: false")
 
     def _turn_off_reports(self) -> None:
-        report = self.settings.get("Report", {})
+        report = _object(self.settings, "Report")
         if report.get("Via", "off") != "off":
             self.settings["Report"] = {"Via": "off", "Fields": []}
             self._changed("settings.Report", f"workers report no load: was {json.dumps(report)}")
 
     def _drop_unused_keys(self) -> None:
         for section, key in UNUSED_KEYS:
-            if key in self.settings.get(section, {}):
-                old_value = json.dumps(self.settings[section].pop(key))
+            values = _object(self.settings, section)
+            if key in values:
+                old_value = json.dumps(values.pop(key))
                 reason = f"nothing is reported or probed: was {old_value}"
                 self.notes.append(MigrationNote(NoteKind.DROPPED, f"settings.{section}.{key}", reason))
 
@@ -122,10 +125,15 @@
             )
 
 
+def _object(parent: JsonObject, key: str) -> MutableJsonObject:
+    """The object under a key of a checked document; an empty one where the key is missing."""
+    return cast(MutableJsonObject, parent.get(key, {}))
+
+
 def missing_settings(document: JsonObject) -> list[MigrationNote]:
     """Return a note for each setting that the new shape needs and the document lacks."""
-    settings = document["settings"]
-    domain, limits = settings.get("Domain", {}), settings["Limits"]
+    settings = _object(document, "settings")
+    domain, limits = _object(settings, "Domain"), _object(settings, "Limits")
     missing = []
     if not domain.get("TellsStart"):
         missing.append(("Domain.TellsStart", "workers must announce starts: nothing else shows a queue"))
@@ -137,7 +145,7 @@
         missing.append(("Limits.Cancel", "an attempt that waits too long cannot be cancelled"))
     if limits.get("Peers") and not document.get("peers"):
         missing.append(("Limits.Peers", "no addresses for load gossip: give them with --peer"))
-    if limits.get("Peers") and "Peer" not in settings.get("Tariffs", {}):
+    if limits.get("Peers") and "Peer" not in _object(settings, "Tariffs"):
         missing.append(("Tariffs.Peer", "the price of a message: without it all peers of the zone get each"))
     return [MigrationNote(NoteKind.TO_SUPPLY, f"settings.{key}", reason) for key, reason in missing]
 
@@ -150,9 +158,10 @@
     be no valid configuration, or `new` exists or cannot be written.
     """
     document = read_config_document({"RELAY_CONFIG": str(old)})
-    tracked = TrackedObject(document) if isinstance(document, Mapping) else document
+    old_settings = ConfigSection(document).value
+    tracked = TrackedObject(old_settings)
     parse_config(tracked, {})
-    migration = Migration(document, peers)
+    migration = Migration(old_settings, peers)
     migration.run()
     notes = [
         *migration.notes,
--- a/ploverspoke/service/service.py
+++ b/ploverspoke/service/service.py
@@ -33,18 +33,18 @@
 from .shutdown import ShutdownSchedule, shutdown_schedule
 from .startup import BLOCKED_SIGNALS, block_signals
 
-FIRST_LIST_TIMEOUT = 1500 * MILLISECOND  # for discovery's first answer, where a predecessor serves meanwhile
+FIRST_LIST_TIMEOUT = 1500 * MILLISECOND  # for discovery's first answer, while a predecessor serves
 FIRST_LIST_CHECK_INTERVAL = 20 * MILLISECOND
 PROCESS_COUNT_INTERVAL = 250 * MILLISECOND
 
 
 class Service:
-    """One dispatcher: its servers, its router and what it does on signals.
+    """One dispatcher: its servers, its router and its signal handlers.
 
-    Attributes that whoever builds it may set before `run`:
+    Attributes that may be set before `run`:
         load_config: Reads the configuration again at SIGHUP; may raise ConfigError.
-        listening_socket: An inherited listening socket, to be used instead of an own one.
-        process_registry: Where the processes of this dispatcher see one another.
+        listening_socket: An inherited listening socket, used in place of a new one.
+        process_registry: The registry in which the processes of this dispatcher find one another.
         on_ready: Called when clients can connect.
     """
 
@@ -108,7 +108,7 @@
             log_line(NO_PEERS)
         has_predecessor = self.process_count > 1
         document = self.config.known_endpoints
-        known = None if document is None else parse_endpoint_list(dict(document))
+        known = None if document is None else parse_endpoint_list(document)
         self.router.start(known, resume=not has_predecessor)
         if has_predecessor:
             await self._first_list()
@@ -132,14 +132,14 @@
         self.on_ready()
 
     async def _first_list(self) -> None:
-        """Wait for discovery's first answer: until this process is ready its predecessor serves."""
+        """Wait for discovery's first answer; the predecessor serves until this process listens."""
         until = self.deadlines.now() + FIRST_LIST_TIMEOUT
         endpoints = self.router.endpoints
         while not endpoints.lists_received and self.deadlines.now() < until and not self.shutdown_began_at:
             await asyncio.sleep(FIRST_LIST_CHECK_INTERVAL / SECOND)
 
     def _update_process_count(self) -> None:
-        """Split the limits anew: they are one dispatcher's, however many processes it has for the moment."""
+        """Divide the limits of the dispatcher among the processes that it has at the moment."""
         process_count = 1 + self.process_registry.others()
         if process_count != self.process_count:
             log_line(f"processes={process_count}: each has its part of the descriptors and of the memory")
@@ -153,7 +153,7 @@
     # ---- A new configuration ----
 
     def _reload_config(self) -> None:
-        """Read the configuration again and apply it; a bad one changes nothing."""
+        """Read the configuration again and apply it; an invalid one changes nothing."""
         try:
             self.apply_config(self.load_config())
             self.router.counters.configs_accepted += 1
@@ -194,13 +194,13 @@
     # ---- Shutdown ----
 
     def shut_down(self) -> None:
-        """Begin the shutdown: serve what still comes, finish what was admitted, then let `run` return."""
+        """Begin the shutdown: finish the admitted requests, serve late ones, then let `run` return."""
         if self.shutdown_began_at:
             return
         log_line("stopping: finishing the requests that were admitted")
         self.shutdown_began_at = self.deadlines.now()
         if self.router.load_gossip is not None:
-            self.router.load_gossip.close()  # load gossip that still comes is for the successor
+            self.router.load_gossip.close()  # from now on load gossip is for the successor
         shares_socket = self.listening_socket is not None
         self.client_server.leave(hand_over=shares_socket)
         self._continue_shutdown(shutdown_schedule(self.router.settings, shares_socket))
@@ -237,16 +237,29 @@
             log_line(f"new configuration: {key} stays as it was until the next start")
 
 
-def _run() -> None:
-    config = read_config(os.environ)
+def create_service(config: Config) -> Service:
+    """Build a dispatcher on a new event loop, which becomes the current one of this thread."""
     loop = uvloop.new_event_loop()
     asyncio.set_event_loop(loop)
-    service = Service(loop, config)
-    service.inherit_socket(os.environ)
-    # What lives until the end is left out of every later collection, which shortens its pauses.
+    return Service(loop, config)
+
+
+def freeze_startup_objects() -> None:
+    """Exclude what exists now from later garbage collections: it lives to the end, and pauses get shorter."""
     gc.collect()
     gc.freeze()
-    loop.run_until_complete(service.run())
+
+
+def run_service(service: Service) -> None:
+    """Run a service of `create_service` until it has shut down. Raises OSError, see `Service.run`."""
+    freeze_startup_objects()
+    service.loop.run_until_complete(service.run())
+
+
+def _run() -> None:
+    service = create_service(read_config(os.environ))
+    service.inherit_socket(os.environ)
+    run_service(service)
 
 
 def main() -> int:
--- a/ploverspoke/service/settings.py
+++ b/ploverspoke/service/settings.py
@@ -1,6 +1,7 @@
 """Builds the typed settings of the decisions from the operators' names; times become nanoseconds."""
 
 from ploverspoke.decisions.settings import (
+    ANY_MACHINE_KIND,
     DeploymentNames,
     Idempotency,
     LoadReporting,
@@ -11,13 +12,15 @@
 from ploverspoke.protocol.wire_names import LOAD_NAMES
 from ploverspoke.transport.units import MILLISECOND, SECOND
 
-from .config_reader import ConfigSection, JsonObject
+from .config_reader import ConfigSection, JsonDocument
 
-DEFAULT_POLL_INTERVAL = 10 * SECOND  # where no rule gives one; retries of a lost watch are no rarer
+DEFAULT_POLL_INTERVAL = 10 * SECOND  # where no rule gives one; a failed watch is retried at least that often
 DEFAULT_DRAIN_GRACE_US = 500_000  # where no rule gives one
-SHORTEST_POLL_INTERVAL = 200 * MILLISECOND  # pauses follow from it; none would make a busy loop
+DEFAULT_IDLE_TIMEOUT_US = 30_000_000
+DEFAULT_MAX_OPEN_REQUESTS = 10_000
+MIN_POLL_INTERVAL = 200 * MILLISECOND  # backoffs are derived from it and must not be 0
 
-# The operators' words and what they mean.
+# The values of the operators' settings, mapped to ours.
 IDEMPOTENCY = {
     "free": Idempotency.IDEMPOTENT,
     "guarded": Idempotency.IDEMPOTENT_WITH_KEY,
@@ -31,7 +34,7 @@
 }
 
 
-def parse_settings(document: JsonObject, path: str = "") -> Settings:
+def parse_settings(document: JsonDocument, path: str = "") -> Settings:
     """Return the checked `settings` of a configuration; errors name keys below `path`. Raises ConfigError."""
     top = ConfigSection(document, path)
     limits, rules, domain = top.section("Limits"), top.section("Invariants"), top.section("Domain")
@@ -57,8 +60,8 @@
         send_retry_after=limits.boolean("RetryAfter"),
         max_retry_after=limits.duration("MaxRetryAfterUs", 0),
         connect_timeout=limits.duration("ConnectTimeoutUs", 0) or SECOND,
-        idle_timeout=limits.duration("IdleCloseUs", 30_000_000),
-        max_open_requests=limits.integer("MaxOpen", 10_000, least=1),
+        idle_timeout=limits.duration("IdleCloseUs", DEFAULT_IDLE_TIMEOUT_US),
+        max_open_requests=limits.integer("MaxOpen", DEFAULT_MAX_OPEN_REQUESTS, least=1),
         full_may_have_run=rules.boolean("FullMayHaveRun"),
         only_draining_is_binding=rules.boolean("SoftRemoval"),
         warmup_share=rules.number("ColdShare"),
@@ -72,8 +75,8 @@
     )
 
 
-def parse_names(document: JsonObject, path: str = "") -> DeploymentNames:
-    """Read what clients and discovery call things. Raises ConfigError."""
+def parse_names(document: JsonDocument, path: str = "") -> DeploymentNames:
+    """Read the names that clients and discovery use. Raises ConfigError."""
     top = ConfigSection(document, path)
     names: list[str] = []
     for section in top.sections("ServiceGrades", least=1):
@@ -86,7 +89,7 @@
 
 
 def _parse_poll_interval(rules: ConfigSection) -> int:
-    return max(rules.duration("MustAskInUs", 0) or DEFAULT_POLL_INTERVAL, SHORTEST_POLL_INTERVAL)
+    return max(rules.duration("MustAskInUs", 0) or DEFAULT_POLL_INTERVAL, MIN_POLL_INTERVAL)
 
 
 def _parse_classes(
@@ -107,7 +110,7 @@
         [section.choice("Repeat", IDEMPOTENCY) for section in sections],
         [section.choice("Group", RETRY_SCOPES, "all") for section in sections],
         [section.duration("RepeatWindowUs", 0) for section in sections],
-        [int(kind) for kind in domain.values_per_class("ClassKind", -1, count)],
+        [int(kind) for kind in domain.values_per_class("ClassKind", ANY_MACHINE_KIND, count)],
         domain.values_per_class("ClassStretch", 0.0, count),
         [max_attempts] * count,
     )
--- a/ploverspoke/service/shutdown.py
+++ b/ploverspoke/service/shutdown.py
@@ -5,10 +5,15 @@
 from ploverspoke.decisions.settings import Settings
 from ploverspoke.transport.units import MILLISECOND, SECOND
 
-ACCEPT_TIME = 700 * MILLISECOND  # so long the listening socket stays open; connections may still come
-LONGEST_FINISH_TIME = 3 * SECOND  # for admitted requests: the longest deadline, but no more than this
-HANDOVER_SERVE_TIME = 600 * MILLISECOND  # clients are served so long where another process has the socket
-LONGEST_CHECK_INTERVAL = 20 * MILLISECOND
+ACCEPT_TIME = 700 * MILLISECOND  # the listening socket stays open, as clients may still connect
+MAX_FINISH_TIME = 3 * SECOND  # for admitted requests, where the longest deadline is later
+HANDOVER_SERVE_TIME = 600 * MILLISECOND  # for clients, where another process has the socket
+# Of the finish time, in twentieths: when open requests are answered, and when the process exits.
+TWENTIETHS = 20
+ANSWER_AFTER_TWENTIETHS = 18
+EXIT_AFTER_TWENTIETHS = 19
+CHECKS_PER_FINISH_TIME = 100
+MAX_CHECK_INTERVAL = 20 * MILLISECOND
 
 
 @dataclass(frozen=True)
@@ -17,24 +22,24 @@
 
     accept_until: int  # the listening socket stays open, even with no client connected
     serve_until: int  # connected clients may send further requests: nobody else may serve them yet
-    answer_at: int  # whoever still waits is answered
-    exit_at: int  # nobody is waited for any more
-    check_interval: int  # between two looks at what is left
+    answer_at: int  # all open requests are answered
+    exit_at: int  # the process ends, whatever is left
+    check_interval: int  # between two checks of what is left
 
 
 def shutdown_schedule(settings: Settings, shares_socket: bool) -> ShutdownSchedule:
     """Return the schedule under these settings.
 
-    The process may be killed once the request that came last has had the longest deadline of the active
-    classes: all is over before. `shares_socket`: another process has the listening socket too, and each
-    answer sends its client over to it.
+    The process may be killed once the longest deadline of the active classes has passed for the last
+    request: the shutdown ends before. `shares_socket`: another process has the listening socket, too, and
+    each answer makes its client reconnect there.
     """
     longest_deadline = max(settings.classes[number].deadline for number in settings.active_classes)
-    finish_time = min(LONGEST_FINISH_TIME, longest_deadline)
+    finish_time = min(MAX_FINISH_TIME, longest_deadline)
     return ShutdownSchedule(
         accept_until=0 if shares_socket else ACCEPT_TIME,
         serve_until=HANDOVER_SERVE_TIME if shares_socket else ACCEPT_TIME + finish_time // 2,
-        answer_at=ACCEPT_TIME + finish_time * 18 // 20,
-        exit_at=ACCEPT_TIME + finish_time * 19 // 20,
-        check_interval=max(MILLISECOND, min(LONGEST_CHECK_INTERVAL, finish_time // 100)),
+        answer_at=ACCEPT_TIME + finish_time * ANSWER_AFTER_TWENTIETHS // TWENTIETHS,
+        exit_at=ACCEPT_TIME + finish_time * EXIT_AFTER_TWENTIETHS // TWENTIETHS,
+        check_interval=max(MILLISECOND, min(MAX_CHECK_INTERVAL, finish_time // CHECKS_PER_FINISH_TIME)),
     )
--- a/ploverspoke/store/daemon.py
+++ b/ploverspoke/store/daemon.py
@@ -1,10 +1,8 @@
 """The dispatcher as one replica of a store: `service/service.py` with a replicated request log."""
 
 import asyncio
-import gc
 import os
 from pathlib import Path
-from typing import cast
 
 import uvloop
 
@@ -13,10 +11,10 @@
 from ploverspoke.service.config import Config, read_config_document
 from ploverspoke.service.config_reader import ConfigError
 from ploverspoke.service.exit_codes import run_with_exit_code
-from ploverspoke.service.service import Service
+from ploverspoke.service.service import Service, freeze_startup_objects
 from ploverspoke.transport.rate_limited_log import log_line
 
-from .endpoint_cache import EndpointCache, EndpointList
+from .endpoint_cache import EndpointCache
 from .node import StoreNode
 from .request_log import ReplicatedRequestLog
 from .shared_config import merge_config
@@ -44,8 +42,7 @@
             self.shared_body = self.node.saved_configuration()
             self.service = self._build_service(self.read_config())
             self.node.on_configuration = self._apply_configuration
-            gc.collect()
-            gc.freeze()
+            freeze_startup_objects()
             await self.service.run()
         finally:
             await self.node.close()
@@ -60,8 +57,7 @@
         request_log = ReplicatedRequestLog(self.node, settings.classes, settings.full_may_have_run)
         service = Service(asyncio.get_running_loop(), config, request_log)
         service.load_config = self.read_config
-        known_endpoints = cast("EndpointList | None", config.known_endpoints)
-        endpoint_cache = EndpointCache(self.node.save_endpoints, known_endpoints)
+        endpoint_cache = EndpointCache(self.node.save_endpoints, config.known_endpoints)
         service.router.endpoints.on_list = endpoint_cache.update
         request_log.on_lost = service.router.completion.leave_all_to_leader
         return service
--- a/ploverspoke/supervisor/child.py
+++ b/ploverspoke/supervisor/child.py
@@ -1,17 +1,14 @@
 """The entry point of a child process: a dispatcher with its share of the limits on the inherited socket."""
 
-import asyncio
 import os
 import socket
 import sys
 
-import uvloop
-
 from ploverspoke.service.config import Config, read_config
 from ploverspoke.service.config_reader import ConfigError
 from ploverspoke.service.descriptor_limit import descriptor_limit
 from ploverspoke.service.exit_codes import EXIT_OK, EXIT_UNUSABLE, print_error
-from ploverspoke.service.service import Service
+from ploverspoke.service.service import create_service
 from ploverspoke.service.startup import block_signals
 
 from .child_environment import ChildEnvironment
@@ -32,13 +29,11 @@
     except ConfigError as error:
         print_error(error)
         return EXIT_UNUSABLE
-    loop = uvloop.new_event_loop()
-    asyncio.set_event_loop(loop)
-    service = Service(loop, config)
+    service = create_service(config)
     service.load_config = load_config
     service.listening_socket = socket.socket(fileno=child.socket_descriptor)
     service.on_ready = lambda: print("ready", flush=True)  # the supervisor waits for this line
-    loop.run_until_complete(service.run())
+    service.loop.run_until_complete(service.run())
     return EXIT_OK
 
 
--- a/ploverspoke/supervisor/resource_split.py
+++ b/ploverspoke/supervisor/resource_split.py
@@ -2,7 +2,7 @@
 
 from dataclasses import replace
 
-from ploverspoke.service.config import FEWEST_SOCKETS, LEAST_MEMORY_MB, Config
+from ploverspoke.service.config import MIN_MEMORY_MB, MIN_SOCKETS, Config
 from ploverspoke.service.config_reader import Address, ConfigError
 from ploverspoke.transport.units import MEBIBYTE
 
@@ -21,11 +21,11 @@
     if descriptor_limit is not None:
         descriptors = min(descriptors, descriptor_limit)
     memory = (whole.memory_limit - SUPERVISOR_MEMORY) // count
-    if descriptors < FEWEST_SOCKETS:
+    if descriptors < MIN_SOCKETS:
         raise ConfigError(
             key="limits.sockets", problem=f"{whole.descriptor_limit} are too few for {count} processes"
         )
-    if memory < LEAST_MEMORY_MB * MEBIBYTE:
+    if memory < MIN_MEMORY_MB * MEBIBYTE:
         raise ConfigError(
             key="limits.memory_mb",
             problem=f"{whole.memory_limit // MEBIBYTE} are too few for {count} processes",
--- a/tests/service/test_config_reader.py
+++ b/tests/service/test_config_reader.py
@@ -3,7 +3,7 @@
 import pytest
 
 from ploverspoke.service.config_reader import (
-    LONGEST_MESSAGE,
+    MAX_MESSAGE_LENGTH,
     ConfigError,
     ConfigSection,
     InvalidValueError,
@@ -25,7 +25,7 @@
 def test_error_with_a_long_value_is_cut() -> None:
     with pytest.raises(InvalidValueError) as raised:
         ConfigSection({"name": ["x" * 1000]}).text("name")
-    assert len(str(raised.value)) == LONGEST_MESSAGE
+    assert len(str(raised.value)) == MAX_MESSAGE_LENGTH
 
 
 def test_missing_and_null_values_get_the_default() -> None:
--- a/tests/service/test_migration.py
+++ b/tests/service/test_migration.py
@@ -79,7 +79,9 @@
 def test_unread_keys_are_found_at_every_level_but_in_the_list_of_workers() -> None:
     document = {"read": {"a": 1, "b": 2}, "list": [{"c": 3}], "known": {"d": 4}, "unread": 5}
     tracked = TrackedObject(document)
-    assert tracked["read"]["a"] == 1 and len(tracked["list"]) == 1 and tracked["known"] == {"d": 4}
+    read, entries = tracked["read"], tracked["list"]
+    assert isinstance(read, TrackedObject) and isinstance(entries, list)
+    assert read["a"] == 1 and len(entries) == 1 and tracked["known"] == {"d": 4}
     assert "unread" in tracked
     assert sorted(tracked.unread_keys()) == ["list[0].c", "read.b", "unread"]
 
