--- a/ploverspoke/testbed/fakes/worker_server.py
+++ b/ploverspoke/testbed/fakes/worker_server.py
@@ -15,7 +15,7 @@
 from ..models.request_schedule import ScheduledRequest, draw_schedule
 from ..models.worker import Execution, Worker
 from ..models.worker_fleet import RESET_WITHIN, IgnoringListener, WorkerFleet
-from ..processes.addresses import bound
+from ..processes.addresses import bind_without_listening
 from ..processes.capacity_check import descriptor_limit
 from .fake_process import FakeProcess, FakeProcessSpec, send_message
 from .http_wire import LAST_CHUNK, HttpMessage, HttpReader, HttpSyntaxError, encode_chunk, encode_response
@@ -144,10 +144,10 @@
         elif how == "returned" and not run.begun:
             self._write(encode_response(503, "Service Unavailable", b"", "Not-Started: 1\r\n"))
         elif how == "done":
-            first = not (run.begun and self.there.worker.rules.tells_start)
+            first = not (run.begun and self.there.worker.rules.reports_start)
             self._line(run, {"state": "done", "result": f"{run.submission} done"}, first, last=True)
         else:
-            first = not (run.begun and self.there.worker.rules.tells_start)
+            first = not (run.begun and self.there.worker.rules.reports_start)
             self._line(run, {"state": how}, first, last=True)
 
     def _line(self, run: Execution, said: dict[str, Any], first: bool = False, last: bool = False) -> None:
@@ -198,16 +198,16 @@
         self.worker = worker
         zones = range(len(fleet.e.zones()))
         # Within a zone it is the machine's own.
-        self.more = [max(0, fleet.e.one_way(zone, worker.zone) - fleet.e.network.near) for zone in zones]
+        self.more = [max(0, fleet.e.one_way(zone, worker.zone) - fleet.e.network.same_zone) for zone in zones]
         self.connections: set[WorkerConnection] = set()
         self.server: asyncio.Server | None = None
         self.host = fleet.spec.own_hosts["workers"]
-        self.held = bound(self.host, 0)
+        self.held = bind_without_listening(self.host, 0)
         self.port: int = self.held.getsockname()[1]
 
     async def open(self) -> None:
         self.server = await asyncio.get_running_loop().create_server(
-            lambda: WorkerConnection(self), sock=bound(self.host, self.port), backlog=BACKLOG
+            lambda: WorkerConnection(self), sock=bind_without_listening(self.host, self.port), backlog=BACKLOG
         )
 
     def close(self) -> None:
