--- a/ploverspoke/store/daemon.py
+++ b/ploverspoke/store/daemon.py
@@ -3,7 +3,6 @@
 import asyncio
 import os
 from pathlib import Path
-from typing import cast
 
 from ploverspoke.consensus.cluster_config import ReplicaConfig, read_replica_config
 from ploverspoke.consensus.server import run_replica_process
@@ -13,7 +12,7 @@
 from ploverspoke.transport.garbage_collection import freeze_startup_objects
 from ploverspoke.transport.rate_limited_log import log_line
 
-from .endpoint_cache import EndpointCache, EndpointList
+from .endpoint_cache import EndpointCache
 from .node import StoreNode
 from .request_log import ReplicatedRequestLog
 from .shared_config import merge_config
@@ -56,8 +55,7 @@
         request_log = ReplicatedRequestLog(self.node, settings.classes, settings.full_may_have_run)
         service = Service(asyncio.get_running_loop(), config, request_log)
         service.load_config = self.read_config
-        known_endpoints = cast("EndpointList | None", config.known_endpoints)
-        endpoint_cache = EndpointCache(self.node.save_endpoints, known_endpoints)
+        endpoint_cache = EndpointCache(self.node.save_endpoints, config.known_endpoints)
         service.router.endpoints.on_list = endpoint_cache.update
         request_log.on_lost = service.router.completion.leave_all_to_leader
         return service
