--- a/ploverspoke/testbed/capacity/measurements/store_replica.py
+++ b/ploverspoke/testbed/capacity/measurements/store_replica.py
@@ -21,7 +21,7 @@
 from ...processes.resource_usage import ResourceUsage
 from .dispatcher import SEED, settled_interval
 from .measurement_fleet import Act, MeasurementFleet, growth, run_fleet
-from .parts import Measurement, MeasurementRequest, MeasurementResult, cost_lines
+from .parts import MeasuredLoad, Measurement, MeasurementRequest, MeasurementResult, cost_lines
 
 SIZES = (3, 5)  # replicas
 SECRET = b"a secret of the testbed's own"  # the stage's
@@ -66,16 +66,18 @@
 
 
 async def _status(world: MeasurementFleet, number: int) -> dict[str, Any]:
-    place = world.rig.places[f"d{number}"]
-    status = await asyncio.to_thread(call_replica, place.at("peers"), SECRET, StatusRequest(), StatusRow)
+    place = world.rig.addresses[f"d{number}"]
+    status = await asyncio.to_thread(
+        call_replica, place.endpoint("peers"), SECRET, StatusRequest(), StatusRow
+    )
     return dict(status.fields)
 
 
 async def _mark(world: MeasurementFleet) -> Mark:
     count = world.e.dispatchers.count
     status = {n: await _status(world, n) for n in range(count)}
-    await world.rig.ask_relays({"by_link": True})
-    return Mark(time.monotonic(), status, world.rig.counts["octets"])
+    await world.rig.link_faults.read_counters(by_link=True)
+    return Mark(time.monotonic(), status, world.rig.link_faults.counters.bytes_by_link)
 
 
 async def _marked(marks: list[Mark], world: MeasurementFleet) -> None:
@@ -145,7 +147,7 @@
         points = [(size, figures) for size, figures, why in seen if not why]
         still = {"replicas": float(replicas)}
         note = "; ".join(f"void: {text}" for text in void)
-        lines = cost_lines("store replica", "commits_a_second", points, HOW, still, note)
+        lines = cost_lines(MeasuredLoad("store replica", "commits_a_second", HOW, still, note), points)
         found = MeasurementResult([*found.lines, *lines], [*found.void, *void])
     return found
 
@@ -171,7 +173,9 @@
         asked.say(f"store replica, kept_state {size:g}: {told['memory_bytes'] / 1e6:.1f} MB")
         points.append((float(size), {key: float(value) for key, value in told.items()}))
     note = "; ".join(f"void: {text}" for text in void)
-    return MeasurementResult(cost_lines("store replica", "kept_state", points, KEPT_HOW, {}, note), void)
+    return MeasurementResult(
+        cost_lines(MeasuredLoad("store replica", "kept_state", KEPT_HOW, {}, note), points), void
+    )
 
 
 async def _away(
@@ -191,7 +195,7 @@
         name = f"d{gone}"
         applied = before.status[gone]["applied"]
         step = FaultStep(at=Duration(0), what="kill", who=[name], lasts=Duration(int(away * SECOND)))
-        await world.rig.on_process(step, name)  # back, and ready at its door
+        await world.rig.timeline.apply_to_process(step, name)  # back, and ready at its door
         began = time.monotonic()
         # What it had not when it was back at its replicas' port; the link counts from its death on.
         first = before.octets.get(f"d{leader}>{name}", 0)
@@ -223,12 +227,12 @@
         points = [(size, figures) for size, figures, why in seen if not why]
         note = "; ".join(f"void: {text}" for text in void)
         still = {"replicas": 3.0, "snapshot_every": float(snapshot_every)}
-        lines = cost_lines("store replica", "missed_entries", points, AWAY_HOW, still, note)
+        lines = cost_lines(MeasuredLoad("store replica", "missed_entries", AWAY_HOW, still, note), points)
         found = MeasurementResult([*found.lines, *lines], [*found.void, *void])
     return found
 
 
-PARTS = [
+MEASUREMENTS = [
     Measurement(("store replica",), "commits_a_second", commits),
     Measurement(("store replica",), "kept_state", kept_state),
     Measurement(("store replica",), "missed_entries", missed_entries),
--- a/ploverspoke/testbed/checkers/request_audit.py
+++ b/ploverspoke/testbed/checkers/request_audit.py
@@ -134,7 +134,7 @@
             return
         s.hand_offs.append(HandOff(event.at, event.worker, event.detail, event.dispatcher))
         since = self.told.get((event.dispatcher, event.worker))
-        if since is not None and event.at > since + self.e.rules.stop_sending_within + self.slack:
+        if since is not None and event.at > since + self.e.rules.drain_grace + self.slack:
             late = format_duration(event.at - since)
             self.find("3 drains", event, f"sent to {event.worker} {late} after it was told not to be ready")
 
@@ -235,11 +235,11 @@
             )
 
     def _repeats(self, name: str, s: Submission) -> None:
-        grade = self.e.grades[s.grade]
+        grade = self.e.request_classes[s.grade]
         repeat = self.e.rules_at(s.taken_at)[0][s.grade]
         if repeat == "redoable":
             return
-        groups = self.group_of[grade.group]
+        groups = self.group_of[grade.retry_scope]
         first: HandOff | None = None
         for h in s.hand_offs:
             if first is None:
@@ -257,16 +257,16 @@
                     name,
                     "2 repeats",
                     h.came,
-                    f"labelled, to {h.worker} outside the {grade.group} of {first.worker}",
+                    f"labelled, to {h.worker} outside the {grade.retry_scope} of {first.worker}",
                 )
                 return
-            elif h.came - first.came > grade.window + self.slack:
+            elif h.came - first.came > grade.retry_window + self.slack:
                 self.find_for(
                     name, "2 repeats", h.came, f"labelled, to {h.worker} after the window of {first.worker}"
                 )
                 return
         nacked = next((at for at, how in s.answers if how == "nacked"), -1)
-        bound = repeat == "irreversible" or grade.group != "all"
+        bound = repeat == "irreversible" or grade.retry_scope != "all"
         if nacked >= 0 and first is not None and first.came < nacked and bound:
             self.find_for(name, "2 repeats", nacked, f"nacked, though {first.worker} may have run it")
 
@@ -321,7 +321,8 @@
     """One line of a timeline."""
     detail = event.detail
     if event.what == event_records.SENT:
-        detail = f"{e.grades[detail[0]].name} ({e.grades[detail[0]].repeat}), try {detail[1] + 1}"
+        request_class = e.request_classes[detail[0]]
+        detail = f"{request_class.name} ({request_class.idempotency}), try {detail[1] + 1}"
     who = f" d{event.dispatcher}" if event.dispatcher >= 0 else ""
     return f"{event.at / 1e9:11.6f} s  {event.submission:10}{who:5} {event.worker:5} {event.what}: {detail}"
 
--- a/ploverspoke/testbed/checkers/scale_checker.py
+++ b/ploverspoke/testbed/checkers/scale_checker.py
@@ -58,7 +58,7 @@
 
 def scale_metrics(seen: ScaleObservations) -> dict[str, float]:
     e = seen.e
-    begin, end = e.counted_from, e.lasts
+    begin, end = e.measured_from, e.duration
     count = e.dispatchers.count
     found: dict[str, float] = {}
     inside = [sample for sample in seen.samples if begin <= sample.at <= end]
@@ -68,10 +68,12 @@
     found["starts_a_second"] = len(began) / ((end - begin) / SECOND)
     found |= _urgent(seen)
     found["service"] = seen.score.service
-    for name, grade in seen.score.grades.items():
+    for name, grade in seen.score.request_classes.items():
         found[f"service_of_{name}"] = grade.service
-        for how in ("jobs", "nacks", "abandoned", "broken"):
-            found[f"{how}_{name}"] = getattr(grade, how)
+        found[f"jobs_{name}"] = grade.requests
+        found[f"nacks_{name}"] = grade.rejected
+        found[f"abandoned_{name}"] = grade.failed
+        found[f"broken_{name}"] = grade.broken
     found["broken_rules"] = seen.score.broken_rules
     found["fell_over"] = sum(event.what == event_records.FELL for event in seen.events)
     found["log_lines_a_dispatcher"] = seen.log_lines / count
@@ -114,12 +116,12 @@
 
 def urgent_waits(e: Experiment, events: Sequence[Event]) -> list[int]:
     """Of each urgent job of the counted time: ns from when it was due until it began; -1: never."""
-    grade = next((number for number, g in enumerate(e.grades) if g.name == URGENT), -1)
+    grade = next((number for number, g in enumerate(e.request_classes) if g.name == URGENT), -1)
     due: dict[int, int] = {}
     began: dict[int, int] = {}
     for event in events:
         if event.what == event_records.SENT and event.detail[0] == grade and event.detail[1] == 0:
-            if e.counted_from <= event.detail[3] < e.lasts:
+            if e.measured_from <= event.detail[3] < e.duration:
                 due[event.job] = event.detail[3]
         elif event.what == event_records.BEGAN and event.job in due:
             began.setdefault(event.job, event.at)
@@ -198,11 +200,13 @@
         v.demand(holds, text)
     if play.what == "restart":
         lost = sum(
-            int(figures[f"{how}_{grade.name}"]) for how in ("abandoned", "broken") for grade in seen.e.grades
+            int(figures[f"{how}_{grade.name}"])
+            for how in ("abandoned", "broken")
+            for grade in seen.e.request_classes
         )
         v.demand(not lost, f"running tasks live through a restart of their dispatcher ({lost} did not)")
     if seen.changes:
-        within = fleet.size.configuration_in_force_within / MILLISECOND
+        within = fleet.size.config_applied_within / MILLISECOND
         never, last = int(figures["changes_never_in_force"]), figures.get("in_force_at_the_last_ms", 0.0)
         v.demand(
             not never and last <= within,
@@ -214,7 +218,7 @@
 
 def _bounded(seen: ScaleObservations) -> list[tuple[str, bool]]:
     """Of the counted time's last third against its second: what is kept has come to rest."""
-    begin, end = seen.e.counted_from, seen.e.lasts
+    begin, end = seen.e.measured_from, seen.e.duration
     third = (end - begin) // 3
     parts = [
         [s for s in seen.samples if begin + n * third <= s.at < begin + (n + 1) * third] for n in range(3)
@@ -240,7 +244,7 @@
 
 def healing(seen: ScaleObservations, play: ScaleScenario) -> dict[str, float]:
     """What a region's absence has gathered by its end, and what came at once when it was back."""
-    begin = seen.e.counted_from + play.at
+    begin = seen.e.measured_from + play.at
     end = begin + play.away
     before = [s for s in seen.samples if s.at <= begin]
     away = [s for s in seen.samples if begin < s.at <= end]
--- a/ploverspoke/testbed/models/virtual_run.py
+++ b/ploverspoke/testbed/models/virtual_run.py
@@ -128,13 +128,13 @@
         seed = world.streams.seed * 1_000_003 + number * 7919 + start
         true_load = partial(world.true_load, self.zone) if policy == "all-seeing" else None
         self.settings = world.settings[self.zone]
-        self.rows = RequestClassTable([g.name for g in world.e.grades])
+        self.rows = RequestClassTable([g.name for g in world.e.request_classes])
         self.decisions = POLICIES[policy](self, seed, self.settings, true_load)
         self._tell_roster(world.first_list)
         self.decisions.started()
 
     def settings_changed(self, settings: Settings) -> None:
-        names, in_use = [g.name for g in self.world.e.grades], {t.grade for t in self.taken.values()}
+        names, in_use = [g.name for g in self.world.e.request_classes], {t.grade for t in self.taken.values()}
         self.settings, takes_over = self.rows.apply(self.settings, settings, names, in_use)
         self.decisions.settings_changed(self.settings, takes_over)
 
@@ -143,7 +143,7 @@
     @held_while_paused
     def arrived(self, request: ClientRequest) -> None:
         job = request.job
-        grade = self.rows.numbers[self.world.e.grades[job.grade].name]
+        grade = self.rows.numbers[self.world.e.request_classes[job.grade].name]
         taken = Taken(self.next, grade, request)
         self.next += 1
         self.taken[taken.number] = taken
@@ -185,7 +185,7 @@
                 hand_off.timers.append(clock.at(now + one_way, self._reaches, hand_off))
         elif cut or there.frozen:
             hand_off.timers.append(
-                clock.at(now + world.e.network.connect_time_out, self.ended, hand_off, "unreachable")
+                clock.at(now + world.e.network.connect_timeout, self.ended, hand_off, "unreachable")
             )
         elif not there.up:
             hand_off.timers.append(clock.at(now + 2 * one_way, self.ended, hand_off, "unreachable"))
@@ -262,7 +262,7 @@
             self.decisions.probe_completed(worker, AttemptOutcome(outcome), self.clock.time - sent_at, load)
 
     def watch_endpoints(self) -> None:
-        self.clock.at(self.clock.time + self.world.e.network.near, self._call_roster)
+        self.clock.at(self.clock.time + self.world.e.network.same_zone, self._call_roster)
 
     @held_while_paused
     def _call_roster(self) -> None:
@@ -271,7 +271,7 @@
             self.world.roster.call(DiscoveryCall(self.number, self.version, self._roster_said), HOLD)
 
     def _roster_said(self, told: tuple[int, bool, list[EndpointEntry]] | None) -> None:
-        self.clock.at(self.clock.time + self.world.e.network.near, self._tell_roster, told)
+        self.clock.at(self.clock.time + self.world.e.network.same_zone, self._tell_roster, told)
 
     @held_while_paused
     def _tell_roster(self, told: tuple[int, bool, list[EndpointEntry]] | None) -> None:
@@ -426,12 +426,12 @@
         self.roster.unreached = lambda dispatcher: not self.cuts.reaches_discovery(dispatcher % len(zones))
         self.latency = [[e.one_way(a, b) for b in range(len(zones))] for a in range(len(zones))]
         self.settings = self._current_settings()
-        for t in e.troubles:
+        for t in e.faults:
             if isinstance(t, ex.SettingsChanged):
-                self.clock.at(t.at, self._change_settings)
-                self.clock.at(t.at + t.lasts, self._change_settings)
+                self.clock.at(t.start, self._change_settings)
+                self.clock.at(t.start + t.duration, self._change_settings)
         workers = list(self.fleet.workers.values())
-        if e.timeline or e.dispatchers.talk:
+        if e.timeline or e.dispatchers.gossip:
             key = "timeline" if e.timeline else "dispatchers.talk"
             raise ex.ExperimentError(f"{key}: played on sockets only")
         self.fleet_troubles = WorkerFaults(
@@ -462,7 +462,7 @@
 
     def run(self, told: Callable[[int], None] | None = None) -> list[Event]:
         """To the end and until all that was taken must be answered; `told` hears the time once a second."""
-        end = self.e.lasts + max(g.abandon_time for g in self.e.grades) + FINAL_CALM
+        end = self.e.duration + max(g.deadline for g in self.e.request_classes) + FINAL_CALM
         for second in range(SECOND, end + SECOND, SECOND):
             self.clock.run(min(second, end))
             if told is not None:
@@ -491,9 +491,13 @@
     def _send(self, request: ClientRequest) -> None:
         dispatcher = self.dispatchers[request.dispatcher]
         if not dispatcher.alive or dispatcher.leaving:
-            self.clock.at(self.clock.time + 2 * self.e.network.client, self.clients.never_taken, request)
+            self.clock.at(
+                self.clock.time + 2 * self.e.network.client_to_dispatcher, self.clients.never_taken, request
+            )
         else:
-            self.clock.at(self.clock.time + self.e.network.client, self._arrives, request, dispatcher)
+            self.clock.at(
+                self.clock.time + self.e.network.client_to_dispatcher, self._arrives, request, dispatcher
+            )
 
     def _arrives(self, request: ClientRequest, dispatcher: VirtualDispatcher) -> None:
         if request.over:
@@ -507,14 +511,22 @@
     def _client_closed(self, request: ClientRequest) -> None:
         for process in self._processes():
             if process.alive and process.number == request.dispatcher:
-                self.clock.at(self.clock.time + self.e.network.client, self._client_gone, request, process)
+                self.clock.at(
+                    self.clock.time + self.e.network.client_to_dispatcher, self._client_gone, request, process
+                )
 
     def _client_gone(self, request: ClientRequest, dispatcher: VirtualDispatcher) -> None:
         if dispatcher.alive:
             dispatcher.left(request)
 
     def answer(self, request: ClientRequest, how: str, come_back_after: int) -> None:
-        self.clock.at(self.clock.time + self.e.network.client, self._answered, request, how, come_back_after)
+        self.clock.at(
+            self.clock.time + self.e.network.client_to_dispatcher,
+            self._answered,
+            request,
+            how,
+            come_back_after,
+        )
 
     def _answered(self, request: ClientRequest, how: str, come_back_after: int) -> None:
         self.clients.answered(request, how, come_back_after)
--- a/ploverspoke/testbed/scenarios/scale_fleet.py
+++ b/ploverspoke/testbed/scenarios/scale_fleet.py
@@ -12,9 +12,9 @@
 from ..experiment_files import experiment as ex
 from ..experiment_files.durations import SECOND, format_duration
 from ..models.request_schedule import draw_schedule
+from ..processes.addresses import ProcessAddress
 from ..processes.capacity_check import MEBIBYTE, CapacityError, ResourceDemand, free_memory
 from ..processes.child_process import ChildProcess
-from ..processes.rig import ProcessAddress
 from ..processes.running_process import ProcessStartError
 from ..scale import simulated_dispatcher
 from ..scale.dispatcher_host import DispatcherHostSpec
@@ -91,7 +91,7 @@
     def _wants(self) -> list[ResourceDemand]:
         if self.shape.workers > 1 and (
             self.e.store is not None
-            or any(g.repeat == "labelled" and g.group == "all" for g in self.e.grades)
+            or any(g.idempotency == "labelled" and g.retry_scope == "all" for g in self.e.request_classes)
         ):
             raise ex.ExperimentError("worker processes: what all zones share can't be spread over several")
         found = [self._dispatchers_want()]
@@ -128,7 +128,7 @@
         count = self.e.dispatchers.count
         async with asyncio.timeout(LISTS_WITHIN):
             while True:
-                discovery.tell({"who was told": True})
+                discovery.send({"who was told": True})
                 told = (await self._first(discovery)).get("told", 0)
                 if told >= count and await self._listed() >= count:
                     return
@@ -154,12 +154,12 @@
             clients = [one for one in self.latest.values() if "sent" in one]
             if len(clients) < self.shape.clients or sum(one["sent"] for one in clients) < self.jobs:
                 return
-            if told["at"] < self.e.lasts or any(one["out"] for one in clients):
+            if told["at"] < self.e.duration or any(one["out"] for one in clients):
                 self.quiet_since = -1
             elif self.quiet_since < 0:
                 self.quiet_since = told["at"]
             elif told["at"] - self.quiet_since > QUIET:
-                self.rig.all_done.set()
+                self.rig.timeline.finished.set()
 
     async def _sample(self, epoch: int) -> None:
         try:
@@ -167,7 +167,7 @@
                 await asyncio.sleep(max(0, epoch + number * COUNTS_EVERY - time.monotonic_ns()) / SECOND)
                 self.samples.append(await self.sample())
         except (ProcessStartError, OSError) as error:
-            self.rig.faults.append(f"what dispatchers use could not be seen: {error}")
+            self.rig.errors.append(f"what dispatchers use could not be seen: {error}")
 
     async def sample(self) -> UsageSample:
         used = await self.used()
@@ -181,7 +181,7 @@
                 for key in TRAFFIC:
                     there[key] += one[key]
         running = sum(told["running"] for told in self.latest.values() if "running" in told)
-        return UsageSample(self.rig.now(), used, traffic, running)
+        return UsageSample(self.rig.timeline.now(), used, traffic, running)
 
     async def used(self) -> Used:
         raise NotImplementedError
@@ -221,7 +221,7 @@
         spec = self.folder / "hollow.json"
         spec.write_bytes(msgspec.json.encode(DispatcherHostSpec(parts)))
         for part in range(self.shape.hollow):
-            child = await self.rig.child(MODULE, [str(spec), str(part)], log=f"d-hollow-{part}")
+            child = await self.rig.start_child(MODULE, [str(spec), str(part)], log=f"d-hollow-{part}")
             self.children.append(SimulatedDispatcherHost(child))
         for one in self.children:
             await one.listen()
@@ -230,7 +230,7 @@
 
     def _place(self, number: int, place: ProcessAddress) -> simulated_dispatcher.DispatcherAddress:
         return simulated_dispatcher.DispatcherAddress(
-            number, place.name, place.own, str(self.folder / f"{place.name}.json")
+            number, place.name, place.host, str(self.folder / f"{place.name}.json")
         )
 
     def _program(
@@ -247,14 +247,14 @@
 
     def _begins(self, epoch: int, workers: ChildProcess, discovery: ChildProcess) -> None:
         for one in self.children:
-            one.child.tell({"begin": True})
+            one.child.send({"begin": True})
         super()._begins(epoch, workers, discovery)
 
     async def used(self) -> Used:
         told = await asyncio.gather(*(one.counts() for one in self.children))
         late = max(one["late"] for one in told)
         if late > MAX_LATENESS >= self.hollow_late:
-            self.hollow_late_at = self.rig.now()
+            self.hollow_late_at = self.rig.timeline.now()
         self.hollow_late = max(self.hollow_late, late)
         inside: dict[str, int] = {}
         for one in told:
@@ -280,7 +280,7 @@
     """The program in a process of its own, with nothing of the rig's in it but an address to send from."""
 
     def command(self) -> list[str]:
-        return [sys.executable, "-m", f"{MODULE}.single_dispatcher", self.own, self.module]
+        return [sys.executable, "-m", f"{MODULE}.single_dispatcher", self.host, self.module]
 
 
 class RealScaleFleet(ScaleFleet):
@@ -288,7 +288,7 @@
 
     def _dispatchers_want(self) -> ResourceDemand:
         return ResourceDemand(
-            "dispatchers", self.e.dispatchers.count, PROCESS_MEMORY, self.e.dispatchers.sockets
+            "dispatchers", self.e.dispatchers.count, PROCESS_MEMORY, self.e.dispatchers.max_sockets
         )
 
     def _program(
@@ -299,7 +299,7 @@
     async def used(self) -> Used:
         cpu = resident = most = serving = 0
         for program in self.programs:
-            if program.process is None or not program.lives():
+            if program.process is None or not program.is_running():
                 continue
             proc = Path(f"/proc/{program.process.pid}")
             cpu += sum(int(path.read_text().split()[0]) for path in proc.glob("task/*/schedstat"))
@@ -316,10 +316,10 @@
 
 def cores_for(e: ex.Experiment) -> tuple[float, float, float]:
     """Cores that a run wants, with the tasks running and the starts a second at its peak."""
-    starts = max(max(t.rate, t.to_rate or 0.0) * (1 + t.wave) for t in e.traffic)
-    whole = sum(g.share for g in e.grades)
-    running = starts * sum(g.share / whole * g.work.mean / SECOND for g in e.grades)
-    reports = SECOND / e.worker_rules.progress_every
+    starts = max(max(t.rate, t.end_rate or 0.0) * (1 + t.wave_amplitude) for t in e.traffic)
+    whole = sum(g.share for g in e.request_classes)
+    running = starts * sum(g.share / whole * g.work.mean / SECOND for g in e.request_classes)
+    reports = SECOND / e.worker_rules.progress_interval
     needed = running * reports * CORES_A_TASK + starts * CORES_A_START
     return needed + e.dispatchers.count * CORES_A_DISPATCHER, running, starts
 
--- a/tests/config_distribution/test_processes.py
+++ b/tests/config_distribution/test_processes.py
@@ -5,7 +5,7 @@
 import pytest
 from click.testing import CliRunner
 
-from ploverspoke.testbed.commands import experiments
+from ploverspoke.testbed.commands.main import testbed
 from ploverspoke.testbed.experiment_files.durations import MILLISECOND, SECOND, Duration
 from ploverspoke.testbed.processes.fault_timeline import LINK_FAULTS, FaultStep, TimelineError
 from ploverspoke.testbed.scenarios.distribution_scenario import (
@@ -49,7 +49,13 @@
     assert played.verdict.refusals == plan.dispatchers
     done = {event.what for event in played.events if event.who == "rig"}
     expected = {"kill", "pause", "restart", "empty", "older"}
-    assert done >= {"lay", "lift", "reset", "refuses", *(f"{what} is over" for what in expected)}
+    assert done >= {
+        "add fault",
+        "remove fault",
+        "reset",
+        "refuses",
+        *(f"{what} is over" for what in expected),
+    }
     kinds = {event.detail[2] for event in played.events if event.what == "wants"}
     assert kinds == {"good", "refusable", "unacceptable"}
 
@@ -150,7 +156,7 @@
 def test_command_names_the_key_of_an_invalid_experiment(tmp_path: Path) -> None:
     path = tmp_path / "wrong.toml"
     path.write_text('kind = "distribution"\nname = "wrong"\nseeds = [1]\n[plan]\nservers = 4\n')
-    result = CliRunner().invoke(experiments.testbed, ["run", str(path)])
+    result = CliRunner().invoke(testbed, ["run", str(path)])
     assert result.exit_code == 2 and "plan.servers: expected 3 or 5" in result.output
 
 
