--- a/tests/config_distribution/samples.py
+++ b/tests/config_distribution/samples.py
@@ -8,8 +8,6 @@
 from ploverspoke.config_distribution.overlay import canonical_json
 from ploverspoke.config_distribution.state_machine import Version, digest_of
 
-MS = 1_000_000
-S = 1000 * MS
 NO_STATUS = WatchStatus(0, b"", 0, "", 0)
 CLUSTER = "fleet"
 
--- a/tests/config_distribution/test_broadcaster.py
+++ b/tests/config_distribution/test_broadcaster.py
@@ -11,13 +11,14 @@
 from ploverspoke.config_distribution.messages import ServerMessage, VersionMessage, WatchStatus
 from ploverspoke.config_distribution.state_machine import digest_of
 from ploverspoke.config_distribution.watcher_records import WatcherRow
+from ploverspoke.transport.units import MILLISECOND, SECOND
 
-from .samples import MS, NO_STATUS, S, status, version
+from .samples import NO_STATUS, status, version
 
 
 class FakeEnvironment:
     def __init__(self, max_watchers: int = 2000, bytes_per_second: int = 4_000_000, size: int = 200) -> None:
-        self.clock = 100 * S
+        self.clock = 100 * SECOND
         self.size = size
         self.sent: list[tuple[str, ServerMessage]] = []
         self.disconnected: list[str] = []
@@ -53,23 +54,23 @@
     broadcaster = environment.broadcaster
     broadcaster.add_version(version(1))
     broadcaster.on_watch_status("n1", status(1))
-    assert not environment.versions_sent(100 * MS)
+    assert not environment.versions_sent(100 * MILLISECOND)
     for number in range(2, 30):
         broadcaster.add_version(version(number))
-    ((_, first),) = environment.versions_sent(100 * MS)
+    ((_, first),) = environment.versions_sent(100 * MILLISECOND)
     assert (first.version, first.base_digest) == (29, version(1).digest)
     broadcaster.add_version(version(30))
     assert not environment.versions_sent(MIN_VERSION_INTERVAL)  # no status has answered the first one yet
     broadcaster.on_watch_status("n1", status(29))
-    ((_, second),) = environment.versions_sent(10 * MS)
+    ((_, second),) = environment.versions_sent(10 * MILLISECOND)
     assert (second.version, second.base_digest) == (30, version(29).digest)
     broadcaster.on_watch_status("n1", status(30))
     broadcaster.add_version(version(31))
-    assert not environment.versions_sent(MIN_VERSION_INTERVAL - 20 * MS)  # paced
-    assert len(environment.versions_sent(20 * MS)) == 1
+    assert not environment.versions_sent(MIN_VERSION_INTERVAL - 20 * MILLISECOND)  # paced
+    assert len(environment.versions_sent(20 * MILLISECOND)) == 1
     broadcaster.on_watch_status("n1", WatchStatus(31, version(31).digest, 30, "settings.X", 0))
     broadcaster.add_version(version(31))
-    assert not environment.versions_sent(2 * S)  # what it rejects is not sent again
+    assert not environment.versions_sent(2 * SECOND)  # what it rejects is not sent again
     assert broadcaster.watcher_rows()[0] == WatcherRow("n1", 30, 31, "settings.X", 2.0, True)
 
 
@@ -79,13 +80,13 @@
     broadcaster.add_version(version(1))
     broadcaster.on_watch_status("n1", status(1))
     broadcaster.add_version(version(2))
-    again = environment.versions_sent(2 * RESEND_AFTER + 50 * MS)
+    again = environment.versions_sent(2 * RESEND_AFTER + 50 * MILLISECOND)
     assert [message.base_digest is None for _, message in again] == [False, True, True]
     environment.versions_sent(WATCHER_TIMEOUT)
     assert environment.disconnected == ["n1"] and not broadcaster.watchers
     assert broadcaster.watcher_rows()[0].is_connected is False
     broadcaster.on_watch_status("n1", status(1))
-    ((_, message),) = environment.versions_sent(100 * MS)
+    ((_, message),) = environment.versions_sent(100 * MILLISECOND)
     assert message.base_digest is not None and broadcaster.watcher_rows()[0].is_connected is True
 
 
@@ -99,7 +100,7 @@
     broadcaster.on_watch_status("n2", WatchStatus(5, digest_of("another"), 5, "", 0))
     broadcaster.on_watch_status("n3", WatchStatus(9, digest_of("later"), 9, "", 0))
     broadcaster.on_watch_status("n4", WatchStatus(2, b"", 0, "", 0, True))
-    sent = [(name, message.base_digest) for name, message in environment.versions_sent(100 * MS)]
+    sent = [(name, message.base_digest) for name, message in environment.versions_sent(100 * MILLISECOND)]
     assert sent == [("n0", None), ("n1", None), ("n4", None)]
     rejections = {row.name: row.rejection for row in broadcaster.watcher_rows()}
     assert "another version 5" in rejections["n2"] and not rejections["n3"]
@@ -114,9 +115,9 @@
     broadcaster.add_version(version(2))
     broadcaster.tick()
     assert len(environment.sent) == MAX_VERSIONS_PER_TURN
-    got = {name for name, _ in environment.versions_sent(100 * MS)}
+    got = {name for name, _ in environment.versions_sent(100 * MILLISECOND)}
     assert len(got) < 160
-    got |= {name for name, _ in environment.versions_sent(900 * MS)}
+    got |= {name for name, _ in environment.versions_sent(900 * MILLISECOND)}
     assert len(got) == 400 - MAX_VERSIONS_PER_TURN
 
 
--- a/tests/config_distribution/test_fleet.py
+++ b/tests/config_distribution/test_fleet.py
@@ -4,7 +4,8 @@
 
 import pytest
 
-from .samples import MS, S
+from ploverspoke.transport.units import MILLISECOND, SECOND
+
 from .virtual_fleet import VirtualFleet
 
 
@@ -14,12 +15,12 @@
 
 def test_every_watcher_applies_each_version_and_watchers_spread_over_local_servers() -> None:
     fleet = VirtualFleet(5, 100, local_by_half)
-    fleet.run(2 * S)
+    fleet.run(2 * SECOND)
     watching = [len(fleet.servers[name].links) for name in fleet.names]
     assert sum(watching) == 100 and min(watching) >= 8 and sum(watching[:3]) == 50
     for number in range(1, 6):
         fleet.add_version(number)
-        fleet.run(S)
+        fleet.run(SECOND)
         assert set(fleet.applied_versions()) == {number}
     assert fleet.dials() == 100
     assert fleet.whole_versions_sent() == 100  # the first; then deltas
@@ -58,20 +59,20 @@
 ) -> None:
     fleet = VirtualFleet(5, 40, local_by_half, seed)
     fleet.add_version(1)
-    fleet.run(8 * S)
+    fleet.run(8 * SECOND)
     FAULTS[fault](fleet)
     fleet.add_version(2)
-    fleet.run(10 * S)
+    fleet.run(10 * SECOND)
     assert set(fleet.applied_versions()) == {2}, fault
 
 
 def test_watchers_leave_servers_cut_off_from_the_majority() -> None:
     fleet = VirtualFleet(5, 60, local_by_half)
     fleet.add_version(1)
-    fleet.run(8 * S)
+    fleet.run(8 * SECOND)
     fleet.servers["s0"].has_leader = fleet.servers["s3"].has_leader = False
     fleet.add_version(2, ["s1", "s2", "s4"])
-    fleet.run(10 * S)
+    fleet.run(10 * SECOND)
     assert set(fleet.applied_versions()) == {2}
     assert not fleet.servers["s0"].links and not fleet.servers["s3"].links
 
@@ -79,7 +80,7 @@
 def test_isolated_region_keeps_its_watches_and_catches_up() -> None:
     fleet = VirtualFleet(5, 20, local_by_half)
     fleet.add_version(1)
-    fleet.run(8 * S)
+    fleet.run(8 * SECOND)
     cut_off = [watcher for watcher in fleet.watchers if watcher.watcher.servers.local_servers == {"s3", "s4"}]
     for watcher in fleet.watchers:
         for name in ("s0", "s1", "s2") if watcher in cut_off else ("s3", "s4"):
@@ -87,7 +88,7 @@
     fleet.servers["s3"].has_leader = fleet.servers["s4"].has_leader = False
     before = [watcher.watcher.link for watcher in fleet.watchers]
     fleet.add_version(2, ["s0", "s1", "s2"])
-    fleet.run(600 * S)
+    fleet.run(600 * SECOND)
     dials = [len(watcher.dialed) for watcher in cut_off]
     assert [watcher.watcher.link for watcher in fleet.watchers] == before
     assert not any(watcher.server_changes() for watcher in cut_off)
@@ -98,15 +99,15 @@
     for name in ("s3", "s4"):
         fleet.servers[name].has_leader = True
         fleet.add_version(2, [name])
-    fleet.run(5 * S)
+    fleet.run(5 * SECOND)
     assert set(fleet.applied_versions()) == {2}
 
 
-@pytest.mark.parametrize("down", [S, 3 * S])
+@pytest.mark.parametrize("down", [SECOND, 3 * SECOND])
 def test_reconnects_after_a_full_restart_are_spread_over_time(down: int) -> None:
     fleet = VirtualFleet(5, 100, local_by_half)
     fleet.add_version(1)
-    fleet.run(8 * S)
+    fleet.run(8 * SECOND)
     for server in fleet.servers.values():
         server.crash()
     fleet.run(down)
@@ -114,21 +115,21 @@
     for server in fleet.servers.values():
         server.start()
     fleet.add_version(2)
-    fleet.run(10 * S)
+    fleet.run(10 * SECOND)
     assert set(fleet.applied_versions()) == {2}
     reconnects = sorted(watcher.dialed[-1][0] - back_at for watcher in fleet.watchers)
-    most = max(sum(1 for at in reconnects if begin <= at < begin + 100 * MS) for begin in reconnects)
-    assert most < 50 and reconnects[-1] < 4 * S
+    most = max(sum(1 for at in reconnects if begin <= at < begin + 100 * MILLISECOND) for begin in reconnects)
+    assert most < 50 and reconnects[-1] < 4 * SECOND
 
 
 def test_watcher_of_a_remote_server_returns_to_a_local_one() -> None:
     fleet = VirtualFleet(3, 30, lambda n: [0])
     fleet.servers["s0"].crash()
-    fleet.run(10 * S)
+    fleet.run(10 * SECOND)
     assert not any(
         watcher.watcher.link and watcher.watcher.link.address == "s0" for watcher in fleet.watchers
     )
     fleet.servers["s0"].start()
-    fleet.run(120 * S)
+    fleet.run(120 * SECOND)
     assert len(fleet.servers["s0"].links) == 30
     assert all(watcher.server_changes() == 1 for watcher in fleet.watchers)
--- a/tests/config_distribution/test_processes.py
+++ b/tests/config_distribution/test_processes.py
@@ -21,7 +21,6 @@
 
 RUNS_LONG = True  # scheduled first: see tests/conftest.py
 
-MS = MILLISECOND
 FAULTY = "tests.config_distribution.faulty_distribution"
 
 
@@ -35,11 +34,11 @@
     plan = DistributionScenario(kills=Duration(2 * SECOND))
     # All that is done to two dispatchers; of the drawn faults some may be skipped where two would meet.
     own_steps = [
-        FaultStep(at=Duration(3 * SECOND), what="empty", who=["a-d4"], lasts=Duration(200 * MS)),
-        FaultStep(at=Duration(6 * SECOND), what="older", who=["a-d4"], lasts=Duration(200 * MS)),
+        FaultStep(at=Duration(3 * SECOND), what="empty", who=["a-d4"], lasts=Duration(200 * MILLISECOND)),
+        FaultStep(at=Duration(6 * SECOND), what="older", who=["a-d4"], lasts=Duration(200 * MILLISECOND)),
         FaultStep(at=Duration(9 * SECOND), what="restart", who=["a-d4"]),
-        FaultStep(at=Duration(12 * SECOND), what="pause", who=["a-d4"], lasts=Duration(700 * MS)),
-        FaultStep(at=Duration(3 * SECOND), what="kill", who=["a-d2"], lasts=Duration(200 * MS)),
+        FaultStep(at=Duration(12 * SECOND), what="pause", who=["a-d4"], lasts=Duration(700 * MILLISECOND)),
+        FaultStep(at=Duration(3 * SECOND), what="kill", who=["a-d2"], lasts=Duration(200 * MILLISECOND)),
     ]
     apart = {"a-d2", "a-d4"}
     others = [s for s in timeline(plan, 53) if s.what in (*LINK_FAULTS, "copy") or not apart & set(s.who)]
@@ -94,12 +93,12 @@
         within=Duration(2 * SECOND),
         lasts=Duration(12 * SECOND),
         publishers=4,
-        every=Duration(100 * MS),
-        election=Duration(600 * MS),
+        every=Duration(100 * MILLISECOND),
+        election=Duration(600 * MILLISECOND),
         stubborn=0.0,
         near_one=True,
         emptied=Duration(0),
-        leader_cut=Duration(2400 * MS),
+        leader_cut=Duration(2400 * MILLISECOND),
     )
     findings = findings_of(
         run_distribution_scenario(
@@ -114,7 +113,7 @@
         dispatchers=2,
         within=Duration(2 * SECOND),
         lasts=Duration(8 * SECOND),
-        every=Duration(300 * MS),
+        every=Duration(300 * MILLISECOND),
         emptied=Duration(3 * SECOND),
     )
     faulty_programs = {name: [FAULTY, "ignores_expected_version,begins_anew"] for name in plan.server_names()}
--- a/tests/config_distribution/test_watcher.py
+++ b/tests/config_distribution/test_watcher.py
@@ -8,8 +8,9 @@
 from ploverspoke.config_distribution.state_machine import digest_of
 from ploverspoke.config_distribution.watcher import ConfigWatcher
 from ploverspoke.config_distribution.watcher_records import WatcherRow
+from ploverspoke.transport.units import SECOND
 
-from .samples import S, body, decoded, version, whole
+from .samples import body, decoded, version, whole
 from .virtual_fleet import FakeWatcher, VirtualFleet
 
 
@@ -21,7 +22,7 @@
 def one_watcher() -> tuple[VirtualFleet, FakeWatcher, int]:
     fleet = VirtualFleet(2, 1, lambda n: [0])
     fleet.add_version(1)
-    fleet.run(2 * S)
+    fleet.run(2 * SECOND)
     (watcher,) = fleet.watchers
     assert watcher.applied_version() == 1 and watcher.watcher.link is not None
     return fleet, watcher, watcher.watcher.link.link_id
@@ -31,13 +32,13 @@
     fleet, watcher, _ = one_watcher()
     watcher.rejected_numbers = {2}
     fleet.add_version(2)
-    fleet.run(S)
+    fleet.run(SECOND)
     assert watcher.applied == [1]
     assert watcher.log_lines[-1] == "config: version 2 rejected: settings.Number is 2"
     (row,) = fleet.servers["s0"].broadcaster.watcher_rows()
     assert row_values(row) == ["n0", 1, 2, "settings.Number is 2"] and row.is_connected
     fleet.add_version(3)
-    fleet.run(S)
+    fleet.run(SECOND)
     assert watcher.applied == [1, 3] and watcher.watcher.versions.rejection == ""
     assert fleet.servers["s0"].broadcaster.counters.whole_versions_sent == 1  # the very first
 
@@ -47,17 +48,17 @@
     watcher.rejected_numbers = {4, 5, 7}
     for number in (2, 3, 4, 5):
         fleet.add_version(number)  # all at once: 5 is what goes out
-    fleet.run(2 * S)
+    fleet.run(2 * SECOND)
     assert watcher.applied == [1, 3] and watcher.applied_version() == 3
     (row,) = fleet.servers["s0"].broadcaster.watcher_rows()
     assert row_values(row) == ["n0", 3, 5, "settings.Number is 5"]
     assert not fleet.servers["s0"].broadcaster.watchers_behind
     for number in (6, 7):
         fleet.add_version(number)
-    fleet.run(2 * S)
+    fleet.run(2 * SECOND)
     assert watcher.applied == [1, 3, 6] and watcher.watcher.versions.rejection == "settings.Number is 7"
     fleet.add_version(8)
-    fleet.run(S)
+    fleet.run(SECOND)
     assert watcher.applied_version() == 8 and watcher.watcher.versions.rejection == ""
     assert fleet.whole_versions_sent() == 1
 
@@ -65,7 +66,7 @@
 def test_older_version_is_ignored_and_logged() -> None:
     fleet, watcher, link = one_watcher()
     fleet.add_version(3)
-    fleet.run(S)
+    fleet.run(SECOND)
     watcher.watcher.on_message(link, decoded(whole(2)))
     assert watcher.applied_version() == 3 and watcher.applied == [1, 3]
     assert watcher.log_lines[-1] == "config: message rejected: version 2 is older than 3"
@@ -94,7 +95,7 @@
     assert watcher.log_lines[-1].startswith("config: message rejected: ")
     assert "\n" not in watcher.log_lines[-1] and link not in watcher.open
     fleet.add_version(2)
-    fleet.run(3 * S)
+    fleet.run(3 * SECOND)
     assert watcher.applied_version() == 2
     # After a version message that could not be read it wants the whole body, whatever it has.
     is_corrupt = isinstance(message, dict) and message["k"] == "push"
@@ -109,7 +110,7 @@
 
     watcher.apply_version = fail  # type: ignore[method-assign]
     fleet.add_version(2)
-    fleet.run(S)
+    fleet.run(SECOND)
     assert watcher.watcher.versions.rejection == "OverflowError: too\\nlarge"
     assert watcher.applied_version() == 1
 
@@ -117,7 +118,7 @@
 def test_full_server_redirects_and_a_cached_version_serves_as_delta_base() -> None:
     fleet, watcher, link = one_watcher()
     watcher.watcher.on_message(link, {"k": "elsewhere"})
-    fleet.run(S)
+    fleet.run(SECOND)
     assert watcher.watcher.link is not None and watcher.watcher.link.link_id != link
     fleet.add_version(2)
     again = FakeWatcher(fleet, 7, [])
@@ -127,6 +128,6 @@
     again.watcher.start()
     again.arm()
     before = fleet.whole_versions_sent()
-    fleet.run(2 * S)
+    fleet.run(2 * SECOND)
     assert again.applied_version() == 2
     assert fleet.whole_versions_sent() == before
--- a/tests/config_distribution/virtual_fleet.py
+++ b/tests/config_distribution/virtual_fleet.py
@@ -14,15 +14,16 @@
     read_watch_status,
 )
 from ploverspoke.config_distribution.watcher import ConfigWatcher
+from ploverspoke.transport.units import MILLISECOND, SECOND
 
-from .samples import MS, S, decoded, version
+from .samples import decoded, version
 
 
 class VirtualFleet:
     """Servers and watchers on one virtual clock; what is sent over a link that is cut is lost."""
 
     def __init__(self, servers: int, watchers: int, local: Callable[[int], list[int]], seed: int = 1) -> None:
-        self.clock = 100 * S
+        self.clock = 100 * SECOND
         self.events: list[tuple[int, int, Callable[[], None]]] = []
         self.count = 0
         self.seed = seed
@@ -84,12 +85,12 @@
 
     def send(self, name: str, message: ServerMessage) -> int:
         watcher, link = self.links[name]
-        self.fleet.after(MS, lambda: watcher.on_message(link, self, decoded(message)))
+        self.fleet.after(MILLISECOND, lambda: watcher.on_message(link, self, decoded(message)))
         return 200
 
     def disconnect(self, name: str, reason: str) -> None:
         watcher, link = self.links.pop(name)
-        self.fleet.after(MS, lambda: watcher.on_disconnected(link, self))
+        self.fleet.after(MILLISECOND, lambda: watcher.on_disconnected(link, self))
 
     def arm(self) -> None:
         broadcaster = self.broadcaster
@@ -108,7 +109,7 @@
         """The process ends: its connections end, and further ones are refused."""
         self.is_up = False
         for watcher, link in self.links.values():
-            self.fleet.after(MS, lambda w=watcher, x=link: w.on_disconnected(x, self))  # type: ignore[misc]
+            self.fleet.after(MILLISECOND, lambda w=watcher, x=link: w.on_disconnected(x, self))  # type: ignore[misc]
 
 
 class FakeWatcher:
@@ -153,7 +154,7 @@
         self.dialed.append((self.fleet.clock, address))
         self.open[link] = address
         if self.reaches(address) and self.reaches(address, back=True):
-            self.fleet.after(2 * MS, lambda: self.on_connected(link, address))
+            self.fleet.after(2 * MILLISECOND, lambda: self.on_connected(link, address))
 
     def on_connected(self, link: int, address: str) -> None:
         server = self.fleet.servers[address]
@@ -176,7 +177,7 @@
     def send(self, link: int, status: WatchStatus) -> None:
         if self.reaches(self.open[link]):
             server = self.fleet.servers[self.open[link]]
-            self.fleet.after(MS, lambda: self.status_arrives(link, server, status))
+            self.fleet.after(MILLISECOND, lambda: self.status_arrives(link, server, status))
 
     def status_arrives(self, link: int, server: FakeServer, status: WatchStatus) -> None:
         if server.is_up and link in self.open:
--- a/tests/consensus/raft_simulation.py
+++ b/tests/consensus/raft_simulation.py
@@ -39,11 +39,11 @@
         raise InvariantViolationError(violation)
 
 
-PlantFault = Callable[[Raft], None]  # replaces a part of a machine that has just been put together
+FaultInjector = Callable[[Raft], None]  # replaces a part of a Raft that was just built
 
 
 def no_fault(raft: Raft) -> None:
-    """Leave the machine as it is."""
+    """Inject none."""
 
 
 class SimulatedStorage:
@@ -133,7 +133,7 @@
             lambda to, message: self.cluster.send(self.name, to, message, incarnation),
         )
         self.replica = Replica(self.name, self.storage.load(), self.state_machine, runtime)
-        self.cluster.plant_fault(self.replica.raft)
+        self.cluster.inject_fault(self.replica.raft)
         self.replica.role_listeners.append(self.role_changed)
         on_entry_committed = self.replica.on_entry_committed
 
@@ -182,11 +182,16 @@
     replica_type: type[SimulatedReplica] = SimulatedReplica
 
     def __init__(
-        self, seed: int, size: int, plant_fault: PlantFault = no_fault, spare: int = 0, stormy: bool = False
+        self,
+        seed: int,
+        size: int,
+        inject_fault: FaultInjector = no_fault,
+        spare: int = 0,
+        stormy: bool = False,
     ) -> None:
         """`size` members and `spare` replicas that may become ones; `stormy`: leaders seldom live long."""
         self.random = random_module.Random(seed)
-        self.plant_fault = plant_fault
+        self.inject_fault = inject_fault
         self.stormy = stormy
         self.now = 1000 * MILLISECOND
         names = [f"n{number}" for number in range(size + spare)]
@@ -463,13 +468,18 @@
 
 
 def explore(
-    seed: int, size: int, steps: int, plant_fault: PlantFault = no_fault, spare: int = 0, stormy: bool = False
+    seed: int,
+    size: int,
+    steps: int,
+    inject_fault: FaultInjector = no_fault,
+    spare: int = 0,
+    stormy: bool = False,
 ) -> SimulatedCluster:
     """Run one schedule.
 
     Raises InvariantViolationError, or what the machine raises, with a note of the seed that replays it.
     """
-    cluster = SimulatedCluster(seed, size, plant_fault, spare, stormy)
+    cluster = SimulatedCluster(seed, size, inject_fault, spare, stormy)
     try:
         for _ in range(steps):
             cluster.step()
--- a/tests/consensus/test_raft_scenarios.py
+++ b/tests/consensus/test_raft_scenarios.py
@@ -12,8 +12,8 @@
 from tests.consensus.raft_faults import commits_older_terms, installs_snapshot_over_newer_entries
 from tests.consensus.raft_simulation import (
     MILLISECOND,
+    FaultInjector,
     InvariantViolationError,
-    PlantFault,
     SimulatedCluster,
     SimulatedReplica,
     SimulatedStorage,
@@ -50,7 +50,7 @@
 
 @pytest.mark.parametrize("fault", [no_fault, commits_older_terms])
 def test_entry_of_older_term_is_not_committed_by_counting_replicas(
-    fault: PlantFault, monkeypatch: pytest.MonkeyPatch
+    fault: FaultInjector, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The schedule in which a majority has an entry and another leader replaces it (paper, figure 8)."""
     monkeypatch.setattr(replication, "MAX_ENTRIES_PER_MESSAGE", 1)
@@ -87,7 +87,7 @@
 
 
 @pytest.mark.parametrize("fault", [no_fault, installs_snapshot_over_newer_entries])
-def test_late_snapshot_does_not_replace_newer_entries(fault: PlantFault) -> None:
+def test_late_snapshot_does_not_replace_newer_entries(fault: FaultInjector) -> None:
     cluster = SimulatedCluster(2, 3, fault)
     cluster.settle()
     leader = cluster.settled_leader()
--- a/tests/consensus/test_raft_simulation.py
+++ b/tests/consensus/test_raft_simulation.py
@@ -1,4 +1,4 @@
-"""Raft in random and in exhaustive schedules, and planted faults that the schedules must find."""
+"""Raft in random and in exhaustive schedules, and injected faults that the schedules must find."""
 
 import itertools
 from concurrent.futures import ProcessPoolExecutor
@@ -15,8 +15,8 @@
 from tests.consensus.raft_simulation import (
     MILLISECOND,
     WORKER_PROCESSES,
+    FaultInjector,
     InvariantViolationError,
-    PlantFault,
     SimulatedCluster,
     Sweep,
     explore,
@@ -44,7 +44,7 @@
 
 
 @pytest.mark.parametrize("fault", FAULTS)
-def test_simulation_finds_planted_fault(fault: PlantFault, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_simulation_finds_an_injected_fault(fault: FaultInjector, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(replication, "MAX_ENTRIES_PER_MESSAGE", 1)
     with pytest.raises(InvariantViolationError):
         for seed in range(8000):
--- a/tests/leases/faulty_variants.py
+++ b/tests/leases/faulty_variants.py
@@ -48,7 +48,7 @@
 
 
 class FaultyRenewsExpired(LeaseManager):
-    """What has been said to have ended is renewed as long as the log does not say so, and once more after."""
+    """Renews a lease that has ended for as long as its end is not committed, and once more after."""
 
     def _respond(self, holder: str, request: LeaseRequest) -> None:
         granted = [
--- a/tests/leases/lease_raft_simulation.py
+++ b/tests/leases/lease_raft_simulation.py
@@ -8,8 +8,9 @@
 from ploverspoke.leases.definitions import LeaseDefinition, LeaseDefinitions
 from ploverspoke.leases.messages import LeaseRequest, LeaseResponse
 from ploverspoke.leases.state_machine import LeaseCommand, LeaseStateMachine
+from ploverspoke.transport.units import MILLISECOND
 from tests.consensus import raft_simulation as consensus
-from tests.leases.lease_simulation import DURATION, MIN_DURATION, MS, NAME, Variants
+from tests.leases.lease_simulation import DURATION, MIN_DURATION, NAME, Variants
 
 
 class CountingLeaseStateMachine:
@@ -131,34 +132,34 @@
         self.holding = holding
 
     def step(self) -> None:
-        chance = self.random
-        for replica, incarnation, call in self.deferred_calls if chance.random() < 0.8 else ():
+        rng = self.random
+        for replica, incarnation, call in self.deferred_calls if rng.random() < 0.8 else ():
             if replica.is_running and replica.incarnation == incarnation:
                 call()
-        if chance.random() < 0.9:
+        if rng.random() < 0.9:
             self.deferred_calls.clear()
-        if self.requests and chance.random() < 0.7:
+        if self.requests and rng.random() < 0.7:
             to, holder, request = self.requests.pop(
-                0 if chance.random() < 0.8 else chance.randrange(len(self.requests))
+                0 if rng.random() < 0.8 else rng.randrange(len(self.requests))
             )
             node = self.nodes[to]
             assert isinstance(node, LeaseRaftReplica)
             if node.is_running:
                 node.manager.handle_request(holder, request)
-        if self.responses and chance.random() < 0.7:
+        if self.responses and rng.random() < 0.7:
             number, response = self.responses.pop(
-                0 if chance.random() < 0.8 else chance.randrange(len(self.responses))
+                0 if rng.random() < 0.8 else rng.randrange(len(self.responses))
             )
             self.holders[number].holder.handle_response(response)
-        if chance.random() < 0.05:
-            self.now += chance.choice([100, 500, 1000, 2000]) * MS
+        if rng.random() < 0.05:
+            self.now += rng.choice([100, 500, 1000, 2000]) * MILLISECOND
         for node in self.nodes.values():
             assert isinstance(node, LeaseRaftReplica)
             if node.is_running:
                 node.manager.tick()
         for each in self.holders:
             each.holder.tick()
-            if chance.random() < 0.002:
+            if rng.random() < 0.002:
                 each.holder.release(NAME)
                 each.holder.tick()
                 each.holder.want(NAME, DURATION)
--- a/tests/leases/lease_simulation.py
+++ b/tests/leases/lease_simulation.py
@@ -8,15 +8,16 @@
 
 import random
 from collections.abc import Callable, Sequence
+from enum import IntEnum
 
 from ploverspoke.leases.definitions import LeaseDefinition, LeaseDefinitions
 from ploverspoke.leases.holder import LeaseHolder
 from ploverspoke.leases.manager import LeaseManager
 from ploverspoke.leases.messages import LeaseRequest, LeaseResponse
 from ploverspoke.leases.state_machine import LeaseCommand, LeaseStateMachine
+from ploverspoke.transport.units import MILLISECOND
 
-MS = 1_000_000
-MIN_DURATION, DURATION = 1000 * MS, 2000 * MS
+MIN_DURATION, DURATION = 1000 * MILLISECOND, 2000 * MILLISECOND
 NAME = "task"
 
 
@@ -38,7 +39,7 @@
 
 
 class Variants:
-    """What is driven; a faulty variant takes one of these places."""
+    """The types of the parts that are driven; a faulty variant replaces one of them."""
 
     def __init__(
         self,
@@ -53,91 +54,96 @@
 
 
 class Clock:
-    def __init__(self, world: "World") -> None:
-        self.world = world
-        self.rate = world.chance.choice([0.95, 1.0, 1.05])
-        self.ahead = world.chance.randrange(1000 * MS)
+    def __init__(self, cluster: "SimulatedLeaseCluster") -> None:
+        self.cluster = cluster
+        self.rate = cluster.rng.choice([0.95, 1.0, 1.05])
+        self.ahead = cluster.rng.randrange(1000 * MILLISECOND)
 
     def now(self) -> int:
-        return int(self.world.time * self.rate) + self.ahead
+        return int(self.cluster.time * self.rate) + self.ahead
 
 
 class SimulatedLeaseServer(Clock):
     """The environment of one manager, and its place in the model of consensus."""
 
-    def __init__(self, world: "World", number: int) -> None:
-        super().__init__(world)
+    def __init__(self, cluster: "SimulatedLeaseCluster", number: int) -> None:
+        super().__init__(cluster)
         self.number = number
         self.epoch = 0
         self.pending: list[tuple[LeaseCommand, Callable[[bool], None]]] = []
         self.reads: list[tuple[int, Callable[[bool], None]]] = []  # the term in which it was asked for
-        self.proved: list[Callable[[bool], None]] = []
+        self.confirmed_reads: list[Callable[[bool], None]] = []
         self.applied = 0
         self._begin()
 
     def _begin(self) -> None:
-        self.state = self.world.variants.state()
-        self.manager = self.world.variants.manager(self, self.state, self.world.definitions)
+        self.state = self.cluster.variants.state()
+        self.manager = self.cluster.variants.manager(self, self.state, self.cluster.definitions)
 
     def restart(self) -> None:
         self.applied = 0
-        self.pending, self.reads, self.proved = [], [], []
+        self.pending, self.reads, self.confirmed_reads = [], [], []
         self._begin()
-        self.state.restore_snapshot(self.world.snapshot)
+        self.state.restore_snapshot(self.cluster.snapshot)
 
     def catch_up(self) -> None:
-        for command in self.world.log[self.applied :]:
+        for command in self.cluster.log[self.applied :]:
             self.state.apply(0, command)
-        self.applied = len(self.world.log)
+        self.applied = len(self.cluster.log)
 
     # The environment of its manager.
 
-    def propose(self, command: LeaseCommand, then: Callable[[bool], None]) -> None:
-        self.pending.append((command, then))
+    def propose(self, command: LeaseCommand, on_decided: Callable[[bool], None]) -> None:
+        self.pending.append((command, on_decided))
 
-    def confirm_leadership(self, then: Callable[[bool], None]) -> None:
-        self.reads.append((self.world.term if self.world.leader is self else -1, then))
+    def confirm_leadership(self, on_decided: Callable[[bool], None]) -> None:
+        self.reads.append((self.cluster.term if self.cluster.leader is self else -1, on_decided))
 
     def send(self, holder: str, response: LeaseResponse) -> None:
-        self.world.responses.append((self.number, int(holder), response))
+        self.cluster.responses.append((self.number, int(holder), response))
 
 
 class SimulatedHolder(Clock):
-    def __init__(self, world: "World", number: int) -> None:
-        super().__init__(world)
+    def __init__(self, cluster: "SimulatedLeaseCluster", number: int) -> None:
+        super().__init__(cluster)
         self.number = number
         self.server = 0
-        self.holder = world.variants.holder(self)
+        self.holder = cluster.variants.holder(self)
 
     def send(self, request: LeaseRequest) -> None:
-        self.world.requests.append((self.number, self.server, request))
+        self.cluster.requests.append((self.number, self.server, request))
 
     def try_next_server(self) -> None:
-        self.server = (self.server + 1) % len(self.world.servers)
+        self.server = (self.server + 1) % len(self.cluster.servers)
 
 
-class World:
+class SimulatedLeaseCluster:
     def __init__(
-        self, seed: int, holders: int = 3, servers: int = 3, places: int = 1, variants: Variants | None = None
+        self,
+        seed: int,
+        holders: int = 3,
+        servers: int = 3,
+        max_holders: int = 1,
+        variants: Variants | None = None,
     ) -> None:
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.variants = variants or Variants()
-        self.definitions = LeaseDefinitions({NAME: LeaseDefinition(places, DURATION)}, MIN_DURATION)
-        self.places = places
-        self.time = 10_000 * MS  # the true one
+        self.definitions = LeaseDefinitions({NAME: LeaseDefinition(max_holders, DURATION)}, MIN_DURATION)
+        self.max_holders = max_holders
+        self.time = 10_000 * MILLISECOND  # the true one
         self.term = 0
         self.log: list[LeaseCommand] = []
         self.snapshot = b""
         self.backups: list[tuple[list[LeaseCommand], bytes]] = []
         self.leader: SimulatedLeaseServer | None = None
-        self.servers = [SimulatedLeaseServer(self, n) for n in range(servers)]
-        self.holders = [SimulatedHolder(self, n) for n in range(holders)]
+        self.servers = [SimulatedLeaseServer(self, number) for number in range(servers)]
+        self.holders = [SimulatedHolder(self, number) for number in range(holders)]
         self.requests: list[tuple[int, int, LeaseRequest]] = []
         self.responses: list[tuple[int, int, LeaseResponse]] = []
         self.effects: list[int] = []  # tokens on their way to what is acted on
         self.guard = self.variants.guard()
         self.taken = 0  # the highest token that had an effect
-        self.acting: set[tuple[int, int]] = set()  # holder and token, as of the last step
+        self.holding: set[tuple[int, int]] = set()  # holder and token, as of the last step
         self.highest = 0
         self.changes = self.refused = 0
         for node in self.holders:
@@ -146,27 +152,32 @@
     # ---- What must hold ----
 
     def check(self) -> None:
-        acting = {(n.number, n.holder.token(NAME)) for n in self.holders if n.holder.time_left(NAME)}
-        if len(acting) > self.places:
-            raise InvariantError(f"{len(acting)} hold it at once, {self.places} may: {sorted(acting)}")
-        for number, token in acting - self.acting:
-            if token < self.highest and self.places == 1:
+        holding = {
+            (each.number, each.holder.token(NAME)) for each in self.holders if each.holder.time_left(NAME)
+        }
+        if len(holding) > self.max_holders:
+            raise InvariantError(f"{len(holding)} hold it at once, {self.max_holders} may: {sorted(holding)}")
+        for number, token in holding - self.holding:
+            if token < self.highest and self.max_holders == 1:
                 raise InvariantError(f"holder {number} begins under {token}, {self.highest} was there before")
             self.changes += token > self.highest
             self.highest = max(self.highest, token)
-        self.acting = acting
+        self.holding = holding
 
     # ---- What can happen ----
 
     def elect(self, node: SimulatedLeaseServer, keep: float = 0.5) -> None:
-        """The old leader's proposals are committed up to some point; it may not know that it is deposed."""
+        """Make this server the leader.
+
+        The old leader's proposals are committed up to some point; it may not know that it is deposed.
+        """
         old = self.leader
         if old is not None:
-            while old.pending and self.chance.random() < keep:
+            while old.pending and self.rng.random() < keep:
                 self._commit(old, notify=False)
         self.term += 1
         self.leader = node
-        # Whoever applies another's entries knows by then that it leads no more.
+        # Whoever applies another's entries knows by that time that it leads no more.
         if not self.variants.late_role_change:
             node.manager.lose_leadership()
         node.pending.clear()
@@ -174,36 +185,36 @@
         node.manager.become_leader(node.epoch)
 
     def depose(self) -> None:
-        """Those that lead no more learn of it."""
+        """Notify the servers that lead no more."""
         for node in self.servers:
             if node is not self.leader and node.manager.is_leader:
                 node.manager.lose_leadership()
                 node.pending.clear()
-                for _, then in node.reads:
-                    then(False)
+                for _, on_decided in node.reads:
+                    on_decided(False)
                 node.reads.clear()
 
     def _commit(self, node: SimulatedLeaseServer, notify: bool = True) -> None:
-        command, then = node.pending.pop(0)
+        command, on_decided = node.pending.pop(0)
         self.log.append(command)
         if notify:
             node.catch_up()
-            then(True)
+            on_decided(True)
 
     def commit(self) -> None:
         if self.leader is not None and self.leader.pending:
             self._commit(self.leader)
 
-    def prove(self, node: SimulatedLeaseServer) -> None:
-        """A majority answers those rounds that were sent while it led, and it leads still."""
+    def confirm_reads(self, node: SimulatedLeaseServer) -> None:
+        """Confirm the reads that were asked for while it led, if it leads still."""
         if node is self.leader and node.manager.is_leader:
-            node.proved += [then for term, then in node.reads if term == self.term]
+            node.confirmed_reads += [on_decided for term, on_decided in node.reads if term == self.term]
             node.reads = [row for row in node.reads if row[0] != self.term]
 
-    def answer_reads(self, node: SimulatedLeaseServer) -> None:
-        proved, node.proved = node.proved, []
-        for then in proved:
-            then(True)
+    def answer_confirmed_reads(self, node: SimulatedLeaseServer) -> None:
+        confirmed_reads, node.confirmed_reads = node.confirmed_reads, []
+        for on_decided in confirmed_reads:
+            on_decided(True)
 
     def deliver_request(self, at: int, keep: bool = False) -> None:
         holder, server, request = self.requests[at] if keep else self.requests.pop(at)
@@ -219,8 +230,12 @@
         for each in self.holders:
             each.holder.tick()
 
+    def pass_time(self, duration: int) -> None:
+        self.time += duration
+        self.tick()
+
     def act(self, node: SimulatedHolder) -> None:
-        """It looks, and sends an effect; how long that is on its way nobody knows."""
+        """Let a holder send an effect; it may be on its way for any time."""
         if token := node.holder.token(NAME):
             self.effects.append(token)
 
@@ -237,7 +252,7 @@
         self.backups = [(list(self.log), self.snapshot)]
 
     def restore(self) -> None:
-        """All lease servers begin again from one backup, each in a new epoch."""
+        """Restart all lease servers from one backup, in a new epoch."""
         if self.backups and self.leader is not None:
             self.log, self.snapshot = list(self.backups[0][0]), self.backups[0][1]
             self.leader = None
@@ -254,56 +269,56 @@
         node.restart()
 
     def step(self) -> None:
-        """One thing happens, chosen by chance."""
-        roll = self.chance.random()
-        node = self.chance.choice(self.servers)
-        holder = self.chance.choice(self.holders)
+        """Let one thing happen, drawn at random, and check."""
+        roll = self.rng.random()
+        node = self.rng.choice(self.servers)
+        holder = self.rng.choice(self.holders)
         if roll < 0.86:
             self._step_of_normal_operation(roll, node)
         else:
             self._step_of_rare_events(roll, node, holder)
-        if self.chance.random() < 0.003:
+        if self.rng.random() < 0.003:
             node.manager.forget_holder(str(holder.number))
         self.check()
 
     def _step_of_normal_operation(self, roll: float, node: SimulatedLeaseServer) -> None:
-        chance = self.chance
+        rng = self.rng
         if roll < 0.22 and self.requests:
-            self.deliver_request(chance.randrange(len(self.requests)) if chance.random() < 0.3 else 0)
+            self.deliver_request(rng.randrange(len(self.requests)) if rng.random() < 0.3 else 0)
         elif roll < 0.42 and self.responses:
-            self.deliver_response(chance.randrange(len(self.responses)) if chance.random() < 0.3 else 0)
+            self.deliver_response(rng.randrange(len(self.responses)) if rng.random() < 0.3 else 0)
         elif roll < 0.52:
             self.commit()
         elif roll < 0.64:
             if self.leader is not None:
-                self.prove(self.leader)
-            self.answer_reads(node if chance.random() < 0.3 or self.leader is None else self.leader)
+                self.confirm_reads(self.leader)
+            self.answer_confirmed_reads(node if rng.random() < 0.3 or self.leader is None else self.leader)
         elif roll < 0.78:
-            self.time += chance.choice([5, 50, 200, 400, 700, 1000, 2200]) * MS
-            if chance.random() < 0.8:
+            self.time += rng.choice([5, 50, 200, 400, 700, 1000, 2200]) * MILLISECOND
+            if rng.random() < 0.8:
                 self.tick()
         else:
             self.tick()
 
     def _step_of_rare_events(self, roll: float, node: SimulatedLeaseServer, holder: SimulatedHolder) -> None:
-        chance = self.chance
+        rng = self.rng
         if roll < 0.89:
             self.act(holder)
         elif roll < 0.91 and self.effects:
-            self.effect(chance.randrange(len(self.effects)))
+            self.effect(rng.randrange(len(self.effects)))
         elif roll < 0.93 and self.requests:
-            self.requests.pop(chance.randrange(len(self.requests)))
+            self.requests.pop(rng.randrange(len(self.requests)))
         elif roll < 0.945 and self.requests:
-            self.deliver_request(chance.randrange(len(self.requests)), keep=True)
+            self.deliver_request(rng.randrange(len(self.requests)), keep=True)
         elif roll < 0.96 and self.responses:
-            self.deliver_response(chance.randrange(len(self.responses)), keep=True)
+            self.deliver_response(rng.randrange(len(self.responses)), keep=True)
         elif roll < 0.97:
             holder.holder.release(NAME)
             self.tick()
             holder.holder.want(NAME, DURATION)
         elif roll < 0.98:
             self.elect(node)
-            if chance.random() < 0.6:
+            if rng.random() < 0.6:
                 self.depose()
         elif roll < 0.984:
             self.crash(node)
@@ -315,68 +330,93 @@
             self.elect(node)
 
 
-def explore(seed: int, steps: int = 500, variants: Variants | None = None, places: int = 1) -> World:
-    """One schedule. Raises InvariantError, with a note of the seed that replays it."""
-    world = World(seed, 2 + seed % 3, 3, places, variants)
-    world.elect(world.servers[0])
+def explore(
+    seed: int, steps: int = 500, variants: Variants | None = None, max_holders: int = 1
+) -> SimulatedLeaseCluster:
+    """Run one schedule. Raises InvariantError, with a note of the seed that replays it."""
+    cluster = SimulatedLeaseCluster(seed, 2 + seed % 3, 3, max_holders, variants)
+    cluster.elect(cluster.servers[0])
     try:
         for _ in range(steps):
-            world.step()
+            cluster.step()
     except Exception as error:
-        error.add_note(f"seed {seed}, places {places}")
+        error.add_note(f"seed {seed}, max_holders {max_holders}")
         raise
-    return world
+    return cluster
+
 
+class Choice(IntEnum):
+    """One thing that happens in a schedule of choices."""
 
-CHOICES = 9
+    HEALTHY_ROUND = 0
+    DELIVER_LAST_REQUEST = 1
+    DELIVER_LAST_RESPONSE = 2
+    COMMIT = 3
+    CONFIRM_READS = 4
+    PASS_MOST_OF_A_LEASE = 5
+    PASS_A_THIRD_OF_A_LEASE = 6
+    ELECT_NEXT_SERVER = 7
+    RELEASE = 8
 
 
-def by_choices(choices: Sequence[int], variants: Variants | None = None) -> World:
-    """Two holders, three lease servers; the first has the lease. Each choice is one thing that happens."""
-    world = World(1, 2, 3, 1, variants)
+def by_choices(choices: Sequence[Choice], variants: Variants | None = None) -> SimulatedLeaseCluster:
+    """Run the choices on two holders and three lease servers, of which the first leads."""
+    cluster = SimulatedLeaseCluster(1, 2, 3, 1, variants)
     for number, rate in enumerate((0.95, 1.05)):
-        world.holders[number].rate = rate
-    for node in world.servers:
+        cluster.holders[number].rate = rate
+    for node in cluster.servers:
         node.rate = 1.05
-    world.elect(world.servers[0])
+    cluster.elect(cluster.servers[0])
     for _ in range(3):
-        choose(world, 0)
+        choose(cluster, Choice.HEALTHY_ROUND)
     for choice in choices:
-        choose(world, choice)
-        world.check()
-    return world
-
-
-def choose(world: World, choice: int) -> None:
-    if choice == 0:  # all is well for a moment
-        world.tick()
-        while world.requests:
-            world.deliver_request(0)
-        world.prove(world.leader or world.servers[0])
-        for node in world.servers:
-            world.answer_reads(node)
-        while world.leader is not None and world.leader.pending:
-            world.commit()
-        while world.responses:
-            world.deliver_response(0)
-    elif choice == 1 and world.requests:
-        world.deliver_request(len(world.requests) - 1)
-    elif choice == 2 and world.responses:
-        world.deliver_response(len(world.responses) - 1)
-    elif choice == 3:
-        world.commit()
-    elif choice == 4:
-        if world.leader is not None:
-            world.prove(world.leader)
-            world.answer_reads(world.leader)
-    elif choice in (5, 6):
-        world.time += (DURATION * 9 // 10 if choice == 5 else DURATION // 3) + 1
-        world.tick()
-    elif choice == 7:
-        at = world.servers.index(world.leader) if world.leader is not None else 0
-        world.elect(world.servers[(at + 1) % 3], keep=1.0)
-        for each in world.holders:
-            each.server = (at + 1) % 3
-    elif choice == 8:
-        world.holders[0].holder.release(NAME)
-        world.tick()
+        choose(cluster, choice)
+        cluster.check()
+    return cluster
+
+
+def choose(cluster: SimulatedLeaseCluster, choice: Choice) -> None:
+    """Let it happen, where it can."""
+    if choice is Choice.HEALTHY_ROUND:
+        run_healthy_round(cluster)
+    elif choice is Choice.DELIVER_LAST_REQUEST and cluster.requests:
+        cluster.deliver_request(len(cluster.requests) - 1)
+    elif choice is Choice.DELIVER_LAST_RESPONSE and cluster.responses:
+        cluster.deliver_response(len(cluster.responses) - 1)
+    elif choice is Choice.COMMIT:
+        cluster.commit()
+    elif choice is Choice.CONFIRM_READS and cluster.leader is not None:
+        cluster.confirm_reads(cluster.leader)
+        cluster.answer_confirmed_reads(cluster.leader)
+    elif choice is Choice.PASS_MOST_OF_A_LEASE:
+        cluster.pass_time(DURATION * 9 // 10 + 1)
+    elif choice is Choice.PASS_A_THIRD_OF_A_LEASE:
+        cluster.pass_time(DURATION // 3 + 1)
+    elif choice is Choice.ELECT_NEXT_SERVER:
+        elect_next_server(cluster)
+    elif choice is Choice.RELEASE:
+        cluster.holders[0].holder.release(NAME)
+        cluster.tick()
+
+
+def run_healthy_round(cluster: SimulatedLeaseCluster) -> None:
+    """Deliver, confirm, commit and answer all that is in flight."""
+    cluster.tick()
+    while cluster.requests:
+        cluster.deliver_request(0)
+    cluster.confirm_reads(cluster.leader or cluster.servers[0])
+    for node in cluster.servers:
+        cluster.answer_confirmed_reads(node)
+    while cluster.leader is not None and cluster.leader.pending:
+        cluster.commit()
+    while cluster.responses:
+        cluster.deliver_response(0)
+
+
+def elect_next_server(cluster: SimulatedLeaseCluster) -> None:
+    """Elect the server after the leader; all holders turn to it."""
+    position = cluster.servers.index(cluster.leader) if cluster.leader is not None else 0
+    elected = (position + 1) % len(cluster.servers)
+    cluster.elect(cluster.servers[elected], keep=1.0)
+    for each in cluster.holders:
+        each.server = elected
--- a/tests/leases/test_holder.py
+++ b/tests/leases/test_holder.py
@@ -2,15 +2,14 @@
 
 from ploverspoke.leases.holder import LeaseHolder
 from ploverspoke.leases.messages import GrantedLease, LeaseRequest, LeaseResponse, ReleasedLease
-
-S = 1_000_000_000
+from ploverspoke.transport.units import SECOND
 
 
 class HolderEnvironment:
     """A clock moved by hand, and the requests that were sent."""
 
     def __init__(self) -> None:
-        self.clock = 50 * S
+        self.clock = 50 * SECOND
         self.sent: list[LeaseRequest] = []
         self.server_changes = 0
         self.holder = LeaseHolder(self)
@@ -29,7 +28,7 @@
         self.holder.tick()
 
     def respond(self, number: int, *granted: tuple[str, int]) -> None:
-        rows = [GrantedLease(name, token, 2 * S) for name, token in granted]
+        rows = [GrantedLease(name, token, 2 * SECOND) for name, token in granted]
         self.holder.handle_response(LeaseResponse(number, rows))
 
 
@@ -38,24 +37,24 @@
     holder = environment.holder
     lost: list[str] = []
     for name in ("one", "team-a"):
-        holder.want(name, 2 * S).on_lost = lost.append
+        holder.want(name, 2 * SECOND).on_lost = lost.append
     holder.tick()
     [request] = environment.sent
     wanted = [(lease.name, lease.duration, lease.token) for lease in request.wanted]
-    assert wanted == [("one", 2 * S, 0), ("team-a", 2 * S, 0)]
-    environment.clock += S // 10  # that is how long the response takes
+    assert wanted == [("one", 2 * SECOND, 0), ("team-a", 2 * SECOND, 0)]
+    environment.clock += SECOND // 10  # that is how long the response takes
     environment.respond(1, ("one", 7), ("team-a", 8))
-    assert holder.time_left("one") == 2 * S - S // 5 - S // 10 and holder.token("team-a") == 8
-    environment.pass_time(S)  # a third of the time has passed: both are renewed with one request
+    assert holder.time_left("one") == 2 * SECOND - SECOND // 5 - SECOND // 10 and holder.token("team-a") == 8
+    environment.pass_time(SECOND)  # a third of the time has passed: both are renewed with one request
     assert len(environment.sent) == 2 and [lease.token for lease in environment.sent[1].wanted] == [7, 8]
-    environment.pass_time(S // 5)  # no response: sent again, to another lease server
+    environment.pass_time(SECOND // 5)  # no response: sent again, to another lease server
     assert len(environment.sent) == 3 and environment.server_changes == 1
-    environment.pass_time(S)
+    environment.pass_time(SECOND)
     assert not holder.time_left("one") and lost == ["it was not renewed in time"] * 2
     environment.respond(1, ("one", 7))  # duplicated, and to a request of long ago: expired by now
     assert not holder.token("one")
     environment.respond(2, ("one", 7))  # late, and some of it is left
-    assert holder.time_left("one") == 6 * S // 10
+    assert holder.time_left("one") == 6 * SECOND // 10
     assert holder.token("one") == 7
     holder.release("one", hand_over_to="other/1")
     environment.pass_time(1)
@@ -65,8 +64,8 @@
 def test_pause_ends_a_lease_before_its_holder_does_anything() -> None:
     environment = HolderEnvironment()
     holder = environment.holder
-    holder.want("one", 2 * S)
+    holder.want("one", 2 * SECOND)
     holder.tick()
     environment.respond(1, ("one", 7))
-    environment.clock += 10 * S
+    environment.clock += 10 * SECOND
     assert not holder.time_left("one") and not holder.token("one")
--- a/tests/leases/test_lease_simulation.py
+++ b/tests/leases/test_lease_simulation.py
@@ -12,27 +12,29 @@
 from tests.consensus.raft_simulation import WORKER_PROCESSES
 from tests.leases.faulty_variants import FAULTY_VARIANTS
 from tests.leases.lease_raft_simulation import explore_raft
-from tests.leases.lease_simulation import CHOICES, InvariantError, by_choices, explore
+from tests.leases.lease_simulation import Choice, InvariantError, by_choices, explore
 
 RUNS_LONG = True  # scheduled first: see tests/conftest.py
 
-SCHEDULES, DEPTH = 20_000, 5
+SCHEDULES = 20_000
+DEPTH = 5  # choices after the first
 RAFT_SCHEDULES = 2_000
-FAULTY_SCHEDULES, FAULTY_RAFT_SCHEDULES = 4000, 600
+FAULTY_SCHEDULES = 4_000
+FAULTY_RAFT_SCHEDULES = 600
 
 
 def sweep(first: int, count: int) -> tuple[int, int]:
-    worlds = [explore(seed, places=2 if seed % 5 == 0 else 1) for seed in range(first, first + count)]
-    return sum(world.changes for world in worlds), sum(world.refused for world in worlds)
+    clusters = [explore(seed, max_holders=2 if seed % 5 == 0 else 1) for seed in range(first, first + count)]
+    return sum(cluster.changes for cluster in clusters), sum(cluster.refused for cluster in clusters)
 
 
 def sweep_raft(first: int, count: int) -> int:
     return sum(explore_raft(seed).changes for seed in range(first, first + count))
 
 
-def explore_all_from(first: int) -> int:
+def explore_all_from(first: Choice) -> int:
     count = 0
-    for rest in itertools.product(range(CHOICES), repeat=DEPTH):
+    for rest in itertools.product(Choice, repeat=DEPTH):
         by_choices((first, *rest))
         count += 1
     return count
@@ -42,10 +44,10 @@
     part, raft_part = SCHEDULES // 40, RAFT_SCHEDULES // 40
     with ProcessPoolExecutor(WORKER_PROCESSES, mp_context=get_context("spawn")) as pool:
         seeded = [pool.submit(sweep, first, part) for first in range(0, SCHEDULES, part)]
-        short = [pool.submit(explore_all_from, first) for first in range(CHOICES)]
+        short = [pool.submit(explore_all_from, first) for first in Choice]
         on_raft = [pool.submit(sweep_raft, first, raft_part) for first in range(0, RAFT_SCHEDULES, raft_part)]
         changes, refused = (sum(row) for row in zip(*(wait.result() for wait in seeded), strict=True))
-        assert sum(wait.result() for wait in short) == CHOICES ** (DEPTH + 1)
+        assert sum(wait.result() for wait in short) == len(Choice) ** (DEPTH + 1)
         changes_on_raft = sum(wait.result() for wait in on_raft)
     # A sweep in which little happens proves nothing.
     assert changes > 2 * SCHEDULES and refused > 50 and changes_on_raft > RAFT_SCHEDULES
--- a/tests/leases/test_manager.py
+++ b/tests/leases/test_manager.py
@@ -14,15 +14,15 @@
     RequestedLease,
 )
 from ploverspoke.leases.state_machine import LeaseCommand, LeaseStateMachine
+from ploverspoke.transport.units import SECOND
 
-S = 1_000_000_000
 DEFINITIONS = LeaseDefinitions(
     {
-        "one": LeaseDefinition(1, 10 * S),
-        "three": LeaseDefinition(3, 10 * S),
-        "team-*": LeaseDefinition(1, 10 * S),
+        "one": LeaseDefinition(1, 10 * SECOND),
+        "three": LeaseDefinition(3, 10 * SECOND),
+        "team-*": LeaseDefinition(1, 10 * SECOND),
     },
-    S,
+    SECOND,
 )
 
 
@@ -30,7 +30,7 @@
     """An environment that leads alone: what is proposed is committed at once, as a later event."""
 
     def __init__(self) -> None:
-        self.clock = 100 * S
+        self.clock = 100 * SECOND
         self.state = LeaseStateMachine()
         self.sent: list[tuple[str, LeaseResponse]] = []
         self.proposed: list[tuple[LeaseCommand, Callable[[bool], None]]] = []
@@ -82,10 +82,10 @@
 
 def test_a_thousand_holders_wait_in_order_and_only_the_next_is_sent_a_message() -> None:
     server = SingleLeaseServer()
-    server.request("first", ("one", 2 * S, 0))
+    server.request("first", ("one", 2 * SECOND, 0))
     for n in range(1000):
         # They come in any order; how long each says it has waited is what counts.
-        server.request(f"w{n * 7 % 1000:03}", ("one", 2 * S, 0), waited=(1000 - n * 7 % 1000) * 1000)
+        server.request(f"w{n * 7 % 1000:03}", ("one", 2 * SECOND, 0), waited=(1000 - n * 7 % 1000) * 1000)
     for n in range(20):
         holder = "first" if n == 0 else f"w{n - 1:03}"
         assert server.holders("one") == [holder]
@@ -103,24 +103,24 @@
 def test_expired_lease_is_granted_to_next_waiter_and_not_before() -> None:
     server = SingleLeaseServer()
     for n in range(5):
-        server.request(f"h{n}", ("three", 2 * S, 0))
+        server.request(f"h{n}", ("three", 2 * SECOND, 0))
     assert server.holders("three") == ["h0", "h1", "h2"]
-    server.pass_time(S)
-    server.request("h0", ("three", 2 * S, 1))
-    server.request("h3", ("three", 2 * S, 0))
-    server.request("h4", ("three", 2 * S, 0))
-    server.pass_time(S - 1)
+    server.pass_time(SECOND)
+    server.request("h0", ("three", 2 * SECOND, 1))
+    server.request("h3", ("three", 2 * SECOND, 0))
+    server.request("h4", ("three", 2 * SECOND, 0))
+    server.pass_time(SECOND - 1)
     assert server.holders("three") == ["h0", "h1", "h2"]
     server.pass_time(1)
     assert server.holders("three") == ["h0", "h3", "h4"]
-    server.request("h1", ("three", 2 * S, 2))
+    server.request("h1", ("three", 2 * SECOND, 2))
     assert server.sent[-1] == ("h1", LeaseResponse(server.number, [], [LostLease("three", 2)], []))
 
 
 def test_lease_is_handed_over_and_what_a_request_leaves_out_is_not_waited_for() -> None:
     server = SingleLeaseServer()
     for holder in ("a", "b", "c", "d"):
-        server.request(holder, ("one", 2 * S, 0))
+        server.request(holder, ("one", 2 * SECOND, 0))
     server.request("b")
     server.request("a", released=(("one", 1, "d"),))
     assert server.holders("one") == ["d"]
@@ -136,9 +136,9 @@
 @pytest.mark.parametrize(
     ("name", "duration", "reason"),
     [
-        ("none", 2 * S, "no lease is called 'none'"),
-        ("one", S // 2, "under 1000"),
-        ("team-x", 11 * S, "over 10000"),
+        ("none", 2 * SECOND, "no lease is called 'none'"),
+        ("one", SECOND // 2, "under 1000"),
+        ("team-x", 11 * SECOND, "over 10000"),
     ],
 )
 def test_lease_that_cannot_be_granted_is_rejected_with_the_reason(
