--- a/tests/config_distribution/own_files.py
+++ b/tests/config_distribution/own_files.py
@@ -3,8 +3,9 @@
 import json
 from pathlib import Path
 
+from tests.example_config import EXAMPLE
+
 SECRET = b"0123456789abcdef0123"
-EXAMPLE = json.loads((Path(__file__).parents[2] / "deploy" / "example.json").read_text())
 REQUEST_CLASS = EXAMPLE["settings"]["ServiceGrades"][0]
 
 
--- a/tests/config_distribution/process_fleet.py
+++ b/tests/config_distribution/process_fleet.py
@@ -7,7 +7,6 @@
 import sys
 from collections.abc import Awaitable, Callable
 from pathlib import Path
-from typing import Any
 
 from click.testing import CliRunner
 
@@ -22,20 +21,26 @@
 SERVERS = ("c1", "c2", "c3")
 
 
-class Stranger:
+class WatcherConnection:
     """A watcher's connection, frame by frame."""
 
     def __init__(self, address: str, name: str) -> None:
         host, port = address.split(":")
         self.frames = FrameCodec(SECRET, watcher_greeting(name, "fleet"))
-        self.unread: list[Any] = []
+        self.unread: list[object] = []
         self.socket = socket.create_connection((host, int(port)), 10)
         self.socket.sendall(self.frames.greeting_frame())
-        assert self.receive()["k"] == "beat"
+        assert self.receive_message()["k"] == "beat"
         self.socket.sendall(self.frames.encode(NO_STATUS))
 
-    def receive(self) -> Any:
-        """The next message, heartbeats included; None where the connection has ended."""
+    def receive_message(self) -> dict[str, object]:
+        """Return the next message; the connection must not have ended."""
+        message = self.receive()
+        assert message is not None
+        return message
+
+    def receive(self) -> dict[str, object] | None:
+        """Return the next message, heartbeats included; None where the connection has ended."""
         while not self.unread:
             try:
                 data = self.socket.recv(65536)
@@ -44,7 +49,9 @@
             if not data:
                 return None
             self.unread += self.frames.decode(data)
-        return self.unread.pop(0)
+        message = self.unread.pop(0)
+        assert isinstance(message, dict)
+        return message
 
 
 class ProcessFleet:
@@ -68,14 +75,14 @@
         self.own_file = write_own_config(folder, ports[6:])
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
 
-    def write(self, name: str, document: Any) -> Path:
+    def write(self, name: str, document: object) -> Path:
         path = self.folder / name
         path.write_text(json.dumps(document))
         return path
 
-    def start(self, name: str, *words: str) -> None:
+    def start(self, name: str, *arguments: str) -> None:
         with (self.folder / f"{name}.log").open("ab") as log:
-            command = [sys.executable, "-m", "ploverspoke", *words]
+            command = [sys.executable, "-m", "ploverspoke", *arguments]
             self.processes[name] = subprocess.Popen(command, stdout=log, stderr=log)
 
     def start_dispatcher(self) -> None:
@@ -87,9 +94,9 @@
             assert self.processes[name].poll() is None, f"{name} ended before it logged {line!r}"
             await asyncio.sleep(0.02)
 
-    async def config(self, command: str, *words: str) -> tuple[int, str]:
+    async def config(self, command: str, *arguments: str) -> tuple[int, str]:
         """As the command line does; in this process, which is imported already."""
-        call = ["config", command, str(self.tools_file), *words]
+        call = ["config", command, str(self.tools_file), *arguments]
         result = await asyncio.to_thread(CliRunner().invoke, command_line, call)
         return result.exit_code, result.output
 
@@ -98,10 +105,10 @@
         while "applied at 1 of 1 connected" not in (await self.config("status"))[1]:
             await asyncio.sleep(0.05)
 
-    async def publish(self, body: str, *words: str) -> tuple[int, str]:
+    async def publish(self, body: str, *arguments: str) -> tuple[int, str]:
         path = self.folder / "body.json"
         path.write_text(body)
-        return await self.config("publish", str(path), *words)
+        return await self.config("publish", str(path), *arguments)
 
     async def has_class(self, name: str) -> bool:
         """Whether the dispatcher has that request class, as clients see it."""
--- a/tests/config_distribution/test_cluster_config.py
+++ b/tests/config_distribution/test_cluster_config.py
@@ -3,7 +3,6 @@
 import json
 from collections.abc import Callable
 from pathlib import Path
-from typing import Any
 
 import pytest
 
@@ -19,10 +18,21 @@
 
 def test_invalid_file_is_rejected_with_its_key(tmp_path: Path) -> None:
     (tmp_path / "secret").write_bytes(SECRET)
-    good_watch = {"cluster": "c", "servers": ["127.0.0.1:1"], "secret_file": "secret", "cache": "x"}
+    good_watch: dict[str, object] = {
+        "cluster": "c",
+        "servers": ["127.0.0.1:1"],
+        "secret_file": "secret",
+        "cache": "x",
+    }
     replicas = {"c1": {"peers": "127.0.0.1:1", "clients": "127.0.0.1:2"}}
-    good = {"cluster": "c", "name": "c1", "folder": "c1", "secret_file": "secret", "replicas": replicas}
-    readers: list[tuple[Callable[[Path], Any], dict[str, Any], str, Any]] = [
+    good: dict[str, object] = {
+        "cluster": "c",
+        "name": "c1",
+        "folder": "c1",
+        "secret_file": "secret",
+        "replicas": replicas,
+    }
+    readers: list[tuple[Callable[[Path], object], dict[str, object], str, object]] = [
         (read_watch_config, good_watch, "cluster", None),
         (read_watch_config, good_watch, "servers", []),
         (read_watch_config, good_watch, "servers", ["nowhere"]),
--- a/tests/config_distribution/test_commands.py
+++ b/tests/config_distribution/test_commands.py
@@ -1,4 +1,4 @@
-"""`ploverspoke config` with config servers and a dispatcher as processes; strangers and garbage."""
+"""`ploverspoke config` with config servers and a dispatcher as processes; repeated and invalid messages."""
 
 import asyncio
 import json
@@ -11,7 +11,7 @@
 from ploverspoke.consensus.replica_client import send_admin_request
 
 from .own_files import SECRET, body_with_classes
-from .process_fleet import SERVERS, ProcessFleet, Stranger, with_fleet
+from .process_fleet import SERVERS, ProcessFleet, WatcherConnection, with_fleet
 
 
 def test_operators_publish_inspect_and_roll_back_versions(tmp_path: Path) -> None:
@@ -21,8 +21,8 @@
         await fleet.logs("n0", "n0 serves at")
         assert not await fleet.has_class("g01")
         await fleet.wait_until_watched()
-        words = ("--wait", "20", "--against", str(fleet.own_file))
-        code, out = await fleet.publish(body_with_classes("g01"), *words)
+        options = ("--wait", "20", "--against", str(fleet.own_file))
+        code, out = await fleet.publish(body_with_classes("g01"), *options)
         assert (code, out.splitlines()[0]) == (0, "version 1"), out
         assert await fleet.has_class("g01")
         assert (await fleet.admin_reply()).startswith("+OK version 1 applied\ndispatcher_config_version 1\n")
@@ -101,7 +101,7 @@
     return [row[0] for row in rows]
 
 
-def test_repeated_publish_commits_once_and_strangers_change_nothing(tmp_path: Path) -> None:
+def test_repeated_publish_commits_once_and_invalid_connections_change_nothing(tmp_path: Path) -> None:
     async def script(fleet: ProcessFleet) -> None:
         assert (await fleet.publish(body_with_classes("g01")))[0] == 0
 
@@ -135,18 +135,20 @@
             (SECRET, "fleet", b"\x00\x00\x00\x05" + b"x" * 21),
             (SECRET, "fleet", b"\xff" * 40),
         ):
-            with socket.create_connection((host, int(port)), 10) as stranger:
+            with socket.create_connection((host, int(port)), 10) as connection:
                 frames = FrameCodec(secret, watcher_greeting("n9", cluster))
-                stranger.sendall(frames.greeting_frame() + garbage)
-                while stranger.recv(65536):
+                connection.sendall(frames.greeting_frame() + garbage)
+                while connection.recv(65536):
                     pass
         await fleet.logs("c1", "config: message rejected:", times=4)
         assert "n9" not in first_columns(send_admin_request(fleet.peers["c1"], SECRET, {"ask": "watchers"}))
         # A second connection of one name replaces the first; a watcher too many is sent elsewhere.
-        first, other = Stranger(fleet.clients["c2"], "n8"), Stranger(fleet.clients["c2"], "n9")
-        assert (first.receive()["n"], other.receive()["n"]) == (2, 2)
-        again, more = Stranger(fleet.clients["c2"], "n8"), Stranger(fleet.clients["c2"], "n10")
-        assert again.receive()["n"] == 2 and more.receive() == {"k": "elsewhere"} and more.receive() is None
+        address = fleet.clients["c2"]
+        first, other = WatcherConnection(address, "n8"), WatcherConnection(address, "n9")
+        assert (first.receive_message()["n"], other.receive_message()["n"]) == (2, 2)
+        again, surplus = WatcherConnection(address, "n8"), WatcherConnection(address, "n10")
+        assert again.receive_message()["n"] == 2
+        assert surplus.receive() == {"k": "elsewhere"} and surplus.receive() is None
         while first.receive() is not None:
             pass
         for name in SERVERS:
--- a/tests/config_distribution/test_dynamic_config.py
+++ b/tests/config_distribution/test_dynamic_config.py
@@ -5,7 +5,7 @@
 import subprocess
 import sys
 from pathlib import Path
-from typing import Any
+from typing import cast
 
 import pytest
 
@@ -14,6 +14,7 @@
 from ploverspoke.config_distribution.messages import NO_VERSION, VerifiedVersion
 from ploverspoke.service.config import Config
 from ploverspoke.service.config_reader import ConfigError
+from ploverspoke.service.service import Service
 
 from .own_files import body_with_classes, write_own_config
 
@@ -30,7 +31,7 @@
                 raise ConfigError("settings.RoundUs")
             self.config = new
 
-    service: Any = FakeService()
+    service = cast(Service, FakeService())
     before, applier = service.config, VersionApplier(service, own, NO_VERSION)
     with pytest.raises(VersionRejectedError) as rejected:
         applier.apply(VerifiedVersion(1, b"", '{"settings": {"RoundUs": 4000}}'))
@@ -45,7 +46,7 @@
     out = subprocess.run([sys.executable, "-c", program], capture_output=True, check=True).stdout.decode()
     assert "ploverspoke.service.service" in out.split() and "ploverspoke.config_distribution" not in out
     own = write_own_config(tmp_path, [1, 2])
-    for words in (["--processes", "2"], ["--store", str(own)]):
-        command = [sys.executable, "-m", "ploverspoke", "serve", str(own), "--watch", str(own), *words]
+    for options in (["--processes", "2"], ["--store", str(own)]):
+        command = [sys.executable, "-m", "ploverspoke", "serve", str(own), "--watch", str(own), *options]
         result = subprocess.run(command, capture_output=True, env=os.environ)
         assert result.returncode == 2 and b"--watch goes neither with" in result.stderr
--- a/tests/config_distribution/test_fleet.py
+++ b/tests/config_distribution/test_fleet.py
@@ -123,7 +123,7 @@
 
 
 def test_watcher_of_a_remote_server_returns_to_a_local_one() -> None:
-    fleet = VirtualFleet(3, 30, lambda n: [0])
+    fleet = VirtualFleet(3, 30, lambda number: [0])
     fleet.servers["s0"].crash()
     fleet.run(10 * SECOND)
     assert not any(
--- a/tests/config_distribution/test_overlay.py
+++ b/tests/config_distribution/test_overlay.py
@@ -1,7 +1,6 @@
 """Bodies of versions: their checks, and how they are applied to a dispatcher's own configuration."""
 
 import json
-from typing import Any
 
 import pytest
 
@@ -20,14 +19,15 @@
             "Limits": {"MaxOpen": 5, "Cancel": True},
         },
     }
-    overlay = {
+    overlay: dict[str, object] = {
         "settings": {"Limits": {"MaxOpen": 9, "Cancel": None}, "Round": [1, 2]},
         "zones": {
             "a": {"discovery": "x:1"},
             "b": {"discovery": "b:1", "settings": {"Limits": {"MaxOpen": 3}}},
         },
     }
-    applied: Any = apply_overlay(own, read_body(json.dumps(overlay)))
+    applied = apply_overlay(own, read_body(json.dumps(overlay)))
+    assert isinstance(applied, dict)
     assert applied["settings"] == {
         "SlotNo": 7,
         "Zone": 1,
@@ -36,7 +36,8 @@
         "Round": [1, 2],
     }
     assert (applied["name"], applied["discovery"], own["discovery"]) == ("n7", "b:1", "a:1")
-    without_zone: Any = apply_overlay({**own, "settings": {"Zone": 5}}, overlay)
+    without_zone = apply_overlay({**own, "settings": {"Zone": 5}}, overlay)
+    assert isinstance(without_zone, dict)
     assert without_zone["discovery"] == "a:1"
     # Of RFC 7386, appendix A.
     for target, patch, result in (
--- a/tests/config_distribution/test_processes.py
+++ b/tests/config_distribution/test_processes.py
@@ -1,4 +1,4 @@
-"""Config servers and dispatchers as real processes, judged from outside; faulty variants are found."""
+"""Config servers and dispatchers as real processes, checked from outside; faulty variants are found."""
 
 from pathlib import Path
 
@@ -41,21 +41,25 @@
         FaultStep(at=Duration(3 * SECOND), what="kill", who=["a-d2"], lasts=Duration(200 * MILLISECOND)),
     ]
     apart = {"a-d2", "a-d4"}
-    others = [s for s in timeline(plan, 53) if s.what in (*LINK_FAULTS, "copy") or not apart & set(s.who)]
-    played = run_distribution_scenario(plan, 53, [*others, *own_steps])
-    assert played.shown == [], "\n".join(played.shown)
-    assert (played.void, played.faults, played.verdict.void()) == ("", [], "")
-    assert played.verdict.refusals == plan.dispatchers
-    done = {event.what for event in played.events if event.who == "rig"}
+    others = [
+        step
+        for step in timeline(plan, 53)
+        if step.what in (*LINK_FAULTS, "copy") or not apart & set(step.who)
+    ]
+    outcome = run_distribution_scenario(plan, 53, [*others, *own_steps])
+    assert outcome.shown == [], "\n".join(outcome.shown)
+    assert (outcome.void, outcome.faults, outcome.verdict.void()) == ("", [], "")
+    assert outcome.verdict.refusals == plan.dispatchers
+    rig_events = {event.what for event in outcome.events if event.who == "rig"}
     expected = {"kill", "pause", "restart", "empty", "older"}
-    assert done >= {
+    assert rig_events >= {
         "add fault",
         "remove fault",
         "reset",
         "refuses",
         *(f"{what} is over" for what in expected),
     }
-    kinds = {event.detail[2] for event in played.events if event.what == "wants"}
+    kinds = {event.detail[2] for event in outcome.events if event.what == "wants"}
     assert kinds == {"good", "refusable", "unacceptable"}
 
 
--- a/tests/config_distribution/test_watcher.py
+++ b/tests/config_distribution/test_watcher.py
@@ -1,7 +1,5 @@
 """One watcher: versions that are rejected, skipped, old or corrupt, and servers that break the protocol."""
 
-from typing import Any
-
 import pytest
 
 from ploverspoke.config_distribution.messages import VerifiedVersion
@@ -14,13 +12,13 @@
 from .virtual_fleet import FakeWatcher, VirtualFleet
 
 
-def row_values(row: WatcherRow) -> list[Any]:
+def row_values(row: WatcherRow) -> list[object]:
     """A row without its time and its connection."""
     return [row.name, row.applied_version, row.received_version, row.rejection]
 
 
 def one_watcher() -> tuple[VirtualFleet, FakeWatcher, int]:
-    fleet = VirtualFleet(2, 1, lambda n: [0])
+    fleet = VirtualFleet(2, 1, lambda number: [0])
     fleet.add_version(1)
     fleet.run(2 * SECOND)
     (watcher,) = fleet.watchers
@@ -88,7 +86,7 @@
         None,
     ],
 )
-def test_server_that_breaks_the_protocol_is_left_and_the_version_stays(message: Any) -> None:
+def test_server_that_breaks_the_protocol_is_left_and_the_version_stays(message: object) -> None:
     fleet, watcher, link = one_watcher()
     watcher.watcher.on_message(link, message)
     assert watcher.applied_version() == 1
--- a/tests/config_distribution/virtual_fleet.py
+++ b/tests/config_distribution/virtual_fleet.py
@@ -3,7 +3,7 @@
 import heapq
 import random
 from collections.abc import Callable
-from typing import Any
+from functools import partial
 
 from ploverspoke.config_distribution.broadcaster import VersionBroadcaster
 from ploverspoke.config_distribution.errors import VersionRejectedError
@@ -28,9 +28,12 @@
         self.count = 0
         self.seed = seed
         self.cuts: set[tuple[str, str]] = set()
-        self.names = [f"s{n}" for n in range(servers)]
+        self.names = [f"s{number}" for number in range(servers)]
         self.servers = {name: FakeServer(self, name) for name in self.names}
-        self.watchers = [FakeWatcher(self, n, [f"s{m}" for m in local(n)]) for n in range(watchers)]
+        self.watchers = [
+            FakeWatcher(self, number, [f"s{server}" for server in local(number)])
+            for number in range(watchers)
+        ]
 
     def after(self, delay: int, action: Callable[[], None]) -> None:
         self.count += 1
@@ -64,7 +67,7 @@
 
 
 class FakeServer:
-    """A config server's decisions; `has_leader` is what it says of its replica."""
+    """A config server's decisions; `has_leader`: whether its replica is in contact with a leader."""
 
     def __init__(self, fleet: VirtualFleet, name: str) -> None:
         self.fleet, self.name = fleet, name
@@ -109,7 +112,7 @@
         """The process ends: its connections end, and further ones are refused."""
         self.is_up = False
         for watcher, link in self.links.values():
-            self.fleet.after(MILLISECOND, lambda w=watcher, x=link: w.on_disconnected(x, self))  # type: ignore[misc]
+            self.fleet.after(MILLISECOND, partial(watcher.on_disconnected, link, self))
 
 
 class FakeWatcher:
@@ -185,7 +188,7 @@
             server.broadcaster.on_watch_status(self.name, read_watch_status(decoded(status)))
             server.arm()
 
-    def on_message(self, link: int, server: FakeServer, message: Any) -> None:
+    def on_message(self, link: int, server: FakeServer, message: object) -> None:
         if link in self.open and server.is_up and self.reaches(server.name, back=True):
             self.watcher.on_message(link, message)
             self.arm()
--- a/tests/consensus/test_cluster_config.py
+++ b/tests/consensus/test_cluster_config.py
@@ -1,7 +1,6 @@
 """Files of configuration of replicas: what is wrong in one is named by its key."""
 
 from pathlib import Path
-from typing import Any
 
 import pytest
 
@@ -12,7 +11,7 @@
 
 def test_an_error_in_a_replica_s_file_names_the_key(tmp_path: Path) -> None:
     cluster = Cluster(tmp_path, 1)
-    bad: list[tuple[dict[str, Any], str]] = [
+    bad: list[tuple[dict[str, object], str]] = [
         ({"name": "r9"}, "name"),
         ({"secret_file": "nowhere"}, "secret_file"),
         ({"replicas": {"R 0": {}}}, "replicas.R 0"),
--- a/tests/consensus/test_storage.py
+++ b/tests/consensus/test_storage.py
@@ -2,7 +2,6 @@
 
 import sqlite3
 from pathlib import Path
-from typing import Any
 
 import pytest
 
@@ -23,11 +22,13 @@
     return storage
 
 
-def batch(first: int, count: int, size: int = 10, **more: Any) -> WriteBatch:
-    """Return a batch of entries from an index on; `more` are other fields of it."""
+def batch(first: int, count: int, size: int = 10, **fields: object) -> WriteBatch:
+    """Return a batch of entries from an index on; `fields` are other fields of it."""
     made = WriteBatch()
-    made.entries = [Entry(first + n, 1, EntryKind.DATA, [f"e{first + n}", "x" * size]) for n in range(count)]
-    for key, value in more.items():
+    made.entries = [
+        Entry(index, 1, EntryKind.DATA, [f"e{index}", "x" * size]) for index in range(first, first + count)
+    ]
+    for key, value in fields.items():
         setattr(made, key, value)
     return made
 
--- a/tests/consensus/test_wire_messages.py
+++ b/tests/consensus/test_wire_messages.py
@@ -1,7 +1,6 @@
 """Messages among replicas: each keeps its type, and what is none of them closes its connection."""
 
 import asyncio
-from typing import Any
 from unittest import mock
 
 import msgspec
@@ -22,7 +21,7 @@
 SECRET = b"a secret of the test"
 STALE_TERM = {"k": "behind", "t": 3, "disk": "d"}
 HEARTBEAT = {"k": "append", "t": 3, "li": 0, "lt": 0, "e": [], "c": 0, "r": 1, "disk": "d"}
-MALFORMED: list[Any] = [
+MALFORMED: list[object] = [
     7,
     [],
     {},
@@ -45,7 +44,7 @@
 
 
 @pytest.mark.parametrize("plain", MALFORMED, ids=repr)
-def test_message_of_another_form_is_refused(plain: Any) -> None:
+def test_message_of_another_form_is_refused(plain: object) -> None:
     with pytest.raises(MessageError):
         decode_message(msgspec.msgpack.encode(plain))
 
@@ -57,9 +56,9 @@
 
 
 @pytest.mark.parametrize("plain", MALFORMED, ids=repr)
-def test_connection_with_a_malformed_message_is_closed_and_counted(plain: Any) -> None:
-    async def scene() -> None:
-        received: list[Any] = []
+def test_connection_with_a_malformed_message_is_closed_and_counted(plain: object) -> None:
+    async def scenario() -> None:
+        received: list[object] = []
         links = PeerLinks(SECRET, PeerIdentity("b.1", "s"), lambda *each: received.append(each), mock.Mock())
         connection = InboundConnection(links)
         transport = mock.Mock(spec=asyncio.Transport)
@@ -71,4 +70,4 @@
         connection.data_received(peer.encode(plain))
         assert links.refused_connections == 1 and transport.abort.called and len(received) == 1
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
--- a/tests/leases/test_config.py
+++ b/tests/leases/test_config.py
@@ -2,14 +2,13 @@
 
 import json
 from pathlib import Path
-from typing import Any
 
 import pytest
 
 from ploverspoke.leases.config import read_lease_server_config
 from ploverspoke.service.config_reader import ConfigError
 
-VALID: dict[str, Any] = {
+VALID: dict[str, object] = {
     "cluster": "c",
     "name": "k1",
     "folder": "k1",
@@ -33,7 +32,7 @@
     ],
 )
 def test_wrong_lease_server_file_is_rejected_with_its_key(
-    tmp_path: Path, change: dict[str, Any], key: str
+    tmp_path: Path, change: dict[str, object], key: str
 ) -> None:
     (tmp_path / "secret").write_text("a secret that is long enough")
     file = tmp_path / "k1.json"
--- a/tests/leases/test_fleet_tasks.py
+++ b/tests/leases/test_fleet_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks under leases, on real lease servers and processes: what fake dispatchers saw of them is judged."""
+"""Tasks under leases, on real lease servers and processes: what fake dispatchers saw of them is checked."""
 
 import asyncio
 import json
@@ -23,6 +23,7 @@
 from ploverspoke.testbed.processes.addresses import reserve_ports
 from ploverspoke.testbed.processes.readiness import accepts_connections
 from ploverspoke.testbed.scenarios.lease_scenario import LeaseFleet
+from tests.example_config import EXAMPLE, EXAMPLE_PATH
 from tests.leases.lease_server_rig import Call, run_with_lease_servers
 
 RUNS_LONG = True  # scheduled first: see tests/conftest.py
@@ -134,9 +135,9 @@
         dispatchers = [FakeDispatcher() for _ in range(3)]
         for dispatcher in dispatchers:
             await dispatcher.open()
-        nobody = reserve_ports(1)[0]
+        unused_port = reserve_ports(1)[0]
         path = tmp_path / "summary.json"
-        ports = [*(dispatcher.port for dispatcher in dispatchers), nobody]
+        ports = [*(dispatcher.port for dispatcher in dispatchers), unused_port]
         writers = await start_summary_writers(leases, path, ports)
         try:
             tokens = await read_tokens_and_kill_writers(call, path, writers)
@@ -150,9 +151,6 @@
     run_with_lease_servers(tmp_path, script)
 
 
-EXAMPLE = Path(__file__).parents[2] / "deploy" / "example.json"
-
-
 async def run_store_command(*arguments: str) -> tuple[int, bytes]:
     """Exit code and output."""
     command = [sys.executable, "-m", "ploverspoke", "store", *arguments]
@@ -169,7 +167,7 @@
     config = {"cluster": "s", "name": "r1", "folder": "store", "secret_file": "secret"}
     replicas = {"r1": {"peers": place.endpoint("peers"), "clients": place.endpoint("clients")}}
     file.write_bytes(msgspec.json.encode({**config, "replicas": replicas}))
-    process = rig.add_process(place, "ploverspoke", ["serve", str(EXAMPLE), "--store", str(file)])
+    process = rig.add_process(place, "ploverspoke", ["serve", str(EXAMPLE_PATH), "--store", str(file)])
     process.ready = accepts_connections(place.host, place.ports["peers"])
     await rig.start_processes(["store"], ["--new"])
     while (await run_store_command("status", str(file)))[0]:
@@ -181,16 +179,16 @@
         store = tmp_path / "store.json"
         await start_store(leases, store)
         files = [tmp_path / f"c{n}.json" for n in range(4)]
-        for n, file in enumerate(files):
-            file.write_text(json.dumps({**json.loads(EXAMPLE.read_text()), "note": n}))
+        for number, file in enumerate(files):
+            file.write_text(json.dumps({**EXAMPLE, "note": number}))
 
-        async def publish(n: int) -> int:
-            options = ["--for", "3", "--as", f"p{n}", "--json"]
-            code, output = await call("publish", "one", str(store), str(files[n]), *options)
+        async def publish(number: int) -> int:
+            options = ["--for", "3", "--as", f"p{number}", "--json"]
+            code, output = await call("publish", "one", str(store), str(files[number]), *options)
             assert code == 0, output
             return int(json.loads(output)["version"])
 
-        versions = await asyncio.gather(*(publish(n) for n in range(4)), *(publish(n) for n in range(4)))
+        versions = await asyncio.gather(*(publish(number) for number in (*range(4), *range(4))))
         assert sorted(versions) == list(range(1, 9))
         code, without_token = await run_store_command("configure", str(store), str(files[0]))
         assert code == 1, without_token
@@ -202,16 +200,18 @@
 
 
 def test_store_rejects_configuration_under_an_older_token() -> None:
-    ledger = RequestStateMachine()
+    state_machine = RequestStateMachine()
     for body, token in (("a", 0), ("b", 7), ("late", 6), ("without", 0), ("c", 7), ("d", 9)):
-        ledger.apply(1, encode_command(CommitConfiguration(body, "me", 1, token)))
+        state_machine.apply(1, encode_command(CommitConfiguration(body, "me", 1, token)))
     again = RequestStateMachine()
-    again.restore_snapshot(ledger.take_snapshot())
+    again.restore_snapshot(state_machine.take_snapshot())
     again.apply(1, encode_command(CommitConfiguration("late", "me", 1, 8)))
-    assert [c.body for c in again.configurations] == ["a", "b", "c", "d"]
+    assert [configuration.body for configuration in again.configurations] == ["a", "b", "c", "d"]
+
 
+class FakeLeaseClient:
+    """Returns one of the times left after the other."""
 
-class LeaseWithTimes:
     def __init__(self, *times_left: int) -> None:
         self.times_left = list(times_left)
 
@@ -227,7 +227,7 @@
     [
         ([10**9, 10**9], 10**8, 2, True),
         ([10**9, 10**7], 10**8, 1, False),  # what is left is too short for the second
-        ([10**9, 10**9], 10**6, 0, False),  # a step that takes longer than it said is cancelled
+        ([10**9, 10**9], 10**6, 0, False),  # a step that takes longer than its max_duration is cancelled
     ],
 )
 def test_no_step_begins_that_may_outlast_the_lease(
@@ -240,7 +240,7 @@
         tokens.append(token)
 
     steps = [GuardedStep(max_duration, step)] * 2
-    assert asyncio.run(run_guarded_steps(LeaseWithTimes(*times_left), "n", steps)) is completed
+    assert asyncio.run(run_guarded_steps(FakeLeaseClient(*times_left), "n", steps)) is completed
     assert tokens == [5] * done
 
 
--- a/tests/leases/test_lease_commands.py
+++ b/tests/leases/test_lease_commands.py
@@ -89,7 +89,7 @@
 ) -> None:
     async def script(leases: LeaseFleet, call: Call) -> None:
         backup = tmp_path / "backup.db"
-        files = [tmp_path / f"k{n}.json" for n in range(3)]
+        files = [tmp_path / f"k{number}.json" for number in range(3)]
 
         async def run_tool(command: str, file: Path, *arguments: str) -> int:
             process = await asyncio.create_subprocess_exec(
@@ -105,7 +105,7 @@
         assert await run_tool("backup", files[0], str(backup)) == 0
         later = [await acquire_token() for _ in range(2)]
         assert later[0] < later[1]
-        servers = [leases.rig.processes[f"k{n}"] for n in range(3)]
+        servers = [leases.rig.processes[f"k{number}"] for number in range(3)]
         for server, file in zip(servers, files, strict=True):
             await server.stop(signal.SIGTERM, 10)
             assert await run_tool("restore", file, str(backup)) == 2  # never written over
@@ -132,19 +132,20 @@
 
 def test_client_with_another_secret_or_a_malformed_message_changes_nothing(tmp_path: Path) -> None:
     async def script(leases: LeaseFleet, call: Call) -> None:
-        place = leases.keepers[0]
+        first = leases.keepers[0]
+        address = (first.host, first.ports["clients"])
         for secret, message in (
             (b"another secret than theirs", None),
             (b"a secret of the testbed's own", {"n": "x"}),
         ):
             frames = FrameCodec(secret, {"id": "stranger/1", "store": ""})
-            with socket.create_connection((place.host, place.ports["clients"]), 5) as connection:
+            with socket.create_connection(address, 5) as connection:
                 connection.sendall(frames.greeting_frame())
                 if message is not None:
                     while frames.peer_greeting is None:
                         frames.decode(connection.recv(4096))
                     connection.sendall(frames.encode(message))
-                while connection.recv(4096):  # until it is closed on us
+                while connection.recv(4096):  # until the server closes it
                     pass
         server = leases.rig.processes["k0"]
         assert server.is_running() and (await call("status"))[0] == 0
--- a/tests/leases/test_lease_processes.py
+++ b/tests/leases/test_lease_processes.py
@@ -1,4 +1,4 @@
-"""Lease servers and contenders as processes, killed, paused and cut off; what a resource saw is judged."""
+"""Lease servers and candidates as processes, killed, paused and cut off; what a resource saw is checked."""
 
 import pytest
 
@@ -8,16 +8,14 @@
 
 RUNS_LONG = True  # scheduled first: see tests/conftest.py
 
-MS = MILLISECOND
-
 
 def test_no_two_holders_act_at_once_through_kills_pauses_partitions_and_clock_drift() -> None:
-    played = run_lease_scenario(LeaseScenario(lasts=Duration(60 * SECOND)), 1)
-    assert played.shown == [], "\n".join(played.shown)
-    assert (played.void, played.faults, played.verdict.void()) == ("", [], "")
-    assert played.verdict.taken > 2000 and played.verdict.names == 3
-    done = {event.what for event in played.events if event.who == "rig"}
-    assert done >= {"kill is over", "pause is over", "add fault", "remove fault", "wall jumps"}
+    outcome = run_lease_scenario(LeaseScenario(lasts=Duration(60 * SECOND)), 1)
+    assert outcome.shown == [], "\n".join(outcome.shown)
+    assert (outcome.void, outcome.faults, outcome.verdict.void()) == ("", [], "")
+    assert outcome.verdict.taken > 2000 and outcome.verdict.names == 3
+    rig_events = {event.what for event in outcome.events if event.who == "rig"}
+    assert rig_events >= {"kill is over", "pause is over", "add fault", "remove fault", "wall jumps"}
 
 
 @pytest.mark.parametrize("fenced", [True, False])
@@ -25,20 +23,24 @@
     # Each in turn does not reach the resource for a while: what it has sent comes when others act by then.
     steps = [
         FaultStep(
-            at=Duration(n * 700 * MS), what="cut", who=[f"c{n % 4}"], to=["r"], lasts=Duration(2 * SECOND)
+            at=Duration(number * 700 * MILLISECOND),
+            what="cut",
+            who=[f"c{number % 4}"],
+            to=["r"],
+            lasts=Duration(2 * SECOND),
         )
-        for n in range(1, 14)
+        for number in range(1, 14)
     ]
     plan = LeaseScenario(
         keepers=3, contenders=4, names={"one": 1}, lasts=Duration(12 * SECOND), fenced=fenced
     )
-    played = run_lease_scenario(plan, 1, steps)
-    assert (played.void, played.faults) == ("", [])
+    outcome = run_lease_scenario(plan, 1, steps)
+    assert (outcome.void, outcome.faults) == ("", [])
     if fenced:
-        assert played.shown == [] and played.verdict.refused > 0
+        assert outcome.shown == [] and outcome.verdict.refused > 0
     else:
-        assert "was taken after" in played.shown[0] and "timeline" in played.shown[0]
-    assert played.verdict.void(fewest=5) == "" and played.verdict.void(fewest=10_000)
+        assert "was taken after" in outcome.shown[0] and "timeline" in outcome.shown[0]
+    assert outcome.verdict.void(fewest=5) == "" and outcome.verdict.void(fewest=10_000)
 
 
 def test_faulty_holders_that_count_too_long_are_found_on_processes() -> None:
@@ -46,15 +48,19 @@
     servers = ["k0", "k1", "k2"]
     steps = [
         FaultStep(
-            at=Duration(n * 1500 * MS), what="cut", who=[f"c{n % 4}"], to=servers, lasts=Duration(2500 * MS)
+            at=Duration(number * 1500 * MILLISECOND),
+            what="cut",
+            who=[f"c{number % 4}"],
+            to=servers,
+            lasts=Duration(2500 * MILLISECOND),
         )
-        for n in range(1, 6)
+        for number in range(1, 6)
     ]
     plan = LeaseScenario(
         keepers=3, contenders=4, names={"one": 1}, lasts=Duration(9 * SECOND), keeps=1.0, outlasts=True
     )
-    played = run_lease_scenario(plan, 1, steps)
-    assert (played.void, played.faults) == ("", []) and "act at once" in played.shown[0]
+    outcome = run_lease_scenario(plan, 1, steps)
+    assert (outcome.void, outcome.faults) == ("", []) and "act at once" in outcome.shown[0]
 
 
 def test_no_holder_acts_after_expiry_without_a_majority_and_all_continue_when_it_is_back() -> None:
@@ -64,10 +70,10 @@
         FaultStep(at=Duration(begins), what="kill", who=["k2"], lasts=Duration(lasts)),
     ]
     plan = LeaseScenario(keepers=5, contenders=8, names={"one": 1, "two": 1}, lasts=Duration(16 * SECOND))
-    played = run_lease_scenario(plan, 3, steps)
-    assert (played.shown, played.void, played.faults) == ([], "", [])
-    epoch = next(event.at for event in played.events if event.what == "begin")
-    acts = [(event.at - epoch) / SECOND for event in played.events if event.what == "acts"]
+    outcome = run_lease_scenario(plan, 3, steps)
+    assert (outcome.shown, outcome.void, outcome.faults) == ([], "", [])
+    epoch = next(event.at for event in outcome.events if event.what == "begin")
+    acts = [(event.at - epoch) / SECOND for event in outcome.events if event.what == "acts"]
     # A lease lasts 1 s, and a holder's clock is 5% slow at the most.
     assert not [at for at in acts if 5.1 < at < 9.9]
     assert [at for at in acts if at < 4] and [at for at in acts if at > 13]
--- a/tests/leases/test_manager.py
+++ b/tests/leases/test_manager.py
@@ -83,18 +83,19 @@
 def test_a_thousand_holders_wait_in_order_and_only_the_next_is_sent_a_message() -> None:
     server = SingleLeaseServer()
     server.request("first", ("one", 2 * SECOND, 0))
-    for n in range(1000):
-        # They come in any order; how long each says it has waited is what counts.
-        server.request(f"w{n * 7 % 1000:03}", ("one", 2 * SECOND, 0), waited=(1000 - n * 7 % 1000) * 1000)
-    for n in range(20):
-        holder = "first" if n == 0 else f"w{n - 1:03}"
+    for number in range(1000):
+        # They come in any order; how long each has waited by its own request is what counts.
+        place = number * 7 % 1000
+        server.request(f"w{place:03}", ("one", 2 * SECOND, 0), waited=(1000 - place) * 1000)
+    for number in range(20):
+        holder = "first" if number == 0 else f"w{number - 1:03}"
         assert server.holders("one") == [holder]
         server.sent.clear()
         commands = server.commands
         server.request(holder, released=(("one", server.state.last_token, ""),))
         # One release, one grant; a response to who released, and one to who is next.
         assert server.commands == commands + 2
-        assert [to for to, _ in server.sent] in ([f"w{n:03}", holder], [holder, f"w{n:03}"])
+        assert [to for to, _ in server.sent] in ([f"w{number:03}", holder], [holder, f"w{number:03}"])
     server.manager.forget_holder("w020")
     server.request("w019", released=(("one", server.state.last_token, ""),))
     assert server.holders("one") == ["w021"]
@@ -102,8 +103,8 @@
 
 def test_expired_lease_is_granted_to_next_waiter_and_not_before() -> None:
     server = SingleLeaseServer()
-    for n in range(5):
-        server.request(f"h{n}", ("three", 2 * SECOND, 0))
+    for number in range(5):
+        server.request(f"h{number}", ("three", 2 * SECOND, 0))
     assert server.holders("three") == ["h0", "h1", "h2"]
     server.pass_time(SECOND)
     server.request("h0", ("three", 2 * SECOND, 1))
--- a/tests/store/cluster_harness.py
+++ b/tests/store/cluster_harness.py
@@ -4,7 +4,6 @@
 import json
 from collections.abc import Awaitable, Callable
 from pathlib import Path
-from typing import TypeVar
 
 import uvloop
 
@@ -13,8 +12,8 @@
 from ploverspoke.store.log_commands import CommitConfiguration
 from ploverspoke.store.node import StoreNode
 from ploverspoke.testbed.processes.addresses import reserve_ports
+from tests.polling import until
 
-ValueT = TypeVar("ValueT")
 FULL_DISK_PAGES = 60
 
 
@@ -80,16 +79,6 @@
             await self.stop(name)
 
 
-async def until(condition: Callable[[], ValueT | None], seconds: float = 10.0) -> ValueT:
-    """Wait until the condition returns something true, and return that."""
-    for _ in range(int(seconds * 100)):
-        value = condition()
-        if value:
-            return value
-        await asyncio.sleep(0.01)
-    raise AssertionError("it did not come to that")
-
-
 def commit(node: StoreNode, body: str) -> Awaitable[bool]:
     """A configuration with that body; whether it is committed."""
     future: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
--- a/tests/store/test_commands.py
+++ b/tests/store/test_commands.py
@@ -11,14 +11,14 @@
 from click.testing import CliRunner
 
 from ploverspoke.cli import main
+from tests.example_config import EXAMPLE
 from tests.store.cluster_harness import Cluster
 
 
 def test_a_committed_configuration_reaches_all_replicas_and_survives_a_restart(tmp_path: Path) -> None:
     """The real program, three times: one version is committed, a bad one refused, and a restart knows it."""
     cluster = Cluster(tmp_path, 3)
-    example = json.loads((Path(__file__).parents[2] / "deploy" / "example.json").read_text())
-    document = {k: v for k, v in example.items() if k != "known"}
+    document = {key: value for key, value in EXAMPLE.items() if key != "known"}
     (tmp_path / "c.json").write_text(json.dumps(document))
     run = CliRunner()
     files = {f"r{n}": cluster.write_config(f"r{n}", snapshot_every=20_000) for n in range(3)}
--- a/tests/store/test_node.py
+++ b/tests/store/test_node.py
@@ -9,7 +9,8 @@
 from ploverspoke.consensus.membership import Member
 from ploverspoke.consensus.storage import ClusterMismatchError
 from ploverspoke.store.node import StoreNode
-from tests.store.cluster_harness import Cluster, bodies, commit, fill_disk, run_cluster, until
+from tests.polling import until
+from tests.store.cluster_harness import Cluster, bodies, commit, fill_disk, run_cluster
 
 
 def snapshot_index(node: StoreNode) -> int:
--- a/tests/store/test_recovery.py
+++ b/tests/store/test_recovery.py
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize(("idempotency", "attempts", "verdict", "at_deadline"), CASES)
-def test_an_open_request_is_judged_by_its_attempts(
+def test_recovery_of_an_open_request_depends_on_its_attempts(
     idempotency: Idempotency,
     attempts: list[tuple[str, AttemptOutcome | None]],
     verdict: RecoveryVerdict,
--- a/tests/supervisor/harness.py
+++ b/tests/supervisor/harness.py
@@ -1,18 +1,16 @@
-"""Harness: child processes that are numbers, and the real supervisor with the fake workers of `World`."""
+"""Test harness: fake child processes, and the real supervisor with the fake workers of `World`."""
 
 import json
 import subprocess
 import sys
 from pathlib import Path
-from typing import Any
 
 from ploverspoke.supervisor.supervisor import ProcessSupervisor
 from ploverspoke.testbed.processes.addresses import reserve_ports
 from ploverspoke.transport.units import SECOND
+from tests.example_config import EXAMPLE
 from tests.routing.harness import World
 
-EXAMPLE: dict[str, Any] = json.loads((Path(__file__).parents[2] / "deploy" / "example.json").read_text())
-
 
 class FakeProcesses:
     """`SupervisorActions` whose processes are numbers and whose clock is moved by hand."""
@@ -104,6 +102,6 @@
         listing = Path(f"/proc/{self.process.pid}/task/{self.process.pid}/children")
         return [int(pid) for pid in listing.read_text().split()]
 
-    def logged(self, words: str) -> int:
-        """How often the log has these words."""
-        return self.log_path.read_text().count(words)
+    def logged(self, text: str) -> int:
+        """How often the log has this text."""
+        return self.log_path.read_text().count(text)
--- a/tests/supervisor/test_processes.py
+++ b/tests/supervisor/test_processes.py
@@ -5,26 +5,19 @@
 import os
 import signal
 import time
-from collections.abc import Callable
 from pathlib import Path
 
 import uvloop
 
+from tests.polling import until
 from tests.routing.harness import World, message
 
 from .harness import SupervisedDispatchers
 
+EVENT_TIMEOUT = 20  # seconds
 CONNECTION_LOST = 0  # in place of a status: the client got no answer
 
 
-async def until(condition: Callable[[], bool], seconds: float = 20) -> None:
-    for _ in range(int(seconds * 50)):
-        if condition():
-            return
-        await asyncio.sleep(0.02)
-    raise AssertionError("it did not come to that")
-
-
 async def send_requests(world: World, port: int, name: str, statuses: list[int]) -> None:
     for number in range(10_000):
         try:
@@ -39,47 +32,47 @@
 
 
 async def kill_children(dispatchers: SupervisedDispatchers) -> None:
-    await until(lambda: dispatchers.logged(" serves at") == 3)
+    await until(lambda: dispatchers.logged(" serves at") == 3, EVENT_TIMEOUT)
     os.kill(dispatchers.children()[0], signal.SIGKILL)
-    await until(lambda: dispatchers.logged(" serves at") == 4)
+    await until(lambda: dispatchers.logged(" serves at") == 4, EVENT_TIMEOUT)
     for pid in dispatchers.children():
         os.kill(pid, signal.SIGKILL)
-    await until(lambda: dispatchers.logged(" serves at") == 7)
+    await until(lambda: dispatchers.logged(" serves at") == 7, EVENT_TIMEOUT)
 
 
 async def reload_config(dispatchers: SupervisedDispatchers) -> None:
-    """A bad file first, then a good one."""
+    """Reload a bad file first, then a good one."""
     dispatchers.config_path.write_text("{")
     dispatchers.process.send_signal(signal.SIGHUP)
-    await until(lambda: dispatchers.logged("new configuration rejected") > 0)
+    await until(lambda: dispatchers.logged("new configuration rejected") > 0, EVENT_TIMEOUT)
     dispatchers.config_path.write_text(json.dumps({**dispatchers.document, "seed": "77"}))
     dispatchers.process.send_signal(signal.SIGHUP)
-    await until(lambda: dispatchers.logged(" serves at") == 10)
+    await until(lambda: dispatchers.logged(" serves at") == 10, EVENT_TIMEOUT)
 
 
-async def play(folder: Path) -> None:
+async def kill_reload_and_shut_down_under_load(folder: Path) -> None:
     world = World()
     dispatchers = SupervisedDispatchers(folder, world, await world.surround(2), 3)
     statuses: list[int] = []
     try:
-        await until(lambda: dispatchers.logged(" serves at") == 3)
+        await until(lambda: dispatchers.logged(" serves at") == 3, EVENT_TIMEOUT)
         clients = [
             asyncio.create_task(send_requests(world, dispatchers.port, f"c{number}", statuses))
             for number in range(4)
         ]
-        await until(lambda: len(statuses) > 100)
+        await until(lambda: len(statuses) > 100, EVENT_TIMEOUT)
         await kill_children(dispatchers)
         lost = statuses.count(CONNECTION_LOST)
         await reload_config(dispatchers)
         before = len(statuses)
-        await until(lambda: len(statuses) > before + 100)
+        await until(lambda: len(statuses) > before + 100, EVENT_TIMEOUT)
         # A planned replacement loses nothing; what a killed child had is lost with it.
         assert statuses.count(CONNECTION_LOST) == lost and lost < 50
         assert set(statuses) <= {CONNECTION_LOST, 200, 503}
         for client in clients:
             client.cancel()
         dispatchers.process.send_signal(signal.SIGTERM)
-        await until(lambda: dispatchers.process.poll() is not None)
+        await until(lambda: dispatchers.process.poll() is not None, EVENT_TIMEOUT)
         assert dispatchers.process.returncode == 0
     finally:
         if dispatchers.process.poll() is None:
@@ -92,5 +85,5 @@
 
 def test_requests_are_answered_while_children_are_killed_replaced_and_shut_down(tmp_path: Path) -> None:
     began = time.monotonic()
-    uvloop.run(asyncio.wait_for(play(tmp_path), 60))
+    uvloop.run(asyncio.wait_for(kill_reload_and_shut_down_under_load(tmp_path), 60))
     assert time.monotonic() - began < 60
--- a/tests/supervisor/test_resource_split.py
+++ b/tests/supervisor/test_resource_split.py
@@ -5,8 +5,7 @@
 from ploverspoke.service.config import parse_config
 from ploverspoke.service.config_reader import ConfigError
 from ploverspoke.supervisor.resource_split import child_config
-
-from .harness import EXAMPLE
+from tests.example_config import EXAMPLE
 
 
 def test_limits_are_split_and_each_child_knows_how_many_dispatchers_there_are() -> None:
--- a/tests/transport/test_listener.py
+++ b/tests/transport/test_listener.py
@@ -4,7 +4,7 @@
 import errno
 import socket
 from collections.abc import Callable
-from typing import Any, cast
+from typing import cast
 
 import pytest
 import uvloop
@@ -17,24 +17,26 @@
 CLIENTS = 3
 
 
-class FailingOnce:
-    """Stands before an object: the second call of one method fails."""
+class FailingProxy:
+    """Passes calls on to an object; the second call of one method fails."""
 
-    def __init__(self, inner: Any, method: str, number: int) -> None:
-        self.inner, self.method, self.number, self.calls = inner, method, number, 0
+    def __init__(self, inner: object, method: str, error_number: int) -> None:
+        self.inner, self.method, self.error_number = inner, method, error_number
+        self.calls = 0
 
-    def __getattr__(self, name: str) -> Any:
+    def __getattr__(self, name: str) -> object:
         return self.call if name == self.method else getattr(self.inner, name)
 
-    def call(self, *args: Any) -> Any:
+    def call(self, *args: object) -> object:
         self.calls += 1
         if self.calls == 2:
-            raise OSError(self.number, "for a moment")
-        return getattr(self.inner, self.method)(*args)
+            raise OSError(self.error_number, "for a moment")
+        result: object = getattr(self.inner, self.method)(*args)
+        return result
 
 
-def play(spoil: Callable[[Listener], None]) -> int:
-    """Clients connect and wait; the listener takes them all in and closes. Returns how many were kept."""
+def count_accepted(inject_failure: Callable[[Listener], None]) -> int:
+    """Connect clients, then accept and close; returns how many were accepted."""
 
     async def run() -> int:
         loop = asyncio.get_running_loop()
@@ -44,34 +46,34 @@
         assert listener.socket is not None
         address = listener.socket.getsockname()
         clients = [socket.create_connection(address) for _ in range(CLIENTS)]
-        spoil(listener)
+        inject_failure(listener)
         listener.finish()
         async with asyncio.timeout(5):
             while listener.socket is not None or listener.setup_tasks:
                 await asyncio.sleep(0.005)
-        kept = len(table)
+        accepted = len(table)
         for client in clients:
             client.close()
-        return kept
+        return accepted
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         return runner.run(run())
 
 
 @pytest.mark.parametrize(
-    "number", [errno.ECONNABORTED, errno.EINTR, errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.EPROTO]
+    "error_number", [errno.ECONNABORTED, errno.EINTR, errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.EPROTO]
 )
-def test_connections_that_wait_are_accepted_before_the_socket_is_closed(number: int) -> None:
-    def spoil(listener: Listener) -> None:
-        listener.socket = cast(socket.socket, FailingOnce(listener.socket, "accept", number))
+def test_connections_that_wait_are_accepted_before_the_socket_is_closed(error_number: int) -> None:
+    def inject_failure(listener: Listener) -> None:
+        listener.socket = cast(socket.socket, FailingProxy(listener.socket, "accept", error_number))
 
-    assert play(spoil) == CLIENTS
+    assert count_accepted(inject_failure) == CLIENTS
 
 
-@pytest.mark.parametrize("number", [errno.ENOBUFS, errno.ENOMEM, errno.EINTR])
-def test_accepted_connection_survives_a_failure_to_set_it_up(number: int) -> None:
-    def spoil(listener: Listener) -> None:
-        failing = FailingOnce(listener.loop, "connect_accepted_socket", number)
+@pytest.mark.parametrize("error_number", [errno.ENOBUFS, errno.ENOMEM, errno.EINTR])
+def test_accepted_connection_survives_a_failure_to_set_it_up(error_number: int) -> None:
+    def inject_failure(listener: Listener) -> None:
+        failing = FailingProxy(listener.loop, "connect_accepted_socket", error_number)
         listener.loop = cast(asyncio.AbstractEventLoop, failing)
 
-    assert play(spoil) == CLIENTS
+    assert count_accepted(inject_failure) == CLIENTS
