--- a/tests/leases/test_lease_commands.py
+++ b/tests/leases/test_lease_commands.py
@@ -112,7 +112,7 @@
             assert await run_tool("restore", file, str(backup)) == 2  # never written over
             server.clear_folder()
             assert await run_tool("restore", file, str(backup)) == 0
-        began = time.monotonic()  # before any server can lead: the third may be ready long after the first two
+        began = time.monotonic()  # before any server can lead; the third may be ready much later
         await leases.rig.start_processes()
         assert await acquire_token() > later[1]
         # What was granted after the backup may be held for that long.
