--- a/ploverspoke/cli.py
+++ b/ploverspoke/cli.py
@@ -43,6 +43,8 @@
     ),
 }
 
+MAX_HELP_WIDTH = 80  # characters of a command's line in the list
+MAX_PROCESSES = 64
 WATCH_EXCLUDES = "--watch goes neither with --processes nor with --store"
 STORE_EXCLUDES = "--processes and --store do not go together: a replica is one process"
 
@@ -87,7 +89,7 @@
         """List the subcommands from the texts here, so that help imports no package."""
         texts = {name: lazy.short_help for name, lazy in LAZY_COMMANDS.items()}
         texts |= {
-            name: command.get_short_help_str(80)
+            name: command.get_short_help_str(MAX_HELP_WIDTH)
             for name, command in self.commands.items()
             if not command.hidden
         }
@@ -118,7 +120,9 @@
 
 @main.command()
 @CONFIG
-@click.option("--processes", type=click.IntRange(1, 64), default=1, help="Dispatchers behind one address.")
+@click.option(
+    "--processes", type=click.IntRange(1, MAX_PROCESSES), default=1, help="Dispatchers behind one address."
+)
 @click.option("--store", type=FILE, help="A replica's file.")
 @click.option("--new", is_flag=True, help="The first start of a new store.")
 @click.option("--join", default="", help="The mark of the running store that it joins.")
@@ -178,7 +182,8 @@
 def lease_server(file: Path, new: bool, join: str) -> None:
     """Run one lease server with this FILE (docs/operating-leases.md).
 
-    It runs until SIGTERM. Exit 0: told to end. 2: the file or the storage cannot be used, and why is printed.
+    It runs until SIGTERM. Exit 0: stopped on request. 2: the file or storage cannot be used; the reason is
+    printed.
     """
     sys.exit(_serve_leases(file, new, join))
 
--- a/ploverspoke/protocol/admin.py
+++ b/ploverspoke/protocol/admin.py
@@ -5,10 +5,11 @@
 from .errors import AdminCommandError
 
 MAX_COMMAND_SIZE = 64  # bytes, with the end of the line
+PRINTABLE_ASCII = range(0x20, 0x7F)
 
 
 class AdminCommandReader:
-    """Collects the one command line of a connection from the pieces in which it comes."""
+    """Assembles the one command line of a connection from the pieces received."""
 
     def __init__(self) -> None:
         """Begin with an empty line."""
@@ -25,7 +26,7 @@
         if rest or len(self.line) > MAX_COMMAND_SIZE:
             raise AdminCommandError(reason="one line a connection")
         command = line.removesuffix(b"\r")
-        if not all(0x20 <= byte < 0x7F for byte in command):
+        if not all(byte in PRINTABLE_ASCII for byte in command):
             raise AdminCommandError(reason="not plain ASCII")
         return command.decode("ascii")
 
@@ -48,11 +49,11 @@
 
 def operations_line(request_class: str, status: str, count: int) -> str:
     """Return the line for the requests of one class that ended with one status."""
-    return labelled_line("operations", {"priority": request_class, "status": status}, count)
+    return labeled_counter_line("operations", {"priority": request_class, "status": status}, count)
 
 
-def labelled_line(name: str, labels: Mapping[str, str], value: int) -> str:
-    """Return the line for one counter that is kept by labels."""
+def labeled_counter_line(name: str, labels: Mapping[str, str], value: int) -> str:
+    """Return the line for one counter with labels, in the form of Prometheus."""
     shown = ",".join(f'{label}="{escape_label(text)}"' for label, text in labels.items())
     return f"dispatcher_{name}{{{shown}}} {value}"
 
--- a/ploverspoke/protocol/clients.py
+++ b/ploverspoke/protocol/clients.py
@@ -53,7 +53,7 @@
 
 
 class RequestReader(HttpMessageReader[httptools.HttpRequestParser]):
-    """Reads the requests of one connection; they may follow one another without a pause."""
+    """Reads the requests of one connection, which may be pipelined."""
 
     def __init__(self, listener: RequestListener) -> None:
         """Read requests for `listener`."""
@@ -82,7 +82,7 @@
         length = self.headers.get("content-length")
         coding = self.headers.get("transfer-encoding")
         if coding is not None and (length is not None or coding.lower() != "chunked"):
-            # Request smuggling: a body of which two readers see different ends may hide a request.
+            # Request smuggling: where two readers see different ends of a body, it may hide a request.
             self.fail(HttpSyntaxError("the length of the body is not clear"))
         if length is not None and (len(length) > MAX_LENGTH_DIGITS or int(length) > MAX_BODY_SIZE):
             self.on_body_too_long()
--- a/ploverspoke/protocol/discovery.py
+++ b/ploverspoke/protocol/discovery.py
@@ -12,7 +12,7 @@
 from .http_messages import HttpMessageReader, encode_head
 from .json_values import is_finite, parse_json
 
-MAX_LIST_SIZE = 1024 * 1024  # bytes; in memory a parsed list takes ten times as many
+MAX_LIST_SIZE = 1024 * 1024  # bytes; a parsed list takes ten times as many in memory
 OVERLOADED = (429, 503)  # statuses
 
 
--- a/ploverspoke/protocol/gossip_messages.py
+++ b/ploverspoke/protocol/gossip_messages.py
@@ -17,10 +17,12 @@
 HEADER_SIZE = 5
 HASH_SIZE = 2
 LATENESS_STEPS = 255
+BYTE_MASK = 0xFF
+HASH_MASK = 0xFFFF
 
 
 class GossipMessage(NamedTuple):
-    """What one dispatcher tells others of its load."""
+    """The load that one dispatcher reports to others."""
 
     zone: int  # of the sender
     sequence: int  # 0 for the first after a start, then 1 to 255 and 1 again
@@ -30,7 +32,7 @@
 
 def short_hash(worker: str) -> int:
     """Return the 16 bits that stand for a worker in a message."""
-    return crc32(worker.encode()) & 0xFFFF
+    return crc32(worker.encode()) & HASH_MASK
 
 
 def workers_by_hash(workers: Iterable[str]) -> dict[int, str]:
@@ -43,7 +45,7 @@
 def encode_gossip(message: GossipMessage) -> bytes:
     """Return the bytes of a message; workers that do not fit are left out."""
     hashes = b"".join(short_hash(worker).to_bytes(HASH_SIZE) for worker in message.workers)
-    header = bytes((message.zone & 0xFF, message.sequence, round(LATENESS_STEPS * message.lateness)))
+    header = bytes((message.zone & BYTE_MASK, message.sequence, round(LATENESS_STEPS * message.lateness)))
     payload = header + hashes[: MAX_MESSAGE_SIZE - HEADER_SIZE]
     return bytes((VERSION, _checksum(payload))) + payload
 
@@ -59,20 +61,21 @@
         raise GossipSyntaxError(reason="unknown version or wrong checksum")
     hashes = unpack_from(f">{(len(data) - HEADER_SIZE) // HASH_SIZE}H", data, HEADER_SIZE)
     workers = [known[value] for value in hashes if value in known]
-    return GossipMessage(data[2], data[3], data[4] / LATENESS_STEPS, workers)
+    _, _, zone, sequence, lateness = data[:HEADER_SIZE]
+    return GossipMessage(zone, sequence, lateness / LATENESS_STEPS, workers)
 
 
 def _checksum(payload: bytes) -> int:
-    return crc32(payload, VERSION) & 0xFF
+    return crc32(payload, VERSION) & BYTE_MASK
 
 
 class GossipReader:
-    """Decodes the messages that one dispatcher receives, by the workers that it knows."""
+    """Decodes the messages that one dispatcher receives, using the workers that it knows."""
 
     def __init__(self) -> None:
         """Begin without workers."""
         self.by_hash: dict[int, str] = {}
-        self.known_count = 0  # workers are added and never removed: their number tells of a change
+        self.known_count = 0  # workers are only added: their number shows a change
 
     def read(self, data: bytes, workers: Collection[str]) -> GossipMessage:
         """Return the message. Raises GossipSyntaxError."""
--- a/ploverspoke/protocol/http_messages.py
+++ b/ploverspoke/protocol/http_messages.py
@@ -1,4 +1,4 @@
-"""What requests and responses have in common: one message at a time, with its headers and its body."""
+"""The common base of request and response readers: one message at a time, with its headers and body."""
 
 from typing import Generic, NoReturn, TypeAlias, TypeVar
 
@@ -41,12 +41,12 @@
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            pass  # no other protocol is spoken here: what follows is not read
+            pass  # no other protocol is supported: what follows is not read
         except httptools.HttpParserError as error:
             raise self.failure or HttpSyntaxError(str(error)) from error
 
     def fail(self, failure: HttpSyntaxError) -> NoReturn:
-        """Raise the error from a callback; `feed` raises it again behind the parser."""
+        """Raise the error from a callback; `feed` raises it again, as the parser replaces it."""
         self.failure = failure
         raise failure
 
@@ -57,7 +57,7 @@
     # ---- Callbacks of httptools ----
 
     def on_message_begin(self) -> None:
-        """Forget the message before."""
+        """Reset the state of the previous message."""
         self.headers = {}
         self.body = bytearray()
         self.head_size = 0
@@ -71,7 +71,7 @@
     def on_header(self, name: bytes, value: bytes) -> None:
         """Add a header, under its name in lower case; equal names are joined."""
         self.add_head_size(len(name) + len(value))
-        # The parser keeps blanks behind a value, but a request id that has them is another id.
+        # The parser keeps trailing blanks of a value, with which a request id would be another id.
         key, text = name.decode("latin-1").lower(), value.decode("latin-1").strip(" \t")
         self.headers[key] = f"{self.headers[key]}, {text}" if key in self.headers else text
         if len(self.headers) > MAX_HEADERS:
@@ -95,6 +95,6 @@
 
 
 def encode_head(first_line: str, headers: Headers) -> bytes:
-    """Return the head of a message, with the empty line behind it."""
+    """Return the head of a message, with the empty line after it."""
     lines = [first_line, *(f"{name}: {value}" for name, value in headers.items())]
     return ("\r\n".join(lines) + "\r\n\r\n").encode("latin-1")
--- a/ploverspoke/protocol/wire_names.py
+++ b/ploverspoke/protocol/wire_names.py
@@ -47,7 +47,7 @@
 
 # Values of endpoint lists, load reports and settings.
 ENDPOINT_STATES = {"Ready": "ready", "Terminating": "draining", "Gone": "gone"}
-UNDEFINED_LOAD_FIELD = "x0"  # its meaning is a matter of the settings
+UNDEFINED_LOAD_FIELD = "x0"  # its meaning depends on the settings
 LOAD_NAMES = {
     "outstanding": "in_hand",
     "inflight": "in_hand",
--- a/ploverspoke/protocol/workers.py
+++ b/ploverspoke/protocol/workers.py
@@ -17,7 +17,7 @@
 
 LoadReport: TypeAlias = dict[str, float]  # by the names of `wire_names.LOAD_NAMES`
 
-# Headers that hold for one connection only, and the one that is written anew.
+# Headers that apply to one connection only, and the one that is replaced.
 HOP_BY_HOP_HEADERS = {
     "connection",
     "content-length",
@@ -39,7 +39,7 @@
 
 
 class ResponseListener(Protocol):
-    """Receives what a worker reports of one request."""
+    """Receives the reports of a worker on one request."""
 
     def on_started(self) -> None:
         """The worker has begun the request."""
@@ -58,7 +58,7 @@
     method: str, target: str, headers: Headers, body: bytes, timeout: int, address: str
 ) -> bytes:
     """Return the client's request as it is sent to a worker, which is given `timeout` ns for it."""
-    # All other headers go on: some workers recognise repeated requests by a header of their own.
+    # All other headers are forwarded: some workers detect duplicates by a header of their own.
     connection_headers = {name.strip().lower() for name in headers.get("connection", "").split(",")}
     forwarded = {
         name: value
@@ -147,7 +147,7 @@
         self.request_id = request_id
 
     def on_headers_complete(self) -> None:
-        """Report the outcome where the status tells it."""
+        """Report the outcome where the status determines it."""
         super().on_headers_complete()
         if self.status <= 200:
             return
--- a/ploverspoke/routing/request_journal.py
+++ b/ploverspoke/routing/request_journal.py
@@ -61,11 +61,11 @@
         """The counters that operators fetch."""
         for outcome in ExchangeOutcome:
             labels = {"outcome": outcome.name.lower()}
-            yield admin.labelled_line("attempt_ends", labels, self.attempt_ends[outcome])
+            yield admin.labeled_counter_line("attempt_ends", labels, self.attempt_ends[outcome])
         for reason in EndReason:
-            yield admin.labelled_line(
+            yield admin.labeled_counter_line(
                 "unsuccessful_ends", {"reason": reason.value}, self.request_ends[reason]
             )
         for close_reason in CloseReason:
             labels = {"reason": close_reason.value}
-            yield admin.labelled_line("client_closes", labels, self.client_closes[close_reason])
+            yield admin.labeled_counter_line("client_closes", labels, self.client_closes[close_reason])
--- a/ploverspoke/routing/watch_journal.py
+++ b/ploverspoke/routing/watch_journal.py
@@ -83,7 +83,9 @@
     def lines(self) -> Iterator[str]:
         """The counters that operators fetch."""
         for outcome in CallOutcome:
-            yield admin.labelled_line("watch_calls", {"outcome": outcome.value}, self.outcomes[outcome])
+            yield admin.labeled_counter_line(
+                "watch_calls", {"outcome": outcome.value}, self.outcomes[outcome]
+            )
         yield admin.counter_line("endpoint_list_age_ms", self.list_age() // MILLISECOND)
 
     def _log(self, call: WatchCall, outcome: CallOutcome, detail: str, in_a_row: int) -> None:
--- a/ploverspoke/simulator/adapter.py
+++ b/ploverspoke/simulator/adapter.py
@@ -1,4 +1,4 @@
-"""The adapter: batches of messages in, replies out. It decides nothing itself."""
+"""The adapter between the simulator's messages and dispatchers: reads batches and writes replies."""
 
 import gc
 import sys
--- a/ploverspoke/simulator/codec.py
+++ b/ploverspoke/simulator/codec.py
@@ -9,6 +9,7 @@
 from .wire_names import TEXT_FIELDS
 
 NO_NUMBERS = ("", "-")
+MAX_QUOTED_CHARACTERS = 40  # of an invalid field, in the error
 
 
 class Message:
@@ -85,7 +86,7 @@
     while rest:
         field, equals, rest = rest.partition("=")
         if not equals or not field or " " in field:
-            raise LineSyntaxError(reason=f"expected name=value at {field[:40]!r}")
+            raise LineSyntaxError(reason=f"expected name=value at {field[:MAX_QUOTED_CHARACTERS]!r}")
         if field in TEXT_FIELDS:
             fields[field] = rest
             break
--- a/ploverspoke/simulator/dispatcher_instance.py
+++ b/ploverspoke/simulator/dispatcher_instance.py
@@ -16,7 +16,7 @@
 
 
 class SharedState:
-    """What the dispatchers of one adapter share: the simulated time, and the replies to the batch at hand."""
+    """State that the dispatchers of one adapter share: the simulated time, and the replies to a batch."""
 
     def __init__(self) -> None:
         """Begin at time 0, with nothing to reply."""
--- a/ploverspoke/simulator/errors.py
+++ b/ploverspoke/simulator/errors.py
@@ -78,5 +78,5 @@
     """The input ends inside a batch."""
 
     def __init__(self) -> None:
-        """Say so."""
+        """Build the message."""
         super().__init__("the input ends inside a batch")
