--- a/ploverspoke/testbed/capacity/measurements/config_server.py
+++ b/ploverspoke/testbed/capacity/measurements/config_server.py
@@ -28,8 +28,8 @@
 from ploverspoke.consensus.framing import FrameError
 from ploverspoke.consensus.replica_client import call_replica
 
-from ...experiment_files import experiment as ex
 from ...experiment_files.durations import SECOND
+from ...experiment_files.reader import parse_experiment
 from ...models.deployment_settings import dispatcher_settings
 from ...processes.capacity_check import memory_backed_folder
 from ...processes.resource_usage import ResourceUsage, read_resource_usage
@@ -65,7 +65,7 @@
 
 def body_of(size: int, number: int) -> str:
     """Grades of which one is worth more with each number, and teams until it has about so many bytes."""
-    settings = dispatcher_settings(ex.parse_experiment(report_listener(settled_interval(True))), 0)
+    settings = dispatcher_settings(parse_experiment(report_listener(settled_interval(True))), 0)
     grades = settings["ServiceGrades"]
     grades[0]["Benefit"] = 1.0 + (number + 1) / 1000
     teams: list[dict[str, Any]] = []
@@ -280,7 +280,7 @@
 ) -> tuple[float, dict[str, float], str]:
     """`changes` below 0: without a watch."""
     over = settled_interval(asked.quick)
-    e = ex.parse_experiment(report_listener(over))
+    e = parse_experiment(report_listener(over))
     if changes < 0:
         _, reading = await run_fleet(e, SEED, over.settled * SECOND)
         return 0.0, reading.figures, reading.void
--- a/ploverspoke/testbed/capacity/measurements/dispatcher.py
+++ b/ploverspoke/testbed/capacity/measurements/dispatcher.py
@@ -9,8 +9,9 @@
 from functools import partial
 from typing import Any, NamedTuple
 
-from ...experiment_files import experiment as ex
 from ...experiment_files.durations import SECOND
+from ...experiment_files.experiment import Experiment
+from ...experiment_files.reader import parse_experiment
 from ...models.deployment_settings import dispatcher_settings
 from .measurement_fleet import Act, MeasurementFleet, Reading, rewrite, run_fleet
 from .parts import Measurement, MeasurementRequest, MeasurementResult, cost_lines
@@ -35,7 +36,7 @@
 class Planned(NamedTuple):
     size: float  # as it is meant; what is counted takes its place
     told: dict[str, Any]  # the experiment
-    acts: Callable[[ex.Experiment], Sequence[tuple[int, Act]]] = lambda e: ()
+    acts: Callable[[Experiment], Sequence[tuple[int, Act]]] = lambda e: ()
 
 
 class Stretch(NamedTuple):
@@ -85,7 +86,7 @@
     over = settled_interval(asked.quick)
 
     async def one(planned: Planned) -> tuple[float, Reading]:
-        e = ex.parse_experiment(planned.told)
+        e = parse_experiment(planned.told)
         _, reading = await run_fleet(e, SEED, over.settled * SECOND, planned.acts(e))
         at = reading.sizes.get(size, planned.size)
         shown = "void: " + reading.void if reading.void else f"core {reading.figures['core_share']:.3%}"
@@ -177,14 +178,14 @@
     return found
 
 
-def _reloads(over: Stretch, a_minute: int, e: ex.Experiment) -> list[tuple[int, Act]]:
+def _reloads(over: Stretch, a_minute: int, e: Experiment) -> list[tuple[int, Act]]:
     count = a_minute * over.lasts // 60
     each = over.lasts * SECOND // count
     begin = int((over.settled + 0.3) * SECOND)
     return [(begin + n * each, reload(e, n)) for n in range(count)]
 
 
-def reload(e: ex.Experiment, number: int) -> Act:
+def reload(e: Experiment, number: int) -> Act:
     """A file that differs from the one before, and SIGHUP; refused ones are a fault."""
 
     def act(world: MeasurementFleet) -> None:
--- a/ploverspoke/testbed/capacity/measurements/fleet.py
+++ b/ploverspoke/testbed/capacity/measurements/fleet.py
@@ -8,8 +8,8 @@
 from collections.abc import Sequence
 from typing import Any
 
-from ...experiment_files import experiment as ex
 from ...experiment_files.durations import SECOND
+from ...experiment_files.reader import parse_experiment
 from ..measured_costs import CostPerUnit
 from .dispatcher import PEER_STARTS, SEED
 from .measurement_fleet import TRAFFIC, MeasurementFleet, run_fleet
@@ -60,7 +60,7 @@
     settled = 4 if asked.quick else SETTLED
     end = settled + ORDINARY
     lasts = settled + (LOST_AT - SETTLED) + LOST_FOR + 4
-    e = ex.parse_experiment(_told(count, lasts, troubles=_zone_lost(asked.quick)))
+    e = parse_experiment(_told(count, lasts, troubles=_zone_lost(asked.quick)))
     world, reading = await run_fleet(e, SEED, settled * SECOND, ends=end * SECOND)
     asked.say(f"discovery and workers, {count} dispatchers: {reading.void or 'seen'}")
     return world, reading.void
@@ -76,7 +76,7 @@
     }
     told = _told(count, RESTARTED_AT + STARTING, troubles=[trouble], traffic=[{"rate": 0.0}])
     world, reading = await run_fleet(
-        ex.parse_experiment(told), SEED, 2 * SECOND, ends=(RESTARTED_AT - 1) * SECOND
+        parse_experiment(told), SEED, 2 * SECOND, ends=(RESTARTED_AT - 1) * SECOND
     )
     asked.say(f"discovery, {count} dispatchers all restarted: {reading.void or 'seen'}")
     return world, reading.void
--- a/ploverspoke/testbed/capacity/measurements/measurement_fleet.py
+++ b/ploverspoke/testbed/capacity/measurements/measurement_fleet.py
@@ -18,8 +18,8 @@
 
 from ploverspoke.consensus.framing import FrameError
 
-from ...experiment_files import experiment as ex
 from ...experiment_files.durations import MILLISECOND, SECOND
+from ...experiment_files.experiment import Experiment
 from ...processes.capacity_check import memory_backed_folder
 from ...processes.child_process import ChildProcess
 from ...processes.resource_usage import ResourceUsage, read_resource_usage
@@ -64,7 +64,7 @@
 class MeasurementFleet(SocketFleet):
     def __init__(
         self,
-        e: ex.Experiment,
+        e: Experiment,
         seed: int,
         folder: Path,
         settled: int,
@@ -266,7 +266,7 @@
 
 
 async def run_fleet(
-    e: ex.Experiment,
+    e: Experiment,
     seed: int,
     settled: int,
     acts: Sequence[tuple[int, Act]] = (),
--- a/ploverspoke/testbed/capacity/measurements/store_replica.py
+++ b/ploverspoke/testbed/capacity/measurements/store_replica.py
@@ -14,8 +14,8 @@
 from ploverspoke.consensus.admin_messages import StatusRequest, StatusRow
 from ploverspoke.consensus.replica_client import call_replica
 
-from ...experiment_files import experiment as ex
 from ...experiment_files.durations import SECOND, Duration
+from ...experiment_files.reader import parse_experiment
 from ...processes.capacity_check import memory_backed_folder
 from ...processes.fault_timeline import FaultStep
 from ...processes.resource_usage import ResourceUsage
@@ -90,7 +90,7 @@
         (over.settled * SECOND, partial(_marked, marks)),
         (over.end * SECOND, partial(_marked, marks)),
     ]
-    e = ex.parse_experiment(_told(rate, over.end, replicas))
+    e = parse_experiment(_told(rate, over.end, replicas))
     world, reading = await run_fleet(e, SEED, over.settled * SECOND, acts)
     void, size, figures = reading.void, rate, dict[str, float]()
     if not void and (len(marks) < 2 or marks[0].leader() != marks[1].leader() or marks[0].leader() < 0):
@@ -205,7 +205,7 @@
             found["seconds"] = time.monotonic() - began
             found["bytes_sent"] = now.octets.get(f"d{leader}>{name}", 0) - first
 
-    e = ex.parse_experiment(_told(AWAY_RATE, lasts, 3, snapshot_every=snapshot_every))
+    e = parse_experiment(_told(AWAY_RATE, lasts, 3, snapshot_every=snapshot_every))
     _, reading = await run_fleet(e, SEED, SECOND, [(settled * SECOND, act)], ends=settled * SECOND)
     void = reading.void or ("" if found else "it did not catch up while the world lasted")
     size = found.pop("missed_entries", away)
--- a/ploverspoke/testbed/capacity/measurements/tools.py
+++ b/ploverspoke/testbed/capacity/measurements/tools.py
@@ -15,8 +15,8 @@
 
 import msgspec
 
-from ...experiment_files import experiment as ex
 from ...experiment_files.durations import SECOND, Duration
+from ...experiment_files.reader import parse_experiment
 from ...models.deployment_settings import dispatcher_settings
 from ...processes.capacity_check import memory_backed_folder
 from ...processes.resource_usage import read_resource_usage
@@ -75,7 +75,7 @@
         "discovery": nobody,
         "seed": "1",
         "known": {"version": 1, "full": True, "servers": servers},
-        "settings": dispatcher_settings(ex.parse_experiment(report_listener(settled_interval(True))), 0),
+        "settings": dispatcher_settings(parse_experiment(report_listener(settled_interval(True))), 0),
     }
 
 
--- a/ploverspoke/testbed/checkers/request_audit.py
+++ b/ploverspoke/testbed/checkers/request_audit.py
@@ -13,6 +13,7 @@
 
 from ..experiment_files.durations import MILLISECOND, format_duration
 from ..experiment_files.experiment import Experiment
+from ..experiment_files.tables import Idempotency
 from ..models import event_records
 from ..models.event_records import Event
 
@@ -228,7 +229,7 @@
             if over >= 0 and h.came > over + self.slack:
                 self.find_for(name, "1 one answer", h.came, f"handed to {h.worker} after its answer")
                 break
-        _, most = self.e.rules_at(s.taken_at)
+        most = self.e.rules_at(s.taken_at).max_attempts
         if len(s.hand_offs) > most:
             self.find_for(
                 name, "1 one answer", s.hand_offs[most].came, f"{len(s.hand_offs)} hand-offs, {most} allowed"
@@ -236,15 +237,15 @@
 
     def _repeats(self, name: str, s: Submission) -> None:
         grade = self.e.request_classes[s.grade]
-        repeat = self.e.rules_at(s.taken_at)[0][s.grade]
-        if repeat == "redoable":
+        repeat = self.e.rules_at(s.taken_at).idempotency[s.grade]
+        if repeat is Idempotency.IDEMPOTENT:
             return
         groups = self.group_of[grade.retry_scope]
         first: HandOff | None = None
         for h in s.hand_offs:
             if first is None:
                 first = h if h.may_have_run() else None
-            elif repeat == "irreversible":
+            elif repeat is Idempotency.NON_IDEMPOTENT:
                 self.find_for(
                     name,
                     "2 repeats",
@@ -266,7 +267,7 @@
                 )
                 return
         nacked = next((at for at, how in s.answers if how == "nacked"), -1)
-        bound = repeat == "irreversible" or grade.retry_scope != "all"
+        bound = repeat is Idempotency.NON_IDEMPOTENT or grade.retry_scope != "all"
         if nacked >= 0 and first is not None and first.came < nacked and bound:
             self.find_for(name, "2 repeats", nacked, f"nacked, though {first.worker} may have run it")
 
--- a/ploverspoke/testbed/checkers/scale_checker.py
+++ b/ploverspoke/testbed/checkers/scale_checker.py
@@ -9,8 +9,9 @@
 
 from ..capacity.fleet_size import FleetSize
 from ..experiment_files.durations import MILLISECOND, SECOND
-from ..experiment_files.experiment import Experiment, outages
+from ..experiment_files.experiment import Experiment
 from ..models import event_records
+from ..models.dispatcher_outages import dispatcher_outages
 from ..models.event_records import Event
 from ..reports.scores import RunScore
 from ..scenarios.scale_fleet import UsageSample
@@ -231,7 +232,7 @@
         "deadlines kept": lambda s: s.used.inside.get("deadlines", 0),
     }
     found = []
-    if outages(seen.e, 0):
+    if dispatcher_outages(seen.e, 0):
         # What a dispatcher held that has ended is freed late in a process that goes on: no sign of a leak.
         del kept["memory of the processes"]
     for what, value in kept.items():
--- a/ploverspoke/testbed/commands/compare.py
+++ b/ploverspoke/testbed/commands/compare.py
@@ -4,7 +4,7 @@
 
 import click
 
-from ..experiment_files.experiment import ExperimentError
+from ..experiment_files.errors import ExperimentError
 from ..reports.comparison import compare_results
 from ..reports.experiment_result import read_result
 from ..reports.tables import differences_table, make_console
--- a/ploverspoke/testbed/commands/demo.py
+++ b/ploverspoke/testbed/commands/demo.py
@@ -15,7 +15,8 @@
 from rich.text import Text
 
 from ..experiment_files.durations import SECOND
-from ..experiment_files.experiment import Experiment, parse_experiment
+from ..experiment_files.experiment import Experiment
+from ..experiment_files.reader import parse_experiment
 from ..reports.scores import RunScore
 from ..reports.tables import make_console, result_table, verdict_lines
 from ..scenarios.experiment_runner import make_result, run_sockets
--- a/ploverspoke/testbed/commands/run.py
+++ b/ploverspoke/testbed/commands/run.py
@@ -11,7 +11,9 @@
 from rich.console import Console
 from rich.progress import Progress
 
-from ..experiment_files.experiment import Experiment, ExperimentError, read_experiment
+from ..experiment_files.errors import ExperimentError
+from ..experiment_files.experiment import Experiment
+from ..experiment_files.reader import read_experiment
 from ..reports.experiment_result import OWN_POLICY, Driver, Result
 from ..reports.scores import RunScore
 from ..reports.tables import make_console, result_table, verdict_lines
--- a/ploverspoke/testbed/experiment_files/durations.py
+++ b/ploverspoke/testbed/experiment_files/durations.py
@@ -1,27 +1,42 @@
-"""Times as experiment files write them: a number and a unit, as "250ms"."""
+"""Durations as experiment files write them: a number and a unit, as "250ms"."""
 
 import re
 
-UNITS = {"ns": 1, "us": 1_000, "ms": 1_000_000, "s": 1_000_000_000, "min": 60_000_000_000}
-MICROSECOND, MILLISECOND, SECOND = UNITS["us"], UNITS["ms"], UNITS["s"]
-FORM = re.compile(r"(\d+(?:\.\d+)?)\s*(ns|us|ms|s|min)")
+NANOSECONDS_PER_UNIT = {"ns": 1, "us": 1_000, "ms": 1_000_000, "s": 1_000_000_000, "min": 60_000_000_000}
+MICROSECOND = NANOSECONDS_PER_UNIT["us"]
+MILLISECOND = NANOSECONDS_PER_UNIT["ms"]
+SECOND = NANOSECONDS_PER_UNIT["s"]
+DURATION_PATTERN = re.compile(r"(\d+(?:\.\d+)?)\s*(ns|us|ms|s|min)")
+
+
+class DurationError(ValueError):
+    """The value is no number with a unit."""
+
+    def __init__(self, value: object) -> None:
+        """Keep the value that was found."""
+        super().__init__(f'expected a time with its unit (ns, us, ms, s, min), as "250ms", got {value!r}')
+        self.value = value
 
 
 class Duration(int):
-    """A time in nanoseconds."""
+    """A duration in nanoseconds."""
 
 
 def parse_duration(text: object) -> Duration:
-    """Raises ValueError where the number or its unit is missing."""
-    found = FORM.fullmatch(text.strip()) if isinstance(text, str) else None
-    if found is None:
-        raise ValueError(f'expected a time with its unit (ns, us, ms, s, min), as "250ms", got {text!r}')
-    return Duration(round(float(found[1]) * UNITS[found[2]]))
+    """Parse a number with its unit.
+
+    Raises:
+        DurationError: The number or its unit is missing.
+    """
+    match = DURATION_PATTERN.fullmatch(text.strip()) if isinstance(text, str) else None
+    if match is None:
+        raise DurationError(text)
+    return Duration(round(float(match[1]) * NANOSECONDS_PER_UNIT[match[2]]))
 
 
-def format_duration(span: float) -> str:
-    """For people: three digits and the largest unit that leaves a whole part."""
+def format_duration(nanoseconds: float) -> str:
+    """Format for people: three digits and the largest unit that leaves a whole part."""
     for unit in ("s", "ms", "us"):
-        if span >= UNITS[unit]:
-            return f"{span / UNITS[unit]:.3g}{unit}"
-    return f"{span:.0f}ns"
+        if nanoseconds >= NANOSECONDS_PER_UNIT[unit]:
+            return f"{nanoseconds / NANOSECONDS_PER_UNIT[unit]:.3g}{unit}"
+    return f"{nanoseconds:.0f}ns"
--- /dev/null
+++ b/ploverspoke/testbed/experiment_files/reader.py
@@ -0,0 +1,60 @@
+"""Reads experiment files.
+
+An ExperimentError has one line that names the key: what is unknown, of a wrong unit or kind, names what does
+not exist, or lies beyond the end.
+"""
+
+import tomllib
+from pathlib import Path
+from typing import Any
+
+import msgspec
+
+from .durations import Duration, parse_duration
+from .errors import ExperimentError
+from .experiment import Experiment
+from .validation import check_experiment
+
+
+def read_experiment(path: Path) -> Experiment:
+    """Read and check an experiment file.
+
+    Raises:
+        ExperimentError: It cannot be read, is not TOML, or is not a valid experiment.
+    """
+    try:
+        document = tomllib.loads(path.read_text(encoding="utf-8"))
+    except OSError as error:
+        raise ExperimentError(str(error.strerror), str(path)) from None
+    except (UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
+        reason = f"no TOML: {error}"
+        raise ExperimentError(reason, str(path)) from None
+    try:
+        return parse_experiment(document)
+    except ExperimentError as error:
+        raise ExperimentError(str(error), str(path)) from None
+
+
+def parse_experiment(document: dict[str, Any]) -> Experiment:
+    """Convert and check a TOML document.
+
+    Raises:
+        ExperimentError: It is not a valid experiment.
+    """
+    try:
+        experiment = msgspec.convert(document, Experiment, dec_hook=_decode_duration)
+    except msgspec.ValidationError as error:
+        raise ExperimentError(str(error).replace("`$.", "`")) from None
+    check_experiment(experiment)
+    return experiment
+
+
+def experiment_from_builtins(document: dict[str, Any]) -> Experiment:
+    """Return the experiment of `msgspec.to_builtins(experiment, enc_hook=int)`, where durations are ns."""
+    return msgspec.convert(document, Experiment, dec_hook=lambda kind, value: kind(value))
+
+
+def _decode_duration(kind: type, value: object) -> Duration:
+    if kind is not Duration:
+        raise NotImplementedError(kind)
+    return value if isinstance(value, Duration) else parse_duration(value)
--- a/ploverspoke/testbed/fakes/client_process.py
+++ b/ploverspoke/testbed/fakes/client_process.py
@@ -4,9 +4,9 @@
 from collections import Counter
 from typing import Any, cast
 
-from ..experiment_files import experiment as ex
 from ..experiment_files.durations import MILLISECOND
 from ..models.clients import ClientRequest, Clients
+from ..models.dispatcher_outages import dispatcher_outages
 from ..models.request_schedule import draw_schedule
 from .fake_process import FakeProcess, FakeProcessSpec, send_message
 from .http_wire import HttpReader, HttpSyntaxError
@@ -115,7 +115,7 @@
         ]
         self.leaving = [
             (begin + FRONT_NOTICES, end, d)
-            for begin, end, d, how in ex.outages(self.e, self.seed)
+            for begin, end, d, how in dispatcher_outages(self.e, self.seed)
             if how == "restarted"
         ]
         self.tasks: set[asyncio.Task[None]] = set()
@@ -139,14 +139,14 @@
         job = request.job
         left = max(1, (request.abandon_at - self.clock.now()) // MILLISECOND)
         lines = [f"Request-Id: {request.id}\r\nRequest-Timeout-Ms: {left}\r\n"]
-        if job.subject:
-            lines.append(f"Affinity-Key: {job.subject}\r\n")
+        if job.affinity_key:
+            lines.append(f"Affinity-Key: {job.affinity_key}\r\n")
         if job.slots != 1.0:
             lines.append(f"Request-Info: slots={job.slots:g}\r\n")
         if request.label:
             lines.append(f"Job-Label: {request.label}\r\n")
-        lines.append(f"Tenant: {self.e.tenants[job.customer].name}\r\n\r\nwork")
-        return (self.heads[job.grade] + "".join(lines)).encode("latin-1")
+        lines.append(f"Tenant: {self.e.tenants[job.tenant].name}\r\n\r\nwork")
+        return (self.heads[job.request_class] + "".join(lines)).encode("latin-1")
 
     # ---- Connections ----
 
--- a/ploverspoke/testbed/fakes/fake_process.py
+++ b/ploverspoke/testbed/fakes/fake_process.py
@@ -17,7 +17,8 @@
 import msgspec
 import uvloop
 
-from ..experiment_files.experiment import Experiment, experiment_from_builtins
+from ..experiment_files.experiment import Experiment
+from ..experiment_files.reader import experiment_from_builtins
 from ..models.event_records import Records, write_records
 from ..models.virtual_clock import AnyTimer
 from .byte_counters import ByteCounters
--- a/ploverspoke/testbed/models/clients.py
+++ b/ploverspoke/testbed/models/clients.py
@@ -9,6 +9,7 @@
 
 from ..experiment_files.durations import MILLISECOND
 from ..experiment_files.experiment import Experiment
+from ..experiment_files.tables import Idempotency
 from . import event_records
 from .event_records import Records
 from .random_streams import RandomDraws, RandomStreams
@@ -103,27 +104,27 @@
 
     def _plan_next(self) -> None:
         if self.next < len(self.jobs):
-            self.clock.at(self.jobs[self.next].at, self._first_tries)
+            self.clock.at(self.jobs[self.next].due_at, self._first_tries)
 
     def _first_tries(self) -> None:
         """All that are due; a loop that was held up catches up, and says by how much it was late."""
         now = self.clock.now()
-        while self.next < len(self.jobs) and self.jobs[self.next].at <= now:
+        while self.next < len(self.jobs) and self.jobs[self.next].due_at <= now:
             job = self.jobs[self.next]
             self.next += 1
-            behind = now - job.at
+            behind = now - job.due_at
             if behind > max(LATE, self.latest):
                 self.latest = behind
                 self.records.add(now, event_records.BEHIND, job=job.number, detail=behind)
             # Waits count from when it was due, not from when we got round to it.
-            self._try(job, 0, job.dispatcher, job.at)
+            self._try(job, 0, job.dispatcher, job.due_at)
         self._plan_next()
 
     def _try(self, job: ScheduledRequest, tries: int, dispatcher: int, first_sent: int) -> None:
         now = self.clock.now()
-        grade = self.e.request_classes[job.grade]
+        grade = self.e.request_classes[job.request_class]
         abandon_at = first_sent + grade.deadline
-        labelled = grade.idempotency == "labelled"
+        labelled = grade.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
         request = ClientRequest(job, tries, dispatcher, now, abandon_at, labelled)
         self.records.add(
             now,
@@ -131,13 +132,13 @@
             request.id,
             job.number,
             dispatcher,
-            detail=[job.grade, tries, abandon_at, first_sent],
+            detail=[job.request_class, tries, abandon_at, first_sent],
         )
         self.out += 1
         late = LATE_ANSWER_ALLOWANCE if self.e.dispatchers.store else 50 * MILLISECOND
         request.timers.append(self.clock.at(abandon_at + late, self._unanswered, request))
-        if job.leaves_after and not tries:
-            request.timers.append(self.clock.at(first_sent + job.leaves_after, self._leave, request))
+        if job.disconnects_after and not tries:
+            request.timers.append(self.clock.at(first_sent + job.disconnects_after, self._leave, request))
         self._send(request)
 
     # ---- What the driver says ----
@@ -159,8 +160,8 @@
         self._note(event_records.ANSWERED, request, how)
         if self.e.dispatchers.store and self.draws.happens(TWICE):
             self.clock.at(self.clock.now() + ASK_AGAIN, self._ask_twice, request)
-        repeat = self.e.request_classes[request.job.grade].idempotency
-        if how == "nacked" or (how == "broken" and repeat == "redoable"):
+        repeat = self.e.request_classes[request.job.request_class].idempotency
+        if how == "nacked" or (how == "broken" and repeat is Idempotency.IDEMPOTENT):
             self._again(request, come_back_after)
 
     def never_taken(self, request: ClientRequest) -> None:
@@ -224,7 +225,7 @@
         other = (request.dispatcher + 1 + self.draws.below(count - 1)) % count if count > 1 else 0
         now = self.clock.now()
         if now + wait + LEAST_PATIENCE < request.abandon_at:
-            first_sent = request.abandon_at - self.e.request_classes[request.job.grade].deadline
+            first_sent = request.abandon_at - self.e.request_classes[request.job.request_class].deadline
             self.clock.at(now + int(wait), self._try, request.job, request.tries + 1, other, first_sent)
 
     def _leave(self, request: ClientRequest) -> None:
--- a/ploverspoke/testbed/models/discovery.py
+++ b/ploverspoke/testbed/models/discovery.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
-from ..experiment_files.experiment import Discovery
+from ..experiment_files.tables import DiscoveryOptions
 from . import event_records
 from .event_records import Records
 from .random_streams import RandomDraws
@@ -33,7 +33,7 @@
 
 
 class DiscoveryModel:
-    def __init__(self, told: Discovery, clock: Clock, records_: Records, draws: RandomDraws) -> None:
+    def __init__(self, told: DiscoveryOptions, clock: Clock, records_: Records, draws: RandomDraws) -> None:
         self.told = told
         self.clock = clock
         self.records = records_
--- a/ploverspoke/testbed/models/faults.py
+++ b/ploverspoke/testbed/models/faults.py
@@ -7,7 +7,24 @@
 
 from collections.abc import Callable, Sequence
 
-from ..experiment_files import experiment as ex
+from ..experiment_files.experiment import Experiment
+from ..experiment_files.fault_tables import (
+    ConnectionResets,
+    Crash,
+    DelayedReports,
+    DiscoveryOutage,
+    Drain,
+    FastFailures,
+    Fault,
+    Hang,
+    IdleConnectionDrops,
+    RegionPartition,
+    RepeatedPauses,
+    SilentConnections,
+    Slowdown,
+    StoreSlowdown,
+    ZonePartition,
+)
 from .discovery import DiscoveryModel
 from .random_streams import RandomStreams
 from .shared_store import SharedStore
@@ -15,10 +32,10 @@
 from .worker import Worker
 
 FALLEN = -1  # in place of a trouble's number
-LIKE_CRASH = (ex.Crash, ex.Drain)
+LIKE_CRASH = (Crash, Drain)
 
 
-def struck(e: ex.Experiment, seed: int) -> list[list[str]]:
+def struck(e: Experiment, seed: int) -> list[list[str]]:
     """The workers of each trouble, by name; those given by a share are drawn from the seed."""
     kinds = [(w.zone, w.machine_kind) for w in e.workers for _ in range(w.count)]
     names = e.worker_names()
@@ -68,7 +85,7 @@
 
     def __init__(
         self,
-        e: ex.Experiment,
+        e: Experiment,
         seed: int,
         clock: Clock,
         workers: Sequence[Worker],
@@ -106,45 +123,45 @@
         self._come_back(number, worker)
         self.on_back(worker.name)
 
-    def _begin(self, number: int, t: ex.Fault, worker: Worker) -> None:
-        if isinstance(t, ex.Crash):
+    def _begin(self, number: int, t: Fault, worker: Worker) -> None:
+        if isinstance(t, Crash):
             self._go_down(number, worker)
-        elif isinstance(t, ex.Drain):
+        elif isinstance(t, Drain):
             self.down[worker.name].add(number)
             worker.on_empty = lambda w: self._go_down(number, w)
             if worker.is_empty():
                 self.clock.at(self.clock.now() + self.e.rules.drain_grace, self._drained, number, worker)
-        elif isinstance(t, ex.Hang):
+        elif isinstance(t, Hang):
             worker.freeze(number)
-        elif isinstance(t, ex.Pauses):
+        elif isinstance(t, RepeatedPauses):
             self._pause(number, t, worker)
-        elif isinstance(t, ex.Slow):
+        elif isinstance(t, Slowdown):
             worker.slow(number, t.factor)
-        elif isinstance(t, ex.QuickErrors):
+        elif isinstance(t, FastFailures):
             worker.failing[number] = t.probability
-        elif isinstance(t, ex.LateReports):
+        elif isinstance(t, DelayedReports):
             worker.reports_late[number] = t.delay
-        elif isinstance(t, ex.Resets):
+        elif isinstance(t, ConnectionResets):
             self.connections.resets.setdefault(worker.name, {})[number] = t.probability
-        elif isinstance(t, ex.Silences):
+        elif isinstance(t, SilentConnections):
             self.connections.silences.setdefault(worker.name, {})[number] = t.probability
-        elif isinstance(t, ex.DropsAtRest):
+        elif isinstance(t, IdleConnectionDrops):
             self.connections.drops.setdefault(worker.name, {})[number] = t.probability
 
-    def _end(self, number: int, t: ex.Fault, worker: Worker) -> None:
+    def _end(self, number: int, t: Fault, worker: Worker) -> None:
         if isinstance(t, LIKE_CRASH):
             if worker.up:
                 self._go_down(number, worker)  # a drain's time is over with work still there
             self._come_back(number, worker)
-        elif isinstance(t, ex.Hang | ex.Pauses):
+        elif isinstance(t, Hang | RepeatedPauses):
             worker.thaw(number)
-        elif isinstance(t, ex.Slow | ex.QuickErrors | ex.LateReports):
+        elif isinstance(t, Slowdown | FastFailures | DelayedReports):
             worker.recover(number)
         else:
             for effects in (self.connections.resets, self.connections.silences, self.connections.drops):
                 effects.get(worker.name, {}).pop(number, None)
 
-    def _pause(self, number: int, t: ex.Pauses, worker: Worker) -> None:
+    def _pause(self, number: int, t: RepeatedPauses, worker: Worker) -> None:
         now = self.clock.now()
         if now + t.pause >= t.start + t.duration:
             return
@@ -173,20 +190,20 @@
 class DiscoveryFaults:
     """What discovery does and shows, on its own process's models: planned changes, deaths that it notices."""
 
-    def __init__(self, e: ex.Experiment, seed: int, clock: Clock, roster: DiscoveryModel) -> None:
+    def __init__(self, e: Experiment, seed: int, clock: Clock, roster: DiscoveryModel) -> None:
         self.e = e
         self.clock = clock
         self.roster = roster
         self.down: dict[str, set[int]] = {}
         for number, (t, names) in enumerate(zip(e.faults, struck(e, seed), strict=True)):
             end = t.start + t.duration
-            if isinstance(t, ex.DiscoveryDown):
+            if isinstance(t, DiscoveryOutage):
                 clock.at(t.start, roster.go_down, number)
                 clock.at(end, roster.come_up, number)
             for worker in names:
-                if isinstance(t, ex.Drain):
+                if isinstance(t, Drain):
                     clock.at(t.start, self._drains, number, worker)
-                elif isinstance(t, ex.Crash):
+                elif isinstance(t, Crash):
                     clock.at(t.start, self._dies, number, worker)
                 if isinstance(t, LIKE_CRASH):
                     clock.at(end, self._returns, number, worker)
@@ -219,9 +236,9 @@
 
 
 class StoreFaults:
-    def __init__(self, e: ex.Experiment, clock: Clock, store: SharedStore | None) -> None:
+    def __init__(self, e: Experiment, clock: Clock, store: SharedStore | None) -> None:
         for number, t in enumerate(e.faults):
-            if store is not None and isinstance(t, ex.StoreJam):
+            if store is not None and isinstance(t, StoreSlowdown):
                 clock.at(t.start, store.jams.__setitem__, number, t.factor)
                 clock.at(t.start + t.duration, store.jams.__delitem__, number)
 
@@ -229,14 +246,14 @@
 class ZoneCuts:
     """Which zones nothing passes between at the moment."""
 
-    def __init__(self, e: ex.Experiment, clock: Clock) -> None:
+    def __init__(self, e: Experiment, clock: Clock) -> None:
         self.cut: dict[int, frozenset[int]] = {}  # zones on the one side, by the trouble's number
         self.calls_cut: dict[int, frozenset[int]] = {}  # zones that do not reach discovery
         zones = e.zones()
         for number, t in enumerate(e.faults):
-            if isinstance(t, ex.ZoneCut):
+            if isinstance(t, ZonePartition):
                 self._plan(clock, self.cut, number, t, frozenset([zones.index(t.zone)]))
-            elif isinstance(t, ex.RegionCut):
+            elif isinstance(t, RegionPartition):
                 side = frozenset(zones.index(zone) for zone in e.network.regions[t.region])
                 self._plan(clock, self.cut, number, t, side)
                 far = side if t.region else frozenset(range(len(zones))) - side
@@ -244,7 +261,7 @@
 
     @staticmethod
     def _plan(
-        clock: Clock, of: dict[int, frozenset[int]], number: int, t: ex.Fault, side: frozenset[int]
+        clock: Clock, of: dict[int, frozenset[int]], number: int, t: Fault, side: frozenset[int]
     ) -> None:
         clock.at(t.start, of.__setitem__, number, side)
         clock.at(t.start + t.duration, of.__delitem__, number)
--- a/ploverspoke/testbed/models/request_schedule.py
+++ b/ploverspoke/testbed/models/request_schedule.py
@@ -1,84 +1,125 @@
-"""What clients will hand in: drawn whole before a run starts, so that each policy and both drivers
-get the same.
-"""
+"""The requests of a run, drawn before it starts: all policies and both drivers get the same ones."""
 
+from collections.abc import Sequence
 from typing import NamedTuple
 
 import numpy as np
+import numpy.typing as npt
 
+from ..experiment_files.distributions import Samples
 from ..experiment_files.durations import SECOND
-from ..experiment_files.experiment import Experiment, Traffic, shares
+from ..experiment_files.experiment import Experiment
+from ..experiment_files.tables import TrafficPhase
 from .random_streams import RandomStreams
 
+NO_AFFINITY_KEY = -1
+Integers = npt.NDArray[np.int64]
+
 
 class ScheduledRequest(NamedTuple):
+    """One request as its client will first send it."""
+
     number: int
-    at: int  # when it is first handed in
-    grade: int
+    due_at: int  # ns from the start of the run
+    request_class: int
     slots: float
-    work: int  # nanoseconds of one slot at speed 1
-    subject: str
-    customer: int
-    dispatcher: int  # the first that it goes to
-    leaves_after: int  # 0: the client stays
+    work: int  # ns of one slot at speed 1
+    affinity_key: str  # empty: none
+    tenant: int
+    dispatcher: int  # to which it is first sent
+    disconnects_after: int  # ns from due_at; 0: the client waits for the answer
+
+
+class _RequestDraws(NamedTuple):
+    """What is drawn by request class; one element for each request."""
 
+    slots: Samples
+    work: Samples  # ns
+    affinity_keys: Integers
 
-def draw_schedule(e: Experiment, seed: int) -> list[ScheduledRequest]:
-    """All first tries, in order of time."""
+
+def draw_schedule(experiment: Experiment, seed: int) -> list[ScheduledRequest]:
+    """Return all requests in the order in which they are due."""
     streams = RandomStreams(seed)
-    times = np.sort(np.concatenate([_arrivals(t, e, streams, n) for n, t in enumerate(e.traffic)]))
-    count = len(times)
-    grades = streams.generator("grades").choice(
-        len(e.request_classes), count, p=shares([g.share for g in e.request_classes])
-    )
-    customers = streams.generator("customers").choice(
-        len(e.tenants), count, p=shares([c.share for c in e.tenants])
-    )
-    dispatchers = streams.generator("dispatchers").integers(0, e.dispatchers.count, count)
-    leaving = streams.generator("leaving")
-    leaves = np.where(leaving.random(count) < e.clients.early_disconnect_share, leaving.random(count), 0.0)
-    work = np.zeros(count)
-    slots = np.ones(count)
-    subjects = np.full(count, -1)
-    for number, grade in enumerate(e.request_classes):
-        of_grade = np.flatnonzero(grades == number)
-        work[of_grade] = grade.work.sample(streams.generator(f"work {grade.name}"), len(of_grade))
-        if grade.slot_shares:
-            draw = streams.generator(f"slots {grade.name}")
-            counts = [float(s) for s in grade.slot_shares]
-            slots[of_grade] = draw.choice(counts, len(of_grade), p=shares(list(grade.slot_shares.values())))
-        if grade.affinity_keys:
-            ranks = shares(1 / np.arange(1, grade.affinity_keys + 1))
-            draw = streams.generator(f"subjects {grade.name}")
-            subjects[of_grade] = draw.choice(grade.affinity_keys, len(of_grade), p=ranks)
-    return [
-        ScheduledRequest(
-            n,
-            int(times[n]),
-            int(grades[n]),
-            float(slots[n]),
-            max(1, int(work[n])),
-            f"{e.request_classes[grades[n]].name}/{subjects[n]}" if subjects[n] >= 0 else "",
-            int(customers[n]),
-            int(dispatchers[n]),
-            int(leaves[n] * e.request_classes[grades[n]].deadline),
-        )
-        for n in range(count)
+    arrivals = [
+        _draw_arrivals(phase, experiment, streams, number) for number, phase in enumerate(experiment.traffic)
     ]
+    due_at = np.sort(np.concatenate(arrivals))
+    count = len(due_at)
+    classes = experiment.request_classes
+    class_shares = normalized_shares([request_class.share for request_class in classes])
+    class_numbers = streams.generator("grades").choice(len(classes), count, p=class_shares)
+    tenant_shares = normalized_shares([tenant.share for tenant in experiment.tenants])
+    tenants = streams.generator("customers").choice(len(experiment.tenants), count, p=tenant_shares)
+    dispatchers = streams.generator("dispatchers").integers(0, experiment.dispatchers.count, count)
+    disconnects = _draw_disconnects(experiment, streams, count)
+    draws = _draw_by_class(experiment, streams, class_numbers)
+
+    def request(number: int) -> ScheduledRequest:
+        request_class = classes[class_numbers[number]]
+        key = draws.affinity_keys[number]
+        return ScheduledRequest(
+            number=number,
+            due_at=int(due_at[number]),
+            request_class=int(class_numbers[number]),
+            slots=float(draws.slots[number]),
+            work=max(1, int(draws.work[number])),
+            affinity_key=f"{request_class.name}/{key}" if key != NO_AFFINITY_KEY else "",
+            tenant=int(tenants[number]),
+            dispatcher=int(dispatchers[number]),
+            disconnects_after=int(disconnects[number] * request_class.deadline),
+        )
+
+    return [request(number) for number in range(count)]
+
+
+def normalized_shares(weights: Sequence[float] | Samples) -> Samples:
+    """Scale the weights so that they add up to 1."""
+    given = np.asarray(weights, dtype=float)
+    shares: Samples = given / given.sum()
+    return shares
+
+
+def _draw_disconnects(experiment: Experiment, streams: RandomStreams, count: int) -> Samples:
+    """Return when clients disconnect early, as a share of the deadline; 0: they do not."""
+    generator = streams.generator("leaving")
+    is_early = generator.random(count) < experiment.clients.early_disconnect_share
+    return np.where(is_early, generator.random(count), 0.0)
+
+
+def _draw_by_class(experiment: Experiment, streams: RandomStreams, class_numbers: Integers) -> _RequestDraws:
+    count = len(class_numbers)
+    draws = _RequestDraws(np.ones(count), np.zeros(count), np.full(count, NO_AFFINITY_KEY))
+    for number, request_class in enumerate(experiment.request_classes):
+        chosen = np.flatnonzero(class_numbers == number)
+        generator = streams.generator(f"work {request_class.name}")
+        draws.work[chosen] = request_class.work.sample(generator, len(chosen))
+        if request_class.slot_shares:
+            generator = streams.generator(f"slots {request_class.name}")
+            slot_counts = [float(slots) for slots in request_class.slot_shares]
+            shares = normalized_shares(list(request_class.slot_shares.values()))
+            draws.slots[chosen] = generator.choice(slot_counts, len(chosen), p=shares)
+        if request_class.affinity_keys:
+            generator = streams.generator(f"subjects {request_class.name}")
+            shares = normalized_shares(1 / np.arange(1, request_class.affinity_keys + 1))
+            draws.affinity_keys[chosen] = generator.choice(request_class.affinity_keys, len(chosen), p=shares)
+    return draws
 
 
-def _arrivals(traffic: Traffic, e: Experiment, streams: RandomStreams, number: int) -> np.ndarray:
-    """Poisson, thinned from the highest rate of the stretch; each point is a burst."""
-    end = e.duration if traffic.end is None else traffic.end
-    last = traffic.rate if traffic.end_rate is None else traffic.end_rate
-    top = max(traffic.rate, last) * (1 + traffic.wave_amplitude)
-    if top <= 0:
+def _draw_arrivals(
+    phase: TrafficPhase, experiment: Experiment, streams: RandomStreams, number: int
+) -> Samples:
+    """Draw a Poisson process by thinning from the phase's highest rate; each point is one burst."""
+    end = experiment.duration if phase.end is None else phase.end
+    end_rate = phase.rate if phase.end_rate is None else phase.end_rate
+    peak_rate = max(phase.rate, end_rate) * (1 + phase.wave_amplitude)
+    if peak_rate <= 0:
         return np.zeros(0)
-    draw = streams.generator(f"arrivals {number}")
-    span = end - traffic.start
-    count = draw.poisson(top * span / SECOND / traffic.burst_size)
-    at = np.sort(draw.random(count)) * span
-    rate = traffic.rate + (last - traffic.rate) * at / span
-    rate = rate * (1 + traffic.wave_amplitude * np.sin(2 * np.pi * at / traffic.wave_period))
-    kept = at[draw.random(count) * top < rate]
-    return np.repeat(kept + traffic.start, traffic.burst_size)
+    generator = streams.generator(f"arrivals {number}")
+    length = end - phase.start
+    count = generator.poisson(peak_rate * length / SECOND / phase.burst_size)
+    points = np.sort(generator.random(count)) * length
+    rate = phase.rate + (end_rate - phase.rate) * points / length
+    rate = rate * (1 + phase.wave_amplitude * np.sin(2 * np.pi * points / phase.wave_period))
+    accepted = points[generator.random(count) * peak_rate < rate]
+    return np.repeat(accepted + phase.start, phase.burst_size)
--- a/ploverspoke/testbed/models/shared_store.py
+++ b/ploverspoke/testbed/models/shared_store.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from ..experiment_files.experiment import Store
+from ..experiment_files.tables import StoreOptions
 from .random_streams import RandomStreams
 from .virtual_clock import Clock
 
@@ -23,7 +23,7 @@
 
 
 class SharedStore:
-    def __init__(self, told: Store, clock: Clock, streams: RandomStreams) -> None:
+    def __init__(self, told: StoreOptions, clock: Clock, streams: RandomStreams) -> None:
         self.told = told
         self.clock = clock
         self.generator = streams.generator("store")
--- a/ploverspoke/testbed/models/virtual_run.py
+++ b/ploverspoke/testbed/models/virtual_run.py
@@ -15,8 +15,11 @@
 from ploverspoke.routing.request_classes import RequestClassTable
 from ploverspoke.service.settings import parse_settings
 
-from ..experiment_files import experiment as ex
 from ..experiment_files.durations import MILLISECOND, SECOND
+from ..experiment_files.errors import ExperimentError
+from ..experiment_files.experiment import Experiment
+from ..experiment_files.fault_tables import SettingsChange
+from ..models.dispatcher_outages import dispatcher_outages
 from . import event_records
 from .baseline_policies import POLICIES
 from .clients import ClientRequest, Clients
@@ -143,13 +146,13 @@
     @held_while_paused
     def arrived(self, request: ClientRequest) -> None:
         job = request.job
-        grade = self.rows.numbers[self.world.e.request_classes[job.grade].name]
+        grade = self.rows.numbers[self.world.e.request_classes[job.request_class].name]
         taken = Taken(self.next, grade, request)
         self.next += 1
         self.taken[taken.number] = taken
         patience = request.abandon_at - self.clock.time
         abandon_at = request.abandon_at - min(ANSWER_EARLY, max(0, patience) // 10)
-        self.decisions.request_arrived(taken.number, grade, job.slots, abandon_at, 0, job.subject)
+        self.decisions.request_arrived(taken.number, grade, job.slots, abandon_at, 0, job.affinity_key)
 
     @held_while_paused
     def left(self, request: ClientRequest) -> None:
@@ -406,7 +409,7 @@
 class VirtualRun:
     """One run of one experiment under one policy and one seed."""
 
-    def __init__(self, e: ex.Experiment, seed: int, policy: str) -> None:
+    def __init__(self, e: Experiment, seed: int, policy: str) -> None:
         self.e = e
         self.policy = policy
         self.clock = VirtualClock()
@@ -427,13 +430,13 @@
         self.latency = [[e.one_way(a, b) for b in range(len(zones))] for a in range(len(zones))]
         self.settings = self._current_settings()
         for t in e.faults:
-            if isinstance(t, ex.SettingsChanged):
+            if isinstance(t, SettingsChange):
                 self.clock.at(t.start, self._change_settings)
                 self.clock.at(t.start + t.duration, self._change_settings)
         workers = list(self.fleet.workers.values())
         if e.timeline or e.dispatchers.gossip:
             key = "timeline" if e.timeline else "dispatchers.talk"
-            raise ex.ExperimentError(f"{key}: played on sockets only")
+            raise ExperimentError(f"{key}: played on sockets only")
         self.fleet_troubles = WorkerFaults(
             e, seed, self.clock, workers, self.connections, self._worker_died, _nothing
         )
@@ -445,8 +448,8 @@
         self.outgoing: list[VirtualDispatcher] = []  # replaced, and not ended yet
         self.starts = [0] * e.dispatchers.count
         if e.dispatchers.store:
-            raise ex.ExperimentError("dispatchers.store: a store is played on sockets only")
-        for begin, end, number, how in ex.outages(e, seed):
+            raise ExperimentError("dispatchers.store: a store is played on sockets only")
+        for begin, end, number, how in dispatcher_outages(e, seed):
             if how == "paused":
                 self.clock.at(begin, self._pause, number, end)
                 continue
@@ -609,6 +612,6 @@
 
 
 def run_virtual_time(
-    e: ex.Experiment, seed: int, policy: str, told: Callable[[int], None] | None = None
+    e: Experiment, seed: int, policy: str, told: Callable[[int], None] | None = None
 ) -> list[Event]:
     return VirtualRun(e, seed, policy).run(told)
--- a/ploverspoke/testbed/models/worker.py
+++ b/ploverspoke/testbed/models/worker.py
@@ -9,7 +9,8 @@
 from collections import OrderedDict, deque
 from typing import Any, Protocol
 
-from ..experiment_files.experiment import Experiment, Workers
+from ..experiment_files.experiment import Experiment
+from ..experiment_files.tables import WorkerGroup
 from . import event_records
 from .event_records import Records
 from .random_streams import RandomDraws
@@ -101,7 +102,7 @@
     def __init__(
         self,
         name: str,
-        told: Workers,
+        told: WorkerGroup,
         e: Experiment,
         clock: Clock,
         records_: Records,
@@ -248,7 +249,7 @@
         for run in [*self.running, *self.waiting]:
             self._stop(run)
             if run.label and run.begun:
-                self.racks[run.job.grade].forgets(run)
+                self.racks[run.job.request_class].forgets(run)
             self._end(run, "lost")
         self.running.clear()
         self.waiting.clear()
@@ -323,13 +324,13 @@
                 return
 
     def _begin(self, run: Execution) -> None:
-        job, grade = run.job, self.request_classes[run.job.grade]
+        job, grade = run.job, self.request_classes[run.job.request_class]
         if run.label:
-            earlier = self.racks[job.grade].repeated(run.label, grade.retry_window)
+            earlier = self.racks[job.request_class].repeated(run.label, grade.retry_window)
             if earlier is not None and earlier is not run:
                 self._follow(run, earlier)
                 return
-            self.racks[job.grade].remembers(run)
+            self.racks[job.request_class].remembers(run)
         self.free -= job.slots
         self.running[run] = None
         run.begun = True
@@ -342,7 +343,7 @@
                 )
         if run.over:
             return
-        if job.subject and self.store is not None and not self._holds(job.subject):
+        if job.affinity_key and self.store is not None and not self._holds(job.affinity_key):
             run.fetching = True
             run.fetch = self.store.fetch(self._fetched, run)
         else:
@@ -361,7 +362,7 @@
         run.fetch = None
         if run.over or not self.up:
             return
-        self.held[run.job.subject] = None
+        self.held[run.job.affinity_key] = None
         if len(self.held) > self.rules.cached_keys:
             self.held.popitem(last=False)
         self._go_on(run)
@@ -398,7 +399,7 @@
             del self.running[run]
             self.free += run.job.slots
         if run.label and how != "done":
-            self.racks[run.job.grade].forgets(run)
+            self.racks[run.job.request_class].forgets(run)
         if run.waits_on is not None and run in run.waits_on.followers:
             run.waits_on.followers.remove(run)
         self._end(run, how)
--- a/ploverspoke/testbed/models/worker_fleet.py
+++ b/ploverspoke/testbed/models/worker_fleet.py
@@ -2,8 +2,9 @@
 
 from collections.abc import Callable
 
-from ..experiment_files import experiment as ex
 from ..experiment_files.durations import MILLISECOND
+from ..experiment_files.experiment import Experiment
+from ..experiment_files.tables import Idempotency
 from .event_records import Records
 from .random_streams import RandomStreams
 from .shared_store import SharedStore
@@ -23,14 +24,14 @@
     def run_ended(self, run: Execution, how: str) -> None: ...
 
 
-def racks_of(e: ex.Experiment, clock: Clock) -> Callable[[int, int], dict[int, Rack]]:
+def racks_of(e: Experiment, clock: Clock) -> Callable[[int, int], dict[int, Rack]]:
     """Gives a worker of that zone and rack what it shares with others to drop repeats, by labelled grade."""
     known: dict[tuple[int, str, int], Rack] = {}
 
     def racks(zone: int, rack: int) -> dict[int, Rack]:
         found = {}
         for number, grade in enumerate(e.request_classes):
-            if grade.idempotency == "labelled":
+            if grade.idempotency is Idempotency.IDEMPOTENT_WITH_KEY:
                 key = (number, grade.retry_scope, {"all": 0, "zone": zone, "rack": rack}[grade.retry_scope])
                 found[number] = known.setdefault(key, Rack(clock))
         return found
@@ -41,7 +42,7 @@
 class WorkerFleet:
     """Workers and their store."""
 
-    def __init__(self, e: ex.Experiment, seed: int, clock: Clock, seen: Records) -> None:
+    def __init__(self, e: Experiment, seed: int, clock: Clock, seen: Records) -> None:
         streams = RandomStreams(seed)
         self.workers: dict[str, Worker] = {}
         self.rack_of: dict[str, int] = {}
--- a/ploverspoke/testbed/reports/experiment_result.py
+++ b/ploverspoke/testbed/reports/experiment_result.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from ..experiment_files.experiment import ExperimentError
+from ..experiment_files.errors import ExperimentError
 from .scores import RunScore
 
 Driver = Literal["virtual", "sockets"]
--- a/ploverspoke/testbed/reports/scores.py
+++ b/ploverspoke/testbed/reports/scores.py
@@ -9,7 +9,8 @@
 
 from ..checkers.request_audit import Finding
 from ..experiment_files.durations import MICROSECOND, MILLISECOND, SECOND
-from ..experiment_files.experiment import Experiment, RequestClass
+from ..experiment_files.experiment import Experiment
+from ..experiment_files.tables import RequestClass
 from ..models import event_records
 from ..models.event_records import Event
 
--- a/ploverspoke/testbed/scenarios/config_change_fleet.py
+++ b/ploverspoke/testbed/scenarios/config_change_fleet.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
-from ..experiment_files import experiment as ex
 from ..experiment_files.durations import SECOND
+from ..experiment_files.experiment import Experiment
 from ..models.deployment_settings import dispatcher_settings
 from ..processes.child_process import ChildProcess
 from ..processes.rig import ProcessAddress, listens_at
@@ -29,7 +29,7 @@
 
     def __init__(
         self,
-        e: ex.Experiment,
+        e: Experiment,
         seed: int,
         folder: Path,
         shape: ProcessCounts,
@@ -98,7 +98,7 @@
     """
 
     def __init__(
-        self, e: ex.Experiment, seed: int, folder: Path, shape: ProcessCounts, play: ScaleScenario
+        self, e: Experiment, seed: int, folder: Path, shape: ProcessCounts, play: ScaleScenario
     ) -> None:
         super().__init__(e, seed, folder, shape, play)
         names = [f"c{number}" for number in range(play.config_servers)]
--- a/ploverspoke/testbed/scenarios/dispatcher_bench.py
+++ b/ploverspoke/testbed/scenarios/dispatcher_bench.py
@@ -20,8 +20,8 @@
 import msgspec
 from rich.table import Table
 
-from ..experiment_files import experiment as ex
-from ..experiment_files.experiment import parse_experiment
+from ..experiment_files.experiment import Experiment
+from ..experiment_files.reader import parse_experiment
 from ..models.baseline_policies import POLICIES, Policy
 from ..models.deployment_settings import dispatcher_settings
 from ..processes.addresses import held_ports
@@ -180,7 +180,7 @@
 # ---- Virtual time ----
 
 
-def _world(workers: int, dispatchers: int, lasts: str, rate: float) -> ex.Experiment:
+def _world(workers: int, dispatchers: int, lasts: str, rate: float) -> Experiment:
     return parse_experiment(
         {
             "name": f"{workers} workers",
--- a/ploverspoke/testbed/scenarios/experiment_runner.py
+++ b/ploverspoke/testbed/scenarios/experiment_runner.py
@@ -14,7 +14,8 @@
 import msgspec
 
 from ..checkers.request_audit import SOCKETS_TOLERANCE, VIRTUAL_TOLERANCE, audit_requests
-from ..experiment_files.experiment import Experiment, ExperimentError
+from ..experiment_files.errors import ExperimentError
+from ..experiment_files.experiment import Experiment
 from ..models.event_records import write_records
 from ..reports.experiment_result import FORMAT, OWN_POLICY, Driver, Result
 from ..reports.scores import RunScore, encode_json, score_run
--- a/ploverspoke/testbed/scenarios/scale_fleet.py
+++ b/ploverspoke/testbed/scenarios/scale_fleet.py
@@ -9,8 +9,10 @@
 
 import msgspec
 
-from ..experiment_files import experiment as ex
 from ..experiment_files.durations import SECOND, format_duration
+from ..experiment_files.errors import ExperimentError
+from ..experiment_files.experiment import Experiment
+from ..experiment_files.tables import Idempotency
 from ..models.request_schedule import draw_schedule
 from ..processes.capacity_check import MEBIBYTE, CapacityError, ResourceDemand, free_memory
 from ..processes.child_process import ChildProcess
@@ -66,7 +68,7 @@
 
     def __init__(
         self,
-        e: ex.Experiment,
+        e: Experiment,
         seed: int,
         folder: Path,
         shape: ProcessCounts,
@@ -91,9 +93,12 @@
     def _wants(self) -> list[ResourceDemand]:
         if self.shape.workers > 1 and (
             self.e.store is not None
-            or any(g.idempotency == "labelled" and g.retry_scope == "all" for g in self.e.request_classes)
+            or any(
+                g.idempotency is Idempotency.IDEMPOTENT_WITH_KEY and g.retry_scope == "all"
+                for g in self.e.request_classes
+            )
         ):
-            raise ex.ExperimentError("worker processes: what all zones share can't be spread over several")
+            raise ExperimentError("worker processes: what all zones share can't be spread over several")
         found = [self._dispatchers_want()]
         for want in resource_demands(self.e):
             count = {"workers": self.shape.workers, "clients": self.shape.clients}.get(want.what, 1)
@@ -194,7 +199,7 @@
 class SimulatedScaleFleet(ScaleFleet):
     def __init__(
         self,
-        e: ex.Experiment,
+        e: Experiment,
         seed: int,
         folder: Path,
         shape: ProcessCounts,
@@ -314,7 +319,7 @@
     return "workers" if "workers" in told else "clients" if "sent" in told else "discovery"
 
 
-def cores_for(e: ex.Experiment) -> tuple[float, float, float]:
+def cores_for(e: Experiment) -> tuple[float, float, float]:
     """Cores that a run wants, with the tasks running and the starts a second at its peak."""
     starts = max(max(t.rate, t.end_rate or 0.0) * (1 + t.wave_amplitude) for t in e.traffic)
     whole = sum(g.share for g in e.request_classes)
--- a/ploverspoke/testbed/scenarios/scale_phases.py
+++ b/ploverspoke/testbed/scenarios/scale_phases.py
@@ -8,8 +8,9 @@
 import msgspec
 
 from ..capacity.fleet_size import FleetFileError, FleetSize, Part
-from ..experiment_files import experiment as ex
 from ..experiment_files.durations import SECOND, Duration, parse_duration
+from ..experiment_files.experiment import Experiment
+from ..experiment_files.reader import parse_experiment
 from .scale_fleet import ProcessCounts
 
 What = Literal["steady", "zone lost", "rack lost", "region cut", "changes", "restart"]
@@ -147,7 +148,7 @@
     )
 
 
-def experiment_for(fleet: FleetSize, plays: ScaleScenarios, play: ScaleScenario) -> ex.Experiment:
+def experiment_for(fleet: FleetSize, plays: ScaleScenarios, play: ScaleScenario) -> Experiment:
     """The experiment of a play: until `counted_from` the load comes up, then `lasts` are counted."""
     starts = play.starts_a_second or fleet.size.task_starts_a_second
     running = play.tasks_running or fleet.size.tasks_running
@@ -196,7 +197,7 @@
         "traffic": [{"rate": starts}],
         "troubles": troubles_of(fleet, plays, play, count, begins),
     }
-    return ex.parse_experiment(told)
+    return parse_experiment(told)
 
 
 def workers_of(fleet: FleetSize, plays: ScaleScenarios) -> list[dict[str, Any]]:
--- a/ploverspoke/testbed/scenarios/scale_test.py
+++ b/ploverspoke/testbed/scenarios/scale_test.py
@@ -27,7 +27,8 @@
     mark_void_metrics,
     scale_metrics,
 )
-from ..experiment_files import experiment as ex
+from ..experiment_files.errors import ExperimentError
+from ..experiment_files.experiment import Experiment
 from ..models.event_records import merge_records, read_records, write_records
 from ..processes.capacity_check import CapacityError, memory_backed_folder
 from ..processes.running_process import ProcessStartError
@@ -50,7 +51,7 @@
 def stage_of(
     play: ScaleScenario,
     plays: ScaleScenarios,
-    e: ex.Experiment,
+    e: Experiment,
     folder: Path,
     hollow: bool,
     shape: ProcessCounts | None = None,
@@ -192,7 +193,7 @@
     known = [COMPARED, *(play.name for play in plays.worlds)]
     for name in names:
         if name not in known:
-            raise ex.ExperimentError(f"--play: {name!r} is none of {', '.join(known)}")
+            raise ExperimentError(f"--play: {name!r} is none of {', '.join(known)}")
     rows: list[ScaleRow] = []
     results = read_results(out)
 
@@ -256,7 +257,7 @@
     try:
         fresh.runs = msgspec.json.decode(out.read_bytes(), type=ScaleResults).runs
     except (OSError, msgspec.DecodeError) as error:
-        raise ex.ExperimentError(f"{out}: no results of plays: {error}") from None
+        raise ExperimentError(f"{out}: no results of plays: {error}") from None
     return fresh
 
 
--- a/ploverspoke/testbed/scenarios/socket_run.py
+++ b/ploverspoke/testbed/scenarios/socket_run.py
@@ -13,11 +13,14 @@
 
 import msgspec
 
-from ..experiment_files import experiment as ex
 from ..experiment_files.durations import MILLISECOND, SECOND, Duration, format_duration
+from ..experiment_files.errors import ExperimentError
+from ..experiment_files.experiment import Experiment
+from ..experiment_files.fault_tables import DispatcherReplaced, SettingsChange
 from ..models import event_records
 from ..models.clients import LATE_ANSWER_ALLOWANCE
 from ..models.deployment_settings import dispatcher_settings
+from ..models.dispatcher_outages import dispatcher_outages
 from ..models.event_records import Event, Records, merge_records, read_records
 from ..processes.capacity_check import MEBIBYTE, ResourceDemand, memory_backed_folder
 from ..processes.child_process import ChildProcess
@@ -75,16 +78,16 @@
         return b" 200 " in first
 
 
-def client_processes(e: ex.Experiment) -> int:
+def client_processes(e: Experiment) -> int:
     """As many as the offered load wants: one carries some thousands of submissions a second."""
     return max(1, min(4, int(_most_a_second(e) // 1500) + 1))
 
 
-def _most_a_second(e: ex.Experiment) -> float:
+def _most_a_second(e: Experiment) -> float:
     return sum(max(t.rate, t.end_rate or 0.0) * (1 + t.wave_amplitude) for t in e.traffic)
 
 
-def resource_demands(e: ex.Experiment) -> list[ResourceDemand]:
+def resource_demands(e: Experiment) -> list[ResourceDemand]:
     """What stand-ins need beside the dispatchers: memory, and descriptors in one process."""
     dispatchers, rate = e.dispatchers.count, _most_a_second(e)
     workers = sum(group.count for group in e.workers)
@@ -97,12 +100,12 @@
     ]
 
 
-def outage_steps(e: ex.Experiment, seed: int) -> list[FaultStep]:
+def outage_steps(e: Experiment, seed: int) -> list[FaultStep]:
     """What the file's troubles do to dispatchers, and its timeline, in order of time."""
     whats = {"killed": "kill", "paused": "pause", "restarted": "restart"}
     found = [
         FaultStep(at=Duration(begin), what=whats[how], who=[f"d{number}"], lasts=Duration(end - begin))
-        for begin, end, number, how in ex.outages(e, seed)
+        for begin, end, number, how in dispatcher_outages(e, seed)
     ]
     return sorted([*found, *e.timeline], key=lambda step: step.at)
 
@@ -110,7 +113,7 @@
 class SocketFleet:
     """All processes of one run."""
 
-    def __init__(self, e: ex.Experiment, seed: int, folder: Path, told: ReportListener | None) -> None:
+    def __init__(self, e: Experiment, seed: int, folder: Path, told: ReportListener | None) -> None:
         self.e = e
         self.seed = seed
         self.folder = folder
@@ -128,10 +131,8 @@
 
     async def play(self) -> None:
         e, rig = self.e, self.rig
-        if any(isinstance(t, ex.DispatcherReplaced | ex.SettingsChanged) for t in e.faults):
-            raise ex.ExperimentError(
-                "troubles: replacing and changed settings are played on virtual time only"
-            )
+        if any(isinstance(t, DispatcherReplaced | SettingsChange) for t in e.faults):
+            raise ExperimentError("troubles: replacing and changed settings are played on virtual time only")
         clients, parts = self._client_processes(), self.worker_processes
         streams, datagrams = ["peers"] * e.dispatchers.store, ["talk"] * e.dispatchers.gossip
         names = [f"d{number}" for number in range(e.dispatchers.count)]
@@ -276,7 +277,7 @@
         return self.rig.void()
 
 
-def run_on_sockets(e: ex.Experiment, seed: int, told: ReportListener | None = None) -> Played:
+def run_on_sockets(e: Experiment, seed: int, told: ReportListener | None = None) -> Played:
     """Run once, in real time. Raises ProcessStartError, and CapacityError where it does not fit."""
     began = time.monotonic()
     with tempfile.TemporaryDirectory(prefix="ploverspoke-testbed-", dir=memory_backed_folder()) as name:
--- a/ploverspoke/testbed/scenarios/store_bench.py
+++ b/ploverspoke/testbed/scenarios/store_bench.py
@@ -35,7 +35,7 @@
 )
 from ploverspoke.store.state_machine import RequestStateMachine
 
-from ..experiment_files.experiment import parse_experiment
+from ..experiment_files.reader import parse_experiment
 from ..models.deployment_settings import dispatcher_settings
 from ..processes.addresses import held_ports
 from .dispatcher_bench import WORKERS, Process
--- a/tests/routing/test_acceptance_rules.py
+++ b/tests/routing/test_acceptance_rules.py
@@ -15,7 +15,7 @@
 import pytest
 import uvloop
 
-from ploverspoke.testbed.experiment_files.experiment import parse_experiment
+from ploverspoke.testbed.experiment_files.reader import parse_experiment
 from ploverspoke.testbed.models.event_records import CAME, UP
 from ploverspoke.testbed.models.virtual_run import VirtualRun as VirtualWorld
 from ploverspoke.testbed.models.worker import Worker
--- a/tests/store/test_router_with_request_log.py
+++ b/tests/store/test_router_with_request_log.py
@@ -6,7 +6,7 @@
 
 from ploverspoke.routing.request_log import PreviousOutcome
 from ploverspoke.testbed.checkers.request_audit import SOCKETS_TOLERANCE, audit_requests
-from ploverspoke.testbed.experiment_files.experiment import parse_experiment
+from ploverspoke.testbed.experiment_files.reader import parse_experiment
 from ploverspoke.testbed.models.event_records import DISPATCHER_DOWN
 from ploverspoke.testbed.scenarios.socket_run import run_on_sockets
 from tests.decisions.harness import SECOND, SETTINGS, DispatchHarness, endpoint
--- a/tests/test_lint_exceptions.py
+++ b/tests/test_lint_exceptions.py
@@ -13,7 +13,6 @@
     "ploverspoke/testbed/capacity/**",
     "ploverspoke/testbed/checkers/**",
     "ploverspoke/testbed/commands/**",
-    "ploverspoke/testbed/experiment_files/**",
     "ploverspoke/testbed/fakes/**",
     "ploverspoke/testbed/models/**",
     "ploverspoke/testbed/processes/**",
--- a/tests/testbed/capacity/test_measured_costs.py
+++ b/tests/testbed/capacity/test_measured_costs.py
@@ -24,7 +24,7 @@
 )
 from ploverspoke.testbed.commands import measure_costs
 from ploverspoke.testbed.experiment_files.durations import SECOND
-from ploverspoke.testbed.experiment_files.experiment import parse_experiment
+from ploverspoke.testbed.experiment_files.reader import parse_experiment
 from ploverspoke.testbed.processes.resource_usage import read_resource_usage
 
 
--- a/tests/testbed/harness.py
+++ b/tests/testbed/harness.py
@@ -2,7 +2,8 @@
 
 from typing import Any
 
-from ploverspoke.testbed.experiment_files.experiment import Experiment, parse_experiment
+from ploverspoke.testbed.experiment_files.experiment import Experiment
+from ploverspoke.testbed.experiment_files.reader import parse_experiment
 
 MILLISECOND, SECOND = 1_000_000, 1_000_000_000
 
--- a/tests/testbed/models/test_models.py
+++ b/tests/testbed/models/test_models.py
@@ -8,7 +8,8 @@
 import pytest
 
 from ploverspoke.testbed.checkers.request_audit import VIRTUAL_TOLERANCE, audit_requests
-from ploverspoke.testbed.experiment_files.experiment import Experiment, Workers
+from ploverspoke.testbed.experiment_files.experiment import Experiment
+from ploverspoke.testbed.experiment_files.tables import WorkerGroup
 from ploverspoke.testbed.models import event_records
 from ploverspoke.testbed.models.clients import ClientRequest, Clients
 from ploverspoke.testbed.models.event_records import Records
@@ -44,7 +45,7 @@
     rules = {k: changes.pop(k) for k in list(changes) if k in ("start", "cancel_stops_work", "report_age")}
     e = small_experiment(worker_rules=rules)
     return Worker(
-        "w0", Workers(count=1, **changes), e, clock, Records(), {}, RandomStreams(1).draws("worker")
+        "w0", WorkerGroup(count=1, **changes), e, clock, Records(), {}, RandomStreams(1).draws("worker")
     )
 
 
@@ -207,7 +208,7 @@
 
 def test_thousands_of_arrivals_at_one_instant_stay_deterministic() -> None:
     e = small_experiment(lasts="2s", traffic=[{"rate": 1000.0, "burst": 2000}])
-    assert len({j.at for j in draw_schedule(e, 5)}) < 10
+    assert len({j.due_at for j in draw_schedule(e, 5)}) < 10
     assert events_of(e, 5) == events_of(e, 5)
 
 
@@ -216,7 +217,9 @@
     longer = draw_schedule(
         small_experiment(clients={"leave_early": 0.5}, customers=[{"name": "a"}, {"name": "b"}]), 1
     )
-    assert [(j.at, j.grade, j.work) for j in plain] == [(j.at, j.grade, j.work) for j in longer]
+    assert [(j.due_at, j.request_class, j.work) for j in plain] == [
+        (j.due_at, j.request_class, j.work) for j in longer
+    ]
 
 
 class HeldUpClock(VirtualClock):
@@ -236,7 +239,7 @@
     behind = [event for event in seen.events if event.what == event_records.BEHIND]
     assert behind and clients.latest >= 300 * MILLISECOND
     late = next(r for r in sent if r.job.number == behind[-1].job)
-    assert late.abandon_at == late.job.at + e.request_classes[late.job.grade].deadline
+    assert late.abandon_at == late.job.due_at + e.request_classes[late.job.request_class].deadline
     assert len(sent) >= len(draw_schedule(e, 1)), "the offered load is not slowed"
 
 
--- a/tests/testbed/processes/test_rig.py
+++ b/tests/testbed/processes/test_rig.py
@@ -14,7 +14,7 @@
 
 from ploverspoke.testbed.checkers.request_audit import SOCKETS_TOLERANCE, audit_requests
 from ploverspoke.testbed.experiment_files.durations import SECOND, Duration
-from ploverspoke.testbed.experiment_files.experiment import ExperimentError
+from ploverspoke.testbed.experiment_files.errors import ExperimentError
 from ploverspoke.testbed.processes.addresses import Block, bound, held_ports
 from ploverspoke.testbed.processes.capacity_check import (
     MEBIBYTE,
--- a/tests/testbed/scale/test_scale.py
+++ b/tests/testbed/scale/test_scale.py
@@ -24,7 +24,8 @@
     urgent_waits,
 )
 from ploverspoke.testbed.experiment_files.durations import Duration
-from ploverspoke.testbed.experiment_files.experiment import Experiment, ExperimentError
+from ploverspoke.testbed.experiment_files.errors import ExperimentError
+from ploverspoke.testbed.experiment_files.experiment import Experiment
 from ploverspoke.testbed.models.deployment_settings import dispatcher_settings
 from ploverspoke.testbed.models.event_records import BEGAN, CAME, SENT, Event, merge_records, read_records
 from ploverspoke.testbed.models.virtual_run import run_virtual_time
