--- a/ploverspoke/config_distribution/server_node.py
+++ b/ploverspoke/config_distribution/server_node.py
@@ -4,7 +4,8 @@
 from typing import Protocol
 
 from ploverspoke.consensus.admin_messages import KIND_KEY, WireMap
-from ploverspoke.consensus.node import ReplicaNode, Reply
+from ploverspoke.consensus.node import ReplicaNode
+from ploverspoke.consensus.peer_links import Reply
 from ploverspoke.consensus.storage import ReplicaStorage
 from ploverspoke.service.config_reader import ConfigError
 from ploverspoke.transport.rate_limited_log import log_line
@@ -94,7 +95,7 @@
         return self.clock.monotonic()
 
     def has_recent_leader(self) -> bool:
-        """Whether this replica leads, or has heard from a leader lately."""
+        """Whether this replica leads, or has lately received something from one."""
         return self.is_in_contact(self.leader_contact_timeout)
 
     def send(self, name: str, message: ServerMessage) -> int:
--- a/ploverspoke/consensus/node.py
+++ b/ploverspoke/consensus/node.py
@@ -19,8 +19,7 @@
 from .cluster_config import ReplicaConfig, initial_replica_id, split_address
 from .log import PlainValue, StateMachine
 from .membership import Member, Members, find_by_name
-from .peer_links import PeerIdentity, PeerLinks
-from .peer_links import Reply as Reply
+from .peer_links import PeerIdentity, PeerLinks, Reply
 from .persisted_state import WriteBatch
 from .raft_state import RaftTimeouts, Role
 from .replica import Replica, RoleListener, Runtime
@@ -272,7 +271,7 @@
 
     def _reopen_and_write(self) -> None:
         self.storage.reopen()
-        # A vote that is written once more changes nothing, and shows whether there is room.
+        # A vote that is written once more changes nothing, and shows whether the disk can be written.
         batch = WriteBatch()
         batch.vote = (self.storage.persisted.current_term, self.storage.persisted.voted_for)
         self.storage.write(batch)
