--- a/ploverspoke/testbed/checkers/request_audit.py
+++ b/ploverspoke/testbed/checkers/request_audit.py
@@ -99,7 +99,7 @@
     def judge(self, events: Iterable[Event]) -> list[Finding]:
         self.events = list(events)
         for event in self.events:
-            read = READ.get(event.what)
+            read = READ.get(event.kind)
             if read is not None:
                 read(self, event)
         for name, s in self.submissions.items():
@@ -112,25 +112,25 @@
     # ---- What was seen ----
 
     def _sent(self, event: Event) -> None:
-        self.submissions[event.submission] = Submission(event)
+        self.submissions[event.request_id] = Submission(event)
 
     def _taken(self, event: Event) -> None:
-        self.submissions[event.submission].taken_at = event.at
+        self.submissions[event.request_id].taken_at = event.at
 
     def _answered(self, event: Event) -> None:
-        s = self.submissions[event.submission]
+        s = self.submissions[event.request_id]
         s.answers.append((event.at, event.detail))
         if s.over_at < 0:
             s.over_at = event.at
 
     def _left(self, event: Event) -> None:
-        self.submissions[event.submission].left_at = event.at
+        self.submissions[event.request_id].left_at = event.at
 
     def _came(self, event: Event) -> None:
-        s = self.submissions.get(event.submission)
+        s = self.submissions.get(event.request_id)
         if s is None:
             self.find(
-                "1 one answer", event, f"{event.worker} was sent {event.submission!r}, which no client sent"
+                "1 one answer", event, f"{event.worker} was sent {event.request_id!r}, which no client sent"
             )
             return
         s.hand_offs.append(HandOff(event.at, event.worker, event.detail, event.dispatcher))
@@ -140,7 +140,7 @@
             self.find("3 drains", event, f"sent to {event.worker} {late} after it was told not to be ready")
 
     def _hand_off(self, event: Event, serial: int) -> HandOff | None:
-        s = self.submissions.get(event.submission)
+        s = self.submissions.get(event.request_id)
         found = (
             (h for h in s.hand_offs if h.worker == event.worker and h.serial == serial)
             if s is not None
@@ -282,7 +282,7 @@
 
     def find(self, rule: str, event: Event, text: str) -> None:
         lines = self._timeline(event)
-        self.findings.append(Finding(rule, event.at, event.submission, event.worker, text, lines))
+        self.findings.append(Finding(rule, event.at, event.request_id, event.worker, text, lines))
 
     def find_for(self, name: str, rule: str, at: int, text: str) -> None:
         self.find(rule, Event(at, "found", name, self.submissions[name].job), f"{name}: {text}")
@@ -296,36 +296,41 @@
         if event.job >= 0:
             seen: Iterable[Event] = (x for x in self.events if x.job == event.job)
         else:
-            worker_only = (event_records.UP, event_records.DIED, event_records.FELL, event_records.TOLD)
-            seen = (x for x in self.events if x.worker == event.worker and x.what in worker_only)
+            worker_only = (
+                event_records.WORKER_STARTED,
+                event_records.WORKER_DIED,
+                event_records.WORKER_OVERLOADED,
+                event_records.ENDPOINT_NOTIFIED,
+            )
+            seen = (x for x in self.events if x.worker == event.worker and x.kind in worker_only)
         return [describe(x, self.e) for x in seen][:LONGEST_TIMELINE]
 
 
 READ: dict[str, Any] = {
-    event_records.SENT: Auditor._sent,
-    event_records.TAKEN: Auditor._taken,
-    event_records.ANSWERED: Auditor._answered,
-    event_records.LEFT: Auditor._left,
-    event_records.CAME: Auditor._came,
-    event_records.BEGAN: Auditor._began,
-    event_records.ENDED: Auditor._ended,
-    event_records.CLOSED: Auditor._closed,
-    event_records.TOLD: Auditor._told,
-    event_records.UP: Auditor._up,
-    event_records.FELL: Auditor._fell,
-    event_records.DISPATCHER_DOWN: Auditor._dispatcher_down,
-    event_records.DISPATCHER_UP: Auditor._dispatcher_up,
+    event_records.REQUEST_SENT: Auditor._sent,
+    event_records.REQUEST_ACCEPTED: Auditor._taken,
+    event_records.REQUEST_ANSWERED: Auditor._answered,
+    event_records.CLIENT_DISCONNECTED: Auditor._left,
+    event_records.ATTEMPT_ARRIVED: Auditor._came,
+    event_records.ATTEMPT_STARTED: Auditor._began,
+    event_records.ATTEMPT_ENDED: Auditor._ended,
+    event_records.ATTEMPT_CLOSED: Auditor._closed,
+    event_records.ENDPOINT_NOTIFIED: Auditor._told,
+    event_records.WORKER_STARTED: Auditor._up,
+    event_records.WORKER_OVERLOADED: Auditor._fell,
+    event_records.DISPATCHER_KILLED: Auditor._dispatcher_down,
+    event_records.DISPATCHER_STARTED: Auditor._dispatcher_up,
 }
 
 
 def describe(event: Event, e: Experiment) -> str:
     """One line of a timeline."""
     detail = event.detail
-    if event.what == event_records.SENT:
+    if event.kind == event_records.REQUEST_SENT:
         request_class = e.request_classes[detail[0]]
         detail = f"{request_class.name} ({request_class.idempotency}), try {detail[1] + 1}"
     who = f" d{event.dispatcher}" if event.dispatcher >= 0 else ""
-    return f"{event.at / 1e9:11.6f} s  {event.submission:10}{who:5} {event.worker:5} {event.what}: {detail}"
+    return f"{event.at / 1e9:11.6f} s  {event.request_id:10}{who:5} {event.worker:5} {event.kind}: {detail}"
 
 
 def audit_requests(e: Experiment, events: Iterable[Event], slack: int) -> list[Finding]:
--- a/ploverspoke/testbed/checkers/scale_checker.py
+++ b/ploverspoke/testbed/checkers/scale_checker.py
@@ -65,7 +65,11 @@
     inside = [sample for sample in seen.samples if begin <= sample.at <= end]
     if len(inside) >= 2:
         found |= _used(inside, count)
-    began = [event for event in seen.events if event.what == event_records.BEGAN and begin <= event.at < end]
+    began = [
+        event
+        for event in seen.events
+        if event.kind == event_records.ATTEMPT_STARTED and begin <= event.at < end
+    ]
     found["starts_a_second"] = len(began) / ((end - begin) / SECOND)
     found |= _urgent(seen)
     found["service"] = seen.score.service
@@ -76,7 +80,7 @@
         found[f"abandoned_{name}"] = grade.failed
         found[f"broken_{name}"] = grade.broken
     found["broken_rules"] = seen.score.broken_rules
-    found["fell_over"] = sum(event.what == event_records.FELL for event in seen.events)
+    found["fell_over"] = sum(event.kind == event_records.WORKER_OVERLOADED for event in seen.events)
     found["log_lines_a_dispatcher"] = seen.log_lines / count
     found |= _changes(seen.changes)
     return found
@@ -121,10 +125,10 @@
     due: dict[int, int] = {}
     began: dict[int, int] = {}
     for event in events:
-        if event.what == event_records.SENT and event.detail[0] == grade and event.detail[1] == 0:
+        if event.kind == event_records.REQUEST_SENT and event.detail[0] == grade and event.detail[1] == 0:
             if e.measured_from <= event.detail[3] < e.duration:
                 due[event.job] = event.detail[3]
-        elif event.what == event_records.BEGAN and event.job in due:
+        elif event.kind == event_records.ATTEMPT_STARTED and event.job in due:
             began.setdefault(event.job, event.at)
     return [began[job] - at if job in began else -1 for job, at in due.items()]
 
--- a/ploverspoke/testbed/fakes/fake_process.py
+++ b/ploverspoke/testbed/fakes/fake_process.py
@@ -19,7 +19,7 @@
 
 from ..experiment_files.experiment import Experiment
 from ..experiment_files.reader import experiment_from_builtins
-from ..models.event_records import Records, write_records
+from ..models.event_records import EventLog, write_events
 from ..models.virtual_clock import AnyTimer
 from .byte_counters import ByteCounters
 
@@ -77,7 +77,7 @@
     def __init__(self, spec: FakeProcessSpec, part: int) -> None:
         self.loop = asyncio.get_running_loop()
         self.clock = LoopClock(self.loop)
-        self.seen = Records()
+        self.seen = EventLog()
         self.late = 0
         self.spec = spec
         self.part = part
@@ -132,7 +132,7 @@
         tasks += [loop.create_task(_tell(stand_in)), loop.create_task(_watch(stand_in))]
     for task in tasks:
         task.cancel()
-    write_records(stand_in.seen.events, Path(spec.records) / f"{name}-{part}.jsonl")
+    write_events(stand_in.seen.events, Path(spec.records) / f"{name}-{part}.jsonl")
     send_message({"over": True})
 
 
--- a/ploverspoke/testbed/fakes/worker_server.py
+++ b/ploverspoke/testbed/fakes/worker_server.py
@@ -10,6 +10,7 @@
 import msgspec
 
 from ..models import event_records
+from ..models.event_records import Event
 from ..models.faults import ConnectionFaults, StoreFaults, WorkerFaults, ZoneCuts
 from ..models.random_streams import RandomStreams
 from ..models.request_schedule import ScheduledRequest, draw_schedule
@@ -186,7 +187,15 @@
         if run.serial:
             name = there.worker.name
             self.fleet.seen.add(
-                now, event_records.CLOSED, run.submission, run.job.number, self.dispatcher, name, run.serial
+                Event(
+                    now,
+                    event_records.ATTEMPT_CLOSED,
+                    run.submission,
+                    run.job.number,
+                    self.dispatcher,
+                    name,
+                    run.serial,
+                )
             )
 
 
--- a/ploverspoke/testbed/models/clients.py
+++ b/ploverspoke/testbed/models/clients.py
@@ -11,7 +11,7 @@
 from ..experiment_files.experiment import Experiment
 from ..experiment_files.tables import Idempotency
 from . import event_records
-from .event_records import Records
+from .event_records import Event, EventLog
 from .random_streams import RandomDraws, RandomStreams
 from .request_schedule import ScheduledRequest
 from .virtual_clock import AnyTimer, Clock
@@ -78,7 +78,7 @@
         seed: int,
         jobs: Sequence[ScheduledRequest],
         clock: Clock,
-        records_: Records,
+        records_: EventLog,
         send: Callable[[ClientRequest], None],
         close: Callable[[ClientRequest], None],
         part: int = 0,
@@ -115,7 +115,7 @@
             behind = now - job.due_at
             if behind > max(LATE, self.latest):
                 self.latest = behind
-                self.records.add(now, event_records.BEHIND, job=job.number, detail=behind)
+                self.records.add(Event(now, event_records.BEHIND_SCHEDULE, job=job.number, detail=behind))
             # Waits count from when it was due, not from when we got round to it.
             self._try(job, 0, job.dispatcher, job.due_at)
         self._plan_next()
@@ -127,12 +127,14 @@
         labelled = grade.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
         request = ClientRequest(job, tries, dispatcher, now, abandon_at, labelled)
         self.records.add(
-            now,
-            event_records.SENT,
-            request.id,
-            job.number,
-            dispatcher,
-            detail=[job.request_class, tries, abandon_at, first_sent],
+            Event(
+                now,
+                event_records.REQUEST_SENT,
+                request.id,
+                job.number,
+                dispatcher,
+                detail=[job.request_class, tries, abandon_at, first_sent],
+            )
         )
         self.out += 1
         late = LATE_ANSWER_ALLOWANCE if self.e.dispatchers.store else 50 * MILLISECOND
@@ -145,7 +147,7 @@
 
     def taken(self, request: ClientRequest) -> None:
         if not request.over:
-            self._note(event_records.TAKEN, request)
+            self._note(event_records.REQUEST_ACCEPTED, request)
 
     def answered(self, request: ClientRequest, how: str, come_back_after: int = 0) -> None:
         """Satisfied, nacked, abandoned, rejected, or broken: the connection ended without an answer."""
@@ -154,10 +156,10 @@
             return
         if request.over:
             # What comes after an answer is for the auditor.
-            self._note(event_records.ANSWERED, request, how)
+            self._note(event_records.REQUEST_ANSWERED, request, how)
             return
         self._end(request)
-        self._note(event_records.ANSWERED, request, how)
+        self._note(event_records.REQUEST_ANSWERED, request, how)
         if self.e.dispatchers.store and self.draws.happens(TWICE):
             self.clock.at(self.clock.now() + ASK_AGAIN, self._ask_twice, request)
         repeat = self.e.request_classes[request.job.request_class].idempotency
@@ -172,7 +174,7 @@
             self._bring_again(request, (request.asked_at + 1) % self.e.dispatchers.count)
             return
         self._end(request)
-        self._note(event_records.NEVER_TAKEN, request)
+        self._note(event_records.CONNECT_FAILED, request)
         self._again(request, 0, at_once=True)
 
     def sent_on(self, request: ClientRequest, to: int) -> None:
@@ -231,13 +233,13 @@
     def _leave(self, request: ClientRequest) -> None:
         if not request.over:
             self._end(request)
-            self._note(event_records.LEFT, request)
+            self._note(event_records.CLIENT_DISCONNECTED, request)
             self.close(request)
 
     def _unanswered(self, request: ClientRequest) -> None:
         if not request.over:
             self._end(request)
-            self._note(event_records.UNANSWERED, request)
+            self._note(event_records.REQUEST_TIMED_OUT, request)
             self.close(request)
 
     def _end(self, request: ClientRequest) -> None:
@@ -248,5 +250,5 @@
 
     def _note(self, what: str, request: ClientRequest, detail: str = "") -> None:
         self.records.add(
-            self.clock.now(), what, request.id, request.job.number, request.dispatcher, detail=detail
+            Event(self.clock.now(), what, request.id, request.job.number, request.dispatcher, detail=detail)
         )
--- a/ploverspoke/testbed/models/discovery.py
+++ b/ploverspoke/testbed/models/discovery.py
@@ -5,7 +5,7 @@
 
 from ..experiment_files.tables import DiscoveryOptions
 from . import event_records
-from .event_records import Records
+from .event_records import Event, EventLog
 from .random_streams import RandomDraws
 from .virtual_clock import Clock
 
@@ -33,7 +33,7 @@
 
 
 class DiscoveryModel:
-    def __init__(self, told: DiscoveryOptions, clock: Clock, records_: Records, draws: RandomDraws) -> None:
+    def __init__(self, told: DiscoveryOptions, clock: Clock, records_: EventLog, draws: RandomDraws) -> None:
         self.told = told
         self.clock = clock
         self.records = records_
@@ -122,4 +122,12 @@
         if whole:
             conditions = {**dict.fromkeys(self.entries, "gone"), **conditions}
         for worker, condition in conditions.items():
-            self.records.add(now, event_records.TOLD, dispatcher=dispatcher, worker=worker, detail=condition)
+            self.records.add(
+                Event(
+                    now,
+                    event_records.ENDPOINT_NOTIFIED,
+                    dispatcher=dispatcher,
+                    worker=worker,
+                    detail=condition,
+                )
+            )
--- a/ploverspoke/testbed/models/virtual_run.py
+++ b/ploverspoke/testbed/models/virtual_run.py
@@ -25,7 +25,7 @@
 from .clients import ClientRequest, Clients
 from .deployment_settings import dispatcher_settings
 from .discovery import DiscoveryCall, DiscoveryModel, EndpointEntry
-from .event_records import Event, Records
+from .event_records import Event, EventLog
 from .faults import ConnectionFaults, DiscoveryFaults, StoreFaults, WorkerFaults, ZoneCuts
 from .random_streams import RandomDraws, RandomStreams
 from .request_schedule import draw_schedule
@@ -349,13 +349,15 @@
             return
         # The network's own word: a worker behind a cut sees no end of the connection.
         self.world.seen.add(
-            self.clock.time,
-            event_records.CLOSED,
-            run.submission,
-            run.job.number,
-            self.number,
-            worker.name,
-            run.serial,
+            Event(
+                self.clock.time,
+                event_records.ATTEMPT_CLOSED,
+                run.submission,
+                run.job.number,
+                self.number,
+                worker.name,
+                run.serial,
+            )
         )
         if not self.world.is_cut(self.zone, worker.zone):
             self.clock.at(
@@ -413,7 +415,7 @@
         self.e = e
         self.policy = policy
         self.clock = VirtualClock()
-        self.seen = Records()
+        self.seen = EventLog()
         self.streams = RandomStreams(seed)
         zones = e.zones()
         self.fleet = WorkerFleet(e, seed, self.clock, self.seen)
@@ -548,7 +550,7 @@
 
     def _kill(self, number: int) -> None:
         if self.dispatchers[number].alive:
-            self.seen.add(self.clock.time, event_records.DISPATCHER_DOWN, dispatcher=number)
+            self.seen.add(Event(self.clock.time, event_records.DISPATCHER_KILLED, dispatcher=number))
             self.dispatchers[number].die()
 
     def _leave(self, number: int) -> None:
@@ -557,7 +559,7 @@
         """
         dispatcher = self.dispatchers[number]
         if dispatcher.alive and not dispatcher.leaving:
-            self.seen.add(self.clock.time, event_records.DISPATCHER_LEAVES, dispatcher=number)
+            self.seen.add(Event(self.clock.time, event_records.DISPATCHER_TERMINATING, dispatcher=number))
             dispatcher.leaving = True
 
     def _processes(self) -> list[VirtualDispatcher]:
@@ -603,7 +605,7 @@
         elif old.alive:
             return
         self.starts[number] += 1
-        self.seen.add(self.clock.time, event_records.DISPATCHER_UP, dispatcher=number)
+        self.seen.add(Event(self.clock.time, event_records.DISPATCHER_STARTED, dispatcher=number))
         self.dispatchers[number] = VirtualDispatcher(self, number, self.policy, self.starts[number])
 
 
--- a/ploverspoke/testbed/models/worker.py
+++ b/ploverspoke/testbed/models/worker.py
@@ -12,7 +12,7 @@
 from ..experiment_files.experiment import Experiment
 from ..experiment_files.tables import WorkerGroup
 from . import event_records
-from .event_records import Records
+from .event_records import Event, EventLog
 from .random_streams import RandomDraws
 from .request_schedule import ScheduledRequest
 from .shared_store import SharedStore
@@ -105,7 +105,7 @@
         told: WorkerGroup,
         e: Experiment,
         clock: Clock,
-        records_: Records,
+        records_: EventLog,
         racks: dict[int, Rack],
         draws: RandomDraws,
     ) -> None:
@@ -149,7 +149,7 @@
         """A request's last byte has come."""
         self.serial += 1
         run.serial = self.serial
-        self._note(event_records.CAME, run, run.serial)
+        self._note(event_records.ATTEMPT_ARRIVED, run, run.serial)
         if self.frozen:
             self.while_frozen.append((self._admit, run))
         else:
@@ -162,7 +162,7 @@
         if self.failing and self.draws.happens(max(self.failing.values())):
             run.timer = self.clock.at(now + QUICK, self._finish, run, "failed")
             run.begun = True
-            self._note(event_records.BEGAN, run, run.serial)
+            self._note(event_records.ATTEMPT_STARTED, run, run.serial)
             self.running[run] = None
             self.free -= job.slots
             return
@@ -242,7 +242,7 @@
         self.up = False
         self.frozen.clear()
         late, self.while_frozen = self.while_frozen, []
-        self.records.add(self.clock.now(), event_records.DIED, worker=self.name)
+        self.records.add(Event(self.clock.now(), event_records.WORKER_DIED, worker=self.name))
         for call, run in late:
             if call == self._admit:
                 self._end(run, "lost")
@@ -265,7 +265,7 @@
         self.arrived_work.clear()
         self.work_in = 0.0
         self.last_reports.clear()
-        self.records.add(now, event_records.UP, worker=self.name)
+        self.records.add(Event(now, event_records.WORKER_STARTED, worker=self.name))
         for step in range(1, WARM_STEPS + 1):
             self.clock.at(now + self.rules.warmup_period * step // WARM_STEPS, self.change_rate)
         self.change_rate()
@@ -304,7 +304,12 @@
         for _, part, dispatcher in self.arrived_work:
             sent[str(dispatcher)] = sent.get(str(dispatcher), 0) + int(part)
         self.records.add(
-            now, event_records.FELL, worker=self.name, detail=[int(self.work_in), int(bears), sent]
+            Event(
+                now,
+                event_records.WORKER_OVERLOADED,
+                worker=self.name,
+                detail=[int(self.work_in), int(bears), sent],
+            )
         )
         if self.on_fall is not None:
             self.on_fall(self)
@@ -334,7 +339,7 @@
         self.free -= job.slots
         self.running[run] = None
         run.begun = True
-        self._note(event_records.BEGAN, run, run.serial)
+        self._note(event_records.ATTEMPT_STARTED, run, run.serial)
         if self.rules.reports_start:
             run.listener.run_started(run)
             if not run.over:
@@ -419,7 +424,7 @@
         if run.over:
             return
         if run.waits_on is None:
-            self._note(event_records.ENDED, run, [run.serial, how])
+            self._note(event_records.ATTEMPT_ENDED, run, [run.serial, how])
         self._tell_end(run, how)
         for follower in run.followers:
             # The first has not had its effect: what stood in for it does not count as done either.
@@ -431,11 +436,13 @@
             return
         run.over = True
         if run.waits_on is not None:
-            self._note(event_records.ENDED, run, [run.serial, "repeat dropped" if how == "done" else how])
+            self._note(
+                event_records.ATTEMPT_ENDED, run, [run.serial, "repeat dropped" if how == "done" else how]
+            )
         if how != "recalled":
             run.listener.run_ended(run, how)
 
     def _note(self, what: str, run: Execution, detail: Any) -> None:
         self.records.add(
-            self.clock.now(), what, run.submission, run.job.number, run.dispatcher, self.name, detail
+            Event(self.clock.now(), what, run.submission, run.job.number, run.dispatcher, self.name, detail)
         )
--- a/ploverspoke/testbed/models/worker_fleet.py
+++ b/ploverspoke/testbed/models/worker_fleet.py
@@ -5,7 +5,7 @@
 from ..experiment_files.durations import MILLISECOND
 from ..experiment_files.experiment import Experiment
 from ..experiment_files.tables import Idempotency
-from .event_records import Records
+from .event_records import EventLog
 from .random_streams import RandomStreams
 from .shared_store import SharedStore
 from .virtual_clock import Clock
@@ -42,7 +42,7 @@
 class WorkerFleet:
     """Workers and their store."""
 
-    def __init__(self, e: Experiment, seed: int, clock: Clock, seen: Records) -> None:
+    def __init__(self, e: Experiment, seed: int, clock: Clock, seen: EventLog) -> None:
         streams = RandomStreams(seed)
         self.workers: dict[str, Worker] = {}
         self.rack_of: dict[str, int] = {}
--- a/ploverspoke/testbed/reports/scores.py
+++ b/ploverspoke/testbed/reports/scores.py
@@ -12,14 +12,12 @@
 from ..experiment_files.experiment import Experiment
 from ..experiment_files.tables import RequestClass
 from ..models import event_records
-from ..models.event_records import Event
+from ..models.event_records import BROKEN, FAILED, REJECTED, SUCCEEDED, Event
 
 MAX_LATENCY_US = 3_600_000_000  # the highest value of a histogram
 HISTOGRAM_DIGITS = 3  # significant decimal digits
 PERCENTILES = (50.0, 90.0, 99.0, 99.9)
 MAX_SHOWN_FINDINGS = 10
-# Outcomes, as event records have them.
-SUCCEEDED, REJECTED, FAILED, BROKEN = "satisfied", "nacked", "abandoned", "broken"
 
 
 class RequestClassScore(
@@ -99,17 +97,17 @@
         self.by_worker = {name: [0] * seconds for name in experiment.worker_names()}
 
     def read(self, event: Event) -> None:
-        self.event_counts[event.what] += 1
-        if event.what == event_records.SENT:
+        self.event_counts[event.kind] += 1
+        if event.kind == event_records.REQUEST_SENT:
             self._read_sent(event)
-        elif event.what == event_records.ANSWERED:
+        elif event.kind == event_records.REQUEST_ANSWERED:
             self._read_answer(event)
-        elif event.what == event_records.LEFT:
+        elif event.kind == event_records.CLIENT_DISCONNECTED:
             self.left.add(event.job)
-        elif event.what == event_records.BEGAN:
+        elif event.kind == event_records.ATTEMPT_STARTED:
             by_second = self.by_worker[event.worker]
             by_second[min(event.at // SECOND, len(by_second) - 1)] += 1
-        elif event.what == event_records.BEHIND:
+        elif event.kind == event_records.BEHIND_SCHEDULE:
             self.lateness = max(self.lateness, event.detail)
 
     def _read_sent(self, event: Event) -> None:
@@ -180,8 +178,8 @@
         },
         findings=[_describe(finding) for finding in broken_rules[:MAX_SHOWN_FINDINGS]],
         broken_rules=len(broken_rules),
-        attempts=observations.event_counts[event_records.CAME],
-        requests=observations.event_counts[event_records.SENT],
+        attempts=observations.event_counts[event_records.ATTEMPT_ARRIVED],
+        requests=observations.event_counts[event_records.REQUEST_SENT],
         lateness_ms=observations.lateness / MILLISECOND,
         void=void,
         over_time=service.over_time(),
--- a/ploverspoke/testbed/scenarios/experiment_runner.py
+++ b/ploverspoke/testbed/scenarios/experiment_runner.py
@@ -16,7 +16,7 @@
 from ..checkers.request_audit import SOCKETS_TOLERANCE, VIRTUAL_TOLERANCE, audit_requests
 from ..experiment_files.errors import ExperimentError
 from ..experiment_files.experiment import Experiment
-from ..models.event_records import write_records
+from ..models.event_records import write_events
 from ..reports.experiment_result import FORMAT, OWN_POLICY, Driver, Result
 from ..reports.scores import RunScore, encode_json, score_run
 
@@ -30,7 +30,7 @@
         events = run_virtual_time(experiment, seed, policy)
     took = time.perf_counter() - began
     if events_path is not None:
-        write_records(events, events_path)
+        write_events(events, events_path)
     findings = audit_requests(experiment, events, VIRTUAL_TOLERANCE)
     score = score_run(experiment, policy, seed, events, findings)
     score.ran_for_s = took
@@ -60,7 +60,7 @@
 
     played = run_on_sockets(experiment, seed, on_report)
     if events_path is not None:
-        write_records(played.events, events_path)
+        write_events(played.events, events_path)
     findings = audit_requests(experiment, played.events, SOCKETS_TOLERANCE)
     score = score_run(experiment, OWN_POLICY, seed, played.events, findings, played.void)
     score.ran_for_s = played.took_s
--- a/ploverspoke/testbed/scenarios/scale_test.py
+++ b/ploverspoke/testbed/scenarios/scale_test.py
@@ -29,7 +29,7 @@
 )
 from ..experiment_files.errors import ExperimentError
 from ..experiment_files.experiment import Experiment
-from ..models.event_records import merge_records, read_records, write_records
+from ..models.event_records import merge_events, read_events, write_events
 from ..processes.capacity_check import CapacityError, memory_backed_folder
 from ..processes.running_process import ProcessStartError
 from ..reports.scores import score_run
@@ -102,12 +102,12 @@
         except (CapacityError, ProcessStartError, TimeoutError) as error:
             row.void = str(error) or "a process was not ready in time"
             return row
-        events = merge_records(
-            [stage.seen.events, *(read_records(path) for path in sorted(folder.glob("*.jsonl")))]
+        events = merge_events(
+            [stage.seen.events, *(read_events(path) for path in sorted(folder.glob("*.jsonl")))]
         )
         lines = sum(path.read_bytes().count(b"\n") for path in folder.glob("d*.log"))
     if keep is not None:
-        write_records(events, keep)
+        write_events(events, keep)
     row.void = stage.void()
     found = score_run(e, "ours", plays.seed, events, audit_requests(e, events, SOCKETS_TOLERANCE), row.void)
     changes = stage.took if isinstance(stage, ConfigChangeFleet) else []
--- a/ploverspoke/testbed/scenarios/socket_run.py
+++ b/ploverspoke/testbed/scenarios/socket_run.py
@@ -21,7 +21,7 @@
 from ..models.clients import LATE_ANSWER_ALLOWANCE
 from ..models.deployment_settings import dispatcher_settings
 from ..models.dispatcher_outages import dispatcher_outages
-from ..models.event_records import Event, Records, merge_records, read_records
+from ..models.event_records import Event, EventLog, merge_events, read_events
 from ..processes.addresses import ProcessAddress
 from ..processes.capacity_check import MEBIBYTE, ResourceDemand, memory_backed_folder
 from ..processes.child_process import ChildProcess
@@ -120,7 +120,7 @@
         self.seed = seed
         self.folder = folder
         self.told = told
-        self.seen = Records()
+        self.seen = EventLog()
         self.rig = Rig(folder, seed)
         self.rig.timeline.on_process_down, self.rig.timeline.on_process_up = self._down, self._up
         self.rig.timeline.stop_timeout = max(g.deadline for g in e.request_classes) / SECOND + 0.7
@@ -256,11 +256,13 @@
                 self.told({"at": self.rig.timeline.now(), "child": id(child), **told})
 
     def _down(self, name: str, how: str) -> None:
-        what = event_records.DISPATCHER_LEAVES if how == "restart" else event_records.DISPATCHER_DOWN
-        self.seen.add(self.rig.timeline.now(), what, dispatcher=int(name[1:]))
+        what = event_records.DISPATCHER_TERMINATING if how == "restart" else event_records.DISPATCHER_KILLED
+        self.seen.add(Event(self.rig.timeline.now(), what, dispatcher=int(name[1:])))
 
     def _up(self, name: str) -> None:
-        self.seen.add(self.rig.timeline.now(), event_records.DISPATCHER_UP, dispatcher=int(name[1:]))
+        self.seen.add(
+            Event(self.rig.timeline.now(), event_records.DISPATCHER_STARTED, dispatcher=int(name[1:]))
+        )
 
     async def close(self) -> None:
         """End all that was started, whatever happened."""
@@ -286,8 +288,8 @@
         folder = Path(name)
         stage = SocketFleet(e, seed, folder, told)
         asyncio.run(_play(stage))
-        parts = [read_records(path) for path in sorted(folder.glob("*.jsonl"))]
-        events = merge_records([stage.seen.events, *parts])
+        parts = [read_events(path) for path in sorted(folder.glob("*.jsonl"))]
+        events = merge_events([stage.seen.events, *parts])
         history = stage.rig.read_events()
         logs = "\n".join(path.read_text()[-2000:] for path in sorted(folder.glob("d*.log")))
     counts = stage.rig.link_faults.counters.links
--- a/tests/routing/test_acceptance_rules.py
+++ b/tests/routing/test_acceptance_rules.py
@@ -16,7 +16,7 @@
 import uvloop
 
 from ploverspoke.testbed.experiment_files.reader import parse_experiment
-from ploverspoke.testbed.models.event_records import CAME, UP
+from ploverspoke.testbed.models.event_records import ATTEMPT_ARRIVED, WORKER_STARTED
 from ploverspoke.testbed.models.virtual_run import VirtualRun as VirtualWorld
 from ploverspoke.testbed.models.worker import Worker
 from ploverspoke.testbed.processes.addresses import reserve_ports
@@ -166,10 +166,11 @@
     rules, up, came = e.worker_rules, dict[str, int](), dict[str, list[int]]()
     most, in_all = -1e9, 0
     for event in VirtualWorld(e, seed, policy).run():
-        if event.what == UP:
+        if event.kind == WORKER_STARTED:
             up[event.worker], came[event.worker] = event.at, []
         elif (
-            event.what == CAME and event.at - up.get(event.worker, -rules.warmup_period) < rules.warmup_period
+            event.kind == ATTEMPT_ARRIVED
+            and event.at - up.get(event.worker, -rules.warmup_period) < rules.warmup_period
         ):
             warmth = (event.at - up[event.worker]) / rules.warmup_period
             share = rules.warmup_share + (1 - rules.warmup_share) * warmth
--- a/tests/store/test_router_with_request_log.py
+++ b/tests/store/test_router_with_request_log.py
@@ -7,7 +7,7 @@
 from ploverspoke.routing.request_log import PreviousOutcome
 from ploverspoke.testbed.checkers.request_audit import SOCKETS_TOLERANCE, audit_requests
 from ploverspoke.testbed.experiment_files.reader import parse_experiment
-from ploverspoke.testbed.models.event_records import DISPATCHER_DOWN
+from ploverspoke.testbed.models.event_records import DISPATCHER_KILLED
 from ploverspoke.testbed.scenarios.socket_run import run_on_sockets
 from tests.decisions.harness import SECOND, SETTINGS, DispatchHarness, endpoint
 from tests.routing.harness import World, message
@@ -181,4 +181,4 @@
     )
     played = run_on_sockets(experiment, 1)
     assert audit_requests(experiment, played.events, SOCKETS_TOLERANCE) == []
-    assert sum(event.what == DISPATCHER_DOWN for event in played.events) == 3
+    assert sum(event.what == DISPATCHER_KILLED for event in played.events) == 3
--- a/tests/testbed/models/test_models.py
+++ b/tests/testbed/models/test_models.py
@@ -12,7 +12,7 @@
 from ploverspoke.testbed.experiment_files.tables import WorkerGroup
 from ploverspoke.testbed.models import event_records
 from ploverspoke.testbed.models.clients import ClientRequest, Clients
-from ploverspoke.testbed.models.event_records import Records
+from ploverspoke.testbed.models.event_records import EventLog
 from ploverspoke.testbed.models.random_streams import RandomStreams
 from ploverspoke.testbed.models.request_schedule import ScheduledRequest, draw_schedule
 from ploverspoke.testbed.models.virtual_clock import VirtualClock
@@ -45,7 +45,7 @@
     rules = {k: changes.pop(k) for k in list(changes) if k in ("start", "cancel_stops_work", "report_age")}
     e = small_experiment(worker_rules=rules)
     return Worker(
-        "w0", WorkerGroup(count=1, **changes), e, clock, Records(), {}, RandomStreams(1).draws("worker")
+        "w0", WorkerGroup(count=1, **changes), e, clock, EventLog(), {}, RandomStreams(1).draws("worker")
     )
 
 
@@ -230,13 +230,13 @@
 
 
 def test_a_generator_that_falls_behind_says_so_and_counts_waits_from_when_they_were_due() -> None:
-    e, clock, seen = small_experiment(), HeldUpClock(), Records()
+    e, clock, seen = small_experiment(), HeldUpClock(), EventLog()
     sent: list[ClientRequest] = []
     answer: Callable[[ClientRequest], None] = sent.append
     clients = Clients(e, 1, draw_schedule(e, 1), clock, seen, answer, lambda request: None)
     clients.start()
     clock.run(6 * SECOND)
-    behind = [event for event in seen.events if event.what == event_records.BEHIND]
+    behind = [event for event in seen.events if event.kind == event_records.BEHIND_SCHEDULE]
     assert behind and clients.latest >= 300 * MILLISECOND
     late = next(r for r in sent if r.job.number == behind[-1].job)
     assert late.abandon_at == late.job.due_at + e.request_classes[late.job.request_class].deadline
@@ -246,7 +246,7 @@
 def test_a_paused_dispatcher_works_through_what_piled_up_and_is_none_the_worse_for_others() -> None:
     pause = {"what": "dispatcher paused", "at": "2s", "lasts": "500ms", "dispatchers": [0]}
     events = run_virtual_time(small_experiment(troubles=[pause]), 1, "ours")
-    answered = [e for e in events if e.what == event_records.ANSWERED]
+    answered = [e for e in events if e.kind == event_records.REQUEST_ANSWERED]
     stopped = [e for e in answered if e.dispatcher == 0 and 2.001 * SECOND < e.at < 2.5 * SECOND]
     went_on = [e for e in answered if e.dispatcher == 1 and 2 * SECOND < e.at < 2.5 * SECOND]
     woke = [e for e in answered if e.dispatcher == 0 and 2.5 * SECOND <= e.at < 2.51 * SECOND]
--- a/tests/testbed/scale/test_scale.py
+++ b/tests/testbed/scale/test_scale.py
@@ -27,7 +27,14 @@
 from ploverspoke.testbed.experiment_files.errors import ExperimentError
 from ploverspoke.testbed.experiment_files.experiment import Experiment
 from ploverspoke.testbed.models.deployment_settings import dispatcher_settings
-from ploverspoke.testbed.models.event_records import BEGAN, CAME, SENT, Event, merge_records, read_records
+from ploverspoke.testbed.models.event_records import (
+    ATTEMPT_ARRIVED,
+    ATTEMPT_STARTED,
+    REQUEST_SENT,
+    Event,
+    merge_events,
+    read_events,
+)
 from ploverspoke.testbed.models.virtual_run import run_virtual_time
 from ploverspoke.testbed.processes.addresses import AddressBlock
 from ploverspoke.testbed.processes.capacity_check import CapacityError
@@ -253,8 +260,8 @@
             await stage.close()
 
     asyncio.run(whole())
-    parts = [read_records(path) for path in sorted(folder.glob("*.jsonl"))]
-    return stage, merge_records([stage.seen.events, *parts])
+    parts = [read_events(path) for path in sorted(folder.glob("*.jsonl"))]
+    return stage, merge_events([stage.seen.events, *parts])
 
 
 def test_a_world_with_a_zone_lost_and_a_region_cut_keeps_the_rules(tmp_path: Path) -> None:
@@ -273,14 +280,14 @@
     stage, events = play_hollow(e, tmp_path, ProcessCounts(hollow=2, workers=2, clients=1))
     assert stage.rig.errors == []
     assert audit_requests(e, events, SOCKETS_TOLERANCE) == []
-    assert {event.dispatcher for event in events if event.what == CAME} == set(range(9))
-    sent = {event.job for event in events if event.what == SENT}
-    began = {event.job for event in events if event.what == BEGAN}
+    assert {event.dispatcher for event in events if event.kind == ATTEMPT_ARRIVED} == set(range(9))
+    sent = {event.job for event in events if event.kind == REQUEST_SENT}
+    began = {event.job for event in events if event.kind == ATTEMPT_STARTED}
     assert len(sent) == stage.jobs and len(began) > 0.8 * len(sent)
     last = stage.samples[-1]
     assert last.used.serving == 9 and last.used.inside["open"] == 0
     # What the stand-ins counted is what came: an answer to each hand-off at the least.
-    came = sum(event.what == CAME for event in events)
+    came = sum(event.kind == ATTEMPT_ARRIVED for event in events)
     assert last.traffic["workers"]["messages_out"] >= came
     assert last.traffic["discovery"]["bytes_in"] > 9 * len(e.worker_names()) * 50
 
@@ -300,7 +307,7 @@
     events = run_virtual_time(e, 1, "ours")
     assert audit_requests(e, events, VIRTUAL_TOLERANCE) == []
     zone_of = {name: number // 3 for number, name in enumerate(e.worker_names())}
-    came = [event for event in events if event.what == CAME]
+    came = [event for event in events if event.kind == ATTEMPT_ARRIVED]
     across = [x for x in came if e.region(x.dispatcher % 3) != e.region(zone_of[x.worker])]
     assert not [x for x in across if begin + 10 * SECOND // 1000 < x.at < end]
     assert any(x.at < begin for x in across) and any(x.at >= end for x in across)
@@ -401,11 +408,16 @@
 def test_figures_are_judged_as_they_should_be() -> None:
     e = small_experiment(grades=[{"name": "urgent"}, {"name": "ordinary"}], counted_from="1s")
     sent = [
-        Event(n * SECOND, SENT, f"{n}-0", n, 0, detail=[0, 0, 9 * SECOND, n * SECOND]) for n in (0, 1, 2, 3)
+        Event(n * SECOND, REQUEST_SENT, f"{n}-0", n, 0, detail=[0, 0, 9 * SECOND, n * SECOND])
+        for n in (0, 1, 2, 3)
+    ]
+    sent.append(Event(3 * SECOND, REQUEST_SENT, "4-0", 4, 0, detail=[1, 0, 9 * SECOND, 3 * SECOND]))
+    began = [
+        Event(n * SECOND + n, ATTEMPT_STARTED, f"{n}-{again}", n, 0, "w0", 1)
+        for n in (1, 2)
+        for again in (0, 1)
     ]
-    sent.append(Event(3 * SECOND, SENT, "4-0", 4, 0, detail=[1, 0, 9 * SECOND, 3 * SECOND]))
-    began = [Event(n * SECOND + n, BEGAN, f"{n}-{again}", n, 0, "w0", 1) for n in (1, 2) for again in (0, 1)]
-    assert urgent_waits(e, merge_records([sent, began])) == [1, 2, -1]
+    assert urgent_waits(e, merge_events([sent, began])) == [1, 2, -1]
     ratios, void = compare_metrics(
         {"core_share": 0.8, "network_bytes_in": 1.1}, {"core_share": 1.0, "network_bytes_in": 1.0}, 0.15
     )
--- a/tests/testbed/scenarios/test_socket_run.py
+++ b/tests/testbed/scenarios/test_socket_run.py
@@ -6,7 +6,7 @@
 
 from ploverspoke.testbed.checkers.request_audit import SOCKETS_TOLERANCE, audit_requests
 from ploverspoke.testbed.fakes.http_wire import HttpReader, HttpSyntaxError, encode_chunk, encode_response
-from ploverspoke.testbed.models.event_records import CAME, SENT
+from ploverspoke.testbed.models.event_records import ATTEMPT_ARRIVED, REQUEST_SENT
 from ploverspoke.testbed.processes.child_process import ChildProcess
 from ploverspoke.testbed.processes.running_process import ProcessStartError
 from ploverspoke.testbed.reports.scores import score_run
@@ -29,10 +29,10 @@
     findings = audit_requests(e, played.events, SOCKETS_TOLERANCE)
     found = score_run(e, "ours", 1, played.events, findings, played.void)
     assert findings == [] and found.requests > 150 and found.attempts > 150
-    assert {event.dispatcher for event in played.events if event.what == CAME} == {0, 1}
+    assert {event.dispatcher for event in played.events if event.kind == ATTEMPT_ARRIVED} == {0, 1}
     assert any("workers" in t for t in told) and any("answers" in t for t in told)
     # Every job was sent, whatever the machine was busy with; how late is told, and is no matter here.
-    assert len({event.job for event in played.events if event.what == SENT}) == len(
+    assert len({event.job for event in played.events if event.kind == REQUEST_SENT}) == len(
         {event.job for event in played.events if event.job >= 0}
     )
 
