--- a/tests/test_lint_exceptions.py
+++ b/tests/test_lint_exceptions.py
@@ -12,7 +12,6 @@
 LEFT = {
     "ploverspoke/testbed/capacity/measurements/**",
     "ploverspoke/testbed/checkers/**",
-    "ploverspoke/testbed/experiment_files/**",
     "ploverspoke/testbed/fakes/**",
     "ploverspoke/testbed/models/**",
     "ploverspoke/testbed/scale/**",
