--- a/ploverspoke/testbed/checkers/request_audit.py
+++ b/ploverspoke/testbed/checkers/request_audit.py
@@ -13,6 +13,7 @@
 
 from ..experiment_files.durations import MILLISECOND, format_duration
 from ..experiment_files.experiment import Experiment
+from ..experiment_files.tables import Idempotency
 from ..models import event_records
 from ..models.event_records import Event
 
@@ -98,7 +99,7 @@
     def judge(self, events: Iterable[Event]) -> list[Finding]:
         self.events = list(events)
         for event in self.events:
-            read = READ.get(event.what)
+            read = READ.get(event.kind)
             if read is not None:
                 read(self, event)
         for name, s in self.submissions.items():
@@ -111,25 +112,25 @@
     # ---- What was seen ----
 
     def _sent(self, event: Event) -> None:
-        self.submissions[event.submission] = Submission(event)
+        self.submissions[event.request_id] = Submission(event)
 
     def _taken(self, event: Event) -> None:
-        self.submissions[event.submission].taken_at = event.at
+        self.submissions[event.request_id].taken_at = event.at
 
     def _answered(self, event: Event) -> None:
-        s = self.submissions[event.submission]
+        s = self.submissions[event.request_id]
         s.answers.append((event.at, event.detail))
         if s.over_at < 0:
             s.over_at = event.at
 
     def _left(self, event: Event) -> None:
-        self.submissions[event.submission].left_at = event.at
+        self.submissions[event.request_id].left_at = event.at
 
     def _came(self, event: Event) -> None:
-        s = self.submissions.get(event.submission)
+        s = self.submissions.get(event.request_id)
         if s is None:
             self.find(
-                "1 one answer", event, f"{event.worker} was sent {event.submission!r}, which no client sent"
+                "1 one answer", event, f"{event.worker} was sent {event.request_id!r}, which no client sent"
             )
             return
         s.hand_offs.append(HandOff(event.at, event.worker, event.detail, event.dispatcher))
@@ -139,7 +140,7 @@
             self.find("3 drains", event, f"sent to {event.worker} {late} after it was told not to be ready")
 
     def _hand_off(self, event: Event, serial: int) -> HandOff | None:
-        s = self.submissions.get(event.submission)
+        s = self.submissions.get(event.request_id)
         found = (
             (h for h in s.hand_offs if h.worker == event.worker and h.serial == serial)
             if s is not None
@@ -228,7 +229,7 @@
             if over >= 0 and h.came > over + self.slack:
                 self.find_for(name, "1 one answer", h.came, f"handed to {h.worker} after its answer")
                 break
-        _, most = self.e.rules_at(s.taken_at)
+        most = self.e.rules_at(s.taken_at).max_attempts
         if len(s.hand_offs) > most:
             self.find_for(
                 name, "1 one answer", s.hand_offs[most].came, f"{len(s.hand_offs)} hand-offs, {most} allowed"
@@ -236,15 +237,15 @@
 
     def _repeats(self, name: str, s: Submission) -> None:
         grade = self.e.request_classes[s.grade]
-        repeat = self.e.rules_at(s.taken_at)[0][s.grade]
-        if repeat == "redoable":
+        repeat = self.e.rules_at(s.taken_at).idempotency[s.grade]
+        if repeat is Idempotency.IDEMPOTENT:
             return
         groups = self.group_of[grade.retry_scope]
         first: HandOff | None = None
         for h in s.hand_offs:
             if first is None:
                 first = h if h.may_have_run() else None
-            elif repeat == "irreversible":
+            elif repeat is Idempotency.NON_IDEMPOTENT:
                 self.find_for(
                     name,
                     "2 repeats",
@@ -266,7 +267,7 @@
                 )
                 return
         nacked = next((at for at, how in s.answers if how == "nacked"), -1)
-        bound = repeat == "irreversible" or grade.retry_scope != "all"
+        bound = repeat is Idempotency.NON_IDEMPOTENT or grade.retry_scope != "all"
         if nacked >= 0 and first is not None and first.came < nacked and bound:
             self.find_for(name, "2 repeats", nacked, f"nacked, though {first.worker} may have run it")
 
@@ -281,7 +282,7 @@
 
     def find(self, rule: str, event: Event, text: str) -> None:
         lines = self._timeline(event)
-        self.findings.append(Finding(rule, event.at, event.submission, event.worker, text, lines))
+        self.findings.append(Finding(rule, event.at, event.request_id, event.worker, text, lines))
 
     def find_for(self, name: str, rule: str, at: int, text: str) -> None:
         self.find(rule, Event(at, "found", name, self.submissions[name].job), f"{name}: {text}")
@@ -295,36 +296,41 @@
         if event.job >= 0:
             seen: Iterable[Event] = (x for x in self.events if x.job == event.job)
         else:
-            worker_only = (event_records.UP, event_records.DIED, event_records.FELL, event_records.TOLD)
-            seen = (x for x in self.events if x.worker == event.worker and x.what in worker_only)
+            worker_only = (
+                event_records.WORKER_STARTED,
+                event_records.WORKER_DIED,
+                event_records.WORKER_OVERLOADED,
+                event_records.ENDPOINT_NOTIFIED,
+            )
+            seen = (x for x in self.events if x.worker == event.worker and x.kind in worker_only)
         return [describe(x, self.e) for x in seen][:LONGEST_TIMELINE]
 
 
 READ: dict[str, Any] = {
-    event_records.SENT: Auditor._sent,
-    event_records.TAKEN: Auditor._taken,
-    event_records.ANSWERED: Auditor._answered,
-    event_records.LEFT: Auditor._left,
-    event_records.CAME: Auditor._came,
-    event_records.BEGAN: Auditor._began,
-    event_records.ENDED: Auditor._ended,
-    event_records.CLOSED: Auditor._closed,
-    event_records.TOLD: Auditor._told,
-    event_records.UP: Auditor._up,
-    event_records.FELL: Auditor._fell,
-    event_records.DISPATCHER_DOWN: Auditor._dispatcher_down,
-    event_records.DISPATCHER_UP: Auditor._dispatcher_up,
+    event_records.REQUEST_SENT: Auditor._sent,
+    event_records.REQUEST_ACCEPTED: Auditor._taken,
+    event_records.REQUEST_ANSWERED: Auditor._answered,
+    event_records.CLIENT_DISCONNECTED: Auditor._left,
+    event_records.ATTEMPT_ARRIVED: Auditor._came,
+    event_records.ATTEMPT_STARTED: Auditor._began,
+    event_records.ATTEMPT_ENDED: Auditor._ended,
+    event_records.ATTEMPT_CLOSED: Auditor._closed,
+    event_records.ENDPOINT_NOTIFIED: Auditor._told,
+    event_records.WORKER_STARTED: Auditor._up,
+    event_records.WORKER_OVERLOADED: Auditor._fell,
+    event_records.DISPATCHER_KILLED: Auditor._dispatcher_down,
+    event_records.DISPATCHER_STARTED: Auditor._dispatcher_up,
 }
 
 
 def describe(event: Event, e: Experiment) -> str:
     """One line of a timeline."""
     detail = event.detail
-    if event.what == event_records.SENT:
+    if event.kind == event_records.REQUEST_SENT:
         request_class = e.request_classes[detail[0]]
         detail = f"{request_class.name} ({request_class.idempotency}), try {detail[1] + 1}"
     who = f" d{event.dispatcher}" if event.dispatcher >= 0 else ""
-    return f"{event.at / 1e9:11.6f} s  {event.submission:10}{who:5} {event.worker:5} {event.what}: {detail}"
+    return f"{event.at / 1e9:11.6f} s  {event.request_id:10}{who:5} {event.worker:5} {event.kind}: {detail}"
 
 
 def audit_requests(e: Experiment, events: Iterable[Event], slack: int) -> list[Finding]:
--- a/ploverspoke/testbed/scenarios/config_change_fleet.py
+++ b/ploverspoke/testbed/scenarios/config_change_fleet.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
-from ..experiment_files import experiment as ex
 from ..experiment_files.durations import SECOND
+from ..experiment_files.experiment import Experiment
 from ..models.deployment_settings import dispatcher_settings
 from ..processes.addresses import ProcessAddress
 from ..processes.child_process import ChildProcess
@@ -30,7 +30,7 @@
 
     def __init__(
         self,
-        e: ex.Experiment,
+        e: Experiment,
         seed: int,
         folder: Path,
         shape: ProcessCounts,
@@ -99,7 +99,7 @@
     """
 
     def __init__(
-        self, e: ex.Experiment, seed: int, folder: Path, shape: ProcessCounts, play: ScaleScenario
+        self, e: Experiment, seed: int, folder: Path, shape: ProcessCounts, play: ScaleScenario
     ) -> None:
         super().__init__(e, seed, folder, shape, play)
         names = [f"c{number}" for number in range(play.config_servers)]
