--- a/ploverspoke/config_distribution/broadcaster.py
+++ b/ploverspoke/config_distribution/broadcaster.py
@@ -1,4 +1,4 @@
-"""A config server's part towards its watchers, without I/O: what each one has, and what is sent to it when.
+"""Decides what a config server sends to which of its watchers, and when. Without I/O.
 
 Every replica does this from what is committed, whether it leads or not. A watcher that is behind gets the
 latest version alone, one message at a time: the next one goes when it has reported its status, or has been
@@ -12,11 +12,10 @@
 from collections import deque
 from typing import Protocol
 
-from ploverspoke.transport.units import MILLISECOND, SECOND
+from ploverspoke.transport.units import MILLISECOND, NEVER, SECOND
 
 from .messages import Heartbeat, ServerMessage, VersionMessage, WatchStatus, pack_version
 from .state_machine import Version, excess_versions
-from .time_constants import NEVER
 from .watcher_records import BroadcastCounters, ConnectedWatcher, RememberedWatcher, WatcherRow
 
 HEARTBEAT_INTERVAL = SECOND
--- a/ploverspoke/config_distribution/server_node.py
+++ b/ploverspoke/config_distribution/server_node.py
@@ -9,7 +9,7 @@
 from ploverspoke.consensus.storage import ReplicaStorage
 from ploverspoke.service.config_reader import ConfigError
 from ploverspoke.transport.rate_limited_log import log_line
-from ploverspoke.transport.units import MILLISECOND, SECOND
+from ploverspoke.transport.units import MILLISECOND, NEVER, SECOND
 
 from .admin_messages import (
     LIST_VERSIONS,
@@ -27,7 +27,6 @@
 from .messages import ServerMessage
 from .overlay import canonical_json, read_body
 from .state_machine import ConfigStateMachine, PublishCommand, Version, digest_of, short_digest
-from .time_constants import NEVER
 
 COMMITTED_KEY = "committed version"  # of the value kept in this replica's storage, beside the log
 # Without contact to a leader for as many election timeouts a server reports so to its watchers.
--- a/ploverspoke/config_distribution/watcher.py
+++ b/ploverspoke/config_distribution/watcher.py
@@ -10,7 +10,7 @@
 from collections.abc import Sequence
 from typing import Protocol
 
-from ploverspoke.transport.units import SECOND
+from ploverspoke.transport.units import NEVER, SECOND
 
 from .errors import MessageRejectedError
 from .messages import (
@@ -27,7 +27,6 @@
 )
 from .server_link import NO_HEARTBEAT, ServerLink
 from .server_selection import LOCAL_TRIAL_INTERVAL, ServerSelector
-from .time_constants import NEVER
 from .version_receiver import VersionReceiver, WatcherCounters
 
 STATUS_INTERVAL = 4 * SECOND
--- a/ploverspoke/consensus/__init__.py
+++ b/ploverspoke/consensus/__init__.py
@@ -1,1 +1,1 @@
-"""Agreement among replicas: consensus, disk, frames and links; what is agreed on is others' business."""
+"""Raft consensus among replicas: log, storage, framing and connections; other packages have the states."""
--- a/ploverspoke/consensus/command_line.py
+++ b/ploverspoke/consensus/command_line.py
@@ -47,7 +47,7 @@
     """No replica leads: ends the command with exit code 1."""
 
     def __init__(self) -> None:
-        """Say so; why not, `status` shows."""
+        """The reason is shown by `status`."""
         super().__init__("no replica leads just now")
 
 
--- a/ploverspoke/consensus/election.py
+++ b/ploverspoke/consensus/election.py
@@ -2,12 +2,12 @@
 
 from collections.abc import Callable
 
+from ploverspoke.transport.units import LONG_AGO
+
 from .membership import majority, voters
 from .raft_state import RaftState, Role
 from .wire_messages import PreVote, PreVoteReply, RequestVote, RequestVoteReply, TimeoutNow
 
-LONG_AGO = -(1 << 62)  # ns
-
 
 class Election:
     """The election timeout of a replica, the votes that it gives and those that it gets."""
--- a/ploverspoke/consensus/framing.py
+++ b/ploverspoke/consensus/framing.py
@@ -46,7 +46,7 @@
     """A MAC does not match."""
 
     def __init__(self) -> None:
-        """Say what it may come from."""
+        """State the possible cause."""
         super().__init__("a wrong MAC: another secret, or the frame was changed")
 
 
--- a/ploverspoke/consensus/leadership_transfer.py
+++ b/ploverspoke/consensus/leadership_transfer.py
@@ -1,4 +1,4 @@
-"""Leadership transfer (thesis, section 3.10): a voter is brought up to date, then asked to stand at once."""
+"""Leadership transfer (thesis, section 3.10): a voter catches up, then is asked to start an election."""
 
 from .leadership import Leadership
 from .membership import voters
--- a/ploverspoke/leases/holder.py
+++ b/ploverspoke/leases/holder.py
@@ -8,15 +8,16 @@
 from collections.abc import Callable
 from typing import NamedTuple, Protocol
 
+from ploverspoke.transport.units import MILLISECOND, NEVER, SECOND
+
 from .definitions import DRIFT
 from .messages import NO_TOKEN, GrantedLease, LeaseRequest, LeaseResponse, ReleasedLease, RequestedLease
 
 RENEWALS_PER_DURATION = 3  # a lease is renewed when a third of the shortest duration has passed
 RETRIES_PER_DURATION = 15  # a request without a response is repeated after a fifteenth
-MIN_RETRY_INTERVAL = 40_000_000  # ns
-IDLE_DURATION = 3_000_000_000  # ns, stands for the shortest duration where no lease is wanted
+MIN_RETRY_INTERVAL = 40 * MILLISECOND
+IDLE_DURATION = 3 * SECOND  # stands for the shortest duration where no lease is wanted
 MAX_REMEMBERED_REQUESTS = 64  # whose time of sending is known
-NEVER = 1 << 62
 
 
 class LeaseHolderEnvironment(Protocol):
--- a/ploverspoke/leases/manager.py
+++ b/ploverspoke/leases/manager.py
@@ -14,6 +14,8 @@
 from collections.abc import Callable
 from typing import Protocol
 
+from ploverspoke.transport.units import NEVER
+
 from .definitions import LeaseDefinition, LeaseDefinitions
 from .messages import (
     GrantedLease,
@@ -36,7 +38,6 @@
 from .waiting_queue import WaitingHolder, WaitingQueues
 
 MAX_WANTED_LEASES = 1000  # of one holder
-NEVER = 1 << 62
 
 
 class LeaseManagerEnvironment(Protocol):
@@ -159,6 +160,7 @@
         confirmed, self.unconfirmed = self.unconfirmed, []
 
         def on_decided(leads: bool) -> None:
+            """Respond to the confirmed requests of a leader, and confirm those that came meanwhile."""
             self.confirming = False
             if leads and self.is_leader:
                 for holder, request in confirmed:
--- a/ploverspoke/leases/waiting_queue.py
+++ b/ploverspoke/leases/waiting_queue.py
@@ -2,8 +2,9 @@
 
 from collections.abc import Collection
 
+from ploverspoke.transport.units import LONG_AGO
+
 SILENCE_LIMIT = 0.6  # of a duration: who has sent no request for so long is passed over
-BEFORE_ALL = -(1 << 62)  # as a time
 
 
 class WaitingHolder:
@@ -74,7 +75,7 @@
         queue = self.by_name.get(name, [])
         for waiting in queue:
             if waiting.holder == holder:
-                waiting.waiting_since = BEFORE_ALL
+                waiting.waiting_since = LONG_AGO
         queue.sort(key=lambda waiting: waiting.waiting_since)
 
     def next_waiting(self, name: str, exclude: Collection[str], now: int) -> WaitingHolder | None:
--- a/ploverspoke/store/state_machine.py
+++ b/ploverspoke/store/state_machine.py
@@ -8,6 +8,8 @@
 from collections import OrderedDict
 from collections.abc import Callable
 
+from ploverspoke.transport.units import MINUTE
+
 from .log_commands import (
     AcceptRequest,
     AnswerRequest,
@@ -30,7 +32,7 @@
 
 MAX_ANSWERS = 200_000
 MAX_RESULT_BYTES = 64 * 1024 * 1024
-ANSWER_RETENTION = 15 * 60 * 1_000_000_000  # ns past the deadline
+ANSWER_RETENTION = 15 * MINUTE  # past the deadline
 MAX_CONFIGURATIONS = 20
 
 
--- a/ploverspoke/supervisor/child_environment.py
+++ b/ploverspoke/supervisor/child_environment.py
@@ -1,4 +1,4 @@
-"""What the supervisor tells a child process in its environment."""
+"""The environment variables that the supervisor passes to a child process."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
