--- a/tests/consensus/test_raft_scenarios.py
+++ b/tests/consensus/test_raft_scenarios.py
@@ -9,12 +9,11 @@
 from ploverspoke.consensus.raft import Raft
 from ploverspoke.consensus.raft_state import Role
 from ploverspoke.consensus.wire_messages import InstallSnapshot, Message
+from ploverspoke.transport.units import MILLISECOND
 from tests.consensus.raft_faults import commits_older_terms, installs_snapshot_over_newer_entries
-from tests.consensus.raft_simulation import (
-    MILLISECOND,
+from tests.consensus.simulated_cluster import InvariantViolationError, SimulatedCluster
+from tests.consensus.simulated_replica import (
     FaultInjector,
-    InvariantViolationError,
-    SimulatedCluster,
     SimulatedReplica,
     SimulatedStorage,
     no_fault,
--- a/tests/consensus/test_raft_simulation.py
+++ b/tests/consensus/test_raft_simulation.py
@@ -7,21 +7,15 @@
 import pytest
 
 from ploverspoke.consensus import replication
+from ploverspoke.transport.units import MILLISECOND
 from tests.consensus.raft_faults import (
     acknowledges_before_sync,
     reads_without_heartbeat,
     votes_twice_in_a_term,
 )
-from tests.consensus.raft_simulation import (
-    MILLISECOND,
-    WORKER_PROCESSES,
-    FaultInjector,
-    InvariantViolationError,
-    SimulatedCluster,
-    Sweep,
-    explore,
-    sweep,
-)
+from tests.consensus.raft_simulation import WORKER_PROCESSES, Sweep, explore, sweep
+from tests.consensus.simulated_cluster import InvariantViolationError, SimulatedCluster
+from tests.consensus.simulated_replica import FaultInjector
 
 RUNS_LONG = True  # scheduled first: see tests/conftest.py
 
--- a/tests/leases/faulty_variants.py
+++ b/tests/leases/faulty_variants.py
@@ -5,7 +5,7 @@
 from ploverspoke.leases.manager import LeaseManager
 from ploverspoke.leases.messages import GrantedLease, LeaseRequest, LeaseResponse, ReleasedLease
 from ploverspoke.leases.state_machine import LeaseStateMachine, ReleaseCommand, ReleasedToken
-from tests.leases.lease_simulation import EffectGuard, Variants
+from tests.leases.simulated_lease_cluster import EffectGuard, Variants
 
 
 class FaultyCountsFromResponse(LeaseHolder):
--- a/tests/leases/lease_raft_simulation.py
+++ b/tests/leases/lease_raft_simulation.py
@@ -9,8 +9,10 @@
 from ploverspoke.leases.messages import LeaseRequest, LeaseResponse
 from ploverspoke.leases.state_machine import LeaseCommand, LeaseStateMachine
 from ploverspoke.transport.units import MILLISECOND
-from tests.consensus import raft_simulation as consensus
-from tests.leases.lease_simulation import DURATION, MIN_DURATION, NAME, Variants
+from tests.consensus.raft_simulation import RandomCluster
+from tests.consensus.simulated_cluster import require
+from tests.consensus.simulated_replica import SimulatedReplica
+from tests.leases.simulated_lease_cluster import DURATION, MIN_DURATION, NAME, Variants
 
 
 class CountingLeaseStateMachine:
@@ -33,11 +35,12 @@
         self.leases.restore_snapshot(leases)
 
 
-class LeaseRaftReplica(consensus.SimulatedReplica):
+class LeaseRaftReplica(SimulatedReplica):
     """A replica with a manager on it, as `leases/server_node.py` puts them together."""
 
     cluster: "LeaseRaftCluster"
     state_machine_type = CountingLeaseStateMachine
+    state_machine: CountingLeaseStateMachine
 
     def start(self) -> None:
         super().start()
@@ -97,7 +100,7 @@
         self.server_number = (self.server_number + 1) % len(self.cluster.nodes)
 
 
-class LeaseRaftCluster(consensus.SimulatedCluster):
+class LeaseRaftCluster(RandomCluster):
     replica_type = LeaseRaftReplica
 
     def __init__(self, seed: int, variants: Variants | None = None) -> None:
@@ -114,7 +117,7 @@
         for each in self.holders:
             each.holder.want(NAME, DURATION)
 
-    def propose(self, node: consensus.SimulatedReplica) -> None:
+    def propose(self, node: SimulatedReplica) -> None:
         """The lease servers propose for themselves."""
 
     def check(self) -> None:
@@ -122,11 +125,9 @@
         holding = {
             (each.number, each.holder.token(NAME)) for each in self.holders if each.holder.time_left(NAME)
         }
-        consensus.require(len(holding) <= 1, f"two hold it at once: {sorted(holding)}")
+        require(len(holding) <= 1, f"two hold it at once: {sorted(holding)}")
         for number, token in holding - self.holding:
-            consensus.require(
-                token >= self.highest, f"holder {number} begins under {token}, not {self.highest}"
-            )
+            require(token >= self.highest, f"holder {number} begins under {token}, not {self.highest}")
             self.changes += token > self.highest
             self.highest = max(self.highest, token)
         self.holding = holding
@@ -167,7 +168,7 @@
 
 
 def explore_raft(seed: int, steps: int = 1500, variants: Variants | None = None) -> LeaseRaftCluster:
-    """One schedule on real replicas of the consensus. Raises consensus.InvariantViolationError."""
+    """One schedule on real replicas of the consensus. Raises InvariantViolationError."""
     cluster = LeaseRaftCluster(seed, variants)
     try:
         for _ in range(steps):
--- a/tests/leases/test_lease_simulation.py
+++ b/tests/leases/test_lease_simulation.py
@@ -8,11 +8,12 @@
 
 from ploverspoke.leases import holder as holder_module
 from ploverspoke.leases.definitions import DRIFT
-from tests.consensus import raft_simulation as consensus
 from tests.consensus.raft_simulation import WORKER_PROCESSES
+from tests.consensus.simulated_cluster import InvariantViolationError
 from tests.leases.faulty_variants import FAULTY_VARIANTS
 from tests.leases.lease_raft_simulation import explore_raft
-from tests.leases.lease_simulation import Choice, InvariantError, by_choices, explore
+from tests.leases.lease_simulation import Choice, by_choices, explore
+from tests.leases.simulated_lease_cluster import InvariantError
 
 RUNS_LONG = True  # scheduled first: see tests/conftest.py
 
@@ -68,7 +69,7 @@
     for seed in range(FAULTY_RAFT_SCHEDULES):
         try:
             explore_raft(seed, variants=FAULTY_VARIANTS[variant])
-        except consensus.InvariantViolationError:
+        except InvariantViolationError:
             return
     raise AssertionError(f"not found in {FAULTY_RAFT_SCHEDULES} schedules")
 
