--- a/ploverspoke/config_distribution/cache.py
+++ b/ploverspoke/config_distribution/cache.py
@@ -54,7 +54,7 @@
 
 
 def write_cache(config: WatchConfig, version: VerifiedVersion) -> None:
-    """Replace the file whole. Raises OSError."""
+    """Replace the file in one step. Raises OSError."""
     document = {
         "format": CACHE_FORMAT,
         "cluster": config.cluster,
--- a/ploverspoke/config_distribution/fleet_status.py
+++ b/ploverspoke/config_distribution/fleet_status.py
@@ -31,7 +31,7 @@
         return not self.behind and not self.rejected
 
     def add(self, row: WatcherRow) -> None:
-        """Put one dispatcher into its group."""
+        """Add one dispatcher to its group."""
         if not row.is_connected:
             self.disconnected[row.name] = row.silent_seconds
         elif row.applied_version >= self.version:
--- a/ploverspoke/config_distribution/watcher.py
+++ b/ploverspoke/config_distribution/watcher.py
@@ -2,7 +2,7 @@
 
 It watches one server. Where that one is silent it goes to the next. Where that one lives but is cut off from
 the leader, or is a remote one, it keeps the connection, tries another server beside it, and changes only to
-a better one. So a region that is cut off keeps its watches, and nobody changes to and fro.
+a better one. So a partitioned region keeps its watches, and watchers do not flap.
 
 Times are nanoseconds of a monotonic clock.
 """
--- a/ploverspoke/consensus/admin_messages.py
+++ b/ploverspoke/consensus/admin_messages.py
@@ -54,7 +54,7 @@
 
 
 class TransferLeadershipRequest(AdminRequest, frozen=True, tag="transfer"):
-    """Hand leadership to the voter of that name. Answered with `ResultReply`."""
+    """Transfer leadership to the voter of that name. Answered with `ResultReply`."""
 
     to: str
 
@@ -155,17 +155,17 @@
 
 
 def encode_request(request: AdminRequest) -> WireMap:
-    """Give the map that stands for a request on the wire."""
+    """Return the map that represents a request on the wire."""
     return _to_map(request)
 
 
 def encode_reply(reply: msgspec.Struct) -> WireMap:
-    """Give the map that stands for a reply, or for a part of a status, on the wire."""
+    """Return the map that represents a reply, or for a part of a status, on the wire."""
     return _to_map(reply)
 
 
 def unknown_request_reply() -> ResultReply:
-    """Give the answer to a request of a kind that a replica does not know."""
+    """Return the answer to a request of a kind that a replica does not know."""
     return ResultReply(done=False, why=UNKNOWN_REQUEST)
 
 
--- a/ploverspoke/consensus/cluster_config.py
+++ b/ploverspoke/consensus/cluster_config.py
@@ -37,7 +37,7 @@
     snapshot_every: int  # entries
 
     def members(self) -> Members:
-        """Give the members that a new cluster begins with."""
+        """Return the members that a new cluster begins with."""
         return {
             initial_replica_id(name): Member(name, addresses.peer, addresses.client, votes=True)
             for name, addresses in self.replicas.items()
@@ -52,7 +52,7 @@
 
 
 def initial_replica_id(name: str) -> str:
-    """Give the id of a first replica: its name and a 1."""
+    """Return the id of a first replica: its name and a 1."""
     return f"{name}.1"
 
 
@@ -69,7 +69,7 @@
 
 
 def unreadable_file_error(path: Path, cause: OSError, key: str = "") -> ConfigError:
-    """Give the error that says why a file cannot be read; `key` leads to the key that names it."""
+    """Return the error for a file that cannot be read; `key` leads to the key that names it."""
     return ConfigError(f"{key}{path} cannot be read: {cause.strerror}")
 
 
--- a/ploverspoke/consensus/command_line.py
+++ b/ploverspoke/consensus/command_line.py
@@ -39,7 +39,7 @@
         self.reason = reason
 
     def row(self) -> WireMap:
-        """Give the row that stands in the place of the replica's own."""
+        """Return a status row for a replica without its own."""
         return {"name": self.name, "role": NO_REPLY_ROLE, "why": self.reason}
 
 
@@ -55,7 +55,7 @@
     """A backup cannot be restored: ends the command with exit code 1."""
 
     def __init__(self, cause: StorageError | CorruptionError) -> None:
-        """`cause` says what is wrong with it."""
+        """`cause`: what is wrong with it."""
         super().__init__(f"the backup cannot be used: {cause}")
         self.cause = cause
 
@@ -82,7 +82,7 @@
 
 
 def request_status(name: str, address: str, secret: bytes, status_type: type[StatusT]) -> StatusT:
-    """Give a replica's status; where it does not reply, a row of that type which says why."""
+    """Return a replica's status; where it does not reply, a row of that type which says why."""
     try:
         return request_reply(name, address, secret, StatusRequest(), status_type)
     except ReplicaUnavailableError as error:
@@ -90,7 +90,7 @@
 
 
 def find_leader(peer_addresses: Mapping[str, str], secret: bytes) -> str:
-    """Give the name of the replica that leads, of addresses by name. Raises NoLeaderError."""
+    """Return the name of the replica that leads, of addresses by name. Raises NoLeaderError."""
     for name, address in peer_addresses.items():
         if request_status(name, address, secret, StatusRow).leads:
             return name
@@ -151,7 +151,7 @@
 
 
 def restore_backup(config: ReplicaConfig, backup: Path) -> ReplicaStorage:
-    """Put a backup in the place of this replica's empty storage and give it open, for the caller to close.
+    """Restore a backup into this replica's empty storage and return it open, for the caller to close.
 
     Ends the command with 2 where the storage is in use or of another cluster, with 1 for a bad backup.
     """
--- a/ploverspoke/consensus/framed_client.py
+++ b/ploverspoke/consensus/framed_client.py
@@ -86,7 +86,7 @@
             self.on_disconnected()
 
     def data_received(self, data: bytes) -> None:
-        """Handle each whole message; called by asyncio."""
+        """Handle each complete message; called by asyncio."""
         if self.closed:
             return
         try:
--- a/ploverspoke/consensus/framed_server.py
+++ b/ploverspoke/consensus/framed_server.py
@@ -30,7 +30,7 @@
     """One accepted connection. It is created by its server, to which it reports all events."""
 
     def __init__(self, server: "FramedServer") -> None:
-        """Put the greeting together; it is sent when the connection is made."""
+        """Prepare the greeting; it is sent when the connection is made."""
         super().__init__()
         self.server = server
         self.frames = FrameCodec(server.secret, dict(server.greeting()))
@@ -52,7 +52,7 @@
         self.server.remove_connection(self)
 
     def data_received(self, data: bytes) -> None:
-        """Hand the greeting and each whole message to the server; called by asyncio."""
+        """Pass the greeting and each complete message to the server; called by asyncio."""
         if not self.is_open():
             return
         try:
@@ -97,7 +97,7 @@
 class FramedServer(abc.ABC):
     """Accepts framed connections and keeps the latest one of each registered client.
 
-    A subclass says what it greets with and handles messages. Errors of the types in `client_errors` that a
+    A subclass defines the greeting and handles messages. Errors of the types in `client_errors` that a
     handler raises are counted in `refused`, logged, and end the connection.
     """
 
@@ -178,7 +178,7 @@
     # ---- Called by connections ----
 
     def add_connection(self, connection: FramedConnection) -> None:
-        """Take in a new connection, within the limits."""
+        """Register a new connection, within the limits."""
         self.connections.add(connection)
         if self.limits is not None:
             if len(self.connections) - len(self.clients) > self.limits.max_unregistered:
--- a/ploverspoke/consensus/leadership_transfer.py
+++ b/ploverspoke/consensus/leadership_transfer.py
@@ -17,7 +17,7 @@
         self._deadline = 0
 
     def start(self, target: str) -> bool:
-        """Hand leadership to a voter; returns False if this replica cannot."""
+        """Transfer leadership to a voter; returns False if this replica cannot."""
         state = self.state
         if state.role is not Role.LEADER or target == state.replica_id:
             return False
@@ -37,7 +37,7 @@
         self._target = ""
 
     def cancel_if_late(self, now: int) -> None:
-        """Give up a transfer that has taken an election timeout."""
+        """Cancel a transfer that has taken an election timeout."""
         if self._target and now >= self._deadline:
             self.cancel()
 
--- a/ploverspoke/consensus/peer_links.py
+++ b/ploverspoke/consensus/peer_links.py
@@ -31,7 +31,7 @@
 
 
 class PeerIdentity(NamedTuple):
-    """What a replica says of itself in its greeting."""
+    """How a replica identifies itself in its greeting."""
 
     replica_id: str
     cluster_fingerprint: str
@@ -150,7 +150,7 @@
         self.transport = None
 
     def data_received(self, data: bytes) -> None:
-        """Hand on the messages that are complete; close the connection at the first that is not valid."""
+        """Pass on the messages that are complete; close the connection at the first that is not valid."""
         try:
             for body in self.frames.receive(data):
                 self._handle(body)
@@ -256,7 +256,7 @@
 
 
 def peer_identity(frames: FrameCodec) -> PeerIdentity:
-    """Return what the other side's greeting says. Raises GreetingError."""
+    """Return the identity in the greeting of the other side. Raises GreetingError."""
     greeting = frames.peer_greeting
     if greeting is None or "id" not in greeting or "store" not in greeting:
         raise GreetingError(reason="a greeting without id and store")
--- a/ploverspoke/consensus/persisted_state.py
+++ b/ploverspoke/consensus/persisted_state.py
@@ -13,7 +13,7 @@
 
     members: Members = field(default_factory=dict)  # of the snapshot, or those that the cluster began with
     current_term: int = 0
-    voted_for: str = ""  # "": nobody in this term
+    voted_for: str = ""  # "": no vote in this term
     log: Log = field(default_factory=Log)
     snapshot_data: bytes = b""
     storage_id: str = ""  # the identity of the disk: another one has forgotten what this one promised
--- a/ploverspoke/consensus/raft.py
+++ b/ploverspoke/consensus/raft.py
@@ -132,7 +132,7 @@
     # ---- Events ----
 
     def tick(self) -> None:
-        """Act on the time that has passed; `next_tick` says when it is wanted."""
+        """Act on the time that has passed; `next_tick` returns when it is due."""
         now = self.state.environment.now()
         if self.state.role is Role.LEADER:
             self._tick_as_leader(now)
@@ -166,7 +166,7 @@
         return self.replication.propose(EntryKind.DATA, commands)
 
     def on_synced(self, index: int, term: int) -> None:
-        """Entries up to that one are durable here. One that was replaced meanwhile says nothing."""
+        """Entries up to that one are durable here. One that was replaced meanwhile counts for nothing."""
         if self.state.log.term_at(index) != term:
             return
         self.state.synced_index = max(self.state.synced_index, index)
@@ -188,7 +188,7 @@
         return self.membership_changes.propose(members)
 
     def transfer_leadership(self, target: str) -> bool:
-        """Hand leadership to a voter; returns False if this replica cannot."""
+        """Transfer leadership to a voter; returns False if this replica cannot."""
         return self.transfers.start(target)
 
     # ---- Rules for all servers (paper, figure 2) ----
--- a/ploverspoke/consensus/raft_state.py
+++ b/ploverspoke/consensus/raft_state.py
@@ -51,7 +51,7 @@
         """Send a message at once."""
 
     def save_vote(self, term: int, voted_for: str) -> None:
-        """Write the current term and for whom this replica has voted in it; "" for nobody."""
+        """Write the current term and for whom this replica has voted in it; "" for no vote."""
 
     def save_entries(self, entries: list[Entry]) -> None:
         """Write entries that follow those written before."""
@@ -126,7 +126,7 @@
     # ---- Terms and roles ----
 
     def enter_term(self, term: int, voted_for: str) -> None:
-        """Begin a term, with a vote for this replica itself or for nobody yet."""
+        """Begin a term, with a vote for this replica itself or none yet."""
         self.current_term = term
         self.vote_for(voted_for)
 
--- a/ploverspoke/consensus/replication.py
+++ b/ploverspoke/consensus/replication.py
@@ -46,7 +46,7 @@
     # ---- Sending ----
 
     def send_heartbeat(self) -> None:
-        """Begin a round of heartbeats: whoever answers it confirms that this replica still leads."""
+        """Begin a round of heartbeats: each answer confirms that this replica still leads."""
         now = self.state.environment.now()
         self.leadership.start_round(now)
         for replica_id, follower in self.leadership.followers.items():
--- a/ploverspoke/consensus/storage.py
+++ b/ploverspoke/consensus/storage.py
@@ -56,9 +56,9 @@
 
 
 def restore_from_backup(folder: Path, backup: Path, replica_id: str) -> "ReplicaStorage":
-    """Put a backup of any replica into an empty folder as the storage of `replica_id`; open, to be closed.
+    """Restore a backup of any replica into an empty folder as the storage of `replica_id`, and open it.
 
-    It gets a storage id of its own: nobody takes it for the storage that promised what the backup lacks.
+    It gets a storage id of its own, as it lacks what the other storage acknowledged after the backup.
     Raises ClusterMismatchError if the folder is not empty, CorruptionError, or StorageError; then nothing is
     left there.
     """
--- a/ploverspoke/leases/admin_calls.py
+++ b/ploverspoke/leases/admin_calls.py
@@ -31,7 +31,7 @@
 
 
 async def wait_until_ready(address: str, timeout: float) -> bool:
-    """Return whether a dispatcher says within `timeout` seconds, twice in a row, that it is ready."""
+    """Return whether a dispatcher reports within `timeout` seconds, twice in a row, that it is ready."""
     deadline = time.monotonic() + timeout
     replies = 0
     while time.monotonic() < deadline:
--- a/ploverspoke/leases/admin_messages.py
+++ b/ploverspoke/leases/admin_messages.py
@@ -25,7 +25,7 @@
 class DeclaredLease(
     msgspec.Struct, frozen=True, rename={"max_holders": "places", "max_duration_ms": "longest_ms"}
 ):
-    """What the lease servers' file says of a lease, or of all whose names begin alike."""
+    """The declaration of a lease, or of all leases with one prefix, in the lease servers' file."""
 
     max_holders: int
     max_duration_ms: int
--- a/ploverspoke/leases/client.py
+++ b/ploverspoke/leases/client.py
@@ -36,7 +36,7 @@
         self.client.on_connected(self)
 
     def on_message(self, message: object) -> None:
-        """Hand a message to the client. Raises LeaseMessageError."""
+        """Pass a message to the client. Raises LeaseMessageError."""
         self.client.on_message(self, message)
 
     def on_disconnected(self) -> None:
@@ -74,7 +74,7 @@
         return lease
 
     def release(self, name: str, hand_over_to: str = "") -> None:
-        """Give the lease up; see `LeaseHolder.release`."""
+        """Return the lease up; see `LeaseHolder.release`."""
         self.holder.release(name, hand_over_to)
         self._schedule_tick()
 
@@ -142,7 +142,7 @@
             self._schedule_tick()
 
     def on_message(self, connection: LeaseServerConnection, message: object) -> None:
-        """Take in a response, or go to the leader that it names. Raises LeaseMessageError."""
+        """Handle a response, or go to the leader that it names. Raises LeaseMessageError."""
         if connection is not self.connection:
             return
         response = parse_response(message)
--- a/ploverspoke/leases/command_options.py
+++ b/ploverspoke/leases/command_options.py
@@ -64,7 +64,7 @@
 
 
 def lease_arguments(command: Callable[Concatenate[LeaseArguments, Options], None]) -> Callable[..., None]:
-    """Give a click command FILE, NAME, --for and --as as one `LeaseArguments`, its first parameter."""
+    """Pass a click command FILE, NAME, --for and --as as one `LeaseArguments`, its first parameter."""
 
     @FILE_ARGUMENT
     @NAME_ARGUMENT
--- a/ploverspoke/leases/config.py
+++ b/ploverspoke/leases/config.py
@@ -21,7 +21,7 @@
 
 
 class LeaseServers(NamedTuple):
-    """Where the lease servers are, for whoever calls them."""
+    """Where the lease servers are, for their clients."""
 
     peer_addresses: dict[str, str]  # by name; tools call these
     client_addresses: list[str]  # holders connect to these
--- a/ploverspoke/leases/fencing.py
+++ b/ploverspoke/leases/fencing.py
@@ -8,7 +8,7 @@
 class FencingTokenGuard:
     """Remembers the latest token of each lease, in memory.
 
-    What must outlive its process is stored by whoever uses it, through `latest_tokens`.
+    What must outlive its process is stored by its user, through `latest_tokens`.
     """
 
     def __init__(self, max_names: int = MAX_NAMES) -> None:
--- a/ploverspoke/leases/guarded_task.py
+++ b/ploverspoke/leases/guarded_task.py
@@ -2,7 +2,7 @@
 
 Between looking at the lease and the effect a process can be paused for any time. A receiver of effects
 rejects a lower token than it has seen (`fencing.py`); where none does, a step that was begun may still have
-its effect after the lease has expired: once, and as late as the pause lasts. `docs/leases.md` says what that
+its effect after the lease has expired: once, and as late as the pause lasts. `docs/leases.md` has what that
 means for each task.
 """
 
--- a/ploverspoke/leases/holder.py
+++ b/ploverspoke/leases/holder.py
@@ -54,7 +54,7 @@
     """A release that no lease server has confirmed."""
 
     token: int
-    first_request: int  # the request that says it first
+    first_request: int  # the first request that names it
     hand_over_to: str
 
 
@@ -85,7 +85,7 @@
         return lease
 
     def release(self, name: str, hand_over_to: str = "") -> None:
-        """Give the lease up: it is not held from now on.
+        """Return the lease up: it is not held from now on.
 
         Lease servers learn of it so that others need not wait for its end; `hand_over_to` goes before them.
         """
@@ -134,7 +134,7 @@
         self._send_request(now)
 
     def handle_response(self, response: LeaseResponse) -> None:
-        """Take in what a lease server says. One to a request that is forgotten changes nothing."""
+        """Handle a response. One to a request that is no longer remembered changes nothing."""
         sent_at = self.sent_at.get(response.number)
         if sent_at is None:
             return
--- a/ploverspoke/leases/manager.py
+++ b/ploverspoke/leases/manager.py
@@ -50,7 +50,7 @@
         """Append a command to the log; call `on_decided` later with whether it is committed."""
 
     def confirm_leadership(self, on_decided: Callable[[bool], None]) -> None:
-        """Call `on_decided` with whether a majority says, after this call, that this server leads."""
+        """Call `on_decided` with whether a majority confirms, after this call, that this server leads."""
 
     def send(self, holder: str, response: LeaseResponse) -> None:
         """Send to a holder; dropped where that is not connected."""
@@ -125,7 +125,7 @@
     # ---- What its environment calls ----
 
     def handle_request(self, holder: str, request: LeaseRequest) -> None:
-        """Take in all that a holder wants by now; what it leaves out it does not want any more."""
+        """Handle a request: all that the holder wants now. What it leaves out is no longer waited for."""
         if not self.is_leader or request.number <= self.latest_request.get(holder, 0):
             return
         self.latest_request[holder] = request.number
--- a/ploverspoke/leases/messages.py
+++ b/ploverspoke/leases/messages.py
@@ -63,7 +63,7 @@
 
 
 class RejectedLease(_Row):
-    """A lease that cannot be granted, whoever asks for it."""
+    """A lease that cannot be granted to any holder."""
 
     name: str
     reason: str
@@ -72,7 +72,7 @@
 class LeaseResponse(
     msgspec.Struct, rename={"number": "n", "granted": "has", "lost": "lost", "rejected": "refused"}
 ):
-    """What a lease server says to a holder, at its request or when a lease is granted later."""
+    """The message of a lease server to a holder, at its request or when a lease is granted later."""
 
     number: int  # of the request from which durations count
     granted: list[GrantedLease] = msgspec.field(default_factory=list)
--- a/ploverspoke/leases/server.py
+++ b/ploverspoke/leases/server.py
@@ -32,7 +32,7 @@
         return {"id": self.node.replica_id, "store": ""}
 
     def handle_message(self, connection: FramedConnection, message: object) -> None:
-        """Take in a holder's request. Raises HolderIdError or LeaseMessageError."""
+        """Handle a holder's request. Raises HolderIdError or LeaseMessageError."""
         if not connection.registered:
             connection.client_name = _holder_id(connection)
             self.register(connection)
--- a/ploverspoke/leases/server_node.py
+++ b/ploverspoke/leases/server_node.py
@@ -30,7 +30,7 @@
     """A replica of the lease servers' log; the environment of its `LeaseManager`."""
 
     def __init__(self, config: LeaseServerConfig) -> None:
-        """Open nothing yet; `send_to_holder` is set by whoever has the holders' connections."""
+        """Open nothing yet; `send_to_holder` is set by the server that has the holders' connections."""
         self.leases = LeaseStateMachine()
         super().__init__(config.replica, self.leases)
         self.definitions = config.definitions
--- a/ploverspoke/leases/state_machine.py
+++ b/ploverspoke/leases/state_machine.py
@@ -98,7 +98,7 @@
             for released in parsed.released:
                 self._end(released.name, {released.token})
         elif isinstance(parsed, EpochCommand) and parsed.epoch > self.epoch:
-            # Who held what when the backup was made says nothing about now.
+            # The grants at the time of the backup are not those of now.
             self.epoch = parsed.epoch
             for name, grants in list(self.grants.items()):
                 self._end(name, {grant.token for grant in grants})
--- a/ploverspoke/leases/waiting_queue.py
+++ b/ploverspoke/leases/waiting_queue.py
@@ -85,5 +85,5 @@
                 continue
             if not waiting.is_silent(now):
                 return waiting
-            self.remove(name, waiting.holder)  # its next request says how long it has waited
+            self.remove(name, waiting.holder)  # its next request gives how long it has waited
         return None
--- a/ploverspoke/store/log_commands.py
+++ b/ploverspoke/store/log_commands.py
@@ -80,7 +80,7 @@
 
 
 def encode_command(command: LogCommand) -> list[object]:
-    """Give the array that stands for a command in the log."""
+    """Return the array that represents a command in the log."""
     encoded: list[object] = msgspec.to_builtins(command, builtin_types=(bytes,))
     return encoded
 
--- a/ploverspoke/store/node.py
+++ b/ploverspoke/store/node.py
@@ -59,11 +59,11 @@
     # ---- Saved beside the log ----
 
     def saved_configuration(self) -> str:
-        """Give the body of the configuration that is saved; "" where none was ever committed."""
+        """Return the body of the configuration that is saved; "" where none was ever committed."""
         return self._load_configuration().body
 
     def saved_endpoints(self) -> EndpointList | None:
-        """Give the endpoint list that is saved, if there is one."""
+        """Return the endpoint list that is saved, if there is one."""
         return self.storage.load_value(ENDPOINTS_KEY, EndpointList)
 
     def save_endpoints(self, endpoints: EndpointList) -> None:
--- a/ploverspoke/store/recovery.py
+++ b/ploverspoke/store/recovery.py
@@ -50,7 +50,7 @@
 def answer_at_deadline(
     request: OpenRequest, request_class: RequestClass, full_may_have_run: bool = False
 ) -> FinalAnswer:
-    """Give the final answer of a request whose client did not come back by its deadline."""
+    """Return the final answer of a request whose client did not come back by its deadline."""
     verdict = recover_request(request, request_class.idempotency, full_may_have_run).verdict
     may_run_again = verdict is RecoveryVerdict.MAY_RUN or (
         # Its client may ask for it again: each worker of the scope drops what is a duplicate.
--- a/ploverspoke/store/snapshot.py
+++ b/ploverspoke/store/snapshot.py
@@ -70,7 +70,7 @@
 
 
 def encode_snapshot(snapshot: RequestSnapshot) -> bytes:
-    """Give the bytes of a snapshot."""
+    """Return the bytes of a snapshot."""
     return msgspec.msgpack.encode(snapshot)
 
 
--- a/ploverspoke/store/state_machine.py
+++ b/ploverspoke/store/state_machine.py
@@ -53,7 +53,7 @@
         self.on_time: Callable[[int], None] | None = None
 
     def configuration(self) -> SharedConfiguration | None:
-        """Give the latest configuration, if there is one."""
+        """Return the latest configuration, if there is one."""
         return self.configurations[-1] if self.configurations else None
 
     # ---- State machine of consensus ----
--- a/ploverspoke/supervisor/process_runner.py
+++ b/ploverspoke/supervisor/process_runner.py
@@ -94,7 +94,7 @@
             return
         self.processes[index] = process
         assert process.stdout is not None, "it was started with a pipe"
-        if await process.stdout.readline():  # its only line says that it is ready; empty: it has exited
+        if await process.stdout.readline():  # its only line means that it is ready; empty: it has exited
             self._handle(partial(self.supervisor.on_child_ready, index))
         status = await process.wait()
         del self.processes[index]
--- a/ploverspoke/transport/listener.py
+++ b/ploverspoke/transport/listener.py
@@ -105,7 +105,7 @@
         return False
 
     async def _set_up(self, accepted: socket.socket) -> None:
-        """Hand an accepted connection to the event loop; a request may be in it already."""
+        """Set up an accepted connection on the event loop; it may hold a request already."""
         failure: OSError | None = None
         for _ in range(SETUP_TRIES):
             try:
--- a/tests/store/test_endpoint_cache.py
+++ b/tests/store/test_endpoint_cache.py
@@ -1,13 +1,16 @@
 """The endpoint list that a replica keeps beside its log."""
 
 import json
-from typing import Any
 
-from ploverspoke.store.endpoint_cache import EndpointCache
+from ploverspoke.store.endpoint_cache import EndpointCache, EndpointList
+
+
+def server_ids(endpoint_list: EndpointList) -> list[object]:
+    return [server["id"] for server in endpoint_list["servers"]]
 
 
 def test_endpoints_are_merged_from_discovery_s_answers_and_go_on_after_a_restart() -> None:
-    saved: list[Any] = []
+    saved: list[EndpointList] = []
     clock = [0.0]
     cache = EndpointCache(saved.append, None, lambda: clock[0])
 
@@ -20,12 +23,10 @@
     assert len(saved) == 1, "not written at each change"
     clock[0] = 5.0
     answer(3, False, ("c", "Terminating"))
-    assert saved[-1]["version"] == 3 and [s["id"] for s in saved[-1]["servers"]] == ["a", "c"]
+    assert saved[-1]["version"] == 3 and server_ids(saved[-1]) == ["a", "c"]
     # A restart goes on from what was saved; changes alone are not taken for the whole.
     for known, expected in ((saved[-1], ["a", "c"]), (None, None)):
-        later: list[Any] = []
+        later: list[EndpointList] = []
         again = EndpointCache(later.append, known, lambda: 9.0)
         again.update(b'{"version": 4, "full": false, "servers": []}')
-        assert [[s["id"] for s in saved_list["servers"]] for saved_list in later] == (
-            [expected] if expected else []
-        )
+        assert [server_ids(each) for each in later] == ([expected] if expected else [])
