--- a/ploverspoke/testbed/capacity/measurements/config_server.py
+++ b/ploverspoke/testbed/capacity/measurements/config_server.py
@@ -1,382 +1,323 @@
-"""What the distribution of configuration costs: one config server by its watchers and by changes, and a
-dispatcher that watches.
+"""Measures the costs of config servers, of a dispatcher that watches them, and of publishing.
 
-Three servers on the rig, with the relays before and between them, where bytes are counted. Light watchers are
-the product's own client in the measuring process, all at the server that leads; the dispatcher is the program
-as users start it.
+Three servers on a rig, with the proxy in front of them and between them, where bytes are counted. Watchers
+are the product's own clients in the measuring process, all at the leader; the dispatcher is the program as
+users start it.
 """
 
 import asyncio
-import contextlib
-import json
 import tempfile
 import time
-from collections.abc import Awaitable, Sequence
 from functools import partial
 from pathlib import Path
-from typing import Any
 
-import msgspec
-import numpy as np
-
-from ploverspoke.config_distribution.admin_client import publish as publish_body
 from ploverspoke.config_distribution.client import WatchClient
-from ploverspoke.config_distribution.cluster_config import ConfigServers, WatchConfig
-from ploverspoke.config_distribution.errors import NoServerAvailableError
+from ploverspoke.config_distribution.cluster_config import WatchConfig
 from ploverspoke.config_distribution.messages import VerifiedVersion
-from ploverspoke.consensus.admin_messages import StatusRequest, StatusRow
 from ploverspoke.consensus.framing import FrameError
-from ploverspoke.consensus.replica_client import call_replica
 
 from ...experiment_files.durations import SECOND
 from ...experiment_files.reader import parse_experiment
-from ...models.deployment_settings import dispatcher_settings
 from ...processes.addresses import ProcessAddress
 from ...processes.capacity_check import memory_backed_folder
-from ...processes.readiness import accepts_connections
-from ...processes.resource_usage import ResourceUsage, read_resource_usage
 from ...processes.rig import Rig
 from ...processes.running_process import ProcessStartError
 from ...processes.tcp_proxy import OUTSIDE
-from .dispatcher import SEED, WORKERS, report_listener, settled_interval
-from .measurement_fleet import Act, MeasurementFleet, growth, run_fleet
-from .parts import MeasuredLoad, Measurement, MeasurementRequest, MeasurementResult, cost_lines
-from .tools import HOW as RUN_HOW
-from .tools import run_command
-
-SERVERS = 3
-SECRET = "a secret of the testbed's own"
-CLUSTER = "testbed"
-BODIES = (4096, 16384)  # bytes
-CHANGES = (0, 10, 30, 60)  # a minute
-WATCHERS = (20, 60, 150)
-PUBLISHED = (4096, 16384, 65536)  # bytes
-LEADS_WITHIN = 20.0  # s
-LOOKS_EVERY = 0.5
-HOW = (
+from .command_costs import METHOD as COMMAND_METHOD
+from .command_costs import run_command
+from .config_server_fleet import CLUSTER, SECRET, SERVER_COUNT, ConfigServerFleet, make_body
+from .dispatcher import RELOAD_OFFSET, WORKERS, dispatcher_experiment, measuring_interval
+from .measurement import (
+    FOLDER_PREFIX,
+    NO_RESULT,
+    NOT_READY,
+    SEED,
+    Interval,
+    MeasuredLoad,
+    Measurement,
+    MeasurementRequest,
+    MeasurementResult,
+    Point,
+    result_of,
+    run_points,
+)
+from .measurement_fleet import Action, MeasurementFleet, run_fleet
+from .replica_usage import ByteRates, LinkBytes, UsageSampler, read_link_bytes, replica_metrics
+
+ROLE, WATCHING_ROLE, PUBLISHER = (
+    "config server",
+    "dispatcher watching configuration",
+    "configuration publisher",
+)
+BODY_SIZES = (4096, 16384)  # bytes
+CHANGE_RATES = (0, 10, 30, 60)  # a minute
+WATCHER_COUNTS = (20, 60, 150)
+FIXED_WATCHERS = 60  # where changes are varied
+PUBLISHED_SIZES = (4096, 16384, 65536)  # bytes
+SAMPLE_INTERVAL, MIN_SAMPLE_INTERVAL = 0.5, 0.05  # seconds
+DELIVERY_TIME = 1.0  # seconds, until the last version has come
+SECONDS_PER_MINUTE = 60
+METHOD = (
     "the server that leads and that all watch, the others as follower_*; schedstat and /proc/PID/status, "
     "bytes at relays; servers have the rig's starter"
 )
-WATCHING_HOW = (
+WATCHING_METHOD = (
     "schedstat and /proc/PID/status; bytes_*_config at a relay before the config servers, the others at the "
     "stand-ins"
 )
 
-Octets = dict[str, int]
-
-
-def body_of(size: int, number: int) -> str:
-    """Grades of which one is worth more with each number, and teams until it has about so many bytes."""
-    settings = dispatcher_settings(parse_experiment(report_listener(settled_interval(True))), 0)
-    grades = settings["ServiceGrades"]
-    grades[0]["Benefit"] = 1.0 + (number + 1) / 1000
-    teams: list[dict[str, Any]] = []
-    length = len(json.dumps({"settings": {"ServiceGrades": grades, "Tenants": teams}}))
-    while length < size:
-        teams.append({"Name": f"team-{len(teams)}", "Portion": 1.0})
-        length += len(json.dumps(teams[-1])) + 2
-    return json.dumps({"settings": {"ServiceGrades": grades, "Tenants": teams}})
-
-
-class Servers:
-    """Config servers on a rig of their own."""
-
-    def __init__(self, rig: Rig) -> None:
-        self.rig = rig
-        self.places: list[ProcessAddress] = []
-        self.number = 0
-
-    async def start(self) -> None:
-        rig = self.rig
-        (rig.folder / "secret").write_text(SECRET)
-        self.places = [rig.allocate_address(f"c{n}", ["peers", "clients"]) for n in range(SERVERS)]
-        replicas = {
-            p.name: {"peers": p.proxied_endpoint("peers"), "clients": p.proxied_endpoint("clients")}
-            for p in self.places
-        }
-        for place in self.places:
-            own = rig.folder / f"{place.name}.json"
-            orders = {"cluster": CLUSTER, "secret_file": "secret", "replicas": replicas}
-            own.write_bytes(msgspec.json.encode({**orders, "name": place.name, "folder": place.name}))
-            server = rig.add_process(place, "ploverspoke", ["config", "serve", str(own)])
-            server.ready = accepts_connections(place.host, place.ports["clients"])
-        await rig.open_proxy()
-        await rig.start_processes(None, ["--new"])
-
-    async def leader(self) -> ProcessAddress:
-        """Raises ProcessStartError where none leads in time."""
-        until = time.monotonic() + LEADS_WITHIN
-        while time.monotonic() < until:
-            for place in self.places:
-                with contextlib.suppress(OSError, FrameError):
-                    said = await asyncio.to_thread(
-                        call_replica, place.endpoint("peers"), SECRET.encode(), StatusRequest(), StatusRow
-                    )
-                    if said.leads:
-                        return place
-            await asyncio.sleep(0.1)
-        raise ProcessStartError("no config server leads")
-
-    async def publish(self, size: int) -> None:
-        """The next version, of a body of so many bytes, as the command does it. Raises ProcessStartError."""
-        servers = ConfigServers({p.name: p.endpoint("peers") for p in self.places}, SECRET.encode())
-        body = body_of(size, self.number)
-        self.number += 1
-        try:
-            said = await asyncio.to_thread(publish_body, servers, body, None, "slopes", 5.0)
-        except NoServerAvailableError as error:
-            raise ProcessStartError(f"a version could not be published: {error}") from None
-        if not said.accepted:
-            raise ProcessStartError(f"a version was not taken: {said.reason}")
 
-    async def octets(self) -> tuple[float, Octets]:
-        await self.rig.link_faults.read_counters(by_link=True)
-        return time.monotonic(), self.rig.link_faults.counters.bytes_by_link
+# ---- One server ----
 
-    def watch_file(self, place: ProcessAddress) -> Path:
-        path = self.rig.folder / "watch.json"
-        orders = {"cluster": CLUSTER, "servers": [place.proxied_endpoint("clients")], "secret_file": "secret"}
-        path.write_bytes(msgspec.json.encode({**orders, "cache": "cache.json"}))
-        return path
 
+class _Watchers:
+    """Light watchers of one server, in this process."""
+
+    def __init__(self, rig: Rig, server: ProcessAddress, count: int) -> None:
+        self.versions_received = 0
+        loop = asyncio.get_running_loop()
+        servers = [server.proxied_endpoint("clients")]
+        self._clients = [
+            WatchClient(
+                loop,
+                WatchConfig(CLUSTER, servers, [], SECRET.encode(), rig.folder / f"cache-{number}.json"),
+                f"d{number}",
+                self._on_version,
+                seed=number,
+            )
+            for number in range(count)
+        ]
 
-# ---- One server ----
+    def _on_version(self, version: VerifiedVersion) -> None:
+        self.versions_received += 1
 
+    def start(self) -> None:
+        for client in self._clients:
+            client.start()
+
+    def close(self) -> None:
+        for client in self._clients:
+            client.close()
 
-async def _server(
-    watchers: int, changes: int, body: int, asked: MeasurementRequest
-) -> tuple[float, dict[str, float], str]:
-    with tempfile.TemporaryDirectory(prefix="ploverspoke-slopes-", dir=memory_backed_folder()) as name:
+
+async def _measure_server(watchers: int, changes: int, body_size: int, request: MeasurementRequest) -> Point:
+    """Measure the leader with so many watchers and changes a minute."""
+    with tempfile.TemporaryDirectory(prefix=FOLDER_PREFIX, dir=memory_backed_folder()) as folder:
         try:
-            async with Rig(Path(name), SEED) as rig:
-                found = await _measure(rig, watchers, changes, body, asked)
-                void = rig.void_reason()
+            async with Rig(Path(folder), SEED) as rig:
+                metrics = await _measure_server_on(rig, watchers, changes, body_size, request)
+                point = Point(float(watchers), metrics, rig.void_reason())
         except (ProcessStartError, OSError, FrameError) as error:
-            found, void = {}, str(error) or "not ready in time"
-    shown = void or f"core {found['core_share']:.2%}"
-    asked.say(f"config server, {watchers} watchers, {changes} changes a minute of {body} bytes: {shown}")
-    return float(watchers), found, void
+            point = Point(float(watchers), {}, str(error) or NOT_READY)
+    text = point.void or f"core {point.metrics['core_share']:.2%}"
+    request.say(f"{ROLE}, {watchers} watchers, {changes} changes a minute of {body_size} bytes: {text}")
+    return point
 
 
-async def _measure(
-    rig: Rig, watchers: int, changes: int, body: int, asked: MeasurementRequest
+async def _measure_server_on(
+    rig: Rig, watchers: int, changes: int, body_size: int, request: MeasurementRequest
 ) -> dict[str, float]:
-    over, servers = settled_interval(asked.quick), Servers(rig)
-    await servers.start()
-    place = await servers.leader()
-    await servers.publish(body)
-    taken: list[int] = []
-
-    def take(version: VerifiedVersion) -> None:
-        taken.append(version.number)
-
-    loop = asyncio.get_running_loop()
-    clients = []
-    for n in range(watchers):
-        cache = rig.folder / f"cache-{n}.json"
-        orders = WatchConfig(CLUSTER, [place.proxied_endpoint("clients")], [], SECRET.encode(), cache)
-        clients.append(WatchClient(loop, orders, f"d{n}", take, seed=n))
+    """Raises ProcessStartError where a version did not come to a watcher, or the leader has changed."""
+    interval, fleet = measuring_interval(request.quick), ConfigServerFleet(rig)
+    await fleet.start()
+    leader = await fleet.find_leader()
+    await fleet.publish(body_size)
+    clients = _Watchers(rig, leader, watchers)
     try:
-        for client in clients:
-            client.start()
-        await asyncio.sleep(over.settled)
-        if len(taken) != watchers:
-            raise ProcessStartError(f"{len(taken)} of {watchers} watchers have the first version")
-        looks: dict[str, list[tuple[int, ResourceUsage]]] = {p.name: [] for p in servers.places}
-        before = await servers.octets()
-        began, published, each = time.monotonic(), 0, 60 / changes if changes else 0.0
-        while time.monotonic() < began + over.lasts:
-            for name, seen in looks.items():
-                process = rig.processes[name].process
-                if process is not None:
-                    seen.append((time.monotonic_ns(), read_resource_usage(process.pid)))
-            if each and time.monotonic() >= began + 0.3 + published * each:
-                await servers.publish(body)
-                published += 1
-            await asyncio.sleep(min(LOOKS_EVERY, max(0.05, each / 4)) if each else LOOKS_EVERY)
-        after = await servers.octets()
-        await asyncio.sleep(1.0)
-        wanted = watchers * (1 + published)
-        if len(taken) != wanted or (await servers.leader()).name != place.name:
-            raise ProcessStartError(f"{len(taken)} versions came to watchers where {wanted} were sent")
+        clients.start()
+        await asyncio.sleep(interval.settled)
+        if clients.versions_received != watchers:
+            reason = f"{clients.versions_received} of {watchers} watchers have the first version"
+            raise ProcessStartError(reason)
+        sampler = UsageSampler(rig, [address.name for address in fleet.addresses])
+        before = await read_link_bytes(rig)
+        published = await _publish_and_sample(fleet, sampler, interval, changes, body_size)
+        after = await read_link_bytes(rig)
+        await asyncio.sleep(DELIVERY_TIME)
+        sent = watchers * (1 + published)
+        if clients.versions_received != sent or (await fleet.find_leader()).name != leader.name:
+            reason = f"{clients.versions_received} versions came to watchers where {sent} were sent"
+            raise ProcessStartError(reason)
     finally:
-        for client in clients:
-            client.close()
-    return _figures(place.name, looks, before, after)
-
-
-def _figures(
-    leader: str, looks: dict[str, list[tuple[int, ResourceUsage]]], before: tuple[float, Octets],
-    after: tuple[float, Octets],
-) -> dict[str, float]:  # fmt: skip
-    took = after[0] - before[0]
-
-    def rate(ends: Sequence[str]) -> float:
-        return sum(after[1].get(end, 0) - before[1].get(end, 0) for end in ends) / took
-
-    def both(name: str) -> tuple[float, float]:
-        into = rate([ends for ends in after[1] if ends.endswith(f">{name}")])
-        return into, rate([ends for ends in after[1] if ends.startswith(f"{name}>")])
-
-    def core(name: str) -> float:
-        (first_at, first), (last_at, last) = looks[name][0], looks[name][-1]
-        return (last.processor - first.processor) / (last_at - first_at)
-
-    others = [name for name in looks if name != leader]
-    into, out = both(leader)
-    rest = [both(name) for name in others]
-    return {
-        "core_share": core(leader),
-        "memory_bytes": float(looks[leader][-1][1].memory),
-        "memory_growth_bytes": growth([(at / SECOND, float(seen.memory)) for at, seen in looks[leader]]),
-        "bytes_in": into,
-        "bytes_out": out,
-        "bytes_in_watchers": rate([f"{OUTSIDE}>{leader}"]),
-        "bytes_out_watchers": rate([f"{leader}>{OUTSIDE}"]),
-        "follower_core_share": float(np.mean([core(name) for name in others])),
-        "follower_memory_bytes": float(np.mean([looks[name][-1][1].memory for name in others])),
-        "follower_bytes_in": float(np.mean([one[0] for one in rest])),
-        "follower_bytes_out": float(np.mean([one[1] for one in rest])),
-    }
-
-
-async def _all(
-    worlds: Sequence[Awaitable[tuple[float, dict[str, float], str]]], asked: MeasurementRequest
-) -> list[tuple[float, dict[str, float], str]]:
-    if asked.together:
-        return list(await asyncio.gather(*worlds))
-    return [await world for world in worlds]
-
-
-def _found(
-    role: str, size: str, seen: Sequence[tuple[float, dict[str, float], str]], how: str,
-    still: dict[str, float], more: str = "",
-) -> MeasurementResult:  # fmt: skip
-    void = [f"{role}, {size} {at:g}: {why}" for at, _, why in seen if why]
-    note = "; ".join([*(f"void: {text}" for text in void), *([more] if more else [])])
-    points = [(at, figures) for at, figures, why in seen if not why]
-    return MeasurementResult(cost_lines(MeasuredLoad(role, size, how, still, note), points), void)
-
-
-async def watchers(asked: MeasurementRequest) -> MeasurementResult:
-    seen = await _all([_server(count, 0, BODIES[0], asked) for count in WATCHERS], asked)
-    still = {"changes_a_minute": 0.0, "servers": float(SERVERS)}
-    return _found("config server", "watchers", seen, HOW, still)
-
-
-async def changes_at_server(asked: MeasurementRequest) -> MeasurementResult:
-    found, count = MeasurementResult([], []), WATCHERS[1]
-    for body in BODIES:
-        seen = await _all([_server(count, changes, body, asked) for changes in CHANGES], asked)
-        sized = [(float(c), figures, why) for c, (_, figures, why) in zip(CHANGES, seen, strict=True)]
-        still = {"watchers": float(count), "body_bytes": float(body), "servers": float(SERVERS)}
-        one = _found("config server", "changes_a_minute", sized, HOW, still)
-        found = MeasurementResult([*found.lines, *one.lines], [*found.void, *one.void])
-    return found
+        clients.close()
+    rates = ByteRates(before, after)
+    metrics = replica_metrics(leader.name, sampler.samples, rates)
+    metrics["bytes_in_watchers"] = rates.between(OUTSIDE, leader.name)
+    metrics["bytes_out_watchers"] = rates.between(leader.name, OUTSIDE)
+    return metrics
+
+
+async def _publish_and_sample(
+    fleet: ConfigServerFleet, sampler: UsageSampler, interval: Interval, changes: int, body_size: int
+) -> int:
+    """Publish at a fixed rate and sample meanwhile; return how many versions were published."""
+    began, published = time.monotonic(), 0
+    between = SECONDS_PER_MINUTE / changes if changes else 0.0
+    pause = min(SAMPLE_INTERVAL, max(MIN_SAMPLE_INTERVAL, between / 4)) if changes else SAMPLE_INTERVAL
+    while time.monotonic() < began + interval.lasts:
+        sampler.sample()
+        if changes and time.monotonic() >= began + RELOAD_OFFSET + published * between:
+            await fleet.publish(body_size)
+            published += 1
+        await asyncio.sleep(pause)
+    return published
+
+
+async def measure_watchers(request: MeasurementRequest) -> MeasurementResult:
+    """Vary the watchers of one server."""
+    runs = [_measure_server(count, 0, BODY_SIZES[0], request) for count in WATCHER_COUNTS]
+    fixed = {"changes_a_minute": 0.0, "servers": float(SERVER_COUNT)}
+    return result_of(MeasuredLoad(ROLE, "watchers", METHOD, fixed), await run_points(runs, request))
+
+
+async def measure_changes_at_server(request: MeasurementRequest) -> MeasurementResult:
+    """Vary the changes a minute, with small and large bodies."""
+    result = NO_RESULT
+    for body_size in BODY_SIZES:
+        runs = [_measure_server(FIXED_WATCHERS, rate, body_size, request) for rate in CHANGE_RATES]
+        by_watchers = await run_points(runs, request)
+        points = [
+            point._replace(load=float(rate)) for rate, point in zip(CHANGE_RATES, by_watchers, strict=True)
+        ]
+        fixed = {
+            "watchers": float(FIXED_WATCHERS),
+            "body_bytes": float(body_size),
+            "servers": float(SERVER_COUNT),
+        }
+        result = result.plus(result_of(MeasuredLoad(ROLE, "changes_a_minute", METHOD, fixed), points))
+    return result
 
 
 # ---- A dispatcher that watches ----
 
 
-async def _dispatcher(
-    changes: int, body: int, asked: MeasurementRequest
-) -> tuple[float, dict[str, float], str]:
-    """`changes` below 0: without a watch."""
-    over = settled_interval(asked.quick)
-    e = parse_experiment(report_listener(over))
-    if changes < 0:
-        _, reading = await run_fleet(e, SEED, over.settled * SECOND)
-        return 0.0, reading.figures, reading.void
-    octets: list[tuple[float, Octets]] = []
-    with tempfile.TemporaryDirectory(prefix="ploverspoke-slopes-", dir=memory_backed_folder()) as name:
+async def _measure_without_watch(request: MeasurementRequest) -> Point:
+    interval = measuring_interval(request.quick)
+    experiment = parse_experiment(dispatcher_experiment(interval))
+    _, reading = await run_fleet(experiment, SEED, interval.settled * SECOND)
+    return Point(0.0, reading.metrics, reading.void)
+
+
+async def _measure_watching(changes: int, body_size: int, request: MeasurementRequest) -> Point:
+    interval = measuring_interval(request.quick)
+    experiment = parse_experiment(dispatcher_experiment(interval))
+    readings: list[LinkBytes] = []
+    with tempfile.TemporaryDirectory(prefix=FOLDER_PREFIX, dir=memory_backed_folder()) as folder:
         try:
-            async with Rig(Path(name), SEED) as rig:
-                servers = Servers(rig)
+            async with Rig(Path(folder), SEED) as rig:
+                servers = ConfigServerFleet(rig)
                 await servers.start()
-                place = await servers.leader()
-                acts: list[tuple[int, Act]] = [(SECOND, partial(_publish, servers, body))]
-                acts.append((over.settled * SECOND, partial(_octets, servers, octets)))
-                count = changes * over.lasts // 60
-                for n in range(count):
-                    at = (over.settled + 0.3 + n * over.lasts / count) * SECOND
-                    acts.append((int(at), partial(_publish, servers, body)))
-                acts.append((over.end * SECOND, partial(_octets, servers, octets)))
-                watch = servers.watch_file(place)
-                _, reading = await run_fleet(e, SEED, over.settled * SECOND, acts, watch=watch)
+                leader = await servers.find_leader()
+                actions = _watching_actions(servers, readings, interval, changes, body_size)
+                watch = servers.write_watch_file(leader)
+                _, reading = await run_fleet(
+                    experiment, SEED, interval.settled * SECOND, actions, watch=watch
+                )
                 void = reading.void or rig.void_reason()
         except (ProcessStartError, OSError, FrameError) as error:
-            return float(changes), {}, str(error) or "not ready in time"
-    if not void and len(octets) < 2:
+            return Point(float(changes), {}, str(error) or NOT_READY)
+    if not void and len(readings) < 2:
         void = "too little was seen at the config servers"
-    # What config servers say is counted in bytes only.
-    figures = {key: value for key, value in reading.figures.items() if "messages" not in key}
+    # At config servers only bytes are counted.
+    metrics = {key: value for key, value in reading.metrics.items() if "messages" not in key}
     if not void:
-        (begin, before), (end, after) = octets
-        for key, ends in (("in", f"{place.name}>{OUTSIDE}"), ("out", f"{OUTSIDE}>{place.name}")):
-            rate = (after.get(ends, 0) - before.get(ends, 0)) / (end - begin)
-            figures[f"bytes_{key}_config"] = rate
-            figures[f"bytes_{key}"] += rate
-    shown = void or f"core {figures['core_share']:.3%}, {figures['bytes_in_config']:.0f} bytes a second in"
-    asked.say(f"dispatcher watching configuration, {changes} changes a minute of {body} bytes: {shown}")
-    return float(changes), figures, void
-
-
-async def _publish(servers: Servers, body: int, world: MeasurementFleet) -> None:
-    await servers.publish(body)
-    world.reloads += 1
-
-
-async def _octets(servers: Servers, octets: list[tuple[float, Octets]], world: MeasurementFleet) -> None:
-    octets.append(await servers.octets())
-
-
-async def changes_at_dispatcher(asked: MeasurementRequest) -> MeasurementResult:
-    found = MeasurementResult([], [])
-    for body in BODIES:
-        worlds = [_dispatcher(changes, body, asked) for changes in (-1, *CHANGES)]
-        without, *seen = await _all(worlds, asked)
-        more = without[2] and f"without a watch: void: {without[2]}"
-        if not more:
-            figures = without[1]
-            more = (
-                f"without a watch, in the same call: core_share {figures['core_share']:.6f}, "
-                f"memory_bytes {figures['memory_bytes']:.0f}"
-            )
-        still = {"body_bytes": float(body), "workers_listed": float(WORKERS)}
-        role = "dispatcher watching configuration"
-        one = _found(role, "changes_a_minute", seen, WATCHING_HOW, still, more)
-        found = MeasurementResult([*found.lines, *one.lines], [*found.void, *one.void])
-    return found
+        _add_config_traffic(metrics, ByteRates(*readings), leader.name)
+    text = void or f"core {metrics['core_share']:.3%}, {metrics['bytes_in_config']:.0f} bytes a second in"
+    request.say(f"{WATCHING_ROLE}, {changes} changes a minute of {body_size} bytes: {text}")
+    return Point(float(changes), metrics, void)
+
+
+def _watching_actions(
+    servers: ConfigServerFleet,
+    readings: list[LinkBytes],
+    interval: Interval,
+    changes: int,
+    body_size: int,
+) -> list[tuple[int, Action]]:
+    """Return a first version, a reading of the proxy at both ends of the interval, and changes in between."""
+    count = changes * interval.lasts // SECONDS_PER_MINUTE
+    publish = partial(_publish, servers, body_size)
+    read = partial(_append_link_bytes, servers, readings)
+    times = (interval.settled + RELOAD_OFFSET + number * interval.lasts / count for number in range(count))
+    return [
+        (SECOND, publish),
+        (interval.settled * SECOND, read),
+        *((int(at * SECOND), publish) for at in times),
+        (interval.end * SECOND, read),
+    ]
+
+
+async def _publish(servers: ConfigServerFleet, body_size: int, fleet: MeasurementFleet) -> None:
+    await servers.publish(body_size)
+    fleet.expected_reloads += 1
+
+
+async def _append_link_bytes(
+    servers: ConfigServerFleet, readings: list[LinkBytes], fleet: MeasurementFleet
+) -> None:
+    readings.append(await read_link_bytes(servers.rig))
+
+
+def _add_config_traffic(metrics: dict[str, float], rates: ByteRates, server: str) -> None:
+    into, out_of = rates.between(server, OUTSIDE), rates.between(OUTSIDE, server)
+    metrics["bytes_in_config"], metrics["bytes_out_config"] = into, out_of
+    metrics["bytes_in"] += into
+    metrics["bytes_out"] += out_of
+
+
+async def measure_changes_at_dispatcher(request: MeasurementRequest) -> MeasurementResult:
+    """Vary the changes a minute at a dispatcher that watches; one without a watch is noted beside it."""
+    result = NO_RESULT
+    for body_size in BODY_SIZES:
+        watching = [_measure_watching(rate, body_size, request) for rate in CHANGE_RATES]
+        without, *points = await run_points([_measure_without_watch(request), *watching], request)
+        fixed = {"body_bytes": float(body_size), "workers_listed": float(WORKERS)}
+        note = _note_without_watch(without)
+        measured = MeasuredLoad(WATCHING_ROLE, "changes_a_minute", WATCHING_METHOD, fixed, note)
+        result = result.plus(result_of(measured, points))
+    return result
+
+
+def _note_without_watch(point: Point) -> str:
+    if point.void:
+        return f"without a watch: void: {point.void}"
+    return (
+        f"without a watch, in the same call: core_share {point.metrics['core_share']:.6f}, "
+        f"memory_bytes {point.metrics['memory_bytes']:.0f}"
+    )
 
 
 # ---- The command that publishes ----
 
 
-async def publisher(asked: MeasurementRequest) -> MeasurementResult:
-    """One run of `config publish`, from its start to the committed version."""
-    seen = []
-    for body in PUBLISHED:
-        figures: dict[str, float] = {}
-        with tempfile.TemporaryDirectory(prefix="ploverspoke-slopes-", dir=memory_backed_folder()) as name:
-            try:
-                async with Rig(Path(name), SEED) as rig:
-                    servers = Servers(rig)
-                    await servers.start()
-                    place = await servers.leader()
-                    path = rig.folder / "body.json"
-                    path.write_text(body_of(body, 0))
-                    words = ["config", "publish", str(rig.folder / f"{place.name}.json"), str(path)]
-                    figures, void = await asyncio.to_thread(run_command, words), ""
-            except (ProcessStartError, OSError, FrameError) as error:
-                void = str(error) or "not ready in time"
-        asked.say(f"configuration publisher, {body} bytes: {void or figures['processor_seconds']}")
-        seen.append((float(body), figures, void))
-    return _found("configuration publisher", "body_bytes", seen, RUN_HOW, {"servers": float(SERVERS)})
+async def measure_publisher(request: MeasurementRequest) -> MeasurementResult:
+    """Vary the body of `config publish`, from the start of the command to the committed version."""
+    points = [await _measure_publish(size, request) for size in PUBLISHED_SIZES]
+    fixed = {"servers": float(SERVER_COUNT)}
+    return result_of(MeasuredLoad(PUBLISHER, "body_bytes", COMMAND_METHOD, fixed), points)
+
+
+async def _measure_publish(body_size: int, request: MeasurementRequest) -> Point:
+    with tempfile.TemporaryDirectory(prefix=FOLDER_PREFIX, dir=memory_backed_folder()) as folder:
+        try:
+            async with Rig(Path(folder), SEED) as rig:
+                fleet = ConfigServerFleet(rig)
+                await fleet.start()
+                leader = await fleet.find_leader()
+                path = rig.folder / "body.json"
+                path.write_text(make_body(body_size, 0))
+                words = ["config", "publish", str(fleet.config_path(leader)), str(path)]
+                costs = await asyncio.to_thread(run_command, words)
+                point = Point(float(body_size), costs)
+        except (ProcessStartError, OSError, FrameError) as error:
+            point = Point(float(body_size), {}, str(error) or NOT_READY)
+    request.say(f"{PUBLISHER}, {body_size} bytes: {point.void or point.metrics['processor_seconds']}")
+    return point
 
 
 MEASUREMENTS = [
-    Measurement(("config server",), "watchers", watchers),
-    Measurement(("config server",), "changes_a_minute", changes_at_server),
-    Measurement(("dispatcher watching configuration",), "changes_a_minute", changes_at_dispatcher),
-    Measurement(("configuration publisher",), "body_bytes", publisher),
+    Measurement((ROLE,), "watchers", measure_watchers),
+    Measurement((ROLE,), "changes_a_minute", measure_changes_at_server),
+    Measurement((WATCHING_ROLE,), "changes_a_minute", measure_changes_at_dispatcher),
+    Measurement((PUBLISHER,), "body_bytes", measure_publisher),
 ]
--- a/ploverspoke/testbed/capacity/measurements/dispatcher.py
+++ b/ploverspoke/testbed/capacity/measurements/dispatcher.py
@@ -1,9 +1,8 @@
-"""The dispatcher's slopes: worlds that differ in one size, with one dispatcher that is looked at.
+"""Measures the CPU, memory and traffic of one dispatcher, in fleets that differ in one load.
 
-Sizes that chance has a part in (starts, running tasks, changes of the list) are taken as they were.
+Loads with a random part (starts, running tasks, changes of the list) count as they were.
 """
 
-import asyncio
 import signal
 from collections.abc import Callable, Sequence
 from functools import partial
@@ -13,213 +12,234 @@
 from ...experiment_files.experiment import Experiment
 from ...experiment_files.reader import parse_experiment
 from ...models.deployment_settings import dispatcher_settings
-from .measurement_fleet import Act, MeasurementFleet, Reading, rewrite, run_fleet
-from .parts import MeasuredLoad, Measurement, MeasurementRequest, MeasurementResult, cost_lines
+from .measurement import (
+    NO_RESULT,
+    SEED,
+    Interval,
+    MeasuredLoad,
+    Measurement,
+    MeasurementRequest,
+    MeasurementResult,
+    Point,
+    result_of,
+    run_points,
+)
+from .measurement_fleet import Action, MeasurementFleet, replace_config, run_fleet
 
-HOW = (
+ROLE = "dispatcher"
+METHOD = (
     "processor time of the scheduler's own count (schedstat), memory of /proc/PID/status, "
     "bytes and messages of the streams at the stand-ins, without TCP and IP heads"
 )
-PEERS_HOW = (
+GOSSIP_METHOD = (
     "one zone, so that each tells all; bytes and datagrams at the relays between dispatchers; "
     "core_share is with the rig's starter, which costs time of its own"
 )
-SETTLED, STRETCH = 5, 12  # seconds
-QUICK_SETTLED, QUICK_STRETCH = 3, 4
+INTERVAL, QUICK_INTERVAL = Interval(5, 12), Interval(3, 4)
 WORKERS = 100  # where they are not varied
+LIST_CHANGE_WORKERS = 300
 SLOTS = 4
-PEER_STARTS = 0.6  # a second and dispatcher: 120 over 200
-LONG, SHORT = "600s", "200ms"
-SEED = 1
-
-
-class Planned(NamedTuple):
-    size: float  # as it is meant; what is counted takes its place
-    told: dict[str, Any]  # the experiment
-    acts: Callable[[Experiment], Sequence[tuple[int, Act]]] = lambda e: ()
-
-
-class Stretch(NamedTuple):
-    settled: int  # seconds
-    lasts: int
-
-    @property
-    def end(self) -> int:
-        return self.settled + self.lasts
-
-
-def settled_interval(quick: bool) -> Stretch:
-    return Stretch(QUICK_SETTLED, QUICK_STRETCH) if quick else Stretch(SETTLED, STRETCH)
-
-
-def report_listener(
-    over: Stretch, workers: int = WORKERS, work: str = SHORT, rate: float = 0.0, **more: Any
+STARTS_PER_DISPATCHER = 0.6  # a second, in fleets of several: 120 over 200
+LONG_WORK, SHORT_WORK = "600s", "200ms"
+ENDLESS_WORK, ENDLESS_DEADLINE = "900s", "1800s"  # longer than any run
+MAX_SOCKETS = 4096
+# What is varied.
+WORKER_COUNTS = (100, 300, 980)
+TASK_COUNTS = (8, 24, 48, 96)
+START_RATES = (1.0, 3.0, 9.0, 27.0)  # a second
+LIST_CHANGE_RATES = (1.0, 4.0, 16.0)  # a second
+RELOAD_RATES = (15, 30, 60, 120)  # a minute
+TEAM_COUNTS = (1, 170)
+GOSSIPING_DISPATCHERS = (4, 11, 32)
+DRAIN_SECONDS = 3
+RELOAD_OFFSET = 0.3  # seconds from the begin of the interval
+SECONDS_PER_MINUTE = 60
+
+
+class PlannedRun(NamedTuple):
+    """A fleet to run."""
+
+    load: float  # as planned; where it can be counted, the count takes its place
+    document: dict[str, Any]  # of the experiment
+    actions: Callable[[Experiment], Sequence[tuple[int, Action]]] = lambda _: ()
+
+
+def measuring_interval(quick: bool) -> Interval:
+    """Return the interval in which a dispatcher is measured."""
+    return QUICK_INTERVAL if quick else INTERVAL
+
+
+def dispatcher_experiment(
+    interval: Interval, workers: int = WORKERS, work: str = SHORT_WORK, rate: float = 0.0, **more: Any
 ) -> dict[str, Any]:
-    """An experiment of one kind of task that nothing hurries."""
-    abandon = LONG if work == SHORT else "1800s"
-    grade = {
+    """Return an experiment with one dispatcher and one request class without a tight objective."""
+    deadline = LONG_WORK if work == SHORT_WORK else ENDLESS_DEADLINE
+    request_class = {
         "name": "task",
-        "expected_time": abandon,
-        "abandon_time": abandon,
+        "expected_time": deadline,
+        "abandon_time": deadline,
         "work": {"law": "fixed", "mean": work},
     }
     return {
         "name": "slopes",
-        "lasts": f"{over.end}s",
-        "grades": [grade],
+        "lasts": f"{interval.end}s",
+        "grades": [request_class],
         "workers": [{"count": workers, "slots": SLOTS}],
-        "dispatchers": {"count": 1, "sockets": 4096},
+        "dispatchers": {"count": 1, "sockets": MAX_SOCKETS},
         "traffic": [{"rate": rate}],
         **more,
     }
 
 
-async def series(
-    role: str,
-    size: str,
-    worlds: Sequence[Planned],
-    asked: MeasurementRequest,
-    still: dict[str, float],
-    how: str = HOW,
-) -> MeasurementResult:
-    """All these worlds, side by side or in turn, and the lines through them."""
-    over = settled_interval(asked.quick)
-
-    async def one(planned: Planned) -> tuple[float, Reading]:
-        e = parse_experiment(planned.told)
-        _, reading = await run_fleet(e, SEED, over.settled * SECOND, planned.acts(e))
-        at = reading.sizes.get(size, planned.size)
-        shown = "void: " + reading.void if reading.void else f"core {reading.figures['core_share']:.3%}"
-        asked.say(f"{role}, {size} {at:g}: {shown}")
-        return at, reading
-
-    if asked.together:
-        found = list(await asyncio.gather(*(one(planned) for planned in worlds)))
-    else:
-        found = [await one(planned) for planned in worlds]
-    void = [f"{role}, {size} {at:g}: {reading.void}" for at, reading in found if reading.void]
-    points = [(at, reading.figures) for at, reading in found if not reading.void]
-    note = "; ".join(f"void: {text}" for text in void)
-    return MeasurementResult(cost_lines(MeasuredLoad(role, size, how, still, note), points), void)
+async def _run_planned(load: str, run: PlannedRun, request: MeasurementRequest) -> Point:
+    interval = measuring_interval(request.quick)
+    experiment = parse_experiment(run.document)
+    actions = run.actions(experiment)
+    _, reading = await run_fleet(experiment, SEED, interval.settled * SECOND, actions)
+    point = Point(reading.loads.get(load, run.load), reading.metrics, reading.void)
+    text = f"void: {point.void}" if point.void else f"core {point.metrics['core_share']:.3%}"
+    request.say(f"{ROLE}, {load} {point.load:g}: {text}")
+    return point
 
 
-# ---- The parts ----
+async def _measure_runs(
+    measured: MeasuredLoad, runs: Sequence[PlannedRun], request: MeasurementRequest
+) -> MeasurementResult:
+    points = await run_points([_run_planned(measured.load, run, request) for run in runs], request)
+    return result_of(measured, points)
 
 
-async def workers_listed(asked: MeasurementRequest) -> MeasurementResult:
-    over = settled_interval(asked.quick)
-    worlds = [Planned(count, report_listener(over, count)) for count in (100, 300, 980)]
-    return await series("dispatcher", "workers_listed", worlds, asked, {})
+async def measure_workers_listed(request: MeasurementRequest) -> MeasurementResult:
+    """Vary the workers of the endpoint list."""
+    interval = measuring_interval(request.quick)
+    runs = [PlannedRun(count, dispatcher_experiment(interval, count)) for count in WORKER_COUNTS]
+    return await _measure_runs(MeasuredLoad(ROLE, "workers_listed", METHOD, {}), runs, request)
 
 
-async def tasks_running(asked: MeasurementRequest) -> MeasurementResult:
-    over = settled_interval(asked.quick)
-    found = MeasurementResult([], [])
+async def measure_tasks_running(request: MeasurementRequest) -> MeasurementResult:
+    """Vary the running tasks, with and without progress reports."""
+    interval = measuring_interval(request.quick)
+    result = NO_RESULT
     for progress in (1, 0):
-        rules = {"progress_every": "1s" if progress else LONG}
-        worlds = [
-            Planned(
+        rules = {"progress_every": "1s" if progress else LONG_WORK}
+        runs = [
+            PlannedRun(
                 count,
-                report_listener(
-                    over,
-                    work="900s",
+                dispatcher_experiment(
+                    interval,
+                    work=ENDLESS_WORK,
                     worker_rules=rules,
                     traffic=[{"rate": count / 1.0, "start": "0s", "end": "1s"}],
                 ),
             )
-            for count in (8, 24, 48, 96)
-        ]
-        still = {"progress": float(progress), "workers_listed": float(WORKERS)}
-        one = await series("dispatcher", "tasks_running", worlds, asked, still)
-        found = MeasurementResult([*found.lines, *one.lines], [*found.void, *one.void])
-    return found
-
-
-async def starts_a_second(asked: MeasurementRequest) -> MeasurementResult:
-    over = settled_interval(asked.quick)
-    worlds = [Planned(rate, report_listener(over, rate=rate)) for rate in (1.0, 3.0, 9.0, 27.0)]
-    still = {"progress": 0.0, "workers_listed": float(WORKERS)}
-    return await series("dispatcher", "starts_a_second", worlds, asked, still)
-
-
-async def list_changes(asked: MeasurementRequest) -> MeasurementResult:
-    """Workers drain and come back, each a change when it does: nothing runs there."""
-    over, workers = settled_interval(asked.quick), 300
-
-    def drains(a_second: float) -> list[dict[str, Any]]:
-        each = 2.0 / a_second
-        count = int((over.end - 3) / each)
-        return [
-            {"what": "drain", "at": f"{n * each:.3f}s", "lasts": "3s", "workers": [f"w{n % workers}"]}
-            for n in range(count)
+            for count in TASK_COUNTS
         ]
-
-    worlds = [
-        Planned(rate, report_listener(over, workers, troubles=drains(rate))) for rate in (1.0, 4.0, 16.0)
+        fixed = {"progress": float(progress), "workers_listed": float(WORKERS)}
+        measured = MeasuredLoad(ROLE, "tasks_running", METHOD, fixed)
+        result = result.plus(await _measure_runs(measured, runs, request))
+    return result
+
+
+async def measure_starts(request: MeasurementRequest) -> MeasurementResult:
+    """Vary the starts of tasks."""
+    interval = measuring_interval(request.quick)
+    runs = [PlannedRun(rate, dispatcher_experiment(interval, rate=rate)) for rate in START_RATES]
+    fixed = {"progress": 0.0, "workers_listed": float(WORKERS)}
+    return await _measure_runs(MeasuredLoad(ROLE, "starts_a_second", METHOD, fixed), runs, request)
+
+
+async def measure_list_changes(request: MeasurementRequest) -> MeasurementResult:
+    """Vary the changes of the endpoint list: idle workers drain and come back, each of which is a change."""
+    interval = measuring_interval(request.quick)
+    runs = [
+        PlannedRun(
+            rate,
+            dispatcher_experiment(interval, LIST_CHANGE_WORKERS, troubles=_drains(interval, rate)),
+        )
+        for rate in LIST_CHANGE_RATES
+    ]
+    fixed = {"workers_listed": float(LIST_CHANGE_WORKERS)}
+    return await _measure_runs(MeasuredLoad(ROLE, "list_changes_a_second", METHOD, fixed), runs, request)
+
+
+def _drains(interval: Interval, changes_a_second: float) -> list[dict[str, Any]]:
+    between = 2.0 / changes_a_second  # a drain makes two changes
+    count = int((interval.end - DRAIN_SECONDS) / between)
+    return [
+        {
+            "what": "drain",
+            "at": f"{number * between:.3f}s",
+            "lasts": f"{DRAIN_SECONDS}s",
+            "workers": [f"w{number % LIST_CHANGE_WORKERS}"],
+        }
+        for number in range(count)
     ]
-    return await series(
-        "dispatcher", "list_changes_a_second", worlds, asked, {"workers_listed": float(workers)}
-    )
-
 
-async def reloads(asked: MeasurementRequest) -> MeasurementResult:
-    over = settled_interval(asked.quick)
-    found = MeasurementResult([], [])
-    for teams in (1, 170):
-        customers = [{"name": f"team-{n}"} for n in range(teams)]
 
-        worlds = [
-            Planned(float(rate), report_listener(over, customers=customers), partial(_reloads, over, rate))
-            for rate in (15, 30, 60, 120)
+async def measure_reloads(request: MeasurementRequest) -> MeasurementResult:
+    """Vary the reloads of the configuration, with one team and with many in the file."""
+    interval = measuring_interval(request.quick)
+    result = NO_RESULT
+    for teams in TEAM_COUNTS:
+        tenants = [{"name": f"team-{number}"} for number in range(teams)]
+        runs = [
+            PlannedRun(
+                float(rate),
+                dispatcher_experiment(interval, customers=tenants),
+                partial(_reload_actions, interval, rate),
+            )
+            for rate in RELOAD_RATES
         ]
-        still = {"teams": float(teams), "workers_listed": float(WORKERS)}
-        one = await series("dispatcher", "reloads_a_minute", worlds, asked, still)
-        found = MeasurementResult([*found.lines, *one.lines], [*found.void, *one.void])
-    return found
+        fixed = {"teams": float(teams), "workers_listed": float(WORKERS)}
+        measured = MeasuredLoad(ROLE, "reloads_a_minute", METHOD, fixed)
+        result = result.plus(await _measure_runs(measured, runs, request))
+    return result
 
 
-def _reloads(over: Stretch, a_minute: int, e: Experiment) -> list[tuple[int, Act]]:
-    count = a_minute * over.lasts // 60
-    each = over.lasts * SECOND // count
-    begin = int((over.settled + 0.3) * SECOND)
-    return [(begin + n * each, reload(e, n)) for n in range(count)]
+def _reload_actions(interval: Interval, a_minute: int, experiment: Experiment) -> list[tuple[int, Action]]:
+    count = a_minute * interval.lasts // SECONDS_PER_MINUTE
+    between = interval.lasts * SECOND // count
+    begin = int((interval.settled + RELOAD_OFFSET) * SECOND)
+    return [(begin + number * between, reload_action(experiment, number)) for number in range(count)]
 
 
-def reload(e: Experiment, number: int) -> Act:
-    """A file that differs from the one before, and SIGHUP; refused ones are a fault."""
+def reload_action(experiment: Experiment, number: int) -> Action:
+    """Return an action that changes the configuration file and sends SIGHUP."""
 
-    def act(world: MeasurementFleet) -> None:
-        program = world.programs[0]
-        config = world.configs[0]
-        settings = dispatcher_settings(e, 0)
+    def act(fleet: MeasurementFleet) -> None:
+        """Change the weight of the request class; each number gives another one."""
+        program = fleet.programs[0]
+        settings = dispatcher_settings(experiment, 0)
         settings["ServiceGrades"][0]["Benefit"] = 1.0 + 0.01 * (number + 1)
-        rewrite(program, {**config, "settings": settings})
+        replace_config(program, {**fleet.configs[0], "settings": settings})
         program.signal(signal.SIGHUP)
-        world.reloads += 1
+        fleet.expected_reloads += 1
 
     return act
 
 
-async def peers_telling(asked: MeasurementRequest) -> MeasurementResult:
-    over = settled_interval(asked.quick)
-    worlds = [
-        Planned(
+async def measure_gossip(request: MeasurementRequest) -> MeasurementResult:
+    """Vary the peers that gossip to a dispatcher."""
+    interval = measuring_interval(request.quick)
+    runs = [
+        PlannedRun(
             float(count - 1),
-            report_listener(over, rate=PEER_STARTS * count, dispatchers={"count": count, "talk": True}),
+            dispatcher_experiment(
+                interval, rate=STARTS_PER_DISPATCHER * count, dispatchers={"count": count, "talk": True}
+            ),
         )
-        for count in (4, 11, 32)
+        for count in GOSSIPING_DISPATCHERS
     ]
-    still = {"starts_a_second": PEER_STARTS, "workers_listed": float(WORKERS)}
-    return await series(
-        "dispatcher", "peers_telling", worlds, asked._replace(together=False), still, how=PEERS_HOW
-    )
+    fixed = {"starts_a_second": STARTS_PER_DISPATCHER, "workers_listed": float(WORKERS)}
+    measured = MeasuredLoad(ROLE, "peers_telling", GOSSIP_METHOD, fixed)
+    return await _measure_runs(measured, runs, request._replace(together=False))
 
 
 MEASUREMENTS = [
-    Measurement(("dispatcher",), "workers_listed", workers_listed),
-    Measurement(("dispatcher",), "tasks_running", tasks_running),
-    Measurement(("dispatcher",), "starts_a_second", starts_a_second),
-    Measurement(("dispatcher",), "list_changes_a_second", list_changes),
-    Measurement(("dispatcher",), "reloads_a_minute", reloads),
-    Measurement(("dispatcher",), "peers_telling", peers_telling),
+    Measurement((ROLE,), "workers_listed", measure_workers_listed),
+    Measurement((ROLE,), "tasks_running", measure_tasks_running),
+    Measurement((ROLE,), "starts_a_second", measure_starts),
+    Measurement((ROLE,), "list_changes_a_second", measure_list_changes),
+    Measurement((ROLE,), "reloads_a_minute", measure_reloads),
+    Measurement((ROLE,), "peers_telling", measure_gossip),
 ]
--- a/ploverspoke/testbed/capacity/measurements/parts.py
+++ b/ploverspoke/testbed/capacity/measurements/measurement.py
@@ -1,5 +1,6 @@
-"""Measurements: one load of one role, varied; the results are costs and the runs that were void."""
+"""Measurements: one load of one role is varied; the results are costs and the runs that were void."""
 
+import asyncio
 from collections.abc import Awaitable, Callable, Sequence
 from typing import NamedTuple
 
@@ -26,6 +27,9 @@
 PREFIXES = ("follower_", "children_")  # of metrics that have the unit of the rest of their name
 GROWTH_METRIC = "memory_growth_bytes"
 GROWTH_RESOLUTION = 4096.0  # bytes a second: a page of memory
+FOLDER_PREFIX = "ploverspoke-slopes-"  # of the temporary folder of a run
+SEED = 1
+NOT_READY = "not ready in time"
 
 
 class MeasurementResult(NamedTuple):
@@ -39,6 +43,9 @@
         return MeasurementResult([*self.lines, *other.lines], [*self.void, *other.void])
 
 
+NO_RESULT = MeasurementResult([], [])
+
+
 class MeasurementRequest(NamedTuple):
     """How to measure."""
 
@@ -59,14 +66,16 @@
         return f"{self.roles[0]}/{self.load}"
 
 
-def unit_of(metric: str) -> str:
-    """Return the unit of a metric."""
-    if metric in UNITS:
-        return UNITS[metric]
-    for prefix in PREFIXES:
-        if metric.startswith(prefix):
-            return unit_of(metric.removeprefix(prefix))
-    return "messages a second" if "messages" in metric else "bytes a second"
+class Interval(NamedTuple):
+    """The time of a run in which is measured, in seconds."""
+
+    settled: int  # until it begins
+    lasts: int
+
+    @property
+    def end(self) -> int:
+        """When it ends, from the start of the run."""
+        return self.settled + self.lasts
 
 
 class MeasuredLoad(NamedTuple):
@@ -79,6 +88,31 @@
     note: str = ""
 
 
+class Point(NamedTuple):
+    """One run: the load as it was, and the metrics."""
+
+    load: float
+    metrics: dict[str, float]
+    void: str = ""  # why the run proves nothing; empty where it does
+
+
+async def run_points(runs: Sequence[Awaitable[Point]], request: MeasurementRequest) -> list[Point]:
+    """Run side by side or in turn, as the request says."""
+    if request.together:
+        return list(await asyncio.gather(*runs))
+    return [await run for run in runs]
+
+
+def result_of(measured: MeasuredLoad, points: Sequence[Point]) -> MeasurementResult:
+    """Fit lines through the points that are not void; void ones are named, in the notes of the lines too."""
+    void = [
+        f"{measured.role}, {measured.load} {point.load:g}: {point.void}" for point in points if point.void
+    ]
+    note = "; ".join(text for text in (*(f"void: {text}" for text in void), measured.note) if text)
+    values = [(point.load, point.metrics) for point in points if not point.void]
+    return MeasurementResult(cost_lines(measured._replace(note=note), values), void)
+
+
 def cost_lines(measured: MeasuredLoad, points: Sequence[tuple[float, dict[str, float]]]) -> list[CostPerUnit]:
     """Fit a line for each metric with enough points; `points` are loads with their metrics."""
     names = dict.fromkeys(name for _, metrics in points for name in metrics)
@@ -109,3 +143,13 @@
         method=measured.method,
         note=measured.note,
     )
+
+
+def unit_of(metric: str) -> str:
+    """Return the unit of a metric."""
+    if metric in UNITS:
+        return UNITS[metric]
+    for prefix in PREFIXES:
+        if metric.startswith(prefix):
+            return unit_of(metric.removeprefix(prefix))
+    return "messages a second" if "messages" in metric else "bytes a second"
--- a/ploverspoke/testbed/capacity/measurements/measurement_fleet.py
+++ b/ploverspoke/testbed/capacity/measurements/measurement_fleet.py
@@ -1,8 +1,8 @@
-"""A world in which one size has a value, and what the dispatchers in it used over a settled stretch.
+"""A fleet in which one load has a value, and what its dispatchers used over a settled interval.
 
-The dispatcher that is measured is the program as users start it, with nothing between it and the kernel: the
-rig's `launcher.py` would cost it time at each look at the clock. Worlds of several dispatchers need that
-starter, by which each has an address of its own; they are read for messages and bytes.
+A dispatcher that is measured alone is the program as users start it, with nothing between it and the kernel:
+the rig's launcher would cost it time at each look at the clock. Fleets of several dispatchers need the
+launcher, by which each has an address of its own; they are read for messages and bytes.
 """
 
 import asyncio
@@ -27,270 +27,287 @@
 from ...processes.resource_usage import ResourceUsage, read_resource_usage
 from ...processes.running_process import ProcessStartError, RunningProcess
 from ...scenarios.socket_run import DispatcherProgram, SocketFleet
-
-LOOKS_EVERY = 500 * MILLISECOND
-AFTER = 400 * MILLISECOND  # the end of the stretch, until the stand-ins have told of it
-SLACK = 20 * MILLISECOND  # by which four reports may make less than a second
-SOURCE = "127.0.0.1"  # the kernel's own choice for who sends on loopback
-MOST_REFUSED = 0.02  # of the answers; past that the world did something else than was asked for
-KINDS = {"running": "workers", "answers": "clients", "version": "discovery"}  # by a word that only it says
-TAKEN = "new configuration: settings applied"
+from .measurement import FOLDER_PREFIX
+from .replica_usage import core_share, memory_growth
+
+SAMPLE_INTERVAL = 500 * MILLISECOND
+REPORT_DELAY = 400 * MILLISECOND  # after the end of the interval, until the fakes have reported it
+SECOND_TOLERANCE = 20 * MILLISECOND  # by which four reports may make less than a second
+LOOPBACK = "127.0.0.1"  # the kernel's own choice of a sender's address
+MAX_UNSUCCESSFUL = 0.02  # share of the answers; with more the fleet did not carry its load
+MIN_ANSWERS = 50  # that the share is taken of
+# Which fake reports, by a key that only its reports have.
+FAKE_BY_KEY = {"running": "workers", "answers": "clients", "version": "discovery"}
+SETTINGS_APPLIED = "new configuration: settings applied"  # in a dispatcher's log
 TRAFFIC = ("bytes_in", "bytes_out", "messages_in", "messages_out")
 
-Act = Callable[["MeasurementFleet"], Awaitable[None] | None]
+Action = Callable[["MeasurementFleet"], Awaitable[None] | None]
+Report = dict[str, Any]  # of a fake process, as JSON
 
 
 class Reading(NamedTuple):
-    """Of one world. Rates are a second and a dispatcher."""
+    """What one fleet has shown. Rates are a second and a dispatcher."""
 
-    sizes: dict[str, float]  # as they were in the stretch, where they are counted
-    figures: dict[str, float]
-    void: str  # why it gives no point; "" where it does
+    loads: dict[str, float]  # as they were in the interval, where they can be counted
+    metrics: dict[str, float]
+    void: str  # why the run proves nothing; empty where it does
 
 
-class Bare(DispatcherProgram):
-    """The program without the rig's starter: it sends from the kernel's own choice of address."""
+class PlainDispatcher(DispatcherProgram):
+    """The program without the rig's launcher: it sends from the kernel's own choice of address."""
 
     def command(self) -> list[str]:
+        """Return the command line without its arguments."""
         return [sys.executable, "-m", self.module]
 
-    def watch(self, orders: Path) -> None:
-        """It takes versions of the configuration from those that this file names."""
-        self.arguments = ["serve", self.environment["RELAY_CONFIG"], "--watch", str(orders)]
+    def watch(self, watch_file: Path) -> None:
+        """Start it with versions of the configuration from the servers that this file names."""
+        self.arguments = ["serve", self.environment["RELAY_CONFIG"], "--watch", str(watch_file)]
 
-    async def start(self, more: Any = ()) -> None:
+    async def start(self, more: Sequence[str] = ()) -> None:
+        """Start it without a store."""
         await RunningProcess.start(self, more)
 
 
 class MeasurementFleet(SocketFleet):
+    """A fleet on sockets that is measured while it runs."""
+
     def __init__(
         self,
-        e: Experiment,
+        experiment: Experiment,
         seed: int,
         folder: Path,
-        settled: int,
-        acts: Sequence[tuple[int, Act]] = (),
-        ends: int = 0,
+        interval: tuple[int, int],
+        actions: Sequence[tuple[int, Action]] = (),
         watch: Path | None = None,
     ) -> None:
-        """The stretch begins at `settled` and ends at `ends`, ns from the start; 0: with the experiment."""
-        super().__init__(e, seed, folder, self._hear)
+        """`interval` and the times of `actions` are ns from the start of the run."""
+        super().__init__(experiment, seed, folder, self._on_report)
         self.tells_traffic = True
-        self.settled = settled
-        self.ends = ends or e.duration
-        self.watch = watch
-        self.acts = sorted(acts, key=lambda act: act[0])
-        self.bare = e.dispatchers.count == 1
-        self.reports: dict[str, list[dict[str, Any]]] = {kind: [] for kind in KINDS.values()}
-        self.looks: list[list[tuple[int, ResourceUsage]]] = []  # by dispatcher
-        self.relayed: list[tuple[int, LinkCounters]] = []
-        self.configs: list[dict[str, Any]] = []
-        self.reloads = 0  # that were asked for
-
-    # ---- In place of the stage's own ----
+        self.settled, self.ends = interval
+        self.configs: list[dict[str, Any]] = []  # of the dispatchers
+        self.expected_reloads = 0
+        self.reports: dict[str, list[Report]] = {fake: [] for fake in FAKE_BY_KEY.values()}
+        self.samples: list[list[tuple[int, ResourceUsage]]] = []  # by dispatcher
+        self._watch = watch
+        self._actions = sorted(actions, key=lambda action: action[0])
+        self._is_alone = experiment.dispatchers.count == 1
+        self._proxied: list[tuple[int, LinkCounters]] = []  # the proxy's counters, with the time of each
+
+    # ---- In place of the base's own ----
 
     def _hosts(self, places: list[ProcessAddress]) -> list[str]:
-        return [SOURCE] if self.bare else super()._hosts(places)
+        return [LOOPBACK] if self._is_alone else super()._hosts(places)
 
     def _program(
         self, place: ProcessAddress, config: dict[str, Any], store: dict[str, Any] | None
     ) -> DispatcherProgram:
         self.configs.append(config)
-        if not self.bare:
+        if not self._is_alone:
             return DispatcherProgram(self.rig, place, config, store)
-        program = Bare(self.rig, place, config, store)
-        if self.watch is not None:
-            program.watch(self.watch)
+        program = PlainDispatcher(self.rig, place, config, store)
+        if self._watch is not None:
+            program.watch(self._watch)
         return program
 
     def _begins(self, epoch: int, workers: ChildProcess, discovery: ChildProcess) -> None:
-        self.tasks.append(asyncio.create_task(self._listen(discovery, discovery)))
-        self.tasks.append(asyncio.create_task(self._look_on(epoch)))
-        self.tasks.append(asyncio.create_task(self._act(epoch)))
+        for task in (self._listen(discovery, discovery), self._sample(epoch), self._act(epoch)):
+            self.tasks.append(asyncio.create_task(task))
 
     def _end(self) -> int:
-        return self.e.duration + AFTER
+        return self.e.duration + REPORT_DELAY
 
     # ---- While it runs ----
 
-    def _hear(self, told: dict[str, Any]) -> None:
-        for word, kind in KINDS.items():
-            if word in told and "traffic" in told:
-                self.reports[kind].append({key: told[key] for key in (word, "counted_at", "traffic")})
-                if kind == "clients":
-                    self.reports[kind][-1]["sent"] = told["sent"]
+    def _on_report(self, report: Report) -> None:
+        if "traffic" not in report:
+            return
+        for key, fake in FAKE_BY_KEY.items():
+            if key in report:
+                keys = (key, "counted_at", "traffic", *(["sent"] if fake == "clients" else []))
+                self.reports[fake].append({each: report[each] for each in keys})
 
-    async def _look_on(self, epoch: int) -> None:
-        self.looks = [[] for _ in self.programs]
+    async def _sample(self, epoch: int) -> None:
+        self.samples = [[] for _ in self.programs]
         at = self.settled
         try:
             while at <= self.ends:
                 await asyncio.sleep(max(0, epoch + at - time.monotonic_ns()) / SECOND)
-                for looks, program in zip(self.looks, self.programs, strict=True):
-                    if program.process is not None and program.is_running():
-                        looks.append((time.monotonic_ns() - epoch, read_resource_usage(program.process.pid)))
-                if self.rig.link_faults.is_open() and (at == self.settled or at + LOOKS_EVERY > self.ends):
+                self._sample_dispatchers(epoch)
+                is_edge = at == self.settled or at + SAMPLE_INTERVAL > self.ends
+                if is_edge and self.rig.link_faults.is_open():
                     await self.rig.link_faults.read_counters()
-                    self.relayed.append((time.monotonic_ns() - epoch, self.rig.link_faults.counters.links))
-                at += LOOKS_EVERY
+                    counters = self.rig.link_faults.counters.links
+                    self._proxied.append((time.monotonic_ns() - epoch, counters))
+                at += SAMPLE_INTERVAL
         except OSError as error:
             self.rig.errors.append(f"a dispatcher could not be looked at: {error}")
 
+    def _sample_dispatchers(self, epoch: int) -> None:
+        for samples, program in zip(self.samples, self.programs, strict=True):
+            if program.process is not None and program.is_running():
+                samples.append((time.monotonic_ns() - epoch, read_resource_usage(program.process.pid)))
+
     async def _act(self, epoch: int) -> None:
-        for at, act in self.acts:
+        for at, action in self._actions:
             await asyncio.sleep(max(0, epoch + at - time.monotonic_ns()) / SECOND)
             try:
-                doing = act(self)
-                if doing is not None:
-                    await doing
+                pending = action(self)
+                if pending is not None:
+                    await pending
             except (OSError, ProcessStartError, FrameError) as error:
                 self.rig.errors.append(f"what was to be done could not be: {error}")
 
-    # ---- What it was ----
-
-    def between(self, kind: str, begin: int, end: int) -> list[dict[str, Any]]:
-        """The reports of these stand-ins in that time of the run."""
-        return [told for told in self.reports[kind] if begin <= told["counted_at"] <= end]
-
-    def rates(self, kind: str, keys: Sequence[str], begin: int, end: int) -> dict[str, float]:
-        """A second, over all dispatchers."""
-        told = self.between(kind, begin, end)
-        took = (told[-1]["counted_at"] - told[0]["counted_at"]) / SECOND
-        return {key: (_sum(told[-1], key) - _sum(told[0], key)) / took for key in keys}
-
-    def gained(self, kind: str, key: str, begin: int, end: int) -> float:
-        """In that time, over all dispatchers."""
-        told = self.between(kind, begin, end)
-        return _sum(told[-1], key) - _sum(told[0], key)
-
-    def worst(self, kind: str, key: str, begin: int, end: int) -> float:
-        """The most in any second of that time, over all dispatchers."""
-        told = self.between(kind, begin, end)
-        each = [(one["counted_at"], _sum(one, key)) for one in told]
-        found = 0.0
-        for n, (at, before) in enumerate(each):
-            later = next(((then, now) for then, now in each[n:] if then - at >= SECOND - SLACK), None)
+    # ---- What was reported ----
+
+    def reports_between(self, fake: str, begin: int, end: int) -> list[Report]:
+        """Return the reports of these fakes in that time of the run (ns)."""
+        return [report for report in self.reports[fake] if begin <= report["counted_at"] <= end]
+
+    def rates(self, fake: str, keys: Sequence[str], begin: int, end: int) -> dict[str, float]:
+        """Return the rates a second over all dispatchers."""
+        reports = self.reports_between(fake, begin, end)
+        first, last = reports[0], reports[-1]
+        seconds = (last["counted_at"] - first["counted_at"]) / SECOND
+        return {key: (_total(last, key) - _total(first, key)) / seconds for key in keys}
+
+    def increase(self, fake: str, key: str, begin: int, end: int) -> float:
+        """Return the increase of a counter over all dispatchers."""
+        reports = self.reports_between(fake, begin, end)
+        return _total(reports[-1], key) - _total(reports[0], key)
+
+    def worst_second(self, fake: str, key: str, begin: int, end: int) -> float:
+        """Return the largest increase a second of a counter, over all dispatchers."""
+        counts = [
+            (report["counted_at"], _total(report, key)) for report in self.reports_between(fake, begin, end)
+        ]
+        largest = 0.0
+        for index, (at, count) in enumerate(counts):
+            later = next(
+                (other for other in counts[index:] if other[0] - at >= SECOND - SECOND_TOLERANCE), None
+            )
             if later is not None:
-                found = max(found, (later[1] - before) * SECOND / (later[0] - at))
-        return found
+                largest = max(largest, (later[1] - count) * SECOND / (later[0] - at))
+        return largest
 
-    def mean(self, kind: str, key: str, begin: int, end: int) -> float:
-        """Of what stands at a moment, over all dispatchers."""
-        return float(np.mean([_sum(one, key) for one in self.between(kind, begin, end)]))
+    def mean(self, fake: str, key: str, begin: int, end: int) -> float:
+        """Return the mean of a value, summed over all dispatchers."""
+        reports = self.reports_between(fake, begin, end)
+        return float(np.mean([_total(report, key) for report in reports]))
+
+    # ---- What it comes to ----
 
     def read(self) -> Reading:
-        """Raises nothing: a world that cannot be read is void."""
-        void = self.void()
-        if not void and (
-            any(len(self.between(kind, self.settled, self.ends)) < 2 for kind in self.reports)
-            or any(len(looks) < 2 for looks in self.looks)
-        ):
-            void = "too little was seen of the stretch"
+        """Return what was measured; a fleet that cannot be read is void."""
+        void = self.void() or self._too_little_seen()
         if void:
             return Reading({}, {}, void)
-        figures, sizes = self._used(), self._sizes()
+        reloads = sum(program.log_path.read_text().count(SETTINGS_APPLIED) for program in self.programs)
+        if reloads != self.expected_reloads:
+            return Reading({}, {}, f"{self.expected_reloads} reloads were asked for, {reloads} were taken")
+        return Reading(self._loads(), self._usage() | self._traffic(), self._load_not_carried())
+
+    def _too_little_seen(self) -> str:
+        interval = self.settled, self.ends
+        has_reports = all(len(self.reports_between(fake, *interval)) >= 2 for fake in self.reports)
+        has_samples = all(len(samples) >= 2 for samples in self.samples)
+        return "" if has_reports and has_samples else "too little was seen of the stretch"
+
+    def _usage(self) -> dict[str, float]:
+        """Return CPU and memory, the means over the dispatchers."""
+        return {
+            "core_share": float(np.mean([core_share(samples) for samples in self.samples])),
+            "memory_bytes": float(np.mean([samples[-1][1].memory for samples in self.samples])),
+            "memory_growth_bytes": float(np.mean([memory_growth(samples) for samples in self.samples])),
+        }
+
+    def _traffic(self) -> dict[str, float]:
+        """Return all that a dispatcher sends and receives, and its bytes by the other side."""
         count = len(self.programs)
-        total = dict.fromkeys(TRAFFIC, 0.0)
-        for kind in self.reports:
-            for key, rate in self.rates(kind, TRAFFIC, self.settled, self.ends).items():
-                total[key] += rate / count
+        metrics: dict[str, float] = {}
+        totals = dict.fromkeys(TRAFFIC, 0.0)
+        for fake in self.reports:
+            for key, rate in self.rates(fake, TRAFFIC, self.settled, self.ends).items():
+                totals[key] += rate / count
                 if key.startswith("bytes"):
-                    figures[f"{key}_{kind}"] = rate / count
-        by_peers = self._told_by_peers(count)
-        # All that a dispatcher sends and hears, whoever is at the other end.
-        figures |= {key: rate + by_peers.get(f"peer_{key}", 0.0) for key, rate in total.items()} | by_peers
-        taken = sum(p.log_path.read_text().count(TAKEN) for p in self.programs)
-        if taken != self.reloads:
-            return Reading({}, {}, f"{self.reloads} reloads were asked for, {taken} were taken")
-        return Reading(sizes, figures, self._refused())
-
-    def _used(self) -> dict[str, float]:
-        shares, growths, memories, peaks = [], [], [], []
-        for looks in self.looks:
-            (first_at, first), (last_at, last) = looks[0], looks[-1]
-            shares.append((last.processor - first.processor) / (last_at - first_at))
-            growths.append(growth([(at / SECOND, float(seen.memory)) for at, seen in looks]))
-            memories.append(last.memory)
-            peaks.append(last.memory_peak)
+                    metrics[f"{key}_{fake}"] = rate / count
+        between_peers = self._peer_traffic(count)
+        for key, rate in totals.items():
+            metrics[key] = rate + between_peers.get(f"peer_{key}", 0.0)
+        return metrics | between_peers
+
+    def _peer_traffic(self, count: int) -> dict[str, float]:
+        """Return what passed between dispatchers; the proxy loses no datagrams here."""
+        if len(self._proxied) < 2:
+            return {}
+        (begin, first), (end, last) = self._proxied[0], self._proxied[-1]
+        seconds = (end - begin) / SECOND * count
+        bytes_passed = (last.bytes_passed - first.bytes_passed) / seconds
+        datagrams = (last.passed - first.passed) / seconds
         return {
-            "core_share": float(np.mean(shares)),
-            "memory_bytes": float(np.mean(memories)),
-            "memory_growth_bytes": float(np.mean(growths)),
+            "peer_bytes_in": bytes_passed,
+            "peer_bytes_out": bytes_passed,
+            "peer_messages_in": datagrams,
+            "peer_messages_out": datagrams,
         }
 
-    def _sizes(self) -> dict[str, float]:
-        begin, end = self.settled, self.ends
+    def _loads(self) -> dict[str, float]:
+        interval = self.settled, self.ends
         count = len(self.programs)
-        running = [told["running"] for told in self.between("workers", begin, end)]
-        sent, listed = self.between("clients", begin, end), self.between("discovery", begin, end)
+        running = [report["running"] for report in self.reports_between("workers", *interval)]
+        sent = self.reports_between("clients", *interval)
+        versions = self.reports_between("discovery", *interval)
         return {
             "tasks_running": float(np.mean(running)) / count,
             "starts_a_second": _rate(sent, "sent") / count,
-            "list_changes_a_second": _rate(listed, "version"),
+            "list_changes_a_second": _rate(versions, "version"),
         }
 
-    def _told_by_peers(self, count: int) -> dict[str, float]:
-        """As the relays between them saw it; datagrams that are lost on the way are not played here."""
-        if len(self.relayed) < 2:
-            return {}
-        (begin, first), (end, last) = self.relayed[0], self.relayed[-1]
-        took = (end - begin) / SECOND * count
-        octets, datagrams = (
-            (now - before) / took
-            for now, before in ((last.bytes_passed, first.bytes_passed), (last.passed, first.passed))
-        )
-        return {
-            "peer_bytes_in": octets,
-            "peer_bytes_out": octets,
-            "peer_messages_in": datagrams,
-            "peer_messages_out": datagrams,
-        }
-
-    def _refused(self) -> str:
+    def _load_not_carried(self) -> str:
         answers: dict[str, int] = self.reports["clients"][-1]["answers"]
-        others = sum(number for how, number in answers.items() if how != "satisfied")
-        if others > MOST_REFUSED * max(50, sum(answers.values())):
+        unsuccessful = sum(count for outcome, count in answers.items() if outcome != "satisfied")
+        if unsuccessful > MAX_UNSUCCESSFUL * max(MIN_ANSWERS, sum(answers.values())):
             return f"the load was not carried: {answers}"
         return ""
 
 
-def growth(looks: Sequence[tuple[float, float]]) -> float:
-    """Bytes a second, by the line through all of them."""
-    at, memory = (np.array(column) for column in zip(*looks, strict=True))
-    return float(round(np.polyfit(at - at[0], memory, 1)[0]))
-
-
-def _sum(told: dict[str, Any], key: str) -> float:
-    return float(sum(one[key] for one in told["traffic"]))
+def _total(report: Report, key: str) -> float:
+    """Return a counter's sum over all dispatchers."""
+    return float(sum(traffic[key] for traffic in report["traffic"]))
 
 
-def _rate(told: Sequence[dict[str, Any]], key: str) -> float:
-    took = (told[-1]["counted_at"] - told[0]["counted_at"]) / SECOND
-    return float((told[-1][key] - told[0][key]) / took)
+def _rate(reports: Sequence[Report], key: str) -> float:
+    first, last = reports[0], reports[-1]
+    return float((last[key] - first[key]) / ((last["counted_at"] - first["counted_at"]) / SECOND))
 
 
 async def run_fleet(
-    e: Experiment,
+    experiment: Experiment,
     seed: int,
     settled: int,
-    acts: Sequence[tuple[int, Act]] = (),
+    actions: Sequence[tuple[int, Action]] = (),
     ends: int = 0,
     watch: Path | None = None,
 ) -> tuple[MeasurementFleet, Reading]:
-    """Run one fleet in real time; one that does not start is void. Raises CapacityError."""
-    with tempfile.TemporaryDirectory(prefix="ploverspoke-slopes-", dir=memory_backed_folder()) as name:
-        world = MeasurementFleet(e, seed, Path(name), settled, acts, ends, watch)
+    """Run one fleet in real time; one that does not start is void.
+
+    The interval begins at `settled` and ends at `ends`, ns from the start; 0: with the experiment. Raises
+    CapacityError where the fleet does not fit on the machine.
+    """
+    interval = settled, ends or experiment.duration
+    with tempfile.TemporaryDirectory(prefix=FOLDER_PREFIX, dir=memory_backed_folder()) as folder:
+        fleet = MeasurementFleet(experiment, seed, Path(folder), interval, actions, watch)
         try:
-            await world.play()
+            await fleet.play()
         except (ProcessStartError, TimeoutError) as error:
-            world.rig.errors.append(str(error) or "a stand-in was not ready in time")
+            fleet.rig.errors.append(str(error) or "a fake was not ready in time")
         finally:
-            await world.close()
-        return world, world.read()
+            await fleet.close()
+        return fleet, fleet.read()
 
 
-def rewrite(program: DispatcherProgram, config: dict[str, Any]) -> None:
-    """Its configuration's file, whole at any moment."""
+def replace_config(program: DispatcherProgram, config: dict[str, Any]) -> None:
+    """Replace a dispatcher's configuration file, which is whole at any moment."""
     path = Path(program.environment["RELAY_CONFIG"])
     fresh = path.with_suffix(".new")
     fresh.write_bytes(msgspec.json.encode(config))
--- a/ploverspoke/testbed/capacity/measurements/store_replica.py
+++ b/ploverspoke/testbed/capacity/measurements/store_replica.py
@@ -1,15 +1,13 @@
-"""What replicas of the store cost: commits, kept state, and catching up after being away."""
+"""Measures what replicas of a store cost: commits, stored state, and catching up after an absence."""
 
 import asyncio
 import sys
 import tempfile
 import time
-from collections.abc import Sequence
 from functools import partial
-from typing import Any
+from typing import Any, NamedTuple
 
 import msgspec
-import numpy as np
 
 from ploverspoke.consensus.admin_messages import StatusRequest, StatusRow
 from ploverspoke.consensus.replica_client import call_replica
@@ -18,222 +16,215 @@
 from ...experiment_files.reader import parse_experiment
 from ...processes.capacity_check import memory_backed_folder
 from ...processes.fault_timeline import FaultStep
-from ...processes.resource_usage import ResourceUsage
-from .dispatcher import SEED, settled_interval
-from .measurement_fleet import Act, MeasurementFleet, growth, run_fleet
-from .parts import MeasuredLoad, Measurement, MeasurementRequest, MeasurementResult, cost_lines
-
-SIZES = (3, 5)  # replicas
-SECRET = b"a secret of the testbed's own"  # the stage's
-AWAY_RATE = 50.0  # submissions a second while one is away
-CAUGHT_UP_WITHIN = 15.0  # s
+from .dispatcher import measuring_interval
+from .measurement import (
+    FOLDER_PREFIX,
+    NO_RESULT,
+    SEED,
+    MeasuredLoad,
+    Measurement,
+    MeasurementRequest,
+    MeasurementResult,
+    Point,
+    result_of,
+    run_points,
+)
+from .measurement_fleet import Action, MeasurementFleet, run_fleet
+from .replica_usage import ByteRates, LinkBytes, read_link_bytes, replica_metrics
+from .stored_state import StoredStateCosts
+
+ROLE = "store replica"
+REPLICA_COUNTS = (3, 5)
+COMMIT_RATES = (2.0, 10.0, 50.0)  # entries a second
+STORED_REQUESTS, QUICK_STORED_REQUESTS = (10_000, 30_000, 100_000), (5_000, 10_000, 20_000)
+ABSENCES = (1.0, 4.0, 10.0)  # seconds
+ABSENT_REPLICAS = 3
+SNAPSHOT_INTERVALS = (20_000, 200)  # entries; with the second the absent replica gets a snapshot
+SECRET = b"a secret of the testbed's own"  # that of the fleet
+RATE_DURING_ABSENCE = 50.0  # requests a second
+CATCH_UP_TIMEOUT = 15.0  # seconds
+CATCH_UP_POLL = 0.005  # seconds
 WORKERS = 20
-HOW = (
+METHOD = (
     "the replica that leads, the others as follower_*; schedstat and /proc/PID/status, bytes at the relays "
     "between replicas; they have the rig's starter"
 )
-KEPT_HOW = "a process that holds a ledger alone: its memory beyond the empty one, its snapshot on disk"
-AWAY_HOW = "from the replica's own readiness on, bytes at the relays towards it"
+STATE_METHOD = "a process that holds a ledger alone: its memory beyond the empty one, its snapshot on disk"
+ABSENCE_METHOD = "from the replica's own readiness on, bytes at the relays towards it"
 
 
-def _told(rate: float, lasts: int, replicas: int, **more: Any) -> dict[str, Any]:
+def _experiment(rate: float, seconds: int, replicas: int, **more: Any) -> dict[str, Any]:
+    request_class = {
+        "name": "book",
+        "repeat": "irreversible",
+        "expected_time": "10s",
+        "abandon_time": "20s",
+        "work": {"law": "fixed", "mean": "50ms"},
+    }
     return {
         "name": "slopes",
-        "lasts": f"{lasts}s",
-        "grades": [
-            {
-                "name": "book",
-                "repeat": "irreversible",
-                "expected_time": "10s",
-                "abandon_time": "20s",
-                "work": {"law": "fixed", "mean": "50ms"},
-            }
-        ],
+        "lasts": f"{seconds}s",
+        "grades": [request_class],
         "workers": [{"count": WORKERS, "slots": 16}],
         "dispatchers": {"count": replicas, "store": True, **more},
         "traffic": [{"rate": rate}],
     }
 
 
-class Mark:
-    """The replicas at one moment: what each says of itself, and what has passed between them."""
+class ClusterState(NamedTuple):
+    """The replicas at one moment: their status by number, and what has passed between them."""
 
-    def __init__(self, at: float, status: dict[int, dict[str, Any]], octets: dict[str, int]) -> None:
-        self.at, self.status, self.octets = at, status, octets
+    status: dict[int, dict[str, Any]]
+    link_bytes: LinkBytes
 
     def leader(self) -> int:
-        return next((n for n, told in self.status.items() if told.get("leads")), -1)
+        """Return the leader's number, -1 where there is none."""
+        return next((number for number, status in self.status.items() if status.get("leads")), -1)
 
 
-async def _status(world: MeasurementFleet, number: int) -> dict[str, Any]:
-    place = world.rig.addresses[f"d{number}"]
+async def _read_status(fleet: MeasurementFleet, number: int) -> dict[str, Any]:
+    address = fleet.rig.addresses[f"d{number}"]
     status = await asyncio.to_thread(
-        call_replica, place.endpoint("peers"), SECRET, StatusRequest(), StatusRow
+        call_replica, address.endpoint("peers"), SECRET, StatusRequest(), StatusRow
     )
     return dict(status.fields)
 
 
-async def _mark(world: MeasurementFleet) -> Mark:
-    count = world.e.dispatchers.count
-    status = {n: await _status(world, n) for n in range(count)}
-    await world.rig.link_faults.read_counters(by_link=True)
-    return Mark(time.monotonic(), status, world.rig.link_faults.counters.bytes_by_link)
+async def _read_cluster(fleet: MeasurementFleet) -> ClusterState:
+    status = {number: await _read_status(fleet, number) for number in range(len(fleet.programs))}
+    return ClusterState(status, await read_link_bytes(fleet.rig))
 
 
-async def _marked(marks: list[Mark], world: MeasurementFleet) -> None:
-    marks.append(await _mark(world))
+async def _append_cluster_state(states: list[ClusterState], fleet: MeasurementFleet) -> None:
+    states.append(await _read_cluster(fleet))
 
 
-async def _commits(
-    replicas: int, rate: float, asked: MeasurementRequest
-) -> tuple[float, dict[str, float], str]:
-    over, marks = settled_interval(asked.quick), list[Mark]()
-    acts: Sequence[tuple[int, Act]] = [
-        (over.settled * SECOND, partial(_marked, marks)),
-        (over.end * SECOND, partial(_marked, marks)),
+async def _measure_commits_at(replicas: int, rate: float, request: MeasurementRequest) -> Point:
+    interval = measuring_interval(request.quick)
+    states: list[ClusterState] = []
+    actions: list[tuple[int, Action]] = [
+        (interval.settled * SECOND, partial(_append_cluster_state, states)),
+        (interval.end * SECOND, partial(_append_cluster_state, states)),
     ]
-    e = parse_experiment(_told(rate, over.end, replicas))
-    world, reading = await run_fleet(e, SEED, over.settled * SECOND, acts)
-    void, size, figures = reading.void, rate, dict[str, float]()
-    if not void and (len(marks) < 2 or marks[0].leader() != marks[1].leader() or marks[0].leader() < 0):
-        void = "no replica led throughout"
-    if not void:
-        leader = marks[0].leader()
-        took = marks[1].at - marks[0].at
-        ends = [mark.status[leader]["committed"] for mark in marks]
-        size = (ends[1] - ends[0]) / took
-        figures = _at_leader(world, leader, marks[0].octets, marks[1].octets, took)
-    asked.say(
-        f"{replicas} replicas, commits_a_second {size:.3g}: "
-        + (f"void: {void}" if void else f"core {figures['core_share']:.2%}")
-    )
-    return size, figures, void
-
-
-def _at_leader(
-    world: MeasurementFleet, leader: int, before: dict[str, int], now: dict[str, int], took: float
-) -> dict[str, float]:
-    def rates(number: int) -> tuple[float, float]:
-        name = f"d{number}"
-        into = sum(n - before.get(ends, 0) for ends, n in now.items() if ends.endswith(f">{name}"))
-        out = sum(n - before.get(ends, 0) for ends, n in now.items() if ends.startswith(f"{name}>"))
-        return into / took, out / took
-
-    def core(looks: list[tuple[int, ResourceUsage]]) -> float:
-        return (looks[-1][1].processor - looks[0][1].processor) / (looks[-1][0] - looks[0][0])
-
-    others = [n for n in range(len(world.looks)) if n != leader]
-    seen = world.looks[leader]
-    found = {
-        "core_share": core(seen),
-        "memory_bytes": float(seen[-1][1].memory),
-        "memory_growth_bytes": growth([(at / SECOND, float(one.memory)) for at, one in seen]),
-        "follower_core_share": float(np.mean([core(world.looks[n]) for n in others])),
-        "follower_memory_bytes": float(np.mean([world.looks[n][-1][1].memory for n in others])),
-    }
-    found["bytes_in"], found["bytes_out"] = rates(leader)
-    found["follower_bytes_in"] = float(np.mean([rates(n)[0] for n in others]))
-    found["follower_bytes_out"] = float(np.mean([rates(n)[1] for n in others]))
-    return found
-
-
-async def commits(asked: MeasurementRequest) -> MeasurementResult:
-    """Entries of the log; an irreversible submission makes four where its first hand-off ends it."""
-    found = MeasurementResult([], [])
-    for replicas in SIZES:
-        worlds = [_commits(replicas, rate, asked) for rate in (2.0, 10.0, 50.0)]
-        seen = await asyncio.gather(*worlds) if asked.together else [await world for world in worlds]
-        void = [f"store replica, commits_a_second {size:g}: {why}" for size, _, why in seen if why]
-        points = [(size, figures) for size, figures, why in seen if not why]
-        still = {"replicas": float(replicas)}
-        note = "; ".join(f"void: {text}" for text in void)
-        lines = cost_lines(MeasuredLoad("store replica", "commits_a_second", HOW, still, note), points)
-        found = MeasurementResult([*found.lines, *lines], [*found.void, *void])
-    return found
-
-
-async def kept_state(asked: MeasurementRequest) -> MeasurementResult:
-    points, void = [], []
-    for count in (5_000, 10_000, 20_000) if asked.quick else (10_000, 30_000, 100_000):
-        with tempfile.TemporaryDirectory(prefix="ploverspoke-slopes-", dir=memory_backed_folder()) as folder:
-            process = await asyncio.create_subprocess_exec(
-                sys.executable,
-                "-m",
-                "ploverspoke.testbed.capacity.measurements.stored_state",
-                str(count),
-                folder,
-                stdout=asyncio.subprocess.PIPE,
-            )  # fmt: skip
-            said, _ = await process.communicate()
-        if process.returncode:
-            void.append(f"store replica, kept_state {count}: exit {process.returncode}")
-            continue
-        told: dict[str, float] = msgspec.json.decode(said)
-        size = told.pop("kept")
-        asked.say(f"store replica, kept_state {size:g}: {told['memory_bytes'] / 1e6:.1f} MB")
-        points.append((float(size), {key: float(value) for key, value in told.items()}))
-    note = "; ".join(f"void: {text}" for text in void)
-    return MeasurementResult(
-        cost_lines(MeasuredLoad("store replica", "kept_state", KEPT_HOW, {}, note), points), void
-    )
-
-
-async def _away(
-    away: float, snapshot_every: int, asked: MeasurementRequest
-) -> tuple[float, dict[str, float], str]:
-    """One that does not lead is killed, and is back after so long."""
-    settled = 2
-    lasts = int(settled + away + 4 + CAUGHT_UP_WITHIN / 3)
-    found: dict[str, float] = {}
-
-    async def act(world: MeasurementFleet) -> None:
-        before = await _mark(world)
+    experiment = parse_experiment(_experiment(rate, interval.end, replicas))
+    fleet, reading = await run_fleet(experiment, SEED, interval.settled * SECOND, actions)
+    point = Point(rate, {}, reading.void) if reading.void else _commit_point(rate, fleet, states)
+    text = f"void: {point.void}" if point.void else f"core {point.metrics['core_share']:.2%}"
+    request.say(f"{replicas} replicas, commits_a_second {point.load:.3g}: {text}")
+    return point
+
+
+def _commit_point(rate: float, fleet: MeasurementFleet, states: list[ClusterState]) -> Point:
+    if len(states) < 2 or states[0].leader() != states[1].leader() or states[0].leader() < 0:
+        return Point(rate, {}, "no replica led throughout")
+    before, after = states
+    leader = before.leader()
+    committed = after.status[leader]["committed"] - before.status[leader]["committed"]
+    rates = ByteRates(before.link_bytes, after.link_bytes)
+    samples = {f"d{number}": samples for number, samples in enumerate(fleet.samples)}
+    metrics = replica_metrics(f"d{leader}", samples, rates)
+    return Point(committed / (after.link_bytes.at - before.link_bytes.at), metrics)
+
+
+async def measure_commits(request: MeasurementRequest) -> MeasurementResult:
+    """Vary entries of the log; a non-idempotent request makes four where its first attempt ends it."""
+    result = NO_RESULT
+    for replicas in REPLICA_COUNTS:
+        points = await run_points(
+            [_measure_commits_at(replicas, rate, request) for rate in COMMIT_RATES], request
+        )
+        measured = MeasuredLoad(ROLE, "commits_a_second", METHOD, {"replicas": float(replicas)})
+        result = result.plus(result_of(measured, points))
+    return result
+
+
+async def measure_stored_state(request: MeasurementRequest) -> MeasurementResult:
+    """Vary the number of stored requests."""
+    counts = QUICK_STORED_REQUESTS if request.quick else STORED_REQUESTS
+    points = [await _measure_stored_requests(count, request) for count in counts]
+    return result_of(MeasuredLoad(ROLE, "kept_state", STATE_METHOD, {}), points)
+
+
+async def _measure_stored_requests(count: int, request: MeasurementRequest) -> Point:
+    module = "ploverspoke.testbed.capacity.measurements.stored_state"
+    with tempfile.TemporaryDirectory(prefix=FOLDER_PREFIX, dir=memory_backed_folder()) as folder:
+        words = [sys.executable, "-m", module, str(count), folder]
+        process = await asyncio.create_subprocess_exec(*words, stdout=asyncio.subprocess.PIPE)
+        output, _ = await process.communicate()
+    if process.returncode:
+        return Point(float(count), {}, f"exit {process.returncode}")
+    costs: StoredStateCosts = msgspec.json.decode(output, type=StoredStateCosts)
+    request.say(f"store replica, kept_state {costs.kept:g}: {costs.memory_bytes / 1e6:.1f} MB")
+    metrics = {key: float(value) for key, value in msgspec.to_builtins(costs).items() if key != "kept"}
+    return Point(float(costs.kept), metrics)
+
+
+class _Absence:
+    """Kills a follower, starts it again, and measures how it catches up."""
+
+    def __init__(self, seconds: float) -> None:
+        self._seconds = seconds
+        self.point: Point | None = None  # None: it did not catch up in time
+
+    async def run(self, fleet: MeasurementFleet) -> None:
+        """Play the absence; an action of a run."""
+        before = await _read_cluster(fleet)
         leader = before.leader()
         if leader < 0:
             return
-        gone = (leader + 1) % world.e.dispatchers.count
-        name = f"d{gone}"
-        applied = before.status[gone]["applied"]
-        step = FaultStep(at=Duration(0), what="kill", who=[name], lasts=Duration(int(away * SECOND)))
-        await world.rig.timeline.apply_to_process(step, name)  # back, and ready at its door
+        absent = (leader + 1) % len(fleet.programs)
+        name = f"d{absent}"
+        lasts = Duration(int(self._seconds * SECOND))
+        step = FaultStep(at=Duration(0), what="kill", who=[name], lasts=lasts)
+        await fleet.rig.timeline.apply_to_process(step, name)  # returns once it is back and ready
         began = time.monotonic()
-        # What it had not when it was back at its replicas' port; the link counts from its death on.
-        first = before.octets.get(f"d{leader}>{name}", 0)
-        goal = (await _status(world, leader))["committed"]
-        until = began + CAUGHT_UP_WITHIN
-        while (told := await _status(world, gone))["applied"] < goal and time.monotonic() < until:
-            await asyncio.sleep(0.005)
-        if told["applied"] >= goal:
-            now = await _mark(world)
-            found["missed_entries"] = goal - applied
-            found["seconds"] = time.monotonic() - began
-            found["bytes_sent"] = now.octets.get(f"d{leader}>{name}", 0) - first
-
-    e = parse_experiment(_told(AWAY_RATE, lasts, 3, snapshot_every=snapshot_every))
-    _, reading = await run_fleet(e, SEED, SECOND, [(settled * SECOND, act)], ends=settled * SECOND)
-    void = reading.void or ("" if found else "it did not catch up while the world lasted")
-    size = found.pop("missed_entries", away)
-    shown = void or f"{found['seconds']:.3f} s, {found['bytes_sent']:,.0f} bytes"
-    asked.say(f"store replica, missed_entries {size:g}: {shown}")
-    return size, found, void
-
-
-async def missed_entries(asked: MeasurementRequest) -> MeasurementResult:
-    found = MeasurementResult([], [])
-    for snapshot_every in (20_000, 200):
-        worlds = [_away(away, snapshot_every, asked) for away in (1.0, 4.0, 10.0)]
-        seen = await asyncio.gather(*worlds) if asked.together else [await world for world in worlds]
-        void = [f"store replica, missed_entries {size:g}: {why}" for size, _, why in seen if why]
-        points = [(size, figures) for size, figures, why in seen if not why]
-        note = "; ".join(f"void: {text}" for text in void)
-        still = {"replicas": 3.0, "snapshot_every": float(snapshot_every)}
-        lines = cost_lines(MeasuredLoad("store replica", "missed_entries", AWAY_HOW, still, note), points)
-        found = MeasurementResult([*found.lines, *lines], [*found.void, *void])
-    return found
+        goal = (await _read_status(fleet, leader))["committed"]
+        if not await self._catches_up(fleet, absent, goal, began + CATCH_UP_TIMEOUT):
+            return
+        after = await _read_cluster(fleet)
+        link = f"d{leader}>{name}"
+        sent = after.link_bytes.by_link.get(link, 0) - before.link_bytes.by_link.get(link, 0)
+        metrics = {"seconds": time.monotonic() - began, "bytes_sent": float(sent)}
+        self.point = Point(goal - before.status[absent]["applied"], metrics)
+
+    async def _catches_up(self, fleet: MeasurementFleet, number: int, goal: int, until: float) -> bool:
+        while (await _read_status(fleet, number))["applied"] < goal:
+            if time.monotonic() >= until:
+                return False
+            await asyncio.sleep(CATCH_UP_POLL)
+        return True
+
+
+async def _measure_absence(seconds: float, snapshot_interval: int, request: MeasurementRequest) -> Point:
+    settled = 2
+    lasts = int(settled + seconds + 4 + CATCH_UP_TIMEOUT / 3)
+    absence = _Absence(seconds)
+    document = _experiment(RATE_DURING_ABSENCE, lasts, ABSENT_REPLICAS, snapshot_every=snapshot_interval)
+    actions: list[tuple[int, Action]] = [(settled * SECOND, absence.run)]
+    _, reading = await run_fleet(parse_experiment(document), SEED, SECOND, actions, ends=settled * SECOND)
+    point = absence.point or Point(seconds, {}, "it did not catch up while the world lasted")
+    if reading.void:
+        point = point._replace(void=reading.void)
+    metrics = point.metrics
+    text = point.void or f"{metrics['seconds']:.3f} s, {metrics['bytes_sent']:,.0f} bytes"
+    request.say(f"store replica, missed_entries {point.load:g}: {text}")
+    return point
+
+
+async def measure_absences(request: MeasurementRequest) -> MeasurementResult:
+    """Vary what a replica has missed, caught up from the log and by a snapshot."""
+    result = NO_RESULT
+    for interval in SNAPSHOT_INTERVALS:
+        points = await run_points(
+            [_measure_absence(seconds, interval, request) for seconds in ABSENCES], request
+        )
+        fixed = {"replicas": float(ABSENT_REPLICAS), "snapshot_every": float(interval)}
+        result = result.plus(result_of(MeasuredLoad(ROLE, "missed_entries", ABSENCE_METHOD, fixed), points))
+    return result
 
 
 MEASUREMENTS = [
-    Measurement(("store replica",), "commits_a_second", commits),
-    Measurement(("store replica",), "kept_state", kept_state),
-    Measurement(("store replica",), "missed_entries", missed_entries),
+    Measurement((ROLE,), "commits_a_second", measure_commits),
+    Measurement((ROLE,), "kept_state", measure_stored_state),
+    Measurement((ROLE,), "missed_entries", measure_absences),
 ]
--- a/ploverspoke/testbed/capacity/measurements/stored_state.py
+++ b/ploverspoke/testbed/capacity/measurements/stored_state.py
@@ -1,6 +1,7 @@
-"""What kept state costs one replica: `kept COUNT FOLDER`, a process of its own so that its memory is its own.
+"""Measures what stored requests cost one replica, in a process of its own so that its memory is its own.
 
-Fills a ledger with answered submissions as in service, writes a snapshot, reads it again, says what it took.
+`python -m ploverspoke.testbed.capacity.measurements.stored_state COUNT FOLDER` fills a state machine with
+answered requests as in service, writes a snapshot, reads it again, and prints the costs as JSON.
 """
 
 import os
@@ -23,57 +24,75 @@
 )
 from ploverspoke.store.state_machine import RequestStateMachine
 
+from ...experiment_files.durations import MILLISECOND, SECOND
 from ...processes.resource_usage import read_resource_usage
 
-RESULT = "x" * 64
+RESULT = "x" * 64  # that each request returned
+DIGEST = b"0" * 16  # of each request
+REQUEST_INTERVAL = MILLISECOND
+REQUEST_TIMEOUT = 2 * SECOND
 
 
-def fill(ledger: RequestStateMachine, count: int) -> int:
-    """So many submissions taken, handed off once and answered; gives the entries."""
-    at = 0
-    for n in range(count):
-        name, now = f"{n:016x}", n * 1_000_000
+class StoredStateCosts(msgspec.Struct):
+    """The costs of so many stored requests."""
+
+    kept: int
+    memory_bytes: int
+    disk_bytes: int
+    snapshot_seconds: float
+    load_seconds: float
+
+
+def fill(state: RequestStateMachine, count: int) -> int:
+    """Apply the entries of so many requests, each answered after one attempt; return how many entries."""
+    entries = 0
+    for number in range(count):
+        name, now = f"{number:016x}", number * REQUEST_INTERVAL
         for command in (
-            AcceptRequest(name, 1, b"0" * 16, now + 2_000_000_000, now),
+            AcceptRequest(name, 1, DIGEST, now + REQUEST_TIMEOUT, now),
             StartAttempt(name, "w1", 0, now),
             FinishAttempt(name, 0, AttemptOutcome.SUCCEEDED),
-            AnswerRequest(name, FinalAnswer.SUCCEEDED, RESULT, b"0" * 16, now),
+            AnswerRequest(name, FinalAnswer.SUCCEEDED, RESULT, DIGEST, now),
         ):
-            at += 1
-            ledger.apply(at, encode_command(command))
-    return at
+            entries += 1
+            state.apply(entries, encode_command(command))
+    return entries
 
 
-def main() -> None:
-    count, folder = int(sys.argv[1]), Path(sys.argv[2])
-    disk, ledger = ReplicaStorage(folder), RequestStateMachine()
-    disk.open()
-    disk.initialize("r0.1", "slopes", {})
-    before = read_resource_usage(os.getpid()).memory
-    at = fill(ledger, count)
-    memory = read_resource_usage(os.getpid()).memory - before
-    kept = len(ledger.answered)
+def measure(count: int, folder: Path) -> StoredStateCosts:
+    """Fill a state machine, write its snapshot, read it into another one. Exits where that one differs."""
+    storage, state = ReplicaStorage(folder), RequestStateMachine()
+    storage.open()
+    storage.initialize("r0.1", "slopes", {})
+    memory_before = read_resource_usage(os.getpid()).memory
+    entries = fill(state, count)
+    memory = read_resource_usage(os.getpid()).memory - memory_before
+    kept = len(state.answered)
     began = time.perf_counter()
-    disk.save_snapshot(Snapshot(at, 1, {}, ledger.take_snapshot()))
-    written = time.perf_counter() - began
-    size = disk.size_bytes()
-    disk.close()
+    storage.save_snapshot(Snapshot(entries, 1, {}, state.take_snapshot()))
+    snapshot_seconds = time.perf_counter() - began
+    disk_bytes = storage.size_bytes()
+    storage.close()
     began = time.perf_counter()
-    again, loaded = ReplicaStorage(folder), RequestStateMachine()
-    again.open()
-    loaded.restore_snapshot(again.persisted.snapshot_data)
-    read = time.perf_counter() - began
-    again.close()
+    loaded = _load(folder)
+    load_seconds = time.perf_counter() - began
     if len(loaded.answered) != kept:
         sys.exit(f"{kept} were kept, {len(loaded.answered)} were read again")
-    told = {
-        "kept": kept,
-        "memory_bytes": memory,
-        "disk_bytes": size,
-        "snapshot_seconds": written,
-        "load_seconds": read,
-    }
-    print(msgspec.json.encode(told).decode())
+    return StoredStateCosts(kept, memory, disk_bytes, snapshot_seconds, load_seconds)
+
+
+def _load(folder: Path) -> RequestStateMachine:
+    storage, state = ReplicaStorage(folder), RequestStateMachine()
+    storage.open()
+    state.restore_snapshot(storage.persisted.snapshot_data)
+    storage.close()
+    return state
+
+
+def main() -> None:
+    """Measure as the command line says and print the costs."""
+    costs = measure(int(sys.argv[1]), Path(sys.argv[2]))
+    print(msgspec.json.encode(costs).decode())
 
 
 if __name__ == "__main__":
--- a/ploverspoke/testbed/commands/measure_costs.py
+++ b/ploverspoke/testbed/commands/measure_costs.py
@@ -19,8 +19,15 @@
     read_measured_costs,
     write_measured_costs,
 )
-from ..capacity.measurements import config_server, dispatcher, fleet, lease_server, store_replica, tools
-from ..capacity.measurements.parts import Measurement, MeasurementRequest, MeasurementResult
+from ..capacity.measurements import (
+    command_costs,
+    config_server,
+    discovery_and_workers,
+    dispatcher,
+    lease_server,
+    store_replica,
+)
+from ..capacity.measurements.measurement import Measurement, MeasurementRequest, MeasurementResult
 from ..processes.capacity_check import CapacityError
 from ..reports.cost_tables import cost_tables
 from ..reports.tables import make_console
@@ -28,11 +35,11 @@
 GIBIBYTE = 1 << 30
 MEASUREMENTS: list[Measurement] = [
     *dispatcher.MEASUREMENTS,
-    *fleet.MEASUREMENTS,
+    *discovery_and_workers.MEASUREMENTS,
     *lease_server.MEASUREMENTS,
     *store_replica.MEASUREMENTS,
     *config_server.MEASUREMENTS,
-    *tools.MEASUREMENTS,
+    *command_costs.MEASUREMENTS,
 ]
 
 
--- a/tests/test_lint_exceptions.py
+++ b/tests/test_lint_exceptions.py
@@ -10,7 +10,6 @@
 NOQA_WITH_REASON = re.compile(r"# noqa: [A-Z0-9, ]+ - \S")
 # Packages that do not keep all rules yet. A package leaves this list for good once it keeps them.
 LEFT = {
-    "ploverspoke/testbed/capacity/measurements/**",
     "ploverspoke/testbed/checkers/**",
     "ploverspoke/testbed/fakes/**",
     "ploverspoke/testbed/models/**",
--- a/tests/testbed/capacity/test_measured_costs.py
+++ b/tests/testbed/capacity/test_measured_costs.py
@@ -14,15 +14,16 @@
     read_measured_costs,
     write_measured_costs,
 )
-from ploverspoke.testbed.capacity.measurements.dispatcher import Stretch, reload, report_listener
-from ploverspoke.testbed.capacity.measurements.measurement_fleet import run_fleet
-from ploverspoke.testbed.capacity.measurements.parts import (
+from ploverspoke.testbed.capacity.measurements.dispatcher import dispatcher_experiment, reload_action
+from ploverspoke.testbed.capacity.measurements.measurement import (
+    Interval,
     MeasuredLoad,
     Measurement,
     MeasurementRequest,
     MeasurementResult,
     cost_lines,
 )
+from ploverspoke.testbed.capacity.measurements.measurement_fleet import run_fleet
 from ploverspoke.testbed.commands import measure_costs
 from ploverspoke.testbed.experiment_files.durations import SECOND
 from ploverspoke.testbed.experiment_files.reader import parse_experiment
@@ -132,12 +133,12 @@
 
 def test_a_world_is_counted_where_its_bytes_pass() -> None:
     """Eight long tasks run and tell their progress; one reload; nothing else passes in the stretch."""
-    over = Stretch(2, 3)
+    interval = Interval(2, 3)
     traffic = [{"rate": 8.0, "start": "0s", "end": "1s"}]
-    e = parse_experiment(report_listener(over, 5, work="900s", traffic=traffic))
-    acts = [(int(2.2 * SECOND), reload(e, 0))]
-    world, _ = asyncio.run(run_fleet(e, 1, over.settled * SECOND, acts))
-    reports = {kind: told_[-1] for kind, told_ in world.reports.items()}
+    e = parse_experiment(dispatcher_experiment(interval, 5, work="900s", traffic=traffic))
+    acts = [(int(2.2 * SECOND), reload_action(e, 0))]
+    fleet, _ = asyncio.run(run_fleet(e, 1, interval.settled * SECOND, acts))
+    reports = {kind: told_[-1] for kind, told_ in fleet.reports.items()}
     (at_workers,), (at_clients,) = reports["workers"]["traffic"], reports["clients"]["traffic"]
     (at_discovery,) = reports["discovery"]["traffic"]
     sent, running = reports["clients"]["sent"], reports["workers"]["running"]
@@ -151,8 +152,8 @@
     assert 2 * running <= notes <= 6 * running and at_workers["bytes_in"] > 40 * notes
     assert at_discovery["messages_out"] >= at_discovery["messages_in"] >= 1
     assert at_discovery["bytes_in"] > 5 * len('{"id":"w0"}')
-    assert world.looks and all(seen.memory > 1 << 20 for _, seen in world.looks[0])
-    processor = [seen.processor for _, seen in world.looks[0]]
+    assert fleet.samples and all(seen.memory > 1 << 20 for _, seen in fleet.samples[0])
+    processor = [seen.processor for _, seen in fleet.samples[0]]
     assert processor == sorted(processor)
 
 
