--- a/tests/routing/race_harness.py
+++ b/tests/routing/race_harness.py
@@ -1,7 +1,7 @@
-"""Rare orders of events, forced on real sockets.
+"""Forces rare orders of events on real sockets.
 
-Nothing here waits for luck. Peers are plain sockets that the test writes to and closes while the event loop
-stands still, a connection comes up when its gate opens, and the program's clock is moved by hand.
+Nothing here depends on timing: peers are plain sockets that the test writes to and closes while the event
+loop does not run, a connection comes up when its gate opens, and the test sets the program's clock.
 """
 
 import asyncio
@@ -10,25 +10,23 @@
 import socket
 import struct
 import time
-from collections.abc import Callable, Coroutine
+from collections.abc import Callable
 from typing import Any
 
-import uvloop
-
 from ploverspoke.routing.client_session import ClientSession
 from ploverspoke.transport.connection_pool import ConnectionPool
 from ploverspoke.transport.deadlines import Deadlines
 from tests.decisions.harness import SETTINGS
 from tests.routing.harness import (
-    World,
+    ServiceHarness,
     chunk,
 )
 
 MS, SECOND = 1_000_000, 1_000_000_000
 
 
-# No probes: which worker is asked first is not what these tests are about. Nothing is late by itself.
-CALM: dict[str, Any] = {
+# No probes, since these tests are not about the choice of a worker; and long deadlines.
+LENIENT_SETTINGS: dict[str, Any] = {
     "Limits": {"Cancel": True, "ConnectTimeoutUs": 20_000_000, "MaxHandOffs": 6, "IdleCloseUs": 60_000_000},
     "ServiceGrades": [
         {**request_class, "AbandonTimeUs": 30_000_000, "ExpectedTimeUs": 20_000_000}
@@ -40,56 +38,56 @@
 CLASS_NAMES = ("look", "book")  # idempotent, non-idempotent
 
 
-async def turns(count: int = 30) -> None:
+async def run_loop_turns(count: int = 30) -> None:
     for _ in range(count):
         await asyncio.sleep(0)
 
 
-async def until(so: Callable[[], Any], why: str = "") -> Any:
+async def wait_until(condition: Callable[[], Any], description: str = "") -> Any:
     for _ in range(400_000):
-        found = so()
+        found = condition()
         if found:
             return found
         await asyncio.sleep(0)
-    raise AssertionError(why or "it never came")
+    raise AssertionError(description or "the condition never held")
 
 
-def wait_for_kernel(so: Callable[[], Any]) -> None:
-    """Wait, with the loop standing still, until the kernel has it: on a busy machine that takes a moment."""
+def wait_for_kernel(condition: Callable[[], Any]) -> None:
+    """Block the event loop until the condition holds: the kernel may need a moment on a busy machine."""
     end = time.monotonic() + 10
-    while not so():
+    while not condition():
         assert time.monotonic() < end
         time.sleep(0)
 
 
 class Clock:
-    """The program's clock: real time, and what the test adds, or one moment held."""
+    """The program's clock: real time with an offset of the test, or held at one moment."""
 
     def __init__(self, deadlines: Deadlines) -> None:
         self.deadlines, self.real = deadlines, deadlines.now
-        self.ahead, self.held_at = 0, 0
+        self.offset, self.held_at = 0, 0
         deadlines.now = self.now  # type: ignore[method-assign]
 
     def now(self) -> int:
-        return self.held_at or self.real() + self.ahead
+        return self.held_at or self.real() + self.offset
 
     def hold(self) -> None:
         self.held_at = self.now()
 
-    def go_on(self) -> None:
-        self.ahead, self.held_at = self.held_at - self.real(), 0
+    def release(self) -> None:
+        self.offset, self.held_at = self.held_at - self.real(), 0
 
-    def wake_after(self, span: int) -> None:
-        """As in a process that was stopped for so long: what is due goes before what lies in the kernel."""
+    def resume_after(self, duration: int) -> None:
+        """Advance the clock as in a process that was suspended: due timers run before unread data is read."""
         if self.held_at:
-            self.held_at += span
+            self.held_at += duration
         else:
-            self.ahead += span
+            self.offset += duration
         self.deadlines._run_due()
 
 
 class Gate:
-    """Connections that are up are reported when it is opened."""
+    """Delays the report of connections that are up until the test opens it."""
 
     def __init__(self, pool: ConnectionPool) -> None:
         self.loop, self.event, self.waiting = pool.loop, asyncio.Event(), 0
@@ -98,55 +96,55 @@
     def __getattr__(self, name: str) -> Any:
         return getattr(self.loop, name)
 
-    async def create_connection(self, *how: Any) -> Any:
-        made = await self.loop.create_connection(*how)
+    async def create_connection(self, *arguments: Any) -> Any:
+        connected = await self.loop.create_connection(*arguments)
         self.waiting += 1
         await self.event.wait()
-        return made
+        return connected
 
 
 class Peer:
-    """One end of a connection, worked by hand."""
+    """One end of a connection, which the test reads and writes."""
 
-    def __init__(self, end: socket.socket) -> None:
-        self.end, self.came, self.ended = end, b"", False
-        end.setblocking(False)
+    def __init__(self, own_socket: socket.socket) -> None:
+        self.socket, self.received, self.ended = own_socket, b"", False
+        own_socket.setblocking(False)
 
     def read(self) -> bytes:
-        """All that came until now."""
+        """Everything received until now."""
         with contextlib.suppress(BlockingIOError):
             while not self.ended:
                 try:
-                    part = self.end.recv(1 << 16)
+                    part = self.socket.recv(1 << 16)
                 except ConnectionError:
                     part = b""
-                self.came, self.ended = self.came + part, not part
-        return self.came
+                self.received, self.ended = self.received + part, not part
+        return self.received
 
     def has_ended(self) -> bool:
         self.read()
         return self.ended
 
     def status(self) -> int:
-        """Of the answer that came whole, else 0."""
+        """The status of the response, 0 until it is complete."""
         head, blank, body = self.read().partition(b"\r\n\r\n")
         length = head.lower().partition(b"content-length: ")[2].split(b"\r\n")[0]
         return int(head.split()[1]) if blank and len(body) >= int(length or 0) else 0
 
     def requests(self, body: bytes = b"x") -> int:
-        """That came whole."""
+        """The number of complete requests received."""
         return self.read().count(b"\r\n\r\n" + body)
 
     def close(self) -> None:
-        self.end.close()
+        self.socket.close()
 
     def reset(self) -> None:
-        self.end.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-        self.end.close()
+        self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+        self.socket.close()
 
 
-class HeldWorker:
-    """A worker whose every byte the test writes."""
+class ManualWorker:
+    """A worker whose responses the test writes."""
 
     def __init__(self) -> None:
         self.listening = socket.create_server(("127.0.0.1", 0))
@@ -154,15 +152,15 @@
         self.port = self.listening.getsockname()[1]
         self.peers: list[Peer] = []
 
-    def called(self) -> list[Peer]:
+    def accept_pending(self) -> list[Peer]:
         with contextlib.suppress(BlockingIOError):
             while True:
                 self.peers.append(Peer(self.listening.accept()[0]))
         return self.peers
 
     def copies(self, request_id: str) -> int:
-        mark = f"request-id: {request_id}\r\n".encode()
-        return sum(p.read().count(mark) for p in self.called() if p.requests())
+        marker = f"request-id: {request_id}\r\n".encode()
+        return sum(peer.read().count(marker) for peer in self.accept_pending() if peer.requests())
 
 
 def success_response(request_id: str) -> bytes:
@@ -178,32 +176,29 @@
     return json.dumps({"version": version, "full": full, "servers": list(entries)}).encode()
 
 
-def discovery_response(body: bytes, more: str = "") -> bytes:
-    return f"HTTP/1.1 200 OK\r\n{more}Content-Length: {len(body)}\r\n\r\n".encode() + body
+def discovery_response(body: bytes, extra_headers: str = "") -> bytes:
+    return f"HTTP/1.1 200 OK\r\n{extra_headers}Content-Length: {len(body)}\r\n\r\n".encode() + body
 
 
-def deliver_list(world: World, *entries: dict[str, Any]) -> None:
-    """The list changes, between two steps."""
-    world.service.router.endpoints.receive_list(endpoint_list(*entries))
+def deliver_list(harness: ServiceHarness, *entries: dict[str, Any]) -> None:
+    """Deliver an endpoint list to the router, between two steps."""
+    harness.service.router.endpoints.receive_list(endpoint_list(*entries))
 
 
-def newest_session(world: World) -> ClientSession:
-    return list(world.service.client_server.sessions.values())[-1]
+def newest_session(harness: ServiceHarness) -> ClientSession:
+    return list(harness.service.client_server.sessions.values())[-1]
 
 
-async def idle_client(world: World, class_name: str = "look", worker: HeldWorker | None = None) -> Peer:
-    """A client that has had one answer, of that worker if one is named; both its connections are idle now."""
-    client, request_id = connect_to(world.port), f"before-{class_name}"
-    client.end.send(world.request(request_id, class_name))
+async def idle_client(
+    harness: ServiceHarness, class_name: str = "look", worker: ManualWorker | None = None
+) -> Peer:
+    """A client that was answered once, by that worker if one is given; its connections are idle now."""
+    client, request_id = connect_to(harness.port), f"before-{class_name}"
+    client.socket.send(harness.request(request_id, class_name))
     if worker is not None:
-        await until(lambda: worker.copies(request_id))
-        worker.peers[-1].end.send(success_response(request_id))
-    assert await until(client.status) == 200
-    await turns()
-    client.came = b""
+        await wait_until(lambda: worker.copies(request_id))
+        worker.peers[-1].socket.send(success_response(request_id))
+    assert await wait_until(client.status) == 200
+    await run_loop_turns()
+    client.received = b""
     return client
-
-
-def run_on_loop(script: Callable[[], Coroutine[Any, Any, None]]) -> None:
-    with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(script())
--- a/tests/routing/test_endpoint_watch.py
+++ b/tests/routing/test_endpoint_watch.py
@@ -15,21 +15,21 @@
 from ploverspoke.transport.deadlines import Deadlines
 from tests.decisions.harness import SETTINGS
 from tests.routing.harness import (
-    World,
-    play,
+    ServiceHarness,
+    run_on_loop,
+    run_script,
 )
 from tests.routing.race_harness import (
-    CALM,
+    LENIENT_SETTINGS,
     MS,
     SECOND,
     Clock,
-    HeldWorker,
+    ManualWorker,
     Peer,
     discovery_response,
     endpoint_list,
-    run_on_loop,
-    turns,
-    until,
+    run_loop_turns,
+    wait_until,
 )
 
 
@@ -38,7 +38,7 @@
 
     def __init__(self, pushed: bool = False) -> None:
         loop = asyncio.get_running_loop()
-        self.discovery, deadlines = HeldWorker(), Deadlines(loop)
+        self.discovery, deadlines = ManualWorker(), Deadlines(loop)
         self.clock, self.lists, self.lost = Clock(deadlines), list[int](), list[bool]()
         self.clock.hold()
         address, journal = f"127.0.0.1:{self.discovery.port}", WatchJournal(deadlines.now)
@@ -66,11 +66,11 @@
 
     def calls(self) -> list[bytes]:
         """Each call on each connection, in the order of connections."""
-        return [c for p in self.discovery.called() for c in p.read().split(b"\r\n\r\n") if c]
+        return [c for p in self.discovery.accept_pending() for c in p.read().split(b"\r\n\r\n") if c]
 
-    async def called(self, count: int) -> Peer:
-        await until(lambda: len(self.calls()) >= count, f"{count} calls")
-        await turns()
+    async def wait_for_calls(self, count: int) -> Peer:
+        await wait_until(lambda: len(self.calls()) >= count, f"{count} calls")
+        await run_loop_turns()
         assert len(self.calls()) == count
         return self.discovery.peers[-1]
 
@@ -79,8 +79,8 @@
     """A watch that has had the whole list and made its next call, and the connection that this came over."""
     held = HeldWatch(pushed)
     held.watch.start()
-    (await held.called(1)).end.send(discovery_response(endpoint_list(version=5)))
-    return held, await held.called(2)
+    (await held.wait_for_calls(1)).socket.send(discovery_response(endpoint_list(version=5)))
+    return held, await held.wait_for_calls(2)
 
 
 def test_silent_watch_is_restarted_before_missed_changes_bind() -> None:
@@ -89,25 +89,25 @@
     async def script() -> None:
         held = HeldWatch()
         held.watch.start()
-        peer = await held.called(1)
+        peer = await held.wait_for_calls(1)
         for silences in range(3):  # the whole list, a watch, and the same once more
             if silences:
-                peer.end.send(
+                peer.socket.send(
                     discovery_response(endpoint_list(version=40 + silences))
                     if silences == 1
                     else b"HTTP/1.1 200 O"
                 )
                 if silences == 1:
-                    await held.called(3)
+                    await held.wait_for_calls(3)
             counts_as_told = 6 * SECOND if not silences else 12 * SECOND
-            held.clock.wake_after(counts_as_told - 3 * SECOND // 2)
-            await turns()
-            held.clock.wake_after(10 * MS)  # once more, after what lay unread
-            peer = await held.called(2 if not silences else 3 + silences)
+            held.clock.resume_after(counts_as_told - 3 * SECOND // 2)
+            await run_loop_turns()
+            held.clock.resume_after(10 * MS)  # once more, after what lay unread
+            peer = await held.wait_for_calls(2 if not silences else 3 + silences)
             assert not held.lost, "no pause is asked for"
         assert b"from=41&" in held.calls()[-1]
-        peer.end.send(discovery_response(endpoint_list(version=42)))
-        await held.called(6)
+        peer.socket.send(discovery_response(endpoint_list(version=42)))
+        await held.wait_for_calls(6)
         assert held.lists == [41, 42] and held.discovery.peers[0].has_ended()
         held.watch.stop()
 
@@ -115,21 +115,21 @@
 
 
 def test_drain_missed_by_a_silent_watch_is_heeded_within_the_grace_time() -> None:
-    async def script(world: World) -> None:
-        clock, grace = Clock(world.service.deadlines), 500 * MS
-        drained = [{**world.entries[0], "state": "Terminating"}, world.entries[1]]
-        await until(lambda: world.watches)
-        world.entries, world.version = drained, 2  # the watch that is open never reports it
+    async def script(harness: ServiceHarness) -> None:
+        clock, grace = Clock(harness.service.deadlines), 500 * MS
+        drained = [{**harness.entries[0], "state": "Terminating"}, harness.entries[1]]
+        await wait_until(lambda: harness.watch_count)
+        harness.entries, harness.version = drained, 2  # the watch that is open never reports it
         for _ in range(240):  # 12 s: the wait of 10 s, and 2 s until it binds
-            clock.wake_after(50 * MS)
+            clock.resume_after(50 * MS)
             await asyncio.sleep(0.001)
-        clock.wake_after(grace - 50 * MS)
-        await turns(100)
+        clock.resume_after(grace - 50 * MS)
+        await run_loop_turns(100)
         for number in range(8):
-            assert (await world.ask(world.request(f"r{number}")))[0] == 200
-        assert {worker for worker, _ in world.sent} == {"w1"}
+            assert (await harness.exchange(harness.request(f"r{number}")))[0] == 200
+        assert {worker for worker, _ in harness.sent} == {"w1"}
 
-    play(script, workers=2, **CALM)
+    run_script(script, workers=2, **LENIENT_SETTINGS)
 
 
 LIST_7 = discovery_response(endpoint_list(version=7))
@@ -163,25 +163,27 @@
 def test_watch_has_one_request_at_a_time(data: bytes, lists: list[int], lost: list[bool], calls: int) -> None:
     async def script() -> None:
         held, peer = await watching()
-        peer.end.send(data.removesuffix(b"END"))
+        peer.socket.send(data.removesuffix(b"END"))
         if data.endswith(b"END"):
-            peer.end.shutdown(socket.SHUT_WR)
-        await until(lambda: held.lists[1:] == lists and (held.lost or len(held.calls()) == 3 or not lists))
-        await until(lambda: len(held.calls()) >= calls and len(held.lost) >= len(lost))
-        await turns(100)
-        open_now = [p for p in held.discovery.called() if not p.has_ended()]
+            peer.socket.shutdown(socket.SHUT_WR)
+        await wait_until(
+            lambda: held.lists[1:] == lists and (held.lost or len(held.calls()) == 3 or not lists)
+        )
+        await wait_until(lambda: len(held.calls()) >= calls and len(held.lost) >= len(lost))
+        await run_loop_turns(100)
+        open_now = [p for p in held.discovery.accept_pending() if not p.has_ended()]
         if data.endswith(b"END") and lists and not held.lost:
-            await until(lambda: held.lost)
+            await wait_until(lambda: held.lost)
         assert held.lists == [5, *lists] and held.lost == lost
         assert len(open_now) == (0 if lost else 1)
         if lost:
             # The next watch is one watch: nothing of the last call is left over for it.
             held.watch.start()
             held.watch.start()
-            peer = await held.called(len(held.calls()) + 1)
-            peer.end.send(discovery_response(endpoint_list(version=9)))
-            await until(lambda: held.lists[-1] == 9)
-            assert held.lost == lost and sum(not p.has_ended() for p in held.discovery.called()) == 1
+            peer = await held.wait_for_calls(len(held.calls()) + 1)
+            peer.socket.send(discovery_response(endpoint_list(version=9)))
+            await wait_until(lambda: held.lists[-1] == 9)
+            assert held.lost == lost and sum(not p.has_ended() for p in held.discovery.accept_pending()) == 1
         held.watch.stop()
 
     run_on_loop(script)
@@ -191,17 +193,17 @@
     # A process that was stopped wakes up with the deadline past, and with the answer in the kernel.
     async def script() -> None:
         held, peer = await watching()
-        peer.end.send(discovery_response(endpoint_list(version=6)))
-        held.clock.wake_after(13 * SECOND)
-        await held.called(3)
-        assert held.lists == [5, 6] and len(held.discovery.called()) == 1 and not held.lost
+        peer.socket.send(discovery_response(endpoint_list(version=6)))
+        held.clock.resume_after(13 * SECOND)
+        await held.wait_for_calls(3)
+        assert held.lists == [5, 6] and len(held.discovery.accept_pending()) == 1 and not held.lost
         # One that drips is silent all the same.
-        peer.end.send(b"HTTP/1.1 200 O")
-        held.clock.wake_after(13 * SECOND)
-        await turns()
-        peer.end.send(b"K")
-        held.clock.wake_after(10 * MS)
-        await until(lambda: len(held.discovery.called()) == 2)
+        peer.socket.send(b"HTTP/1.1 200 O")
+        held.clock.resume_after(13 * SECOND)
+        await run_loop_turns()
+        peer.socket.send(b"K")
+        held.clock.resume_after(10 * MS)
+        await wait_until(lambda: len(held.discovery.accept_pending()) == 2)
         held.watch.stop()
 
     run_on_loop(script)
@@ -213,10 +215,10 @@
         held, peer = await watching(pushed=True)
         peer.reset()
         held.discovery.peers.clear()
-        peer = await held.called(1)
+        peer = await held.wait_for_calls(1)
         assert b"from=5&" in held.calls()[0] and not held.lost
         peer.reset()  # again at once: it is down, or ends each call
-        await until(lambda: held.lost)
+        await wait_until(lambda: held.lost)
         assert held.lost == [False]
 
     run_on_loop(script)
@@ -224,42 +226,45 @@
 
 def test_change_of_the_discovery_mode_applies_to_the_open_watch() -> None:
     # After SIGHUP the watch went on as the settings at the start had it.
-    async def script(world: World) -> None:
-        clock, pushed = Clock(world.service.deadlines), {**SETTINGS, **CALM, "Discovery": "push"}
-        await until(lambda: world.watches)
-        world.service.router.change_settings(parse_settings(pushed), parse_names(pushed))
+    async def script(harness: ServiceHarness) -> None:
+        clock, pushed = (
+            Clock(harness.service.deadlines),
+            {**SETTINGS, **LENIENT_SETTINGS, "Discovery": "push"},
+        )
+        await wait_until(lambda: harness.watch_count)
+        harness.service.router.change_settings(parse_settings(pushed), parse_names(pushed))
         clock.hold()  # a pause never ends now
-        asked = world.watches
-        world.discovery_connections[-1][1].transport.abort()
-        await until(lambda: world.watches > asked)
+        asked = harness.watch_count
+        harness.discovery_connections[-1][1].transport.abort()
+        await wait_until(lambda: harness.watch_count > asked)
 
-    play(script, workers=1, **CALM)
+    run_script(script, workers=1, **LENIENT_SETTINGS)
 
 
 def test_versions_that_go_back_make_the_watch_ask_for_the_whole_list() -> None:
     async def script() -> None:
         held = HeldWatch()
         held.watch.start()
-        peer = await held.called(1)
+        peer = await held.wait_for_calls(1)
         for number, (version, full) in enumerate([(50, True), (3, False), (3, True), (4, False)]):
-            peer.end.send(discovery_response(endpoint_list(version=version, full=full)))
-            peer = await held.called(number + 2)
+            peer.socket.send(discovery_response(endpoint_list(version=version, full=full)))
+            peer = await held.wait_for_calls(number + 2)
         asked = [b"from=" in call for call in held.calls()]
         assert asked == [False, True, False, True, True]
         held.watch.stop()
-        peer.end.send(discovery_response(endpoint_list(version=5)))
-        await turns(100)
+        peer.socket.send(discovery_response(endpoint_list(version=5)))
+        await run_loop_turns(100)
         assert held.lists[-1] == 4, "a watch that was stopped reports nothing"
 
     run_on_loop(script)
 
 
 def test_entries_before_an_invalid_one_change_addresses_and_nothing_else() -> None:
-    async def script(world: World) -> None:
-        endpoints, dispatcher = world.service.router.endpoints, world.service.router.dispatcher
+    async def script(harness: ServiceHarness) -> None:
+        endpoints, dispatcher = harness.service.router.endpoints, harness.service.router.dispatcher
         received, known = endpoints.lists_received, dict(dispatcher.workers)
-        moved = {**world.entries[0], "addr": "127.0.0.1:1"}
-        new = {**world.entries[0], "id": "new"}
+        moved = {**harness.entries[0], "addr": "127.0.0.1:1"}
+        new = {**harness.entries[0], "id": "new"}
         with pytest.raises(EndpointListError):
             endpoints.receive_list(
                 json.dumps({"version": 9, "full": True, "servers": [moved, 3, new]}).encode()
@@ -267,7 +272,7 @@
         assert endpoints.addresses["w0"] == "127.0.0.1:1" and "new" not in endpoints.addresses
         assert endpoints.lists_received == received and dispatcher.workers == known
 
-    play(script)
+    run_script(script)
 
 
 def test_incomplete_lists_confirm_nothing() -> None:
@@ -275,11 +280,11 @@
     async def script() -> None:
         held, peer = await watching()
         assert held.confirmations == 1
-        peer.end.send(discovery_response(endpoint_list(version=3, full=False)))
-        peer = await held.called(3)
+        peer.socket.send(discovery_response(endpoint_list(version=3, full=False)))
+        peer = await held.wait_for_calls(3)
         assert held.confirmations == 1 and b"from=" not in held.calls()[-1]
-        peer.end.send(discovery_response(endpoint_list(version=4, full=False)))
-        await until(lambda: held.lost)
+        peer.socket.send(discovery_response(endpoint_list(version=4, full=False)))
+        await wait_until(lambda: held.lost)
         assert held.confirmations == 1 and held.lost == [False]
         held.watch.stop()
 
--- a/tests/routing/test_list_validity.py
+++ b/tests/routing/test_list_validity.py
@@ -1,4 +1,4 @@
-"""Drains bind within 6 s and the grace whatever befalls the calls to discovery, in fleets of 1 to 3,000."""
+"""Drains are respected within 6 s and the grace whatever happens to calls, in fleets of 1 to 3,000."""
 
 import os
 import random
@@ -11,9 +11,9 @@
 
 FLEETS = (1, 2, 8, 30, 177, 1000, 3000)
 WORKERS = 6
-STEP = 40 * MS
-SETTLES_WITHIN = 20 * SECOND
-SEEDS = int(os.environ.get("LIST_VALIDITY_SEEDS", "24"))  # of each mode; more by hand
+REQUEST_INTERVAL = 40 * MS
+RECOVERY_TIME = 20 * SECOND
+SEEDS = int(os.environ.get("LIST_VALIDITY_SEEDS", "24"))  # of each mode
 
 
 @pytest.fixture(autouse=True)
@@ -21,10 +21,10 @@
     monkeypatch.setattr(endpoint_watch, "ConnectionPool", FakePool)
 
 
-def play(seed: int, mode: str, can_probe: bool, lasts: int = 40 * SECOND) -> VirtualRouter:
-    """Faults, drains, moves and stops of the process at random moments; then discovery is well."""
+def simulate(seed: int, mode: str, probing_allowed: bool, duration: int = 40 * SECOND) -> VirtualRouter:
+    """Run with faults, drains, moves and suspensions at random moments; then discovery recovers."""
     randomness = random.Random(seed)
-    limits = {**SETTINGS["Limits"], "Probing": can_probe}
+    limits = {**SETTINGS["Limits"], "Probing": probing_allowed}
     router = VirtualRouter(
         randomness, WORKERS, Discovery=mode, Limits=limits, PeersTotal=randomness.choice(FLEETS)
     )
@@ -32,39 +32,39 @@
     clock, discovery, moves = router.virtual, router.discovery, 0
     began_at, next_event = clock.now(), 0
     to_drain = [f"w{number}" for number in range(WORKERS - 2)]
-    while clock.now() < began_at + lasts:
-        clock.run_until(clock.now() + STEP)
+    while clock.now() < began_at + duration:
+        clock.run_until(clock.now() + REQUEST_INTERVAL)
         router.send_request()
         if clock.now() < next_event:
             continue
         next_event = clock.now() + randomness.choice([0, 50 * MS, 500 * MS, 2 * SECOND, 6 * SECOND])
-        kind = randomness.random()
-        if kind < 0.55:
+        event = randomness.random()
+        if event < 0.55:
             discovery.set_fault(randomness.choice(list(Fault)))
             if discovery.fault in (Fault.RESET, *UNREACHABLE) or randomness.random() < 0.3:
                 discovery.break_watches(discovery.fault)
-        elif kind < 0.7 and to_drain and clock.now() > began_at + SECOND:
+        elif event < 0.7 and to_drain and clock.now() > began_at + SECOND:
             discovery.drain(to_drain.pop())
-        elif kind < 0.8:
+        elif event < 0.8:
             moves += 1
             discovery.move()
             router.endpoints.change_address(f"discovery-{moves}:1")
-        elif kind < 0.84:
+        elif event < 0.84:
             discovery.restart()
-        elif kind < 0.89:
-            # The process was stopped: timers are late, and what came is read after them.
+        elif event < 0.89:
+            # The process was suspended: timers are late, and received data is read after them.
             clock.time += randomness.randrange(8 * SECOND)
     discovery.set_fault(Fault.NONE)
-    clock.run_until(clock.now() + SETTLES_WITHIN)
+    clock.run_until(clock.now() + RECOVERY_TIME)
     return router
 
 
-@pytest.mark.parametrize("can_probe", [True, False])
+@pytest.mark.parametrize("probing_allowed", [True, False])
 @pytest.mark.parametrize("mode", ["ask", "push"])
-def test_no_fault_of_discovery_lets_a_drain_be_missed(mode: str, can_probe: bool) -> None:
+def test_no_fault_of_discovery_lets_a_drain_be_missed(mode: str, probing_allowed: bool) -> None:
     for seed in range(SEEDS):
-        router = play(seed, mode, can_probe)
+        router = simulate(seed, mode, probing_allowed)
         assert not router.violations, f"seed {seed}: {router.violations[:3]}"
         assert router.dispatcher.parts.validity.is_valid(router.virtual.now()), f"seed {seed}"
-        if can_probe:
+        if probing_allowed:
             assert router.served > router.requests_sent * 0.9, f"seed {seed}: {router.served}"
--- a/tests/routing/test_shutdown_races.py
+++ b/tests/routing/test_shutdown_races.py
@@ -13,10 +13,10 @@
 from ploverspoke.routing.client_session import ClientSession
 from ploverspoke.testbed.processes.addresses import reserve_ports
 from tests.decisions.harness import SETTINGS
-from tests.routing.harness import World, play
+from tests.routing.harness import ServiceHarness, run_script
 from tests.routing.race_harness import (
-    CALM,
     CLASS_NAMES,
+    LENIENT_SETTINGS,
     MS,
     Clock,
     Peer,
@@ -24,94 +24,96 @@
     deliver_list,
     idle_client,
     newest_session,
-    turns,
-    until,
+    run_loop_turns,
     wait_for_kernel,
+    wait_until,
 )
 
 
 def test_shutdown_ends_before_the_process_may_be_killed() -> None:
-    # With deadlines under 3 s the times after the signal were longer than what the settings give.
-    async def script(world: World) -> None:
-        clock, service = Clock(world.service.deadlines), world.service
+    # With deadlines under 3 s the phases after the signal were longer than the settings allow.
+    async def script(harness: ServiceHarness) -> None:
+        clock, service = Clock(harness.service.deadlines), harness.service
         clock.hold()
-        deliver_list(world)  # nobody to send to: what is asked waits
-        idle, asks = connect_to(world.port), [connect_to(world.port) for _ in range(3)]
-        asks[0].end.send(world.request("before"))
-        await until(
+        deliver_list(harness)  # no worker: requests wait
+        idle, clients = connect_to(harness.port), [connect_to(harness.port) for _ in range(3)]
+        clients[0].socket.send(harness.request("before"))
+        await wait_until(
             lambda: service.router.requests.open_count() == 1 and len(service.client_server.sessions) == 4
         )
         service.shut_down()
-        span = 0
-        while span < 1590:  # 900 ms and 700 ms
-            if span in (600, 680, 1000):
-                asks[{600: 1, 680: 2, 1000: 0}[span]].end.send(world.request(f"at-{span}"))
-            clock.wake_after(10 * MS)
-            span += 10
-            await turns(8)
-        await turns(100)
-        assert world.running.done()
-        assert [peer.status() for peer in asks] == [503, 503, 503] and idle.read() == b""
-        assert all(peer.has_ended() for peer in [idle, *asks])
-
-    play(script, workers=1)
+        elapsed_ms = 0
+        while elapsed_ms < 1590:  # 900 ms and 700 ms
+            if elapsed_ms in (600, 680, 1000):
+                clients[{600: 1, 680: 2, 1000: 0}[elapsed_ms]].socket.send(
+                    harness.request(f"at-{elapsed_ms}")
+                )
+            clock.resume_after(10 * MS)
+            elapsed_ms += 10
+            await run_loop_turns(8)
+        await run_loop_turns(100)
+        assert harness.running.done()
+        assert [peer.status() for peer in clients] == [503, 503, 503] and idle.read() == b""
+        assert all(peer.has_ended() for peer in [idle, *clients])
+
+    run_script(script, workers=1)
 
 
 @pytest.mark.parametrize("first", ["kept", "new"])
 def test_requests_unread_at_shutdown_are_answered(first: str) -> None:
     # A request that lay unread was closed on; closing the socket reset those that waited to be taken.
-    async def script(world: World) -> None:
-        kept = await idle_client(world)
-        new = [connect_to(world.port) for _ in range(12)]
+    async def script(harness: ServiceHarness) -> None:
+        kept = await idle_client(harness)
+        new = [connect_to(harness.port) for _ in range(12)]
         clients = [kept, *new] if first == "kept" else [*new, kept]
         for number, client in enumerate(clients):
-            client.end.send(world.request(f"r{number}"))
-        wait_for_kernel(newest_session(world).connection.has_unread_data)
-        world.service.client_server.shut()
+            client.socket.send(harness.request(f"r{number}"))
+        wait_for_kernel(newest_session(harness).connection.has_unread_data)
+        harness.service.client_server.shut()
         for client in clients:
-            await until(client.has_ended)
+            await wait_until(client.has_ended)
             assert client.status() == 200
-            assert b"connection: close" in client.came.lower()
+            assert b"connection: close" in client.received.lower()
 
-    play(script, workers=2, **CALM)
+    run_script(script, workers=2, **LENIENT_SETTINGS)
 
 
 def test_handover_between_any_two_steps_of_a_connection_loses_nothing() -> None:
-    async def script(world: World) -> None:
-        service, listener = world.service, world.service.client_server.listener
-        kept = await idle_client(world)
+    async def script(harness: ServiceHarness) -> None:
+        service, listener = harness.service, harness.service.client_server.listener
+        kept = await idle_client(harness)
         assert listener.socket is not None
         service.listening_socket, other = (
             listener.socket,
             listener.socket.dup(),
         )  # the other process has it too
-        seating, queued = connect_to(world.port), connect_to(world.port)
+        seating, queued = connect_to(harness.port), connect_to(harness.port)
         for name, client in (("kept", kept), ("seating", seating), ("queued", queued)):
-            client.end.send(world.request(name))
-        wait_for_kernel(newest_session(world).connection.has_unread_data)
+            client.socket.send(harness.request(name))
+        wait_for_kernel(newest_session(harness).connection.has_unread_data)
         listener._accept_some(1)  # accepted, and not seated yet
         service.shut_down()
         for client in (kept, seating):
-            await until(client.has_ended)
-            assert client.status() == 200 and b"connection: close" in client.came.lower()
+            await wait_until(client.has_ended)
+            assert client.status() == 200 and b"connection: close" in client.received.lower()
         taken = Peer(other.accept()[0])
-        assert b"Request-Id: queued" in await until(taken.read) and not queued.has_ended()
-        assert sorted(name for _, name in world.sent) == ["before-look", "kept", "seating"]
+        assert b"Request-Id: queued" in await wait_until(taken.read) and not queued.has_ended()
+        assert sorted(name for _, name in harness.sent) == ["before-look", "kept", "seating"]
 
-    play(script, workers=1, **CALM)
+    run_script(script, workers=1, **LENIENT_SETTINGS)
 
 
 def test_idle_client_with_an_unread_request_is_not_evicted() -> None:
-    async def script(world: World) -> None:
-        clients = [await idle_client(world, class_name) for class_name in CLASS_NAMES]
-        oldest: ClientSession = next(iter(world.service.client_server.sessions.values()))
-        clients[0].end.send(world.request("b"))
+    async def script(harness: ServiceHarness) -> None:
+        clients = [await idle_client(harness, class_name) for class_name in CLASS_NAMES]
+        oldest: ClientSession = next(iter(harness.service.client_server.sessions.values()))
+        clients[0].socket.send(harness.request("b"))
         wait_for_kernel(oldest.connection.has_unread_data)
-        assert world.service.client_server._evict_one() and not oldest.is_closing
-        assert await until(clients[0].status) == 200
-        await until(clients[1].has_ended)
+        assert harness.service.client_server._evict_one() and not oldest.is_closing
+        assert await wait_until(clients[0].status) == 200
+        await wait_until(clients[1].has_ended)
 
-    play(script, workers=1, **CALM)
+    run_script(script, workers=1, **LENIENT_SETTINGS)
 
 
 @pytest.fixture
--- a/tests/routing/test_stale_endpoint_list.py
+++ b/tests/routing/test_stale_endpoint_list.py
@@ -1,4 +1,4 @@
-"""Nothing new goes to a draining worker, whatever kept its dispatcher from hearing of the drain.
+"""No new attempt goes to a draining worker, whatever kept its dispatcher from receiving the drain.
 
 What users saw: a request was tried at two workers that had been draining for 7.8 s, and then rejected. In
 that case both refused it; one that does not refuse by itself would have been given work while it stopped.
@@ -25,13 +25,13 @@
 
 from ploverspoke.testbed.fakes.faulty_discovery import Failure, ScriptedDiscovery
 from ploverspoke.testbed.processes.dispatcher_process import DispatcherProcess
-from tests.routing.harness import World, message
+from tests.routing.harness import ServiceHarness, read_message
 
 RUNS_LONG = True  # scheduled first: see tests/conftest.py
-COUNTS_AS_TOLD_AFTER = 6.0  # seconds
-GRACE = 0.55  # from then on, with the slack that sockets are given
+BINDING_DELAY = 6.0  # seconds until a change is binding
+GRACE = 0.55  # seconds after that, with a tolerance for sockets
 FLEET_SIZE = 177
-# Under these the longest of the delays that chance gives after a rejection were drawn.
+# With these the longest backoffs after a rejection were drawn.
 SEEDS = (12, 88, 115, 142)
 
 
@@ -40,13 +40,13 @@
     with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(request)
-        first, _, _ = await asyncio.wait_for(message(reader), 5)
+        first, _, _ = await asyncio.wait_for(read_message(reader), 5)
         writer.close()
         return int(first.split()[1])
     return 0
 
 
-async def until_called_by_all(discovery: ScriptedDiscovery, count: int) -> None:
+async def wait_until_called_by_all(discovery: ScriptedDiscovery, count: int) -> None:
     async with asyncio.timeout(20):
         while len({call.dispatcher for call in discovery.calls}) < count:
             await asyncio.sleep(0.005)
@@ -54,47 +54,48 @@
 
 def test_drain_is_heeded_after_discovery_moved_and_rejected_the_first_call(tmp_path: Path) -> None:
     async def run() -> None:
-        loop, world = asyncio.get_running_loop(), World()
-        await world.surround(2)
-        before, after = ScriptedDiscovery(world.entries), ScriptedDiscovery(world.entries)
+        loop, harness = asyncio.get_running_loop(), ServiceHarness()
+        await harness.start_workers_and_discovery(2)
+        before, after = ScriptedDiscovery(harness.entries), ScriptedDiscovery(harness.entries)
         dispatchers = [
             DispatcherProcess(tmp_path, number, await before.address_for(number), seed, PeersTotal=FLEET_SIZE)
             for number, seed in enumerate(SEEDS)
         ]
         try:
             await asyncio.gather(*(each.start() for each in dispatchers))
-            await until_called_by_all(before, len(SEEDS))
+            await wait_until_called_by_all(before, len(SEEDS))
             after.outage = Failure.REJECTED
             for number, dispatcher in enumerate(dispatchers):
                 dispatcher.move_discovery(await after.address_for(number))
-            await until_called_by_all(after, len(SEEDS))
+            await wait_until_called_by_all(after, len(SEEDS))
             after.outage = None
             after.change("w0", "Terminating")
-            told_at = loop.time() + COUNTS_AS_TOLD_AFTER
-            await asyncio.sleep(told_at + GRACE - loop.time())
-            world.sent.clear()
-            statuses = await send_for(dispatchers, world, told_at + GRACE + 1.0)
+            binding_at = loop.time() + BINDING_DELAY
+            await asyncio.sleep(binding_at + GRACE - loop.time())
+            harness.sent.clear()
+            statuses = await send_requests_until(dispatchers, harness, binding_at + GRACE + 1.0)
         finally:
             await asyncio.gather(*(each.kill() for each in dispatchers))
             for discovery in (before, after):
                 discovery.close()
-            for server in world.servers:
-                server.close()
+            harness.close_servers()
         logs = "\n".join(each.log.read_text() for each in dispatchers)
         assert "rejected, answered 503" in logs and "next call in" in logs, logs
         assert len(statuses) > 50 * len(SEEDS) and statuses.count(200) > len(statuses) * 0.9
-        assert {worker for worker, _ in world.sent} == {"w1"}, logs
+        assert {worker for worker, _ in harness.sent} == {"w1"}, logs
 
     uvloop.run(run())
 
 
-async def send_for(dispatchers: list[DispatcherProcess], world: World, until: float) -> list[int]:
-    """Send a request to each dispatcher now and then, up to that time of the loop's clock."""
+async def send_requests_until(
+    dispatchers: list[DispatcherProcess], harness: ServiceHarness, end: float
+) -> list[int]:
+    """Send requests to each dispatcher at intervals, up to that time of the loop's clock."""
     loop, tasks, number = asyncio.get_running_loop(), list[Any](), 0
-    while loop.time() < until:
+    while loop.time() < end:
         number += 1
         for index, each in enumerate(dispatchers):
-            request = world.request(f"r{index}-{number}")
+            request = harness.request(f"r{index}-{number}")
             tasks.append(loop.create_task(exchange(each.port, request)))
         await asyncio.sleep(0.01)
     return list(await asyncio.gather(*tasks))
--- a/tests/routing/virtual_router.py
+++ b/tests/routing/virtual_router.py
@@ -1,7 +1,6 @@
-"""A router in virtual time: its watch, decisions and timers, beside a discovery and workers that misbehave.
+"""A router in virtual time, with its own watch, decisions and timers, beside a faulty discovery and workers.
 
-No sockets: connections to discovery are played, as are attempts and health checks. Everything else is the
-program's own.
+It uses no sockets: connections to discovery, attempts and health checks are simulated.
 """
 
 import asyncio
@@ -28,7 +27,7 @@
 
 
 class Fault(Enum):
-    """What befalls a call to discovery."""
+    """Faults of calls to discovery."""
 
     NONE = auto()
     REFUSED = auto()
@@ -39,7 +38,7 @@
     REJECTED_LATE = auto()
     SERVER_ERROR = auto()
     GARBAGE = auto()
-    HALF_THEN_END = auto()
+    HALF_THEN_CLOSED = auto()
     HALF_THEN_SILENT = auto()
     SILENT = auto()
     SLOW = auto()
@@ -48,30 +47,30 @@
 UNREACHABLE = (Fault.REFUSED, Fault.NEVER_UP)
 HANGING = (Fault.NEVER_UP, Fault.REJECTED_LATE, Fault.HALF_THEN_SILENT, Fault.SILENT, Fault.SLOW)
 FIRST_VERSION, VERSIONS_OF_A_RUN = 100_000, 100
-BINDS_AFTER = 6 * SECOND
-MOVE_BINDS_AFTER = 4 * SECOND  # where lists are pushed
+BINDING_DELAY = 6 * SECOND
+MOVE_BINDING_DELAY = 4 * SECOND  # of a move, where lists are pushed
 
 
 class VirtualDeadlines(Deadlines):
-    """Timers on a clock that the test moves."""
+    """Timers on a clock that the test sets."""
 
     def __init__(self) -> None:
         self.time = 1000 * SECOND
-        self.soon: list[Callable[[], None]] = []
+        self.pending_callbacks: list[Callable[[], None]] = []
         super().__init__(cast(asyncio.AbstractEventLoop, self))
 
     def now(self) -> int:
         return self.time
 
     def call_soon(self, callback: Callable[..., None], *args: Any) -> None:
-        self.soon.append(lambda: callback(*args))
+        self.pending_callbacks.append(lambda: callback(*args))
 
     def _arm(self) -> None:
-        """The test runs what is due."""
+        """Do nothing: the test runs the due timers."""
 
     def settle(self) -> None:
-        while self.soon:
-            self.soon.pop(0)()
+        while self.pending_callbacks:
+            self.pending_callbacks.pop(0)()
 
     def run_until(self, when: int) -> None:
         self.settle()
@@ -88,7 +87,7 @@
 
 
 class FakeConnection:
-    """A connection to discovery; also what stands for it while it is pending."""
+    """A connection to discovery, also while it is pending."""
 
     def __init__(self, pool: "FakePool", address: str, user: Any) -> None:
         self.pool, self.address, self.user, self.waiting_user = pool, address, user, user
@@ -98,7 +97,7 @@
         self.waiting_user = None
 
     def write(self, data: bytes) -> None:
-        self.pool.discovery.called(self, data)
+        self.pool.discovery.on_call(self, data)
 
     def feed(self, reader: Reader) -> None:
         data, self.data = self.data, b""
@@ -122,7 +121,7 @@
 
 
 class FakePool:
-    """Stands for the connection pool of a watch."""
+    """Replaces the connection pool of a watch."""
 
     discovery: "FakeDiscovery"
 
@@ -136,7 +135,7 @@
 
 
 class FakeDiscovery:
-    """Has the list, shows changes a little late, and fails as it is told to."""
+    """Simulates discovery: it shows changes after a delay, with the fault that the test sets."""
 
     def __init__(self, deadlines: VirtualDeadlines, randomness: random.Random, workers: int) -> None:
         self.deadlines, self.random = deadlines, randomness
@@ -150,10 +149,10 @@
         self.drained_at: dict[str, int] = {}  # when discovery had it
         self.shown_at: dict[str, int] = {}
         self.written_at: dict[str, int] = {}
-        self.hung_at = self.moved_at = -BINDS_AFTER  # the latest moment in which calls hung; the last move
-        self.waiting: dict[FakeConnection, int] = {}  # and the version that each has
+        self.hung_at = self.moved_at = -BINDING_DELAY  # when calls last hung; when it last moved
+        self.waiting: dict[FakeConnection, int] = {}  # with the version that each call has
 
-    def after(self, delay: int, callback: Callable[[], None]) -> Deadline:
+    def run_after(self, delay: int, callback: Callable[[], None]) -> Deadline:
         return self.deadlines.schedule(self.deadlines.now() + delay, callback)
 
     def set_fault(self, fault: Fault) -> None:
@@ -170,7 +169,7 @@
         self.states[worker] = "Terminating"
         self.drained_at[worker] = self.deadlines.now()
         self.version += 1
-        self.after(self.random.randrange(SECOND), self.show_changes)
+        self.run_after(self.random.randrange(SECOND), self.show_changes)
 
     def show_changes(self) -> None:
         self.shown, self.shown_version = dict(self.states), self.version
@@ -181,24 +180,24 @@
             self.answer(connection, 0)
 
     def restart(self) -> None:
-        """It begins anew, with versions of its own; none is that of another list."""
+        """Restart with versions that no other list has."""
         self.break_watches(Fault.RESET)
         self.restarts += 1
         self.shown_version = FIRST_VERSION - self.restarts * VERSIONS_OF_A_RUN
-        # A change that it does not show yet has a later one.
+        # A change that is not shown yet has a later version.
         self.version = self.shown_version + (self.states != self.shown)
 
     def move(self) -> None:
-        """Dispatchers are to call another one, whose versions are its own."""
+        """Move to another address, with other versions."""
         self.restart()
         self.moved_at = self.deadlines.now()
 
-    def break_watches(self, how: Fault) -> None:
-        if how in (Fault.NONE, Fault.NO_BUFFERS):
-            return  # these do nothing to a call that waits
+    def break_watches(self, fault: Fault) -> None:
+        if fault in (Fault.NONE, Fault.NO_BUFFERS):
+            return  # these do not affect a call that waits
         waiting, self.waiting = self.waiting, {}
         for connection in waiting:
-            self.fail(connection, how)
+            self.fail(connection, fault)
 
     # ---- Calls ----
 
@@ -206,14 +205,14 @@
         local = {Fault.NO_BUFFERS: ExchangeOutcome.NO_DESCRIPTOR}
         failures = {Fault.REFUSED: ExchangeOutcome.CONNECTION_REFUSED, **local}
         if self.fault is Fault.NEVER_UP:
-            self.after(
+            self.run_after(
                 CONNECT_TIMEOUT, lambda: self.connect_failed(connection, ExchangeOutcome.CONNECT_FAILED)
             )
         elif self.fault in failures:
             outcome = failures[self.fault]
-            self.after(ROUND_TRIP, lambda: self.connect_failed(connection, outcome))
+            self.run_after(ROUND_TRIP, lambda: self.connect_failed(connection, outcome))
         else:
-            self.after(ROUND_TRIP, lambda: self.connected(connection))
+            self.run_after(ROUND_TRIP, lambda: self.connected(connection))
 
     def connect_failed(self, connection: FakeConnection, outcome: ExchangeOutcome) -> None:
         if connection.waiting_user is not None:
@@ -224,41 +223,41 @@
         if user is not None:
             user.on_connected(connection)
 
-    def called(self, connection: FakeConnection, data: bytes) -> None:
+    def on_call(self, connection: FakeConnection, data: bytes) -> None:
         head = data.decode()
         version = int(head.partition("from=")[2].partition("&")[0]) if "from=" in head else None
         wait = int(head.partition("hold_ms=")[2].partition(" ")[0] or 0) * MS
-        self.after(ROUND_TRIP, lambda: self.work(connection, version, wait))
+        self.run_after(ROUND_TRIP, lambda: self.process_call(connection, version, wait))
 
-    def work(self, connection: FakeConnection, version: int | None, wait: int) -> None:
+    def process_call(self, connection: FakeConnection, version: int | None, wait: int) -> None:
         if self.fault is Fault.SLOW:
-            self.after(self.random.randrange(4 * SECOND), lambda: self.answer(connection, version))
+            self.run_after(self.random.randrange(4 * SECOND), lambda: self.answer(connection, version))
         elif self.fault not in (Fault.NONE, Fault.NO_BUFFERS):
             self.fail(connection, self.fault)
         elif version == self.shown_version:
             self.waiting[connection] = version
-            self.after(wait, lambda: self.wait_is_over(connection))
+            self.run_after(wait, lambda: self.end_wait(connection))
         else:
             self.answer(connection, version)
 
-    def wait_is_over(self, connection: FakeConnection) -> None:
+    def end_wait(self, connection: FakeConnection) -> None:
         version = self.waiting.pop(connection, None)
         if version is not None:
             self.answer(connection, version)
 
-    def fail(self, connection: FakeConnection, how: Fault) -> None:
+    def fail(self, connection: FakeConnection, fault: Fault) -> None:
         text = {
             Fault.REJECTED: b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
             Fault.SERVER_ERROR: b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n",
             Fault.GARBAGE: b"\x00\xff garbage\r\n\r\n",
-            Fault.HALF_THEN_END: b'HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{"version"',
+            Fault.HALF_THEN_CLOSED: b'HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{"version"',
             Fault.HALF_THEN_SILENT: b'HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{"version"',
         }
-        if how is Fault.REJECTED_LATE:
-            self.after(2 * SECOND, lambda: self.fail(connection, Fault.REJECTED))
-        elif how in text:
-            connection.deliver(text[how])
-        if how in (Fault.RESET, Fault.HALF_THEN_END, *UNREACHABLE):
+        if fault is Fault.REJECTED_LATE:
+            self.run_after(2 * SECOND, lambda: self.fail(connection, Fault.REJECTED))
+        elif fault in text:
+            connection.deliver(text[fault])
+        if fault in (Fault.RESET, Fault.HALF_THEN_CLOSED, *UNREACHABLE):
             connection.end()
 
     def answer(self, connection: FakeConnection, version: int | None) -> None:
@@ -266,7 +265,7 @@
             return
         is_newer = version != self.shown_version
         if version is not None and version > self.shown_version:
-            # Nothing is newer than that: it does not know that the version is not one of its own.
+            # No change is newer: a restarted discovery does not know that the version is not its own.
             body = json.dumps({"version": self.shown_version, "full": False, "servers": []}).encode()
             connection.deliver(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
             return
@@ -277,30 +276,30 @@
         for name, state in self.shown.items():
             if state != "Ready" and is_newer:
                 self.written_at.setdefault(name, self.deadlines.now())
-        told = {"version": self.shown_version, "full": is_newer, "servers": entries if is_newer else []}
-        body = json.dumps(told).encode()
+        document = {"version": self.shown_version, "full": is_newer, "servers": entries if is_newer else []}
+        body = json.dumps(document).encode()
         connection.deliver(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
 
-    def counts_as_told_at(self, worker: str, is_any_call_an_excuse: bool) -> float:
-        """When a dispatcher counts as told of the worker's drain."""
+    def drain_binding_at(self, worker: str, only_if_reachable: bool) -> float:
+        """When the worker's drain is binding; with `only_if_reachable`: while discovery is reachable."""
         drained_at, written_at = self.drained_at[worker], self.written_at.get(worker, float("inf"))
-        if not is_any_call_an_excuse:
-            return min(written_at, drained_at + BINDS_AFTER)
+        if not only_if_reachable:
+            return min(written_at, drained_at + BINDING_DELAY)
         if self.reachable_since is None:
             return written_at
-        return min(written_at, max(drained_at, self.reachable_since) + BINDS_AFTER)
+        return min(written_at, max(drained_at, self.reachable_since) + BINDING_DELAY)
 
-    def binds_at_where_pushed(self, worker: str) -> float:
-        """When a drain binds that an agent has: at once, but for calls that hang and after a move."""
+    def pushed_drain_binding_at(self, worker: str) -> float:
+        """When a drain that an agent has is binding: at once, but for hanging calls and after a move."""
         if worker not in self.shown_at or self.reachable_since is None:
             return float("inf")
-        shown_at = max(self.shown_at[worker], self.reachable_since, self.moved_at + MOVE_BINDS_AFTER)
+        shown_at = max(self.shown_at[worker], self.reachable_since, self.moved_at + MOVE_BINDING_DELAY)
         hung_at = self.deadlines.now() if self.fault in HANGING else self.hung_at
-        return shown_at + (BINDS_AFTER if hung_at > shown_at - BINDS_AFTER else 0)
+        return shown_at + (BINDING_DELAY if hung_at > shown_at - BINDING_DELAY else 0)
 
 
 class VirtualRouter(Router):
-    """A router whose attempts and health checks are played, and checked against the drains."""
+    """A router whose attempts and health checks are simulated, and checked against the drains."""
 
     def __init__(self, randomness: random.Random, workers: int, **settings: Any) -> None:
         self.virtual = VirtualDeadlines()
@@ -310,12 +309,12 @@
         pool = cast(ConnectionPool, FakePool())
         pool.retire_address = lambda address: None  # type: ignore[method-assign]
         if not active.current.discovery_polling and not active.current.probing_allowed:
-            # An agent is silent while it learns nothing.
+            # An agent without news does not answer.
             self.discovery.unreachable = (*UNREACHABLE, *HANGING)
         super().__init__(self.virtual, pool, "discovery-0:1", randomness.randrange(1 << 32), active)
         self.requests_sent = self.served = 0
         self.violations: list[str] = []
-        self.made: dict[int, int] = {}
+        self.attempt_counts: dict[int, int] = {}
 
     def send_request(self) -> None:
         self.requests_sent += 1
@@ -323,10 +322,10 @@
         self.dispatcher.request_arrived(self.requests_sent, 0, 1.0, deadline, 0, "")
 
     def start_attempt(self, request_id: int, worker: str, timeout: int) -> None:
-        now, attempt = self.virtual.now(), self.made.get(request_id, 0)
-        self.made[request_id] = attempt + 1
+        now, attempt = self.virtual.now(), self.attempt_counts.get(request_id, 0)
+        self.attempt_counts[request_id] = attempt + 1
         self._check(worker, now)
-        # Some that drain take attempts all the same.
+        # Some draining workers accept attempts.
         is_draining = self.discovery.states[worker] != "Ready" and self.discovery.random.random() < 0.5
         outcome = AttemptOutcome.FULL if is_draining else AttemptOutcome.SUCCEEDED
 
@@ -335,22 +334,26 @@
             result = AttemptResult(worker, outcome, 5 * MS, not is_draining)
             self.dispatcher.attempt_ended(request_id, attempt, result)
 
-        self.discovery.after(5 * MS, end)
+        self.discovery.run_after(5 * MS, end)
 
     def _check(self, worker: str, now: int) -> None:
         if worker not in self.discovery.drained_at:
             return
-        told_at = self.discovery.counts_as_told_at(worker, not self.settings.probing_allowed)
+        binding_at = self.discovery.drain_binding_at(worker, not self.settings.probing_allowed)
         if not self.settings.discovery_polling:
-            told_at = min(told_at, self.discovery.binds_at_where_pushed(worker))
-        if now > told_at + 500 * MS:
-            self.violations.append(f"{worker} {(now - told_at) / SECOND:.2f} s after it counts as told")
+            binding_at = min(binding_at, self.discovery.pushed_drain_binding_at(worker))
+        if now > binding_at + 500 * MS:
+            self.violations.append(
+                f"{worker} {(now - binding_at) / SECOND:.2f} s after its drain was binding"
+            )
 
     def probe(self, worker: str) -> None:
-        is_well = self.discovery.states[worker] == "Ready"
-        outcome = AttemptOutcome.SUCCEEDED if is_well else AttemptOutcome.WORKER_ERROR
-        load = {"waiting": 0.0, "free_slots": 4.0} if is_well else None
-        self.discovery.after(2 * MS, lambda: self.dispatcher.probe_completed(worker, outcome, 2 * MS, load))
+        is_healthy = self.discovery.states[worker] == "Ready"
+        outcome = AttemptOutcome.SUCCEEDED if is_healthy else AttemptOutcome.WORKER_ERROR
+        load = {"waiting": 0.0, "free_slots": 4.0} if is_healthy else None
+        self.discovery.run_after(
+            2 * MS, lambda: self.dispatcher.probe_completed(worker, outcome, 2 * MS, load)
+        )
 
     def reject(self, request_id: int, retry_after: int, reason: EndReason = EndReason.NOT_STATED) -> None:
         self.request_journal.request_ends[reason] += 1
--- a/tests/service/test_handover.py
+++ b/tests/service/test_handover.py
@@ -10,9 +10,9 @@
 
 from ploverspoke.transport.resource_limits import split_resources
 from ploverspoke.transport.units import MEBIBYTE
-from tests.routing.harness import World, admin_call, admin_counters, message, operations_key
+from tests.routing.harness import ServiceHarness, admin_call, admin_counters, operations_key, read_message
 
-from .handover_harness import ReplacedDispatcher, exit_code, play
+from .handover_harness import ReplacedDispatcher, exit_code, run_script
 
 CLASSES = ("look", "book")
 
@@ -26,21 +26,21 @@
         assert half.buffered_bytes >= 4 * 65536
 
 
-async def send_requests(world: World, name: str, stop: asyncio.Event, statuses: list[int]) -> None:
+async def send_requests(harness: ServiceHarness, name: str, stop: asyncio.Event, statuses: list[int]) -> None:
     """One client that keeps its connection until an answer asks it to close it."""
     number, connection = 0, None
     while not stop.is_set():
         number += 1
-        reader, writer = connection or await world.connect()
-        writer.write(world.request(f"{name}-{number}", CLASSES[number % 2]))
-        first, headers, _ = await asyncio.wait_for(message(reader), 3)  # no close crosses a request
+        reader, writer = connection or await harness.connect()
+        writer.write(harness.request(f"{name}-{number}", CLASSES[number % 2]))
+        first, headers, _ = await asyncio.wait_for(read_message(reader), 3)  # no close crosses a request
         statuses.append(int(first.split()[1]))
         connection = None if headers.get("connection") == "close" else (reader, writer)
         await asyncio.sleep(0.005)
 
 
-async def fulfilled(world: World) -> int:
-    shown = await admin_counters(world)
+async def fulfilled(harness: ServiceHarness) -> int:
+    shown = await admin_counters(harness)
     return sum(shown[operations_key(name, "fulfilled")] for name in CLASSES)
 
 
@@ -48,19 +48,19 @@
     dispatcher: ReplacedDispatcher, old: subprocess.Popen[bytes], statuses: list[int]
 ) -> tuple[subprocess.Popen[bytes], int]:
     """The new process, and what the old one counted as fulfilled."""
-    world, old_admin_port = dispatcher.world, dispatcher.world.admin_port
+    harness, old_admin_port = dispatcher.harness, dispatcher.harness.admin_port
     # A connection that stays open keeps the old process alive, so that its figures can be read to the end.
-    reader, writer = await world.connect()
-    writer.write(world.request(f"quiet-{old_admin_port}"))
-    statuses.append(int((await message(reader))[0].split()[1]))
+    reader, writer = await harness.connect()
+    writer.write(harness.request(f"quiet-{old_admin_port}"))
+    statuses.append(int((await read_message(reader))[0].split()[1]))
     new, new_admin_port = await dispatcher.start()
     old.send_signal(signal.SIGTERM)
     await asyncio.sleep(0.1)
-    world.admin_port = old_admin_port
-    assert (await admin_call(world, b"check\n")).startswith("-ERR leaving")
+    harness.admin_port = old_admin_port
+    assert (await admin_call(harness, b"check\n")).startswith("-ERR leaving")
     await asyncio.sleep(0.2)  # every answer since has sent its client over
-    old_fulfilled = await fulfilled(world)
-    world.admin_port = new_admin_port
+    old_fulfilled = await fulfilled(harness)
+    harness.admin_port = new_admin_port
     assert await exit_code(old) == 0
     writer.close()
     return new, old_fulfilled
@@ -71,9 +71,9 @@
 ) -> None:
     async def script(dispatcher: ReplacedDispatcher) -> subprocess.Popen[bytes]:
         statuses, stop = list[int](), asyncio.Event()
-        world = dispatcher.world
+        harness = dispatcher.harness
         process, _ = await dispatcher.start()
-        clients = asyncio.gather(*(send_requests(world, f"c{n}", stop, statuses) for n in range(6)))
+        clients = asyncio.gather(*(send_requests(harness, f"c{n}", stop, statuses) for n in range(6)))
         total = 0
         for _ in range(2):
             await asyncio.sleep(0.2)
@@ -81,34 +81,34 @@
             total += old_fulfilled
         stop.set()
         await clients
-        total += await fulfilled(world)
-        assert set(statuses) == {200} and len(statuses) == total == len(world.ran)
-        assert set(world.ran.values()) == {1}
+        total += await fulfilled(harness)
+        assert set(statuses) == {200} and len(statuses) == total == len(harness.run_counts)
+        assert set(harness.run_counts.values()) == {1}
         return process
 
-    play(listening, tmp_path, script)
+    run_script(listening, tmp_path, script)
 
 
 def test_dispatcher_serves_on_when_its_new_or_its_old_process_is_killed(
     listening: socket.socket, tmp_path: Path
 ) -> None:
     async def script(dispatcher: ReplacedDispatcher) -> subprocess.Popen[bytes]:
-        world = dispatcher.world
+        harness = dispatcher.harness
         first, admin_port = await dispatcher.start()
         second, _ = await dispatcher.start()
         second.kill()
         await exit_code(second)
-        world.admin_port = admin_port
+        harness.admin_port = admin_port
         for number in range(4):  # the socket is not shut down by whoever leaves it
-            assert (await world.ask(world.request(f"a{number}")))[0] == 200
+            assert (await harness.exchange(harness.request(f"a{number}")))[0] == 200
         third, _ = await dispatcher.start()
         first.kill()
         await exit_code(first)
         for number in range(4):
-            assert (await world.ask(world.request(f"b{number}")))[0] == 200
+            assert (await harness.exchange(harness.request(f"b{number}")))[0] == 200
         return third
 
-    play(listening, tmp_path, script)
+    run_script(listening, tmp_path, script)
 
 
 async def never_answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -137,8 +137,8 @@
     dispatcher.write_config(document)
     for process in processes.values():
         process.send_signal(signal.SIGHUP)
-    for dispatcher.world.admin_port in processes:
-        while (await admin_counters(dispatcher.world))["dispatcher_cfg_accepted"] != 1:
+    for dispatcher.harness.admin_port in processes:
+        while (await admin_counters(dispatcher.harness))["dispatcher_cfg_accepted"] != 1:
             await asyncio.sleep(0.01)
 
 
@@ -146,11 +146,11 @@
     listening: socket.socket, tmp_path: Path
 ) -> None:
     async def script(dispatcher: ReplacedDispatcher) -> subprocess.Popen[bytes]:
-        world = dispatcher.world
+        harness = dispatcher.harness
         first, first_admin_port = await dispatcher.start()
-        reader, writer = await world.connect()
-        writer.write(world.request("early"))
-        assert "200" in (await message(reader))[0]
+        reader, writer = await harness.connect()
+        writer.write(harness.request("early"))
+        assert "200" in (await read_message(reader))[0]
         await stop_before_it_is_ready(dispatcher)
         # Both take the settings that come while both live; the first has them when it is stopped.
         last, last_admin_port = await dispatcher.start()
@@ -158,18 +158,18 @@
 
         async def serve_slowly(*exchange: Any) -> None:
             await asyncio.sleep(0.4)
-            await world.serve(*exchange)
+            await harness.serve(*exchange)
 
-        world.behave = {"w0": serve_slowly, "w1": serve_slowly}
-        writer.write(world.request("late", "book"))  # the first one still has it when it is stopped
+        harness.behaviours = {"w0": serve_slowly, "w1": serve_slowly}
+        writer.write(harness.request("late", "book"))  # the first one still has it when it is stopped
         await asyncio.sleep(0.05)
         first.send_signal(signal.SIGTERM)
-        line, headers, _ = await message(reader)
+        line, headers, _ = await read_message(reader)
         assert "200" in line and headers["connection"] == "close"
-        world.behave = {}
+        harness.behaviours = {}
         for number in range(6):
-            assert (await world.ask(world.request(f"n{number}", "next")))[0] == 200
+            assert (await harness.exchange(harness.request(f"n{number}", "next")))[0] == 200
         assert await exit_code(first) == 0
         return last
 
-    play(listening, tmp_path, script)
+    run_script(listening, tmp_path, script)
--- a/tests/service/test_settings_change.py
+++ b/tests/service/test_settings_change.py
@@ -17,7 +17,7 @@
 from ploverspoke.service.config import read_config
 from ploverspoke.service.settings import parse_names, parse_settings
 from tests.decisions.harness import MS, SETTINGS, DispatchHarness, endpoint
-from tests.routing.harness import World, admin_counters, play, turn_away
+from tests.routing.harness import ServiceHarness, admin_counters, reject_unstarted, run_script
 
 Document = dict[str, Any]
 
@@ -130,13 +130,13 @@
 def test_unusable_file_changes_nothing_and_is_counted(spoil: Spoil, tmp_path: Path) -> None:
     path = tmp_path / "config.json"
 
-    async def script(world: World) -> None:
-        service = world.service
+    async def script(harness: ServiceHarness) -> None:
+        service = harness.service
         base: Document = {
-            "listen": f"127.0.0.1:{world.port}",
+            "listen": f"127.0.0.1:{harness.port}",
             "discovery": "127.0.0.1:9",
             "settings": settings(),
-            "admin_addr": f"127.0.0.1:{world.admin_port}",
+            "admin_addr": f"127.0.0.1:{harness.admin_port}",
         }
         service.load_config = lambda: read_config({"RELAY_CONFIG": str(path)})
         service.config = service.config._replace(document=base, discovery="127.0.0.1:9")
@@ -156,18 +156,18 @@
             service.router.settings,
             service.router.active_settings.classes.numbers,
         ) == before
-        shown = await admin_counters(world)
+        shown = await admin_counters(harness)
         assert shown["dispatcher_cfg_invalid"] == 1 and shown["dispatcher_cfg_accepted"] == 0
 
-    play(script)
+    run_script(script)
 
 
 def test_new_settings_bind_later_requests_and_not_earlier_ones(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
 
-    async def script(world: World) -> None:
-        service = world.service
-        base = {"listen": f"127.0.0.1:{world.port}", "discovery": service.config.discovery}
+    async def script(harness: ServiceHarness) -> None:
+        service = harness.service
+        base = {"listen": f"127.0.0.1:{harness.port}", "discovery": service.config.discovery}
         environment = {"RELAY_CONFIG": str(path), "RELAY_ADMIN_ADDR": "127.0.0.1:1"}
         service.load_config = lambda: read_config(environment)
 
@@ -179,25 +179,25 @@
 
         reload(settings({**CLASSES[0], "AbandonTimeUs": 700_000}, CLASSES[1]))
         for each in range(6):
-            assert (await world.ask(world.request(f"r{each}", "look")))[0] == 200
+            assert (await harness.exchange(harness.request(f"r{each}", "look")))[0] == 200
         number = service.router.active_settings.classes.numbers["look"]
         assert service.router.settings.classes[number].deadline == 700 * MS
 
         async def turn_away_late(*exchange: Any) -> None:
             await asyncio.sleep(0.1)
-            await turn_away(*exchange)
+            await reject_unstarted(*exchange)
 
-        world.behave = {"w0": turn_away_late, "w1": turn_away_late}
-        earlier = asyncio.create_task(world.ask(world.request("earlier", "look")))
+        harness.behaviours = {"w0": turn_away_late, "w1": turn_away_late}
+        earlier = asyncio.create_task(harness.exchange(harness.request("earlier", "look")))
         await asyncio.sleep(0.03)
         reload(settings(CLASSES[1], {**CLASSES[0], "Name": "next", "Repeat": "single_shot"}, MaxHandOffs=1))
         reload("{")
-        assert (await world.ask(world.request("later", "next")))[0] == 503
-        assert (await world.ask(world.request("dropped", "look")))[0] == 404
+        assert (await harness.exchange(harness.request("later", "next")))[0] == 503
+        assert (await harness.exchange(harness.request("dropped", "look")))[0] == 404
         assert (await earlier)[0] == 503
-        attempts = [request_id for _, request_id in world.sent]
+        attempts = [request_id for _, request_id in harness.sent]
         assert attempts.count("later") <= 1 < attempts.count("earlier") <= 6
-        shown = await admin_counters(world)
+        shown = await admin_counters(harness)
         assert shown["dispatcher_cfg_accepted"] == 2 and shown["dispatcher_cfg_invalid"] == 1
 
-    play(script)
+    run_script(script)
--- a/tests/store/request_log_harness.py
+++ b/tests/store/request_log_harness.py
@@ -7,7 +7,7 @@
 from ploverspoke.decisions.interface import AttemptOutcome
 from ploverspoke.routing.answers import RecordedAnswer
 from ploverspoke.routing.request_log import CommitCallback, PreviousOutcome
-from tests.routing.harness import World, play
+from tests.routing.harness import ServiceHarness, run_script
 
 
 class ControlledRequestLog:
@@ -71,7 +71,7 @@
         return self.held.pop(0)[1]
 
 
-Scenario = Callable[[World, ControlledRequestLog], Awaitable[None]]
+Scenario = Callable[[ServiceHarness, ControlledRequestLog], Awaitable[None]]
 
 
 def run_with_request_log(scenario: Scenario, *holds: str, **settings: Any) -> None:
@@ -79,7 +79,7 @@
     request_log = ControlledRequestLog()
     request_log.holds = set(holds)
 
-    async def run(world: World) -> None:
-        await scenario(world, request_log)
+    async def run(harness: ServiceHarness) -> None:
+        await scenario(harness, request_log)
 
-    play(run, request_log=request_log, **settings)
+    run_script(run, request_log=request_log, **settings)
--- a/tests/store/test_router_with_request_log.py
+++ b/tests/store/test_router_with_request_log.py
@@ -10,7 +10,7 @@
 from ploverspoke.testbed.models.event_records import DISPATCHER_DOWN
 from ploverspoke.testbed.scenarios.socket_run import run_on_sockets
 from tests.decisions.harness import SECOND, SETTINGS, DispatchHarness, endpoint
-from tests.routing.harness import World, message
+from tests.routing.harness import ServiceHarness, read_message
 from tests.store.request_log_harness import ControlledRequestLog, run_with_request_log
 from tests.testbed.harness import SMALL_EXPERIMENT
 
@@ -19,11 +19,11 @@
 
 @pytest.mark.parametrize("call", ["request", "attempt"])
 def test_non_idempotent_requests_are_sent_only_after_the_commit(call: str) -> None:
-    async def scenario(world: World, log: ControlledRequestLog) -> None:
-        reply = asyncio.create_task(world.ask(world.request("r1", "book")))
+    async def scenario(harness: ServiceHarness, log: ControlledRequestLog) -> None:
+        reply = asyncio.create_task(harness.exchange(harness.request("r1", "book")))
         commit = await log.wait_for(call)
         await asyncio.sleep(0.05)
-        assert world.sent == []
+        assert harness.sent == []
         commit(True)
         assert (await reply)[0] == 200 and log.outcomes == [("r1", 0, "satisfied")]
 
@@ -32,16 +32,16 @@
 
 @pytest.mark.parametrize("lost", ["leadership", "commit"])
 def test_an_attempt_committed_too_late_is_not_sent(lost: str) -> None:
-    async def scenario(world: World, log: ControlledRequestLog) -> None:
-        reply = asyncio.create_task(world.ask(world.request("r1", "book")))
+    async def scenario(harness: ServiceHarness, log: ControlledRequestLog) -> None:
+        reply = asyncio.create_task(harness.exchange(harness.request("r1", "book")))
         commit = await log.wait_for("attempt")
         if lost == "leadership":
             log.leading = False
         log.holds = set()
         commit(lost != "commit")
         await asyncio.sleep(0.01)
-        assert lost == "commit" or world.sent == []
-        world.service.router.completion.leave_all_to_leader()
+        assert lost == "commit" or harness.sent == []
+        harness.service.router.completion.leave_all_to_leader()
         with pytest.raises(asyncio.IncompleteReadError):
             await reply
 
@@ -51,16 +51,16 @@
 def test_a_leader_paused_in_the_middle_of_a_send_does_not_finish_it() -> None:
     # On sockets a paused replica wrote the last byte when it woke, a second after another had failed the
     # request.
-    async def scenario(world: World, log: ControlledRequestLog) -> None:
-        reply = asyncio.create_task(world.ask(world.request("r1", "book")))
+    async def scenario(harness: ServiceHarness, log: ControlledRequestLog) -> None:
+        reply = asyncio.create_task(harness.exchange(harness.request("r1", "book")))
         commit = await log.wait_for("attempt")
         commit(True)
-        while not world.service.pool.connection_count() - world.service.pool.pending_count:
+        while not harness.service.pool.connection_count() - harness.service.pool.pending_count:
             await asyncio.sleep(0)
         log.leading = False
         await asyncio.sleep(0.05)
-        assert world.sent == [] and ("r1", 0, "not_sent") in log.outcomes
-        world.service.router.completion.leave_all_to_leader()
+        assert harness.sent == [] and ("r1", 0, "not_sent") in log.outcomes
+        harness.service.router.completion.leave_all_to_leader()
         with pytest.raises(asyncio.IncompleteReadError):
             await reply
 
@@ -68,33 +68,33 @@
 
 
 def test_an_answer_is_given_after_its_commit_to_all_clients_with_that_id() -> None:
-    async def scenario(world: World, log: ControlledRequestLog) -> None:
-        first = asyncio.create_task(world.ask(world.request("r1", "book")))
+    async def scenario(harness: ServiceHarness, log: ControlledRequestLog) -> None:
+        first = asyncio.create_task(harness.exchange(harness.request("r1", "book")))
         commit = await log.wait_for("answer")
         # Its answer is on its way to be committed: treated as a new one it would be sent again.
-        second = asyncio.create_task(world.ask(world.request("r1", "book")))
+        second = asyncio.create_task(harness.exchange(harness.request("r1", "book")))
         await asyncio.sleep(0.05)
         assert not first.done() and not second.done()
         commit(True)
-        assert (await first) == (await second) and world.ran["r1"] == 1
-        again = await world.ask(world.request("r1", "book"))
-        assert again[0] == 200 and world.ran["r1"] == 1
-        assert (await world.ask(world.request("r1", "book", b"another")))[0] == 409
+        assert (await first) == (await second) and harness.run_counts["r1"] == 1
+        again = await harness.exchange(harness.request("r1", "book"))
+        assert again[0] == 200 and harness.run_counts["r1"] == 1
+        assert (await harness.exchange(harness.request("r1", "book", b"another")))[0] == 409
 
     run_with_request_log(scenario, "answer")
 
 
 def test_a_returning_client_waits_for_the_request_in_flight() -> None:
-    async def scenario(world: World, log: ControlledRequestLog) -> None:
-        _reader, writer = await world.connect()
-        writer.write(world.request("r1", "book"))
+    async def scenario(harness: ServiceHarness, log: ControlledRequestLog) -> None:
+        _reader, writer = await harness.connect()
+        writer.write(harness.request("r1", "book"))
         commit = await log.wait_for("attempt")
         writer.close()
         await asyncio.sleep(0.02)
-        second = asyncio.create_task(world.ask(world.request("r1", "book")))
+        second = asyncio.create_task(harness.exchange(harness.request("r1", "book")))
         await asyncio.sleep(0.02)
         commit(True)
-        assert (await second)[0] == 200 and world.ran["r1"] == 1
+        assert (await second)[0] == 200 and harness.run_counts["r1"] == 1
 
     run_with_request_log(scenario, "attempt")
 
@@ -102,22 +102,22 @@
 @pytest.mark.parametrize("client_returns", [False, True])
 def test_a_request_without_clients_that_was_not_sent_is_rejected(client_returns: bool) -> None:
     # The last had left while it waited for a worker, and it was sent on all the same, whenever one was ready.
-    async def scenario(world: World, log: ControlledRequestLog) -> None:
-        ready = world.entries
-        await world.change_list([{**entry, "state": "Terminating"} for entry in ready])
-        _, writer = await world.connect()
-        writer.write(world.request("r1", "book"))
-        while not world.service.router.requests.open_count():
+    async def scenario(harness: ServiceHarness, log: ControlledRequestLog) -> None:
+        ready = harness.entries
+        await harness.change_list([{**entry, "state": "Terminating"} for entry in ready])
+        _, writer = await harness.connect()
+        writer.write(harness.request("r1", "book"))
+        while not harness.service.router.requests.open_count():
             await asyncio.sleep(0.001)
         writer.close()
         for _ in range(200):
             await asyncio.sleep(0.001)
-        assert not world.service.router.requests.open_count()
-        await world.change_list(ready)
+        assert not harness.service.router.requests.open_count()
+        await harness.change_list(ready)
         if client_returns:
-            assert (await world.ask(world.request("r1", "book")))[0] == 503
-        assert (await world.ask(world.request("r2", "book")))[0] == 200
-        assert [name for _, name in world.sent] == ["r2"]
+            assert (await harness.exchange(harness.request("r1", "book")))[0] == 503
+        assert (await harness.exchange(harness.request("r2", "book")))[0] == 200
+        assert [name for _, name in harness.sent] == ["r2"]
 
     patient = {"AbandonTimeUs": 30_000_000, "ExpectedTimeUs": 20_000_000}
     grades = [{**grade, **patient} for grade in SETTINGS["ServiceGrades"]]
@@ -125,28 +125,28 @@
 
 
 def test_clients_are_redirected_to_the_leader() -> None:
-    async def scenario(world: World, log: ControlledRequestLog) -> None:
+    async def scenario(harness: ServiceHarness, log: ControlledRequestLog) -> None:
         log.leading = False
-        status, headers, _ = await world.ask(world.request("r1", "book"))
+        status, headers, _ = await harness.exchange(harness.request("r1", "book"))
         assert status == 307 and headers["location"] == "http://127.0.0.1:9/book/1?a=b"
-        reader, writer = await world.connect()
+        reader, writer = await harness.connect()
         writer.write(b"GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n")
-        assert (await message(reader))[0].startswith("HTTP/1.1 200")
+        assert (await read_message(reader))[0].startswith("HTTP/1.1 200")
         writer.close()
 
     run_with_request_log(scenario)
 
 
 def test_a_request_that_may_have_run_is_not_retried_and_one_that_did_not_run_is() -> None:
-    async def scenario(world: World, log: ControlledRequestLog) -> None:
+    async def scenario(harness: ServiceHarness, log: ControlledRequestLog) -> None:
         digest = log.digest("POST", "/book/1?a=b", b"x")
         log.previous["lost"] = PreviousOutcome(None, digest, 1, "w0", 5 * SECOND)
         log.previous["free"] = PreviousOutcome(None, digest, 1, "", 0)
         log.previous["spent"] = PreviousOutcome(None, digest, 6, "", 0)
-        assert (await world.ask(world.request("lost", "book")))[0] == 504
-        assert (await world.ask(world.request("spent", "book")))[0] == 503
-        assert (await world.ask(world.request("free", "book")))[0] == 200
-        assert [name for _, name in world.sent] == ["free"]
+        assert (await harness.exchange(harness.request("lost", "book")))[0] == 504
+        assert (await harness.exchange(harness.request("spent", "book")))[0] == 503
+        assert (await harness.exchange(harness.request("free", "book")))[0] == 200
+        assert [name for _, name in harness.sent] == ["free"]
 
     run_with_request_log(scenario)
 
--- a/tests/supervisor/harness.py
+++ b/tests/supervisor/harness.py
@@ -9,7 +9,7 @@
 from ploverspoke.supervisor.supervisor import ProcessSupervisor
 from ploverspoke.testbed.processes.addresses import reserve_ports
 from ploverspoke.transport.units import SECOND
-from tests.routing.harness import World
+from tests.routing.harness import ServiceHarness
 
 EXAMPLE: dict[str, Any] = json.loads((Path(__file__).parents[2] / "deploy" / "example.json").read_text())
 
@@ -84,14 +84,14 @@
 class SupervisedDispatchers:
     """The real command with several processes, in front of the fake workers of `World`."""
 
-    def __init__(self, folder: Path, world: World, discovery: str, count: int) -> None:
+    def __init__(self, folder: Path, harness: ServiceHarness, discovery: str, count: int) -> None:
         [self.port] = reserve_ports(1)
         self.config_path = folder / "c.json"
         self.document = {
             **EXAMPLE,
             "listen": f"127.0.0.1:{self.port}",
             "discovery": discovery,
-            "known": {"version": 1, "full": True, "servers": world.entries},
+            "known": {"version": 1, "full": True, "servers": harness.entries},
         }
         self.config_path.write_text(json.dumps(self.document))
         arguments = ["-m", "ploverspoke", "serve", str(self.config_path), "--processes", str(count)]
--- a/tests/supervisor/test_processes.py
+++ b/tests/supervisor/test_processes.py
@@ -10,7 +10,7 @@
 
 import uvloop
 
-from tests.routing.harness import World, message
+from tests.routing.harness import ServiceHarness, read_message
 
 from .harness import SupervisedDispatchers
 
@@ -25,12 +25,12 @@
     raise AssertionError("it did not come to that")
 
 
-async def send_requests(world: World, port: int, name: str, statuses: list[int]) -> None:
+async def send_requests(harness: ServiceHarness, port: int, name: str, statuses: list[int]) -> None:
     for number in range(10_000):
         try:
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
-            writer.write(world.request(f"{name}-{number}", "look-up"))
-            status_line, _, _ = await asyncio.wait_for(message(reader), 5)
+            writer.write(harness.request(f"{name}-{number}", "look-up"))
+            status_line, _, _ = await asyncio.wait_for(read_message(reader), 5)
             statuses.append(int(status_line.split()[1]))
             writer.close()
         except (ConnectionError, asyncio.IncompleteReadError):
@@ -57,14 +57,14 @@
     await until(lambda: dispatchers.logged(" serves at") == 10)
 
 
-async def play(folder: Path) -> None:
-    world = World()
-    dispatchers = SupervisedDispatchers(folder, world, await world.surround(2), 3)
+async def run_script(folder: Path) -> None:
+    harness = ServiceHarness()
+    dispatchers = SupervisedDispatchers(folder, harness, await harness.start_workers_and_discovery(2), 3)
     statuses: list[int] = []
     try:
         await until(lambda: dispatchers.logged(" serves at") == 3)
         clients = [
-            asyncio.create_task(send_requests(world, dispatchers.port, f"c{number}", statuses))
+            asyncio.create_task(send_requests(harness, dispatchers.port, f"c{number}", statuses))
             for number in range(4)
         ]
         await until(lambda: len(statuses) > 100)
@@ -86,11 +86,11 @@
             for pid in dispatchers.children():
                 os.kill(pid, signal.SIGKILL)
             dispatchers.process.kill()
-        for server in world.servers:
+        for server in harness.servers:
             server.close()
 
 
 def test_requests_are_answered_while_children_are_killed_replaced_and_shut_down(tmp_path: Path) -> None:
     began = time.monotonic()
-    uvloop.run(asyncio.wait_for(play(tmp_path), 60))
+    uvloop.run(asyncio.wait_for(run_script(tmp_path), 60))
     assert time.monotonic() - began < 60
