--- a/ploverspoke/config_distribution/dynamic_config.py
+++ b/ploverspoke/config_distribution/dynamic_config.py
@@ -106,7 +106,7 @@
         except ValueError as error:
             service.config = before
             raise VersionRejectedError(version.number, str(error)) from error
-        except Exception:
+        except Exception:  # whatever a check raises, the configuration before it stays in effect
             service.config = before
             raise
         service.config = service.config._replace(document=new.document)
--- a/ploverspoke/service/service.py
+++ b/ploverspoke/service/service.py
@@ -1,7 +1,6 @@
 """The running dispatcher: start, signals, a new configuration, shutdown."""
 
 import asyncio
-import gc
 import os
 import signal
 import socket
@@ -20,6 +19,7 @@
 from ploverspoke.routing.router import Router
 from ploverspoke.transport.connection_pool import ConnectionPool, max_idle_time_for
 from ploverspoke.transport.deadlines import Deadlines
+from ploverspoke.transport.garbage_collection import freeze_startup_objects
 from ploverspoke.transport.rate_limited_log import log_line
 from ploverspoke.transport.resource_limits import split_resources
 from ploverspoke.transport.units import MILLISECOND, SECOND
@@ -244,12 +244,6 @@
     return Service(loop, config)
 
 
-def freeze_startup_objects() -> None:
-    """Exclude what exists now from later garbage collections: it lives to the end, and pauses get shorter."""
-    gc.collect()
-    gc.freeze()
-
-
 def run_service(service: Service) -> None:
     """Run a service of `create_service` until it has shut down. Raises OSError, see `Service.run`."""
     freeze_startup_objects()
--- a/ploverspoke/store/daemon.py
+++ b/ploverspoke/store/daemon.py
@@ -4,14 +4,12 @@
 import os
 from pathlib import Path
 
-import uvloop
-
 from ploverspoke.consensus.cluster_config import ReplicaConfig, read_replica_config
-from ploverspoke.consensus.storage import ClusterMismatchError, CorruptionError, StorageError
+from ploverspoke.consensus.server import run_replica_process
 from ploverspoke.service.config import Config, read_config_document
 from ploverspoke.service.config_reader import ConfigError
-from ploverspoke.service.exit_codes import run_with_exit_code
-from ploverspoke.service.service import Service, freeze_startup_objects
+from ploverspoke.service.service import Service
+from ploverspoke.transport.garbage_collection import freeze_startup_objects
 from ploverspoke.transport.rate_limited_log import log_line
 
 from .endpoint_cache import EndpointCache
@@ -76,12 +74,8 @@
 
 
 def main(store: Path, new: bool = False, join: str = "") -> int:
-    """Run the daemon with the replica's file `store` and give the exit code.
+    """Run the daemon with the replica's file `store` and return the exit code of `run_replica_process`.
 
-    0: ended by a signal. 2: the configuration or the storage cannot be used, and the reason was printed.
+    `new` and `join` are those of `StoreDaemon.run`.
     """
-
-    def run() -> None:
-        uvloop.run(StoreDaemon(read_replica_config(store)).run(new, join))
-
-    return run_with_exit_code(run, ClusterMismatchError, CorruptionError, StorageError)
+    return run_replica_process(lambda: StoreDaemon(read_replica_config(store)).run(new, join))
--- a/tests/routing/test_acceptance_rules.py
+++ b/tests/routing/test_acceptance_rules.py
@@ -15,9 +15,9 @@
 import pytest
 import uvloop
 
-from ploverspoke.testbed.experiment_files.experiment import parse_experiment
-from ploverspoke.testbed.models.event_records import CAME, UP
-from ploverspoke.testbed.models.virtual_run import VirtualRun as VirtualRun
+from ploverspoke.testbed.experiment_files.reader import parse_experiment
+from ploverspoke.testbed.models.event_records import ATTEMPT_ARRIVED, WORKER_STARTED
+from ploverspoke.testbed.models.virtual_run import VirtualRun
 from ploverspoke.testbed.models.worker import Worker
 from ploverspoke.testbed.processes.addresses import reserve_ports
 from tests.decisions.harness import SETTINGS
@@ -177,10 +177,10 @@
     rules, up_since, starts = experiment.worker_rules, dict[str, int](), dict[str, list[int]]()
     max_excess, total = -1e9, 0
     for event in VirtualRun(experiment, seed, policy).run():
-        if event.what == UP:
+        if event.kind == WORKER_STARTED:
             up_since[event.worker], starts[event.worker] = event.at, []
         elif (
-            event.what == CAME
+            event.kind == ATTEMPT_ARRIVED
             and event.at - up_since.get(event.worker, -rules.warmup_period) < rules.warmup_period
         ):
             warmth = (event.at - up_since[event.worker]) / rules.warmup_period
