--- a/tests/decisions/harness.py
+++ b/tests/decisions/harness.py
@@ -1,8 +1,7 @@
-"""Runs a dispatcher in simulated time, checks the four rules on each action, and plays random workers."""
+"""Runs a dispatcher in simulated time and checks the four rules on each of its actions."""
 
-import random
 from collections.abc import Iterable
-from dataclasses import dataclass, fields, replace
+from dataclasses import dataclass
 from enum import Enum, auto
 from typing import Any
 
@@ -16,97 +15,13 @@
     EndReason,
     LoadGossip,
 )
-from ploverspoke.decisions.settings import (
-    Idempotency,
-    LoadReporting,
-    RequestClass,
-    RetryScope,
-    Settings,
-)
-from ploverspoke.decisions.state import MILLISECOND, SECOND
+from ploverspoke.decisions.settings import Idempotency
+from ploverspoke.decisions.state import MILLISECOND, SECOND, RequestQueue
 from ploverspoke.testbed.processes.dispatcher_process import SETTINGS as SETTINGS
 
-MS = MILLISECOND
-DECISION_SETTINGS = Settings(
-    classes=(
-        RequestClass(
-            latency_objective=100 * MS,
-            deadline=3 * SECOND,
-            priority_weight=1.0,
-            overdue_weight=0.25,
-            idempotency=Idempotency.IDEMPOTENT,
-            retry_scope=RetryScope.ALL,
-            retry_window=SECOND,
-            machine_kind=-1,
-            latency_stretch=2.0,
-            max_attempts=4,
-        ),
-        RequestClass(
-            latency_objective=300 * MS,
-            deadline=3 * SECOND,
-            priority_weight=2.0,
-            overdue_weight=0.0,
-            idempotency=Idempotency.IDEMPOTENT_WITH_KEY,
-            retry_scope=RetryScope.RACK,
-            retry_window=SECOND,
-            machine_kind=-1,
-            latency_stretch=2.0,
-            max_attempts=4,
-        ),
-        RequestClass(
-            latency_objective=300 * MS,
-            deadline=3 * SECOND,
-            priority_weight=3.0,
-            overdue_weight=0.5,
-            idempotency=Idempotency.NON_IDEMPOTENT,
-            retry_scope=RetryScope.ALL,
-            retry_window=SECOND,
-            machine_kind=1,
-            latency_stretch=2.0,
-            max_attempts=4,
-        ),
-    ),
-    active_classes=(0, 1, 2),
-    batch_interval=2 * MS,
-    dispatcher_count=2,
-    dispatcher_index=0,
-    zone=0,
-    discovery_polling=True,
-    discovery_poll_interval=10 * SECOND,
-    drain_grace=500 * MS,
-    workers_report_start=True,
-    progress_interval=SECOND,
-    load_reporting=LoadReporting.NONE,
-    load_fields=(),
-    cancel_allowed=True,
-    probing_allowed=True,
-    gossip_allowed=False,
-    send_retry_after=True,
-    max_retry_after=SECOND,
-    connect_timeout=SECOND,
-    idle_timeout=30 * SECOND,
-    max_open_requests=10_000,
-    full_may_have_run=False,
-    only_draining_is_binding=False,
-    warmup_share=0.3,
-    warmup_period=5 * SECOND,
-    overload_multiple=3.0,
-    overload_window=2 * SECOND,
-    cross_zone_cost=0.0,
-    probe_cost=1.0,
-    waste_cost=0.0,
-    gossip_cost=0.0,
-)
-CLASS_FIELDS = {field.name for field in fields(RequestClass)}
+from .decision_settings import settings_with
 
-
-def settings_with(**overrides: Any) -> Settings:
-    """The settings above with other values; a field of the classes takes one value for each class."""
-    classes = DECISION_SETTINGS.classes
-    for name in CLASS_FIELDS & set(overrides):
-        values = overrides.pop(name)
-        classes = tuple(replace(each, **{name: value}) for each, value in zip(classes, values, strict=True))
-    return replace(DECISION_SETTINGS, classes=classes, **overrides)
+MS = MILLISECOND
 
 
 def endpoint(
@@ -120,7 +35,7 @@
 
 
 class Answer(Enum):
-    """What has become of a request, as its client sees it."""
+    """The end of a request, as its client sees it."""
 
     SUCCEEDED = auto()
     REJECTED = auto()
@@ -130,6 +45,8 @@
 
 @dataclass
 class RecordedAttempt:
+    """One attempt that the dispatcher started."""
+
     worker: str
     sent_at: int
     times_out_at: int
@@ -277,13 +194,17 @@
                 self.dispatcher.timer_fired(first[2])
         self.clock = end
 
+    def first_queue(self) -> RequestQueue:
+        """The queue that was created first."""
+        return next(iter(self.dispatcher.parts.queues.values()))
+
     def worker_of(self, request_id: int) -> str | None:
-        """The worker that has the request now."""
+        """The worker with an attempt of the request in flight."""
         attempts = self.attempts[request_id]
         return attempts[-1].worker if attempts and attempts[-1].outcome is None else None
 
     def check_accounting(self) -> None:
-        """The slots that the dispatcher counts as in flight are those of the attempts that are."""
+        """Check that the dispatcher counts the slots and requests that are in flight or waiting."""
         for worker in self.dispatcher.workers.values():
             requests = list(worker.attempts.values())
             slots = sum(request.queue.slots for request in requests)
@@ -293,76 +214,3 @@
         for request in self.dispatcher.open_requests.values():
             assert request.id not in self.answers
             assert (request.worker is None) == (request in request.queue.waiting)
-
-
-RANDOM_OUTCOMES = [AttemptOutcome.SUCCEEDED] * 6 + [
-    AttemptOutcome.WORKER_ERROR,
-    AttemptOutcome.FULL,
-    AttemptOutcome.TIMED_OUT,
-    AttemptOutcome.UNREACHABLE,
-    AttemptOutcome.BROKEN_OFF,
-    AttemptOutcome.NOT_SENT,
-]
-
-
-def random_run(seed: int, steps: int, **overrides: Any) -> DispatchHarness:
-    """Random arrivals, starts, ends, departures and endpoint changes, the accounts checked at each step."""
-    randomness = random.Random(seed)
-    names = [f"w{i}" for i in range(randomness.randint(1, 7))]
-    endpoints = [endpoint(name, kind=i % 2, rack=i % 3) for i, name in enumerate(names)]
-    harness = DispatchHarness(endpoints, seed, **overrides)
-    for step in range(steps):
-        harness.advance(randomness.choice([0, 1, 5, 30, 200]) * MS)
-        random_event(harness, randomness, step, names)
-        harness.check_accounting()
-    harness.advance(10 * SECOND)
-    harness.check_accounting()
-    assert set(harness.answers) == set(harness.attempts), "every request is answered"
-    return harness
-
-
-def random_event(harness: DispatchHarness, randomness: random.Random, step: int, names: list[str]) -> None:
-    out = [request_id for request_id in harness.attempts if harness.worker_of(request_id) is not None]
-    roll = randomness.random()
-    if roll < 0.45:
-        harness.send_request(
-            step,
-            randomness.randrange(3),
-            randomness.choice([1.0, 1.0, 2.0]),
-            affinity_key=randomness.choice(["", "a", "b"]),
-            deadline_in=randomness.choice([-1, 0, 100 * MS, 3 * SECOND]),
-        )
-    elif roll < 0.6 and out:
-        waiting = [request_id for request_id in out if not harness.attempts[request_id][-1].started]
-        if waiting:
-            harness.report_start(randomness.choice(waiting))
-    elif roll < 0.88 and out:
-        harness.end_attempt(randomness.choice(out), randomness.choice(RANDOM_OUTCOMES))
-    elif roll < 0.9 and harness.dispatcher.open_requests:
-        harness.disconnect(randomness.choice(list(harness.dispatcher.open_requests)))
-    elif roll < 0.92:
-        harness.dispatcher.endpoint_watch_failed()
-    elif roll < 0.96 and harness.probes:
-        elapsed = randomness.choice([MS, SECOND])
-        outcome = randomness.choice([AttemptOutcome.SUCCEEDED, AttemptOutcome.TIMED_OUT])
-        harness.dispatcher.probe_completed(harness.probes.pop(), outcome, elapsed, None)
-    else:
-        random_endpoint_change(harness, randomness, randomness.choice(names))
-
-
-def random_endpoint_change(harness: DispatchHarness, randomness: random.Random, name: str) -> None:
-    condition = randomness.choice(
-        [
-            EndpointCondition.READY,
-            EndpointCondition.READY,
-            EndpointCondition.DRAINING,
-            EndpointCondition.GONE,
-        ]
-    )
-    before = harness.endpoints[name]
-    harness.endpoints[name] = before._replace(condition=condition, started_at=harness.clock)
-    was_closed = harness.closed_at.pop(name, None) is not None
-    gone_is_binding = not harness.settings.only_draining_is_binding or was_closed
-    if condition is EndpointCondition.DRAINING or (condition is EndpointCondition.GONE and gone_is_binding):
-        harness.closed_at[name] = harness.clock
-    harness.dispatcher.endpoints_changed([harness.endpoints[name]])
--- a/tests/decisions/test_endpoint_polling.py
+++ b/tests/decisions/test_endpoint_polling.py
@@ -10,8 +10,8 @@
 from tests.decisions.harness import MS, DispatchHarness, endpoint
 
 
-def expired(names: str, **settings: Any) -> DispatchHarness:
-    """A dispatcher whose list has just expired."""
+def harness_with_expired_list(names: str, **settings: Any) -> DispatchHarness:
+    """A harness of a dispatcher whose endpoint list has just expired."""
     harness = DispatchHarness([endpoint(name) for name in names], **settings)
     harness.dispatcher.endpoint_list_confirmed(harness.clock)
     harness.advance(LIST_TTL_NS)
@@ -33,29 +33,29 @@
 
 @pytest.mark.parametrize("poll_interval", [200 * MS, SECOND, 10 * SECOND])
 def test_health_check_covers_a_worker_no_longer_than_an_answer_covers_the_list(poll_interval: int) -> None:
-    harness = expired("a", discovery_poll_interval=poll_interval)
+    harness = harness_with_expired_list("a", discovery_poll_interval=poll_interval)
     harness.send_request(1)
     assert harness.probes == ["a"] and not harness.attempts[1]
     harness.dispatcher.probe_completed("a", AttemptOutcome.SUCCEEDED, MS, {})
     assert harness.worker_of(1) == "a"
-    span = min(LIST_TTL_NS, 4 * poll_interval)
-    harness.advance(span - 2 * MS)
+    validity = min(LIST_TTL_NS, 4 * poll_interval)
+    harness.advance(validity - 2 * MS)
     assert harness.dispatcher.may_send_to("a")
     harness.advance(2 * MS)
     assert not harness.dispatcher.may_send_to("a")
 
 
-def test_workers_that_answer_unwell_are_not_checked_again_and_again() -> None:
-    # Each answer had the queues looked at, which had the next workers checked: as fast as answers came.
-    harness = expired("abcdefgh")
+def test_workers_that_fail_health_checks_are_checked_at_an_interval() -> None:
+    # Each answer led to the next checks at once, as fast as answers came.
+    harness = harness_with_expired_list("abcdefgh")
     checks = 0
     for request_id in range(10):
         harness.send_request(request_id)
         for _ in range(100):
             harness.advance(MS)
-            due, harness.probes = harness.probes, []
-            checks += len(due)
-            for name in due:
+            probed, harness.probes = harness.probes, []
+            checks += len(probed)
+            for name in probed:
                 harness.dispatcher.probe_completed(name, AttemptOutcome.WORKER_ERROR, MS, None)
     assert 8 <= checks <= 16, f"{checks} checks of 8 workers in a second"
     assert not any(harness.attempts.values())
--- a/tests/decisions/test_load_gossip.py
+++ b/tests/decisions/test_load_gossip.py
@@ -1,4 +1,4 @@
-"""What dispatchers tell one another: a hint, whatever becomes of it; decisions, bytes and sockets."""
+"""Load gossip: decisions that use it, its bytes and its sockets; it is a hint and may be lost."""
 
 import asyncio
 import random
@@ -22,7 +22,8 @@
 from ploverspoke.service.config import parse_config
 from ploverspoke.service.service import Service
 from ploverspoke.testbed.processes.addresses import reserve_ports
-from tests.decisions.harness import MS, SETTINGS, Answer, DispatchHarness, endpoint, random_run
+from tests.decisions.harness import MS, SETTINGS, Answer, DispatchHarness, endpoint
+from tests.decisions.random_runs import random_run
 
 GOSSIP: dict[str, Any] = {
     "gossip_allowed": True,
@@ -33,10 +34,10 @@
 FULL = ["a", "a"]
 
 
-def test_a_worker_that_others_fill_is_left_alone_until_that_fades() -> None:
+def test_a_worker_full_of_peers_requests_is_avoided_until_their_gossip_expires() -> None:
     harness = DispatchHarness([endpoint("a"), endpoint("b")], **GOSSIP)
-    for peer, held in ((1, FULL), (2, ["a"])):
-        harness.dispatcher.gossip_received(peer, LoadGossip(0, 1, 0.0, held))
+    for peer, slots in ((1, FULL), (2, ["a"])):
+        harness.dispatcher.gossip_received(peer, LoadGossip(0, 1, 0.0, slots))
     harness.send_request(1)
     harness.send_request(2)
     assert harness.worker_of(1) == harness.worker_of(2) == "b"
@@ -45,20 +46,20 @@
     assert harness.dispatcher.workers["a"].peer_slots == 0
 
 
-def test_late_doubled_and_foreign_gossip_change_nothing() -> None:
+def test_late_duplicate_and_foreign_gossip_changes_nothing() -> None:
     harness = DispatchHarness([endpoint("a")], **GOSSIP)
     receive_gossip = harness.dispatcher.gossip_received
     receive_gossip(1, LoadGossip(0, 7, 0.0, ["a"]))
     receive_gossip(1, LoadGossip(0, 6, 0.0, FULL))  # late
-    receive_gossip(1, LoadGossip(0, 7, 0.0, FULL))  # twice
-    receive_gossip(0, LoadGossip(0, 8, 0.0, FULL))  # from ourselves
+    receive_gossip(1, LoadGossip(0, 7, 0.0, FULL))  # duplicate
+    receive_gossip(0, LoadGossip(0, 8, 0.0, FULL))  # from this dispatcher
     receive_gossip(1, LoadGossip(0, 8, 0.0, ["nobody"]))
     assert harness.dispatcher.workers["a"].peer_slots == 0 and set(harness.dispatcher.workers) == {"a"}
     receive_gossip(1, LoadGossip(0, 0, 0.0, FULL))  # a new start
     assert harness.dispatcher.workers["a"].peer_slots == 2
 
 
-def test_gossip_lifts_no_drain() -> None:
+def test_gossip_does_not_end_a_drain() -> None:
     harness = DispatchHarness([endpoint("a")], **GOSSIP)
     harness.dispatcher.endpoints_changed([endpoint("a", EndpointCondition.DRAINING)])
     harness.dispatcher.gossip_received(1, LoadGossip(0, 1, 0.0, ["a"]))
@@ -66,7 +67,7 @@
     assert harness.worker_of(1) is None
 
 
-def test_without_permission_nothing_is_sent_or_used() -> None:
+def test_without_permission_no_gossip_is_sent_or_used() -> None:
     harness = DispatchHarness([endpoint("a")])
     harness.dispatcher.gossip_received(1, LoadGossip(0, 1, 1.0, FULL))
     harness.send_request(1)
@@ -74,7 +75,7 @@
     assert not harness.gossip_sent and harness.dispatcher.workers["a"].peer_slots == 0
 
 
-def test_the_ring_of_the_zone_hears_of_changes_only() -> None:
+def test_the_ring_of_the_zone_is_sent_changes_only() -> None:
     harness = DispatchHarness([endpoint("a")], **GOSSIP)
     for peer, zone in ((5, 0), (3, 0), (4, 1)):
         harness.dispatcher.gossip_received(peer, LoadGossip(zone, 1, 0.0, []))
@@ -88,20 +89,20 @@
     assert (peers, gossip.zone, gossip.workers) == ([3, 5, 4, 4], 0, ["a"]) and len(harness.gossip_sent) == 1
 
 
-def test_another_zone_is_sent_to_only_where_starts_are_far_less_late() -> None:
-    far = endpoint("f")._replace(zone=1)
-    for own, other, where in ((0.8, 0.1, "f"), (0.8, 0.6, None), (0.8, None, None)):
-        harness = DispatchHarness([endpoint("a"), far], cross_zone_cost=0.02, **GOSSIP)
-        harness.dispatcher.gossip_received(1, LoadGossip(0, 1, own, ["a"] * 9))
-        harness.dispatcher.parts.lateness.recent.extend([own] * 16)
+def test_another_zone_is_used_only_where_starts_are_much_less_late() -> None:
+    remote = endpoint("f")._replace(zone=1)
+    for own_lateness, other, expected in ((0.8, 0.1, "f"), (0.8, 0.6, None), (0.8, None, None)):
+        harness = DispatchHarness([endpoint("a"), remote], cross_zone_cost=0.02, **GOSSIP)
+        harness.dispatcher.gossip_received(1, LoadGossip(0, 1, own_lateness, ["a"] * 9))
+        harness.dispatcher.parts.lateness.recent.extend([own_lateness] * 16)
         if other is not None:
             harness.dispatcher.gossip_received(2, LoadGossip(1, 1, other, []))
         harness.dispatcher.parts.admission.refuses = lambda request, now: False  # type: ignore[method-assign]
         harness.send_request(1)
-        assert harness.worker_of(1) == where
+        assert harness.worker_of(1) == expected
 
 
-def test_refusals_follow_what_starts_have_waited() -> None:
+def test_refusals_follow_the_lateness_of_starts() -> None:
     harness = DispatchHarness([endpoint("a")], **GOSSIP)
     harness.dispatcher.parts.lateness.recent.extend([1.0] * 16)
     for number in range(100):
@@ -117,15 +118,19 @@
 
 @pytest.mark.parametrize("seed", range(12))
 def test_rules_hold_whatever_gossip_says(seed: int) -> None:
-    """Also false tellings: of fleets that are full, late, doubled, of unknown workers and dispatchers."""
-    chance = random.Random(seed)
-    sent = DispatchHarness.send_request
-
-    def send_request(self: DispatchHarness, *what: object, **more: object) -> None:
-        held = [chance.choice(["w0", "w1", "w2", "?"]) for _ in range(chance.randrange(9))]
-        peer, zone, sequence = chance.randrange(99), chance.randrange(2), chance.randrange(256)
-        self.dispatcher.gossip_received(peer, LoadGossip(zone, sequence, 0.3, held))
-        sent(self, *what, **more)  # type: ignore[arg-type]
+    """Also with false gossip: full fleets, late or duplicate messages, unknown workers and dispatchers."""
+    random_numbers = random.Random(seed)
+    original_send_request = DispatchHarness.send_request
+
+    def send_request(self: DispatchHarness, *arguments: object, **options: object) -> None:
+        slots = [random_numbers.choice(["w0", "w1", "w2", "?"]) for _ in range(random_numbers.randrange(9))]
+        peer, zone, sequence = (
+            random_numbers.randrange(99),
+            random_numbers.randrange(2),
+            random_numbers.randrange(256),
+        )
+        self.dispatcher.gossip_received(peer, LoadGossip(zone, sequence, 0.3, slots))
+        original_send_request(self, *arguments, **options)  # type: ignore[arg-type]
 
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(DispatchHarness, "send_request", send_request)
@@ -135,23 +140,23 @@
 
 def test_bytes_are_read_back_and_corrupt_ones_refused() -> None:
     reader, workers = GossipReader(), ["10.0.0.1:80", "10.0.0.2:80"]
-    octets = encode_gossip(GossipMessage(2, 9, 0.5, [workers[1], "elsewhere:1", workers[1]]))
-    assert reader.read(octets, workers) == GossipMessage(2, 9, 128 / 255, [workers[1], workers[1]])
+    data = encode_gossip(GossipMessage(2, 9, 0.5, [workers[1], "elsewhere:1", workers[1]]))
+    assert reader.read(data, workers) == GossipMessage(2, 9, 128 / 255, [workers[1], workers[1]])
     assert len(encode_gossip(GossipMessage(0, 0, 1.0, workers * 200))) == MAX_MESSAGE_SIZE
-    spoilt = [octets[:at] + bytes((octets[at] ^ 1,)) + octets[at + 1 :] for at in range(len(octets))]
-    for bad in (b"", octets[:-1], octets[:4], b"\x02" + octets[1:], bytes(300), *spoilt):
+    corrupted = [data[:at] + bytes((data[at] ^ 1,)) + data[at + 1 :] for at in range(len(data))]
+    for invalid in (b"", data[:-1], data[:4], b"\x02" + data[1:], bytes(300), *corrupted):
         with pytest.raises(GossipSyntaxError):
-            reader.read(bad, workers)
+            reader.read(invalid, workers)
 
 
 def test_a_hash_that_two_workers_share_means_neither() -> None:
-    seen: dict[int, str] = {}
+    names_by_hash: dict[int, str] = {}
     for number in range(100_000):
         name = f"10.{number // 251}.7:{number % 251}"
-        if short_hash(name) in seen:
+        if short_hash(name) in names_by_hash:
             break
-        seen[short_hash(name)] = name
-    pair = (seen[short_hash(name)], name)
+        names_by_hash[short_hash(name)] = name
+    pair = (names_by_hash[short_hash(name)], name)
     assert workers_by_hash(["alone", *pair]) == {short_hash("alone"): "alone"}
 
 
@@ -164,16 +169,16 @@
         addresses = [each.getsockname() for each in probes]
         for each in probes:
             each.close()
-        heard: list[tuple[object, ...]] = []
+        received: list[tuple[object, ...]] = []
         peers = [
-            GossipSocket(addresses, n, lambda: ["a"], lambda *arguments: heard.append(arguments))
-            for n in range(2)
+            GossipSocket(addresses, number, lambda: ["a"], lambda *arguments: received.append(arguments))
+            for number in range(2)
         ]
         old = GossipSocket(addresses, 1, list, lambda *arguments: None)
         for gossip_socket in (
             old,
             *peers,
-        ):  # a process that replaces another opens the address while that has it
+        ):  # a successor opens the address while its predecessor has it
             await gossip_socket.open(loop)
         old.close()
         await asyncio.sleep(0.01)
@@ -184,10 +189,10 @@
         peers[0].transport.sendto(b"garbage", addresses[1])
         for _ in range(100):
             await asyncio.sleep(0.01)
-            if heard:
+            if received:
                 break
         await asyncio.sleep(0.05)
-        assert heard == [(0, LoadGossip(1, 3, 0.0, ["a"]))]
+        assert received == [(0, LoadGossip(1, 3, 0.0, ["a"]))]
         stranger.close()
         for peer in peers:
             peer.close()
@@ -195,7 +200,7 @@
     asyncio.run(run())
 
 
-def test_a_started_program_greets_the_others_and_a_new_configuration_brings_no_messages() -> None:
+def test_a_started_program_sends_gossip_and_a_new_configuration_does_not_enable_it() -> None:
     async def run() -> None:
         loop = asyncio.get_running_loop()
         other = socket.socket(type=socket.SOCK_DGRAM)
@@ -209,8 +214,8 @@
         peers = [f"127.0.0.1:{ports[1]}", f"127.0.0.1:{other.getsockname()[1]}"]
         service = Service(loop, parse_config({**document, "peers": peers}, {}))
         running = loop.create_task(service.run())
-        octets = await asyncio.wait_for(loop.sock_recv(other, 999), 5)
-        assert GossipReader().read(octets, []) == GossipMessage(0, 0, 0.0, [])
+        data = await asyncio.wait_for(loop.sock_recv(other, 999), 5)
+        assert GossipReader().read(data, []) == GossipMessage(0, 0, 0.0, [])
         service.shut_down()
         await asyncio.wait_for(running, 5)
         other.close()
--- a/tests/decisions/test_mechanism.py
+++ b/tests/decisions/test_mechanism.py
@@ -1,4 +1,4 @@
-"""The ordinary path, and one small case for each failure found."""
+"""Queueing, retries, ejection and affinity, one small case for each."""
 
 import itertools
 from collections import deque
@@ -10,13 +10,11 @@
 from tests.decisions.harness import MS, Answer, DispatchHarness, endpoint
 
 
-def test_a_placeholder_gives_its_place_to_an_arrival() -> None:
+def test_an_arrival_takes_the_slots_of_a_placeholder() -> None:
     harness = DispatchHarness([endpoint("a"), endpoint("b")])
     harness.send_request(1)
     worker = harness.dispatcher.workers["b" if harness.worker_of(1) == "a" else "a"]
-    worker.placeholders.append(
-        Placeholder(next(iter(harness.dispatcher.parts.queues.values())), harness.clock + SECOND)
-    )
+    worker.placeholders.append(Placeholder(harness.first_queue(), harness.clock + SECOND))
     harness.send_request(2)
     assert harness.worker_of(2) == worker.name and not worker.placeholders
 
@@ -27,9 +25,7 @@
     harness.end_attempt(1, AttemptOutcome.SUCCEEDED)
     worker = harness.dispatcher.workers["a"]
     worker.capacity = 2.0
-    worker.placeholders.append(
-        Placeholder(next(iter(harness.dispatcher.parts.queues.values())), harness.clock + SECOND)
-    )
+    worker.placeholders.append(Placeholder(harness.first_queue(), harness.clock + SECOND))
     harness.send_request(2, slots=2.0)
     assert harness.worker_of(2) == "a" and not worker.placeholders
 
@@ -46,7 +42,7 @@
     assert worker.capacity == 1.0
 
 
-def test_no_more_goes_where_one_of_ours_has_not_started() -> None:
+def test_no_request_goes_to_a_worker_with_a_pending_start() -> None:
     harness = DispatchHarness([endpoint("a")])
     harness.send_request(1)
     harness.advance(MS)
@@ -58,7 +54,7 @@
     assert harness.worker_of(2) == "a" and harness.worker_of(3) is None
 
 
-def test_overdue_requests_give_way_to_those_behind() -> None:
+def test_overdue_requests_are_given_up_for_those_behind() -> None:
     harness = DispatchHarness([])
     harness.send_request(1)
     harness.advance(10 * MS)
@@ -67,35 +63,35 @@
     assert harness.answers == {1: Answer.REJECTED}
 
 
-def test_repeats_of_an_affinity_key_meet_on_one_worker() -> None:
+def test_requests_with_one_affinity_key_go_to_one_worker() -> None:
     harness = DispatchHarness([endpoint(n) for n in "abcdef"])
-    places = set()
+    workers = set()
     for request_id in range(6):
         harness.send_request(request_id, affinity_key="listing-7")
-        places.add(harness.worker_of(request_id))
+        workers.add(harness.worker_of(request_id))
         harness.report_start(request_id)
         harness.end_attempt(request_id, AttemptOutcome.SUCCEEDED)
-    assert len(places) == 1
+    assert len(workers) == 1
 
 
 def test_replacement_prefers_an_affinity_key_with_its_preferred_worker_there() -> None:
     harness = DispatchHarness([endpoint("a"), endpoint("b")])
     for name in "ab":
         harness.dispatcher.workers[name].capacity = harness.dispatcher.workers[name].capacity_before_cut = 0.0
-    subjects = [f"s{n}" for n in range(9)]
-    for number, affinity_key in enumerate(subjects):
+    keys = [f"s{n}" for n in range(9)]
+    for number, affinity_key in enumerate(keys):
         harness.send_request(number, affinity_key=affinity_key)
-    homes = [
+    preferred = [
         harness.dispatcher.parts.choice.tiers(-1, harness.dispatcher.open_requests[n])[0][0].name
         for n in range(9)
     ]
-    assert set(homes) == {"a", "b"}
-    other = "b" if homes[0] == "a" else "a"
+    assert set(preferred) == {"a", "b"}
+    other = "b" if preferred[0] == "a" else "a"
     harness.dispatcher.random.fraction = lambda: 0.0  # type: ignore[method-assign]
     harness.dispatcher.parts.service.replace(
         harness.dispatcher.open_requests[0].queue, harness.dispatcher.workers[other], harness.clock
     )
-    assert [n for n in range(9) if harness.worker_of(n)] == [homes.index(other)]
+    assert [n for n in range(9) if harness.worker_of(n)] == [preferred.index(other)]
 
 
 def test_a_head_bound_to_its_rack_does_not_block_its_queue() -> None:
@@ -123,8 +119,8 @@
     assert harness.dispatcher.workers[first].ejected
 
 
-def test_a_silent_connection_is_no_silent_worker() -> None:
-    # Single connections fall silent too; each took its worker out for 8 to 12 s.
+def test_a_silent_connection_does_not_eject_its_worker() -> None:
+    # A single connection may fall silent; each one ejected its worker for 8 to 12 s.
     harness = DispatchHarness([endpoint(n) for n in "abcd"])
     harness.send_request(1)
     harness.report_start(1)
@@ -156,7 +152,7 @@
 @pytest.mark.parametrize("probing", [True, False])
 @pytest.mark.parametrize("outcome", [AttemptOutcome.UNREACHABLE, AttemptOutcome.BROKEN_OFF])
 def test_one_broken_connection_ejects_no_worker(outcome: AttemptOutcome, probing: bool) -> None:
-    # Where connections are reset now and then all workers were ejected within seconds.
+    # With occasional connection resets all workers were ejected within seconds.
     harness = DispatchHarness([endpoint(n) for n in "abc"], probing_allowed=probing)
     harness.send_request(0)
     worker = harness.dispatcher.workers[str(harness.worker_of(0))]
@@ -183,7 +179,7 @@
     assert sum(w.ejected for w in harness.dispatcher.workers.values()) == 2
 
 
-def test_a_waiting_keyed_one_is_left_alone_while_its_rack_is_full() -> None:
+def test_a_waiting_keyed_request_is_not_cancelled_while_its_rack_is_full() -> None:
     harness = DispatchHarness([endpoint("a", rack=1), endpoint("b", rack=2)])
     harness.dispatcher.workers["b"].ready = False
     harness.send_request(1, request_class=1)
@@ -192,7 +188,7 @@
     assert harness.attempts[1][0].outcome is None
 
 
-def test_proof_knows_no_bound_on_the_ejected_share() -> None:
+def test_ejection_on_proof_is_not_limited() -> None:
     harness = DispatchHarness([endpoint(n) for n in "abc"])
     harness.send_request(1)
     while harness.attempts[1] and harness.worker_of(1):
@@ -210,7 +206,7 @@
     assert harness.worker_of(1) is None and harness.worker_of(2) == "a"
 
 
-def test_machines_that_a_class_needs_are_left_to_it() -> None:
+def test_machine_kinds_that_a_class_requires_are_reserved_for_it() -> None:
     harness = DispatchHarness([endpoint("a", kind=1), endpoint("b", kind=0), endpoint("c", kind=1)])
     harness.send_request(1)
     assert harness.worker_of(1) == "b"
@@ -230,7 +226,7 @@
     assert harness.worker_of(2) is None
 
 
-def test_an_overtaken_attempt_does_not_keep_its_worker_out() -> None:
+def test_an_overtaken_attempt_is_no_pending_start() -> None:
     harness = DispatchHarness([endpoint("a", kind=1)])
     worker = harness.dispatcher.workers["a"]
     harness.send_request(1, request_class=2)
@@ -244,7 +240,7 @@
 
 
 def test_a_bound_request_is_not_cancelled_to_be_sent_to_the_same_worker() -> None:
-    # On sockets a keyed one went to the same worker six times over, a copy left there each time.
+    # On sockets a keyed request was sent to the same worker six times, and left a copy there each time.
     harness = DispatchHarness([endpoint("a"), endpoint("b")])
     for request_id in (1, 2):
         harness.send_request(request_id, affinity_key="s")
@@ -253,13 +249,13 @@
         harness.end_attempt(request_id, AttemptOutcome.SUCCEEDED)
     harness.send_request(3, request_class=1, affinity_key="s")
     harness.advance(2 * SECOND)
-    went = [t.worker for t in harness.attempts[3]]
-    assert len(went) > 1 and all(here != there for here, there in itertools.pairwise(went))
+    workers = [attempt.worker for attempt in harness.attempts[3]]
+    assert len(workers) > 1 and all(earlier != later for earlier, later in itertools.pairwise(workers))
 
 
 def test_an_affinity_key_has_preferred_workers_by_its_share_of_the_latest_arrivals() -> None:
-    # One key with a seventh of the traffic is more than a worker's load; thousands of others are no more than
-    # names, of which only the latest are kept.
+    # One key has a seventh of the traffic, more than a worker's load; of thousands of others only the latest
+    # are remembered.
     harness = DispatchHarness([endpoint(f"w{n}") for n in range(40)])
     for number in range(700):
         harness.dispatcher.parts.observations.affinity_keys.record(
--- a/tests/decisions/test_rules.py
+++ b/tests/decisions/test_rules.py
@@ -1,10 +1,11 @@
-"""Seeded random runs: the rules and the books hold after every step."""
+"""The rules and the accounting, in seeded random runs and in single cases."""
 
 import pytest
 
 from ploverspoke.decisions.interface import AttemptOutcome, EndpointCondition
 from ploverspoke.decisions.state import SECOND
-from tests.decisions.harness import MS, Answer, DispatchHarness, endpoint, random_run
+from tests.decisions.harness import MS, Answer, DispatchHarness, endpoint
+from tests.decisions.random_runs import random_run
 
 
 @pytest.mark.parametrize("seed", range(40))
@@ -28,7 +29,7 @@
     assert harness.answers == {1: Answer.REJECTED} and not harness.attempts[1]
 
 
-def test_an_empty_endpoint_list_holds_and_then_answers() -> None:
+def test_with_an_empty_endpoint_list_a_request_waits_and_is_rejected() -> None:
     harness = DispatchHarness([])
     harness.send_request(1)
     harness.advance(5 * SECOND)
@@ -64,21 +65,21 @@
 
 def test_a_warming_worker_gets_some_work_however_many_dispatchers_there_are() -> None:
     harness = DispatchHarness([endpoint("a"), endpoint("b", started_at=100 * SECOND)], dispatcher_count=20)
-    given = []
+    sent_to = []
     for request_id in range(60):
         harness.send_request(request_id)
         if harness.worker_of(request_id):
             harness.report_start(request_id)
         harness.advance(50 * MS)
-        given += [t.worker for t in harness.attempts[request_id]]
+        sent_to += [t.worker for t in harness.attempts[request_id]]
         for out in [s for s in harness.attempts if harness.worker_of(s) and harness.attempts[s][-1].started][
             :-2
         ]:
             harness.end_attempt(out, AttemptOutcome.SUCCEEDED)
-    assert 0 < given.count("b") < given.count("a")
+    assert 0 < sent_to.count("b") < sent_to.count("a")
 
 
-def test_the_watch_is_renewed_with_growing_waits() -> None:
+def test_the_watch_is_retried_with_growing_backoff() -> None:
     harness = DispatchHarness([])
     waits = []
     for _ in range(3):
@@ -111,18 +112,18 @@
     assert harness.answers == ({} if again else {1: Answer.FAILED}), "no other attempt and no rejection"
 
 
-def test_gone_binds_only_where_no_drain_is_needed() -> None:
+def test_gone_is_binding_only_where_no_drain_is_needed() -> None:
     for only_draining in (False, True):
         harness = DispatchHarness([endpoint("a")], only_draining_is_binding=only_draining)
         harness.dispatcher.endpoint_list_received([])
-        assert harness.probes == (["a"] if only_draining else []), "one that is called gone is asked"
+        assert harness.probes == (["a"] if only_draining else []), "a worker listed as gone is probed"
         if only_draining:
             harness.dispatcher.probe_completed("a", AttemptOutcome.SUCCEEDED, MS, {"free_slots": 2.0})
         harness.send_request(1)
         assert harness.worker_of(1) == ("a" if only_draining else None)
 
 
-def test_a_drain_binds_beyond_its_end() -> None:
+def test_a_drain_is_binding_until_the_worker_is_ready_again() -> None:
     harness = DispatchHarness([endpoint("a")], only_draining_is_binding=True)
     for condition in (EndpointCondition.DRAINING, EndpointCondition.GONE):
         harness.dispatcher.endpoints_changed([endpoint("a", condition)])
@@ -130,4 +131,4 @@
     assert not harness.probes and not any(harness.attempts.values())
     harness.dispatcher.endpoints_changed([endpoint("a")])
     harness.dispatcher.endpoints_changed([endpoint("a", EndpointCondition.GONE)])
-    assert harness.probes == ["a"], "back since, it is gone without a drain"
+    assert harness.probes == ["a"], "it was ready since, and is gone without a drain"
--- a/tests/store/test_recovery.py
+++ b/tests/store/test_recovery.py
@@ -15,7 +15,7 @@
 )
 from ploverspoke.store.recovery import RecoveryVerdict, answer_at_deadline, recover_request
 from ploverspoke.store.state_machine import RequestStateMachine
-from tests.decisions.harness import DECISION_SETTINGS
+from tests.decisions.decision_settings import DECISION_SETTINGS
 
 UNKNOWN, FULL = None, AttemptOutcome.FULL
 UNREACHABLE, TIMED_OUT = AttemptOutcome.UNREACHABLE, AttemptOutcome.TIMED_OUT
