--- a/tests/supervisor/test_processes.py
+++ b/tests/supervisor/test_processes.py
@@ -10,7 +10,7 @@
 import uvloop
 
 from tests.polling import until
-from tests.routing.harness import World, message
+from tests.routing.harness import ServiceHarness, read_message
 
 from .harness import SupervisedDispatchers
 
@@ -18,12 +18,12 @@
 CONNECTION_LOST = 0  # in place of a status: the client got no answer
 
 
-async def send_requests(world: World, port: int, name: str, statuses: list[int]) -> None:
+async def send_requests(harness: ServiceHarness, port: int, name: str, statuses: list[int]) -> None:
     for number in range(10_000):
         try:
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
-            writer.write(world.request(f"{name}-{number}", "look-up"))
-            status_line, _, _ = await asyncio.wait_for(message(reader), 5)
+            writer.write(harness.request(f"{name}-{number}", "look-up"))
+            status_line, _, _ = await asyncio.wait_for(read_message(reader), 5)
             statuses.append(int(status_line.split()[1]))
             writer.close()
         except (ConnectionError, asyncio.IncompleteReadError):
@@ -51,13 +51,13 @@
 
 
 async def kill_reload_and_shut_down_under_load(folder: Path) -> None:
-    world = World()
-    dispatchers = SupervisedDispatchers(folder, world, await world.surround(2), 3)
+    harness = ServiceHarness()
+    dispatchers = SupervisedDispatchers(folder, harness, await harness.start_workers_and_discovery(2), 3)
     statuses: list[int] = []
     try:
         await until(lambda: dispatchers.logged(" serves at") == 3, EVENT_TIMEOUT)
         clients = [
-            asyncio.create_task(send_requests(world, dispatchers.port, f"c{number}", statuses))
+            asyncio.create_task(send_requests(harness, dispatchers.port, f"c{number}", statuses))
             for number in range(4)
         ]
         await until(lambda: len(statuses) > 100, EVENT_TIMEOUT)
@@ -79,7 +79,7 @@
             for pid in dispatchers.children():
                 os.kill(pid, signal.SIGKILL)
             dispatchers.process.kill()
-        for server in world.servers:
+        for server in harness.servers:
             server.close()
 
 
