--- a/tests/store/test_router_with_request_log.py
+++ b/tests/store/test_router_with_request_log.py
@@ -182,4 +182,4 @@
     )
     played = run_on_sockets(experiment, 1)
     assert audit_requests(experiment, played.events, SOCKETS_TOLERANCE) == []
-    assert sum(event.what == DISPATCHER_KILLED for event in played.events) == 3
+    assert sum(event.kind == DISPATCHER_KILLED for event in played.events) == 3
