--- a/ploverspoke/testbed/fakes/__init__.py
+++ b/ploverspoke/testbed/fakes/__init__.py
@@ -1,1 +1,1 @@
-"""Fake workers, discovery, clients and resources behind loopback sockets, each in a process of its own."""
+"""Fake workers, discovery, clients and a protected resource for the real program, on loopback sockets."""
--- a/ploverspoke/testbed/fakes/__main__.py
+++ b/ploverspoke/testbed/fakes/__main__.py
@@ -1,27 +1,30 @@
-"""`python -m ploverspoke.testbed.fakes KIND SPEC PART`; see `process.py` for what is said on the pipes."""
+"""`python -m ploverspoke.testbed.fakes KIND SPEC PART` runs a fake process; see `fake_messages`."""
 
 import sys
 from pathlib import Path
 
-from .fake_process import FakeProcess, run
+from .fake_process import FakeProcessFactory, run
 
 
-def main() -> None:
-    name, spec, part = sys.argv[1:]
-    kind: type[FakeProcess]
-    if name == "workers":
+def _factory(kind: str) -> FakeProcessFactory:
+    """Import only what that kind needs."""
+    if kind == "workers":
         from .worker_server import FakeWorkers
 
-        kind = FakeWorkers
-    elif name == "discovery":
+        return FakeWorkers
+    if kind == "discovery":
         from .discovery_server import FakeDiscovery
 
-        kind = FakeDiscovery
-    else:
-        from .client_process import FakeClients
+        return FakeDiscovery
+    from .client_process import FakeClients
+
+    return FakeClients
 
-        kind = FakeClients
-    run(kind, name, Path(spec), int(part))
+
+def main() -> None:
+    """Read the command line and run."""
+    kind, spec_path, part = sys.argv[1:]
+    run(_factory(kind), kind, Path(spec_path), int(part))
 
 
 main()
--- a/ploverspoke/testbed/fakes/baseline_dispatcher.py
+++ b/ploverspoke/testbed/fakes/baseline_dispatcher.py
@@ -1,6 +1,6 @@
-"""The bare relay of `testbed bench`: the program as it is, with a random worker in place of its decisions.
+"""The baseline of `testbed bench`: the program as it is, with random choice in place of its decisions.
 
-Started like the program; what it costs less is what the decisions cost.
+It is started like the program; the difference in cost is the cost of the decisions.
 """
 
 import asyncio
@@ -15,11 +15,12 @@
 
 
 def main() -> None:
-    briefing = read_config(os.environ)
+    """Serve until a signal ends it."""
+    config = read_config(os.environ)
     loop = uvloop.new_event_loop()
     asyncio.set_event_loop(loop)
-    service = Service(loop, briefing)
-    service.router.dispatcher = RandomPick(service.router, briefing.seed, briefing.settings)  # type: ignore[assignment]
+    service = Service(loop, config)
+    service.router.dispatcher = RandomPick(service.router, config.seed, config.settings)  # type: ignore[assignment]
     loop.run_until_complete(service.run())
 
 
--- a/ploverspoke/testbed/fakes/byte_counters.py
+++ b/ploverspoke/testbed/fakes/byte_counters.py
@@ -1,42 +1,42 @@
-"""What a stand-in's sockets carry, by dispatcher: bytes of the streams, without TCP and IP heads."""
+"""Counts what a fake process's sockets carry, by dispatcher: bytes of the streams, without TCP/IP headers."""
 
-from typing import Any
+import msgspec
 
 
-class Traffic:
-    """Of one dispatcher, from its own side: `out` is what it sent to this stand-in."""
+class Traffic(msgspec.Struct):
+    """Traffic of one dispatcher with this fake process; `out` is what the dispatcher sent."""
 
-    __slots__ = (
-        "bytes_in",
-        "bytes_out",
-        "connected",
-        "connections",
-        "messages_in",
-        "messages_out",
-        "probes",
-        "progress_bytes",
-    )
+    bytes_in: int = 0
+    bytes_out: int = 0
+    connected: int = 0  # connections opened since the start
+    connections: int = 0  # open now
+    messages_in: int = 0  # requests, responses, and each progress update of a run
+    messages_out: int = 0
+    probes: int = 0  # health checks and load probes
+    progress_bytes: int = 0  # of `bytes_in`: progress updates of runs
 
-    def __init__(self) -> None:
-        self.bytes_in = self.bytes_out = 0
-        self.messages_in = self.messages_out = 0  # requests, answers, and each note of a run that goes on
-        self.connected = 0  # connections made since the start
-        self.connections = 0  # that are open now
-        self.progress_bytes = 0  # of bytes_in, what notes of runs that go on took
-        self.probes = 0  # requests that asked only for health or load
+    def count_opened(self) -> None:
+        """Count a connection that was opened."""
+        self.connected += 1
+        self.connections += 1
 
-    def told(self) -> dict[str, int]:
-        return {name: getattr(self, name) for name in self.__slots__}
+    def count_closed(self) -> None:
+        """Count a connection that was closed."""
+        self.connections -= 1
+
+    def count_message_in(self, size: int) -> None:
+        """Count a message of that many bytes to the dispatcher."""
+        self.bytes_in += size
+        self.messages_in += 1
 
 
 class ByteCounters:
-    """All dispatchers of a run; whoever is none of them counts for nothing."""
+    """The traffic of all dispatchers of a run."""
 
     def __init__(self, dispatchers: int) -> None:
+        """Start at 0 for each of so many dispatchers."""
         self.traffic = [Traffic() for _ in range(dispatchers)]
 
     def of(self, dispatcher: int) -> Traffic:
+        """Return the counters of a dispatcher; those of a caller that is none, -1, are reported nowhere."""
         return self.traffic[dispatcher] if dispatcher >= 0 else Traffic()
-
-    def told(self) -> list[dict[str, Any]]:
-        return [one.told() for one in self.traffic]
--- a/ploverspoke/testbed/fakes/client_process.py
+++ b/ploverspoke/testbed/fakes/client_process.py
@@ -1,202 +1,238 @@
-"""Stand-in clients: one process's part of the schedule, over connections that are kept and used again."""
+"""The fake clients of an experiment: one process's part of the schedule, over persistent connections."""
 
 import asyncio
 from collections import Counter
-from typing import Any, cast
+from typing import cast
 
 from ..experiment_files import experiment as ex
-from ..experiment_files.durations import MILLISECOND
+from ..experiment_files.durations import MILLISECOND, SECOND
 from ..models.clients import ClientRequest, Clients
 from ..models.request_schedule import draw_schedule
-from .fake_process import FakeProcess, FakeProcessSpec, send_message
-from .http_wire import HttpReader, HttpSyntaxError
+from ..processes.pipe_messages import send_message
+from .fake_messages import ClientsReady, ClientsStatus, FakeCommand, FakeProcessSpec, FaultReport
+from .fake_process import FakeProcess
+from .http_wire import HttpMessage, HttpReader, HttpSyntaxError
 
-SENT_ON = 307
-HOWS = {200: "satisfied", 503: "nacked", 429: "nacked", 504: "abandoned"}
-CROSSED = 20 * MILLISECOND  # an end without an answer so soon on a kept connection: it crossed our request
-FRONT_NOTICES = 300 * MILLISECOND  # that a dispatcher is leaving, and sends it no new connections
+TEMPORARY_REDIRECT = 307  # the replica that leads the store is elsewhere
+SERVICE_UNAVAILABLE = 503
+NO_LEADER_BODY = b"no replica leads"
+OUTCOMES = {200: "satisfied", 503: "nacked", 429: "nacked", 504: "abandoned"}  # by status
+OTHER_OUTCOME = "rejected"
+CROSSING_TIME = 20 * MILLISECOND  # an idle connection that ends so soon after a request crossed it
+LEAVING_NOTICE = 300 * MILLISECOND  # after which no new connections go to a dispatcher that is leaving
 
 
 class ClientConnection(asyncio.Protocol):
+    """One persistent connection to a dispatcher; it carries one request at a time."""
+
     def __init__(self, clients: "FakeClients", dispatcher: int) -> None:
+        """A connection that is about to be made."""
         self.clients = clients
         self.dispatcher = dispatcher
         self.reader = HttpReader()
         self.transport: asyncio.Transport | None = None
         self.request: ClientRequest | None = None
-        self.used = 0
-        self.wrote_at = 0
+        self.requests_sent = 0
+        self.sent_at = 0
         self.traffic = clients.counters.of(dispatcher)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Count it."""
         self.transport = cast(asyncio.Transport, transport)
-        self.traffic.connected += 1
-        self.traffic.connections += 1
+        self.traffic.count_opened()
 
-    def carry(self, request: ClientRequest) -> None:
+    def send(self, request: ClientRequest) -> None:
+        """Send a request."""
         assert self.transport is not None
         self.request = request
         request.connection = self
-        self.used += 1
-        self.wrote_at = self.clients.clock.now()
-        data = self.clients.message(request)
-        self.traffic.bytes_in += len(data)
-        self.traffic.messages_in += 1
+        self.requests_sent += 1
+        self.sent_at = self.clients.clock.now()
+        data = self.clients.encode_request(request)
+        self.traffic.count_message_in(len(data))
         self.transport.write(data)
         self.clients.model.taken(request)
 
     def data_received(self, data: bytes) -> None:
+        """Hand the responses in it to the model."""
         self.traffic.bytes_out += len(data)
         try:
             for message in self.reader.feed(data):
                 self.traffic.messages_out += 1
                 request, self.request = self.request, None
                 if request is None:
-                    send_message({"fault": f"an answer that nobody waits for: {message.first[:40]!r}"})
-                    continue
-                status = int(message.first.split(" ")[1])
-                if status == SENT_ON:
-                    self.clients.rest(self)
-                    self.clients.model.sent_on(
-                        request, self.clients.dispatcher_at(message.headers["location"])
-                    )
-                    continue
-                if status == 503 and message.body == b"no replica leads":
-                    # Nobody has taken it: that is no nack, it is brought again.
-                    self.clients.rest(self)
-                    self.clients.model.never_taken(request)
-                    continue
-                come_back = float(message.headers.get("retry-after", 0))
-                how = HOWS.get(status, "rejected")
-                if how == "satisfied" and message.body != f"{request.id} done".encode():
-                    send_message({"fault": f"{request.id} was answered with another's result"})
-                    how = "rejected"
-                if message.headers.get("connection", "") != "close":
-                    self.clients.rest(self)
-                self.clients.count[how] += 1
-                self.clients.model.answered(request, how, int(come_back * 1e9))
+                    send_message(FaultReport(f"an unexpected response: {message.start_line[:40]!r}"))
+                else:
+                    self._on_response(request, message)
         except (HttpSyntaxError, ValueError) as error:
-            send_message({"fault": f"a dispatcher's answer: {error}"})
+            send_message(FaultReport(f"a dispatcher's response: {error}"))
             self.close()
 
+    def _on_response(self, request: ClientRequest, message: HttpMessage) -> None:
+        status = message.status
+        if status == TEMPORARY_REDIRECT:
+            self.clients.release(self)
+            leader = self.clients.dispatcher_at(message.headers["location"])
+            self.clients.model.sent_on(request, leader)
+        elif status == SERVICE_UNAVAILABLE and message.body == NO_LEADER_BODY:
+            # No replica has taken the request: that does not count as a rejection.
+            self.clients.release(self)
+            self.clients.model.never_taken(request)
+        else:
+            self._on_final_answer(request, status, message)
+
+    def _on_final_answer(self, request: ClientRequest, status: int, message: HttpMessage) -> None:
+        retry_after = float(message.headers.get("retry-after", 0))
+        outcome = OUTCOMES.get(status, OTHER_OUTCOME)
+        if outcome == "satisfied" and message.body != f"{request.id} done".encode():
+            send_message(FaultReport(f"{request.id} was answered with another's result"))
+            outcome = OTHER_OUTCOME
+        if message.headers.get("connection", "") != "close":
+            self.clients.release(self)
+        self.clients.outcomes[outcome] += 1
+        self.clients.model.answered(request, outcome, int(retry_after * SECOND))
+
     def connection_lost(self, exc: Exception | None) -> None:
+        """Send the request again where it crossed the end of an idle connection, else it is broken."""
         self.transport = None
-        self.traffic.connections -= 1
+        self.traffic.count_closed()
         self.clients.forget(self)
         request, self.request = self.request, None
         if request is None or request.over:
             return
-        if self.clients.e.dispatchers.store:
-            self.clients.broke(request)
-            return
-        soon = self.clients.clock.now() - self.wrote_at < CROSSED
-        if self.used > 1 and soon and not self.reader.is_inside():
-            self.clients.connect(request, again=True)
+        has_crossed = (
+            self.requests_sent > 1
+            and self.clients.clock.now() - self.sent_at < CROSSING_TIME
+            and not self.reader.has_partial_message()
+        )
+        if has_crossed and not self.clients.experiment.dispatchers.store:
+            self.clients.connect(request, is_resend=True)
         else:
-            self.clients.broke(request)
+            self.clients.on_broken(request)
 
     def close(self) -> None:
+        """Reset the connection."""
         if self.transport is not None:
             self.transport.abort()
 
 
 class FakeClients(FakeProcess):
+    """One process of clients."""
+
     def __init__(self, spec: FakeProcessSpec, part: int) -> None:
+        """Every n-th job of the schedule, for n processes."""
         super().__init__(spec, part)
-        jobs = draw_schedule(self.e, self.seed)[part :: spec.clients]
-        self.model = Clients(self.e, self.seed, jobs, self.clock, self.seen, self._send, self._close, part)
-        self.jobs = len(jobs)
-        self.idle: dict[int, list[ClientConnection]] = {d: [] for d in range(self.e.dispatchers.count)}
+        experiment = self.experiment
+        jobs = draw_schedule(experiment, self.seed)[part :: spec.clients]
+        self.model = Clients(
+            experiment, self.seed, jobs, self.clock, self.records, self._send, self._close, part
+        )
+        self.job_count = len(jobs)
+        self.idle: dict[int, list[ClientConnection]] = {n: [] for n in range(experiment.dispatchers.count)}
         self.dispatchers: list[str] = []
-        self.count: Counter[str] = Counter()
-        self.heads = [
-            f"POST /{g.name} HTTP/1.1\r\nHost: testbed\r\nContent-Length: 4\r\n"
-            for g in self.e.request_classes
+        self.outcomes: Counter[str] = Counter()
+        self.request_heads = [
+            f"POST /{request_class.name} HTTP/1.1\r\nHost: testbed\r\nContent-Length: 4\r\n"
+            for request_class in experiment.request_classes
         ]
         self.leaving = [
-            (begin + FRONT_NOTICES, end, d)
-            for begin, end, d, how in ex.outages(self.e, self.seed)
+            (begin + LEAVING_NOTICE, end, dispatcher)
+            for begin, end, dispatcher, how in ex.outages(experiment, self.seed)
             if how == "restarted"
         ]
         self.tasks: set[asyncio.Task[None]] = set()
 
-    async def prepare(self) -> dict[str, Any]:
-        return {"jobs": self.jobs}
+    async def prepare(self) -> ClientsReady:
+        """Return the number of jobs; connections are made when they are needed."""
+        return ClientsReady(self.job_count)
 
-    def begin(self, told: dict[str, Any]) -> None:
-        self.dispatchers = told["dispatchers"]
+    def begin(self, command: FakeCommand) -> None:
+        """Send what the schedule says."""
+        self.dispatchers = command.dispatchers
         self.model.start()
 
-    def counts(self) -> dict[str, Any]:
-        return {
-            "answers": dict(self.count),
-            "sent": self.model.next,
-            "out": self.model.out,
-            "behind": self.model.latest,
-        }
-
-    def message(self, request: ClientRequest) -> bytes:
+    def status(self) -> ClientsStatus:
+        """Return the counts of requests by outcome."""
+        return ClientsStatus(
+            answers=dict(self.outcomes),
+            sent=self.model.next,
+            unanswered=self.model.out,
+            lag=self.model.latest,
+        )
+
+    def encode_request(self, request: ClientRequest) -> bytes:
+        """Return the request as HTTP."""
         job = request.job
-        left = max(1, (request.abandon_at - self.clock.now()) // MILLISECOND)
-        lines = [f"Request-Id: {request.id}\r\nRequest-Timeout-Ms: {left}\r\n"]
+        timeout_ms = max(1, (request.abandon_at - self.clock.now()) // MILLISECOND)
+        lines = [f"Request-Id: {request.id}\r\nRequest-Timeout-Ms: {timeout_ms}\r\n"]
         if job.subject:
             lines.append(f"Affinity-Key: {job.subject}\r\n")
         if job.slots != 1.0:
             lines.append(f"Request-Info: slots={job.slots:g}\r\n")
         if request.label:
             lines.append(f"Job-Label: {request.label}\r\n")
-        lines.append(f"Tenant: {self.e.tenants[job.customer].name}\r\n\r\nwork")
-        return (self.heads[job.grade] + "".join(lines)).encode("latin-1")
+        lines.append(f"Tenant: {self.experiment.tenants[job.customer].name}\r\n\r\nwork")
+        return (self.request_heads[job.grade] + "".join(lines)).encode("latin-1")
 
     # ---- Connections ----
 
     def _send(self, request: ClientRequest) -> None:
         idle = self.idle[request.asked_at]
         if idle:
-            idle.pop().carry(request)
-            return
-        now = self.clock.now()
-        if any(begin <= now < end and d == request.asked_at for begin, end, d in self.leaving):
+            idle.pop().send(request)
+        elif self._is_leaving(request.asked_at):
             self.model.never_taken(request)
         else:
             self.connect(request)
 
-    def connect(self, request: ClientRequest, again: bool = False) -> None:
-        task = self.loop.create_task(self._connect(request, again))
+    def _is_leaving(self, dispatcher: int) -> bool:
+        now = self.clock.now()
+        return any(begin <= now < end and number == dispatcher for begin, end, number in self.leaving)
+
+    def connect(self, request: ClientRequest, is_resend: bool = False) -> None:
+        """Send the request on a new connection."""
+        task = self.loop.create_task(self._connect(request, is_resend))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def _connect(self, request: ClientRequest, again: bool) -> None:
+    async def _connect(self, request: ClientRequest, is_resend: bool) -> None:
         connection = ClientConnection(self, request.asked_at)
+        host, _, port = self.dispatchers[request.asked_at].rpartition(":")
         try:
-            host, _, port = self.dispatchers[request.asked_at].rpartition(":")
             await self.loop.create_connection(lambda: connection, host, int(port))
         except OSError:
-            if again:
-                self.broke(request)
+            if is_resend:
+                self.on_broken(request)
             else:
                 self.model.never_taken(request)
             return
-        if not request.is_asked() or connection.transport is None:
-            connection.close()
-            if not request.over:
-                self.broke(request)
-        else:
-            connection.carry(request)
+        if request.is_asked() and connection.transport is not None:
+            connection.send(request)
+            return
+        connection.close()
+        if not request.over:
+            self.on_broken(request)
 
     def dispatcher_at(self, location: str) -> int:
-        """Of a URL that another replica gave."""
+        """Return the number of the dispatcher in a URL that another replica gave.
+
+        Raises:
+            ValueError: there is none.
+        """
         return self.dispatchers.index(location.split("/")[2])
 
-    def broke(self, request: ClientRequest) -> None:
-        self.count["broken"] += 1
+    def on_broken(self, request: ClientRequest) -> None:
+        """Note a request whose connection ended without an answer."""
+        self.outcomes["broken"] += 1
         self.model.answered(request, "broken")
 
-    def rest(self, connection: ClientConnection) -> None:
+    def release(self, connection: ClientConnection) -> None:
+        """Keep an open connection for later requests."""
         if connection.transport is not None and not connection.transport.is_closing():
             self.idle[connection.dispatcher].append(connection)
 
     def forget(self, connection: ClientConnection) -> None:
+        """Use a connection no more."""
         idle = self.idle[connection.dispatcher]
         if connection in idle:
             idle.remove(connection)
--- a/ploverspoke/testbed/fakes/fake_process.py
+++ b/ploverspoke/testbed/fakes/fake_process.py
@@ -1,14 +1,11 @@
-"""What all stand-in processes have in common: the run's clock, lines from and to whoever started them,
-records.
+"""What all fake processes of a run have in common: the run's clock, messages on pipes, records.
 
-Started with the path of a run's `spec.json`. On standard output: JSON lines, the first with where it listens.
-On standard input: whatever its kind hears, `{"start": epoch, ...}` once among it; the end of the input stops
-it.
+Each is started with the path of a run's `spec.json`; `fake_messages` has its messages. A command with `start`
+begins the run, and the end of the input ends the process.
 """
 
 import asyncio
 import gc
-import sys
 import time
 from collections.abc import Callable
 from pathlib import Path
@@ -20,23 +17,25 @@
 from ..experiment_files.experiment import Experiment, experiment_from_builtins
 from ..models.event_records import Records, write_records
 from ..models.virtual_clock import AnyTimer
+from ..processes.pipe_messages import input_lines, send_message
 from .byte_counters import ByteCounters
+from .fake_messages import FakeCommand, FakeProcessSpec, RunFinished, StatusReport
 
-TELLS_EVERY = 0.25  # seconds
-LOOKS_EVERY = 0.02  # at its own clock
+STATUS_INTERVAL = 0.25  # seconds
+LATENESS_CHECK_INTERVAL = 0.02  # seconds
 
 
 class LoopTimer:
-    """One call on the event loop; asyncio's own handle would not do: near times fire early by its
-    resolution.
-    """
+    """One call on the event loop, with the interface of the models' timers."""
 
     __slots__ = ("handle",)
 
     def __init__(self, handle: asyncio.Handle) -> None:
+        """Wrap the handle of the call."""
         self.handle = handle
 
     def call_off(self) -> None:
+        """Cancel the call."""
         self.handle.cancel()
 
 
@@ -44,114 +43,105 @@
     """The models' clock on an event loop: nanoseconds from the run's start on, the same in all processes."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
+        """Start at 0; the start of the run sets `epoch`."""
         self.loop = loop
         self.epoch = time.monotonic_ns()
 
     def now(self) -> int:
+        """Return the time of the run."""
         return time.monotonic_ns() - self.epoch
 
     def at(self, when: int, call: Callable[..., None], *what: Any) -> AnyTimer:
-        left = when - self.now()
-        if left <= 0:
+        """Make the call at that time, or soon where it is past."""
+        delay = when - self.now()
+        if delay <= 0:
             return LoopTimer(self.loop.call_soon(call, *what))
-        return LoopTimer(self.loop.call_later(left / 1e9, call, *what))
-
-
-class FakeProcessSpec(msgspec.Struct):
-    """A run as the stand-ins read it."""
-
-    experiment: dict[str, Any]
-    seed: int
-    records: str  # folder
-    clients: int  # processes
-    hosts: list[str]  # of the dispatchers, each its own
-    own_hosts: dict[str, str]  # of stand-ins that listen, by kind
-    worker_processes: int = 1  # among which the zones are dealt out
-    tells_traffic: bool = False  # whoever asks for it has to listen to every stand-in
+        return LoopTimer(self.loop.call_later(delay / 1e9, call, *what))
 
 
 class FakeProcess:
-    """One process. `begin` and `heard` are a kind's own."""
+    """One process of fakes. Subclasses open sockets, act on commands and report their status."""
 
     def __init__(self, spec: FakeProcessSpec, part: int) -> None:
+        """Process number `part` of its kind."""
         self.loop = asyncio.get_running_loop()
         self.clock = LoopClock(self.loop)
-        self.seen = Records()
-        self.late = 0
+        self.records = Records()
+        self.lateness = 0  # ns, the largest so far
         self.spec = spec
         self.part = part
-        self.e: Experiment = experiment_from_builtins(spec.experiment)
+        self.experiment: Experiment = experiment_from_builtins(spec.experiment)
         self.seed = spec.seed
         self.counters = ByteCounters(len(spec.hosts))
 
-    async def prepare(self) -> dict[str, Any]:
-        """Open what there is to open; gives what is told first."""
+    async def prepare(self) -> msgspec.Struct:
+        """Open what there is to open; returns the first message of the process."""
         raise NotImplementedError
 
-    def begin(self, told: dict[str, Any]) -> None:
+    def begin(self, command: FakeCommand) -> None:
+        """Begin the run."""
         raise NotImplementedError
 
-    def heard(self, told: dict[str, Any]) -> None:
-        pass
-
-    def moved(self, by: int) -> None:
-        """The clock begins anew: what it has shown so far is later by so much, in most cases less than 0."""
-        self.seen.events = [event._replace(at=event.at + by) for event in self.seen.events]
+    def on_command(self, command: FakeCommand) -> None:
+        """Act on a command other than the start."""
 
-    def counts(self) -> dict[str, Any]:
-        """What is told now and then while it runs."""
-        return {}
-
-
-def send_message(told: dict[str, Any]) -> None:
-    sys.stdout.buffer.write(msgspec.json.encode(told) + b"\n")
-    sys.stdout.buffer.flush()
+    def shift_clock(self, nanoseconds: int) -> None:
+        """Add so much to all times recorded so far, as the epoch of the clock moves."""
+        self.records.events = [event._replace(at=event.at + nanoseconds) for event in self.records.events]
 
+    def status(self) -> StatusReport:
+        """Return a report; lateness and traffic are added to it."""
+        raise NotImplementedError
 
-async def live(
-    kind: Callable[[FakeProcessSpec, int], FakeProcess], spec: FakeProcessSpec, name: str, part: int
-) -> None:
-    stand_in = kind(spec, part)
-    loop = asyncio.get_running_loop()
-    lines: asyncio.StreamReader = asyncio.StreamReader()
-    await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(lines), sys.stdin)
-    send_message(await stand_in.prepare())
-    tasks: list[asyncio.Task[None]] = []
-    while line := await lines.readline():
-        told = msgspec.json.decode(line)
-        if "start" not in told:
-            stand_in.heard(told)
-            continue
-        stand_in.moved(stand_in.clock.epoch - told["start"])
-        stand_in.clock.epoch = told["start"]
+    def start_run(self, command: FakeCommand, epoch: int) -> list[asyncio.Task[None]]:
+        """Set the clock and begin; returns the tasks that go on until the end."""
+        self.shift_clock(self.clock.epoch - epoch)
+        self.clock.epoch = epoch
         gc.collect()
-        # One collection of all that a minute's records hold took 130 ms, and hand-offs seemed out at once.
+        # A collection of all records of a run would hold the process up for longer than it may be late.
         gc.disable()
-        stand_in.begin(told)
-        tasks += [loop.create_task(_tell(stand_in)), loop.create_task(_watch(stand_in))]
+        self.begin(command)
+        return [self.loop.create_task(self._report_status()), self.loop.create_task(self._watch_lateness())]
+
+    async def _report_status(self) -> None:
+        while True:
+            await asyncio.sleep(STATUS_INTERVAL)
+            report = self.status()
+            report.lateness = self.lateness
+            if self.spec.reports_traffic:
+                report.counted_at = self.clock.now()
+                report.traffic = self.counters.traffic
+            send_message(report)
+
+    async def _watch_lateness(self) -> None:
+        """Note how late this process is with what is due: its records are off by as much."""
+        while True:
+            due = self.clock.now() + int(LATENESS_CHECK_INTERVAL * 1e9)
+            await asyncio.sleep(LATENESS_CHECK_INTERVAL)
+            self.lateness = max(self.lateness, self.clock.now() - due)
+
+
+FakeProcessFactory = Callable[[FakeProcessSpec, int], FakeProcess]
+
+
+async def serve(factory: FakeProcessFactory, spec: FakeProcessSpec, name: str, part: int) -> None:
+    """Run a fake process until its input ends; its records go to `NAME-PART.jsonl`."""
+    fake = factory(spec, part)
+    send_message(await fake.prepare())
+    tasks: list[asyncio.Task[None]] = []
+    async for line in input_lines():
+        command: FakeCommand = msgspec.json.decode(line, type=FakeCommand)
+        if command.start is None:
+            fake.on_command(command)
+        else:
+            tasks += fake.start_run(command, command.start)
     for task in tasks:
         task.cancel()
-    write_records(stand_in.seen.events, Path(spec.records) / f"{name}-{part}.jsonl")
-    send_message({"over": True})
-
-
-async def _tell(stand_in: FakeProcess) -> None:
-    while True:
-        await asyncio.sleep(TELLS_EVERY)
-        told = {"late": stand_in.late, **stand_in.counts()}
-        if stand_in.spec.tells_traffic:
-            told |= {"counted_at": stand_in.clock.now(), "traffic": stand_in.counters.told()}
-        send_message(told)
-
-
-async def _watch(stand_in: FakeProcess) -> None:
-    """How late this process is with what is due: what it saw then is in no order that means something."""
-    while True:
-        due = stand_in.clock.now() + int(LOOKS_EVERY * 1e9)
-        await asyncio.sleep(LOOKS_EVERY)
-        stand_in.late = max(stand_in.late, stand_in.clock.now() - due)
+    write_records(fake.records.events, Path(spec.records) / f"{name}-{part}.jsonl")
+    send_message(RunFinished())
 
 
-def run(kind: Callable[[FakeProcessSpec, int], FakeProcess], name: str, spec_path: Path, part: int) -> None:
+def run(factory: FakeProcessFactory, name: str, spec_path: Path, part: int) -> None:
+    """Run a fake process with the spec in that file."""
     spec: FakeProcessSpec = msgspec.json.decode(spec_path.read_bytes(), type=FakeProcessSpec)
-    uvloop.run(live(kind, spec, name, part))
+    uvloop.run(serve(factory, spec, name, part))
--- a/ploverspoke/testbed/fakes/faulty_discovery.py
+++ b/ploverspoke/testbed/fakes/faulty_discovery.py
@@ -1,19 +1,33 @@
-"""A discovery on loopback that fails as it is told to, and notes who called and what was written when."""
+"""A fake discovery whose failures its caller sets off; it records who called and what was written when.
+
+`discovery_server` has the other one, which follows the faults of an experiment.
+"""
 
 import asyncio
 import contextlib
-import json
+import math
 import socket
 import struct
 from collections import deque
 from collections.abc import Iterable
 from enum import Enum
-from typing import Any, NamedTuple
-from urllib.parse import parse_qs, urlsplit
+from functools import partial
+from typing import NamedTuple
+
+import msgspec
 
-from .http_wire import encode_response
+from .discovery_protocol import (
+    EndpointListUpdate,
+    ListedEndpoint,
+    ListQuery,
+    encode_list_update,
+    parse_list_query,
+)
+from .http_wire import encode_response, read_message
 
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
+BACKLOG = 256
+INVALID_LIST = b'{"version":"soon"}'
 
 
 class Failure(Enum):
@@ -44,11 +58,26 @@
 class ScriptedDiscovery:
     """One discovery with an address for each dispatcher, by which it knows who calls."""
 
-    def __init__(self, entries: Iterable[dict[str, Any]], queue: CallQueue | None = None) -> None:
-        """`entries` are those of the list; without `queue` each call is answered at once."""
+    def __init__(
+        self,
+        entries: Iterable[ListedEndpoint],
+        queue: CallQueue | None = None,
+        host: str = "127.0.0.1",
+        max_hold: float = math.inf,
+    ) -> None:
+        """Start with that list, not listening.
+
+        Args:
+            entries: Those of the list.
+            queue: How calls are worked through; without it each is answered at once.
+            host: Where it listens.
+            max_hold: Seconds that a watch may wait at most, whatever it asks for.
+        """
         self.entries = list(entries)
         self.version = 1
         self.queue = queue
+        self.host = host
+        self.max_hold = max_hold
         self.next_failures: deque[Failure] = deque()  # one for each of the next calls
         self.outage: Failure | None = None  # how every call fails
         self.calls: list[CallSeen] = []
@@ -61,17 +90,19 @@
         self.waiting = 0
         self.free_at = 0.0
 
-    # ---- What a test does with it ----
+    # ---- Control ----
 
     async def address_for(self, dispatcher: int) -> str:
         """The address of this discovery for one dispatcher, where it listens from now on."""
         await self._listen(dispatcher)
-        return f"127.0.0.1:{self.ports[dispatcher]}"
+        return f"{self.host}:{self.ports[dispatcher]}"
 
     def change(self, worker: str, state: str) -> int:
         """Change a worker's state; returns the version from which on the list shows it."""
         self.version += 1
-        self.entries = [{**each, "state": state} if each["id"] == worker else each for each in self.entries]
+        self.entries = [
+            msgspec.structs.replace(each, state=state) if each.id == worker else each for each in self.entries
+        ]
         self.wake_watches()
         return self.version
 
@@ -130,45 +161,37 @@
     # ---- Calls ----
 
     async def _listen(self, dispatcher: int) -> None:
-        async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            task = asyncio.current_task()
-            assert task is not None
-            self.tasks.add(task)
-            self.writers.add(writer)
-            try:
-                with contextlib.suppress(
-                    ConnectionError, asyncio.IncompleteReadError, asyncio.CancelledError
-                ):
-                    while await self._serve_call(dispatcher, reader, writer):
-                        pass
-            finally:
-                self.tasks.discard(task)
-                self.writers.discard(writer)
-                writer.close()
-
         listening = socket.socket()
         listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        listening.bind(("127.0.0.1", self.ports.get(dispatcher, 0)))
+        listening.bind((self.host, self.ports.get(dispatcher, 0)))
         self.ports[dispatcher] = listening.getsockname()[1]
-        self.servers[dispatcher] = await asyncio.start_server(serve, sock=listening)
+        serve = partial(self._serve, dispatcher)
+        self.servers[dispatcher] = await asyncio.start_server(serve, sock=listening, backlog=BACKLOG)
+
+    async def _serve(
+        self, dispatcher: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
+        """Serve one connection until it ends."""
+        task = asyncio.current_task()
+        assert task is not None
+        self.tasks.add(task)
+        self.writers.add(writer)
+        try:
+            with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError, asyncio.CancelledError):
+                while await self._serve_call(dispatcher, reader, writer):
+                    pass
+        finally:
+            self.tasks.discard(task)
+            self.writers.discard(writer)
+            writer.close()
 
     async def _serve_call(
         self, dispatcher: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> bool:
         """Answer one call; false where its connection ends."""
-        head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
-        query = parse_qs(urlsplit(head.split(" ")[1]).query)
-        version = int(query["from"][0]) if "from" in query else None
-        self.calls.append(CallSeen(asyncio.get_running_loop().time(), dispatcher, version))
-        failure = self._next_failure()
-        if failure is None and version == self.version:
-            # Watches that wait need no service, and are not rejected.
-            with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(int(query["hold_ms"][0]) / 1000):
-                    await self.changed.wait()
-            failure = self._next_failure()
-        elif failure is None and not await self._wait_for_service():
-            failure = Failure.REJECTED
+        query = parse_list_query(await read_message(reader))
+        self.calls.append(CallSeen(asyncio.get_running_loop().time(), dispatcher, query.version))
+        failure = await self._wait_for_answer(query)
         if failure is Failure.RESET:
             _reset(writer)
             return False
@@ -178,11 +201,25 @@
             return False  # nothing is written to it any more
         if failure is Failure.REJECTED:
             writer.write(encode_response(503, "Busy", b""))
-            return True
-        body = b'{"version":"soon"}' if failure is Failure.INVALID else self._list(dispatcher, version)
-        writer.write(encode_response(200, "OK", body))
+        elif failure is Failure.INVALID:
+            writer.write(encode_response(200, "OK", INVALID_LIST))
+        else:
+            writer.write(self._list(dispatcher, query.version))
         return True
 
+    async def _wait_for_answer(self, query: ListQuery) -> Failure | None:
+        """Wait until the call is to be answered; returns how it fails instead, if it does."""
+        failure = self._next_failure()
+        if failure is not None:
+            return failure
+        if query.version == self.version:
+            # Watches that wait need no service, and are not rejected.
+            with contextlib.suppress(TimeoutError):
+                async with asyncio.timeout(min(self.max_hold, query.hold_seconds)):
+                    await self.changed.wait()
+            return self._next_failure()
+        return None if await self._wait_for_service() else Failure.REJECTED
+
     def _next_failure(self) -> Failure | None:
         if self.outage is None and self.next_failures:
             return self.next_failures.popleft()
@@ -206,11 +243,11 @@
         return True
 
     def _list(self, dispatcher: int, version: int | None) -> bytes:
-        is_newer = version is None or version < self.version
+        """Return the response with the list, whole where the dispatcher's version is not the latest."""
+        is_full = version is None or version < self.version
         now = asyncio.get_running_loop().time()
         self.written.setdefault(dispatcher, {}).setdefault(self.version, now)
-        entries = self.entries if is_newer else []
-        return json.dumps({"version": self.version, "full": is_newer, "servers": entries}).encode()
+        return encode_list_update(EndpointListUpdate(self.version, is_full, self.entries if is_full else []))
 
 
 def _reset(writer: asyncio.StreamWriter) -> None:
--- a/ploverspoke/testbed/fakes/http_wire.py
+++ b/ploverspoke/testbed/fakes/http_wire.py
@@ -1,67 +1,140 @@
-"""HTTP/1.1 as the stand-ins read and write it: plain, strict, and independent of the program's."""
+"""HTTP/1.1 of the fakes: strict, with bodies of a stated length, and independent of the product's parser."""
 
+import asyncio
+from enum import Enum
 from typing import NamedTuple
 
+HEAD_END = b"\r\n\r\n"
+MAX_HEAD_BYTES = 65536
+MAX_SHOWN = 40  # characters of an invalid text
+CHUNKED_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+LAST_CHUNK = b"0\r\n\r\n"
+
+
+class HttpProblem(Enum):
+    """What is wrong with the bytes received."""
+
+    NO_HEAD_END = "a head without an end"
+    NO_COLON = "a header without a colon"
+    CHUNKED_BODY = "a chunked body where a content length was expected"
+    CONTENT_LENGTH = "an invalid content length"
+
 
 class HttpSyntaxError(Exception):
-    """What came is no HTTP/1.1 as the protocol has it."""
+    """The bytes received are no HTTP/1.1 message with a body of a stated length."""
+
+    def __init__(self, problem: HttpProblem, received: str = "") -> None:
+        """Name the problem, and the start of the text that has it."""
+        super().__init__(f"{problem.value}: {received[:MAX_SHOWN]!r}" if received else problem.value)
+        self.problem = problem
 
 
 class HttpMessage(NamedTuple):
-    first: str  # the first line
-    headers: dict[str, str]  # names in small letters
+    """One request or response."""
+
+    start_line: str
+    headers: dict[str, str]  # names in lower case
     body: bytes
 
+    @property
+    def method(self) -> str:
+        """The method of a request."""
+        return self.start_line.partition(" ")[0]
+
+    @property
+    def target(self) -> str:
+        """The target of a request; "" where the start line has none."""
+        return self.start_line.partition(" ")[2].partition(" ")[0]
+
+    @property
+    def status(self) -> int:
+        """The status code of a response.
+
+        Raises:
+            ValueError: the start line has no status code.
+        """
+        return int(self.target)
+
 
 class HttpReader:
-    """Cuts a stream into messages that state their length."""
+    """Splits a stream into messages, for protocols that are handed its pieces."""
 
     def __init__(self) -> None:
-        self.data = bytearray()
+        """Start with an empty buffer."""
+        self.buffer = bytearray()
 
     def feed(self, data: bytes) -> list[HttpMessage]:
-        self.data += data
-        found = []
-        while (message := self._next()) is not None:
-            found.append(message)
-        return found
-
-    def is_inside(self) -> bool:
-        return bool(self.data)
-
-    def _next(self) -> HttpMessage | None:
-        end = self.data.find(b"\r\n\r\n")
-        if end < 0:
-            if len(self.data) > 65536:
-                raise HttpSyntaxError("a head without an end")
+        """Add a piece of the stream; returns the messages that are complete by it.
+
+        Raises:
+            HttpSyntaxError: the stream cannot be read on.
+        """
+        self.buffer += data
+        messages = []
+        while (message := self._next_message()) is not None:
+            messages.append(message)
+        return messages
+
+    def has_partial_message(self) -> bool:
+        """Whether a message has begun and is not complete."""
+        return bool(self.buffer)
+
+    def _next_message(self) -> HttpMessage | None:
+        head_length = self.buffer.find(HEAD_END)
+        if head_length < 0:
+            if len(self.buffer) > MAX_HEAD_BYTES:
+                raise HttpSyntaxError(HttpProblem.NO_HEAD_END)
             return None
-        first, *lines = self.data[:end].decode("latin-1").split("\r\n")
-        headers = {}
-        for line in lines:
-            name, colon, value = line.partition(":")
-            if not colon:
-                raise HttpSyntaxError(f"a header without a colon: {line[:40]!r}")
-            headers[name.lower()] = value.strip()
-        if "transfer-encoding" in headers:
-            raise HttpSyntaxError("a body in chunks where its length was expected")
-        length = headers.get("content-length", "0")
-        if not length.isdigit():
-            raise HttpSyntaxError(f"no length: {length!r}")
-        whole = end + 4 + int(length)
-        if len(self.data) < whole:
+        start_line, headers = _parse_head(bytes(self.buffer[:head_length]))
+        body_start = head_length + len(HEAD_END)
+        message_length = body_start + _content_length(headers)
+        if len(self.buffer) < message_length:
             return None
-        body = bytes(self.data[end + 4 : whole])
-        del self.data[:whole]
-        return HttpMessage(first, headers, body)
+        body = bytes(self.buffer[body_start:message_length])
+        del self.buffer[:message_length]
+        return HttpMessage(start_line, headers, body)
 
 
-def encode_chunk(text: bytes) -> bytes:
-    return b"%x\r\n%b\r\n" % (len(text), text)
+async def read_message(stream: asyncio.StreamReader) -> HttpMessage:
+    """Read the next message of a stream.
 
+    Raises:
+        HttpSyntaxError: it is no message with a body of a stated length.
+        asyncio.IncompleteReadError: the stream ended before or within it.
+        ConnectionError: the connection was reset.
+    """
+    head = await stream.readuntil(HEAD_END)
+    start_line, headers = _parse_head(head.removesuffix(HEAD_END))
+    return HttpMessage(start_line, headers, await stream.readexactly(_content_length(headers)))
 
-LAST_CHUNK = b"0\r\n\r\n"
+
+def _parse_head(head: bytes) -> tuple[str, dict[str, str]]:
+    """Return the start line and the headers of a head without its empty line."""
+    start_line, *lines = head.decode("latin-1").split("\r\n")
+    headers = {}
+    for line in lines:
+        name, colon, value = line.partition(":")
+        if not colon:
+            raise HttpSyntaxError(HttpProblem.NO_COLON, line)
+        headers[name.lower()] = value.strip()
+    return start_line, headers
+
+
+def _content_length(headers: dict[str, str]) -> int:
+    if "transfer-encoding" in headers:
+        raise HttpSyntaxError(HttpProblem.CHUNKED_BODY)
+    length = headers.get("content-length", "0")
+    if not length.isdigit():
+        raise HttpSyntaxError(HttpProblem.CONTENT_LENGTH, length)
+    return int(length)
+
+
+def encode_chunk(data: bytes) -> bytes:
+    """Return one chunk of a chunked body."""
+    return b"%x\r\n%b\r\n" % (len(data), data)
 
 
-def encode_response(status: int, reason: str, body: bytes, more: str = "") -> bytes:
-    head = f"HTTP/1.1 {status} {reason}\r\nContent-Length: {len(body)}\r\n{more}\r\n"
+def encode_response(status: int, reason: str, body: bytes, extra_headers: str = "") -> bytes:
+    """Return a response; `extra_headers` are whole header lines, each with its line end."""
+    head = f"HTTP/1.1 {status} {reason}\r\nContent-Length: {len(body)}\r\n{extra_headers}\r\n"
     return head.encode("latin-1") + body
--- /dev/null
+++ b/ploverspoke/testbed/fakes/instant_workers.py
@@ -0,0 +1,67 @@
+"""Fake workers of `testbed bench`: they answer every request at once.
+
+`python -m ploverspoke.testbed.fakes.instant_workers COUNT` prints their ports and serves until its input
+ends.
+"""
+
+import asyncio
+import sys
+from typing import cast
+
+import msgspec
+import uvloop
+
+from ..processes.pipe_messages import send_message, wait_for_input_end
+from .http_wire import HttpMessage, HttpReader, encode_response
+from .worker_protocol import LoadReport, RunUpdate, encode_load_report, encode_run_update
+
+LOAD_RESPONSE = encode_load_report(LoadReport(0, 1000))
+PLAIN_RESPONSE = encode_response(200, "OK", b"done")
+PLAIN_TARGET = "/plain"  # asked for by clients without a dispatcher between
+
+
+class WorkerPorts(msgspec.Struct):
+    """The first and only message of the process."""
+
+    ports: list[int]
+
+
+class InstantWorkerConnection(asyncio.Protocol):
+    """One connection to a worker."""
+
+    def __init__(self) -> None:
+        """A connection that is about to be made."""
+        self.reader = HttpReader()
+        self.transport: asyncio.Transport | None = None
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Keep the transport."""
+        self.transport = cast(asyncio.Transport, transport)
+
+    def data_received(self, data: bytes) -> None:
+        """Answer the requests in it."""
+        assert self.transport is not None
+        for message in self.reader.feed(data):
+            self.transport.write(_response(message))
+
+
+def _response(message: HttpMessage) -> bytes:
+    if message.method == "GET":
+        return LOAD_RESPONSE
+    if message.target.startswith(PLAIN_TARGET):
+        return PLAIN_RESPONSE
+    request_id = message.headers["request-id"]
+    started = encode_run_update(RunUpdate(request_id, "w", "started"), is_first=True)
+    return started + encode_run_update(RunUpdate(request_id, "w", "done", result="done"), is_last=True)
+
+
+async def serve(count: int) -> None:
+    """Serve so many workers until the input ends."""
+    loop = asyncio.get_running_loop()
+    servers = [await loop.create_server(InstantWorkerConnection, "127.0.0.1", 0) for _ in range(count)]
+    send_message(WorkerPorts([server.sockets[0].getsockname()[1] for server in servers]))
+    await wait_for_input_end()
+
+
+if __name__ == "__main__":
+    uvloop.run(serve(int(sys.argv[1])))
--- a/ploverspoke/testbed/fakes/persistent_clients.py
+++ b/ploverspoke/testbed/fakes/persistent_clients.py
@@ -1,20 +1,29 @@
-"""Clients of a soak: they keep their connections, and send on them for as long as these stay open."""
+"""Fake clients of a soak: they keep their connections, and send on them for as long as these stay open.
+
+`client_process` has the ones that follow the schedule of an experiment.
+"""
 
 import asyncio
 import contextlib
 import random
 from collections import Counter
 
+from .http_wire import HttpMessage, read_message
 from .recording_workers import RecordingWorkers
 
-DEADLINE = 0.9  # seconds, of both classes of the deployment
-ANSWER_SLACK = 0.5  # after that an answer earns nothing; later it counts as lost
-CROSSING_TIME = 0.02  # an end so soon after the request crossed it: it was not read
-RECONNECT_PAUSE = 0.02
+DEADLINE = 0.9  # seconds, of both request classes of the soak
+ANSWER_GRACE = 0.5  # seconds; an answer after this counts as lost
+CROSSING_TIME = 0.02  # seconds; a connection that ends so soon after a request crossed it
+RECONNECT_PAUSE = 0.02  # seconds
+MAX_IDLE = 0.08  # seconds between two requests of a connection
+MAX_LONG_IDLE = 3.0  # until the dispatcher closes the connection or is killed
+LONG_IDLE_SHARE = 0.02
+IDEMPOTENT_CLASS, NON_IDEMPOTENT_CLASS = "look", "book"
+IDEMPOTENT_SHARE = 0.7
 
 
 class PersistentClients:
-    """All clients, and what became of their requests."""
+    """All clients, and the outcomes of their requests."""
 
     def __init__(self, port: int, workers: RecordingWorkers, randomness: random.Random) -> None:
         """Clients of the dispatcher at that port."""
@@ -29,7 +38,7 @@
         self.loop = asyncio.get_running_loop()
 
     async def run(self, number: int) -> None:
-        """One client, until the soak is over."""
+        """Run one client until the soak is over."""
         while not self.is_over:
             try:
                 reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
@@ -38,49 +47,62 @@
                 continue
             with contextlib.suppress(ConnectionError):
                 while not self.is_over and await self._exchange(number, reader, writer):
-                    # Some rest for long, until the dispatcher closes the connection or is killed.
-                    is_long = self.random.random() < 0.02
-                    await asyncio.sleep(self.random.random() * (3.0 if is_long else 0.08))
+                    is_long = self.random.random() < LONG_IDLE_SHARE
+                    await asyncio.sleep(self.random.random() * (MAX_LONG_IDLE if is_long else MAX_IDLE))
             writer.close()
 
     async def _exchange(
         self, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> bool:
-        """One request; returns whether the connection can be used on."""
+        """Send one request; returns whether the connection can be used on."""
         self.sent += 1
         request_id = f"c{number}-{self.sent}"
-        class_name = "look" if self.random.random() < 0.7 else "book"
-        if class_name == "book":
-            self.non_idempotent.add(request_id)
-        lines = f"POST /{class_name} HTTP/1.1\r\nHost: soak\r\nRequest-Id: {request_id}\r\nTenant: acme\r\n"
-        timeout = f"Request-Timeout-Ms: {int(DEADLINE * 1000)}\r\n"
         began_at = self.loop.time()
-        writer.write(f"{lines}{timeout}Content-Length: 1\r\n\r\nx".encode())
+        writer.write(self._request(request_id))
         try:
-            async with asyncio.timeout(DEADLINE + ANSWER_SLACK):
-                head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").lower()
-                body = await reader.readexactly(int(head.partition("content-length: ")[2].split("\r\n")[0]))
+            async with asyncio.timeout(DEADLINE + ANSWER_GRACE):
+                answer = await read_message(reader)
         except TimeoutError:
-            self.lost.append(f"{request_id}: no answer in {DEADLINE + ANSWER_SLACK} s")
+            self.lost.append(f"{request_id}: no answer in {DEADLINE + ANSWER_GRACE} s")
             return False
         except (ConnectionError, asyncio.IncompleteReadError):
             elapsed = self.loop.time() - began_at
             if request_id in self.workers.by_request or elapsed > CROSSING_TIME:
                 self.lost.append(f"{request_id}: closed without an answer after {elapsed:.3f} s")
             return False
-        status = int(head.split()[1])
-        self.statuses[status] += 1
-        if status == 200 and body.decode() != request_id:
+        return self._on_answer(request_id, answer)
+
+    def _request(self, request_id: str) -> bytes:
+        """Return a request of a random class."""
+        request_class = NON_IDEMPOTENT_CLASS
+        if self.random.random() < IDEMPOTENT_SHARE:
+            request_class = IDEMPOTENT_CLASS
+        else:
+            self.non_idempotent.add(request_id)
+        lines = [
+            f"POST /{request_class} HTTP/1.1",
+            "Host: soak",
+            f"Request-Id: {request_id}",
+            "Tenant: acme",
+            f"Request-Timeout-Ms: {int(DEADLINE * 1000)}",
+            "Content-Length: 1",
+        ]
+        return "\r\n".join([*lines, "", "x"]).encode()
+
+    def _on_answer(self, request_id: str, answer: HttpMessage) -> bool:
+        """Record the answer; returns whether the connection stays open."""
+        self.statuses[answer.status] += 1
+        if answer.status == 200 and answer.body.decode() != request_id:
             self.lost.append(f"{request_id}: got another's answer")
-        return "connection: close" not in head
+        return answer.headers.get("connection", "").lower() != "close"
 
 
-async def hold_idle_connections(port: int, count: int, lasts: float) -> None:
-    """Clients that say nothing and stay."""
+async def hold_idle_connections(port: int, count: int, seconds: float) -> None:
+    """Keep so many connections open for a while, without a request on them."""
     writers = []
     for _ in range(count):
         with contextlib.suppress(OSError):
             writers.append((await asyncio.open_connection("127.0.0.1", port))[1])
-    await asyncio.sleep(lasts)
+    await asyncio.sleep(seconds)
     for writer in writers:
         writer.close()
--- /dev/null
+++ b/ploverspoke/testbed/fakes/worker_connection.py
@@ -0,0 +1,212 @@
+"""A dispatcher's connection to a fake worker of an experiment: HTTP in front of the worker's model."""
+
+import asyncio
+from typing import TYPE_CHECKING, cast
+
+from ..models import event_records
+from ..models.faults import ConnectionFaults
+from ..models.request_schedule import ScheduledRequest
+from ..models.worker import Execution
+from ..models.worker_fleet import RESET_WITHIN
+from ..processes.pipe_messages import send_message
+from .fake_messages import FaultReport
+from .http_wire import HttpMessage, HttpReader, HttpSyntaxError, encode_response
+from .worker_protocol import (
+    LoadReport,
+    RunUpdate,
+    encode_load_report,
+    encode_not_started,
+    encode_run_update,
+)
+
+if TYPE_CHECKING:
+    from .worker_server import WorkerListener
+
+SILENT_BEFORE_RUN_SHARE = 0.5  # of the connections that fall silent; the others do after the run has begun
+
+
+class WorkerConnection(asyncio.Protocol):
+    """One connection of a dispatcher; the listener of the run that it carries."""
+
+    def __init__(self, listener: "WorkerListener") -> None:
+        """A connection that is about to be made."""
+        self.listener = listener
+        self.worker = listener.worker
+        self.workers = listener.workers
+        self.dispatcher = self.zone = -1
+        self.reader = HttpReader()
+        self.transport: asyncio.Transport | None = None
+        self.run: Execution | None = None
+        self.requests = 0
+        self.is_silent = False  # whatever is written is dropped
+        self.traffic = self.workers.counters.of(-1)
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Identify the dispatcher by its address."""
+        self.transport = cast(asyncio.Transport, transport)
+        self.dispatcher = self.workers.dispatchers.get(transport.get_extra_info("peername")[0], -1)
+        if self.dispatcher < 0:
+            self._report_fault("was called by somebody who is no dispatcher")
+            self.abort()
+            return
+        self.zone = self.dispatcher % len(self.workers.experiment.zones())
+        self.listener.connections.add(self)
+        self.traffic = self.workers.counters.of(self.dispatcher)
+        self.traffic.count_opened()
+
+    def data_received(self, data: bytes) -> None:
+        """Take in requests, each after the latency of the network."""
+        self.traffic.bytes_out += len(data)
+        try:
+            for message in self.reader.feed(data):
+                self.traffic.messages_out += 1
+                self._receive(message)
+        except HttpSyntaxError as error:
+            self._report_fault(f"was sent: {error}")
+            self.abort()
+
+    def connection_lost(self, exc: Exception | None) -> None:
+        """Cancel the run, unless a cut hides the end of the connection."""
+        self.listener.connections.discard(self)
+        self.traffic.count_closed()
+        self.transport = None
+        run = self.run
+        if run is not None and not run.over:
+            self._record_closed(run)
+            if self.worker.up and not self.listener.is_cut(self.zone):
+                self.worker.cancel(run)
+
+    def abort(self) -> None:
+        """Reset the connection."""
+        if self.transport is not None:
+            self.transport.abort()
+
+    # ---- Requests ----
+
+    def _receive(self, message: HttpMessage) -> None:
+        delay = self.listener.one_way_delay(self.zone)
+        if self.listener.is_cut(self.zone):
+            self.is_silent = True
+        elif delay:
+            clock = self.workers.clock
+            clock.at(clock.now() + delay, self._on_message, message)
+        else:
+            self._on_message(message)
+
+    def _on_message(self, message: HttpMessage) -> None:
+        self.requests += 1
+        if self.transport is None or not self.worker.up:
+            return
+        method, _, rest = message.start_line.partition(" ")
+        if method == "GET":
+            self._on_probe(rest.split(" ")[0])
+            return
+        request_id = message.headers.get("request-id", "")
+        job = self.workers.job(request_id)
+        if job is None:
+            self._write(encode_response(404 if not request_id else 400, "No", b""))
+            self._report_fault(f"was sent an id that no client sent: {request_id!r}")
+            return
+        if self.requests > 1 and self._is_struck(self.workers.connections.drops):
+            self.abort()
+            return
+        self._begin_run(request_id, job, message.headers.get("job-label", ""))
+
+    def _begin_run(self, request_id: str, job: ScheduledRequest, label: str) -> None:
+        """Hand the request to the model, unless the connection falls silent first."""
+        draws, faults, clock = self.workers.draws, self.workers.connections, self.workers.clock
+        run = Execution(request_id, job, self.dispatcher, self, label)
+        self.run = run
+        if self._is_struck(faults.silences):
+            self.is_silent = True
+            if draws.happens(SILENT_BEFORE_RUN_SHARE):
+                return
+        elif self._is_struck(faults.resets):
+            clock.at(clock.now() + int(draws.fraction() * RESET_WITHIN), self._reset, run)
+        self.worker.take(run)
+
+    def _is_struck(self, shares: dict[str, dict[int, float]]) -> bool:
+        return self.workers.draws.happens(ConnectionFaults.share(shares, self.worker.name))
+
+    def _reset(self, run: Execution) -> None:
+        if self.run is run and not run.over:
+            self.abort()
+
+    def _on_probe(self, path: str) -> None:
+        self.traffic.probes += 1
+        if self.worker.frozen:
+            self.worker.while_frozen.append((self._on_probe, path))
+        elif path == "/-/load":
+            report = self.worker.report()
+            self._write(encode_load_report(LoadReport(report["backlog"], report["x0"])))
+        elif path == "/-/healthy":
+            self._write(encode_response(200, "OK", b""))
+        else:
+            self._write(encode_response(404, "Not Found", b""))
+
+    # ---- Reports of the model ----
+
+    def run_started(self, run: Execution) -> None:
+        """Send that it has started."""
+        self._send_update(run, RunUpdate(run.submission, self.worker.name, "started"), is_first=True)
+
+    def run_progressed(self, run: Execution, share: float) -> None:
+        """Send the share that is done."""
+        self._send_update(run, RunUpdate(run.submission, self.worker.name, "running", share))
+
+    def run_ended(self, run: Execution, how: str) -> None:
+        """Send the end of the run, or reset the connection where it was lost."""
+        is_first = not (run.begun and self.worker.rules.tells_start)
+        if how == "lost":
+            self.abort()
+        elif how == "returned" and not run.begun:
+            self._write(encode_not_started())
+        elif how == "done":
+            result = f"{run.submission} done"
+            update = RunUpdate(run.submission, self.worker.name, "done", result=result)
+            self._send_update(run, update, is_first, is_last=True)
+        else:
+            update = RunUpdate(run.submission, self.worker.name, how)
+            self._send_update(run, update, is_first, is_last=True)
+
+    def _send_update(
+        self, run: Execution, update: RunUpdate, is_first: bool = False, is_last: bool = False
+    ) -> None:
+        if self.run is not run:
+            return
+        if update.state == "running" and not self.is_silent:
+            self.traffic.progress_bytes += len(encode_run_update(update))
+        self._write(encode_run_update(update, is_first=is_first, is_last=is_last))
+
+    def _write(self, data: bytes) -> None:
+        if self.is_silent or self.transport is None:
+            return
+        if self.listener.is_cut(self.zone):
+            self.is_silent = True
+            return
+        delay = self.listener.one_way_delay(self.zone)
+        if delay:
+            clock = self.workers.clock
+            clock.at(clock.now() + delay, self._write_now, data)
+        else:
+            self._write_now(data)
+
+    def _write_now(self, data: bytes) -> None:
+        if self.transport is not None and not self.is_silent:
+            self.traffic.count_message_in(len(data))
+            self.transport.write(data)
+
+    def _record_closed(self, run: Execution) -> None:
+        if run.serial:
+            self.workers.records.add(
+                self.workers.clock.now(),
+                event_records.CLOSED,
+                run.submission,
+                run.job.number,
+                self.dispatcher,
+                self.worker.name,
+                run.serial,
+            )
+
+    def _report_fault(self, text: str) -> None:
+        send_message(FaultReport(f"{self.worker.name} {text}"))
--- a/ploverspoke/testbed/processes/tcp_proxy.py
+++ b/ploverspoke/testbed/processes/tcp_proxy.py
@@ -21,9 +21,9 @@
 import msgspec
 import uvloop
 
-from ..fakes.fake_process import send_message
 from .history import monotonic_now
 from .link_faults import Link, LinkFault, Links
+from .pipe_messages import send_message
 
 MOST_HELD = 1 << 20  # bytes on one way; its sender waits then
 BACKLOG = 1024
--- a/ploverspoke/testbed/scale/config_poller.py
+++ b/ploverspoke/testbed/scale/config_poller.py
@@ -15,8 +15,8 @@
 import msgspec
 import uvloop
 
-from ..fakes.fake_process import send_message
 from ..fakes.http_wire import HttpReader, HttpSyntaxError
+from ..processes.pipe_messages import send_message
 
 ASKS_EVERY = 0.05  # seconds, of each dispatcher that does not know one: so exact is what is told
 GIVES_UP = 30.0  # seconds
@@ -77,7 +77,7 @@
         try:
             for message in self.reader.feed(data):
                 change, self.asked = self.asked, None
-                if change is None or message.first.split(" ")[1] == str(UNKNOWN):
+                if change is None or message.status == UNKNOWN:
                     continue
                 if self.unknown and self.unknown[0] is change:
                     self.unknown.popleft()
--- a/ploverspoke/testbed/scenarios/dispatcher_bench.py
+++ b/ploverspoke/testbed/scenarios/dispatcher_bench.py
@@ -34,6 +34,7 @@
     "request_arrived", "attempt_started", "attempt_progressed", "attempt_ended", "probe_completed",
     "timer_fired", "endpoint_list_received", "endpoints_changed", "client_disconnected",
 )  # fmt: skip
+FAKES = "ploverspoke.testbed.fakes"
 Say = Callable[[str], None]
 
 
@@ -81,8 +82,7 @@
         return cores[number % len(cores)]
 
     rounds, seconds = (1, 1.0) if quick else (3, 2.5)
-    rig = "ploverspoke.testbed.fakes.bench_endpoints"
-    workers = [Process(["-m", rig, "worker", str(WORKERS // 2)], core(2 + n)) for n in range(2)]
+    workers = [Process(["-m", f"{FAKES}.instant_workers", str(WORKERS // 2)], core(2 + n)) for n in range(2)]
     rows: list[dict[str, Any]] = []
     generator = []
     try:
@@ -91,22 +91,20 @@
 
         def load(port: int, clients: int, rate: float, grade: str = "look-up") -> dict[str, Any]:
             nonlocal start
-            words = ["-m", rig, "load", str(port), str(clients), str(seconds), str(rate), grade, str(start)]
+            words = [str(port), str(clients), str(seconds), str(rate), grade, str(start)]
             start += 10_000_000
-            process = Process(words, core(1))
+            process = Process(["-m", f"{FAKES}.load_generator", *words], core(1))
             found = process.line()
             process.process.wait()
             return found
 
         for clients in CLIENTS:
             found = load(worker_ports[0], clients, 0.0, "plain")
-            generator.append({"clients": clients, "a_second": found["a_second"]})
+            generator.append({"clients": clients, "a_second": found["requests_per_second"]})
         with tempfile.TemporaryDirectory(prefix="ploverspoke-bench-") as folder:
             programs = {
                 "dispatcher": _program(Path(folder), "ploverspoke", worker_ports, core(0)),
-                "bare relay": _program(
-                    Path(folder), "ploverspoke.testbed.fakes.baseline_dispatcher", worker_ports, core(0)
-                ),
+                "bare relay": _program(Path(folder), f"{FAKES}.baseline_dispatcher", worker_ports, core(0)),
             }
             try:
                 for clients in CLIENTS:
@@ -114,18 +112,20 @@
                     for _ in range(rounds):
                         for name, (_, port) in programs.items():
                             taken[name].append(load(port, clients, 0.0))
-                    rate = OPEN_SHARE * min(median(r["a_second"] for r in t) for t in taken.values())
+                    rate = OPEN_SHARE * min(
+                        median(r["requests_per_second"] for r in t) for t in taken.values()
+                    )
                     for name, (_, port) in programs.items():
                         waits = [load(port, clients, rate) for _ in range(rounds)]
                         row = {
                             "clients": clients,
                             "program": name,
-                            "a_second": median(r["a_second"] for r in taken[name]),
-                            "nacked": sum(r["nacked"] for r in taken[name]),
+                            "a_second": median(r["requests_per_second"] for r in taken[name]),
+                            "nacked": sum(r["rejected"] for r in taken[name]),
                             "open_rate": rate,
                             "open_p50_ms": median(r["p50_ms"] for r in waits),
                             "open_p99_ms": median(r["p99_ms"] for r in waits),
-                            "generator_late_ms": max(r["late_ms"] for r in waits),
+                            "generator_late_ms": max(r["max_lateness_ms"] for r in waits),
                         }
                         rows.append(row)
                         say(f"{clients} clients, {name}: {row['a_second']:.0f} a second")
--- a/ploverspoke/testbed/scenarios/distribution_scenario.py
+++ b/ploverspoke/testbed/scenarios/distribution_scenario.py
@@ -24,7 +24,14 @@
     check_distribution_history,
 )
 from ..experiment_files.durations import MILLISECOND, SECOND, Duration, format_duration, parse_duration
-from ..fakes.config_clients import ConfigClientsSpec, grades_of
+from ..fakes.config_client_messages import (
+    Action,
+    ConfigClientsCommand,
+    ConfigClientsOpened,
+    ConfigClientsReply,
+    ConfigClientsSpec,
+    request_classes_of,
+)
 from ..processes.capacity_check import memory_backed_folder
 from ..processes.child_process import ChildProcess
 from ..processes.fault_timeline import FaultStep, FaultWeight, TimelineError, check_timeline, draw_timeline
@@ -267,7 +274,7 @@
                     "TipMultiple": 3.0,
                     "FallUs": 2_000_000,
                 },
-                "ServiceGrades": grades_of(0),
+                "ServiceGrades": request_classes_of(0),
             },
         }
         files = {"watch": watch, "own": own}
@@ -301,15 +308,15 @@
         told = await self.clients.hear()
         if told is None:
             raise ProcessStartError("publishers and probers ended at their start")
-        return str(told["discovery"])
+        return msgspec.convert(told, ConfigClientsOpened).discovery
 
-    async def tell(self, word: str) -> None:
+    async def tell(self, action: Action) -> None:
         assert self.clients is not None
-        self.clients.tell({word: True})
+        self.clients.tell(msgspec.to_builtins(ConfigClientsCommand(action)))
         told = await self.clients.hear()
         if told is None:
-            raise ProcessStartError(f"publishers and probers ended before {word!r} was done")
-        self.late = max(self.late, told.get("late", 0))
+            raise ProcessStartError(f"publishers and probers ended before {action!r} was done")
+        self.late = max(self.late, msgspec.convert(told, ConfigClientsReply).lateness)
 
     # ---- While it is played ----
 
@@ -403,7 +410,7 @@
     async def finish(self) -> None:
         """Publishers rest in time for what they did to be judged."""
         await asyncio.sleep(max(0.0, (self.plan.lasts - self.plan.calm() - self.rig.now()) / SECOND))
-        await self.tell("last")
+        await self.tell("publish last")
 
 
 def memory(running: RunningProcess) -> int:
@@ -440,7 +447,7 @@
         run = Distribution(rig, plan, instead)
         await run.start()
         played = check_timeline(timeline(plan, seed) if steps is None else steps, list(rig.places))
-        await run.tell("go")
+        await run.tell("start")
         begins = monotonic_now()
         rig.epoch = begins
         meanwhile = [asyncio.create_task(run.finish())]
@@ -458,7 +465,7 @@
         finally:
             for task in [*meanwhile, *others]:
                 task.cancel()
-        await run.tell("read")
+        await run.tell("read servers")
         events = rig.happened()
         verdict = check_distribution_history(events, plan.within)
         shown = [shown_with(what, at, seed, played, events) for what, at in verdict.findings[:3]]
--- a/ploverspoke/testbed/scenarios/endpoint_list_age.py
+++ b/ploverspoke/testbed/scenarios/endpoint_list_age.py
@@ -13,6 +13,7 @@
 import click
 import uvloop
 
+from ..fakes.discovery_protocol import ListedEndpoint
 from ..fakes.faulty_discovery import CallQueue, Failure, ScriptedDiscovery
 from ..processes.dispatcher_process import DispatcherProcess
 
@@ -26,7 +27,7 @@
 CROWD_OUTAGE = 3.0
 COUNTED_AFTER = 10.0  # seconds after the outage in which calls are counted
 ENTRIES = [
-    {"id": f"w{n}", "addr": "127.0.0.1:9", "zone": "a", "kind": "plain", "state": "Ready", "started_ms": 0}
+    ListedEndpoint(id=f"w{n}", addr="127.0.0.1:9", zone="a", kind="plain", state="Ready", started_ms=0)
     for n in range(2)
 ]
 
--- a/ploverspoke/testbed/scenarios/lease_scenario.py
+++ b/ploverspoke/testbed/scenarios/lease_scenario.py
@@ -9,7 +9,7 @@
 
 from ..checkers.lease_checker import MIN_HOLDER_CHANGES, LeaseVerdict, check_lease_history, takeover_gaps
 from ..experiment_files.durations import MILLISECOND, SECOND, Duration, format_duration, parse_duration
-from ..fakes import lease_candidate
+from ..fakes.lease_candidate import LeaseCandidateSpec
 from ..processes.capacity_check import memory_backed_folder
 from ..processes.child_process import ChildProcess
 from ..processes.fault_timeline import FaultStep, FaultWeight, TimelineError, check_timeline, draw_timeline
@@ -43,7 +43,7 @@
     rest: Duration = Duration(20 * MILLISECOND)  # between two effects under a lease
     drifting: bool = True
     fenced: bool = True
-    outlasts: bool = False  # a planted fault, for tests of the checker: see `contender.Spec`
+    outlasts: bool = False  # a planted fault, for tests of the checker: see `LeaseCandidateSpec`
     keeps: float = 0.05  # chance that a contender goes on for good
     holder_killed: Duration = Duration(0)  # so often the holder of the first name is killed; 0: never
 
@@ -147,7 +147,7 @@
         for number in range(plan.contenders):
             place = rig.place(f"c{number}")
             spec = rig.folder / f"{place.name}.spec.json"
-            told = lease_candidate.Spec(
+            told = LeaseCandidateSpec(
                 place.name,
                 rig.seed,
                 str(self.file),
--- a/ploverspoke/testbed/scenarios/socket_run.py
+++ b/ploverspoke/testbed/scenarios/socket_run.py
@@ -15,6 +15,7 @@
 
 from ..experiment_files import experiment as ex
 from ..experiment_files.durations import MILLISECOND, SECOND, Duration, format_duration
+from ..fakes.fake_messages import FakeProcessSpec
 from ..models import event_records
 from ..models.clients import LATE_ANSWER_ALLOWANCE
 from ..models.deployment_settings import dispatcher_settings
@@ -137,16 +138,16 @@
         names = [f"d{number}" for number in range(e.dispatchers.count)]
         places = [rig.place(name, streams, datagrams, direct=["clients"]) for name in names]
         spec = self.folder / "spec.json"
-        told = {
-            "experiment": msgspec.to_builtins(e, enc_hook=int),
-            "seed": self.seed,
-            "records": str(self.folder),
-            "clients": clients,
-            "hosts": self._hosts(places),
-            "own_hosts": {"workers": rig.block.stand_in(1), "discovery": rig.block.stand_in(2)},
-            "tells_traffic": self.tells_traffic,
-            "worker_processes": parts,
-        }
+        told = FakeProcessSpec(
+            experiment=msgspec.to_builtins(e, enc_hook=int),
+            seed=self.seed,
+            records=str(self.folder),
+            clients=clients,
+            hosts=self._hosts(places),
+            own_hosts={"workers": rig.block.stand_in(1), "discovery": rig.block.stand_in(2)},
+            worker_processes=parts,
+            reports_traffic=self.tells_traffic,
+        )
         spec.write_bytes(msgspec.json.encode(told))
         rig.check_capacity(self._wants())
         await rig.open()
--- a/ploverspoke/testbed/scenarios/store_bench.py
+++ b/ploverspoke/testbed/scenarios/store_bench.py
@@ -38,7 +38,7 @@
 from ..experiment_files.experiment import parse_experiment
 from ..models.deployment_settings import dispatcher_settings
 from ..processes.addresses import held_ports
-from .dispatcher_bench import WORKERS, Process
+from .dispatcher_bench import FAKES, WORKERS, Process
 
 SECRET = b"a secret of the bench's own"
 SIZES = (0, 1, 3, 5)  # replicas; 0: no store
@@ -167,8 +167,7 @@
 
 def measure_store(quick: bool, say: Say) -> StoreFigures:
     cores = sorted(os.sched_getaffinity(0))
-    rig = "ploverspoke.testbed.fakes.bench_endpoints"
-    workers = Process(["-m", rig, "worker", str(WORKERS)], cores[-1])
+    workers = Process(["-m", f"{FAKES}.instant_workers", str(WORKERS)], cores[-1])
     try:
         ports = workers.line()["ports"]
         throughput = _throughput(ports, cores, quick, say)
@@ -197,9 +196,7 @@
                         for clients in CLIENTS:
                             port = replicas.clients[leader]
                             words = [str(port), str(clients), str(seconds), "0", grade, str(start)]
-                            load = Process(
-                                ["-m", "ploverspoke.testbed.fakes.bench_endpoints", "load", *words], cores[-2]
-                            )
+                            load = Process(["-m", f"{FAKES}.load_generator", *words], cores[-2])
                             found.setdefault((size, clients), []).append(load.line())
                             load.process.wait()
                             start += 10_000_000
@@ -210,7 +207,7 @@
                 "grade": grade,
                 "replicas": size,
                 "clients": clients,
-                "a_second": median(t["a_second"] for t in taken),
+                "a_second": median(t["requests_per_second"] for t in taken),
                 "p50_ms": median(t["p50_ms"] for t in taken),
                 "p99_ms": median(t["p99_ms"] for t in taken),
             }
--- a/tests/routing/test_stale_endpoint_list.py
+++ b/tests/routing/test_stale_endpoint_list.py
@@ -21,8 +21,10 @@
 from pathlib import Path
 from typing import Any
 
+import msgspec
 import uvloop
 
+from ploverspoke.testbed.fakes.discovery_protocol import ListedEndpoint
 from ploverspoke.testbed.fakes.faulty_discovery import Failure, ScriptedDiscovery
 from ploverspoke.testbed.processes.dispatcher_process import DispatcherProcess
 from tests.routing.harness import World, message
@@ -56,7 +58,8 @@
     async def run() -> None:
         loop, world = asyncio.get_running_loop(), World()
         await world.surround(2)
-        before, after = ScriptedDiscovery(world.entries), ScriptedDiscovery(world.entries)
+        listed = msgspec.convert(world.entries, list[ListedEndpoint])
+        before, after = ScriptedDiscovery(listed), ScriptedDiscovery(listed)
         dispatchers = [
             DispatcherProcess(tmp_path, number, await before.address_for(number), seed, PeersTotal=FLEET_SIZE)
             for number, seed in enumerate(SEEDS)
--- a/tests/test_lint_exceptions.py
+++ b/tests/test_lint_exceptions.py
@@ -14,7 +14,6 @@
     "ploverspoke/testbed/checkers/**",
     "ploverspoke/testbed/commands/**",
     "ploverspoke/testbed/experiment_files/**",
-    "ploverspoke/testbed/fakes/**",
     "ploverspoke/testbed/models/**",
     "ploverspoke/testbed/processes/**",
     "ploverspoke/testbed/reports/**",
--- a/tests/testbed/commands/test_experiment_commands.py
+++ b/tests/testbed/commands/test_experiment_commands.py
@@ -170,14 +170,23 @@
     }
 
 
-def test_the_stand_ins_share_no_code_with_the_program() -> None:
+def test_the_fakes_share_no_code_with_the_program() -> None:
     # With the same parsers they would have the same faults.
     program = "import sys, ploverspoke.testbed.{}; print(*sys.modules)"
     beside = ("fakes.protected_resource", "checkers.lease_checker", "processes.tcp_proxy")
     for module in (
         *(
             f"fakes.{name}"
-            for name in ("worker_server", "discovery_server", "client_process", "bench_endpoints")
+            for name in (
+                "worker_server",
+                "discovery_server",
+                "client_process",
+                "instant_workers",
+                "load_generator",
+                "recording_workers",
+                "persistent_clients",
+                "faulty_discovery",
+            )
         ),
         *beside,
     ):
--- a/tests/testbed/scenarios/test_socket_run.py
+++ b/tests/testbed/scenarios/test_socket_run.py
@@ -41,7 +41,7 @@
     reader = HttpReader()
     whole = encode_response(200, "OK", b"body") + encode_response(503, "No", b"")
     found = [m for at in range(len(whole)) for m in reader.feed(whole[at : at + 1])]
-    assert [m.body for m in found] == [b"body", b""] and not reader.is_inside()
+    assert [m.body for m in found] == [b"body", b""] and not reader.has_partial_message()
     for bad in (b"HTTP/1.1 200 OK\r\nnothing\r\n\r\n", b"HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n"):
         with pytest.raises(HttpSyntaxError):
             HttpReader().feed(bad)
