--- a/ploverspoke/testbed/fakes/worker_connection.py
+++ b/ploverspoke/testbed/fakes/worker_connection.py
@@ -156,7 +156,7 @@
 
     def run_ended(self, run: Execution, how: str) -> None:
         """Send the end of the run, or reset the connection where it was lost."""
-        is_first = not (run.begun and self.worker.rules.tells_start)
+        is_first = not (run.begun and self.worker.rules.reports_start)
         if how == "lost":
             self.abort()
         elif how == "returned" and not run.begun:
--- a/ploverspoke/testbed/fakes/worker_server.py
+++ b/ploverspoke/testbed/fakes/worker_server.py
@@ -11,7 +11,7 @@
 from ..models.request_schedule import ScheduledRequest, draw_schedule
 from ..models.worker import Worker
 from ..models.worker_fleet import WorkerFleet
-from ..processes.addresses import bound
+from ..processes.addresses import bind_without_listening
 from ..processes.capacity_check import descriptor_limit
 from ..processes.pipe_messages import send_message
 from .fake_messages import (
@@ -39,19 +39,19 @@
         experiment = workers.experiment
         # Latency within a zone is the machine's own.
         self.extra_delays = [
-            max(0, experiment.one_way(zone, worker.zone) - experiment.network.near)
+            max(0, experiment.one_way(zone, worker.zone) - experiment.network.same_zone)
             for zone in range(len(experiment.zones()))
         ]  # ns, by zone of the dispatcher
         self.connections: set[WorkerConnection] = set()
         self.server: asyncio.Server | None = None
         self.host = workers.spec.own_hosts["workers"]
-        self.reserved = bound(self.host, 0)
+        self.reserved = bind_without_listening(self.host, 0)
         self.port: int = self.reserved.getsockname()[1]
 
     async def open(self) -> None:
         """Listen."""
         self.server = await asyncio.get_running_loop().create_server(
-            lambda: WorkerConnection(self), sock=bound(self.host, self.port), backlog=BACKLOG
+            lambda: WorkerConnection(self), sock=bind_without_listening(self.host, self.port), backlog=BACKLOG
         )
 
     def close(self) -> None:
--- a/tests/routing/test_acceptance_rules.py
+++ b/tests/routing/test_acceptance_rules.py
@@ -19,7 +19,7 @@
 from ploverspoke.testbed.models.event_records import CAME, UP
 from ploverspoke.testbed.models.virtual_run import VirtualRun as VirtualWorld
 from ploverspoke.testbed.models.worker import Worker
-from ploverspoke.testbed.processes.addresses import held_ports
+from ploverspoke.testbed.processes.addresses import reserve_ports
 from tests.decisions.harness import SETTINGS
 from tests.routing.faulty_discovery import FAULTS, RESPONSES, Watched
 from tests.routing.harness import World, listed, message, play
@@ -168,12 +168,14 @@
     for event in VirtualWorld(e, seed, policy).run():
         if event.what == UP:
             up[event.worker], came[event.worker] = event.at, []
-        elif event.what == CAME and event.at - up.get(event.worker, -rules.warm_within) < rules.warm_within:
-            warmth = (event.at - up[event.worker]) / rules.warm_within
-            share = rules.cold_share + (1 - rules.cold_share) * warmth
-            allowed = rules.tip_multiple * share * slots * rules.fall_within / work
+        elif (
+            event.what == CAME and event.at - up.get(event.worker, -rules.warmup_period) < rules.warmup_period
+        ):
+            warmth = (event.at - up[event.worker]) / rules.warmup_period
+            share = rules.warmup_share + (1 - rules.warmup_share) * warmth
+            allowed = rules.overload_multiple * share * slots * rules.overload_window / work
             came[event.worker].append(event.at)
-            late = [at for at in came[event.worker] if at > event.at - rules.fall_within]
+            late = [at for at in came[event.worker] if at > event.at - rules.overload_window]
             most, in_all = max(most, len(late) - allowed - 2 * math.sqrt(allowed) - 2), in_all + 1
     return most, in_all
 
@@ -300,7 +302,7 @@
 
         server = await asyncio.start_server(discovery, "127.0.0.1", 0)
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-        ports = held_ports(count)
+        ports = reserve_ports(count)
         known = {"version": 1, "full": True, "servers": [listed("w0", 9)]}
         configs = [
             {"listen": f"127.0.0.1:{port}", "discovery": address, **({"known": known} if number % 2 else {})}
