--- a/ploverspoke/testbed/capacity/measurements/measurement_fleet.py
+++ b/ploverspoke/testbed/capacity/measurements/measurement_fleet.py
@@ -26,7 +26,8 @@
 from ...processes.link_faults import LinkCounters
 from ...processes.resource_usage import ResourceUsage, read_resource_usage
 from ...processes.running_process import ProcessStartError, RunningProcess
-from ...scenarios.socket_run import DispatcherProgram, SocketFleet
+from ...scenarios.dispatcher_program import DispatcherProgram
+from ...scenarios.socket_run import SocketFleet
 
 LOOKS_EVERY = 500 * MILLISECOND
 AFTER = 400 * MILLISECOND  # the end of the stretch, until the stand-ins have told of it
@@ -75,7 +76,7 @@
     ) -> None:
         """The stretch begins at `settled` and ends at `ends`, ns from the start; 0: with the experiment."""
         super().__init__(e, seed, folder, self._hear)
-        self.tells_traffic = True
+        self.reports_traffic = True
         self.settled = settled
         self.ends = ends or e.duration
         self.watch = watch
@@ -103,13 +104,13 @@
             program.watch(self.watch)
         return program
 
-    def _begins(self, epoch: int, workers: ChildProcess, discovery: ChildProcess) -> None:
-        self.tasks.append(asyncio.create_task(self._listen(discovery, discovery)))
+    def _on_run_start(self, epoch: int, workers: ChildProcess, discovery: ChildProcess) -> None:
+        self.tasks.append(asyncio.create_task(self._read_reports(discovery, discovery)))
         self.tasks.append(asyncio.create_task(self._look_on(epoch)))
         self.tasks.append(asyncio.create_task(self._act(epoch)))
 
     def _end(self) -> int:
-        return self.e.duration + AFTER
+        return self.experiment.duration + AFTER
 
     # ---- While it runs ----
 
@@ -180,7 +181,7 @@
 
     def read(self) -> Reading:
         """Raises nothing: a world that cannot be read is void."""
-        void = self.void()
+        void = self.void_reason()
         if not void and (
             any(len(self.between(kind, self.settled, self.ends)) < 2 for kind in self.reports)
             or any(len(looks) < 2 for looks in self.looks)
@@ -281,7 +282,7 @@
     with tempfile.TemporaryDirectory(prefix="ploverspoke-slopes-", dir=memory_backed_folder()) as name:
         world = MeasurementFleet(e, seed, Path(name), settled, acts, ends, watch)
         try:
-            await world.play()
+            await world.run()
         except (ProcessStartError, TimeoutError) as error:
             world.rig.errors.append(str(error) or "a stand-in was not ready in time")
         finally:
--- a/ploverspoke/testbed/capacity/measurements/store_replica.py
+++ b/ploverspoke/testbed/capacity/measurements/store_replica.py
@@ -74,7 +74,7 @@
 
 
 async def _mark(world: MeasurementFleet) -> Mark:
-    count = world.e.dispatchers.count
+    count = world.experiment.dispatchers.count
     status = {n: await _status(world, n) for n in range(count)}
     await world.rig.link_faults.read_counters(by_link=True)
     return Mark(time.monotonic(), status, world.rig.link_faults.counters.bytes_by_link)
@@ -191,7 +191,7 @@
         leader = before.leader()
         if leader < 0:
             return
-        gone = (leader + 1) % world.e.dispatchers.count
+        gone = (leader + 1) % world.experiment.dispatchers.count
         name = f"d{gone}"
         applied = before.status[gone]["applied"]
         step = FaultStep(at=Duration(0), what="kill", who=[name], lasts=Duration(int(away * SECOND)))
--- a/ploverspoke/testbed/fakes/fake_messages.py
+++ b/ploverspoke/testbed/fakes/fake_messages.py
@@ -125,3 +125,16 @@
     sent: int
     unanswered: int
     lag: int  # ns by which the latest request of the schedule was sent late
+
+
+class ReportSummary(
+    msgspec.Struct,
+    rename={"worker_fell": "fell", "worker_returned": "back", "lag": "behind", "lateness": "late"},
+):
+    """What whoever runs the fakes reads of any of their messages."""
+
+    fault: str = ""
+    worker_fell: str = ""
+    worker_returned: str = ""
+    lag: int = 0  # ns
+    lateness: int = 0  # ns
--- a/ploverspoke/testbed/scenarios/config_change_fleet.py
+++ b/ploverspoke/testbed/scenarios/config_change_fleet.py
@@ -43,13 +43,13 @@
         self.carried = 0  # bytes, of all that brought them
         self.asker: ChildProcess | None = None
 
-    async def _before(self, places: list[ProcessAddress]) -> None:
-        await super()._before(places)
+    async def _before_dispatchers(self, places: list[ProcessAddress]) -> None:
+        await super()._before_dispatchers(places)
         self.asker = await self.rig.start_child(f"{MODULE}.config_poller", [])
         self.asker.send({"doors": [place.endpoint("clients") for place in places]})
 
-    def _begins(self, epoch: int, workers: ChildProcess, discovery: ChildProcess) -> None:
-        super()._begins(epoch, workers, discovery)
+    def _on_run_start(self, epoch: int, workers: ChildProcess, discovery: ChildProcess) -> None:
+        super()._on_run_start(epoch, workers, discovery)
         self.tasks.append(asyncio.create_task(self._hear_asker()))
         self.tasks.append(asyncio.create_task(self._change(epoch)))
 
@@ -60,7 +60,7 @@
 
     async def _change(self, epoch: int) -> None:
         assert self.asker is not None
-        play, begins = self.play_, epoch + self.e.measured_from
+        play, begins = self.play_, epoch + self.experiment.measured_from
         every = play.lasts // (play.changes + 1)
         try:
             for number in range(1, play.changes + 1):
@@ -72,13 +72,16 @@
 
     def changed(self, number: int, dispatcher: int) -> dict[str, Any]:
         """The settings of that dispatcher with so many changes."""
-        like = self.e.request_classes[-1]
+        like = self.experiment.request_classes[-1]
         more = [
             msgspec.structs.replace(like, name=f"{ADDED}-{n}", weight=1.0 + n / 100)
             for n in range(1, number + 1)
         ]
         return dispatcher_settings(
-            msgspec.structs.replace(self.e, request_classes=[*self.e.request_classes, *more]), dispatcher
+            msgspec.structs.replace(
+                self.experiment, request_classes=[*self.experiment.request_classes, *more]
+            ),
+            dispatcher,
         )
 
     async def bring(self, number: int) -> None:
@@ -118,7 +121,7 @@
             for place in self.server_places
         }
 
-    async def _before(self, places: list[ProcessAddress]) -> None:
+    async def _before_dispatchers(self, places: list[ProcessAddress]) -> None:
         (self.folder / "secret").write_bytes(SECRET)
         for place in self.server_places:
             file = self.folder / f"{place.name}.config.json"
@@ -129,7 +132,7 @@
             server.ready = accepts_connections(place.host, place.ports["clients"])
             self.servers.append(server)
         await asyncio.gather(*(server.start(["--new"]) for server in self.servers))
-        await super()._before(places)
+        await super()._before_dispatchers(places)
 
     def _place(self, number: int, place: ProcessAddress) -> simulated_dispatcher.DispatcherAddress:
         servers = [place.proxied_endpoint("clients") for place in self.server_places]
@@ -140,11 +143,11 @@
         return super()._place(number, place)._replace(watch=str(watch))
 
     async def _change(self, epoch: int) -> None:
-        await asyncio.sleep(max(0, epoch + self.e.measured_from - time.monotonic_ns()) / SECOND)
+        await asyncio.sleep(max(0, epoch + self.experiment.measured_from - time.monotonic_ns()) / SECOND)
         await self.rig.link_faults.read_counters()
         self.octets = self.rig.link_faults.counters.links.bytes_passed
         await super()._change(epoch)
-        await asyncio.sleep(max(0, epoch + self.e.duration - time.monotonic_ns()) / SECOND)
+        await asyncio.sleep(max(0, epoch + self.experiment.duration - time.monotonic_ns()) / SECOND)
         await self.rig.link_faults.read_counters()
         self.carried = self.rig.link_faults.counters.links.bytes_passed - self.octets
 
--- a/ploverspoke/testbed/scenarios/scale_fleet.py
+++ b/ploverspoke/testbed/scenarios/scale_fleet.py
@@ -11,6 +11,7 @@
 
 from ..experiment_files import experiment as ex
 from ..experiment_files.durations import SECOND, format_duration
+from ..fakes.fake_messages import AnsweredCount, FakeCommand
 from ..models.request_schedule import draw_schedule
 from ..processes.addresses import ProcessAddress
 from ..processes.capacity_check import MEBIBYTE, CapacityError, ResourceDemand, free_memory
@@ -19,7 +20,9 @@
 from ..scale import simulated_dispatcher
 from ..scale.dispatcher_host import DispatcherHostSpec
 from ..scale.simulated_programs import MODULE, SimulatedDispatcherHost, SimulatedDispatcherProgram
-from .socket_run import MAX_LATENESS, DispatcherProgram, ReportListener, SocketFleet, resource_demands
+from .dispatcher_program import DispatcherProgram
+from .socket_resources import fake_resource_demands
+from .socket_run import MAX_LATENESS, ReportListener, SocketFleet
 
 LISTS_WITHIN, LOOKS_EVERY = 30.0, 0.1  # seconds
 COUNTS_EVERY = 2 * SECOND
@@ -76,7 +79,7 @@
         self.listener = told
         self.shape = shape
         self.worker_processes = shape.workers
-        self.tells_traffic = True
+        self.reports_traffic = True
         self.jobs = len(draw_schedule(e, seed))
         self.latest: dict[int, dict[str, Any]] = {}  # what each stand-in told last
         self.samples: list[UsageSample] = []
@@ -88,14 +91,17 @@
     def _client_processes(self) -> int:
         return self.shape.clients
 
-    def _wants(self) -> list[ResourceDemand]:
+    def _resource_demands(self) -> list[ResourceDemand]:
         if self.shape.workers > 1 and (
-            self.e.store is not None
-            or any(g.idempotency == "labelled" and g.retry_scope == "all" for g in self.e.request_classes)
+            self.experiment.store is not None
+            or any(
+                g.idempotency == "labelled" and g.retry_scope == "all"
+                for g in self.experiment.request_classes
+            )
         ):
             raise ex.ExperimentError("worker processes: what all zones share can't be spread over several")
         found = [self._dispatchers_want()]
-        for want in resource_demands(self.e):
+        for want in fake_resource_demands(self.experiment):
             count = {"workers": self.shape.workers, "clients": self.shape.clients}.get(want.what, 1)
             found.append(want._replace(processes=count, descriptors=want.descriptors // count + 64))
         self._must_have_cores()
@@ -111,37 +117,37 @@
         raise NotImplementedError
 
     def _must_have_cores(self) -> None:
-        needed, running, starts = cores_for(self.e)
+        needed, running, starts = cores_for(self.experiment)
         has = self.shape.cores or len(sched_getaffinity(0))
         if needed > has:
             raise CapacityError(
                 f"{needed:.1f} cores wanted ({running:.0f} tasks running, {starts:.0f} starts a second, "
-                f"{self.e.dispatchers.count} dispatchers), {has:g} are there"
+                f"{self.experiment.dispatchers.count} dispatchers), {has:g} are there"
             )
 
-    async def play(self) -> None:
-        await super().play()
+    async def run(self) -> None:
+        await super().run()
         self.samples.append(await self.sample())
 
-    async def _started(self, discovery: ChildProcess) -> None:
+    async def _on_dispatchers_started(self, discovery: ChildProcess) -> None:
         """All have the list: at no other time so many take it in at once, and that held them up."""
-        count = self.e.dispatchers.count
+        count = self.experiment.dispatchers.count
         async with asyncio.timeout(LISTS_WITHIN):
             while True:
-                discovery.send({"who was told": True})
-                told = (await self._first(discovery)).get("told", 0)
-                if told >= count and await self._listed() >= count:
+                discovery.send(FakeCommand(asks_who_was_answered=True))
+                answered = (await self._first_message(discovery, AnsweredCount)).dispatchers
+                if answered >= count and await self._listed() >= count:
                     return
                 await asyncio.sleep(LOOKS_EVERY)
 
     async def _listed(self) -> int:
         """How many have taken the list in, where that can be seen."""
-        return self.e.dispatchers.count
+        return self.experiment.dispatchers.count
 
     # ---- While it runs ----
 
-    def _begins(self, epoch: int, workers: ChildProcess, discovery: ChildProcess) -> None:
-        self.tasks.append(asyncio.create_task(self._listen(discovery, discovery)))
+    def _on_run_start(self, epoch: int, workers: ChildProcess, discovery: ChildProcess) -> None:
+        self.tasks.append(asyncio.create_task(self._read_reports(discovery, discovery)))
         self.tasks.append(asyncio.create_task(self._sample(epoch)))
 
     def _noted(self, told: dict[str, Any]) -> None:
@@ -154,7 +160,7 @@
             clients = [one for one in self.latest.values() if "sent" in one]
             if len(clients) < self.shape.clients or sum(one["sent"] for one in clients) < self.jobs:
                 return
-            if told["at"] < self.e.duration or any(one["out"] for one in clients):
+            if told["at"] < self.experiment.duration or any(one["out"] for one in clients):
                 self.quiet_since = -1
             elif self.quiet_since < 0:
                 self.quiet_since = told["at"]
@@ -186,8 +192,8 @@
     async def used(self) -> Used:
         raise NotImplementedError
 
-    def void(self) -> str:
-        found = super().void()
+    def void_reason(self) -> str:
+        found = super().void_reason()
         return f"{found} (first {self.late_first})" if found and self.late_first else found
 
 
@@ -205,16 +211,18 @@
         self.hollow_late = self.hollow_late_at = 0  # ns; when it was first seen to be too much
 
     def _dispatchers_want(self) -> ResourceDemand:
-        each = -(-self.e.dispatchers.count // self.shape.hollow)
-        _, running, starts = cores_for(self.e)
-        per = running / self.e.dispatchers.count * 3 + starts / self.e.dispatchers.count * 30
+        each = -(-self.experiment.dispatchers.count // self.shape.hollow)
+        _, running, starts = cores_for(self.experiment)
+        per = (
+            running / self.experiment.dispatchers.count * 3 + starts / self.experiment.dispatchers.count * 30
+        )
         descriptors = 64 + int(each * (DESCRIPTORS_A_DISPATCHER + per))
         return ResourceDemand(
             "hollow processes", self.shape.hollow, PROCESS_MEMORY + each * DISPATCHER_MEMORY, descriptors
         )
 
-    async def _before(self, places: list[ProcessAddress]) -> None:
-        await super()._before(places)
+    async def _before_dispatchers(self, places: list[ProcessAddress]) -> None:
+        await super()._before_dispatchers(places)
         parts: list[list[simulated_dispatcher.DispatcherAddress]] = [[] for _ in range(self.shape.hollow)]
         for number, place in enumerate(places):
             parts[number % self.shape.hollow].append(self._place(number, place))
@@ -245,10 +253,10 @@
         told = await asyncio.gather(*(one.counts() for one in self.children))
         return sum(one["listed"] for one in told)
 
-    def _begins(self, epoch: int, workers: ChildProcess, discovery: ChildProcess) -> None:
+    def _on_run_start(self, epoch: int, workers: ChildProcess, discovery: ChildProcess) -> None:
         for one in self.children:
             one.child.send({"begin": True})
-        super()._begins(epoch, workers, discovery)
+        super()._on_run_start(epoch, workers, discovery)
 
     async def used(self) -> Used:
         told = await asyncio.gather(*(one.counts() for one in self.children))
@@ -268,12 +276,12 @@
             inside,
         )
 
-    def void(self) -> str:
+    def void_reason(self) -> str:
         if self.hollow_late > MAX_LATENESS:
             late = format_duration(self.hollow_late)
             first = f"first by {self.hollow_late_at / SECOND:.0f} s"
             return f"hollow dispatchers held each other up: their loop was late by {late} ({first})"
-        return super().void()
+        return super().void_reason()
 
 
 class Alone(DispatcherProgram):
@@ -288,7 +296,10 @@
 
     def _dispatchers_want(self) -> ResourceDemand:
         return ResourceDemand(
-            "dispatchers", self.e.dispatchers.count, PROCESS_MEMORY, self.e.dispatchers.max_sockets
+            "dispatchers",
+            self.experiment.dispatchers.count,
+            PROCESS_MEMORY,
+            self.experiment.dispatchers.max_sockets,
         )
 
     def _program(
--- a/ploverspoke/testbed/scenarios/scale_test.py
+++ b/ploverspoke/testbed/scenarios/scale_test.py
@@ -67,7 +67,7 @@
 
 async def _play(stage: ScaleFleet) -> None:
     try:
-        await stage.play()
+        await stage.run()
     finally:
         await stage.close()
 
@@ -102,12 +102,12 @@
             row.void = str(error) or "a process was not ready in time"
             return row
         events = merge_records(
-            [stage.seen.events, *(read_records(path) for path in sorted(folder.glob("*.jsonl")))]
+            [stage.records.events, *(read_records(path) for path in sorted(folder.glob("*.jsonl")))]
         )
         lines = sum(path.read_bytes().count(b"\n") for path in folder.glob("d*.log"))
     if keep is not None:
         write_records(events, keep)
-    row.void = stage.void()
+    row.void = stage.void_reason()
     found = score_run(e, "ours", plays.seed, events, audit_requests(e, events, SOCKETS_TOLERANCE), row.void)
     changes = stage.took if isinstance(stage, ConfigChangeFleet) else []
     seen = ScaleObservations(e, events, found, stage.samples, changes, lines)
--- a/ploverspoke/testbed/scenarios/socket_run.py
+++ b/ploverspoke/testbed/scenarios/socket_run.py
@@ -1,266 +1,296 @@
-"""Sockets: the real program, started as users start it, among stand-ins in processes of their own.
+"""Runs an experiment on sockets: the real program, started as users start it, among fakes in real time.
 
-All of it stands on the rig of `processes/`: each dispatcher has an address of its own on loopback, by which
-the stand-ins know it, and whatever was started is ended with the rig.
+All processes stand on a rig: each dispatcher has an address of its own on loopback, by which the fakes know
+it, and whatever was started is ended with the rig.
 """
 
 import asyncio
 import tempfile
 import time
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 from pathlib import Path
-from typing import Any, NamedTuple
+from typing import Any, NamedTuple, TypeVar
 
 import msgspec
 
 from ..experiment_files import experiment as ex
 from ..experiment_files.durations import MILLISECOND, SECOND, Duration, format_duration
-from ..fakes.fake_messages import FakeProcessSpec
+from ..fakes.fake_messages import (
+    ClientsReady,
+    DiscoveryOpened,
+    FakeCommand,
+    FakeProcessSpec,
+    ReportSummary,
+    WorkersOpened,
+)
 from ..models import event_records
 from ..models.clients import LATE_ANSWER_ALLOWANCE
 from ..models.deployment_settings import dispatcher_settings
 from ..models.event_records import Event, Records, merge_records, read_records
 from ..processes.addresses import ProcessAddress
-from ..processes.capacity_check import MEBIBYTE, ResourceDemand, memory_backed_folder
+from ..processes.capacity_check import ResourceDemand, memory_backed_folder
 from ..processes.child_process import ChildProcess
 from ..processes.fault_timeline import FaultStep
 from ..processes.history import HistoryEvent
 from ..processes.link_faults import LinkCounters
 from ..processes.rig import Rig
-from ..processes.running_process import ProcessStartError, RunningProcess
+from ..processes.running_process import ProcessStartError
+from .dispatcher_program import CLIENT_PORT, DispatcherProgram
+from .socket_resources import count_client_processes, fake_resource_demands
 
-LEAD = 300 * MILLISECOND  # from the word to start to the start
-READY_WITHIN = 20.0  # seconds
-MAX_LATENESS = 100 * MILLISECOND  # of the load generator and the stand-ins; past that a run is void
+START_DELAY = 300 * MILLISECOND  # from the command to start until the start
+FIRST_MESSAGE_TIMEOUT = 20.0  # seconds
+MAX_LATENESS = 100 * MILLISECOND  # of the load generator and the fakes; past that a run is void
 FINAL_CALM = SECOND
-STAND_IN_MEMORY = 256 * MEBIBYTE
-KEPT_BY_DISPATCHERS = 21  # seconds, a connection to a worker that rests
+STOP_GRACE = 0.7  # seconds, for a dispatcher after the last deadline
+LOG_TAIL = 2000  # characters of each dispatcher's log
+SEED_FACTOR = 1_000_003
+STORE_SECRET = "a secret of the testbed's own"
+FAKES_MODULE = "ploverspoke.testbed.fakes"
+STEP_OF_OUTAGE = {"killed": "kill", "paused": "pause", "restarted": "restart"}
 
-ReportListener = Callable[[dict[str, Any]], None]
+Message = TypeVar("Message")
+ReportListener = Callable[[dict[str, Any]], None]  # gets each report of a fake as it comes
 
 
-class Played(NamedTuple):
+class SocketRunResult(NamedTuple):
+    """What a run has shown."""
+
     events: list[Event]
-    void: str
+    void: str  # why it proves nothing; "" if it does
     took_s: float
-    logs: str  # what dispatchers wrote, the last lines
-    history: list[HistoryEvent]  # what was done to them, and what they said
-    links: LinkCounters  # what the relays counted
+    logs: str  # the last lines that dispatchers wrote
+    history: list[HistoryEvent]  # what was done to dispatchers, and what they logged
+    links: LinkCounters
 
 
-class DispatcherProgram(RunningProcess):
-    """One dispatcher: the real program, ready once it says so at its door."""
+class FakeChildren(NamedTuple):
+    """The processes of the fakes."""
 
-    def __init__(
-        self, rig: Rig, place: ProcessAddress, config: dict[str, Any], store: dict[str, Any] | None = None
-    ) -> None:
-        path = rig.folder / f"{place.name}.json"
-        path.write_bytes(msgspec.json.encode(config))
-        words = []
-        if store is not None:
-            file = rig.folder / f"{place.name}.store.json"
-            file.write_bytes(msgspec.json.encode(store))
-            words = ["serve", str(path), "--store", str(file)]
-        environment = {"RELAY_CONFIG": str(path)}
-        super().__init__(place, rig.folder, "ploverspoke", words, environment)
-        self.door = (place.host, place.ports["clients"])
-        self.ready = self._is_ready
-
-    async def start(self, more: Any = ()) -> None:
-        # A store that is new begins so; one that was emptied later must not.
-        await super().start(["--new"] if self.arguments and not self.starts else more)
-
-    async def _is_ready(self) -> bool:
-        reader, writer = await asyncio.open_connection(*self.door)
-        writer.write(b"GET /-/ready HTTP/1.1\r\nHost: testbed\r\nConnection: close\r\n\r\n")
-        first = await reader.readline()
-        writer.close()
-        return b" 200 " in first
-
-
-def client_processes(e: ex.Experiment) -> int:
-    """As many as the offered load wants: one carries some thousands of submissions a second."""
-    return max(1, min(4, int(_most_a_second(e) // 1500) + 1))
-
-
-def _most_a_second(e: ex.Experiment) -> float:
-    return sum(max(t.rate, t.end_rate or 0.0) * (1 + t.wave_amplitude) for t in e.traffic)
-
-
-def resource_demands(e: ex.Experiment) -> list[ResourceDemand]:
-    """What stand-ins need beside the dispatchers: memory, and descriptors in one process."""
-    dispatchers, rate = e.dispatchers.count, _most_a_second(e)
-    workers = sum(group.count for group in e.workers)
-    # Each hand-off may leave a connection behind that rests, but there is no more than one a slot and pair.
-    resting = min(dispatchers * workers * 4, int(rate * 1.5 * KEPT_BY_DISPATCHERS))
-    return [
-        ResourceDemand("workers", 1, STAND_IN_MEMORY, 64 + 2 * workers + resting),
-        ResourceDemand("discovery", 1, STAND_IN_MEMORY, 64 + 2 * dispatchers),
-        ResourceDemand("clients", client_processes(e), STAND_IN_MEMORY, 64 + 8 * dispatchers),
-    ]
+    workers: list[ChildProcess]
+    discovery: ChildProcess
+    clients: list[ChildProcess]
+
+    def all(self) -> list[ChildProcess]:
+        """Return all of them."""
+        return [*self.workers, self.discovery, *self.clients]
 
 
-def outage_steps(e: ex.Experiment, seed: int) -> list[FaultStep]:
-    """What the file's troubles do to dispatchers, and its timeline, in order of time."""
-    whats = {"killed": "kill", "paused": "pause", "restarted": "restart"}
-    found = [
-        FaultStep(at=Duration(begin), what=whats[how], who=[f"d{number}"], lasts=Duration(end - begin))
-        for begin, end, number, how in ex.outages(e, seed)
+def outage_steps(experiment: ex.Experiment, seed: int) -> list[FaultStep]:
+    """Return the outages of dispatchers and the timeline of an experiment, in order of time."""
+    outages = [
+        FaultStep(
+            at=Duration(begin), what=STEP_OF_OUTAGE[how], who=[f"d{number}"], lasts=Duration(end - begin)
+        )
+        for begin, end, number, how in ex.outages(experiment, seed)
     ]
-    return sorted([*found, *e.timeline], key=lambda step: step.at)
+    return sorted([*outages, *experiment.timeline], key=lambda step: step.at)
 
 
 class SocketFleet:
-    """All processes of one run."""
+    """All processes of one run. Subclasses replace the methods below "Extension points"."""
 
-    def __init__(self, e: ex.Experiment, seed: int, folder: Path, told: ReportListener | None) -> None:
-        self.e = e
+    def __init__(
+        self, experiment: ex.Experiment, seed: int, folder: Path, on_report: ReportListener | None
+    ) -> None:
+        """Take a block of addresses; nothing is started before `run`."""
+        self.experiment = experiment
         self.seed = seed
         self.folder = folder
-        self.told = told
-        self.seen = Records()
+        self.on_report = on_report
+        self.records = Records()
         self.rig = Rig(folder, seed)
-        self.rig.timeline.on_process_down, self.rig.timeline.on_process_up = self._down, self._up
-        self.rig.timeline.stop_timeout = max(g.deadline for g in e.request_classes) / SECOND + 0.7
-        self.behind = 0
-        self.late = 0  # the stand-ins
+        self.rig.timeline.on_process_down, self.rig.timeline.on_process_up = self._on_down, self._on_up
+        self.rig.timeline.stop_timeout = self._last_deadline() / SECOND + STOP_GRACE
+        self.lag = 0  # ns by which the load generator was late
+        self.lateness = 0  # ns, of the fakes
         self.programs: list[DispatcherProgram] = []
         self.tasks: list[asyncio.Task[None]] = []
-        self.tells_traffic = False
+        self.reports_traffic = False
         self.worker_processes = 1
 
-    async def play(self) -> None:
-        e, rig = self.e, self.rig
-        if any(isinstance(t, ex.DispatcherReplaced | ex.SettingsChanged) for t in e.faults):
+    async def run(self) -> None:
+        """Start all processes and run the experiment to its end.
+
+        Raises:
+            ExperimentError: it has faults that need virtual time.
+            CapacityError: it does not fit on the machine.
+            ProcessStartError: a process did not become ready.
+        """
+        if any(isinstance(t, ex.DispatcherReplaced | ex.SettingsChanged) for t in self.experiment.faults):
             raise ex.ExperimentError(
                 "troubles: replacing and changed settings are played on virtual time only"
             )
-        clients, parts = self._client_processes(), self.worker_processes
-        streams, datagrams = ["peers"] * e.dispatchers.store, ["talk"] * e.dispatchers.gossip
-        names = [f"d{number}" for number in range(e.dispatchers.count)]
-        places = [rig.allocate_address(name, streams, datagrams, direct=["clients"]) for name in names]
-        spec = self.folder / "spec.json"
-        told = FakeProcessSpec(
-            experiment=msgspec.to_builtins(e, enc_hook=int),
+        addresses = self._allocate_addresses()
+        self.rig.check_capacity(self._resource_demands())
+        await self.rig.open_proxy()
+        fakes = await self._start_fakes(addresses)
+        discovery_address = await self._connect_fakes(fakes)
+        await self._before_dispatchers(addresses)
+        self._add_programs(addresses, discovery_address)
+        await self.rig.start_processes()
+        await self._on_dispatchers_started(fakes.discovery)
+        epoch = time.monotonic_ns() + START_DELAY
+        start = FakeCommand(start=epoch, dispatchers=[each.endpoint(CLIENT_PORT) for each in addresses])
+        for child in fakes.all():
+            child.send(start)
+        for child in (*fakes.workers, *fakes.clients):
+            self.tasks.append(asyncio.create_task(self._read_reports(child, fakes.discovery)))
+        self._on_run_start(epoch, fakes.workers[0], fakes.discovery)
+        await self.rig.play(outage_steps(self.experiment, self.seed), self._end(), epoch)
+
+    def _allocate_addresses(self) -> list[ProcessAddress]:
+        dispatchers = self.experiment.dispatchers
+        streams, datagrams = ["peers"] * dispatchers.store, ["talk"] * dispatchers.gossip
+        return [
+            self.rig.allocate_address(f"d{number}", streams, datagrams, direct=[CLIENT_PORT])
+            for number in range(dispatchers.count)
+        ]
+
+    async def _start_fakes(self, addresses: list[ProcessAddress]) -> FakeChildren:
+        block, spec_path = self.rig.block, self.folder / "spec.json"
+        spec = FakeProcessSpec(
+            experiment=msgspec.to_builtins(self.experiment, enc_hook=int),
             seed=self.seed,
             records=str(self.folder),
-            clients=clients,
-            hosts=self._hosts(places),
-            own_hosts={"workers": rig.block.fake_host(1), "discovery": rig.block.fake_host(2)},
-            worker_processes=parts,
-            reports_traffic=self.tells_traffic,
+            clients=self._client_processes(),
+            hosts=self._hosts(addresses),
+            own_hosts={"workers": block.fake_host(1), "discovery": block.fake_host(2)},
+            worker_processes=self.worker_processes,
+            reports_traffic=self.reports_traffic,
         )
-        spec.write_bytes(msgspec.json.encode(told))
-        rig.check_capacity(self._wants())
-        await rig.open_proxy()
-        kinds = {"workers": parts, "discovery": 1, "clients": clients}
-        stand_ins = [
-            await rig.start_child("ploverspoke.testbed.fakes", [kind, str(spec), str(part)])
-            for kind, count in kinds.items()
-            for part in range(count)
-        ]
-        workers, discovery, others = stand_ins[:parts], stand_ins[parts], stand_ins[parts + 1 :]
+        spec_path.write_bytes(msgspec.json.encode(spec))
+
+        async def start(kind: str, count: int) -> list[ChildProcess]:
+            """Start the processes of one kind."""
+            return [
+                await self.rig.start_child(FAKES_MODULE, [kind, str(spec_path), str(part)])
+                for part in range(count)
+            ]
+
+        workers = await start("workers", spec.worker_processes)
+        [discovery] = await start("discovery", 1)
+        return FakeChildren(workers, discovery, await start("clients", spec.clients))
+
+    async def _connect_fakes(self, fakes: FakeChildren) -> str:
+        """Wait for all fakes and name the workers to discovery; returns the address of discovery.
+
+        Discovery answers dispatchers from their start on, so it has the workers before them.
+        """
         worker_addresses: dict[str, str] = {}
-        for child in workers:
-            worker_addresses |= (await self._first(child))["addresses"]
-        discovery_address = (await self._first(discovery))["address"]
-        for child in others:
-            await self._first(child)
-        # Discovery answers dispatchers from their start on, so it hears of the workers before them.
-        discovery.send({"workers": worker_addresses})
-        await self._before(places)
-        for number, place in enumerate(places):
-            config = self._config(number, places, discovery_address)
-            store = self._store(number, places) if e.dispatchers.store else None
-            program = self._program(place, config, store)
-            rig.processes[place.name] = program
+        for child in fakes.workers:
+            opened = await self._first_message(child, WorkersOpened)
+            worker_addresses |= opened.addresses
+        discovery_address = (await self._first_message(fakes.discovery, DiscoveryOpened)).address
+        for child in fakes.clients:
+            await self._first_message(child, ClientsReady)
+        fakes.discovery.send(FakeCommand(workers=worker_addresses))
+        return discovery_address
+
+    async def _first_message(self, child: ChildProcess, message_type: type[Message]) -> Message:
+        message = await asyncio.wait_for(child.receive_as(message_type), FIRST_MESSAGE_TIMEOUT)
+        if message is None:
+            raise ProcessStartError(problem="a fake process ended at its start")
+        return message
+
+    def _add_programs(self, addresses: list[ProcessAddress], discovery_address: str) -> None:
+        for number, address in enumerate(addresses):
+            config = self._config(number, addresses, discovery_address)
+            store = self._store(number, addresses) if self.experiment.dispatchers.store else None
+            program = self._program(address, config, store)
+            self.rig.processes[address.name] = program
             self.programs.append(program)
-        await rig.start_processes()
-        await self._started(discovery)
-        epoch = time.monotonic_ns() + LEAD
-        for child in stand_ins:
-            child.send({"start": epoch, "dispatchers": [place.endpoint("clients") for place in places]})
-        self.tasks += [asyncio.create_task(self._listen(child, discovery)) for child in (*workers, *others)]
-        self._begins(epoch, workers[0], discovery)
-        await rig.play(outage_steps(e, self.seed), self._end(), epoch)
 
-    # ---- What another stage may do in another way ----
+    # ---- Extension points ----
 
-    def _hosts(self, places: list[ProcessAddress]) -> list[str]:
-        """The addresses that dispatchers send from."""
-        return [place.host for place in places]
+    def _hosts(self, addresses: list[ProcessAddress]) -> list[str]:
+        """Return the hosts that dispatchers send from."""
+        return [address.host for address in addresses]
 
     def _client_processes(self) -> int:
-        return client_processes(self.e)
+        """Return how many client processes to start."""
+        return count_client_processes(self.experiment)
 
-    def _wants(self) -> list[ResourceDemand]:
-        return resource_demands(self.e)
+    def _resource_demands(self) -> list[ResourceDemand]:
+        """Return what the fakes need."""
+        return fake_resource_demands(self.experiment)
 
-    async def _before(self, places: list[ProcessAddress]) -> None:
-        """What dispatchers need to be there before they are."""
+    async def _before_dispatchers(self, addresses: list[ProcessAddress]) -> None:
+        """Start what dispatchers need at their start."""
 
-    async def _started(self, discovery: ChildProcess) -> None:
+    async def _on_dispatchers_started(self, discovery: ChildProcess) -> None:
         """All dispatchers serve, and the run is about to begin."""
 
     def _program(
-        self, place: ProcessAddress, config: dict[str, Any], store: dict[str, Any] | None
+        self, address: ProcessAddress, config: dict[str, Any], store: dict[str, Any] | None
     ) -> DispatcherProgram:
-        return DispatcherProgram(self.rig, place, config, store)
+        """Return the process of one dispatcher."""
+        return DispatcherProgram(self.rig, address, config, store)
 
-    def _begins(self, epoch: int, workers: ChildProcess, discovery: ChildProcess) -> None:
-        """All has started; the run begins then."""
+    def _on_run_start(self, epoch: int, workers: ChildProcess, discovery: ChildProcess) -> None:
+        """Everything is started; the run begins at `epoch`."""
 
     def _end(self) -> int:
-        end = self.e.duration + max(g.deadline for g in self.e.request_classes) + FINAL_CALM
-        return end + (LATE_ANSWER_ALLOWANCE if self.e.dispatchers.store else 0)
+        """Return the time of the run at which it ends, ns."""
+        end = self.experiment.duration + self._last_deadline() + FINAL_CALM
+        return end + (LATE_ANSWER_ALLOWANCE if self.experiment.dispatchers.store else 0)
+
+    def _last_deadline(self) -> int:
+        return max(request_class.deadline for request_class in self.experiment.request_classes)
 
-    async def _first(self, child: ChildProcess) -> dict[str, Any]:
-        told = await asyncio.wait_for(child.receive(), READY_WITHIN)
-        if told is None:
-            raise ProcessStartError("a stand-in ended at its start")
-        return told
+    # ---- Files of dispatchers ----
 
-    def _config(self, number: int, places: list[ProcessAddress], discovery: str) -> dict[str, Any]:
-        e = self.e
+    def _config(self, number: int, addresses: Sequence[ProcessAddress], discovery: str) -> dict[str, Any]:
+        dispatchers = self.experiment.dispatchers
         config: dict[str, Any] = {
             "name": f"d{number}",
-            "listen": places[number].endpoint("clients"),
+            "listen": addresses[number].endpoint(CLIENT_PORT),
             "discovery": discovery,
-            "seed": f"{self.seed * 1_000_003 + number:x}",
-            "limits": {"sockets": e.dispatchers.max_sockets, "memory_mb": e.dispatchers.memory_mb},
-            "settings": dispatcher_settings(e, number),
+            "seed": f"{self.seed * SEED_FACTOR + number:x}",
+            "limits": {"sockets": dispatchers.max_sockets, "memory_mb": dispatchers.memory_mb},
+            "settings": dispatcher_settings(self.experiment, number),
         }
-        if e.dispatchers.gossip:
-            config["peers"] = [place.proxied_endpoint("talk") for place in places]
+        if dispatchers.gossip:
+            config["peers"] = [address.proxied_endpoint("talk") for address in addresses]
         return config
 
-    def _store(self, number: int, places: list[ProcessAddress]) -> dict[str, Any]:
-        (self.folder / "secret").write_text("a secret of the testbed's own")
+    def _store(self, number: int, addresses: Sequence[ProcessAddress]) -> dict[str, Any]:
+        (self.folder / "secret").write_text(STORE_SECRET)
         replicas = {
-            f"r{n}": {"peers": place.proxied_endpoint("peers"), "clients": place.endpoint("clients")}
-            for n, place in enumerate(places)
+            f"r{n}": {"peers": each.proxied_endpoint("peers"), "clients": each.endpoint(CLIENT_PORT)}
+            for n, each in enumerate(addresses)
         }
-        folder = places[number].name
-        told = {"cluster": "testbed", "name": f"r{number}", "folder": folder, "secret_file": "secret"}
-        return {**told, "replicas": replicas, "snapshot_every": self.e.dispatchers.snapshot_interval}
-
-    async def _listen(self, child: ChildProcess, discovery: ChildProcess) -> None:
-        while (told := await child.receive()) is not None:
-            if "fault" in told:
-                self.rig.errors.append(told["fault"])
-            if "fell" in told or "back" in told:
-                discovery.send(told)
-            self.behind = max(self.behind, told.get("behind", 0))
-            self.late = max(self.late, told.get("late", 0))
-            if self.told is not None:
-                self.told({"at": self.rig.timeline.now(), "child": id(child), **told})
-
-    def _down(self, name: str, how: str) -> None:
-        what = event_records.DISPATCHER_LEAVES if how == "restart" else event_records.DISPATCHER_DOWN
-        self.seen.add(self.rig.timeline.now(), what, dispatcher=int(name[1:]))
-
-    def _up(self, name: str) -> None:
-        self.seen.add(self.rig.timeline.now(), event_records.DISPATCHER_UP, dispatcher=int(name[1:]))
+        return {
+            "cluster": "testbed",
+            "name": f"r{number}",
+            "folder": addresses[number].name,
+            "secret_file": "secret",
+            "replicas": replicas,
+            "snapshot_every": self.experiment.dispatchers.snapshot_interval,
+        }
+
+    # ---- While it runs ----
+
+    async def _read_reports(self, child: ChildProcess, discovery: ChildProcess) -> None:
+        while (report := await child.receive()) is not None:
+            summary = msgspec.convert(report, ReportSummary)
+            if summary.fault:
+                self.rig.errors.append(summary.fault)
+            if summary.worker_fell or summary.worker_returned:
+                discovery.send(
+                    FakeCommand(worker_fell=summary.worker_fell, worker_returned=summary.worker_returned)
+                )
+            self.lag = max(self.lag, summary.lag)
+            self.lateness = max(self.lateness, summary.lateness)
+            if self.on_report is not None:
+                self.on_report({"at": self.rig.timeline.now(), "child": id(child), **report})
+
+    def _on_down(self, name: str, how: str) -> None:
+        kind = event_records.DISPATCHER_LEAVES if how == "restart" else event_records.DISPATCHER_DOWN
+        self.records.add(self.rig.timeline.now(), kind, dispatcher=int(name[1:]))
+
+    def _on_up(self, name: str) -> None:
+        self.records.add(self.rig.timeline.now(), event_records.DISPATCHER_UP, dispatcher=int(name[1:]))
 
     async def close(self) -> None:
         """End all that was started, whatever happened."""
@@ -269,33 +299,41 @@
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
-    def void(self) -> str:
-        if self.behind > MAX_LATENESS:
-            return f"the load generator fell behind by {format_duration(self.behind)}"
-        if self.late > MAX_LATENESS:
-            return f"the machine was too slow: a stand-in was late by {format_duration(self.late)}"
+    def void_reason(self) -> str:
+        """Return why the run proves nothing; "" if it does."""
+        if self.lag > MAX_LATENESS:
+            return f"the load generator fell behind by {format_duration(self.lag)}"
+        if self.lateness > MAX_LATENESS:
+            return f"the machine was too slow: a fake was late by {format_duration(self.lateness)}"
         if self.rig.errors:
-            return f"{len(self.rig.errors)} faults, the first: {self.rig.errors[0]}"
+            return f"{len(self.rig.errors)} errors, the first: {self.rig.errors[0]}"
         return self.rig.void_reason()
 
 
-def run_on_sockets(e: ex.Experiment, seed: int, told: ReportListener | None = None) -> Played:
-    """Run once, in real time. Raises ProcessStartError, and CapacityError where it does not fit."""
-    began = time.monotonic()
+def run_on_sockets(
+    experiment: ex.Experiment, seed: int, on_report: ReportListener | None = None
+) -> SocketRunResult:
+    """Run once, in real time.
+
+    Raises:
+        ExperimentError, CapacityError, ProcessStartError: see `SocketFleet.run`.
+    """
+    began_at = time.monotonic()
     with tempfile.TemporaryDirectory(prefix="ploverspoke-testbed-", dir=memory_backed_folder()) as name:
         folder = Path(name)
-        stage = SocketFleet(e, seed, folder, told)
-        asyncio.run(_play(stage))
-        parts = [read_records(path) for path in sorted(folder.glob("*.jsonl"))]
-        events = merge_records([stage.seen.events, *parts])
-        history = stage.rig.read_events()
-        logs = "\n".join(path.read_text()[-2000:] for path in sorted(folder.glob("d*.log")))
-    counts = stage.rig.link_faults.counters.links
-    return Played(events, stage.void(), time.monotonic() - began, logs, history, counts)
-
-
-async def _play(stage: SocketFleet) -> None:
+        fleet = SocketFleet(experiment, seed, folder, on_report)
+        asyncio.run(_run_and_close(fleet))
+        fake_records = [read_records(path) for path in sorted(folder.glob("*.jsonl"))]
+        events = merge_records([fleet.records.events, *fake_records])
+        history = fleet.rig.read_events()
+        logs = "\n".join(path.read_text()[-LOG_TAIL:] for path in sorted(folder.glob("d*.log")))
+    took = time.monotonic() - began_at
+    links = fleet.rig.link_faults.counters.links
+    return SocketRunResult(events, fleet.void_reason(), took, logs, history, links)
+
+
+async def _run_and_close(fleet: SocketFleet) -> None:
     try:
-        await stage.play()
+        await fleet.run()
     finally:
-        await stage.close()
+        await fleet.close()
--- a/tests/testbed/scale/test_scale.py
+++ b/tests/testbed/scale/test_scale.py
@@ -247,13 +247,13 @@
 
     async def whole() -> None:
         try:
-            await stage.play()
+            await stage.run()
         finally:
             await stage.close()
 
     asyncio.run(whole())
     parts = [read_records(path) for path in sorted(folder.glob("*.jsonl"))]
-    return stage, merge_records([stage.seen.events, *parts])
+    return stage, merge_records([stage.records.events, *parts])
 
 
 def test_a_world_with_a_zone_lost_and_a_region_cut_keeps_the_rules(tmp_path: Path) -> None:
@@ -343,9 +343,9 @@
 
 def test_a_run_whose_dispatchers_held_each_other_up_is_void(tmp_path: Path) -> None:
     stage = SimulatedScaleFleet(small_experiment(), 1, tmp_path, ProcessCounts(1, 1, 1))
-    assert stage.void() == ""
+    assert stage.void_reason() == ""
     stage.hollow_late = MAX_LATENESS + 1
-    assert "held each other up" in stage.void()
+    assert "held each other up" in stage.void_reason()
     stage.rig.block.close()
 
     async def held_up() -> int:
--- a/tests/testbed/scenarios/test_socket_run.py
+++ b/tests/testbed/scenarios/test_socket_run.py
@@ -1,4 +1,4 @@
-"""The real program among stand-ins, in real time: short, with a crash and a dispatcher that is killed."""
+"""The real program among fakes, in real time: short, with a crash and a dispatcher that is killed."""
 
 import asyncio
 
@@ -16,7 +16,7 @@
 
 
 def test_a_short_experiment_on_sockets_keeps_the_rules() -> None:
-    e = small_experiment(
+    experiment = small_experiment(
         lasts="4s",
         troubles=[
             {"what": "crash", "at": "1s", "lasts": "1s", "workers": ["w0"]},
@@ -24,20 +24,21 @@
             {"what": "dispatcher killed", "at": "2s", "lasts": "1s", "dispatchers": [1]},
         ],
     )
-    told: list[dict[str, object]] = []
-    played = run_on_sockets(e, 1, told.append)
-    findings = audit_requests(e, played.events, SOCKETS_TOLERANCE)
-    found = score_run(e, "ours", 1, played.events, findings, played.void)
-    assert findings == [] and found.requests > 150 and found.attempts > 150
-    assert {event.dispatcher for event in played.events if event.what == CAME} == {0, 1}
-    assert any("workers" in t for t in told) and any("answers" in t for t in told)
-    # Every job was sent, whatever the machine was busy with; how late is told, and is no matter here.
-    assert len({event.job for event in played.events if event.what == SENT}) == len(
-        {event.job for event in played.events if event.job >= 0}
+    reports: list[dict[str, object]] = []
+    result = run_on_sockets(experiment, 1, reports.append)
+    findings = audit_requests(experiment, result.events, SOCKETS_TOLERANCE)
+    score = score_run(experiment, "ours", 1, result.events, findings, result.void)
+    assert findings == [] and score.requests > 150 and score.attempts > 150
+    assert {event.dispatcher for event in result.events if event.what == CAME} == {0, 1}
+    assert any("workers" in report for report in reports)
+    assert any("answers" in report for report in reports)
+    # Every job was sent, whatever the machine was busy with; how late is reported, and does not matter here.
+    assert len({event.job for event in result.events if event.what == SENT}) == len(
+        {event.job for event in result.events if event.job >= 0}
     )
 
 
-def test_the_stand_ins_own_reader_cuts_and_refuses() -> None:
+def test_the_reader_of_the_fakes_splits_messages_and_refuses_invalid_ones() -> None:
     reader = HttpReader()
     whole = encode_response(200, "OK", b"body") + encode_response(503, "No", b"")
     found = [m for at in range(len(whole)) for m in reader.feed(whole[at : at + 1])]
