--- a/ploverspoke/store/daemon.py
+++ b/ploverspoke/store/daemon.py
@@ -1,22 +1,18 @@
 """The dispatcher as one replica of a store: `service/service.py` with a replicated request log."""
 
 import asyncio
-import gc
 import os
 from pathlib import Path
-from typing import cast
-
-import uvloop
 
 from ploverspoke.consensus.cluster_config import ReplicaConfig, read_replica_config
-from ploverspoke.consensus.storage import ClusterMismatchError, CorruptionError, StorageError
+from ploverspoke.consensus.server import run_replica_process
 from ploverspoke.service.config import Config, read_config_document
 from ploverspoke.service.config_reader import ConfigError
-from ploverspoke.service.exit_codes import run_with_exit_code
 from ploverspoke.service.service import Service
+from ploverspoke.transport.garbage_collection import freeze_startup_objects
 from ploverspoke.transport.rate_limited_log import log_line
 
-from .endpoint_cache import EndpointCache, EndpointList
+from .endpoint_cache import EndpointCache
 from .node import StoreNode
 from .request_log import ReplicatedRequestLog
 from .shared_config import merge_config
@@ -44,8 +40,7 @@
             self.shared_body = self.node.saved_configuration()
             self.service = self._build_service(self.read_config())
             self.node.on_configuration = self._apply_configuration
-            gc.collect()
-            gc.freeze()
+            freeze_startup_objects()
             await self.service.run()
         finally:
             await self.node.close()
@@ -60,8 +55,7 @@
         request_log = ReplicatedRequestLog(self.node, settings.classes, settings.full_may_have_run)
         service = Service(asyncio.get_running_loop(), config, request_log)
         service.load_config = self.read_config
-        known_endpoints = cast("EndpointList | None", config.known_endpoints)
-        endpoint_cache = EndpointCache(self.node.save_endpoints, known_endpoints)
+        endpoint_cache = EndpointCache(self.node.save_endpoints, config.known_endpoints)
         service.router.endpoints.on_list = endpoint_cache.update
         request_log.on_lost = service.router.completion.leave_all_to_leader
         return service
@@ -80,12 +74,8 @@
 
 
 def main(store: Path, new: bool = False, join: str = "") -> int:
-    """Run the daemon with the replica's file `store` and give the exit code.
+    """Run the daemon with the replica's file `store` and return the exit code of `run_replica_process`.
 
-    0: ended by a signal. 2: the configuration or the storage cannot be used, and the reason was printed.
+    `new` and `join` are those of `StoreDaemon.run`.
     """
-
-    def run() -> None:
-        uvloop.run(StoreDaemon(read_replica_config(store)).run(new, join))
-
-    return run_with_exit_code(run, ClusterMismatchError, CorruptionError, StorageError)
+    return run_replica_process(lambda: StoreDaemon(read_replica_config(store)).run(new, join))
--- a/ploverspoke/testbed/fakes/client_process.py
+++ b/ploverspoke/testbed/fakes/client_process.py
@@ -4,9 +4,9 @@
 from collections import Counter
 from typing import cast
 
-from ..experiment_files import experiment as ex
 from ..experiment_files.durations import MILLISECOND, SECOND
 from ..models.clients import ClientRequest, Clients
+from ..models.dispatcher_outages import dispatcher_outages
 from ..models.request_schedule import draw_schedule
 from ..processes.pipe_messages import send_message
 from .fake_messages import ClientsReady, ClientsStatus, FakeCommand, FakeProcessSpec, FaultReport
@@ -137,7 +137,7 @@
         ]
         self.leaving = [
             (begin + LEAVING_NOTICE, end, dispatcher)
-            for begin, end, dispatcher, how in ex.outages(experiment, self.seed)
+            for begin, end, dispatcher, how in dispatcher_outages(experiment, self.seed)
             if how == "restarted"
         ]
         self.tasks: set[asyncio.Task[None]] = set()
@@ -165,14 +165,14 @@
         job = request.job
         timeout_ms = max(1, (request.abandon_at - self.clock.now()) // MILLISECOND)
         lines = [f"Request-Id: {request.id}\r\nRequest-Timeout-Ms: {timeout_ms}\r\n"]
-        if job.subject:
-            lines.append(f"Affinity-Key: {job.subject}\r\n")
+        if job.affinity_key:
+            lines.append(f"Affinity-Key: {job.affinity_key}\r\n")
         if job.slots != 1.0:
             lines.append(f"Request-Info: slots={job.slots:g}\r\n")
         if request.label:
             lines.append(f"Job-Label: {request.label}\r\n")
-        lines.append(f"Tenant: {self.experiment.tenants[job.customer].name}\r\n\r\nwork")
-        return (self.request_heads[job.grade] + "".join(lines)).encode("latin-1")
+        lines.append(f"Tenant: {self.experiment.tenants[job.tenant].name}\r\n\r\nwork")
+        return (self.request_heads[job.request_class] + "".join(lines)).encode("latin-1")
 
     # ---- Connections ----
 
--- a/ploverspoke/testbed/fakes/fake_process.py
+++ b/ploverspoke/testbed/fakes/fake_process.py
@@ -14,8 +14,9 @@
 import msgspec
 import uvloop
 
-from ..experiment_files.experiment import Experiment, experiment_from_builtins
-from ..models.event_records import Records, write_records
+from ..experiment_files.experiment import Experiment
+from ..experiment_files.reader import experiment_from_builtins
+from ..models.event_records import EventLog, write_events
 from ..models.virtual_clock import AnyTimer
 from ..processes.pipe_messages import input_lines, send_message
 from .byte_counters import ByteCounters
@@ -66,7 +67,7 @@
         """Process number `part` of its kind."""
         self.loop = asyncio.get_running_loop()
         self.clock = LoopClock(self.loop)
-        self.records = Records()
+        self.records = EventLog()
         self.lateness = 0  # ns, the largest so far
         self.spec = spec
         self.part = part
@@ -137,7 +138,7 @@
             tasks += fake.start_run(command, command.start)
     for task in tasks:
         task.cancel()
-    write_records(fake.records.events, Path(spec.records) / f"{name}-{part}.jsonl")
+    write_events(fake.records.events, Path(spec.records) / f"{name}-{part}.jsonl")
     send_message(RunFinished())
 
 
--- a/ploverspoke/testbed/fakes/worker_connection.py
+++ b/ploverspoke/testbed/fakes/worker_connection.py
@@ -4,6 +4,7 @@
 from typing import TYPE_CHECKING, cast
 
 from ..models import event_records
+from ..models.event_records import Event
 from ..models.faults import ConnectionFaults
 from ..models.request_schedule import ScheduledRequest
 from ..models.worker import Execution
@@ -198,15 +199,16 @@
 
     def _record_closed(self, run: Execution) -> None:
         if run.serial:
-            self.workers.records.add(
+            closed = Event(
                 self.workers.clock.now(),
-                event_records.CLOSED,
+                event_records.ATTEMPT_CLOSED,
                 run.submission,
                 run.job.number,
                 self.dispatcher,
                 self.worker.name,
                 run.serial,
             )
+            self.workers.records.add(closed)
 
     def _report_fault(self, text: str) -> None:
         send_message(FaultReport(f"{self.worker.name} {text}"))
--- a/ploverspoke/testbed/scenarios/socket_run.py
+++ b/ploverspoke/testbed/scenarios/socket_run.py
@@ -13,8 +13,10 @@
 
 import msgspec
 
-from ..experiment_files import experiment as ex
 from ..experiment_files.durations import MILLISECOND, SECOND, Duration, format_duration
+from ..experiment_files.errors import ExperimentError
+from ..experiment_files.experiment import Experiment
+from ..experiment_files.fault_tables import DispatcherReplaced, SettingsChange
 from ..fakes.fake_messages import (
     ClientsReady,
     DiscoveryOpened,
@@ -26,7 +28,8 @@
 from ..models import event_records
 from ..models.clients import LATE_ANSWER_ALLOWANCE
 from ..models.deployment_settings import dispatcher_settings
-from ..models.event_records import Event, Records, merge_records, read_records
+from ..models.dispatcher_outages import dispatcher_outages
+from ..models.event_records import Event, EventLog, merge_events, read_events
 from ..processes.addresses import ProcessAddress
 from ..processes.capacity_check import ResourceDemand, memory_backed_folder
 from ..processes.child_process import ChildProcess
@@ -47,6 +50,7 @@
 SEED_FACTOR = 1_000_003
 STORE_SECRET = "a secret of the testbed's own"
 FAKES_MODULE = "ploverspoke.testbed.fakes"
+VIRTUAL_TIME_ONLY = "replacing and changed settings are played on virtual time only"
 STEP_OF_OUTAGE = {"killed": "kill", "paused": "pause", "restarted": "restart"}
 
 Message = TypeVar("Message")
@@ -76,13 +80,13 @@
         return [*self.workers, self.discovery, *self.clients]
 
 
-def outage_steps(experiment: ex.Experiment, seed: int) -> list[FaultStep]:
+def outage_steps(experiment: Experiment, seed: int) -> list[FaultStep]:
     """Return the outages of dispatchers and the timeline of an experiment, in order of time."""
     outages = [
         FaultStep(
             at=Duration(begin), what=STEP_OF_OUTAGE[how], who=[f"d{number}"], lasts=Duration(end - begin)
         )
-        for begin, end, number, how in ex.outages(experiment, seed)
+        for begin, end, number, how in dispatcher_outages(experiment, seed)
     ]
     return sorted([*outages, *experiment.timeline], key=lambda step: step.at)
 
@@ -91,14 +95,14 @@
     """All processes of one run. Subclasses replace the methods below "Extension points"."""
 
     def __init__(
-        self, experiment: ex.Experiment, seed: int, folder: Path, on_report: ReportListener | None
+        self, experiment: Experiment, seed: int, folder: Path, on_report: ReportListener | None
     ) -> None:
         """Take a block of addresses; nothing is started before `run`."""
         self.experiment = experiment
         self.seed = seed
         self.folder = folder
         self.on_report = on_report
-        self.records = Records()
+        self.records = EventLog()
         self.rig = Rig(folder, seed)
         self.rig.timeline.on_process_down, self.rig.timeline.on_process_up = self._on_down, self._on_up
         self.rig.timeline.stop_timeout = self._last_deadline() / SECOND + STOP_GRACE
@@ -117,10 +121,8 @@
             CapacityError: it does not fit on the machine.
             ProcessStartError: a process did not become ready.
         """
-        if any(isinstance(t, ex.DispatcherReplaced | ex.SettingsChanged) for t in self.experiment.faults):
-            raise ex.ExperimentError(
-                "troubles: replacing and changed settings are played on virtual time only"
-            )
+        if any(isinstance(t, DispatcherReplaced | SettingsChange) for t in self.experiment.faults):
+            raise ExperimentError(VIRTUAL_TIME_ONLY, location="troubles")
         addresses = self._allocate_addresses()
         self.rig.check_capacity(self._resource_demands())
         await self.rig.open_proxy()
@@ -286,11 +288,12 @@
                 self.on_report({"at": self.rig.timeline.now(), "child": id(child), **report})
 
     def _on_down(self, name: str, how: str) -> None:
-        kind = event_records.DISPATCHER_LEAVES if how == "restart" else event_records.DISPATCHER_DOWN
-        self.records.add(self.rig.timeline.now(), kind, dispatcher=int(name[1:]))
+        kind = event_records.DISPATCHER_TERMINATING if how == "restart" else event_records.DISPATCHER_KILLED
+        self.records.add(Event(self.rig.timeline.now(), kind, dispatcher=int(name[1:])))
 
     def _on_up(self, name: str) -> None:
-        self.records.add(self.rig.timeline.now(), event_records.DISPATCHER_UP, dispatcher=int(name[1:]))
+        now, kind = self.rig.timeline.now(), event_records.DISPATCHER_STARTED
+        self.records.add(Event(now, kind, dispatcher=int(name[1:])))
 
     async def close(self) -> None:
         """End all that was started, whatever happened."""
@@ -311,7 +314,7 @@
 
 
 def run_on_sockets(
-    experiment: ex.Experiment, seed: int, on_report: ReportListener | None = None
+    experiment: Experiment, seed: int, on_report: ReportListener | None = None
 ) -> SocketRunResult:
     """Run once, in real time.
 
@@ -323,8 +326,8 @@
         folder = Path(name)
         fleet = SocketFleet(experiment, seed, folder, on_report)
         asyncio.run(_run_and_close(fleet))
-        fake_records = [read_records(path) for path in sorted(folder.glob("*.jsonl"))]
-        events = merge_records([fleet.records.events, *fake_records])
+        fake_records = [read_events(path) for path in sorted(folder.glob("*.jsonl"))]
+        events = merge_events([fleet.records.events, *fake_records])
         history = fleet.rig.read_events()
         logs = "\n".join(path.read_text()[-LOG_TAIL:] for path in sorted(folder.glob("d*.log")))
     took = time.monotonic() - began_at
