--- a/ploverspoke/testbed/capacity/measurements/measurement_fleet.py
+++ b/ploverspoke/testbed/capacity/measurements/measurement_fleet.py
@@ -26,7 +26,8 @@
 from ...processes.link_faults import LinkCounters
 from ...processes.resource_usage import ResourceUsage, read_resource_usage
 from ...processes.running_process import ProcessStartError, RunningProcess
-from ...scenarios.socket_run import DispatcherProgram, SocketFleet
+from ...scenarios.dispatcher_program import DispatcherProgram
+from ...scenarios.socket_run import SocketFleet
 from .measurement import FOLDER_PREFIX
 from .replica_usage import core_share, memory_growth
 
@@ -83,7 +84,7 @@
     ) -> None:
         """`interval` and the times of `actions` are ns from the start of the run."""
         super().__init__(experiment, seed, folder, self._on_report)
-        self.tells_traffic = True
+        self.reports_traffic = True
         self.settled, self.ends = interval
         self.configs: list[dict[str, Any]] = []  # of the dispatchers
         self.expected_reloads = 0
@@ -96,26 +97,26 @@
 
     # ---- In place of the base's own ----
 
-    def _hosts(self, places: list[ProcessAddress]) -> list[str]:
-        return [LOOPBACK] if self._is_alone else super()._hosts(places)
+    def _hosts(self, addresses: list[ProcessAddress]) -> list[str]:
+        return [LOOPBACK] if self._is_alone else super()._hosts(addresses)
 
     def _program(
-        self, place: ProcessAddress, config: dict[str, Any], store: dict[str, Any] | None
+        self, address: ProcessAddress, config: dict[str, Any], store: dict[str, Any] | None
     ) -> DispatcherProgram:
         self.configs.append(config)
         if not self._is_alone:
-            return DispatcherProgram(self.rig, place, config, store)
-        program = PlainDispatcher(self.rig, place, config, store)
+            return DispatcherProgram(self.rig, address, config, store)
+        program = PlainDispatcher(self.rig, address, config, store)
         if self._watch is not None:
             program.watch(self._watch)
         return program
 
-    def _begins(self, epoch: int, workers: ChildProcess, discovery: ChildProcess) -> None:
-        for task in (self._listen(discovery, discovery), self._sample(epoch), self._act(epoch)):
+    def _on_run_start(self, epoch: int, workers: ChildProcess, discovery: ChildProcess) -> None:
+        for task in (self._read_reports(discovery, discovery), self._sample(epoch), self._act(epoch)):
             self.tasks.append(asyncio.create_task(task))
 
     def _end(self) -> int:
-        return self.e.duration + REPORT_DELAY
+        return self.experiment.duration + REPORT_DELAY
 
     # ---- While it runs ----
 
@@ -199,7 +200,7 @@
 
     def read(self) -> Reading:
         """Return what was measured; a fleet that cannot be read is void."""
-        void = self.void() or self._too_little_seen()
+        void = self.void_reason() or self._too_little_seen()
         if void:
             return Reading({}, {}, void)
         reloads = sum(program.log_path.read_text().count(SETTINGS_APPLIED) for program in self.programs)
@@ -298,7 +299,7 @@
     with tempfile.TemporaryDirectory(prefix=FOLDER_PREFIX, dir=memory_backed_folder()) as folder:
         fleet = MeasurementFleet(experiment, seed, Path(folder), interval, actions, watch)
         try:
-            await fleet.play()
+            await fleet.run()
         except (ProcessStartError, TimeoutError) as error:
             fleet.rig.errors.append(str(error) or "a fake was not ready in time")
         finally:
