--- a/tests/routing/faulty_discovery.py
+++ b/tests/routing/faulty_discovery.py
@@ -3,10 +3,11 @@
 import asyncio
 import socket
 from collections.abc import Callable
-from typing import Any
+from typing import cast
 
+from ploverspoke.routing.endpoint_watch import WatchRequest
 from ploverspoke.testbed.processes.addresses import bind_without_listening
-from tests.routing.harness import ServiceHarness
+from tests.routing.harness import Entry, ServiceHarness
 from tests.routing.race_harness import Clock, discovery_response, endpoint_list, run_loop_turns, wait_until
 
 MS, SECOND = 1_000_000, 1_000_000_000
@@ -36,8 +37,8 @@
         self.discovery, self.waits, self.received = discovery, False, b""
         self.silent = False  # for good
 
-    def connection_made(self, transport: Any) -> None:
-        self.transport = transport
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        self.transport = cast(asyncio.Transport, transport)
         self.discovery.peers[transport.get_extra_info("peername")[1]] = self
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -110,7 +111,7 @@
             discovery_response(endpoint_list(*self.harness.entries, version=self.harness.version))
         )
 
-    def change(self, *entries: dict[str, Any]) -> None:
+    def change(self, *entries: Entry) -> None:
         """Change the list; calls that wait without a fault are answered with it."""
         self.harness.entries, self.harness.version = list(entries), self.harness.version + 1
         for peer in list(self.peers.values()):
@@ -126,7 +127,7 @@
         self.clock = Clock(harness.service.deadlines)
         self.clock.hold()
         self.discovery = FaultyDiscovery(harness, harness.servers[-1].sockets[0].getsockname()[1], self.clock)
-        self.call_without_connection: Any = None  # when discovery last changed
+        self.call_without_connection: WatchRequest | None = None  # when discovery last changed
         self.failures, watch = 0, self.router.endpoints.watch
         watch.on_failed = self.count_failures(watch.on_failed)  # type: ignore[method-assign]
         watch.on_silent = self.count_failures(watch.on_silent)  # type: ignore[method-assign]
@@ -136,7 +137,7 @@
         self.random_numbers.fraction = lambda: 1 - 1e-9  # type: ignore[method-assign]
 
     def count_failures(self, report: Callable[..., None]) -> Callable[..., None]:
-        def report_and_count(call: Any, **named: bool) -> None:
+        def report_and_count(call: WatchRequest, **named: bool) -> None:
             self.failures += self.call() is call
             report(call, **named)
 
@@ -144,13 +145,10 @@
 
     async def replace_discovery(self) -> None:
         """Replace the discovery of the harness by the faulty one."""
-        old = self.harness.servers[-1]
-        old.close()
-        for _, writer in self.harness.discovery_connections:
-            writer.transport.abort()
+        self.harness.stop_discovery()
         await wait_until(lambda: self.failures)
 
-    def call(self) -> Any:
+    def call(self) -> WatchRequest | None:
         return self.router.endpoints.watch.request
 
     def is_settled(self) -> bool:
@@ -163,7 +161,9 @@
             return call.pending_connection is not None and (
                 self.discovery.fault == "never up" or call is self.call_without_connection
             )
-        own_address = call.connection.transport.get_extra_info("sockname")
+        transport = call.connection.transport
+        assert transport is not None
+        own_address = transport.get_extra_info("sockname")
         peer = self.discovery.peers.get(own_address[1]) if own_address else None
         return peer is not None and peer.waits
 
@@ -179,7 +179,7 @@
         )
         await self.discovery.set_fault(fault)
 
-    async def pass_time(self, end: int, condition: Callable[[], Any] = lambda: False) -> None:
+    async def pass_time(self, end: int, condition: Callable[[], object] = lambda: False) -> None:
         """Let time pass up to `end`, or until the condition holds."""
         deadlines, clock = self.harness.service.deadlines, self.clock
         await self.settle()
--- a/tests/routing/harness.py
+++ b/tests/routing/harness.py
@@ -5,11 +5,12 @@
 import json
 import time
 from collections import Counter
-from collections.abc import Awaitable, Callable, Coroutine
+from collections.abc import Awaitable, Callable, Coroutine, Mapping
 from typing import Any, TypeVar
 
 import uvloop
 
+from ploverspoke.routing.request_log import RequestLog
 from ploverspoke.service.config import Config
 from ploverspoke.service.config_reader import Address
 from ploverspoke.service.service import Service
@@ -17,27 +18,27 @@
 from ploverspoke.testbed.processes.addresses import reserve_ports
 from tests.decisions.harness import SETTINGS
 
-WorkerBehaviour = Callable[
-    [asyncio.StreamReader, asyncio.StreamWriter, dict[str, str], bytes], Awaitable[None]
-]
+Headers = dict[str, str]  # by name in lower case
+Entry = dict[str, object]  # of an endpoint list, in discovery's form
+WorkerBehaviour = Callable[[asyncio.StreamReader, asyncio.StreamWriter, Headers, bytes], Awaitable[None]]
 
 
 Result = TypeVar("Result")
 
 
-async def read_message(reader: asyncio.StreamReader) -> tuple[str, dict[str, str], bytes]:
-    """The first line, the headers and the body of one message."""
+async def read_message(reader: asyncio.StreamReader) -> tuple[str, Headers, bytes]:
+    """Read one message; returns its first line, headers and body."""
     first, *lines = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
     headers = {name.lower(): value for name, _, value in (line.partition(": ") for line in lines if line)}
     return first, headers, await reader.readexactly(int(headers.get("content-length", 0)))
 
 
-def chunk(line: dict[str, Any]) -> bytes:
+def chunk(line: Mapping[str, object]) -> bytes:
     text = json.dumps(line).encode() + b"\n"
     return f"{len(text):x}\r\n".encode() + text + b"\r\n"
 
 
-def endpoint_entry(worker: str, port: int, state: str = "Ready") -> dict[str, Any]:
+def endpoint_entry(worker: str, port: int, state: str = "Ready") -> Entry:
     location = {"addr": f"127.0.0.1:{port}", "zone": "a", "kind": "plain", "cell": 0, "weight": 1.0}
     return {"id": worker, "state": state, "started_ms": 0, **location}
 
@@ -48,7 +49,7 @@
     def __init__(self) -> None:
         self.run_counts: Counter[str] = Counter()
         self.sent: list[tuple[str, str]] = []  # worker and request id
-        self.entries: list[dict[str, Any]] = []
+        self.entries: list[Entry] = []
         self.version = 1
         self.list_changed = asyncio.Event()
         self.behaviours: dict[str, WorkerBehaviour] = {}
@@ -60,7 +61,12 @@
         self.discovery_connections: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = []
 
     async def start(
-        self, workers: int, sockets: int = 256, memory_mb: int = 64, request_log: Any = None, **settings: Any
+        self,
+        workers: int,
+        sockets: int = 256,
+        memory_mb: int = 64,
+        request_log: RequestLog | None = None,
+        **settings: object,
     ) -> None:
         discovery = await self.start_workers_and_discovery(workers)
         document = {**SETTINGS, **settings}
@@ -99,7 +105,9 @@
         self.port, self.admin_port = reserve_ports(2)
         return f"127.0.0.1:{discovery.sockets[0].getsockname()[1]}"
 
-    def _worker(self, name: str) -> Callable[..., Coroutine[Any, Any, None]]:
+    def _worker(
+        self, name: str
+    ) -> Callable[[asyncio.StreamReader, asyncio.StreamWriter], Coroutine[Any, Any, None]]:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             try:
                 while True:
@@ -118,7 +126,9 @@
 
         return serve
 
-    async def serve(self, reader: Any, writer: Any, headers: dict[str, str], body: bytes) -> None:
+    async def serve(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, headers: Headers, body: bytes
+    ) -> None:
         request_id = headers["request-id"]
         self.run_counts[request_id] += 1
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -157,12 +167,26 @@
                 await asyncio.wait_for(self.list_changed.wait(), 0.005)
         return self.list_changed.is_set()
 
-    async def change_list(self, entries: list[dict[str, Any]]) -> None:
+    async def change_list(self, entries: list[Entry]) -> None:
         self.entries, self.version = entries, self.version + 1
         self.list_changed.set()
         await asyncio.sleep(0.02)
 
-    def config_document(self, discovery: str) -> dict[str, Any]:
+    def stop_discovery(self) -> tuple[str, int]:
+        """Close discovery and its connections; returns its address."""
+        discovery = self.servers[-1]
+        host, port = discovery.sockets[0].getsockname()
+        discovery.close()
+        for _, writer in self.discovery_connections:
+            writer.transport.abort()
+        self.discovery_connections.clear()
+        return host, port
+
+    async def restart_discovery(self, host: str, port: int) -> None:
+        """Start discovery again at the address of the one that was stopped."""
+        self.servers[-1] = await asyncio.start_server(self._discovery, host, port)
+
+    def config_document(self, discovery: str) -> dict[str, object]:
         """The configuration file of a dispatcher beside these workers, at the address of discovery."""
         known = {"version": 1, "full": True, "servers": self.entries}
         return {
@@ -177,6 +201,10 @@
         for server in self.servers:
             server.close()
 
+    def attempt_count(self, request_id: str) -> int:
+        """The number of attempts of the request that workers received."""
+        return len([each for _, each in self.sent if each == request_id])
+
     async def connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         return await asyncio.open_connection("127.0.0.1", self.port)
 
@@ -188,7 +216,7 @@
         )
         return (head + extra_headers + f"Content-Length: {len(body)}\r\n\r\n").encode() + body
 
-    async def exchange(self, request: bytes) -> tuple[int, dict[str, str], bytes]:
+    async def exchange(self, request: bytes) -> tuple[int, Headers, bytes]:
         reader, writer = await self.connect()
         writer.write(request)
         first, headers, body = await asyncio.wait_for(read_message(reader), 5)
@@ -223,30 +251,42 @@
     return run_on_loop(run)
 
 
-async def reject_unstarted(reader: Any, writer: Any, headers: dict[str, str], body: bytes) -> None:
+async def reject_unstarted(
+    reader: asyncio.StreamReader, writer: asyncio.StreamWriter, headers: Headers, body: bytes
+) -> None:
     writer.write(b"HTTP/1.1 503 Busy\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
 
 
-async def fail(reader: Any, writer: Any, headers: dict[str, str], body: bytes) -> None:
+async def fail(
+    reader: asyncio.StreamReader, writer: asyncio.StreamWriter, headers: Headers, body: bytes
+) -> None:
     writer.write(b"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n")
 
 
-async def break_connection(reader: Any, writer: Any, headers: dict[str, str], body: bytes) -> None:
+async def break_connection(
+    reader: asyncio.StreamReader, writer: asyncio.StreamWriter, headers: Headers, body: bytes
+) -> None:
     writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
     raise ConnectionError
 
 
-async def send_garbage(reader: Any, writer: Any, headers: dict[str, str], body: bytes) -> None:
+async def send_garbage(
+    reader: asyncio.StreamReader, writer: asyncio.StreamWriter, headers: Headers, body: bytes
+) -> None:
     writer.write(
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n\x00\xff garbage"
     )
 
 
-async def stay_silent(reader: Any, writer: Any, headers: dict[str, str], body: bytes) -> None:
+async def stay_silent(
+    reader: asyncio.StreamReader, writer: asyncio.StreamWriter, headers: Headers, body: bytes
+) -> None:
     await asyncio.sleep(1.2)
 
 
-async def answer_for_other_request(reader: Any, writer: Any, headers: dict[str, str], body: bytes) -> None:
+async def answer_for_other_request(
+    reader: asyncio.StreamReader, writer: asyncio.StreamWriter, headers: Headers, body: bytes
+) -> None:
     writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
     writer.write(chunk({"id": "other", "from": "w", "state": "done", "result": "not yours"}) + b"0\r\n\r\n")
 
--- a/tests/routing/race_harness.py
+++ b/tests/routing/race_harness.py
@@ -17,16 +17,13 @@
 from ploverspoke.transport.connection_pool import ConnectionPool
 from ploverspoke.transport.deadlines import Deadlines
 from tests.decisions.harness import SETTINGS
-from tests.routing.harness import (
-    ServiceHarness,
-    chunk,
-)
+from tests.routing.harness import Entry, Result, ServiceHarness, chunk
 
 MS, SECOND = 1_000_000, 1_000_000_000
 
 
 # No probes, since these tests are not about the choice of a worker; and long deadlines.
-LENIENT_SETTINGS: dict[str, Any] = {
+LENIENT_SETTINGS: dict[str, object] = {
     "Limits": {"Cancel": True, "ConnectTimeoutUs": 20_000_000, "MaxHandOffs": 6, "IdleCloseUs": 60_000_000},
     "ServiceGrades": [
         {**request_class, "AbandonTimeUs": 30_000_000, "ExpectedTimeUs": 20_000_000}
@@ -43,7 +40,7 @@
         await asyncio.sleep(0)
 
 
-async def wait_until(condition: Callable[[], Any], description: str = "") -> Any:
+async def wait_until(condition: Callable[[], Result], description: str = "") -> Result:
     for _ in range(400_000):
         found = condition()
         if found:
@@ -52,7 +49,7 @@
     raise AssertionError(description or "the condition never held")
 
 
-def wait_for_kernel(condition: Callable[[], Any]) -> None:
+def wait_for_kernel(condition: Callable[[], object]) -> None:
     """Block the event loop until the condition holds: the kernel may need a moment on a busy machine."""
     end = time.monotonic() + 10
     while not condition():
@@ -172,7 +169,15 @@
     return Peer(socket.create_connection(("127.0.0.1", port)))
 
 
-def endpoint_list(*entries: dict[str, Any], version: int = 2, full: bool = True) -> bytes:
+async def send_all(client: Peer, data: bytes) -> None:
+    """Send all bytes, running the event loop while the kernel takes no more."""
+    while data:
+        with contextlib.suppress(BlockingIOError):
+            data = data[client.socket.send(data) :]
+        await asyncio.sleep(0)
+
+
+def endpoint_list(*entries: Entry, version: int = 2, full: bool = True) -> bytes:
     return json.dumps({"version": version, "full": full, "servers": list(entries)}).encode()
 
 
@@ -180,7 +185,7 @@
     return f"HTTP/1.1 200 OK\r\n{extra_headers}Content-Length: {len(body)}\r\n\r\n".encode() + body
 
 
-def deliver_list(harness: ServiceHarness, *entries: dict[str, Any]) -> None:
+def deliver_list(harness: ServiceHarness, *entries: Entry) -> None:
     """Deliver an endpoint list to the router, between two steps."""
     harness.service.router.endpoints.receive_list(endpoint_list(*entries))
 
--- a/tests/routing/test_acceptance_rules.py
+++ b/tests/routing/test_acceptance_rules.py
@@ -9,8 +9,8 @@
 import socket
 import sys
 import time
+from collections.abc import Mapping
 from pathlib import Path
-from typing import Any
 
 import pytest
 import uvloop
@@ -148,32 +148,33 @@
 # ---- 3: a worker that warms up gets no more from all dispatchers than its budget and random variation ----
 
 
+MEAN_WORK, SLOTS = 200 * MS, 2
+CRASH_EXPERIMENT = {
+    "name": "cold",
+    "lasts": "10s",
+    "grades": [
+        {
+            "name": "look",
+            "abandon_time": "3s",
+            "expected_time": "500ms",
+            "work": {"law": "exponential", "mean": "200ms"},
+        }
+    ],
+    "workers": [{"count": 12, "slots": SLOTS}],
+    "traffic": [{"rate": 80.0}, {"rate": 60.0, "start": "3s", "end": "5s"}],
+    "dispatchers": {"count": 30},
+    "discovery": {"notices_death": "300ms"},
+    "worker_rules": {"tip_multiple": 1.0, "warm_within": "5s"},
+    "troubles": [{"what": "crash", "at": "1s", "lasts": "2500ms", "workers": ["w0", "w1", "w2"]}],
+}
+
+
 def max_excess_starts(policy: str, seed: int) -> tuple[float, int]:
     """The largest excess of requests at workers that warm up, and the total of their requests.
 
     The excess is over N + 2 sqrt(N) + 2 in the overload window, N being what the settings allow then.
     """
-    work, slots = 200 * MS, 2
-    experiment = parse_experiment(
-        {
-            "name": "cold",
-            "lasts": "10s",
-            "grades": [
-                {
-                    "name": "look",
-                    "abandon_time": "3s",
-                    "expected_time": "500ms",
-                    "work": {"law": "exponential", "mean": "200ms"},
-                }
-            ],
-            "workers": [{"count": 12, "slots": slots}],
-            "traffic": [{"rate": 80.0}, {"rate": 60.0, "start": "3s", "end": "5s"}],
-            "dispatchers": {"count": 30},
-            "discovery": {"notices_death": "300ms"},
-            "worker_rules": {"tip_multiple": 1.0, "warm_within": "5s"},
-            "troubles": [{"what": "crash", "at": "1s", "lasts": "2500ms", "workers": ["w0", "w1", "w2"]}],
-        }
-    )
+    experiment = parse_experiment(CRASH_EXPERIMENT)
     rules, up_since, starts = experiment.worker_rules, dict[str, int](), dict[str, list[int]]()
     max_excess, total = -1e9, 0
     for event in VirtualRun(experiment, seed, policy).run():
@@ -185,7 +186,7 @@
         ):
             warmth = (event.at - up_since[event.worker]) / rules.warmup_period
             share = rules.warmup_share + (1 - rules.warmup_share) * warmth
-            allowed = rules.overload_multiple * share * slots * rules.overload_window / work
+            allowed = rules.overload_multiple * share * SLOTS * rules.overload_window / MEAN_WORK
             starts[event.worker].append(event.at)
             late = [at for at in starts[event.worker] if at > event.at - rules.overload_window]
             max_excess, total = max(max_excess, len(late) - allowed - 2 * math.sqrt(allowed) - 2), total + 1
@@ -206,7 +207,7 @@
 
 
 async def start_program(
-    path: Path, config: dict[str, Any], descriptors: int | None = None
+    path: Path, config: Mapping[str, object], descriptors: int | None = None
 ) -> asyncio.subprocess.Process:
     path.write_text(json.dumps({**config, "settings": SETTINGS}))
     command = [sys.executable, "-m", "ploverspoke"]
@@ -233,6 +234,29 @@
     return False
 
 
+async def add_idle_client(harness: ServiceHarness, number: int, idle: list[asyncio.StreamWriter]) -> None:
+    """Connect a client that stays: of three, one is silent, one is served, one checks the status once."""
+    with contextlib.suppress(ConnectionError, TimeoutError, asyncio.IncompleteReadError):
+        reader, client = await harness.connect()
+        idle.append(client)
+        if number % 3:
+            status_request = b"GET /-/ready HTTP/1.1\r\n\r\n"
+            client.write(harness.request(f"i{number}") if number % 3 == 1 else status_request)
+            await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), 2)
+
+
+async def restart_discovery_with_a_drain(harness: ServiceHarness, host: str, port: int) -> None:
+    """Restart discovery with the first worker draining; it must be called twice within 6 s."""
+    harness.version = 2
+    harness.entries = [{**harness.entries[0], "state": "Terminating"}, harness.entries[1]]
+    await harness.restart_discovery(host, port)
+    watch_count_before, harness.watch_count = harness.watch_count, 0
+    end = time.monotonic() + 6
+    while harness.watch_count < 2 and time.monotonic() < end:  # the changes, and the next watch
+        await asyncio.sleep(0.02)
+    assert harness.watch_count >= 2 and watch_count_before
+
+
 def test_idle_clients_at_the_descriptor_limit_do_not_block_the_endpoint_list(tmp_path: Path) -> None:
     async def run() -> None:
         harness, path, descriptor_limit = ServiceHarness(), tmp_path / "config.json", 128
@@ -246,41 +270,21 @@
             assert (await asyncio.wait_for(read_message(kept_reader), 5))[0] == "HTTP/1.1 200 OK"
 
         await served("first")
-        async with asyncio.timeout(
-            10
-        ):  # the first call of discovery comes at a random moment after the start
+        # The first call to discovery comes at a random moment after the start.
+        async with asyncio.timeout(10):
             while not harness.watch_count:
                 await asyncio.sleep(0.01)
-        host, port = harness.servers[-1].sockets[0].getsockname()
-        harness.servers[-1].close()
-        for _, connection in harness.discovery_connections:
-            connection.transport.abort()
-        # Some are silent, some check the status once, some have been served; all stay, more than the limit.
+        discovery_address = harness.stop_discovery()
         idle: list[asyncio.StreamWriter] = []
         max_held = 0
         for number in range(360):
-            with contextlib.suppress(ConnectionError, TimeoutError, asyncio.IncompleteReadError):
-                reader, client = await harness.connect()
-                idle.append(client)
-                if number % 3:
-                    status_request = b"GET /-/ready HTTP/1.1\r\n\r\n"
-                    client.write(harness.request(f"i{number}") if number % 3 == 1 else status_request)
-                    await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), 2)
+            await add_idle_client(harness, number, idle)
             if number % 20 == 0:
                 held = len(list(Path(f"/proc/{process.pid}/fd").iterdir()))
                 max_held = max(max_held, held)
                 await served(f"during-{number}")
         assert 48 < max_held <= descriptor_limit - 8, f"{max_held} of {descriptor_limit} descriptors"
-        harness.version, harness.entries = (
-            2,
-            [{**harness.entries[0], "state": "Terminating"}, harness.entries[1]],
-        )
-        harness.servers[-1] = await asyncio.start_server(harness._discovery, host, port)
-        watch_count_before, harness.watch_count = harness.watch_count, 0
-        end = time.monotonic() + 6
-        while harness.watch_count < 2 and time.monotonic() < end:  # the changes, and the next watch
-            await asyncio.sleep(0.02)
-        assert harness.watch_count >= 2 and watch_count_before
+        await restart_discovery_with_a_drain(harness, *discovery_address)
         harness.sent.clear()
         for number in range(8):
             await served(f"after-{number}")
@@ -294,25 +298,33 @@
     uvloop.run(run())
 
 
-def test_restarted_fleet_is_ready_soon_beside_an_overloaded_discovery(tmp_path: Path) -> None:
-    # Nine in ten within 10 s; none may wait for discovery, which has answered nobody yet.
-    count, call_duration, rejected_after = 20, 0.33, 1.0
+class OverloadedDiscovery:
+    """Handles one call after the other and rejects all of them."""
 
-    async def run() -> None:
-        calls = 0
-        free_at = 0.0
+    call_duration = 0.33  # seconds
+    rejected_after = 1.0  # seconds
+
+    def __init__(self) -> None:
+        self.calls = 0
+        self.free_at = 0.0
+
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         loop = asyncio.get_running_loop()
+        with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
+            while await reader.readuntil(b"\r\n\r\n"):
+                self.calls += 1
+                self.free_at = max(self.free_at, loop.time()) + self.call_duration
+                await asyncio.sleep(min(self.rejected_after, self.free_at - loop.time()))
+                writer.write(RESPONSES["503"])
 
-        async def discovery(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            nonlocal calls, free_at
-            with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
-                while await reader.readuntil(b"\r\n\r\n"):
-                    calls += 1
-                    free_at = max(free_at, loop.time()) + call_duration
-                    await asyncio.sleep(min(rejected_after, free_at - loop.time()))
-                    writer.write(RESPONSES["503"])
 
-        server = await asyncio.start_server(discovery, "127.0.0.1", 0)
+def test_restarted_fleet_is_ready_soon_beside_an_overloaded_discovery(tmp_path: Path) -> None:
+    # Nine in ten within 10 s; none may wait for discovery, which has answered nobody yet.
+    count = 20
+
+    async def run() -> None:
+        discovery = OverloadedDiscovery()
+        server = await asyncio.start_server(discovery.serve, "127.0.0.1", 0)
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
         ports = reserve_ports(count)
         known = {"version": 1, "full": True, "servers": [endpoint_entry("w0", 9)]}
@@ -331,7 +343,7 @@
                 are_ready = await asyncio.gather(*(wait_until_ready(port, within) for port in ports))
                 assert sum(are_ready) >= count * 9 // 10, f"{sum(are_ready)} of {count} in {within} s"
                 assert within == 10 or all(are_ready)
-            assert calls  # none of which was answered with a list
+            assert discovery.calls  # none of which was answered with a list
         finally:
             for process in processes:
                 process.kill()
--- a/tests/routing/test_admin_server.py
+++ b/tests/routing/test_admin_server.py
@@ -2,7 +2,6 @@
 
 import asyncio
 import random
-from typing import Any
 
 import pytest
 
@@ -34,13 +33,15 @@
         (b"a\rb\n", AdminCommandError),
     ],
 )
-def test_admin_command_reads_the_same_wherever_it_is_cut(data: bytes, command: Any) -> None:
+def test_admin_command_reads_the_same_wherever_it_is_cut(
+    data: bytes, command: str | type[AdminCommandError] | None
+) -> None:
     for cut in range(len(data)):
         reader, found = AdminCommandReader(), None
         try:
             for part in (data[:cut], data[cut:]):
                 found = found if found is not None else reader.feed(memoryview(part))
-            got: Any = found
+            got: str | type[AdminCommandError] | None = found
         except AdminCommandError:
             got = AdminCommandError
         assert got == command or (
--- a/tests/routing/test_attempts.py
+++ b/tests/routing/test_attempts.py
@@ -4,7 +4,6 @@
 import contextlib
 import random
 import socket
-from typing import Any
 
 import pytest
 
@@ -13,6 +12,7 @@
 from tests.decisions.harness import SETTINGS
 from tests.routing.harness import (
     FAULTY_BEHAVIOURS,
+    Headers,
     ServiceHarness,
     WorkerBehaviour,
     fail,
@@ -27,7 +27,7 @@
     async def script(harness: ServiceHarness) -> None:
         harness.behaviours = {"w0": behaviour, "w1": behaviour}
         status = (await harness.exchange(harness.request("a", "book")))[0]
-        sends = len([s for s in harness.sent if s[1] == "a"])
+        sends = harness.attempt_count("a")
         assert (
             (status == 503 and sends > 1) if behaviour is reject_unstarted else (status == 504 and sends == 1)
         )
@@ -36,9 +36,11 @@
 
 
 def test_request_that_a_worker_rejects_is_final_and_ejects_no_worker() -> None:
-    # Sent to one worker after the other, such a request made each of them be ejected for its errors.
+    # Such a request was retried at one worker after the other, and each was ejected for its errors.
     async def script(harness: ServiceHarness) -> None:
-        async def reject(reader: Any, writer: Any, headers: dict[str, str], body: bytes) -> None:
+        async def reject(
+            reader: asyncio.StreamReader, writer: asyncio.StreamWriter, headers: Headers, body: bytes
+        ) -> None:
             writer.write(b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
 
         harness.behaviours = {"w0": reject, "w1": reject}
@@ -61,8 +63,8 @@
 
 
 def test_request_on_a_dropped_connection_is_retried_and_runs_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Workers drop idle connections silently, or reset new ones: non-idempotent requests were lost with each.
-    # The stand-in shares our loop: on a busy machine it may read what we wrote some ms later.
+    # Workers drop idle connections silently, or reset new ones: each time a non-idempotent request was lost.
+    # The worker of the test shares the event loop: on a busy machine it may read some ms later.
     monkeypatch.setattr(worker_calls, "LAST_BYTE_DELAY", 100_000_000)
 
     async def script(harness: ServiceHarness) -> None:
@@ -86,7 +88,7 @@
 
 
 def test_request_to_a_worker_that_accepts_no_connection_is_retried() -> None:
-    # A full table of connections: new ones never come up, and say nothing.
+    # The worker's accept queue is full: new connections never come up, without an error.
     async def script(harness: ServiceHarness) -> None:
         with socket.socket() as deaf, contextlib.ExitStack() as held:
             deaf.bind(("127.0.0.1", 0))
@@ -107,7 +109,9 @@
     run_script(script, Limits={**SETTINGS["Limits"], "Probing": False})
 
 
-def test_exception_in_a_decision_is_logged_and_its_request_answered(capsys: Any) -> None:
+def test_exception_in_a_decision_is_logged_and_its_request_answered(
+    capsys: pytest.CaptureFixture[str],
+) -> None:
     async def script(harness: ServiceHarness) -> None:
         def fault(request_id: int, attempt: int, result: AttemptResult) -> None:
             raise ZeroDivisionError("a fault in the decisions")
@@ -121,6 +125,15 @@
     assert "a fault in the decisions" in capsys.readouterr().err
 
 
+async def inject_faults(harness: ServiceHarness, random_numbers: random.Random) -> None:
+    """Give one of four workers another behaviour every 100 ms, with a fault or without one."""
+    while True:
+        await asyncio.sleep(0.1)
+        name = f"w{random_numbers.randrange(4)}"
+        behaviours = [harness.serve, harness.serve, *FAULTY_BEHAVIOURS]
+        harness.behaviours[name] = random_numbers.choice(behaviours)
+
+
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_random_faults_break_no_rule(seed: int) -> None:
     random_numbers = random.Random(seed)
@@ -140,25 +153,17 @@
         status = int(first.split()[1])
         assert asyncio.get_running_loop().time() - started < 0.9 + 0.5, "in time, on a busy machine too"
         assert status in (200, 503, 504)
-        runs, sends = harness.run_counts[request_id], len([s for s in harness.sent if s[1] == request_id])
+        runs, sends = harness.run_counts[request_id], harness.attempt_count(request_id)
         if status == 200:
             assert body == f"{request_id}:x".encode() and runs
         if class_name == "book":
             assert runs <= 1, "no effect twice"
             assert status != 503 or not runs, "a rejection promises that it never ran"
         await asyncio.sleep(0.3)
-        assert sends == len([s for s in harness.sent if s[1] == request_id]), "nothing after the answer"
+        assert sends == harness.attempt_count(request_id), "nothing after the answer"
 
     async def script(harness: ServiceHarness) -> None:
-        async def inject_faults() -> None:
-            while True:
-                await asyncio.sleep(0.1)
-                name = f"w{random_numbers.randrange(4)}"
-                harness.behaviours[name] = random_numbers.choice(
-                    [harness.serve, harness.serve, *FAULTY_BEHAVIOURS]
-                )
-
-        injector = asyncio.create_task(inject_faults())
+        injector = asyncio.create_task(inject_faults(harness, random_numbers))
         await asyncio.gather(*(client(harness, number) for number in range(80)))
         injector.cancel()
         await asyncio.sleep(1)
--- a/tests/routing/test_discovery.py
+++ b/tests/routing/test_discovery.py
@@ -11,11 +11,13 @@
 )
 
 
-@pytest.mark.parametrize(("mode", "lasts"), [("ask", True), ("push", True), ("ask", False)])
-def test_draining_worker_gets_nothing_and_a_malformed_list_is_asked_for_again(mode: str, lasts: bool) -> None:
-    # Where changes are to come unprompted nobody asked for them on sockets.
+@pytest.mark.parametrize(("mode", "keep_alive"), [("ask", True), ("push", True), ("ask", False)])
+def test_draining_worker_gets_no_request_and_a_malformed_list_is_requested_again(
+    mode: str, keep_alive: bool
+) -> None:
+    # Where changes are pushed no watch was opened on sockets.
     async def script(harness: ServiceHarness) -> None:
-        harness.discovery_keeps_alive = lasts
+        harness.discovery_keeps_alive = keep_alive
         harness.next_list_body = b'{"version":"soon"}'
         await harness.change_list([{**harness.entries[0], "state": "Terminating"}, harness.entries[1]])
         await asyncio.sleep(1)
@@ -30,23 +32,18 @@
 
 def test_discovery_may_be_down_and_come_back() -> None:
     async def script(harness: ServiceHarness) -> None:
-        discovery = harness.servers[-1]
-        host, port = discovery.sockets[0].getsockname()
-        discovery.close()
-        for _, writer in harness.discovery_connections:
-            writer.transport.abort()
-        harness.discovery_connections.clear()
+        host, port = harness.stop_discovery()
         await asyncio.sleep(0.1)
-        asked = harness.watch_count
+        calls_before = harness.watch_count
         assert (await harness.exchange(harness.request("r")))[0] == 200
         await asyncio.sleep(1.2)  # calls to an address where nobody listens
         harness.version, harness.entries = 7, harness.entries[1:]
-        harness.servers[-1] = await asyncio.start_server(harness._discovery, host, port)
+        await harness.restart_discovery(host, port)
         for _ in range(300):
             await asyncio.sleep(0.02)
             if harness.service.router.endpoints.watch.version == 7:
                 break
-        assert harness.service.router.endpoints.watch.version == 7 and harness.watch_count - asked < 4
+        assert harness.service.router.endpoints.watch.version == 7 and harness.watch_count - calls_before < 4
         harness.sent.clear()
         for number in range(6):
             assert (await harness.exchange(harness.request(f"s{number}")))[0] == 200
@@ -55,8 +52,8 @@
     run_script(script)
 
 
-def test_silent_discovery_is_asked_again() -> None:
-    # A cut network leaves the watch open for good: the wait that it was allowed is over, and nothing comes.
+def test_silent_discovery_is_called_again() -> None:
+    # A network partition leaves the watch open: after the allowed wait no response comes.
     async def script(harness: ServiceHarness) -> None:
         harness.answers_waiting_calls, first = False, harness.watch_count
         await asyncio.sleep(2.6)
--- a/tests/routing/test_program.py
+++ b/tests/routing/test_program.py
@@ -7,10 +7,10 @@
 import signal
 import sys
 from pathlib import Path
-from typing import Any
 
 from tests.decisions.harness import SETTINGS
 from tests.routing.harness import (
+    Headers,
     ServiceHarness,
     read_message,
     run_on_loop,
@@ -21,7 +21,7 @@
 
 async def start_program(
     harness: ServiceHarness, path: Path
-) -> tuple[asyncio.subprocess.Process, dict[str, Any], Path]:
+) -> tuple[asyncio.subprocess.Process, dict[str, object], Path]:
     """Start the program; returns its process once it is ready, its configuration, and its log file."""
     document = harness.config_document(await harness.start_workers_and_discovery(2))
     path.write_text(json.dumps(document))
@@ -38,33 +38,39 @@
     return process, document, log
 
 
+async def write_and_signal(
+    process: asyncio.subprocess.Process, path: Path, text: str, *signals: signal.Signals
+) -> None:
+    """Write the configuration file and send the signals, one at once after the other."""
+    path.write_text(text)
+    for number in signals:
+        process.send_signal(number)
+    await asyncio.sleep(0.3)
+
+
 def test_new_configuration_moves_discovery_and_an_invalid_one_changes_nothing(tmp_path: Path) -> None:
     # SIGHUP ended the program, and the requests that it had admitted were lost.
     async def run() -> None:
         harness, new_discovery = ServiceHarness(), ServiceHarness()
         path = tmp_path / "config.json"
         process, document, log = await start_program(harness, path)
-        address = await new_discovery.start_workers_and_discovery(
-            0
-        )  # by chance its list has the number of the first one's
+        # Its list happens to have the version of the first one's.
+        address = await new_discovery.start_workers_and_discovery(0)
         new_discovery.entries = harness.entries[1:]
         kept, writer = await harness.connect()
 
-        async def send_signals(text: str, *numbers: signal.Signals) -> None:
-            path.write_text(text)
-            for number in numbers or (signal.SIGHUP,):
-                process.send_signal(number)
-            await asyncio.sleep(0.3)
+        async def reload(text: str) -> None:
+            await write_and_signal(process, path, text, signal.SIGHUP)
 
         harness.behaviours = {"w0": stay_silent, "w1": stay_silent}
         pending_response = asyncio.create_task(harness.exchange(harness.request("taken", "book")))
         await asyncio.sleep(0.05)
         harness.behaviours = {}
-        for bad in ("{", "[" * 100_000, json.dumps({**document, "discovery": "nowhere"})):
-            await send_signals(bad)
+        for invalid in ("{", "[" * 100_000, json.dumps({**document, "discovery": "nowhere"})):
+            await reload(invalid)
         assert new_discovery.watch_count == 0 and log.read_text().count("the active one stays") == 3
-        await send_signals(json.dumps({**document, "discovery": address, "listen": "127.0.0.1:9"}))
-        await send_signals(json.dumps({**document, "discovery": address}))
+        await reload(json.dumps({**document, "discovery": address, "listen": "127.0.0.1:9"}))
+        await reload(json.dumps({**document, "discovery": address}))
         assert new_discovery.watch_count == 2, "its whole list, and then the watch"
         assert "listen stays as it was" in log.read_text()
         assert (await pending_response)[0] == 504
@@ -75,7 +81,8 @@
         assert {worker for worker, _ in harness.sent} == {"w1"}
         writer.close()
         # Twice at once, and beside the signal to end.
-        await send_signals(json.dumps(document), signal.SIGHUP, signal.SIGHUP, signal.SIGTERM, signal.SIGHUP)
+        signals = (signal.SIGHUP, signal.SIGHUP, signal.SIGTERM, signal.SIGHUP)
+        await write_and_signal(process, path, json.dumps(document), *signals)
         assert await asyncio.wait_for(process.wait(), 4) == 0
         harness.close_servers()
         new_discovery.close_servers()
@@ -143,7 +150,9 @@
         half.close()
         kept.close()
 
-    async def hang(reader: Any, writer: Any, headers: dict[str, str], body: bytes) -> None:
+    async def hang(
+        reader: asyncio.StreamReader, writer: asyncio.StreamWriter, headers: Headers, body: bytes
+    ) -> None:
         await asyncio.sleep(5)
 
     run_script(script, ServiceGrades=[{**g, "AbandonTimeUs": 5_000_000} for g in SETTINGS["ServiceGrades"]])
--- a/tests/routing/test_race_conditions.py
+++ b/tests/routing/test_race_conditions.py
@@ -1,10 +1,8 @@
 """Attempts and connections: an end, a response or a list between any two steps, on real sockets."""
 
 import asyncio
-import contextlib
 import itertools
 from collections.abc import Callable
-from typing import Any
 
 import pytest
 
@@ -32,6 +30,7 @@
     idle_client,
     newest_session,
     run_loop_turns,
+    send_all,
     success_response,
     wait_for_kernel,
     wait_until,
@@ -98,11 +97,7 @@
         client.socket.send(harness.request("left", class_name))
         await wait_until(lambda: harness.service.router.requests.open_count())
         if disconnect == "far ahead":
-            behind = harness.request("behind", class_name, b"y" * 60_000) * 20
-            while behind:
-                with contextlib.suppress(BlockingIOError):
-                    behind = behind[client.socket.send(behind) :]
-                await asyncio.sleep(0)
+            await send_all(client, harness.request("behind", class_name, b"y" * 60_000) * 20)
         elif disconnect == "queued behind":
             client.socket.send(harness.request("behind", class_name))
             await run_loop_turns()
@@ -137,11 +132,7 @@
         client = connect_to(harness.port)
         client.socket.send(harness.request("r"))
         await wait_until(lambda: harness.service.router.requests.open_count())
-        ahead = b"z" * 1_000_000
-        while ahead:
-            with contextlib.suppress(BlockingIOError):
-                ahead = ahead[client.socket.send(ahead) :]
-            await asyncio.sleep(0)
+        await send_all(client, b"z" * 1_000_000)
         session = newest_session(harness)
         await wait_until(lambda: session.dropped_bytes)
         assert session.buffered_bytes + len(session.connection.buffer) <= 512 * 1024
@@ -167,7 +158,7 @@
         deliver_list(harness, endpoint_entry("h", worker.port))
         client = await idle_client(harness, class_name, worker)
         kept = worker.peers[0]
-        steps: list[Callable[[], Any]] = [
+        steps: list[Callable[[], object]] = [
             lambda: client.socket.send(harness.request("r", class_name)),
             (lambda: kept.socket.send(data)) if data else kept.close,
         ]
@@ -192,7 +183,7 @@
     # It was aborted, and until the event loop reported its end the next user got it.
     async def script(harness: ServiceHarness) -> None:
         await idle_client(harness)
-        pool, address = harness.service.pool, harness.entries[0]["addr"]
+        pool, address = harness.service.pool, str(harness.entries[0]["addr"])
         idle = next(iter(pool.connections))
         next_one = RecordingPoolUser()
         assert idle.user is not None
@@ -200,6 +191,7 @@
         pool.acquire(address, next_one)
         assert next_one.connection is None
         given = await wait_until(lambda: next_one.connection)
+        assert given is not None
         assert given is not idle and pool.connection_count() == 1
         given.abort()
 
@@ -311,37 +303,46 @@
     run_script(script, workers=1, **LENIENT_SETTINGS)
 
 
-@pytest.mark.parametrize("state", ["opening", "begun", "written"])
-@pytest.mark.parametrize("order", list(itertools.permutations(["answer", "recall", "late", "close"])))
-def test_worker_call_reports_one_outcome_for_any_order_of_events(order: tuple[str, ...], state: str) -> None:
-    async def script() -> None:
-        loop = asyncio.get_running_loop()
-        deadlines, worker, outcomes = Deadlines(loop), ManualWorker(), []
-        clock, pool = Clock(deadlines), ConnectionPool(loop, deadlines, 4, SECOND, 60 * SECOND)
-        clock.hold()
+class RecordingCallUser:
+    """Records the outcomes of its call, and whether the call was at its end then."""
+
+    call: WorkerCall
+
+    def __init__(self) -> None:
+        self.outcomes: list[tuple[ExchangeOutcome, bool]] = []
 
-        class User:
-            def encode_request(self, time_left: int) -> bytes:
-                return b"POST /book HTTP/1.1\r\nrequest-id: r\r\n\r\nx"
+    def encode_request(self, time_left: int) -> bytes:
+        return b"POST /book HTTP/1.1\r\nrequest-id: r\r\n\r\nx"
 
-            def make_reader(self, listener: ResponseListener) -> AttemptResponseReader:
-                return AttemptResponseReader(listener, "x0", "r")
+    def make_reader(self, listener: ResponseListener) -> AttemptResponseReader:
+        return AttemptResponseReader(listener, "x0", "r")
 
-            def may_send(self) -> bool:
-                return True
+    def may_send(self) -> bool:
+        return True
 
-            def on_written(self) -> None: ...
+    def on_written(self) -> None: ...
 
-            def on_started(self) -> None: ...
+    def on_started(self) -> None: ...
 
-            def on_progress(self, fraction_done: float) -> None: ...
+    def on_progress(self, fraction_done: float) -> None: ...
 
-            def on_ended(self, outcome: ExchangeOutcome, result: str, load: LoadReport | None) -> None:
-                # A second copy may be sent now: the first must be at its end.
-                outcomes.append((outcome, bool(call.reader.is_complete) or call.connection is None))
+    def on_ended(self, outcome: ExchangeOutcome, result: str, load: LoadReport | None) -> None:
+        # A second attempt may be sent now: the first must be at its end.
+        is_at_end = bool(self.call.reader.is_complete) or self.call.connection is None
+        self.outcomes.append((outcome, is_at_end))
 
+
+@pytest.mark.parametrize("state", ["opening", "begun", "written"])
+@pytest.mark.parametrize("order", list(itertools.permutations(["answer", "recall", "late", "close"])))
+def test_worker_call_reports_one_outcome_for_any_order_of_events(order: tuple[str, ...], state: str) -> None:
+    async def script() -> None:
+        loop = asyncio.get_running_loop()
+        deadlines, worker = Deadlines(loop), ManualWorker()
+        clock, pool = Clock(deadlines), ConnectionPool(loop, deadlines, 4, SECOND, 60 * SECOND)
+        clock.hold()
         address = f"127.0.0.1:{worker.port}"
-        call = WorkerCall(pool, address, 60 * SECOND, User(), delay_last_byte=True)
+        user = RecordingCallUser()
+        call = user.call = WorkerCall(pool, address, 60 * SECOND, user, delay_last_byte=True)
         if state != "opening":
             await wait_until(
                 lambda: call.connection is not None and worker.accept_pending() and worker.peers[0].read()
@@ -349,7 +350,7 @@
         if state == "written":
             clock.resume_after(5 * MS)
             await wait_until(worker.peers[0].requests)
-        steps: dict[str, Callable[[], Any]] = {
+        steps: dict[str, Callable[[], object]] = {
             "answer": lambda: [p.socket.send(success_response("r")) for p in worker.accept_pending()[:1]],
             "recall": call.cancel,
             "late": lambda: clock.resume_after(61 * SECOND),
@@ -357,12 +358,12 @@
         }
         for step in order:
             steps[step]()
-        await wait_until(lambda: outcomes)
+        await wait_until(lambda: user.outcomes)
         await wait_until(lambda: pool.connection_count() == len(pool.idle[address]))
-        assert len(outcomes) == 1 and outcomes[0][1]
+        assert len(user.outcomes) == 1 and user.outcomes[0][1]
         if state != "written":
             never_ran = {ExchangeOutcome.NOT_SENT, ExchangeOutcome.SEND_INCOMPLETE}
-            assert outcomes[0][0] in never_ran or not worker.peers[0].requests()
+            assert user.outcomes[0][0] in never_ran or not worker.peers[0].requests()
             assert sum(p.requests() for p in worker.accept_pending()) == 0
 
     run_on_loop(script)
--- a/tests/routing/test_stale_endpoint_list.py
+++ b/tests/routing/test_stale_endpoint_list.py
@@ -19,7 +19,6 @@
 import asyncio
 import contextlib
 from pathlib import Path
-from typing import Any
 
 import uvloop
 
@@ -91,7 +90,7 @@
     dispatchers: list[DispatcherProcess], harness: ServiceHarness, end: float
 ) -> list[int]:
     """Send requests to each dispatcher at intervals, up to that time of the loop's clock."""
-    loop, tasks, number = asyncio.get_running_loop(), list[Any](), 0
+    loop, tasks, number = asyncio.get_running_loop(), list[asyncio.Task[int]](), 0
     while loop.time() < end:
         number += 1
         for index, each in enumerate(dispatchers):
--- a/tests/service/handover_harness.py
+++ b/tests/service/handover_harness.py
@@ -9,7 +9,6 @@
 import sys
 from collections.abc import Awaitable, Callable, Mapping
 from pathlib import Path
-from typing import Any
 
 from ploverspoke.testbed.processes.addresses import reserve_ports
 from tests.routing.harness import ServiceHarness, admin_call, run_on_loop
@@ -35,7 +34,7 @@
         harness = ServiceHarness()
         return cls(harness, await harness.start_workers_and_discovery(2), listening, folder)
 
-    def write_config(self, document: Mapping[str, Any]) -> None:
+    def write_config(self, document: Mapping[str, object]) -> None:
         self.config_path.write_text(json.dumps(document))
 
     def spawn(self) -> subprocess.Popen[bytes]:
--- a/tests/service/test_handover.py
+++ b/tests/service/test_handover.py
@@ -10,6 +10,7 @@
 
 from ploverspoke.transport.resource_limits import split_resources
 from ploverspoke.transport.units import MEBIBYTE
+from tests.decisions.harness import SETTINGS
 from tests.routing.harness import ServiceHarness, admin_call, admin_counters, operations_key, read_message
 
 from .handover_harness import ReplacedDispatcher, exit_code, run_script
@@ -47,9 +48,9 @@
 async def replace(
     dispatcher: ReplacedDispatcher, old: subprocess.Popen[bytes], statuses: list[int]
 ) -> tuple[subprocess.Popen[bytes], int]:
-    """The new process, and what the old one counted as fulfilled."""
+    """Replace the process; returns the new one, and what the old one counted as fulfilled."""
     harness, old_admin_port = dispatcher.harness, dispatcher.harness.admin_port
-    # A connection that stays open keeps the old process alive, so that its figures can be read to the end.
+    # A connection that stays open keeps the old process alive, so that its counters can be read to the end.
     reader, writer = await harness.connect()
     writer.write(harness.request(f"quiet-{old_admin_port}"))
     statuses.append(int((await read_message(reader))[0].split()[1]))
@@ -58,7 +59,7 @@
     await asyncio.sleep(0.1)
     harness.admin_port = old_admin_port
     assert (await admin_call(harness, b"check\n")).startswith("-ERR leaving")
-    await asyncio.sleep(0.2)  # every answer since has sent its client over
+    await asyncio.sleep(0.2)  # every answer since has made its client reconnect
     old_fulfilled = await fulfilled(harness)
     harness.admin_port = new_admin_port
     assert await exit_code(old) == 0
@@ -99,7 +100,7 @@
         second.kill()
         await exit_code(second)
         harness.admin_port = admin_port
-        for number in range(4):  # the socket is not shut down by whoever leaves it
+        for number in range(4):  # a process that ends does not shut down the socket
             assert (await harness.exchange(harness.request(f"a{number}")))[0] == 200
         third, _ = await dispatcher.start()
         first.kill()
@@ -131,10 +132,10 @@
 async def rename_first_class(
     dispatcher: ReplacedDispatcher, processes: dict[int, subprocess.Popen[bytes]]
 ) -> None:
-    """Reload all processes, by the port where operators call them, and wait until each has the settings."""
-    document = copy.deepcopy(dispatcher.document)
-    document["settings"]["ServiceGrades"][0]["Name"] = "next"
-    dispatcher.write_config(document)
+    """Reload all processes, by the port of their admin server, and wait until each has the settings."""
+    settings = copy.deepcopy(SETTINGS)
+    settings["ServiceGrades"][0]["Name"] = "next"
+    dispatcher.write_config({**dispatcher.document, "settings": settings})
     for process in processes.values():
         process.send_signal(signal.SIGHUP)
     for dispatcher.harness.admin_port in processes:
--- a/tests/service/test_settings_change.py
+++ b/tests/service/test_settings_change.py
@@ -32,7 +32,7 @@
 
 
 def test_each_number_stands_for_one_class_under_one_set_of_rules() -> None:
-    rng, letters = random.Random(3), "abcdef"
+    random_numbers, letters = random.Random(3), "abcdef"
     current = parse_settings(settings(*({**CLASSES[0], "Name": each} for each in letters)))
     values = {field.name: getattr(current, field.name) for field in fields(current)}
     per_class = {key for key, row in values.items() if isinstance(row, tuple) and len(row) == len(letters)}
@@ -41,22 +41,22 @@
     table, open_now = RequestClassTable(["look", "book"]), list[tuple[int, RequestClass]]()
     for _ in range(200):
         classes = [
-            {**CLASSES[rng.randrange(2)], "Name": each}
-            for each in rng.sample(["look", "book", *letters], rng.randrange(1, 5))
+            {**CLASSES[random_numbers.randrange(2)], "Name": each}
+            for each in random_numbers.sample(["look", "book", *letters], random_numbers.randrange(1, 5))
         ]
-        document = settings(*classes, MaxHandOffs=rng.randrange(1, 3))
+        document = settings(*classes, MaxHandOffs=random_numbers.randrange(1, 3))
         new = parse_settings(document)
-        listed = parse_names(document).request_classes
-        current, replaced = table.apply(current, new, listed, {number for number, _ in open_now})
-        assert tuple(table.numbers) == listed
+        names = parse_names(document).request_classes
+        current, replaced = table.apply(current, new, names, {number for number, _ in open_now})
+        assert tuple(table.numbers) == names
         assert tuple(sorted(table.numbers.values())) == current.active_classes
-        for index, name in enumerate(listed):
+        for index, name in enumerate(names):
             number = table.numbers[name]
             assert table.names[number] == name
             assert current.classes[number] == new.classes[index]
             open_now.append((number, current.classes[number]))
         # Whatever is open keeps the rules that it was admitted under.
-        open_now = rng.sample(open_now, min(len(open_now), 6))
+        open_now = random_numbers.sample(open_now, min(len(open_now), 6))
         assert all(current.classes[number] == kept for number, kept in open_now)
         assert all(table.names[newer] == table.names[older] for newer, older in replaced.items())
     assert len(table.names) < 25, "numbers are given out again"
@@ -80,7 +80,9 @@
     assert harness.dispatcher.open_requests[0].attempts == 4
 
 
-Spoil = Callable[[Document], Document | str]  # changes a good document in place, or gives a text in its place
+Corruption = Callable[
+    [Document], Document | str
+]  # changes a good document in place, or gives a text in its place
 
 
 def first_class(document: Document, **values: Any) -> Document:
@@ -108,7 +110,7 @@
     return document
 
 
-UNUSABLE: dict[str, Spoil] = {
+UNUSABLE: dict[str, Corruption] = {
     "empty": lambda document: "",
     "cut": lambda document: json.dumps(document)[: len(json.dumps(document)) // 2],
     "no object": lambda document: "[]",
@@ -126,8 +128,8 @@
 }
 
 
-@pytest.mark.parametrize("spoil", UNUSABLE.values(), ids=UNUSABLE.keys())
-def test_unusable_file_changes_nothing_and_is_counted(spoil: Spoil, tmp_path: Path) -> None:
+@pytest.mark.parametrize("corrupt", UNUSABLE.values(), ids=UNUSABLE.keys())
+def test_unusable_file_changes_nothing_and_is_counted(corrupt: Corruption, tmp_path: Path) -> None:
     path = tmp_path / "config.json"
 
     async def script(harness: ServiceHarness) -> None:
@@ -148,7 +150,7 @@
         document = copy.deepcopy(base)
         document["settings"] = settings({**CLASSES[0], "Name": "other"}, CLASSES[1])
         document["discovery"] = "127.0.0.1:10"
-        unusable = spoil(document)
+        unusable = corrupt(document)
         path.write_text(unusable if isinstance(unusable, str) else json.dumps(unusable))
         service._reload_config()
         assert (
@@ -156,8 +158,8 @@
             service.router.settings,
             service.router.active_settings.classes.numbers,
         ) == before
-        shown = await admin_counters(harness)
-        assert shown["dispatcher_cfg_invalid"] == 1 and shown["dispatcher_cfg_accepted"] == 0
+        counters = await admin_counters(harness)
+        assert counters["dispatcher_cfg_invalid"] == 1 and counters["dispatcher_cfg_accepted"] == 0
 
     run_script(script)
 
@@ -183,11 +185,11 @@
         number = service.router.active_settings.classes.numbers["look"]
         assert service.router.settings.classes[number].deadline == 700 * MS
 
-        async def turn_away_late(*exchange: Any) -> None:
+        async def reject_late(*exchange: Any) -> None:
             await asyncio.sleep(0.1)
             await reject_unstarted(*exchange)
 
-        harness.behaviours = {"w0": turn_away_late, "w1": turn_away_late}
+        harness.behaviours = {"w0": reject_late, "w1": reject_late}
         earlier = asyncio.create_task(harness.exchange(harness.request("earlier", "look")))
         await asyncio.sleep(0.03)
         reload(settings(CLASSES[1], {**CLASSES[0], "Name": "next", "Repeat": "single_shot"}, MaxHandOffs=1))
@@ -197,7 +199,7 @@
         assert (await earlier)[0] == 503
         attempts = [request_id for _, request_id in harness.sent]
         assert attempts.count("later") <= 1 < attempts.count("earlier") <= 6
-        shown = await admin_counters(harness)
-        assert shown["dispatcher_cfg_accepted"] == 2 and shown["dispatcher_cfg_invalid"] == 1
+        counters = await admin_counters(harness)
+        assert counters["dispatcher_cfg_accepted"] == 2 and counters["dispatcher_cfg_invalid"] == 1
 
     run_script(script)
