--- /dev/null
+++ b/ploverspoke/testbed/checkers/audited_requests.py
@@ -0,0 +1,85 @@
+"""What clients and workers observed of one request; input of the request audit."""
+
+from dataclasses import dataclass, field
+from enum import StrEnum
+from typing import NamedTuple
+
+RETURNED = "returned"  # the worker gave the request back without running it
+SUCCESSFUL_ENDS = ("done", "repeat dropped")  # of attempts
+SUCCEEDED, REJECTED, BROKEN = "satisfied", "nacked", "broken"  # outcomes in recorded events
+UNKNOWN_TIME = -1
+
+
+class Rule(StrEnum):
+    """The rules that dispatchers must keep."""
+
+    ONE_ANSWER = "1 one answer"
+    RETRIES = "2 retries"
+    DRAINING = "3 draining"
+    SLOW_START = "4 slow start"
+
+
+class Finding(NamedTuple):
+    """One broken rule."""
+
+    rule: Rule
+    at: int  # ns
+    submission: str  # id of the request; "" where it is about a worker
+    worker: str
+    text: str
+    timeline: list[str]  # what was observed; only for the first findings
+
+
+class Answer(NamedTuple):
+    """What a client received."""
+
+    at: int  # ns
+    outcome: str
+
+
+@dataclass(slots=True, eq=False)
+class ObservedAttempt:
+    """One attempt as its worker observed it; times in ns, UNKNOWN_TIME where there was none."""
+
+    arrived_at: int
+    worker: str
+    serial: int  # the worker's own number of it
+    dispatcher: int
+    end: str = ""
+    open_until: int = UNKNOWN_TIME
+
+    def may_have_run(self) -> bool:
+        """Whether the worker may have run the request."""
+        return self.end != RETURNED
+
+
+@dataclass(slots=True, eq=False)
+class ObservedRequest:
+    """One request as its client and its workers observed it.
+
+    Times are in ns, UNKNOWN_TIME where there was none.
+    """
+
+    id: str
+    job: int
+    dispatcher: int
+    request_class: int
+    deadline: int
+    accepted_at: int = UNKNOWN_TIME  # by the dispatcher's machine
+    left_at: int = UNKNOWN_TIME  # the client gave up
+    answers: list[Answer] = field(default_factory=list)
+    attempts: list[ObservedAttempt] = field(default_factory=list)
+
+    def final_answers(self) -> list[Answer]:
+        """The answers that were complete."""
+        return [answer for answer in self.answers if answer.outcome != BROKEN]
+
+    def over_at(self) -> int:
+        """When the client had its first answer or gave up, whichever was first."""
+        times = [self.left_at, self.answers[0].at if self.answers else UNKNOWN_TIME]
+        return min((at for at in times if at >= 0), default=UNKNOWN_TIME)
+
+    def attempt(self, worker: str, serial: int) -> ObservedAttempt | None:
+        """The attempt of that number at that worker."""
+        matching = (a for a in self.attempts if a.worker == worker and a.serial == serial)
+        return next(matching, None)
--- a/ploverspoke/testbed/checkers/lease_checker.py
+++ b/ploverspoke/testbed/checkers/lease_checker.py
@@ -1,102 +1,162 @@
-"""Judges histories of a run of leases. It shares no code with what it checks, and knows nothing of clocks but
-the machine's own: the time at which a contender looked at its lease before an effect stands in the effect.
+"""Checks the histories of lease runs.
 
-1. No two act at once: the looks under one token lie before all looks under a later one, and no more than
-   `places` tokens of a name are being acted under at any time.
-2. A token is one contender's, and a later grant has a higher one.
-3. A fenced resource takes no token that is lower than one it has taken.
+It shares no code with what it checks, and uses no clock but the machine's own. A candidate records each check
+of its lease that precedes an effect, and the protected resource records each effect.
+
+1. Holders exclude one another: all checks under one token precede all checks under a later one, and at any
+   time no more tokens of a name are in use than it may have holders.
+2. A token belongs to one candidate, and a later grant has a higher one.
+3. The protected resource accepts no token lower than one that it has accepted.
 """
 
 from collections import defaultdict
+from collections.abc import Mapping, Sequence
+from itertools import pairwise
 from typing import NamedTuple
 
+from ..experiment_files.durations import SECOND
 from ..processes.history import HistoryEvent
+from .history_finding import HistoryFinding
 
-MIN_HOLDER_CHANGES = 50  # of holder: with fewer a run proves nothing
+MIN_HOLDER_CHANGES = 50  # fewer show too little
+LEASE_CHECKED = "acts"  # events: by candidates, [name, token]
+EFFECT = "effect"  # by the protected resource, a RecordedEffect
 
 
-class Tenure(NamedTuple):
-    """What was done under one token."""
+class RecordedEffect(NamedTuple):
+    """The detail of an EFFECT event."""
 
+    name: str
     token: int
-    who: str
-    first: int  # look, ns
-    last: int
+    checked_at: int  # ns
+    was_accepted: bool
+    candidate: str
 
 
-class LeaseVerdict(NamedTuple):
-    findings: list[tuple[str, int]]  # what, and when
-    effects: int  # looks that led to one, whether it came or not
-    taken: int
-    changes: int  # of holder
-    refused: int  # old tokens, by the resource
-    names: int
+class TokenUse(NamedTuple):
+    """How long a candidate used one token."""
 
-    def void(self, fewest: int = MIN_HOLDER_CHANGES) -> str:
-        return "" if self.changes >= fewest else f"only {self.changes} changes of holder: that proves nothing"
+    token: int
+    candidate: str
+    first_check: int  # ns
+    last_check: int
 
 
-def check_lease_history(events: list[HistoryEvent], places: dict[str, int]) -> LeaseVerdict:
-    findings: list[tuple[str, int]] = []
-    looks: dict[tuple[str, int], list[tuple[int, str]]] = defaultdict(list)
-    highest: dict[str, int] = {}
-    taken = refused = 0
-    for event in events:
-        if event.what == "acts":
-            name, token = event.detail
-            looks[name, token].append((event.at, event.who))
-        elif event.what == "effect":
-            name, token, _, was_taken, _ = event.detail
-            if not was_taken:
-                refused += 1
-                continue
-            taken += 1
-            if places.get(name, 1) == 1 and token < highest.get(name, 0):
-                findings.append((f"{name}: token {token} was taken after {highest[name]}", event.at))
-            highest[name] = max(highest.get(name, 0), token)
-    tenures: dict[str, list[Tenure]] = defaultdict(list)
-    for (name, token), rows in looks.items():
-        who = {one for _, one in rows}
-        if len(who) > 1:
-            findings.append(
-                (f"{name}: token {token} was acted under by {', '.join(sorted(who))}", rows[0][0])
-            )
-        times = [at for at, _ in rows]
-        tenures[name].append(Tenure(token, rows[0][1], min(times), max(times)))
-    changes = 0
-    for name, of_name in tenures.items():
-        of_name.sort(key=lambda tenure: tenure.first)
-        changes += sum(one.who != other.who for one, other in zip(of_name, of_name[1:], strict=False))
-        findings += overlaps(name, of_name, places.get(name, 1))
-    findings.sort(key=lambda row: row[1])
-    return LeaseVerdict(findings, sum(map(len, looks.values())), taken, changes, refused, len(tenures))
-
-
-def takeover_gaps(events: list[HistoryEvent], killed: str) -> list[float]:
-    """Seconds from each kill of a holder to the first look of another under the same name."""
-    found = []
-    acts = [event for event in events if event.what == "acts"]
+class LeaseVerdict(NamedTuple):
+    """What a history shows."""
+
+    findings: list[HistoryFinding]
+    checks: int  # of a lease, whether its effect came or not
+    accepted_effects: int
+    holder_changes: int
+    rejected_effects: int  # for an old token
+    names: int  # leases that were in use
+
+    def void_reason(self, min_changes: int = MIN_HOLDER_CHANGES) -> str:
+        """Why the history proves nothing; "" if it does."""
+        if self.holder_changes >= min_changes:
+            return ""
+        return f"only {self.holder_changes} changes of holder: that proves nothing"
+
+
+def check_lease_history(events: Sequence[HistoryEvent], max_holders: Mapping[str, int]) -> LeaseVerdict:
+    """Check events in order of time; `max_holders` is by name of the lease, 1 where it has none."""
+    effects = [RecordedEffect(*event.detail) for event in events if event.what == EFFECT]
+    checks = [event for event in events if event.what == LEASE_CHECKED]
+    findings = _find_lower_tokens(events, max_holders) + _find_shared_tokens(checks)
+    uses = _token_uses(checks)
+    for name, of_name in uses.items():
+        findings += _find_overlaps(name, of_name, max_holders.get(name, 1))
+    return LeaseVerdict(
+        findings=sorted(findings, key=lambda finding: finding.at),
+        checks=len(checks),
+        accepted_effects=sum(effect.was_accepted for effect in effects),
+        holder_changes=sum(_count_changes(of_name) for of_name in uses.values()),
+        rejected_effects=sum(not effect.was_accepted for effect in effects),
+        names=len(uses),
+    )
+
+
+def takeover_gaps(events: Sequence[HistoryEvent], killed: str) -> list[float]:
+    """The sorted seconds from each kill of a holder to the first check of another candidate for that lease.
+
+    `killed` is the event of a kill; its detail is [candidate, name].
+    """
+    gaps = []
+    checks = [event for event in events if event.what == LEASE_CHECKED]
     for event in events:
         if event.what != killed:
             continue
-        who, name = event.detail
-        after = (a.at for a in acts if a.at > event.at and a.detail[0] == name and a.who != who)
-        next_look = next(after, None)
-        if next_look is not None:
-            found.append((next_look - event.at) / 1e9)
-    return sorted(found)
-
-
-def overlaps(name: str, tenures: list[Tenure], places: int) -> list[tuple[str, int]]:
-    """`tenures` in order of their first looks."""
-    found = []
-    for at, one in enumerate(tenures):
-        others = [o for o in tenures[:at] if o.last >= one.first]
-        if len(others) >= places:
-            told = ", ".join(f"{o.who} under {o.token}" for o in [*others, one])
-            found.append((f"{name}: {told} act at once, {places} may", one.first))
-        if at and one.token < tenures[at - 1].token and places == 1:
-            found.append(
-                (f"{name}: {one.who} begins under {one.token} after {tenures[at - 1].token}", one.first)
-            )
-    return found
+        candidate, name = event.detail
+        later = (c.at for c in checks if c.at > event.at and c.detail[0] == name and c.who != candidate)
+        first = next(later, None)
+        if first is not None:
+            gaps.append((first - event.at) / SECOND)
+    return sorted(gaps)
+
+
+def _find_lower_tokens(
+    events: Sequence[HistoryEvent], max_holders: Mapping[str, int]
+) -> list[HistoryFinding]:
+    findings = []
+    highest: dict[str, int] = {}
+    for event in events:
+        if event.what != EFFECT:
+            continue
+        effect = RecordedEffect(*event.detail)
+        if not effect.was_accepted:
+            continue
+        name, token = effect.name, effect.token
+        if max_holders.get(name, 1) == 1 and token < highest.get(name, 0):
+            text = f"{name}: token {token} was accepted after {highest[name]}"
+            findings.append(HistoryFinding(text, event.at))
+        highest[name] = max(highest.get(name, 0), token)
+    return findings
+
+
+def _by_token(checks: Sequence[HistoryEvent]) -> dict[tuple[str, int], list[HistoryEvent]]:
+    grouped: dict[tuple[str, int], list[HistoryEvent]] = defaultdict(list)
+    for event in checks:
+        name, token = event.detail
+        grouped[name, token].append(event)
+    return grouped
+
+
+def _find_shared_tokens(checks: Sequence[HistoryEvent]) -> list[HistoryFinding]:
+    findings = []
+    for (name, token), of_token in _by_token(checks).items():
+        candidates = {event.who for event in of_token}
+        if len(candidates) > 1:
+            text = f"{name}: token {token} was used by {', '.join(sorted(candidates))}"
+            findings.append(HistoryFinding(text, of_token[0].at))
+    return findings
+
+
+def _token_uses(checks: Sequence[HistoryEvent]) -> dict[str, list[TokenUse]]:
+    """By name of the lease, in order of their first checks."""
+    uses: dict[str, list[TokenUse]] = defaultdict(list)
+    for (name, token), of_token in _by_token(checks).items():
+        times = [event.at for event in of_token]
+        uses[name].append(TokenUse(token, of_token[0].who, min(times), max(times)))
+    for of_name in uses.values():
+        of_name.sort(key=lambda use: use.first_check)
+    return uses
+
+
+def _count_changes(uses: Sequence[TokenUse]) -> int:
+    return sum(use.candidate != following.candidate for use, following in pairwise(uses))
+
+
+def _find_overlaps(name: str, uses: Sequence[TokenUse], max_holders: int) -> list[HistoryFinding]:
+    """`uses` are in order of their first checks."""
+    findings = []
+    for position, use in enumerate(uses):
+        earlier = [other for other in uses[:position] if other.last_check >= use.first_check]
+        if len(earlier) >= max_holders:
+            users = ", ".join(f"{other.candidate} with {other.token}" for other in [*earlier, use])
+            text = f"{name}: {users} hold it at once, {max_holders} may"
+            findings.append(HistoryFinding(text, use.first_check))
+        if position and max_holders == 1 and use.token < uses[position - 1].token:
+            text = f"{name}: {use.candidate} begins with {use.token} after {uses[position - 1].token}"
+            findings.append(HistoryFinding(text, use.first_check))
+    return findings
--- a/ploverspoke/testbed/checkers/request_audit.py
+++ b/ploverspoke/testbed/checkers/request_audit.py
@@ -1,338 +1,201 @@
-"""The auditor: judges the four rules by what clients, workers and discovery saw, and by nothing else.
+"""Audits the four rules for dispatchers by what clients, workers and discovery observed, and by nothing else.
 
-Each rule is a class of its own that is fed the events in order of time. A finding names the rule and prints
-the timeline of the submission or worker concerned.
-
-Not every breach can be seen from outside with certainty, so times on the way get some slack: `slack` ns
-between a dispatcher's act and what is seen of it.
+The auditor reads the events in order of time. Rules 3 and 4 are checked at the events that break them; rules
+1 and 2 afterwards, request by request (`request_rules.py`). A finding names the rule and prints the timeline
+of the request or worker.
 """
 
 from collections import defaultdict
-from collections.abc import Iterable
-from typing import Any, NamedTuple
+from collections.abc import Callable, Iterable
+from typing import NamedTuple
 
-from ..experiment_files.durations import MILLISECOND, format_duration
+from ..experiment_files.durations import MILLISECOND, SECOND, format_duration
 from ..experiment_files.experiment import Experiment
 from ..models import event_records
 from ..models.event_records import Event
+from .audited_requests import Answer, Finding, ObservedAttempt, ObservedRequest, Rule
+from .request_rules import RequestRules
 
 VIRTUAL_TOLERANCE = 5 * MILLISECOND
 SOCKETS_TOLERANCE = 100 * MILLISECOND
-STORE_LATE = 5000 * MILLISECOND  # past the abandon time, where a store keeps answers to be asked for
-KNOWN_SHARE = 2 / 3  # of what pushed a worker over came from dispatchers that had been told of its start
-LONGEST_TIMELINE = 40
-
-
-class Finding(NamedTuple):
-    rule: str
-    at: int
-    submission: str
-    worker: str
-    text: str
-    timeline: list[str]
-
-
-class HandOff:
-    """One hand-off as its worker saw it."""
-
-    __slots__ = ("began", "came", "dispatcher", "end", "end_at", "open_until", "serial", "worker")
-
-    def __init__(self, came: int, worker: str, serial: int, dispatcher: int) -> None:
-        self.came = came
-        self.worker = worker
-        self.serial = serial
-        self.dispatcher = dispatcher
-        self.began = False
-        self.end = ""
-        self.end_at = -1
-        self.open_until = -1  # -1: still
-
-    def may_have_run(self) -> bool:
-        return self.end != "returned"
-
-
-class Submission:
-    """One submission as it was seen."""
-
-    __slots__ = (
-        "abandon_at",
-        "answers",
-        "dispatcher",
-        "grade",
-        "hand_offs",
-        "job",
-        "left_at",
-        "over_at",
-        "taken_at",
-    )
-
-    def __init__(self, event: Event) -> None:
-        self.job = event.job
-        self.dispatcher = event.dispatcher
-        self.grade: int = event.detail[0]
-        self.abandon_at: int = event.detail[2]
-        self.taken_at = -1
-        self.left_at = -1
-        self.over_at = -1  # first final answer
-        self.answers: list[tuple[int, str]] = []
-        self.hand_offs: list[HandOff] = []
-
-
-class Auditor:
-    """Reads the events once, then holds each rule against each submission."""
-
-    def __init__(self, e: Experiment, slack: int, racks: dict[str, int], zones: dict[str, int]) -> None:
-        """Racks and zones of the workers, by name."""
-        self.e = e
-        self.slack = slack
-        self.group_of = {"all": dict.fromkeys(racks, 0), "zone": zones, "rack": racks}
-        self.submissions: dict[str, Submission] = {}
-        self.killed: dict[int, list[int]] = defaultdict(list)
-        self.findings: list[Finding] = []
-        self.told: dict[tuple[int, str], int] = {}  # not ready since
-        self.told_start: dict[tuple[int, str], int] = {}
-        self.up_at: dict[str, int] = {}
-        self.strays = 0
-        self.events: list[Event] = []
-
-    def judge(self, events: Iterable[Event]) -> list[Finding]:
-        self.events = list(events)
-        for event in self.events:
-            read = READ.get(event.what)
+# The share of an overloading worker's work that must come from dispatchers which knew of its start.
+INFORMED_SHARE = 2 / 3
+MAX_TIMELINE = 40  # events of one finding
+MAX_TIMELINES = 3  # findings that have one
+RACK_NUMBERS = 1000  # from here on those of workers without a rack
+READY = "ready"
+
+
+class WorkerPlaces(NamedTuple):
+    """Numbers of the rack and the zone of each worker, by its name."""
+
+    racks: dict[str, int]
+    zones: dict[str, int]
+
+
+class RequestAuditor:
+    """Reads the events of one run, then checks each request."""
+
+    def __init__(self, experiment: Experiment, tolerance: int, places: WorkerPlaces) -> None:
+        """`tolerance` (ns) is allowed between a dispatcher's act and its observation."""
+        self._experiment = experiment
+        self._tolerance = tolerance
+        self._requests: dict[str, ObservedRequest] = {}
+        self._kills: dict[int, list[int]] = defaultdict(list)  # ns, by dispatcher
+        groups = {"all": dict.fromkeys(places.racks, 0), "zone": places.zones, "rack": places.racks}
+        self._rules = RequestRules(experiment, tolerance, groups, self._kills)
+        self._unready_since: dict[tuple[int, str], int] = {}  # by dispatcher and worker, as discovery told it
+        self._start_told_at: dict[tuple[int, str], int] = {}  # the same
+        self._worker_started_at: dict[str, int] = {}
+        self._events: list[Event] = []
+        self._findings: list[Finding] = []
+        self._readers: dict[str, Callable[[Event], None]] = {
+            event_records.SENT: self._request_sent,
+            event_records.TAKEN: self._request_accepted,
+            event_records.ANSWERED: self._request_answered,
+            event_records.LEFT: self._client_left,
+            event_records.CAME: self._attempt_arrived,
+            event_records.ENDED: self._attempt_ended,
+            event_records.CLOSED: self._attempt_closed,
+            event_records.TOLD: self._dispatcher_notified,
+            event_records.UP: self._worker_started,
+            event_records.FELL: self._worker_overloaded,
+            event_records.DISPATCHER_DOWN: self._dispatcher_killed,
+            event_records.DISPATCHER_UP: self._dispatcher_started,
+        }
+
+    def audit(self, events: Iterable[Event]) -> list[Finding]:
+        """The findings in order of time."""
+        self._events = list(events)
+        for event in self._events:
+            read = self._readers.get(event.what)
             if read is not None:
-                read(self, event)
-        for name, s in self.submissions.items():
-            self._one_answer(name, s)
-            self._repeats(name, s)
-            self._one_at_a_time(name, s)
-        self.findings.sort(key=lambda f: f.at)
-        return self.findings
-
-    # ---- What was seen ----
-
-    def _sent(self, event: Event) -> None:
-        self.submissions[event.submission] = Submission(event)
-
-    def _taken(self, event: Event) -> None:
-        self.submissions[event.submission].taken_at = event.at
-
-    def _answered(self, event: Event) -> None:
-        s = self.submissions[event.submission]
-        s.answers.append((event.at, event.detail))
-        if s.over_at < 0:
-            s.over_at = event.at
-
-    def _left(self, event: Event) -> None:
-        self.submissions[event.submission].left_at = event.at
-
-    def _came(self, event: Event) -> None:
-        s = self.submissions.get(event.submission)
-        if s is None:
-            self.find(
-                "1 one answer", event, f"{event.worker} was sent {event.submission!r}, which no client sent"
-            )
-            return
-        s.hand_offs.append(HandOff(event.at, event.worker, event.detail, event.dispatcher))
-        since = self.told.get((event.dispatcher, event.worker))
-        if since is not None and event.at > since + self.e.rules.stop_sending_within + self.slack:
-            late = format_duration(event.at - since)
-            self.find("3 drains", event, f"sent to {event.worker} {late} after it was told not to be ready")
-
-    def _hand_off(self, event: Event, serial: int) -> HandOff | None:
-        s = self.submissions.get(event.submission)
-        found = (
-            (h for h in s.hand_offs if h.worker == event.worker and h.serial == serial)
-            if s is not None
-            else ()
+                read(event)
+        for request in self._requests.values():
+            for rule, at, text in self._rules.check(request):
+                about = Event(at, "found", request.id, request.job)
+                self._add_finding(rule, about, f"{request.id}: {text}")
+        self._findings.sort(key=lambda finding: finding.at)
+        return self._findings
+
+    # ---- Requests ----
+
+    def _request_sent(self, event: Event) -> None:
+        request_class, _, deadline, _ = event.detail
+        self._requests[event.submission] = ObservedRequest(
+            event.submission, event.job, event.dispatcher, request_class, deadline
         )
-        return next(iter(found), None)
-
-    def _began(self, event: Event) -> None:
-        hand_off = self._hand_off(event, event.detail)
-        if hand_off is not None:
-            hand_off.began = True
-
-    def _ended(self, event: Event) -> None:
-        hand_off = self._hand_off(event, event.detail[0])
-        if hand_off is not None and not hand_off.end:
-            hand_off.end, hand_off.end_at = event.detail[1], event.at
-            if hand_off.open_until < 0:
-                hand_off.open_until = event.at
-
-    def _closed(self, event: Event) -> None:
-        hand_off = self._hand_off(event, event.detail)
-        if hand_off is not None and (hand_off.open_until < 0 or hand_off.open_until > event.at):
-            hand_off.open_until = event.at
-
-    def _told(self, event: Event) -> None:
-        key = (event.dispatcher, event.worker)
-        if event.detail == "ready":
-            self.told.pop(key, None)
-            self.told_start[key] = event.at
-        else:
-            self.told.setdefault(key, event.at)
-
-    def _up(self, event: Event) -> None:
-        self.up_at[event.worker] = event.at
-
-    def _fell(self, event: Event) -> None:
-        work, bears, sent = event.detail
-        up = self.up_at.get(event.worker, 0)
-        knew = sum(w for d, w in sent.items() if self.told_start.get((int(d), event.worker), -1) >= up)
-        if knew >= KNOWN_SHARE * work:
-            self.find(
-                "4 cold workers",
-                event,
-                f"{event.worker} was pushed over: sent {work / bears:.2f} of what it bears",
-            )
 
-    def _dispatcher_down(self, event: Event) -> None:
-        self.killed[event.dispatcher].append(event.at)
+    def _request_accepted(self, event: Event) -> None:
+        self._requests[event.submission].accepted_at = event.at
 
-    def _dispatcher_up(self, event: Event) -> None:
-        for key in [k for k in self.told if k[0] == event.dispatcher]:
-            del self.told[key]
+    def _request_answered(self, event: Event) -> None:
+        self._requests[event.submission].answers.append(Answer(event.at, event.detail))
 
-    # ---- The rules ----
+    def _client_left(self, event: Event) -> None:
+        self._requests[event.submission].left_at = event.at
 
-    def _excused(self, s: Submission) -> bool:
-        """Its dispatcher was killed while it had it; a store is there for just that."""
-        if self.e.dispatchers.store:
-            return False
-        until = s.abandon_at + self.slack
-        return any(s.taken_at - self.slack <= at <= until for at in self.killed[s.dispatcher])
+    # ---- Attempts ----
 
-    def _one_answer(self, name: str, s: Submission) -> None:
-        if s.taken_at < 0:
+    def _attempt_arrived(self, event: Event) -> None:
+        request = self._requests.get(event.submission)
+        if request is None:
+            text = f"{event.worker} was sent {event.submission!r}, which no client sent"
+            self._add_finding(Rule.ONE_ANSWER, event, text)
             return
-        answers = [(at, how) for at, how in s.answers if how != "broken"]
-        over = s.over_at if s.left_at < 0 else min(s.left_at, s.over_at if s.over_at >= 0 else s.left_at)
-        late = self.slack + (STORE_LATE if self.e.dispatchers.store else 0)
-        if self.e.dispatchers.store and len({how for _, how in answers}) == 1:
-            answers = answers[:1]  # asked for again, and the same was told
-        if len(answers) > 1:
-            self.find_for(name, "1 one answer", answers[1][0], f"{len(answers)} final answers")
-        elif not answers and s.left_at < 0 and not self._excused(s):
-            how = "its connection broke" if s.answers else "none came"
-            self.find_for(name, "1 one answer", s.abandon_at, f"no final answer: {how}")
-        elif answers and answers[0][0] > s.abandon_at + late:
-            by = format_duration(answers[0][0] - s.abandon_at)
-            self.find_for(name, "1 one answer", answers[0][0], f"answered {by} after its abandon time")
-        if (
-            answers
-            and answers[0][1] == "satisfied"
-            and not any(h.end in ("done", "repeat dropped") for h in s.hand_offs)
-        ):
-            self.find_for(name, "1 one answer", answers[0][0], "satisfied, though no worker has done it")
-        for h in s.hand_offs:
-            if over >= 0 and h.came > over + self.slack:
-                self.find_for(name, "1 one answer", h.came, f"handed to {h.worker} after its answer")
-                break
-        _, most = self.e.rules_at(s.taken_at)
-        if len(s.hand_offs) > most:
-            self.find_for(
-                name, "1 one answer", s.hand_offs[most].came, f"{len(s.hand_offs)} hand-offs, {most} allowed"
+        request.attempts.append(ObservedAttempt(event.at, event.worker, event.detail, event.dispatcher))
+        since = self._unready_since.get((event.dispatcher, event.worker))
+        allowed = self._experiment.rules.stop_sending_within + self._tolerance
+        if since is not None and event.at > since + allowed:
+            late_by = format_duration(event.at - since)
+            text = f"sent to {event.worker} {late_by} after it was reported not to be ready"
+            self._add_finding(Rule.DRAINING, event, text)
+
+    def _find_attempt(self, event: Event, serial: int) -> ObservedAttempt | None:
+        request = self._requests.get(event.submission)
+        return request.attempt(event.worker, serial) if request is not None else None
+
+    def _attempt_ended(self, event: Event) -> None:
+        serial, end = event.detail
+        attempt = self._find_attempt(event, serial)
+        if attempt is not None and not attempt.end:
+            attempt.end = end
+            if attempt.open_until < 0:
+                attempt.open_until = event.at
+
+    def _attempt_closed(self, event: Event) -> None:
+        attempt = self._find_attempt(event, event.detail)
+        if attempt is not None and (attempt.open_until < 0 or attempt.open_until > event.at):
+            attempt.open_until = event.at
+
+    # ---- Workers and dispatchers ----
+
+    def _dispatcher_notified(self, event: Event) -> None:
+        key = (event.dispatcher, event.worker)
+        if event.detail == READY:
+            self._unready_since.pop(key, None)
+            self._start_told_at[key] = event.at
+        else:
+            self._unready_since.setdefault(key, event.at)
+
+    def _worker_started(self, event: Event) -> None:
+        self._worker_started_at[event.worker] = event.at
+
+    def _worker_overloaded(self, event: Event) -> None:
+        work, bearable, work_by_dispatcher = event.detail
+        started_at = self._worker_started_at.get(event.worker, 0)
+        informed = sum(
+            sent
+            for dispatcher, sent in work_by_dispatcher.items()
+            if self._start_told_at.get((int(dispatcher), event.worker), -1) >= started_at
+        )
+        if informed >= INFORMED_SHARE * work:
+            text = (
+                f"{event.worker} was overloaded while warming up: sent {work / bearable:.2f} of what it bears"
             )
+            self._add_finding(Rule.SLOW_START, event, text)
 
-    def _repeats(self, name: str, s: Submission) -> None:
-        grade = self.e.request_classes[s.grade]
-        repeat = self.e.rules_at(s.taken_at)[0][s.grade]
-        if repeat == "redoable":
-            return
-        groups = self.group_of[grade.group]
-        first: HandOff | None = None
-        for h in s.hand_offs:
-            if first is None:
-                first = h if h.may_have_run() else None
-            elif repeat == "irreversible":
-                self.find_for(
-                    name,
-                    "2 repeats",
-                    h.came,
-                    f"irreversible, again to {h.worker}; {first.worker} may have run it",
-                )
-                return
-            elif groups[h.worker] != groups[first.worker]:
-                self.find_for(
-                    name,
-                    "2 repeats",
-                    h.came,
-                    f"labelled, to {h.worker} outside the {grade.group} of {first.worker}",
-                )
-                return
-            elif h.came - first.came > grade.window + self.slack:
-                self.find_for(
-                    name, "2 repeats", h.came, f"labelled, to {h.worker} after the window of {first.worker}"
-                )
-                return
-        nacked = next((at for at, how in s.answers if how == "nacked"), -1)
-        bound = repeat == "irreversible" or grade.group != "all"
-        if nacked >= 0 and first is not None and first.came < nacked and bound:
-            self.find_for(name, "2 repeats", nacked, f"nacked, though {first.worker} may have run it")
-
-    def _one_at_a_time(self, name: str, s: Submission) -> None:
-        for h, following in zip(s.hand_offs, s.hand_offs[1:], strict=False):
-            if h.open_until < 0 or following.came < h.open_until - self.slack:
-                text = f"out at {h.worker} and {following.worker} at once"
-                self.find_for(name, "2 repeats", following.came, text)
-                return
+    def _dispatcher_killed(self, event: Event) -> None:
+        self._kills[event.dispatcher].append(event.at)
 
-    # ---- Findings ----
+    def _dispatcher_started(self, event: Event) -> None:
+        for key in [key for key in self._unready_since if key[0] == event.dispatcher]:
+            del self._unready_since[key]
 
-    def find(self, rule: str, event: Event, text: str) -> None:
-        lines = self._timeline(event)
-        self.findings.append(Finding(rule, event.at, event.submission, event.worker, text, lines))
+    # ---- Findings ----
 
-    def find_for(self, name: str, rule: str, at: int, text: str) -> None:
-        self.find(rule, Event(at, "found", name, self.submissions[name].job), f"{name}: {text}")
+    def _add_finding(self, rule: Rule, event: Event, text: str) -> None:
+        timeline = self._timeline(event) if len(self._findings) < MAX_TIMELINES else []
+        self._findings.append(Finding(rule, event.at, event.submission, event.worker, text, timeline))
 
     def _timeline(self, event: Event) -> list[str]:
-        """All that was seen of its job, or of its worker where no job is concerned; for the first findings
-        only.
-        """
-        if len(self.findings) >= 3:
-            return []
+        """All that was observed of the event's job, or of its worker if it has no job."""
         if event.job >= 0:
-            seen: Iterable[Event] = (x for x in self.events if x.job == event.job)
+            related = [other for other in self._events if other.job == event.job]
         else:
-            worker_only = (event_records.UP, event_records.DIED, event_records.FELL, event_records.TOLD)
-            seen = (x for x in self.events if x.worker == event.worker and x.what in worker_only)
-        return [describe(x, self.e) for x in seen][:LONGEST_TIMELINE]
-
-
-READ: dict[str, Any] = {
-    event_records.SENT: Auditor._sent,
-    event_records.TAKEN: Auditor._taken,
-    event_records.ANSWERED: Auditor._answered,
-    event_records.LEFT: Auditor._left,
-    event_records.CAME: Auditor._came,
-    event_records.BEGAN: Auditor._began,
-    event_records.ENDED: Auditor._ended,
-    event_records.CLOSED: Auditor._closed,
-    event_records.TOLD: Auditor._told,
-    event_records.UP: Auditor._up,
-    event_records.FELL: Auditor._fell,
-    event_records.DISPATCHER_DOWN: Auditor._dispatcher_down,
-    event_records.DISPATCHER_UP: Auditor._dispatcher_up,
-}
-
-
-def describe(event: Event, e: Experiment) -> str:
+            kinds = (event_records.UP, event_records.DIED, event_records.FELL, event_records.TOLD)
+            related = [e for e in self._events if e.worker == event.worker and e.what in kinds]
+        return [describe_event(other, self._experiment) for other in related[:MAX_TIMELINE]]
+
+
+def describe_event(event: Event, experiment: Experiment) -> str:
     """One line of a timeline."""
     detail = event.detail
     if event.what == event_records.SENT:
-        request_class = e.request_classes[detail[0]]
+        request_class = experiment.request_classes[detail[0]]
         detail = f"{request_class.name} ({request_class.idempotency}), try {detail[1] + 1}"
-    who = f" d{event.dispatcher}" if event.dispatcher >= 0 else ""
-    return f"{event.at / 1e9:11.6f} s  {event.submission:10}{who:5} {event.worker:5} {event.what}: {detail}"
-
-
-def audit_requests(e: Experiment, events: Iterable[Event], slack: int) -> list[Finding]:
-    racks: dict[str, int] = {}
-    zones: dict[str, int] = {}
-    for w in e.workers:
-        for _ in range(w.count):
-            name = f"w{len(racks)}"
-            racks[name] = len(racks) + 1000 if w.rack is None else w.rack
-            zones[name] = e.zones().index(w.zone)
-    return Auditor(e, slack, racks, zones).judge(events)
+    dispatcher = f" d{event.dispatcher}" if event.dispatcher >= 0 else ""
+    seconds = event.at / SECOND
+    return f"{seconds:11.6f} s  {event.submission:10}{dispatcher:5} {event.worker:5} {event.what}: {detail}"
+
+
+def audit_requests(experiment: Experiment, events: Iterable[Event], tolerance: int) -> list[Finding]:
+    """Audit the events of one run, which are in order of time; `tolerance` is in ns."""
+    places = WorkerPlaces({}, {})
+    for workers in experiment.workers:
+        for _ in range(workers.count):
+            number = len(places.racks)
+            name = f"w{number}"
+            places.racks[name] = number + RACK_NUMBERS if workers.rack is None else workers.rack
+            places.zones[name] = experiment.zones().index(workers.zone)
+    return RequestAuditor(experiment, tolerance, places).audit(events)
--- a/ploverspoke/testbed/reports/scores.py
+++ b/ploverspoke/testbed/reports/scores.py
@@ -7,7 +7,7 @@
 import msgspec
 from hdrh.histogram import HdrHistogram
 
-from ..checkers.request_audit import Finding
+from ..checkers.audited_requests import Finding
 from ..experiment_files.durations import MICROSECOND, MILLISECOND, SECOND
 from ..experiment_files.experiment import Experiment, RequestClass
 from ..models import event_records
--- a/ploverspoke/testbed/scenarios/lease_scenario.py
+++ b/ploverspoke/testbed/scenarios/lease_scenario.py
@@ -237,7 +237,7 @@
     waits = takeover_gaps(outcome.events, HOLDER_KILLED)
     lost = [event for event in outcome.events if event.what == "lost"]
     p99 = waits[int(len(waits) * 0.99) - 1] if len(waits) > 1 else 0.0
-    void = outcome.void or verdict.void(must.changes)
+    void = outcome.void or verdict.void_reason(must.changes)
     if not void and len(waits) < must.kills:
         void = f"only {len(waits)} kills of a holder: that proves nothing"
     failed = [*(what for what, _ in verdict.findings), *outcome.faults]
@@ -249,9 +249,9 @@
         failed.append(f"{len(lost)} leases were lost by holders that live, the first: {lost[0].detail}")
     figures = {
         "seed": seed,
-        "effects": verdict.effects,
-        "changes": verdict.changes,
-        "refused_tokens": verdict.refused,
+        "effects": verdict.checks,
+        "changes": verdict.holder_changes,
+        "refused_tokens": verdict.rejected_effects,
         "lost": len(lost),
         "steps": len(outcome.steps),
         "holder_kills": len(waits),
--- a/tests/leases/test_lease_checker.py
+++ b/tests/leases/test_lease_checker.py
@@ -26,11 +26,11 @@
     ("more", "found"),
     [
         ([], ""),
-        ([row(25, "a", "acts", "n", 1)], "n: a under 1, b under 2 act at once, 1 may"),
-        ([row(25, "c", "acts", "n", 2)], "n: token 2 was acted under by b, c"),
-        ([row(30, "c", "acts", "n", 1)], "n: token 1 was acted under by a, c"),
-        ([row(5, "c", "acts", "n", 3)], "act at once"),
-        ([row(30, "resource", "effect", "n", 1, 10, True, "a")], "n: token 1 was taken after 2"),
+        ([row(25, "a", "acts", "n", 1)], "n: a with 1, b with 2 hold it at once, 1 may"),
+        ([row(25, "c", "acts", "n", 2)], "n: token 2 was used by b, c"),
+        ([row(30, "c", "acts", "n", 1)], "n: token 1 was used by a, c"),
+        ([row(5, "c", "acts", "n", 3)], "hold it at once"),
+        ([row(30, "resource", "effect", "n", 1, 10, True, "a")], "n: token 1 was accepted after 2"),
     ],
 )
 def test_checker_finds_each_kind_of_violation(more: list[HistoryEvent], found: str) -> None:
--- a/tests/leases/test_lease_processes.py
+++ b/tests/leases/test_lease_processes.py
@@ -14,8 +14,8 @@
 def test_no_two_holders_act_at_once_through_kills_pauses_partitions_and_clock_drift() -> None:
     played = run_lease_scenario(LeaseScenario(lasts=Duration(60 * SECOND)), 1)
     assert played.shown == [], "\n".join(played.shown)
-    assert (played.void, played.faults, played.verdict.void()) == ("", [], "")
-    assert played.verdict.taken > 2000 and played.verdict.names == 3
+    assert (played.void, played.faults, played.verdict.void_reason()) == ("", [], "")
+    assert played.verdict.accepted_effects > 2000 and played.verdict.names == 3
     done = {event.what for event in played.events if event.who == "rig"}
     assert done >= {"kill is over", "pause is over", "add fault", "remove fault", "wall jumps"}
 
@@ -35,10 +35,10 @@
     played = run_lease_scenario(plan, 1, steps)
     assert (played.void, played.faults) == ("", [])
     if fenced:
-        assert played.shown == [] and played.verdict.refused > 0
+        assert played.shown == [] and played.verdict.rejected_effects > 0
     else:
         assert "was taken after" in played.shown[0] and "timeline" in played.shown[0]
-    assert played.verdict.void(fewest=5) == "" and played.verdict.void(fewest=10_000)
+    assert played.verdict.void_reason(min_changes=5) == "" and played.verdict.void_reason(min_changes=10_000)
 
 
 def test_faulty_holders_that_count_too_long_are_found_on_processes() -> None:
--- a/tests/testbed/checkers/test_request_audit.py
+++ b/tests/testbed/checkers/test_request_audit.py
@@ -8,7 +8,8 @@
 
 from ploverspoke.decisions.interface import AttemptOutcome, AttemptResult, Endpoint, EndpointCondition
 from ploverspoke.decisions.settings import Idempotency, Settings
-from ploverspoke.testbed.checkers.request_audit import VIRTUAL_TOLERANCE, Finding, audit_requests
+from ploverspoke.testbed.checkers.audited_requests import Finding
+from ploverspoke.testbed.checkers.request_audit import VIRTUAL_TOLERANCE, audit_requests
 from ploverspoke.testbed.models.baseline_policies import POLICIES, Open, TwoChoices
 from ploverspoke.testbed.models.event_records import Event
 from ploverspoke.testbed.models.virtual_run import run_virtual_time
@@ -94,14 +95,14 @@
 REPLACED = {"what": "dispatcher replaced", "at": "1500ms", "lasts": "2s", "dispatchers": [0, 1]}
 FAULTS = [
     (KeepsItsAttempts, [FEWER, EVERYWHERE], "1 one answer"),
-    (KeepsItsRepeats, [STRICTER, EVERYWHERE], "2 repeats"),
+    (KeepsItsRepeats, [STRICTER, EVERYWHERE], "2 retries"),
     (AnswersTwice, [], "1 one answer"),
     (LosesOne, [], "1 one answer"),
     (NeverStops, [{**ERRORS, "workers": ["w0", "w1", "w2", "w3"], "errors": 1.0}], "1 one answer"),
-    (RepeatsIrreversible, [ERRORS], "2 repeats"),
-    (TwoAtOnce, [], "2 repeats"),
-    (SendsAfterDrain, [DRAIN], "3 drains"),
-    (TipsTheCold, [CRASH], "4 cold workers"),
+    (RepeatsIrreversible, [ERRORS], "2 retries"),
+    (TwoAtOnce, [], "2 retries"),
+    (SendsAfterDrain, [DRAIN], "3 draining"),
+    (TipsTheCold, [CRASH], "4 slow start"),
 ]
 
 
@@ -141,13 +142,13 @@
 
 def test_a_hand_off_within_the_grace_of_a_drain_is_none_too_late() -> None:
     done = (("began", "w0", 1), ("ended", "w0", [1, "done"]), ("answered", "", "satisfied"))
-    for at, rules in ((500, []), (520, ["3 drains"])):
+    for at, rules in ((500, []), (520, ["3 draining"])):
         found = seen((0, "told", "w0", "draining"), (at, "came", "w0", 1), *((at + 5, *d) for d in done))
         assert [f.rule for f in found] == rules
 
 
 def test_a_nack_after_what_may_have_run_is_found_and_after_a_return_is_not() -> None:
-    for end, rules in ((["returned"], []), (["failed"], ["2 repeats"]), ([], ["2 repeats"])):
+    for end, rules in ((["returned"], []), (["failed"], ["2 retries"]), ([], ["2 retries"])):
         ends = [(20, "ended", "w0", [1, how]) for how in end]
         found = seen((10, "came", "w0", 1), *ends, (30, "answered", "", "nacked"), grade=1)
         assert [f.rule for f in found] == rules
@@ -169,5 +170,5 @@
     done = ((950, "answered", "", "nacked"),)
     assert seen((100, "up", "w0"), fell, *done) == []
     assert [f.rule for f in seen((100, "up", "w0"), (200, "told", "w0", "ready"), fell, *done)] == [
-        "4 cold workers"
+        "4 slow start"
     ]
