--- /dev/null
+++ b/ploverspoke/testbed/checkers/dispatcher_checks.py
@@ -0,0 +1,245 @@
+"""Checks what is active at each dispatcher (rules 1 to 4), that it answers, and its admin address."""
+
+from bisect import bisect_right
+from itertools import accumulate, pairwise
+from typing import NamedTuple
+
+from ..experiment_files.durations import SECOND, format_duration
+from .distribution_history import (
+    COMPLETE,
+    GOOD,
+    Acknowledgement,
+    DistributionHistory,
+    ProbeRound,
+    Publication,
+)
+from .finding_collector import FindingCollector
+from .observed_reachability import ObservedReachability
+from .time_spans import Span, find_span, subtract_spans
+
+MAX_SILENCE = 5 * SECOND  # of a dispatcher that runs and is probed all the time
+OWN_FILE_TAG = 0
+UNKNOWN_VERSION = -1
+
+
+class VersionsByTag:
+    """Publications and version numbers by tag."""
+
+    def __init__(self, history: DistributionHistory) -> None:
+        """Read them from the history.
+
+        What was acknowledged has a number also if no server lists it: a missing one is another finding.
+        """
+        self._publications = {p.tag: p for p in history.publications.values()}
+        acknowledged = {id_: reply.version for id_, reply in history.acknowledged.items()}
+        committed = {row.id: version for version, row in history.committed.items()}
+        versions = acknowledged | committed
+        self._versions = {p.tag: versions[p.id] for p in history.publications.values() if p.id in versions}
+        self._versions[OWN_FILE_TAG] = 0
+
+    def publication(self, tag: int) -> Publication | None:
+        """The publication that has the tag."""
+        return self._publications.get(tag)
+
+    def is_committed(self, tag: int) -> bool:
+        """Whether the tag has a version number."""
+        return tag in self._versions
+
+    def active_version(self, probe_round: ProbeRound) -> int:
+        """The highest version of which both classes were known; UNKNOWN_VERSION if there is none."""
+        complete = [tag for tag, parts in probe_round.known.items() if parts == COMPLETE]
+        return max((self._versions.get(tag, UNKNOWN_VERSION) for tag in complete), default=UNKNOWN_VERSION)
+
+
+class ActiveVersion(NamedTuple):
+    """A round of probes and the version that it showed."""
+
+    probe_round: ProbeRound
+    version: int
+
+
+class DispatcherChecks:
+    """The checks of one dispatcher after another; counts what they checked."""
+
+    def __init__(
+        self,
+        history: DistributionHistory,
+        reachability: ObservedReachability,
+        versions: VersionsByTag,
+        findings: FindingCollector,
+        within: int,
+    ) -> None:
+        """`within` is the limit (ns) of rules 1 and 3."""
+        self._history = history
+        self._reachability = reachability
+        self._versions = versions
+        self._findings = findings
+        self._within = within
+        self.active_versions: set[int] = set()  # without dispatchers' own files
+        self.checked_probes = 0
+        self.calm_delays: list[float] = []  # s
+        self.delays_after_faults: list[float] = []  # s
+
+    def check(
+        self, dispatcher: str, rounds: list[ProbeRound], reachable: list[Span], shortly_reachable: list[Span]
+    ) -> None:
+        """Check one dispatcher.
+
+        Args:
+            dispatcher: Its name.
+            rounds: Its rounds of probes, in order of time.
+            reachable: The spans of at least `within` in which it could reach the configuration.
+            shortly_reachable: The same of at least a second.
+        """
+        self._check_known_tags(dispatcher, rounds)
+        self._check_complete(dispatcher, rounds)
+        self._check_anything_active(dispatcher, rounds)
+        active = [ActiveVersion(one, self._versions.active_version(one)) for one in rounds]
+        self.active_versions |= {version for _, version in active if version > 0}
+        self._check_never_back(dispatcher, active)
+        self._check_not_behind_after_restart(dispatcher, active, reachable)
+        acknowledged = self._acknowledged_good_versions()
+        self._check_in_time(dispatcher, active, reachable, acknowledged)
+        self._measure_delays(active, shortly_reachable, acknowledged)
+        self._check_answers(dispatcher, rounds)
+        self._check_admin_replies(dispatcher, active)
+
+    # ---- Rule 2 ----
+
+    def _check_known_tags(self, dispatcher: str, rounds: list[ProbeRound]) -> None:
+        for probe_round in rounds:
+            for tag in probe_round.known:
+                problem = self._tag_problem(tag)
+                if problem:
+                    publication = self._versions.publication(tag)
+                    name = publication.id if publication is not None else f"tag {tag}"
+                    text = f"{dispatcher} applied {name}, which {problem}"
+                    self._findings.add("unexpected", dispatcher, text, probe_round.asked_at)
+
+    def _tag_problem(self, tag: int) -> str:
+        if tag == OWN_FILE_TAG:
+            return ""
+        publication = self._versions.publication(tag)
+        if publication is not None and publication.kind != GOOD:
+            return "must be rejected"
+        return "" if publication is not None and self._versions.is_committed(tag) else "was not committed"
+
+    def _check_complete(self, dispatcher: str, rounds: list[ProbeRound]) -> None:
+        previous: dict[int, str] = {}
+        for probe_round in rounds:
+            incomplete = {
+                tag: part
+                for tag, part in probe_round.known.items()
+                if part != COMPLETE and tag in probe_round.unknown
+            }
+            for tag, part in incomplete.items():
+                if previous.get(tag) == part:
+                    text = f"{dispatcher} applied half of tag {tag}: {part} alone"
+                    self._findings.add("half", dispatcher, text, probe_round.asked_at)
+            previous = incomplete
+
+    def _check_anything_active(self, dispatcher: str, rounds: list[ProbeRound]) -> None:
+        # A change between two requests of one round may show no class, but not in two rounds.
+        for previous, probe_round in pairwise(rounds):
+            if not previous.known and not probe_round.known:
+                text = f"{dispatcher} applies no version that is known"
+                self._findings.add("nothing", dispatcher, text, probe_round.asked_at)
+
+    # ---- Rule 1 ----
+
+    def _check_never_back(self, dispatcher: str, active: list[ActiveVersion]) -> None:
+        highest: dict[int, int] = {}  # by incarnation
+        for (asked_at, _, _, _, incarnation), version in active:
+            if version < 0 or incarnation < 0:
+                continue
+            if version < highest.get(incarnation, UNKNOWN_VERSION):
+                text = f"{dispatcher} went back from version {highest[incarnation]} to {version}"
+                self._findings.add("back", dispatcher, text, asked_at)
+            highest[incarnation] = max(highest.get(incarnation, UNKNOWN_VERSION), version)
+
+    def _check_not_behind_after_restart(
+        self, dispatcher: str, active: list[ActiveVersion], reachable: list[Span]
+    ) -> None:
+        highest: dict[int, int] = {}  # by incarnation
+        for (asked_at, _, _, _, incarnation), version in active:
+            if version < 0 or incarnation < 0:
+                continue
+            before = max((v for other, v in highest.items() if other < incarnation), default=0)
+            if version < before and self._was_reachable(reachable, asked_at):
+                text = f"{dispatcher} is at version {version} after its restart, and had {before}"
+                self._findings.add("behind", dispatcher, text, asked_at)
+            highest[incarnation] = max(highest.get(incarnation, UNKNOWN_VERSION), version)
+
+    def _was_reachable(self, reachable: list[Span], at: int) -> bool:
+        """Whether the configuration could be reached for `within` before that time."""
+        return any(span.start + self._within <= at <= span.end for span in reachable)
+
+    # ---- Rules 3 and 4 ----
+
+    def _acknowledged_good_versions(self) -> list[Acknowledgement]:
+        """In order of time."""
+        publications = self._history.publications
+        return sorted(
+            reply for id_, reply in self._history.acknowledged.items() if publications[id_].kind == GOOD
+        )
+
+    def _check_in_time(
+        self,
+        dispatcher: str,
+        active: list[ActiveVersion],
+        reachable: list[Span],
+        acknowledged: list[Acknowledgement],
+    ) -> None:
+        times = [reply.at for reply in acknowledged]
+        newest = list(accumulate((reply.version for reply in acknowledged), max, initial=0))
+        for probe_round, version in active:
+            asked_at = probe_round.asked_at
+            if version < 0 or not self._was_reachable(reachable, asked_at):
+                continue
+            self.checked_probes += 1
+            required = newest[bisect_right(times, asked_at - self._within)]
+            if version < required:
+                acknowledged_at = next(reply.at for reply in acknowledged if reply.version == required)
+                late_by = format_duration(asked_at - acknowledged_at)
+                text = f"{dispatcher} is at version {version} {late_by} after {required} was acknowledged"
+                self._findings.add("late", dispatcher, f"{text}, and could reach it", asked_at)
+
+    def _measure_delays(
+        self, active: list[ActiveVersion], reachable: list[Span], acknowledged: list[Acknowledgement]
+    ) -> None:
+        """How long each version took where it could be reached, from the end of the fault before."""
+        for at, version in acknowledged:
+            first = next((one for one, v in active if v >= version and one.answered_at >= at), None)
+            span = find_span(reachable, first.asked_at) if first is not None else None
+            if first is None or span is None:
+                continue
+            delay = max(0, first.answered_at - max(at, span.start)) / SECOND
+            is_calm = span.start + self._within <= at or span.start == self._reachability.run.start
+            (self.calm_delays if is_calm else self.delays_after_faults).append(delay)
+
+    # ---- What clients and operators receive ----
+
+    def _check_answers(self, dispatcher: str, rounds: list[ProbeRound]) -> None:
+        answered = [probe_round.answered_at for probe_round in rounds]
+        for running in subtract_spans(self._reachability.run, self._reachability.outages[dispatcher]):
+            times = [running.start, *(at for at in answered if running.contains(at)), running.end]
+            for at, following in pairwise(times):
+                if following - at > MAX_SILENCE:
+                    text = f"{dispatcher} runs and answers nobody for {format_duration(following - at)}"
+                    self._findings.add("silent", dispatcher, text, at)
+
+    def _check_admin_replies(self, dispatcher: str, active: list[ActiveVersion]) -> None:
+        """The admin address names a version between those that clients see before and after."""
+        for reply in self._history.admin_replies[dispatcher]:
+            incarnation = self._reachability.incarnation(dispatcher, reply.asked_at)
+            if incarnation < 0 or incarnation != self._reachability.incarnation(
+                dispatcher, reply.answered_at
+            ):
+                continue
+            same = [(one, v) for one, v in active if v >= 0 and one.incarnation == incarnation]
+            before = [v for one, v in same if one.answered_at < reply.asked_at]
+            after = [v for one, v in same if one.asked_at > reply.answered_at]
+            if (before and reply.version < before[-1]) or (after and reply.version > after[0]):
+                seen = f"{before[-1:]} before and {after[:1]} after"
+                text = f"{dispatcher} claims version {reply.version}, clients saw {seen}"
+                self._findings.add("claim", dispatcher, text, reply.answered_at)
--- /dev/null
+++ b/ploverspoke/testbed/checkers/distribution_history.py
@@ -0,0 +1,202 @@
+"""The history of a config distribution run, read into types.
+
+A *tag* belongs to one publication: its body has the request classes gTAGa and gTAGb, and no others. Tag 0 is
+the dispatcher's own file.
+
+Details of the events: `roles` {servers, dispatchers}; `wants` a Publication; `sends` [id, server]; `answer` a
+PublishReply; `versions` [server, rows of ListedVersion, is final]; `probe` [dispatcher, asked at, names of
+known classes, names of unknown classes]; `door` [dispatcher, asked at, line of the admin address]; `watchers`
+[server, rows]; `serves empty` the server's name. Dispatchers' log lines are `log` events.
+"""
+
+import re
+from collections import defaultdict
+from collections.abc import Iterable, Sequence
+from typing import Any, NamedTuple
+
+from ..processes.history import HistoryEvent
+
+GOOD, REFUSABLE, UNACCEPTABLE = (
+    "good",
+    "refusable",
+    "unacceptable",
+)  # kinds: dispatchers, or servers, reject it
+NOT_EXPECTED = -1  # a publication without an expected version
+CLASS_NAME = re.compile(r"g(\d+)([ab])")
+COMPLETE = "ab"  # both classes of a tag
+REJECTION_LINE = re.compile(r"config: version (\d+) rejected: (.*)")
+APPLIED_LINE = re.compile(r"\+OK version (\d+) applied")
+
+
+class Publication(NamedTuple):
+    """A version that a publisher wants to publish."""
+
+    id: str
+    tag: int
+    kind: str
+    key: str  # that a rejection must name
+    expected_version: int
+
+
+class PublishReply(NamedTuple):
+    """The detail of an `answer` event."""
+
+    id: str
+    server: str
+    is_done: bool
+    version: int
+    reason: str
+    is_certain: bool  # the server knows whether it was committed
+
+
+class Acknowledgement(NamedTuple):
+    """The first reply that a publication is committed."""
+
+    at: int  # ns
+    version: int
+
+
+class ListedVersion(NamedTuple):
+    """A version as a server lists it."""
+
+    version: int
+    digest: str
+    publisher: str
+    id: str
+
+
+class CommittedVersion(NamedTuple):
+    """What was committed under a version number."""
+
+    digest: str
+    id: str
+
+
+class ProbeRound(NamedTuple):
+    """One round of probes at a dispatcher: which classes of each tag it knows ("a", "b" or "ab")."""
+
+    asked_at: int  # ns
+    answered_at: int
+    known: dict[int, str]  # by tag
+    unknown: dict[int, str]  # the same of the classes that it did not know
+    incarnation: int  # -1: while it ended or started
+
+
+class Rejection(NamedTuple):
+    """A dispatcher's log line that it rejected a version."""
+
+    at: int  # ns
+    version: int
+    reason: str
+
+
+class AdminReply(NamedTuple):
+    """The version that a dispatcher's admin address named."""
+
+    asked_at: int  # ns
+    answered_at: int
+    version: int
+
+
+class WatcherRow(NamedTuple):
+    """A dispatcher as a server lists it."""
+
+    at: int  # ns
+    row: list[Any]  # name, applied version, rejected version, reason, ...
+
+    def rejects(self, dispatcher: str, version: int) -> bool:
+        """Whether the row says that the dispatcher rejected the version."""
+        return bool(self.row[0] == dispatcher and self.row[2] == version)
+
+    def reason(self) -> str:
+        """Why it rejected the version."""
+        return str(self.row[3])
+
+
+def tags_of(class_names: Iterable[str]) -> dict[int, str]:
+    """By tag, which of its two classes are among the names."""
+    tags: dict[int, str] = {}
+    for name in sorted(class_names):
+        part = CLASS_NAME.fullmatch(name)
+        if part is not None:
+            tag = int(part[1])
+            tags[tag] = tags.get(tag, "") + part[2]
+    return tags
+
+
+class DistributionHistory:
+    """What publishers, probers and dispatchers recorded."""
+
+    def __init__(self, events: Sequence[HistoryEvent]) -> None:
+        """Read the events, which are in order of time."""
+        self.publications: dict[str, Publication] = {}  # by id
+        self.sent_at: dict[str, int] = {}  # ns of the first attempt, by id
+        self.replies: list[tuple[int, PublishReply]] = []  # with their times, ns
+        self.acknowledged: dict[str, Acknowledgement] = {}  # by id
+        self.listings: list[tuple[int, str, list[ListedVersion]]] = []  # time (ns), server
+        self.final_listings: dict[str, dict[int, str]] = {}  # by server, ids by version
+        self.committed: dict[int, CommittedVersion] = {}  # by version, as first listed
+        self.probes: dict[str, list[HistoryEvent]] = defaultdict(list)  # by dispatcher
+        self.rejections: dict[str, list[Rejection]] = defaultdict(list)  # by dispatcher
+        self.admin_replies: dict[str, list[AdminReply]] = defaultdict(list)  # by dispatcher
+        self.watcher_rows: list[WatcherRow] = []
+        self.empty_starts: list[tuple[int, str]] = []  # time (ns), server
+        readers = {
+            "wants": self._read_publication,
+            "sends": self._read_attempt,
+            "answer": self._read_reply,
+            "versions": self._read_listing,
+            "probe": self._read_probe,
+            "door": self._read_admin_reply,
+            "watchers": self._read_watchers,
+            "log": self._read_log_line,
+            "serves empty": self._read_empty_start,
+        }
+        for event in events:
+            read = readers.get(event.what)
+            if read is not None:
+                read(event)
+
+    def _read_publication(self, event: HistoryEvent) -> None:
+        publication = Publication(*event.detail)
+        self.publications[publication.id] = publication
+
+    def _read_attempt(self, event: HistoryEvent) -> None:
+        publication_id, _ = event.detail
+        self.sent_at.setdefault(publication_id, event.at)
+
+    def _read_reply(self, event: HistoryEvent) -> None:
+        reply = PublishReply(*event.detail)
+        self.replies.append((event.at, reply))
+        if reply.is_done:
+            self.acknowledged.setdefault(reply.id, Acknowledgement(event.at, reply.version))
+
+    def _read_listing(self, event: HistoryEvent) -> None:
+        server, rows, is_final = event.detail
+        listed = [ListedVersion(*row) for row in rows]
+        self.listings.append((event.at, server, listed))
+        for row in listed:
+            self.committed.setdefault(row.version, CommittedVersion(row.digest, row.id))
+        if is_final:
+            self.final_listings[server] = {row.version: row.id for row in listed}
+
+    def _read_probe(self, event: HistoryEvent) -> None:
+        self.probes[event.detail[0]].append(event)
+
+    def _read_admin_reply(self, event: HistoryEvent) -> None:
+        dispatcher, asked_at, line = event.detail
+        applied = APPLIED_LINE.match(line)
+        if applied is not None:
+            self.admin_replies[dispatcher].append(AdminReply(asked_at, event.at, int(applied[1])))
+
+    def _read_watchers(self, event: HistoryEvent) -> None:
+        _, rows = event.detail
+        self.watcher_rows += [WatcherRow(event.at, row) for row in rows]
+
+    def _read_log_line(self, event: HistoryEvent) -> None:
+        rejected = REJECTION_LINE.search(str(event.detail))
+        if rejected is not None:
+            self.rejections[event.who].append(Rejection(event.at, int(rejected[1]), rejected[2]))
+
+    def _read_empty_start(self, event: HistoryEvent) -> None:
+        self.empty_starts.append((event.at, event.detail))
--- /dev/null
+++ b/ploverspoke/testbed/checkers/observed_reachability.py
@@ -0,0 +1,132 @@
+"""Which processes ran and could reach each other, as follows from the faults that the rig applied."""
+
+from collections import defaultdict
+from collections.abc import Hashable, Mapping, Sequence
+from itertools import combinations
+from typing import Any, NamedTuple
+
+from ..processes.history import HistoryEvent
+from .time_spans import Span, find_span, merge_spans, subtract_spans
+
+RIG = "rig"
+OVER = " is over"  # the end of the event of a step's end
+RESTARTS = ("kill", "restart", "empty", "older")  # steps that end an incarnation
+# Steps during which a process may not answer.
+OUTAGES = (*RESTARTS, "pause", "starve", "disk full", "disk fails")
+LINK_FAULT_EVENTS = ("add fault", "reset")
+
+
+class Roles(NamedTuple):
+    """The names of the processes of a run."""
+
+    servers: list[str]
+    dispatchers: list[str]
+
+
+class CutLinks(NamedTuple):
+    """A time in which nothing passed from each origin to each target; an empty set is every process."""
+
+    span: Span
+    origins: frozenset[str]
+    targets: frozenset[str]
+
+    def covers(self, origin: str, target: str) -> bool:
+        """Whether the link from one to the other was cut."""
+        return (not self.origins or origin in self.origins) and (not self.targets or target in self.targets)
+
+
+class ObservedReachability:
+    """Outages, incarnations and cut links of a run."""
+
+    def __init__(self, events: Sequence[HistoryEvent]) -> None:
+        """Read the events of the rig; all events are in order of time."""
+        rig_events = [event for event in events if event.who == RIG]
+        no_roles: dict[str, list[str]] = {}
+        roles = next((event.detail for event in events if event.what == "roles"), no_roles)
+        self.roles = Roles(roles.get("servers", []), roles.get("dispatchers", []))
+        first, last = (events[0].at, events[-1].at) if events else (0, 0)
+        self.run = Span(next((event.at for event in rig_events if event.what == "begin"), first), last)
+        self.outages: dict[str, list[Span]] = defaultdict(list)  # by process
+        self.fault_count = sum(event.what in (*LINK_FAULT_EVENTS, *OUTAGES) for event in rig_events)
+        self._restarts: dict[str, list[Span]] = defaultdict(list)  # the outages that ended an incarnation
+        self._cut_links: list[CutLinks] = []
+        self._read_faults(rig_events)
+
+    def _read_faults(self, rig_events: Sequence[HistoryEvent]) -> None:
+        active: dict[Hashable, HistoryEvent] = {}  # by step and process, or by the number of a link fault
+        for event in rig_events:
+            if event.what in OUTAGES:
+                active[event.what, event.detail] = event
+            elif event.what.endswith(OVER):
+                self._add_fault(active.pop((event.what.removesuffix(OVER), event.detail), None), event.at)
+            elif event.what == "add fault":
+                active[event.detail[0]] = event
+            elif event.what == "remove fault":
+                self._add_fault(active.pop(event.detail, None), event.at)
+        for event in active.values():
+            self._add_fault(event, self.run.end)
+
+    def _add_fault(self, event: HistoryEvent | None, end: int) -> None:
+        if event is None:
+            return
+        span = Span(event.at, end)
+        if event.what == "add fault":
+            self._add_cut(span, event.detail[1])
+            return
+        self.outages[event.detail].append(span)
+        if event.what in RESTARTS:
+            self._restarts[event.detail].append(span)
+
+    def _add_cut(self, span: Span, fault: Mapping[str, Any]) -> None:
+        if fault.get("cut") or fault.get("silent"):
+            origins, targets = frozenset(fault.get("origin", ())), frozenset(fault.get("target", ()))
+            self._cut_links.append(CutLinks(span, origins, targets))
+
+    def separations(self, process: str, other: str) -> list[Span]:
+        """When a link between them was cut, in either direction."""
+        return [
+            cut.span
+            for cut in self._cut_links
+            for origin, target in ((process, other), (other, process))
+            if cut.covers(origin, target)
+        ]
+
+    def reachable_spans(self, min_length: int) -> dict[str, list[Span]]:
+        """By dispatcher, the spans of at least `min_length` (ns) in which it can reach the configuration.
+
+        That is while it runs and nothing is cut between it and a server that runs and, with others that run,
+        is a majority with nothing cut among them.
+        """
+        majorities = list(combinations(self.roles.servers, len(self.roles.servers) // 2 + 1))
+        broken = {majority: self._broken_spans(majority) for majority in majorities}
+        reachable = {}
+        for dispatcher in self.roles.dispatchers:
+            spans = {
+                span
+                for majority in majorities
+                for server in majority
+                for span in subtract_spans(
+                    self.run,
+                    [
+                        *broken[majority],
+                        *self.outages[dispatcher],
+                        *self.separations(dispatcher, server),
+                    ],
+                )
+                if span.length() >= min_length
+            }
+            reachable[dispatcher] = sorted(spans)
+        return reachable
+
+    def _broken_spans(self, servers: Sequence[str]) -> list[Span]:
+        """When one of these servers did not run, or two could not reach each other."""
+        outages = [span for server in servers for span in self.outages[server]]
+        separations = [
+            span for server, other in combinations(servers, 2) for span in self.separations(server, other)
+        ]
+        return merge_spans(outages + separations)
+
+    def incarnation(self, process: str, at: int) -> int:
+        """The number of the process's incarnation at that time, from 0; -1 while it ends or starts."""
+        restarts = self._restarts[process]
+        return -1 if find_span(restarts, at) else sum(span.end < at for span in restarts)
--- a/ploverspoke/testbed/scenarios/distribution_scenario.py
+++ b/ploverspoke/testbed/scenarios/distribution_scenario.py
@@ -555,20 +555,20 @@
         else run_distribution_scenario(e.plan, seed)
     )
     verdict, must = outcome.verdict, e.must_hold
-    void = outcome.void or verdict.void(must.versions, must.troubles)
+    void = outcome.void or verdict.void_reason(must.versions, must.troubles)
     failed = [*(what for what, _ in verdict.findings), *outcome.faults]
-    if must.calm and verdict.calm and verdict.calm[-1] * SECOND > must.calm:
-        failed.append(f"in force after {verdict.calm[-1]:.2f} s where nothing was wrong")
+    if must.calm and verdict.calm_delays and verdict.calm_delays[-1] * SECOND > must.calm:
+        failed.append(f"in force after {verdict.calm_delays[-1]:.2f} s where nothing was wrong")
     figures: dict[str, Any] = {
         "seed": seed,
         "acknowledged": verdict.acknowledged,
         "versions": verdict.versions,
-        "judged": verdict.judged,
-        "refusals": verdict.refusals,
-        "troubles": verdict.troubles,
+        "judged": verdict.checked_probes,
+        "refusals": verdict.reported_rejections,
+        "troubles": verdict.faults,
         "steps": len(outcome.steps),
     }
-    for name, row in (("calm", verdict.calm), ("troubled", verdict.troubled)):
+    for name, row in (("calm", verdict.calm_delays), ("troubled", verdict.delays_after_faults)):
         figures |= {
             f"{name}_count": len(row),
             f"{name}_p50_s": percentile(row, 0.5),
--- a/tests/config_distribution/test_processes.py
+++ b/tests/config_distribution/test_processes.py
@@ -45,8 +45,8 @@
     others = [s for s in timeline(plan, 53) if s.what in (*LINK_FAULTS, "copy") or not apart & set(s.who)]
     played = run_distribution_scenario(plan, 53, [*others, *own_steps])
     assert played.shown == [], "\n".join(played.shown)
-    assert (played.void, played.faults, played.verdict.void()) == ("", [], "")
-    assert played.verdict.refusals == plan.dispatchers
+    assert (played.void, played.faults, played.verdict.void_reason()) == ("", [], "")
+    assert played.verdict.reported_rejections == plan.dispatchers
     done = {event.what for event in played.events if event.who == "rig"}
     expected = {"kill", "pause", "restart", "empty", "older"}
     assert done >= {
@@ -79,8 +79,8 @@
     findings = findings_of(run_distribution_scenario(plan, 2, [*regions(plan), paused], faulty_programs))
     for expected in (
         "a-d0 went back from version",
-        "b-d1 has half of tag",
-        "which has to be refused",
+        "b-d1 applied half of tag",
+        "which must be rejected",
         "b-d3 is at version",
     ):
         assert [finding for finding in findings if expected in finding], findings
@@ -119,7 +119,7 @@
     )
     faulty_programs = {name: [FAULTY, "ignores_expected_version,begins_anew"] for name in plan.server_names()}
     findings = findings_of(run_distribution_scenario(plan, 4, regions(plan), faulty_programs))
-    for expected in ("won", "and came behind", "serves with an empty folder"):
+    for expected in ("all were committed", "and follows", "serves with an empty folder"):
         assert [finding for finding in findings if expected in finding], findings
 
 
--- a/tests/test_lint_exceptions.py
+++ b/tests/test_lint_exceptions.py
@@ -11,7 +11,7 @@
 # Packages that do not keep all rules yet. A package leaves this list for good once it keeps them.
 LEFT = {
     "ploverspoke/testbed/capacity/**",
-    "ploverspoke/testbed/checkers/**",
+    "ploverspoke/testbed/checkers/scale_checker.py",
     "ploverspoke/testbed/commands/**",
     "ploverspoke/testbed/experiment_files/**",
     "ploverspoke/testbed/fakes/**",
--- a/tests/testbed/checkers/test_distribution_checker.py
+++ b/tests/testbed/checkers/test_distribution_checker.py
@@ -4,7 +4,9 @@
 
 import pytest
 
-from ploverspoke.testbed.checkers.distribution_checker import World, check_distribution_history, gaps, joined
+from ploverspoke.testbed.checkers.distribution_checker import check_distribution_history
+from ploverspoke.testbed.checkers.observed_reachability import ObservedReachability
+from ploverspoke.testbed.checkers.time_spans import Span, merge_spans, subtract_spans
 from ploverspoke.testbed.experiment_files.durations import SECOND
 from ploverspoke.testbed.processes.history import HistoryEvent
 
@@ -145,8 +147,10 @@
 @pytest.mark.parametrize("told", [told for _, told in GOOD], ids=[name for name, _ in GOOD])
 def test_a_history_without_a_break_passes(told: Callable[[], Story]) -> None:
     verdict = check_distribution_history(told())
-    assert verdict.findings == [] and verdict.judged > 0 and verdict.versions >= 2
-    assert verdict.void(versions=2, troubles=0) == "" and verdict.void(versions=20).startswith("only")
+    assert verdict.findings == [] and verdict.checked_probes > 0 and verdict.versions >= 2
+    assert verdict.void_reason(min_versions=2, min_faults=0) == "" and verdict.void_reason(
+        min_versions=20
+    ).startswith("only")
 
 
 def unacknowledged(at: int, tag: int, sure: bool) -> Story:
@@ -165,13 +169,13 @@
      lambda: story(PUBLISHED, unacknowledged(4000, 4, False), probes("d0", IN_TIME),
                    probes("d1", {**IN_TIME, 4400: 4, 8000: 3}, (5000, 8000)),
                    done(5000, 8000, "older", "d1"), ids=["p1", "p2", "p3", "p4"])),
-    ("2: not committed", "d0 has p4 in force, which was not committed",
+    ("2: not committed", "d0 applied p4, which was not committed",
      lambda: story(PUBLISHED, unacknowledged(4000, 4, False), probes("d0", {**IN_TIME, 4400: 4}),
                    probes("d1", IN_TIME))),
-    ("2: half of it", "d1 has half of tag 3 in force: a alone",
+    ("2: half of it", "d1 applied half of tag 3: a alone",
      lambda: story(PUBLISHED, probes("d0", IN_TIME), probes("d1", IN_TIME, (3200, 3500)),
                    [probed(3250, "d1", 3, "a"), probed(3350, "d1", 3, "a")])),
-    ("2: nothing that is known", "d1 has nothing in force that is known",
+    ("2: nothing that is known", "d1 applies no version that is known",
      lambda: story(PUBLISHED, probes("d0", IN_TIME), probes("d1", IN_TIME, (3200, 3500)),
                    [probed(3250, "d1", 3, ""), probed(3350, "d1", 3, "")])),
     ("3: late", "d1 is at version 2 10.1s after 3 was acknowledged, and could reach it",
@@ -194,35 +198,36 @@
     ("5: a lower number later", "p3 is version 2 and began when p2 was acknowledged as 3",
      lambda: story(published(1000, 1, 1), published(2000, 2, 3), published(3000, 3, 2), both(IN_TIME),
                    ids=["p1", "p3", "p2"])),
-    ("5: twice under one id", "p1 counts twice: versions [1, 3]",
+    ("5: twice under one id", "p1 was committed twice: versions [1, 3]",
      lambda: story(published(1000, 1, 1), published(2000, 2, 2), both({1200: 1, 2200: 2}),
                    ids=["p1", "p2", "p1"])),
     ("5: two answers under one id", "p3 was acknowledged as version 3 and as 4",
      lambda: story(PUBLISHED, both(IN_TIME), [row(3500, "p", "answer", ["p3", "s1", True, 4, "", True])])),
-    ("5: both won", "p2 and p3 expected version 1, and all won",
+    ("5: both won", "p2 and p3 expected version 1, and all were committed",
      lambda: story(published(1000, 1, 1), published(2000, 2, 2, expect=1), published(2001, 3, 3, expect=1),
                    both(IN_TIME))),
-    ("5: the expectation was not looked at", "p3 expected version 1 and came behind 2",
+    ("5: the expectation was not looked at", "p3 expected version 1 and follows 2",
      lambda: story(published(1000, 1, 1), published(2000, 2, 2), published(3000, 3, 3, expect=1),
                    both(IN_TIME))),
-    ("5: refused and counted", "p3 was refused (refused) and is version 3",
+    ("5: refused and counted", "p3 was rejected (refused) and is version 3",
      lambda: story(published(1000, 1, 1), published(2000, 2, 2), unacknowledged(3000, 3, True),
                    both(IN_TIME))),
-    ("6: what checks refuse is in force", "d0 has p3 in force, which has to be refused",
+    ("6: what checks refuse is in force", "d0 applied p3, which must be rejected",
      lambda: story(published(1000, 1, 1), published(2000, 2, 2), published(3000, 3, 3, "refusable"),
                    probes("d0", IN_TIME), probes("d1", {1200: 1, 2200: 2}))),
-    ("6: not reported", f"d0 did not say in time that version 3 is refused for {KEY}",
+    ("6: not reported", f"d0 did not report in time that version 3 is rejected for {KEY}",
      lambda: story(published(1000, 1, 1), published(2000, 2, 2), published(3000, 3, 3, "refusable"),
                    both({1200: 1, 2200: 2}))),
-    ("6: reported without its key", f"d0 did not say in time that version 3 is refused for {KEY}",
+    ("6: reported without its key", f"d0 did not report in time that version 3 is rejected for {KEY}",
      lambda: story(published(1000, 1, 1), published(2000, 2, 2), published(3000, 3, 3, "refusable"),
                    both({1200: 1, 2200: 2}), [row(3200, "d0", "log", "config: version 3 refused: bad")])),
-    ("6: a server took what it must not", "s0 took p3, whose settings.Limits.MaxHandOffs no server may take",
+    ("6: a server took what it must not",
+     "s0 accepted p3, whose settings.Limits.MaxHandOffs servers must reject",
      lambda: story(published(1000, 1, 1), published(2000, 2, 2), published(3000, 3, 3, "unacceptable"),
                    both({1200: 1, 2200: 2}))),
     ("an emptied server lies", "s1 serves with an empty folder",
      lambda: story(PUBLISHED, both(IN_TIME), [row(5000, "rig", "serves empty", "s1")])),
-    ("nobody is answered", "d1 lives and answers nobody for 6",
+    ("nobody is answered", "d1 runs and answers nobody for 6",
      lambda: story(PUBLISHED, probes("d0", IN_TIME), probes("d1", IN_TIME, (20_000, 26_000)))),
     ("the operators' door lies", "d0 claims version 3, clients saw [1] before and [1] after",
      lambda: story(PUBLISHED, both(IN_TIME),
@@ -242,30 +247,33 @@
     verdict = check_distribution_history(
         story(PUBLISHED, probes("d0", IN_TIME), probes("d1", {13_000: 3}), laid(500, 12_050, CUT))
     )
-    assert verdict.findings == [] and verdict.acknowledged == 3 and verdict.troubles == 1
-    assert [round(one, 3) for one in verdict.calm] == [0.185] * 3
-    assert [round(one, 3) for one in verdict.troubled] == [0.955] * 3
-    assert verdict.void(3, 2) == "only 1 troubles: that proves nothing"
+    assert verdict.findings == [] and verdict.acknowledged == 3 and verdict.faults == 1
+    assert [round(one, 3) for one in verdict.calm_delays] == [0.185] * 3
+    assert [round(one, 3) for one in verdict.delays_after_faults] == [0.955] * 3
+    assert verdict.void_reason(3, 2) == "only 1 faults: that proves nothing"
     unread = [event for event in story(PUBLISHED, both(IN_TIME)) if event.what != "versions"]
-    assert "not read" in check_distribution_history(unread).void(0, 0)
+    assert "not read" in check_distribution_history(unread).void_reason(0, 0)
     cut = {"origin": SERVERS, "target": SERVERS, "cut": True}
     assert "long enough" in check_distribution_history(
         story(PUBLISHED, both(IN_TIME), laid(0, ENDS, cut))
-    ).void(0, 0)
+    ).void_reason(0, 0)
 
 
 def test_spans_and_who_can_reach_whom() -> None:
-    assert joined([(3, 5), (1, 2), (4, 9)]) == [(1, 2), (3, 9)]
-    assert gaps((0, 10), [(3, 5), (8, 20)]) == [(0, 3), (5, 8)] and gaps((0, 10), [(0, 10)]) == []
+    assert merge_spans([Span(3, 5), Span(1, 2), Span(4, 9)]) == [(1, 2), (3, 9)]
+    assert (
+        subtract_spans(Span(0, 10), [Span(3, 5), Span(8, 20)]) == [(0, 3), (5, 8)]
+        and subtract_spans(Span(0, 10), [Span(0, 10)]) == []
+    )
     one_way = laid(10_000, 20_000, {"origin": ["s0"], "target": ["s1"], "cut": True})
     third = [*done(5000, 30_000, "kill", "s2"), *laid(0, 1, {"origin": [], "target": []}, 2)]
-    world = World(story(one_way, third))
+    reachability = ObservedReachability(story(one_way, third))
     # With s2 away s0 and s1 are the majority, and they are apart meanwhile.
-    assert [(b // MS, e // MS) for b, e in world.reaches(4 * SECOND)["d0"]] == [
+    assert [(b // MS, e // MS) for b, e in reachability.reachable_spans(4 * SECOND)["d0"]] == [
         (0, 5000),
         (0, 10_000),
         (20_000, 40_100),
         (30_000, 40_100),
     ]
-    assert world.life("s2", 4000 * MS) == 0 and world.life("s2", 6000 * MS) == -1
-    assert world.life("s2", 31_000 * MS) == 1
+    assert reachability.incarnation("s2", 4000 * MS) == 0 and reachability.incarnation("s2", 6000 * MS) == -1
+    assert reachability.incarnation("s2", 31_000 * MS) == 1
