--- a/ploverspoke/testbed/checkers/request_audit.py
+++ b/ploverspoke/testbed/checkers/request_audit.py
@@ -105,7 +105,7 @@
             return
         request.attempts.append(ObservedAttempt(event.at, event.worker, event.detail, event.dispatcher))
         since = self._unready_since.get((event.dispatcher, event.worker))
-        allowed = self._experiment.rules.stop_sending_within + self._tolerance
+        allowed = self._experiment.rules.drain_grace + self._tolerance
         if since is not None and event.at > since + allowed:
             late_by = format_duration(event.at - since)
             text = f"sent to {event.worker} {late_by} after it was reported not to be ready"
--- a/ploverspoke/testbed/checkers/request_rules.py
+++ b/ploverspoke/testbed/checkers/request_rules.py
@@ -135,10 +135,10 @@
         if idempotency == NON_IDEMPOTENT:
             return f"non-idempotent, again to {retry.worker}; {first.worker} may have run it"
         request_class = self._experiment.request_classes[request.request_class]
-        groups = self._group_of[request_class.group]
+        groups = self._group_of[request_class.retry_scope]
         if groups[retry.worker] != groups[first.worker]:
-            return f"with a key, to {retry.worker} outside the {request_class.group} of {first.worker}"
-        if retry.arrived_at - first.arrived_at > request_class.window + self._tolerance:
+            return f"with a key, to {retry.worker} outside the {request_class.retry_scope} of {first.worker}"
+        if retry.arrived_at - first.arrived_at > request_class.retry_window + self._tolerance:
             return f"with a key, to {retry.worker} after the window of {first.worker}"
         return ""
 
@@ -148,7 +148,7 @@
         """A rejection promises that the request did not run, or may run again anywhere."""
         rejected_at = next((answer.at for answer in request.answers if answer.outcome == REJECTED), -1)
         request_class = self._experiment.request_classes[request.request_class]
-        is_restricted = idempotency == NON_IDEMPOTENT or request_class.group != ALL_WORKERS
+        is_restricted = idempotency == NON_IDEMPOTENT or request_class.retry_scope != ALL_WORKERS
         if rejected_at >= 0 and first.arrived_at < rejected_at and is_restricted:
             yield Violation(Rule.RETRIES, rejected_at, f"rejected, though {first.worker} may have run it")
 
--- a/ploverspoke/testbed/scenarios/config_change_fleet.py
+++ b/ploverspoke/testbed/scenarios/config_change_fleet.py
@@ -60,7 +60,7 @@
 
     async def _change(self, epoch: int) -> None:
         assert self.asker is not None
-        play, begins = self.play_, epoch + self.e.counted_from
+        play, begins = self.play_, epoch + self.e.measured_from
         every = play.lasts // (play.changes + 1)
         try:
             for number in range(1, play.changes + 1):
@@ -140,11 +140,11 @@
         return super()._place(number, place)._replace(watch=str(watch))
 
     async def _change(self, epoch: int) -> None:
-        await asyncio.sleep(max(0, epoch + self.e.counted_from - time.monotonic_ns()) / SECOND)
+        await asyncio.sleep(max(0, epoch + self.e.measured_from - time.monotonic_ns()) / SECOND)
         await self.rig.link_faults.read_counters()
         self.octets = self.rig.link_faults.counters.links.bytes_passed
         await super()._change(epoch)
-        await asyncio.sleep(max(0, epoch + self.e.lasts - time.monotonic_ns()) / SECOND)
+        await asyncio.sleep(max(0, epoch + self.e.duration - time.monotonic_ns()) / SECOND)
         await self.rig.link_faults.read_counters()
         self.carried = self.rig.link_faults.counters.links.bytes_passed - self.octets
 
