--- a/ploverspoke/testbed/capacity/measurements/store_replica.py
+++ b/ploverspoke/testbed/capacity/measurements/store_replica.py
@@ -194,7 +194,9 @@
         gone = (leader + 1) % world.e.dispatchers.count
         name = f"d{gone}"
         applied = before.status[gone]["applied"]
-        step = FaultStep(at=Duration(0), what="kill", who=[name], lasts=Duration(int(away * SECOND)))
+        step = FaultStep(
+            start=Duration(0), kind="kill", processes=[name], duration=Duration(int(away * SECOND))
+        )
         await world.rig.timeline.apply_to_process(step, name)  # back, and ready at its door
         began = time.monotonic()
         # What it had not when it was back at its replicas' port; the link counts from its death on.
--- a/ploverspoke/testbed/checkers/audited_requests.py
+++ b/ploverspoke/testbed/checkers/audited_requests.py
@@ -24,7 +24,7 @@
 
     rule: Rule
     at: int  # ns
-    submission: str  # id of the request; "" where it is about a worker
+    request_id: str  # "" where it is about a worker
     worker: str
     text: str
     timeline: list[str]  # what was observed; only for the first findings
--- a/ploverspoke/testbed/checkers/dispatcher_checks.py
+++ b/ploverspoke/testbed/checkers/dispatcher_checks.py
@@ -15,7 +15,7 @@
 )
 from .finding_collector import FindingCollector
 from .observed_reachability import ObservedReachability
-from .time_spans import Span, find_span, subtract_spans
+from .time_intervals import Interval, find_interval, subtract_intervals
 
 MAX_SILENCE = 5 * SECOND  # of a dispatcher that runs and is probed all the time
 OWN_FILE_TAG = 0
@@ -81,14 +81,18 @@
         self.delays_after_faults: list[float] = []  # s
 
     def check(
-        self, dispatcher: str, rounds: list[ProbeRound], reachable: list[Span], shortly_reachable: list[Span]
+        self,
+        dispatcher: str,
+        rounds: list[ProbeRound],
+        reachable: list[Interval],
+        shortly_reachable: list[Interval],
     ) -> None:
         """Check one dispatcher.
 
         Args:
             dispatcher: Its name.
             rounds: Its rounds of probes, in order of time.
-            reachable: The spans of at least `within` in which it could reach the configuration.
+            reachable: The intervals of at least `within` in which it could reach the configuration.
             shortly_reachable: The same of at least a second.
         """
         self._check_known_tags(dispatcher, rounds)
@@ -158,7 +162,7 @@
             highest[incarnation] = max(highest.get(incarnation, UNKNOWN_VERSION), version)
 
     def _check_not_behind_after_restart(
-        self, dispatcher: str, active: list[ActiveVersion], reachable: list[Span]
+        self, dispatcher: str, active: list[ActiveVersion], reachable: list[Interval]
     ) -> None:
         highest: dict[int, int] = {}  # by incarnation
         for (asked_at, _, _, _, incarnation), version in active:
@@ -170,9 +174,9 @@
                 self._findings.add("behind", dispatcher, text, asked_at)
             highest[incarnation] = max(highest.get(incarnation, UNKNOWN_VERSION), version)
 
-    def _was_reachable(self, reachable: list[Span], at: int) -> bool:
+    def _was_reachable(self, reachable: list[Interval], at: int) -> bool:
         """Whether the configuration could be reached for `within` before that time."""
-        return any(span.start + self._within <= at <= span.end for span in reachable)
+        return any(interval.start + self._within <= at <= interval.end for interval in reachable)
 
     # ---- Rules 3 and 4 ----
 
@@ -187,7 +191,7 @@
         self,
         dispatcher: str,
         active: list[ActiveVersion],
-        reachable: list[Span],
+        reachable: list[Interval],
         acknowledged: list[Acknowledgement],
     ) -> None:
         times = [reply.at for reply in acknowledged]
@@ -205,23 +209,23 @@
                 self._findings.add("late", dispatcher, f"{text}, and could reach it", asked_at)
 
     def _measure_delays(
-        self, active: list[ActiveVersion], reachable: list[Span], acknowledged: list[Acknowledgement]
+        self, active: list[ActiveVersion], reachable: list[Interval], acknowledged: list[Acknowledgement]
     ) -> None:
         """How long each version took where it could be reached, from the end of the fault before."""
         for at, version in acknowledged:
             first = next((one for one, v in active if v >= version and one.answered_at >= at), None)
-            span = find_span(reachable, first.asked_at) if first is not None else None
-            if first is None or span is None:
+            interval = find_interval(reachable, first.asked_at) if first is not None else None
+            if first is None or interval is None:
                 continue
-            delay = max(0, first.answered_at - max(at, span.start)) / SECOND
-            is_calm = span.start + self._within <= at or span.start == self._reachability.run.start
+            delay = max(0, first.answered_at - max(at, interval.start)) / SECOND
+            is_calm = interval.start + self._within <= at or interval.start == self._reachability.run.start
             (self.calm_delays if is_calm else self.delays_after_faults).append(delay)
 
     # ---- What clients and operators receive ----
 
     def _check_answers(self, dispatcher: str, rounds: list[ProbeRound]) -> None:
         answered = [probe_round.answered_at for probe_round in rounds]
-        for running in subtract_spans(self._reachability.run, self._reachability.outages[dispatcher]):
+        for running in subtract_intervals(self._reachability.run, self._reachability.outages[dispatcher]):
             times = [running.start, *(at for at in answered if running.contains(at)), running.end]
             for at, following in pairwise(times):
                 if following - at > MAX_SILENCE:
--- a/ploverspoke/testbed/checkers/distribution_checker.py
+++ b/ploverspoke/testbed/checkers/distribution_checker.py
@@ -75,7 +75,10 @@
     history, reachability = DistributionHistory(events), ObservedReachability(events)
     CommittedVersionChecks(history, findings).check()
     versions = VersionsByTag(history)
-    reachable, shortly_reachable = reachability.reachable_spans(within), reachability.reachable_spans(SECOND)
+    reachable, shortly_reachable = (
+        reachability.reachable_intervals(within),
+        reachability.reachable_intervals(SECOND),
+    )
     dispatcher_checks = DispatcherChecks(history, reachability, versions, findings, within)
     rejection_checks = RejectionChecks(history, reachability, findings, within)
     for dispatcher in reachability.roles.dispatchers:
--- a/ploverspoke/testbed/checkers/observed_reachability.py
+++ b/ploverspoke/testbed/checkers/observed_reachability.py
@@ -6,7 +6,7 @@
 from typing import Any, NamedTuple
 
 from ..processes.history import HistoryEvent
-from .time_spans import Span, find_span, merge_spans, subtract_spans
+from .time_intervals import Interval, find_interval, merge_intervals, subtract_intervals
 
 RIG = "rig"
 OVER = " is over"  # the end of the event of a step's end
@@ -26,7 +26,7 @@
 class CutLinks(NamedTuple):
     """A time in which nothing passed from each origin to each target; an empty set is every process."""
 
-    span: Span
+    interval: Interval
     origins: frozenset[str]
     targets: frozenset[str]
 
@@ -45,10 +45,10 @@
         roles = next((event.detail for event in events if event.what == "roles"), no_roles)
         self.roles = Roles(roles.get("servers", []), roles.get("dispatchers", []))
         first, last = (events[0].at, events[-1].at) if events else (0, 0)
-        self.run = Span(next((event.at for event in rig_events if event.what == "begin"), first), last)
-        self.outages: dict[str, list[Span]] = defaultdict(list)  # by process
+        self.run = Interval(next((event.at for event in rig_events if event.what == "begin"), first), last)
+        self.outages: dict[str, list[Interval]] = defaultdict(list)  # by process
         self.fault_count = sum(event.what in (*LINK_FAULT_EVENTS, *OUTAGES) for event in rig_events)
-        self._restarts: dict[str, list[Span]] = defaultdict(list)  # the outages that ended an incarnation
+        self._restarts: dict[str, list[Interval]] = defaultdict(list)  # the outages that ended an incarnation
         self._cut_links: list[CutLinks] = []
         self._read_faults(rig_events)
 
@@ -69,43 +69,43 @@
     def _add_fault(self, event: HistoryEvent | None, end: int) -> None:
         if event is None:
             return
-        span = Span(event.at, end)
+        interval = Interval(event.at, end)
         if event.what == "add fault":
-            self._add_cut(span, event.detail[1])
+            self._add_cut(interval, event.detail[1])
             return
-        self.outages[event.detail].append(span)
+        self.outages[event.detail].append(interval)
         if event.what in RESTARTS:
-            self._restarts[event.detail].append(span)
+            self._restarts[event.detail].append(interval)
 
-    def _add_cut(self, span: Span, fault: Mapping[str, Any]) -> None:
+    def _add_cut(self, interval: Interval, fault: Mapping[str, Any]) -> None:
         if fault.get("cut") or fault.get("silent"):
             origins, targets = frozenset(fault.get("origin", ())), frozenset(fault.get("target", ()))
-            self._cut_links.append(CutLinks(span, origins, targets))
+            self._cut_links.append(CutLinks(interval, origins, targets))
 
-    def separations(self, process: str, other: str) -> list[Span]:
+    def separations(self, process: str, other: str) -> list[Interval]:
         """When a link between them was cut, in either direction."""
         return [
-            cut.span
+            cut.interval
             for cut in self._cut_links
             for origin, target in ((process, other), (other, process))
             if cut.covers(origin, target)
         ]
 
-    def reachable_spans(self, min_length: int) -> dict[str, list[Span]]:
-        """By dispatcher, the spans of at least `min_length` (ns) in which it can reach the configuration.
+    def reachable_intervals(self, min_length: int) -> dict[str, list[Interval]]:
+        """By dispatcher, the intervals of at least `min_length` (ns) in which it can reach the configuration.
 
         That is while it runs and nothing is cut between it and a server that runs and, with others that run,
         is a majority with nothing cut among them.
         """
         majorities = list(combinations(self.roles.servers, len(self.roles.servers) // 2 + 1))
-        broken = {majority: self._broken_spans(majority) for majority in majorities}
+        broken = {majority: self._broken_intervals(majority) for majority in majorities}
         reachable = {}
         for dispatcher in self.roles.dispatchers:
-            spans = {
-                span
+            intervals = {
+                interval
                 for majority in majorities
                 for server in majority
-                for span in subtract_spans(
+                for interval in subtract_intervals(
                     self.run,
                     [
                         *broken[majority],
@@ -113,20 +113,22 @@
                         *self.separations(dispatcher, server),
                     ],
                 )
-                if span.length() >= min_length
+                if interval.length() >= min_length
             }
-            reachable[dispatcher] = sorted(spans)
+            reachable[dispatcher] = sorted(intervals)
         return reachable
 
-    def _broken_spans(self, servers: Sequence[str]) -> list[Span]:
+    def _broken_intervals(self, servers: Sequence[str]) -> list[Interval]:
         """When one of these servers did not run, or two could not reach each other."""
-        outages = [span for server in servers for span in self.outages[server]]
+        outages = [interval for server in servers for interval in self.outages[server]]
         separations = [
-            span for server, other in combinations(servers, 2) for span in self.separations(server, other)
+            interval
+            for server, other in combinations(servers, 2)
+            for interval in self.separations(server, other)
         ]
-        return merge_spans(outages + separations)
+        return merge_intervals(outages + separations)
 
     def incarnation(self, process: str, at: int) -> int:
         """The number of the process's incarnation at that time, from 0; -1 while it ends or starts."""
         restarts = self._restarts[process]
-        return -1 if find_span(restarts, at) else sum(span.end < at for span in restarts)
+        return -1 if find_interval(restarts, at) else sum(interval.end < at for interval in restarts)
--- a/ploverspoke/testbed/checkers/rejection_checks.py
+++ b/ploverspoke/testbed/checkers/rejection_checks.py
@@ -3,7 +3,7 @@
 from .distribution_history import REFUSABLE, Acknowledgement, DistributionHistory, Publication
 from .finding_collector import FindingCollector
 from .observed_reachability import ObservedReachability
-from .time_spans import Span
+from .time_intervals import Interval
 
 
 class RejectionChecks:
@@ -23,8 +23,8 @@
         self._within = within
         self.reported = 0
 
-    def check(self, dispatcher: str, reachable: list[Span]) -> None:
-        """Check one dispatcher; `reachable` are the spans in which it could reach the configuration."""
+    def check(self, dispatcher: str, reachable: list[Interval]) -> None:
+        """Check one dispatcher; `reachable` are the intervals in which it could reach the configuration."""
         by_time = sorted(self._history.acknowledged.items(), key=lambda item: (item[1], item[0]))
         for publication_id, acknowledged in by_time:
             publication = self._history.publications[publication_id]
@@ -35,7 +35,7 @@
                 self._check_log(dispatcher, publication, acknowledged.version, due_at)
                 self._check_server_lists(dispatcher, publication, acknowledged.version, due_at)
 
-    def _due_at(self, acknowledged: Acknowledgement, reachable: list[Span]) -> int | None:
+    def _due_at(self, acknowledged: Acknowledgement, reachable: list[Interval]) -> int | None:
         """By when the dispatcher must have reported it; None if it need not."""
         # Once a later version may have been committed, the dispatcher need not look at this one.
         later = [
@@ -44,9 +44,9 @@
             if version > acknowledged.version and committed.id in self._history.sent_at
         ]
         replaced_at = min(later, default=self._reachability.run.end)
-        for span in reachable:
-            due_at = max(span.start, acknowledged.at) + self._within
-            if due_at <= min(span.end, replaced_at):
+        for interval in reachable:
+            due_at = max(interval.start, acknowledged.at) + self._within
+            if due_at <= min(interval.end, replaced_at):
                 return due_at
         return None
 
--- a/ploverspoke/testbed/processes/dispatcher_process.py
+++ b/ploverspoke/testbed/processes/dispatcher_process.py
@@ -8,7 +8,11 @@
 from pathlib import Path
 from typing import Any
 
-from .addresses import reserve_ports
+from .addresses import LOCALHOST, reserve_ports
+
+READY_TIMEOUT = 60  # seconds
+READY_POLL_INTERVAL = 0.01  # seconds
+READY_LOG_LINE = " serves at "
 
 SETTINGS: dict[str, Any] = {
     "Discovery": "ask",
@@ -38,13 +42,13 @@
     """One dispatcher: the program itself, as an operator starts it."""
 
     def __init__(self, folder: Path, number: int, discovery: str, seed: int, **settings: Any) -> None:
-        """Prepare its configuration; `settings` replace those above."""
+        """Prepare its configuration; `settings` replace those of SETTINGS."""
         self.port = reserve_ports(1)[0]
         self.path = folder / f"dispatcher-{number}.json"
         self.log = self.path.with_suffix(".log")
         self.document: dict[str, Any] = {
             "name": f"dispatcher-{number}",
-            "listen": f"127.0.0.1:{self.port}",
+            "listen": f"{LOCALHOST}:{self.port}",
             "discovery": discovery,
             "seed": f"{seed:x}",
             "settings": {**SETTINGS, **settings},
@@ -52,7 +56,7 @@
         self.process: asyncio.subprocess.Process | None = None
 
     async def start(self) -> None:
-        """Start the program; returns when it serves."""
+        """Start the program and wait until it serves. Raises TimeoutError."""
         self.path.write_text(json.dumps(self.document))
         with self.log.open("wb") as log:
             self.process = await asyncio.create_subprocess_exec(
@@ -60,12 +64,12 @@
                 env={**os.environ, "RELAY_CONFIG": str(self.path)},
                 stderr=log,
             )
-        async with asyncio.timeout(60):
-            while " serves at " not in self.log.read_text():
-                await asyncio.sleep(0.01)
+        async with asyncio.timeout(READY_TIMEOUT):
+            while READY_LOG_LINE not in self.log.read_text():
+                await asyncio.sleep(READY_POLL_INTERVAL)
 
     def move_discovery(self, address: str) -> None:
-        """Replace its configuration by one that names another discovery, and say so."""
+        """Have it read a configuration that names another discovery."""
         self.document = {**self.document, "discovery": address}
         self.path.write_text(json.dumps(self.document))
         self.send(signal.SIGHUP)
--- a/ploverspoke/testbed/processes/launcher.py
+++ b/ploverspoke/testbed/processes/launcher.py
@@ -74,14 +74,24 @@
 
 def make_event_loop_class(plan: LaunchPlan, clock: FaultyClock) -> type[uvloop.Loop]:
     """An event loop that sends from and listens at the process's own host, by the process's clock."""
+    own_host_loop = make_own_host_loop_class(plan)
+    return own_host_loop if plan.clock_rate == 1.0 else make_drifting_loop_class(own_host_loop, clock)
+
+
+def make_own_host_loop_class(plan: LaunchPlan) -> type[uvloop.Loop]:
+    """An event loop that sends from and listens at the process's own host."""
 
     def own_host(host: Any) -> Any:
+        """Replace the proxy's host."""
         return plan.host if host == plan.proxy_host else host
 
     class OwnHostLoop(uvloop.Loop):
+        """Replaces the hosts of sockets as they are created."""
+
         async def create_connection(  # type: ignore[override]
             self, factory: Any, host: Any = None, port: Any = None, **options: Any
         ) -> Any:
+            """Connect from the process's own host."""
             if host is not None and options.get("local_addr") is None:
                 options["local_addr"] = (plan.host, 0)
             return await super().create_connection(factory, host, port, **options)
@@ -89,32 +99,44 @@
         async def create_server(  # type: ignore[override]
             self, factory: Any, host: Any = None, port: Any = None, **options: Any
         ) -> Any:
+            """Listen at the process's own host."""
             return await super().create_server(factory, own_host(host), port, **options)
 
         async def create_datagram_endpoint(  # type: ignore[override]
             self, factory: Any, local_addr: Any = None, remote_addr: Any = None, **options: Any
         ) -> Any:
+            """Send and receive at the process's own host."""
             if local_addr is not None:
                 local_addr = (own_host(local_addr[0]), *local_addr[1:])
             return await super().create_datagram_endpoint(factory, local_addr, remote_addr, **options)
 
-    class DriftingLoop(OwnHostLoop):
-        """Its timers run by the process's clock, as they would on a machine with such a clock."""
+    return OwnHostLoop
+
+
+def make_drifting_loop_class(base: type[uvloop.Loop], clock: FaultyClock) -> type[uvloop.Loop]:
+    """An event loop whose timers run by the process's clock, as on a machine with such a clock."""
+
+    class DriftingLoop(base):  # type: ignore[valid-type, misc]
+        """Converts the delays of timers to the machine's clock."""
 
         def time(self) -> float:
+            """The process's monotonic clock."""
             return clock.monotonic()
 
-        def call_later(  # type: ignore[override]
+        def call_later(
             self, delay: float, callback: Any, *args: Any, context: Any = None
         ) -> asyncio.TimerHandle:
-            return super().call_later(delay / plan.clock_rate, callback, *args, context=context)
-
-        def call_at(  # type: ignore[override]
-            self, when: float, callback: Any, *args: Any, context: Any = None
-        ) -> asyncio.TimerHandle:
+            """Call after a delay by the process's clock."""
+            handle: asyncio.TimerHandle = super().call_later(
+                delay / clock.rate, callback, *args, context=context
+            )
+            return handle
+
+        def call_at(self, when: float, callback: Any, *args: Any, context: Any = None) -> asyncio.TimerHandle:
+            """Call at a time of the process's clock."""
             return self.call_later(max(0.0, when - self.time()), callback, *args, context=context)
 
-    return OwnHostLoop if plan.clock_rate == 1.0 else DriftingLoop
+    return DriftingLoop
 
 
 def make_connection_class(controls: FaultControls) -> type[sqlite3.Connection]:
@@ -124,6 +146,7 @@
         """Fails at the commit, as a disk does; the caller rolls back what it wrote before."""
 
         def execute(self, statement: str, *parameters: Any) -> sqlite3.Cursor:
+            """Execute the statement, unless the disk mode has it fail."""
             mode = controls.get(Control.DISK_MODE)
             if mode == DiskMode.FULL and statement.lstrip().startswith(WRITE_STATEMENTS):
                 raise sqlite3.OperationalError(DISK_FULL)
@@ -142,6 +165,7 @@
     connect, connection_class = sqlite3.connect, make_connection_class(controls)
 
     def connect_with_faults(path: Any, **options: Any) -> sqlite3.Connection:
+        """Stands for sqlite3.connect."""
         return connect(path, factory=connection_class, **options)
 
     sqlite3.connect = connect_with_faults  # type: ignore[assignment]
@@ -153,6 +177,7 @@
     write_line: Callable[[str], None] = rate_limited_log.log_line
 
     def log_line(line: str) -> None:
+        """Record the line and write it."""
         history.add("log", line)
         write_line(line)
 
--- a/ploverspoke/testbed/processes/readiness.py
+++ b/ploverspoke/testbed/processes/readiness.py
@@ -11,6 +11,7 @@
     """A check that passes once a TCP connection to that address can be opened."""
 
     async def is_ready() -> bool:
+        """Open a connection and close it."""
         _, writer = await asyncio.open_connection(host, port)
         writer.close()
         return True
--- a/ploverspoke/testbed/processes/rig.py
+++ b/ploverspoke/testbed/processes/rig.py
@@ -5,7 +5,7 @@
         rig.add_process(address, "ploverspoke", ["lease-server", ...])
         await rig.open_proxy()
         await rig.start_processes()
-        await rig.play(steps, duration)
+        await rig.run_timeline(steps, duration)
 
 All that was started is ended when the block is left, whatever happened in it.
 """
@@ -25,7 +25,7 @@
 from .link_fault_controller import LinkFaultController
 from .proxy_messages import ProxiedProcess
 from .running_process import RunningProcess
-from .timeline_player import TimelinePlayer
+from .timeline_runner import TimelineRunner
 
 STARTS_PER_CORE = 3  # at once: a start takes a second of CPU time, and some waiting
 MAX_LATENESS = 400 * MILLISECOND  # of a step, or of the rig's event loop; past that a run is void
@@ -47,7 +47,7 @@
         self.history = History(folder / "rig.history", "rig")
         self.errors: list[str] = []  # what went wrong though no step was to cause it
         self.link_faults = LinkFaultController(self.history)
-        self.timeline = TimelinePlayer(self.processes, self.link_faults, self.history, self.errors)
+        self.timeline = TimelineRunner(self.processes, self.link_faults, self.history, self.errors)
         self._proxied: list[ProxiedProcess] = []
         self._children: list[ChildProcess] = []
 
@@ -132,9 +132,11 @@
 
     # ---- The run ----
 
-    async def play(self, steps: Sequence[FaultStep], duration: int, starts_at: int | None = None) -> None:
-        """Play the timeline for `duration` (ns); see `TimelinePlayer.play`."""
-        await self.timeline.play(steps, duration, self.seed, starts_at)
+    async def run_timeline(
+        self, steps: Sequence[FaultStep], duration: int, starts_at: int | None = None
+    ) -> None:
+        """Run the timeline for `duration` (ns); see `TimelineRunner.run`."""
+        await self.timeline.run(steps, duration, self.seed, starts_at)
 
     def void_reason(self) -> str:
         """Why the run proves nothing; "" if it does."""
@@ -183,6 +185,7 @@
     slots = asyncio.Semaphore(STARTS_PER_CORE * len(sched_getaffinity(0)))
 
     async def run_one(start: Awaitable[None]) -> None:
+        """Wait for one in a slot."""
         async with slots:
             await start
 
--- a/ploverspoke/testbed/processes/timeline_player.py
+++ b/ploverspoke/testbed/processes/timeline_runner.py
@@ -20,8 +20,8 @@
 RESTARTS = ("kill", "restart", "empty", "older")
 
 
-class TimelinePlayer:
-    """Plays a timeline. The hooks are called before a process is stopped, and once it is ready again."""
+class TimelineRunner:
+    """Runs a timeline. The hooks are called before a process is stopped, and once it is ready again."""
 
     def __init__(
         self,
@@ -48,7 +48,7 @@
         """The time since the timeline began, in ns."""
         return monotonic_now() - self.epoch
 
-    async def play(
+    async def run(
         self, steps: Sequence[FaultStep], duration: int, seed: int, starts_at: int | None = None
     ) -> None:
         """Apply the steps and wait until `duration` (ns) has passed, or `finished` is set.
@@ -59,8 +59,8 @@
         self._history.add("begin", [seed, [step.describe() for step in steps]])
         lateness_watch = asyncio.create_task(self._watch_lateness())
         for step in steps:
-            await asyncio.sleep(max(0.0, (step.at - self.now()) / SECOND))
-            self.max_lateness = max(self.max_lateness, self.now() - step.at)
+            await asyncio.sleep(max(0.0, (step.start - self.now()) / SECOND))
+            self.max_lateness = max(self.max_lateness, self.now() - step.start)
             self._begin_step(step)
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(self.finished.wait(), max(0.0, (duration - self.now()) / SECOND))
@@ -91,24 +91,24 @@
 
     async def _apply_step(self, step: FaultStep) -> None:
         try:
-            if step.what in LINK_FAULTS:
+            if step.kind in LINK_FAULTS:
                 await self._apply_to_links(step)
             else:
-                await asyncio.gather(*(self.apply_to_process(step, name) for name in step.who))
+                await asyncio.gather(*(self.apply_to_process(step, name) for name in step.processes))
         except (ProcessStartError, RuntimeError) as error:
             self._errors.append(f"{step.describe()}: {error}")
 
     async def _apply_to_links(self, step: FaultStep) -> None:
         forward = make_link_fault(step)
         backward = msgspec.structs.replace(forward, origin=forward.target, target=forward.origin)
-        faults = [forward, backward] if step.both else [forward]
-        if step.what == "reset":
+        faults = [forward, backward] if step.both_directions else [forward]
+        if step.kind == "reset":
             for fault in faults:
                 await self._link_faults.reset_connections(fault)
             return
         numbers = [await self._link_faults.add_fault(fault) for fault in faults]
-        if step.lasts:
-            await asyncio.sleep(step.lasts / SECOND)
+        if step.duration:
+            await asyncio.sleep(step.duration / SECOND)
             for number in numbers:
                 await self._link_faults.remove_fault(number)
 
@@ -118,48 +118,48 @@
         A process that is busy with another step, or does not run, is skipped.
         """
         process = self._processes[name]
-        if step.what == "wall jumps":
-            process.set_wall_clock_offset(int(step.ahead * SECOND))
-        elif step.what == "clock":
+        if step.kind == "wall jumps":
+            process.set_wall_clock_offset(int(step.wall_clock_offset * SECOND))
+        elif step.kind == "clock":
             process.clock_rate = step.rate
         elif name in self.busy or not process.is_running():
             return
         self.busy.add(name)
-        self._history.add(step.what, name)
+        self._history.add(step.kind, name)
         try:
             await self._apply_process_fault(step, process)
         finally:
             self.busy.discard(name)
-        self._history.add(f"{step.what} is over", name)
+        self._history.add(f"{step.kind} is over", name)
 
     async def _apply_process_fault(self, step: FaultStep, process: RunningProcess) -> None:
-        ends_at = monotonic_now() + step.lasts
-        if step.what == "pause":
+        ends_at = monotonic_now() + step.duration
+        if step.kind == "pause":
             process.pause()
             await _sleep_until(ends_at)
             process.resume()
-        elif step.what == "starve":
+        elif step.kind == "starve":
             process.start_starving()
             await _sleep_until(ends_at)
             process.stop_starving()
-        elif step.what in DISK_MODES:
-            process.set_disk_fault(DISK_MODES[step.what], step.delay)
+        elif step.kind in DISK_MODES:
+            process.set_disk_fault(DISK_MODES[step.kind], step.delay)
             await _sleep_until(ends_at)
             process.set_disk_fault(DiskMode.HEALTHY)
-        elif step.what == "copy":
+        elif step.kind == "copy":
             process.pause()
             process.copy_folder()
             process.resume()
-        elif step.what in RESTARTS:
+        elif step.kind in RESTARTS:
             await self._restart(step, process, ends_at)
 
     async def _restart(self, step: FaultStep, process: RunningProcess, starts_at: int) -> None:
-        self.on_process_down(process.name, step.what)
-        number = signal.SIGTERM if step.what == "restart" else signal.SIGKILL
+        self.on_process_down(process.name, step.kind)
+        number = signal.SIGTERM if step.kind == "restart" else signal.SIGKILL
         await process.stop(number, self.stop_timeout)
-        if step.what == "empty":
+        if step.kind == "empty":
             process.clear_folder()
-        elif step.what == "older":
+        elif step.kind == "older":
             process.restore_folder_copy()
         await _sleep_until(starts_at)
         await process.start()
--- a/ploverspoke/testbed/scenarios/distribution_scenario.py
+++ b/ploverspoke/testbed/scenarios/distribution_scenario.py
@@ -157,7 +157,7 @@
     ]
     steps = draw_timeline(
         [
-            FaultWeight(what=what, who=who, every=Duration(every), lasts=lasts)
+            FaultWeight(kind=what, processes=who, interval=Duration(every), durations=lasts)
             for what, who, every, lasts in weights
             if every
         ],
@@ -165,10 +165,10 @@
         seed,
         calm=plan.calm(),
     )
-    if any(step.what == "older" for step in steps):
+    if any(step.kind == "older" for step in steps):
         # Folders are copied first: then there is an older one to start with.
-        steps = [step for step in steps if step.at >= FIRST or not set(step.who) & set(dispatchers)]
-        steps += [FaultStep(at=Duration(COPIED_AT), what="copy", who=[name]) for name in dispatchers]
+        steps = [step for step in steps if step.start >= FIRST or not set(step.processes) & set(dispatchers)]
+        steps += [FaultStep(start=Duration(COPIED_AT), kind="copy", processes=[name]) for name in dispatchers]
     return [*steps, *regions(plan)]
 
 
@@ -181,11 +181,26 @@
         jitter = Duration(plan.far // 4)
         steps.append(
             FaultStep(
-                at=Duration(0), what="delay", who=one, to=other, both=True, delay=plan.far, jitter=jitter
+                start=Duration(0),
+                kind="delay",
+                processes=one,
+                peers=other,
+                both_directions=True,
+                delay=plan.far,
+                jitter=jitter,
             )
         )
     if plan.apart:
-        steps.append(FaultStep(at=plan.apart_at, what="cut", who=one, to=other, both=True, lasts=plan.apart))
+        steps.append(
+            FaultStep(
+                start=plan.apart_at,
+                kind="cut",
+                processes=one,
+                peers=other,
+                both_directions=True,
+                duration=plan.apart,
+            )
+        )
     return steps
 
 
@@ -462,7 +477,7 @@
         if plan.seen_every:
             others.append(asyncio.create_task(run.look()))
         try:
-            await rig.play(played, plan.lasts, begins)
+            await rig.run_timeline(played, plan.lasts, begins)
             for task in meanwhile:
                 await task
         finally:
--- a/ploverspoke/testbed/scenarios/lease_scenario.py
+++ b/ploverspoke/testbed/scenarios/lease_scenario.py
@@ -96,18 +96,27 @@
     longest = [Duration(100 * MILLISECOND), Duration(10 * SECOND)]
     short = [Duration(100 * MILLISECOND), Duration(2 * SECOND)]
     weights = [
-        FaultWeight(what="kill", who=contenders, every=plan.kills, lasts=short),
-        FaultWeight(what="kill", who=keepers, every=Duration(plan.kills * 2), lasts=short),
-        FaultWeight(what="pause", who=contenders, every=plan.pauses, lasts=longest),
-        FaultWeight(what="pause", who=keepers, every=Duration(plan.pauses * 3), lasts=short),
-        FaultWeight(what="cut", who=[*keepers, *contenders], every=plan.cuts, lasts=short),
-        FaultWeight(what="cut", who=keepers, every=Duration(plan.cuts * 3), lasts=short),
-        FaultWeight(what="cut", who=[*contenders, "r"], every=Duration(plan.cuts * 2), lasts=short),
-        FaultWeight(what="rough", who=[*keepers, *contenders, "r"], every=plan.rough, lasts=short),
+        FaultWeight(kind="kill", processes=contenders, interval=plan.kills, durations=short),
+        FaultWeight(kind="kill", processes=keepers, interval=Duration(plan.kills * 2), durations=short),
+        FaultWeight(kind="pause", processes=contenders, interval=plan.pauses, durations=longest),
+        FaultWeight(kind="pause", processes=keepers, interval=Duration(plan.pauses * 3), durations=short),
+        FaultWeight(kind="cut", processes=[*keepers, *contenders], interval=plan.cuts, durations=short),
+        FaultWeight(kind="cut", processes=keepers, interval=Duration(plan.cuts * 3), durations=short),
         FaultWeight(
-            what="wall jumps", who=keepers, every=Duration(5 * SECOND), lasts=[Duration(0), Duration(0)]
+            kind="cut", processes=[*contenders, "r"], interval=Duration(plan.cuts * 2), durations=short
+        ),
+        FaultWeight(
+            kind="rough", processes=[*keepers, *contenders, "r"], interval=plan.rough, durations=short
+        ),
+        FaultWeight(
+            kind="wall jumps",
+            processes=keepers,
+            interval=Duration(5 * SECOND),
+            durations=[Duration(0), Duration(0)],
+        ),
+        FaultWeight(
+            kind="reset", processes=contenders, interval=plan.rough, durations=[Duration(0), Duration(0)]
         ),
-        FaultWeight(what="reset", who=contenders, every=plan.rough, lasts=[Duration(0), Duration(0)]),
     ]
     return draw_timeline(weights, plan.lasts, seed, calm=CALM)
 
@@ -202,7 +211,7 @@
         names = list(rig.addresses)
         played = check_timeline(timeline(plan, seed) if steps is None else steps, names)
         killing = asyncio.create_task(leases.kill_holders()) if plan.holder_killed else None
-        await rig.play(played, plan.lasts)
+        await rig.run_timeline(played, plan.lasts)
         if killing is not None:
             killing.cancel()
         events = rig.read_events()
--- a/ploverspoke/testbed/scenarios/socket_run.py
+++ b/ploverspoke/testbed/scenarios/socket_run.py
@@ -103,10 +103,12 @@
     """What the file's troubles do to dispatchers, and its timeline, in order of time."""
     whats = {"killed": "kill", "paused": "pause", "restarted": "restart"}
     found = [
-        FaultStep(at=Duration(begin), what=whats[how], who=[f"d{number}"], lasts=Duration(end - begin))
+        FaultStep(
+            start=Duration(begin), kind=whats[how], processes=[f"d{number}"], duration=Duration(end - begin)
+        )
         for begin, end, number, how in ex.outages(e, seed)
     ]
-    return sorted([*found, *e.timeline], key=lambda step: step.at)
+    return sorted([*found, *e.timeline], key=lambda step: step.start)
 
 
 class SocketFleet:
@@ -181,7 +183,7 @@
             child.send({"start": epoch, "dispatchers": [place.endpoint("clients") for place in places]})
         self.tasks += [asyncio.create_task(self._listen(child, discovery)) for child in (*workers, *others)]
         self._begins(epoch, workers[0], discovery)
-        await rig.play(outage_steps(e, self.seed), self._end(), epoch)
+        await rig.run_timeline(outage_steps(e, self.seed), self._end(), epoch)
 
     # ---- What another stage may do in another way ----
 
--- a/tests/config_distribution/test_processes.py
+++ b/tests/config_distribution/test_processes.py
@@ -35,14 +35,16 @@
     plan = DistributionScenario(kills=Duration(2 * SECOND))
     # All that is done to two dispatchers; of the drawn faults some may be skipped where two would meet.
     own_steps = [
-        FaultStep(at=Duration(3 * SECOND), what="empty", who=["a-d4"], lasts=Duration(200 * MS)),
-        FaultStep(at=Duration(6 * SECOND), what="older", who=["a-d4"], lasts=Duration(200 * MS)),
-        FaultStep(at=Duration(9 * SECOND), what="restart", who=["a-d4"]),
-        FaultStep(at=Duration(12 * SECOND), what="pause", who=["a-d4"], lasts=Duration(700 * MS)),
-        FaultStep(at=Duration(3 * SECOND), what="kill", who=["a-d2"], lasts=Duration(200 * MS)),
+        FaultStep(start=Duration(3 * SECOND), kind="empty", processes=["a-d4"], duration=Duration(200 * MS)),
+        FaultStep(start=Duration(6 * SECOND), kind="older", processes=["a-d4"], duration=Duration(200 * MS)),
+        FaultStep(start=Duration(9 * SECOND), kind="restart", processes=["a-d4"]),
+        FaultStep(start=Duration(12 * SECOND), kind="pause", processes=["a-d4"], duration=Duration(700 * MS)),
+        FaultStep(start=Duration(3 * SECOND), kind="kill", processes=["a-d2"], duration=Duration(200 * MS)),
     ]
     apart = {"a-d2", "a-d4"}
-    others = [s for s in timeline(plan, 53) if s.what in (*LINK_FAULTS, "copy") or not apart & set(s.who)]
+    others = [
+        s for s in timeline(plan, 53) if s.kind in (*LINK_FAULTS, "copy") or not apart & set(s.processes)
+    ]
     played = run_distribution_scenario(plan, 53, [*others, *own_steps])
     assert played.shown == [], "\n".join(played.shown)
     assert (played.void, played.faults, played.verdict.void_reason()) == ("", [], "")
@@ -75,7 +77,9 @@
         emptied=Duration(0),
     )
     # The one local server of b-d3 is paused for most of the run.
-    paused = FaultStep(at=Duration(2 * SECOND), what="pause", who=["b-s1"], lasts=Duration(9 * SECOND))
+    paused = FaultStep(
+        start=Duration(2 * SECOND), kind="pause", processes=["b-s1"], duration=Duration(9 * SECOND)
+    )
     findings = findings_of(run_distribution_scenario(plan, 2, [*regions(plan), paused], faulty_programs))
     for expected in (
         "a-d0 went back from version",
@@ -127,10 +131,10 @@
     plan = DistributionScenario(lasts=Duration(60 * SECOND))
     steps = timeline(plan, 7)
     assert steps == timeline(plan, 7) != timeline(plan, 8)
-    assert all(step.at + step.lasts <= plan.lasts - plan.calm() for step in steps)
-    copied = {step.who[0] for step in steps if step.what == "copy"}
+    assert all(step.start + step.duration <= plan.lasts - plan.calm() for step in steps)
+    copied = {step.processes[0] for step in steps if step.kind == "copy"}
     assert copied == set(plan.dispatcher_names())
-    assert min(step.at for step in steps if step.what == "older") >= 2 * SECOND
+    assert min(step.start for step in steps if step.kind == "older") >= 2 * SECOND
 
 
 @pytest.mark.parametrize(
--- a/tests/leases/test_lease_processes.py
+++ b/tests/leases/test_lease_processes.py
@@ -25,7 +25,11 @@
     # Each in turn does not reach the resource for a while: what it has sent comes when others act by then.
     steps = [
         FaultStep(
-            at=Duration(n * 700 * MS), what="cut", who=[f"c{n % 4}"], to=["r"], lasts=Duration(2 * SECOND)
+            start=Duration(n * 700 * MS),
+            kind="cut",
+            processes=[f"c{n % 4}"],
+            peers=["r"],
+            duration=Duration(2 * SECOND),
         )
         for n in range(1, 14)
     ]
@@ -37,7 +41,7 @@
     if fenced:
         assert played.shown == [] and played.verdict.rejected_effects > 0
     else:
-        assert "was taken after" in played.shown[0] and "timeline" in played.shown[0]
+        assert "was accepted after" in played.shown[0] and "timeline" in played.shown[0]
     assert played.verdict.void_reason(min_changes=5) == "" and played.verdict.void_reason(min_changes=10_000)
 
 
@@ -46,7 +50,11 @@
     servers = ["k0", "k1", "k2"]
     steps = [
         FaultStep(
-            at=Duration(n * 1500 * MS), what="cut", who=[f"c{n % 4}"], to=servers, lasts=Duration(2500 * MS)
+            start=Duration(n * 1500 * MS),
+            kind="cut",
+            processes=[f"c{n % 4}"],
+            peers=servers,
+            duration=Duration(2500 * MS),
         )
         for n in range(1, 6)
     ]
@@ -54,14 +62,14 @@
         keepers=3, contenders=4, names={"one": 1}, lasts=Duration(9 * SECOND), keeps=1.0, outlasts=True
     )
     played = run_lease_scenario(plan, 1, steps)
-    assert (played.void, played.faults) == ("", []) and "act at once" in played.shown[0]
+    assert (played.void, played.faults) == ("", []) and "hold it at once" in played.shown[0]
 
 
 def test_no_holder_acts_after_expiry_without_a_majority_and_all_continue_when_it_is_back() -> None:
     begins, lasts = 4 * SECOND, 6 * SECOND
     steps = [
-        FaultStep(at=Duration(begins), what="pause", who=["k0", "k1"], lasts=Duration(lasts)),
-        FaultStep(at=Duration(begins), what="kill", who=["k2"], lasts=Duration(lasts)),
+        FaultStep(start=Duration(begins), kind="pause", processes=["k0", "k1"], duration=Duration(lasts)),
+        FaultStep(start=Duration(begins), kind="kill", processes=["k2"], duration=Duration(lasts)),
     ]
     plan = LeaseScenario(keepers=5, contenders=8, names={"one": 1, "two": 1}, lasts=Duration(16 * SECOND))
     played = run_lease_scenario(plan, 3, steps)
--- a/tests/testbed/checkers/test_distribution_checker.py
+++ b/tests/testbed/checkers/test_distribution_checker.py
@@ -6,7 +6,7 @@
 
 from ploverspoke.testbed.checkers.distribution_checker import check_distribution_history
 from ploverspoke.testbed.checkers.observed_reachability import ObservedReachability
-from ploverspoke.testbed.checkers.time_spans import Span, merge_spans, subtract_spans
+from ploverspoke.testbed.checkers.time_intervals import Interval, merge_intervals, subtract_intervals
 from ploverspoke.testbed.experiment_files.durations import SECOND
 from ploverspoke.testbed.processes.history import HistoryEvent
 
@@ -260,16 +260,16 @@
 
 
 def test_spans_and_who_can_reach_whom() -> None:
-    assert merge_spans([Span(3, 5), Span(1, 2), Span(4, 9)]) == [(1, 2), (3, 9)]
+    assert merge_intervals([Interval(3, 5), Interval(1, 2), Interval(4, 9)]) == [(1, 2), (3, 9)]
     assert (
-        subtract_spans(Span(0, 10), [Span(3, 5), Span(8, 20)]) == [(0, 3), (5, 8)]
-        and subtract_spans(Span(0, 10), [Span(0, 10)]) == []
+        subtract_intervals(Interval(0, 10), [Interval(3, 5), Interval(8, 20)]) == [(0, 3), (5, 8)]
+        and subtract_intervals(Interval(0, 10), [Interval(0, 10)]) == []
     )
     one_way = laid(10_000, 20_000, {"origin": ["s0"], "target": ["s1"], "cut": True})
     third = [*done(5000, 30_000, "kill", "s2"), *laid(0, 1, {"origin": [], "target": []}, 2)]
     reachability = ObservedReachability(story(one_way, third))
     # With s2 away s0 and s1 are the majority, and they are apart meanwhile.
-    assert [(b // MS, e // MS) for b, e in reachability.reachable_spans(4 * SECOND)["d0"]] == [
+    assert [(b // MS, e // MS) for b, e in reachability.reachable_intervals(4 * SECOND)["d0"]] == [
         (0, 5000),
         (0, 10_000),
         (20_000, 40_100),
--- a/tests/testbed/processes/test_rig.py
+++ b/tests/testbed/processes/test_rig.py
@@ -91,29 +91,29 @@
 @pytest.mark.parametrize(
     ("step", "key"),
     [
-        ({"what": "melt"}, "timeline[0].what"),
-        ({"what": "kill"}, "timeline[0].who"),
-        ({"what": "kill", "who": ["z"]}, "timeline[0].who"),
-        ({"what": "cut", "to": ["z"]}, "timeline[0].to"),
-        ({"what": "pause", "who": ["a"]}, "timeline[0].lasts"),
-        ({"what": "slow"}, "timeline[0].rate"),
-        ({"what": "loss", "share": 1.5}, "timeline[0].share"),
-        ({"what": "delay"}, "timeline[0].delay"),
+        ({"kind": "melt"}, "timeline[0].what"),
+        ({"kind": "kill"}, "timeline[0].who"),
+        ({"kind": "kill", "processes": ["z"]}, "timeline[0].who"),
+        ({"kind": "cut", "peers": ["z"]}, "timeline[0].to"),
+        ({"kind": "pause", "processes": ["a"]}, "timeline[0].lasts"),
+        ({"kind": "slow"}, "timeline[0].rate"),
+        ({"kind": "loss", "probability": 1.5}, "timeline[0].share"),
+        ({"kind": "delay"}, "timeline[0].delay"),
     ],
 )
 def test_a_wrong_timeline_is_refused_by_its_key(step: dict[str, Any], key: str) -> None:
     with pytest.raises(TimelineError) as caught:
-        check_timeline([FaultStep(at=Duration(0), **step)], ["a"])
+        check_timeline([FaultStep(start=Duration(0), **step)], ["a"])
     assert str(caught.value).startswith(key)
 
 
 def test_a_drawn_timeline_is_its_seeds_and_keeps_the_calm_at_the_end() -> None:
     weights = [
         FaultWeight(
-            what=what,
-            who=["a", "b", "c"],
-            every=Duration(SECOND),
-            lasts=[Duration(100 * MS), Duration(9 * SECOND)],
+            kind=what,
+            processes=["a", "b", "c"],
+            interval=Duration(SECOND),
+            durations=[Duration(100 * MS), Duration(9 * SECOND)],
         )
         for what in ("kill", "pause", "cut", "rough", "wall jumps", "slow", "delay", "double")
     ]
@@ -124,7 +124,7 @@
         != draw_timeline(weights, 60 * SECOND, 2)
     )
     assert check_timeline(steps, ["a", "b", "c"]) == steps
-    assert len(steps) > 200 and all(step.at + step.lasts <= 50 * SECOND for step in steps)
+    assert len(steps) > 200 and all(step.start + step.duration <= 50 * SECOND for step in steps)
 
 
 def test_what_does_not_fit_is_refused_with_what_is_wanted() -> None:
