--- a/ploverspoke/testbed/checkers/audited_requests.py
+++ b/ploverspoke/testbed/checkers/audited_requests.py
@@ -4,9 +4,8 @@
 from enum import StrEnum
 from typing import NamedTuple
 
-RETURNED = "returned"  # the worker gave the request back without running it
-SUCCESSFUL_ENDS = ("done", "repeat dropped")  # of attempts
-SUCCEEDED, REJECTED, BROKEN = "satisfied", "nacked", "broken"  # outcomes in recorded events
+from ..models.event_records import BROKEN, ExecutionEnd
+
 UNKNOWN_TIME = -1
 
 
@@ -34,7 +33,7 @@
     """What a client received."""
 
     at: int  # ns
-    outcome: str
+    outcome: str  # one of those in event_records
 
 
 @dataclass(slots=True, eq=False)
@@ -45,12 +44,12 @@
     worker: str
     serial: int  # the worker's own number of it
     dispatcher: int
-    end: str = ""
+    end: ExecutionEnd | None = None
     open_until: int = UNKNOWN_TIME
 
     def may_have_run(self) -> bool:
         """Whether the worker may have run the request."""
-        return self.end != RETURNED
+        return self.end != ExecutionEnd.RETURNED
 
 
 @dataclass(slots=True, eq=False)
--- a/ploverspoke/testbed/checkers/request_audit.py
+++ b/ploverspoke/testbed/checkers/request_audit.py
@@ -12,7 +12,7 @@
 from ..experiment_files.durations import MILLISECOND, SECOND, format_duration
 from ..experiment_files.experiment import Experiment
 from ..models import event_records
-from ..models.event_records import Event
+from ..models.event_records import Event, ExecutionEnd, RequestSent, WorkerOverloaded
 from .audited_requests import Answer, Finding, ObservedAttempt, ObservedRequest, Rule
 from .request_rules import RequestRules
 
@@ -50,25 +50,25 @@
         self._events: list[Event] = []
         self._findings: list[Finding] = []
         self._readers: dict[str, Callable[[Event], None]] = {
-            event_records.SENT: self._request_sent,
-            event_records.TAKEN: self._request_accepted,
-            event_records.ANSWERED: self._request_answered,
-            event_records.LEFT: self._client_left,
-            event_records.CAME: self._attempt_arrived,
-            event_records.ENDED: self._attempt_ended,
-            event_records.CLOSED: self._attempt_closed,
-            event_records.TOLD: self._dispatcher_notified,
-            event_records.UP: self._worker_started,
-            event_records.FELL: self._worker_overloaded,
-            event_records.DISPATCHER_DOWN: self._dispatcher_killed,
-            event_records.DISPATCHER_UP: self._dispatcher_started,
+            event_records.REQUEST_SENT: self._request_sent,
+            event_records.REQUEST_ACCEPTED: self._request_accepted,
+            event_records.REQUEST_ANSWERED: self._request_answered,
+            event_records.CLIENT_DISCONNECTED: self._client_left,
+            event_records.ATTEMPT_ARRIVED: self._attempt_arrived,
+            event_records.ATTEMPT_ENDED: self._attempt_ended,
+            event_records.ATTEMPT_CLOSED: self._attempt_closed,
+            event_records.ENDPOINT_NOTIFIED: self._dispatcher_notified,
+            event_records.WORKER_STARTED: self._worker_started,
+            event_records.WORKER_OVERLOADED: self._worker_overloaded,
+            event_records.DISPATCHER_KILLED: self._dispatcher_killed,
+            event_records.DISPATCHER_STARTED: self._dispatcher_started,
         }
 
     def audit(self, events: Iterable[Event]) -> list[Finding]:
         """The findings in order of time."""
         self._events = list(events)
         for event in self._events:
-            read = self._readers.get(event.what)
+            read = self._readers.get(event.kind)
             if read is not None:
                 read(event)
         for request in self._requests.values():
@@ -81,26 +81,26 @@
     # ---- Requests ----
 
     def _request_sent(self, event: Event) -> None:
-        request_class, _, deadline, _ = event.detail
-        self._requests[event.submission] = ObservedRequest(
-            event.submission, event.job, event.dispatcher, request_class, deadline
+        sent = RequestSent(*event.detail)
+        self._requests[event.request_id] = ObservedRequest(
+            event.request_id, event.job, event.dispatcher, sent.request_class, sent.deadline
         )
 
     def _request_accepted(self, event: Event) -> None:
-        self._requests[event.submission].accepted_at = event.at
+        self._requests[event.request_id].accepted_at = event.at
 
     def _request_answered(self, event: Event) -> None:
-        self._requests[event.submission].answers.append(Answer(event.at, event.detail))
+        self._requests[event.request_id].answers.append(Answer(event.at, event.detail))
 
     def _client_left(self, event: Event) -> None:
-        self._requests[event.submission].left_at = event.at
+        self._requests[event.request_id].left_at = event.at
 
     # ---- Attempts ----
 
     def _attempt_arrived(self, event: Event) -> None:
-        request = self._requests.get(event.submission)
+        request = self._requests.get(event.request_id)
         if request is None:
-            text = f"{event.worker} was sent {event.submission!r}, which no client sent"
+            text = f"{event.worker} was sent {event.request_id!r}, which no client sent"
             self._add_finding(Rule.ONE_ANSWER, event, text)
             return
         request.attempts.append(ObservedAttempt(event.at, event.worker, event.detail, event.dispatcher))
@@ -112,14 +112,14 @@
             self._add_finding(Rule.DRAINING, event, text)
 
     def _find_attempt(self, event: Event, serial: int) -> ObservedAttempt | None:
-        request = self._requests.get(event.submission)
+        request = self._requests.get(event.request_id)
         return request.attempt(event.worker, serial) if request is not None else None
 
     def _attempt_ended(self, event: Event) -> None:
         serial, end = event.detail
         attempt = self._find_attempt(event, serial)
-        if attempt is not None and not attempt.end:
-            attempt.end = end
+        if attempt is not None and attempt.end is None:
+            attempt.end = ExecutionEnd(end)
             if attempt.open_until < 0:
                 attempt.open_until = event.at
 
@@ -142,17 +142,16 @@
         self._worker_started_at[event.worker] = event.at
 
     def _worker_overloaded(self, event: Event) -> None:
-        work, bearable, work_by_dispatcher = event.detail
+        overload = WorkerOverloaded(*event.detail)
         started_at = self._worker_started_at.get(event.worker, 0)
         informed = sum(
-            sent
-            for dispatcher, sent in work_by_dispatcher.items()
+            work
+            for dispatcher, work in overload.work_by_dispatcher.items()
             if self._start_told_at.get((int(dispatcher), event.worker), -1) >= started_at
         )
-        if informed >= INFORMED_SHARE * work:
-            text = (
-                f"{event.worker} was overloaded while warming up: sent {work / bearable:.2f} of what it bears"
-            )
+        if informed >= INFORMED_SHARE * overload.arrived_work:
+            share = overload.arrived_work / overload.work_limit
+            text = f"{event.worker} was overloaded while warming up: sent {share:.2f} of what it bears"
             self._add_finding(Rule.SLOW_START, event, text)
 
     def _dispatcher_killed(self, event: Event) -> None:
@@ -166,27 +165,32 @@
 
     def _add_finding(self, rule: Rule, event: Event, text: str) -> None:
         timeline = self._timeline(event) if len(self._findings) < MAX_TIMELINES else []
-        self._findings.append(Finding(rule, event.at, event.submission, event.worker, text, timeline))
+        self._findings.append(Finding(rule, event.at, event.request_id, event.worker, text, timeline))
 
     def _timeline(self, event: Event) -> list[str]:
         """All that was observed of the event's job, or of its worker if it has no job."""
         if event.job >= 0:
             related = [other for other in self._events if other.job == event.job]
         else:
-            kinds = (event_records.UP, event_records.DIED, event_records.FELL, event_records.TOLD)
-            related = [e for e in self._events if e.worker == event.worker and e.what in kinds]
+            kinds = (
+                event_records.WORKER_STARTED,
+                event_records.WORKER_DIED,
+                event_records.WORKER_OVERLOADED,
+                event_records.ENDPOINT_NOTIFIED,
+            )
+            related = [e for e in self._events if e.worker == event.worker and e.kind in kinds]
         return [describe_event(other, self._experiment) for other in related[:MAX_TIMELINE]]
 
 
 def describe_event(event: Event, experiment: Experiment) -> str:
     """One line of a timeline."""
     detail = event.detail
-    if event.what == event_records.SENT:
+    if event.kind == event_records.REQUEST_SENT:
         request_class = experiment.request_classes[detail[0]]
-        detail = f"{request_class.name} ({request_class.idempotency}), try {detail[1] + 1}"
+        detail = f"{request_class.name} ({request_class.idempotency.value}), try {detail[1] + 1}"
     dispatcher = f" d{event.dispatcher}" if event.dispatcher >= 0 else ""
     seconds = event.at / SECOND
-    return f"{seconds:11.6f} s  {event.submission:10}{dispatcher:5} {event.worker:5} {event.what}: {detail}"
+    return f"{seconds:11.6f} s  {event.request_id:10}{dispatcher:5} {event.worker:5} {event.kind}: {detail}"
 
 
 def audit_requests(experiment: Experiment, events: Iterable[Event], tolerance: int) -> list[Finding]:
--- a/ploverspoke/testbed/checkers/request_rules.py
+++ b/ploverspoke/testbed/checkers/request_rules.py
@@ -10,17 +10,16 @@
 
 from ..experiment_files.durations import SECOND, format_duration
 from ..experiment_files.experiment import Experiment
+from ..experiment_files.tables import Idempotency
+from ..models.event_records import REJECTED, SUCCEEDED, ExecutionEnd
 from .audited_requests import (
-    REJECTED,
-    SUCCEEDED,
-    SUCCESSFUL_ENDS,
     ObservedAttempt,
     ObservedRequest,
     Rule,
 )
 
 STORE_ANSWER_RETENTION = 5 * SECOND  # past the deadline; a store keeps answers for clients that ask again
-IDEMPOTENT, NON_IDEMPOTENT = "redoable", "irreversible"  # as experiments have them
+SUCCESSFUL_ENDS = (ExecutionEnd.DONE, ExecutionEnd.DUPLICATE_DROPPED)
 ALL_WORKERS = "all"  # a group
 
 
@@ -107,7 +106,7 @@
                 return
 
     def _check_attempt_count(self, request: ObservedRequest) -> Iterator[Violation]:
-        _, limit = self._experiment.rules_at(request.accepted_at)
+        limit = self._experiment.rules_at(request.accepted_at).max_attempts
         if len(request.attempts) > limit:
             text = f"{len(request.attempts)} attempts, {limit} allowed"
             yield Violation(Rule.ONE_ANSWER, request.attempts[limit].arrived_at, text)
@@ -115,8 +114,8 @@
     # ---- Rule 2 ----
 
     def _check_retries(self, request: ObservedRequest) -> Iterator[Violation]:
-        idempotency = self._experiment.rules_at(request.accepted_at)[0][request.request_class]
-        if idempotency == IDEMPOTENT:
+        idempotency = self._experiment.rules_at(request.accepted_at).idempotency[request.request_class]
+        if idempotency is Idempotency.IDEMPOTENT:
             return
         first = next((attempt for attempt in request.attempts if attempt.may_have_run()), None)
         if first is None:
@@ -129,10 +128,14 @@
         yield from self._check_rejection(request, idempotency, first)
 
     def _retry_problem(
-        self, request: ObservedRequest, idempotency: str, first: ObservedAttempt, retry: ObservedAttempt
+        self,
+        request: ObservedRequest,
+        idempotency: Idempotency,
+        first: ObservedAttempt,
+        retry: ObservedAttempt,
     ) -> str:
         """Why the retry was not allowed after the first attempt that may have run; "" if it was."""
-        if idempotency == NON_IDEMPOTENT:
+        if idempotency is Idempotency.NON_IDEMPOTENT:
             return f"non-idempotent, again to {retry.worker}; {first.worker} may have run it"
         request_class = self._experiment.request_classes[request.request_class]
         groups = self._group_of[request_class.retry_scope]
@@ -143,12 +146,12 @@
         return ""
 
     def _check_rejection(
-        self, request: ObservedRequest, idempotency: str, first: ObservedAttempt
+        self, request: ObservedRequest, idempotency: Idempotency, first: ObservedAttempt
     ) -> Iterator[Violation]:
         """A rejection promises that the request did not run, or may run again anywhere."""
         rejected_at = next((answer.at for answer in request.answers if answer.outcome == REJECTED), -1)
         request_class = self._experiment.request_classes[request.request_class]
-        is_restricted = idempotency == NON_IDEMPOTENT or request_class.retry_scope != ALL_WORKERS
+        is_restricted = idempotency is Idempotency.NON_IDEMPOTENT or request_class.retry_scope != ALL_WORKERS
         if rejected_at >= 0 and first.arrived_at < rejected_at and is_restricted:
             yield Violation(Rule.RETRIES, rejected_at, f"rejected, though {first.worker} may have run it")
 
--- a/ploverspoke/testbed/models/worker.py
+++ b/ploverspoke/testbed/models/worker.py
@@ -9,9 +9,10 @@
 from collections import OrderedDict, deque
 from typing import Any, Protocol
 
-from ..experiment_files.experiment import Experiment, Workers
+from ..experiment_files.experiment import Experiment
+from ..experiment_files.tables import WorkerGroup
 from . import event_records
-from .event_records import Records
+from .event_records import Event, EventLog
 from .random_streams import RandomDraws
 from .request_schedule import ScheduledRequest
 from .shared_store import SharedStore
@@ -101,10 +102,10 @@
     def __init__(
         self,
         name: str,
-        told: Workers,
+        told: WorkerGroup,
         e: Experiment,
         clock: Clock,
-        records_: Records,
+        records_: EventLog,
         racks: dict[int, Rack],
         draws: RandomDraws,
     ) -> None:
@@ -148,7 +149,7 @@
         """A request's last byte has come."""
         self.serial += 1
         run.serial = self.serial
-        self._note(event_records.CAME, run, run.serial)
+        self._note(event_records.ATTEMPT_ARRIVED, run, run.serial)
         if self.frozen:
             self.while_frozen.append((self._admit, run))
         else:
@@ -161,7 +162,7 @@
         if self.failing and self.draws.happens(max(self.failing.values())):
             run.timer = self.clock.at(now + QUICK, self._finish, run, "failed")
             run.begun = True
-            self._note(event_records.BEGAN, run, run.serial)
+            self._note(event_records.ATTEMPT_STARTED, run, run.serial)
             self.running[run] = None
             self.free -= job.slots
             return
@@ -241,14 +242,14 @@
         self.up = False
         self.frozen.clear()
         late, self.while_frozen = self.while_frozen, []
-        self.records.add(self.clock.now(), event_records.DIED, worker=self.name)
+        self.records.add(Event(self.clock.now(), event_records.WORKER_DIED, worker=self.name))
         for call, run in late:
             if call == self._admit:
                 self._end(run, "lost")
         for run in [*self.running, *self.waiting]:
             self._stop(run)
             if run.label and run.begun:
-                self.racks[run.job.grade].forgets(run)
+                self.racks[run.job.request_class].forgets(run)
             self._end(run, "lost")
         self.running.clear()
         self.waiting.clear()
@@ -264,7 +265,7 @@
         self.arrived_work.clear()
         self.work_in = 0.0
         self.last_reports.clear()
-        self.records.add(now, event_records.UP, worker=self.name)
+        self.records.add(Event(now, event_records.WORKER_STARTED, worker=self.name))
         for step in range(1, WARM_STEPS + 1):
             self.clock.at(now + self.rules.warmup_period * step // WARM_STEPS, self.change_rate)
         self.change_rate()
@@ -303,7 +304,12 @@
         for _, part, dispatcher in self.arrived_work:
             sent[str(dispatcher)] = sent.get(str(dispatcher), 0) + int(part)
         self.records.add(
-            now, event_records.FELL, worker=self.name, detail=[int(self.work_in), int(bears), sent]
+            Event(
+                now,
+                event_records.WORKER_OVERLOADED,
+                worker=self.name,
+                detail=[int(self.work_in), int(bears), sent],
+            )
         )
         if self.on_fall is not None:
             self.on_fall(self)
@@ -323,17 +329,17 @@
                 return
 
     def _begin(self, run: Execution) -> None:
-        job, grade = run.job, self.request_classes[run.job.grade]
+        job, grade = run.job, self.request_classes[run.job.request_class]
         if run.label:
-            earlier = self.racks[job.grade].repeated(run.label, grade.retry_window)
+            earlier = self.racks[job.request_class].repeated(run.label, grade.retry_window)
             if earlier is not None and earlier is not run:
                 self._follow(run, earlier)
                 return
-            self.racks[job.grade].remembers(run)
+            self.racks[job.request_class].remembers(run)
         self.free -= job.slots
         self.running[run] = None
         run.begun = True
-        self._note(event_records.BEGAN, run, run.serial)
+        self._note(event_records.ATTEMPT_STARTED, run, run.serial)
         if self.rules.reports_start:
             run.listener.run_started(run)
             if not run.over:
@@ -342,7 +348,7 @@
                 )
         if run.over:
             return
-        if job.subject and self.store is not None and not self._holds(job.subject):
+        if job.affinity_key and self.store is not None and not self._holds(job.affinity_key):
             run.fetching = True
             run.fetch = self.store.fetch(self._fetched, run)
         else:
@@ -361,7 +367,7 @@
         run.fetch = None
         if run.over or not self.up:
             return
-        self.held[run.job.subject] = None
+        self.held[run.job.affinity_key] = None
         if len(self.held) > self.rules.cached_keys:
             self.held.popitem(last=False)
         self._go_on(run)
@@ -398,7 +404,7 @@
             del self.running[run]
             self.free += run.job.slots
         if run.label and how != "done":
-            self.racks[run.job.grade].forgets(run)
+            self.racks[run.job.request_class].forgets(run)
         if run.waits_on is not None and run in run.waits_on.followers:
             run.waits_on.followers.remove(run)
         self._end(run, how)
@@ -418,7 +424,7 @@
         if run.over:
             return
         if run.waits_on is None:
-            self._note(event_records.ENDED, run, [run.serial, how])
+            self._note(event_records.ATTEMPT_ENDED, run, [run.serial, how])
         self._tell_end(run, how)
         for follower in run.followers:
             # The first has not had its effect: what stood in for it does not count as done either.
@@ -430,11 +436,13 @@
             return
         run.over = True
         if run.waits_on is not None:
-            self._note(event_records.ENDED, run, [run.serial, "repeat dropped" if how == "done" else how])
+            self._note(
+                event_records.ATTEMPT_ENDED, run, [run.serial, "repeat dropped" if how == "done" else how]
+            )
         if how != "recalled":
             run.listener.run_ended(run, how)
 
     def _note(self, what: str, run: Execution, detail: Any) -> None:
         self.records.add(
-            self.clock.now(), what, run.submission, run.job.number, run.dispatcher, self.name, detail
+            Event(self.clock.now(), what, run.submission, run.job.number, run.dispatcher, self.name, detail)
         )
--- a/ploverspoke/testbed/scenarios/scale_test.py
+++ b/ploverspoke/testbed/scenarios/scale_test.py
@@ -27,8 +27,9 @@
     mark_void_metrics,
     scale_metrics,
 )
-from ..experiment_files import experiment as ex
-from ..models.event_records import merge_records, read_records, write_records
+from ..experiment_files.errors import ExperimentError
+from ..experiment_files.experiment import Experiment
+from ..models.event_records import merge_events, read_events, write_events
 from ..processes.capacity_check import CapacityError, memory_backed_folder
 from ..processes.running_process import ProcessStartError
 from ..reports.scores import score_run
@@ -50,7 +51,7 @@
 def stage_of(
     play: ScaleScenario,
     plays: ScaleScenarios,
-    e: ex.Experiment,
+    e: Experiment,
     folder: Path,
     hollow: bool,
     shape: ProcessCounts | None = None,
@@ -101,12 +102,12 @@
         except (CapacityError, ProcessStartError, TimeoutError) as error:
             row.void = str(error) or "a process was not ready in time"
             return row
-        events = merge_records(
-            [stage.seen.events, *(read_records(path) for path in sorted(folder.glob("*.jsonl")))]
+        events = merge_events(
+            [stage.seen.events, *(read_events(path) for path in sorted(folder.glob("*.jsonl")))]
         )
         lines = sum(path.read_bytes().count(b"\n") for path in folder.glob("d*.log"))
     if keep is not None:
-        write_records(events, keep)
+        write_events(events, keep)
     row.void = stage.void()
     found = score_run(e, "ours", plays.seed, events, audit_requests(e, events, SOCKETS_TOLERANCE), row.void)
     changes = stage.took if isinstance(stage, ConfigChangeFleet) else []
@@ -192,7 +193,7 @@
     known = [COMPARED, *(play.name for play in plays.worlds)]
     for name in names:
         if name not in known:
-            raise ex.ExperimentError(f"--play: {name!r} is none of {', '.join(known)}")
+            raise ExperimentError(f"--play: {name!r} is none of {', '.join(known)}")
     rows: list[ScaleRow] = []
     results = read_results(out)
 
@@ -256,7 +257,7 @@
     try:
         fresh.runs = msgspec.json.decode(out.read_bytes(), type=ScaleResults).runs
     except (OSError, msgspec.DecodeError) as error:
-        raise ex.ExperimentError(f"{out}: no results of plays: {error}") from None
+        raise ExperimentError(f"{out}: no results of plays: {error}") from None
     return fresh
 
 
--- a/tests/config_distribution/test_commands.py
+++ b/tests/config_distribution/test_commands.py
@@ -1,18 +1,17 @@
-"""`ploverspoke config` with config servers and a dispatcher as processes; strangers and garbage."""
+"""`ploverspoke config` with config servers and a dispatcher as processes; repeated and invalid messages."""
 
 import asyncio
 import json
 import signal
 import socket
 from pathlib import Path
-from typing import Any
 
 from ploverspoke.config_distribution.messages import watcher_greeting
 from ploverspoke.consensus.framing import FrameCodec
 from ploverspoke.consensus.replica_client import send_admin_request
 
 from .own_files import SECRET, body_with_classes
-from .process_fleet import SERVERS, ProcessFleet, Stranger, with_fleet
+from .process_fleet import SERVERS, ProcessFleet, WatcherConnection, with_fleet
 
 
 def test_operators_publish_inspect_and_roll_back_versions(tmp_path: Path) -> None:
@@ -22,8 +21,8 @@
         await fleet.logs("n0", "n0 serves at")
         assert not await fleet.has_class("g01")
         await fleet.wait_until_watched()
-        words = ("--wait", "20", "--against", str(fleet.own_file))
-        code, out = await fleet.publish(body_with_classes("g01"), *words)
+        options = ("--wait", "20", "--against", str(fleet.own_file))
+        code, out = await fleet.publish(body_with_classes("g01"), *options)
         assert (code, out.splitlines()[0]) == (0, "version 1"), out
         assert await fleet.has_class("g01")
         assert (await fleet.admin_reply()).startswith("+OK version 1 applied\ndispatcher_config_version 1\n")
@@ -96,29 +95,37 @@
     with_fleet(tmp_path, script)
 
 
-def test_repeated_publish_commits_once_and_strangers_change_nothing(tmp_path: Path) -> None:
+def first_columns(rows: object) -> list[int | str]:
+    """Return the first value of each row of a reply: a version's number, or a watcher's name."""
+    assert isinstance(rows, list)
+    return [row[0] for row in rows]
+
+
+def test_repeated_publish_commits_once_and_invalid_connections_change_nothing(tmp_path: Path) -> None:
     async def script(fleet: ProcessFleet) -> None:
         assert (await fleet.publish(body_with_classes("g01")))[0] == 0
 
-        def ask_all(request: dict[str, Any]) -> list[Any]:
+        def ask_all(request: dict[str, object]) -> list[object]:
             return [send_admin_request(address, SECRET, request) for address in fleet.peers.values()]
 
-        async def ask_leader(request: dict[str, Any]) -> Any:
+        async def ask_leader(request: dict[str, object]) -> dict[str, object]:
             """The leader's reply, as soon as there is a leader."""
             while True:
                 for reply in ask_all(request):
+                    assert isinstance(reply, dict)
                     if "leader" not in reply and "unknown" not in reply:
                         return reply
                     assert reply.get("leader", "") in {*fleet.peers.values(), ""} and not reply["done"]
                 await asyncio.sleep(0.05)
 
-        request = {"ask": "publish", "body": body_with_classes("g02"), "expect": 1, "by": "me", "id": "same"}
+        request: dict[str, object] = {"ask": "publish", "body": body_with_classes("g02"), "expect": 1}
+        request |= {"by": "me", "id": "same"}
         for _ in range(3):
             assert await ask_leader(request) == {"done": True, "version": 2, "why": ""}
         for invalid in ({"body": 7}, {"body": "{"}, {"expect": -1}, {"expect": None}, {"by": ""}, {"id": 4}):
             reply = await ask_leader({**request, "id": "other", **invalid})
             assert not reply["done"] and reply["bad"] and reply["why"]
-        assert max(row[0] for rows in ask_all({"ask": "versions"}) for row in rows) == 2
+        assert max(number for rows in ask_all({"ask": "versions"}) for number in first_columns(rows)) == 2
 
         # Another secret, another cluster, a changed frame, garbage: logged and closed, nothing else changes.
         host, port = fleet.clients["c1"].split(":")
@@ -128,20 +135,20 @@
             (SECRET, "fleet", b"\x00\x00\x00\x05" + b"x" * 21),
             (SECRET, "fleet", b"\xff" * 40),
         ):
-            with socket.create_connection((host, int(port)), 10) as stranger:
+            with socket.create_connection((host, int(port)), 10) as connection:
                 frames = FrameCodec(secret, watcher_greeting("n9", cluster))
-                stranger.sendall(frames.greeting_frame() + garbage)
-                while stranger.recv(65536):
+                connection.sendall(frames.greeting_frame() + garbage)
+                while connection.recv(65536):
                     pass
         await fleet.logs("c1", "config: message rejected:", times=4)
-        assert all(
-            row[0] != "n9" for row in send_admin_request(fleet.peers["c1"], SECRET, {"ask": "watchers"})
-        )
+        assert "n9" not in first_columns(send_admin_request(fleet.peers["c1"], SECRET, {"ask": "watchers"}))
         # A second connection of one name replaces the first; a watcher too many is sent elsewhere.
-        first, other = Stranger(fleet.clients["c2"], "n8"), Stranger(fleet.clients["c2"], "n9")
-        assert (first.receive()["n"], other.receive()["n"]) == (2, 2)
-        again, more = Stranger(fleet.clients["c2"], "n8"), Stranger(fleet.clients["c2"], "n10")
-        assert again.receive()["n"] == 2 and more.receive() == {"k": "elsewhere"} and more.receive() is None
+        address = fleet.clients["c2"]
+        first, other = WatcherConnection(address, "n8"), WatcherConnection(address, "n9")
+        assert (first.receive_message()["n"], other.receive_message()["n"]) == (2, 2)
+        again, surplus = WatcherConnection(address, "n8"), WatcherConnection(address, "n10")
+        assert again.receive_message()["n"] == 2
+        assert surplus.receive() == {"k": "elsewhere"} and surplus.receive() is None
         while first.receive() is not None:
             pass
         for name in SERVERS:
--- a/tests/config_distribution/test_processes.py
+++ b/tests/config_distribution/test_processes.py
@@ -1,11 +1,11 @@
-"""Config servers and dispatchers as real processes, judged from outside; faulty variants are found."""
+"""Config servers and dispatchers as real processes, checked from outside; faulty variants are found."""
 
 from pathlib import Path
 
 import pytest
 from click.testing import CliRunner
 
-from ploverspoke.testbed.commands.main import testbed
+from ploverspoke.testbed.commands import main as commands
 from ploverspoke.testbed.experiment_files.durations import MILLISECOND, SECOND, Duration
 from ploverspoke.testbed.processes.fault_timeline import LINK_FAULTS, FaultStep, TimelineError
 from ploverspoke.testbed.scenarios.distribution_scenario import (
@@ -21,7 +21,6 @@
 
 RUNS_LONG = True  # scheduled first: see tests/conftest.py
 
-MS = MILLISECOND
 FAULTY = "tests.config_distribution.faulty_distribution"
 
 
@@ -35,30 +34,43 @@
     plan = DistributionScenario(kills=Duration(2 * SECOND))
     # All that is done to two dispatchers; of the drawn faults some may be skipped where two would meet.
     own_steps = [
-        FaultStep(start=Duration(3 * SECOND), kind="empty", processes=["a-d4"], duration=Duration(200 * MS)),
-        FaultStep(start=Duration(6 * SECOND), kind="older", processes=["a-d4"], duration=Duration(200 * MS)),
+        FaultStep(
+            start=Duration(3 * SECOND), kind="empty", processes=["a-d4"], duration=Duration(200 * MILLISECOND)
+        ),
+        FaultStep(
+            start=Duration(6 * SECOND), kind="older", processes=["a-d4"], duration=Duration(200 * MILLISECOND)
+        ),
         FaultStep(start=Duration(9 * SECOND), kind="restart", processes=["a-d4"]),
-        FaultStep(start=Duration(12 * SECOND), kind="pause", processes=["a-d4"], duration=Duration(700 * MS)),
-        FaultStep(start=Duration(3 * SECOND), kind="kill", processes=["a-d2"], duration=Duration(200 * MS)),
+        FaultStep(
+            start=Duration(12 * SECOND),
+            kind="pause",
+            processes=["a-d4"],
+            duration=Duration(700 * MILLISECOND),
+        ),
+        FaultStep(
+            start=Duration(3 * SECOND), kind="kill", processes=["a-d2"], duration=Duration(200 * MILLISECOND)
+        ),
     ]
     apart = {"a-d2", "a-d4"}
     others = [
-        s for s in timeline(plan, 53) if s.kind in (*LINK_FAULTS, "copy") or not apart & set(s.processes)
+        step
+        for step in timeline(plan, 53)
+        if step.kind in (*LINK_FAULTS, "copy") or not apart & set(step.processes)
     ]
-    played = run_distribution_scenario(plan, 53, [*others, *own_steps])
-    assert played.shown == [], "\n".join(played.shown)
-    assert (played.void, played.faults, played.verdict.void_reason()) == ("", [], "")
-    assert played.verdict.reported_rejections == plan.dispatchers
-    done = {event.what for event in played.events if event.who == "rig"}
+    outcome = run_distribution_scenario(plan, 53, [*others, *own_steps])
+    assert outcome.shown == [], "\n".join(outcome.shown)
+    assert (outcome.void, outcome.faults, outcome.verdict.void_reason()) == ("", [], "")
+    assert outcome.verdict.reported_rejections == plan.dispatchers
+    rig_events = {event.what for event in outcome.events if event.who == "rig"}
     expected = {"kill", "pause", "restart", "empty", "older"}
-    assert done >= {
+    assert rig_events >= {
         "add fault",
         "remove fault",
         "reset",
         "refuses",
         *(f"{what} is over" for what in expected),
     }
-    kinds = {event.detail[2] for event in played.events if event.what == "wants"}
+    kinds = {event.detail[2] for event in outcome.events if event.what == "wants"}
     assert kinds == {"good", "refusable", "unacceptable"}
 
 
@@ -98,12 +110,12 @@
         within=Duration(2 * SECOND),
         lasts=Duration(12 * SECOND),
         publishers=4,
-        every=Duration(100 * MS),
-        election=Duration(600 * MS),
+        every=Duration(100 * MILLISECOND),
+        election=Duration(600 * MILLISECOND),
         stubborn=0.0,
         near_one=True,
         emptied=Duration(0),
-        leader_cut=Duration(2400 * MS),
+        leader_cut=Duration(2400 * MILLISECOND),
     )
     findings = findings_of(
         run_distribution_scenario(
@@ -118,7 +130,7 @@
         dispatchers=2,
         within=Duration(2 * SECOND),
         lasts=Duration(8 * SECOND),
-        every=Duration(300 * MS),
+        every=Duration(300 * MILLISECOND),
         emptied=Duration(3 * SECOND),
     )
     faulty_programs = {name: [FAULTY, "ignores_expected_version,begins_anew"] for name in plan.server_names()}
@@ -160,7 +172,7 @@
 def test_command_names_the_key_of_an_invalid_experiment(tmp_path: Path) -> None:
     path = tmp_path / "wrong.toml"
     path.write_text('kind = "distribution"\nname = "wrong"\nseeds = [1]\n[plan]\nservers = 4\n')
-    result = CliRunner().invoke(testbed, ["run", str(path)])
+    result = CliRunner().invoke(commands.testbed, ["run", str(path)])
     assert result.exit_code == 2 and "plan.servers: expected 3 or 5" in result.output
 
 
--- a/tests/config_distribution/virtual_fleet.py
+++ b/tests/config_distribution/virtual_fleet.py
@@ -3,7 +3,7 @@
 import heapq
 import random
 from collections.abc import Callable
-from typing import Any
+from functools import partial
 
 from ploverspoke.config_distribution.broadcaster import VersionBroadcaster
 from ploverspoke.config_distribution.errors import VersionRejectedError
@@ -14,22 +14,26 @@
     read_watch_status,
 )
 from ploverspoke.config_distribution.watcher import ConfigWatcher
+from ploverspoke.transport.units import MILLISECOND, SECOND
 
-from .samples import MS, S, decoded, version
+from .samples import decoded, version
 
 
 class VirtualFleet:
     """Servers and watchers on one virtual clock; what is sent over a link that is cut is lost."""
 
     def __init__(self, servers: int, watchers: int, local: Callable[[int], list[int]], seed: int = 1) -> None:
-        self.clock = 100 * S
+        self.clock = 100 * SECOND
         self.events: list[tuple[int, int, Callable[[], None]]] = []
         self.count = 0
         self.seed = seed
         self.cuts: set[tuple[str, str]] = set()
-        self.names = [f"s{n}" for n in range(servers)]
+        self.names = [f"s{number}" for number in range(servers)]
         self.servers = {name: FakeServer(self, name) for name in self.names}
-        self.watchers = [FakeWatcher(self, n, [f"s{m}" for m in local(n)]) for n in range(watchers)]
+        self.watchers = [
+            FakeWatcher(self, number, [f"s{server}" for server in local(number)])
+            for number in range(watchers)
+        ]
 
     def after(self, delay: int, action: Callable[[], None]) -> None:
         self.count += 1
@@ -63,7 +67,7 @@
 
 
 class FakeServer:
-    """A config server's decisions; `has_leader` is what it says of its replica."""
+    """A config server's decisions; `has_leader`: whether its replica is in contact with a leader."""
 
     def __init__(self, fleet: VirtualFleet, name: str) -> None:
         self.fleet, self.name = fleet, name
@@ -84,12 +88,12 @@
 
     def send(self, name: str, message: ServerMessage) -> int:
         watcher, link = self.links[name]
-        self.fleet.after(MS, lambda: watcher.on_message(link, self, decoded(message)))
+        self.fleet.after(MILLISECOND, lambda: watcher.on_message(link, self, decoded(message)))
         return 200
 
     def disconnect(self, name: str, reason: str) -> None:
         watcher, link = self.links.pop(name)
-        self.fleet.after(MS, lambda: watcher.on_disconnected(link, self))
+        self.fleet.after(MILLISECOND, lambda: watcher.on_disconnected(link, self))
 
     def arm(self) -> None:
         broadcaster = self.broadcaster
@@ -108,7 +112,7 @@
         """The process ends: its connections end, and further ones are refused."""
         self.is_up = False
         for watcher, link in self.links.values():
-            self.fleet.after(MS, lambda w=watcher, x=link: w.on_disconnected(x, self))  # type: ignore[misc]
+            self.fleet.after(MILLISECOND, partial(watcher.on_disconnected, link, self))
 
 
 class FakeWatcher:
@@ -153,7 +157,7 @@
         self.dialed.append((self.fleet.clock, address))
         self.open[link] = address
         if self.reaches(address) and self.reaches(address, back=True):
-            self.fleet.after(2 * MS, lambda: self.on_connected(link, address))
+            self.fleet.after(2 * MILLISECOND, lambda: self.on_connected(link, address))
 
     def on_connected(self, link: int, address: str) -> None:
         server = self.fleet.servers[address]
@@ -176,7 +180,7 @@
     def send(self, link: int, status: WatchStatus) -> None:
         if self.reaches(self.open[link]):
             server = self.fleet.servers[self.open[link]]
-            self.fleet.after(MS, lambda: self.status_arrives(link, server, status))
+            self.fleet.after(MILLISECOND, lambda: self.status_arrives(link, server, status))
 
     def status_arrives(self, link: int, server: FakeServer, status: WatchStatus) -> None:
         if server.is_up and link in self.open:
@@ -184,7 +188,7 @@
             server.broadcaster.on_watch_status(self.name, read_watch_status(decoded(status)))
             server.arm()
 
-    def on_message(self, link: int, server: FakeServer, message: Any) -> None:
+    def on_message(self, link: int, server: FakeServer, message: object) -> None:
         if link in self.open and server.is_up and self.reaches(server.name, back=True):
             self.watcher.on_message(link, message)
             self.arm()
--- a/tests/consensus/test_raft_simulation.py
+++ b/tests/consensus/test_raft_simulation.py
@@ -1,4 +1,4 @@
-"""Raft in random and in exhaustive schedules, and planted faults that the schedules must find."""
+"""Raft in random and in exhaustive schedules, and injected faults that the schedules must find."""
 
 import itertools
 from concurrent.futures import ProcessPoolExecutor
@@ -7,21 +7,15 @@
 import pytest
 
 from ploverspoke.consensus import replication
+from ploverspoke.transport.units import MILLISECOND
 from tests.consensus.raft_faults import (
     acknowledges_before_sync,
     reads_without_heartbeat,
     votes_twice_in_a_term,
 )
-from tests.consensus.raft_simulation import (
-    MILLISECOND,
-    WORKER_PROCESSES,
-    InvariantViolationError,
-    PlantFault,
-    SimulatedCluster,
-    Sweep,
-    explore,
-    sweep,
-)
+from tests.consensus.raft_simulation import WORKER_PROCESSES, Sweep, explore, sweep
+from tests.consensus.simulated_cluster import InvariantViolationError, SimulatedCluster
+from tests.consensus.simulated_replica import FaultInjector
 
 RUNS_LONG = True  # scheduled first: see tests/conftest.py
 
@@ -44,7 +38,7 @@
 
 
 @pytest.mark.parametrize("fault", FAULTS)
-def test_simulation_finds_planted_fault(fault: PlantFault, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_simulation_finds_an_injected_fault(fault: FaultInjector, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(replication, "MAX_ENTRIES_PER_MESSAGE", 1)
     with pytest.raises(InvariantViolationError):
         for seed in range(8000):
--- a/tests/leases/faulty_variants.py
+++ b/tests/leases/faulty_variants.py
@@ -5,7 +5,7 @@
 from ploverspoke.leases.manager import LeaseManager
 from ploverspoke.leases.messages import GrantedLease, LeaseRequest, LeaseResponse, ReleasedLease
 from ploverspoke.leases.state_machine import LeaseStateMachine, ReleaseCommand, ReleasedToken
-from tests.leases.lease_simulation import EffectGuard, Variants
+from tests.leases.simulated_lease_cluster import EffectGuard, Variants
 
 
 class FaultyCountsFromResponse(LeaseHolder):
@@ -48,7 +48,7 @@
 
 
 class FaultyRenewsExpired(LeaseManager):
-    """What has been said to have ended is renewed as long as the log does not say so, and once more after."""
+    """Renews a lease that has ended for as long as its end is not committed, and once more after."""
 
     def _respond(self, holder: str, request: LeaseRequest) -> None:
         granted = [
--- a/tests/supervisor/harness.py
+++ b/tests/supervisor/harness.py
@@ -1,17 +1,15 @@
-"""Harness: child processes that are numbers, and the real supervisor with the fake workers of `World`."""
+"""Test harness: fake child processes, and the real supervisor with the fake workers of `World`."""
 
 import json
 import subprocess
 import sys
 from pathlib import Path
-from typing import Any
 
 from ploverspoke.supervisor.supervisor import ProcessSupervisor
 from ploverspoke.testbed.processes.addresses import reserve_ports
 from ploverspoke.transport.units import SECOND
-from tests.routing.harness import World
-
-EXAMPLE: dict[str, Any] = json.loads((Path(__file__).parents[2] / "deploy" / "example.json").read_text())
+from tests.example_config import EXAMPLE
+from tests.routing.harness import ServiceHarness
 
 
 class FakeProcesses:
@@ -84,14 +82,14 @@
 class SupervisedDispatchers:
     """The real command with several processes, in front of the fake workers of `World`."""
 
-    def __init__(self, folder: Path, world: World, discovery: str, count: int) -> None:
+    def __init__(self, folder: Path, harness: ServiceHarness, discovery: str, count: int) -> None:
         [self.port] = reserve_ports(1)
         self.config_path = folder / "c.json"
         self.document = {
             **EXAMPLE,
             "listen": f"127.0.0.1:{self.port}",
             "discovery": discovery,
-            "known": {"version": 1, "full": True, "servers": world.entries},
+            "known": {"version": 1, "full": True, "servers": harness.entries},
         }
         self.config_path.write_text(json.dumps(self.document))
         arguments = ["-m", "ploverspoke", "serve", str(self.config_path), "--processes", str(count)]
@@ -104,6 +102,6 @@
         listing = Path(f"/proc/{self.process.pid}/task/{self.process.pid}/children")
         return [int(pid) for pid in listing.read_text().split()]
 
-    def logged(self, words: str) -> int:
-        """How often the log has these words."""
-        return self.log_path.read_text().count(words)
+    def logged(self, text: str) -> int:
+        """How often the log has this text."""
+        return self.log_path.read_text().count(text)
