--- a/ploverspoke/consensus/admin_requests.py
+++ b/ploverspoke/consensus/admin_requests.py
@@ -54,7 +54,7 @@
     def state_status(self) -> msgspec.Struct | WireMap:
         """The part of the status that is about the state machine."""
 
-    def handle_state_request(self, request: dict[str, object], reply: Reply) -> bool:
+    def handle_state_request(self, request: WireMap, reply: Reply) -> bool:
         """Answer a tool's request about the state machine; returns False if it is none."""
 
 
--- a/ploverspoke/consensus/node.py
+++ b/ploverspoke/consensus/node.py
@@ -8,6 +8,7 @@
 import random
 import time
 from collections.abc import Callable
+from typing import NamedTuple
 
 import msgspec
 
@@ -36,6 +37,13 @@
 Command = msgspec.Struct | bytes | list[PlainValue]
 
 
+class Proposal(NamedTuple):
+    """A command that waits for the next batch."""
+
+    command: PlainValue
+    on_result: CommitCallback
+
+
 class ReplicaNode:
     """A replica as its users see it. A service derives its own from it and overrides the hooks."""
 
@@ -59,7 +67,7 @@
         self.storage_failures = 0
         self.write_counters = WriteCounters()
         self._driver: ReplicaDriver | None = None  # None: the storage cannot be used
-        self._proposals: list[tuple[PlainValue, CommitCallback]] = []  # of this turn of the event loop
+        self._proposals: list[Proposal] = []  # of this turn of the event loop
         self._tasks: set[asyncio.Task[None]] = set()
 
     # ---- Start and end ----
@@ -149,7 +157,7 @@
             command = msgspec.to_builtins(command, builtin_types=(bytes,))
         if not self._proposals:
             self.loop.call_soon(self._propose_all)
-        self._proposals.append((command, on_result))
+        self._proposals.append(Proposal(command, on_result))
 
     def read(self, on_result: CommitCallback) -> None:
         """Call `on_result` with True once the state holds all that was committed before this call."""
@@ -205,7 +213,7 @@
         """Return the part of the status that is about the state machine."""
         return {}
 
-    def handle_state_request(self, request: dict[str, object], reply: Reply) -> bool:
+    def handle_state_request(self, request: WireMap, reply: Reply) -> bool:
         """Answer a tool's request about the state machine; returns False if it is none."""
         return False
 
@@ -218,7 +226,7 @@
 
     def _propose_all(self) -> None:
         proposals, self._proposals = self._proposals, []
-        callbacks = [on_result for _, on_result in proposals]
+        callbacks = [proposal.on_result for proposal in proposals]
 
         def on_result(committed: bool) -> None:
             for callback in callbacks:
@@ -227,7 +235,7 @@
         if self.replica is None:
             on_result(False)
         else:
-            self.replica.propose([command for command, _ in proposals], on_result)
+            self.replica.propose([proposal.command for proposal in proposals], on_result)
             self._schedule_step()
 
     def _schedule_step(self) -> None:
--- a/ploverspoke/consensus/peer_links.py
+++ b/ploverspoke/consensus/peer_links.py
@@ -41,6 +41,13 @@
         return {"id": self.replica_id, "store": self.cluster_fingerprint}
 
 
+class ConnectedPeer(NamedTuple):
+    """A peer that this replica connects to."""
+
+    address: str
+    task: asyncio.Task[None]  # keeps it connected
+
+
 class GreetingError(ConsensusError):
     """The greeting of the other side is not that of the expected replica."""
 
@@ -70,7 +77,7 @@
         self.refused_connections = 0
         self.dropped_messages = 0
         self.stalled_connections = 0  # given up because nothing went out on them
-        self._connecting: dict[str, tuple[str, asyncio.Task[None]]] = {}  # address and task, by replica id
+        self._peers: dict[str, ConnectedPeer] = {}  # by replica id
         self._server: asyncio.Server | None = None
 
     async def open(self, host: str, port: int) -> None:
@@ -80,18 +87,18 @@
 
     def set_peers(self, addresses: dict[str, str]) -> None:
         """Connect to these peers, addresses by replica id, and to no others."""
-        for replica_id, (address, task) in list(self._connecting.items()):
-            if addresses.get(replica_id) != address:
-                task.cancel()
-                del self._connecting[replica_id]
+        for replica_id, peer in list(self._peers.items()):
+            if addresses.get(replica_id) != peer.address:
+                peer.task.cancel()
+                del self._peers[replica_id]
                 connection = self.outbound.pop(replica_id, None)
                 if connection is not None:
                     connection.abort()
         loop = asyncio.get_running_loop()
         for replica_id, address in addresses.items():
-            if replica_id not in self._connecting:
+            if replica_id not in self._peers:
                 task = loop.create_task(self._keep_connected(replica_id, address))
-                self._connecting[replica_id] = (address, task)
+                self._peers[replica_id] = ConnectedPeer(address, task)
 
     def send(self, replica_id: str, message: object) -> None:
         """Send a message to a peer; it is dropped if the peer is not connected."""
@@ -103,8 +110,8 @@
         """Stop listening and close all connections."""
         if self._server is not None:
             self._server.close()
-        for _, task in self._connecting.values():
-            task.cancel()
+        for peer in self._peers.values():
+            peer.task.cancel()
         connections: list[InboundConnection | OutboundConnection] = [*self.inbound, *self.outbound.values()]
         for connection in connections:
             connection.abort()
--- a/ploverspoke/leases/manager.py
+++ b/ploverspoke/leases/manager.py
@@ -11,12 +11,10 @@
 and late ones change nothing: their number is not above the latest one of that holder.
 """
 
-from collections.abc import Callable
-from typing import Protocol
-
 from ploverspoke.transport.units import NEVER
 
 from .definitions import LeaseDefinition, LeaseDefinitions
+from .manager_environment import LeaseManagerEnvironment
 from .messages import (
     GrantedLease,
     LeaseRequest,
@@ -29,7 +27,6 @@
 from .state_machine import (
     EpochCommand,
     GrantCommand,
-    LeaseCommand,
     LeaseGrant,
     LeaseStateMachine,
     ReleaseCommand,
@@ -40,22 +37,6 @@
 MAX_WANTED_LEASES = 1000  # of one holder
 
 
-class LeaseManagerEnvironment(Protocol):
-    """What a `LeaseManager` needs from its driver."""
-
-    def now(self) -> int:
-        """Return nanoseconds of a monotonic clock."""
-
-    def propose(self, command: LeaseCommand, on_decided: Callable[[bool], None], /) -> None:
-        """Append a command to the log; call `on_decided` later with whether it is committed."""
-
-    def confirm_leadership(self, on_decided: Callable[[bool], None]) -> None:
-        """Call `on_decided` with whether a majority confirms, after this call, that this server leads."""
-
-    def send(self, holder: str, response: LeaseResponse) -> None:
-        """Send to a holder; dropped where that is not connected."""
-
-
 class LeaseManager:
     """Grants leases while its lease server leads; does nothing while another does."""
 
--- a/ploverspoke/leases/server_node.py
+++ b/ploverspoke/leases/server_node.py
@@ -1,8 +1,8 @@
 """A lease server on a disk and on sockets: drives a `LeaseManager` on a replica of a `LeaseStateMachine`."""
 
-from collections.abc import Callable, Mapping
+from collections.abc import Callable
 
-from ploverspoke.consensus.admin_messages import decode_request, encode_reply
+from ploverspoke.consensus.admin_messages import WireMap, decode_request, encode_reply
 from ploverspoke.consensus.node import ReplicaNode
 from ploverspoke.consensus.peer_links import Reply
 from ploverspoke.consensus.raft_state import Role
@@ -96,7 +96,7 @@
             renewed=self.manager.renewed,
         )
 
-    def handle_state_request(self, request: Mapping[str, object], reply: Reply) -> bool:
+    def handle_state_request(self, request: WireMap, reply: Reply) -> bool:
         """Answer `LeasesRequest`, once a majority has confirmed who leads."""
         if decode_request(request, LeasesRequest) is None:
             return False
--- a/ploverspoke/store/configuration_client.py
+++ b/ploverspoke/store/configuration_client.py
@@ -2,6 +2,7 @@
 
 import json
 from pathlib import Path
+from typing import NamedTuple
 
 import click
 
@@ -13,7 +14,14 @@
 from .shared_config import merge_config
 
 
-def read_configuration(store_file: Path, configuration: Path) -> tuple[ReplicaConfig, str]:
+class CheckedConfiguration(NamedTuple):
+    """A shared configuration, checked for the store that it is for."""
+
+    store: ReplicaConfig
+    body: str  # JSON
+
+
+def read_configuration(store_file: Path, configuration: Path) -> CheckedConfiguration:
     """Read a store's file and a configuration's text, checked for that store.
 
     Ends the command with exit code 2 where one of them is wrong.
@@ -25,7 +33,7 @@
     except (ConfigError, ValueError, OSError) as error:
         message = f"{configuration}: {error}"
         raise click.UsageError(message) from error
-    return config, body
+    return CheckedConfiguration(config, body)
 
 
 def commit_configuration(config: ReplicaConfig, request: ConfigureRequest) -> ConfigureReply:
--- a/tests/supervisor/harness.py
+++ b/tests/supervisor/harness.py
@@ -1,4 +1,4 @@
-"""Test harness: fake child processes, and the real supervisor with the fake workers of `World`."""
+"""Test harness: fake child processes, and the real supervisor with the fake workers of `ServiceHarness`."""
 
 import json
 import subprocess
@@ -80,7 +80,7 @@
 
 
 class SupervisedDispatchers:
-    """The real command with several processes, in front of the fake workers of `World`."""
+    """The real command with several processes, in front of the fake workers of `ServiceHarness`."""
 
     def __init__(self, folder: Path, harness: ServiceHarness, discovery: str, count: int) -> None:
         [self.port] = reserve_ports(1)
