--- a/ploverspoke/testbed/commands/run.py
+++ b/ploverspoke/testbed/commands/run.py
@@ -182,13 +182,13 @@
 def _run_fleet(path: Path, scenarios: tuple[str, ...], out: Path | None, events: bool) -> NoReturn:
     """Run the scale scenarios of a fleet file; a void run exits with 1."""
     from ..capacity.fleet_size import FleetFileError, read_fleet
-    from ..checkers.scale_checker import ScaleRow
+    from ..capacity.scenario_results import ScenarioResult
     from ..scenarios.scale_test import run_fleet
 
-    def print_row(row: ScaleRow) -> None:
+    def print_row(row: ScenarioResult) -> None:
         """Print the result of one scenario."""
-        metrics = {key: f"{value:g}" for key, value in row.figures.items()}
-        print(f"{row.play}: {_key_value_pairs(metrics)}", flush=True)
+        metrics = {key: f"{value:g}" for key, value in row.metrics.items() if value is not None}
+        print(f"{row.scenario}: {_key_value_pairs(metrics)}", flush=True)
         if row.void:
             print(f"  void: {row.void}", flush=True)
         for label, lines in (("held", row.held), ("failed", row.failed)):
--- a/ploverspoke/testbed/scale/dispatcher_host.py
+++ b/ploverspoke/testbed/scale/dispatcher_host.py
@@ -1,121 +1,135 @@
-"""One process of hollow dispatchers, spoken with over its pipes: JSON lines both ways.
-
-Heard: `{"start": N}`, `{"end": N}`, `{"kill": N}`, `{"read again": N}` for one of its dispatchers,
-`{"begin": true}` once the run begins, `{"count": true}`. Told: `{"up": true}` first, `{"serves": N}`,
-`{"ended": N, "why": text}`, `{"counts": {...}}`. The end of the input ends it, and with it all that it holds.
-"""
+"""One process of simulated dispatchers, commanded over its pipes. The end of its input ends it and them."""
 
 import asyncio
 import gc
 import os
 import resource
 import signal
-import sys
 import time
+from collections import Counter
 from pathlib import Path
-from typing import Any
 
 import msgspec
 import uvloop
 
+from ..experiment_files.durations import SECOND
 from ..processes.capacity_check import descriptor_limit
-from .simulated_dispatcher import DispatcherAddress, SimulatedDispatcher
-
-LOOKS_EVERY = 0.02  # seconds, at its own loop
-PAGE = os.sysconf("SC_PAGE_SIZE")
-
-
-class DispatcherHostSpec(msgspec.Struct):
-    """What all hollow processes of a run are told."""
-
-    parts: list[list[DispatcherAddress]]  # the dispatchers of each process
-
-
-def tell(told: dict[str, Any]) -> None:
-    sys.stdout.buffer.write(msgspec.json.encode(told) + b"\n")
-    sys.stdout.buffer.flush()
+from ..processes.pipe_messages import input_lines, send_message
+from .host_messages import (
+    BeginRun,
+    CountUsage,
+    DispatcherAddress,
+    DispatcherEnded,
+    DispatcherHostSpec,
+    DispatcherServes,
+    HostCommand,
+    HostReady,
+    KillDispatcher,
+    ReloadConfig,
+    StartDispatcher,
+    StopDispatcher,
+    UsageCounts,
+)
+from .simulated_dispatcher import SimulatedDispatcher
+
+LATENESS_INTERVAL = 0.02  # seconds, in which the event loop is checked
+PAGE_SIZE = os.sysconf("SC_PAGE_SIZE")
 
 
 class DispatcherHost:
-    def __init__(self, loop: asyncio.AbstractEventLoop, places: list[DispatcherAddress]) -> None:
+    """Starts, stops, kills and counts the dispatchers of this process."""
+
+    def __init__(self, loop: asyncio.AbstractEventLoop, addresses: list[DispatcherAddress]) -> None:
+        """`addresses` are those of all dispatchers that may be started here."""
         self.loop = loop
-        self.places = {place.number: place for place in places}
-        self.living: dict[int, SimulatedDispatcher] = {}
-        self.late = 0  # ns, since the run began: what dispatchers did then they would not have done so late
-        self.calls = {
-            "start": self.start,
-            "end": lambda number: self.living[number].signal(signal.SIGTERM),
-            "read again": lambda number: self.living[number].signal(signal.SIGHUP),
-            "kill": self.kill,
-        }
+        self.addresses = {address.number: address for address in addresses}
+        self.running: dict[int, SimulatedDispatcher] = {}
+        self.lateness = 0  # ns, of the event loop since the run began
         self.watch: asyncio.Task[None] | None = None
 
-    def heard(self, told: dict[str, Any]) -> None:
-        for what, number in told.items():
-            if what in self.calls:
-                # Who ended meanwhile hears nothing, as with a signal.
-                if what == "start" or number in self.living:
-                    self.calls[what](number)
-            elif what == "begin":
-                # What is there by now stays for the run: looked through again and again it held up the loop.
-                gc.collect()
-                gc.freeze()
-                self.watch = self.loop.create_task(self._watch())
-            elif what == "count":
-                tell({"counts": self.counts()})
-
-    def start(self, number: int) -> None:
-        if number in self.living:
-            tell({"ended": number, "why": "it runs already"})
+    def on_command(self, command: HostCommand) -> None:
+        """Carry out a command; one for a dispatcher that has ended is ignored, as a signal would be."""
+        match command:
+            case StartDispatcher(number):
+                self._start(number)
+            case StopDispatcher(number) if number in self.running:
+                self.running[number].signal(signal.SIGTERM)
+            case ReloadConfig(number) if number in self.running:
+                self.running[number].signal(signal.SIGHUP)
+            case KillDispatcher(number) if number in self.running:
+                self._kill(number)
+            case BeginRun():
+                self._begin()
+            case CountUsage():
+                send_message(self.count_usage())
+            case _:
+                pass
+
+    def _start(self, number: int) -> None:
+        if number in self.running:
+            send_message(DispatcherEnded(number, "it runs already"))
             return
-        dispatcher = SimulatedDispatcher(self.loop, self.places[number], self._ended)
-        dispatcher.on_serving = lambda number: tell({"serves": number})
-        self.living[number] = dispatcher
-
-    def kill(self, number: int) -> None:
-        self.living.pop(number).kill()
-        tell({"ended": number, "why": "killed"})
-
-    def _ended(self, number: int, why: str) -> None:
-        del self.living[number]
-        tell({"ended": number, "why": why})
-
-    def counts(self) -> dict[str, Any]:
-        used = resource.getrusage(resource.RUSAGE_SELF)
-        inside: dict[str, int] = {}
-        for dispatcher in self.living.values():
-            for key, value in dispatcher.counts().items():
-                inside[key] = inside.get(key, 0) + value
-        return {
-            "cpu_ns": int((used.ru_utime + used.ru_stime) * 1e9),
-            "resident": int(Path("/proc/self/statm").read_text().split()[1]) * PAGE,
-            "descriptors": len(os.listdir("/proc/self/fd")),
-            "serving": sum(dispatcher.serves for dispatcher in self.living.values()),
-            "listed": sum(dispatcher.is_listed() for dispatcher in self.living.values()),
-            "late": self.late,
-            "inside": inside,
-        }
-
-    async def _watch(self) -> None:
+        dispatcher = SimulatedDispatcher(self.loop, self.addresses[number], self._on_ended)
+        dispatcher.on_serving = self._on_serving
+        self.running[number] = dispatcher
+
+    def _kill(self, number: int) -> None:
+        self.running.pop(number).kill()
+        send_message(DispatcherEnded(number, "killed"))
+
+    def _on_serving(self, number: int) -> None:
+        send_message(DispatcherServes(number))
+
+    def _on_ended(self, number: int, reason: str) -> None:
+        del self.running[number]
+        send_message(DispatcherEnded(number, reason))
+
+    def _begin(self) -> None:
+        # What exists now stays for the run; scanning it again and again would hold up the loop.
+        gc.collect()
+        gc.freeze()
+        self.watch = self.loop.create_task(self._measure_lateness())
+
+    def count_usage(self) -> UsageCounts:
+        """Return what this process and its dispatchers use."""
+        usage = resource.getrusage(resource.RUSAGE_SELF)
+        inside: Counter[str] = Counter()
+        for dispatcher in self.running.values():
+            inside.update(dispatcher.counts())
+        return UsageCounts(
+            cpu_ns=int((usage.ru_utime + usage.ru_stime) * SECOND),
+            resident=int(Path("/proc/self/statm").read_text().split()[1]) * PAGE_SIZE,
+            descriptors=sum(1 for _ in Path("/proc/self/fd").iterdir()),
+            serving=sum(dispatcher.is_serving for dispatcher in self.running.values()),
+            listed=sum(dispatcher.has_list() for dispatcher in self.running.values()),
+            lateness=self.lateness,
+            inside=dict(inside),
+        )
+
+    async def _measure_lateness(self) -> None:
         while True:
-            due = time.monotonic_ns() + int(LOOKS_EVERY * 1e9)
-            await asyncio.sleep(LOOKS_EVERY)
-            self.late = max(self.late, time.monotonic_ns() - due)
+            due = time.monotonic_ns() + int(LATENESS_INTERVAL * SECOND)
+            await asyncio.sleep(LATENESS_INTERVAL)
+            self.lateness = max(self.lateness, time.monotonic_ns() - due)
+
+    def kill_all(self) -> None:
+        """Kill all dispatchers without a message."""
+        for number in list(self.running):
+            self.running.pop(number).kill()
 
 
-async def live(places: list[DispatcherAddress]) -> None:
-    descriptor_limit()
-    loop = asyncio.get_running_loop()
-    process = DispatcherHost(loop, places)
-    lines = asyncio.StreamReader()
-    await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(lines), sys.stdin)
-    tell({"up": True})
-    while line := await lines.readline():
-        process.heard(msgspec.json.decode(line))
-    for number in list(process.living):
-        process.living.pop(number).kill()
+async def serve(addresses: list[DispatcherAddress]) -> None:
+    """Carry out commands until the input ends."""
+    descriptor_limit()  # raises the limit, too
+    host = DispatcherHost(asyncio.get_running_loop(), addresses)
+    decoder: msgspec.json.Decoder[HostCommand] = msgspec.json.Decoder(HostCommand)
+    send_message(HostReady())
+    async for line in input_lines():
+        host.on_command(decoder.decode(line))
+    host.kill_all()
 
 
 def run(path: Path, part: int) -> None:
+    """Run the process with that number of the spec."""
     spec: DispatcherHostSpec = msgspec.json.decode(path.read_bytes(), type=DispatcherHostSpec)
-    uvloop.run(live(spec.parts[part]))
+    uvloop.run(serve(spec.parts[part]))
--- a/ploverspoke/testbed/scale/simulated_dispatcher.py
+++ b/ploverspoke/testbed/scale/simulated_dispatcher.py
@@ -1,14 +1,14 @@
-"""One dispatcher among many in a process: the program's own Service, started, ended, killed, told to read."""
+"""One dispatcher among many in a process: the program's own Service, with signals and kills played."""
 
 import asyncio
 import signal
 import socket
 import struct
 from collections.abc import Callable, Iterable
-from contextvars import copy_context
+from contextvars import Context, copy_context
 from functools import partial
 from pathlib import Path
-from typing import Any, NamedTuple, cast
+from typing import TYPE_CHECKING, cast
 
 from ploverspoke.service.config import read_config
 from ploverspoke.service.config_reader import ConfigError
@@ -16,127 +16,127 @@
 from ploverspoke.transport.connections import Connection
 
 from ..processes.process_log import CURRENT_LOG, DispatcherLog
-from .dispatcher_loop import OwnLoop
+from .dispatcher_loop import DispatcherLoop
+from .host_messages import DispatcherAddress
 
-RESET = struct.pack("ii", 1, 0)  # SO_LINGER: closed with a reset, whatever was unsent
+if TYPE_CHECKING:
+    from ploverspoke.config_distribution.client import WatchClient
 
-
-class DispatcherAddress(NamedTuple):
-    """Where one hollow dispatcher is, and where it finds its configuration."""
-
-    number: int
-    name: str
-    address: str
-    config: str  # path
-    watch: str = ""  # path of what `serve --watch` is given; "": it watches nothing
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: reset, whatever is unsent
 
 
 class SimulatedDispatcher:
-    """One life of one dispatcher. `ended` is told of its end, with why; "": it was told to."""
+    """One run of one dispatcher."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, place: DispatcherAddress, ended: Callable[[int, str], None]
+        self,
+        loop: asyncio.AbstractEventLoop,
+        address: DispatcherAddress,
+        on_ended: Callable[[int, str], None],
     ) -> None:
-        self.place = place
-        self.ended = ended
-        self.said = DispatcherLog(place.name)
-        self.loop = OwnLoop(loop, place.address)
+        """Start it. `on_ended` gets its number and the reason of its end; empty: it was stopped."""
+        self.address = address
+        self.on_ended = on_ended
+        self.on_serving: Callable[[int], None] = lambda _: None
+        self.is_serving = False
+        self.log = DispatcherLog(address.name)
+        self.loop = DispatcherLoop(loop, address.address)
         self.service: Service | None = None
-        self.watching: Any = None
-        self.serves = False
-        self.on_serving: Callable[[int], None] = lambda number: None
-        context = copy_context()
-        context.run(CURRENT_LOG.set, self.said)
-        self.task = loop.create_task(self._run(), context=context)
+        self.watch_client: WatchClient | None = None
+        self.task = loop.create_task(self._run(), context=_context_with_log(self.log))
 
     async def _run(self) -> None:
-        why = ""
+        reason = ""
         try:
-            # Its own configuration, by the program's own reading: nothing of it comes from this process's.
-            read = partial(read_config, {"RELAY_CONFIG": self.place.config})
+            # Read as the program reads it; nothing comes from the environment of this process.
+            read = partial(read_config, {"RELAY_CONFIG": self.address.config})
             self.service = Service(cast(asyncio.AbstractEventLoop, self.loop), read())
             self.service.load_config = read
-            if self.place.watch:
-                self._watch(self.service)
-            self.service.on_ready = self._ready
+            if self.address.watch:
+                self._attach_watch(self.service)
+            self.service.on_ready = self._on_ready
             await self.service.run()
         except (ConfigError, OSError) as error:
-            why = str(error)
-        self.serves = False
-        self._drop(reset=False)
-        self.ended(self.place.number, why)
+            reason = str(error)
+        self.is_serving = False
+        self._release(reset=False)
+        self.on_ended(self.address.number, reason)
 
-    def _watch(self, service: Service) -> None:
-        """Only where it is asked for: changes from config servers, as `serve --watch` has them."""
+    def _attach_watch(self, service: Service) -> None:
+        """Watch config servers, as `serve --watch` does."""
         from ploverspoke.config_distribution.cluster_config import read_watch_config
         from ploverspoke.config_distribution.dynamic_config import attach_watch, read_own_config
 
-        own = read_own_config({"RELAY_CONFIG": self.place.config})
-        watch_config = read_watch_config(Path(self.place.watch))
-        self.watching = attach_watch(service, watch_config, own, seed=self.place.number)
+        own = read_own_config({"RELAY_CONFIG": self.address.config})
+        watch_config = read_watch_config(Path(self.address.watch))
+        self.watch_client = attach_watch(service, watch_config, own, seed=self.address.number)
 
-    def _ready(self) -> None:
-        if self.watching is not None:
-            self.watching.start()
-        self.serves = True
-        self.on_serving(self.place.number)
+    def _on_ready(self) -> None:
+        if self.watch_client is not None:
+            self.watch_client.start()
+        self.is_serving = True
+        self.on_serving(self.address.number)
 
     # ---- In place of signals ----
 
     def signal(self, number: signal.Signals) -> None:
-        handler = self.loop.handlers.get(number)
+        """Call the handler that the program has set for this signal."""
+        handler = self.loop.signal_handlers.get(number)
         if handler is not None:
-            copy_context_of(self.said).run(handler)
+            _context_with_log(self.log).run(handler)
 
     def kill(self) -> None:
-        """Its sockets are reset and it says nothing more, as when its process is killed."""
-        self.serves = False
+        """Reset its sockets and stop it at once, as the kernel does with a killed process."""
+        self.is_serving = False
         self.task.cancel()
-        self._drop(reset=True)
+        self._release(reset=True)
 
-    def _drop(self, reset: bool) -> None:
-        if self.watching is not None:
-            self.watching.close()
-        self.loop.die()
+    def _release(self, reset: bool) -> None:
+        """Release timers, listeners and connections; with `reset`, connections are reset."""
+        if self.watch_client is not None:
+            self.watch_client.close()
+        self.loop.kill()
         service = self.service
         if service is None:
             return
         if service.deadlines.timer is not None:
             service.deadlines.timer.cancel()
         service.deadlines.heap.clear()
-        for door in (service.client_server, service.admin_server):
-            door.listener.close()
-            for task in list(door.listener.setup_tasks):
+        for server in (service.client_server, service.admin_server):
+            server.listener.close()
+            for task in list(server.listener.setup_tasks):
                 task.cancel()
         if service.router.load_gossip is not None:
             service.router.load_gossip.close()
-        for connection in list(connections_of(service)):
-            drop(connection, reset)
+        for connection in list(_connections_of(service)):
+            _close(connection, reset)
 
-    # ---- What is seen inside; for growth only, nothing is judged by it ----
+    # ---- What it holds; checked for growth only ----
 
-    def is_listed(self) -> bool:
+    def has_list(self) -> bool:
+        """Whether it has received an endpoint list."""
         return self.service is not None and self.service.router.endpoints.lists_received > 0
 
     def counts(self) -> dict[str, int]:
+        """Return what it holds: open requests, deadlines, connections, and log lines so far."""
         service = self.service
         if service is None:
             return {}
         return {
             "open": service.router.requests.open_count(),
             "deadlines": len(service.deadlines.heap),
-            "connections": sum(1 for _ in connections_of(service)),
-            "said": self.said.count,
+            "connections": sum(1 for _ in _connections_of(service)),
+            "said": self.log.count,
         }
 
 
-def copy_context_of(said: DispatcherLog) -> Any:
+def _context_with_log(log: DispatcherLog) -> Context:
     context = copy_context()
-    context.run(CURRENT_LOG.set, said)
+    context.run(CURRENT_LOG.set, log)
     return context
 
 
-def connections_of(service: Service) -> Iterable[Connection]:
+def _connections_of(service: Service) -> Iterable[Connection]:
     tables = (
         service.pool.connections,
         service.router.endpoints.watch.pool.connections,
@@ -146,14 +146,14 @@
     return (connection for table in tables for connection in table)
 
 
-def drop(connection: Connection, reset: bool) -> None:
-    """Closed now; whoever used it here hears nothing of it."""
+def _close(connection: Connection, reset: bool) -> None:
+    """Close a connection without a callback to its user."""
     transport = connection.transport
     if transport is None or transport.is_closing():
         return
     transport.set_protocol(asyncio.Protocol())
     if reset:
-        # The transport's own socket takes no options; another descriptor of the same one does.
-        with socket.socket(fileno=socket.dup(transport.get_extra_info("socket").fileno())) as same:
-            same.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+        # The transport's own socket takes no options; a duplicate of its descriptor does.
+        with socket.socket(fileno=socket.dup(transport.get_extra_info("socket").fileno())) as duplicate:
+            duplicate.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
     transport.abort()
--- a/ploverspoke/testbed/scale/simulated_programs.py
+++ b/ploverspoke/testbed/scale/simulated_programs.py
@@ -1,8 +1,9 @@
-"""The other end of hollow processes: what the rig holds in place of a process for each dispatcher."""
+"""The rig's side of simulated dispatchers: their processes, and a handle for each in place of a process."""
 
 import asyncio
 import signal
 from collections.abc import Sequence
+from enum import Enum
 from pathlib import Path
 from typing import Any
 
@@ -10,141 +11,183 @@
 
 from ..processes.child_process import ChildProcess
 from ..processes.running_process import ProcessStartError
-from .simulated_dispatcher import DispatcherAddress
-
-READY_WITHIN = 30.0  # seconds: several start at once in one process
-COUNTED_WITHIN = 5.0
+from .host_messages import (
+    BeginRun,
+    CountUsage,
+    DispatcherAddress,
+    DispatcherEnded,
+    DispatcherServes,
+    HostCommand,
+    HostEvent,
+    KillDispatcher,
+    ReloadConfig,
+    StartDispatcher,
+    StopDispatcher,
+    UsageCounts,
+)
+
+READY_TIMEOUT = 30.0  # seconds: several start at once in one process
+COUNT_TIMEOUT = 5.0  # seconds
 MODULE = "ploverspoke.testbed.scale"
 
 
 class SimulatedDispatcherHost:
-    """One hollow process."""
+    """One process of simulated dispatchers."""
 
     def __init__(self, child: ChildProcess) -> None:
+        """`child` was started with MODULE."""
         self.child = child
         self.programs: dict[int, SimulatedDispatcherProgram] = {}
-        self.asked: asyncio.Future[dict[str, Any]] | None = None
         self.listening: asyncio.Task[None] | None = None
-        self.gone = False
+        self._counts: asyncio.Future[UsageCounts] | None = None  # that were asked for
 
     async def listen(self) -> None:
-        """Raises ProcessStartError where it does not come up; from then on it is heard until its end."""
-        told = await asyncio.wait_for(self.child.receive(), READY_WITHIN)
-        if told is None:
-            raise ProcessStartError("a hollow process ended at its start")
+        """Wait until the process is ready, then read its messages in a task. Raises ProcessStartError."""
+        if await asyncio.wait_for(self.child.receive(), READY_TIMEOUT) is None:
+            raise ProcessStartError(problem="a process of simulated dispatchers ended at its start")
         self.listening = asyncio.create_task(self._listen())
 
     async def _listen(self) -> None:
-        while (told := await self.child.receive()) is not None:
-            if "serves" in told:
-                self.programs[told["serves"]].comes_up()
-            elif "ended" in told:
-                self.programs[told["ended"]].has_ended(told["why"])
-            elif self.asked is not None and not self.asked.done():
-                self.asked.set_result(told["counts"])
-        self.gone = True
+        while (message := await self.child.receive()) is not None:
+            self._on_event(msgspec.convert(message, HostEvent))
         for program in self.programs.values():
-            program.has_ended("its process has ended")
-
-    async def counts(self) -> dict[str, Any]:
-        """Raises ProcessStartError where it says nothing: it hangs, or is gone."""
-        if self.asked is None or self.asked.done():
-            self.asked = asyncio.get_running_loop().create_future()
-            self.child.send({"count": True})
+            program.on_ended("its process has ended")
+
+    def _on_event(self, event: HostEvent) -> None:
+        match event:
+            case DispatcherServes(number):
+                self.programs[number].on_serving()
+            case DispatcherEnded(number, reason):
+                self.programs[number].on_ended(reason)
+            case UsageCounts() if self._counts is not None and not self._counts.done():
+                self._counts.set_result(event)
+            case _:
+                pass
+
+    def send(self, command: HostCommand) -> None:
+        """Send a command to the process."""
+        self.child.send(command)
+
+    def begin_run(self) -> None:
+        """Tell the process that the run begins."""
+        self.send(BeginRun())
+
+    async def counts(self) -> UsageCounts:
+        """Return what the process uses. Raises ProcessStartError where it does not answer."""
+        if self._counts is None or self._counts.done():
+            self._counts = asyncio.get_running_loop().create_future()
+            self.send(CountUsage())
         try:
-            return await asyncio.wait_for(asyncio.shield(self.asked), COUNTED_WITHIN)
-        except TimeoutError:
-            raise ProcessStartError("a hollow process does not say what it uses") from None
+            return await asyncio.wait_for(asyncio.shield(self._counts), COUNT_TIMEOUT)
+        except TimeoutError as error:
+            raise ProcessStartError(problem="a process of simulated dispatchers does not answer") from error
+
+
+class ProgramState(Enum):
+    """The state of one simulated dispatcher."""
+
+    DOWN = "down"
+    STARTING = "starting"
+    SERVING = "serving"
+    STOPPING = "stopping"
 
 
 class SimulatedDispatcherProgram:
-    """One dispatcher in one of them; what the rig does to a process of its own it does here, too."""
+    """One simulated dispatcher, with the interface that the rig uses for a process."""
 
     def __init__(
-        self, child: SimulatedDispatcherHost, place: DispatcherAddress, config: dict[str, Any]
+        self, host: SimulatedDispatcherHost, address: DispatcherAddress, config: dict[str, Any]
     ) -> None:
-        self.child = child
-        self.place = place
-        self.name = place.name
-        self.process = child.child.process
+        """Write its configuration; it is not started yet."""
+        self.host = host
+        self.address = address
+        self.name = address.name
+        self.process = host.child.process
         self.config = config
         self.starts = 0
-        self.state = "down"  # or "starting", "serving", "ending"
-        self.why = ""  # of its last end
-        self.by_itself = ""  # why it ended though nobody told it to
-        self.changed = asyncio.Event()
-        child.programs[place.number] = self
-        self.write()
-
-    def write(self) -> None:
-        """Its configuration's file, whole at any moment."""
-        path = Path(self.place.config)
+        self.state = ProgramState.DOWN
+        self.end_reason = ""  # of its last end
+        self._crash_reason = ""  # why it ended though nobody had stopped it
+        self._changed = asyncio.Event()
+        host.programs[address.number] = self
+        self.write_config()
+
+    def write_config(self) -> None:
+        """Replace its configuration file, which is whole at any moment."""
+        path = Path(self.address.config)
         fresh = path.with_suffix(".new")
         fresh.write_bytes(msgspec.json.encode(self.config))
         fresh.replace(path)
 
-    # ---- What its process tells ----
+    # ---- Events of its process ----
 
-    def comes_up(self) -> None:
-        self.state = "serving"
-        self.changed.set()
+    def on_serving(self) -> None:
+        """It serves."""
+        self.state = ProgramState.SERVING
+        self._changed.set()
 
-    def has_ended(self, why: str) -> None:
-        if self.state in ("starting", "serving"):
-            self.by_itself = why or "it ended, and nobody had told it to"
-        self.state, self.why = "down", why
-        self.changed.set()
+    def on_ended(self, reason: str) -> None:
+        """It has ended."""
+        if self.state in (ProgramState.STARTING, ProgramState.SERVING):
+            self._crash_reason = reason or "it ended, and nobody had told it to"
+        self.state, self.end_reason = ProgramState.DOWN, reason
+        self._changed.set()
 
-    # ---- What the rig does ----
+    # ---- What the rig calls ----
 
     async def start(self, more: Sequence[str] = ()) -> None:
+        """Start it and wait until it serves. Raises ProcessStartError."""
         if self.is_running():
-            raise ProcessStartError(f"{self.name} runs already: one handle is for one process")
+            raise ProcessStartError(process=self.name, problem="runs already: one handle is for one process")
         self.starts += 1
-        self.state = "starting"
-        self.child.child.send({"start": self.place.number})
-        await self._until("serving", "down", within=READY_WITHIN)
-        if self.state != "serving":
-            raise ProcessStartError(f"{self.name} did not come up: {self.why or self.state}")
+        self.state = ProgramState.STARTING
+        self.host.send(StartDispatcher(self.address.number))
+        await self._wait_for(ProgramState.SERVING, ProgramState.DOWN, timeout=READY_TIMEOUT)
+        if self.state is not ProgramState.SERVING:
+            problem = f"did not come up: {self.end_reason or self.state.value}"
+            raise ProcessStartError(process=self.name, problem=problem)
 
     async def stop(self, number: signal.Signals, timeout: float) -> None:
-        """As its process ends: told to, or at once; past the time (s) it is killed."""
+        """Stop it with SIGTERM or kill it; after `timeout` (seconds) it is killed."""
         if not self.is_running():
             return
-        self.state = "ending"
+        self.state = ProgramState.STOPPING
         if number == signal.SIGTERM:
-            self._tell("end")
-            await self._until("down", within=timeout)
+            self.host.send(StopDispatcher(self.address.number))
+            await self._wait_for(ProgramState.DOWN, timeout=timeout)
         if self.is_running():
-            self._tell("kill")
-            await self._until("down", within=READY_WITHIN)
+            self.host.send(KillDispatcher(self.address.number))
+            await self._wait_for(ProgramState.DOWN, timeout=READY_TIMEOUT)
 
     async def kill(self) -> None:
-        await self.stop(signal.SIGKILL, READY_WITHIN)
+        """Kill it."""
+        await self.stop(signal.SIGKILL, READY_TIMEOUT)
 
-    def read_again(self) -> None:
-        """What SIGHUP says; the new configuration stands in its file."""
-        self._tell("read again")
+    def reload_config(self) -> None:
+        """Make it read its configuration file again."""
+        self.host.send(ReloadConfig(self.address.number))
 
     def is_running(self) -> bool:
-        return self.state != "down"
+        """Whether it was started and has not ended."""
+        return self.state is not ProgramState.DOWN
 
     def has_crashed(self) -> bool:
-        return bool(self.by_itself)
+        """Whether it ended though nobody had stopped it."""
+        return bool(self._crash_reason)
 
     def log_tail(self) -> str:
-        return self.by_itself
-
-    def close(self) -> None: ...
+        """Return why it crashed."""
+        return self._crash_reason
 
-    def _tell(self, what: str) -> None:
-        self.child.child.send({what: self.place.number})
+    def close(self) -> None:
+        """Do nothing: its process is closed by itself."""
 
-    async def _until(self, *states: str, within: float) -> None:
+    async def _wait_for(self, *states: ProgramState, timeout: float) -> None:
+        """Wait until it has one of the states, or the time is over."""
         try:
-            async with asyncio.timeout(within):
+            async with asyncio.timeout(timeout):
                 while self.state not in states:
-                    self.changed.clear()
-                    await self.changed.wait()
+                    self._changed.clear()
+                    await self._changed.wait()
         except TimeoutError:
             return
--- a/ploverspoke/testbed/scenarios/config_change_fleet.py
+++ b/ploverspoke/testbed/scenarios/config_change_fleet.py
@@ -1,4 +1,4 @@
-"""Stages with many changes of configuration: by an operator's signals, or from config servers."""
+"""Fleets of the scale tests with many changes of configuration: by signals, or from config servers."""
 
 import asyncio
 import time
@@ -14,161 +14,175 @@
 from ..processes.child_process import ChildProcess
 from ..processes.readiness import accepts_connections
 from ..processes.running_process import ProcessStartError, RunningProcess
-from ..scale import simulated_dispatcher
+from ..scale.config_poller import ChangeApplied, ConfigChange, PollTargets
+from ..scale.host_messages import DispatcherAddress
+from ..scale.scenario_file import ScaleScenario
 from ..scale.simulated_programs import MODULE, SimulatedDispatcherProgram
-from .scale_fleet import ProcessCounts, SimulatedScaleFleet
-from .scale_phases import ScaleScenario
-from .socket_run import ReportListener
+from .scale_fleet import SimulatedScaleFleet
+from .scale_resources import ProcessCounts
 
-ADDED = "change"  # grades that changes add: change-1, change-2...
+ADDED_CLASS = "change"  # the request classes that changes add: change-1, change-2, ...
+CLUSTER = "testbed"
 SECRET = b"a secret of the testbed's own"
-FIRST_ANSWER = 10.0  # seconds, for a leader to take a version
+PUBLISH_TIMEOUT = 10.0  # seconds, for a leader to take a version
 
 
 class ConfigChangeFleet(SimulatedScaleFleet):
-    """Each change is a grade more, brought to every dispatcher by an operator's hand."""
+    """Each change adds a request class; every dispatcher gets a new file and a signal."""
 
     def __init__(
         self,
-        e: Experiment,
+        experiment: Experiment,
         seed: int,
         folder: Path,
-        shape: ProcessCounts,
-        play: ScaleScenario,
-        told: ReportListener | None = None,
+        counts: ProcessCounts,
+        scenario: ScaleScenario,
     ) -> None:
-        super().__init__(e, seed, folder, shape, told)
-        self.play_ = play
-        self.took: list[list[int]] = []  # ns until each was in force, by dispatcher
-        self.carried = 0  # bytes, of all that brought them
-        self.asker: ChildProcess | None = None
-
-    async def _before_dispatchers(self, places: list[ProcessAddress]) -> None:
-        await super()._before_dispatchers(places)
-        self.asker = await self.rig.start_child(f"{MODULE}.config_poller", [])
-        self.asker.send({"doors": [place.endpoint("clients") for place in places]})
+        """`scenario` says how many changes there are."""
+        super().__init__(experiment, seed, folder, counts)
+        self.scenario = scenario
+        self.delays: list[list[int]] = []  # ns until each change was applied, by dispatcher
+        self.bytes_delivered = 0  # of all changes
+        self._poller: ChildProcess | None = None
+
+    async def _before_dispatchers(self, addresses: list[ProcessAddress]) -> None:
+        await super()._before_dispatchers(addresses)
+        self._poller = await self.rig.start_child(f"{MODULE}.config_poller", [])
+        self._poller.send(PollTargets([address.endpoint("clients") for address in addresses]))
 
     def _on_run_start(self, epoch: int, workers: ChildProcess, discovery: ChildProcess) -> None:
         super()._on_run_start(epoch, workers, discovery)
-        self.tasks.append(asyncio.create_task(self._hear_asker()))
-        self.tasks.append(asyncio.create_task(self._change(epoch)))
-
-    async def _hear_asker(self) -> None:
-        assert self.asker is not None
-        while (told := await self.asker.receive()) is not None:
-            self.took.append(told["took"])
-
-    async def _change(self, epoch: int) -> None:
-        assert self.asker is not None
-        play, begins = self.play_, epoch + self.experiment.measured_from
-        every = play.lasts // (play.changes + 1)
+        self.tasks.append(asyncio.create_task(self._read_delays()))
+        self.tasks.append(asyncio.create_task(self._make_changes(epoch)))
+
+    async def _read_delays(self) -> None:
+        assert self._poller is not None
+        while (applied := await self._poller.receive_as(ChangeApplied)) is not None:
+            self.delays.append(applied.delays)
+
+    async def _make_changes(self, epoch: int) -> None:
+        """Make the changes, evenly over the measured time."""
+        assert self._poller is not None
+        begin = epoch + self.experiment.measured_from
+        interval = self.scenario.duration // (self.scenario.changes + 1)
         try:
-            for number in range(1, play.changes + 1):
-                await asyncio.sleep(max(0, begins + number * every - time.monotonic_ns()) / SECOND)
-                self.asker.send({"change": number, "grade": f"{ADDED}-{number}"})
-                await self.bring(number)
+            for number in range(1, self.scenario.changes + 1):
+                await asyncio.sleep(max(0, begin + number * interval - time.monotonic_ns()) / SECOND)
+                self._poller.send(ConfigChange(number, f"{ADDED_CLASS}-{number}"))
+                await self.deliver(number)
         except (OSError, RuntimeError) as error:
             self.rig.errors.append(f"a change could not be made: {error}")
 
-    def changed(self, number: int, dispatcher: int) -> dict[str, Any]:
-        """The settings of that dispatcher with so many changes."""
-        like = self.experiment.request_classes[-1]
-        more = [
-            msgspec.structs.replace(like, name=f"{ADDED}-{n}", weight=1.0 + n / 100)
-            for n in range(1, number + 1)
+    def settings_after(self, changes: int, dispatcher: int) -> dict[str, Any]:
+        """Return the settings of a dispatcher after so many changes."""
+        classes = self.experiment.request_classes
+        added = [
+            msgspec.structs.replace(classes[-1], name=f"{ADDED_CLASS}-{number}", weight=1.0 + number / 100)
+            for number in range(1, changes + 1)
         ]
-        return dispatcher_settings(
-            msgspec.structs.replace(
-                self.experiment, request_classes=[*self.experiment.request_classes, *more]
-            ),
-            dispatcher,
-        )
-
-    async def bring(self, number: int) -> None:
-        """A file for each, and a signal for each."""
-        for at, program in enumerate(self.programs):
+        changed = msgspec.structs.replace(self.experiment, request_classes=[*classes, *added])
+        return dispatcher_settings(changed, dispatcher)
+
+    async def deliver(self, number: int) -> None:
+        """Write a file for each dispatcher and signal it."""
+        for dispatcher, program in enumerate(self.programs):
             assert isinstance(program, SimulatedDispatcherProgram)
-            program.config = {**program.config, "settings": self.changed(number, at)}
-            program.write()
-            self.carried += Path(program.place.config).stat().st_size
-            program.read_again()
+            program.config = {**program.config, "settings": self.settings_after(number, dispatcher)}
+            program.write_config()
+            self.bytes_delivered += Path(program.address.config).stat().st_size
+            program.reload_config()
             await asyncio.sleep(0)
 
 
 class WatchedConfigFleet(ConfigChangeFleet):
     """Each change is a version at config servers, real processes, that all dispatchers watch.
 
-    Relays stand between watchers and servers, and count the bytes both ways.
+    The proxy stands between watchers and servers, and counts the bytes both ways.
     """
 
     def __init__(
-        self, e: Experiment, seed: int, folder: Path, shape: ProcessCounts, play: ScaleScenario
+        self,
+        experiment: Experiment,
+        seed: int,
+        folder: Path,
+        counts: ProcessCounts,
+        scenario: ScaleScenario,
     ) -> None:
-        super().__init__(e, seed, folder, shape, play)
-        names = [f"c{number}" for number in range(play.config_servers)]
-        self.server_places = [
-            self.rig.allocate_address(name, ["clients"], [], direct=["peers"]) for name in names
+        """`scenario` says how many config servers and changes there are."""
+        super().__init__(experiment, seed, folder, counts, scenario)
+        self.server_addresses = [
+            self.rig.allocate_address(f"c{number}", ["clients"], [], direct=["peers"])
+            for number in range(scenario.config_servers)
         ]
         self.servers: list[RunningProcess] = []
-        self.octets = 0  # that the relays had carried when the changes began
-
-    def _replicas(self, relayed: bool) -> dict[str, dict[str, str]]:
-        return {
-            place.name: {
-                "peers": place.endpoint("peers"),
-                "clients": place.proxied_endpoint("clients") if relayed else place.endpoint("clients"),
-            }
-            for place in self.server_places
-        }
 
-    async def _before_dispatchers(self, places: list[ProcessAddress]) -> None:
+    async def _before_dispatchers(self, addresses: list[ProcessAddress]) -> None:
         (self.folder / "secret").write_bytes(SECRET)
-        for place in self.server_places:
-            file = self.folder / f"{place.name}.config.json"
-            told = {"cluster": "testbed", "name": place.name, "folder": place.name, "secret_file": "secret"}
-            file.write_bytes(msgspec.json.encode({**told, "replicas": self._replicas(relayed=False)}))
-            words = ["config", "serve", str(file)]
-            server = RunningProcess(place, self.folder, "ploverspoke", words)
-            server.ready = accepts_connections(place.host, place.ports["clients"])
-            self.servers.append(server)
+        self.servers = [self._make_server(address) for address in self.server_addresses]
         await asyncio.gather(*(server.start(["--new"]) for server in self.servers))
-        await super()._before_dispatchers(places)
-
-    def _place(self, number: int, place: ProcessAddress) -> simulated_dispatcher.DispatcherAddress:
-        servers = [place.proxied_endpoint("clients") for place in self.server_places]
-        near = servers[number % len(servers)]
-        told = {"cluster": "testbed", "servers": servers, "near": [near], "secret_file": "secret"}
-        watch = self.folder / f"{place.name}.watch.json"
-        watch.write_bytes(msgspec.json.encode({**told, "cache": f"{place.name}.cache"}))
-        return super()._place(number, place)._replace(watch=str(watch))
-
-    async def _change(self, epoch: int) -> None:
-        await asyncio.sleep(max(0, epoch + self.experiment.measured_from - time.monotonic_ns()) / SECOND)
-        await self.rig.link_faults.read_counters()
-        self.octets = self.rig.link_faults.counters.links.bytes_passed
-        await super()._change(epoch)
-        await asyncio.sleep(max(0, epoch + self.experiment.duration - time.monotonic_ns()) / SECOND)
+        await super()._before_dispatchers(addresses)
+
+    def _make_server(self, address: ProcessAddress) -> RunningProcess:
+        path = self.folder / f"{address.name}.config.json"
+        config = {
+            "cluster": CLUSTER,
+            "name": address.name,
+            "folder": address.name,
+            "secret_file": "secret",
+            "replicas": {
+                each.name: {"peers": each.endpoint("peers"), "clients": each.endpoint("clients")}
+                for each in self.server_addresses
+            },
+        }
+        path.write_bytes(msgspec.json.encode(config))
+        server = RunningProcess(address, self.folder, "ploverspoke", ["config", "serve", str(path)])
+        server.ready = accepts_connections(address.host, address.ports["clients"])
+        return server
+
+    def _dispatcher_address(self, number: int, address: ProcessAddress) -> DispatcherAddress:
+        servers = [each.proxied_endpoint("clients") for each in self.server_addresses]
+        watch = self.folder / f"{address.name}.watch.json"
+        document = {
+            "cluster": CLUSTER,
+            "servers": servers,
+            "near": [servers[number % len(servers)]],
+            "secret_file": "secret",
+            "cache": f"{address.name}.cache",
+        }
+        watch.write_bytes(msgspec.json.encode(document))
+        return super()._dispatcher_address(number, address)._replace(watch=str(watch))
+
+    async def _make_changes(self, epoch: int) -> None:
+        before = await self._proxied_bytes_at(epoch + self.experiment.measured_from)
+        await super()._make_changes(epoch)
+        self.bytes_delivered = await self._proxied_bytes_at(epoch + self.experiment.duration) - before
+
+    async def _proxied_bytes_at(self, due: int) -> int:
+        """Return the bytes that the proxy has passed by that time, ns of the monotonic clock."""
+        await asyncio.sleep(max(0, due - time.monotonic_ns()) / SECOND)
         await self.rig.link_faults.read_counters()
-        self.carried = self.rig.link_faults.counters.links.bytes_passed - self.octets
+        return self.rig.link_faults.counters.links.bytes_passed
 
-    async def bring(self, number: int) -> None:
-        """One version, published as an operator's tool does."""
+    async def deliver(self, number: int) -> None:
+        """Publish one version, as an operator's tool does."""
         from ploverspoke.config_distribution.admin_client import publish
         from ploverspoke.config_distribution.cluster_config import ConfigServers
         from ploverspoke.config_distribution.errors import NoServerAvailableError
 
-        told = self.changed(number, 0)
-        body = {"settings": {key: told[key] for key in ("ServiceGrades", "Domain")}}
-        servers = ConfigServers({place.name: place.endpoint("peers") for place in self.server_places}, SECRET)
+        settings = self.settings_after(number, 0)
+        body = {"settings": {key: settings[key] for key in ("ServiceGrades", "Domain")}}
         text = msgspec.json.encode(body).decode()
+        endpoints = {address.name: address.endpoint("peers") for address in self.server_addresses}
+        servers = ConfigServers(endpoints, SECRET)
         try:
-            found = await asyncio.to_thread(publish, servers, text, None, "testbed", FIRST_ANSWER)
+            reply = await asyncio.to_thread(publish, servers, text, None, CLUSTER, PUBLISH_TIMEOUT)
         except NoServerAvailableError as error:
-            raise ProcessStartError(f"no config server leads: {error}") from None
-        if not found.accepted:
-            raise ProcessStartError(f"version {number} is not published: {found.reason}")
+            raise ProcessStartError(problem=f"no config server leads: {error}") from error
+        if not reply.accepted:
+            raise ProcessStartError(problem=f"version {number} is not published: {reply.reason}")
 
     async def close(self) -> None:
+        """Kill the config servers, then end all else."""
         await asyncio.gather(*(server.kill() for server in self.servers))
         for server in self.servers:
             server.close()
--- a/ploverspoke/testbed/scenarios/scale_test.py
+++ b/ploverspoke/testbed/scenarios/scale_test.py
@@ -1,4 +1,4 @@
-"""Plays a fleet file: hollow against real first, then each world, one after the other, in real time."""
+"""Runs the scenarios of a fleet file in real time, after a comparison with real dispatchers."""
 
 import asyncio
 import platform
@@ -8,275 +8,329 @@
 from collections.abc import Callable, Sequence
 from os import sched_getaffinity
 from pathlib import Path
+from typing import NamedTuple
 
 import msgspec
 
 from ..capacity.fleet_size import FleetSize
+from ..capacity.scenario_results import FORMAT, ScenarioResult, ScenarioResults
 from ..checkers.request_audit import SOCKETS_TOLERANCE, audit_requests
-from ..checkers.scale_checker import (
-    BY_NATURE,
-    FORMAT,
-    METRIC_KINDS,
-    ScaleObservations,
-    ScaleResults,
-    ScaleRow,
-    bounded_by_length,
-    check_scale_run,
-    compare_metrics,
-    healing,
-    mark_void_metrics,
-    scale_metrics,
-)
+from ..checkers.scale_checker import check_bounded_by_length, check_scale_run
+from ..checkers.scale_comparison import ALWAYS_VOID, METRIC_KINDS, compare_metrics, mark_void_metrics
+from ..checkers.scale_metrics import Metrics, ScaleObservations, region_cut_metrics, scale_metrics
 from ..experiment_files.errors import ExperimentError
 from ..experiment_files.experiment import Experiment
-from ..models.event_records import merge_events, read_events, write_events
+from ..models.event_records import Event, merge_events, read_events, write_events
 from ..processes.capacity_check import CapacityError, memory_backed_folder
 from ..processes.running_process import ProcessStartError
+from ..reports.experiment_result import OWN_POLICY
 from ..reports.scores import score_run
+from ..scale.scenario_file import ScaleScenario, ScaleScenarios, read_scale_scenarios
 from .config_change_fleet import ConfigChangeFleet, WatchedConfigFleet
-from .scale_fleet import ProcessCounts, RealScaleFleet, ScaleFleet, SimulatedScaleFleet, total_memory
-from .scale_phases import (
-    ScaleScenario,
-    ScaleScenarios,
-    comparison_scenario,
-    experiment_for,
-    process_counts,
-    read_scale_scenarios,
-)
-
-COMPARED = "hollow and real"
-LENGTHS = "absences of two lengths"
-
-
-def stage_of(
-    play: ScaleScenario,
-    plays: ScaleScenarios,
-    e: Experiment,
-    folder: Path,
-    hollow: bool,
-    shape: ProcessCounts | None = None,
+from .scale_experiment import COMPARISON, comparison_scenario, scale_experiment
+from .scale_fleet import RealScaleFleet, ScaleFleet, SimulatedScaleFleet
+from .scale_resources import ProcessCounts, total_memory
+
+LENGTHS = "absences of two lengths"  # the row that compares cuts of a region
+MAX_SHOWN_FINDINGS = 5
+METRIC_DIGITS, RATIO_DIGITS = 6, 4  # after the point
+FOLDER_PREFIX = "ploverspoke-fleet-"
+GIBIBYTE_SHIFT = 30
+
+
+def make_fleet(
+    scenario: ScaleScenario, table: ScaleScenarios, experiment: Experiment, folder: Path, simulated: bool
 ) -> ScaleFleet:
-    shape = process_counts(plays) if shape is None else shape
-    if not hollow:
-        return RealScaleFleet(e, plays.seed, folder, shape._replace(hollow=0))
-    if play.what != "changes":
-        return SimulatedScaleFleet(e, plays.seed, folder, shape)
-    return (WatchedConfigFleet if play.by == "watch" else ConfigChangeFleet)(
-        e, plays.seed, folder, shape, play
-    )
+    """Return the fleet that the scenario asks for; nothing is started yet."""
+    counts = ProcessCounts(table.host_processes, table.worker_processes, table.client_processes)
+    if not simulated:
+        return RealScaleFleet(experiment, table.seed, folder, counts._replace(hosts=0))
+    if scenario.kind != "changes":
+        return SimulatedScaleFleet(experiment, table.seed, folder, counts)
+    fleet_class = WatchedConfigFleet if scenario.delivery == "watch" else ConfigChangeFleet
+    return fleet_class(experiment, table.seed, folder, counts, scenario)
 
 
-async def _play(stage: ScaleFleet) -> None:
+async def _run_and_close(fleet: ScaleFleet) -> None:
     try:
-        await stage.run()
+        await fleet.run()
     finally:
-        await stage.close()
+        await fleet.close()
+
+
+class _Recording(NamedTuple):
+    """What one run has left."""
 
+    fleet: ScaleFleet
+    events: list[Event]
+    log_lines: int
 
-def play_one(
-    fleet: FleetSize,
-    plays: ScaleScenarios,
-    play: ScaleScenario,
+
+def _record(
+    scenario: ScaleScenario, table: ScaleScenarios, experiment: Experiment, simulated: bool
+) -> _Recording:
+    """Run a scenario. Raises CapacityError, ProcessStartError and TimeoutError."""
+    with tempfile.TemporaryDirectory(prefix=FOLDER_PREFIX, dir=memory_backed_folder()) as name:
+        folder = Path(name)
+        fleet = make_fleet(scenario, table, experiment, folder, simulated)
+        asyncio.run(_run_and_close(fleet))
+        parts = [read_events(path) for path in sorted(folder.glob("*.jsonl"))]
+        events = merge_events([fleet.records.events, *parts])
+        log_lines = sum(path.read_bytes().count(b"\n") for path in folder.glob("d*.log"))
+    return _Recording(fleet, events, log_lines)
+
+
+def run_scenario(
+    fleet_size: FleetSize,
+    table: ScaleScenarios,
+    scenario: ScaleScenario,
     *,
-    hollow: bool = True,
+    simulated: bool = True,
     void_kinds: Sequence[str] = (),
-    keep: Path | None = None,
-) -> ScaleRow:
-    """Raises nothing that a run can bring: one that does not fit or come up is void, and says why."""
-    e = experiment_for(fleet, plays, play)
-    count = e.dispatchers.count
-    row = ScaleRow(
-        play=play.name,
-        seed=plays.seed,
-        dispatchers=count,
-        processes=plays.hollow_processes if hollow else count,
-        hollow=hollow,
-        void="",
-        figures={},
+    events_path: Path | None = None,
+) -> ScenarioResult:
+    """Run and check one scenario; one that does not fit or start is void, with the reason."""
+    experiment = scale_experiment(fleet_size, table, scenario)
+    dispatchers = experiment.dispatchers.count
+    result = ScenarioResult(
+        scenario=scenario.name,
+        seed=table.seed,
+        dispatchers=dispatchers,
+        processes=table.host_processes if simulated else dispatchers,
+        simulated=simulated,
     )
-    with tempfile.TemporaryDirectory(prefix="ploverspoke-fleet-", dir=memory_backed_folder()) as name:
-        folder = Path(name)
-        stage = stage_of(play, plays, e, folder, hollow)
-        try:
-            asyncio.run(_play(stage))
-        except (CapacityError, ProcessStartError, TimeoutError) as error:
-            row.void = str(error) or "a process was not ready in time"
-            return row
-        events = merge_events(
-            [stage.records.events, *(read_events(path) for path in sorted(folder.glob("*.jsonl")))]
-        )
-        lines = sum(path.read_bytes().count(b"\n") for path in folder.glob("d*.log"))
-    if keep is not None:
-        write_events(events, keep)
-    row.void = stage.void_reason()
-    found = score_run(e, "ours", plays.seed, events, audit_requests(e, events, SOCKETS_TOLERANCE), row.void)
-    changes = stage.took if isinstance(stage, ConfigChangeFleet) else []
-    seen = ScaleObservations(e, events, found, stage.samples, changes, lines)
-    figures = scale_metrics(seen)
-    if play.what == "region cut":
-        figures |= healing(seen, play)
-    if isinstance(stage, ConfigChangeFleet):
-        figures["carried_bytes_a_change_a_dispatcher"] = stage.carried / play.changes / count
-    verdict = check_scale_run(fleet, play, seen, figures, void_kinds)
-    if play.what == "changes" and len(changes) < play.changes:
-        verdict.demand(False, f"{len(changes)} of {play.changes} changes were seen to the end")
-    row.figures = {key: round(value, 6) for key, value in mark_void_metrics(figures, void_kinds).items()}
-    row.held = verdict.held
-    row.failed = [*verdict.failed, *(text.splitlines()[0] for text in found.findings[:5])]
-    if void_kinds:
-        row.note = note_of(void_kinds)
-    return row
-
-
-def compare_both(fleet: FleetSize, plays: ScaleScenarios) -> tuple[list[ScaleRow], list[str]]:
-    """The same experiment and seed with hollow and with real dispatchers, and the kinds that are void."""
-    play = comparison_scenario(fleet, plays)
-    processes = max(1, plays.hollow_processes * plays.compared.dispatchers // plays.dispatchers)
-    few = msgspec.structs.replace(plays, hollow_processes=processes)
-    rows = [play_one(fleet, few, play, hollow=hollow) for hollow in (True, False)]
-    both = ScaleRow(
-        play=COMPARED,
-        seed=plays.seed,
-        dispatchers=plays.compared.dispatchers,
-        processes=processes,
-        hollow=True,
-        void=next((f"one of the two is void: {row.void}" for row in rows if row.void), ""),
-        figures={},
+    try:
+        recording = _record(scenario, table, experiment, simulated)
+    except (CapacityError, ProcessStartError, TimeoutError) as error:
+        return msgspec.structs.replace(result, void=str(error) or "a process was not ready in time")
+    if events_path is not None:
+        write_events(recording.events, events_path)
+    void = recording.fleet.void_reason()
+    findings = audit_requests(experiment, recording.events, SOCKETS_TOLERANCE)
+    score = score_run(experiment, OWN_POLICY, table.seed, recording.events, findings, void)
+    delays = recording.fleet.delays if isinstance(recording.fleet, ConfigChangeFleet) else []
+    seen = ScaleObservations(
+        experiment, recording.events, score, recording.fleet.samples, delays, recording.log_lines
+    )
+    metrics = _all_metrics(scenario, seen, recording.fleet)
+    verdict = check_scale_run(fleet_size, scenario, seen, metrics, void_kinds)
+    if scenario.kind == "changes" and len(delays) < scenario.changes:
+        verdict.check(False, f"{len(delays)} of {scenario.changes} changes were seen to the end")
+    shown = [text.splitlines()[0] for text in score.findings[:MAX_SHOWN_FINDINGS]]
+    return msgspec.structs.replace(
+        result,
+        void=void,
+        metrics={
+            key: round(value, METRIC_DIGITS) for key, value in mark_void_metrics(metrics, void_kinds).items()
+        },
+        held=verdict.held,
+        failed=[*verdict.failed, *shown],
+        note=_note_void(void_kinds) if void_kinds else "",
+    )
+
+
+def _all_metrics(scenario: ScaleScenario, seen: ScaleObservations, fleet: ScaleFleet) -> Metrics:
+    metrics = scale_metrics(seen)
+    if scenario.kind == "region cut":
+        metrics |= region_cut_metrics(seen, scenario)
+    if isinstance(fleet, ConfigChangeFleet):
+        dispatchers = seen.experiment.dispatchers.count
+        per_change = fleet.bytes_delivered / scenario.changes / dispatchers
+        metrics["carried_bytes_a_change_a_dispatcher"] = per_change
+    return metrics
+
+
+class ComparisonResult(NamedTuple):
+    """The rows of a comparison, and the kinds of metrics that are void by it."""
+
+    rows: list[ScenarioResult]
+    void_kinds: list[str]
+
+
+def compare_with_real(fleet_size: FleetSize, table: ScaleScenarios) -> ComparisonResult:
+    """Run one experiment with simulated and with real dispatchers, and compare."""
+    scenario, comparison = comparison_scenario(table), table.comparison
+    hosts = max(1, table.host_processes * comparison.dispatchers // table.dispatchers)
+    table = msgspec.structs.replace(table, host_processes=hosts)
+    simulated, real = (
+        run_scenario(fleet_size, table, scenario, simulated=is_simulated) for is_simulated in (True, False)
+    )
+    rows = [
+        msgspec.structs.replace(simulated, scenario=f"{COMPARISON}: hollow"),
+        msgspec.structs.replace(real, scenario=f"{COMPARISON}: real"),
+    ]
+    void = next((f"one of the two is void: {row.void}" for row in rows if row.void), "")
+    both = ScenarioResult(
+        scenario=COMPARISON,
+        seed=table.seed,
+        dispatchers=comparison.dispatchers,
+        processes=hosts,
+        void=void,
         note="hollow figures as parts of the real ones; a kind is void where one is off by over "
-        f"{plays.compared.differ_at_most:.0%}, memory a dispatcher always: it is shared",
+        f"{comparison.max_difference:.0%}, memory a dispatcher always: it is shared",
+    )
+    if void:
+        return ComparisonResult([*rows, both], [ALWAYS_VOID])
+    found = compare_metrics(_known(simulated), _known(real), comparison.max_difference)
+    both = msgspec.structs.replace(
+        both,
+        metrics={key: round(value, RATIO_DIGITS) for key, value in found.ratios.items()},
+        held=[kind for kind in METRIC_KINDS if kind not in found.void_kinds],
+        failed=[f"{kind}: hollow figures of it are void" for kind in found.void_kinds],
     )
-    rows[0].play, rows[1].play = f"{COMPARED}: hollow", f"{COMPARED}: real"
-    if both.void:
-        return [*rows, both], [BY_NATURE]
-    ratios, void = compare_metrics(rows[0].figures, rows[1].figures, plays.compared.differ_at_most)
-    both.figures = {key: round(value, 4) for key, value in ratios.items()}
-    both.held = [kind for kind in METRIC_KINDS if kind not in void]
-    both.failed = [f"{kind}: hollow figures of it are void" for kind in void]
-    return [*rows, both], [*void, BY_NATURE]
-
-
-def compare_lengths(fleet: FleetSize, plays: ScaleScenarios, rows: Sequence[ScaleRow]) -> ScaleRow | None:
-    """Two absences of a region that were both played: what grows with their length."""
-    worlds = {play.name: play for play in plays.worlds if play.what == "region cut"}
-    latest = {row.play: row for row in rows if row.play in worlds}  # one that was played again counts once
-    played = sorted(latest.values(), key=lambda row: worlds[row.play].away)
-    if len(played) < 2:
+    return ComparisonResult([*rows, both], [*found.void_kinds, ALWAYS_VOID])
+
+
+def _known(result: ScenarioResult) -> Metrics:
+    return {key: value for key, value in result.metrics.items() if value is not None}
+
+
+def compare_lengths(table: ScaleScenarios, results: Sequence[ScenarioResult]) -> ScenarioResult | None:
+    """Compare the shortest and the longest cut of a region that were run; None where there are not two."""
+    cuts = {scenario.name: scenario for scenario in table.scenarios if scenario.kind == "region cut"}
+    latest = {result.scenario: result for result in results if result.scenario in cuts}
+    by_length = sorted(latest.values(), key=lambda result: cuts[result.scenario].fault_duration)
+    if len(by_length) < 2:
         return None
-    short, long = played[0], played[-1]
-    times = worlds[long.play].away / worlds[short.play].away
-    verdict = bounded_by_length(short.figures, long.figures, times)
-    return ScaleRow(
-        play=LENGTHS,
-        seed=plays.seed,
+    short, long = by_length[0], by_length[-1]
+    ratio = cuts[long.scenario].fault_duration / cuts[short.scenario].fault_duration
+    verdict = check_bounded_by_length(_known(short), _known(long), ratio)
+    void = next((f"{row.scenario} is void: {row.void}" for row in (short, long) if row.void), "")
+    return ScenarioResult(
+        scenario=LENGTHS,
+        seed=table.seed,
         dispatchers=long.dispatchers,
         processes=long.processes,
-        hollow=True,
-        void=next((f"{row.play} is void: {row.void}" for row in (short, long) if row.void), ""),
-        figures={},
+        void=void,
         held=verdict.held,
         failed=verdict.failed,
     )
 
 
+class _ResultLog:
+    """Results of this call and those that the file has; the file is written after each one."""
+
+    def __init__(self, out: Path | None, on_result: Callable[[ScenarioResult], None]) -> None:
+        self._out = out
+        self._on_result = on_result
+        self._stored = read_or_begin_results(out)
+        self.fresh: list[ScenarioResult] = []
+
+    @property
+    def all(self) -> list[ScenarioResult]:
+        return self._stored.runs
+
+    def add(self, result: ScenarioResult) -> None:
+        self.fresh.append(result)
+        self._stored.runs.append(result)
+        self._on_result(result)
+        if self._out is not None:
+            document = msgspec.json.format(msgspec.json.encode(self._stored))
+            self._out.write_bytes(document + b"\n")
+
+    def apply_void_kinds(self, void_kinds: Sequence[str]) -> None:
+        """Mark results of earlier calls, which a new comparison binds as well."""
+        self._stored.runs[:] = [mark_void_result(result, void_kinds) for result in self._stored.runs]
+
+
 def run_fleet(
-    fleet: FleetSize,
+    fleet_size: FleetSize,
     names: Sequence[str],
     out: Path | None,
-    told: Callable[[ScaleRow], None],
-    keep: Path | None = None,
-) -> list[ScaleRow]:
-    """All plays, or those named; each is written to `out` as soon as it is over, beside what is there.
+    on_result: Callable[[ScenarioResult], None],
+    events_folder: Path | None = None,
+) -> list[ScenarioResult]:
+    """Run all scenarios or those named; results are added to the file `out` as they come.
 
-    Raises FleetFileError where the table of plays is wrong, ExperimentError where a name is none of them.
+    Raises FleetFileError where the table of scenarios is wrong, ExperimentError where a name is none of them.
     """
-    plays = read_scale_scenarios(fleet)
-    known = [COMPARED, *(play.name for play in plays.worlds)]
+    table = read_scale_scenarios(fleet_size)
+    _check_names(names, table)
+    log = _ResultLog(out, on_result)
+    void_kinds = void_kinds_of(log.all)
+    if not names or COMPARISON in names:
+        comparison = compare_with_real(fleet_size, table)
+        void_kinds = comparison.void_kinds
+        log.apply_void_kinds(void_kinds)
+        for row in comparison.rows:
+            log.add(row)
+    scenarios = [scenario for scenario in table.scenarios if not names or scenario.name in names]
+    for scenario in scenarios:
+        path = _events_path(events_folder, scenario)
+        log.add(run_scenario(fleet_size, table, scenario, void_kinds=void_kinds, events_path=path))
+    if any(scenario.kind == "region cut" for scenario in scenarios):
+        lengths = compare_lengths(table, log.all)
+        if lengths is not None:
+            log.add(lengths)
+    return log.fresh
+
+
+def _check_names(names: Sequence[str], table: ScaleScenarios) -> None:
+    known = [COMPARISON, *(scenario.name for scenario in table.scenarios)]
     for name in names:
         if name not in known:
-            raise ExperimentError(f"--play: {name!r} is none of {', '.join(known)}")
-    rows: list[ScaleRow] = []
-    results = read_results(out)
-
-    def done(*more: ScaleRow) -> None:
-        for row in more:
-            rows.append(row)
-            results.runs.append(row)
-            told(row)
-        if out is not None:
-            out.write_bytes(msgspec.json.format(msgspec.json.encode(results)) + b"\n")
-
-    void_kinds = void_before(results.runs)
-    if not names or COMPARED in names:
-        compared, void_kinds = compare_both(fleet, plays)
-        for row in results.runs:
-            call_void(row, void_kinds)  # what was played before binds as well
-        done(*compared)
-    for play in plays.worlds:
-        if not names or play.name in names:
-            path = None if keep is None else keep / f"events-{play.name.replace(' ', '-')}.jsonl"
-            done(play_one(fleet, plays, play, void_kinds=void_kinds, keep=path))
-    cuts = [
-        row
-        for row in rows
-        if any(play.name == row.play and play.what == "region cut" for play in plays.worlds)
-    ]
-    lengths = compare_lengths(fleet, plays, results.runs) if cuts else None
-    if lengths is not None:
-        done(lengths)
-    return rows
+            raise ExperimentError(reason=f"{name!r} is none of {', '.join(known)}", location="--play")
+
 
+def _events_path(folder: Path | None, scenario: ScaleScenario) -> Path | None:
+    return None if folder is None else folder / f"events-{scenario.name.replace(' ', '-')}.jsonl"
 
-def call_void(row: ScaleRow, void_kinds: Sequence[str]) -> None:
-    """What a comparison takes from a hollow play's row: figures are marked, judgements by them go."""
-    if not row.hollow or row.play.startswith(COMPARED) or row.play == LENGTHS:
-        return
-    row.figures = mark_void_metrics(row.figures, void_kinds)
-    openings = tuple(kind for kind in void_kinds if kind != BY_NATURE)
-    if openings:
-        row.held = [text for text in row.held if not text.startswith(openings)]
-        row.failed = [text for text in row.failed if not text.startswith(openings)]
-        row.note = note_of(void_kinds)
 
+def mark_void_result(result: ScenarioResult, void_kinds: Sequence[str]) -> ScenarioResult:
+    """Mark the metrics of void kinds in a simulated run's result, and drop the checks that rest on them."""
+    if not result.simulated or result.scenario.startswith(COMPARISON) or result.scenario == LENGTHS:
+        return result
+    # Metrics that were not measured are null in stored results and have nothing to mark.
+    marked = mark_void_metrics(_known(result), void_kinds)
+    unknown = {key: None for key, value in result.metrics.items() if value is None}
+    result = msgspec.structs.replace(result, metrics={**marked, **unknown})
+    openings = tuple(kind for kind in void_kinds if kind != ALWAYS_VOID)
+    if not openings:
+        return result
+    return msgspec.structs.replace(
+        result,
+        held=[text for text in result.held if not text.startswith(openings)],
+        failed=[text for text in result.failed if not text.startswith(openings)],
+        note=_note_void(void_kinds),
+    )
 
-def note_of(void_kinds: Sequence[str]) -> str:
+
+def _note_void(void_kinds: Sequence[str]) -> str:
     return f"void by kind, since hollow and real differ there: {', '.join(void_kinds)}"
 
 
-def void_before(rows: Sequence[ScaleRow]) -> list[str]:
-    """What the last comparison that was no void one has found."""
-    last = next((row for row in reversed(rows) if row.play == COMPARED and not row.void), None)
-    found = [] if last is None else [text.partition(":")[0] for text in last.failed]
-    return [*found, BY_NATURE]
+def void_kinds_of(results: Sequence[ScenarioResult]) -> list[str]:
+    """Return the kinds that are void by the last comparison that is not void itself."""
+    comparisons = (row for row in reversed(results) if row.scenario == COMPARISON and not row.void)
+    last = next(comparisons, None)
+    kinds = [] if last is None else [text.partition(":")[0] for text in last.failed]
+    return [*kinds, ALWAYS_VOID]
 
 
-def read_results(out: Path | None) -> ScaleResults:
-    now = time.strftime("%Y-%m-%d", time.gmtime())
-    fresh = ScaleResults(format=FORMAT, at=now, text=commit(), machine=machine())
-    if out is None or not out.exists():
-        return fresh
-    try:
-        fresh.runs = msgspec.json.decode(out.read_bytes(), type=ScaleResults).runs
-    except (OSError, msgspec.DecodeError) as error:
-        raise ExperimentError(f"{out}: no results of plays: {error}") from None
-    return fresh
+def read_or_begin_results(out: Path | None) -> ScenarioResults:
+    """Return new results with the runs that the file has, if there is one. Raises ExperimentError."""
+    today = time.strftime("%Y-%m-%d", time.gmtime())
+    runs: list[ScenarioResult] = []
+    if out is not None and out.exists():
+        try:
+            runs = msgspec.json.decode(out.read_bytes(), type=ScenarioResults).runs
+        except (OSError, msgspec.DecodeError) as error:
+            raise ExperimentError(reason=f"no results of plays: {error}", location=str(out)) from error
+    return ScenarioResults(
+        format=FORMAT, date=today, commit=_commit(), machine=_describe_machine(), runs=runs
+    )
 
 
-def commit() -> str:
-    """The text that is played; unknown outside of a repository."""
+def _commit() -> str:
+    """Return the commit that is run; unknown outside of a repository."""
+    words = ["git", "rev-parse", "--short", "HEAD"]
     try:
-        found = subprocess.run(
-            ["git", "rev-parse", "--short", "HEAD"],
-            capture_output=True,
-            text=True,
-            check=True,
-            cwd=Path(__file__).parent,
-        )
+        done = subprocess.run(words, capture_output=True, text=True, check=True, cwd=Path(__file__).parent)
     except (OSError, subprocess.CalledProcessError):
         return "unknown"
-    return found.stdout.strip()
+    return done.stdout.strip()
 
 
-def machine() -> str:
-    return (
-        f"{len(sched_getaffinity(0))} cores, {total_memory() >> 30} GiB, Python {platform.python_version()}"
-    )
+def _describe_machine() -> str:
+    cores, gibibytes = len(sched_getaffinity(0)), total_memory() >> GIBIBYTE_SHIFT
+    return f"{cores} cores, {gibibytes} GiB, Python {platform.python_version()}"
--- a/tests/test_lint_exceptions.py
+++ b/tests/test_lint_exceptions.py
@@ -10,9 +10,7 @@
 NOQA_WITH_REASON = re.compile(r"# noqa: [A-Z0-9, ]+ - \S")
 # Packages that do not keep all rules yet. A package leaves this list for good once it keeps them.
 LEFT = {
-    "ploverspoke/testbed/checkers/scale_checker.py",
     "ploverspoke/testbed/models/**",
-    "ploverspoke/testbed/scale/**",
     "ploverspoke/testbed/scenarios/**",
 }
 
--- a/tests/testbed/commands/test_experiment_commands.py
+++ b/tests/testbed/commands/test_experiment_commands.py
@@ -18,10 +18,11 @@
 from ploverspoke.testbed.reports.comparison import compare_results, paired_difference
 from ploverspoke.testbed.reports.experiment_result import read_result
 from ploverspoke.testbed.reports.scores import merge_histograms
+from ploverspoke.testbed.scale.scenario_file import read_scale_scenarios
 from ploverspoke.testbed.scenarios.distribution_scenario import read_distribution_experiment
 from ploverspoke.testbed.scenarios.experiment_runner import run_experiment
 from ploverspoke.testbed.scenarios.lease_scenario import read_lease_experiment
-from ploverspoke.testbed.scenarios.scale_phases import experiment_for, read_scale_scenarios
+from ploverspoke.testbed.scenarios.scale_experiment import scale_experiment
 from tests.testbed.harness import SMALL_EXPERIMENT, small_experiment
 
 SHIPPED = sorted((Path(__file__).parents[3] / "experiments").glob("*.toml"))
@@ -32,9 +33,9 @@
     told = tomllib.loads(path.read_text())
     if told.get("kind") == "fleet":
         fleet = read_fleet(path)
-        plays = read_scale_scenarios(fleet)
+        table = read_scale_scenarios(fleet)
         assert fleet.name == path.stem and all(
-            experiment_for(fleet, plays, play).seeds for play in plays.worlds
+            scale_experiment(fleet, table, scenario).seeds for scenario in table.scenarios
         )
         return
     readers: dict[str, Callable[[dict[str, Any]], Any]] = {
--- a/tests/testbed/scale/test_scale.py
+++ b/tests/testbed/scale/test_scale.py
@@ -15,13 +15,12 @@
 from ploverspoke.cli import main
 from ploverspoke.testbed.capacity.fleet_size import FleetFileError, parse_fleet
 from ploverspoke.testbed.checkers.request_audit import SOCKETS_TOLERANCE, VIRTUAL_TOLERANCE, audit_requests
-from ploverspoke.testbed.checkers.scale_checker import (
+from ploverspoke.testbed.checkers.scale_checker import check_bounded_by_length
+from ploverspoke.testbed.checkers.scale_comparison import compare_metrics, mark_void_metrics
+from ploverspoke.testbed.checkers.scale_metrics import (
     ScaleObservations,
-    bounded_by_length,
-    compare_metrics,
-    healing,
-    mark_void_metrics,
-    urgent_waits,
+    region_cut_metrics,
+    urgent_start_delays,
 )
 from ploverspoke.testbed.experiment_files.durations import Duration
 from ploverspoke.testbed.experiment_files.errors import ExperimentError
@@ -40,16 +39,19 @@
 from ploverspoke.testbed.processes.capacity_check import CapacityError
 from ploverspoke.testbed.processes.child_process import ChildProcess
 from ploverspoke.testbed.reports.scores import RunScore
-from ploverspoke.testbed.scale.dispatcher_host import DispatcherHost, DispatcherHostSpec
-from ploverspoke.testbed.scale.simulated_dispatcher import DispatcherAddress
+from ploverspoke.testbed.scale.dispatcher_host import DispatcherHost
+from ploverspoke.testbed.scale.host_messages import BeginRun, DispatcherAddress, DispatcherHostSpec
+from ploverspoke.testbed.scale.scenario_file import ScaleScenario, read_scale_scenarios
 from ploverspoke.testbed.scale.simulated_programs import (
     MODULE,
     SimulatedDispatcherHost,
     SimulatedDispatcherProgram,
 )
-from ploverspoke.testbed.scenarios import scale_fleet as stages
-from ploverspoke.testbed.scenarios.scale_fleet import ProcessCounts, SimulatedScaleFleet, UsageSample, Used
-from ploverspoke.testbed.scenarios.scale_phases import ScaleScenario, experiment_for, read_scale_scenarios
+from ploverspoke.testbed.scale.usage import FleetUsage, UsageSample
+from ploverspoke.testbed.scenarios import scale_fleet
+from ploverspoke.testbed.scenarios.scale_experiment import scale_experiment
+from ploverspoke.testbed.scenarios.scale_fleet import SimulatedScaleFleet
+from ploverspoke.testbed.scenarios.scale_resources import ProcessCounts, estimate_cores
 from ploverspoke.testbed.scenarios.socket_run import MAX_LATENESS
 from tests.testbed.harness import SECOND, small_experiment
 
@@ -114,35 +116,35 @@
 # ---- One by one ----
 
 
-class Hollow:
+class HostHarness:
     """Some dispatchers in one process, and a discovery that notes who calls and says nothing."""
 
     def __init__(
         self, child: SimulatedDispatcherHost, programs: list[SimulatedDispatcherProgram], callers: set[str]
     ) -> None:
-        self.child = child
+        self.host = child
         self.programs = programs
         self.callers = callers
 
-    def door(self, number: int) -> tuple[str, int]:
+    def endpoint(self, number: int) -> tuple[str, int]:
         host, _, port = self.programs[number].config["listen"].rpartition(":")
         return host, int(port)
 
-    async def asks(self, number: int, first: str, more: str = "") -> int:
+    async def status_of(self, number: int, first: str, more: str = "") -> int:
         """The status of the answer."""
-        reader, writer = await asyncio.open_connection(*self.door(number))
+        reader, writer = await asyncio.open_connection(*self.endpoint(number))
         writer.write(f"{first} HTTP/1.1\r\nHost: test\r\nConnection: close\r\n{more}\r\n".encode())
         status = int((await reader.readline()).split()[1])
         writer.close()
         return status
 
     async def serving(self) -> int:
-        counts = await self.child.counts()
-        return int(counts["serving"])
+        counts = await self.host.counts()
+        return counts.serving
 
 
 @asynccontextmanager
-async def hollow(folder: Path, count: int) -> AsyncIterator[Hollow]:
+async def start_host(folder: Path, count: int) -> AsyncIterator[HostHarness]:
     block, callers = AddressBlock(), set[str]()
 
     async def called(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -177,91 +179,95 @@
             for place in places
         ]
         await asyncio.gather(*(program.start() for program in programs))
-        yield Hollow(child, programs, callers)
+        yield HostHarness(child, programs, callers)
     finally:
         await child.child.stop()
         server.close()
         block.close()
 
 
-def run_hollow(folder: Path, count: int, test: Callable[[Hollow], Awaitable[None]]) -> None:
+def run_with_host(folder: Path, count: int, test: Callable[[HostHarness], Awaitable[None]]) -> None:
     async def whole() -> None:
-        async with hollow(folder, count) as there:
-            await asyncio.wait_for(test(there), 30)
+        async with start_host(folder, count) as harness:
+            await asyncio.wait_for(test(harness), 30)
 
     asyncio.run(whole())
 
 
-def test_each_is_killed_ended_and_started_without_touching_the_others(tmp_path: Path) -> None:
-    async def test(there: Hollow) -> None:
-        assert await there.serving() == 3
-        held = [await asyncio.open_connection(*there.door(n)) for n in range(3)]
+def test_each_is_killed_stopped_and_started_without_touching_the_others(tmp_path: Path) -> None:
+    async def test(harness: HostHarness) -> None:
+        assert await harness.serving() == 3
+        held = [await asyncio.open_connection(*harness.endpoint(n)) for n in range(3)]
         for _, writer in held:
             writer.write(b"GET /-/ready HTTP/1.1\r\nHost: test\r\n\r\n")
         for reader, _ in held:
             assert b" 200 " in await reader.readuntil(b"ready")
-        await there.programs[1].kill()
+        await harness.programs[1].kill()
         with pytest.raises(ConnectionResetError):
             await held[1][0].read()
         with pytest.raises(ConnectionRefusedError):
-            await there.asks(1, "GET /-/ready")
-        assert await there.serving() == 2 and not there.programs[1].has_crashed()
-        await there.programs[2].stop(signal.SIGTERM, 10)
-        assert await held[2][0].read() == b"" and there.programs[2].why == ""
+            await harness.status_of(1, "GET /-/ready")
+        assert await harness.serving() == 2 and not harness.programs[1].has_crashed()
+        await harness.programs[2].stop(signal.SIGTERM, 10)
+        assert await held[2][0].read() == b"" and harness.programs[2].end_reason == ""
         held[0][1].write(b"GET /-/ready HTTP/1.1\r\nHost: test\r\n\r\n")
         assert b" 200 " in await held[0][0].readuntil(b"ready")
-        await asyncio.gather(there.programs[1].start(), there.programs[2].start())
-        assert [await there.asks(n, "GET /-/ready") for n in range(3)] == [200] * 3
+        await asyncio.gather(harness.programs[1].start(), harness.programs[2].start())
+        assert [await harness.status_of(n, "GET /-/ready") for n in range(3)] == [200] * 3
         for _, writer in held:
             writer.close()
 
-    run_hollow(tmp_path, 3, test)
+    run_with_host(tmp_path, 3, test)
 
 
 def test_nothing_is_shared_but_the_loop(tmp_path: Path) -> None:
-    async def test(there: Hollow) -> None:
+    async def test(harness: HostHarness) -> None:
         # Ids that one has taken are new to the other.
         same = "Request-Id: one\r\nContent-Length: 0\r\n"
-        first = await there.asks(0, "POST /look", same)
-        assert await there.asks(0, "POST /look", same) == 409 != first
-        assert await there.asks(1, "POST /look", same) == first
+        first = await harness.status_of(0, "POST /look", same)
+        assert await harness.status_of(0, "POST /look", same) == 409 != first
+        assert await harness.status_of(1, "POST /look", same) == first
         # A setting that is changed at one binds that one.
         e = small_experiment(
             dispatchers={"count": 2}, grades=[{"name": name} for name in ("look", "book", "more")]
         )
-        there.programs[0].config["settings"] = dispatcher_settings(e, 0)
-        there.programs[0].write()
-        there.programs[0].read_again()
-        while await there.asks(0, "GET /more") == 404:
+        harness.programs[0].config["settings"] = dispatcher_settings(e, 0)
+        harness.programs[0].write_config()
+        harness.programs[0].reload_config()
+        while await harness.status_of(0, "GET /more") == 404:
             await asyncio.sleep(0.01)
-        assert await there.asks(0, "GET /more") == 405 and await there.asks(1, "GET /more") == 404
+        assert (
+            await harness.status_of(0, "GET /more") == 405 and await harness.status_of(1, "GET /more") == 404
+        )
         # A bad one is refused, and said in the name of the one that was told.
-        there.programs[1].config["settings"] = {}
-        there.programs[1].write()
-        there.programs[1].read_again()
+        harness.programs[1].config["settings"] = {}
+        harness.programs[1].write_config()
+        harness.programs[1].reload_config()
         while "d1: new configuration rejected" not in (tmp_path / "log").read_text():
             await asyncio.sleep(0.01)
-        assert await there.asks(1, "GET /look") == 405
-        assert there.callers == {program.place.address for program in there.programs}
+        assert await harness.status_of(1, "GET /look") == 405
+        assert harness.callers == {program.address.address for program in harness.programs}
 
-    run_hollow(tmp_path, 2, test)
+    run_with_host(tmp_path, 2, test)
 
 
 # ---- Worlds ----
 
 
-def play_hollow(e: Experiment, folder: Path, shape: ProcessCounts) -> tuple[SimulatedScaleFleet, list[Event]]:
-    stage = SimulatedScaleFleet(e, 1, folder, shape)
+def run_simulated(
+    e: Experiment, folder: Path, counts: ProcessCounts
+) -> tuple[SimulatedScaleFleet, list[Event]]:
+    fleet = SimulatedScaleFleet(e, 1, folder, counts)
 
     async def whole() -> None:
         try:
-            await stage.run()
+            await fleet.run()
         finally:
-            await stage.close()
+            await fleet.close()
 
     asyncio.run(whole())
     parts = [read_events(path) for path in sorted(folder.glob("*.jsonl"))]
-    return stage, merge_events([stage.records.events, *parts])
+    return fleet, merge_events([fleet.records.events, *parts])
 
 
 def test_a_world_with_a_zone_lost_and_a_region_cut_keeps_the_rules(tmp_path: Path) -> None:
@@ -277,14 +283,14 @@
             {"what": "dispatcher restarted", "at": "2s", "lasts": "2500ms", "dispatchers": [4]},
         ],
     )
-    stage, events = play_hollow(e, tmp_path, ProcessCounts(hollow=2, workers=2, clients=1))
-    assert stage.rig.errors == []
+    fleet, events = run_simulated(e, tmp_path, ProcessCounts(hosts=2, workers=2, clients=1))
+    assert fleet.rig.errors == []
     assert audit_requests(e, events, SOCKETS_TOLERANCE) == []
     assert {event.dispatcher for event in events if event.kind == ATTEMPT_ARRIVED} == set(range(9))
     sent = {event.job for event in events if event.kind == REQUEST_SENT}
     began = {event.job for event in events if event.kind == ATTEMPT_STARTED}
-    assert len(sent) == stage.jobs and len(began) > 0.8 * len(sent)
-    last = stage.samples[-1]
+    assert len(sent) == fleet.request_count and len(began) > 0.8 * len(sent)
+    last = fleet.samples[-1]
     assert last.used.serving == 9 and last.used.inside["open"] == 0
     # What the stand-ins counted is what came: an answer to each hand-off at the least.
     came = sum(event.kind == ATTEMPT_ARRIVED for event in events)
@@ -339,32 +345,32 @@
     monkeypatch.setattr(ChildProcess, "start", no_child)
     e = small_experiment(dispatchers={"count": 40}, workers=THREE_ZONES)
     with pytest.raises(CapacityError, match=r"cores wanted .*40 dispatchers\), 0.01 are there"):
-        play_hollow(e, tmp_path, ProcessCounts(2, 1, 1, cores=0.01))
-    monkeypatch.setattr(stages, "total_memory", lambda: 1 << 30)
+        run_simulated(e, tmp_path, ProcessCounts(2, 1, 1, cores=0.01))
+    monkeypatch.setattr(scale_fleet, "total_memory", lambda: 1 << 30)
     with pytest.raises(CapacityError, match="MiB wanted, 512 are half of the machine's"):
-        play_hollow(e, tmp_path, ProcessCounts(2, 1, 1))
+        run_simulated(e, tmp_path, ProcessCounts(2, 1, 1))
     monkeypatch.undo()
     shared = small_experiment(grades=[{"name": "a", "repeat": "labelled"}], workers=THREE_ZONES)
     with pytest.raises(ExperimentError, match="worker processes"):
-        play_hollow(shared, tmp_path, ProcessCounts(2, 2, 1))
+        run_simulated(shared, tmp_path, ProcessCounts(2, 2, 1))
 
 
 def test_a_run_whose_dispatchers_held_each_other_up_is_void(tmp_path: Path) -> None:
-    stage = SimulatedScaleFleet(small_experiment(), 1, tmp_path, ProcessCounts(1, 1, 1))
-    assert stage.void_reason() == ""
-    stage.hollow_late = MAX_LATENESS + 1
-    assert "held each other up" in stage.void_reason()
-    stage.rig.block.close()
+    fleet = SimulatedScaleFleet(small_experiment(), 1, tmp_path, ProcessCounts(1, 1, 1))
+    assert fleet.void_reason() == ""
+    fleet.loop_lateness = MAX_LATENESS + 1
+    assert "held each other up" in fleet.void_reason()
+    fleet.rig.block.close()
 
     async def held_up() -> int:
         process = DispatcherHost(asyncio.get_running_loop(), [])
-        process.heard({"begin": True})
+        process.on_command(BeginRun())
         await asyncio.sleep(0)
         time.sleep(0.15)
         await asyncio.sleep(0.05)
         assert process.watch is not None
         process.watch.cancel()
-        return process.late
+        return process.lateness
 
     assert asyncio.run(held_up()) > MAX_LATENESS
 
@@ -398,9 +404,9 @@
 
 def test_a_play_has_the_load_that_the_file_states() -> None:
     fleet = parse_fleet(FLEET)
-    plays = read_scale_scenarios(fleet)
-    e = experiment_for(fleet, plays, plays.worlds[0])
-    _, running, starts = stages.cores_for(e)
+    table = read_scale_scenarios(fleet)
+    e = scale_experiment(fleet, table, table.scenarios[0])
+    _, running, starts = estimate_cores(e)
     assert (round(running, 6), starts) == (12.0, 20.0)
     assert len(e.worker_names()) == 9 and e.zones() == ["a", "b", "c"] and e.dispatchers.count == 4
 
@@ -417,7 +423,7 @@
         for n in (1, 2)
         for again in (0, 1)
     ]
-    assert urgent_waits(e, merge_events([sent, began])) == [1, 2, -1]
+    assert urgent_start_delays(e, merge_events([sent, began])) == [1, 2, -1]
     ratios, void = compare_metrics(
         {"core_share": 0.8, "network_bytes_in": 1.1}, {"core_share": 1.0, "network_bytes_in": 1.0}, 0.15
     )
@@ -426,7 +432,9 @@
         "core_share (void)": 1.0,
         "service": 2.0,
     }
-    grown = bounded_by_length({"away_open": 10.0, "service": 1.0}, {"away_open": 20.0, "service": 1.0}, 2.0)
+    grown = check_bounded_by_length(
+        {"away_open": 10.0, "service": 1.0}, {"away_open": 20.0, "service": 1.0}, 2.0
+    )
     assert len(grown.failed) == 1 and "away_open 2.00 times" in grown.failed[0] and grown.held == []
 
 
@@ -434,15 +442,15 @@
     e = small_experiment(grades=[{"name": "urgent"}], lasts="30s", counted_from="2s")
     cut = ScaleScenario(
         name="cut",
-        what="region cut",
-        lasts=Duration(28 * SECOND),
-        at=Duration(4 * SECOND),
-        away=Duration(10 * SECOND),
+        kind="region cut",
+        duration=Duration(28 * SECOND),
+        fault_start=Duration(4 * SECOND),
+        fault_duration=Duration(10 * SECOND),
     )
 
     def sample(second: int) -> UsageSample:
         away = 6 < second <= 16
-        used = Used(
+        used = FleetUsage(
             0,
             7_000_000 if away else 5_000_000,
             60 if away else 40,
@@ -455,7 +463,7 @@
     seen = ScaleObservations(
         e, [], cast(RunScore, None), [sample(second) for second in range(0, 30, 2)], [], 0
     )
-    assert healing(seen, cut) == {
+    assert region_cut_metrics(seen, cut) == {
         "away_resident_mb": 7.0,
         "away_descriptors": 60,
         "away_log_lines_a_second": 1.0,
@@ -464,7 +472,7 @@
         "away_connections": 0.0,
         "healing_bytes_a_second": 100.0,
     }
-    assert healing(seen._replace(samples=seen.samples[:5]), cut) == {}
+    assert region_cut_metrics(seen._replace(samples=seen.samples[:5]), cut) == {}
 
 
 def in_toml(value: Any) -> str:
