--- a/tests/config_distribution/test_state_machine.py
+++ b/tests/config_distribution/test_state_machine.py
@@ -39,7 +39,7 @@
     for number in range(3, 2 * MAX_VERSIONS):
         assert publish(other, body(number), number - 1, f"n{number}").version == number
     assert [row.number for row in other.version_rows()] == list(range(MAX_VERSIONS, 2 * MAX_VERSIONS))
-    large = [json.dumps({"settings": {"x": f"{n}" * 900_000}}) for n in range(9)]
+    large = [json.dumps({"settings": {"x": f"{number}" * 900_000}}) for number in range(9)]
     for at, text in enumerate(large):
         publish(other, text, 2 * MAX_VERSIONS - 1 + at, f"l{at}")
     assert 2 <= len(other.versions) <= 6
--- a/tests/leases/test_fleet_tasks.py
+++ b/tests/leases/test_fleet_tasks.py
@@ -101,7 +101,7 @@
     for port in ports:
         options += ["--from", f"127.0.0.1:{port}"]
     command = [sys.executable, "-m", "ploverspoke", "lease", "summary", str(leases.file), "one", *options]
-    return [await asyncio.create_subprocess_exec(*command, "--as", f"w{n}") for n in range(3)]
+    return [await asyncio.create_subprocess_exec(*command, "--as", f"w{number}") for number in range(3)]
 
 
 async def read_tokens_and_kill_writers(call: Call, path: Path, writers: list[Process]) -> list[int]:
@@ -178,7 +178,7 @@
     async def script(leases: LeaseFleet, call: Call) -> None:
         store = tmp_path / "store.json"
         await start_store(leases, store)
-        files = [tmp_path / f"c{n}.json" for n in range(4)]
+        files = [tmp_path / f"c{number}.json" for number in range(4)]
         for number, file in enumerate(files):
             file.write_text(json.dumps({**EXAMPLE, "note": number}))
 
--- a/tests/leases/test_lease_commands.py
+++ b/tests/leases/test_lease_commands.py
@@ -10,6 +10,7 @@
 from pathlib import Path
 
 from ploverspoke.consensus.framing import FrameCodec
+from ploverspoke.testbed.processes.running_process import RunningProcess
 from ploverspoke.testbed.scenarios.lease_scenario import LeaseFleet
 from tests.leases.lease_server_rig import Call, run_with_lease_servers
 
@@ -85,6 +86,31 @@
     run_with_lease_servers(tmp_path, script)
 
 
+async def run_lease_tool(command: str, file: Path, *arguments: str) -> int:
+    """Run a command on the file of one lease server; returns the exit code."""
+    process = await asyncio.create_subprocess_exec(
+        *(sys.executable, "-m", "ploverspoke", "lease", command, str(file), *arguments),
+        stdout=subprocess.DEVNULL,
+    )
+    return await process.wait()
+
+
+async def acquire_token(call: Call) -> int:
+    _, output = await call("acquire", "one", "--for", "1", "--wait", "20", "--json")
+    return int(json.loads(output)["token"])
+
+
+async def fail_to_start_with_an_empty_folder(server: RunningProcess) -> None:
+    """A server alone whose folder was cleared does not start as what it was."""
+    await server.kill()
+    server.clear_folder()
+    server.ready = None
+    await server.start()
+    assert server.process is not None and await server.process.wait() == 2
+    assert "a new store begins with --new" in server.log_tail()
+    server.process = None
+
+
 def test_restored_lease_servers_grant_higher_tokens_after_the_longest_lease(
     tmp_path: Path,
 ) -> None:
@@ -92,41 +118,23 @@
         backup = tmp_path / "backup.db"
         files = [tmp_path / f"k{number}.json" for number in range(3)]
 
-        async def run_tool(command: str, file: Path, *arguments: str) -> int:
-            process = await asyncio.create_subprocess_exec(
-                *(sys.executable, "-m", "ploverspoke", "lease", command, str(file), *arguments),
-                stdout=subprocess.DEVNULL,
-            )
-            return await process.wait()
-
-        async def acquire_token() -> int:
-            _, output = await call("acquire", "one", "--for", "1", "--wait", "20", "--json")
-            return int(json.loads(output)["token"])
-
-        assert await run_tool("backup", files[0], str(backup)) == 0
-        later = [await acquire_token() for _ in range(2)]
+        assert await run_lease_tool("backup", files[0], str(backup)) == 0
+        later = [await acquire_token(call) for _ in range(2)]
         assert later[0] < later[1]
         servers = [leases.rig.processes[f"k{number}"] for number in range(3)]
         for server, file in zip(servers, files, strict=True):
             await server.stop(signal.SIGTERM, 10)
-            assert await run_tool("restore", file, str(backup)) == 2  # never written over
+            assert await run_lease_tool("restore", file, str(backup)) == 2  # never written over
             server.clear_folder()
-            assert await run_tool("restore", file, str(backup)) == 0
+            assert await run_lease_tool("restore", file, str(backup)) == 0
         began = time.monotonic()  # before any server can lead; the third may be ready much later
         await leases.rig.start_processes()
-        assert await acquire_token() > later[1]
+        assert await acquire_token(call) > later[1]
         # What was granted after the backup may be held for that long.
         assert time.monotonic() - began > LONGEST_DECLARED_LEASE
 
-        # One alone whose folder was emptied does not come back as what it was.
-        await servers[0].kill()
-        servers[0].clear_folder()
-        servers[0].ready = None
-        await servers[0].start()
-        assert servers[0].process is not None and await servers[0].process.wait() == 2
-        assert "a new store begins with --new" in servers[0].log_tail()
-        servers[0].process = None
-        assert await acquire_token() > later[1]
+        await fail_to_start_with_an_empty_folder(servers[0])
+        assert await acquire_token(call) > later[1]
 
     run_with_lease_servers(tmp_path, script)
 
@@ -139,7 +147,7 @@
             (b"another secret than theirs", None),
             (b"a secret of the testbed's own", {"n": "x"}),
         ):
-            frames = FrameCodec(secret, {"id": "stranger/1", "store": ""})
+            frames = FrameCodec(secret, {"id": "client/1", "store": ""})
             with socket.create_connection(address, 5) as connection:
                 connection.sendall(frames.greeting_frame())
                 if message is not None:
--- a/tests/store/test_router_with_request_log.py
+++ b/tests/store/test_router_with_request_log.py
@@ -102,7 +102,7 @@
 
 @pytest.mark.parametrize("client_returns", [False, True])
 def test_a_request_without_clients_that_was_not_sent_is_rejected(client_returns: bool) -> None:
-    # The last had left while it waited for a worker, and it was sent on all the same, whenever one was ready.
+    # The last had left while it waited for a worker, and it was sent all the same, as soon as one was ready.
     async def scenario(harness: ServiceHarness, log: ControlledRequestLog) -> None:
         ready = harness.entries
         await harness.change_list([{**entry, "state": "Terminating"} for entry in ready])
@@ -180,6 +180,6 @@
             "troubles": outages,
         }
     )
-    played = run_on_sockets(experiment, 1)
-    assert audit_requests(experiment, played.events, SOCKETS_TOLERANCE) == []
-    assert sum(event.kind == DISPATCHER_KILLED for event in played.events) == 3
+    scenario_run = run_on_sockets(experiment, 1)
+    assert audit_requests(experiment, scenario_run.events, SOCKETS_TOLERANCE) == []
+    assert sum(event.kind == DISPATCHER_KILLED for event in scenario_run.events) == 3
--- a/tests/store/test_state_machine.py
+++ b/tests/store/test_state_machine.py
@@ -1,5 +1,7 @@
 """The replicated state of requests: answers, bounds, the clock, and commands as they are stored."""
 
+from functools import partial
+
 import msgspec
 import pytest
 
@@ -77,8 +79,9 @@
 def test_answers_are_bounded_and_open_requests_never_dropped() -> None:
     state = RequestStateMachine(max_answers=10, max_result_bytes=100)
     state.apply(0, encode_command(AcceptRequest("open", 0, b"", 1 << 60, 0)))
-    for n in range(30):
-        state.apply(n, encode_command(AnswerRequest(f"r{n}", FinalAnswer.SUCCEEDED, "x" * 20, b"", n)))
+    for number in range(30):
+        answer = AnswerRequest(f"r{number}", FinalAnswer.SUCCEEDED, "x" * 20, b"", number)
+        state.apply(number, encode_command(answer))
     assert len(state.answered) <= 10 and state.result_bytes <= 100 and "open" in state.open_requests
     late = 30 + ANSWER_RETENTION + 1
     state.apply(31, encode_command(AnswerRequest("last", FinalAnswer.REJECTED, "", b"", late)))
@@ -86,18 +89,20 @@
 
 
 def test_replicated_clock_follows_applied_entries_and_never_jumps() -> None:
-    here = [1_000, 5]
-    clocks = [ReplicatedClock(lambda n=n: here[n]) for n in range(2)]  # type: ignore[misc]
+    local_times = [1_000, 5]
+    clocks = [ReplicatedClock(partial(local_times.__getitem__, number)) for number in range(2)]
     states = [RequestStateMachine(), RequestStateMachine()]
     for state, clock in zip(states, clocks, strict=True):
         state.on_time = clock.advance_to
-    here[0] += 40  # the leader has run for longer
+    local_times[0] += 40  # the leader has run for longer
     for state in states:
         now = clocks[0].now()
         state.apply(1, encode_command(AcceptRequest("r", 0, b"", now + 100, now)))
         state.apply(2, encode_command(StartAttempt("r", "w", 0, clocks[0].now(), 777)))
     assert [clock.now() for clock in clocks] == [40, 40]
-    here[1] += 10  # nobody leads for a while; then the other does, behind nothing that was committed
+    local_times[1] += (
+        10  # without a leader; then the other one leads, behind nothing that was committed
+    )
     assert clocks[1].now() == 50 and clocks[0].now() == 40
     states[0].apply(3, encode_command(AnswerRequest("r", FinalAnswer.FAILED, "", b"", clocks[1].now())))
     assert clocks[0].now() == 50
