--- a/ploverspoke/config_distribution/client.py
+++ b/ploverspoke/config_distribution/client.py
@@ -10,8 +10,9 @@
 from ploverspoke.consensus.cluster_config import split_address
 from ploverspoke.consensus.framed_client import FramedClientConnection
 from ploverspoke.consensus.framing import FrameError
+from ploverspoke.transport.loop_timer import LoopTimer
 from ploverspoke.transport.rate_limited_log import log_line
-from ploverspoke.transport.units import MILLISECOND, SECOND
+from ploverspoke.transport.units import MILLISECOND
 
 from .cache import CacheWriter
 from .cluster_config import WatchConfig
@@ -86,8 +87,7 @@
         self.watcher = ConfigWatcher(self, config.cluster, config.servers, config.local_servers, applied)
         self.connections: dict[int, ServerConnection] = {}  # by link id, also those that are being made
         self.dial_tasks: dict[int, asyncio.Task[None]] = {}
-        self.timer: asyncio.TimerHandle | None = None
-        self.timer_at = 0
+        self.timer = LoopTimer(self._tick, MAX_TIMER_SECONDS)
         self.cache_writer = CacheWriter(loop, config)
         self.closed = False
 
@@ -99,8 +99,7 @@
     def close(self) -> None:
         """Close all connections, and write the cache where it is behind."""
         self.closed = True
-        if self.timer is not None:
-            self.timer.cancel()
+        self.timer.cancel()
         for link_id in list(self.connections):
             self.hang_up(link_id)
         self.cache_writer.close()
@@ -174,17 +173,10 @@
 
     def _schedule_tick(self) -> None:
         """Have the watcher's `tick` called when it is due; a timer that is too early does no harm."""
-        due = self.watcher.next_tick()
-        if self.closed or (self.timer is not None and self.timer_at <= due):
-            return
-        if self.timer is not None:
-            self.timer.cancel()
-        self.timer_at = due
-        delay = min(MAX_TIMER_SECONDS, max(0.0, (due - self.now()) / SECOND))
-        self.timer = self.loop.call_later(delay, self._tick)
+        if not self.closed:
+            self.timer.set_earlier(self.watcher.next_tick())
 
     def _tick(self) -> None:
-        self.timer = None
         self.watcher.tick()
         self._schedule_tick()
 
--- a/ploverspoke/config_distribution/server_node.py
+++ b/ploverspoke/config_distribution/server_node.py
@@ -1,6 +1,5 @@
 """One config server: a replica of `ConfigStateMachine`, and the driver of `VersionBroadcaster`."""
 
-import asyncio
 from typing import Protocol
 
 from ploverspoke.consensus.admin_messages import KIND_KEY, WireMap
@@ -8,8 +7,9 @@
 from ploverspoke.consensus.peer_links import Reply
 from ploverspoke.consensus.storage import ReplicaStorage
 from ploverspoke.service.config_reader import ConfigError
+from ploverspoke.transport.loop_timer import LoopTimer
 from ploverspoke.transport.rate_limited_log import log_line
-from ploverspoke.transport.units import MILLISECOND, NEVER, SECOND
+from ploverspoke.transport.units import MILLISECOND, NEVER
 
 from .admin_messages import (
     LIST_VERSIONS,
@@ -63,8 +63,7 @@
         self.leader_contact_timeout = max(
             MIN_LEADER_CONTACT, LEADER_CONTACT_ELECTIONS * replica_config.election_timeout
         )
-        self.tick_timer: asyncio.TimerHandle | None = None
-        self.tick_timer_at = NEVER
+        self.tick_timer = LoopTimer(self._tick)
         self.committed_number = 0  # of the version that storage holds as committed
 
     def on_storage_opened(self) -> None:
@@ -109,15 +108,10 @@
     def schedule_tick(self) -> None:
         """Have the broadcaster's `tick` called when it is due; to be called after each of its events."""
         due = self.broadcaster.next_tick
-        if self.closed or due >= self.tick_timer_at:
-            return
-        if self.tick_timer is not None:
-            self.tick_timer.cancel()
-        self.tick_timer_at = due
-        self.tick_timer = self.loop.call_later(max(0, due - self.now()) / SECOND, self._tick)
+        if not self.closed and due < NEVER:
+            self.tick_timer.set_earlier(due)
 
     def _tick(self) -> None:
-        self.tick_timer, self.tick_timer_at = None, NEVER
         if not self.closed:
             self.broadcaster.tick()
             self.schedule_tick()
@@ -190,6 +184,5 @@
 
     async def close(self) -> None:
         """Stop the timer and the replica."""
-        if self.tick_timer is not None:
-            self.tick_timer.cancel()
+        self.tick_timer.cancel()
         await super().close()
--- a/ploverspoke/consensus/replica_driver.py
+++ b/ploverspoke/consensus/replica_driver.py
@@ -4,12 +4,11 @@
 """
 
 import asyncio
-import time
 from collections.abc import Callable
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from ploverspoke.transport.units import SECOND
+from ploverspoke.transport.loop_timer import LoopTimer
 
 from .log import EntryKind
 from .persisted_state import WriteBatch
@@ -57,8 +56,7 @@
         self._is_step_scheduled = False
         self._is_writing = False
         self._is_taking_snapshot = False
-        self._timer: asyncio.TimerHandle | None = None
-        self._timer_at = 0
+        self._timer = LoopTimer(self._on_timer)
 
     def schedule_step(self) -> None:
         """Write what has gathered, and see when time is wanted next, behind what the loop has to do now."""
@@ -69,14 +67,13 @@
     def stop(self) -> None:
         """Drive the replica no more; what is being written still is."""
         self._is_stopped = True
-        if self._timer is not None:
-            self._timer.cancel()
+        self._timer.cancel()
 
     def _step(self) -> None:
         self._is_step_scheduled = False
         if self._is_stopped:
             return
-        self._set_timer(self.replica.raft.next_tick())
+        self._timer.set(self.replica.raft.next_tick())
         if self._is_writing or self.replica.batch.is_empty():
             return
         batch = self.replica.take_batch()
@@ -122,17 +119,7 @@
 
         self.storage_thread.submit(on_done, self.storage.save_snapshot, snapshot)
 
-    def _set_timer(self, tick_at: int) -> None:
-        if self._timer is not None:
-            if self._timer_at == tick_at:
-                return
-            self._timer.cancel()
-        self._timer_at = tick_at
-        delay = max(0, tick_at - time.monotonic_ns()) / SECOND
-        self._timer = self._loop.call_later(delay, self._on_timer)
-
     def _on_timer(self) -> None:
-        self._timer = None
         if not self._is_stopped:
             self.replica.raft.tick()
             self.schedule_step()
--- a/ploverspoke/leases/client.py
+++ b/ploverspoke/leases/client.py
@@ -7,7 +7,7 @@
 
 from ploverspoke.consensus.framed_client import FramedClientConnection
 from ploverspoke.consensus.framing import FrameError
-from ploverspoke.transport.units import SECOND
+from ploverspoke.transport.loop_timer import LoopTimer
 
 from .config import LeaseServers
 from .errors import LeaseMessageError
@@ -61,7 +61,7 @@
         self.server_index = int.from_bytes(os.urandom(2), "big") % len(servers.client_addresses)
         self.connection: LeaseServerConnection | None = None
         self.connect_task: asyncio.Task[None] | None = None
-        self.timer: asyncio.TimerHandle | None = None
+        self.timer = LoopTimer(self._tick, MAX_SLEEP)
         self.closed = False
         self.changed = asyncio.Event()  # set when a lease may have been acquired, lost or rejected
 
@@ -111,8 +111,7 @@
             self.release(name)
         await asyncio.sleep(FINAL_RELEASE_TIME if self.connection is not None else 0)
         self.closed = True
-        if self.timer is not None:
-            self.timer.cancel()
+        self.timer.cancel()
         self._disconnect()
 
     # ---- The environment of its holder ----
@@ -195,11 +194,9 @@
                 self.connect_task = None
 
     def _schedule_tick(self) -> None:
-        if self.timer is not None:
-            self.timer.cancel()
+        self.timer.cancel()  # set again also for the same time: MAX_SLEEP counts from now
         if not self.closed:
-            seconds = (self.holder.next_wake() - self.now()) / SECOND
-            self.timer = self.loop.call_later(min(MAX_SLEEP, max(0.0, seconds)), self._tick)
+            self.timer.set(self.holder.next_wake())
 
     def _tick(self) -> None:
         lost_before = self.holder.lost
--- a/ploverspoke/supervisor/process_runner.py
+++ b/ploverspoke/supervisor/process_runner.py
@@ -20,8 +20,8 @@
 from ploverspoke.service.descriptor_limit import descriptor_limit
 from ploverspoke.service.exit_codes import run_with_exit_code
 from ploverspoke.transport.listener import BACKLOG
+from ploverspoke.transport.loop_timer import LoopTimer
 from ploverspoke.transport.rate_limited_log import log_line
-from ploverspoke.transport.units import SECOND
 
 from .child_environment import ChildEnvironment
 from .resource_split import child_config
@@ -41,9 +41,9 @@
         self.config = config
         self.processes: dict[int, asyncio.subprocess.Process] = {}  # by the index of the slot
         self.tasks: set[asyncio.Task[None]] = set()  # one for each running child; a loop holds tasks weakly
-        self.timer: asyncio.TimerHandle | None = None
         self.any_killed: asyncio.Future[bool] = self.loop.create_future()  # set when all have stopped
         self.supervisor = ProcessSupervisor(self, count)
+        self.timer = LoopTimer(partial(self._handle, self.supervisor.tick))
         self.socket: socket.socket | None = None  # open while `run` is running
 
     async def run(self) -> int:
@@ -76,13 +76,11 @@
     def _handle(self, event: Callable[[], None]) -> None:
         """Pass one event to the supervisor and set the timer anew, since any event may move it."""
         event()
-        if self.timer is not None:
-            self.timer.cancel()
-            self.timer = None
         due = self.supervisor.next_tick()
-        if due is not None:
-            delay = max(0, due - self.now()) / SECOND
-            self.timer = self.loop.call_later(delay, self._handle, self.supervisor.tick)
+        if due is None:
+            self.timer.cancel()
+        else:
+            self.timer.set(due)
 
     async def _run_child(self, index: int) -> None:
         """Run one process from its start to its exit."""
--- a/tests/store/test_state_machine.py
+++ b/tests/store/test_state_machine.py
@@ -100,9 +100,7 @@
         state.apply(1, encode_command(AcceptRequest("r", 0, b"", now + 100, now)))
         state.apply(2, encode_command(StartAttempt("r", "w", 0, clocks[0].now(), 777)))
     assert [clock.now() for clock in clocks] == [40, 40]
-    local_times[1] += (
-        10  # without a leader; then the other one leads, behind nothing that was committed
-    )
+    local_times[1] += 10  # without a leader; then the other one leads, behind nothing that was committed
     assert clocks[1].now() == 50 and clocks[0].now() == 40
     states[0].apply(3, encode_command(AnswerRequest("r", FinalAnswer.FAILED, "", b"", clocks[1].now())))
     assert clocks[0].now() == 50
