--- a/tests/routing/faulty_discovery.py
+++ b/tests/routing/faulty_discovery.py
@@ -7,10 +7,11 @@
 
 from ploverspoke.routing.endpoint_watch import WatchRequest
 from ploverspoke.testbed.processes.addresses import bind_without_listening
+from ploverspoke.transport.units import MILLISECOND as MS
+from ploverspoke.transport.units import SECOND
 from tests.routing.harness import Entry, ServiceHarness
 from tests.routing.race_harness import Clock, discovery_response, endpoint_list, run_loop_turns, wait_until
 
-MS, SECOND = 1_000_000, 1_000_000_000
 BINDING_DELAY = 6 * SECOND
 GRACE = 500 * MS  # after the binding delay
 HALF_RESPONSE = b'HTTP/1.1 200 OK\r\nContent-Length: 4000\r\n\r\n{"version":'
--- a/tests/routing/harness.py
+++ b/tests/routing/harness.py
@@ -5,7 +5,7 @@
 import json
 import time
 from collections import Counter
-from collections.abc import Awaitable, Callable, Coroutine, Mapping
+from collections.abc import Callable, Coroutine
 from typing import Any, TypeVar
 
 import uvloop
@@ -17,27 +17,15 @@
 from ploverspoke.service.settings import parse_names, parse_settings
 from ploverspoke.testbed.processes.addresses import reserve_ports
 from tests.decisions.harness import SETTINGS
+from tests.routing.http_messages import Headers, chunk, read_message
+from tests.routing.worker_behaviours import WorkerBehaviour
 
-Headers = dict[str, str]  # by name in lower case
 Entry = dict[str, object]  # of an endpoint list, in discovery's form
-WorkerBehaviour = Callable[[asyncio.StreamReader, asyncio.StreamWriter, Headers, bytes], Awaitable[None]]
 
 
 Result = TypeVar("Result")
 
 
-async def read_message(reader: asyncio.StreamReader) -> tuple[str, Headers, bytes]:
-    """Read one message; returns its first line, headers and body."""
-    first, *lines = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
-    headers = {name.lower(): value for name, _, value in (line.partition(": ") for line in lines if line)}
-    return first, headers, await reader.readexactly(int(headers.get("content-length", 0)))
-
-
-def chunk(line: Mapping[str, object]) -> bytes:
-    text = json.dumps(line).encode() + b"\n"
-    return f"{len(text):x}\r\n".encode() + text + b"\r\n"
-
-
 def endpoint_entry(worker: str, port: int, state: str = "Ready") -> Entry:
     location = {"addr": f"127.0.0.1:{port}", "zone": "a", "kind": "plain", "cell": 0, "weight": 1.0}
     return {"id": worker, "state": state, "started_ms": 0, **location}
@@ -249,74 +237,3 @@
         return harness
 
     return run_on_loop(run)
-
-
-async def reject_unstarted(
-    reader: asyncio.StreamReader, writer: asyncio.StreamWriter, headers: Headers, body: bytes
-) -> None:
-    writer.write(b"HTTP/1.1 503 Busy\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
-
-
-async def fail(
-    reader: asyncio.StreamReader, writer: asyncio.StreamWriter, headers: Headers, body: bytes
-) -> None:
-    writer.write(b"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n")
-
-
-async def break_connection(
-    reader: asyncio.StreamReader, writer: asyncio.StreamWriter, headers: Headers, body: bytes
-) -> None:
-    writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-    raise ConnectionError
-
-
-async def send_garbage(
-    reader: asyncio.StreamReader, writer: asyncio.StreamWriter, headers: Headers, body: bytes
-) -> None:
-    writer.write(
-        b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n\x00\xff garbage"
-    )
-
-
-async def stay_silent(
-    reader: asyncio.StreamReader, writer: asyncio.StreamWriter, headers: Headers, body: bytes
-) -> None:
-    await asyncio.sleep(1.2)
-
-
-async def answer_for_other_request(
-    reader: asyncio.StreamReader, writer: asyncio.StreamWriter, headers: Headers, body: bytes
-) -> None:
-    writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-    writer.write(chunk({"id": "other", "from": "w", "state": "done", "result": "not yours"}) + b"0\r\n\r\n")
-
-
-FAULTY_BEHAVIOURS = [
-    reject_unstarted,
-    fail,
-    break_connection,
-    send_garbage,
-    stay_silent,
-    answer_for_other_request,
-]
-
-
-# ---- Admin commands ----
-
-
-async def admin_call(harness: ServiceHarness, command: bytes = b"vars\n") -> str:
-    reader, writer = await asyncio.open_connection("127.0.0.1", harness.admin_port)
-    writer.write(command)
-    answer = await asyncio.wait_for(reader.read(), 1)
-    writer.close()
-    return answer.decode()
-
-
-async def admin_counters(harness: ServiceHarness) -> dict[str, int]:
-    first, *lines, dot, end = (await admin_call(harness)).split("\n")
-    assert first == "+OK" and dot == "." and end == ""
-    return {name: int(value) for name, _, value in (line.rpartition(" ") for line in lines)}
-
-
-def operations_key(class_name: str, status: str) -> str:
-    return f'dispatcher_operations{{priority="{class_name}",status="{status}"}}'
--- a/tests/routing/race_harness.py
+++ b/tests/routing/race_harness.py
@@ -17,10 +17,8 @@
 from ploverspoke.transport.connection_pool import ConnectionPool
 from ploverspoke.transport.deadlines import Deadlines
 from tests.decisions.harness import SETTINGS
-from tests.routing.harness import Entry, Result, ServiceHarness, chunk
-
-MS, SECOND = 1_000_000, 1_000_000_000
-
+from tests.routing.harness import Entry, Result, ServiceHarness
+from tests.routing.http_messages import chunk
 
 # No probes, since these tests are not about the choice of a worker; and long deadlines.
 LENIENT_SETTINGS: dict[str, object] = {
--- a/tests/routing/test_acceptance_rules.py
+++ b/tests/routing/test_acceptance_rules.py
@@ -1,8 +1,7 @@
-"""Acceptance rules: endpoint list, retries, slow start, on real sockets and in simulated fleets."""
+"""Acceptance rules: retries, slow start and starts of the program, on sockets and in simulated fleets."""
 
 import asyncio
 import contextlib
-import itertools
 import json
 import math
 import os
@@ -20,9 +19,11 @@
 from ploverspoke.testbed.models.virtual_run import VirtualRun
 from ploverspoke.testbed.models.worker import Worker
 from ploverspoke.testbed.processes.addresses import reserve_ports
+from ploverspoke.transport.units import MILLISECOND as MS
 from tests.decisions.harness import SETTINGS
-from tests.routing.faulty_discovery import FAULTS, RESPONSES, WatchHarness
-from tests.routing.harness import ServiceHarness, endpoint_entry, read_message, run_script
+from tests.routing.faulty_discovery import RESPONSES
+from tests.routing.harness import ServiceHarness, endpoint_entry, run_script
+from tests.routing.http_messages import read_message
 from tests.routing.race_harness import (
     CLASS_NAMES,
     LENIENT_SETTINGS,
@@ -37,69 +38,8 @@
 )
 
 RUNS_LONG = True  # scheduled first: see tests/conftest.py
-MS, SECOND = 1_000_000, 1_000_000_000
 
-# ---- 1: a change is binding 6 s after discovery had it and could be reached ----
-
-
-def run_with_faults(faults: list[tuple[str, int]], dispatchers: int, poll_interval: int, mode: str) -> None:
-    async def script(harness: ServiceHarness) -> None:
-        await wait_until(lambda: harness.watch_count)
-        await run_loop_turns()
-        watch = WatchHarness(harness)
-        await watch.replace_discovery()
-        for fault, times in faults:
-            await watch.fail_calls(fault, times)
-        await watch.check_drain_is_respected()
-
-    rules = {**SETTINGS["Invariants"], "MustAskInUs": poll_interval // 1000}
-    run_script(
-        script,
-        workers=2,
-        **{**LENIENT_SETTINGS, "Invariants": rules, "PeersTotal": dispatchers, "Discovery": mode},
-    )
-
-
-MODES = pytest.mark.parametrize("mode", ["ask", "push"])
-REJECTING = ("503", "503, closed", "429")
-KINDS_OF_FAULT = ("refuses", "never up", "silent", "half, then ends", "garbage", "503")
-
-
-@MODES
-@pytest.mark.parametrize("times", [1, 8])
-@pytest.mark.parametrize("fault", [fault for fault in FAULTS if fault not in REJECTING])
-def test_drain_is_heeded_in_time_after_one_kind_of_failure(fault: str, times: int, mode: str) -> None:
-    run_with_faults([(fault, times)], 1, 10 * SECOND, mode)
-
-
-@pytest.mark.parametrize("order", list(itertools.permutations(KINDS_OF_FAULT, 2)))
-def test_drain_is_heeded_in_time_after_two_kinds_of_failure(order: tuple[str, ...]) -> None:
-    run_with_faults([(fault, 2) for fault in order], 1, 10 * SECOND, "ask")
-
-
-@MODES
-@pytest.mark.parametrize("first", range(len(KINDS_OF_FAULT)))
-def test_drain_is_heeded_in_time_after_each_kind_of_failure(first: int, mode: str) -> None:
-    run_with_faults(
-        [(fault, 1) for fault in KINDS_OF_FAULT[first:] + KINDS_OF_FAULT[:first]], 1, 10 * SECOND, mode
-    )
-
-
-@MODES
-@pytest.mark.parametrize("dispatchers", [5, 30, 177, 3000])
-def test_drain_is_heeded_in_time_after_rejected_watches(dispatchers: int, mode: str) -> None:
-    # Discovery that is down may answer 503: the backoff after the last one grew to 10 s.
-    for fault in REJECTING:
-        run_with_faults([(fault, 6)], dispatchers, 10 * SECOND, mode)
-
-
-def test_drain_is_heeded_in_time_where_the_list_is_polled_rarely() -> None:
-    # The backoff is derived from the poll interval of the settings, up to 12 s.
-    for fault in ("refuses", "never up", "garbage", "silent"):
-        run_with_faults([(fault, 6)], 5, 60 * SECOND, "ask")
-
-
-# ---- 2: no attempt, first or retry, begins once its client has closed ----
+# ---- No attempt, first or retry, begins once its client has closed ----
 
 
 @pytest.mark.parametrize("class_name", CLASS_NAMES)
@@ -145,7 +85,7 @@
     run_script(script, workers=1, **LENIENT_SETTINGS)
 
 
-# ---- 3: a worker that warms up gets no more from all dispatchers than its budget and random variation ----
+# ---- A worker that warms up gets no more from all dispatchers than its budget and random variation ----
 
 
 MEAN_WORK, SLOTS = 200 * MS, 2
@@ -203,7 +143,7 @@
     assert max_excess_starts("two choices", seed)[0] > 0, "a policy without slow start exceeds it"
 
 
-# ---- 4 and 5: the program itself, as a process ----
+# ---- The program itself, as a process ----
 
 
 async def start_program(
--- a/tests/routing/test_admin_server.py
+++ b/tests/routing/test_admin_server.py
@@ -8,15 +8,10 @@
 from ploverspoke.protocol.admin import AdminCommandReader, escape_label
 from ploverspoke.protocol.errors import AdminCommandError
 from ploverspoke.routing.admin_server import MAX_SESSIONS
-from tests.routing.harness import (
-    FAULTY_BEHAVIOURS,
-    ServiceHarness,
-    admin_call,
-    admin_counters,
-    operations_key,
-    read_message,
-    run_script,
-)
+from tests.routing.admin_client import admin_call, admin_counters, operations_key
+from tests.routing.harness import ServiceHarness, run_script
+from tests.routing.http_messages import read_message
+from tests.routing.worker_behaviours import FAULTY_BEHAVIOURS
 
 
 @pytest.mark.parametrize(
--- a/tests/routing/test_attempts.py
+++ b/tests/routing/test_attempts.py
@@ -10,16 +10,9 @@
 from ploverspoke.decisions.interface import AttemptResult
 from ploverspoke.routing import worker_calls
 from tests.decisions.harness import SETTINGS
-from tests.routing.harness import (
-    FAULTY_BEHAVIOURS,
-    Headers,
-    ServiceHarness,
-    WorkerBehaviour,
-    fail,
-    read_message,
-    reject_unstarted,
-    run_script,
-)
+from tests.routing.harness import ServiceHarness, run_script
+from tests.routing.http_messages import Headers, read_message
+from tests.routing.worker_behaviours import FAULTY_BEHAVIOURS, WorkerBehaviour, fail, reject_unstarted
 
 
 @pytest.mark.parametrize("behaviour", FAULTY_BEHAVIOURS)
--- a/tests/routing/test_client_requests.py
+++ b/tests/routing/test_client_requests.py
@@ -6,13 +6,10 @@
 import pytest
 
 from ploverspoke.routing.close_reasons import CloseReason
-from tests.routing.harness import (
-    ServiceHarness,
-    read_message,
-    run_script,
-    stay_silent,
-)
+from tests.routing.harness import ServiceHarness, run_script
+from tests.routing.http_messages import read_message
 from tests.routing.race_harness import wait_until
+from tests.routing.worker_behaviours import stay_silent
 
 
 def test_requests_are_served_over_reused_connections() -> None:
--- a/tests/routing/test_discovery.py
+++ b/tests/routing/test_discovery.py
@@ -5,10 +5,7 @@
 import pytest
 
 from tests.decisions.harness import SETTINGS
-from tests.routing.harness import (
-    ServiceHarness,
-    run_script,
-)
+from tests.routing.harness import ServiceHarness, run_script
 
 
 @pytest.mark.parametrize(("mode", "keep_alive"), [("ask", True), ("push", True), ("ask", False)])
--- a/tests/routing/test_endpoint_watch.py
+++ b/tests/routing/test_endpoint_watch.py
@@ -13,16 +13,12 @@
 from ploverspoke.routing.watch_pace import WatchPace
 from ploverspoke.service.settings import parse_names, parse_settings
 from ploverspoke.transport.deadlines import Deadlines
+from ploverspoke.transport.units import MILLISECOND as MS
+from ploverspoke.transport.units import SECOND
 from tests.decisions.harness import SETTINGS
-from tests.routing.harness import (
-    ServiceHarness,
-    run_on_loop,
-    run_script,
-)
+from tests.routing.harness import ServiceHarness, run_on_loop, run_script
 from tests.routing.race_harness import (
     LENIENT_SETTINGS,
-    MS,
-    SECOND,
     Clock,
     ManualWorker,
     Peer,
--- a/tests/routing/test_list_validity.py
+++ b/tests/routing/test_list_validity.py
@@ -6,8 +6,11 @@
 import pytest
 
 from ploverspoke.routing import endpoint_watch
+from ploverspoke.transport.units import MILLISECOND as MS
+from ploverspoke.transport.units import SECOND
 from tests.decisions.harness import SETTINGS
-from tests.routing.virtual_router import MS, SECOND, UNREACHABLE, FakePool, Fault, VirtualRouter
+from tests.routing.simulated_discovery import UNREACHABLE, FakePool, Fault
+from tests.routing.virtual_router import VirtualRouter
 
 FLEETS = (1, 2, 8, 30, 177, 1000, 3000)
 WORKERS = 6
--- a/tests/routing/test_program.py
+++ b/tests/routing/test_program.py
@@ -9,14 +9,9 @@
 from pathlib import Path
 
 from tests.decisions.harness import SETTINGS
-from tests.routing.harness import (
-    Headers,
-    ServiceHarness,
-    read_message,
-    run_on_loop,
-    run_script,
-    stay_silent,
-)
+from tests.routing.harness import ServiceHarness, run_on_loop, run_script
+from tests.routing.http_messages import Headers, read_message
+from tests.routing.worker_behaviours import stay_silent
 
 
 async def start_program(
--- a/tests/routing/test_shutdown_races.py
+++ b/tests/routing/test_shutdown_races.py
@@ -12,12 +12,12 @@
 
 from ploverspoke.routing.client_session import ClientSession
 from ploverspoke.testbed.processes.addresses import reserve_ports
+from ploverspoke.transport.units import MILLISECOND as MS
 from tests.decisions.harness import SETTINGS
 from tests.routing.harness import ServiceHarness, run_script
 from tests.routing.race_harness import (
     CLASS_NAMES,
     LENIENT_SETTINGS,
-    MS,
     Clock,
     Peer,
     connect_to,
--- a/tests/routing/test_stale_endpoint_list.py
+++ b/tests/routing/test_stale_endpoint_list.py
@@ -26,7 +26,8 @@
 from ploverspoke.testbed.fakes.discovery_protocol import ListedEndpoint
 from ploverspoke.testbed.fakes.faulty_discovery import Failure, ScriptedDiscovery
 from ploverspoke.testbed.processes.dispatcher_process import DispatcherProcess
-from tests.routing.harness import ServiceHarness, read_message
+from tests.routing.harness import ServiceHarness
+from tests.routing.http_messages import read_message
 
 RUNS_LONG = True  # scheduled first: see tests/conftest.py
 BINDING_DELAY = 6.0  # seconds until a change is binding
--- a/tests/routing/test_watch_pace.py
+++ b/tests/routing/test_watch_pace.py
@@ -3,8 +3,9 @@
 import pytest
 
 from ploverspoke.routing.watch_pace import OVERLOAD_LATENESS, WatchPace
+from ploverspoke.transport.units import MILLISECOND as MS
+from ploverspoke.transport.units import SECOND
 
-MS, SECOND = 1_000_000, 1_000_000_000
 VALID = 5 * SECOND
 
 
--- a/tests/service/handover_harness.py
+++ b/tests/service/handover_harness.py
@@ -11,7 +11,8 @@
 from pathlib import Path
 
 from ploverspoke.testbed.processes.addresses import reserve_ports
-from tests.routing.harness import ServiceHarness, admin_call, run_on_loop
+from tests.routing.admin_client import admin_call
+from tests.routing.harness import ServiceHarness, run_on_loop
 
 
 class ReplacedDispatcher:
--- a/tests/service/test_handover.py
+++ b/tests/service/test_handover.py
@@ -11,7 +11,9 @@
 from ploverspoke.transport.resource_limits import split_resources
 from ploverspoke.transport.units import MEBIBYTE
 from tests.decisions.harness import SETTINGS
-from tests.routing.harness import ServiceHarness, admin_call, admin_counters, operations_key, read_message
+from tests.routing.admin_client import admin_call, admin_counters, operations_key
+from tests.routing.harness import ServiceHarness
+from tests.routing.http_messages import read_message
 
 from .handover_harness import ReplacedDispatcher, exit_code, run_script
 
--- a/tests/service/test_settings_change.py
+++ b/tests/service/test_settings_change.py
@@ -17,7 +17,9 @@
 from ploverspoke.service.config import read_config
 from ploverspoke.service.settings import parse_names, parse_settings
 from tests.decisions.harness import MS, SETTINGS, DispatchHarness, endpoint
-from tests.routing.harness import ServiceHarness, admin_counters, reject_unstarted, run_script
+from tests.routing.admin_client import admin_counters
+from tests.routing.harness import ServiceHarness, run_script
+from tests.routing.worker_behaviours import reject_unstarted
 
 Document = dict[str, Any]
 
--- a/tests/store/test_router_with_request_log.py
+++ b/tests/store/test_router_with_request_log.py
@@ -11,7 +11,8 @@
 from ploverspoke.testbed.models.event_records import DISPATCHER_KILLED
 from ploverspoke.testbed.scenarios.socket_run import run_on_sockets
 from tests.decisions.harness import SETTINGS, DispatchHarness, endpoint
-from tests.routing.harness import ServiceHarness, read_message
+from tests.routing.harness import ServiceHarness
+from tests.routing.http_messages import read_message
 from tests.store.request_log_harness import ControlledRequestLog, run_with_request_log
 from tests.testbed.harness import SMALL_EXPERIMENT
 
--- a/tests/supervisor/test_processes.py
+++ b/tests/supervisor/test_processes.py
@@ -10,7 +10,8 @@
 import uvloop
 
 from tests.polling import until
-from tests.routing.harness import ServiceHarness, read_message
+from tests.routing.harness import ServiceHarness
+from tests.routing.http_messages import read_message
 
 from .harness import SupervisedDispatchers
 
