--- a/tests/protocol/test_http_readers.py
+++ b/tests/protocol/test_http_readers.py
@@ -98,7 +98,7 @@
 def test_a_message_split_at_any_byte_reads_the_same(
     message: bytes, make_feed: Callable[[RecordingListener], Feed], expected: object
 ) -> None:
-    # A request id was passed on with the blanks behind it, and the worker's response to it was refused.
+    # A request id was forwarded with its trailing blanks, and the worker's response was refused.
     def events(parts: list[bytes]) -> list[object]:
         listener = RecordingListener()
         feed = make_feed(listener)
--- a/tests/protocol/test_worker_messages.py
+++ b/tests/protocol/test_worker_messages.py
@@ -3,8 +3,8 @@
 from ploverspoke.protocol import workers
 
 
-def test_an_attempt_forwards_all_that_its_client_said_of_the_request() -> None:
-    # An idempotency key came in a header of its own; workers then took duplicates for new requests.
+def test_an_attempt_forwards_all_end_to_end_headers_of_the_request() -> None:
+    # An idempotency key in a header of its own was dropped: workers took duplicates for new requests.
     headers = {
         "request-id": "7",
         "idempotency-key": "3a7d",
--- a/tests/routing/test_admin_server.py
+++ b/tests/routing/test_admin_server.py
@@ -41,14 +41,14 @@
             got = AdminCommandError
         assert got == command or (
             b"\n" in data[:cut] and cut < len(data)
-        )  # what follows a whole call is not read
+        )  # bytes after a complete command are not read
 
 
 def test_label_cannot_end_its_line() -> None:
     assert escape_label('a"b\\c\nd\u010d') == 'a\\"b\\\\c\\nd\\u010d'
 
 
-def test_counters_add_up_whatever_the_workers_do() -> None:
+def test_counters_add_up_with_faulty_workers() -> None:
     def adds_up(harness: ServiceHarness) -> None:
         router = harness.service.router
         assert router.counters.total_ended() + router.requests.open_count() == router.counters.admitted
@@ -65,7 +65,7 @@
             served += status == 200
             adds_up(harness)
         _reader, writer = await harness.connect()
-        writer.write(harness.request("gone"))  # its client leaves: an end that is not shown
+        writer.write(harness.request("gone"))  # its client disconnects: an end that is not reported
         await writer.drain()
         writer.close()
         assert (await harness.exchange(harness.request("none", "unheard-of")))[0] == 404
@@ -83,14 +83,14 @@
     run_script(script)
 
 
-def test_silent_operators_keep_nobody_waiting() -> None:
+def test_silent_admin_connections_block_no_other() -> None:
     async def script(harness: ServiceHarness) -> None:
         quiet = []
         for number in range(3 * MAX_SESSIONS):
             _reader, writer = await asyncio.open_connection("127.0.0.1", harness.admin_port)
             writer.write(b"chec" if number % 2 else b"")
             quiet.append(writer)
-        for _ in range(150):  # and more clients than there is room for
+        for _ in range(150):  # and more clients than the limit
             quiet.append((await harness.connect())[1])
         for _ in range(5):
             assert (await admin_call(harness, b"check\n")).startswith("+OK")
--- a/tests/routing/test_client_requests.py
+++ b/tests/routing/test_client_requests.py
@@ -72,7 +72,7 @@
 @pytest.mark.parametrize(
     ("data", "status"),
     [
-        # The rest of each never comes: they are refused by their heads.
+        # The rest of each is never sent: they are refused by their heads.
         (b"POST /look HTTP/1.1\r\nRequest-Id: 1\r\nContent-Length: 60000000\r\n\r\n" + b"x" * 70_000, 413),
         (b"POST /look HTTP/1.1\r\nRequest-Id: 1\r\nContent-Length: 99999999999999999999\r\n\r\n", 400),
         (b"POST /unknown HTTP/1.1\r\nRequest-Id: 1\r\nContent-Length: 9\r\n\r\n", 404),
@@ -100,7 +100,7 @@
 
 
 def test_silent_and_slow_clients_are_disconnected_and_served_ones_stay() -> None:
-    # A new connection that sent nothing stayed for good, a started request for 10 s.
+    # A new connection that sent nothing stayed open for good, a started request for 10 s.
     async def script(harness: ServiceHarness) -> None:
         kept_reader, kept = await harness.connect()
         kept.write(harness.request("first"))
@@ -179,7 +179,7 @@
 
 
 def test_pipeline_of_invalid_requests_ends_with_the_first() -> None:
-    # Hundreds of them were answered one by one, with what came after them waiting.
+    # Hundreds of them were answered one by one, and the valid requests after them waited.
     async def script(harness: ServiceHarness) -> None:
         reader, writer = await harness.connect()
         writer.write(harness.request("a", "unknown") * 300 + harness.request("b"))
@@ -215,7 +215,7 @@
         for _, writer in idle:
             writer.close()
         await asyncio.sleep(0.05)
-        # The newest was closed when it alone was idle: it came back at once, and was closed again.
+        # The newest was closed when it alone was idle; it reconnected at once, and was closed again.
         harness.behaviours = {"w0": stay_silent, "w1": stay_silent}
         busy = [harness.exchange(harness.request(f"b{n}", "book")) for n in range(40)]
         statuses = [status for status, _, _ in await asyncio.gather(*busy)]
--- a/tests/routing/test_discovery_faults.py
+++ b/tests/routing/test_discovery_faults.py
@@ -43,18 +43,18 @@
 @MODES
 @pytest.mark.parametrize("times", [1, 8])
 @pytest.mark.parametrize("fault", [fault for fault in FAULTS if fault not in REJECTING])
-def test_drain_is_heeded_in_time_after_one_kind_of_failure(fault: str, times: int, mode: str) -> None:
+def test_drain_is_respected_in_time_after_one_kind_of_failure(fault: str, times: int, mode: str) -> None:
     run_with_faults([(fault, times)], 1, 10 * SECOND, mode)
 
 
 @pytest.mark.parametrize("order", list(itertools.permutations(KINDS_OF_FAULT, 2)))
-def test_drain_is_heeded_in_time_after_two_kinds_of_failure(order: tuple[str, ...]) -> None:
+def test_drain_is_respected_in_time_after_two_kinds_of_failure(order: tuple[str, ...]) -> None:
     run_with_faults([(fault, 2) for fault in order], 1, 10 * SECOND, "ask")
 
 
 @MODES
 @pytest.mark.parametrize("first", range(len(KINDS_OF_FAULT)))
-def test_drain_is_heeded_in_time_after_each_kind_of_failure(first: int, mode: str) -> None:
+def test_drain_is_respected_in_time_after_each_kind_of_failure(first: int, mode: str) -> None:
     run_with_faults(
         [(fault, 1) for fault in KINDS_OF_FAULT[first:] + KINDS_OF_FAULT[:first]], 1, 10 * SECOND, mode
     )
@@ -62,13 +62,13 @@
 
 @MODES
 @pytest.mark.parametrize("dispatchers", [5, 30, 177, 3000])
-def test_drain_is_heeded_in_time_after_rejected_watches(dispatchers: int, mode: str) -> None:
+def test_drain_is_respected_in_time_after_rejected_watches(dispatchers: int, mode: str) -> None:
     # Discovery that is down may answer 503: the backoff after the last one grew to 10 s.
     for fault in REJECTING:
         run_with_faults([(fault, 6)], dispatchers, 10 * SECOND, mode)
 
 
-def test_drain_is_heeded_in_time_where_the_list_is_polled_rarely() -> None:
+def test_drain_is_respected_in_time_where_the_list_is_polled_rarely() -> None:
     # The backoff is derived from the poll interval of the settings, up to 12 s.
     for fault in ("refuses", "never up", "garbage", "silent"):
         run_with_faults([(fault, 6)], 5, 60 * SECOND, "ask")
--- a/tests/routing/test_endpoint_watch.py
+++ b/tests/routing/test_endpoint_watch.py
@@ -79,9 +79,9 @@
     return held, await held.wait_for_calls(2)
 
 
-def test_silent_watch_is_restarted_before_missed_changes_bind() -> None:
-    # It was given up just when that began to bind; the pause before the next request, the connection and the
-    # answer came on top of it, longer than the grace.
+def test_silent_watch_is_restarted_before_missed_changes_are_binding() -> None:
+    # It was given up just when missed changes became binding; with the backoff, the connection and the answer
+    # the next list came after the grace.
     async def script() -> None:
         held = HeldWatch()
         held.watch.start()
@@ -110,7 +110,7 @@
     run_on_loop(script)
 
 
-def test_drain_missed_by_a_silent_watch_is_heeded_within_the_grace_time() -> None:
+def test_drain_missed_by_a_silent_watch_is_respected_within_the_grace_time() -> None:
     async def script(harness: ServiceHarness) -> None:
         clock, grace = Clock(harness.service.deadlines), 500 * MS
         drained = [{**harness.entries[0], "state": "Terminating"}, harness.entries[1]]
@@ -134,7 +134,7 @@
 @pytest.mark.parametrize(
     ("data", "lists", "lost", "calls"),
     [
-        # What comes at once after the watch request: versions taken, failures, and requests in all.
+        # What is received after the watch request; versions taken, failures, and the number of requests.
         (LIST_7, [7], [], 3),
         (discovery_response(endpoint_list(version=7), "Connection: close\r\n"), [7], [], 3),
         (
@@ -173,7 +173,7 @@
         assert held.lists == [5, *lists] and held.lost == lost
         assert len(open_now) == (0 if lost else 1)
         if lost:
-            # The next watch is one watch: nothing of the last call is left over for it.
+            # The next watch has one request: nothing is left of the last call.
             held.watch.start()
             held.watch.start()
             peer = await held.wait_for_calls(len(held.calls()) + 1)
@@ -186,14 +186,14 @@
 
 
 def test_response_unread_at_the_timeout_is_read() -> None:
-    # A process that was stopped wakes up with the deadline past, and with the answer in the kernel.
+    # A process that was suspended resumes with its deadline past, and with the answer unread in the kernel.
     async def script() -> None:
         held, peer = await watching()
         peer.socket.send(discovery_response(endpoint_list(version=6)))
         held.clock.resume_after(13 * SECOND)
         await held.wait_for_calls(3)
         assert held.lists == [5, 6] and len(held.discovery.accept_pending()) == 1 and not held.lost
-        # One that drips is silent all the same.
+        # A response that comes byte by byte counts as silence.
         peer.socket.send(b"HTTP/1.1 200 O")
         held.clock.resume_after(13 * SECOND)
         await run_loop_turns()
@@ -206,7 +206,7 @@
 
 
 def test_pushed_watch_that_breaks_is_restarted_without_backoff() -> None:
-    # What changed in the pause began to bind, and the grace time was over before it was received.
+    # A change during the backoff became binding, and the grace was over before it was received.
     async def script() -> None:
         held, peer = await watching(pushed=True)
         peer.reset()
@@ -221,7 +221,7 @@
 
 
 def test_change_of_the_discovery_mode_applies_to_the_open_watch() -> None:
-    # After SIGHUP the watch went on as the settings at the start had it.
+    # After SIGHUP the watch went on with the settings of the start.
     async def script(harness: ServiceHarness) -> None:
         clock, pushed = (
             Clock(harness.service.deadlines),
@@ -237,7 +237,7 @@
     run_script(script, workers=1, **LENIENT_SETTINGS)
 
 
-def test_versions_that_go_back_make_the_watch_ask_for_the_whole_list() -> None:
+def test_lower_versions_make_the_watch_request_the_whole_list() -> None:
     async def script() -> None:
         held = HeldWatch()
         held.watch.start()
@@ -271,8 +271,8 @@
     run_script(script)
 
 
-def test_incomplete_lists_confirm_nothing() -> None:
-    # A discovery that began anew tells nothing of what it changed before, and that counted as a confirmation.
+def test_incomplete_lists_do_not_confirm_the_list() -> None:
+    # A restarted discovery does not report earlier changes, and its answer counted as a confirmation.
     async def script() -> None:
         held, peer = await watching()
         assert held.confirmations == 1
--- a/tests/routing/test_list_validity.py
+++ b/tests/routing/test_list_validity.py
@@ -64,7 +64,7 @@
 
 @pytest.mark.parametrize("probing_allowed", [True, False])
 @pytest.mark.parametrize("mode", ["ask", "push"])
-def test_no_fault_of_discovery_lets_a_drain_be_missed(mode: str, probing_allowed: bool) -> None:
+def test_drains_are_respected_whatever_the_faults_of_discovery(mode: str, probing_allowed: bool) -> None:
     for seed in range(SEEDS):
         router = simulate(seed, mode, probing_allowed)
         assert not router.violations, f"seed {seed}: {router.violations[:3]}"
--- a/tests/routing/test_program.py
+++ b/tests/routing/test_program.py
@@ -121,7 +121,7 @@
     assert code == 0 and len(statuses) > 50 and set(statuses) == {200}
 
 
-def test_shutdown_serves_on_for_a_while_and_finishes_admitted_requests() -> None:
+def test_shutdown_goes_on_serving_for_a_while_and_finishes_admitted_requests() -> None:
     async def script(harness: ServiceHarness) -> None:
         kept_reader, kept = await harness.connect()
         _, half = await harness.connect()
--- a/tests/routing/test_race_conditions.py
+++ b/tests/routing/test_race_conditions.py
@@ -29,7 +29,7 @@
 @pytest.mark.parametrize("class_name", CLASS_NAMES)
 @pytest.mark.parametrize("event", ["drains", "gone", "moved", "left", "late", "lost"])
 def test_attempt_is_not_written_once_it_is_no_longer_allowed(event: str, class_name: str) -> None:
-    # A connection that came up late carried the request to a worker that was listed as draining by then.
+    # A connection that came up late took the request to a worker that was listed as draining by then.
     async def script(harness: ServiceHarness) -> None:
         worker, other, clock = ManualWorker(), harness.entries[0], Clock(harness.service.deadlines)
         chosen = endpoint_entry("h", worker.port)
@@ -62,7 +62,7 @@
             assert status == (503 if event == "late" else 200)
         await run_loop_turns()
         assert event == "lost" or worker.accept_pending()[0].read() == b"", (
-            "nothing of it may be written there"
+            "no part of the request may be written there"
         )
         if event == "left":
             assert not harness.service.router.requests
@@ -73,13 +73,11 @@
 @pytest.mark.parametrize("class_name", CLASS_NAMES)
 @pytest.mark.parametrize("disconnect", ["closed", "reset", "in a turn before", "far ahead", "queued behind"])
 def test_nothing_is_sent_for_a_client_that_has_disconnected(disconnect: str, class_name: str) -> None:
-    # Timers went before what lay in the kernel; behind what a client had sent ahead, its end was not read.
+    # Timers ran before unread data; and after data that a client had sent ahead its disconnect was not read.
     async def script(harness: ServiceHarness) -> None:
         ready, clock = harness.entries[0], Clock(harness.service.deadlines)
         draining = {**ready, "state": "Terminating"}
-        await idle_client(
-            harness, class_name
-        )  # whose connection the next attempt goes over, in the same turn
+        await idle_client(harness, class_name)  # whose connection the next attempt reuses in the same turn
         deliver_list(harness, draining)
         client = connect_to(harness.port)
         client.socket.send(harness.request("left", class_name))
@@ -103,7 +101,7 @@
             wait_for_kernel(connection.is_closed_by_peer)
         harness.sent.clear()
         deliver_list(harness, ready)
-        for _ in range(4):  # the clock ticks, and what waits is drawn
+        for _ in range(4):  # the clock ticks, and waiting requests are sent
             clock.resume_after(500 * MS)
         await run_loop_turns(100)
         assert not harness.sent and not harness.service.router.requests.open_count()
@@ -139,8 +137,8 @@
 def test_idle_connection_with_unread_data_is_not_reused(
     request_first: bool, data: bytes, class_name: str
 ) -> None:
-    # A second answer to the request before, late, was believed: a second copy went out beside the first.
-    # Empty: the worker closes it, idle, under the request.
+    # A late second answer to the previous request was accepted: a second attempt was sent beside the first.
+    # Empty: the worker closes the idle connection while the request is sent.
     async def script(harness: ServiceHarness) -> None:
         worker = ManualWorker()
         deliver_list(harness, endpoint_entry("h", worker.port))
@@ -168,7 +166,7 @@
 
 
 def test_idle_connection_that_receives_data_is_discarded_at_once() -> None:
-    # It was aborted, and until the event loop reported its end the next user got it.
+    # It was aborted, and the next user got it before the event loop reported its end.
     async def script(harness: ServiceHarness) -> None:
         await idle_client(harness)
         pool, address = harness.service.pool, str(harness.entries[0]["addr"])
@@ -191,7 +189,7 @@
     [b"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", b"HTTP/1.1 400 No\r\nContent-Length: 0\r\n\r\n"],
 )
 def test_response_before_the_last_byte_on_a_reused_connection_is_ignored(data: bytes) -> None:
-    # A non-idempotent request was answered as failed though no worker had had it whole.
+    # A non-idempotent request was answered as failed though no worker had received it completely.
     async def script(harness: ServiceHarness) -> None:
         worker, clock = ManualWorker(), Clock(harness.service.deadlines)
         deliver_list(harness, endpoint_entry("h", worker.port))
@@ -213,7 +211,7 @@
 
 @pytest.mark.parametrize("event", ["closed", "reset", "drains", "left"])
 def test_unread_data_is_read_before_the_last_byte_is_written(event: str) -> None:
-    # The last byte was written to a worker that had ended the connection: who could say that it had not run?
+    # The last byte was written to a worker that had closed the connection, and the request might have run.
     async def script(harness: ServiceHarness) -> None:
         worker, clock = ManualWorker(), Clock(harness.service.deadlines)
         deliver_list(harness, endpoint_entry("h", worker.port))
--- a/tests/routing/test_shutdown_races.py
+++ b/tests/routing/test_shutdown_races.py
@@ -61,7 +61,7 @@
 
 @pytest.mark.parametrize("first", ["kept", "new"])
 def test_requests_unread_at_shutdown_are_answered(first: str) -> None:
-    # A request that lay unread was closed on; closing the socket reset those that waited to be taken.
+    # Connections with unread requests were closed, and those that were not accepted yet were reset.
     async def script(harness: ServiceHarness) -> None:
         kept = await idle_client(harness)
         new = [connect_to(harness.port) for _ in range(12)]
@@ -86,12 +86,12 @@
         service.listening_socket, other = (
             listener.socket,
             listener.socket.dup(),
-        )  # the other process has it too
+        )  # the other process has it, too
         seating, queued = connect_to(harness.port), connect_to(harness.port)
         for name, client in (("kept", kept), ("seating", seating), ("queued", queued)):
             client.socket.send(harness.request(name))
         wait_for_kernel(newest_session(harness).connection.has_unread_data)
-        listener._accept_some(1)  # accepted, and not seated yet
+        listener._accept_some(1)  # accepted, and not set up yet
         service.shut_down()
         for client in (kept, seating):
             await wait_until(client.has_ended)
@@ -118,7 +118,7 @@
 
 @pytest.fixture
 def held_start(tmp_path: Path) -> Iterator[Callable[[str], subprocess.Popen[bytes]]]:
-    """The program, with a signal to it just while its imports are under way."""
+    """Starts the program, and sends it a signal during its imports."""
     started: list[subprocess.Popen[bytes]] = []
     path, (listen, discovery) = tmp_path / "config.json", reserve_ports(2)
     addresses = {"listen": f"127.0.0.1:{listen}", "discovery": f"127.0.0.1:{discovery}"}
@@ -144,7 +144,7 @@
 def test_signal_during_the_start_is_kept_until_it_is_handled(
     name: str, held_start: Callable[[str], subprocess.Popen[bytes]]
 ) -> None:
-    # A SIGHUP that came while the program started ended it.
+    # A SIGHUP during the start ended the program.
     process = held_start(name)
     assert process.stderr is not None
     if name == "SIGHUP":
--- a/tests/routing/test_stale_endpoint_list.py
+++ b/tests/routing/test_stale_endpoint_list.py
@@ -54,7 +54,7 @@
             await asyncio.sleep(0.005)
 
 
-def test_drain_is_heeded_after_discovery_moved_and_rejected_the_first_call(tmp_path: Path) -> None:
+def test_drain_is_respected_after_discovery_moved_and_rejected_the_first_call(tmp_path: Path) -> None:
     async def run() -> None:
         loop, harness = asyncio.get_running_loop(), ServiceHarness()
         await harness.start_workers_and_discovery(2)
--- a/tests/routing/test_start_times.py
+++ b/tests/routing/test_start_times.py
@@ -20,7 +20,7 @@
 
 
 @pytest.mark.parametrize("here", [-HOUR, -3 * SECOND, 0, 3 * SECOND, HOUR])
-def test_step_of_the_own_wall_clock_changes_no_start(here: int) -> None:
+def test_step_of_the_own_wall_clock_changes_no_start_time(here: int) -> None:
     clocks = Clocks()
     before = clocks.starts.convert("w0", clocks.listed(490 * SECOND), None)
     clocks.step_here, clocks.time = here, 600 * SECOND
@@ -30,7 +30,7 @@
 
 
 @pytest.mark.parametrize("there", [-HOUR, -3 * SECOND, 3 * SECOND, HOUR])
-def test_new_start_is_possible_however_the_clock_of_discovery_was_stepped(there: int) -> None:
+def test_new_start_time_is_clamped_where_the_clock_of_discovery_was_stepped(there: int) -> None:
     clocks = Clocks()
     known = clocks.starts.convert("w0", clocks.listed(490 * SECOND), None)
     listed_before, clocks.step_there, clocks.time = clocks.listed(490 * SECOND), there, 600 * SECOND
@@ -41,5 +41,5 @@
     assert clocks.starts.convert("w1", clocks.listed(599 * SECOND), 699 * SECOND) == fresh
 
 
-def test_unknown_start_is_long_past() -> None:
+def test_unknown_start_time_is_zero() -> None:
     assert Clocks().starts.convert("w0", 0, None) == 0
--- a/tests/routing/test_watch_pace.py
+++ b/tests/routing/test_watch_pace.py
@@ -33,20 +33,20 @@
     assert waits.lateness < OVERLOAD_LATENESS and waits.wait(VALID, is_continued=True) < 4 * SECOND
 
 
-def test_one_late_answer_makes_no_wait_that_outlasts_the_list() -> None:
-    # The first answer came after a second, and the next wait of 8 s fell silent: the list expired meanwhile.
+def test_one_late_answer_gives_no_wait_longer_than_the_validity_of_the_list() -> None:
+    # The first answer took a second; the next wait of 8 s was not answered, and the list expired meanwhile.
     waits = pace()
     waits.record(0, SECOND)
     assert waits.wait(VALID, is_continued=True) + waits.lateness_limit() <= VALID
 
 
-def test_answer_is_wanted_at_once_where_the_last_call_failed() -> None:
+def test_call_after_a_failed_one_does_not_wait() -> None:
     waits = pace()
     waits.record(0, SECOND)
     assert waits.wait(-SECOND, is_continued=False) == waits.wait(VALID, is_continued=False) == 0
 
 
-def test_short_poll_interval_makes_no_busy_loop() -> None:
+def test_wait_is_above_zero_for_a_short_poll_interval() -> None:
     waits = pace(fleet_time=100 * MS, longest=200 * MS)
     assert waits.wait(800 * MS, is_continued=True) == 200 * MS
     assert waits.wait(100 * MS, is_continued=True) > 0
--- a/tests/service/test_config.py
+++ b/tests/service/test_config.py
@@ -96,10 +96,10 @@
         ("Limits", "IdleCloseUs", 0, "idle_timeout", 0),
     ],
 )
-def test_times_of_zero_and_next_to_it_do_no_harm(
+def test_times_near_zero_get_safe_values(
     section: str, name: str, value: int, setting: str, expected: int, tmp_path: Path
 ) -> None:
-    # Once no connection ever came up in no time, and calls of the watch followed one another without a pause.
+    # A connect timeout of 0 let no connection come up, and a poll interval of 0 made calls without a backoff.
     document = copy.deepcopy(GOOD)
     document["settings"].setdefault(section, {})[name] = value
     assert getattr(read(document, tmp_path).settings, setting) == expected
--- a/tests/service/test_handover.py
+++ b/tests/service/test_handover.py
@@ -20,7 +20,7 @@
 CLASSES = ("look", "book")
 
 
-def test_two_processes_together_hold_no_more_than_one() -> None:
+def test_two_processes_together_have_the_limits_of_one() -> None:
     for sockets, memory in ((256, 32), (384, 80), (1024, 192)):
         one, half = (split_resources(sockets, memory * MEBIBYTE, n) for n in (1, 2))
         assert half.worker_connections * 2 <= one.worker_connections
@@ -69,7 +69,7 @@
     return new, old_fulfilled
 
 
-def test_upgrade_under_load_loses_doubles_and_refuses_nothing(
+def test_upgrade_under_load_loses_duplicates_and_refuses_no_request(
     listening: socket.socket, tmp_path: Path
 ) -> None:
     async def script(dispatcher: ReplacedDispatcher) -> subprocess.Popen[bytes]:
@@ -155,7 +155,7 @@
         writer.write(harness.request("early"))
         assert "200" in (await read_message(reader))[0]
         await stop_before_it_is_ready(dispatcher)
-        # Both take the settings that come while both live; the first has them when it is stopped.
+        # Both processes apply new settings while both run; the first has them when it is stopped.
         last, last_admin_port = await dispatcher.start()
         await rename_first_class(dispatcher, {first_admin_port: first, last_admin_port: last})
 
--- a/tests/service/test_settings_change.py
+++ b/tests/service/test_settings_change.py
@@ -1,4 +1,4 @@
-"""Settings that change while serving: good ones bind later requests, unusable ones change nothing."""
+"""Settings that change while serving: valid ones apply to later requests, unusable ones change nothing."""
 
 import asyncio
 import copy
@@ -57,7 +57,7 @@
             assert table.names[number] == name
             assert current.classes[number] == new.classes[index]
             open_now.append((number, current.classes[number]))
-        # Whatever is open keeps the rules that it was admitted under.
+        # Open requests keep the rules with which they were admitted.
         open_now = random_numbers.sample(open_now, min(len(open_now), 6))
         assert all(current.classes[number] == kept for number, kept in open_now)
         assert all(table.names[newer] == table.names[older] for newer, older in replaced.items())
@@ -166,7 +166,7 @@
     run_script(script)
 
 
-def test_new_settings_bind_later_requests_and_not_earlier_ones(tmp_path: Path) -> None:
+def test_new_settings_apply_to_later_requests_and_not_to_earlier_ones(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
 
     async def script(harness: ServiceHarness) -> None:
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -30,7 +30,7 @@
         ("MARK AtTimeUs=1 serial=2", "Who is missing"),
     ],
 )
-def test_a_malformed_line_ends_the_adapter_with_a_plain_complaint(line: str, complaint: str) -> None:
+def test_a_malformed_line_ends_the_adapter_with_an_error_message(line: str, complaint: str) -> None:
     with pytest.raises(CodecError, match=complaint):
         replies_to(f"MARK AtTimeUs=1 serial=1\n{line}\nGO\n")
 
