--- a/ploverspoke/decisions/admission_policy.py
+++ b/ploverspoke/decisions/admission_policy.py
@@ -43,7 +43,7 @@
         times_given.append(deadline - request.arrived_at)
         first_tried_at = deadline - max(times_given)
         running_time = self.observations.class_running_time(number)
-        # The stretch counts a request's own work: running times that a jam has drawn out shorten the wait.
+        # The stretch counts a request's own work: running times prolonged by overload shorten the wait.
         own_work = shortest_mean[number] = min(shortest_mean.get(number) or running_time, running_time)
         if work_hint:
             own_work = running_time = work_hint
@@ -64,7 +64,7 @@
             return False
         if not request.rules.overdue_weight:
             return True
-        # One that nobody waits behind may still earn the weight of an overdue answer.
+        # Without others behind it, the request may still earn the weight of an overdue answer.
         return any(len(queue.waiting) > (queue is request.queue) for queue in self.queues.values())
 
     def check(self, request: Request, now: int) -> None:
--- a/ploverspoke/decisions/dispatcher.py
+++ b/ploverspoke/decisions/dispatcher.py
@@ -100,7 +100,7 @@
             self.request_path.attempt_ended(request, worker, result, self.actions.now())
 
     def client_disconnected(self, request_id: int) -> None:
-        """Drop a request for whose answer nobody waits any more."""
+        """Drop a request whose client has disconnected."""
         request = self.open_requests.pop(request_id, None)
         if request is not None and request.worker is None and request in request.queue.waiting:
             request.queue.waiting.remove(request)
@@ -123,8 +123,8 @@
     def endpoint_list_confirmed(self, as_of: int) -> None:
         """Service discovery has answered: all that it had at `as_of` was reported before this event.
 
-        The first such event begins the list's validity. Who never reports any has changes reported
-        unasked, or asks in another way.
+        The first such event begins the list's validity. Without any the list never expires: the caller
+        then receives changes by other means.
         """
         self.parts.polling.answered()
         self.parts.validity.confirm(as_of, self.actions.now())
@@ -141,7 +141,7 @@
         self.parts.polling.call_was_silent(as_of, self.actions.now())
 
     def discovery_moved(self) -> None:
-        """Service discovery has another address; the list is asked for there by `watch_endpoints`."""
+        """Service discovery has another address; the list is requested there after `watch_endpoints`."""
         self.parts.polling.moved(self.actions.now())
 
     def probe_completed(
--- a/ploverspoke/decisions/interface.py
+++ b/ploverspoke/decisions/interface.py
@@ -108,7 +108,7 @@
         """Call `timer_fired(token)` at that time or as soon as possible after it."""
 
     def probe(self, worker: str) -> None:
-        """Ask a worker for its health and load; answered by `probe_completed`."""
+        """Request a worker's health and load; answered by `probe_completed`."""
 
     def send_gossip(self, peers: Iterable[int] | None, gossip: LoadGossip) -> None:
         """Send to these peers, None: to all; it may be lost."""
--- a/ploverspoke/decisions/load_probes.py
+++ b/ploverspoke/decisions/load_probes.py
@@ -1,4 +1,4 @@
-"""Load probes: workers are asked for their load before a request is sent that cannot be cancelled."""
+"""Load probes: workers report their load before a request is sent that cannot be cancelled."""
 
 from dataclasses import dataclass
 
--- a/ploverspoke/decisions/observations.py
+++ b/ploverspoke/decisions/observations.py
@@ -61,7 +61,7 @@
     probe_delays: dict[int, deque[int]] = field(default_factory=lambda: defaultdict(_recent))  # by zone
     kind_slowdowns: dict[int, deque[float]] = field(default_factory=lambda: defaultdict(_recent_slowdowns))
     affinity_keys: AffinityKeys = field(default_factory=AffinityKeys)
-    mean_over_queues: int = 0  # 0: to be computed anew
+    mean_over_queues: int = 0  # 0: not computed since the latest sample
 
     def begin_class(self, number: int, predecessor: int | None) -> None:
         """Reset the samples of a class number with new rules; running times are taken from a predecessor."""
--- a/ploverspoke/decisions/parts.py
+++ b/ploverspoke/decisions/parts.py
@@ -27,42 +27,27 @@
         self.workers: dict[str, Worker] = {}
         self.queues: dict[tuple[float, int], RequestQueue] = {}
         self.open_requests: dict[int, Request] = {}
+        workers, queues, requests = self.workers, self.queues, self.open_requests
         self.context = context = Context(actions, seed, settings)
-        self.observations = Observations(self.queues)
+        self.observations = observations = Observations(queues)
         self.reports = LoadReports()
-        self.lateness = StartLateness(context, self.observations, self.open_requests)
-        self.gossip = GossipExchange(context, self.lateness, PeerReports(self.workers))
-        self.capacity = CapacityEstimates(context, self.workers, self.observations, self.gossip)
-        self.slow_start = SlowStart(context, self.workers, self.observations)
-        self.validity = ListValidity(context)
-        self.confirmation = HealthConfirmation(context)
-        self.polling = EndpointPolling(context, self.validity)
-        self.choice = WorkerChoice(
-            context,
-            self.workers,
-            self.observations,
-            self.capacity,
-            self.slow_start,
-            self.gossip,
-            self.validity,
-            self.confirmation,
+        self.lateness = StartLateness(context, observations, requests)
+        self.gossip = gossip = GossipExchange(context, self.lateness, PeerReports(workers))
+        self.capacity = capacity = CapacityEstimates(context, workers, observations, gossip)
+        self.slow_start = slow_start = SlowStart(context, workers, observations)
+        self.validity = validity = ListValidity(context)
+        self.confirmation = confirmation = HealthConfirmation(context)
+        self.polling = EndpointPolling(context, validity)
+        self.choice = choice = WorkerChoice(
+            context, workers, observations, capacity, slow_start, gossip, validity, confirmation
         )
-        self.ejection = OutlierEjection(context, self.workers, self.choice)
-        self.probes = LoadProbes(context, self.observations, self.reports, self.capacity, self.ejection)
+        self.ejection = ejection = OutlierEjection(context, workers, choice)
+        self.probes = LoadProbes(context, observations, self.reports, capacity, ejection)
         self.attempts = AttemptPolicy(
-            context,
-            self.open_requests,
-            self.observations,
-            self.capacity,
-            self.gossip,
-            self.slow_start,
-            self.choice,
-            self.ejection,
+            context, requests, observations, capacity, gossip, slow_start, choice, ejection
         )
-        self.retries = RetryPolicy(context, self.workers, self.open_requests)
-        self.admission = AdmissionPolicy(context, self.observations, self.queues, self.gossip, self.retries)
-        self.clock = SharedClock(context, self.observations, self.workers, self.queues)
-        self.service = QueueService(
-            context, self.clock, self.choice, self.capacity, self.probes, self.attempts
-        )
-        self.endpoints = EndpointUpdates(context, self.workers, self.choice, self.slow_start, self.ejection)
+        self.retries = RetryPolicy(context, workers, requests)
+        self.admission = AdmissionPolicy(context, observations, queues, gossip, self.retries)
+        self.clock = SharedClock(context, observations, workers, queues)
+        self.service = QueueService(context, self.clock, choice, capacity, self.probes, self.attempts)
+        self.endpoints = EndpointUpdates(context, workers, choice, slow_start, ejection)
--- a/ploverspoke/decisions/worker_choice.py
+++ b/ploverspoke/decisions/worker_choice.py
@@ -41,7 +41,7 @@
     cached_tiers: dict[TierKey, Tiers] = field(default_factory=dict)
 
     def clear_cached_tiers(self) -> None:
-        """Sort the workers anew: the readiness, zone or kind of one has changed."""
+        """Discard the sorted workers: the readiness, zone or kind of one has changed."""
         self.cached_tiers.clear()
 
     def draw_two(self, queue: RequestQueue, now: int, request: Request | None) -> list[Worker]:
--- a/ploverspoke/protocol/workers.py
+++ b/ploverspoke/protocol/workers.py
@@ -72,7 +72,7 @@
 
 
 def encode_health_check(with_load: bool, address: str) -> bytes:
-    """Return a request for a worker's health, with a load report where that is asked for."""
+    """Return a request for a worker's health, with a load report where `with_load` is set."""
     path = wire.LOAD_PATH if with_load else wire.HEALTH_PATH
     return encode_head(f"GET {path} HTTP/1.1", {"Host": address})
 
--- a/ploverspoke/routing/client_session.py
+++ b/ploverspoke/routing/client_session.py
@@ -142,7 +142,7 @@
         self.queue.append(request)
 
     def on_continue_expected(self) -> None:
-        """Ask for the body, unless a response goes before."""
+        """Request the body, unless a response is to be sent before it."""
         if not self.is_answering and not self.queue:
             self.connection.write(clients.CONTINUE_RESPONSE)
 
--- a/ploverspoke/routing/endpoint_watch.py
+++ b/ploverspoke/routing/endpoint_watch.py
@@ -38,7 +38,7 @@
         """Time in ns until the list expires, less than 0 after that; None: it does not."""
 
     def call_was_silent(self, as_of: int) -> None:
-        """A call that began at that time and asked for an immediate response was not answered in time."""
+        """A call that began at that time and requested an immediate response was not answered in time."""
 
     def watch_failed(self, outcome: CallOutcome) -> None:
         """The watch has ended."""
@@ -194,7 +194,7 @@
         self.pool = ConnectionPool(
             deadlines.loop, deadlines, MAX_CONNECTIONS, CONNECT_TIMEOUT, CONNECT_TIMEOUT
         )
-        self.consecutive_timeouts = 0  # of requests that asked for an immediate response
+        self.consecutive_timeouts = 0  # of calls that requested an immediate response
         self.request: WatchRequest | None = None  # None: the watch is not running
         self.is_stopped = False
 
@@ -237,7 +237,7 @@
         except Exception as error:  # any fault in taking a list: it must not end the watch for good
             return f"{type(error).__name__}: {error}"
         if requested_version is None and not received.is_complete:
-            return "a part of the list, where all of it was asked for"
+            return "a part of the list, where all of it was requested"
         # Lower versions are those of a restarted discovery, which would omit the changes up to the version
         # that is known here.
         went_back = requested_version is not None and received.version < requested_version
--- a/ploverspoke/routing/health_checks.py
+++ b/ploverspoke/routing/health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks: workers are asked for their health and load."""
+"""Health checks: calls to workers for their health and load."""
 
 from functools import partial
 
@@ -61,7 +61,7 @@
 
 
 class HealthChecks(RouterPart):
-    """Sends health checks as the decisions ask for them."""
+    """Sends the health checks that the decisions request."""
 
     def __init__(self, context: RoutingContext, endpoints: EndpointDirectory) -> None:
         """`endpoints` has the workers' addresses."""
--- a/ploverspoke/routing/request_log.py
+++ b/ploverspoke/routing/request_log.py
@@ -1,4 +1,4 @@
-"""What the router asks of a replicated store: requests, attempts and answers are committed before they act.
+"""Interface of the router to a replicated store, which commits requests, attempts and answers in advance.
 
 Without a store the router has no request log, and none of this is called.
 """
@@ -33,7 +33,7 @@
         """The address that clients are redirected to; "" where no leader is known."""
 
     def digest(self, method: str, target: str, body: bytes) -> bytes:
-        """A digest that tells apart two different requests under one id."""
+        """A digest that distinguishes two different requests under one id."""
 
     def previous_outcome(self, request_id: str) -> PreviousOutcome | None:
         """What is known of the id from before; None if it is new."""
@@ -90,7 +90,7 @@
 
     def has_disconnected(self) -> bool:
         """Whether all have; a request that was resumed and has no client yet goes on."""
-        # Each is asked, since a client that is found to have left closes its connection.
+        # Each is checked, as the check closes the connection of a client that has disconnected.
         waiting = [client for client in self.clients if not client.has_disconnected()]
         return bool(self.clients) and not waiting
 
--- a/ploverspoke/routing/router.py
+++ b/ploverspoke/routing/router.py
@@ -79,14 +79,14 @@
     def start(self, known: EndpointList | None = None, resume: bool = True) -> None:
         """Follow the endpoint list, from a known one on if there is one.
 
-        With `resume` discovery is asked only for what is newer than the known list, else for all of it.
+        With `resume` only changes after the known list are requested from discovery, else the whole list.
         """
         if known is not None:
             self.endpoints.load_known(known, resume)
         self.endpoints.list_confirmed(self.deadlines.now())
         self.events.emit(partial(self.dispatcher.started))
         if self.active_settings.is_pushed():
-            # On sockets nothing but this watch brings the changes that the decisions do not ask for.
+            # On sockets changes that are pushed come by this watch alone.
             self.endpoints.start_watch()
 
     def change_settings(self, settings: Settings, names: DeploymentNames) -> None:
@@ -144,7 +144,7 @@
         self.deadlines.schedule(when, partial(self.events.emit, event))
 
     def probe(self, worker: str) -> None:
-        """Ask a worker for its health and load."""
+        """Request a worker's health and load."""
         self.health_checks.start(worker)
 
     def send_gossip(self, peers: Iterable[int] | None, gossip: LoadGossip) -> None:
--- a/ploverspoke/routing/worker_calls.py
+++ b/ploverspoke/routing/worker_calls.py
@@ -15,7 +15,7 @@
 
 
 class WorkerCallUser(Protocol):
-    """What a worker call sends, and who is notified of its course."""
+    """The user of a worker call: gives the request to send, and is notified of progress and outcome."""
 
     def encode_request(self, time_left: int) -> bytes:
         """The bytes to send, where `time_left` ns remain for the call."""
@@ -26,8 +26,8 @@
     def may_send(self) -> bool:
         """Whether the call may still be written.
 
-        Asked just before the first byte and again before the last, whenever that is: the connection may
-        have come up late, and this process may have been stopped for long.
+        Called just before the first byte and again before the last: the connection may have come up late,
+        and this process may have been suspended.
         """
 
     def on_written(self) -> None:
@@ -168,7 +168,7 @@
             self.user.on_written()
 
     def _may_still_send(self, user: WorkerCallUser) -> bool:
-        """A process that was stopped resumes with its deadlines past, and with much else changed."""
+        """A process that was suspended resumes with its deadlines past and its state outdated."""
         return self.deadlines.now() < self.ends_at and user.may_send()
 
     # ---- Events of the response ----
--- a/ploverspoke/service/shutdown.py
+++ b/ploverspoke/service/shutdown.py
@@ -21,7 +21,7 @@
     """The phases of a shutdown, in nanoseconds from the signal."""
 
     accept_until: int  # the listening socket stays open, even with no client connected
-    serve_until: int  # connected clients may send further requests: nobody else may serve them yet
+    serve_until: int  # connected clients are served: no other process may be there yet
     answer_at: int  # all open requests are answered
     exit_at: int  # the process ends, whatever is left
     check_interval: int  # between two checks of what is left
--- a/ploverspoke/simulator/dispatcher_instance.py
+++ b/ploverspoke/simulator/dispatcher_instance.py
@@ -72,7 +72,7 @@
         self._reply(wire.SET_TIMER, {wire.TIMER_TOKEN: token, wire.TIMER_TIME: -(-when // MICROSECOND)})
 
     def probe(self, worker: str) -> None:
-        """Ask a worker for its load."""
+        """Request a worker's load."""
         self._reply(wire.PROBE, {wire.WORKER: worker})
 
     def send_gossip(self, peers: Iterable[int] | None, gossip: LoadGossip) -> None:
