--- a/ploverspoke/routing/client_session.py
+++ b/ploverspoke/routing/client_session.py
@@ -1,24 +1,22 @@
 """One client's connection: its requests are read one after the other, and each gets its response."""
 
-import asyncio
 import traceback
 from collections import deque
-from typing import Protocol
 
 from ploverspoke.protocol import clients
 from ploverspoke.protocol.clients import HttpRequest
 from ploverspoke.protocol.errors import HttpSyntaxError, MessageTooLongError
 from ploverspoke.transport.connections import Connection
-from ploverspoke.transport.deadlines import Deadline, Deadlines
+from ploverspoke.transport.deadlines import Deadline
 from ploverspoke.transport.rate_limited_log import log_line
 from ploverspoke.transport.units import MILLISECOND, SECOND
 
 from .answers import FinalAnswer
+from .client_session_owner import ClientSessionOwner
 from .close_reasons import CloseReason, reason_after_response
 from .request_admission import NotAdmitted
 from .requests import Request
 from .responses import OWN_TARGETS, UNSUCCESSFUL, redirect_response, status_response
-from .router import Router
 
 REQUEST_TIMEOUT = 2500 * MILLISECOND  # for a complete request, the first from the connect on
 RESPONSE_TIMEOUT = 10 * SECOND  # for a response to be read
@@ -29,29 +27,10 @@
 MAX_DROPPED = 8 * 1024 * 1024  # bytes beyond those that are read and dropped; then the client has to wait
 
 
-class ClientSessionOwner(Protocol):
-    """What a session needs of the server that accepted its connection."""
-
-    loop: asyncio.AbstractEventLoop
-    deadlines: Deadlines
-    router: Router
-    unserved: dict[int, "ClientSession"]  # by connection number, those without an admitted request
-    buffered_bytes: int  # of requests that are not admitted yet, in all sessions
-    is_leaving: bool  # not ready for new clients
-    is_handing_over: bool  # other processes accept what comes next
-    is_shut: bool  # nothing is accepted any more
-
-    def is_full(self) -> bool:
-        """Whether requests hold more memory than they may."""
-
-    def forget(self, session: "ClientSession") -> None:
-        """The session has ended."""
-
-
 class ClientSession:
     """Owner of one client's connection; implements `Client` and `RequestListener`."""
 
-    def __init__(self, server: ClientSessionOwner, connection: Connection) -> None:
+    def __init__(self, server: "ClientSessionOwner[ClientSession]", connection: Connection) -> None:
         """Begin to read; the server is notified when the connection has ended."""
         self.server = server
         self.connection = connection
--- a/ploverspoke/testbed/fakes/baseline_dispatcher.py
+++ b/ploverspoke/testbed/fakes/baseline_dispatcher.py
@@ -3,13 +3,10 @@
 It is started like the program; the difference in cost is the cost of the decisions.
 """
 
-import asyncio
 import os
 
-import uvloop
-
 from ploverspoke.service.config import read_config
-from ploverspoke.service.service import Service
+from ploverspoke.service.service import create_service
 
 from ..models.baseline_policies import RandomPick
 
@@ -17,11 +14,9 @@
 def main() -> None:
     """Serve until a signal ends it."""
     config = read_config(os.environ)
-    loop = uvloop.new_event_loop()
-    asyncio.set_event_loop(loop)
-    service = Service(loop, config)
+    service = create_service(config)
     service.router.dispatcher = RandomPick(service.router, config.seed, config.settings)  # type: ignore[assignment]
-    loop.run_until_complete(service.run())
+    service.loop.run_until_complete(service.run())
 
 
 if __name__ == "__main__":
