--- a/ploverspoke/testbed/checkers/request_audit.py
+++ b/ploverspoke/testbed/checkers/request_audit.py
@@ -328,7 +328,9 @@
     detail = event.detail
     if event.kind == event_records.REQUEST_SENT:
         request_class = e.request_classes[detail[0]]
-        detail = f"{request_class.name} ({request_class.idempotency}), try {detail[1] + 1}"
+        detail = f"{request_class.name} ({request_class.idempotency.value}), try {detail[1] + 1}"
+    elif isinstance(detail, tuple):
+        detail = list(detail)
     who = f" d{event.dispatcher}" if event.dispatcher >= 0 else ""
     return f"{event.at / 1e9:11.6f} s  {event.request_id:10}{who:5} {event.worker:5} {event.kind}: {detail}"
 
--- a/ploverspoke/testbed/fakes/client_process.py
+++ b/ploverspoke/testbed/fakes/client_process.py
@@ -6,7 +6,8 @@
 
 from ..experiment_files.durations import MILLISECOND, SECOND
 from ..models.clients import ClientRequest, Clients
-from ..models.dispatcher_outages import dispatcher_outages
+from ..models.dispatcher_outages import OutageKind, dispatcher_outages
+from ..models.event_records import BROKEN, FAILED, INVALID_ANSWER, REJECTED, SUCCEEDED
 from ..models.request_schedule import draw_schedule
 from ..processes.pipe_messages import send_message
 from .fake_messages import ClientsReady, ClientsStatus, FakeCommand, FakeProcessSpec, FaultReport
@@ -16,8 +17,7 @@
 TEMPORARY_REDIRECT = 307  # the replica that leads the store is elsewhere
 SERVICE_UNAVAILABLE = 503
 NO_LEADER_BODY = b"no replica leads"
-OUTCOMES = {200: "satisfied", 503: "nacked", 429: "nacked", 504: "abandoned"}  # by status
-OTHER_OUTCOME = "rejected"
+OUTCOMES = {200: SUCCEEDED, 503: REJECTED, 429: REJECTED, 504: FAILED}  # by status
 CROSSING_TIME = 20 * MILLISECOND  # an idle connection that ends so soon after a request crossed it
 LEAVING_NOTICE = 300 * MILLISECOND  # after which no new connections go to a dispatcher that is leaving
 
@@ -51,7 +51,7 @@
         data = self.clients.encode_request(request)
         self.traffic.count_message_in(len(data))
         self.transport.write(data)
-        self.clients.model.taken(request)
+        self.clients.model.accepted(request)
 
     def data_received(self, data: bytes) -> None:
         """Hand the responses in it to the model."""
@@ -73,20 +73,20 @@
         if status == TEMPORARY_REDIRECT:
             self.clients.release(self)
             leader = self.clients.dispatcher_at(message.headers["location"])
-            self.clients.model.sent_on(request, leader)
+            self.clients.model.redirected(request, leader)
         elif status == SERVICE_UNAVAILABLE and message.body == NO_LEADER_BODY:
             # No replica has taken the request: that does not count as a rejection.
             self.clients.release(self)
-            self.clients.model.never_taken(request)
+            self.clients.model.connect_failed(request)
         else:
             self._on_final_answer(request, status, message)
 
     def _on_final_answer(self, request: ClientRequest, status: int, message: HttpMessage) -> None:
         retry_after = float(message.headers.get("retry-after", 0))
-        outcome = OUTCOMES.get(status, OTHER_OUTCOME)
-        if outcome == "satisfied" and message.body != f"{request.id} done".encode():
+        outcome = OUTCOMES.get(status, INVALID_ANSWER)
+        if outcome == SUCCEEDED and message.body != f"{request.id} done".encode():
             send_message(FaultReport(f"{request.id} was answered with another's result"))
-            outcome = OTHER_OUTCOME
+            outcome = INVALID_ANSWER
         if message.headers.get("connection", "") != "close":
             self.clients.release(self)
         self.clients.outcomes[outcome] += 1
@@ -98,7 +98,7 @@
         self.traffic.count_closed()
         self.clients.forget(self)
         request, self.request = self.request, None
-        if request is None or request.over:
+        if request is None or request.is_over:
             return
         has_crossed = (
             self.requests_sent > 1
@@ -124,9 +124,7 @@
         super().__init__(spec, part)
         experiment = self.experiment
         jobs = draw_schedule(experiment, self.seed)[part :: spec.clients]
-        self.model = Clients(
-            experiment, self.seed, jobs, self.clock, self.records, self._send, self._close, part
-        )
+        self.model = Clients(self.context, jobs, self, part)
         self.job_count = len(jobs)
         self.idle: dict[int, list[ClientConnection]] = {n: [] for n in range(experiment.dispatchers.count)}
         self.dispatchers: list[str] = []
@@ -137,8 +135,8 @@
         ]
         self.leaving = [
             (begin + LEAVING_NOTICE, end, dispatcher)
-            for begin, end, dispatcher, how in dispatcher_outages(experiment, self.seed)
-            if how == "restarted"
+            for begin, end, dispatcher, kind in dispatcher_outages(experiment, self.seed)
+            if kind is OutageKind.RESTARTED
         ]
         self.tasks: set[asyncio.Task[None]] = set()
 
@@ -155,33 +153,34 @@
         """Return the counts of requests by outcome."""
         return ClientsStatus(
             answers=dict(self.outcomes),
-            sent=self.model.next,
-            unanswered=self.model.out,
-            lag=self.model.latest,
+            sent=self.model.sent_count,
+            unanswered=self.model.open_count,
+            lag=self.model.max_lateness,
         )
 
     def encode_request(self, request: ClientRequest) -> bytes:
         """Return the request as HTTP."""
         job = request.job
-        timeout_ms = max(1, (request.abandon_at - self.clock.now()) // MILLISECOND)
+        timeout_ms = max(1, (request.deadline - self.clock.now()) // MILLISECOND)
         lines = [f"Request-Id: {request.id}\r\nRequest-Timeout-Ms: {timeout_ms}\r\n"]
         if job.affinity_key:
             lines.append(f"Affinity-Key: {job.affinity_key}\r\n")
         if job.slots != 1.0:
             lines.append(f"Request-Info: slots={job.slots:g}\r\n")
-        if request.label:
-            lines.append(f"Job-Label: {request.label}\r\n")
+        if request.idempotency_key:
+            lines.append(f"Job-Label: {request.idempotency_key}\r\n")
         lines.append(f"Tenant: {self.experiment.tenants[job.tenant].name}\r\n\r\nwork")
         return (self.request_heads[job.request_class] + "".join(lines)).encode("latin-1")
 
     # ---- Connections ----
 
-    def _send(self, request: ClientRequest) -> None:
-        idle = self.idle[request.asked_at]
+    def send(self, request: ClientRequest) -> None:
+        """Send a request on an idle connection, else on a new one."""
+        idle = self.idle[request.target]
         if idle:
             idle.pop().send(request)
-        elif self._is_leaving(request.asked_at):
-            self.model.never_taken(request)
+        elif self._is_leaving(request.target):
+            self.model.connect_failed(request)
         else:
             self.connect(request)
 
@@ -196,21 +195,21 @@
         task.add_done_callback(self.tasks.discard)
 
     async def _connect(self, request: ClientRequest, is_resend: bool) -> None:
-        connection = ClientConnection(self, request.asked_at)
-        host, _, port = self.dispatchers[request.asked_at].rpartition(":")
+        connection = ClientConnection(self, request.target)
+        host, _, port = self.dispatchers[request.target].rpartition(":")
         try:
             await self.loop.create_connection(lambda: connection, host, int(port))
         except OSError:
             if is_resend:
                 self.on_broken(request)
             else:
-                self.model.never_taken(request)
+                self.model.connect_failed(request)
             return
-        if request.is_asked() and connection.transport is not None:
+        if request.expects_answer() and connection.transport is not None:
             connection.send(request)
             return
         connection.close()
-        if not request.over:
+        if not request.is_over:
             self.on_broken(request)
 
     def dispatcher_at(self, location: str) -> int:
@@ -223,8 +222,8 @@
 
     def on_broken(self, request: ClientRequest) -> None:
         """Note a request whose connection ended without an answer."""
-        self.outcomes["broken"] += 1
-        self.model.answered(request, "broken")
+        self.outcomes[BROKEN] += 1
+        self.model.answered(request, BROKEN)
 
     def release(self, connection: ClientConnection) -> None:
         """Keep an open connection for later requests."""
@@ -237,7 +236,8 @@
         if connection in idle:
             idle.remove(connection)
 
-    def _close(self, request: ClientRequest) -> None:
+    def close(self, request: ClientRequest) -> None:
+        """Close the connection of a request whose answer is no longer waited for."""
         connection = request.connection
         if isinstance(connection, ClientConnection) and connection.request is request:
             connection.request = None
--- a/ploverspoke/testbed/fakes/discovery_server.py
+++ b/ploverspoke/testbed/fakes/discovery_server.py
@@ -9,8 +9,9 @@
 from typing import cast
 
 from ..experiment_files.durations import MILLISECOND
-from ..models.discovery import DiscoveryCall, DiscoveryModel, EndpointEntry
-from ..models.faults import DiscoveryFaults, ZoneCuts
+from ..models.connection_faults import NetworkPartitions
+from ..models.discovery import DiscoveryCall, DiscoveryModel, EndpointEntry, EndpointUpdate
+from ..models.discovery_faults import DiscoveryFaults
 from ..models.random_streams import RandomStreams
 from ..models.worker_fleet import WorkerFleet
 from ..processes.pipe_messages import send_message
@@ -66,7 +67,7 @@
 
     def data_received(self, data: bytes) -> None:
         """Hand the calls in it to the model."""
-        if self.discovery.model.unreached(self.dispatcher):
+        if self.discovery.model.is_unreachable(self.dispatcher):
             return
         self.traffic.bytes_out += len(data)
         try:
@@ -84,10 +85,10 @@
         hold = min(MAX_HOLD_MS, query.hold_ms) * MILLISECOND
         self.discovery.model.call(DiscoveryCall(self.dispatcher, query.version, self._answer), hold)
 
-    def _answer(self, answer: tuple[int, bool, list[EndpointEntry]] | None) -> None:
+    def _answer(self, answer: EndpointUpdate | None) -> None:
         if answer is None:
             self._write(encode_response(503, "Service Unavailable", b"", "Connection: close\r\n"))
-            if self.transport is not None and not self.discovery.model.unreached(self.dispatcher):
+            if self.transport is not None and not self.discovery.model.is_unreachable(self.dispatcher):
                 self.transport.close()
             return
         version, is_full, entries = answer
@@ -95,7 +96,7 @@
         self._write(encode_list_update(EndpointListUpdate(version, is_full, endpoints)))
 
     def _write(self, data: bytes) -> None:
-        if self.transport is not None and not self.discovery.model.unreached(self.dispatcher):
+        if self.transport is not None and not self.discovery.model.is_unreachable(self.dispatcher):
             self.traffic.count_message_in(len(data))
             self.transport.write(data)
 
@@ -108,9 +109,9 @@
         super().__init__(spec, part)
         draws = RandomStreams(self.seed).draws("discovery")
         self.model = DiscoveryModel(self.experiment.discovery, self.clock, self.records, draws)
-        fleet = WorkerFleet(self.experiment, self.seed, self.clock, self.records)
+        fleet = WorkerFleet(self.context)
         for name, worker in fleet.workers.items():
-            self.model.enter(EndpointEntry(name, worker.zone, worker.kind, fleet.rack_of[name], "ready", 0))
+            self.model.add(EndpointEntry(name, worker.zone, worker.kind, fleet.rack_of[name], "ready", 0))
         self.addresses: dict[str, str] = {}
         self.zones, self.kinds = self.experiment.zones(), self.experiment.kinds()
         self.dispatchers = {host: number for number, host in enumerate(spec.hosts)}
@@ -134,15 +135,15 @@
         elif command.asks_who_was_answered:
             send_message(AnsweredCount(sum(traffic.bytes_in > 0 for traffic in self.counters.traffic)))
         elif command.worker_fell:
-            self.faults.fell(command.worker_fell)
+            self.faults.overloaded(command.worker_fell)
         elif command.worker_returned:
-            self.faults.back(command.worker_returned)
+            self.faults.recovered(command.worker_returned)
 
     def begin(self, command: FakeCommand) -> None:
         """Set off the faults of the experiment."""
-        self.faults = DiscoveryFaults(self.experiment, self.seed, self.clock, self.model)
-        cuts, zones = ZoneCuts(self.experiment, self.clock), len(self.zones)
-        self.model.unreached = lambda dispatcher: not cuts.reaches_discovery(dispatcher % zones)
+        self.faults = DiscoveryFaults(self.context, self.model)
+        partitions, zones = NetworkPartitions(self.experiment, self.clock), len(self.zones)
+        self.model.is_unreachable = lambda dispatcher: not partitions.reaches_discovery(dispatcher % zones)
 
     def status(self) -> DiscoveryStatus:
         """Return the version of the list."""
--- a/ploverspoke/testbed/fakes/fake_process.py
+++ b/ploverspoke/testbed/fakes/fake_process.py
@@ -17,7 +17,8 @@
 from ..experiment_files.experiment import Experiment
 from ..experiment_files.reader import experiment_from_builtins
 from ..models.event_records import EventLog, write_events
-from ..models.virtual_clock import AnyTimer
+from ..models.run_context import RunContext
+from ..models.virtual_clock import TimerHandle
 from ..processes.pipe_messages import input_lines, send_message
 from .byte_counters import ByteCounters
 from .fake_messages import FakeCommand, FakeProcessSpec, RunFinished, StatusReport
@@ -35,7 +36,7 @@
         """Wrap the handle of the call."""
         self.handle = handle
 
-    def call_off(self) -> None:
+    def cancel(self) -> None:
         """Cancel the call."""
         self.handle.cancel()
 
@@ -52,12 +53,12 @@
         """Return the time of the run."""
         return time.monotonic_ns() - self.epoch
 
-    def at(self, when: int, call: Callable[..., None], *what: Any) -> AnyTimer:
+    def call_at(self, when: int, call: Callable[..., None], *args: Any) -> TimerHandle:
         """Make the call at that time, or soon where it is past."""
         delay = when - self.now()
         if delay <= 0:
-            return LoopTimer(self.loop.call_soon(call, *what))
-        return LoopTimer(self.loop.call_later(delay / 1e9, call, *what))
+            return LoopTimer(self.loop.call_soon(call, *args))
+        return LoopTimer(self.loop.call_later(delay / 1e9, call, *args))
 
 
 class FakeProcess:
@@ -73,6 +74,7 @@
         self.part = part
         self.experiment: Experiment = experiment_from_builtins(spec.experiment)
         self.seed = spec.seed
+        self.context = RunContext(self.experiment, self.seed, self.clock, self.records)
         self.counters = ByteCounters(len(spec.hosts))
 
     async def prepare(self) -> msgspec.Struct:
--- a/ploverspoke/testbed/fakes/worker_connection.py
+++ b/ploverspoke/testbed/fakes/worker_connection.py
@@ -4,11 +4,10 @@
 from typing import TYPE_CHECKING, cast
 
 from ..models import event_records
-from ..models.event_records import Event
-from ..models.faults import ConnectionFaults
+from ..models.connection_faults import ARRIVAL_PROBABILITY, MAX_RESET_DELAY
+from ..models.event_records import Event, ExecutionEnd
+from ..models.execution import Execution
 from ..models.request_schedule import ScheduledRequest
-from ..models.worker import Execution
-from ..models.worker_fleet import RESET_WITHIN
 from ..processes.pipe_messages import send_message
 from .fake_messages import FaultReport
 from .http_wire import HttpMessage, HttpReader, HttpSyntaxError, encode_response
@@ -23,8 +22,6 @@
 if TYPE_CHECKING:
     from .worker_server import WorkerListener
 
-SILENT_BEFORE_RUN_SHARE = 0.5  # of the connections that fall silent; the others do after the run has begun
-
 
 class WorkerConnection(asyncio.Protocol):
     """One connection of a dispatcher; the listener of the run that it carries."""
@@ -72,9 +69,9 @@
         self.traffic.count_closed()
         self.transport = None
         run = self.run
-        if run is not None and not run.over:
+        if run is not None and not run.is_over:
             self._record_closed(run)
-            if self.worker.up and not self.listener.is_cut(self.zone):
+            if self.worker.is_up and not self.listener.is_cut(self.zone):
                 self.worker.cancel(run)
 
     def abort(self) -> None:
@@ -90,13 +87,13 @@
             self.is_silent = True
         elif delay:
             clock = self.workers.clock
-            clock.at(clock.now() + delay, self._on_message, message)
+            clock.call_at(clock.now() + delay, self._on_message, message)
         else:
             self._on_message(message)
 
     def _on_message(self, message: HttpMessage) -> None:
         self.requests += 1
-        if self.transport is None or not self.worker.up:
+        if self.transport is None or not self.worker.is_up:
             return
         method, _, rest = message.start_line.partition(" ")
         if method == "GET":
@@ -108,7 +105,8 @@
             self._write(encode_response(404 if not request_id else 400, "No", b""))
             self._report_fault(f"was sent an id that no client sent: {request_id!r}")
             return
-        if self.requests > 1 and self._is_struck(self.workers.connections.drops):
+        draws, faults = self.workers.draws, self.workers.connections
+        if self.requests > 1 and faults.idle_drops.strikes(self.worker.name, draws):
             self.abort()
             return
         self._begin_run(request_id, job, message.headers.get("job-label", ""))
@@ -118,28 +116,25 @@
         draws, faults, clock = self.workers.draws, self.workers.connections, self.workers.clock
         run = Execution(request_id, job, self.dispatcher, self, label)
         self.run = run
-        if self._is_struck(faults.silences):
+        if faults.silences.strikes(self.worker.name, draws):
             self.is_silent = True
-            if draws.happens(SILENT_BEFORE_RUN_SHARE):
+            if draws.happens(ARRIVAL_PROBABILITY):
                 return
-        elif self._is_struck(faults.resets):
-            clock.at(clock.now() + int(draws.fraction() * RESET_WITHIN), self._reset, run)
-        self.worker.take(run)
-
-    def _is_struck(self, shares: dict[str, dict[int, float]]) -> bool:
-        return self.workers.draws.happens(ConnectionFaults.share(shares, self.worker.name))
+        elif faults.resets.strikes(self.worker.name, draws):
+            clock.call_at(clock.now() + int(draws.fraction() * MAX_RESET_DELAY), self._reset, run)
+        self.worker.accept(run)
 
     def _reset(self, run: Execution) -> None:
-        if self.run is run and not run.over:
+        if self.run is run and not run.is_over:
             self.abort()
 
     def _on_probe(self, path: str) -> None:
         self.traffic.probes += 1
-        if self.worker.frozen:
-            self.worker.while_frozen.append((self._on_probe, path))
+        if self.worker.is_hung:
+            self.worker.defer(self._on_probe, path)
         elif path == "/-/load":
             report = self.worker.report()
-            self._write(encode_load_report(LoadReport(report["backlog"], report["x0"])))
+            self._write(encode_load_report(LoadReport(report.queue_length, report.free_slots)))
         elif path == "/-/healthy":
             self._write(encode_response(200, "OK", b""))
         else:
@@ -149,25 +144,25 @@
 
     def run_started(self, run: Execution) -> None:
         """Send that it has started."""
-        self._send_update(run, RunUpdate(run.submission, self.worker.name, "started"), is_first=True)
+        self._send_update(run, RunUpdate(run.request_id, self.worker.name, "started"), is_first=True)
 
     def run_progressed(self, run: Execution, share: float) -> None:
         """Send the share that is done."""
-        self._send_update(run, RunUpdate(run.submission, self.worker.name, "running", share))
+        self._send_update(run, RunUpdate(run.request_id, self.worker.name, "running", share))
 
-    def run_ended(self, run: Execution, how: str) -> None:
+    def run_ended(self, run: Execution, end: ExecutionEnd) -> None:
         """Send the end of the run, or reset the connection where it was lost."""
-        is_first = not (run.begun and self.worker.rules.reports_start)
-        if how == "lost":
+        is_first = not (run.has_started and self.worker.options.reports_start)
+        if end is ExecutionEnd.LOST:
             self.abort()
-        elif how == "returned" and not run.begun:
+        elif end is ExecutionEnd.RETURNED and not run.has_started:
             self._write(encode_not_started())
-        elif how == "done":
-            result = f"{run.submission} done"
-            update = RunUpdate(run.submission, self.worker.name, "done", result=result)
+        elif end is ExecutionEnd.DONE:
+            result = f"{run.request_id} done"
+            update = RunUpdate(run.request_id, self.worker.name, "done", result=result)
             self._send_update(run, update, is_first, is_last=True)
         else:
-            update = RunUpdate(run.submission, self.worker.name, how)
+            update = RunUpdate(run.request_id, self.worker.name, end.value)
             self._send_update(run, update, is_first, is_last=True)
 
     def _send_update(
@@ -188,7 +183,7 @@
         delay = self.listener.one_way_delay(self.zone)
         if delay:
             clock = self.workers.clock
-            clock.at(clock.now() + delay, self._write_now, data)
+            clock.call_at(clock.now() + delay, self._write_now, data)
         else:
             self._write_now(data)
 
@@ -202,7 +197,7 @@
             closed = Event(
                 self.workers.clock.now(),
                 event_records.ATTEMPT_CLOSED,
-                run.submission,
+                run.request_id,
                 run.job.number,
                 self.dispatcher,
                 self.worker.name,
--- a/ploverspoke/testbed/fakes/worker_server.py
+++ b/ploverspoke/testbed/fakes/worker_server.py
@@ -6,10 +6,11 @@
 
 import asyncio
 
-from ..models.faults import ConnectionFaults, StoreFaults, WorkerFaults, ZoneCuts
+from ..models.connection_faults import ConnectionFaults, NetworkPartitions
 from ..models.random_streams import RandomStreams
 from ..models.request_schedule import ScheduledRequest, draw_schedule
 from ..models.worker import Worker
+from ..models.worker_faults import WorkerFaults, schedule_store_faults
 from ..models.worker_fleet import WorkerFleet
 from ..processes.addresses import bind_without_listening
 from ..processes.capacity_check import descriptor_limit
@@ -68,8 +69,8 @@
 
     def is_cut(self, zone: int) -> bool:
         """Whether nothing passes between this worker and that zone."""
-        cuts = self.workers.cuts
-        return cuts is not None and cuts.between(zone, self.worker.zone)
+        partitions = self.workers.partitions
+        return partitions is not None and partitions.separates(zone, self.worker.zone)
 
 
 class FakeWorkers(FakeProcess):
@@ -79,7 +80,7 @@
         """The workers of every zone whose number gives `part`, modulo the number of processes."""
         super().__init__(spec, part)
         self.jobs: list[ScheduledRequest] = draw_schedule(self.experiment, self.seed)
-        self.fleet = WorkerFleet(self.experiment, self.seed, self.clock, self.records)
+        self.fleet = WorkerFleet(self.context)
         self.fleet.workers = {
             name: worker
             for name, worker in self.fleet.workers.items()
@@ -90,13 +91,13 @@
         self.tasks: set[asyncio.Task[None]] = set()
         self.dispatchers = {host: number for number, host in enumerate(spec.hosts)}
         self.listeners = {name: WorkerListener(self, worker) for name, worker in self.fleet.workers.items()}
-        self.cuts: ZoneCuts | None = None  # None: the run has not begun, nothing is cut
+        self.partitions: NetworkPartitions | None = None  # None: the run has not begun, nothing is cut
 
     def shift_clock(self, nanoseconds: int) -> None:
         """Forget also the load reports, whose times no longer hold."""
         super().shift_clock(nanoseconds)
         for worker in self.fleet.workers.values():
-            worker.last_reports.clear()
+            worker.reporter.clear()
 
     async def prepare(self) -> WorkersOpened:
         """Listen for all workers."""
@@ -107,22 +108,18 @@
 
     def begin(self, command: FakeCommand) -> None:
         """Set off the faults of the experiment."""
-        self.cuts = ZoneCuts(self.experiment, self.clock)
+        self.partitions = NetworkPartitions(self.experiment, self.clock)
         workers = list(self.fleet.workers.values())
-        faults = WorkerFaults(
-            self.experiment, self.seed, self.clock, workers, self.connections, self._died, self._returned
-        )
-        faults.on_fall = lambda worker: send_message(WorkerFell(worker))
-        faults.on_back = lambda worker: send_message(WorkerReturned(worker))
-        StoreFaults(self.experiment, self.clock, self.fleet.store)
+        WorkerFaults(self.context, workers, self.connections, self)
+        schedule_store_faults(self.context, self.fleet.store)
 
     def status(self) -> WorkersStatus:
         """Return the state of each worker."""
         workers = self.fleet.workers
         return WorkersStatus(
-            running=sum(len(worker.running) for worker in workers.values()),
+            running=sum(len(worker.executor.running) for worker in workers.values()),
             workers={
-                name: WorkerStatus(_state(worker), worker.load(), worker.serial)
+                name: WorkerStatus(_state(worker), worker.load(), worker.last_serial)
                 for name, worker in workers.items()
             },
         )
@@ -135,20 +132,30 @@
         except (ValueError, IndexError):
             return None
 
-    def _died(self, worker: Worker) -> None:
+    def worker_died(self, worker: Worker) -> None:
+        """Close its socket."""
         self.listeners[worker.name].close()
 
-    def _returned(self, worker: Worker) -> None:
+    def worker_started(self, worker: Worker) -> None:
+        """Listen for it again."""
         task = self.loop.create_task(self.listeners[worker.name].open())
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
+    def worker_overloaded(self, worker: Worker) -> None:
+        """Report it for discovery."""
+        send_message(WorkerFell(worker.name))
+
+    def worker_recovered(self, worker: Worker) -> None:
+        """Report it for discovery."""
+        send_message(WorkerReturned(worker.name))
+
 
 def _state(worker: Worker) -> str:
-    if not worker.up:
+    if not worker.is_up:
         return "down"
-    if worker.frozen:
+    if worker.is_hung:
         return "hung"
     if worker.warm_at > worker.clock.now():
         return "cold"
-    return "slow" if worker.slowed else "up"
+    return "slow" if worker.faults.slowdowns else "up"
--- a/ploverspoke/testbed/models/baseline_policies.py
+++ b/ploverspoke/testbed/models/baseline_policies.py
@@ -1,8 +1,7 @@
-"""Policies to compare with, behind the same DispatchActions as the decisions. Never in the product's path.
+"""Baseline policies to compare with, behind the same DispatchActions as the product's decisions.
 
-They share one frame: a submission goes to a worker at once, again where its grade allows that, and is
-nacked or
-abandoned when it may go nowhere. They differ in the choice of the worker only. The names stand in `POLICIES`.
+They share one frame: a request is sent to a worker at once, is retried where its class allows that, and is
+rejected or fails when no worker may get it. They differ in the choice of the worker only.
 """
 
 from collections.abc import Callable, Iterable, Mapping
@@ -19,54 +18,62 @@
     LoadReport,
 )
 from ploverspoke.decisions.random_numbers import RandomNumbers
-from ploverspoke.decisions.settings import Idempotency, RetryScope, Settings
+from ploverspoke.decisions.settings import Idempotency, RequestClass, RetryScope, Settings
 
-SECOND = 1_000_000_000
+from ..experiment_files.durations import MILLISECOND
+
+ANY_KIND = -1
+WATCH_BACKOFF = 250 * MILLISECOND  # multiplied by the number of failures in a row
+MAX_BACKOFF_FACTOR = 8
 TrueLoad = Callable[[str], float]
 
 
-class Open:
-    """One submission taken and not yet answered."""
+class OpenRequest:
+    """A request that is not answered yet."""
 
-    def __init__(self, submission: int, grade: int, slots: float, abandon_at: int) -> None:
-        self.id = submission
-        self.grade = grade
+    def __init__(self, request_id: int, request_class: int, slots: float, deadline: int) -> None:
+        """No attempt has been made."""
+        self.id = request_id
+        self.request_class = request_class
         self.slots = slots
-        self.abandon_at = abandon_at
-        self.hand_offs = 0
-        self.at = ""
-        self.may_have_run: str = ""  # where it first may have
-        self.bound_until = 0
-        self.failed_at: list[str] = []
+        self.deadline = deadline
+        self.attempt_count = 0
+        self.worker = ""  # of the last attempt
+        self.may_have_run_at = ""  # the first worker at which it may have run
+        self.retry_until = 0  # end of the retry window after that attempt
+        self.failed_workers: list[str] = []
 
 
-class Baseline:
-    """The frame; `choose` says which of the workers that may be sent to."""
+class BaselinePolicy:
+    """The frame; `choose` picks one of the workers that may get a request."""
 
     def __init__(
-        self, host: DispatchActions, seed: int, settings: Settings, true_load: TrueLoad | None = None
+        self, actions: DispatchActions, seed: int, settings: Settings, true_load: TrueLoad | None = None
     ) -> None:
-        self.host = host
+        """Only the policy that sees the true load uses `true_load`."""
+        self.actions = actions
         self.settings = settings
-        self.chance = RandomNumbers(seed)
+        self.random = RandomNumbers(seed)
         self.true_load = true_load
         self.workers: dict[str, Endpoint] = {}
-        self.in_flight: dict[str, float] = {}
-        self.open: dict[int, Open] = {}
-        self.turn = 0
-        self.failures = 0
+        self.slots_in_flight: dict[str, float] = {}
+        self.open: dict[int, OpenRequest] = {}
+        self.watch_failures = 0  # in a row
 
-    def settings_changed(self, settings: Settings, takes_over: Mapping[int, int]) -> None:
-        self.settings = settings
+    def choose(self, candidates: list[str]) -> str:
+        """Return one of the workers, of which there is at least one."""
+        raise NotImplementedError
+
+    # ---- Events of the driver ----
 
     def started(self) -> None:
+        """The dispatcher has started."""
         if self.settings.discovery_polling:
-            self.host.watch_endpoints()
-
-    def choose(self, among: list[str]) -> str:
-        raise NotImplementedError
+            self.actions.watch_endpoints()
 
-    # ---- What can happen ----
+    def settings_changed(self, settings: Settings, predecessors: Mapping[int, int]) -> None:
+        """Use other settings from now on."""
+        self.settings = settings
 
     def request_arrived(
         self,
@@ -77,147 +84,178 @@
         work_hint: int,
         affinity_key: str,
     ) -> None:
-        job = self.open[request_id] = Open(request_id, request_class, slots, deadline)
-        self.send(job)
+        """Send a new request."""
+        request = OpenRequest(request_id, request_class, slots, deadline)
+        self.open[request_id] = request
+        self.send(request)
 
-    def attempt_started(self, request_id: int, attempt: int) -> None: ...
+    def attempt_started(self, request_id: int, attempt: int) -> None:
+        """Ignored."""
 
-    def attempt_progressed(self, request_id: int, attempt: int, share_done: float) -> None: ...
+    def attempt_progressed(self, request_id: int, attempt: int, share_done: float) -> None:
+        """Ignored."""
 
     def attempt_ended(self, request_id: int, attempt: int, result: AttemptResult) -> None:
-        worker_name = result.worker
-        job = self.open.get(request_id)
-        if job is None or attempt != job.hand_offs - 1:
+        """Finish the request or retry it."""
+        request = self.open.get(request_id)
+        if request is None or attempt != request.attempt_count - 1:
             return
-        self.in_flight[worker_name] -= job.slots
+        self.slots_in_flight[result.worker] -= request.slots
         if result.is_closed:
             del self.open[request_id]
             return
-        job.failed_at.append(worker_name)
-        if result.outcome not in NEVER_RAN and not job.may_have_run:
-            job.may_have_run = worker_name
-            job.bound_until = self.host.now() - result.elapsed + self.settings.classes[job.grade].retry_window
-        self.send(job)
+        request.failed_workers.append(result.worker)
+        if result.outcome not in NEVER_RAN and not request.may_have_run_at:
+            request.may_have_run_at = result.worker
+            sent_at = self.actions.now() - result.elapsed
+            request.retry_until = sent_at + self._class_of(request).retry_window
+        self.send(request)
 
     def client_disconnected(self, request_id: int) -> None:
-        job = self.open.get(request_id)
-        if job is not None and not job.at:
+        """Forget a request that was not sent; the end of an attempt closes any other."""
+        request = self.open.get(request_id)
+        if request is not None and not request.worker:
             del self.open[request_id]
 
-    def endpoint_list_received(self, listings: Iterable[Endpoint]) -> None:
-        self.failures = 0
+    def endpoint_list_received(self, endpoints: Iterable[Endpoint]) -> None:
+        """Replace all workers."""
         self.workers.clear()
-        self.endpoints_changed(listings)
+        self.endpoints_changed(endpoints)
 
-    def endpoints_changed(self, listings: Iterable[Endpoint]) -> None:
-        self.failures = 0
-        for listing in listings:
-            self.workers[listing.worker] = listing
-            self.in_flight.setdefault(listing.worker, 0.0)
+    def endpoints_changed(self, endpoints: Iterable[Endpoint]) -> None:
+        """Update some workers."""
+        self.watch_failures = 0
+        for endpoint in endpoints:
+            self.workers[endpoint.worker] = endpoint
+            self.slots_in_flight.setdefault(endpoint.worker, 0.0)
 
     def endpoint_watch_failed(self, is_rejected: bool = False) -> None:
-        self.failures += 1
-        self.host.wake_at(0, self.host.now() + SECOND // 4 * min(8, self.failures))
+        """Watch again after a backoff."""
+        self.watch_failures += 1
+        backoff = WATCH_BACKOFF * min(MAX_BACKOFF_FACTOR, self.watch_failures)
+        self.actions.wake_at(0, self.actions.now() + backoff)
 
     def probe_completed(
         self, worker_name: str, outcome: AttemptOutcome, elapsed: int, load: LoadReport | None
-    ) -> None: ...
+    ) -> None:
+        """Ignored."""
 
     def timer_fired(self, token: int) -> None:
-        self.host.watch_endpoints()
+        """The backoff is over."""
+        self.actions.watch_endpoints()
 
-    # ---- Inside ----
+    # ---- Attempts ----
 
-    def send(self, job: Open) -> None:
-        now = self.host.now()
-        among = self._allowed(job, now)
-        if not among or job.hand_offs >= self.settings.classes[job.grade].max_attempts:
-            self._finish(job)
+    def send(self, request: OpenRequest) -> None:
+        """Make the next attempt, or answer where none is allowed."""
+        now = self.actions.now()
+        allowed = self._allowed_workers(request, now)
+        if not allowed or request.attempt_count >= self._class_of(request).max_attempts:
+            self._answer(request)
             return
-        fresh = [w for w in among if w not in job.failed_at]
-        worker = self.choose(fresh or among)
-        job.hand_offs += 1
-        job.at = worker
-        self.in_flight[worker] += job.slots
-        self.host.start_attempt(job.id, worker, job.abandon_at - self.settings.batch_interval - now)
-
-    def _allowed(self, job: Open, now: int) -> list[str]:
-        if now >= job.abandon_at - self.settings.batch_interval:
+        untried = [worker for worker in allowed if worker not in request.failed_workers]
+        worker = self.choose(untried or allowed)
+        request.attempt_count += 1
+        request.worker = worker
+        self.slots_in_flight[worker] += request.slots
+        timeout = request.deadline - self.settings.batch_interval - now
+        self.actions.start_attempt(request.id, worker, timeout)
+
+    def _class_of(self, request: OpenRequest) -> RequestClass:
+        return self.settings.classes[request.request_class]
+
+    def _allowed_workers(self, request: OpenRequest, now: int) -> list[str]:
+        if now >= request.deadline - self.settings.batch_interval:
             return []
-        kind = self.settings.classes[job.grade].machine_kind
-        among = [
-            w
-            for w, shown in self.workers.items()
-            if shown.condition is EndpointCondition.READY and kind in (-1, shown.machine_kind)
+        request_class = self._class_of(request)
+        ready = [
+            worker
+            for worker, endpoint in self.workers.items()
+            if endpoint.condition is EndpointCondition.READY
+            and request_class.machine_kind in (ANY_KIND, endpoint.machine_kind)
         ]
-        repeat = self.settings.classes[job.grade].idempotency
-        if not job.may_have_run or repeat is Idempotency.IDEMPOTENT:
-            return among
-        if repeat is Idempotency.NON_IDEMPOTENT or now >= job.bound_until:
+        if not request.may_have_run_at or request_class.idempotency is Idempotency.IDEMPOTENT:
+            return ready
+        if request_class.idempotency is Idempotency.NON_IDEMPOTENT or now >= request.retry_until:
             return []
-        return [w for w in among if self._same_group(job, w)]
+        return [worker for worker in ready if self._is_in_retry_scope(request, worker)]
 
-    def _same_group(self, job: Open, worker: str) -> bool:
-        group = self.settings.classes[job.grade].retry_scope
-        first, other = self.workers.get(job.may_have_run), self.workers[worker]
-        if group is RetryScope.ALL:
+    def _is_in_retry_scope(self, request: OpenRequest, worker: str) -> bool:
+        scope = self._class_of(request).retry_scope
+        if scope is RetryScope.ALL:
             return True
-        return first is not None and (
-            first.zone == other.zone if group is RetryScope.ZONE else first.rack == other.rack
-        )
-
-    def _finish(self, job: Open) -> None:
-        del self.open[job.id]
-        redoable = self.settings.classes[job.grade].idempotency is Idempotency.IDEMPOTENT
-        if redoable or not job.may_have_run:
-            self.host.reject(job.id, 0)
+        first = self.workers.get(request.may_have_run_at)
+        if first is None:
+            return False
+        other = self.workers[worker]
+        if scope is RetryScope.ZONE:
+            return first.zone == other.zone
+        return first.rack == other.rack
+
+    def _answer(self, request: OpenRequest) -> None:
+        del self.open[request.id]
+        is_idempotent = self._class_of(request).idempotency is Idempotency.IDEMPOTENT
+        if is_idempotent or not request.may_have_run_at:
+            self.actions.reject(request.id, 0)
         else:
-            self.host.fail(job.id)
+            self.actions.fail(request.id)
+
+
+class RandomPick(BaselinePolicy):
+    """A random worker."""
+
+    def choose(self, candidates: list[str]) -> str:
+        """Draw one."""
+        return candidates[self.random.below(len(candidates))]
 
 
-class RandomPick(Baseline):
-    def choose(self, among: list[str]) -> str:
-        return among[self.chance.below(len(among))]
+class RoundRobin(BaselinePolicy):
+    """One worker after the other."""
 
+    turn = 0
 
-class RoundRobin(Baseline):
-    def choose(self, among: list[str]) -> str:
+    def choose(self, candidates: list[str]) -> str:
+        """Take the next one."""
         self.turn += 1
-        return among[self.turn % len(among)]
+        return candidates[self.turn % len(candidates)]
 
 
-class TwoChoices(Baseline):
-    """Of two drawn, the one with fewer of our slots in flight."""
+class TwoChoices(BaselinePolicy):
+    """Of two random workers the one with fewer slots in flight from this dispatcher."""
 
-    def choose(self, among: list[str]) -> str:
-        one, other = among[self.chance.below(len(among))], among[self.chance.below(len(among))]
-        return one if self.in_flight[one] <= self.in_flight[other] else other
+    def choose(self, candidates: list[str]) -> str:
+        """Draw two and compare them."""
+        first = candidates[self.random.below(len(candidates))]
+        second = candidates[self.random.below(len(candidates))]
+        return first if self.slots_in_flight[first] <= self.slots_in_flight[second] else second
 
 
-class AllSeeing(Baseline):
-    """Sees the true load of all workers at each choice, the dead and the hung among them: no dispatcher
-    can.
-    """
+class LeastTrueLoad(BaselinePolicy):
+    """The worker with the least true load, which no real dispatcher can see."""
 
-    def choose(self, among: list[str]) -> str:
-        assert self.true_load is not None
-        start = self.chance.below(len(among))
-        return min(among[start:] + among[:start], key=self.true_load)
+    def choose(self, candidates: list[str]) -> str:
+        """Take the least loaded one; ties go to the first after a random place."""
+        if self.true_load is None:
+            raise TypeError
+        start = self.random.below(len(candidates))
+        return min(candidates[start:] + candidates[:start], key=self.true_load)
 
 
 class Policy(Dispatcher):
-    """The decisions themselves, which see no true load."""
+    """The product's decisions, which see no true load."""
 
     def __init__(
-        self, host: DispatchActions, seed: int, settings: Settings, true_load: TrueLoad | None = None
+        self, actions: DispatchActions, seed: int, settings: Settings, true_load: TrueLoad | None = None
     ) -> None:
-        super().__init__(host, seed, settings)
+        """Ignore the true load."""
+        super().__init__(actions, seed, settings)
 
 
+TRUE_LOAD_POLICY = "all-seeing"
 POLICIES: dict[str, Callable[..., Any]] = {
     "ours": Policy,
     "random": RandomPick,
     "round robin": RoundRobin,
     "two choices": TwoChoices,
-    "all-seeing": AllSeeing,
+    TRUE_LOAD_POLICY: LeastTrueLoad,
 }
--- a/ploverspoke/testbed/models/clients.py
+++ b/ploverspoke/testbed/models/clients.py
@@ -1,254 +1,274 @@
-"""Clients, without I/O: they hand in what the schedule says when it says so, however long answers take.
+"""Open-loop clients: they send what the schedule says when it says so, however long answers take.
 
-A submission that is nacked is tried again as the experiment tells, elsewhere, for as long as the first try's
-abandon time lasts; an irreversible one also, since a nack promises that it did not run. One whose
-connection broke or that was abandoned is tried again only where that is harmless.
+A rejected request is retried as the experiment says, at another dispatcher, until the deadline of the first
+attempt; that holds for non-idempotent ones too, since a rejection promises that the request did not run. One
+whose connection broke is retried only where it is idempotent.
 """
 
-from collections.abc import Callable, Sequence
+from collections.abc import Sequence
+from typing import Protocol
 
 from ..experiment_files.durations import MILLISECOND
-from ..experiment_files.experiment import Experiment
 from ..experiment_files.tables import Idempotency
 from . import event_records
-from .event_records import Event, EventLog
-from .random_streams import RandomDraws, RandomStreams
+from .event_records import Event, RequestSent
 from .request_schedule import ScheduledRequest
-from .virtual_clock import AnyTimer, Clock
+from .run_context import RunContext
+from .virtual_clock import TimerHandle
 
-LATE = 5 * MILLISECOND  # a first try that goes out later than this is the generator's fault, and is told
-ASK_AGAIN = 40 * MILLISECOND  # the same id, at another replica; doubled each time...
-MOST_DOUBLED = 5  # ...so often, else those that wait for a leader keep it from leading
-SENT_ON_AT_ONCE = 2  # so often; two replicas may name each other
-LATE_ANSWER_ALLOWANCE = 5000 * MILLISECOND  # past the abandon time an answer is still asked for
-TWICE = 0.1  # share of answered ones that are asked for once more, elsewhere
-LEAST_PATIENCE = 5 * MILLISECOND
+MAX_UNREPORTED_LATENESS = 5 * MILLISECOND  # of the load generator
+REPLICA_BACKOFF = 40 * MILLISECOND  # before the same id is sent to another replica; doubled each time
+MAX_BACKOFF_DOUBLINGS = 5
+MAX_IMMEDIATE_REDIRECTS = 2  # two replicas may redirect to each other
+LATE_ANSWER_ALLOWANCE = 5000 * MILLISECOND  # past the deadline, where dispatchers are replicas of a store
+ANSWER_GRACE = 50 * MILLISECOND  # past the deadline, else
+REPEAT_QUERY_SHARE = 0.1  # of answered requests whose answer is asked for again, at another replica
+MIN_TIME_LEFT = 5 * MILLISECOND  # for a retry
 
 
 class ClientRequest:
-    """One submission: one try of one job."""
+    """One attempt of a client at one scheduled request; on the wire a request of its own."""
 
     __slots__ = (
-        "abandon_at",
-        "asked_at",
-        "asks",
+        "attempt",
         "connection",
+        "deadline",
         "dispatcher",
         "id",
+        "idempotency_key",
+        "is_over",
+        "is_repeat_query",
         "job",
-        "label",
-        "over",
-        "sent_at",
+        "send_count",
+        "target",
         "timers",
-        "tries",
-        "twice",
     )
 
     def __init__(
-        self,
-        job: ScheduledRequest,
-        tries: int,
-        dispatcher: int,
-        sent_at: int,
-        abandon_at: int,
-        labelled: bool,
+        self, job: ScheduledRequest, attempt: int, dispatcher: int, deadline: int, has_key: bool
     ) -> None:
+        """Attempts are counted from 0; all those of one scheduled request have the same idempotency key."""
         self.job = job
-        self.tries = tries  # before this one
-        self.id = f"{job.number:x}-{tries}"
-        self.label = f"{job.number:x}" if labelled else ""
+        self.attempt = attempt
+        self.id = f"{job.number:x}-{attempt}"
+        self.idempotency_key = f"{job.number:x}" if has_key else ""
         self.dispatcher = dispatcher
-        self.sent_at = sent_at
-        self.abandon_at = abandon_at
-        self.asked_at = dispatcher  # where its id was last brought
-        self.over = False
-        self.asks = 0  # of its id, after the first
-        self.twice = False  # it is answered, and asked for once more
-        self.timers: list[AnyTimer] = []
+        self.deadline = deadline
+        self.target = dispatcher  # to which its id was last sent
+        self.is_over = False
+        self.send_count = 0  # of its id, after the first time
+        self.is_repeat_query = False  # it is answered, and its answer is asked for again
+        self.timers: list[TimerHandle] = []
         self.connection: object = None  # the driver's
 
-    def is_asked(self) -> bool:
-        return self.twice or not self.over
+    def expects_answer(self) -> bool:
+        """Whether an answer is still of use."""
+        return self.is_repeat_query or not self.is_over
+
+
+class ClientConnections(Protocol):
+    """Connections to dispatchers, as a driver has them."""
+
+    def send(self, request: ClientRequest) -> None:
+        """Send the request to its target."""
+
+    def close(self, request: ClientRequest) -> None:
+        """Close the connection of a request whose answer is no longer waited for."""
 
 
 class Clients:
+    """All clients of one process."""
+
     def __init__(
         self,
-        e: Experiment,
-        seed: int,
+        context: RunContext,
         jobs: Sequence[ScheduledRequest],
-        clock: Clock,
-        records_: EventLog,
-        send: Callable[[ClientRequest], None],
-        close: Callable[[ClientRequest], None],
+        connections: ClientConnections,
         part: int = 0,
     ) -> None:
-        """`send` carries one submission; `close` ends the connection of one that is not waited for any
-        more.
-        """
-        self.e = e
+        """Jobs are in the order in which they are due; `part` numbers the processes of clients."""
+        self.experiment = context.experiment
+        self.options = context.experiment.clients
+        self.has_store = context.experiment.dispatchers.store
         self.jobs = jobs
-        self.clock = clock
-        self.records = records_
-        self.send = send
-        self.close = close
-        streams = RandomStreams(seed)
-        self.draws: RandomDraws = streams.draws(f"clients {part}")
-        self.waits = streams.generator(f"retry waits {part}")
-        self.next = 0
-        self.out = 0
-        self.latest = 0  # by which the worst first try was behind
+        self.clock = context.clock
+        self.event_log = context.event_log
+        self.connections = connections
+        self.draws = context.streams().draws(f"clients {part}")
+        self.backoff_generator = context.streams().generator(f"retry waits {part}")
+        self.sent_count = 0  # jobs that were sent for the first time
+        self.open_count = 0
+        self.max_lateness = 0  # ns, of a first attempt
 
     def start(self) -> None:
-        self._plan_next()
+        """Send each job when it is due."""
+        self._schedule_next()
 
-    def _plan_next(self) -> None:
-        if self.next < len(self.jobs):
-            self.clock.at(self.jobs[self.next].due_at, self._first_tries)
+    # ---- Calls of the driver ----
 
-    def _first_tries(self) -> None:
-        """All that are due; a loop that was held up catches up, and says by how much it was late."""
-        now = self.clock.now()
-        while self.next < len(self.jobs) and self.jobs[self.next].due_at <= now:
-            job = self.jobs[self.next]
-            self.next += 1
-            behind = now - job.due_at
-            if behind > max(LATE, self.latest):
-                self.latest = behind
-                self.records.add(Event(now, event_records.BEHIND_SCHEDULE, job=job.number, detail=behind))
-            # Waits count from when it was due, not from when we got round to it.
-            self._try(job, 0, job.dispatcher, job.due_at)
-        self._plan_next()
-
-    def _try(self, job: ScheduledRequest, tries: int, dispatcher: int, first_sent: int) -> None:
-        now = self.clock.now()
-        grade = self.e.request_classes[job.request_class]
-        abandon_at = first_sent + grade.deadline
-        labelled = grade.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
-        request = ClientRequest(job, tries, dispatcher, now, abandon_at, labelled)
-        self.records.add(
-            Event(
-                now,
-                event_records.REQUEST_SENT,
-                request.id,
-                job.number,
-                dispatcher,
-                detail=[job.request_class, tries, abandon_at, first_sent],
-            )
-        )
-        self.out += 1
-        late = LATE_ANSWER_ALLOWANCE if self.e.dispatchers.store else 50 * MILLISECOND
-        request.timers.append(self.clock.at(abandon_at + late, self._unanswered, request))
-        if job.disconnects_after and not tries:
-            request.timers.append(self.clock.at(first_sent + job.disconnects_after, self._leave, request))
-        self._send(request)
-
-    # ---- What the driver says ----
+    def accepted(self, request: ClientRequest) -> None:
+        """The dispatcher's machine has the whole request."""
+        if not request.is_over:
+            self._record(event_records.REQUEST_ACCEPTED, request)
 
-    def taken(self, request: ClientRequest) -> None:
-        if not request.over:
-            self._note(event_records.REQUEST_ACCEPTED, request)
-
-    def answered(self, request: ClientRequest, how: str, come_back_after: int = 0) -> None:
-        """Satisfied, nacked, abandoned, rejected, or broken: the connection ended without an answer."""
-        if self.e.dispatchers.store and how == "broken" and not request.over:
-            self._bring_again(request, (request.asked_at + 1) % self.e.dispatchers.count)
+    def answered(self, request: ClientRequest, outcome: str, retry_after: int = 0) -> None:
+        """The answer has come, or the connection broke; `retry_after` is in ns."""
+        if self.has_store and outcome == event_records.BROKEN and not request.is_over:
+            self._resend(request, self._next_dispatcher(request))
             return
-        if request.over:
-            # What comes after an answer is for the auditor.
-            self._note(event_records.REQUEST_ANSWERED, request, how)
+        if request.is_over:
+            # The checker looks at answers after the first one.
+            self._record(event_records.REQUEST_ANSWERED, request, outcome)
             return
-        self._end(request)
-        self._note(event_records.REQUEST_ANSWERED, request, how)
-        if self.e.dispatchers.store and self.draws.happens(TWICE):
-            self.clock.at(self.clock.now() + ASK_AGAIN, self._ask_twice, request)
-        repeat = self.e.request_classes[request.job.request_class].idempotency
-        if how == "nacked" or (how == "broken" and repeat is Idempotency.IDEMPOTENT):
-            self._again(request, come_back_after)
-
-    def never_taken(self, request: ClientRequest) -> None:
+        self._finish(request)
+        self._record(event_records.REQUEST_ANSWERED, request, outcome)
+        if self.has_store and self.draws.happens(REPEAT_QUERY_SHARE):
+            self.clock.call_at(self.clock.now() + REPLICA_BACKOFF, self._query_again, request)
+        request_class = self.experiment.request_classes[request.job.request_class]
+        is_idempotent = request_class.idempotency is Idempotency.IDEMPOTENT
+        is_broken = outcome == event_records.BROKEN
+        if outcome == event_records.REJECTED or (is_broken and is_idempotent):
+            self._retry(request, retry_after)
+
+    def connect_failed(self, request: ClientRequest) -> None:
         """No connection came up: the next dispatcher is tried at once."""
-        if request.over:
+        if request.is_over:
             return
-        if self.e.dispatchers.store:
-            self._bring_again(request, (request.asked_at + 1) % self.e.dispatchers.count)
+        if self.has_store:
+            self._resend(request, self._next_dispatcher(request))
             return
-        self._end(request)
-        self._note(event_records.CONNECT_FAILED, request)
-        self._again(request, 0, at_once=True)
+        self._finish(request)
+        self._record(event_records.CONNECT_FAILED, request)
+        self._retry(request, 0, at_once=True)
 
-    def sent_on(self, request: ClientRequest, to: int) -> None:
-        """Another replica leads: the same id goes there."""
-        if request.is_asked():
-            self._bring_again(request, to, at_once=True)
+    def redirected(self, request: ClientRequest, target: int) -> None:
+        """Another replica leads: the same id is sent there."""
+        if request.expects_answer():
+            self._resend(request, target, at_once=True)
 
-    # ---- Inside ----
+    # ---- First attempts and retries ----
 
-    def _bring_again(self, request: ClientRequest, to: int, at_once: bool = False) -> None:
-        request.asked_at = to
-        request.asks += 1
-        wait = 0.0
-        if not at_once or request.asks > SENT_ON_AT_ONCE:
-            wait = (ASK_AGAIN << min(request.asks, MOST_DOUBLED)) * (0.5 + self.draws.fraction())
-        self.clock.at(self.clock.now() + int(wait), self._bring, request)
+    def _schedule_next(self) -> None:
+        if self.sent_count < len(self.jobs):
+            self.clock.call_at(self.jobs[self.sent_count].due_at, self._send_due)
 
-    def _bring(self, request: ClientRequest) -> None:
-        if request.is_asked():
-            self._send(request)
+    def _send_due(self) -> None:
+        """Send all that are due; a delayed loop catches up and records by how much it was late."""
+        now = self.clock.now()
+        while self.sent_count < len(self.jobs) and self.jobs[self.sent_count].due_at <= now:
+            job = self.jobs[self.sent_count]
+            self.sent_count += 1
+            lateness = now - job.due_at
+            if lateness > max(MAX_UNREPORTED_LATENESS, self.max_lateness):
+                self.max_lateness = lateness
+                self.event_log.add(Event(now, event_records.BEHIND_SCHEDULE, job=job.number, detail=lateness))
+            # Deadlines count from when the job was due, not from when it was sent.
+            self._attempt(job, 0, job.dispatcher, job.due_at)
+        self._schedule_next()
 
-    def _ask_twice(self, request: ClientRequest) -> None:
-        """Whoever asks again, anywhere, must hear the same; the driver tells by `answered`."""
-        request.twice = True
-        request.asked_at = (request.asked_at + 1) % self.e.dispatchers.count
-        self.send(request)
+    def _attempt(self, job: ScheduledRequest, attempt: int, dispatcher: int, first_sent_at: int) -> None:
+        request_class = self.experiment.request_classes[job.request_class]
+        deadline = first_sent_at + request_class.deadline
+        has_key = request_class.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
+        request = ClientRequest(job, attempt, dispatcher, deadline, has_key)
+        detail = RequestSent(job.request_class, attempt, deadline, first_sent_at)
+        self._record(event_records.REQUEST_SENT, request, detail)
+        self.open_count += 1
+        grace = LATE_ANSWER_ALLOWANCE if self.has_store else ANSWER_GRACE
+        request.timers.append(self.clock.call_at(deadline + grace, self._time_out, request))
+        if job.disconnects_after and not attempt:
+            disconnect_at = first_sent_at + job.disconnects_after
+            request.timers.append(self.clock.call_at(disconnect_at, self._disconnect, request))
+        self._send(request)
 
-    def _send(self, request: ClientRequest) -> None:
-        self.send(request)
-        after = self.e.clients.failover_timeout
-        if self.e.dispatchers.store and after:
-            request.timers.append(self.clock.at(self.clock.now() + after, self._elsewhere, request))
-
-    def _elsewhere(self, request: ClientRequest) -> None:
-        """A replica that is paused neither answers nor hangs up."""
-        if not request.over:
-            self.close(request)
-            self._bring_again(request, (request.asked_at + 1) % self.e.dispatchers.count, at_once=True)
-
-    def _again(self, request: ClientRequest, come_back_after: int, at_once: bool = False) -> None:
-        told = self.e.clients
-        if request.tries + 1 >= told.max_attempts:
+    def _retry(self, request: ClientRequest, retry_after: int, at_once: bool = False) -> None:
+        if request.attempt + 1 >= self.options.max_attempts:
             return
         wait = 0.0
-        if not at_once and told.retry_timing == "after a wait":
-            wait = float(told.retry_backoff.sample(self.waits, 1)[0])
-            if told.honors_retry_after:
-                wait = max(wait, come_back_after * self.draws.fraction())
-        count = self.e.dispatchers.count
-        other = (request.dispatcher + 1 + self.draws.below(count - 1)) % count if count > 1 else 0
+        if not at_once and self.options.retry_timing == "after a wait":
+            wait = float(self.options.retry_backoff.sample(self.backoff_generator, 1)[0])
+            if self.options.honors_retry_after:
+                wait = max(wait, retry_after * self.draws.fraction())
+        dispatcher = self._other_dispatcher(request)
         now = self.clock.now()
-        if now + wait + LEAST_PATIENCE < request.abandon_at:
-            first_sent = request.abandon_at - self.e.request_classes[request.job.request_class].deadline
-            self.clock.at(now + int(wait), self._try, request.job, request.tries + 1, other, first_sent)
-
-    def _leave(self, request: ClientRequest) -> None:
-        if not request.over:
-            self._end(request)
-            self._note(event_records.CLIENT_DISCONNECTED, request)
-            self.close(request)
-
-    def _unanswered(self, request: ClientRequest) -> None:
-        if not request.over:
-            self._end(request)
-            self._note(event_records.REQUEST_TIMED_OUT, request)
-            self.close(request)
-
-    def _end(self, request: ClientRequest) -> None:
-        request.over = True
-        self.out -= 1
+        if now + wait + MIN_TIME_LEFT < request.deadline:
+            first_sent_at = (
+                request.deadline - self.experiment.request_classes[request.job.request_class].deadline
+            )
+            self.clock.call_at(
+                now + int(wait), self._attempt, request.job, request.attempt + 1, dispatcher, first_sent_at
+            )
+
+    def _other_dispatcher(self, request: ClientRequest) -> int:
+        count = self.experiment.dispatchers.count
+        if count == 1:
+            return 0
+        return (request.dispatcher + 1 + self.draws.below(count - 1)) % count
+
+    # ---- Replicas of a store ----
+
+    def _next_dispatcher(self, request: ClientRequest) -> int:
+        return (request.target + 1) % self.experiment.dispatchers.count
+
+    def _resend(self, request: ClientRequest, target: int, at_once: bool = False) -> None:
+        request.target = target
+        request.send_count += 1
+        wait = 0.0
+        if not at_once or request.send_count > MAX_IMMEDIATE_REDIRECTS:
+            backoff = REPLICA_BACKOFF << min(request.send_count, MAX_BACKOFF_DOUBLINGS)
+            wait = backoff * (0.5 + self.draws.fraction())
+        self.clock.call_at(self.clock.now() + int(wait), self._send_if_needed, request)
+
+    def _send_if_needed(self, request: ClientRequest) -> None:
+        if request.expects_answer():
+            self._send(request)
+
+    def _send(self, request: ClientRequest) -> None:
+        self.connections.send(request)
+        timeout = self.options.failover_timeout
+        if self.has_store and timeout:
+            request.timers.append(self.clock.call_at(self.clock.now() + timeout, self._fail_over, request))
+
+    def _fail_over(self, request: ClientRequest) -> None:
+        """A paused replica neither answers nor closes the connection."""
+        if not request.is_over:
+            self.connections.close(request)
+            self._resend(request, self._next_dispatcher(request), at_once=True)
+
+    def _query_again(self, request: ClientRequest) -> None:
+        """Each replica must give the same answer again; the driver calls `answered` with it."""
+        request.is_repeat_query = True
+        request.target = self._next_dispatcher(request)
+        self.connections.send(request)
+
+    # ---- End of a request ----
+
+    def _disconnect(self, request: ClientRequest) -> None:
+        if not request.is_over:
+            self._finish(request)
+            self._record(event_records.CLIENT_DISCONNECTED, request)
+            self.connections.close(request)
+
+    def _time_out(self, request: ClientRequest) -> None:
+        if not request.is_over:
+            self._finish(request)
+            self._record(event_records.REQUEST_TIMED_OUT, request)
+            self.connections.close(request)
+
+    def _finish(self, request: ClientRequest) -> None:
+        request.is_over = True
+        self.open_count -= 1
         for timer in request.timers:
-            timer.call_off()
+            timer.cancel()
 
-    def _note(self, what: str, request: ClientRequest, detail: str = "") -> None:
-        self.records.add(
-            Event(self.clock.now(), what, request.id, request.job.number, request.dispatcher, detail=detail)
+    def _record(self, kind: str, request: ClientRequest, detail: str | RequestSent = "") -> None:
+        self.event_log.add(
+            Event(
+                self.clock.now(),
+                kind,
+                request.id,
+                request.job.number,
+                request.dispatcher,
+                detail=detail,
+            )
         )
--- a/ploverspoke/testbed/models/discovery.py
+++ b/ploverspoke/testbed/models/discovery.py
@@ -1,7 +1,7 @@
-"""Discovery, without I/O: versions of the list, watches, lateness, calls worked through in turn."""
+"""Service discovery: versions of the endpoint list, watches with delays, calls served one by one."""
 
 from collections.abc import Callable
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 from ..experiment_files.tables import DiscoveryOptions
 from . import event_records
@@ -11,118 +11,140 @@
 
 
 class EndpointEntry(NamedTuple):
-    """One worker as the list shows it; a driver adds what its wire needs."""
+    """One worker as the endpoint list shows it; a driver adds what its wire needs."""
 
     worker: str
     zone: int
     kind: int
     rack: int
     condition: str  # "ready", "draining" or "gone"
-    started_at: int  # ns of the run's clock; 0: long past
+    started_at: int  # ns from the start of the run; 0: long before
+
+
+class EndpointUpdate(NamedTuple):
+    """The answer to a call: the whole list, or what has changed since the caller's version."""
+
+    version: int
+    is_complete: bool
+    entries: list[EndpointEntry]
 
 
 class DiscoveryCall:
-    """A watch or a look of one dispatcher; answered once, with a version, whether it is whole, and
-    entries.
-    """
+    """A call of one dispatcher, answered once; None: discovery is down or out of reach."""
 
-    def __init__(self, dispatcher: int, version: int | None, answer: Callable[..., None]) -> None:
+    def __init__(
+        self, dispatcher: int, version: int | None, on_answer: Callable[[EndpointUpdate | None], None]
+    ) -> None:
+        """Without a version the call asks for the whole list; else it is a watch from that version on."""
         self.dispatcher = dispatcher
         self.version = version
-        self.answer: Callable[..., None] | None = answer
+        self._on_answer: Callable[[EndpointUpdate | None], None] | None = on_answer
+
+    @property
+    def is_answered(self) -> bool:
+        """Whether `answer` was called."""
+        return self._on_answer is None
+
+    def answer(self, update: EndpointUpdate | None) -> None:
+        """Answer the call, once."""
+        on_answer, self._on_answer = self._on_answer, None
+        if on_answer is not None:
+            on_answer(update)
 
 
 class DiscoveryModel:
-    def __init__(self, told: DiscoveryOptions, clock: Clock, records_: EventLog, draws: RandomDraws) -> None:
-        self.told = told
+    """The endpoint list and the calls for it."""
+
+    def __init__(
+        self, options: DiscoveryOptions, clock: Clock, event_log: EventLog, draws: RandomDraws
+    ) -> None:
+        """Start with an empty list of version 1."""
+        self.options = options
         self.clock = clock
-        self.records = records_
+        self.event_log = event_log
         self.draws = draws
         self.version = 1
         self.entries: dict[str, EndpointEntry] = {}
-        self.changed_in: dict[str, int] = {}
-        self.waiting: list[DiscoveryCall] = []
-        self.free_at = 0  # when the calls so far are worked through
-        self.down: set[int] = set()  # troubles
-        # Whether nothing passes between us and that dispatcher.
-        self.unreached: Callable[[int], bool] = lambda dispatcher: False
-
-    def enter(self, entry: EndpointEntry) -> None:
+        self.free_at = 0  # when all calls so far have been served
+        self.is_unreachable: Callable[[int], bool] = lambda dispatcher: False  # for that dispatcher
+        self._changed_in: dict[str, int] = {}  # worker -> version
+        self._watches: list[DiscoveryCall] = []
+        self._outages: set[int] = set()  # fault numbers
+
+    def add(self, entry: EndpointEntry) -> None:
+        """Add a worker to the list before the run starts."""
         self.entries[entry.worker] = entry
-        self.changed_in[entry.worker] = self.version
+        self._changed_in[entry.worker] = self.version
 
-    def change(self, worker: str, condition: str, started_at: int | None = None) -> None:
-        """A worker's condition is another; watches hear of it, each a little later."""
+    def update(self, worker: str, condition: str, started_at: int | None = None) -> None:
+        """Change a worker's condition; each watch is answered after a random delay."""
         entry = self.entries[worker]
-        began = entry.started_at if started_at is None else started_at
-        if (condition, began) == (entry.condition, entry.started_at):
+        if started_at is None:
+            started_at = entry.started_at
+        if (condition, started_at) == (entry.condition, entry.started_at):
             return
         self.version += 1
-        self.entries[worker] = entry._replace(condition=condition, started_at=began)
-        self.changed_in[worker] = self.version
-        waiting, self.waiting = self.waiting, []
-        for call in waiting:
-            late = int(self.draws.fraction() * self.told.max_notification_delay)
-            self.clock.at(self.clock.now() + late, self._work_through, call)
+        self.entries[worker] = entry._replace(condition=condition, started_at=started_at)
+        self._changed_in[worker] = self.version
+        watches, self._watches = self._watches, []
+        for call in watches:
+            delay = int(self.draws.fraction() * self.options.max_notification_delay)
+            self.clock.call_at(self.clock.now() + delay, self._serve, call)
 
     def call(self, call: DiscoveryCall, hold: int) -> None:
-        """A watch waits for something newer than its version, so long at the most; a look is answered at
-        once.
-        """
-        if self.down or self.unreached(call.dispatcher):
-            self._answer(call, None)
+        """Answer at once, or hold a watch of the present version for at most `hold` ns."""
+        if self._outages or self.is_unreachable(call.dispatcher):
+            call.answer(None)
         elif call.version == self.version:
-            self.waiting.append(call)
-            self.clock.at(self.clock.now() + hold, self._hold_is_over, call)
+            self._watches.append(call)
+            self.clock.call_at(self.clock.now() + hold, self._end_hold, call)
         else:
-            self._work_through(call)
-
-    def go_down(self, trouble: int) -> None:
-        self.down.add(trouble)
-        waiting, self.waiting = self.waiting, []
-        for call in waiting:
-            self._answer(call, None)
-
-    def come_up(self, trouble: int) -> None:
-        self.down.discard(trouble)
-
-    def _hold_is_over(self, call: DiscoveryCall) -> None:
-        if call in self.waiting:
-            self.waiting.remove(call)
-            self._work_through(call)
-
-    def _work_through(self, call: DiscoveryCall) -> None:
-        now = self.clock.now()
-        self.free_at = max(now, self.free_at) + self.told.call_time
-        self.clock.at(self.free_at, self._tell, call)
-
-    def _tell(self, call: DiscoveryCall) -> None:
-        if self.down or self.unreached(call.dispatcher):
-            self._answer(call, None)
+            self._serve(call)
+
+    def start_outage(self, fault: int) -> None:
+        """Fail all watches, and all calls until the outage ends."""
+        self._outages.add(fault)
+        watches, self._watches = self._watches, []
+        for call in watches:
+            call.answer(None)
+
+    def end_outage(self, fault: int) -> None:
+        """Answer again, unless another outage lasts."""
+        self._outages.discard(fault)
+
+    def _end_hold(self, call: DiscoveryCall) -> None:
+        if call in self._watches:
+            self._watches.remove(call)
+            self._serve(call)
+
+    def _serve(self, call: DiscoveryCall) -> None:
+        self.free_at = max(self.clock.now(), self.free_at) + self.options.call_time
+        self.clock.call_at(self.free_at, self._answer, call)
+
+    def _answer(self, call: DiscoveryCall) -> None:
+        if self._outages or self.is_unreachable(call.dispatcher):
+            call.answer(None)
             return
-        whole = call.version is None
-        since = -1 if call.version is None else call.version
-        entries = [e for e in self.entries.values() if self.changed_in[e.worker] > since]
-        if whole:
-            entries = [e for e in entries if e.condition != "gone"]
-        self._answer(call, (self.version, whole, entries))
-
-    def _answer(self, call: DiscoveryCall, told: Any) -> None:
-        answer, call.answer = call.answer, None
-        if answer is None:
-            return
-        if told is not None:
-            self._note_told(call.dispatcher, told[1], told[2])
-        answer(told)
-
-    def _note_told(self, dispatcher: int, whole: bool, entries: list[EndpointEntry]) -> None:
-        """What a dispatcher knows from now on: rules three and four count from here."""
-        now = self.clock.now()
-        conditions = {e.worker: e.condition for e in entries}
-        if whole:
+        update = self._update_since(call.version)
+        if not call.is_answered:
+            self._record_notified(call.dispatcher, update)
+        call.answer(update)
+
+    def _update_since(self, version: int | None) -> EndpointUpdate:
+        if version is None:
+            entries = [entry for entry in self.entries.values() if entry.condition != "gone"]
+            return EndpointUpdate(self.version, True, entries)
+        entries = [entry for entry in self.entries.values() if self._changed_in[entry.worker] > version]
+        return EndpointUpdate(self.version, False, entries)
+
+    def _record_notified(self, dispatcher: int, update: EndpointUpdate) -> None:
+        """Record what the dispatcher knows from now on."""
+        conditions = {entry.worker: entry.condition for entry in update.entries}
+        if update.is_complete:
             conditions = {**dict.fromkeys(self.entries, "gone"), **conditions}
+        now = self.clock.now()
         for worker, condition in conditions.items():
-            self.records.add(
+            self.event_log.add(
                 Event(
                     now,
                     event_records.ENDPOINT_NOTIFIED,
--- a/ploverspoke/testbed/models/event_records.py
+++ b/ploverspoke/testbed/models/event_records.py
@@ -68,7 +68,7 @@
     """Detail of ATTEMPT_ENDED."""
 
     serial: int
-    end: ExecutionEnd
+    end: str  # the value of an ExecutionEnd
 
 
 class WorkerOverloaded(NamedTuple):
--- /dev/null
+++ b/ploverspoke/testbed/models/execution.py
@@ -0,0 +1,106 @@
+"""The execution of one attempt at a worker."""
+
+from typing import Protocol
+
+from .event_records import ExecutionEnd
+from .request_schedule import ScheduledRequest
+from .shared_store import Fetch
+from .virtual_clock import TimerHandle
+
+
+class ExecutionListener(Protocol):
+    """Receives what the worker sends about an execution."""
+
+    def run_started(self, run: "Execution") -> None:
+        """The execution has started."""
+
+    def run_progressed(self, run: "Execution", share: float) -> None:
+        """That share of its work is done."""
+
+    def run_ended(self, run: "Execution", end: ExecutionEnd) -> None:
+        """It has ended; called at most once, and not after a cancel."""
+
+
+class IgnoringListener:
+    """Drops what a worker sends on a connection that has fallen silent."""
+
+    def run_started(self, run: "Execution") -> None:
+        """Drop it."""
+
+    def run_progressed(self, run: "Execution", share: float) -> None:
+        """Drop it."""
+
+    def run_ended(self, run: "Execution", end: ExecutionEnd) -> None:
+        """Drop it."""
+
+
+class Execution:
+    """One attempt at a worker, from its arrival to its end."""
+
+    __slots__ = (
+        "completion_timer",
+        "dispatcher",
+        "duplicate_of",
+        "duplicates",
+        "fetch",
+        "has_started",
+        "idempotency_key",
+        "is_fetching",
+        "is_over",
+        "job",
+        "listener",
+        "progress_timer",
+        "rate",
+        "rate_since",
+        "remaining_work",
+        "request_id",
+        "serial",
+    )
+
+    def __init__(
+        self,
+        request_id: str,
+        job: ScheduledRequest,
+        dispatcher: int,
+        listener: ExecutionListener,
+        idempotency_key: str = "",
+    ) -> None:
+        """An empty idempotency key: duplicates are not recognized."""
+        self.request_id = request_id
+        self.job = job
+        self.dispatcher = dispatcher
+        self.listener = listener
+        self.idempotency_key = idempotency_key
+        self.serial = 0  # given by the worker on arrival
+        self.has_started = False
+        self.is_over = False
+        self.remaining_work = float(job.work)  # ns at speed 1, at the time rate_since
+        self.rate = 0.0
+        self.rate_since = 0
+        self.completion_timer: TimerHandle | None = None
+        self.progress_timer: TimerHandle | None = None
+        self.is_fetching = False
+        self.fetch: Fetch | None = None
+        self.duplicate_of: Execution | None = None
+        self.duplicates: list[Execution] = []  # that end as this one does
+
+    def change_rate(self, rate: float, now: int) -> None:
+        """Account for the work done so far and go on at another rate."""
+        if self.rate > 0:
+            done = (now - self.rate_since) * self.rate
+            self.remaining_work = max(0.0, self.remaining_work - done)
+        self.rate_since = now
+        self.rate = rate
+
+    def progress(self) -> float:
+        """Return the share of the work that was done when the rate last changed."""
+        return 0.0 if self.is_fetching else 1 - self.remaining_work / self.job.work
+
+    def cancel_timers(self) -> None:
+        """Stop work, progress reports and the fetch."""
+        for timer in (self.completion_timer, self.progress_timer):
+            if timer is not None:
+                timer.cancel()
+        if self.fetch is not None:
+            self.fetch.cancel()
+            self.fetch = None
--- a/ploverspoke/testbed/models/shared_store.py
+++ b/ploverspoke/testbed/models/shared_store.py
@@ -1,6 +1,4 @@
-"""The store that all workers share: so many fetches at once, the others wait; a jam makes each take
-longer.
-"""
+"""The store that all workers share: a limited number of concurrent fetches, the others wait in a queue."""
 
 from collections import deque
 from collections.abc import Callable
@@ -10,54 +8,61 @@
 from .random_streams import RandomStreams
 from .virtual_clock import Clock
 
-DRAWN = 4096
+SAMPLE_BLOCK = 4096  # fetch times drawn at once
 
 
 class Fetch:
-    __slots__ = ("done", "off", "what")
+    """One fetch, and the call that gets its result."""
 
-    def __init__(self, done: Callable[..., None], what: Any) -> None:
-        self.done = done
-        self.what = what
-        self.off = False
+    __slots__ = ("argument", "is_cancelled", "on_fetched")
+
+    def __init__(self, on_fetched: Callable[..., None], argument: Any) -> None:
+        """Call `on_fetched(argument)` at the end."""
+        self.on_fetched = on_fetched
+        self.argument = argument
+        self.is_cancelled = False
+
+    def cancel(self) -> None:
+        """Do not make the call; a fetch that has begun is finished all the same."""
+        self.is_cancelled = True
 
 
 class SharedStore:
-    def __init__(self, told: StoreOptions, clock: Clock, streams: RandomStreams) -> None:
-        self.told = told
+    """Fetches data for workers, each after a time from the store's distribution."""
+
+    def __init__(self, options: StoreOptions, clock: Clock, streams: RandomStreams) -> None:
+        """Draw fetch times from the stream "store"."""
+        self.options = options
         self.clock = clock
-        self.generator = streams.generator("store")
-        self.drawn: list[float] = []
-        self.at_work = 0
-        self.waiting: deque[Fetch] = deque()
-        self.jams: dict[int, float] = {}  # factor, by the trouble's number
-
-    def fetch(self, done: Callable[..., None], what: Any) -> Fetch:
-        fetch = Fetch(done, what)
-        if self.at_work < self.told.max_concurrent:
-            self._begin(fetch)
+        self.slowdowns: dict[int, float] = {}  # fault number -> factor
+        self._generator = streams.generator("store")
+        self._fetch_times: list[float] = []
+        self._active_count = 0
+        self._queue: deque[Fetch] = deque()
+
+    def fetch(self, on_fetched: Callable[..., None], argument: Any) -> Fetch:
+        """Fetch now or when a slot is free, then call `on_fetched(argument)`."""
+        fetch = Fetch(on_fetched, argument)
+        if self._active_count < self.options.max_concurrent:
+            self._start(fetch)
         else:
-            self.waiting.append(fetch)
+            self._queue.append(fetch)
         return fetch
 
-    def call_off(self, fetch: Fetch) -> None:
-        """Nobody waits for it; one that is at work is worked through all the same."""
-        fetch.off = True
-
-    def _begin(self, fetch: Fetch) -> None:
-        self.at_work += 1
-        if not self.drawn:
-            self.drawn = self.told.fetch_time.sample(self.generator, DRAWN).tolist()
-        takes = self.drawn.pop()
-        for factor in self.jams.values():
-            takes *= factor
-        self.clock.at(self.clock.now() + int(takes), self._over, fetch)
-
-    def _over(self, fetch: Fetch) -> None:
-        self.at_work -= 1
-        while self.waiting and self.at_work < self.told.max_concurrent:
-            following = self.waiting.popleft()
-            if not following.off:
-                self._begin(following)
-        if not fetch.off:
-            fetch.done(fetch.what)
+    def _start(self, fetch: Fetch) -> None:
+        self._active_count += 1
+        if not self._fetch_times:
+            self._fetch_times = self.options.fetch_time.sample(self._generator, SAMPLE_BLOCK).tolist()
+        duration = self._fetch_times.pop()
+        for factor in self.slowdowns.values():
+            duration *= factor
+        self.clock.call_at(self.clock.now() + int(duration), self._finish, fetch)
+
+    def _finish(self, fetch: Fetch) -> None:
+        self._active_count -= 1
+        while self._queue and self._active_count < self.options.max_concurrent:
+            next_fetch = self._queue.popleft()
+            if not next_fetch.is_cancelled:
+                self._start(next_fetch)
+        if not fetch.is_cancelled:
+            fetch.on_fetched(fetch.argument)
--- /dev/null
+++ b/ploverspoke/testbed/models/virtual_attempt.py
@@ -0,0 +1,241 @@
+"""Attempts of a virtual dispatcher and the connections that carry them."""
+
+from collections.abc import Callable
+from typing import Any, Protocol
+
+from ploverspoke.decisions.interface import ANSWERS, AttemptOutcome
+
+from . import event_records
+from .clients import ClientRequest
+from .connection_faults import ARRIVAL_PROBABILITY, MAX_RESET_DELAY
+from .event_records import Event, ExecutionEnd
+from .execution import Execution, IgnoringListener
+from .random_streams import RandomDraws
+from .virtual_clock import TimerHandle
+from .virtual_environment import VirtualEnvironment
+from .worker import Worker
+
+OUTCOMES = {
+    ExecutionEnd.DONE: AttemptOutcome.SUCCEEDED,
+    ExecutionEnd.FAILED: AttemptOutcome.WORKER_ERROR,
+    ExecutionEnd.RETURNED: AttemptOutcome.FULL,
+    ExecutionEnd.LOST: AttemptOutcome.BROKEN_OFF,
+}
+
+
+class AcceptedRequest:
+    """A request that a dispatcher has accepted."""
+
+    __slots__ = ("attempts", "client_request", "is_answered", "number", "request_class")
+
+    def __init__(self, number: int, request_class: int, client_request: ClientRequest) -> None:
+        """The number and the class's number are those of this dispatcher."""
+        self.number = number
+        self.request_class = request_class
+        self.client_request = client_request
+        self.attempts: list[VirtualAttempt | None] = []  # None: its end was reported
+        self.is_answered = False
+
+
+class AttemptListener(Protocol):
+    """The dispatcher that made the attempts."""
+
+    def attempt_started(self, attempt: "VirtualAttempt") -> None:
+        """The worker says that it has started."""
+
+    def attempt_progressed(self, attempt: "VirtualAttempt", share: float) -> None:
+        """The worker says what share of the work is done."""
+
+    def attempt_ended(self, attempt: "VirtualAttempt", outcome: AttemptOutcome) -> None:
+        """It has ended, or its connection has."""
+
+
+class VirtualAttempt:
+    """One attempt from the choice of the worker to its end; hears what the worker sends."""
+
+    __slots__ = (
+        "connections",
+        "execution",
+        "has_reached_worker",
+        "index",
+        "is_open",
+        "request",
+        "sent_at",
+        "timers",
+        "worker",
+    )
+
+    def __init__(self, connections: "AttemptConnections", request: AcceptedRequest, worker: Worker) -> None:
+        """Add it to the attempts of the request."""
+        self.connections = connections
+        self.request = request
+        self.index = len(request.attempts)
+        request.attempts.append(self)
+        self.worker = worker
+        self.sent_at = connections.clock.time
+        self.is_open = True
+        self.has_reached_worker = False
+        self.execution: Execution | None = None
+        self.timers: list[TimerHandle] = []
+
+    def run_started(self, run: Execution) -> None:
+        """Tell the dispatcher one latency later."""
+        self._send_back(self.connections.listener.attempt_started, self)
+
+    def run_progressed(self, run: Execution, share: float) -> None:
+        """Tell the dispatcher one latency later."""
+        self._send_back(self.connections.listener.attempt_progressed, self, share)
+
+    def run_ended(self, run: Execution, end: ExecutionEnd) -> None:
+        """Tell the dispatcher one latency later."""
+        self._send_back(self.connections.listener.attempt_ended, self, OUTCOMES[end])
+
+    def _send_back(self, call: Callable[..., None], *args: Any) -> None:
+        connections = self.connections
+        if self.is_open and not connections.is_cut(self.worker):
+            connections.clock.call_at(connections.clock.time + connections.one_way(self.worker), call, *args)
+
+    def cancel_timers(self) -> None:
+        """Stop its timeout and what is under way."""
+        for timer in self.timers:
+            timer.cancel()
+
+
+class AttemptConnections:
+    """The connections of one dispatcher to workers."""
+
+    def __init__(
+        self,
+        environment: VirtualEnvironment,
+        number: int,
+        zone: int,
+        draws: RandomDraws,
+        listener: AttemptListener,
+    ) -> None:
+        """The number and the zone are those of the dispatcher."""
+        self.environment = environment
+        self.clock = environment.clock
+        self.number = number
+        self.zone = zone
+        self.draws = draws
+        self.listener = listener
+        self._idle_counts: dict[str, int] = {}  # by worker
+
+    def one_way(self, worker: Worker) -> int:
+        """Return the latency to a worker, in ns."""
+        return self.environment.network.one_way(self.zone, worker.zone)
+
+    def is_cut(self, worker: Worker) -> bool:
+        """Whether nothing passes between the dispatcher and a worker."""
+        return self.environment.network.is_cut(self.zone, worker.zone)
+
+    def drop_idle(self, worker: str) -> None:
+        """A worker has died, and its idle connections with it."""
+        self._idle_counts.pop(worker, None)
+
+    # ---- Start of an attempt ----
+
+    def start(self, request: AcceptedRequest, worker: Worker, timeout: int) -> None:
+        """Send a request on an idle connection, else on a new one."""
+        attempt = VirtualAttempt(self, request, worker)
+        self._end_after(attempt, timeout, AttemptOutcome.TIMED_OUT)
+        if self._idle_counts.get(worker.name, 0) > 0:
+            self._idle_counts[worker.name] -= 1
+            self._send_on_idle_connection(attempt)
+        else:
+            self._connect(attempt)
+
+    def _send_on_idle_connection(self, attempt: VirtualAttempt) -> None:
+        latency = self.one_way(attempt.worker)
+        idle_drops = self.environment.connection_faults.idle_drops
+        if idle_drops.strikes(attempt.worker.name, self.draws):
+            self._end_after(attempt, 2 * latency, AttemptOutcome.BROKEN_OFF)
+        elif not self.is_cut(attempt.worker):
+            self._arrive_after(attempt, latency)
+
+    def _connect(self, attempt: VirtualAttempt) -> None:
+        latency = self.one_way(attempt.worker)
+        if self.is_cut(attempt.worker) or attempt.worker.is_hung:
+            timeout = self.environment.network.connect_timeout
+            self._end_after(attempt, timeout, AttemptOutcome.UNREACHABLE)
+        elif not attempt.worker.is_up:
+            self._end_after(attempt, 2 * latency, AttemptOutcome.UNREACHABLE)
+        else:
+            self._arrive_after(attempt, 3 * latency)
+
+    def _end_after(self, attempt: VirtualAttempt, delay: int, outcome: AttemptOutcome) -> None:
+        end_at = self.clock.time + delay
+        attempt.timers.append(self.clock.call_at(end_at, self.listener.attempt_ended, attempt, outcome))
+
+    def _arrive_after(self, attempt: VirtualAttempt, delay: int) -> None:
+        attempt.timers.append(self.clock.call_at(self.clock.time + delay, self._arrive, attempt))
+
+    def _arrive(self, attempt: VirtualAttempt) -> None:
+        worker = attempt.worker
+        if not attempt.is_open or self.is_cut(worker):
+            return
+        if not worker.is_up:
+            self.listener.attempt_ended(attempt, AttemptOutcome.UNREACHABLE)
+            return
+        attempt.has_reached_worker = True
+        request = attempt.request.client_request
+        execution = Execution(request.id, request.job, self.number, attempt, request.idempotency_key)
+        attempt.execution = execution
+        faults = self.environment.connection_faults
+        if faults.silences.strikes(worker.name, self.draws):
+            execution.listener = IgnoringListener()
+            if self.draws.happens(ARRIVAL_PROBABILITY):
+                return
+        elif faults.resets.strikes(worker.name, self.draws):
+            reset_at = self.clock.time + int(self.draws.fraction() * MAX_RESET_DELAY)
+            attempt.timers.append(self.clock.call_at(reset_at, self._reset, attempt))
+        worker.accept(execution)
+
+    def _reset(self, attempt: VirtualAttempt) -> None:
+        if attempt.is_open:
+            self._cancel_at_worker(attempt)
+            self.listener.attempt_ended(attempt, AttemptOutcome.BROKEN_OFF)
+
+    # ---- End of an attempt ----
+
+    def end(self, attempt: VirtualAttempt, outcome: AttemptOutcome) -> None:
+        """Keep the connection for the next attempt after an answer, else close it."""
+        if outcome not in ANSWERS:
+            self.close(attempt)
+            return
+        worker = attempt.worker.name
+        self._idle_counts[worker] = self._idle_counts.get(worker, 0) + 1
+        attempt.is_open = False
+        attempt.cancel_timers()
+
+    def close(self, attempt: VirtualAttempt) -> None:
+        """Close the connection; the worker notices one latency later."""
+        if attempt.is_open:
+            attempt.is_open = False
+            attempt.cancel_timers()
+            self._cancel_at_worker(attempt)
+
+    def _cancel_at_worker(self, attempt: VirtualAttempt) -> None:
+        execution, worker = attempt.execution, attempt.worker
+        if execution is None:
+            return
+        self.environment.context.event_log.add(
+            Event(
+                self.clock.time,
+                event_records.ATTEMPT_CLOSED,
+                execution.request_id,
+                execution.job.number,
+                self.number,
+                worker.name,
+                execution.serial,
+            )
+        )
+        # A worker behind a partition does not notice.
+        if not self.is_cut(worker):
+            cancel_at = self.clock.time + self.one_way(worker)
+            self.clock.call_at(cancel_at, _cancel_if_up, execution, worker)
+
+
+def _cancel_if_up(execution: Execution, worker: Worker) -> None:
+    if worker.is_up:
+        worker.cancel(execution)
--- a/ploverspoke/testbed/models/virtual_clock.py
+++ b/ploverspoke/testbed/models/virtual_clock.py
@@ -1,60 +1,68 @@
-"""Virtual time: one ordered heap of what is to happen. Equal times keep the order in which they were set."""
+"""Virtual time: a heap of scheduled calls; those of the same time run in the order of scheduling."""
 
 from collections.abc import Callable
 from heapq import heappop, heappush
 from typing import Any, Protocol
 
 
-class Timer:
-    """A call to come. Calling it off leaves a hull in the heap, passed over when its time comes."""
+class TimerHandle(Protocol):
+    """A scheduled call."""
 
-    __slots__ = ("call", "what")
+    def cancel(self) -> None:
+        """Do not make the call; without effect once it was made."""
 
-    def __init__(self, call: Callable[..., None], what: tuple[Any, ...]) -> None:
-        self.call: Callable[..., None] | None = call
-        self.what = what
 
-    def call_off(self) -> None:
-        self.call = None
-        self.what = ()
+class Clock(Protocol):
+    """The clock of the models; times are ns from the start of the run."""
 
+    def now(self) -> int:
+        """Return the present time."""
 
-class AnyTimer(Protocol):
-    def call_off(self) -> None: ...
+    def call_at(self, when: int, call: Callable[..., None], *args: Any) -> TimerHandle:
+        """Make the call at that time, or right after the present event where it is past."""
 
 
-class Clock(Protocol):
-    """What the models are handed; nanoseconds from the start of the run."""
+class VirtualTimer:
+    """A call in the heap; a cancelled one stays there and is skipped when its time comes."""
 
-    def now(self) -> int: ...
+    __slots__ = ("args", "call")
 
-    def at(self, when: int, call: Callable[..., None], *what: Any) -> AnyTimer:
-        """Make the call at that time, or at once after this event where it is past; never from in here."""
+    def __init__(self, call: Callable[..., None], args: tuple[Any, ...]) -> None:
+        """Keep the call and its arguments."""
+        self.call: Callable[..., None] | None = call
+        self.args = args
+
+    def cancel(self) -> None:
+        """Do not make the call."""
+        self.call = None
+        self.args = ()
 
 
 class VirtualClock:
+    """A clock that stands still during a call and then moves on to the next one."""
+
     def __init__(self) -> None:
+        """Start at 0."""
         self.time = 0
-        self.serial = 0
-        self.heap: list[tuple[int, int, Timer]] = []
-        self.made = 0  # calls
+        self._sequence_number = 0
+        self._heap: list[tuple[int, int, VirtualTimer]] = []
 
     def now(self) -> int:
+        """Return the present time."""
         return self.time
 
-    def at(self, when: int, call: Callable[..., None], *what: Any) -> Timer:
-        timer = Timer(call, what)
-        self.serial += 1
-        heappush(self.heap, (when if when > self.time else self.time, self.serial, timer))
+    def call_at(self, when: int, call: Callable[..., None], *args: Any) -> VirtualTimer:
+        """Make the call at that time, or right after the present event where it is past."""
+        timer = VirtualTimer(call, args)
+        self._sequence_number += 1
+        heappush(self._heap, (max(when, self.time), self._sequence_number, timer))
         return timer
 
     def run(self, until: int) -> None:
         """Make all calls up to and at that time, in order."""
-        heap = self.heap
+        heap = self._heap
         while heap and heap[0][0] <= until:
             self.time, _, timer = heappop(heap)
-            call = timer.call
-            if call is not None:
-                self.made += 1
-                call(*timer.what)
+            if timer.call is not None:
+                timer.call(*timer.args)
         self.time = max(self.time, until)
--- /dev/null
+++ b/ploverspoke/testbed/models/virtual_network.py
@@ -0,0 +1,26 @@
+"""The network of a virtual run: latencies between zones, and partitions."""
+
+from ..experiment_files.experiment import Experiment
+from .connection_faults import NetworkPartitions
+from .virtual_clock import Clock
+
+
+class VirtualNetwork:
+    """Latencies in ns, one way."""
+
+    def __init__(self, experiment: Experiment, clock: Clock) -> None:
+        """Schedule the partitions of the experiment."""
+        zones = range(len(experiment.zones()))
+        self.partitions = NetworkPartitions(experiment, clock)
+        self.client_latency: int = experiment.network.client_to_dispatcher
+        self.discovery_latency: int = experiment.network.same_zone
+        self.connect_timeout: int = experiment.network.connect_timeout
+        self._latency = [[experiment.one_way(zone, other) for other in zones] for zone in zones]
+
+    def one_way(self, zone: int, other: int) -> int:
+        """Return the latency between two zones."""
+        return self._latency[zone][other]
+
+    def is_cut(self, zone: int, other: int) -> bool:
+        """Whether nothing passes between two zones at present."""
+        return self.partitions.separates(zone, other)
--- a/ploverspoke/testbed/models/worker_fleet.py
+++ b/ploverspoke/testbed/models/worker_fleet.py
@@ -1,59 +1,50 @@
 """The workers of a run with what they share, for either driver."""
 
-from collections.abc import Callable
-
-from ..experiment_files.durations import MILLISECOND
-from ..experiment_files.experiment import Experiment
 from ..experiment_files.tables import Idempotency
-from .event_records import EventLog
-from .random_streams import RandomStreams
+from .duplicate_filter import DuplicateFilter
+from .run_context import RunContext
 from .shared_store import SharedStore
-from .virtual_clock import Clock
-from .worker import Execution, Rack, Worker
-
-RESET_WITHIN = 50 * MILLISECOND  # a connection that is to break does so at a random time in here
-
-
-class IgnoringListener:
-    """Hears what a worker tells on a connection that has fallen silent."""
-
-    def run_started(self, run: Execution) -> None: ...
-
-    def run_progressed(self, run: Execution, share: float) -> None: ...
+from .worker import Worker
 
-    def run_ended(self, run: Execution, how: str) -> None: ...
+FIRST_OWN_RACK = 1000  # racks of workers for which none is given are numbered from here
 
 
-def racks_of(e: Experiment, clock: Clock) -> Callable[[int, int], dict[int, Rack]]:
-    """Gives a worker of that zone and rack what it shares with others to drop repeats, by labelled grade."""
-    known: dict[tuple[int, str, int], Rack] = {}
+class DuplicateFilters:
+    """The duplicate filters of a fleet, each shared by the workers of one retry scope."""
 
-    def racks(zone: int, rack: int) -> dict[int, Rack]:
-        found = {}
-        for number, grade in enumerate(e.request_classes):
-            if grade.idempotency is Idempotency.IDEMPOTENT_WITH_KEY:
-                key = (number, grade.retry_scope, {"all": 0, "zone": zone, "rack": rack}[grade.retry_scope])
-                found[number] = known.setdefault(key, Rack(clock))
-        return found
+    def __init__(self, context: RunContext) -> None:
+        """Create filters when they are first asked for."""
+        self.context = context
+        self._filters: dict[tuple[int, int], DuplicateFilter] = {}  # by request class and group of workers
 
-    return racks
+    def of_worker(self, zone: int, rack: int) -> dict[int, DuplicateFilter]:
+        """Return a worker's filters by request class, of those that are idempotent with a key."""
+        filters: dict[int, DuplicateFilter] = {}
+        for number, request_class in enumerate(self.context.experiment.request_classes):
+            if request_class.idempotency is Idempotency.IDEMPOTENT_WITH_KEY:
+                group = {"all": 0, "zone": zone, "rack": rack}[request_class.retry_scope]
+                new_filter = DuplicateFilter(self.context.clock)
+                filters[number] = self._filters.setdefault((number, group), new_filter)
+        return filters
 
 
 class WorkerFleet:
-    """Workers and their store."""
+    """All workers and their store."""
 
-    def __init__(self, e: Experiment, seed: int, clock: Clock, seen: EventLog) -> None:
-        streams = RandomStreams(seed)
+    def __init__(self, context: RunContext) -> None:
+        """Create the workers of the experiment, named w0, w1 and so on."""
+        experiment = context.experiment
         self.workers: dict[str, Worker] = {}
         self.rack_of: dict[str, int] = {}
-        self.store = SharedStore(e.store, clock, streams) if e.store is not None else None
-        racks = racks_of(e, clock)
-        for told in e.workers:
-            for _ in range(told.count):
+        self.store: SharedStore | None = None
+        if experiment.store is not None:
+            self.store = SharedStore(experiment.store, context.clock, context.streams())
+        filters = DuplicateFilters(context)
+        for group in experiment.workers:
+            zone = experiment.zones().index(group.zone)
+            for _ in range(group.count):
                 number = len(self.workers)
                 name = f"w{number}"
-                rack = self.rack_of[name] = number + 1000 if told.rack is None else told.rack
-                shared = racks(e.zones().index(told.zone), rack)
-                worker = Worker(name, told, e, clock, seen, shared, streams.draws(f"worker {name}"))
-                worker.store = self.store
-                self.workers[name] = worker
+                rack = FIRST_OWN_RACK + number if group.rack is None else group.rack
+                self.rack_of[name] = rack
+                self.workers[name] = Worker(name, group, context, filters.of_worker(zone, rack), self.store)
--- a/ploverspoke/testbed/scenarios/dispatcher_bench.py
+++ b/ploverspoke/testbed/scenarios/dispatcher_bench.py
@@ -259,7 +259,7 @@
                 Timed.spent = Timed.host_spent = 0.0
                 world = VirtualRun(e, seed, "timed")
                 world.run()
-                costs.append(Timed.spent / max(1, world.clients.next) * 1e6)
+                costs.append(Timed.spent / max(1, world.clients.sent_count) * 1e6)
             rows.append({"workers": workers, "us_each": median(costs)})
             say(f"{workers} workers: {median(costs):.0f} us of decisions for each submission")
     finally:
--- a/tests/routing/test_acceptance_rules.py
+++ b/tests/routing/test_acceptance_rules.py
@@ -196,7 +196,7 @@
 def test_thirty_dispatchers_do_not_overload_a_worker_that_warms_up(
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(Worker, "_tips", lambda *_: False)  # else it fails before the count is complete
+    monkeypatch.setattr(Worker, "_is_overloaded_by", lambda *_: False)  # else it fails before all starts
     over, got = max_excess_starts("ours", seed)
     assert over <= 0 and got > 20
     assert max_excess_starts("two choices", seed)[0] > 0, "a policy without slow start exceeds it"
--- a/tests/test_lint_exceptions.py
+++ b/tests/test_lint_exceptions.py
@@ -11,7 +11,6 @@
 # Packages that do not keep all rules yet. A package leaves this list for good once it keeps them.
 LEFT = {
     "ploverspoke/testbed/checkers/**",
-    "ploverspoke/testbed/models/**",
     "ploverspoke/testbed/scale/**",
     "ploverspoke/testbed/scenarios/**",
 }
--- a/tests/testbed/checkers/test_request_audit.py
+++ b/tests/testbed/checkers/test_request_audit.py
@@ -9,7 +9,7 @@
 from ploverspoke.decisions.interface import AttemptOutcome, AttemptResult, Endpoint, EndpointCondition
 from ploverspoke.decisions.settings import Idempotency, Settings
 from ploverspoke.testbed.checkers.request_audit import VIRTUAL_TOLERANCE, Finding, audit_requests
-from ploverspoke.testbed.models.baseline_policies import POLICIES, Open, TwoChoices
+from ploverspoke.testbed.models.baseline_policies import POLICIES, OpenRequest, TwoChoices
 from ploverspoke.testbed.models.event_records import Event
 from ploverspoke.testbed.models.virtual_run import run_virtual_time
 from tests.testbed.harness import MILLISECOND, small_experiment
@@ -22,8 +22,8 @@
 class AnswersTwice(TwoChoices):
     def request_arrived(self, request_id: int, *what: Any) -> None:
         if request_id % 40 == 0:
-            request = self.host.taken[request_id].request  # type: ignore[attr-defined]
-            self.host.world.answer(request, "nacked", 0)  # type: ignore[attr-defined]
+            request = self.actions.requests[request_id].client_request  # type: ignore[attr-defined]
+            self.actions.environment.answer_client(request, "nacked", 0)  # type: ignore[attr-defined]
         super().request_arrived(request_id, *what)
 
 
@@ -43,25 +43,28 @@
 
 
 class SendsAfterDrain(TwoChoices):
-    def endpoint_list_received(self, listings: Iterable[Endpoint]) -> None:
-        self.endpoints_changed(listings)
+    def endpoint_list_received(self, endpoints: Iterable[Endpoint]) -> None:
+        self.endpoints_changed(endpoints)
 
-    def endpoints_changed(self, listings: Iterable[Endpoint]) -> None:
-        super().endpoints_changed(shown._replace(condition=EndpointCondition.READY) for shown in listings)
+    def endpoints_changed(self, endpoints: Iterable[Endpoint]) -> None:
+        super().endpoints_changed(
+            endpoint._replace(condition=EndpointCondition.READY) for endpoint in endpoints
+        )
 
 
 class TipsTheCold(TwoChoices):
     """Everything goes to the freshest worker."""
 
-    def choose(self, among: list[str]) -> str:
-        return max(among, key=lambda w: self.workers[w].started_at)
+    def choose(self, candidates: list[str]) -> str:
+        return max(candidates, key=lambda worker: self.workers[worker].started_at)
 
 
 class TwoAtOnce(TwoChoices):
-    def send(self, job: Open) -> None:
-        super().send(job)
-        if job.id % 50 == 0 and job.grade == 0 and job.id in self.open and job.hand_offs == 1:
-            super().send(job)
+    def send(self, request: OpenRequest) -> None:
+        super().send(request)
+        is_chosen = request.id % 50 == 0 and request.request_class == 0
+        if is_chosen and request.id in self.open and request.attempt_count == 1:
+            super().send(request)
 
 
 def with_each_class(settings: Settings, **changes: Any) -> Settings:
@@ -71,21 +74,21 @@
 class NeverStops(TwoChoices):
     """Sends on and on, whatever it is allowed."""
 
-    def send(self, job: Open) -> None:
+    def send(self, request: OpenRequest) -> None:
         self.settings = with_each_class(self.settings, max_attempts=99)
-        super().send(job)
+        super().send(request)
 
 
 class KeepsItsAttempts(TwoChoices):
     """Takes new settings, but not how often it may send."""
 
-    def settings_changed(self, settings: Settings, takes_over: Mapping[int, int]) -> None:
-        super().settings_changed(with_each_class(settings, max_attempts=6), takes_over)
+    def settings_changed(self, settings: Settings, predecessors: Mapping[int, int]) -> None:
+        super().settings_changed(with_each_class(settings, max_attempts=6), predecessors)
 
 
 class KeepsItsRepeats(TwoChoices):
-    def settings_changed(self, settings: Settings, takes_over: Mapping[int, int]) -> None:
-        super().settings_changed(with_each_class(settings, idempotency=Idempotency.IDEMPOTENT), takes_over)
+    def settings_changed(self, settings: Settings, predecessors: Mapping[int, int]) -> None:
+        super().settings_changed(with_each_class(settings, idempotency=Idempotency.IDEMPOTENT), predecessors)
 
 
 EVERYWHERE = {**ERRORS, "workers": ["w0", "w1", "w2", "w3"], "errors": 0.7}
