--- a/ploverspoke/testbed/capacity/measurements/store_replica.py
+++ b/ploverspoke/testbed/capacity/measurements/store_replica.py
@@ -175,7 +175,7 @@
         absent = (leader + 1) % len(fleet.programs)
         name = f"d{absent}"
         lasts = Duration(int(self._seconds * SECOND))
-        step = FaultStep(at=Duration(0), what="kill", who=[name], lasts=lasts)
+        step = FaultStep(start=Duration(0), kind="kill", processes=[name], duration=lasts)
         await fleet.rig.timeline.apply_to_process(step, name)  # returns once it is back and ready
         began = time.monotonic()
         goal = (await _read_status(fleet, leader))["committed"]
