--- a/ploverspoke/testbed/experiment_files/tables.py
+++ b/ploverspoke/testbed/experiment_files/tables.py
@@ -18,6 +18,20 @@
     NON_IDEMPOTENT = "irreversible"
 
 
+class QueueOrder(Enum):
+    """Which waiting requests a worker starts when slots are free."""
+
+    FIFO = "in order"
+    FIRST_FIT = "any that fits"
+
+
+class RetryTiming(Enum):
+    """When clients retry."""
+
+    IMMEDIATE = "at once"
+    BACKOFF = "after a wait"
+
+
 class RequestClass(
     ExperimentTable,
     frozen=True,
@@ -95,7 +109,7 @@
 ):
     """Behavior of all workers (`[worker_rules]`)."""
 
-    queue_order: Literal["in order", "any that fits"] = "in order"
+    queue_order: QueueOrder = QueueOrder.FIFO
     cancel_stops_work: bool = True
     reports_start: bool = True
     progress_interval: Duration = Duration(SECOND)
@@ -217,7 +231,7 @@
     """Retries and patience of clients (`[clients]`)."""
 
     max_attempts: int = 3
-    retry_timing: Literal["at once", "after a wait"] = "after a wait"
+    retry_timing: RetryTiming = RetryTiming.BACKOFF
     retry_backoff: Distribution = Exponential(mean=Duration(200 * MILLISECOND))
     honors_retry_after: bool = True
     failover_timeout: Duration = Duration(0)  # after which another replica is asked; 0: never
--- a/ploverspoke/testbed/fakes/discovery_server.py
+++ b/ploverspoke/testbed/fakes/discovery_server.py
@@ -12,6 +12,7 @@
 from ..models.connection_faults import NetworkPartitions
 from ..models.discovery import DiscoveryCall, DiscoveryModel, EndpointEntry, EndpointUpdate
 from ..models.discovery_faults import DiscoveryFaults
+from ..models.event_records import EndpointStatus
 from ..models.random_streams import RandomStreams
 from ..models.worker_fleet import WorkerFleet
 from ..processes.pipe_messages import send_message
@@ -33,7 +34,11 @@
 from .fake_process import FakeProcess
 from .http_wire import HttpMessage, HttpReader, HttpSyntaxError, encode_response
 
-STATES = {"ready": "Ready", "draining": "Terminating", "gone": "Gone"}  # by the model's conditions
+STATES = {
+    EndpointStatus.READY: "Ready",
+    EndpointStatus.DRAINING: "Terminating",
+    EndpointStatus.GONE: "Gone",
+}
 MAX_HOLD_MS = 60_000
 EXTRA_BACKLOG = 64
 
@@ -111,7 +116,9 @@
         self.model = DiscoveryModel(self.experiment.discovery, self.clock, self.records, draws)
         fleet = WorkerFleet(self.context)
         for name, worker in fleet.workers.items():
-            self.model.add(EndpointEntry(name, worker.zone, worker.kind, fleet.rack_of[name], "ready", 0))
+            self.model.add(
+                EndpointEntry(name, worker.zone, worker.kind, fleet.rack_of[name], EndpointStatus.READY, 0)
+            )
         self.addresses: dict[str, str] = {}
         self.zones, self.kinds = self.experiment.zones(), self.experiment.kinds()
         self.dispatchers = {host: number for number, host in enumerate(spec.hosts)}
--- a/ploverspoke/testbed/models/clients.py
+++ b/ploverspoke/testbed/models/clients.py
@@ -9,7 +9,7 @@
 from typing import Protocol
 
 from ..experiment_files.durations import MILLISECOND
-from ..experiment_files.tables import Idempotency
+from ..experiment_files.tables import Idempotency, RetryTiming
 from . import event_records
 from .event_records import Event, RequestSent
 from .request_schedule import ScheduledRequest
@@ -185,7 +185,7 @@
         if request.attempt + 1 >= self.options.max_attempts:
             return
         wait = 0.0
-        if not at_once and self.options.retry_timing == "after a wait":
+        if not at_once and self.options.retry_timing is RetryTiming.BACKOFF:
             wait = float(self.options.retry_backoff.sample(self.backoff_generator, 1)[0])
             if self.options.honors_retry_after:
                 wait = max(wait, retry_after * self.draws.fraction())
--- a/ploverspoke/testbed/models/discovery.py
+++ b/ploverspoke/testbed/models/discovery.py
@@ -5,7 +5,7 @@
 
 from ..experiment_files.tables import DiscoveryOptions
 from . import event_records
-from .event_records import Event, EventLog
+from .event_records import EndpointStatus, Event, EventLog
 from .random_streams import RandomDraws
 from .virtual_clock import Clock
 
@@ -17,7 +17,7 @@
     zone: int
     kind: int
     rack: int
-    condition: str  # "ready", "draining" or "gone"
+    condition: EndpointStatus
     started_at: int  # ns from the start of the run; 0: long before
 
 
@@ -76,7 +76,7 @@
         self.entries[entry.worker] = entry
         self._changed_in[entry.worker] = self.version
 
-    def update(self, worker: str, condition: str, started_at: int | None = None) -> None:
+    def update(self, worker: str, condition: EndpointStatus, started_at: int | None = None) -> None:
         """Change a worker's condition; each watch is answered after a random delay."""
         entry = self.entries[worker]
         if started_at is None:
@@ -132,7 +132,7 @@
 
     def _update_since(self, version: int | None) -> EndpointUpdate:
         if version is None:
-            entries = [entry for entry in self.entries.values() if entry.condition != "gone"]
+            entries = [entry for entry in self.entries.values() if entry.condition is not EndpointStatus.GONE]
             return EndpointUpdate(self.version, True, entries)
         entries = [entry for entry in self.entries.values() if self._changed_in[entry.worker] > version]
         return EndpointUpdate(self.version, False, entries)
@@ -141,7 +141,7 @@
         """Record what the dispatcher knows from now on."""
         conditions = {entry.worker: entry.condition for entry in update.entries}
         if update.is_complete:
-            conditions = {**dict.fromkeys(self.entries, "gone"), **conditions}
+            conditions = {**dict.fromkeys(self.entries, EndpointStatus.GONE), **conditions}
         now = self.clock.now()
         for worker, condition in conditions.items():
             self.event_log.add(
--- a/ploverspoke/testbed/models/discovery_faults.py
+++ b/ploverspoke/testbed/models/discovery_faults.py
@@ -2,6 +2,7 @@
 
 from ..experiment_files.fault_tables import Crash, DiscoveryOutage, Drain
 from .discovery import DiscoveryModel
+from .event_records import EndpointStatus
 from .fault_targets import fault_targets
 from .run_context import RunContext
 
@@ -41,7 +42,7 @@
 
     def _drain(self, number: int, worker: str) -> None:
         self._down.setdefault(worker, set()).add(number)
-        self.discovery.update(worker, "draining")
+        self.discovery.update(worker, EndpointStatus.DRAINING)
 
     def _die(self, number: int, worker: str) -> None:
         self._down.setdefault(worker, set()).add(number)
@@ -49,9 +50,9 @@
 
     def _detect_death(self, number: int, worker: str) -> None:
         if number in self._down.get(worker, ()):
-            self.discovery.update(worker, "gone")
+            self.discovery.update(worker, EndpointStatus.GONE)
 
     def _return(self, number: int, worker: str) -> None:
         self._down[worker].discard(number)
         if not self._down[worker]:
-            self.discovery.update(worker, "ready", max(1, self.clock.now()))
+            self.discovery.update(worker, EndpointStatus.READY, max(1, self.clock.now()))
--- a/ploverspoke/testbed/models/duplicate_filter.py
+++ b/ploverspoke/testbed/models/duplicate_filter.py
@@ -7,6 +7,8 @@
 
 
 class _KnownExecution(NamedTuple):
+    """An execution and since when its key is known."""
+
     since: int
     execution: Execution
 
--- a/ploverspoke/testbed/models/event_records.py
+++ b/ploverspoke/testbed/models/event_records.py
@@ -28,9 +28,7 @@
 WORKER_DIED = "died"
 WORKER_STARTED = "up"
 # Events of discovery.
-ENDPOINT_NOTIFIED = (
-    "told"  # a dispatcher has received a worker's condition; detail: "ready", "draining", "gone"
-)
+ENDPOINT_NOTIFIED = "told"  # a dispatcher has received a worker's condition; detail: EndpointStatus
 # Events of the fault injection.
 DISPATCHER_KILLED = "dispatcher down"
 DISPATCHER_TERMINATING = "dispatcher leaves"  # SIGTERM
@@ -55,6 +53,14 @@
     DUPLICATE_DROPPED = "repeat dropped"
 
 
+class EndpointStatus(StrEnum):
+    """The condition of a worker as discovery lists it."""
+
+    READY = "ready"
+    DRAINING = "draining"
+    GONE = "gone"
+
+
 class RequestSent(NamedTuple):
     """Detail of REQUEST_SENT; times in ns from the start of the run."""
 
--- a/ploverspoke/testbed/models/executor.py
+++ b/ploverspoke/testbed/models/executor.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 from ..experiment_files.durations import MILLISECOND
-from ..experiment_files.tables import WorkerGroup
+from ..experiment_files.tables import QueueOrder, WorkerGroup
 from . import event_records
 from .duplicate_filter import DuplicateFilter
 from .event_records import AttemptEnded, Event, ExecutionEnd
@@ -109,7 +109,7 @@
     # ---- Start ----
 
     def _start_queued(self) -> None:
-        skips_large = self.options.queue_order == "any that fits"
+        skips_large = self.options.queue_order is QueueOrder.FIRST_FIT
         index = 0
         while index < len(self.queue):
             run = self.queue[index]
--- a/ploverspoke/testbed/models/load_reports.py
+++ b/ploverspoke/testbed/models/load_reports.py
@@ -14,6 +14,8 @@
 
 
 class _TimedSample(NamedTuple):
+    """A sample and when it was taken."""
+
     at: int
     sample: LoadSample
 
--- a/ploverspoke/testbed/models/overload_detector.py
+++ b/ploverspoke/testbed/models/overload_detector.py
@@ -7,6 +7,8 @@
 
 
 class _ArrivedWork(NamedTuple):
+    """Work of one request, in ns of one slot at speed 1."""
+
     at: int
     work: float
     dispatcher: int
--- a/ploverspoke/testbed/models/virtual_run.py
+++ b/ploverspoke/testbed/models/virtual_run.py
@@ -9,7 +9,7 @@
 from .connection_faults import ConnectionFaults
 from .discovery import DiscoveryModel, EndpointEntry, EndpointUpdate
 from .discovery_faults import DiscoveryFaults
-from .event_records import Event, EventLog
+from .event_records import EndpointStatus, Event, EventLog
 from .request_schedule import draw_schedule
 from .run_context import RunContext
 from .virtual_clock import VirtualClock
@@ -67,7 +67,7 @@
         discovery = DiscoveryModel(self.experiment.discovery, self.clock, self.event_log, draws)
         for name, worker in fleet.workers.items():
             rack = fleet.rack_of[name]
-            discovery.add(EndpointEntry(name, worker.zone, worker.kind, rack, "ready", 0))
+            discovery.add(EndpointEntry(name, worker.zone, worker.kind, rack, EndpointStatus.READY, 0))
         zone_count = len(self.experiment.zones())
         partitions = self.network.partitions
         discovery.is_unreachable = lambda number: not partitions.reaches_discovery(number % zone_count)
--- a/tests/testbed/models/test_models.py
+++ b/tests/testbed/models/test_models.py
@@ -43,8 +43,8 @@
 
 def one_worker(clock: VirtualClock, **changes: Any) -> Worker:
     rules = {k: changes.pop(k) for k in list(changes) if k in ("start", "cancel_stops_work", "report_age")}
-    e = small_experiment(worker_rules=rules)
-    return Worker("w0", WorkerGroup(count=1, **changes), RunContext(e, 1, clock, EventLog()), {})
+    context = RunContext(small_experiment(worker_rules=rules), 1, clock, EventLog())
+    return Worker("w0", WorkerGroup(count=1, **changes), context, {})
 
 
 def job(number: int, work: int, slots: float = 1.0) -> ScheduledRequest:
@@ -195,8 +195,8 @@
     assert worker.report().free_slots == 0.0
 
 
-def events_of(e: Experiment, seed: int, policy: str = "ours") -> str:
-    return "\n".join(map(str, run_virtual_time(e, seed, policy)))
+def events_of(experiment: Experiment, seed: int, policy: str = "ours") -> str:
+    return "\n".join(map(str, run_virtual_time(experiment, seed, policy)))
 
 
 FAULTS = [
@@ -208,14 +208,15 @@
 
 @pytest.mark.parametrize("policy", ["ours", "two choices"])
 def test_the_same_seed_gives_the_same_bytes(policy: str) -> None:
-    e = small_experiment(troubles=FAULTS, clients={"leave_early": 0.05})
-    assert events_of(e, 3, policy) == events_of(e, 3, policy) != events_of(e, 4, policy)
+    experiment = small_experiment(troubles=FAULTS, clients={"leave_early": 0.05})
+    first, second = events_of(experiment, 3, policy), events_of(experiment, 3, policy)
+    assert first == second != events_of(experiment, 4, policy)
 
 
 def test_thousands_of_arrivals_at_one_instant_stay_deterministic() -> None:
-    e = small_experiment(lasts="2s", traffic=[{"rate": 1000.0, "burst": 2000}])
-    assert len({j.due_at for j in draw_schedule(e, 5)}) < 10
-    assert events_of(e, 5) == events_of(e, 5)
+    experiment = small_experiment(lasts="2s", traffic=[{"rate": 1000.0, "burst": 2000}])
+    assert len({request.due_at for request in draw_schedule(experiment, 5)}) < 10
+    assert events_of(experiment, 5) == events_of(experiment, 5)
 
 
 def test_a_change_of_one_concern_shifts_no_other() -> None:
