--- a/ploverspoke/testbed/scenarios/distribution_scenario.py
+++ b/ploverspoke/testbed/scenarios/distribution_scenario.py
@@ -24,7 +24,14 @@
     check_distribution_history,
 )
 from ..experiment_files.durations import MILLISECOND, SECOND, Duration, format_duration, parse_duration
-from ..fakes.config_clients import ConfigClientsSpec, grades_of
+from ..fakes.config_client_messages import (
+    Action,
+    ConfigClientsCommand,
+    ConfigClientsOpened,
+    ConfigClientsReply,
+    ConfigClientsSpec,
+    request_classes_of,
+)
 from ..processes.addresses import ProcessAddress
 from ..processes.capacity_check import memory_backed_folder
 from ..processes.child_process import ChildProcess
@@ -286,7 +293,7 @@
                     "TipMultiple": 3.0,
                     "FallUs": 2_000_000,
                 },
-                "ServiceGrades": grades_of(0),
+                "ServiceGrades": request_classes_of(0),
             },
         }
         files = {"watch": watch, "own": own}
@@ -320,18 +327,18 @@
         path = rig.folder / "clients.json"
         path.write_bytes(msgspec.json.encode(spec))
         self.clients = await rig.start_child(f"{MODULE}.config_clients", [str(path)])
-        told = await self.clients.receive()
-        if told is None:
+        opened = await self.clients.receive_as(ConfigClientsOpened)
+        if opened is None:
             raise ProcessStartError("publishers and probers ended at their start")
-        return str(told["discovery"])
+        return opened.discovery
 
-    async def tell(self, word: str) -> None:
+    async def tell(self, action: Action) -> None:
         assert self.clients is not None
-        self.clients.send({word: True})
-        told = await self.clients.receive()
-        if told is None:
-            raise ProcessStartError(f"publishers and probers ended before {word!r} was done")
-        self.late = max(self.late, told.get("late", 0))
+        self.clients.send(ConfigClientsCommand(action))
+        reply = await self.clients.receive_as(ConfigClientsReply)
+        if reply is None:
+            raise ProcessStartError(f"publishers and probers ended before {action!r} was done")
+        self.late = max(self.late, reply.lateness)
 
     # ---- While it is played ----
 
@@ -428,7 +435,7 @@
     async def finish(self) -> None:
         """Publishers rest in time for what they did to be judged."""
         await asyncio.sleep(max(0.0, (self.plan.lasts - self.plan.calm() - self.rig.timeline.now()) / SECOND))
-        await self.tell("last")
+        await self.tell("publish last")
 
 
 def memory(running: RunningProcess) -> int:
@@ -465,7 +472,7 @@
         run = Distribution(rig, plan, instead)
         await run.start()
         played = check_timeline(timeline(plan, seed) if steps is None else steps, list(rig.addresses))
-        await run.tell("go")
+        await run.tell("start")
         begins = monotonic_now()
         rig.timeline.epoch = begins
         meanwhile = [asyncio.create_task(run.finish())]
@@ -483,7 +490,7 @@
         finally:
             for task in [*meanwhile, *others]:
                 task.cancel()
-        await run.tell("read")
+        await run.tell("read servers")
         events = rig.read_events()
         verdict = check_distribution_history(events, plan.within)
         shown = [shown_with(what, at, seed, played, events) for what, at in verdict.findings[:3]]
--- a/tests/routing/test_stale_endpoint_list.py
+++ b/tests/routing/test_stale_endpoint_list.py
@@ -19,10 +19,11 @@
 import asyncio
 import contextlib
 from pathlib import Path
-from typing import Any
 
+import msgspec
 import uvloop
 
+from ploverspoke.testbed.fakes.discovery_protocol import ListedEndpoint
 from ploverspoke.testbed.fakes.faulty_discovery import Failure, ScriptedDiscovery
 from ploverspoke.testbed.processes.dispatcher_process import DispatcherProcess
 from tests.routing.harness import ServiceHarness, read_message
@@ -56,7 +57,8 @@
     async def run() -> None:
         loop, harness = asyncio.get_running_loop(), ServiceHarness()
         await harness.start_workers_and_discovery(2)
-        before, after = ScriptedDiscovery(harness.entries), ScriptedDiscovery(harness.entries)
+        listed = msgspec.convert(harness.entries, list[ListedEndpoint])
+        before, after = ScriptedDiscovery(listed), ScriptedDiscovery(listed)
         dispatchers = [
             DispatcherProcess(tmp_path, number, await before.address_for(number), seed, PeersTotal=FLEET_SIZE)
             for number, seed in enumerate(SEEDS)
@@ -91,7 +93,7 @@
     dispatchers: list[DispatcherProcess], harness: ServiceHarness, end: float
 ) -> list[int]:
     """Send requests to each dispatcher at intervals, up to that time of the loop's clock."""
-    loop, tasks, number = asyncio.get_running_loop(), list[Any](), 0
+    loop, tasks, number = asyncio.get_running_loop(), list[asyncio.Task[int]](), 0
     while loop.time() < end:
         number += 1
         for index, each in enumerate(dispatchers):
