--- a/ploverspoke/testbed/checkers/committed_version_checks.py
+++ b/ploverspoke/testbed/checkers/committed_version_checks.py
@@ -4,7 +4,13 @@
 from collections import defaultdict
 from itertools import accumulate
 
-from .distribution_history import NOT_EXPECTED, UNACCEPTABLE, DistributionHistory, ListedVersion, PublishReply
+from .distribution_history import (
+    NOT_EXPECTED,
+    DistributionHistory,
+    ListedVersion,
+    PublicationKind,
+    PublishReply,
+)
 from .finding_collector import FindingCollector
 
 DIGEST_SHOWN = 8  # characters
@@ -36,7 +42,7 @@
 
     def _check_reply(self, at: int, reply: PublishReply) -> None:
         publication = self._history.publications[reply.id]
-        must_reject = publication.kind == UNACCEPTABLE
+        must_reject = publication.kind is PublicationKind.REJECTED_BY_SERVERS
         if reply.is_done:
             first = self._history.acknowledged[reply.id]
             if first.version != reply.version:
--- a/ploverspoke/testbed/checkers/dispatcher_checks.py
+++ b/ploverspoke/testbed/checkers/dispatcher_checks.py
@@ -7,11 +7,11 @@
 from ..experiment_files.durations import SECOND, format_duration
 from .distribution_history import (
     COMPLETE,
-    GOOD,
     Acknowledgement,
     DistributionHistory,
     ProbeRound,
     Publication,
+    PublicationKind,
 )
 from .finding_collector import FindingCollector
 from .observed_reachability import ObservedReachability
@@ -102,7 +102,7 @@
         self.active_versions |= {version for _, version in active if version > 0}
         self._check_never_back(dispatcher, active)
         self._check_not_behind_after_restart(dispatcher, active, reachable)
-        acknowledged = self._acknowledged_good_versions()
+        acknowledged = self._acknowledged_valid_versions()
         self._check_in_time(dispatcher, active, reachable, acknowledged)
         self._measure_delays(active, shortly_reachable, acknowledged)
         self._check_answers(dispatcher, rounds)
@@ -124,7 +124,7 @@
         if tag == OWN_FILE_TAG:
             return ""
         publication = self._versions.publication(tag)
-        if publication is not None and publication.kind != GOOD:
+        if publication is not None and publication.kind is not PublicationKind.VALID:
             return "must be rejected"
         return "" if publication is not None and self._versions.is_committed(tag) else "was not committed"
 
@@ -180,11 +180,13 @@
 
     # ---- Rules 3 and 4 ----
 
-    def _acknowledged_good_versions(self) -> list[Acknowledgement]:
+    def _acknowledged_valid_versions(self) -> list[Acknowledgement]:
         """In order of time."""
         publications = self._history.publications
         return sorted(
-            reply for id_, reply in self._history.acknowledged.items() if publications[id_].kind == GOOD
+            reply
+            for id_, reply in self._history.acknowledged.items()
+            if publications[id_].kind is PublicationKind.VALID
         )
 
     def _check_in_time(
--- a/ploverspoke/testbed/checkers/distribution_checker.py
+++ b/ploverspoke/testbed/checkers/distribution_checker.py
@@ -26,9 +26,6 @@
 from .committed_version_checks import CommittedVersionChecks
 from .dispatcher_checks import DispatcherChecks, VersionsByTag
 from .distribution_history import (
-    GOOD,
-    REFUSABLE,
-    UNACCEPTABLE,
     DistributionHistory,
     ProbeRound,
     tags_of,
@@ -38,8 +35,6 @@
 from .observed_reachability import ObservedReachability
 from .rejection_checks import RejectionChecks
 
-__all__ = ["GOOD", "REFUSABLE", "UNACCEPTABLE", "DistributionVerdict", "check_distribution_history"]
-
 MIN_VERSIONS = 20  # seen active; fewer show too little
 MIN_FAULTS = 10
 WITHIN = 10 * SECOND
--- a/ploverspoke/testbed/checkers/distribution_history.py
+++ b/ploverspoke/testbed/checkers/distribution_history.py
@@ -12,15 +12,13 @@
 import re
 from collections import defaultdict
 from collections.abc import Iterable, Sequence
+from enum import StrEnum
 from typing import Any, NamedTuple
 
+import msgspec
+
 from ..processes.history import HistoryEvent
 
-GOOD, REFUSABLE, UNACCEPTABLE = (
-    "good",
-    "refusable",
-    "unacceptable",
-)  # kinds: dispatchers, or servers, reject it
 NOT_EXPECTED = -1  # a publication without an expected version
 CLASS_NAME = re.compile(r"g(\d+)([ab])")
 COMPLETE = "ab"  # both classes of a tag
@@ -28,12 +26,20 @@
 APPLIED_LINE = re.compile(r"\+OK version (\d+) applied")
 
 
+class PublicationKind(StrEnum):
+    """Who must reject the body of a publication."""
+
+    VALID = "good"
+    REJECTED_BY_DISPATCHERS = "refusable"
+    REJECTED_BY_SERVERS = "unacceptable"
+
+
 class Publication(NamedTuple):
     """A version that a publisher wants to publish."""
 
     id: str
     tag: int
-    kind: str
+    kind: PublicationKind
     key: str  # that a rejection must name
     expected_version: int
 
@@ -158,7 +164,7 @@
                 read(event)
 
     def _read_publication(self, event: HistoryEvent) -> None:
-        publication = Publication(*event.detail)
+        publication = msgspec.convert(event.detail, Publication)
         self.publications[publication.id] = publication
 
     def _read_attempt(self, event: HistoryEvent) -> None:
--- a/ploverspoke/testbed/checkers/rejection_checks.py
+++ b/ploverspoke/testbed/checkers/rejection_checks.py
@@ -1,6 +1,6 @@
 """Checks rule 6: dispatchers report each version that they must reject, and servers list the reason."""
 
-from .distribution_history import REFUSABLE, Acknowledgement, DistributionHistory, Publication
+from .distribution_history import Acknowledgement, DistributionHistory, Publication, PublicationKind
 from .finding_collector import FindingCollector
 from .observed_reachability import ObservedReachability
 from .time_intervals import Interval
@@ -28,7 +28,7 @@
         by_time = sorted(self._history.acknowledged.items(), key=lambda item: (item[1], item[0]))
         for publication_id, acknowledged in by_time:
             publication = self._history.publications[publication_id]
-            if publication.kind != REFUSABLE:
+            if publication.kind is not PublicationKind.REJECTED_BY_DISPATCHERS:
                 continue
             due_at = self._due_at(acknowledged, reachable)
             if due_at is not None:
--- a/ploverspoke/testbed/fakes/config_client_messages.py
+++ b/ploverspoke/testbed/fakes/config_client_messages.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from ..checkers.distribution_checker import REFUSABLE, UNACCEPTABLE
+from ..checkers.distribution_history import PublicationKind
 
 LATENCY_OBJECTIVE_US = 200_000
 DEADLINE_US = 500_000
@@ -70,7 +70,7 @@
 
     id: str
     tag: int
-    kind: str
+    kind: PublicationKind
     refused_key: str  # that a refusal has to name
     expected_version: int
     body: str
@@ -87,12 +87,12 @@
 VALID = InvalidPart("")
 # By the kind of publication that they belong to: refused by dispatchers, or by the servers themselves.
 INVALID_PARTS = {
-    REFUSABLE: [
+    PublicationKind.REJECTED_BY_DISPATCHERS: [
         InvalidPart("settings.Limits.MaxHandOffs", {"Limits": {"MaxHandOffs": 0}}),
         InvalidPart("settings.RoundUs", {"RoundUs": -1}),
         InvalidPart("settings.Discovery", {"Discovery": None}),
     ],
-    UNACCEPTABLE: [
+    PublicationKind.REJECTED_BY_SERVERS: [
         InvalidPart("listen", top_level={"listen": "127.0.0.1:1"}),
         InvalidPart("settings.SlotNo", {"SlotNo": 1}),
         InvalidPart("zones", top_level={"zones": []}),
--- a/ploverspoke/testbed/fakes/config_publishers.py
+++ b/ploverspoke/testbed/fakes/config_publishers.py
@@ -14,7 +14,7 @@
 from ploverspoke.consensus.framing import FrameError
 from ploverspoke.consensus.replica_client import send_admin_request
 
-from ..checkers.distribution_checker import GOOD, REFUSABLE, UNACCEPTABLE
+from ..checkers.distribution_history import PublicationKind
 from ..experiment_files.durations import SECOND
 from ..processes.history import History, monotonic_now
 from .config_client_messages import (
@@ -31,7 +31,7 @@
 RETRY_PAUSE = 0.1  # seconds
 DUPLICATE_SHARE = 0.2  # of the publications that are sent twice
 RACE_SHARE = 0.2  # of the publications that another with the same expected version races
-KINDS, KIND_WEIGHTS = (GOOD, REFUSABLE, UNACCEPTABLE), (8, 1, 1)
+KINDS, KIND_WEIGHTS = tuple(PublicationKind), (8, 1, 1)
 VERSIONS_IN_HISTORY = 16
 NO_LEADER_REPLY = -1
 
@@ -71,8 +71,8 @@
         self.abandons_retries = True
         await self.publishing
         self.abandons_retries = False
-        await self._publish_until_accepted(GOOD)
-        await self._publish_until_accepted(REFUSABLE)
+        await self._publish_until_accepted(PublicationKind.VALID)
+        await self._publish_until_accepted(PublicationKind.REJECTED_BY_DISPATCHERS)
 
     async def read_servers(self) -> None:
         """Record the versions and the watchers that each server has."""
@@ -97,14 +97,14 @@
             retries = draws.random() < self.spec.retry_share
             racing = [self._publish(self._new_publication(kind, expected), retries)]
             if draws.random() < RACE_SHARE:
-                racing.append(self._publish(self._new_publication(GOOD, expected), retries))
+                racing.append(self._publish(self._new_publication(PublicationKind.VALID, expected), retries))
             await asyncio.gather(*racing)
 
     async def _pause_in_turns(self) -> None:
         """Publish a refused version and nothing after it for a while, again and again."""
         while await self._sleep(self.spec.pause_interval):
             self.may_publish.clear()
-            await self._publish_until_accepted(REFUSABLE)
+            await self._publish_until_accepted(PublicationKind.REJECTED_BY_DISPATCHERS)
             await self._sleep(self.spec.pause)
             self.may_publish.set()
 
@@ -113,7 +113,7 @@
         await asyncio.wait([self.stopped], timeout=nanoseconds / SECOND)
         return not self.stopped.done()
 
-    async def _publish_until_accepted(self, kind: str) -> None:
+    async def _publish_until_accepted(self, kind: PublicationKind) -> None:
         deadline = monotonic_now() + PUBLISH_TIMEOUT
         while monotonic_now() < deadline and not self.abandons_retries:
             expected = await self._latest_version()
@@ -125,7 +125,7 @@
 
     # ---- One publication ----
 
-    def _new_publication(self, kind: str, expected_version: int) -> Publication:
+    def _new_publication(self, kind: PublicationKind, expected_version: int) -> Publication:
         self.last_tag += 1
         tag = self.last_tag
         invalid_part = self.random.choice(INVALID_PARTS[kind]) if kind in INVALID_PARTS else VALID
--- a/ploverspoke/testbed/processes/tcp_proxy.py
+++ b/ploverspoke/testbed/processes/tcp_proxy.py
@@ -19,6 +19,7 @@
 
 from .history import monotonic_now
 from .link_faults import LinkFault, LinkTable
+from .pipe_messages import input_lines, send_message
 from .proxied_stream import ProxiedStream, StreamAddress
 from .proxy_messages import (
     AddLinkFault,
@@ -167,20 +168,13 @@
                 stream.reset()
 
 
-def _write_message(message: msgspec.Struct) -> None:
-    sys.stdout.buffer.write(msgspec.json.encode(message) + b"\n")
-    sys.stdout.buffer.flush()
-
-
 async def serve(spec: ProxySpec) -> None:
     """Run a proxy until the end of the standard input."""
     proxy = TcpProxy(spec)
     await proxy.open()
-    lines = asyncio.StreamReader()
-    await asyncio.get_running_loop().connect_read_pipe(lambda: asyncio.StreamReaderProtocol(lines), sys.stdin)
-    _write_message(ProxyReady(len(spec.processes)))
-    while line := await lines.readline():
-        _write_message(proxy.handle(msgspec.json.decode(line, type=ProxyRequest)))
+    send_message(ProxyReady(len(spec.processes)))
+    async for line in input_lines():
+        send_message(proxy.handle(msgspec.json.decode(line, type=ProxyRequest)))
 
 
 if __name__ == "__main__":
