--- a/tests/testbed/checkers/test_request_audit.py
+++ b/tests/testbed/checkers/test_request_audit.py
@@ -1,4 +1,4 @@
-"""Each rule's check is able to fail: small faulty dispatchers, each caught by exactly its rule."""
+"""The request audit: faulty dispatchers break exactly the rule that they should, correct ones none."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import replace
@@ -8,7 +8,6 @@
 
 from ploverspoke.decisions.interface import AttemptOutcome, AttemptResult, Endpoint, EndpointCondition
 from ploverspoke.decisions.settings import Idempotency, Settings
-from ploverspoke.testbed.checkers.audited_requests import Finding
 from ploverspoke.testbed.checkers.request_audit import VIRTUAL_TOLERANCE, audit_requests
 from ploverspoke.testbed.models.baseline_policies import POLICIES, Open, TwoChoices
 from ploverspoke.testbed.models.event_records import Event
@@ -28,14 +27,14 @@
         super().request_arrived(request_id, *what)
 
 
-class LosesOne(TwoChoices):
+class LosesOneRequest(TwoChoices):
     def request_arrived(self, request_id: int, *what: Any) -> None:
         if request_id != 50:
             super().request_arrived(request_id, *what)
 
 
-class RepeatsIrreversible(TwoChoices):
-    """Takes an error for a promise that it did not run."""
+class RetriesNonIdempotent(TwoChoices):
+    """Retries after an error as if the request had not run."""
 
     def attempt_ended(self, request_id: int, attempt: int, result: AttemptResult) -> None:
         if result.outcome is AttemptOutcome.WORKER_ERROR:
@@ -51,14 +50,14 @@
         super().endpoints_changed(shown._replace(condition=EndpointCondition.READY) for shown in listings)
 
 
-class TipsTheCold(TwoChoices):
-    """Everything goes to the freshest worker."""
+class OverloadsColdWorkers(TwoChoices):
+    """Sends everything to the worker that started last."""
 
     def choose(self, among: list[str]) -> str:
         return max(among, key=lambda w: self.workers[w].started_at)
 
 
-class TwoAtOnce(TwoChoices):
+class SendsTwoAttemptsAtOnce(TwoChoices):
     def send(self, job: Open) -> None:
         super().send(job)
         if job.id % 50 == 0 and job.grade == 0 and job.id in self.open and job.hand_offs == 1:
@@ -69,106 +68,117 @@
     return replace(settings, classes=tuple(replace(each, **changes) for each in settings.classes))
 
 
-class NeverStops(TwoChoices):
-    """Sends on and on, whatever it is allowed."""
+class ExceedsAttemptLimit(TwoChoices):
+    """Retries as often as it likes."""
 
     def send(self, job: Open) -> None:
         self.settings = with_each_class(self.settings, max_attempts=99)
         super().send(job)
 
 
-class KeepsItsAttempts(TwoChoices):
-    """Takes new settings, but not how often it may send."""
+class KeepsOldAttemptLimit(TwoChoices):
+    """Applies new settings, but keeps the limit of attempts."""
 
     def settings_changed(self, settings: Settings, takes_over: Mapping[int, int]) -> None:
         super().settings_changed(with_each_class(settings, max_attempts=6), takes_over)
 
 
-class KeepsItsRepeats(TwoChoices):
+class KeepsOldIdempotency(TwoChoices):
     def settings_changed(self, settings: Settings, takes_over: Mapping[int, int]) -> None:
         super().settings_changed(with_each_class(settings, idempotency=Idempotency.IDEMPOTENT), takes_over)
 
 
-EVERYWHERE = {**ERRORS, "workers": ["w0", "w1", "w2", "w3"], "errors": 0.7}
-FEWER = {"what": "settings changed", "at": "1s", "lasts": "2s", "most_hand_offs": 1}
-STRICTER = {"what": "settings changed", "at": "1s", "lasts": "2s", "repeat": {"look": "irreversible"}}
+ERRORS_EVERYWHERE = {**ERRORS, "workers": ["w0", "w1", "w2", "w3"], "errors": 0.7}
+FEWER_ATTEMPTS = {"what": "settings changed", "at": "1s", "lasts": "2s", "most_hand_offs": 1}
+NON_IDEMPOTENT_FOR_A_WHILE = {
+    "what": "settings changed",
+    "at": "1s",
+    "lasts": "2s",
+    "repeat": {"look": "irreversible"},
+}
 REPLACED = {"what": "dispatcher replaced", "at": "1500ms", "lasts": "2s", "dispatchers": [0, 1]}
 FAULTS = [
-    (KeepsItsAttempts, [FEWER, EVERYWHERE], "1 one answer"),
-    (KeepsItsRepeats, [STRICTER, EVERYWHERE], "2 retries"),
+    (KeepsOldAttemptLimit, [FEWER_ATTEMPTS, ERRORS_EVERYWHERE], "1 one answer"),
+    (KeepsOldIdempotency, [NON_IDEMPOTENT_FOR_A_WHILE, ERRORS_EVERYWHERE], "2 retries"),
     (AnswersTwice, [], "1 one answer"),
-    (LosesOne, [], "1 one answer"),
-    (NeverStops, [{**ERRORS, "workers": ["w0", "w1", "w2", "w3"], "errors": 1.0}], "1 one answer"),
-    (RepeatsIrreversible, [ERRORS], "2 retries"),
-    (TwoAtOnce, [], "2 retries"),
+    (LosesOneRequest, [], "1 one answer"),
+    (ExceedsAttemptLimit, [{**ERRORS, "workers": ["w0", "w1", "w2", "w3"], "errors": 1.0}], "1 one answer"),
+    (RetriesNonIdempotent, [ERRORS], "2 retries"),
+    (SendsTwoAttemptsAtOnce, [], "2 retries"),
     (SendsAfterDrain, [DRAIN], "3 draining"),
-    (TipsTheCold, [CRASH], "4 slow start"),
+    (OverloadsColdWorkers, [CRASH], "4 slow start"),
 ]
 
 
-@pytest.mark.parametrize(("faulty", "troubles", "rule"), FAULTS)
-def test_a_faulty_dispatcher_is_caught_by_its_rule(
-    faulty: Any, troubles: list[Any], rule: str, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize(("faulty", "faults", "rule"), FAULTS)
+def test_faulty_dispatcher_breaks_exactly_its_rule(
+    faulty: Any, faults: list[Any], rule: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setitem(POLICIES, "faulty", faulty)
-    tender = {"tip_multiple": 1.0, "cold_share": 0.2} if CRASH in troubles else {}
-    e = small_experiment(troubles=troubles, discovery={"notices_death": "500ms"}, worker_rules=tender)
-    findings = audit_requests(e, run_virtual_time(e, 1, "faulty"), VIRTUAL_TOLERANCE)
-    assert {f.rule for f in findings} == {rule}
-    assert findings[0].timeline, "the first finding prints what was seen"
+    worker_rules = {"tip_multiple": 1.0, "cold_share": 0.2} if CRASH in faults else {}
+    experiment = small_experiment(
+        troubles=faults, discovery={"notices_death": "500ms"}, worker_rules=worker_rules
+    )
+    findings = audit_requests(experiment, run_virtual_time(experiment, 1, "faulty"), VIRTUAL_TOLERANCE)
+    assert {finding.rule for finding in findings} == {rule}
+    assert findings[0].timeline, "the first finding shows what was observed"
 
 
 @pytest.mark.parametrize("policy", ["ours", "random", "round robin", "two choices", "all-seeing"])
-def test_sound_dispatchers_are_not_blamed(policy: str) -> None:
+def test_correct_dispatchers_break_no_rule(policy: str) -> None:
     hang = {"what": "hang", "at": "2s", "lasts": "2s", "workers": ["w2"]}
     silent = {"what": "silences", "at": "1s", "lasts": "4s", "errors": 0.05}
     workers = [CRASH, {**DRAIN, "workers": ["w1"]}, hang, silent, {**ERRORS, "workers": ["w3"]}]
-    e = small_experiment(troubles=[*workers, FEWER, STRICTER, REPLACED])
-    assert audit_requests(e, run_virtual_time(e, 1, policy), VIRTUAL_TOLERANCE) == []
+    experiment = small_experiment(troubles=[*workers, FEWER_ATTEMPTS, NON_IDEMPOTENT_FOR_A_WHILE, REPLACED])
+    assert audit_requests(experiment, run_virtual_time(experiment, 1, policy), VIRTUAL_TOLERANCE) == []
 
 
-# ---- Cases at the edge, as single events ----
+# ---- Boundary cases, as single events ----
 
 
-def seen(*events: tuple[Any, ...], grade: int = 0) -> list[Finding]:
-    """Submission 0-0 of that grade, sent at 0 with an abandon time of 1 s, and what follows."""
+def broken_rules(*events: tuple[Any, ...], request_class: int = 0) -> list[str]:
+    """The rules that request 0-0 breaks: sent at 0 with a deadline of 1 s, then these events.
+
+    An event is its time (ms), kind, and where it has them the worker and the detail.
+    """
     first = [
-        Event(0, "sent", "0-0", 0, 0, "", [grade, 0, 1000 * MILLISECOND, 0]),
+        Event(0, "sent", "0-0", 0, 0, "", [request_class, 0, 1000 * MILLISECOND, 0]),
         Event(1 * MILLISECOND, "taken", "0-0", 0, 0),
     ]
-    rest = [Event(at * MILLISECOND, what, "0-0", 0, 0, *more) for at, what, *more in events]
-    return audit_requests(small_experiment(), [*first, *rest], VIRTUAL_TOLERANCE)
+    rest = [Event(at * MILLISECOND, kind, "0-0", 0, 0, *more) for at, kind, *more in events]
+    findings = audit_requests(small_experiment(), [*first, *rest], VIRTUAL_TOLERANCE)
+    return [finding.rule for finding in findings]
 
 
-def test_a_hand_off_within_the_grace_of_a_drain_is_none_too_late() -> None:
-    done = (("began", "w0", 1), ("ended", "w0", [1, "done"]), ("answered", "", "satisfied"))
+def test_attempt_within_the_drain_grace_is_allowed() -> None:
+    success = (("began", "w0", 1), ("ended", "w0", [1, "done"]), ("answered", "", "satisfied"))
     for at, rules in ((500, []), (520, ["3 draining"])):
-        found = seen((0, "told", "w0", "draining"), (at, "came", "w0", 1), *((at + 5, *d) for d in done))
-        assert [f.rule for f in found] == rules
+        attempt = ((at, "came", "w0", 1), *((at + 5, *event) for event in success))
+        assert broken_rules((0, "told", "w0", "draining"), *attempt) == rules
 
 
-def test_a_nack_after_what_may_have_run_is_found_and_after_a_return_is_not() -> None:
-    for end, rules in ((["returned"], []), (["failed"], ["2 retries"]), ([], ["2 retries"])):
-        ends = [(20, "ended", "w0", [1, how]) for how in end]
-        found = seen((10, "came", "w0", 1), *ends, (30, "answered", "", "nacked"), grade=1)
-        assert [f.rule for f in found] == rules
+def test_rejection_is_found_unless_the_attempt_was_returned() -> None:
+    for ends, rules in ((["returned"], []), (["failed"], ["2 retries"]), ([], ["2 retries"])):
+        ended = [(20, "ended", "w0", [1, end]) for end in ends]
+        rejected = (30, "answered", "", "nacked")
+        assert broken_rules((10, "came", "w0", 1), *ended, rejected, request_class=1) == rules
 
 
-def test_an_answer_past_the_abandon_time_and_one_that_no_worker_made_are_found() -> None:
-    assert [f.rule for f in seen((1100, "answered", "", "nacked"))] == ["1 one answer"]
-    assert [f.rule for f in seen((100, "answered", "", "satisfied"))] == ["1 one answer"]
+def test_answer_after_the_deadline_and_success_without_a_worker_are_found() -> None:
+    assert broken_rules((1100, "answered", "", "nacked")) == ["1 one answer"]
+    assert broken_rules((100, "answered", "", "satisfied")) == ["1 one answer"]
 
 
-def test_what_a_killed_dispatcher_had_taken_is_not_held_against_it() -> None:
-    down = (50, "dispatcher down")
-    assert seen(down, (51, "answered", "", "broken")) == []
-    assert len(seen((51, "answered", "", "broken"))) == 1
+def test_requests_of_a_killed_dispatcher_are_excused() -> None:
+    killed = (50, "dispatcher down")
+    assert broken_rules(killed, (51, "answered", "", "broken")) == []
+    assert len(broken_rules((51, "answered", "", "broken"))) == 1
 
 
-def test_a_worker_that_discovery_showed_as_warm_is_not_the_dispatchers_to_spare() -> None:
-    fell = (900, "fell", "w0", [100, 50, {"0": 100}])
-    done = ((950, "answered", "", "nacked"),)
-    assert seen((100, "up", "w0"), fell, *done) == []
-    assert [f.rule for f in seen((100, "up", "w0"), (200, "told", "w0", "ready"), fell, *done)] == [
+def test_overload_counts_only_if_discovery_told_of_the_start() -> None:
+    overloaded = (900, "fell", "w0", [100, 50, {"0": 100}])
+    rejected = (950, "answered", "", "nacked")
+    assert broken_rules((100, "up", "w0"), overloaded, rejected) == []
+    assert broken_rules((100, "up", "w0"), (200, "told", "w0", "ready"), overloaded, rejected) == [
         "4 slow start"
     ]
