--- a/ploverspoke/testbed/checkers/distribution_history.py
+++ b/ploverspoke/testbed/checkers/distribution_history.py
@@ -159,7 +159,7 @@
             "serves empty": self._read_empty_start,
         }
         for event in events:
-            read = readers.get(event.what)
+            read = readers.get(event.kind)
             if read is not None:
                 read(event)
 
@@ -202,7 +202,7 @@
     def _read_log_line(self, event: HistoryEvent) -> None:
         rejected = REJECTION_LINE.search(str(event.detail))
         if rejected is not None:
-            self.rejections[event.who].append(Rejection(event.at, int(rejected[1]), rejected[2]))
+            self.rejections[event.source].append(Rejection(event.at, int(rejected[1]), rejected[2]))
 
     def _read_empty_start(self, event: HistoryEvent) -> None:
         self.empty_starts.append((event.at, event.detail))
--- a/ploverspoke/testbed/checkers/lease_checker.py
+++ b/ploverspoke/testbed/checkers/lease_checker.py
@@ -61,8 +61,8 @@
 
 def check_lease_history(events: Sequence[HistoryEvent], max_holders: Mapping[str, int]) -> LeaseVerdict:
     """Check events in order of time; `max_holders` is by name of the lease, 1 where it has none."""
-    effects = [RecordedEffect(*event.detail) for event in events if event.what == EFFECT]
-    checks = [event for event in events if event.what == LEASE_CHECKED]
+    effects = [RecordedEffect(*event.detail) for event in events if event.kind == EFFECT]
+    checks = [event for event in events if event.kind == LEASE_CHECKED]
     findings = _find_lower_tokens(events, max_holders) + _find_shared_tokens(checks)
     uses = _token_uses(checks)
     for name, of_name in uses.items():
@@ -83,12 +83,12 @@
     `killed` is the event of a kill; its detail is [candidate, name].
     """
     gaps = []
-    checks = [event for event in events if event.what == LEASE_CHECKED]
+    checks = [event for event in events if event.kind == LEASE_CHECKED]
     for event in events:
-        if event.what != killed:
+        if event.kind != killed:
             continue
         candidate, name = event.detail
-        later = (c.at for c in checks if c.at > event.at and c.detail[0] == name and c.who != candidate)
+        later = (c.at for c in checks if c.at > event.at and c.detail[0] == name and c.source != candidate)
         first = next(later, None)
         if first is not None:
             gaps.append((first - event.at) / SECOND)
@@ -101,7 +101,7 @@
     findings = []
     highest: dict[str, int] = {}
     for event in events:
-        if event.what != EFFECT:
+        if event.kind != EFFECT:
             continue
         effect = RecordedEffect(*event.detail)
         if not effect.was_accepted:
@@ -125,7 +125,7 @@
 def _find_shared_tokens(checks: Sequence[HistoryEvent]) -> list[HistoryFinding]:
     findings = []
     for (name, token), of_token in _by_token(checks).items():
-        candidates = {event.who for event in of_token}
+        candidates = {event.source for event in of_token}
         if len(candidates) > 1:
             text = f"{name}: token {token} was used by {', '.join(sorted(candidates))}"
             findings.append(HistoryFinding(text, of_token[0].at))
@@ -137,7 +137,7 @@
     uses: dict[str, list[TokenUse]] = defaultdict(list)
     for (name, token), of_token in _by_token(checks).items():
         times = [event.at for event in of_token]
-        uses[name].append(TokenUse(token, of_token[0].who, min(times), max(times)))
+        uses[name].append(TokenUse(token, of_token[0].source, min(times), max(times)))
     for of_name in uses.values():
         of_name.sort(key=lambda use: use.first_check)
     return uses
--- a/ploverspoke/testbed/checkers/observed_reachability.py
+++ b/ploverspoke/testbed/checkers/observed_reachability.py
@@ -40,14 +40,14 @@
 
     def __init__(self, events: Sequence[HistoryEvent]) -> None:
         """Read the events of the rig; all events are in order of time."""
-        rig_events = [event for event in events if event.who == RIG]
+        rig_events = [event for event in events if event.source == RIG]
         no_roles: dict[str, list[str]] = {}
-        roles = next((event.detail for event in events if event.what == "roles"), no_roles)
+        roles = next((event.detail for event in events if event.kind == "roles"), no_roles)
         self.roles = Roles(roles.get("servers", []), roles.get("dispatchers", []))
         first, last = (events[0].at, events[-1].at) if events else (0, 0)
-        self.run = Interval(next((event.at for event in rig_events if event.what == "begin"), first), last)
+        self.run = Interval(next((event.at for event in rig_events if event.kind == "begin"), first), last)
         self.outages: dict[str, list[Interval]] = defaultdict(list)  # by process
-        self.fault_count = sum(event.what in (*LINK_FAULT_EVENTS, *OUTAGES) for event in rig_events)
+        self.fault_count = sum(event.kind in (*LINK_FAULT_EVENTS, *OUTAGES) for event in rig_events)
         self._restarts: dict[str, list[Interval]] = defaultdict(list)  # the outages that ended an incarnation
         self._cut_links: list[CutLinks] = []
         self._read_faults(rig_events)
@@ -55,13 +55,13 @@
     def _read_faults(self, rig_events: Sequence[HistoryEvent]) -> None:
         active: dict[Hashable, HistoryEvent] = {}  # by step and process, or by the number of a link fault
         for event in rig_events:
-            if event.what in OUTAGES:
-                active[event.what, event.detail] = event
-            elif event.what.endswith(OVER):
-                self._add_fault(active.pop((event.what.removesuffix(OVER), event.detail), None), event.at)
-            elif event.what == "add fault":
+            if event.kind in OUTAGES:
+                active[event.kind, event.detail] = event
+            elif event.kind.endswith(OVER):
+                self._add_fault(active.pop((event.kind.removesuffix(OVER), event.detail), None), event.at)
+            elif event.kind == "add fault":
                 active[event.detail[0]] = event
-            elif event.what == "remove fault":
+            elif event.kind == "remove fault":
                 self._add_fault(active.pop(event.detail, None), event.at)
         for event in active.values():
             self._add_fault(event, self.run.end)
@@ -70,11 +70,11 @@
         if event is None:
             return
         interval = Interval(event.at, end)
-        if event.what == "add fault":
+        if event.kind == "add fault":
             self._add_cut(interval, event.detail[1])
             return
         self.outages[event.detail].append(interval)
-        if event.what in RESTARTS:
+        if event.kind in RESTARTS:
             self._restarts[event.detail].append(interval)
 
     def _add_cut(self, interval: Interval, fault: Mapping[str, Any]) -> None:
--- a/ploverspoke/testbed/processes/capacity_check.py
+++ b/ploverspoke/testbed/processes/capacity_check.py
@@ -28,7 +28,7 @@
 class ResourceDemand(NamedTuple):
     """What a group of processes wants."""
 
-    what: str
+    name: str  # of the group
     processes: int
     memory: int  # bytes of each process
     descriptors: int  # of each process, since their limit holds for one process
@@ -40,7 +40,7 @@
     def __init__(self, demand: ResourceDemand, limit: int) -> None:
         """`limit` is of one process."""
         super().__init__(
-            f"{demand.what}: {demand.descriptors} descriptors in one process, {limit} are allowed"
+            f"{demand.name}: {demand.descriptors} descriptors in one process, {limit} are allowed"
         )
         self.demand, self.limit = demand, limit
 
@@ -50,7 +50,7 @@
 
     def __init__(self, demands: list[ResourceDemand], free: int) -> None:
         """`free` is in bytes, without what is left to the rest of the machine."""
-        parts = ", ".join(f"{d.processes} {d.what} of {d.memory // MEBIBYTE} MiB" for d in demands)
+        parts = ", ".join(f"{d.processes} {d.name} of {d.memory // MEBIBYTE} MiB" for d in demands)
         wanted = total_memory(demands) // MEBIBYTE
         super().__init__(f"{wanted} MiB wanted ({parts}), {free // MEBIBYTE} are free")
         self.demands, self.free = demands, free
--- a/ploverspoke/testbed/processes/history.py
+++ b/ploverspoke/testbed/processes/history.py
@@ -19,23 +19,23 @@
     """One line of a history."""
 
     at: int  # ns of the machine's monotonic clock
-    who: str
-    what: str
+    source: str  # the name of the process that recorded it
+    kind: str
     detail: Any = None
 
 
 class History:
     """Writes one process's history. It is unbuffered: a kill loses no event that was added."""
 
-    def __init__(self, path: Path, who: str) -> None:
-        """Open the file to append to it; `who` is the name in its events."""
+    def __init__(self, path: Path, source: str) -> None:
+        """Open the file to append to it; `source` is the name in its events."""
         self._file = path.open("ab", buffering=0)
-        self.who = who
+        self.source = source
 
-    def add(self, what: str, detail: Any = None, at: int | None = None) -> int:
+    def add(self, kind: str, detail: Any = None, at: int | None = None) -> int:
         """Append an event at that time (ns), or now; returns its time."""
         at = monotonic_now() if at is None else at
-        self._file.write(msgspec.json.encode(HistoryEvent(at, self.who, what, detail)) + b"\n")
+        self._file.write(msgspec.json.encode(HistoryEvent(at, self.source, kind, detail)) + b"\n")
         return at
 
 
@@ -57,4 +57,4 @@
     """Format the events nearest to that time, one a line, with their distance from it in ms."""
     by_distance = sorted(events, key=lambda event: abs(event.at - at))
     nearest = sorted(by_distance[:count], key=lambda event: event.at)
-    return [f"{(e.at - at) / 1e6:+10.3f} ms  {e.who}  {e.what}  {e.detail}" for e in nearest]
+    return [f"{(e.at - at) / 1e6:+10.3f} ms  {e.source}  {e.kind}  {e.detail}" for e in nearest]
--- a/ploverspoke/testbed/processes/rig.py
+++ b/ploverspoke/testbed/processes/rig.py
@@ -152,7 +152,7 @@
     def describe_finding(self, finding: str, at: int) -> str:
         """A finding with the seed, the timeline and the events around it."""
         events = self.read_events()
-        steps: list[str] = next((event.detail[1] for event in events if event.what == "begin"), [])
+        steps: list[str] = next((event.detail[1] for event in events if event.kind == "begin"), [])
         return "\n".join(
             [
                 finding,
--- a/ploverspoke/testbed/scenarios/distribution_scenario.py
+++ b/ploverspoke/testbed/scenarios/distribution_scenario.py
@@ -460,7 +460,7 @@
 
 def shown_with(finding: str, at: int, seed: int, steps: list[FaultStep], events: list[HistoryEvent]) -> str:
     """A finding with what it takes to look into it; of the many probes, those that it speaks of."""
-    near = [e for e in events if e.what not in ("probe", "door") or e.detail[0] in finding]
+    near = [e for e in events if e.kind not in ("probe", "door") or e.detail[0] in finding]
     rows = [f"seed {seed}; timeline:", *(f"  {step.describe()}" for step in steps), "what happened round it:"]
     return "\n".join([finding, *rows, *(f"  {row}" for row in events_around(near, at, SHOWN))])
 
--- a/ploverspoke/testbed/scenarios/lease_scenario.py
+++ b/ploverspoke/testbed/scenarios/lease_scenario.py
@@ -195,7 +195,7 @@
         history = self.rig.folder / "resource.history"
         while True:
             await asyncio.sleep(every)
-            effects = [e.detail for e in read_history(history) if e.what == "effect" and e.detail[0] == name]
+            effects = [e.detail for e in read_history(history) if e.kind == "effect" and e.detail[0] == name]
             holder = by_address[effects[-1][4]] if effects else None
             if holder is not None and holder.is_running():
                 self.rig.history.add(HOLDER_KILLED, [holder.name, name])
@@ -244,7 +244,7 @@
     outcome = run_lease_scenario(e.plan, seed, [] if e.calm else None)
     verdict, must = outcome.verdict, e.must_hold
     waits = takeover_gaps(outcome.events, HOLDER_KILLED)
-    lost = [event for event in outcome.events if event.what == "lost"]
+    lost = [event for event in outcome.events if event.kind == "lost"]
     p99 = waits[int(len(waits) * 0.99) - 1] if len(waits) > 1 else 0.0
     void = outcome.void or verdict.void_reason(must.changes)
     if not void and len(waits) < must.kills:
--- a/ploverspoke/testbed/scenarios/scale_fleet.py
+++ b/ploverspoke/testbed/scenarios/scale_fleet.py
@@ -104,7 +104,7 @@
             raise ExperimentError("worker processes: what all zones share can't be spread over several")
         found = [self._dispatchers_want()]
         for want in fake_resource_demands(self.experiment):
-            count = {"workers": self.shape.workers, "clients": self.shape.clients}.get(want.what, 1)
+            count = {"workers": self.shape.workers, "clients": self.shape.clients}.get(want.name, 1)
             found.append(want._replace(processes=count, descriptors=want.descriptors // count + 64))
         self._must_have_cores()
         half = total_memory() // 2
--- a/tests/config_distribution/test_processes.py
+++ b/tests/config_distribution/test_processes.py
@@ -61,7 +61,7 @@
     assert outcome.shown == [], "\n".join(outcome.shown)
     assert (outcome.void, outcome.faults, outcome.verdict.void_reason()) == ("", [], "")
     assert outcome.verdict.reported_rejections == plan.dispatchers
-    rig_events = {event.what for event in outcome.events if event.who == "rig"}
+    rig_events = {event.kind for event in outcome.events if event.source == "rig"}
     expected = {"kill", "pause", "restart", "empty", "older"}
     assert rig_events >= {
         "add fault",
@@ -70,7 +70,7 @@
         "refuses",
         *(f"{what} is over" for what in expected),
     }
-    kinds = {event.detail[2] for event in outcome.events if event.what == "wants"}
+    kinds = {event.detail[2] for event in outcome.events if event.kind == "wants"}
     assert kinds == {"good", "refusable", "unacceptable"}
 
 
--- a/tests/leases/test_lease_processes.py
+++ b/tests/leases/test_lease_processes.py
@@ -14,7 +14,7 @@
     assert outcome.shown == [], "\n".join(outcome.shown)
     assert (outcome.void, outcome.faults, outcome.verdict.void_reason()) == ("", [], "")
     assert outcome.verdict.accepted_effects > 2000 and outcome.verdict.names == 3
-    rig_events = {event.what for event in outcome.events if event.who == "rig"}
+    rig_events = {event.kind for event in outcome.events if event.source == "rig"}
     assert rig_events >= {"kill is over", "pause is over", "add fault", "remove fault", "wall jumps"}
 
 
@@ -74,8 +74,8 @@
     plan = LeaseScenario(keepers=5, contenders=8, names={"one": 1, "two": 1}, lasts=Duration(16 * SECOND))
     outcome = run_lease_scenario(plan, 3, steps)
     assert (outcome.shown, outcome.void, outcome.faults) == ([], "", [])
-    epoch = next(event.at for event in outcome.events if event.what == "begin")
-    acts = [(event.at - epoch) / SECOND for event in outcome.events if event.what == "acts"]
+    epoch = next(event.at for event in outcome.events if event.kind == "begin")
+    acts = [(event.at - epoch) / SECOND for event in outcome.events if event.kind == "acts"]
     # A lease lasts 1 s, and a holder's clock is 5% slow at the most.
     assert not [at for at in acts if 5.1 < at < 9.9]
     assert [at for at in acts if at < 4] and [at for at in acts if at > 13]
--- a/tests/testbed/checkers/test_distribution_checker.py
+++ b/tests/testbed/checkers/test_distribution_checker.py
@@ -138,7 +138,7 @@
     assert [round(one, 3) for one in verdict.calm_delays] == [0.185] * 3
     assert [round(one, 3) for one in verdict.delays_after_faults] == [0.955] * 3
     assert verdict.void_reason(3, 2) == "only 1 faults: that proves nothing"
-    unread = [event for event in make_run(PUBLISHED, probes_at_both(IN_TIME)) if event.what != "versions"]
+    unread = [event for event in make_run(PUBLISHED, probes_at_both(IN_TIME)) if event.kind != "versions"]
     assert "not read" in check_distribution_history(unread).void_reason(0, 0)
     cut = {"origin": SERVERS, "target": SERVERS, "cut": True}
     assert "long enough" in check_distribution_history(
--- a/tests/testbed/processes/test_rig.py
+++ b/tests/testbed/processes/test_rig.py
@@ -116,11 +116,11 @@
     )
     run = run_on_sockets(experiment, 1)
     assert audit_requests(experiment, run.events, SOCKETS_TOLERANCE) == []
-    log_lines = [event.detail for event in run.history if event.what == "log"]
+    log_lines = [event.detail for event in run.history if event.kind == "log"]
     for text in ("disk I/O error", "disk is full", "the disk can be written again"):
         assert any(text in line for line in log_lines), text
     assert len([event for event in run.events if event.detail == SUCCEEDED]) > 100
-    assert {event.what for event in run.history} >= {"add fault", "remove fault", "pause is over"}
+    assert {event.kind for event in run.history} >= {"add fault", "remove fault", "pause is over"}
 
 
 def test_gossip_goes_through_the_proxy_and_a_cut_stops_it_there_only() -> None:
