--- a/tests/testbed/commands/test_experiment_commands.py
+++ b/tests/testbed/commands/test_experiment_commands.py
@@ -174,7 +174,7 @@
 def test_the_fakes_share_no_code_with_the_program() -> None:
     # With the same parsers they would have the same faults.
     program = "import sys, ploverspoke.testbed.{}; print(*sys.modules)"
-    beside = ("fakes.protected_resource", "checkers.lease_checker", "processes.tcp_proxy")
+    checkers = ("checkers.lease_checker", "checkers.distribution_checker", "checkers.request_audit")
     for module in (
         *(
             f"fakes.{name}"
@@ -189,7 +189,9 @@
                 "faulty_discovery",
             )
         ),
-        *beside,
+        "fakes.protected_resource",
+        *checkers,
+        "processes.tcp_proxy",
     ):
         words = [sys.executable, "-c", program.format(module)]
         modules = subprocess.run(words, capture_output=True, text=True, check=True).stdout.split()
