--- a/ploverspoke/testbed/scenarios/scale_resources.py
+++ b/ploverspoke/testbed/scenarios/scale_resources.py
@@ -90,7 +90,7 @@
     processes = {"workers": counts.workers, "clients": counts.clients}
     demands = []
     for demand in fake_resource_demands(experiment):
-        count = processes.get(demand.what, 1)
+        count = processes.get(demand.name, 1)
         descriptors = demand.descriptors // count + PROCESS_DESCRIPTORS
         demands.append(demand._replace(processes=count, descriptors=descriptors))
     return demands
