--- a/ploverspoke/cli.py
+++ b/ploverspoke/cli.py
@@ -59,7 +59,7 @@
 
 @contextmanager
 def imports_of(needed_by: str, extra: str) -> Iterator[None]:
-    """Raises MissingPackageError where an import in the block fails for a package that is not ours."""
+    """Raises MissingPackageError where an import in the block fails for a third-party package."""
     try:
         yield
     except ModuleNotFoundError as error:
--- a/ploverspoke/decisions/admission_policy.py
+++ b/ploverspoke/decisions/admission_policy.py
@@ -26,7 +26,7 @@
     retries: RetryPolicy
 
     def refuses(self, request: Request, now: int) -> bool:
-        """Whether to refuse a request at random, where starts come late and no load is reported."""
+        """Whether to refuse a request at random, where starts are late and no load is reported."""
         settings = self.context.settings
         if settings.probing_allowed or request.retry_group is not None:
             return False
@@ -70,7 +70,7 @@
     def check(self, request: Request, now: int) -> None:
         """Let a waiting request wait on or give it up, when its timer has fired."""
         if request.queue.probed and now < request.last_send_at:
-            # The answers come first: they take no longer than a few round trips.
+            # The probe answers are awaited first: they take no longer than a few round trips.
             answered_at = request.queue.probed_until + MILLISECOND
             self.context.timers.start(request, min(answered_at, request.last_send_at))
         elif now >= request.last_send_at or self.is_exhausted(request, now):
--- a/ploverspoke/decisions/capacity.py
+++ b/ploverspoke/decisions/capacity.py
@@ -19,7 +19,7 @@
 
 
 def prompt_limit(delays: Iterable[int], while_unknown: int) -> int:
-    """Longest delay that counts as prompt beside recent ones."""
+    """The longest delay that counts as prompt, relative to recent ones."""
     shortest = min(delays, default=None)
     return while_unknown if shortest is None else PROMPT_FACTOR * shortest + PROMPT_MARGIN_NS
 
@@ -100,7 +100,7 @@
     context: Context
     workers: Mapping[str, Worker]
     observations: Observations
-    warm_load: float = 0.0  # slots of ours running on a warm worker, on average
+    warm_load: float = 0.0  # slots of this dispatcher that run on a warm worker, on average
     warm_load_at: int = -SECOND
 
     def begin(self, worker: Worker, now: int) -> None:
--- a/ploverspoke/decisions/dispatcher.py
+++ b/ploverspoke/decisions/dispatcher.py
@@ -87,7 +87,7 @@
             self.request_path.attempt_started(request, request.worker, self.actions.now())
 
     def attempt_progressed(self, request_id: int, attempt: int, share_done: float) -> None:
-        """A worker reports that it goes on with a request."""
+        """A worker reports progress of a request."""
         request = self.open_requests.get(request_id)
         if request is not None and request.worker is not None and attempt == request.attempts - 1:
             request.last_contact_at = request.worker.last_contact_at = self.actions.now()
@@ -147,7 +147,7 @@
     def probe_completed(
         self, worker_name: str, outcome: AttemptOutcome, elapsed: int, load: LoadReport | None
     ) -> None:
-        """A probe has ended, whatever it was sent for."""
+        """A probe has ended, for any of its purposes."""
         parts, worker, now = self.parts, self.workers[worker_name], self.actions.now()
         purpose, worker.probe = worker.probe, None
         parts.confirmation.completed(worker)
--- a/ploverspoke/decisions/interface.py
+++ b/ploverspoke/decisions/interface.py
@@ -18,7 +18,7 @@
     WORKER_ERROR = "worker_error"
     FULL = "full"  # returned by the worker
     REJECTED = "rejected"  # the request itself is at fault
-    BROKEN_OFF = "broken_off"  # the connection broke, or what came over it could not be read
+    BROKEN_OFF = "broken_off"  # the connection broke, or the response was malformed
     UNREACHABLE = "unreachable"
     TIMED_OUT = "timed_out"
     CANCELLED = "recalled"
@@ -48,7 +48,7 @@
 
     NOT_STATED = "not_stated"
     TOO_LATE = "too_late"  # no attempt that begins now could be answered in time
-    REFUSED_AT_RANDOM = "refused_at_random"  # starts come late, and no load is reported
+    REFUSED_AT_RANDOM = "refused_at_random"  # starts are late, and no load is reported
     QUEUEING_BUDGET_USED = "queueing_budget_used"
     NO_CAPACITY = "no_room"  # more requests, connections or bytes than the limits allow
     NO_DECISION = "no_decision"  # after a fault of the decisions, or at the end of a shutdown
--- a/ploverspoke/decisions/list_validity.py
+++ b/ploverspoke/decisions/list_validity.py
@@ -28,7 +28,7 @@
     """The expiry of the endpoint list, and the freshness of workers' health checks after it."""
 
     context: Context
-    valid_until: int | None = None  # None: the list never expires, as changes are certain to come
+    valid_until: int | None = None  # None: the list never expires, as changes arrive by other means
     expirations: int = 0
     expired_at: int = 0  # 0: valid
 
--- a/ploverspoke/decisions/settings.py
+++ b/ploverspoke/decisions/settings.py
@@ -37,7 +37,7 @@
 class RequestClass:
     """Rules of one class of requests."""
 
-    latency_objective: int  # ns; answered within it, a request earns its whole weight
+    latency_objective: int  # ns; within it a request earns its whole weight
     deadline: int  # ns; by then the final answer is given
     priority_weight: float
     overdue_weight: float  # earned between the objective and the deadline
@@ -59,7 +59,7 @@
     dispatcher_count: int
     dispatcher_index: int
     zone: int
-    discovery_polling: bool  # endpoints must be polled: changes do not come unprompted
+    discovery_polling: bool  # endpoints must be polled: changes are not pushed
     discovery_poll_interval: int  # ns
     drain_grace: int  # ns, in which sending to a worker has to stop once its drain binds
     workers_report_start: bool
--- a/ploverspoke/decisions/state.py
+++ b/ploverspoke/decisions/state.py
@@ -135,7 +135,7 @@
 
 
 class RequestQueue:
-    """First-come queue of the requests with one slot count and machine kind."""
+    """First-in, first-out queue of the requests with one slot count and machine kind."""
 
     def __init__(self, slots: float, machine_kind: int) -> None:
         """Begin empty."""
--- a/ploverspoke/protocol/admin.py
+++ b/ploverspoke/protocol/admin.py
@@ -64,5 +64,5 @@
 
 
 def counters_reply(lines: Iterable[str]) -> bytes:
-    """Return the whole reply to `vars`, of lines made by the functions above."""
+    """Return the complete reply to `vars` from lines made by the functions above."""
     return "\n".join(("+OK", *lines, ".\n")).encode("ascii")
--- a/ploverspoke/protocol/http_messages.py
+++ b/ploverspoke/protocol/http_messages.py
@@ -33,7 +33,7 @@
     def feed(self, data: memoryview) -> None:
         """Parse the bytes. Raises HttpSyntaxError; nothing more can be parsed then."""
         self.received += len(data)
-        # The parser buffers one header whole: a line without end would grow without limit.
+        # The parser buffers each header completely: an endless line would grow without limit.
         if self.received > 2 * MAX_HEAD_SIZE + (
             0 if self.in_head else CHUNKING_OVERHEAD * self.max_body_size
         ):
--- a/ploverspoke/routing/client_server.py
+++ b/ploverspoke/routing/client_server.py
@@ -38,7 +38,7 @@
         self.sessions: dict[int, ClientSession] = {}  # by their connection's number, oldest first
         self.unserved: dict[int, ClientSession] = {}  # those without an admitted request, oldest first
         self.is_leaving = False  # not ready for new clients
-        self.is_handing_over = False  # other processes accept what comes next
+        self.is_handing_over = False  # other processes accept new connections
         self.is_shut = False  # nothing is accepted any more
         self.listener = Listener(loop, deadlines, self._make_connection, self._may_accept)
 
@@ -58,7 +58,7 @@
     # ---- Shutdown ----
 
     def leave(self, hand_over: bool = False) -> None:
-        """Report that this process is not ready for new clients; what comes is still served.
+        """Report that this process is not ready for new clients; further requests are still served.
 
         With `hand_over` another process has the listening socket, too: it is closed here, and each response
         ends its connection, which sends the client to the other process.
--- a/ploverspoke/routing/client_session.py
+++ b/ploverspoke/routing/client_session.py
@@ -42,7 +42,7 @@
         self.is_closing = False
         self.close_reason = CloseReason.CLIENT_LEFT  # unless this side closes it first
         self.failure: HttpSyntaxError | None = None  # of the reader; sent when all before it is answered
-        self.dropped_bytes = 0  # that came beyond what may be sent ahead
+        self.dropped_bytes = 0  # received beyond what may be sent ahead
         self.buffered_bytes = 0  # of requests, read and not admitted yet
         self.was_served = False  # a request of this session was admitted
         self.is_excess = False  # beyond the limit on sessions: its request is rejected
@@ -70,7 +70,7 @@
     # ---- Events of the connection ----
 
     def on_data_available(self) -> None:
-        """Read on, or keep what comes ahead of the response."""
+        """Read requests, or buffer what is sent ahead of the response."""
         if self.is_closing:
             buffer = self.connection.buffer
             buffer.consume(len(buffer))
@@ -130,7 +130,7 @@
         self.connection.set_reading_paused(False)
         while not self.is_answering and not self.is_closing and not self.connection.has_unsent_data:
             if self.dropped_bytes:
-                self._close(CloseReason.SENT_TOO_MUCH)  # what came next is lost
+                self._close(CloseReason.SENT_TOO_MUCH)  # the data after it is lost
             elif self.queue:
                 self.is_answering = True
                 self._handle(self.queue.popleft())
@@ -207,7 +207,7 @@
     # ---- Responses ----
 
     def answer(self, answer: FinalAnswer, result: str = "", retry_after: int = 0) -> None:
-        """Write the final answer of the request in hand; `retry_after` (ns) is advice, 0: none."""
+        """Write the final answer of the current request; `retry_after` (ns) is advice, 0: none."""
         if answer is FinalAnswer.SUCCEEDED:
             self._respond(200, result.encode("utf-8", "surrogatepass"))
         else:
@@ -241,7 +241,7 @@
         if not keep_alive:
             self._close(reason_after_response(status, has_dropped, is_ending, not self.is_excess))
         else:
-            # What the client has sent in the meantime is read in a turn of its own.
+            # What the client has sent in the meantime is read in another turn of the event loop.
             self.server.loop.call_soon(self._read_on_if_open)
         self._watch_pace()
 
@@ -274,7 +274,7 @@
             self.server.deadlines.cancel(self.deadline)
             self.deadline = None
         elif self.deadline is None:
-            # Set once: bytes that come one by one renew nothing.
+            # Set once: a client that sends byte by byte does not extend it.
             timeout = REQUEST_TIMEOUT if has_to_send else RESPONSE_TIMEOUT
             now = self.server.deadlines.now()
             self.deadline = self.server.deadlines.schedule(now + timeout, self._on_timeout)
--- a/ploverspoke/routing/client_session_owner.py
+++ b/ploverspoke/routing/client_session_owner.py
@@ -19,7 +19,7 @@
     unserved: dict[int, Session]  # by connection number, those without an admitted request
     buffered_bytes: int  # of requests that are not admitted yet, in all sessions
     is_leaving: bool  # not ready for new clients
-    is_handing_over: bool  # other processes accept what comes next
+    is_handing_over: bool  # other processes accept new connections
     is_shut: bool  # nothing is accepted any more
 
     def is_full(self) -> bool:
--- a/ploverspoke/routing/close_reasons.py
+++ b/ploverspoke/routing/close_reasons.py
@@ -8,7 +8,7 @@
 
     CLIENT_LEFT = "client_left"  # it closed or reset the connection
     CLIENT_ASKED = "client_asked"  # for a close after the response
-    INVALID_REQUEST = "invalid_request"  # answered with its 4xx, one that did not come whole among them
+    INVALID_REQUEST = "invalid_request"  # answered with 4xx, also where it was not received completely
     SENT_TOO_MUCH = "sent_too_much"  # ahead of its response
     NOTHING_SENT = "nothing_sent"  # in the time that a new connection is given
     RESPONSE_NOT_READ = "response_not_read"
--- a/ploverspoke/routing/completion.py
+++ b/ploverspoke/routing/completion.py
@@ -24,7 +24,7 @@
     def answer(
         self, request: Request | None, answer: FinalAnswer, result: str = "", retry_after: int = 0
     ) -> None:
-        """Give the final answer, unless the request has had it or its client has disconnected.
+        """Give the final answer, unless the request has one or its client has disconnected.
 
         `retry_after` (ns) advises a rejected client when to retry; 0 gives no advice.
         """
@@ -60,7 +60,7 @@
         recorder.record_answer(request, recorded, on_committed)
 
     def on_client_disconnected(self, request: Request, client: Client) -> None:
-        """End the request if its client has left; with a store the client may come back for its answer."""
+        """End the request of a client that has disconnected; with a store it may retry and get its answer."""
         if request.waiting_clients is not None:
             if client in request.waiting_clients.clients:
                 request.waiting_clients.clients.remove(client)
@@ -71,9 +71,9 @@
             self.requests.remove_if_ended(request)
 
     def reject_if_never_sent(self, request: Request) -> None:
-        """Reject a request that no client waits for and no worker has had or may get.
+        """Reject a request that no client waits for and that was sent to no worker.
 
-        A client that comes back then learns that it has not run.
+        A client that retries then learns that it has not run.
         """
         waiting = request.waiting_clients
         if waiting is None or waiting.clients or request.may_have_been_sent:
--- a/ploverspoke/routing/counters.py
+++ b/ploverspoke/routing/counters.py
@@ -36,7 +36,7 @@
         """Begin with nothing counted."""
         self.admitted = 0  # requests, also those that were rejected at once
         self.ends: dict[str, Counter[RequestEnd]] = {}
-        self.attempts: Counter[str] = Counter()  # that a worker's connection took whole
+        self.attempts: Counter[str] = Counter()  # that were written completely
         self.configs_accepted = 0
         self.configs_invalid = 0
 
@@ -59,7 +59,7 @@
         self.count_end(class_name, FinalAnswer.REJECTED)
 
     def count_attempt(self, class_name: str) -> None:
-        """Count an attempt that was written whole."""
+        """Count an attempt that was written completely."""
         self.attempts[class_name] += 1
 
     def total_ended(self) -> int:
--- a/ploverspoke/routing/endpoint_watch.py
+++ b/ploverspoke/routing/endpoint_watch.py
@@ -190,7 +190,7 @@
         self.pace = pace
         self.is_pushed = is_pushed
         self.immediate_retry_at = -MIN_IMMEDIATE_RETRY_INTERVAL  # when the last one was
-        self.version: int | None = None  # of the list that was received last; None: the whole list is needed
+        self.version: int | None = None  # of the latest list; None: the whole list is needed
         self.pool = ConnectionPool(
             deadlines.loop, deadlines, MAX_CONNECTIONS, CONNECT_TIMEOUT, CONNECT_TIMEOUT
         )
@@ -205,7 +205,7 @@
             self.deadlines.loop.call_soon(self.request.begin)  # never from inside the call of the decisions
 
     def stop(self) -> None:
-        """End the watch for good: another one replaces it, and nothing more is reported here."""
+        """End the watch permanently: another one replaces it, and nothing more is reported here."""
         self.is_stopped = True
         request, self.request = self.request, None
         if request is not None:
@@ -217,7 +217,7 @@
     def wait_for(self, reason: CallReason) -> int:
         """How long (ns) the next request lets discovery wait for a change."""
         if self.version is None:
-            return 0  # the whole list comes at once
+            return 0  # the whole list is sent at once
         time_left = self.listener.list_time_left()
         return self.pace.wait(time_left, is_continued=reason is CallReason.ANSWERED)
 
@@ -234,7 +234,7 @@
         body, requested_version = request.body or b"", request.version
         try:
             request.received = received = self.listener.receive_list(body)
-        except Exception as error:  # any fault in taking a list: it must not end the watch for good
+        except Exception as error:  # any fault in taking a list: the watch must go on
             return f"{type(error).__name__}: {error}"
         if requested_version is None and not received.is_complete:
             return "a part of the list, where all of it was requested"
--- a/ploverspoke/routing/request_admission.py
+++ b/ploverspoke/routing/request_admission.py
@@ -59,7 +59,7 @@
 
         With a store the result may be a request that another client waits for already.
         """
-        # Checked once more: the id may have been used, or the class dropped, while the body came.
+        # Checked once more: the id may have been used, or the class dropped, while the body was received.
         self._check_id_is_unused(message.headers[REQUEST_ID])
         class_number = self._class_number(message.target)
         timeout = self._timeout(message, class_number)
--- a/ploverspoke/routing/request_classes.py
+++ b/ploverspoke/routing/request_classes.py
@@ -1,4 +1,4 @@
-"""Which number each request class has while classes come, go and change their rules. No I/O.
+"""The number of each request class, while classes are added, dropped and changed. No I/O.
 
 A number stands for one class under one set of rules. Open requests keep theirs, so a number whose class was
 dropped or changed keeps its rules until the last of them has ended; only then it is given out again.
--- a/ploverspoke/routing/request_log.py
+++ b/ploverspoke/routing/request_log.py
@@ -77,7 +77,7 @@
 
 
 class WaitingClients:
-    """All clients that wait for one request: a client that comes back with its id joins the others."""
+    """All clients that wait for one request: a client that retries with its id joins the others."""
 
     def __init__(self, first: Client) -> None:
         """`first` is the client that sent the request."""
--- a/ploverspoke/routing/request_recorder.py
+++ b/ploverspoke/routing/request_recorder.py
@@ -48,13 +48,13 @@
             return None
         if request.digest != self._digest(message):
             raise RequestIdInUseError(reason="request-id is in use")
-        # Also while its answer is being committed: taken for a new request it would be sent again.
+        # Also while its answer is being committed: as a new request it would be sent again.
         assert request.waiting_clients is not None
         request.waiting_clients.clients.append(client)
         return request
 
     def recorded_answer(self, message: HttpRequest) -> RecordedAnswer | None:
-        """The answer that a request with this id has had; None if it is not answered or new.
+        """The recorded answer of the request with this id; None if it is new or has none yet.
 
         Raises RequestIdInUseError if the id belongs to a different request.
         """
@@ -96,7 +96,7 @@
         )
 
     def _resume(self, request: Request, previous: PreviousOutcome) -> None:
-        """Count the attempts of another replica; the first that may have run binds the retries."""
+        """Take over the attempts of another replica; the first that may have run restricts the retries."""
         request.attempts = [None] * previous.attempt_count
         request.may_have_been_sent = previous.attempt_count > 0
         sent_at = self.deadlines.now() - previous.time_since_bound
--- a/ploverspoke/routing/request_table.py
+++ b/ploverspoke/routing/request_table.py
@@ -36,7 +36,7 @@
         """Give the request its number."""
         request.number = self.slots.add(request)
         self.body_bytes += len(request.message.body)
-        # A copy may come when the first has just been answered: the id outlives the request.
+        # A duplicate may arrive just after the answer: the id outlives the request.
         self.recent_ids.add(request.request_id)
         self.recent_id_order.append(request.request_id)
         remembered = len(self.recent_id_order)
--- a/ploverspoke/routing/requests.py
+++ b/ploverspoke/routing/requests.py
@@ -21,7 +21,7 @@
         self.request_id = message.headers[REQUEST_ID]
         self.deadline = deadline
         self.digest = b""  # of the message, where a store keeps it
-        # Where there is a store: the first client, and those that came back with the same id.
+        # Where there is a store: the first client, and those that have retried with the same id.
         self.waiting_clients: WaitingClients | None = None
         self.may_have_been_sent = False  # an attempt was allowed to write to a worker
         self.attempts: list[WorkerCall | PendingAttempt | None] = []  # by index; None: ended
--- a/ploverspoke/routing/router.py
+++ b/ploverspoke/routing/router.py
@@ -86,7 +86,7 @@
         self.endpoints.list_confirmed(self.deadlines.now())
         self.events.emit(partial(self.dispatcher.started))
         if self.active_settings.is_pushed():
-            # On sockets changes that are pushed come by this watch alone.
+            # On sockets pushed changes arrive by this watch alone.
             self.endpoints.start_watch()
 
     def change_settings(self, settings: Settings, names: DeploymentNames) -> None:
--- a/ploverspoke/routing/worker_calls.py
+++ b/ploverspoke/routing/worker_calls.py
@@ -113,7 +113,7 @@
         if self.connection is None:
             return
         if self.last_byte is not None and self.connection.idle_time is not None:
-            # The worker has not got the whole request: this is a late second response to the one before.
+            # The worker has not received the whole request: this is a second response to the previous one.
             self._stop(ExchangeOutcome.SEND_INCOMPLETE, ExchangeOutcome.SEND_INCOMPLETE)
             return
         try:
--- a/ploverspoke/service/config_reader.py
+++ b/ploverspoke/service/config_reader.py
@@ -71,7 +71,7 @@
     objects = [value for value in before if isinstance(value, Mapping)]
     if not objects:
         return None
-    # Keys alone: what lies below one object of the list says nothing about another's.
+    # Keys alone: objects of a list may differ in the keys below them.
     shared = dict.fromkeys(key for key in objects[0] if all(key in each for each in objects))
     for index, value in enumerate(now):
         if isinstance(value, Mapping):
--- a/ploverspoke/service/handover.py
+++ b/ploverspoke/service/handover.py
@@ -82,7 +82,7 @@
     try:
         descriptor = os.open(path, os.O_RDWR | os.O_CLOEXEC)
     except OSError:
-        return False  # removed since it was listed, or not a file of ours
+        return False  # removed since it was listed, or no lock file
     try:
         fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
         path.unlink(missing_ok=True)
--- a/ploverspoke/service/inherited_socket.py
+++ b/ploverspoke/service/inherited_socket.py
@@ -31,7 +31,7 @@
     except OSError as error:
         raise invalid from error
     if not _is_listening_tcp(inherited):
-        inherited.detach()  # whatever it is, it is not ours to close
+        inherited.detach()  # this process does not own it
         raise invalid
     inherited.setblocking(False)
     return inherited
--- a/ploverspoke/service/settings.py
+++ b/ploverspoke/service/settings.py
@@ -20,7 +20,7 @@
 DEFAULT_MAX_OPEN_REQUESTS = 10_000
 MIN_POLL_INTERVAL = 200 * MILLISECOND  # backoffs are derived from it and must not be 0
 
-# The values of the operators' settings, mapped to ours.
+# The values of the operators' settings, mapped to those of this code.
 IDEMPOTENCY = {
     "free": Idempotency.IDEMPOTENT,
     "guarded": Idempotency.IDEMPOTENT_WITH_KEY,
--- a/ploverspoke/simulator/errors.py
+++ b/ploverspoke/simulator/errors.py
@@ -46,10 +46,10 @@
 
 
 class UnexpectedMessageError(CodecError):
-    """Another message was due."""
+    """Another message was expected."""
 
     def __init__(self, expected: str, name: str) -> None:
-        """Keep the name of the message that was due, and of the one that came."""
+        """Keep the names of the expected and of the received message."""
         super().__init__(f"expected {expected}, got {name}")
         self.expected = expected
         self.name = name
