--- a/tests/testbed/commands/test_experiment_commands.py
+++ b/tests/testbed/commands/test_experiment_commands.py
@@ -18,10 +18,11 @@
 from ploverspoke.testbed.reports.comparison import compare_results, paired_difference
 from ploverspoke.testbed.reports.experiment_result import read_result
 from ploverspoke.testbed.reports.scores import merge_histograms
+from ploverspoke.testbed.scale.scenario_file import read_scale_scenarios
 from ploverspoke.testbed.scenarios.distribution_scenario import read_distribution_experiment
 from ploverspoke.testbed.scenarios.experiment_runner import run_experiment
 from ploverspoke.testbed.scenarios.lease_scenario import read_lease_experiment
-from ploverspoke.testbed.scenarios.scale_phases import experiment_for, read_scale_scenarios
+from ploverspoke.testbed.scenarios.scale_experiment import scale_experiment
 from tests.testbed.harness import SMALL_EXPERIMENT, small_experiment
 
 SHIPPED = sorted((Path(__file__).parents[3] / "experiments").glob("*.toml"))
@@ -32,9 +33,9 @@
     told = tomllib.loads(path.read_text())
     if told.get("kind") == "fleet":
         fleet = read_fleet(path)
-        plays = read_scale_scenarios(fleet)
+        table = read_scale_scenarios(fleet)
         assert fleet.name == path.stem and all(
-            experiment_for(fleet, plays, play).seeds for play in plays.worlds
+            scale_experiment(fleet, table, scenario).seeds for scenario in table.scenarios
         )
         return
     readers: dict[str, Callable[[dict[str, Any]], Any]] = {
@@ -174,7 +175,7 @@
 def test_the_fakes_share_no_code_with_the_program() -> None:
     # With the same parsers they would have the same faults.
     program = "import sys, ploverspoke.testbed.{}; print(*sys.modules)"
-    beside = ("fakes.protected_resource", "checkers.lease_checker", "processes.tcp_proxy")
+    checkers = ("checkers.lease_checker", "checkers.distribution_checker", "checkers.request_audit")
     for module in (
         *(
             f"fakes.{name}"
@@ -189,7 +190,9 @@
                 "faulty_discovery",
             )
         ),
-        *beside,
+        "fakes.protected_resource",
+        *checkers,
+        "processes.tcp_proxy",
     ):
         words = [sys.executable, "-c", program.format(module)]
         modules = subprocess.run(words, capture_output=True, text=True, check=True).stdout.split()
