--- a/tests/routing/test_acceptance_rules.py
+++ b/tests/routing/test_acceptance_rules.py
@@ -2,13 +2,9 @@
 
 import asyncio
 import contextlib
-import json
 import math
-import os
 import socket
-import sys
 import time
-from collections.abc import Mapping
 from pathlib import Path
 
 import pytest
@@ -24,6 +20,7 @@
 from tests.routing.faulty_discovery import RESPONSES
 from tests.routing.harness import ServiceHarness, endpoint_entry, run_script
 from tests.routing.http_messages import read_message
+from tests.routing.program_process import start_program
 from tests.routing.race_harness import (
     CLASS_NAMES,
     LENIENT_SETTINGS,
@@ -146,20 +143,6 @@
 # ---- The program itself, as a process ----
 
 
-async def start_program(
-    path: Path, config: Mapping[str, object], descriptors: int | None = None
-) -> asyncio.subprocess.Process:
-    path.write_text(json.dumps({**config, "settings": SETTINGS}))
-    command = [sys.executable, "-m", "ploverspoke"]
-    if descriptors is not None:
-        limit = f"import os, resource, sys; resource.setrlimit(resource.RLIMIT_NOFILE, ({descriptors},) * 2)"
-        command = [sys.executable, "-c", f"{limit}; os.execv(sys.executable, sys.argv[1:])", *command]
-    with path.with_suffix(".log").open("ab") as log:
-        return await asyncio.create_subprocess_exec(
-            *command, env={**os.environ, "RELAY_CONFIG": str(path)}, stderr=log
-        )
-
-
 async def wait_until_ready(port: int, within: float) -> bool:
     end = time.monotonic() + within
     while time.monotonic() < end:
@@ -269,7 +252,8 @@
         ports = reserve_ports(count)
         known = {"version": 1, "full": True, "servers": [endpoint_entry("w0", 9)]}
         configs = [
-            {"listen": f"127.0.0.1:{port}", "discovery": address, **({"known": known} if number % 2 else {})}
+            {"listen": f"127.0.0.1:{port}", "discovery": address, "settings": SETTINGS}
+            | ({"known": known} if number % 2 else {})
             for number, port in enumerate(ports)
         ]
         paths = [tmp_path / f"{number}.json" for number in range(count)]
--- a/tests/routing/test_program.py
+++ b/tests/routing/test_program.py
@@ -3,34 +3,28 @@
 import asyncio
 import contextlib
 import json
-import os
 import signal
-import sys
 from pathlib import Path
 
 from tests.decisions.harness import SETTINGS
 from tests.routing.harness import ServiceHarness, run_on_loop, run_script
 from tests.routing.http_messages import Headers, read_message
+from tests.routing.program_process import start_program
 from tests.routing.worker_behaviours import stay_silent
 
 
-async def start_program(
+async def start_ready_program(
     harness: ServiceHarness, path: Path
 ) -> tuple[asyncio.subprocess.Process, dict[str, object], Path]:
     """Start the program; returns its process once it is ready, its configuration, and its log file."""
     document = harness.config_document(await harness.start_workers_and_discovery(2))
-    path.write_text(json.dumps(document))
-    log = path.with_suffix(".log")
-    with log.open("wb") as file:
-        process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "ploverspoke", env={**os.environ, "RELAY_CONFIG": str(path)}, stderr=file
-        )
+    process = await start_program(path, document)
     for _ in range(500):
         with contextlib.suppress(ConnectionError):
             assert (await harness.exchange(b"GET /-/ready HTTP/1.1\r\n\r\n"))[0] == 200
             break
         await asyncio.sleep(0.02)
-    return process, document, log
+    return process, document, path.with_suffix(".log")
 
 
 async def write_and_signal(
@@ -48,7 +42,7 @@
     async def run() -> None:
         harness, new_discovery = ServiceHarness(), ServiceHarness()
         path = tmp_path / "config.json"
-        process, document, log = await start_program(harness, path)
+        process, document, log = await start_ready_program(harness, path)
         # Its list happens to have the version of the first one's.
         address = await new_discovery.start_workers_and_discovery(0)
         new_discovery.entries = harness.entries[1:]
@@ -107,7 +101,7 @@
 
     async def run() -> tuple[int | None, list[int]]:
         harness, statuses = ServiceHarness(), list[int]()
-        process, _, _ = await start_program(harness, tmp_path / "config.json")
+        process, _, _ = await start_ready_program(harness, tmp_path / "config.json")
         end = asyncio.get_running_loop().time() + 0.8
         clients = asyncio.gather(*(client(harness, f"c{n}", end, statuses) for n in range(8)))
         await asyncio.sleep(0.4)
