--- a/ploverspoke/testbed/experiment_files/distributions.py
+++ b/ploverspoke/testbed/experiment_files/distributions.py
@@ -6,7 +6,7 @@
 import numpy.typing as npt
 
 from .durations import SECOND, Duration
-from .table import ExperimentTable
+from .experiment_table import ExperimentTable
 
 SHAPE_REASON = "shape must be over 1: below there is no mean"
 Samples = npt.NDArray[np.float64]
--- a/ploverspoke/testbed/experiment_files/experiment.py
+++ b/ploverspoke/testbed/experiment_files/experiment.py
@@ -6,8 +6,8 @@
 
 from ..processes.fault_timeline import FaultStep
 from .durations import Duration
+from .experiment_table import ExperimentTable
 from .fault_tables import AnyFault, SettingsChange
-from .table import ExperimentTable
 from .tables import (
     AcceptanceCriteria,
     ClientOptions,
--- a/ploverspoke/testbed/experiment_files/fault_tables.py
+++ b/ploverspoke/testbed/experiment_files/fault_tables.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from .durations import MILLISECOND, SECOND, Duration
-from .table import ExperimentTable
+from .experiment_table import ExperimentTable
 
 
 class Fault(
--- a/ploverspoke/testbed/experiment_files/tables.py
+++ b/ploverspoke/testbed/experiment_files/tables.py
@@ -7,7 +7,7 @@
 
 from .distributions import Distribution, Exponential, Lognormal
 from .durations import MICROSECOND, MILLISECOND, SECOND, Duration
-from .table import ExperimentTable
+from .experiment_table import ExperimentTable
 
 
 class Idempotency(Enum):
--- a/ploverspoke/testbed/models/baseline_policies.py
+++ b/ploverspoke/testbed/models/baseline_policies.py
@@ -5,7 +5,6 @@
 """
 
 from collections.abc import Callable, Iterable, Mapping
-from typing import Any
 
 from ploverspoke.decisions.dispatcher import Dispatcher
 from ploverspoke.decisions.interface import (
@@ -252,7 +251,8 @@
 
 
 TRUE_LOAD_POLICY = "all-seeing"
-POLICIES: dict[str, Callable[..., Any]] = {
+PolicyFactory = Callable[[DispatchActions, int, Settings, TrueLoad | None], BaselinePolicy | Dispatcher]
+POLICIES: dict[str, PolicyFactory] = {
     "ours": Policy,
     "random": RandomPick,
     "round robin": RoundRobin,
--- a/ploverspoke/testbed/models/executor.py
+++ b/ploverspoke/testbed/models/executor.py
@@ -5,6 +5,7 @@
 
 from collections import OrderedDict, deque
 from collections.abc import Callable
+from functools import partial
 
 from ..experiment_files.durations import MILLISECOND
 from ..experiment_files.tables import QueueOrder, WorkerGroup
@@ -146,7 +147,7 @@
         key = run.job.affinity_key
         if key and self.store is not None and not self._has_cached(key):
             run.is_fetching = True
-            run.fetch = self.store.fetch(self._fetched, run)
+            run.fetch = self.store.fetch(partial(self._fetched, run))
         else:
             self._work(run)
 
--- a/ploverspoke/testbed/models/shared_store.py
+++ b/ploverspoke/testbed/models/shared_store.py
@@ -2,7 +2,6 @@
 
 from collections import deque
 from collections.abc import Callable
-from typing import Any
 
 from ..experiment_files.tables import StoreOptions
 from .random_streams import RandomStreams
@@ -14,12 +13,11 @@
 class Fetch:
     """One fetch, and the call that gets its result."""
 
-    __slots__ = ("argument", "is_cancelled", "on_fetched")
+    __slots__ = ("is_cancelled", "on_fetched")
 
-    def __init__(self, on_fetched: Callable[..., None], argument: Any) -> None:
-        """Call `on_fetched(argument)` at the end."""
+    def __init__(self, on_fetched: Callable[[], None]) -> None:
+        """Call `on_fetched` at the end."""
         self.on_fetched = on_fetched
-        self.argument = argument
         self.is_cancelled = False
 
     def cancel(self) -> None:
@@ -40,9 +38,9 @@
         self._active_count = 0
         self._queue: deque[Fetch] = deque()
 
-    def fetch(self, on_fetched: Callable[..., None], argument: Any) -> Fetch:
-        """Fetch now or when a slot is free, then call `on_fetched(argument)`."""
-        fetch = Fetch(on_fetched, argument)
+    def fetch(self, on_fetched: Callable[[], None]) -> Fetch:
+        """Fetch now or when a slot is free, then call `on_fetched`."""
+        fetch = Fetch(on_fetched)
         if self._active_count < self.options.max_concurrent:
             self._start(fetch)
         else:
@@ -65,4 +63,4 @@
             if not next_fetch.is_cancelled:
                 self._start(next_fetch)
         if not fetch.is_cancelled:
-            fetch.on_fetched(fetch.argument)
+            fetch.on_fetched()
