--- a/ploverspoke/testbed/commands/soak.py
+++ b/ploverspoke/testbed/commands/soak.py
@@ -6,25 +6,25 @@
 import click
 import uvloop
 
-from ..scenarios.soak import Verdict, play_seed
+from ..scenarios.soak import SoakVerdict, run_seed
 
 MAX_SHOWN_PROBLEMS = 4  # of one seed
 
 
-async def _run_seeds(first: int, count: int, at_once: int) -> list[Verdict]:
+async def _run_seeds(first: int, count: int, at_once: int) -> list[SoakVerdict]:
     limit = asyncio.Semaphore(at_once)
 
-    async def run_seed(seed: int) -> Verdict:
+    async def run_in_turn(seed: int) -> SoakVerdict:
         """Run one seed once there is room for it."""
         async with limit:
-            verdict = await play_seed(seed)
+            verdict = await run_seed(seed)
         print(_describe(verdict), flush=True)
         return verdict
 
-    return list(await asyncio.gather(*(run_seed(seed) for seed in range(first, first + count))))
+    return list(await asyncio.gather(*(run_in_turn(seed) for seed in range(first, first + count))))
 
 
-def _describe(verdict: Verdict) -> str:
+def _describe(verdict: SoakVerdict) -> str:
     counts = (
         f"{verdict.requests} requests, {verdict.served} served, {verdict.drains} drains, "
         f"{verdict.restarts} restarts, late by {verdict.lateness * 1000:.0f} ms"
--- a/ploverspoke/testbed/scenarios/endpoint_list_age.py
+++ b/ploverspoke/testbed/scenarios/endpoint_list_age.py
@@ -8,7 +8,7 @@
 import tempfile
 from collections.abc import Awaitable, Callable
 from pathlib import Path
-from typing import Any
+from typing import NamedTuple
 
 import click
 import uvloop
@@ -17,55 +17,65 @@
 from ..fakes.faulty_discovery import CallQueue, Failure, ScriptedDiscovery
 from ..processes.dispatcher_process import DispatcherProcess
 
-FLEETS = (1, 30, 177, 1000)
+# Times are in seconds.
+FLEET_SIZES = (1, 30, 177, 1000)
 TRIES = 4
-AT_ONCE = 16  # processes
-LONGEST = 25.0  # seconds that one is waited for
-OUTAGE = 4.0  # seconds
-CROWD = 40
-CROWD_QUEUE_CAPACITY = 20
+MAX_PROCESSES = 16
+MAX_AGE = 25.0  # an age that is longer is not waited for
+OUTAGE = 4.0
+POLL_INTERVAL = 0.01
+WATCH_TIMEOUT = 60.0  # until a dispatcher watches discovery
+WATCH_SETTLING_TIME = 0.3
+
+CROWD = 40  # dispatchers
+CROWD_STARTS = 8  # at once
+CROWD_QUEUE_CAPACITY = 20  # calls
+CROWD_SERVICE_TIMES = (0.05, 0.125)  # of a call
 CROWD_OUTAGE = 3.0
-COUNTED_AFTER = 10.0  # seconds after the outage in which calls are counted
+COUNTED_AFTER = 10.0  # after the outage, in which calls are counted
+
 ENTRIES = [
     ListedEndpoint(id=f"w{n}", addr="127.0.0.1:9", zone="a", kind="plain", state="Ready", started_ms=0)
     for n in range(2)
 ]
 
 
-class Case:
+class DiscoveryCase:
     """One dispatcher and its discovery, or two where a new configuration moves it."""
 
     def __init__(self, discovery: ScriptedDiscovery, dispatcher: DispatcherProcess) -> None:
+        """A dispatcher that is configured for that discovery."""
         self.discovery = discovery
         self.dispatcher = dispatcher
 
     async def move(self, failures: int) -> None:
-        """Another discovery from now on, whose first calls are rejected."""
+        """Configure another discovery, whose first calls are rejected."""
         self.discovery.close()
         self.discovery = ScriptedDiscovery(ENTRIES)
         self.discovery.next_failures.extend([Failure.REJECTED] * failures)
         self.dispatcher.move_discovery(await self.discovery.address_for(0))
 
 
-Fault = Callable[[Case], Awaitable[None]]
+Fault = Callable[[DiscoveryCase], Awaitable[None]]
 
 
 def failing_watch(*failures: Failure) -> Fault:
-    """The open watch and the calls after it fail."""
+    """Return a fault: the open watch and the calls after it fail."""
 
-    async def fault(case: Case) -> None:
+    async def inject(case: DiscoveryCase) -> None:
+        """Have them fail."""
         case.discovery.fail_watches(*failures)
 
-    return fault
+    return inject
 
 
 def moving(failures: int) -> Fault:
-    """A new configuration, with so many rejections at the new address."""
+    """Return a fault: a new configuration, with so many rejections at the new address."""
     return lambda case: case.move(failures)
 
 
 def failing_for_a_while(failure: Failure | None) -> Fault:
-    """An outage."""
+    """Return a fault: an outage; None: connections are refused."""
     return lambda case: case.discovery.fail_for(failure, OUTAGE)
 
 
@@ -86,61 +96,101 @@
 }
 
 
-async def list_age(fault: Fault, fleet: int, seed: int, folder: Path) -> float:
-    """Seconds from a drain until discovery has written it to the dispatcher.
+async def measure_list_age(fault: Fault, fleet_size: int, seed: int, folder: Path) -> float:
+    """Return the seconds from a drain until discovery has written it to the dispatcher.
 
     The drain comes with the first of some failures, or at the end of an outage.
     """
     loop, discovery = asyncio.get_running_loop(), ScriptedDiscovery(ENTRIES)
-    dispatcher = DispatcherProcess(folder, 0, await discovery.address_for(0), seed, PeersTotal=fleet)
-    case = Case(discovery, dispatcher)
+    dispatcher = DispatcherProcess(folder, 0, await discovery.address_for(0), seed, PeersTotal=fleet_size)
+    case = DiscoveryCase(discovery, dispatcher)
     try:
         await dispatcher.start()
-        await watching(discovery, 0)
+        await wait_for_watch(discovery, 0)
         await fault(case)
         drained_at, version = loop.time(), case.discovery.change("w0", "Terminating")
-        until = drained_at + LONGEST
-        while case.discovery.written_at(0, version) is None and loop.time() < until:
-            await asyncio.sleep(0.01)
-        written = case.discovery.written_at(0, version)
-        return LONGEST if written is None else written - drained_at
+        deadline = drained_at + MAX_AGE
+        while case.discovery.written_at(0, version) is None and loop.time() < deadline:
+            await asyncio.sleep(POLL_INTERVAL)
+        written_at = case.discovery.written_at(0, version)
+        return MAX_AGE if written_at is None else written_at - drained_at
     finally:
         await dispatcher.kill()
         case.discovery.close()
 
 
-async def watching(discovery: ScriptedDiscovery, dispatcher: int) -> None:
-    """Wait until the dispatcher has the list and asks for changes."""
-    async with asyncio.timeout(60):
-        while not any(each.dispatcher == dispatcher and each.version for each in discovery.calls):
-            await asyncio.sleep(0.01)
-    await asyncio.sleep(0.3)
-
+async def wait_for_watch(discovery: ScriptedDiscovery, dispatcher: int) -> None:
+    """Wait until the dispatcher has the list and watches for changes.
 
-async def table_of_faults() -> None:
-    """Print the table of failures by fleet size."""
-    limit = asyncio.Semaphore(AT_ONCE)
-
-    async def cell(fault: Fault, fleet: int) -> str:
-        async def one(seed: int) -> float:
-            async with limit:
-                with tempfile.TemporaryDirectory() as folder:
-                    return await list_age(fault, fleet, seed, Path(folder))
+    Raises:
+        TimeoutError: it does not in time.
+    """
+    async with asyncio.timeout(WATCH_TIMEOUT):
+        while not any(call.dispatcher == dispatcher and call.version for call in discovery.calls):
+            await asyncio.sleep(POLL_INTERVAL)
+    await asyncio.sleep(WATCH_SETTLING_TIME)
 
-        ages = await asyncio.gather(*(one(fleet * 100 + seed) for seed in range(TRIES)))
-        return f"{min(ages):.1f} to {max(ages):.1f}"
 
+async def print_fault_table() -> None:
+    """Print the ages by failure and fleet size."""
+    limit = asyncio.Semaphore(MAX_PROCESSES)
     rows = await asyncio.gather(
-        *(asyncio.gather(*(cell(fault, fleet) for fleet in FLEETS)) for fault in FAULTS.values())
+        *(
+            asyncio.gather(*(_measure_cell(fault, fleet_size, limit) for fleet_size in FLEET_SIZES))
+            for fault in FAULTS.values()
+        )
     )
-    print("| what failed | " + " | ".join(f"fleet of {fleet}" for fleet in FLEETS) + " |")
-    print("| --- |" + " --- |" * len(FLEETS))
+    print("| what failed | " + " | ".join(f"fleet of {size}" for size in FLEET_SIZES) + " |")
+    print("| --- |" + " --- |" * len(FLEET_SIZES))
     for name, cells in zip(FAULTS, rows, strict=True):
         print(f"| {name} | " + " | ".join(cells) + " |")
 
 
-async def crowd(queue: CallQueue, is_refusing: bool) -> str:
-    """A row: a fleet whose discovery works through a queue of calls comes back from an outage."""
+async def _measure_cell(fault: Fault, fleet_size: int, limit: asyncio.Semaphore) -> str:
+    async def measure(seed: int) -> float:
+        """Measure once in a folder of its own."""
+        async with limit:
+            with tempfile.TemporaryDirectory() as folder:
+                return await measure_list_age(fault, fleet_size, seed, Path(folder))
+
+    ages = await asyncio.gather(*(measure(fleet_size * 100 + number) for number in range(TRIES)))
+    return f"{min(ages):.1f} to {max(ages):.1f}"
+
+
+# ---- A fleet after an outage ----
+
+
+class CrowdRun(NamedTuple):
+    """A fleet whose discovery, which works through a queue of calls, comes back from an outage."""
+
+    discovery: ScriptedDiscovery
+    queue: CallQueue
+    is_refusing: bool  # during the outage connections are refused; else calls are rejected
+    version: int  # of the list that has a drain, made when discovery is back
+    began_at: float  # of the event loop's clock
+    back_at: float
+
+    def table_row(self) -> str:
+        """Return its row in the table."""
+        written = [self.discovery.written_at(number, self.version) for number in range(CROWD)]
+        ages = sorted(MAX_AGE if at is None else at - self.back_at for at in written)
+        calls = [call.at for call in self.discovery.calls]
+        during = sum(self.began_at <= at < self.back_at for at in calls) / CROWD_OUTAGE
+        after = sum(self.back_at <= at < self.back_at + COUNTED_AFTER for at in calls) / COUNTED_AFTER
+        cells = [
+            f"{self.queue.service_time * 1000:.0f} ms",
+            "yes" if self.queue.rejections_are_served else "no",
+            "refused" if self.is_refusing else "503",
+            f"{statistics.median(ages):.1f}",
+            f"{ages[-1]:.1f}",
+            "not seen" if self.is_refusing else f"{during:.1f}",
+            f"{after:.1f}",
+        ]
+        return f"| {' | '.join(cells)} |"
+
+
+async def run_crowd(queue: CallQueue, is_refusing: bool) -> CrowdRun:
+    """Run a fleet through an outage of its discovery."""
     loop, discovery = asyncio.get_running_loop(), ScriptedDiscovery(ENTRIES)
     with tempfile.TemporaryDirectory() as folder:
         dispatchers = [
@@ -148,9 +198,10 @@
             for n in range(CROWD)
         ]
         try:
-            for part in range(0, CROWD, 8):
-                await asyncio.gather(*(each.start() for each in dispatchers[part : part + 8]))
-            await asyncio.gather(*(watching(discovery, n) for n in range(CROWD)))
+            for first in range(0, CROWD, CROWD_STARTS):
+                group = dispatchers[first : first + CROWD_STARTS]
+                await asyncio.gather(*(dispatcher.start() for dispatcher in group))
+            await asyncio.gather(*(wait_for_watch(discovery, number) for number in range(CROWD)))
             discovery.queue = queue
             began_at = loop.time()
             if is_refusing:
@@ -163,50 +214,30 @@
             version, back_at = discovery.change("w0", "Terminating"), loop.time()
             if is_refusing:
                 await discovery.listen_again()
-            await asyncio.sleep(LONGEST)
+            await asyncio.sleep(MAX_AGE)
         finally:
-            await asyncio.gather(*(each.kill() for each in dispatchers))
+            await asyncio.gather(*(dispatcher.kill() for dispatcher in dispatchers))
             discovery.close()
-    return _crowd_row(discovery, queue, is_refusing, version, began_at, back_at)
-
-
-def _crowd_row(
-    discovery: ScriptedDiscovery,
-    queue: CallQueue,
-    is_refusing: bool,
-    version: int,
-    began_at: float,
-    back_at: float,
-) -> str:
-    heard: list[Any] = [discovery.written_at(n, version) for n in range(CROWD)]
-    times = sorted(LONGEST if at is None else at - back_at for at in heard)
-    during = sum(began_at <= call.at < back_at for call in discovery.calls) / CROWD_OUTAGE
-    after = sum(back_at <= call.at < back_at + COUNTED_AFTER for call in discovery.calls) / COUNTED_AFTER
-    return (
-        f"| {queue.service_time * 1000:.0f} ms | {'yes' if queue.rejections_are_served else 'no'} | "
-        f"{'refused' if is_refusing else '503'} | {statistics.median(times):.1f} | {times[-1]:.1f} | "
-        f"{'not seen' if is_refusing else f'{during:.1f}'} | {after:.1f} |"
-    )
+    return CrowdRun(discovery, queue, is_refusing, version, began_at, back_at)
 
 
-async def table_of_crowds() -> None:
-    """Print the table of a fleet at a discovery that comes back."""
+async def print_crowd_table() -> None:
+    """Print the ages in a fleet at a discovery that comes back."""
     print("| a call | rejections are served | while down | median | last | calls/s down | calls/s after |")
     print("| --- | --- | --- | --- | --- | --- | --- |")
-    for service_time in (0.05, 0.125):
+    for service_time in CROWD_SERVICE_TIMES:
         for are_served in (False, True):
+            queue = CallQueue(service_time, CROWD_QUEUE_CAPACITY, are_served)
             for is_refusing in (True, False):
-                print(
-                    await crowd(CallQueue(service_time, CROWD_QUEUE_CAPACITY, are_served), is_refusing),
-                    flush=True,
-                )
+                run = await run_crowd(queue, is_refusing)
+                print(run.table_row(), flush=True)
 
 
 @click.command()
 @click.option("--crowd", "is_crowd", is_flag=True, help="The table of a crowd in place of that of faults.")
 def main(is_crowd: bool) -> None:
     """Measure with the program of this checkout; takes some minutes."""
-    uvloop.run(table_of_crowds() if is_crowd else table_of_faults())
+    uvloop.run(print_crowd_table() if is_crowd else print_fault_table())
 
 
 if __name__ == "__main__":
--- a/ploverspoke/testbed/scenarios/soak.py
+++ b/ploverspoke/testbed/scenarios/soak.py
@@ -1,4 +1,4 @@
-"""One seed of a soak: what happens when, and what is wrong with what was seen."""
+"""Soaks a real dispatcher for one seed: random faults of discovery, drains and restarts, then the checks."""
 
 import asyncio
 import random
@@ -6,33 +6,51 @@
 import tempfile
 from dataclasses import dataclass, field
 from pathlib import Path
-from typing import Any
 
 from ..fakes.faulty_discovery import Failure, ScriptedDiscovery
 from ..fakes.persistent_clients import DEADLINE, PersistentClients, hold_idle_connections
-from ..fakes.recording_workers import RecordingWorkers
+from ..fakes.recording_workers import Arrival, RecordingWorkers
 from ..processes.dispatcher_process import DispatcherProcess
 
-LASTS = 22.0  # seconds
+# Times are in seconds.
+DURATION = 22.0
+RESTARTS_AT = (8.0, 15.0)
+TICK = 0.02  # of the watch on this process's lateness
+
 WORKERS = 5
-MOST_DRAINED = 3
+MAX_DRAINED = 3
 CLIENTS = 8
-FLEETS = (1, 30, 177, 1000, 3000)
-STOPS_AT = (8.0, 15.0)  # seconds; the dispatcher is restarted
-EARLIEST_KILL = DEADLINE + 0.7  # after SIGTERM
-BINDS_AFTER = 6.0
-GRACE = 0.55
-SLACK = 0.1
-OUTAGES = (0.2, 1.0, 4.0, 9.0)  # seconds
-DRAIN_SHARE = 0.5  # of the failures
+FLEET_SIZES = (1, 30, 177, 1000, 3000)  # that the dispatcher may be told of
+
+# Kinds of fault: each is drawn where the number is below its limit, and above the one before.
+DRAIN_LIMIT, MOVE_LIMIT, CROWD_LIMIT = 0.2, 0.3, 0.4
+FAULT_PAUSES = (0.05, 0.4, 1.5, 3.0)  # until the next fault
+DRAIN_DURING_FAILURE_SHARE = 0.5
+MAX_DRAIN_DELAY = 0.5  # after a failure has begun
+SINGLE_CALLS_SHARE = 0.4  # of the failures; the others are outages
+MAX_FAILED_CALLS = 4
+REFUSED_SHARE = 0.2  # of the outages
+OUTAGES = (0.2, 1.0, 4.0, 9.0)
 CROWD_SHARE = 0.3  # of the seeds
-CROWD = 150
-CROWD_SOCKETS = 128
-TICK = 0.02
+CROWD_CONNECTIONS = 150
+CROWD_DURATION = 3.0
+CROWD_SOCKET_LIMIT = 128
+
+KILL_DELAY = DEADLINE + 0.7  # after SIGTERM: the earliest time at which a platform kills
+STOP_SIGNALS = (
+    (signal.SIGTERM,),
+    (signal.SIGHUP, signal.SIGTERM),
+    (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM),
+)
+
+# After a drain, or the start of a process, no attempt may be sent to the worker later than the sum of these.
+LIST_VALIDITY = 6.0
+DRAIN_GRACE = 0.55
+SOCKET_SLACK = 0.1
 
 
 @dataclass
-class Verdict:
+class SoakVerdict:
     """What one seed has shown."""
 
     seed: int
@@ -40,7 +58,7 @@
     served: int = 0
     drains: int = 0
     restarts: int = 0
-    lateness: float = 0.0  # of this process, in seconds; its observations may be off by as much
+    lateness: float = 0.0  # of this process; its observations may be off by as much
     problems: list[str] = field(default_factory=list)
 
 
@@ -48,78 +66,81 @@
     """One dispatcher, its two discoveries, its workers and clients."""
 
     def __init__(self, seed: int, folder: Path) -> None:
-        """Everything that chance decides follows from the seed, but for the machine's pace."""
+        """Whatever is random follows from the seed, but for the machine's pace."""
         self.random = random.Random(seed)
         self.seed = seed
         self.folder = folder
         self.loop = asyncio.get_running_loop()
         self.workers = RecordingWorkers(WORKERS, random.Random(seed + 1))
-        self.verdict = Verdict(seed)
-        self.drained_at: dict[str, float] = {}
-        self.known_since: dict[str, float] = {}  # a later process learns of a drain from its start on
+        self.verdict = SoakVerdict(seed)
+        self.drained_at: dict[str, float] = {}  # by worker
+        self.known_since: dict[str, float] = {}  # as drained_at, or the start of a later process
         self.tasks: list[asyncio.Task[None]] = []
         self.outage_lock = asyncio.Lock()
 
-    async def play(self) -> Verdict:
+    async def run(self) -> SoakVerdict:
         """Run to the end; returns what is wrong."""
         entries = await self.workers.start()
         self.discoveries = [ScriptedDiscovery(entries), ScriptedDiscovery(entries)]
         self.addresses = [await each.address_for(0) for each in self.discoveries]
-        self.dispatcher = self._dispatcher()
+        self.dispatcher = self._make_dispatcher()
         self.clients = PersistentClients(self.dispatcher.port, self.workers, random.Random(self.seed + 2))
         await self.dispatcher.start()
         self.tasks = [self.loop.create_task(self._watch_lateness())]
-        running = [self.loop.create_task(self.clients.run(n)) for n in range(CLIENTS)]
+        clients = [self.loop.create_task(self.clients.run(number)) for number in range(CLIENTS)]
         try:
             await self._inject_faults()
             self.clients.is_over = True
-            await asyncio.gather(*running)
+            await asyncio.gather(*clients)
         finally:
-            for task in (*self.tasks, *running):
+            for task in (*self.tasks, *clients):
                 task.cancel()
             await self.dispatcher.kill()
             for discovery in self.discoveries:
                 discovery.close()
             self.workers.close()
-        return self._judge()
+        return self._check()
 
-    def _dispatcher(self) -> DispatcherProcess:
-        fleet = self.random.choice(FLEETS)
-        dispatcher = DispatcherProcess(self.folder, 0, self.addresses[0], self.seed, PeersTotal=fleet)
+    def _make_dispatcher(self) -> DispatcherProcess:
+        fleet_size = self.random.choice(FLEET_SIZES)
+        dispatcher = DispatcherProcess(self.folder, 0, self.addresses[0], self.seed, PeersTotal=fleet_size)
         self.has_crowd = self.random.random() < CROWD_SHARE
         if self.has_crowd:
-            dispatcher.document["limits"] = {"sockets": CROWD_SOCKETS}
+            dispatcher.document["limits"] = {"sockets": CROWD_SOCKET_LIMIT}
         return dispatcher
 
-    # ---- Trouble ----
+    # ---- Faults ----
 
     async def _inject_faults(self) -> None:
-        began_at, stops = self.loop.time(), list(STOPS_AT)
-        while (elapsed := self.loop.time() - began_at) < LASTS:
-            if stops and elapsed >= stops[0]:
-                stops.pop(0)
+        began_at, restarts = self.loop.time(), list(RESTARTS_AT)
+        while (elapsed := self.loop.time() - began_at) < DURATION:
+            if restarts and elapsed >= restarts[0]:
+                restarts.pop(0)
                 await self._restart()
                 continue
-            kind = self.random.random()
-            if kind < 0.2:
+            await self._inject_fault()
+            until_restart = restarts[0] - elapsed if restarts else DURATION
+            await asyncio.sleep(min(self.random.choice(FAULT_PAUSES), max(0.0, until_restart)))
+
+    async def _inject_fault(self) -> None:
+        drawn = self.random.random()
+        if drawn < DRAIN_LIMIT:
+            self._drain_one()
+        elif drawn < MOVE_LIMIT:
+            self._move_discovery()
+        elif drawn < CROWD_LIMIT and self.has_crowd:
+            crowd = hold_idle_connections(self.dispatcher.port, CROWD_CONNECTIONS, CROWD_DURATION)
+            self.tasks.append(self.loop.create_task(crowd))
+        elif not self.outage_lock.locked():
+            self.tasks.append(self.loop.create_task(self._fail_discovery()))
+            # A drain that is missed matters most just after a failure has begun.
+            if self.random.random() < DRAIN_DURING_FAILURE_SHARE:
+                await asyncio.sleep(self.random.random() * MAX_DRAIN_DELAY)
                 self._drain_one()
-            elif kind < 0.3:
-                self._move_discovery()
-            elif kind < 0.4 and self.has_crowd:
-                held = hold_idle_connections(self.dispatcher.port, CROWD, 3.0)
-                self.tasks.append(self.loop.create_task(held))
-            elif not self.outage_lock.locked():
-                self.tasks.append(self.loop.create_task(self._fail_discovery()))
-                # What is missed matters most just after a failure has begun.
-                if self.random.random() < DRAIN_SHARE:
-                    await asyncio.sleep(self.random.random() * 0.5)
-                    self._drain_one()
-            until_stop = stops[0] - elapsed if stops else LASTS
-            await asyncio.sleep(min(self.random.choice([0.05, 0.4, 1.5, 3.0]), max(0.0, until_stop)))
 
     def _drain_one(self) -> None:
         ready = [name for name in self.workers.names if name not in self.drained_at]
-        if len(ready) <= WORKERS - MOST_DRAINED:
+        if len(ready) <= WORKERS - MAX_DRAINED:
             return
         worker = self.random.choice(ready)
         self.drained_at[worker] = self.known_since[worker] = self.loop.time()
@@ -132,80 +153,75 @@
         self.dispatcher.move_discovery(self.addresses[0])
 
     async def _fail_discovery(self) -> None:
-        """Some calls fail, or all of them for a while."""
+        """Fail some calls, or all of them for a while."""
         async with self.outage_lock:
-            if self.random.random() < 0.4:
-                failures = [self.random.choice(list(Failure)) for _ in range(self.random.randint(1, 4))]
+            if self.random.random() < SINGLE_CALLS_SHARE:
+                count = self.random.randint(1, MAX_FAILED_CALLS)
+                failures = [self.random.choice(list(Failure)) for _ in range(count)]
                 for discovery in self.discoveries:
                     discovery.fail_watches(*failures)
                 return
-            lasts = self.random.choice(OUTAGES)
-            failure = None if self.random.random() < 0.2 else self.random.choice(list(Failure))
-            await asyncio.gather(*(each.fail_for(failure, lasts) for each in self.discoveries))
+            duration = self.random.choice(OUTAGES)
+            is_refused = self.random.random() < REFUSED_SHARE
+            failure = None if is_refused else self.random.choice(list(Failure))
+            await asyncio.gather(*(each.fail_for(failure, duration) for each in self.discoveries))
 
     async def _restart(self) -> None:
-        """Signals in series, a kill at the earliest moment, and the next process."""
+        """Stop the process with signals, kill it at the earliest moment, and start the next one."""
         process = self.dispatcher.process
         assert process is not None
         if process.returncode is not None:
             self.verdict.problems.append(f"it ended by itself with {process.returncode}")
-        for number in self.random.choice(
-            [
-                [signal.SIGTERM],
-                [signal.SIGHUP, signal.SIGTERM],
-                [signal.SIGTERM, signal.SIGHUP, signal.SIGTERM],
-            ]
-        ):
+        for number in self.random.choice(STOP_SIGNALS):
             self.dispatcher.send(number)
         try:
-            await asyncio.wait_for(process.wait(), EARLIEST_KILL)
+            await asyncio.wait_for(process.wait(), KILL_DELAY)
             if process.returncode:
                 self.verdict.problems.append(f"it ended with {process.returncode} after SIGTERM")
         except TimeoutError:
             await self.dispatcher.kill()
         self.verdict.restarts += 1
-        # Not before the next process is there, whose first signals would come before its start is over.
+        # Signals are sent only to a process whose start is over.
         await self.dispatcher.start()
         for worker in self.known_since:
             self.known_since[worker] = self.loop.time()
 
     async def _watch_lateness(self) -> None:
         while True:
-            due = self.loop.time() + TICK
+            due_at = self.loop.time() + TICK
             await asyncio.sleep(TICK)
-            self.verdict.lateness = max(self.verdict.lateness, self.loop.time() - due)
+            self.verdict.lateness = max(self.verdict.lateness, self.loop.time() - due_at)
 
-    # ---- Verdict ----
+    # ---- Checks ----
 
-    def _judge(self) -> Verdict:
+    def _check(self) -> SoakVerdict:
         verdict = self.verdict
         verdict.requests, verdict.served = self.clients.sent, self.clients.statuses[200]
         verdict.drains = len(self.drained_at)
         verdict.problems += self.clients.lost
-        verdict.problems += [text for arrival in self.workers.arrivals if (text := self._late(arrival))]
+        verdict.problems += [
+            problem for arrival in self.workers.arrivals if (problem := self._check_arrival(arrival))
+        ]
         for request_id, arrivals in self.workers.by_request.items():
-            if sum(arrival.has_run for arrival in arrivals) > 1 and self._is_non_idempotent(request_id):
+            has_run_twice = sum(arrival.has_run for arrival in arrivals) > 1
+            if has_run_twice and request_id in self.clients.non_idempotent:
                 verdict.problems.append(f"{request_id} ran twice")
         return verdict
 
-    def _late(self, arrival: Any) -> str:
-        """What is wrong with an arrival at a worker that drains, "" for nothing."""
+    def _check_arrival(self, arrival: Arrival) -> str:
+        """Return what is wrong with an attempt that arrived at a draining worker; "" for nothing."""
         drained_at = self.drained_at.get(arrival.worker)
         if drained_at is None or arrival.at < drained_at:
             return ""
-        # The later process counts as told from its own start on; the list it begins with may be old.
-        since = max(drained_at, self.known_since[arrival.worker] if self._is_later(arrival) else drained_at)
-        late_by = arrival.at - (since + BINDS_AFTER + GRACE + SLACK + self.verdict.lateness)
+        # A later process may begin with an old list, and has it for as long as it would from its start on.
+        known_since = self.known_since[arrival.worker]
+        since = known_since if arrival.at >= known_since else drained_at
+        last_allowed = since + LIST_VALIDITY + DRAIN_GRACE + SOCKET_SLACK + self.verdict.lateness
+        late_by = arrival.at - last_allowed
         return f"{arrival.request_id} at {arrival.worker}, {late_by:.2f} s late" if late_by > 0 else ""
 
-    def _is_later(self, arrival: Any) -> bool:
-        return bool(arrival.at >= self.known_since[arrival.worker])
-
-    def _is_non_idempotent(self, request_id: str) -> bool:
-        return request_id in self.clients.non_idempotent
-
 
-async def play_seed(seed: int) -> Verdict:
-    """Play one seed in a folder of its own."""
+async def run_seed(seed: int) -> SoakVerdict:
+    """Run one seed in a folder of its own."""
     with tempfile.TemporaryDirectory() as folder:
-        return await Soak(seed, Path(folder)).play()
+        return await Soak(seed, Path(folder)).run()
--- a/tests/testbed/scenarios/test_soak.py
+++ b/tests/testbed/scenarios/test_soak.py
@@ -4,17 +4,17 @@
 
 import uvloop
 
-from ploverspoke.testbed.scenarios.soak import Verdict, play_seed
+from ploverspoke.testbed.scenarios.soak import SoakVerdict, run_seed
 
 RUNS_LONG = True  # scheduled first: see tests/conftest.py
 SEEDS = (101, 102, 106, 109)  # the last two have a crowd
 
 
 def test_dispatcher_under_signals_and_faults_loses_and_misplaces_nothing() -> None:
-    async def play() -> list[Verdict]:
-        return list(await asyncio.gather(*map(play_seed, SEEDS)))
+    async def run() -> list[SoakVerdict]:
+        return list(await asyncio.gather(*map(run_seed, SEEDS)))
 
-    for verdict in uvloop.run(play()):
+    for verdict in uvloop.run(run()):
         assert not verdict.problems, f"seed {verdict.seed}: {verdict.problems[:4]}"
         assert verdict.requests > 500 and verdict.restarts == 2 and verdict.lateness < 1.0, verdict
         assert verdict.served > verdict.requests * 0.5, verdict
