--- a/ploverspoke/testbed/capacity/measurements/lease_server.py
+++ b/ploverspoke/testbed/capacity/measurements/lease_server.py
@@ -26,7 +26,8 @@
 from ...processes.rig import Rig
 from ...processes.running_process import ProcessStartError
 from ...processes.tcp_proxy import OUTSIDE
-from ...scenarios.lease_scenario import LeaseFleet, LeaseScenario
+from ...scenarios.lease_experiment import LeaseScenario
+from ...scenarios.lease_fleet import LeaseFleet
 from .measurement_fleet import growth
 from .parts import MeasuredLoad, Measurement, MeasurementRequest, MeasurementResult, cost_lines
 
@@ -63,7 +64,7 @@
     """Its name. Raises ProcessStartError where none leads in time."""
     until = time.monotonic() + HELD_WITHIN
     while time.monotonic() < until:
-        for place in leases.keepers:
+        for place in leases.servers:
             with contextlib.suppress(OSError):
                 told = await asyncio.to_thread(
                     call_replica, place.endpoint("peers"), secret, StatusRequest(), StatusRow
@@ -115,7 +116,9 @@
     settled, stretch = (QUICK_SETTLED, QUICK_STRETCH) if asked.quick else (SETTLED, STRETCH)
     leases = LeaseFleet(
         rig,
-        LeaseScenario(keepers=size, contenders=0, names={"team-*": 1}, duration=Duration(DURATION * SECOND)),
+        LeaseScenario(
+            servers=size, candidates=0, leases={"team-*": 1}, lease_duration=Duration(DURATION * SECOND)
+        ),
     )
     await leases.start()
     secret = read_lease_servers(leases.file).secret
@@ -153,7 +156,7 @@
 async def _look_on(
     rig: Rig, leases: LeaseFleet, stretch: float
 ) -> tuple[Looks, list[tuple[float, dict[str, int]]]]:
-    looks: Looks = {place.name: [] for place in leases.keepers}
+    looks: Looks = {place.name: [] for place in leases.servers}
     counts = []
     until = time.monotonic() + stretch
     await rig.link_faults.read_counters(by_link=True)
--- a/ploverspoke/testbed/capacity/measurements/tools.py
+++ b/ploverspoke/testbed/capacity/measurements/tools.py
@@ -23,7 +23,8 @@
 from ...processes.resource_usage import read_resource_usage
 from ...processes.rig import Rig
 from ...processes.running_process import ProcessStartError
-from ...scenarios.lease_scenario import LeaseFleet, LeaseScenario
+from ...scenarios.lease_experiment import LeaseScenario
+from ...scenarios.lease_fleet import LeaseFleet
 from .dispatcher import SEED, report_listener, settled_interval
 from .parts import MeasuredLoad, Measurement, MeasurementRequest, MeasurementResult, cost_lines
 
@@ -86,7 +87,7 @@
     with tempfile.TemporaryDirectory(prefix="ploverspoke-slopes-", dir=memory_backed_folder()) as name:
         async with Rig(Path(name), SEED) as rig:
             plan = LeaseScenario(
-                keepers=keepers, contenders=0, names={"team-*": 1}, duration=Duration(10 * SECOND)
+                servers=keepers, candidates=0, leases={"team-*": 1}, lease_duration=Duration(10 * SECOND)
             )
             leases = LeaseFleet(rig, plan)
             await leases.start()
--- a/ploverspoke/testbed/commands/run.py
+++ b/ploverspoke/testbed/commands/run.py
@@ -142,7 +142,8 @@
     """Run lease servers and candidates, or config servers and dispatchers; a void run exits with 1."""
     from ..processes.fault_timeline import TimelineError
     from ..scenarios.distribution_scenario import read_distribution_experiment, run_distribution
-    from ..scenarios.lease_scenario import read_lease_experiment, run_leases
+    from ..scenarios.lease_experiment import read_lease_experiment
+    from ..scenarios.lease_scenario import run_leases
 
     scenario: Any
     run_scenario: Callable[[Any, int], dict[str, Any]]
--- /dev/null
+++ b/ploverspoke/testbed/scenarios/decision_bench.py
@@ -0,0 +1,118 @@
+"""Measures the time that decisions take, by fleet size, on virtual time."""
+
+import time
+from collections.abc import Callable
+from statistics import median
+from typing import Any
+
+import msgspec
+
+from ..models.baseline_policies import POLICIES, Policy
+from .bench_process import Log, bench_experiment
+
+FLEET_SIZES = (10, 100, 300, 1000)  # workers
+QUICK_FLEET_SIZES = FLEET_SIZES[:3]
+RATE = 300.0  # requests a second
+DURATION, QUICK_DURATION = "20s", "5s"
+SEEDS, QUICK_SEEDS = 3, 1
+TIMED_POLICY = "timed"
+REQUEST_CLASS: dict[str, object] = {
+    "name": "look-up",
+    "expected_time": "1s",
+    "abandon_time": "2s",
+    "work": {"law": "lognormal", "mean": "40ms"},
+}
+EVENTS = (
+    "request_arrived", "attempt_started", "attempt_progressed", "attempt_ended", "probe_completed",
+    "timer_fired", "endpoint_list_received", "endpoints_changed", "client_disconnected",
+)  # fmt: skip
+
+
+class DecisionCost(msgspec.Struct, rename={"microseconds_per_request": "us_each"}):
+    """The time of decisions with a fleet of so many workers."""
+
+    workers: int
+    microseconds_per_request: float
+
+
+class TimedHost:
+    """Carries out actions for a policy and times them: they are the models' cost, not the decisions'."""
+
+    def __init__(self, host: Any) -> None:
+        """Wrap the host of a policy."""
+        self.host = host
+        self.now = host.now
+
+    def __getattr__(self, name: str) -> Any:
+        """Return the host's method of that name, timed."""
+        action = getattr(self.host, name)
+
+        def timed(*arguments: Any) -> None:
+            """Carry out the action."""
+            began_at = time.perf_counter()
+            action(*arguments)
+            TimedPolicy.host_seconds += time.perf_counter() - began_at
+
+        setattr(self, name, timed)
+        return timed
+
+
+class TimedPolicy(Policy):
+    """The decisions, with the time of each event added up."""
+
+    seconds = 0.0
+    host_seconds = 0.0
+
+    def __init__(self, host: Any, seed: int, settings: Any, true_load: Any = None) -> None:
+        """Decide for that host."""
+        super().__init__(TimedHost(host), seed, settings)
+
+    @classmethod
+    def reset(cls) -> None:
+        """Begin anew."""
+        cls.seconds = cls.host_seconds = 0.0
+
+
+def _timed(event: str) -> Callable[..., None]:
+    original = getattr(Policy, event)
+
+    def call(self: TimedPolicy, *arguments: Any, **named: Any) -> None:
+        """Handle the event."""
+        began_at, host_seconds = time.perf_counter(), TimedPolicy.host_seconds
+        original(self, *arguments, **named)
+        elapsed = time.perf_counter() - began_at
+        TimedPolicy.seconds += elapsed - (TimedPolicy.host_seconds - host_seconds)
+
+    return call
+
+
+for _event in EVENTS:
+    setattr(TimedPolicy, _event, _timed(_event))
+
+
+def measure_decisions(is_quick: bool, log: Log) -> list[DecisionCost]:
+    """Return the microseconds of decisions for each request, of one dispatcher, by fleet size."""
+    costs = []
+    POLICIES[TIMED_POLICY] = TimedPolicy
+    try:
+        for workers in QUICK_FLEET_SIZES if is_quick else FLEET_SIZES:
+            cost = DecisionCost(workers, _measure(workers, is_quick))
+            costs.append(cost)
+            log(f"{workers} workers: {cost.microseconds_per_request:.0f} us of decisions for each request")
+    finally:
+        del POLICIES[TIMED_POLICY]
+    return costs
+
+
+def _measure(workers: int, is_quick: bool) -> float:
+    """Return the median over the seeds, in microseconds for each request."""
+    from ..models.virtual_run import VirtualRun
+
+    experiment = bench_experiment([REQUEST_CLASS], workers, QUICK_DURATION if is_quick else DURATION, RATE)
+    costs = []
+    for seed in range(QUICK_SEEDS if is_quick else SEEDS):
+        TimedPolicy.reset()
+        run = VirtualRun(experiment, seed, TIMED_POLICY)
+        run.run()
+        costs.append(TimedPolicy.seconds / max(1, run.clients.next) * 1e6)
+    return median(costs)
--- a/ploverspoke/testbed/scenarios/dispatcher_bench.py
+++ b/ploverspoke/testbed/scenarios/dispatcher_bench.py
@@ -1,299 +1,226 @@
-"""`testbed bench`: what one dispatcher carries on one core, what it adds, and what fleet size costs the
-decisions.
+"""`testbed bench`: throughput and latency of one dispatcher on one core, and the cost of its decisions.
 
-All figures of one call are taken in turns on the same cores, so that they can be set against one another;
-alone they say little, since machines differ and are noisy.
+All measurements of one call are taken in turns on the same cores, so that they can be compared with one
+another; alone they say little, since machines differ and are noisy.
 """
 
-import json
 import os
 import socket
-import subprocess
-import sys
 import tempfile
 import time
-from collections.abc import Callable
+from contextlib import ExitStack
 from pathlib import Path
 from statistics import median
-from typing import Any
 
 import msgspec
 from rich.table import Table
 
-from ..experiment_files.experiment import Experiment
-from ..experiment_files.reader import parse_experiment
-from ..models.baseline_policies import POLICIES, Policy
+from ..fakes.load_generator import LoadResult
 from ..models.deployment_settings import dispatcher_settings
 from ..processes.addresses import reserve_ports
-
-CLIENTS = (1, 8, 32, 128)
-WORKERS = 8
-OPEN_SHARE = 0.6  # of the smaller of both throughputs: the rate of the open loop
-FLEETS = (10, 100, 300, 1000)
-EVENTS = (
-    "request_arrived", "attempt_started", "attempt_progressed", "attempt_ended", "probe_completed",
-    "timer_fired", "endpoint_list_received", "endpoints_changed", "client_disconnected",
-)  # fmt: skip
-FAKES = "ploverspoke.testbed.fakes"
-Say = Callable[[str], None]
-
-
-class Figures(msgspec.Struct):
-    sockets: list[dict[str, Any]]
-    generator: list[dict[str, Any]]
-    decisions: list[dict[str, Any]]
-
-
-class Process:
-    """A process of ours on one core."""
-
-    def __init__(self, words: list[str], core: int, **environment: str) -> None:
-        self.process = subprocess.Popen(
-            [sys.executable, *words],
-            env={**os.environ, **environment},
-            stdin=subprocess.PIPE,
-            stdout=subprocess.PIPE,
-            stderr=subprocess.DEVNULL,
-        )
-        os.sched_setaffinity(self.process.pid, {core})
-
-    def line(self) -> dict[str, Any]:
-        assert self.process.stdout is not None
-        found: dict[str, Any] = json.loads(self.process.stdout.readline())
-        return found
-
-    def end(self) -> None:
-        self.process.terminate()
-        self.process.wait()
-
-
-def measure(quick: bool, say: Say) -> Figures:
-    cores = sorted(os.sched_getaffinity(0))
-    say(f"on {len(cores)} cores; all figures are of this run only")
-    sockets, generator = _sockets(cores, quick, say)
-    return Figures(sockets, generator, _decisions(quick, say))
-
-
-# ---- Sockets ----
-
-
-def _sockets(cores: list[int], quick: bool, say: Say) -> tuple[list[dict[str, Any]], list[dict[str, Any]]]:
-    def core(number: int) -> int:
-        return cores[number % len(cores)]
-
-    rounds, seconds = (1, 1.0) if quick else (3, 2.5)
-    workers = [Process(["-m", f"{FAKES}.instant_workers", str(WORKERS // 2)], core(2 + n)) for n in range(2)]
-    rows: list[dict[str, Any]] = []
-    generator = []
-    try:
-        worker_ports = [port for w in workers for port in w.line()["ports"]]
-        start = 1
-
-        def load(port: int, clients: int, rate: float, grade: str = "look-up") -> dict[str, Any]:
-            nonlocal start
-            words = [str(port), str(clients), str(seconds), str(rate), grade, str(start)]
-            start += 10_000_000
-            process = Process(["-m", f"{FAKES}.load_generator", *words], core(1))
-            found = process.line()
-            process.process.wait()
-            return found
-
-        for clients in CLIENTS:
-            found = load(worker_ports[0], clients, 0.0, "plain")
-            generator.append({"clients": clients, "a_second": found["requests_per_second"]})
-        with tempfile.TemporaryDirectory(prefix="ploverspoke-bench-") as folder:
-            programs = {
-                "dispatcher": _program(Path(folder), "ploverspoke", worker_ports, core(0)),
-                "bare relay": _program(Path(folder), f"{FAKES}.baseline_dispatcher", worker_ports, core(0)),
-            }
-            try:
-                for clients in CLIENTS:
-                    taken: dict[str, list[dict[str, Any]]] = {name: [] for name in programs}
-                    for _ in range(rounds):
-                        for name, (_, port) in programs.items():
-                            taken[name].append(load(port, clients, 0.0))
-                    rate = OPEN_SHARE * min(
-                        median(r["requests_per_second"] for r in t) for t in taken.values()
-                    )
-                    for name, (_, port) in programs.items():
-                        waits = [load(port, clients, rate) for _ in range(rounds)]
-                        row = {
-                            "clients": clients,
-                            "program": name,
-                            "a_second": median(r["requests_per_second"] for r in taken[name]),
-                            "nacked": sum(r["rejected"] for r in taken[name]),
-                            "open_rate": rate,
-                            "open_p50_ms": median(r["p50_ms"] for r in waits),
-                            "open_p99_ms": median(r["p99_ms"] for r in waits),
-                            "generator_late_ms": max(r["max_lateness_ms"] for r in waits),
-                        }
-                        rows.append(row)
-                        say(f"{clients} clients, {name}: {row['a_second']:.0f} a second")
-            finally:
-                for process, _ in programs.values():
-                    process.end()
-    finally:
-        for process in workers:
-            process.end()
-    return rows, generator
-
-
-def _program(folder: Path, module: str, worker_ports: list[int], core: int) -> tuple[Process, int]:
-    """A dispatcher or the relay, with a list of workers that it is given at start; nobody is at its
-    discovery.
-    """
-    [port, nobody] = reserve_ports(2)
-    e = _world(WORKERS, 1, "10s", 100.0)
-    servers = [
-        {
-            "id": f"w{n}",
-            "addr": f"127.0.0.1:{p}",
-            "zone": "a",
-            "kind": "plain",
-            "state": "Ready",
-            "weight": 1.0,
-        }
-        for n, p in enumerate(worker_ports)
-    ]
-    config = {
-        "name": module,
-        "listen": f"127.0.0.1:{port}",
-        "discovery": f"127.0.0.1:{nobody}",
-        "seed": "1",
-        "limits": {"sockets": 1024, "memory_mb": 192},
-        "known": {"version": 1, "full": True, "servers": servers},
-        "settings": dispatcher_settings(e, 0),
-    }
-    path = folder / f"{module}.json"
-    path.write_bytes(msgspec.json.encode(config))
-    process = Process(["-m", module], core, RELAY_CONFIG=str(path))
-    until = time.monotonic() + 10
-    while time.monotonic() < until:
-        with socket.socket() as probe:
-            if probe.connect_ex(("127.0.0.1", port)) == 0:
-                return process, port
-        time.sleep(0.02)
-    process.end()
-    raise RuntimeError(f"{module} did not come up")
-
-
-# ---- Virtual time ----
-
-
-def _world(workers: int, dispatchers: int, lasts: str, rate: float) -> Experiment:
-    return parse_experiment(
-        {
-            "name": f"{workers} workers",
-            "lasts": lasts,
-            "dispatchers": {"count": dispatchers},
-            "grades": [
-                {
-                    "name": "look-up",
-                    "expected_time": "1s",
-                    "abandon_time": "2s",
-                    "work": {"law": "lognormal", "mean": "40ms"},
-                }
-            ],
-            "workers": [{"count": workers, "slots": 4}],
-            "traffic": [{"rate": rate}],
+from .bench_process import (
+    FAKES,
+    WORKERS,
+    BenchProcess,
+    InstantWorkers,
+    LoadRunner,
+    Log,
+    bench_experiment,
+    endpoint_list,
+)
+from .decision_bench import REQUEST_CLASS, DecisionCost, measure_decisions
+
+CLIENT_COUNTS = (1, 8, 32, 128)
+WORKER_PROCESSES = 2
+PROGRAMS = {"dispatcher": "ploverspoke", "bare relay": f"{FAKES}.baseline_dispatcher"}
+OPEN_LOOP_SHARE = 0.6  # of the smaller of both throughputs: the rate of the open loop
+ROUNDS, QUICK_ROUNDS = 3, 1
+SECONDS, QUICK_SECONDS = 2.5, 1.0  # of one load
+START_TIMEOUT = 10.0  # seconds
+START_POLL_INTERVAL = 0.02  # seconds
+MAX_SOCKETS = 1024
+MEMORY_MB = 192
+
+
+class ProgramMetrics(
+    msgspec.Struct,
+    rename={
+        "requests_per_second": "a_second",
+        "rejected": "nacked",
+        "open_loop_rate": "open_rate",
+        "open_loop_p50_ms": "open_p50_ms",
+        "open_loop_p99_ms": "open_p99_ms",
+    },
+):
+    """One program with so many clients; rates are requests a second."""
+
+    clients: int
+    program: str
+    requests_per_second: float
+    rejected: int
+    open_loop_rate: float
+    open_loop_p50_ms: float
+    open_loop_p99_ms: float
+    generator_late_ms: float
+
+
+class GeneratorMetrics(msgspec.Struct, rename={"requests_per_second": "a_second"}):
+    """The load generator alone, against one worker."""
+
+    clients: int
+    requests_per_second: float
+
+
+class BenchMetrics(msgspec.Struct):
+    """All measurements of one call."""
+
+    sockets: list[ProgramMetrics]
+    generator: list[GeneratorMetrics]
+    decisions: list[DecisionCost]
+
+
+class BenchProgram:
+    """A dispatcher, or the baseline, with a list of workers that it is given at its start."""
+
+    def __init__(self, folder: Path, name: str, worker_ports: list[int], core: int) -> None:
+        """Start it and wait until it accepts connections; nobody listens at its discovery.
+
+        Raises:
+            RuntimeError: it does not in time.
+        """
+        module = PROGRAMS[name]
+        [self.port, unused_port] = reserve_ports(2)
+        path = folder / f"{module}.json"
+        config = {
+            "name": module,
+            "listen": f"127.0.0.1:{self.port}",
+            "discovery": f"127.0.0.1:{unused_port}",
+            "seed": "1",
+            "limits": {"sockets": MAX_SOCKETS, "memory_mb": MEMORY_MB},
+            "known": endpoint_list(worker_ports),
+            "settings": dispatcher_settings(bench_experiment([REQUEST_CLASS], WORKERS, "10s", 100.0), 0),
         }
-    )
-
-
-class TimedHost:
-    """A host with a watch on it, so that what the models cost is not counted as the decisions'."""
-
-    def __init__(self, host: Any) -> None:
-        self.host = host
-        self.now = host.now
-
-    def __getattr__(self, name: str) -> Any:
-        act = getattr(self.host, name)
-
-        def timed(*what: Any) -> None:
-            began = time.perf_counter()
-            act(*what)
-            Timed.host_spent += time.perf_counter() - began
-
-        setattr(self, name, timed)
-        return timed
-
-
-class Timed(Policy):
-    """The decisions with a watch on each call."""
-
-    spent = 0.0
-    host_spent = 0.0
-
-    def __init__(self, host: Any, seed: int, settings: Any, true_load: Any = None) -> None:
-        super().__init__(TimedHost(host), seed, settings)
-
-
-def _timed(name: str) -> Callable[..., None]:
-    original = getattr(Policy, name)
-
-    def call(self: Timed, *what: Any, **named: Any) -> None:
-        began, host = time.perf_counter(), Timed.host_spent
-        original(self, *what, **named)
-        Timed.spent += time.perf_counter() - began - (Timed.host_spent - host)
-
-    return call
-
+        path.write_bytes(msgspec.json.encode(config))
+        self.process = BenchProcess(["-m", module], core, RELAY_CONFIG=str(path))
+        if not self._wait_until_ready():
+            self.process.stop()
+            raise RuntimeError(module)
+
+    def _wait_until_ready(self) -> bool:
+        deadline = time.monotonic() + START_TIMEOUT
+        while time.monotonic() < deadline:
+            with socket.socket() as probe:
+                if probe.connect_ex(("127.0.0.1", self.port)) == 0:
+                    return True
+            time.sleep(START_POLL_INTERVAL)
+        return False
+
+
+def measure(is_quick: bool, log: Log) -> BenchMetrics:
+    """Take all measurements."""
+    cores = sorted(os.sched_getaffinity(0))
+    log(f"on {len(cores)} cores; all figures are of this run only")
+    with ExitStack() as stack:
+        worker_ports = []
+        for number in range(WORKER_PROCESSES):
+            workers = InstantWorkers(WORKERS // WORKER_PROCESSES, cores[(2 + number) % len(cores)])
+            stack.callback(workers.process.stop)
+            worker_ports += workers.ports
+        loads = LoadRunner(cores[1 % len(cores)], QUICK_SECONDS if is_quick else SECONDS)
+        generator = [
+            GeneratorMetrics(count, loads.run(worker_ports[0], count, 0.0, "plain").requests_per_second)
+            for count in CLIENT_COUNTS
+        ]
+        folder = Path(stack.enter_context(tempfile.TemporaryDirectory(prefix="ploverspoke-bench-")))
+        programs = {}
+        for name in PROGRAMS:
+            programs[name] = BenchProgram(folder, name, worker_ports, cores[0])
+            stack.callback(programs[name].process.stop)
+        rounds = QUICK_ROUNDS if is_quick else ROUNDS
+        sockets = [
+            row for count in CLIENT_COUNTS for row in _measure_programs(programs, count, rounds, loads, log)
+        ]
+    return BenchMetrics(sockets, generator, measure_decisions(is_quick, log))
+
+
+def _measure_programs(
+    programs: dict[str, BenchProgram], clients: int, rounds: int, loads: LoadRunner, log: Log
+) -> list[ProgramMetrics]:
+    """Measure all programs in turns, first in a closed loop, then at a rate that all of them bear."""
+    closed: dict[str, list[LoadResult]] = {name: [] for name in programs}
+    for _ in range(rounds):
+        for name, program in programs.items():
+            closed[name].append(loads.run(program.port, clients, 0.0, "look-up"))
+    rate = OPEN_LOOP_SHARE * min(_median_throughput(results) for results in closed.values())
+    rows = []
+    for name, program in programs.items():
+        opened = [loads.run(program.port, clients, rate, "look-up") for _ in range(rounds)]
+        row = ProgramMetrics(
+            clients=clients,
+            program=name,
+            requests_per_second=_median_throughput(closed[name]),
+            rejected=sum(result.rejected for result in closed[name]),
+            open_loop_rate=rate,
+            open_loop_p50_ms=median(result.p50_ms for result in opened),
+            open_loop_p99_ms=median(result.p99_ms for result in opened),
+            generator_late_ms=max(result.max_lateness_ms for result in opened),
+        )
+        rows.append(row)
+        log(f"{clients} clients, {name}: {row.requests_per_second:.0f} a second")
+    return rows
 
-for _name in EVENTS:
-    setattr(Timed, _name, _timed(_name))
 
+def _median_throughput(results: list[LoadResult]) -> float:
+    return median(result.requests_per_second for result in results)
 
-def _decisions(quick: bool, say: Say) -> list[dict[str, Any]]:
-    """Microseconds of decisions for each submission, one dispatcher at a load that grows with its fleet."""
-    from ..models.virtual_run import VirtualRun
 
-    rows = []
-    POLICIES["timed"] = Timed
-    try:
-        for workers in FLEETS[:3] if quick else FLEETS:
-            rate = 300.0
-            e = _world(workers, 1, "5s" if quick else "20s", rate)
-            costs = []
-            for seed in range(1 if quick else 3):
-                Timed.spent = Timed.host_spent = 0.0
-                world = VirtualRun(e, seed, "timed")
-                world.run()
-                costs.append(Timed.spent / max(1, world.clients.next) * 1e6)
-            rows.append({"workers": workers, "us_each": median(costs)})
-            say(f"{workers} workers: {median(costs):.0f} us of decisions for each submission")
-    finally:
-        del POLICIES["timed"]
-    return rows
+def tables(metrics: BenchMetrics) -> list[Table]:
+    """Return the tables of all measurements."""
+    return [_socket_table(metrics), _generator_table(metrics), _decision_table(metrics)]
 
 
-def tables(figures: Figures) -> list[Table]:
-    sockets = Table(
-        title="one dispatcher on one core, and a bare relay in the same run", title_justify="left"
-    )
-    for heading in (
+def _socket_table(metrics: BenchMetrics) -> Table:
+    title = "one dispatcher on one core, and a bare relay in the same run"
+    table = Table(title=title, title_justify="left")
+    headings = (
         "clients",
         "",
         "a second",
-        "nacked",
+        "rejected",
         "open loop at",
         "p50 ms",
         "p99 ms",
         "generator late ms",
-    ):
-        sockets.add_column(heading, justify="right")
-    for r in figures.sockets:
-        waits = [f"{r[key]:.2f}" for key in ("open_p50_ms", "open_p99_ms", "generator_late_ms")]
-        carried = [f"{r['a_second']:.0f}", str(r["nacked"]), f"{r['open_rate']:.0f}"]
-        sockets.add_row(str(r["clients"]), r["program"], *carried, *waits)
-    generator = Table(title="the generator alone, against one worker", title_justify="left")
-    generator.add_column("clients", justify="right")
-    generator.add_column("a second", justify="right")
-    for r in figures.generator:
-        generator.add_row(str(r["clients"]), f"{r['a_second']:.0f}")
-    decisions = Table(title="decisions for each submission, virtual time", title_justify="left")
-    decisions.add_column("workers", justify="right")
-    decisions.add_column("microseconds", justify="right")
-    for r in figures.decisions:
-        decisions.add_row(str(r["workers"]), f"{r['us_each']:.0f}")
-    return [sockets, generator, decisions]
+    )
+    for heading in headings:
+        table.add_column(heading, justify="right")
+    for row in metrics.sockets:
+        table.add_row(
+            str(row.clients),
+            row.program,
+            f"{row.requests_per_second:.0f}",
+            str(row.rejected),
+            f"{row.open_loop_rate:.0f}",
+            f"{row.open_loop_p50_ms:.2f}",
+            f"{row.open_loop_p99_ms:.2f}",
+            f"{row.generator_late_ms:.2f}",
+        )
+    return table
+
+
+def _generator_table(metrics: BenchMetrics) -> Table:
+    table = Table(title="the generator alone, against one worker", title_justify="left")
+    table.add_column("clients", justify="right")
+    table.add_column("a second", justify="right")
+    for row in metrics.generator:
+        table.add_row(str(row.clients), f"{row.requests_per_second:.0f}")
+    return table
+
+
+def _decision_table(metrics: BenchMetrics) -> Table:
+    table = Table(title="decisions for each request, virtual time", title_justify="left")
+    table.add_column("workers", justify="right")
+    table.add_column("microseconds", justify="right")
+    for row in metrics.decisions:
+        table.add_row(str(row.workers), f"{row.microseconds_per_request:.0f}")
+    return table
--- /dev/null
+++ b/ploverspoke/testbed/scenarios/lease_experiment.py
@@ -0,0 +1,135 @@
+"""Experiment files of leases (`kind = "leases"`): the scenario, its demands, and their checks."""
+
+from typing import Any
+
+import msgspec
+
+from ..checkers.lease_checker import MIN_HOLDER_CHANGES
+from ..experiment_files.durations import MILLISECOND, SECOND, Duration, parse_duration
+from ..processes.fault_timeline import TimelineError
+
+SERVER_COUNTS = (1, 3, 5)
+DEFAULT_LEASES = {"one": 1, "two": 1, "three": 3}
+
+# What a file calls each field of the scenario.
+SCENARIO_KEYS = {
+    "servers": "keepers",
+    "candidates": "contenders",
+    "leases": "names",
+    "run_duration": "lasts",
+    "lease_duration": "duration",
+    "election_timeout": "election",
+    "kill_interval": "kills",
+    "pause_interval": "pauses",
+    "cut_interval": "cuts",
+    "rough_link_interval": "rough",
+    "extra_leases": "many",
+    "leases_per_candidate": "each",
+    "effect_pause": "rest",
+    "has_drifting_clocks": "drifting",
+    "checks_tokens": "fenced",
+    "overestimates_duration": "outlasts",
+    "hold_share": "keeps",
+    "holder_kill_interval": "holder_killed",
+}
+DEMAND_KEYS = {
+    "holder_changes": "changes",
+    "max_takeover": "gap",
+    "holder_kills": "kills",
+    "no_lost_leases": "none_lost",
+}
+
+
+class LeaseScenario(
+    msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True, rename=SCENARIO_KEYS
+):
+    """Lease servers, lease candidates, and how often there are faults; intervals of faults are means."""
+
+    servers: int = 5
+    candidates: int = 20
+    leases: dict[str, int] = msgspec.field(default_factory=lambda: dict(DEFAULT_LEASES))  # holders, by name
+    run_duration: Duration = Duration(60 * SECOND)
+    lease_duration: Duration = Duration(SECOND)
+    election_timeout: Duration = Duration(100 * MILLISECOND)
+    kill_interval: Duration = Duration(3 * SECOND)
+    pause_interval: Duration = Duration(2 * SECOND)
+    cut_interval: Duration = Duration(2 * SECOND)
+    rough_link_interval: Duration = Duration(4 * SECOND)
+    extra_leases: int = 0  # further ones, of one holder each
+    leases_per_candidate: int = 0  # of the extra leases, and none of `leases`; 0: every candidate wants all
+    effect_pause: Duration = Duration(20 * MILLISECOND)  # between two effects under a lease
+    has_drifting_clocks: bool = True
+    checks_tokens: bool = True
+    overestimates_duration: bool = (
+        False  # a planted fault, for tests of the checker: see `LeaseCandidateSpec`
+    )
+    hold_share: float = 0.05  # probability that a candidate holds a lease for good
+    holder_kill_interval: Duration = Duration(
+        0
+    )  # for holders of the first lease; 0: none is killed on purpose
+
+    def holders_by_lease(self) -> dict[str, int]:
+        """Return how many may hold each lease at a time."""
+        return {**self.leases, **{f"n{number}": 1 for number in range(self.extra_leases)}}
+
+    def leases_wanted_by(self, candidate: int) -> list[str]:
+        """Return the names that a candidate wants; extra leases are shared by candidates far apart."""
+        if not self.leases_per_candidate:
+            return list(self.holders_by_lease())
+        first = candidate * self.leases_per_candidate
+        return [f"n{(first + k) % self.extra_leases}" for k in range(self.leases_per_candidate)]
+
+
+class LeaseDemands(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True, rename=DEMAND_KEYS):
+    """What a run must show."""
+
+    holder_changes: int = MIN_HOLDER_CHANGES  # over all leases; with fewer a run is void
+    max_takeover: Duration = Duration(0)  # from the kill of a holder to the next one's look, 99th percentile
+    holder_kills: int = 0  # with fewer a run is void
+    no_lost_leases: bool = False  # no holder that is alive loses a lease
+
+
+class LeaseExperiment(
+    msgspec.Struct,
+    frozen=True,
+    kw_only=True,
+    forbid_unknown_fields=True,
+    rename={"description": "about", "is_calm": "calm", "scenario": "plan", "demands": "must_hold"},
+):
+    """A whole file."""
+
+    kind: str
+    name: str
+    description: str = ""
+    seeds: list[int]
+    is_calm: bool = False  # no faults but kills of holders
+    scenario: LeaseScenario = LeaseScenario()
+    demands: LeaseDemands = LeaseDemands()
+
+
+def read_lease_experiment(document: dict[str, Any]) -> LeaseExperiment:
+    """Read and check a file that was parsed as TOML.
+
+    Raises:
+        TimelineError: it is invalid; it names the key.
+    """
+    try:
+        experiment = msgspec.convert(
+            document, LeaseExperiment, dec_hook=lambda _, value: parse_duration(value)
+        )
+    except msgspec.ValidationError as error:
+        raise TimelineError(str(error)) from None
+    except ValueError as error:
+        raise TimelineError(str(error), key="plan") from None
+    _check(experiment.scenario)
+    return experiment
+
+
+def _check(scenario: LeaseScenario) -> None:
+    if not scenario.leases or min(scenario.leases.values()) < 1:
+        raise TimelineError(key="plan.names", problem="expected names, each with 1 place or more")
+    if scenario.leases_per_candidate > scenario.extra_leases:
+        raise TimelineError(key="plan.each", problem="expected at most plan.many")
+    if scenario.servers not in SERVER_COUNTS or scenario.candidates < 1:
+        problem = "expected 1, 3 or 5, and plan.contenders 1 or more"
+        raise TimelineError(key="plan.keepers", problem=problem)
--- /dev/null
+++ b/ploverspoke/testbed/scenarios/lease_fleet.py
@@ -0,0 +1,152 @@
+"""The processes of a lease scenario: lease servers, lease candidates and the resource that they act on."""
+
+import asyncio
+from pathlib import Path
+from typing import Any
+
+import msgspec
+
+from ..experiment_files.durations import MILLISECOND, SECOND
+from ..fakes.lease_candidate import LeaseCandidateSpec
+from ..processes.addresses import ProcessAddress
+from ..processes.child_process import ChildProcess
+from ..processes.history import read_history
+from ..processes.readiness import accepts_connections
+from ..processes.rig import Rig
+from ..processes.running_process import RunningProcess
+from .lease_experiment import LeaseScenario
+
+HOLDER_KILLED = "holder killed"  # event of the history
+FAKES_MODULE = "ploverspoke.testbed.fakes"
+SECRET = "a secret of the testbed's own"
+SNAPSHOT_INTERVAL = 200  # log entries
+MAX_DURATION_FACTOR = 3  # longest lease that servers grant, in durations of the scenario
+EFFECTS_PER_DURATION = 5  # the longest effect is that part of a lease's duration
+CLOCK_RATES = (0.95, 1.0, 1.05)  # of the candidates in turn
+RESTART_SHARE = 0.25  # of the interval between kills for which a killed holder stays down
+
+
+class LeaseFleet:
+    """The processes of one run on a rig."""
+
+    def __init__(self, rig: Rig, scenario: LeaseScenario) -> None:
+        """Start nothing yet."""
+        self.rig, self.scenario = rig, scenario
+        self.servers: list[ProcessAddress] = []
+        self.candidates: list[RunningProcess] = []
+        self.resource: ChildProcess | None = None
+        self.file = rig.folder / "keepers.json"  # of the lease servers, for clients
+        self.resource_history = rig.folder / "resource.history"
+
+    async def start(self) -> None:
+        """Start all processes.
+
+        Raises:
+            CapacityError, ProcessStartError: see `Rig`.
+        """
+        (self.rig.folder / "secret").write_text(SECRET)
+        self._add_servers()
+        resource_address = self.rig.allocate_address("r", ["act"])
+        for number in range(self.scenario.candidates):
+            self._add_candidate(number, resource_address)
+        await self.rig.open_proxy()
+        await self._start_resource(resource_address)
+        await self.rig.start_processes([server.name for server in self.servers], ["--new"])
+        await self.rig.start_processes([candidate.name for candidate in self.candidates])
+
+    def _add_servers(self) -> None:
+        self.servers = [
+            self.rig.allocate_address(f"k{n}", ["peers", "clients"]) for n in range(self.scenario.servers)
+        ]
+        common = self._server_config()
+        self.file.write_bytes(msgspec.json.encode(common))
+        for address in self.servers:
+            path = self.rig.folder / f"{address.name}.json"
+            path.write_bytes(msgspec.json.encode({**common, "name": address.name, "folder": address.name}))
+            server = self.rig.add_process(address, "ploverspoke", ["lease-server", str(path)])
+            server.ready = accepts_connections(address.host, address.ports["clients"])
+
+    def _server_config(self) -> dict[str, Any]:
+        """Return what the files of all lease servers have in common."""
+        max_duration_ms = self.scenario.lease_duration * MAX_DURATION_FACTOR // MILLISECOND
+        return {
+            "cluster": "testbed",
+            "secret_file": "secret",
+            "replicas": {
+                address.name: {
+                    "peers": address.proxied_endpoint("peers"),
+                    "clients": address.proxied_endpoint("clients"),
+                }
+                for address in self.servers
+            },
+            "election_ms": self.scenario.election_timeout // MILLISECOND,
+            "snapshot_every": SNAPSHOT_INTERVAL,
+            "leases": {
+                name: {"places": holders, "longest_ms": max_duration_ms}
+                for name, holders in self.scenario.holders_by_lease().items()
+            },
+        }
+
+    def _add_candidate(self, number: int, resource: ProcessAddress) -> None:
+        scenario, folder = self.scenario, self.rig.folder
+        address = self.rig.allocate_address(f"c{number}")
+        spec = LeaseCandidateSpec(
+            name=address.name,
+            seed=self.rig.seed,
+            servers_file=str(self.file),
+            resource=resource.proxied_endpoint("act"),
+            history=str(folder / f"{address.name}.acts.history"),
+            leases=scenario.leases_wanted_by(number),
+            duration=int(scenario.lease_duration),
+            step=scenario.lease_duration // EFFECTS_PER_DURATION,
+            pause=scenario.effect_pause / SECOND,
+            hold_share=scenario.hold_share,
+            overestimates_duration=scenario.overestimates_duration,
+        )
+        path = folder / f"{address.name}.spec.json"
+        path.write_bytes(msgspec.json.encode(spec))
+        candidate = self.rig.add_process(address, f"{FAKES_MODULE}.lease_candidate", [str(path)])
+        if scenario.has_drifting_clocks:
+            candidate.clock_rate = CLOCK_RATES[number % len(CLOCK_RATES)]
+        self.candidates.append(candidate)
+
+    async def _start_resource(self, address: ProcessAddress) -> None:
+        # Where several may hold a lease, the order of tokens does not show which are out of date.
+        fenced = [
+            name
+            for name, holders in self.scenario.holders_by_lease().items()
+            if holders == 1 and self.scenario.checks_tokens
+        ]
+        arguments = [address.host, str(address.ports["act"]), str(self.resource_history), *fenced]
+        self.resource = await self.rig.start_child(f"{FAKES_MODULE}.protected_resource", arguments)
+        await self.resource.receive()
+
+    async def kill_holders(self) -> None:
+        """Kill the holder of the first lease, start it again a while later, and so on."""
+        name = next(iter(self.scenario.leases))
+        interval = self.scenario.holder_kill_interval / SECOND
+        while True:
+            await asyncio.sleep(interval)
+            holder = self._last_holder(name)
+            if holder is not None and holder.is_running():
+                self.rig.history.add(HOLDER_KILLED, [holder.name, name])
+                await holder.kill()
+                await asyncio.sleep(interval * RESTART_SHARE)
+                await holder.start()
+
+    def _last_holder(self, name: str) -> RunningProcess | None:
+        """Return the candidate whose effect under that lease came last."""
+        effects = _effects(self.resource_history, name)
+        if not effects:
+            return None
+        sender = effects[-1]
+        return next(candidate for candidate in self.candidates if candidate.host == sender)
+
+
+def _effects(history: Path, name: str) -> list[str]:
+    """Return the senders of the effects under a lease, in order of time."""
+    return [
+        event.detail[4]
+        for event in read_history(history)
+        if event.what == "effect" and event.detail[0] == name
+    ]
--- a/tests/leases/lease_server_rig.py
+++ b/tests/leases/lease_server_rig.py
@@ -8,7 +8,8 @@
 
 from ploverspoke.testbed.experiment_files.durations import SECOND, Duration
 from ploverspoke.testbed.processes.rig import Rig
-from ploverspoke.testbed.scenarios.lease_scenario import LeaseFleet, LeaseScenario
+from ploverspoke.testbed.scenarios.lease_experiment import LeaseScenario
+from ploverspoke.testbed.scenarios.lease_fleet import LeaseFleet
 
 Call = Callable[
     ..., Coroutine[object, object, tuple[int, str]]
@@ -20,7 +21,7 @@
 ) -> None:
     """Starts three real lease servers on a rig, then runs the script, which may call `ploverspoke lease`."""
     plan = LeaseScenario(
-        keepers=3, contenders=0, names=names or {"one": 1, "two": 1}, duration=Duration(4 * SECOND)
+        servers=3, candidates=0, leases=names or {"one": 1, "two": 1}, lease_duration=Duration(4 * SECOND)
     )
 
     async def call(leases: LeaseFleet, command: str, *arguments: str) -> tuple[int, str]:
--- a/tests/leases/test_fleet_tasks.py
+++ b/tests/leases/test_fleet_tasks.py
@@ -22,7 +22,7 @@
 from ploverspoke.store.state_machine import RequestStateMachine
 from ploverspoke.testbed.processes.addresses import reserve_ports
 from ploverspoke.testbed.processes.readiness import accepts_connections
-from ploverspoke.testbed.scenarios.lease_scenario import LeaseFleet
+from ploverspoke.testbed.scenarios.lease_fleet import LeaseFleet
 from tests.leases.lease_server_rig import Call, run_with_lease_servers
 
 RUNS_LONG = True  # scheduled first: see tests/conftest.py
--- a/tests/leases/test_lease_commands.py
+++ b/tests/leases/test_lease_commands.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 from ploverspoke.consensus.framing import FrameCodec
-from ploverspoke.testbed.scenarios.lease_scenario import LeaseFleet
+from ploverspoke.testbed.scenarios.lease_fleet import LeaseFleet
 from tests.leases.lease_server_rig import Call, run_with_lease_servers
 
 RUNS_LONG = True  # scheduled first: see tests/conftest.py
@@ -133,7 +133,7 @@
 
 def test_client_with_another_secret_or_a_malformed_message_changes_nothing(tmp_path: Path) -> None:
     async def script(leases: LeaseFleet, call: Call) -> None:
-        place = leases.keepers[0]
+        place = leases.servers[0]
         for secret, message in (
             (b"another secret than theirs", None),
             (b"a secret of the testbed's own", {"n": "x"}),
--- a/tests/testbed/commands/test_experiment_commands.py
+++ b/tests/testbed/commands/test_experiment_commands.py
@@ -20,7 +20,7 @@
 from ploverspoke.testbed.reports.scores import merge_histograms
 from ploverspoke.testbed.scenarios.distribution_scenario import read_distribution_experiment
 from ploverspoke.testbed.scenarios.experiment_runner import run_experiment
-from ploverspoke.testbed.scenarios.lease_scenario import read_lease_experiment
+from ploverspoke.testbed.scenarios.lease_experiment import read_lease_experiment
 from ploverspoke.testbed.scenarios.scale_phases import experiment_for, read_scale_scenarios
 from tests.testbed.harness import SMALL_EXPERIMENT, small_experiment
 
