--- a/ploverspoke/leases/holder.py
+++ b/ploverspoke/leases/holder.py
@@ -8,15 +8,16 @@
 from collections.abc import Callable
 from typing import NamedTuple, Protocol
 
+from ploverspoke.transport.units import MILLISECOND, NEVER, SECOND
+
 from .definitions import DRIFT
 from .messages import NO_TOKEN, GrantedLease, LeaseRequest, LeaseResponse, ReleasedLease, RequestedLease
 
 RENEWALS_PER_DURATION = 3  # a lease is renewed when a third of the shortest duration has passed
 RETRIES_PER_DURATION = 15  # a request without a response is repeated after a fifteenth
-MIN_RETRY_INTERVAL = 40_000_000  # ns
-IDLE_DURATION = 3_000_000_000  # ns, stands for the shortest duration where no lease is wanted
+MIN_RETRY_INTERVAL = 40 * MILLISECOND
+IDLE_DURATION = 3 * SECOND  # stands for the shortest duration where no lease is wanted
 MAX_REMEMBERED_REQUESTS = 64  # whose time of sending is known
-NEVER = 1 << 62
 
 
 class LeaseHolderEnvironment(Protocol):
@@ -53,7 +54,7 @@
     """A release that no lease server has confirmed."""
 
     token: int
-    first_request: int  # the request that says it first
+    first_request: int  # the first request that names it
     hand_over_to: str
 
 
@@ -84,7 +85,7 @@
         return lease
 
     def release(self, name: str, hand_over_to: str = "") -> None:
-        """Give the lease up: it is not held from now on.
+        """Return the lease up: it is not held from now on.
 
         Lease servers learn of it so that others need not wait for its end; `hand_over_to` goes before them.
         """
@@ -133,7 +134,7 @@
         self._send_request(now)
 
     def handle_response(self, response: LeaseResponse) -> None:
-        """Take in what a lease server says. One to a request that is forgotten changes nothing."""
+        """Handle a response. One to a request that is no longer remembered changes nothing."""
         sent_at = self.sent_at.get(response.number)
         if sent_at is None:
             return
--- a/ploverspoke/testbed/scenarios/lease_fleet.py
+++ b/ploverspoke/testbed/scenarios/lease_fleet.py
@@ -1,11 +1,11 @@
 """The processes of a lease scenario: lease servers, lease candidates and the resource that they act on."""
 
 import asyncio
-from pathlib import Path
 from typing import Any
 
 import msgspec
 
+from ..checkers.lease_checker import EFFECT, RecordedEffect
 from ..experiment_files.durations import MILLISECOND, SECOND
 from ..fakes.lease_candidate import LeaseCandidateSpec
 from ..processes.addresses import ProcessAddress
@@ -136,17 +136,12 @@
 
     def _last_holder(self, name: str) -> RunningProcess | None:
         """Return the candidate whose effect under that lease came last."""
-        effects = _effects(self.resource_history, name)
-        if not effects:
+        effects = [
+            RecordedEffect(*event.detail)
+            for event in read_history(self.resource_history)
+            if event.what == EFFECT
+        ]
+        hosts = [effect.candidate for effect in effects if effect.name == name]
+        if not hosts:
             return None
-        sender = effects[-1]
-        return next(candidate for candidate in self.candidates if candidate.host == sender)
-
-
-def _effects(history: Path, name: str) -> list[str]:
-    """Return the senders of the effects under a lease, in order of time."""
-    return [
-        event.detail[4]
-        for event in read_history(history)
-        if event.what == "effect" and event.detail[0] == name
-    ]
+        return next(candidate for candidate in self.candidates if candidate.host == hosts[-1])
--- a/ploverspoke/testbed/scenarios/lease_scenario.py
+++ b/ploverspoke/testbed/scenarios/lease_scenario.py
@@ -79,8 +79,8 @@
     ]
     return draw_timeline(
         [
-            FaultWeight(what=what, who=who, every=Duration(interval), lasts=duration)
-            for what, who, interval, duration in weights
+            FaultWeight(kind=kind, processes=processes, interval=Duration(interval), durations=durations)
+            for kind, processes, interval, durations in weights
         ],
         scenario.run_duration,
         seed,
@@ -105,12 +105,12 @@
         drawn = draw_lease_timeline(scenario, seed) if steps is None else steps
         timeline = check_timeline(drawn, list(rig.addresses))
         killing = asyncio.create_task(fleet.kill_holders()) if scenario.holder_kill_interval else None
-        await rig.play(timeline, scenario.run_duration)
+        await rig.run_timeline(timeline, scenario.run_duration)
         if killing is not None:
             killing.cancel()
         events = rig.read_events()
     verdict = check_lease_history(events, scenario.holders_by_lease())
-    findings = [rig.describe_finding(what, at) for what, at in verdict.findings[:MAX_FINDINGS_SHOWN]]
+    findings = [rig.describe_finding(each.text, each.at) for each in verdict.findings[:MAX_FINDINGS_SHOWN]]
     links = rig.link_faults.counters.links
     return LeaseRunOutcome(verdict, rig.void_reason(), rig.errors, findings, events, timeline, links)
 
@@ -126,9 +126,9 @@
     takeover_p99 = takeovers[int(len(takeovers) * 0.99) - 1] if len(takeovers) > 1 else 0.0
     result = LeaseRunResult(
         seed=seed,
-        effects=outcome.verdict.effects,
-        holder_changes=outcome.verdict.changes,
-        refused_tokens=outcome.verdict.refused,
+        effects=outcome.verdict.checks,
+        holder_changes=outcome.verdict.holder_changes,
+        refused_tokens=outcome.verdict.rejected_effects,
         lost=len(lost),
         steps=len(outcome.steps),
         holder_kills=len(takeovers),
@@ -144,7 +144,7 @@
 
 
 def _void_reason(outcome: LeaseRunOutcome, demands: LeaseDemands, holder_kills: int) -> str:
-    void = outcome.void or outcome.verdict.void(demands.holder_changes)
+    void = outcome.void or outcome.verdict.void_reason(demands.holder_changes)
     if not void and holder_kills < demands.holder_kills:
         return f"only {holder_kills} kills of a holder: that proves nothing"
     return void
@@ -154,7 +154,7 @@
     outcome: LeaseRunOutcome, demands: LeaseDemands, takeover_p99: float, lost: list[HistoryEvent]
 ) -> list[str]:
     """Return the findings, the errors, and the demands that do not hold."""
-    failures = [*(what for what, _ in outcome.verdict.findings), *outcome.errors]
+    failures = [*(finding.text for finding in outcome.verdict.findings), *outcome.errors]
     if demands.max_takeover and takeover_p99 * SECOND > demands.max_takeover:
         limit = format_duration(demands.max_takeover)
         failures.append(f"takeover {takeover_p99:.2f} s after the kill of a holder, expected {limit} at most")
--- a/tests/leases/test_lease_processes.py
+++ b/tests/leases/test_lease_processes.py
@@ -9,16 +9,14 @@
 
 RUNS_LONG = True  # scheduled first: see tests/conftest.py
 
-MS = MILLISECOND
-
 
 def test_no_two_holders_act_at_once_through_kills_pauses_partitions_and_clock_drift() -> None:
     outcome = run_lease_scenario(LeaseScenario(run_duration=Duration(60 * SECOND)), 1)
     assert outcome.findings == [], "\n".join(outcome.findings)
-    assert (outcome.void, outcome.errors, outcome.verdict.void()) == ("", [], "")
-    assert outcome.verdict.taken > 2000 and outcome.verdict.names == 3
-    done = {event.what for event in outcome.events if event.who == "rig"}
-    assert done >= {"kill is over", "pause is over", "add fault", "remove fault", "wall jumps"}
+    assert (outcome.void, outcome.errors, outcome.verdict.void_reason()) == ("", [], "")
+    assert outcome.verdict.accepted_effects > 2000 and outcome.verdict.names == 3
+    rig_events = {event.what for event in outcome.events if event.who == "rig"}
+    assert rig_events >= {"kill is over", "pause is over", "add fault", "remove fault", "wall jumps"}
 
 
 @pytest.mark.parametrize("fenced", [True, False])
@@ -26,9 +24,13 @@
     # Each in turn does not reach the resource for a while: what it has sent comes when others act by then.
     steps = [
         FaultStep(
-            at=Duration(n * 700 * MS), what="cut", who=[f"c{n % 4}"], to=["r"], lasts=Duration(2 * SECOND)
+            start=Duration(number * 700 * MILLISECOND),
+            kind="cut",
+            processes=[f"c{number % 4}"],
+            peers=["r"],
+            duration=Duration(2 * SECOND),
         )
-        for n in range(1, 14)
+        for number in range(1, 14)
     ]
     scenario = LeaseScenario(
         servers=3, candidates=4, leases={"one": 1}, run_duration=Duration(12 * SECOND), checks_tokens=fenced
@@ -36,10 +38,12 @@
     outcome = run_lease_scenario(scenario, 1, steps)
     assert (outcome.void, outcome.errors) == ("", [])
     if fenced:
-        assert outcome.findings == [] and outcome.verdict.refused > 0
+        assert outcome.findings == [] and outcome.verdict.rejected_effects > 0
     else:
-        assert "was taken after" in outcome.findings[0] and "timeline" in outcome.findings[0]
-    assert outcome.verdict.void(fewest=5) == "" and outcome.verdict.void(fewest=10_000)
+        assert "was accepted after" in outcome.findings[0] and "timeline" in outcome.findings[0]
+    assert outcome.verdict.void_reason(min_changes=5) == "" and outcome.verdict.void_reason(
+        min_changes=10_000
+    )
 
 
 def test_faulty_holders_that_count_too_long_are_found_on_processes() -> None:
@@ -47,9 +51,13 @@
     servers = ["k0", "k1", "k2"]
     steps = [
         FaultStep(
-            at=Duration(n * 1500 * MS), what="cut", who=[f"c{n % 4}"], to=servers, lasts=Duration(2500 * MS)
+            start=Duration(number * 1500 * MILLISECOND),
+            kind="cut",
+            processes=[f"c{number % 4}"],
+            peers=servers,
+            duration=Duration(2500 * MILLISECOND),
         )
-        for n in range(1, 6)
+        for number in range(1, 6)
     ]
     scenario = LeaseScenario(
         servers=3,
@@ -60,14 +68,14 @@
         overestimates_duration=True,
     )
     outcome = run_lease_scenario(scenario, 1, steps)
-    assert (outcome.void, outcome.errors) == ("", []) and "act at once" in outcome.findings[0]
+    assert (outcome.void, outcome.errors) == ("", []) and "hold it at once" in outcome.findings[0]
 
 
 def test_no_holder_acts_after_expiry_without_a_majority_and_all_continue_when_it_is_back() -> None:
     begins, lasts = 4 * SECOND, 6 * SECOND
     steps = [
-        FaultStep(at=Duration(begins), what="pause", who=["k0", "k1"], lasts=Duration(lasts)),
-        FaultStep(at=Duration(begins), what="kill", who=["k2"], lasts=Duration(lasts)),
+        FaultStep(start=Duration(begins), kind="pause", processes=["k0", "k1"], duration=Duration(lasts)),
+        FaultStep(start=Duration(begins), kind="kill", processes=["k2"], duration=Duration(lasts)),
     ]
     scenario = LeaseScenario(
         servers=5, candidates=8, leases={"one": 1, "two": 1}, run_duration=Duration(16 * SECOND)
