--- a/ploverspoke/testbed/capacity/measurements/command_costs.py
+++ b/ploverspoke/testbed/capacity/measurements/command_costs.py
@@ -24,7 +24,8 @@
 from ...processes.resource_usage import ResourceUsage, read_resource_usage
 from ...processes.rig import Rig
 from ...processes.running_process import ProcessStartError, RunningProcess
-from ...scenarios.lease_scenario import LeaseFleet, LeaseScenario
+from ...scenarios.lease_experiment import LeaseScenario
+from ...scenarios.lease_fleet import LeaseFleet
 from .dispatcher import dispatcher_experiment, measuring_interval
 from .measurement import (
     FOLDER_PREFIX,
@@ -120,7 +121,7 @@
     with tempfile.TemporaryDirectory(prefix=FOLDER_PREFIX, dir=memory_backed_folder()) as folder:
         async with Rig(Path(folder), SEED) as rig:
             scenario = LeaseScenario(
-                keepers=lease_servers, contenders=0, names={"team-*": 1}, duration=LEASE_DURATION
+                servers=lease_servers, candidates=0, leases={"team-*": 1}, lease_duration=LEASE_DURATION
             )
             leases = LeaseFleet(rig, scenario)
             await leases.start()
--- a/tests/leases/test_lease_commands.py
+++ b/tests/leases/test_lease_commands.py
@@ -11,7 +11,7 @@
 
 from ploverspoke.consensus.framing import FrameCodec
 from ploverspoke.testbed.processes.running_process import RunningProcess
-from ploverspoke.testbed.scenarios.lease_scenario import LeaseFleet
+from ploverspoke.testbed.scenarios.lease_fleet import LeaseFleet
 from tests.leases.lease_server_rig import Call, run_with_lease_servers
 
 RUNS_LONG = True  # scheduled first: see tests/conftest.py
@@ -141,7 +141,7 @@
 
 def test_client_with_another_secret_or_a_malformed_message_changes_nothing(tmp_path: Path) -> None:
     async def script(leases: LeaseFleet, call: Call) -> None:
-        first = leases.keepers[0]
+        first = leases.servers[0]
         address = (first.host, first.ports["clients"])
         for secret, message in (
             (b"another secret than theirs", None),
--- a/tests/leases/test_lease_processes.py
+++ b/tests/leases/test_lease_processes.py
@@ -4,15 +4,16 @@
 
 from ploverspoke.testbed.experiment_files.durations import MILLISECOND, SECOND, Duration
 from ploverspoke.testbed.processes.fault_timeline import FaultStep
-from ploverspoke.testbed.scenarios.lease_scenario import LeaseScenario, run_lease_scenario
+from ploverspoke.testbed.scenarios.lease_experiment import LeaseScenario
+from ploverspoke.testbed.scenarios.lease_scenario import run_lease_scenario
 
 RUNS_LONG = True  # scheduled first: see tests/conftest.py
 
 
 def test_no_two_holders_act_at_once_through_kills_pauses_partitions_and_clock_drift() -> None:
-    outcome = run_lease_scenario(LeaseScenario(lasts=Duration(60 * SECOND)), 1)
-    assert outcome.shown == [], "\n".join(outcome.shown)
-    assert (outcome.void, outcome.faults, outcome.verdict.void_reason()) == ("", [], "")
+    outcome = run_lease_scenario(LeaseScenario(run_duration=Duration(60 * SECOND)), 1)
+    assert outcome.findings == [], "\n".join(outcome.findings)
+    assert (outcome.void, outcome.errors, outcome.verdict.void_reason()) == ("", [], "")
     assert outcome.verdict.accepted_effects > 2000 and outcome.verdict.names == 3
     rig_events = {event.kind for event in outcome.events if event.source == "rig"}
     assert rig_events >= {"kill is over", "pause is over", "add fault", "remove fault", "wall jumps"}
@@ -31,15 +32,15 @@
         )
         for number in range(1, 14)
     ]
-    plan = LeaseScenario(
-        keepers=3, contenders=4, names={"one": 1}, lasts=Duration(12 * SECOND), fenced=fenced
+    scenario = LeaseScenario(
+        servers=3, candidates=4, leases={"one": 1}, run_duration=Duration(12 * SECOND), checks_tokens=fenced
     )
-    outcome = run_lease_scenario(plan, 1, steps)
-    assert (outcome.void, outcome.faults) == ("", [])
+    outcome = run_lease_scenario(scenario, 1, steps)
+    assert (outcome.void, outcome.errors) == ("", [])
     if fenced:
-        assert outcome.shown == [] and outcome.verdict.rejected_effects > 0
+        assert outcome.findings == [] and outcome.verdict.rejected_effects > 0
     else:
-        assert "was accepted after" in outcome.shown[0] and "timeline" in outcome.shown[0]
+        assert "was accepted after" in outcome.findings[0] and "timeline" in outcome.findings[0]
     assert outcome.verdict.void_reason(min_changes=5) == "" and outcome.verdict.void_reason(
         min_changes=10_000
     )
@@ -58,11 +59,16 @@
         )
         for number in range(1, 6)
     ]
-    plan = LeaseScenario(
-        keepers=3, contenders=4, names={"one": 1}, lasts=Duration(9 * SECOND), keeps=1.0, outlasts=True
+    scenario = LeaseScenario(
+        servers=3,
+        candidates=4,
+        leases={"one": 1},
+        run_duration=Duration(9 * SECOND),
+        hold_share=1.0,
+        overestimates_duration=True,
     )
-    outcome = run_lease_scenario(plan, 1, steps)
-    assert (outcome.void, outcome.faults) == ("", []) and "hold it at once" in outcome.shown[0]
+    outcome = run_lease_scenario(scenario, 1, steps)
+    assert (outcome.void, outcome.errors) == ("", []) and "hold it at once" in outcome.findings[0]
 
 
 def test_no_holder_acts_after_expiry_without_a_majority_and_all_continue_when_it_is_back() -> None:
@@ -71,9 +77,11 @@
         FaultStep(start=Duration(begins), kind="pause", processes=["k0", "k1"], duration=Duration(lasts)),
         FaultStep(start=Duration(begins), kind="kill", processes=["k2"], duration=Duration(lasts)),
     ]
-    plan = LeaseScenario(keepers=5, contenders=8, names={"one": 1, "two": 1}, lasts=Duration(16 * SECOND))
-    outcome = run_lease_scenario(plan, 3, steps)
-    assert (outcome.shown, outcome.void, outcome.faults) == ([], "", [])
+    scenario = LeaseScenario(
+        servers=5, candidates=8, leases={"one": 1, "two": 1}, run_duration=Duration(16 * SECOND)
+    )
+    outcome = run_lease_scenario(scenario, 3, steps)
+    assert (outcome.findings, outcome.void, outcome.errors) == ([], "", [])
     epoch = next(event.at for event in outcome.events if event.kind == "begin")
     acts = [(event.at - epoch) / SECOND for event in outcome.events if event.kind == "acts"]
     # A lease lasts 1 s, and a holder's clock is 5% slow at the most.
