--- a/tests/decisions/test_load_probes.py
+++ b/tests/decisions/test_load_probes.py
@@ -113,7 +113,7 @@
 
 def test_probes_are_bounded_by_their_price() -> None:
     harness = DispatchHarness(
-        [endpoint(f"w{i}") for i in range(200)], **{**PROBING_SETTINGS, "probe_cost": 0.003}
+        [endpoint(f"w{number}") for number in range(200)], **{**PROBING_SETTINGS, "probe_cost": 0.003}
     )
     probed = 0
     for request_id in range(50):
@@ -126,7 +126,7 @@
 
 
 def test_a_full_fleet_is_not_searched_anew_for_each_request() -> None:
-    harness = DispatchHarness([endpoint(f"w{i}") for i in range(300)])
+    harness = DispatchHarness([endpoint(f"w{number}") for number in range(300)])
     for worker in harness.dispatcher.workers.values():
         worker.capacity = worker.capacity_before_cut = 0.0
     harness.send_request(1)
@@ -153,7 +153,7 @@
 
 
 def test_a_long_wait_does_not_count_as_silence_where_all_starts_are_late() -> None:
-    harness = DispatchHarness([endpoint(n, kind=1) for n in "abcd"], deadline=[9 * SECOND] * 3)
+    harness = DispatchHarness([endpoint(name, kind=1) for name in "abcd"], deadline=[9 * SECOND] * 3)
     harness.dispatcher.parts.observations.start_delays[0].extend([MS, 3 * SECOND])
     harness.send_request(1, request_class=2, deadline_in=9 * SECOND)
     worker = harness.dispatcher.workers[str(harness.worker_of(1))]
@@ -164,7 +164,7 @@
 
 
 def test_a_long_queue_with_fresh_reports_does_not_nest() -> None:
-    harness = DispatchHarness([endpoint(f"w{i}") for i in range(500)], **PROBING_SETTINGS)
+    harness = DispatchHarness([endpoint(f"w{number}") for number in range(500)], **PROBING_SETTINGS)
     for request_id in range(450):
         harness.send_request(request_id, request_class=2)
     for worker in harness.dispatcher.workers.values():
@@ -180,7 +180,7 @@
     waste_price: float, lowest: int, highest: int
 ) -> None:
     # Workers that ignore cancellation ran all cancelled attempts, which filled half of them in a large fleet.
-    harness = DispatchHarness([endpoint(f"w{i}") for i in range(40)], waste_cost=waste_price)
+    harness = DispatchHarness([endpoint(f"w{number}") for number in range(40)], waste_cost=waste_price)
     for number in range(40):
         harness.send_request(number)  # none starts
         harness.advance(20 * MS)
--- a/tests/decisions/test_mechanism.py
+++ b/tests/decisions/test_mechanism.py
@@ -64,7 +64,7 @@
 
 
 def test_requests_with_one_affinity_key_go_to_one_worker() -> None:
-    harness = DispatchHarness([endpoint(n) for n in "abcdef"])
+    harness = DispatchHarness([endpoint(name) for name in "abcdef"])
     workers = set()
     for request_id in range(6):
         harness.send_request(request_id, affinity_key="listing-7")
@@ -78,12 +78,12 @@
     harness = DispatchHarness([endpoint("a"), endpoint("b")])
     for name in "ab":
         harness.dispatcher.workers[name].capacity = harness.dispatcher.workers[name].capacity_before_cut = 0.0
-    keys = [f"s{n}" for n in range(9)]
+    keys = [f"s{number}" for number in range(9)]
     for number, affinity_key in enumerate(keys):
         harness.send_request(number, affinity_key=affinity_key)
     preferred = [
-        harness.dispatcher.parts.choice.tiers(-1, harness.dispatcher.open_requests[n])[0][0].name
-        for n in range(9)
+        harness.dispatcher.parts.choice.tiers(-1, harness.dispatcher.open_requests[number])[0][0].name
+        for number in range(9)
     ]
     assert set(preferred) == {"a", "b"}
     other = "b" if preferred[0] == "a" else "a"
@@ -91,7 +91,7 @@
     harness.dispatcher.parts.service.replace(
         harness.dispatcher.open_requests[0].queue, harness.dispatcher.workers[other], harness.clock
     )
-    assert [n for n in range(9) if harness.worker_of(n)] == [preferred.index(other)]
+    assert [number for number in range(9) if harness.worker_of(number)] == [preferred.index(other)]
 
 
 def test_a_head_bound_to_its_rack_does_not_block_its_queue() -> None:
@@ -108,7 +108,7 @@
 
 
 def test_a_silent_worker_is_ejected_and_its_idempotent_request_retried() -> None:
-    harness = DispatchHarness([endpoint(n) for n in "abcd"])
+    harness = DispatchHarness([endpoint(name) for name in "abcd"])
     harness.send_request(1)
     harness.report_start(1)
     first = str(harness.worker_of(1))
@@ -121,7 +121,7 @@
 
 def test_a_silent_connection_does_not_eject_its_worker() -> None:
     # A single connection may fall silent; each one ejected its worker for 8 to 12 s.
-    harness = DispatchHarness([endpoint(n) for n in "abcd"])
+    harness = DispatchHarness([endpoint(name) for name in "abcd"])
     harness.send_request(1)
     harness.report_start(1)
     first = str(harness.worker_of(1))
@@ -135,7 +135,7 @@
 
 
 def test_an_unreachable_worker_returns_only_after_a_probe() -> None:
-    harness = DispatchHarness([endpoint(n) for n in "abcd"])
+    harness = DispatchHarness([endpoint(name) for name in "abcd"])
     harness.send_request(1)
     worker = harness.dispatcher.workers[str(harness.worker_of(1))]
     harness.end_attempt(1, AttemptOutcome.UNREACHABLE)
@@ -153,7 +153,7 @@
 @pytest.mark.parametrize("outcome", [AttemptOutcome.UNREACHABLE, AttemptOutcome.BROKEN_OFF])
 def test_one_broken_connection_ejects_no_worker(outcome: AttemptOutcome, probing: bool) -> None:
     # With occasional connection resets all workers were ejected within seconds.
-    harness = DispatchHarness([endpoint(n) for n in "abc"], probing_allowed=probing)
+    harness = DispatchHarness([endpoint(name) for name in "abc"], probing_allowed=probing)
     harness.send_request(0)
     worker = harness.dispatcher.workers[str(harness.worker_of(0))]
     harness.end_attempt(0, outcome)
@@ -161,7 +161,7 @@
         harness.send_request(1)
         assert harness.probes == [worker.name] and harness.worker_of(1) != worker.name
         harness.dispatcher.probe_completed(harness.probes.pop(), AttemptOutcome.SUCCEEDED, MS, None)
-    assert not any(w.ejected for w in harness.dispatcher.workers.values())
+    assert not any(each.ejected for each in harness.dispatcher.workers.values())
     alone = DispatchHarness([endpoint("a")], probing_allowed=probing)
     for number in range(2):
         alone.send_request(number)
@@ -173,10 +173,10 @@
 
 
 def test_only_a_part_of_the_workers_is_ejected() -> None:
-    harness = DispatchHarness([endpoint(n) for n in "abcdef"])
+    harness = DispatchHarness([endpoint(name) for name in "abcdef"])
     for worker in list(harness.dispatcher.workers.values()):
         harness.dispatcher.parts.ejection.eject(worker, harness.clock)
-    assert sum(w.ejected for w in harness.dispatcher.workers.values()) == 2
+    assert sum(each.ejected for each in harness.dispatcher.workers.values()) == 2
 
 
 def test_a_waiting_keyed_request_is_not_cancelled_while_its_rack_is_full() -> None:
@@ -189,13 +189,13 @@
 
 
 def test_ejection_on_proof_is_not_limited() -> None:
-    harness = DispatchHarness([endpoint(n) for n in "abc"])
+    harness = DispatchHarness([endpoint(name) for name in "abc"])
     harness.send_request(1)
     while harness.attempts[1] and harness.worker_of(1):
         harness.end_attempt(1, AttemptOutcome.UNREACHABLE)
         harness.dispatcher.probe_completed(harness.probes.pop(), AttemptOutcome.UNREACHABLE, MS, None)
         harness.advance(100 * MS)
-    assert sum(w.ejected for w in harness.dispatcher.workers.values()) == len(harness.attempts[1]) > 1
+    assert sum(each.ejected for each in harness.dispatcher.workers.values()) == len(harness.attempts[1]) > 1
 
 
 def test_a_non_idempotent_request_does_not_try_a_worker_that_has_just_returned() -> None:
@@ -256,7 +256,7 @@
 def test_an_affinity_key_has_preferred_workers_by_its_share_of_the_latest_arrivals() -> None:
     # One key has a seventh of the traffic, more than a worker's load; of thousands of others only the latest
     # are remembered.
-    harness = DispatchHarness([endpoint(f"w{n}") for n in range(40)])
+    harness = DispatchHarness([endpoint(f"w{number}") for number in range(40)])
     for number in range(700):
         harness.dispatcher.parts.observations.affinity_keys.record(
             "common" if number % 7 == 0 else f"user-{number}"
--- a/tests/decisions/test_rules.py
+++ b/tests/decisions/test_rules.py
@@ -59,7 +59,7 @@
             harness.report_start(request_id)
             harness.advance(10 * MS)
             harness.end_attempt(request_id, AttemptOutcome.SUCCEEDED)
-    sent = sum(len(t) for t in harness.attempts.values())
+    sent = sum(len(attempts) for attempts in harness.attempts.values())
     assert sent < 10
 
 
@@ -71,11 +71,14 @@
         if harness.worker_of(request_id):
             harness.report_start(request_id)
         harness.advance(50 * MS)
-        sent_to += [t.worker for t in harness.attempts[request_id]]
-        for out in [s for s in harness.attempts if harness.worker_of(s) and harness.attempts[s][-1].started][
-            :-2
-        ]:
-            harness.end_attempt(out, AttemptOutcome.SUCCEEDED)
+        sent_to += [attempt.worker for attempt in harness.attempts[request_id]]
+        running = [
+            each
+            for each in harness.attempts
+            if harness.worker_of(each) and harness.attempts[each][-1].started
+        ]
+        for each in running[:-2]:
+            harness.end_attempt(each, AttemptOutcome.SUCCEEDED)
     assert 0 < sent_to.count("b") < sent_to.count("a")
 
 
--- a/tests/routing/test_attempts.py
+++ b/tests/routing/test_attempts.py
@@ -49,7 +49,7 @@
 def test_request_to_an_absent_worker_is_retried() -> None:
     async def script(harness: ServiceHarness) -> None:
         harness.servers[0].close()
-        statuses = [(await harness.exchange(harness.request(f"r{n}", "book")))[0] for n in range(6)]
+        statuses = [(await harness.exchange(harness.request(f"r{number}", "book")))[0] for number in range(6)]
         assert statuses == [200] * 6
 
     run_script(script)
@@ -73,7 +73,9 @@
         harness.servers.append(server)
         port = server.sockets[0].getsockname()[1]
         await harness.change_list([{**harness.entries[0], "addr": f"127.0.0.1:{port}"}, harness.entries[1]])
-        statuses = [(await harness.exchange(harness.request(f"r{n}", "book")))[0] for n in range(12)]
+        statuses = [
+            (await harness.exchange(harness.request(f"r{number}", "book")))[0] for number in range(12)
+        ]
         assert statuses == [200] * 12 and dropped and set(harness.run_counts.values()) == {1}
         assert not harness.service.router.dispatcher.workers["w0"].ejected, "its probes were answered"
 
