--- a/tests/leases/test_lease_checker.py
+++ b/tests/leases/test_lease_checker.py
@@ -6,11 +6,9 @@
 from ploverspoke.testbed.experiment_files.durations import MILLISECOND
 from ploverspoke.testbed.processes.history import HistoryEvent
 
-MS = MILLISECOND
-
 
 def row(at: int, who: str, what: str, *detail: object) -> HistoryEvent:
-    return HistoryEvent(at * MS, who, what, list(detail))
+    return HistoryEvent(at * MILLISECOND, who, what, list(detail))
 
 
 CLEAN = [
