--- a/ploverspoke/testbed/checkers/request_audit.py
+++ b/ploverspoke/testbed/checkers/request_audit.py
@@ -188,6 +188,8 @@
     if event.kind == event_records.REQUEST_SENT:
         request_class = experiment.request_classes[detail[0]]
         detail = f"{request_class.name} ({request_class.idempotency.value}), try {detail[1] + 1}"
+    elif isinstance(detail, tuple):
+        detail = list(detail)
     dispatcher = f" d{event.dispatcher}" if event.dispatcher >= 0 else ""
     seconds = event.at / SECOND
     return f"{seconds:11.6f} s  {event.request_id:10}{dispatcher:5} {event.worker:5} {event.kind}: {detail}"
