--- a/ploverspoke/testbed/capacity/measurements/store_replica.py
+++ b/ploverspoke/testbed/capacity/measurements/store_replica.py
@@ -13,9 +13,9 @@
 from ploverspoke.consensus.replica_client import call_replica
 
 from ...experiment_files.durations import SECOND, Duration
+from ...experiment_files.fault_timeline import FaultStep
 from ...experiment_files.reader import parse_experiment
 from ...processes.capacity_check import memory_backed_folder
-from ...processes.fault_timeline import FaultStep
 from .dispatcher import measuring_interval
 from .measurement import (
     FOLDER_PREFIX,
--- a/ploverspoke/testbed/experiment_files/experiment.py
+++ b/ploverspoke/testbed/experiment_files/experiment.py
@@ -4,9 +4,9 @@
 
 import msgspec
 
-from ..processes.fault_timeline import FaultStep
 from .durations import Duration
 from .fault_tables import AnyFault, SettingsChange
+from .fault_timeline import FaultStep
 from .table import ExperimentTable
 from .tables import (
     AcceptanceCriteria,
--- a/ploverspoke/testbed/experiment_files/validation.py
+++ b/ploverspoke/testbed/experiment_files/validation.py
@@ -2,10 +2,10 @@
 
 import math
 
-from ..processes.fault_timeline import TimelineError, check_timeline
 from .errors import ExperimentError
 from .experiment import Experiment
 from .fault_tables import Fault, NamedDispatcherFault, RegionPartition, SettingsChange, ZonePartition
+from .fault_timeline import TimelineError, check_timeline
 
 
 def check_experiment(experiment: Experiment) -> None:
--- a/ploverspoke/testbed/processes/rig.py
+++ b/ploverspoke/testbed/processes/rig.py
@@ -17,10 +17,10 @@
 from types import TracebackType
 
 from ..experiment_files.durations import MILLISECOND, format_duration
+from ..experiment_files.fault_timeline import FaultStep
 from .addresses import AddressBlock, ProcessAddress
 from .capacity_check import MEBIBYTE, ResourceDemand, check_capacity
 from .child_process import ChildProcess
-from .fault_timeline import FaultStep
 from .history import History, HistoryEvent, events_around, read_histories
 from .link_fault_controller import LinkFaultController
 from .proxy_messages import ProxiedProcess
--- a/ploverspoke/testbed/processes/timeline_runner.py
+++ b/ploverspoke/testbed/processes/timeline_runner.py
@@ -4,15 +4,17 @@
 import contextlib
 import signal
 from collections.abc import Callable, Mapping, Sequence
+from typing import Any
 
 import msgspec
 
 from ..experiment_files.durations import MILLISECOND, SECOND
+from ..experiment_files.fault_timeline import LINK_FAULTS, FaultStep
 from .child_process import STOP_TIMEOUT
 from .fault_controls import DiskMode
-from .fault_timeline import LINK_FAULTS, FaultStep, make_link_fault
 from .history import History, monotonic_now
 from .link_fault_controller import LinkFaultController
+from .link_faults import LinkFault
 from .running_process import ProcessStartError, RunningProcess
 
 LATENESS_CHECK_INTERVAL = 50 * MILLISECOND
@@ -166,5 +168,21 @@
         self.on_process_up(process.name)
 
 
+def make_link_fault(step: FaultStep) -> LinkFault:
+    """The fault of a step on links, in the direction from `processes` to `peers`."""
+    effects: dict[str, dict[str, Any]] = {
+        "delay": {"delay": int(step.delay), "jitter": int(step.jitter)},
+        "loss": {"loss": step.probability},
+        "double": {"duplicate": step.probability, "duplicate_delay": int(step.jitter)},
+        "reorder": {"reorder": step.probability, "jitter": int(step.jitter)},
+        "cut": {"cut": True},
+        "slow": {"rate": step.rate},
+        "silent": {"silent": True},
+        "reset": {},
+        "rough": {"loss": step.probability, "duplicate": step.probability, "jitter": int(step.jitter)},
+    }
+    return LinkFault(origin=step.processes, target=step.peers, **effects[step.kind])
+
+
 async def _sleep_until(at: int) -> None:
     await asyncio.sleep(max(0.0, (at - monotonic_now()) / SECOND))
--- a/ploverspoke/testbed/scenarios/distribution_scenario.py
+++ b/ploverspoke/testbed/scenarios/distribution_scenario.py
@@ -24,6 +24,7 @@
     check_distribution_history,
 )
 from ..experiment_files.durations import MILLISECOND, SECOND, Duration, format_duration, parse_duration
+from ..experiment_files.fault_timeline import FaultStep, TimelineError, check_timeline
 from ..fakes.config_client_messages import (
     Action,
     ConfigClientsCommand,
@@ -35,7 +36,7 @@
 from ..processes.addresses import ProcessAddress
 from ..processes.capacity_check import memory_backed_folder
 from ..processes.child_process import ChildProcess
-from ..processes.fault_timeline import FaultStep, FaultWeight, TimelineError, check_timeline, draw_timeline
+from ..processes.drawn_timeline import FaultWeight, draw_timeline
 from ..processes.history import HistoryEvent, events_around, monotonic_now
 from ..processes.link_faults import LinkCounters, LinkFault
 from ..processes.readiness import accepts_connections
--- a/ploverspoke/testbed/scenarios/lease_scenario.py
+++ b/ploverspoke/testbed/scenarios/lease_scenario.py
@@ -9,11 +9,12 @@
 
 from ..checkers.lease_checker import MIN_HOLDER_CHANGES, LeaseVerdict, check_lease_history, takeover_gaps
 from ..experiment_files.durations import MILLISECOND, SECOND, Duration, format_duration, parse_duration
+from ..experiment_files.fault_timeline import FaultStep, TimelineError, check_timeline
 from ..fakes.lease_candidate import LeaseCandidateSpec
 from ..processes.addresses import ProcessAddress
 from ..processes.capacity_check import memory_backed_folder
 from ..processes.child_process import ChildProcess
-from ..processes.fault_timeline import FaultStep, FaultWeight, TimelineError, check_timeline, draw_timeline
+from ..processes.drawn_timeline import FaultWeight, draw_timeline
 from ..processes.history import HistoryEvent, read_history
 from ..processes.link_faults import LinkCounters
 from ..processes.readiness import accepts_connections
--- a/ploverspoke/testbed/scenarios/socket_run.py
+++ b/ploverspoke/testbed/scenarios/socket_run.py
@@ -17,6 +17,7 @@
 from ..experiment_files.errors import ExperimentError
 from ..experiment_files.experiment import Experiment
 from ..experiment_files.fault_tables import DispatcherReplaced, SettingsChange
+from ..experiment_files.fault_timeline import FaultStep
 from ..fakes.fake_messages import (
     ClientsReady,
     DiscoveryOpened,
@@ -33,7 +34,6 @@
 from ..processes.addresses import ProcessAddress
 from ..processes.capacity_check import ResourceDemand, memory_backed_folder
 from ..processes.child_process import ChildProcess
-from ..processes.fault_timeline import FaultStep
 from ..processes.history import HistoryEvent
 from ..processes.link_faults import LinkCounters
 from ..processes.rig import Rig
--- a/tests/config_distribution/test_processes.py
+++ b/tests/config_distribution/test_processes.py
@@ -7,7 +7,7 @@
 
 from ploverspoke.testbed.commands import main as commands
 from ploverspoke.testbed.experiment_files.durations import MILLISECOND, SECOND, Duration
-from ploverspoke.testbed.processes.fault_timeline import LINK_FAULTS, FaultStep, TimelineError
+from ploverspoke.testbed.experiment_files.fault_timeline import LINK_FAULTS, FaultStep, TimelineError
 from ploverspoke.testbed.scenarios.distribution_scenario import (
     DistributionScenario,
     Looked,
--- a/tests/leases/test_lease_processes.py
+++ b/tests/leases/test_lease_processes.py
@@ -3,7 +3,7 @@
 import pytest
 
 from ploverspoke.testbed.experiment_files.durations import MILLISECOND, SECOND, Duration
-from ploverspoke.testbed.processes.fault_timeline import FaultStep
+from ploverspoke.testbed.experiment_files.fault_timeline import FaultStep
 from ploverspoke.testbed.scenarios.lease_scenario import LeaseScenario, run_lease_scenario
 
 RUNS_LONG = True  # scheduled first: see tests/conftest.py
--- a/tests/testbed/commands/test_experiment_commands.py
+++ b/tests/testbed/commands/test_experiment_commands.py
@@ -13,8 +13,8 @@
 from ploverspoke.cli import main
 from ploverspoke.testbed.capacity.fleet_size import read_fleet
 from ploverspoke.testbed.experiment_files.errors import ExperimentError
+from ploverspoke.testbed.experiment_files.fault_timeline import TimelineError
 from ploverspoke.testbed.experiment_files.reader import parse_experiment, read_experiment
-from ploverspoke.testbed.processes.fault_timeline import TimelineError
 from ploverspoke.testbed.reports.comparison import compare_results, paired_difference
 from ploverspoke.testbed.reports.experiment_result import read_result
 from ploverspoke.testbed.reports.scores import merge_histograms
--- a/tests/testbed/processes/test_fault_timeline.py
+++ b/tests/testbed/experiment_files/test_fault_timeline.py
@@ -6,13 +6,8 @@
 import pytest
 
 from ploverspoke.testbed.experiment_files.durations import MILLISECOND, SECOND, Duration
-from ploverspoke.testbed.processes.fault_timeline import (
-    FaultStep,
-    FaultWeight,
-    TimelineError,
-    check_timeline,
-    draw_timeline,
-)
+from ploverspoke.testbed.experiment_files.fault_timeline import FaultStep, TimelineError, check_timeline
+from ploverspoke.testbed.processes.drawn_timeline import FaultWeight, draw_timeline
 
 
 @pytest.mark.parametrize(
