--- a/ploverspoke/testbed/capacity/measurements/lease_server.py
+++ b/ploverspoke/testbed/capacity/measurements/lease_server.py
@@ -22,7 +22,8 @@
 from ...processes.rig import Rig
 from ...processes.running_process import ProcessStartError
 from ...processes.tcp_proxy import OUTSIDE
-from ...scenarios.lease_scenario import LeaseFleet, LeaseScenario
+from ...scenarios.lease_experiment import LeaseScenario
+from ...scenarios.lease_fleet import LeaseFleet
 from .measurement import (
     FOLDER_PREFIX,
     NO_RESULT,
@@ -68,7 +69,7 @@
     """Return the leader's name. Raises ProcessStartError where there is none in time."""
     until = time.monotonic() + GRANT_TIMEOUT
     while time.monotonic() < until:
-        for address in leases.keepers:
+        for address in leases.servers:
             with contextlib.suppress(OSError):
                 status = await asyncio.to_thread(
                     call_replica, address.endpoint("peers"), secret, StatusRequest(), StatusRow
@@ -121,7 +122,7 @@
 ) -> Point:
     interval = QUICK_INTERVAL if request.quick else INTERVAL
     scenario = LeaseScenario(
-        keepers=servers, contenders=0, names={"team-*": 1}, duration=Duration(LEASE_DURATION)
+        servers=servers, candidates=0, leases={"team-*": 1}, lease_duration=Duration(LEASE_DURATION)
     )
     leases = LeaseFleet(rig, scenario)
     await leases.start()
@@ -137,7 +138,7 @@
         changes = _HolderChanges(load)
         changing = asyncio.create_task(changes.run(begin + interval.lasts)) if load.changes_a_second else None
         await asyncio.sleep(interval.settled)
-        sampler = UsageSampler(rig, [address.name for address in leases.keepers])
+        sampler = UsageSampler(rig, [address.name for address in leases.servers])
         before, after = await _sample(rig, sampler, interval.lasts)
         if changing is not None:
             changing.cancel()
--- a/ploverspoke/testbed/experiment_files/experiment.py
+++ b/ploverspoke/testbed/experiment_files/experiment.py
@@ -5,9 +5,9 @@
 import msgspec
 
 from .durations import Duration
+from .experiment_table import ExperimentTable
 from .fault_tables import AnyFault, SettingsChange
 from .fault_timeline import FaultStep
-from .table import ExperimentTable
 from .tables import (
     AcceptanceCriteria,
     ClientOptions,
--- a/tests/testbed/commands/test_experiment_commands.py
+++ b/tests/testbed/commands/test_experiment_commands.py
@@ -21,7 +21,7 @@
 from ploverspoke.testbed.scale.scenario_file import read_scale_scenarios
 from ploverspoke.testbed.scenarios.distribution_scenario import read_distribution_experiment
 from ploverspoke.testbed.scenarios.experiment_runner import run_experiment
-from ploverspoke.testbed.scenarios.lease_scenario import read_lease_experiment
+from ploverspoke.testbed.scenarios.lease_experiment import read_lease_experiment
 from ploverspoke.testbed.scenarios.scale_experiment import scale_experiment
 from tests.testbed.harness import SMALL_EXPERIMENT, small_experiment
 
