--- a/ploverspoke/testbed/experiment_files/experiment.py
+++ b/ploverspoke/testbed/experiment_files/experiment.py
@@ -4,10 +4,10 @@
 
 import msgspec
 
-from ..processes.fault_timeline import FaultStep
 from .durations import Duration
 from .experiment_table import ExperimentTable
 from .fault_tables import AnyFault, SettingsChange
+from .fault_timeline import FaultStep
 from .tables import (
     AcceptanceCriteria,
     ClientOptions,
