--- a/ploverspoke/testbed/scenarios/decision_bench.py
+++ b/ploverspoke/testbed/scenarios/decision_bench.py
@@ -114,5 +114,5 @@
         TimedPolicy.reset()
         run = VirtualRun(experiment, seed, TIMED_POLICY)
         run.run()
-        costs.append(TimedPolicy.seconds / max(1, run.clients.next) * 1e6)
+        costs.append(TimedPolicy.seconds / max(1, run.clients.sent_count) * 1e6)
     return median(costs)
--- a/ploverspoke/testbed/scenarios/lease_fleet.py
+++ b/ploverspoke/testbed/scenarios/lease_fleet.py
@@ -139,7 +139,7 @@
         effects = [
             RecordedEffect(*event.detail)
             for event in read_history(self.resource_history)
-            if event.what == EFFECT
+            if event.kind == EFFECT
         ]
         hosts = [effect.candidate for effect in effects if effect.name == name]
         if not hosts:
--- a/ploverspoke/testbed/scenarios/lease_scenario.py
+++ b/ploverspoke/testbed/scenarios/lease_scenario.py
@@ -122,7 +122,7 @@
     """Run one seed of an experiment; returns its entry in `result.json`."""
     outcome = run_lease_scenario(experiment.scenario, seed, [] if experiment.is_calm else None)
     takeovers = takeover_gaps(outcome.events, HOLDER_KILLED)
-    lost = [event for event in outcome.events if event.what == "lost"]
+    lost = [event for event in outcome.events if event.kind == "lost"]
     takeover_p99 = takeovers[int(len(takeovers) * 0.99) - 1] if len(takeovers) > 1 else 0.0
     result = LeaseRunResult(
         seed=seed,
--- a/tests/leases/test_lease_processes.py
+++ b/tests/leases/test_lease_processes.py
@@ -15,7 +15,7 @@
     assert outcome.findings == [], "\n".join(outcome.findings)
     assert (outcome.void, outcome.errors, outcome.verdict.void_reason()) == ("", [], "")
     assert outcome.verdict.accepted_effects > 2000 and outcome.verdict.names == 3
-    rig_events = {event.what for event in outcome.events if event.who == "rig"}
+    rig_events = {event.kind for event in outcome.events if event.source == "rig"}
     assert rig_events >= {"kill is over", "pause is over", "add fault", "remove fault", "wall jumps"}
 
 
@@ -82,8 +82,8 @@
     )
     outcome = run_lease_scenario(scenario, 3, steps)
     assert (outcome.findings, outcome.void, outcome.errors) == ([], "", [])
-    epoch = next(event.at for event in outcome.events if event.what == "begin")
-    acts = [(event.at - epoch) / SECOND for event in outcome.events if event.what == "acts"]
+    epoch = next(event.at for event in outcome.events if event.kind == "begin")
+    acts = [(event.at - epoch) / SECOND for event in outcome.events if event.kind == "acts"]
     # A lease lasts 1 s, and a holder's clock is 5% slow at the most.
     assert not [at for at in acts if 5.1 < at < 9.9]
     assert [at for at in acts if at < 4] and [at for at in acts if at > 13]
--- a/tests/routing/test_stale_endpoint_list.py
+++ b/tests/routing/test_stale_endpoint_list.py
@@ -26,7 +26,8 @@
 from ploverspoke.testbed.fakes.discovery_protocol import ListedEndpoint
 from ploverspoke.testbed.fakes.faulty_discovery import Failure, ScriptedDiscovery
 from ploverspoke.testbed.processes.dispatcher_process import DispatcherProcess
-from tests.routing.harness import ServiceHarness, read_message
+from tests.routing.harness import ServiceHarness
+from tests.routing.http_messages import read_message
 
 RUNS_LONG = True  # scheduled first: see tests/conftest.py
 BINDING_DELAY = 6.0  # seconds until a change is binding
@@ -53,7 +54,7 @@
             await asyncio.sleep(0.005)
 
 
-def test_drain_is_heeded_after_discovery_moved_and_rejected_the_first_call(tmp_path: Path) -> None:
+def test_drain_is_respected_after_discovery_moved_and_rejected_the_first_call(tmp_path: Path) -> None:
     async def run() -> None:
         loop, harness = asyncio.get_running_loop(), ServiceHarness()
         await harness.start_workers_and_discovery(2)
