--- a/ploverspoke/testbed/commands/run.py
+++ b/ploverspoke/testbed/commands/run.py
@@ -141,7 +141,8 @@
 def _run_processes(document: dict[str, Any], seeds: tuple[int, ...], out: Path | None) -> NoReturn:
     """Run lease servers and candidates, or config servers and dispatchers; a void run exits with 1."""
     from ..processes.fault_timeline import TimelineError
-    from ..scenarios.distribution_scenario import read_distribution_experiment, run_distribution
+    from ..scenarios.distribution_experiment import read_distribution_experiment
+    from ..scenarios.distribution_scenario import run_distribution
     from ..scenarios.lease_experiment import read_lease_experiment
     from ..scenarios.lease_scenario import run_leases
 
--- /dev/null
+++ b/ploverspoke/testbed/scenarios/distribution_experiment.py
@@ -0,0 +1,165 @@
+"""Experiment files of config distribution (`kind = "distribution"`): scenario, demands and their checks."""
+
+from typing import Any
+
+import msgspec
+
+from ..checkers.distribution_checker import MIN_FAULTS, MIN_VERSIONS
+from ..experiment_files.durations import MILLISECOND, SECOND, Duration, format_duration, parse_duration
+from ..processes.fault_timeline import TimelineError
+
+REGIONS = ("a", "b")
+QUIET_END = 2 * SECOND  # ns without faults and publications, beyond the limit of the checks
+SERVER_COUNTS = (3, 5)
+MAX_DISPATCHERS = 64
+MAX_PUBLISHERS = 16
+
+# What a file calls each field of the scenario.
+SCENARIO_KEYS = {
+    "run_duration": "lasts",
+    "publish_interval": "every",
+    "retry_share": "stubborn",
+    "prefers_one_server": "near_one",
+    "probe_interval": "probe",
+    "election_timeout": "election",
+    "snapshot_interval": "snapshot_every",
+    "region_delay": "far",
+    "kill_interval": "kills",
+    "pause_interval": "pauses",
+    "cut_interval": "cuts",
+    "rough_link_interval": "rough",
+    "empty_folder_interval": "emptied",
+    "leader_cut_interval": "leader_cut",
+    "publish_pause_interval": "hushes",
+    "partition_start": "apart_at",
+    "partition_duration": "apart",
+    "sample_interval": "seen_every",
+}
+POSITIVE_FIELDS = ("publish_interval", "probe_interval", "election_timeout", "within")
+
+
+class DistributionScenario(
+    msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True, rename=SCENARIO_KEYS
+):
+    """Config servers, dispatchers that watch them, publishers, and how often there are faults.
+
+    Intervals of faults are means; 0: there are none of that kind.
+    """
+
+    servers: int = 3
+    dispatchers: int = 6
+    run_duration: Duration = Duration(25 * SECOND)
+    within: Duration = Duration(10 * SECOND)  # the limit of the checks, from acknowledged to active
+    publishers: int = 3
+    publish_interval: Duration = Duration(600 * MILLISECOND)  # mean, of one publisher
+    retry_share: float = 0.75  # of publications that are retried where no answer came
+    prefers_one_server: bool = False  # each dispatcher, in turn; else those of its region
+    probe_interval: Duration = Duration(150 * MILLISECOND)  # between two rounds at one dispatcher
+    election_timeout: Duration = Duration(200 * MILLISECOND)
+    snapshot_interval: int = 100  # log entries
+    region_delay: Duration = Duration(20 * MILLISECOND)  # from one region to the other
+    kill_interval: Duration = Duration(3 * SECOND)
+    pause_interval: Duration = Duration(3 * SECOND)
+    cut_interval: Duration = Duration(2 * SECOND)
+    rough_link_interval: Duration = Duration(3 * SECOND)
+    empty_folder_interval: Duration = Duration(8 * SECOND)  # a server starts without its folder for a while
+    # The leader is cut off from the other servers for most of the interval.
+    leader_cut_interval: Duration = Duration(0)
+    # Nothing is published after a refused version, for `within` and a second.
+    publish_pause_interval: Duration = Duration(0)
+    partition_start: Duration = Duration(0)  # of the regions
+    partition_duration: Duration = Duration(0)
+    sample_interval: Duration = Duration(0)  # of memory, disk and traffic
+
+    def region(self, number: int) -> str:
+        """Return the region of a server or dispatcher."""
+        return REGIONS[number % len(REGIONS)]
+
+    def server_names(self) -> list[str]:
+        """Return the names of the servers; each begins with its region."""
+        return [f"{self.region(n)}-s{n}" for n in range(self.servers)]
+
+    def dispatcher_names(self) -> list[str]:
+        """Return the names of the dispatchers; each begins with its region."""
+        return [f"{self.region(n)}-d{n}" for n in range(self.dispatchers)]
+
+    def calm_end(self) -> int:
+        """Return how much of the end has no faults and publications, ns."""
+        return self.within + QUIET_END
+
+
+class DistributionDemands(
+    msgspec.Struct,
+    frozen=True,
+    kw_only=True,
+    forbid_unknown_fields=True,
+    rename={"faults": "troubles", "max_calm_delay": "calm"},
+):
+    """What a run must show."""
+
+    versions: int = MIN_VERSIONS  # seen active; with fewer a run is void
+    faults: int = MIN_FAULTS  # with fewer a run is void
+    max_calm_delay: Duration = Duration(0)  # from acknowledged to active, without faults; 0: any
+
+
+class DistributionExperiment(
+    msgspec.Struct,
+    frozen=True,
+    kw_only=True,
+    forbid_unknown_fields=True,
+    rename={"description": "about", "is_calm": "calm", "scenario": "plan", "demands": "must_hold"},
+):
+    """A whole file."""
+
+    kind: str
+    name: str
+    description: str = ""
+    seeds: list[int]
+    is_calm: bool = False  # no faults but the partition of the regions
+    scenario: DistributionScenario = DistributionScenario()
+    demands: DistributionDemands = DistributionDemands()
+
+
+def read_distribution_experiment(document: dict[str, Any]) -> DistributionExperiment:
+    """Read and check a file that was parsed as TOML.
+
+    Raises:
+        TimelineError: it is invalid; it names the key.
+    """
+    try:
+        experiment = msgspec.convert(
+            document, DistributionExperiment, dec_hook=lambda _, value: parse_duration(value)
+        )
+    except msgspec.ValidationError as error:
+        raise TimelineError(str(error)) from None
+    except ValueError as error:
+        raise TimelineError(str(error), key="plan") from None
+    _check_counts(experiment.scenario)
+    _check_times(experiment.scenario)
+    return experiment
+
+
+def _check_counts(scenario: DistributionScenario) -> None:
+    if scenario.servers not in SERVER_COUNTS:
+        raise TimelineError(key="plan.servers", problem="expected 3 or 5")
+    has_valid_counts = (
+        1 <= scenario.dispatchers <= MAX_DISPATCHERS and 1 <= scenario.publishers <= MAX_PUBLISHERS
+    )
+    if not has_valid_counts:
+        problem = f"expected 1 to {MAX_DISPATCHERS}, and plan.publishers 1 to {MAX_PUBLISHERS}"
+        raise TimelineError(key="plan.dispatchers", problem=problem)
+
+
+def _check_times(scenario: DistributionScenario) -> None:
+    for name in POSITIVE_FIELDS:
+        if getattr(scenario, name) <= 0:
+            key = SCENARIO_KEYS.get(name, name)
+            raise TimelineError(key=f"plan.{key}", problem="expected more than 0")
+    calm_end = scenario.calm_end()
+    if scenario.run_duration < 2 * calm_end:
+        problem = f"expected at least {format_duration(2 * calm_end)}, twice plan.within and more"
+        raise TimelineError(key="plan.lasts", problem=problem)
+    partition_end = scenario.partition_start + scenario.partition_duration
+    if scenario.partition_duration and partition_end + calm_end > scenario.run_duration:
+        problem = "expected an end that leaves plan.within of plan.lasts"
+        raise TimelineError(key="plan.apart", problem=problem)
--- a/tests/config_distribution/test_processes.py
+++ b/tests/config_distribution/test_processes.py
@@ -8,30 +8,30 @@
 from ploverspoke.testbed.commands import main as commands
 from ploverspoke.testbed.experiment_files.durations import MILLISECOND, SECOND, Duration
 from ploverspoke.testbed.processes.fault_timeline import LINK_FAULTS, FaultStep, TimelineError
-from ploverspoke.testbed.scenarios.distribution_scenario import (
+from ploverspoke.testbed.scenarios.distribution_experiment import (
     DistributionScenario,
-    Looked,
-    Outcome,
-    grown,
     read_distribution_experiment,
-    regions,
+)
+from ploverspoke.testbed.scenarios.distribution_growth import UsageSample, growth_metrics
+from ploverspoke.testbed.scenarios.distribution_scenario import (
+    DistributionRunOutcome,
     run_distribution_scenario,
-    timeline,
 )
+from ploverspoke.testbed.scenarios.distribution_timeline import draw_distribution_timeline, region_steps
 
 RUNS_LONG = True  # scheduled first: see tests/conftest.py
 
 FAULTY = "tests.config_distribution.faulty_distribution"
 
 
-def findings_of(outcome: Outcome) -> list[str]:
+def findings_of(outcome: DistributionRunOutcome) -> list[str]:
     """What the checker found in a run that is not void."""
     assert outcome.void == ""
     return [finding for finding, _ in outcome.verdict.findings]
 
 
 def test_acknowledged_versions_are_applied_in_time_through_kills_pauses_cuts_and_lost_folders() -> None:
-    plan = DistributionScenario(kills=Duration(2 * SECOND))
+    scenario = DistributionScenario(kill_interval=Duration(2 * SECOND))
     # All that is done to two dispatchers; of the drawn faults some may be skipped where two would meet.
     own_steps = [
         FaultStep(
@@ -54,13 +54,13 @@
     apart = {"a-d2", "a-d4"}
     others = [
         step
-        for step in timeline(plan, 53)
+        for step in draw_distribution_timeline(scenario, 53)
         if step.kind in (*LINK_FAULTS, "copy") or not apart & set(step.processes)
     ]
-    outcome = run_distribution_scenario(plan, 53, [*others, *own_steps])
-    assert outcome.shown == [], "\n".join(outcome.shown)
-    assert (outcome.void, outcome.faults, outcome.verdict.void_reason()) == ("", [], "")
-    assert outcome.verdict.reported_rejections == plan.dispatchers
+    outcome = run_distribution_scenario(scenario, 53, [*others, *own_steps])
+    assert outcome.findings == [], "\n".join(outcome.findings)
+    assert (outcome.void, outcome.errors, outcome.verdict.void_reason()) == ("", [], "")
+    assert outcome.verdict.reported_rejections == scenario.dispatchers
     rig_events = {event.kind for event in outcome.events if event.source == "rig"}
     expected = {"kill", "pause", "restart", "empty", "older"}
     assert rig_events >= {
@@ -81,18 +81,20 @@
         "a-d2": [FAULTY, "applies_part_of_rejected"],
         "b-d3": [FAULTY, "keeps_silent_server"],
     }
-    plan = DistributionScenario(
+    scenario = DistributionScenario(
         dispatchers=5,
         within=Duration(4 * SECOND),
-        lasts=Duration(12 * SECOND),
-        every=Duration(SECOND),
-        emptied=Duration(0),
+        run_duration=Duration(12 * SECOND),
+        publish_interval=Duration(SECOND),
+        empty_folder_interval=Duration(0),
     )
     # The one local server of b-d3 is paused for most of the run.
     paused = FaultStep(
         start=Duration(2 * SECOND), kind="pause", processes=["b-s1"], duration=Duration(9 * SECOND)
     )
-    findings = findings_of(run_distribution_scenario(plan, 2, [*regions(plan), paused], faulty_programs))
+    findings = findings_of(
+        run_distribution_scenario(scenario, 2, [*region_steps(scenario), paused], faulty_programs)
+    )
     for expected in (
         "a-d0 went back from version",
         "b-d1 applied half of tag",
@@ -106,46 +108,51 @@
 def test_checker_finds_a_server_that_sends_uncommitted_versions() -> None:
     # The leader is cut off from the other servers, not from publishers and watchers, and is asked to commit
     # what it cannot; the others elect another leader and commit, and no publisher repeats its request.
-    plan = DistributionScenario(
+    scenario = DistributionScenario(
         within=Duration(2 * SECOND),
-        lasts=Duration(12 * SECOND),
+        run_duration=Duration(12 * SECOND),
         publishers=4,
-        every=Duration(100 * MILLISECOND),
-        election=Duration(600 * MILLISECOND),
-        stubborn=0.0,
-        near_one=True,
-        emptied=Duration(0),
-        leader_cut=Duration(2400 * MILLISECOND),
+        publish_interval=Duration(100 * MILLISECOND),
+        election_timeout=Duration(600 * MILLISECOND),
+        retry_share=0.0,
+        prefers_one_server=True,
+        empty_folder_interval=Duration(0),
+        leader_cut_interval=Duration(2400 * MILLISECOND),
     )
     findings = findings_of(
         run_distribution_scenario(
-            plan, 3, regions(plan), {name: [FAULTY, "sends_uncommitted"] for name in plan.server_names()}
+            scenario,
+            3,
+            region_steps(scenario),
+            {name: [FAULTY, "sends_uncommitted"] for name in scenario.server_names()},
         )
     )
     assert [finding for finding in findings if "which was not committed" in finding], findings
 
 
 def test_checker_finds_servers_that_ignore_the_expected_version_or_begin_anew() -> None:
-    plan = DistributionScenario(
+    scenario = DistributionScenario(
         dispatchers=2,
         within=Duration(2 * SECOND),
-        lasts=Duration(8 * SECOND),
-        every=Duration(300 * MILLISECOND),
-        emptied=Duration(3 * SECOND),
+        run_duration=Duration(8 * SECOND),
+        publish_interval=Duration(300 * MILLISECOND),
+        empty_folder_interval=Duration(3 * SECOND),
     )
-    faulty_programs = {name: [FAULTY, "ignores_expected_version,begins_anew"] for name in plan.server_names()}
-    findings = findings_of(run_distribution_scenario(plan, 4, regions(plan), faulty_programs))
+    faulty_programs = {
+        name: [FAULTY, "ignores_expected_version,begins_anew"] for name in scenario.server_names()
+    }
+    findings = findings_of(run_distribution_scenario(scenario, 4, region_steps(scenario), faulty_programs))
     for expected in ("all were committed", "and follows", "serves with an empty folder"):
         assert [finding for finding in findings if expected in finding], findings
 
 
 def test_seed_gives_the_same_faults_and_a_calm_end() -> None:
-    plan = DistributionScenario(lasts=Duration(60 * SECOND))
-    steps = timeline(plan, 7)
-    assert steps == timeline(plan, 7) != timeline(plan, 8)
-    assert all(step.start + step.duration <= plan.lasts - plan.calm() for step in steps)
+    scenario = DistributionScenario(run_duration=Duration(60 * SECOND))
+    steps = draw_distribution_timeline(scenario, 7)
+    assert steps == draw_distribution_timeline(scenario, 7) != draw_distribution_timeline(scenario, 8)
+    assert all(step.start + step.duration <= scenario.run_duration - scenario.calm_end() for step in steps)
     copied = {step.processes[0] for step in steps if step.kind == "copy"}
-    assert copied == set(plan.dispatcher_names())
+    assert copied == set(scenario.dispatcher_names())
     assert min(step.start for step in steps if step.kind == "older") >= 2 * SECOND
 
 
@@ -166,7 +173,7 @@
     experiment = {"kind": "distribution", "name": "n", "seeds": [1], "plan": wrong}
     with pytest.raises(TimelineError, match=key):
         read_distribution_experiment(experiment)
-    assert read_distribution_experiment({**experiment, "plan": {}}).plan == DistributionScenario()
+    assert read_distribution_experiment({**experiment, "plan": {}}).scenario == DistributionScenario()
 
 
 def test_command_names_the_key_of_an_invalid_experiment(tmp_path: Path) -> None:
@@ -177,16 +184,18 @@
 
 
 def test_growth_while_regions_are_apart_is_measured_on_its_own() -> None:
-    plan = DistributionScenario(
-        lasts=Duration(100 * SECOND), apart_at=Duration(20 * SECOND), apart=Duration(60 * SECOND)
+    scenario = DistributionScenario(
+        run_duration=Duration(100 * SECOND),
+        partition_start=Duration(20 * SECOND),
+        partition_duration=Duration(60 * SECOND),
     )
     # One region's servers grow by a byte a second, folders by ten; octets are twice as many afterwards.
-    looked = [
-        Looked(at * SECOND, 1000 + at, 1000, 5000, 5000, 10 * at, 100 * at + 100 * max(0, at - 80))
+    samples = [
+        UsageSample(at * SECOND, 1000 + at, 1000, 5000, 5000, 10 * at, 100 * at + 100 * max(0, at - 80))
         for at in range(0, 100, 5)
     ]
-    figures = grown(plan, looked)
-    assert figures["apart_servers_a_grow_bytes"] == 45 and figures["apart_servers_b_grow_bytes"] == 0
-    assert figures["apart_folders_grow_bytes"] == 450
-    assert (figures["before_octets_a_second"], figures["healing_octets_a_second"]) == (100, 200)
-    assert grown(DistributionScenario(), looked) == {}
+    metrics = growth_metrics(scenario, samples)
+    assert metrics["apart_servers_a_grow_bytes"] == 45 and metrics["apart_servers_b_grow_bytes"] == 0
+    assert metrics["apart_folders_grow_bytes"] == 450
+    assert (metrics["before_octets_a_second"], metrics["healing_octets_a_second"]) == (100, 200)
+    assert growth_metrics(DistributionScenario(), samples) == {}
--- a/tests/testbed/commands/test_experiment_commands.py
+++ b/tests/testbed/commands/test_experiment_commands.py
@@ -19,7 +19,7 @@
 from ploverspoke.testbed.reports.experiment_result import read_result
 from ploverspoke.testbed.reports.scores import merge_histograms
 from ploverspoke.testbed.scale.scenario_file import read_scale_scenarios
-from ploverspoke.testbed.scenarios.distribution_scenario import read_distribution_experiment
+from ploverspoke.testbed.scenarios.distribution_experiment import read_distribution_experiment
 from ploverspoke.testbed.scenarios.experiment_runner import run_experiment
 from ploverspoke.testbed.scenarios.lease_experiment import read_lease_experiment
 from ploverspoke.testbed.scenarios.scale_experiment import scale_experiment
