--- a/ploverspoke/testbed/capacity/budgets.py
+++ b/ploverspoke/testbed/capacity/budgets.py
@@ -51,29 +51,29 @@
 
 
 def estimate_kind(
-    costs: MeasuredCosts, role: str, kind: str, loads: dict[str, Amount], progress: bool = True
+    costs: MeasuredCosts, role: str, kind: str, load_amounts: dict[str, Amount], progress: bool = True
 ) -> Estimate:
     """Estimate one kind of METRICS for a role."""
-    return total([estimate(costs, role, metric, loads, progress) for metric in METRICS[kind]])
+    return total([estimate(costs, role, metric, load_amounts, progress) for metric in METRICS[kind]])
 
 
-def scope_loads(fleet: FleetSize, dispatchers: int, situation: str, scope: str) -> dict[str, Amount]:
+def scope_amounts(fleet: FleetSize, dispatchers: int, situation: str, scope: str) -> dict[str, Amount]:
     """Return the loads of a dispatcher that the scope counts."""
-    loads = dict(workload(fleet, dispatchers, situation)[DISPATCHER])
+    load_amounts = dict(workload(fleet, dispatchers, situation)[DISPATCHER])
     if scope in (CONTROL, GOSSIP, WATCHED):
-        loads["tasks_running"] = loads["starts_a_second"] = Amount(0, WORKED_OUT)
+        load_amounts["tasks_running"] = load_amounts["starts_a_second"] = Amount(0, WORKED_OUT)
     if scope == GOSSIP:
-        loads["peers_telling"] = gossip_peers(fleet, dispatchers)
-    return loads
+        load_amounts["peers_telling"] = gossip_peers(fleet, dispatchers)
+    return load_amounts
 
 
 def watch_cost(costs: MeasuredCosts, kind: str, changes: Amount) -> Estimate:
     """Estimate what a watch adds: a dispatcher that has one, less the same dispatcher without."""
     whole = estimate_kind(costs, WATCHING, kind, {"changes_a_minute": changes})
-    listed = {line.fixed_loads.get("workers_listed", 0.0) for line in costs.lines if line.role == WATCHING}
-    loads = {line.load: Amount(0, WORKED_OUT) for line in costs.lines if line.role == DISPATCHER}
-    loads["workers_listed"] = Amount(max(listed, default=0.0), STATED)
-    idle = estimate_kind(costs, DISPATCHER, kind, loads)
+    listed = {line.fixed_amounts.get("workers_listed", 0.0) for line in costs.lines if line.role == WATCHING}
+    load_amounts = {line.load: Amount(0, WORKED_OUT) for line in costs.lines if line.role == DISPATCHER}
+    load_amounts["workers_listed"] = Amount(max(listed, default=0.0), STATED)
+    idle = estimate_kind(costs, DISPATCHER, kind, load_amounts)
     if whole.value is None or idle.value is None:
         return Estimate(value=None, origin=NOT_MEASURED)
     difference = max(0.0, whole.value - idle.value)
@@ -84,17 +84,17 @@
     fleet: FleetSize, costs: MeasuredCosts, dispatchers: int, situation: str, scope: str
 ) -> Spending:
     """Estimate what one dispatcher spends on what the scope counts."""
-    loads = scope_loads(fleet, dispatchers, situation, scope)
+    load_amounts = scope_amounts(fleet, dispatchers, situation, scope)
     progress = scope in (PROGRESS, EVERYTHING)
     if scope not in (WATCHED, EVERYTHING):
         return Spending(
-            *(estimate_kind(costs, DISPATCHER, kind, loads, progress) for kind in Spending._fields)
+            *(estimate_kind(costs, DISPATCHER, kind, load_amounts, progress) for kind in Spending._fields)
         )
-    changes, loads["reloads_a_minute"] = loads["reloads_a_minute"], Amount(0, WORKED_OUT)
+    changes, load_amounts["reloads_a_minute"] = load_amounts["reloads_a_minute"], Amount(0, WORKED_OUT)
     estimates = []
     for kind in Spending._fields:
         parts = [
-            estimate_kind(costs, DISPATCHER, kind, loads, progress),
+            estimate_kind(costs, DISPATCHER, kind, load_amounts, progress),
             watch_cost(costs, kind, changes),
         ]
         is_unknown = any(part.value is None for part in parts)
@@ -141,14 +141,14 @@
 
 def core_share_with_tasks(fleet: FleetSize, costs: MeasuredCosts, tasks: int, scope: str) -> float | None:
     """Estimate the core share of a dispatcher with so many running tasks, at the largest fleet's peak."""
-    loads = scope_loads(fleet, max(fleet.size.dispatchers), PEAK, scope)
-    loads["tasks_running"] = Amount(tasks, STATED)
-    return estimate_kind(costs, DISPATCHER, "core", loads, scope == PROGRESS).value
+    load_amounts = scope_amounts(fleet, max(fleet.size.dispatchers), PEAK, scope)
+    load_amounts["tasks_running"] = Amount(tasks, STATED)
+    return estimate_kind(costs, DISPATCHER, "core", load_amounts, scope == PROGRESS).value
 
 
 def dispatcher_load_at_limit(
     fleet: FleetSize, costs: MeasuredCosts, limit: Limit, scope: str
 ) -> float | None:
     """Return the load at which one dispatcher reaches the limit, at the largest fleet's peak."""
-    loads = scope_loads(fleet, max(fleet.size.dispatchers), PEAK, scope)
-    return load_at_limit(costs, DISPATCHER, limit, loads, scope == PROGRESS)
+    load_amounts = scope_amounts(fleet, max(fleet.size.dispatchers), PEAK, scope)
+    return load_at_limit(costs, DISPATCHER, limit, load_amounts, scope == PROGRESS)
--- a/ploverspoke/testbed/capacity/estimate.py
+++ b/ploverspoke/testbed/capacity/estimate.py
@@ -14,8 +14,8 @@
 from .measured_costs import CostPerUnit, MeasuredCosts
 from .workload import ASSUMED, ASSUMPTIONS, WORKED_OUT, Amount
 
-PROGRESS = "progress"  # in `fixed_loads`: 1 where tasks reported their progress, else 0
-VOTERS = ("keepers", "servers", "replicas")  # in `fixed_loads`: how many voters there were
+PROGRESS = "progress"  # in `fixed_amounts`: 1 where tasks reported their progress, else 0
+VOTERS = ("keepers", "servers", "replicas")  # in `fixed_amounts`: how many voters there were
 MEASURED = "measured"
 NOT_MEASURED = "not measured"
 ORIGINS = (MEASURED, WORKED_OUT, ASSUMED)  # from the surest
@@ -73,7 +73,7 @@
 
     def preference(line: CostPerUnit) -> tuple[bool, float]:
         """Order lines of one load; the largest is taken."""
-        fixed = line.fixed_loads
+        fixed = line.fixed_amounts
         return fixed.get(PROGRESS, float(progress)) == progress, sum(fixed.values())
 
     chosen: dict[str, CostPerUnit] = {}
@@ -85,13 +85,13 @@
 
 def estimate_line(line: CostPerUnit, amount: Amount) -> Estimate:
     """Estimate from one line by itself, all other loads as they were when it was measured."""
-    lines = [msgspec.structs.replace(line, fixed_loads={})]
+    lines = [msgspec.structs.replace(line, fixed_amounts={})]
     costs = MeasuredCosts(format=0, date="", commit="", machine="", lines=lines)
     return estimate(costs, line.role, line.metric, {line.load: amount})
 
 
 def estimate(
-    costs: MeasuredCosts, role: str, metric: str, loads: Mapping[str, Amount], progress: bool = True
+    costs: MeasuredCosts, role: str, metric: str, load_amounts: Mapping[str, Amount], progress: bool = True
 ) -> Estimate:
     """Estimate a metric at the loads of the role; a load of 0 need not have been measured."""
     lines = choose_lines(costs, role, metric, progress)
@@ -99,38 +99,40 @@
         return Estimate(value=None, origin=NOT_MEASURED)
     effective = {line.load: effective_cost(line) for line in lines}
     # A load that is not there adds nothing, neither does the fleet in which it was measured.
-    counted = [line for line in lines if line.load in loads and loads[line.load].value > 0] or lines
-    if _is_measured_point(counted, effective, loads):
-        value, origin, error = _point_value(counted[0], loads), MEASURED, 0.0
-        if _is_assumed(counted, effective, loads, value):
+    counted = [
+        line for line in lines if line.load in load_amounts and load_amounts[line.load].value > 0
+    ] or lines
+    if _is_measured_point(counted, effective, load_amounts):
+        value, origin, error = _point_value(counted[0], load_amounts), MEASURED, 0.0
+        if _is_assumed(counted, effective, load_amounts, value):
             origin = ASSUMED
     else:
-        parts = _parts(counted, effective, loads)
+        parts = _parts(counted, effective, load_amounts)
         value = sum(parts.values(), _base(counted, effective))
-        origin = ASSUMED if _is_assumed(counted, effective, loads, value) else WORKED_OUT
-        error = _relative_error(counted, effective, loads, value)
+        origin = ASSUMED if _is_assumed(counted, effective, load_amounts, value) else WORKED_OUT
+        error = _relative_error(counted, effective, load_amounts, value)
     return Estimate(
         value=value,
         origin=origin,
-        extrapolated=_extrapolated(counted, loads),
+        extrapolated=_extrapolated(counted, load_amounts),
         contradicted=[text for line in counted if (text := effective[line.load].contradicted)],
         relative_error=error,
-        missing=[f"{metric} by {load}" for load in _unknown_loads(lines, loads)],
+        missing=[f"{metric} by {load}" for load in _unmeasured_names(lines, load_amounts)],
     )
 
 
 def _is_measured_point(
-    counted: Sequence[CostPerUnit], effective: Mapping[str, EffectiveCost], loads: Mapping[str, Amount]
+    counted: Sequence[CostPerUnit], effective: Mapping[str, EffectiveCost], load_amounts: Mapping[str, Amount]
 ) -> bool:
     """Whether a single load counts, and a point was measured at just its amount."""
     line = counted[0]
-    if len(counted) != 1 or line.load not in loads or effective[line.load].contradicted:
+    if len(counted) != 1 or line.load not in load_amounts or effective[line.load].contradicted:
         return False
-    return any(load == loads[line.load].value for load, _ in line.points)
+    return any(load == load_amounts[line.load].value for load, _ in line.points)
 
 
-def _point_value(line: CostPerUnit, loads: Mapping[str, Amount]) -> float:
-    return next(value for load, value in line.points if load == loads[line.load].value)
+def _point_value(line: CostPerUnit, load_amounts: Mapping[str, Amount]) -> float:
+    return next(value for load, value in line.points if load == load_amounts[line.load].value)
 
 
 def _base(counted: Sequence[CostPerUnit], effective: Mapping[str, EffectiveCost]) -> float:
@@ -138,7 +140,7 @@
     for line in counted:
         others = sum(
             effective[load].per_unit * amount
-            for load, amount in line.fixed_loads.items()
+            for load, amount in line.fixed_amounts.items()
             if load in effective
         )
         base = max(base, effective[line.load].base - others)
@@ -146,65 +148,67 @@
 
 
 def _parts(
-    counted: Sequence[CostPerUnit], effective: Mapping[str, EffectiveCost], loads: Mapping[str, Amount]
+    counted: Sequence[CostPerUnit], effective: Mapping[str, EffectiveCost], load_amounts: Mapping[str, Amount]
 ) -> dict[str, float]:
     """Return what each load adds to the base; loads that the caller does not know are reported as missing."""
     return {
-        line.load: effective[line.load].per_unit * loads[line.load].value
+        line.load: effective[line.load].per_unit * load_amounts[line.load].value
         for line in counted
-        if line.load in loads
+        if line.load in load_amounts
     }
 
 
 def _is_assumed(
     counted: Sequence[CostPerUnit],
     effective: Mapping[str, EffectiveCost],
-    loads: Mapping[str, Amount],
+    load_amounts: Mapping[str, Amount],
     value: float,
 ) -> bool:
     """Whether assumed loads have more than a small share of the value."""
-    parts = _parts(counted, effective, loads)
-    assumed = sum(part for load, part in parts.items() if loads[load].origin == ASSUMED)
+    parts = _parts(counted, effective, load_amounts)
+    assumed = sum(part for load, part in parts.items() if load_amounts[load].origin == ASSUMED)
     return bool(value) and assumed > MIN_ASSUMED_SHARE * value
 
 
 def _relative_error(
     counted: Sequence[CostPerUnit],
     effective: Mapping[str, EffectiveCost],
-    loads: Mapping[str, Amount],
+    load_amounts: Mapping[str, Amount],
     value: float,
 ) -> float:
     """Return the residuals of the lines, each weighed by its part of the value."""
     if not value:
         return 0.0
-    parts = _parts(counted, effective, loads)
+    parts = _parts(counted, effective, load_amounts)
     errors = (
         parts[line.load] * line.residual for line in counted if line.load in parts and not line.contradicted
     )
     return sum(errors) / value
 
 
-def _extrapolated(counted: Sequence[CostPerUnit], loads: Mapping[str, Amount]) -> list[str]:
+def _extrapolated(counted: Sequence[CostPerUnit], load_amounts: Mapping[str, Amount]) -> list[str]:
     """Return a text for each load that is larger than what was measured, fewer voters included."""
     voters = ASSUMPTIONS["voters"].value
     texts = []
     for line in counted:
-        amount = loads.get(line.load)
+        amount = load_amounts.get(line.load)
         if amount is None:
             continue
         if amount.value > line.max_load:
             texts.append(f"{line.load}: measured to {line.max_load:g}, used at {amount.value:.4g}")
         for name in VOTERS:
-            if name in line.fixed_loads and line.fixed_loads[name] < voters:
-                texts.append(f"{name}: measured to {line.fixed_loads[name]:g}, used at {voters:g}")
+            if name in line.fixed_amounts and line.fixed_amounts[name] < voters:
+                texts.append(f"{name}: measured to {line.fixed_amounts[name]:g}, used at {voters:g}")
     return list(dict.fromkeys(texts))
 
 
-def _unknown_loads(lines: Sequence[CostPerUnit], loads: Mapping[str, Amount]) -> list[str]:
+def _unmeasured_names(lines: Sequence[CostPerUnit], load_amounts: Mapping[str, Amount]) -> list[str]:
     """Return the loads that were not measured, and measured ones that the caller does not know."""
     measured = {line.load for line in lines}
-    unknown = [load for load, amount in loads.items() if amount.value > 0 and load not in measured]
-    unknown += [f"{line.load}, which this table does not know" for line in lines if line.load not in loads]
+    unknown = [load for load, amount in load_amounts.items() if amount.value > 0 and load not in measured]
+    unknown += [
+        f"{line.load}, which this table does not know" for line in lines if line.load not in load_amounts
+    ]
     return unknown
 
 
@@ -217,7 +221,7 @@
 
 
 def load_at_limit(
-    costs: MeasuredCosts, role: str, limit: Limit, loads: Mapping[str, Amount], progress: bool = True
+    costs: MeasuredCosts, role: str, limit: Limit, load_amounts: Mapping[str, Amount], progress: bool = True
 ) -> float | None:
     """Return the load at which the metric reaches its limit, the other loads as given.
 
@@ -227,7 +231,7 @@
     line = next((each for each in lines if each.load == limit.load), None)
     if line is None or (per_unit := effective_cost(line).per_unit) <= 0:
         return None
-    others = {**loads, limit.load: Amount(0, ASSUMED)}
+    others = {**load_amounts, limit.load: Amount(0, ASSUMED)}
     rest = estimate(costs, role, limit.metric, others, progress)
     if rest.value is None:
         return None
--- a/ploverspoke/testbed/capacity/failure_requirements.py
+++ b/ploverspoke/testbed/capacity/failure_requirements.py
@@ -40,9 +40,8 @@
 
 
 def _failures(facts: Facts) -> list[_Failure]:
-    fleet = facts.fleet
-    failures = fleet.failures
-    rack, zone = lost_workers(fleet, RACK).value, lost_workers(fleet, ZONE).value
+    failures = facts.fleet.failures
+    rack, zone = (lost_workers(facts.fleet, situation).value for situation in (RACK, ZONE))
     return [
         _Failure(
             key="machine",
--- a/ploverspoke/testbed/capacity/linear_fit.py
+++ b/ploverspoke/testbed/capacity/linear_fit.py
@@ -36,14 +36,14 @@
     """
     if len({load for load, _ in points}) < MIN_POINTS:
         raise TooFewPointsError(len(points))
-    loads, values = (np.array(column, dtype=float) for column in zip(*points, strict=True))
+    load_amounts, values = (np.array(column, dtype=float) for column in zip(*points, strict=True))
     largest = float(np.abs(values).max())
     if largest == 0.0:
         return LinearFit(0.0, 0.0, 0.0, False)
     scale = np.where(values == 0.0, largest, np.abs(values))
-    columns = np.stack([np.ones_like(loads), loads], axis=1) / scale[:, None]
+    columns = np.stack([np.ones_like(load_amounts), load_amounts], axis=1) / scale[:, None]
     (intercept, slope), *_ = np.linalg.lstsq(columns, values / scale, rcond=None)
-    distances = np.abs(intercept + slope * loads - values)
+    distances = np.abs(intercept + slope * load_amounts - values)
     distances[distances <= resolution] = 0.0
     residual = float((distances / scale).max())
     return LinearFit(float(intercept), float(slope), residual, residual > MAX_RESIDUAL)
--- a/ploverspoke/testbed/capacity/measured_costs.py
+++ b/ploverspoke/testbed/capacity/measured_costs.py
@@ -33,7 +33,7 @@
         "metric": "figure",
         "load": "size",
         "max_load": "measured_to",
-        "fixed_loads": "still",
+        "fixed_amounts": "still",
         "method": "how",
     },
 ):
@@ -49,7 +49,7 @@
     residual: float  # the largest, as a share of the measured value
     contradicted: bool  # whether the residual is over MAX_RESIDUAL
     max_load: float  # the largest that was measured
-    fixed_loads: dict[str, float] = {}  # the other loads, while this one was varied
+    fixed_amounts: dict[str, float] = {}  # the other loads, while this one was varied
     method: str = ""  # how the metric was read, in a few words
     note: str = ""  # what a reader should know of it: other load, failed tries
 
--- a/ploverspoke/testbed/capacity/measurements/dispatcher.py
+++ b/ploverspoke/testbed/capacity/measurements/dispatcher.py
@@ -96,7 +96,7 @@
     experiment = parse_experiment(run.document)
     actions = run.actions(experiment)
     _, reading = await run_fleet(experiment, SEED, interval.settled * SECOND, actions)
-    point = Point(reading.loads.get(load, run.load), reading.metrics, reading.void)
+    point = Point(reading.load_amounts.get(load, run.load), reading.metrics, reading.void)
     text = f"void: {point.void}" if point.void else f"core {point.metrics['core_share']:.3%}"
     request.say(f"{ROLE}, {load} {point.load:g}: {text}")
     return point
--- a/ploverspoke/testbed/capacity/measurements/lease_server.py
+++ b/ploverspoke/testbed/capacity/measurements/lease_server.py
@@ -186,7 +186,7 @@
     amounts: Sequence[float],
     make_load: LoadFactory,
     request: MeasurementRequest,
-    fixed_loads: dict[str, float],
+    fixed_amounts: dict[str, float],
 ) -> MeasurementResult:
     result = NO_RESULT
     for servers in SERVER_COUNTS:
@@ -195,7 +195,7 @@
         for point in points:
             text = point.void or f"core {point.metrics['core_share']:.2%}"
             request.say(f"{servers} keepers, {load} {point.load:g}: {text}")
-        fixed = {"keepers": float(servers), **fixed_loads}
+        fixed = {"keepers": float(servers), **fixed_amounts}
         result = result.plus(result_of(MeasuredLoad(ROLE, load, METHOD, fixed), points))
     return result
 
--- a/ploverspoke/testbed/capacity/measurements/measurement.py
+++ b/ploverspoke/testbed/capacity/measurements/measurement.py
@@ -84,7 +84,7 @@
     role: str
     load: str
     method: str  # how the metrics were read
-    fixed_loads: dict[str, float]
+    fixed_amounts: dict[str, float]
     note: str = ""
 
 
@@ -139,7 +139,7 @@
         residual=fit.residual,
         contradicted=fit.contradicted,
         max_load=max(load for load, _ in points),
-        fixed_loads=measured.fixed_loads,
+        fixed_amounts=measured.fixed_amounts,
         method=measured.method,
         note=measured.note,
     )
--- a/ploverspoke/testbed/capacity/measurements/measurement_fleet.py
+++ b/ploverspoke/testbed/capacity/measurements/measurement_fleet.py
@@ -49,7 +49,7 @@
 class Reading(NamedTuple):
     """What one fleet has shown. Rates are a second and a dispatcher."""
 
-    loads: dict[str, float]  # as they were in the interval, where they can be counted
+    load_amounts: dict[str, float]  # as they were in the interval, where they can be counted
     metrics: dict[str, float]
     void: str  # why the run proves nothing; empty where it does
 
@@ -206,7 +206,7 @@
         reloads = sum(program.log_path.read_text().count(SETTINGS_APPLIED) for program in self.programs)
         if reloads != self.expected_reloads:
             return Reading({}, {}, f"{self.expected_reloads} reloads were asked for, {reloads} were taken")
-        return Reading(self._loads(), self._usage() | self._traffic(), self._load_not_carried())
+        return Reading(self._observed_amounts(), self._usage() | self._traffic(), self._load_not_carried())
 
     def _too_little_seen(self) -> str:
         interval = self.settled, self.ends
@@ -252,7 +252,7 @@
             "peer_messages_out": datagrams,
         }
 
-    def _loads(self) -> dict[str, float]:
+    def _observed_amounts(self) -> dict[str, float]:
         interval = self.settled, self.ends
         count = len(self.programs)
         running = [report["running"] for report in self.reports_between("workers", *interval)]
--- a/ploverspoke/testbed/capacity/table.py
+++ b/ploverspoke/testbed/capacity/table.py
@@ -16,7 +16,7 @@
 from .requirements import assess_requirements
 from .scenario_results import ScenarioResults
 from .verdicts import HOLDS, UNMET
-from .workload import PEAK, SITUATIONS, Amount, temporary_loads, workload
+from .workload import PEAK, SITUATIONS, Amount, temporary_amounts, workload
 
 MIN_CHANGE = 0.05  # share of a metric; one that changes less over all that was measured is independent
 # What carries each role: module and page.
@@ -37,13 +37,15 @@
 }
 
 
-class RoleRow(msgspec.Struct, frozen=True, kw_only=True, rename={"loads": "state", "estimates": "figures"}):
+class RoleRow(
+    msgspec.Struct, frozen=True, kw_only=True, rename={"load_amounts": "state", "estimates": "figures"}
+):
     """What one role costs under the same loads."""
 
     role: str
     dispatchers: int
     situations: list[str]  # that have these loads
-    loads: str  # as a text
+    load_amounts: str  # as a text
     estimates: dict[str, Estimate]  # by the kinds of METRICS
 
 
@@ -51,7 +53,7 @@
     msgspec.Struct,
     frozen=True,
     kw_only=True,
-    rename={"metric": "figure", "load": "size", "fixed_loads": "still", "estimates": "at"},
+    rename={"metric": "figure", "load": "size", "fixed_amounts": "still", "estimates": "at"},
 ):
     """A metric that only some roles have, along one load, at the peak."""
 
@@ -59,7 +61,7 @@
     metric: str
     unit: str
     load: str
-    fixed_loads: dict[str, float]
+    fixed_amounts: dict[str, float]
     estimates: dict[int, Estimate]  # by the number of dispatchers
 
 
@@ -122,26 +124,28 @@
         measured = {line.load for line in costs.lines if line.role == role}
         for dispatchers in fleet.size.dispatchers:
             situations: dict[str, list[str]] = {}
-            loads: dict[str, dict[str, Amount]] = {}
+            load_amounts: dict[str, dict[str, Amount]] = {}
             for situation in SITUATIONS:
                 amounts = workload(fleet, dispatchers, situation)[role]
-                text = _describe_loads(amounts, measured)
+                text = _describe_amounts(amounts, measured)
                 situations.setdefault(text, []).append(situation)
-                loads[text] = amounts
+                load_amounts[text] = amounts
             rows += [
                 RoleRow(
                     role=role,
                     dispatchers=dispatchers,
                     situations=situations[text],
-                    loads=text.replace("_", " "),
-                    estimates={kind: estimate_kind(costs, role, kind, loads[text]) for kind in METRICS},
+                    load_amounts=text.replace("_", " "),
+                    estimates={
+                        kind: estimate_kind(costs, role, kind, load_amounts[text]) for kind in METRICS
+                    },
                 )
                 for text in situations
             ]
     return rows
 
 
-def _describe_loads(amounts: dict[str, Amount], measured: set[str]) -> str:
+def _describe_amounts(amounts: dict[str, Amount], measured: set[str]) -> str:
     texts = (
         f"{amount.value:.4g} {name}" for name, amount in amounts.items() if amount.value and name in measured
     )
@@ -154,16 +158,19 @@
     for line in _role_metric_lines(costs):
         estimates = {}
         for dispatchers in fleet.size.dispatchers:
-            loads = {**temporary_loads(fleet), **workload(fleet, dispatchers, PEAK).get(line.role, {})}
-            if line.load in loads:
-                estimates[dispatchers] = estimate_line(line, loads[line.load])
+            load_amounts = {
+                **temporary_amounts(fleet),
+                **workload(fleet, dispatchers, PEAK).get(line.role, {}),
+            }
+            if line.load in load_amounts:
+                estimates[dispatchers] = estimate_line(line, load_amounts[line.load])
         rows.append(
             RoleMetric(
                 role=line.role,
                 metric=line.metric,
                 unit=line.unit,
                 load=line.load,
-                fixed_loads=line.fixed_loads,
+                fixed_amounts=line.fixed_amounts,
                 estimates=estimates,
             )
         )
@@ -178,8 +185,8 @@
         largest = max(abs(value) for _, value in line.points)
         if line.metric in common or abs(line.slope * line.max_load) <= MIN_CHANGE * largest:
             continue
-        key = (line.role, line.metric, line.load, *sorted(line.fixed_loads))
-        if key not in chosen or sum(line.fixed_loads.values()) > sum(chosen[key].fixed_loads.values()):
+        key = (line.role, line.metric, line.load, *sorted(line.fixed_amounts))
+        if key not in chosen or sum(line.fixed_amounts.values()) > sum(chosen[key].fixed_amounts.values()):
             chosen[key] = line
     return list(chosen.values())
 
--- a/ploverspoke/testbed/capacity/workload.py
+++ b/ploverspoke/testbed/capacity/workload.py
@@ -171,7 +171,7 @@
             "starts_a_second": _share(starts, workers_with_work),
             "tasks_running": _share(running, workers_with_work),
         },
-        "keeper": _lease_server_loads(fleet, dispatchers, situation),
+        "keeper": _lease_server_amounts(fleet, dispatchers, situation),
         "store replica": {
             "commits_a_second": Amount(reloads.value / MINUTE, reloads.origin),
             "kept_state": Amount(0, WORKED_OUT),  # only dispatchers with a store keep requests
@@ -200,7 +200,7 @@
     return Amount(starts.value + again, lost.origin if lost.origin == ASSUMED else WORKED_OUT)
 
 
-def _lease_server_loads(fleet: FleetSize, dispatchers: int, situation: str) -> dict[str, Amount]:
+def _lease_server_amounts(fleet: FleetSize, dispatchers: int, situation: str) -> dict[str, Amount]:
     # Dispatchers that were lost come back, and each waits for a place of the restart's lease.
     lost_share = lost_workers(fleet, situation).value * dispatchers / fleet.size.workers
     restarting = 1.0 if situation == APART else max(1.0, lost_share)
@@ -229,7 +229,7 @@
     return Amount(largest_zone_part(fleet, dispatchers) - 1 + 2, ASSUMED)
 
 
-def temporary_loads(fleet: FleetSize) -> dict[str, Amount]:
+def temporary_amounts(fleet: FleetSize) -> dict[str, Amount]:
     """Return loads that no role has all the time: what a replica has missed while regions were apart."""
     minutes = fleet.failures.regions_apart / SECOND / MINUTE
     return {"missed_entries": Amount(minutes * ASSUMPTIONS["changes_in_trouble"].value, ASSUMED)}
--- a/ploverspoke/testbed/reports/capacity_page/reservations.py
+++ b/ploverspoke/testbed/reports/capacity_page/reservations.py
@@ -53,11 +53,13 @@
 
 def note_lines(costs: MeasuredCosts) -> list[str]:
     """Return the notes of measured costs, once for each role with the loads that they are about."""
-    loads: dict[tuple[str, str], set[str]] = {}
+    load_amounts: dict[tuple[str, str], set[str]] = {}
     for line in costs.lines:
         if line.note:
-            loads.setdefault((line.role, line.note), set()).add(line.load)
-    notes = [f"- {role} along {', '.join(sorted(along))}: {note}" for (role, note), along in loads.items()]
+            load_amounts.setdefault((line.role, line.note), set()).add(line.load)
+    notes = [
+        f"- {role} along {', '.join(sorted(along))}: {note}" for (role, note), along in load_amounts.items()
+    ]
     return ["What the slopes file says of its lines:", "", *(notes or ["- nothing"]), ""]
 
 
--- a/ploverspoke/testbed/reports/capacity_page/tables.py
+++ b/ploverspoke/testbed/reports/capacity_page/tables.py
@@ -125,7 +125,7 @@
     dispatchers: dict[tuple[str, ...], list[int]] = {}
     for row in rows:
         estimates = (format_estimate(row.estimates[kind], kind) for kind in ROLE_KINDS)
-        key = (", ".join(row.situations), row.loads or "-", *estimates)
+        key = (", ".join(row.situations), row.load_amounts or "-", *estimates)
         dispatchers.setdefault(key, []).append(row.dispatchers)
     cells = [(", ".join(map(str, numbers)), *key) for key, numbers in dispatchers.items()]
     return table_lines(heading, cells)
@@ -145,7 +145,7 @@
 
 
 def _role_metric_cells(row: RoleMetric, dispatchers: Sequence[int]) -> tuple[str, ...]:
-    fixed = ", ".join(f"{value:g} {name}" for name, value in row.fixed_loads.items()).replace("_", " ")
+    fixed = ", ".join(f"{value:g} {name}" for name, value in row.fixed_amounts.items()).replace("_", " ")
     cells = [_role_metric_cell(row.estimates.get(count)) for count in dispatchers]
     return (row.role, row.metric.replace("_", " "), row.unit, row.load, fixed or "-", *cells)
 
@@ -160,8 +160,8 @@
 def machine_tables(table: CapacityTable, costs: MeasuredCosts) -> list[str]:
     """Return the machines for control, their losses, and the splits of voters over two regions."""
     machines = layout(table.fleet)
-    loads = workload(table.fleet, max(table.fleet.size.dispatchers), PEAK)
-    machine_rows = [_machine_cells(machine, costs, loads) for machine in machines]
+    load_amounts = workload(table.fleet, max(table.fleet.size.dispatchers), PEAK)
+    machine_rows = [_machine_cells(machine, costs, load_amounts) for machine in machines]
     loss_rows = [
         (loss.what, str(loss.voters), "yes" if loss.majority else "**no**", str(loss.tasks), loss.note)
         for loss in losses(machines)
@@ -188,10 +188,10 @@
 
 
 def _machine_cells(
-    machine: Machine, costs: MeasuredCosts, loads: dict[str, dict[str, Amount]]
+    machine: Machine, costs: MeasuredCosts, load_amounts: dict[str, dict[str, Amount]]
 ) -> tuple[str, ...]:
     core, memory = (
-        total([estimate_kind(costs, role, kind, loads[role]) for role in machine.roles])
+        total([estimate_kind(costs, role, kind, load_amounts[role]) for role in machine.roles])
         for kind in ("core", "memory")
     )
     unmeasured = [role for role in machine.roles if not costs.of(role, "core_share")]
--- a/ploverspoke/testbed/reports/cost_tables.py
+++ b/ploverspoke/testbed/reports/cost_tables.py
@@ -29,7 +29,7 @@
     return [
         f"{line.metric} ({line.unit})",
         line.load,
-        " ".join(f"{key}={value:g}" for key, value in line.fixed_loads.items()),
+        " ".join(f"{key}={value:g}" for key, value in line.fixed_amounts.items()),
         f"{line.intercept:.4g}",
         f"{line.slope:.4g}",
         f"{line.residual:.1%}",
--- a/ploverspoke/testbed/reports/scores.py
+++ b/ploverspoke/testbed/reports/scores.py
@@ -71,11 +71,15 @@
 
 
 class _FirstTry(NamedTuple):
+    """The first try of a request."""
+
     request_class: int
     sent_at: int  # ns of the run
 
 
 class _Answer(NamedTuple):
+    """The answer to a request that counts."""
+
     at: int  # ns of the run
     outcome: str
 
@@ -97,6 +101,7 @@
         self.by_worker = {name: [0] * seconds for name in experiment.worker_names()}
 
     def read(self, event: Event) -> None:
+        """Take over one event."""
         self.event_counts[event.kind] += 1
         if event.kind == event_records.REQUEST_SENT:
             self._read_sent(event)
@@ -137,6 +142,7 @@
         self.possible_by_class = [0.0] * class_count
 
     def add(self, request_class: int, second: int, earned: float, possible: float) -> None:
+        """Add one request, first sent in that second."""
         self.earned[second] += earned
         self.possible[second] += possible
         self.earned_by_class[request_class] += earned
@@ -146,10 +152,12 @@
         return sum(self.earned.values()) / max(1e-9, sum(self.possible.values()))
 
     def of_class(self, request_class: int) -> float:
+        """Return the service of one request class; 1 where it could earn nothing."""
         possible = self.possible_by_class[request_class]
         return self.earned_by_class[request_class] / possible if possible else 1.0
 
     def over_time(self) -> list[list[float]]:
+        """Return [second, service] for each second in which something could be earned."""
         seconds = (second for second in sorted(self.possible) if self.possible[second])
         return [[float(second), self.earned[second] / self.possible[second]] for second in seconds]
 
--- a/ploverspoke/testbed/scenarios/scale_test.py
+++ b/ploverspoke/testbed/scenarios/scale_test.py
@@ -105,30 +105,44 @@
         return msgspec.structs.replace(result, void=str(error) or "a process was not ready in time")
     if events_path is not None:
         write_events(recording.events, events_path)
-    void = recording.fleet.void_reason()
-    findings = audit_requests(experiment, recording.events, SOCKETS_TOLERANCE)
-    score = score_run(experiment, OWN_POLICY, table.seed, recording.events, findings, void)
-    delays = recording.fleet.delays if isinstance(recording.fleet, ConfigChangeFleet) else []
-    seen = ScaleObservations(
-        experiment, recording.events, score, recording.fleet.samples, delays, recording.log_lines
-    )
+    return _check_recording(fleet_size, scenario, result, recording, void_kinds)
+
+
+def _check_recording(
+    fleet_size: FleetSize,
+    scenario: ScaleScenario,
+    result: ScenarioResult,
+    recording: _Recording,
+    void_kinds: Sequence[str],
+) -> ScenarioResult:
+    """Return the result with what was measured and checked."""
+    seen = _observe(recording, result.seed)
     metrics = _all_metrics(scenario, seen, recording.fleet)
     verdict = check_scale_run(fleet_size, scenario, seen, metrics, void_kinds)
-    if scenario.kind == "changes" and len(delays) < scenario.changes:
-        verdict.check(False, f"{len(delays)} of {scenario.changes} changes were seen to the end")
-    shown = [text.splitlines()[0] for text in score.findings[:MAX_SHOWN_FINDINGS]]
+    if scenario.kind == "changes" and len(seen.change_delays) < scenario.changes:
+        text = f"{len(seen.change_delays)} of {scenario.changes} changes were seen to the end"
+        verdict.check(False, text)
+    marked = mark_void_metrics(metrics, void_kinds)
+    shown = [text.splitlines()[0] for text in seen.score.findings[:MAX_SHOWN_FINDINGS]]
     return msgspec.structs.replace(
         result,
-        void=void,
-        metrics={
-            key: round(value, METRIC_DIGITS) for key, value in mark_void_metrics(metrics, void_kinds).items()
-        },
+        void=seen.score.void,
+        metrics={key: round(value, METRIC_DIGITS) for key, value in marked.items()},
         held=verdict.held,
         failed=[*verdict.failed, *shown],
         note=_note_void(void_kinds) if void_kinds else "",
     )
 
 
+def _observe(recording: _Recording, seed: int) -> ScaleObservations:
+    """Audit and score a run."""
+    fleet, events = recording.fleet, recording.events
+    findings = audit_requests(fleet.experiment, events, SOCKETS_TOLERANCE)
+    score = score_run(fleet.experiment, OWN_POLICY, seed, events, findings, fleet.void_reason())
+    delays = fleet.delays if isinstance(fleet, ConfigChangeFleet) else []
+    return ScaleObservations(fleet.experiment, events, score, fleet.samples, delays, recording.log_lines)
+
+
 def _all_metrics(scenario: ScaleScenario, seen: ScaleObservations, fleet: ScaleFleet) -> Metrics:
     metrics = scale_metrics(seen)
     if scenario.kind == "region cut":
@@ -221,6 +235,7 @@
         return self._stored.runs
 
     def add(self, result: ScenarioResult) -> None:
+        """Add a result of this call and write the file."""
         self.fresh.append(result)
         self._stored.runs.append(result)
         self._on_result(result)
--- a/tests/testbed/capacity/test_capacity_table.py
+++ b/tests/testbed/capacity/test_capacity_table.py
@@ -107,19 +107,19 @@
 
 LISTED = line("core_share", "workers_listed", [(100.0, 0.001), (300.0, 0.003)])  # 0.00001 each, from 0
 STARTED = line(
-    "core_share", "starts_a_second", [(0.0, 0.001), (4.0, 0.009)], fixed_loads={"workers_listed": 100}
+    "core_share", "starts_a_second", [(0.0, 0.001), (4.0, 0.009)], fixed_amounts={"workers_listed": 100}
 )
 TOLD = line(
     "core_share",
     "tasks_running",
     [(0.0, 0.001), (20.0, 0.011)],
-    fixed_loads={"workers_listed": 100, "progress": 1},
+    fixed_amounts={"workers_listed": 100, "progress": 1},
 )
 QUIET = line(
     "core_share",
     "tasks_running",
     [(0.0, 0.001), (20.0, 0.001)],
-    fixed_loads={"workers_listed": 100, "progress": 0},
+    fixed_amounts={"workers_listed": 100, "progress": 0},
 )
 
 
@@ -144,10 +144,10 @@
 
 def test_of_several_lines_the_one_beside_which_most_else_stood_counts() -> None:
     three = line(
-        "core_share", "holders", [(0.0, 0.01), (100.0, 0.02)], role="keeper", fixed_loads={"keepers": 3}
+        "core_share", "holders", [(0.0, 0.01), (100.0, 0.02)], role="keeper", fixed_amounts={"keepers": 3}
     )
     five = line(
-        "core_share", "holders", [(0.0, 0.01), (100.0, 0.03)], role="keeper", fixed_loads={"keepers": 5}
+        "core_share", "holders", [(0.0, 0.01), (100.0, 0.03)], role="keeper", fixed_amounts={"keepers": 5}
     )
     for both in (costs(three, five), costs(five, three)):
         assert estimate(both, "keeper", "core_share", sizes(holders=100)).value == 0.03
@@ -155,7 +155,7 @@
 
 def test_what_was_measured_with_fewer_voters_is_stretched() -> None:
     three = line(
-        "core_share", "watchers", [(0.0, 0.0), (9.0, 0.9)], role="config server", fixed_loads={"servers": 3}
+        "core_share", "watchers", [(0.0, 0.0), (9.0, 0.9)], role="config server", fixed_amounts={"servers": 3}
     )
     found = estimate(costs(three), "config server", "core_share", sizes(watchers=9))
     assert found.extrapolated == ["servers: measured to 3, used at 5"]
@@ -165,7 +165,7 @@
     by_list = line("core_share", "workers_listed", [(100.0, 0.001), (980.0, 0.0098)])
     watch = line(
         "core_share", "changes_a_minute", [(0.0, 0.002), (60.0, 0.008)],
-        role="dispatcher watching configuration", fixed_loads={"workers_listed": 100},
+        role="dispatcher watching configuration", fixed_amounts={"workers_listed": 100},
     )  # fmt: skip
     table = table_of(costs(by_list, watch))
     at_peak = next(row for row in table.budget if (row.scope, row.situation) == (WATCHED, PEAK))
@@ -185,7 +185,7 @@
 def test_a_figure_of_some_roles_only_is_shown_along_its_size() -> None:
     seen = line(
         "messages_in_worst_second", "dispatchers", [(10.0, 40.0), (40.0, 160.0)],
-        role="discovery", fixed_loads={"zone_lost_workers": 140},
+        role="discovery", fixed_amounts={"zone_lost_workers": 140},
     )  # fmt: skip
     table = table_of(costs(seen))
     assert table.role_metrics[0].estimates[400].value == pytest.approx(1600)
--- a/tests/testbed/capacity/test_measured_costs.py
+++ b/tests/testbed/capacity/test_measured_costs.py
@@ -82,7 +82,7 @@
     write_measured_costs(slopes(*lines("dispatcher", "tasks_running", 2.0)), path)
     (line,) = read_measured_costs(path).of("dispatcher", "core_share")
     assert (line.unit, line.max_load, line.points[0]) == ("cores", 3.0, (1.0, 2.0))
-    assert line.fixed_loads == {"k": 1.0} and line.slope == pytest.approx(2.0)
+    assert line.fixed_amounts == {"k": 1.0} and line.slope == pytest.approx(2.0)
     path.write_text(path.read_text().replace('"format": 1', '"format": 9'))
     with pytest.raises(CostFileError, match="format 9"):
         read_measured_costs(path)
