--- a/tests/testbed/commands/test_experiment_commands.py
+++ b/tests/testbed/commands/test_experiment_commands.py
@@ -13,13 +13,13 @@
 from ploverspoke.cli import main
 from ploverspoke.testbed.capacity.fleet_size import read_fleet
 from ploverspoke.testbed.experiment_files.errors import ExperimentError
+from ploverspoke.testbed.experiment_files.fault_timeline import TimelineError
 from ploverspoke.testbed.experiment_files.reader import parse_experiment, read_experiment
-from ploverspoke.testbed.processes.fault_timeline import TimelineError
 from ploverspoke.testbed.reports.comparison import compare_results, paired_difference
 from ploverspoke.testbed.reports.experiment_result import read_result
 from ploverspoke.testbed.reports.scores import merge_histograms
 from ploverspoke.testbed.scale.scenario_file import read_scale_scenarios
-from ploverspoke.testbed.scenarios.distribution_scenario import read_distribution_experiment
+from ploverspoke.testbed.scenarios.distribution_experiment import read_distribution_experiment
 from ploverspoke.testbed.scenarios.experiment_runner import run_experiment
 from ploverspoke.testbed.scenarios.lease_experiment import read_lease_experiment
 from ploverspoke.testbed.scenarios.scale_experiment import scale_experiment
