--- a/ploverspoke/testbed/capacity/measurements/measurement_fleet.py
+++ b/ploverspoke/testbed/capacity/measurements/measurement_fleet.py
@@ -27,7 +27,7 @@
 from ...processes.resource_usage import ResourceUsage, read_resource_usage
 from ...processes.running_process import ProcessStartError, RunningProcess
 from ...scenarios.dispatcher_program import DispatcherProgram
-from ...scenarios.socket_run import SocketFleet
+from ...scenarios.socket_fleet import SocketFleet
 from .measurement import FOLDER_PREFIX
 from .replica_usage import core_share, memory_growth
 
--- a/ploverspoke/testbed/scenarios/experiment_runner.py
+++ b/ploverspoke/testbed/scenarios/experiment_runner.py
@@ -124,9 +124,10 @@
 
     for policy in experiment.policies:
         if policy not in POLICIES:
-            raise ExperimentError(f"policies: {policy!r} is none of {', '.join(POLICIES)}")
+            reason = f"{policy!r} is none of {', '.join(POLICIES)}"
+            raise ExperimentError(reason, location="policies")
     if driver == "sockets" and OWN_POLICY not in experiment.policies:
-        raise ExperimentError("policies: on sockets only 'ours' is played")
+        raise ExperimentError(reason="on sockets only 'ours' is played", location="policies")
 
 
 def make_result(experiment: Experiment, driver: Driver, runs: list[RunScore]) -> Result:
--- a/ploverspoke/testbed/scenarios/scale_fleet.py
+++ b/ploverspoke/testbed/scenarios/scale_fleet.py
@@ -32,7 +32,7 @@
     scaled_fake_demands,
     total_memory,
 )
-from .socket_run import MAX_LATENESS, ReportListener, SocketFleet
+from .socket_fleet import MAX_LATENESS, ReportListener, SocketFleet
 
 LIST_TIMEOUT, LIST_POLL_INTERVAL = 30.0, 0.1  # seconds
 SAMPLE_INTERVAL = 2 * SECOND
--- /dev/null
+++ b/ploverspoke/testbed/scenarios/socket_fleet.py
@@ -0,0 +1,276 @@
+"""The processes of an experiment on sockets: the real program, started as users start it, among fakes.
+
+All processes stand on a rig: each dispatcher has an address of its own on loopback, by which the fakes know
+it, and whatever was started is ended with the rig.
+"""
+
+import asyncio
+import time
+from collections.abc import Callable, Sequence
+from pathlib import Path
+from typing import Any, TypeVar
+
+import msgspec
+
+from ..experiment_files.durations import MILLISECOND, SECOND, format_duration
+from ..experiment_files.errors import ExperimentError
+from ..experiment_files.experiment import Experiment
+from ..experiment_files.fault_tables import DispatcherReplaced, SettingsChange
+from ..fakes.fake_messages import (
+    ClientsReady,
+    DiscoveryOpened,
+    FakeCommand,
+    FakeProcessSpec,
+    ReportSummary,
+    WorkersOpened,
+)
+from ..models import event_records
+from ..models.clients import LATE_ANSWER_ALLOWANCE
+from ..models.deployment_settings import dispatcher_settings
+from ..models.event_records import Event, EventLog
+from ..processes.addresses import ProcessAddress
+from ..processes.capacity_check import ResourceDemand
+from ..processes.child_process import ChildProcess
+from ..processes.rig import Rig
+from ..processes.running_process import ProcessStartError
+from .dispatcher_program import CLIENT_PORT, DispatcherProgram
+from .fake_children import FakeChildren
+from .outage_steps import outage_steps
+from .socket_resources import count_client_processes, fake_resource_demands
+
+START_DELAY = 300 * MILLISECOND  # from the command to start until the start
+FIRST_MESSAGE_TIMEOUT = 20.0  # seconds
+MAX_LATENESS = 100 * MILLISECOND  # of the load generator and the fakes; past that a run is void
+FINAL_CALM = SECOND
+STOP_GRACE = 0.7  # seconds, for a dispatcher after the last deadline
+SEED_FACTOR = 1_000_003
+STORE_SECRET = "a secret of the testbed's own"
+FAKES_MODULE = "ploverspoke.testbed.fakes"
+VIRTUAL_TIME_ONLY = "replacing and changed settings are played on virtual time only"
+
+Message = TypeVar("Message")
+ReportListener = Callable[[dict[str, Any]], None]  # gets each report of a fake as it comes
+
+
+class SocketFleet:
+    """All processes of one run. Subclasses replace the methods below "Extension points"."""
+
+    def __init__(
+        self, experiment: Experiment, seed: int, folder: Path, on_report: ReportListener | None
+    ) -> None:
+        """Take a block of addresses; nothing is started before `run`."""
+        self.experiment = experiment
+        self.seed = seed
+        self.folder = folder
+        self.on_report = on_report
+        self.records = EventLog()
+        self.rig = Rig(folder, seed)
+        self.rig.timeline.on_process_down, self.rig.timeline.on_process_up = self._on_down, self._on_up
+        self.rig.timeline.stop_timeout = self._last_deadline() / SECOND + STOP_GRACE
+        self.lag = 0  # ns by which the load generator was late
+        self.lateness = 0  # ns, of the fakes
+        self.programs: list[DispatcherProgram] = []
+        self.tasks: list[asyncio.Task[None]] = []
+        self.reports_traffic = False
+        self.worker_processes = 1
+
+    async def run(self) -> None:
+        """Start all processes and run the experiment to its end.
+
+        Raises:
+            ExperimentError: it has faults that need virtual time.
+            CapacityError: it does not fit on the machine.
+            ProcessStartError: a process did not become ready.
+        """
+        if any(isinstance(t, DispatcherReplaced | SettingsChange) for t in self.experiment.faults):
+            raise ExperimentError(VIRTUAL_TIME_ONLY, location="troubles")
+        addresses = self._allocate_addresses()
+        self.rig.check_capacity(self._resource_demands())
+        await self.rig.open_proxy()
+        fakes = await self._start_fakes(addresses)
+        discovery_address = await self._connect_fakes(fakes)
+        await self._before_dispatchers(addresses)
+        self._add_programs(addresses, discovery_address)
+        await self.rig.start_processes()
+        await self._on_dispatchers_started(fakes.discovery)
+        epoch = time.monotonic_ns() + START_DELAY
+        start = FakeCommand(start=epoch, dispatchers=[each.endpoint(CLIENT_PORT) for each in addresses])
+        for child in fakes.all():
+            child.send(start)
+        for child in (*fakes.workers, *fakes.clients):
+            self.tasks.append(asyncio.create_task(self._read_reports(child, fakes.discovery)))
+        self._on_run_start(epoch, fakes.workers[0], fakes.discovery)
+        await self.rig.run_timeline(outage_steps(self.experiment, self.seed), self._end(), epoch)
+
+    def _allocate_addresses(self) -> list[ProcessAddress]:
+        dispatchers = self.experiment.dispatchers
+        streams, datagrams = ["peers"] * dispatchers.store, ["talk"] * dispatchers.gossip
+        return [
+            self.rig.allocate_address(f"d{number}", streams, datagrams, direct=[CLIENT_PORT])
+            for number in range(dispatchers.count)
+        ]
+
+    async def _start_fakes(self, addresses: list[ProcessAddress]) -> FakeChildren:
+        block, spec_path = self.rig.block, self.folder / "spec.json"
+        spec = FakeProcessSpec(
+            experiment=msgspec.to_builtins(self.experiment, enc_hook=int),
+            seed=self.seed,
+            records=str(self.folder),
+            clients=self._client_processes(),
+            hosts=self._hosts(addresses),
+            own_hosts={"workers": block.fake_host(1), "discovery": block.fake_host(2)},
+            worker_processes=self.worker_processes,
+            reports_traffic=self.reports_traffic,
+        )
+        spec_path.write_bytes(msgspec.json.encode(spec))
+
+        async def start(kind: str, count: int) -> list[ChildProcess]:
+            """Start the processes of one kind."""
+            return [
+                await self.rig.start_child(FAKES_MODULE, [kind, str(spec_path), str(part)])
+                for part in range(count)
+            ]
+
+        workers = await start("workers", spec.worker_processes)
+        [discovery] = await start("discovery", 1)
+        return FakeChildren(workers, discovery, await start("clients", spec.clients))
+
+    async def _connect_fakes(self, fakes: FakeChildren) -> str:
+        """Wait for all fakes and name the workers to discovery; returns the address of discovery.
+
+        Discovery answers dispatchers from their start on, so it has the workers before them.
+        """
+        worker_addresses: dict[str, str] = {}
+        for child in fakes.workers:
+            opened = await self._first_message(child, WorkersOpened)
+            worker_addresses |= opened.addresses
+        discovery_address = (await self._first_message(fakes.discovery, DiscoveryOpened)).address
+        for child in fakes.clients:
+            await self._first_message(child, ClientsReady)
+        fakes.discovery.send(FakeCommand(workers=worker_addresses))
+        return discovery_address
+
+    async def _first_message(self, child: ChildProcess, message_type: type[Message]) -> Message:
+        message = await asyncio.wait_for(child.receive_as(message_type), FIRST_MESSAGE_TIMEOUT)
+        if message is None:
+            raise ProcessStartError(problem="a fake process ended at its start")
+        return message
+
+    def _add_programs(self, addresses: list[ProcessAddress], discovery_address: str) -> None:
+        for number, address in enumerate(addresses):
+            config = self._config(number, addresses, discovery_address)
+            store = self._store(number, addresses) if self.experiment.dispatchers.store else None
+            program = self._program(address, config, store)
+            self.rig.processes[address.name] = program
+            self.programs.append(program)
+
+    # ---- Extension points ----
+
+    def _hosts(self, addresses: list[ProcessAddress]) -> list[str]:
+        """Return the hosts that dispatchers send from."""
+        return [address.host for address in addresses]
+
+    def _client_processes(self) -> int:
+        """Return how many client processes to start."""
+        return count_client_processes(self.experiment)
+
+    def _resource_demands(self) -> list[ResourceDemand]:
+        """Return what the fakes need."""
+        return fake_resource_demands(self.experiment)
+
+    async def _before_dispatchers(self, addresses: list[ProcessAddress]) -> None:
+        """Start what dispatchers need at their start."""
+
+    async def _on_dispatchers_started(self, discovery: ChildProcess) -> None:
+        """All dispatchers serve, and the run is about to begin."""
+
+    def _program(
+        self, address: ProcessAddress, config: dict[str, Any], store: dict[str, Any] | None
+    ) -> DispatcherProgram:
+        """Return the process of one dispatcher."""
+        return DispatcherProgram(self.rig, address, config, store)
+
+    def _on_run_start(self, epoch: int, workers: ChildProcess, discovery: ChildProcess) -> None:
+        """Everything is started; the run begins at `epoch`."""
+
+    def _end(self) -> int:
+        """Return the time of the run at which it ends, ns."""
+        end = self.experiment.duration + self._last_deadline() + FINAL_CALM
+        return end + (LATE_ANSWER_ALLOWANCE if self.experiment.dispatchers.store else 0)
+
+    def _last_deadline(self) -> int:
+        return max(request_class.deadline for request_class in self.experiment.request_classes)
+
+    # ---- Files of dispatchers ----
+
+    def _config(self, number: int, addresses: Sequence[ProcessAddress], discovery: str) -> dict[str, Any]:
+        dispatchers = self.experiment.dispatchers
+        config: dict[str, Any] = {
+            "name": f"d{number}",
+            "listen": addresses[number].endpoint(CLIENT_PORT),
+            "discovery": discovery,
+            "seed": f"{self.seed * SEED_FACTOR + number:x}",
+            "limits": {"sockets": dispatchers.max_sockets, "memory_mb": dispatchers.memory_mb},
+            "settings": dispatcher_settings(self.experiment, number),
+        }
+        if dispatchers.gossip:
+            config["peers"] = [address.proxied_endpoint("talk") for address in addresses]
+        return config
+
+    def _store(self, number: int, addresses: Sequence[ProcessAddress]) -> dict[str, Any]:
+        (self.folder / "secret").write_text(STORE_SECRET)
+        replicas = {
+            f"r{n}": {"peers": each.proxied_endpoint("peers"), "clients": each.endpoint(CLIENT_PORT)}
+            for n, each in enumerate(addresses)
+        }
+        return {
+            "cluster": "testbed",
+            "name": f"r{number}",
+            "folder": addresses[number].name,
+            "secret_file": "secret",
+            "replicas": replicas,
+            "snapshot_every": self.experiment.dispatchers.snapshot_interval,
+        }
+
+    # ---- While it runs ----
+
+    async def _read_reports(self, child: ChildProcess, discovery: ChildProcess) -> None:
+        while (report := await child.receive()) is not None:
+            summary = msgspec.convert(report, ReportSummary)
+            if summary.fault:
+                self.rig.errors.append(summary.fault)
+            if summary.worker_fell or summary.worker_returned:
+                discovery.send(
+                    FakeCommand(worker_fell=summary.worker_fell, worker_returned=summary.worker_returned)
+                )
+            self.lag = max(self.lag, summary.lag)
+            self.lateness = max(self.lateness, summary.lateness)
+            if self.on_report is not None:
+                self.on_report({"at": self.rig.timeline.now(), "child": id(child), **report})
+
+    def _on_down(self, name: str, how: str) -> None:
+        kind = event_records.DISPATCHER_TERMINATING if how == "restart" else event_records.DISPATCHER_KILLED
+        self._record(kind, name)
+
+    def _on_up(self, name: str) -> None:
+        self._record(event_records.DISPATCHER_STARTED, name)
+
+    def _record(self, kind: str, name: str) -> None:
+        self.records.add(Event(self.rig.timeline.now(), kind, dispatcher=int(name[1:])))
+
+    async def close(self) -> None:
+        """End all that was started, whatever happened."""
+        await self.rig.close()
+        for task in self.tasks:
+            task.cancel()
+        await asyncio.gather(*self.tasks, return_exceptions=True)
+
+    def void_reason(self) -> str:
+        """Return why the run proves nothing; "" if it does."""
+        if self.lag > MAX_LATENESS:
+            return f"the load generator fell behind by {format_duration(self.lag)}"
+        if self.lateness > MAX_LATENESS:
+            return f"the machine was too slow: a fake was late by {format_duration(self.lateness)}"
+        if self.rig.errors:
+            return f"{len(self.rig.errors)} errors, the first: {self.rig.errors[0]}"
+        return self.rig.void_reason()
--- a/tests/test_lint_exceptions.py
+++ b/tests/test_lint_exceptions.py
@@ -1,4 +1,4 @@
-"""The table of lint exceptions in pyproject.toml lists what is left to do, and nothing that is finished."""
+"""The table of lint exceptions in pyproject.toml lists nothing of the program."""
 
 import re
 import tomllib
@@ -8,15 +8,11 @@
 PACKAGE = ROOT / "ploverspoke"
 TESTS = "tests/**"
 NOQA_WITH_REASON = re.compile(r"# noqa: [A-Z0-9, ]+ - \S")
-# Packages that do not keep all rules yet. A package leaves this list for good once it keeps them.
-LEFT = {
-    "ploverspoke/testbed/scenarios/**",
-}
 
 
-def test_only_unfinished_packages_have_lint_exceptions() -> None:
+def test_only_tests_have_lint_exceptions() -> None:
     lint = tomllib.loads((ROOT / "pyproject.toml").read_text())["tool"]["ruff"]["lint"]
-    assert set(lint["per-file-ignores"]) <= LEFT | {TESTS}
+    assert set(lint["per-file-ignores"]) <= {TESTS}
     assert not lint.get("ignore") and not lint.get("extend-per-file-ignores")
 
 
--- a/tests/testbed/scale/test_scale.py
+++ b/tests/testbed/scale/test_scale.py
@@ -52,7 +52,7 @@
 from ploverspoke.testbed.scenarios.scale_experiment import scale_experiment
 from ploverspoke.testbed.scenarios.scale_fleet import SimulatedScaleFleet
 from ploverspoke.testbed.scenarios.scale_resources import ProcessCounts, estimate_cores
-from ploverspoke.testbed.scenarios.socket_run import MAX_LATENESS
+from ploverspoke.testbed.scenarios.socket_fleet import MAX_LATENESS
 from tests.testbed.harness import SECOND, small_experiment
 
 RUNS_LONG = True  # scheduled first: see tests/conftest.py
--- a/tests/testbed/scenarios/test_socket_run.py
+++ b/tests/testbed/scenarios/test_socket_run.py
@@ -10,7 +10,7 @@
 from ploverspoke.testbed.processes.child_process import ChildProcess
 from ploverspoke.testbed.processes.running_process import ProcessStartError
 from ploverspoke.testbed.reports.scores import score_run
-from ploverspoke.testbed.scenarios import socket_run
+from ploverspoke.testbed.scenarios.socket_fleet import SocketFleet
 from ploverspoke.testbed.scenarios.socket_run import run_on_sockets
 from tests.testbed.harness import small_experiment
 
@@ -59,7 +59,7 @@
         return child
 
     monkeypatch.setattr(ChildProcess, "start", noted)
-    monkeypatch.setattr(socket_run.SocketFleet, "_config", lambda *_: {"listen": "nowhere", "settings": {}})
+    monkeypatch.setattr(SocketFleet, "_config", lambda *_: {"listen": "nowhere", "settings": {}})
     with pytest.raises(ProcessStartError):
         run_on_sockets(small_experiment(lasts="2s"), 1)
     assert started and all(process.returncode is not None for process in started)
