--- a/ploverspoke/testbed/models/request_schedule.py
+++ b/ploverspoke/testbed/models/request_schedule.py
@@ -55,7 +55,8 @@
     disconnects = _draw_disconnects(experiment, streams, count)
     draws = _draw_by_class(experiment, streams, class_numbers)
 
-    def request(number: int) -> ScheduledRequest:
+    def scheduled_request(number: int) -> ScheduledRequest:
+        """Return the request with this position in the order of due times."""
         request_class = classes[class_numbers[number]]
         key = draws.affinity_keys[number]
         return ScheduledRequest(
@@ -70,7 +71,7 @@
             disconnects_after=int(disconnects[number] * request_class.deadline),
         )
 
-    return [request(number) for number in range(count)]
+    return [scheduled_request(number) for number in range(count)]
 
 
 def normalized_shares(weights: Sequence[float] | Samples) -> Samples:
