--- a/tests/testbed/capacity/test_capacity_table.py
+++ b/tests/testbed/capacity/test_capacity_table.py
@@ -41,7 +41,7 @@
 ROOT = Path(__file__).parents[3]
 FLEET = ROOT / "experiments/fleet-ahead.toml"
 SLOPES = ROOT / "experiments/fleet-ahead-slopes.json"
-PLAYS = ROOT / "experiments/fleet-ahead-plays.json"
+RESULTS = ROOT / "experiments/fleet-ahead-plays.json"
 PAGE = ROOT / "docs/CAPACITY.md"
 
 
@@ -73,13 +73,13 @@
         ("failures", "racks", 1),
     ],
 )
-def test_a_wrong_fleet_file_names_the_key(table: str, key: str, value: object) -> None:
+def test_invalid_fleet_file_is_rejected_with_the_key(table: str, key: str, value: object) -> None:
     with pytest.raises(FleetFileError) as error:
         parse_fleet(fleet_document(table, key, value))
     assert key in str(error.value) and "\n" not in str(error.value)
 
 
-def test_a_missing_key_and_another_kind_are_named() -> None:
+def test_missing_key_and_another_kind_are_rejected() -> None:
     whole = tomllib.loads(FLEET.read_text())
     del whole["budget"]["memory_mb"]
     with pytest.raises(FleetFileError, match="memory_mb"):
@@ -109,13 +109,13 @@
 STARTED = line(
     "core_share", "starts_a_second", [(0.0, 0.001), (4.0, 0.009)], fixed_amounts={"workers_listed": 100}
 )
-TOLD = line(
+WITH_PROGRESS = line(
     "core_share",
     "tasks_running",
     [(0.0, 0.001), (20.0, 0.011)],
     fixed_amounts={"workers_listed": 100, "progress": 1},
 )
-QUIET = line(
+WITHOUT_PROGRESS = line(
     "core_share",
     "tasks_running",
     [(0.0, 0.001), (20.0, 0.001)],
@@ -123,9 +123,9 @@
 )
 
 
-def test_a_figure_is_the_base_and_each_slope_times_its_size() -> None:
+def test_estimate_is_the_base_and_each_cost_times_its_amount() -> None:
     found = estimate(
-        costs(LISTED, STARTED, TOLD, QUIET), "dispatcher", "core_share",
+        costs(LISTED, STARTED, WITH_PROGRESS, WITHOUT_PROGRESS), "dispatcher", "core_share",
         sizes(workers_listed=980, starts_a_second=0.6, tasks_running=24),
     )  # fmt: skip
     # 980 x 0.00001 + 0.6 x 0.002 + 24 x 0.0005, and no base: a hundred listed workers are all of 0.001.
@@ -136,13 +136,13 @@
     ]  # fmt: skip
 
 
-def test_of_two_lines_the_one_with_or_without_progress_reports_counts() -> None:
-    both, at = costs(TOLD, QUIET), sizes(tasks_running=20)
+def test_cost_with_or_without_progress_reports_is_chosen() -> None:
+    both, at = costs(WITH_PROGRESS, WITHOUT_PROGRESS), sizes(tasks_running=20)
     assert estimate(both, "dispatcher", "core_share", at, True).value == pytest.approx(0.011)
     assert estimate(both, "dispatcher", "core_share", at, False).value == pytest.approx(0.001)
 
 
-def test_of_several_lines_the_one_beside_which_most_else_stood_counts() -> None:
+def test_cost_with_the_largest_fixed_amounts_is_chosen() -> None:
     three = line(
         "core_share", "holders", [(0.0, 0.01), (100.0, 0.02)], role="keeper", fixed_amounts={"keepers": 3}
     )
@@ -153,7 +153,7 @@
         assert estimate(both, "keeper", "core_share", sizes(holders=100)).value == 0.03
 
 
-def test_what_was_measured_with_fewer_voters_is_stretched() -> None:
+def test_cost_measured_with_fewer_voters_is_scaled() -> None:
     three = line(
         "core_share", "watchers", [(0.0, 0.0), (9.0, 0.9)], role="config server", fixed_amounts={"servers": 3}
     )
@@ -161,7 +161,7 @@
     assert found.extrapolated == ["servers: measured to 3, used at 5"]
 
 
-def test_what_a_watch_adds_is_a_dispatcher_with_it_less_the_same_without() -> None:
+def test_cost_of_a_watch_is_a_difference_of_two_dispatchers() -> None:
     by_list = line("core_share", "workers_listed", [(100.0, 0.001), (980.0, 0.0098)])
     watch = line(
         "core_share", "changes_a_minute", [(0.0, 0.002), (60.0, 0.008)],
@@ -174,7 +174,7 @@
     assert "control with a watch 1.11% of a core" in table.requirement("changes").design
 
 
-def test_what_is_not_there_adds_nothing_neither_does_the_world_of_its_line() -> None:
+def test_absent_load_adds_no_cost_and_no_fixed_amounts() -> None:
     telling = line("core_share", "peers_telling", [(3.0, 0.02), (31.0, 0.03)])
     found = estimate(
         costs(LISTED, telling), "dispatcher", "core_share", sizes(workers_listed=100, peers_telling=0)
@@ -182,7 +182,7 @@
     assert found.value == 0.001
 
 
-def test_a_figure_of_some_roles_only_is_shown_along_its_size() -> None:
+def test_metric_of_some_roles_is_shown_with_its_amount() -> None:
     seen = line(
         "messages_in_worst_second", "dispatchers", [(10.0, 40.0), (40.0, 160.0)],
         role="discovery", fixed_amounts={"zone_lost_workers": 140},
@@ -193,14 +193,14 @@
     assert "| 140 zone lost workers | 800 a* | 1,600 a* |" in render_markdown(table, costs(seen), NO_RESULTS)
 
 
-def test_what_was_read_at_that_very_size_is_measured_and_an_assumed_size_is_said() -> None:
+def test_estimate_at_a_measured_amount_is_measured_and_an_assumed_amount_is_reported() -> None:
     point = estimate(costs(LISTED), "dispatcher", "core_share", sizes(workers_listed=300))
     assert (point.value, point.origin) == (0.003, "measured")
     assumed = estimate(costs(LISTED), "dispatcher", "core_share", {"workers_listed": Amount(200, "assumed")})
     assert assumed.origin == "assumed"
 
 
-def test_what_was_not_measured_is_named_and_never_nought() -> None:
+def test_unmeasured_cost_is_reported_and_never_zero() -> None:
     nothing = estimate(costs(LISTED), "keeper", "core_share", sizes(holders=3))
     assert (nothing.value, nothing.origin) == (None, "not measured")
     part = estimate(costs(LISTED), "dispatcher", "core_share", sizes(workers_listed=300, peers_telling=2))
@@ -216,7 +216,7 @@
     )
 
 
-def test_a_contradicted_fit_is_said_and_the_worst_measured_ratio_taken() -> None:
+def test_contradicted_fit_is_reported_and_the_highest_measured_ratio_used() -> None:
     points = [(0.0, 0.0), (1.0, 0.006), (4.0, 0.008)]
     bad = line("core_share", "starts_a_second", points, residual=0.67, contradicted=True)
     found = estimate(costs(bad), "dispatcher", "core_share", sizes(starts_a_second=4))
@@ -226,12 +226,12 @@
     assert found.contradicted[0] in text and "w!" in text
 
 
-def test_a_fit_that_falls_counts_as_its_highest_point() -> None:
+def test_falling_fit_counts_as_its_highest_point() -> None:
     falls = line("memory_bytes", "workers_listed", [(100.0, 31e6), (300.0, 30e6)])
     assert estimate(costs(falls), "dispatcher", "memory_bytes", sizes(workers_listed=980)).value == 31.5e6
 
 
-def test_where_todays_design_stops_is_solved_and_not_told_from_afar() -> None:
+def test_load_at_the_limit_is_solved_and_not_extrapolated_too_far() -> None:
     at = sizes(workers_listed=100, starts_a_second=0.1)
     both = costs(LISTED, STARTED)
     stop = load_at_limit(both, "dispatcher", Limit("core_share", "starts_a_second", 0.012), at)
@@ -243,11 +243,11 @@
 # ---- The fleet ----
 
 
-def table_of(measured: MeasuredCosts, plays: ScenarioResults = NO_RESULTS) -> CapacityTable:
-    return make_table(read_fleet(FLEET), measured, plays)
+def table_of(measured: MeasuredCosts, results: ScenarioResults = NO_RESULTS) -> CapacityTable:
+    return make_table(read_fleet(FLEET), measured, results)
 
 
-def test_what_a_dispatcher_meets_by_hand() -> None:
+def test_workload_of_a_dispatcher_matches_a_calculation_by_hand() -> None:
     fleet = read_fleet(FLEET)
     peak = workload(fleet, 200, PEAK)["dispatcher"]
     assert peak["tasks_running"].value == 24 and peak["starts_a_second"].value == pytest.approx(0.6)
@@ -261,8 +261,8 @@
     assert workload(fleet, 200, APART)["dispatcher"]["list_changes_a_second"].value == pytest.approx(560 / 60)
 
 
-def test_a_budget_is_held_against_what_counts_as_control() -> None:
-    table = table_of(costs(LISTED, STARTED, TOLD, QUIET))
+def test_budget_is_compared_with_the_control_share() -> None:
+    table = table_of(costs(LISTED, STARTED, WITH_PROGRESS, WITHOUT_PROGRESS))
     core = {(row.scope, row.dispatchers, row.situation): row for row in table.budget}
     assert core[CONTROL, 200, PEAK].core.value == pytest.approx(0.0098)
     assert core[STARTS, 200, PEAK].core.value == pytest.approx(0.0098 + 0.6 * 0.002)
@@ -272,7 +272,7 @@
     assert table.requirement("progress").verdict == "over budget"
 
 
-def test_a_budget_that_is_kept_by_less_than_the_lines_miss_their_points_is_too_close_to_call() -> None:
+def test_budget_kept_by_less_than_the_error_of_the_fits_is_too_close_to_call() -> None:
     """0.000490 x 24 is 0.01176 of 0.012: within it, but not by a tenth."""
     wide = [line(name, "tasks_running", [(0.0, 0.0), (48.0, 9.0)]) for name in ("bytes_in", "bytes_out")]
     memory = line("memory_bytes", "tasks_running", [(0.0, 30e6), (48.0, 31e6)])
@@ -286,7 +286,7 @@
     assert verdict(0.01) == {"not measured"}  # starts, the list and new settings are in no line here
 
 
-def test_of_five_voters_in_two_regions_one_region_is_always_missed() -> None:
+def test_with_five_voters_in_two_regions_the_loss_of_one_region_loses_the_quorum() -> None:
     machines = layout(read_fleet(FLEET))
     voters = [one for one in machines if "keeper" in one.roles]
     assert len(machines) == 8 and len(voters) == len({one.zone for one in voters}) == 5
@@ -303,7 +303,7 @@
     )  # fmt: skip
 
 
-def test_missing_first_is_a_before_b_before_c_then_what_most_others_need() -> None:
+def test_missing_requirements_are_sorted_by_class_and_by_dependents() -> None:
     rows = [
         requirement("zone", "fails", "c", "table"),
         requirement("core", "over budget", "b", "table"),
@@ -320,11 +320,11 @@
     assert [one.row for one in order_missing(rows[::-1])][:2] == ["table", "quotas"]
 
 
-def test_of_the_fleet_ahead_changes_are_missing_first_then_quotas_then_gangs() -> None:
+def test_for_the_planned_fleet_changes_are_missing_first_then_quotas_then_gangs() -> None:
     assert [one.row for one in table_of(costs()).missing][:3] == ["changes", "quotas", "gangs"]
 
 
-def test_with_the_distribution_measured_the_row_is_shown_before_and_after() -> None:
+def test_row_of_config_distribution_is_shown_before_and_after_its_measurement() -> None:
     server = line("core_share", "watchers", [(10.0, 0.001), (400.0, 0.02)], role="config server")
     held = ["changes in force at the last dispatcher within 10000 ms"]
     run = ScenarioResult(scenario="many changes, from config servers", seed=1, dispatchers=50, held=held)
@@ -345,7 +345,7 @@
     assert table_of(costs(server)).requirement("changes").verdict == "not measured"
 
 
-def test_a_play_that_failed_or_is_void_is_said() -> None:
+def test_failed_or_void_scenario_is_reported() -> None:
     failed = ScenarioResult(
         scenario="zone lost", seed=1, dispatchers=50, failed=["urgent work began within 3.4 s: 3.9 s"]
     )
@@ -363,10 +363,10 @@
     assert "zone" in [one.row for one in table.missing]
 
 
-def test_half_of_the_peak_is_no_failure_and_no_proof() -> None:
-    figures: dict[str, float | None] = {"starts_a_second": 60.0, "tasks_running": 2400.0}
+def test_run_at_half_of_the_peak_is_neither_failure_nor_proof() -> None:
+    metrics: dict[str, float | None] = {"starts_a_second": 60.0, "tasks_running": 2400.0}
     half = ScenarioResult(
-        scenario="peak minute, half of it", seed=1, dispatchers=100, metrics=figures,
+        scenario="peak minute, half of it", seed=1, dispatchers=100, metrics=metrics,
         held=["urgent work begun within 3400 ms", "no broken rule (0 found)"],
     )  # fmt: skip
     played = ScenarioResults(format=1, date="2026-12-02", commit="abc", machine="made up", runs=[half])
@@ -378,7 +378,7 @@
     assert table.requirement("starts").verdict == "fails" and "60" in table.requirement("starts").design
 
 
-def test_rows_name_modules_and_pages_that_there_are() -> None:
+def test_rows_name_existing_modules_and_pages() -> None:
     for one in table_of(costs()).requirements:
         for name in re.findall(r"`([a-z_]+/[a-z_./-]*|docs/[\w.-]+)`", one.mechanism + one.design):
             assert (ROOT / name).exists() or (ROOT / "ploverspoke" / name).exists(), (one.key, name)
@@ -392,7 +392,7 @@
     return found.exit_code, found.output
 
 
-def test_the_command_writes_between_the_markers_and_says_what_does_not_hold(tmp_path: Path) -> None:
+def test_command_writes_between_the_markers_and_reports_what_is_not_met(tmp_path: Path) -> None:
     file, page = tmp_path / "slopes.json", tmp_path / "page.md"
     write_measured_costs(costs(LISTED), file)
     page.write_text(f"before\n{BEGIN}\nstale\n{END}\nafter\n")
@@ -405,7 +405,7 @@
     assert code == 1 and '"missing_now"' in output
 
 
-def test_a_wrong_file_or_page_is_refused(tmp_path: Path) -> None:
+def test_invalid_file_or_page_is_rejected(tmp_path: Path) -> None:
     file, size, page = tmp_path / "slopes.json", tmp_path / "size.toml", tmp_path / "page.md"
     write_measured_costs(costs(LISTED), file)
     size.write_text(FLEET.read_text().replace("workers = 980", "workers = 0"))
@@ -424,20 +424,20 @@
         replace_between_markers(f"{END} {BEGIN}", "")
 
 
-def test_the_page_is_what_the_files_come_to() -> None:
+def test_page_matches_its_input_files() -> None:
     """And what it says outside of that has no figure of its own."""
     measured = read_measured_costs(SLOPES)
-    plays = read_scenario_results(PLAYS) if PLAYS.exists() else NO_RESULTS
+    results = read_scenario_results(RESULTS) if RESULTS.exists() else NO_RESULTS
     page = PAGE.read_text()
-    text = render_markdown(table_of(measured, plays), measured, plays)
+    text = render_markdown(table_of(measured, results), measured, results)
     assert text_between_markers(page) == text, (
         "ploverspoke testbed capacity SLOPES --plays PLAYS --write docs/CAPACITY.md"
     )
     answer = text.partition("## The answer\n")[2].partition("\n## ")[0]
     assert answer.count("\n") < 25
-    figures = re.compile(r"\d+(?:[.,]\d+)*")
-    known = set(figures.findall(text + FLEET.read_text()))
+    numbers = re.compile(r"\d+(?:[.,]\d+)*")
+    known = set(numbers.findall(text + FLEET.read_text()))
     prose = re.sub(
         r"^\d+\. ", "", replace_between_markers(page, ""), flags=re.MULTILINE
     )  # without numbers of lists
-    assert not [figure for figure in figures.findall(prose) if figure not in known]
+    assert not [figure for figure in numbers.findall(prose) if figure not in known]
--- a/tests/testbed/capacity/test_measured_costs.py
+++ b/tests/testbed/capacity/test_measured_costs.py
@@ -1,4 +1,4 @@
-"""Slopes: the fit, the file, what a later call replaces, and one small world whose counts add up."""
+"""Measured costs: fit, file, what a later measurement replaces, and the counters of one small fleet."""
 
 import asyncio
 from pathlib import Path
@@ -30,7 +30,7 @@
 from ploverspoke.testbed.processes.resource_usage import read_resource_usage
 
 
-def test_a_straight_line_is_found_and_a_bent_one_contradicted() -> None:
+def test_linear_points_are_fitted_and_nonlinear_ones_contradict_the_fit() -> None:
     line = fit_line([(1, 5.0), (2, 7.0), (10, 23.0)])
     assert line.intercept == pytest.approx(3) and line.slope == pytest.approx(2)
     assert line.residual < 1e-9 and not line.contradicted
@@ -38,25 +38,25 @@
     assert bent.contradicted and bent.residual > 0.15
 
 
-def test_a_fit_that_is_just_over_the_limit_is_contradicted() -> None:
+def test_fit_just_beyond_the_limit_is_contradicted() -> None:
     # Three points at even steps, the middle one off: weights of nearly 1 share it out, a third on each end.
     assert not fit_line([(0, 1.0), (1, 1.2), (2, 1.0)]).contradicted
     assert fit_line([(0, 1.0), (1, 1.5), (2, 1.0)]).contradicted
 
 
-def test_flat_lines_and_points_at_nothing() -> None:
+def test_fit_of_constant_points_and_of_points_at_zero() -> None:
     flat = fit_line([(100, 4.0), (300, 4.0), (980, 4.0)])
     assert flat.slope == pytest.approx(0, abs=1e-12) and flat.intercept == pytest.approx(4)
     assert fit_line([(1, 0.0), (2, 0.0), (3, 0.0)]) == (0.0, 0.0, 0.0, False)
     assert fit_line([(0, 0.0), (1, 2.0), (2, 4.0)]).residual < 1e-9
 
 
-def test_what_is_finer_than_can_be_read_contradicts_nothing() -> None:
+def test_deviations_below_the_resolution_do_not_contradict_a_fit() -> None:
     points = [(1.0, 10.0), (2.0, 0.0), (3.0, 10.0)]
     assert fit_line(points).contradicted and not fit_line(points, resolution=10.0).contradicted
 
 
-def test_two_sizes_make_no_fit() -> None:
+def test_two_amounts_give_no_fit() -> None:
     with pytest.raises(TooFewPointsError):
         fit_line([(1, 1.0), (2, 2.0)])
     with pytest.raises(TooFewPointsError):
@@ -77,7 +77,7 @@
     return MeasuredCosts(format=1, date="2026-12-02", commit="abc", machine="8 cores", lines=list(found))
 
 
-def test_the_file_reads_back_and_says_what_is_wrong_with_it(tmp_path: Path) -> None:
+def test_file_is_read_back_and_errors_in_it_are_reported(tmp_path: Path) -> None:
     path = tmp_path / "slopes.json"
     write_measured_costs(slopes(*lines("dispatcher", "tasks_running", 2.0)), path)
     (line,) = read_measured_costs(path).of("dispatcher", "core_share")
@@ -94,7 +94,7 @@
         read_measured_costs(tmp_path / "none.json")
 
 
-def test_a_later_call_replaces_only_the_sizes_that_it_measured() -> None:
+def test_later_measurement_replaces_only_the_amounts_that_it_measured() -> None:
     old = slopes(*lines("dispatcher", "a", 1.0), *lines("dispatcher", "b", 1.0), *lines("keeper", "a", 1.0))
     new = measure_costs.merge_costs(old, slopes(*lines("dispatcher", "a", 5.0)))
     found = {(line.role, line.load): round(line.slope) for line in new.lines}
@@ -110,7 +110,7 @@
     return MeasurementResult([], ["dispatcher, b 3: the rig was late"])
 
 
-def test_the_command_says_what_was_void_and_what_it_does_not_know(
+def test_command_reports_void_points_and_unknown_roles(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     parts = [Measurement(("dispatcher",), "a", _found), Measurement(("dispatcher", "worker"), "b", _void)]
@@ -131,14 +131,14 @@
     assert done.exit_code == 2 and out.read_text() == "{}"
 
 
-def test_a_world_is_counted_where_its_bytes_pass() -> None:
+def test_bytes_of_a_measurement_fleet_are_counted_at_its_proxies() -> None:
     """Eight long tasks run and tell their progress; one reload; nothing else passes in the stretch."""
     interval = Interval(2, 3)
     traffic = [{"rate": 8.0, "start": "0s", "end": "1s"}]
     e = parse_experiment(dispatcher_experiment(interval, 5, work="900s", traffic=traffic))
     acts = [(int(2.2 * SECOND), reload_action(e, 0))]
     fleet, _ = asyncio.run(run_fleet(e, 1, interval.settled * SECOND, acts))
-    reports = {kind: told_[-1] for kind, told_ in fleet.reports.items()}
+    reports = {kind: received[-1] for kind, received in fleet.reports.items()}
     (at_workers,), (at_clients,) = reports["workers"]["traffic"], reports["clients"]["traffic"]
     (at_discovery,) = reports["discovery"]["traffic"]
     sent, running = reports["clients"]["sent"], reports["workers"]["running"]
@@ -157,7 +157,7 @@
     assert processor == sorted(processor)
 
 
-def test_a_process_that_has_ended_is_not_read_as_idle() -> None:
+def test_ended_process_is_not_measured_as_idle() -> None:
     async def ended() -> int:
         process = await asyncio.create_subprocess_exec("true")
         await process.wait()
--- a/tests/testbed/commands/test_experiment_commands.py
+++ b/tests/testbed/commands/test_experiment_commands.py
@@ -29,9 +29,9 @@
 
 
 @pytest.mark.parametrize("path", SHIPPED, ids=lambda p: p.stem)
-def test_a_shipped_experiment_is_sound_and_named_as_its_file(path: Path) -> None:
-    told = tomllib.loads(path.read_text())
-    if told.get("kind") == "fleet":
+def test_shipped_experiment_is_valid_and_named_like_its_file(path: Path) -> None:
+    document = tomllib.loads(path.read_text())
+    if document.get("kind") == "fleet":
         fleet = read_fleet(path)
         table = read_scale_scenarios(fleet)
         assert fleet.name == path.stem and all(
@@ -42,12 +42,12 @@
         "leases": read_lease_experiment,
         "distribution": read_distribution_experiment,
     }
-    reader = readers.get(told.get("kind", ""))
-    read = read_experiment(path) if reader is None else reader(told)
+    reader = readers.get(document.get("kind", ""))
+    read = read_experiment(path) if reader is None else reader(document)
     assert read.name == path.stem and read.seeds
 
 
-BAD: list[tuple[dict[str, Any], str]] = [
+INVALID_CHANGES: list[tuple[dict[str, Any], str]] = [
     ({"lasts": "6 parsecs"}, "`lasts`"),
     ({"lasts": 6}, "with its unit"),
     ({"lastz": "6s"}, "`lastz`"),
@@ -73,15 +73,19 @@
 ]
 
 
-@pytest.mark.parametrize(("change", "says"), BAD, ids=lambda x: x if isinstance(x, str) else "")
-def test_a_wrong_file_gets_one_line_that_names_the_key(change: dict[str, Any], says: str) -> None:
-    with pytest.raises(ExperimentError) as told:
+@pytest.mark.parametrize(
+    ("change", "expected"), INVALID_CHANGES, ids=lambda x: x if isinstance(x, str) else ""
+)
+def test_invalid_experiment_is_rejected_in_one_line_with_its_key(
+    change: dict[str, Any], expected: str
+) -> None:
+    with pytest.raises(ExperimentError) as raised:
         parse_experiment({**SMALL_EXPERIMENT, **change})
-    assert says in str(told.value) and "\n" not in str(told.value)
+    assert expected in str(raised.value) and "\n" not in str(raised.value)
 
 
 @pytest.mark.parametrize(
-    ("change", "says"),
+    ("change", "expected"),
     [
         ({"plan": {"names": {}}}, "plan.names"),
         ({"plan": {"names": {"one": 0}}}, "plan.names"),
@@ -92,13 +96,13 @@
         ({"must_hold": {"gap": "soon"}}, "with its unit"),
     ],
 )
-def test_a_wrong_file_of_leases_names_the_key(change: dict[str, Any], says: str) -> None:
-    with pytest.raises(TimelineError) as told:
+def test_invalid_lease_experiment_is_rejected_with_its_key(change: dict[str, Any], expected: str) -> None:
+    with pytest.raises(TimelineError) as raised:
         read_lease_experiment({"kind": "leases", "name": "x", "seeds": [1], **change})
-    assert says in str(told.value)
+    assert expected in str(raised.value)
 
 
-def test_a_result_is_left_and_read_again(tmp_path: Path) -> None:
+def test_result_is_written_and_read_back(tmp_path: Path) -> None:
     e = small_experiment(
         seeds=[1, 2], policies=["ours", "random"], must_hold={"service": 0.5, "over": {"random": 2.0}}
     )
@@ -112,7 +116,7 @@
     assert rows[0].metric == "service" and rows[0].pairs == 2
 
 
-def test_an_interval_needs_more_than_one_pair() -> None:
+def test_confidence_interval_needs_more_than_one_pair() -> None:
     assert not paired_difference("x", [(1.0, 2.0)]).is_clear()
     assert paired_difference("x", [(1.0, 2.0), (1.1, 2.1), (0.9, 1.9)]).is_clear()
 
@@ -122,7 +126,7 @@
     return str(path)
 
 
-def test_the_command_line_tells_held_failed_and_wrong_apart(tmp_path: Path) -> None:
+def test_exit_codes_tell_met_failed_and_invalid_experiments_apart(tmp_path: Path) -> None:
     small = """
         name = "small"
         lasts = "2s"
@@ -147,16 +151,16 @@
     assert policy.exit_code == 2 and "psychic" in policy.output
 
 
-def test_check_names_the_key_of_a_wrong_configuration(tmp_path: Path) -> None:
+def test_check_reports_the_key_of_an_invalid_configuration(tmp_path: Path) -> None:
     run = CliRunner()
     example = Path(__file__).parents[3] / "deploy" / "example.json"
     assert run.invoke(main, ["check", str(example)]).exit_code == 0
     wrong = write(tmp_path / "wrong.json", example.read_text().replace('"free"', '"often"'))
-    told = run.invoke(main, ["check", wrong])
-    assert told.exit_code == 2 and "Repeat is 'often'" in told.output
+    document = run.invoke(main, ["check", wrong])
+    assert document.exit_code == 2 and "Repeat is 'often'" in document.output
 
 
-def test_the_platforms_start_imports_none_of_it() -> None:
+def test_start_of_the_dispatcher_does_not_import_the_testbed() -> None:
     program = "import sys, ploverspoke.service.service; print(*sys.modules)"
     modules = subprocess.run([sys.executable, "-c", program], capture_output=True, text=True, check=True)
     found = set(modules.stdout.split())
--- a/tests/testbed/scale/test_scale.py
+++ b/tests/testbed/scale/test_scale.py
@@ -220,7 +220,7 @@
     run_with_host(tmp_path, 3, test)
 
 
-def test_nothing_is_shared_but_the_loop(tmp_path: Path) -> None:
+def test_simulated_dispatchers_share_only_the_event_loop(tmp_path: Path) -> None:
     async def test(harness: HostHarness) -> None:
         # Ids that one has taken are new to the other.
         same = "Request-Id: one\r\nContent-Length: 0\r\n"
@@ -239,7 +239,7 @@
         assert (
             await harness.status_of(0, "GET /more") == 405 and await harness.status_of(1, "GET /more") == 404
         )
-        # A bad one is refused, and said in the name of the one that was told.
+        # An invalid one is rejected, and the log line names the dispatcher that received it.
         harness.programs[1].config["settings"] = {}
         harness.programs[1].write_config()
         harness.programs[1].reload_config()
@@ -270,7 +270,7 @@
     return fleet, merge_events([fleet.records.events, *parts])
 
 
-def test_a_world_with_a_zone_lost_and_a_region_cut_keeps_the_rules(tmp_path: Path) -> None:
+def test_run_with_a_lost_zone_and_a_region_partition_keeps_the_rules(tmp_path: Path) -> None:
     e = small_experiment(
         lasts="5s",
         dispatchers={"count": 9},
@@ -298,7 +298,7 @@
     assert last.traffic["discovery"]["bytes_in"] > 9 * len(e.worker_names()) * 50
 
 
-def test_nothing_passes_a_cut_between_regions_on_virtual_time() -> None:
+def test_no_message_passes_a_partition_between_regions_on_virtual_time() -> None:
     begin, end = 2 * SECOND, 4 * SECOND
     trouble = {"what": "region cut", "at": "2s", "lasts": "2s"}
     # The second region has less than its dispatchers need, so they send into the first.
@@ -328,7 +328,9 @@
         (REGIONS, [{"what": "region cut", "at": "1s", "lasts": "1s", "region": 2}], "troubles[0].region"),
     ],
 )
-def test_bad_regions_are_named(network: dict[str, Any], trouble: list[Any], key: str) -> None:
+def test_invalid_regions_are_rejected_with_their_key(
+    network: dict[str, Any], trouble: list[Any], key: str
+) -> None:
     with pytest.raises(ExperimentError, match=f"^{key.replace('[', '.')}".replace("]", ".")):
         small_experiment(workers=THREE_ZONES, network=network, troubles=trouble)
 
@@ -336,7 +338,7 @@
 # ---- What does not fit, and what is void ----
 
 
-def test_what_does_not_fit_is_refused_before_anything_starts(
+def test_demand_beyond_the_machine_is_rejected_before_anything_starts(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def no_child(*what: Any) -> None:
@@ -355,7 +357,7 @@
         run_simulated(shared, tmp_path, ProcessCounts(2, 2, 1))
 
 
-def test_a_run_whose_dispatchers_held_each_other_up_is_void(tmp_path: Path) -> None:
+def test_run_whose_dispatchers_delayed_each_other_is_void(tmp_path: Path) -> None:
     fleet = SimulatedScaleFleet(small_experiment(), 1, tmp_path, ProcessCounts(1, 1, 1))
     assert fleet.void_reason() == ""
     fleet.loop_lateness = MAX_LATENESS + 1
@@ -396,13 +398,13 @@
         ({"worlds": [{"name": "x", "lasts": "9s"}] * 2}, "two have one name"),
     ],
 )
-def test_what_is_wrong_in_the_plays_is_named(changes: dict[str, Any], key: str) -> None:
+def test_invalid_scenario_is_rejected_with_its_key(changes: dict[str, Any], key: str) -> None:
     with pytest.raises(FleetFileError) as caught:
         read_scale_scenarios(parse_fleet(fleet_with(**changes)))
     assert key in str(caught.value)
 
 
-def test_a_play_has_the_load_that_the_file_states() -> None:
+def test_scenario_has_the_load_of_the_fleet_file() -> None:
     fleet = parse_fleet(FLEET)
     table = read_scale_scenarios(fleet)
     e = scale_experiment(fleet, table, table.scenarios[0])
@@ -411,7 +413,7 @@
     assert len(e.worker_names()) == 9 and e.zones() == ["a", "b", "c"] and e.dispatchers.count == 4
 
 
-def test_figures_are_judged_as_they_should_be() -> None:
+def test_metrics_are_checked_against_their_limits() -> None:
     e = small_experiment(grades=[{"name": "urgent"}, {"name": "ordinary"}], counted_from="1s")
     sent = [
         Event(n * SECOND, REQUEST_SENT, f"{n}-0", n, 0, detail=[0, 0, 9 * SECOND, n * SECOND])
@@ -438,7 +440,7 @@
     assert len(grown.failed) == 1 and "away_open 2.00 times" in grown.failed[0] and grown.held == []
 
 
-def test_what_an_absence_gathers_is_read_from_its_own_time() -> None:
+def test_metrics_of_an_outage_are_read_from_its_own_interval() -> None:
     e = small_experiment(grades=[{"name": "urgent"}], lasts="30s", counted_from="2s")
     cut = ScaleScenario(
         name="cut",
@@ -483,7 +485,7 @@
     return msgspec.json.encode(value).decode()
 
 
-def test_a_small_fleet_is_played_by_the_command(tmp_path: Path) -> None:
+def test_command_runs_a_scenario_of_a_small_fleet(tmp_path: Path) -> None:
     path, out = tmp_path / "small.toml", tmp_path / "plays.json"
     path.write_text("\n".join(f"{key} = {in_toml(value)}" for key, value in FLEET.items()))
     runner = CliRunner()
@@ -497,7 +499,7 @@
     results = msgspec.json.decode(out.read_bytes())
     (row,) = results["runs"]
     assert results["format"] == 1 and row["play"] == "few changes" and row["hollow"]
-    figures = row["figures"]
-    assert figures["changes"] == 2 and figures["changes_never_in_force"] == 0
-    assert figures["broken_rules"] == 0 and figures["urgent_never_begun"] == 0
-    assert "resident_mb_a_dispatcher (void)" in figures and figures["serving_fewest"] == 4
+    metrics = row["figures"]
+    assert metrics["changes"] == 2 and metrics["changes_never_in_force"] == 0
+    assert metrics["broken_rules"] == 0 and metrics["urgent_never_begun"] == 0
+    assert "resident_mb_a_dispatcher (void)" in metrics and metrics["serving_fewest"] == 4
--- a/tests/testbed/scenarios/test_socket_run.py
+++ b/tests/testbed/scenarios/test_socket_run.py
@@ -49,7 +49,9 @@
     assert encode_chunk(b"abc") == b"3\r\nabc\r\n"
 
 
-def test_nothing_is_left_running_when_a_process_does_not_come_up(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_nothing_keeps_running_when_a_dispatcher_does_not_become_ready(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     started: list[asyncio.subprocess.Process] = []
     start = ChildProcess.start
 
