--- a/ploverspoke/testbed/scenarios/distribution_experiment.py
+++ b/ploverspoke/testbed/scenarios/distribution_experiment.py
@@ -6,7 +6,7 @@
 
 from ..checkers.distribution_checker import MIN_FAULTS, MIN_VERSIONS
 from ..experiment_files.durations import MILLISECOND, SECOND, Duration, format_duration, parse_duration
-from ..processes.fault_timeline import TimelineError
+from ..experiment_files.fault_timeline import TimelineError
 
 REGIONS = ("a", "b")
 QUIET_END = 2 * SECOND  # ns without faults and publications, beyond the limit of the checks
--- a/ploverspoke/testbed/scenarios/distribution_scenario.py
+++ b/ploverspoke/testbed/scenarios/distribution_scenario.py
@@ -11,8 +11,8 @@
 from ..checkers.distribution_checker import DistributionVerdict, check_distribution_history
 from ..checkers.history_finding import HistoryFinding
 from ..experiment_files.durations import MILLISECOND, SECOND, Duration, format_duration
+from ..experiment_files.fault_timeline import FaultStep, check_timeline
 from ..processes.capacity_check import memory_backed_folder
-from ..processes.fault_timeline import FaultStep, check_timeline
 from ..processes.history import HistoryEvent, events_around, monotonic_now
 from ..processes.link_faults import LinkCounters
 from ..processes.rig import Rig
--- a/ploverspoke/testbed/scenarios/distribution_timeline.py
+++ b/ploverspoke/testbed/scenarios/distribution_timeline.py
@@ -1,7 +1,8 @@
 """The faults of a config distribution run: those drawn from its seed, and those between its regions."""
 
 from ..experiment_files.durations import MILLISECOND, SECOND, Duration
-from ..processes.fault_timeline import FaultStep, FaultWeight, draw_timeline
+from ..experiment_files.fault_timeline import FaultStep
+from ..processes.drawn_timeline import FaultWeight, draw_timeline
 from .distribution_experiment import REGIONS, DistributionScenario
 
 COPY_AT = Duration(1500 * MILLISECOND)  # of dispatchers' folders, for later starts with an older one
--- a/ploverspoke/testbed/scenarios/lease_experiment.py
+++ b/ploverspoke/testbed/scenarios/lease_experiment.py
@@ -6,7 +6,7 @@
 
 from ..checkers.lease_checker import MIN_HOLDER_CHANGES
 from ..experiment_files.durations import MILLISECOND, SECOND, Duration, parse_duration
-from ..processes.fault_timeline import TimelineError
+from ..experiment_files.fault_timeline import TimelineError
 
 SERVER_COUNTS = (1, 3, 5)
 DEFAULT_LEASES = {"one": 1, "two": 1, "three": 3}
--- a/ploverspoke/testbed/scenarios/lease_scenario.py
+++ b/ploverspoke/testbed/scenarios/lease_scenario.py
@@ -9,8 +9,9 @@
 
 from ..checkers.lease_checker import LeaseVerdict, check_lease_history, takeover_gaps
 from ..experiment_files.durations import MILLISECOND, SECOND, Duration, format_duration
+from ..experiment_files.fault_timeline import FaultStep, check_timeline
 from ..processes.capacity_check import memory_backed_folder
-from ..processes.fault_timeline import FaultStep, FaultWeight, check_timeline, draw_timeline
+from ..processes.drawn_timeline import FaultWeight, draw_timeline
 from ..processes.history import HistoryEvent
 from ..processes.link_faults import LinkCounters
 from ..processes.rig import Rig
--- a/ploverspoke/testbed/scenarios/outage_steps.py
+++ b/ploverspoke/testbed/scenarios/outage_steps.py
@@ -2,8 +2,8 @@
 
 from ..experiment_files.durations import Duration
 from ..experiment_files.experiment import Experiment
+from ..experiment_files.fault_timeline import FaultStep
 from ..models.dispatcher_outages import OutageKind, dispatcher_outages
-from ..processes.fault_timeline import FaultStep
 
 # An experiment with replacements runs on virtual time only.
 STEP_KINDS = {OutageKind.KILLED: "kill", OutageKind.PAUSED: "pause", OutageKind.RESTARTED: "restart"}
