--- a/ploverspoke/testbed/scenarios/distribution_fleet.py
+++ b/ploverspoke/testbed/scenarios/distribution_fleet.py
@@ -23,7 +23,7 @@
 
 CLIENTS_MODULE = "ploverspoke.testbed.fakes.config_clients"
 SECRET = "a secret of the testbed's own"
-CLIENT_PORT, ADMIN_PORT = "submissions", "operators"  # of dispatchers
+CLIENT_PORT, ADMIN_PORT = "clients", "admin"  # of dispatchers
 OWN_FILE_TAG = 0
 
 # Modules and their first arguments that run in place of the program, by process: faulty variants.
--- a/ploverspoke/testbed/scenarios/experiment_runner.py
+++ b/ploverspoke/testbed/scenarios/experiment_runner.py
@@ -58,12 +58,12 @@
     """Run the real program once on loopback sockets; `on_report` gets the fakes' reports as they come."""
     from .socket_run import run_on_sockets
 
-    played = run_on_sockets(experiment, seed, on_report)
+    run = run_on_sockets(experiment, seed, on_report)
     if events_path is not None:
-        write_events(played.events, events_path)
-    findings = audit_requests(experiment, played.events, SOCKETS_TOLERANCE)
-    score = score_run(experiment, OWN_POLICY, seed, played.events, findings, played.void)
-    score.ran_for_s = played.took_s
+        write_events(run.events, events_path)
+    findings = audit_requests(experiment, run.events, SOCKETS_TOLERANCE)
+    score = score_run(experiment, OWN_POLICY, seed, run.events, findings, run.void)
+    score.ran_for_s = run.took_s
     return score
 
 
@@ -127,7 +127,7 @@
             reason = f"{policy!r} is none of {', '.join(POLICIES)}"
             raise ExperimentError(reason, location="policies")
     if driver == "sockets" and OWN_POLICY not in experiment.policies:
-        raise ExperimentError(reason="on sockets only 'ours' is played", location="policies")
+        raise ExperimentError(reason="on sockets only 'ours' runs", location="policies")
 
 
 def make_result(experiment: Experiment, driver: Driver, runs: list[RunScore]) -> Result:
--- a/ploverspoke/testbed/scenarios/soak.py
+++ b/ploverspoke/testbed/scenarios/soak.py
@@ -20,7 +20,7 @@
 WORKERS = 5
 MAX_DRAINED = 3
 CLIENTS = 8
-FLEET_SIZES = (1, 30, 177, 1000, 3000)  # that the dispatcher may be told of
+FLEET_SIZES = (1, 30, 177, 1000, 3000)  # dispatchers, in the settings
 
 # Kinds of fault: each is drawn where the number is below its limit, and above the one before.
 DRAIN_LIMIT, MOVE_LIMIT, CROWD_LIMIT = 0.2, 0.3, 0.4
--- a/ploverspoke/testbed/scenarios/socket_fleet.py
+++ b/ploverspoke/testbed/scenarios/socket_fleet.py
@@ -46,7 +46,7 @@
 SEED_FACTOR = 1_000_003
 STORE_SECRET = "a secret of the testbed's own"
 FAKES_MODULE = "ploverspoke.testbed.fakes"
-VIRTUAL_TIME_ONLY = "replacing and changed settings are played on virtual time only"
+VIRTUAL_TIME_ONLY = "replacing and changed settings run on virtual time only"
 
 Message = TypeVar("Message")
 ReportListener = Callable[[dict[str, Any]], None]  # gets each report of a fake as it comes
