--- a/ploverspoke/testbed/scenarios/endpoint_list_age.py
+++ b/ploverspoke/testbed/scenarios/endpoint_list_age.py
@@ -22,16 +22,16 @@
 TRIES = 4
 MAX_PROCESSES = 16
 MAX_AGE = 25.0  # an age that is longer is not waited for
-OUTAGE = 4.0
+CASE_OUTAGE_DURATION = 4.0
 POLL_INTERVAL = 0.01
 WATCH_TIMEOUT = 60.0  # until a dispatcher watches discovery
 WATCH_SETTLING_TIME = 0.3
 
-CROWD = 40  # dispatchers
-CROWD_STARTS = 8  # at once
-CROWD_QUEUE_CAPACITY = 20  # calls
-CROWD_SERVICE_TIMES = (0.05, 0.125)  # of a call
-CROWD_OUTAGE = 3.0
+FLEET_SIZE = 40  # dispatchers
+STARTS_AT_ONCE = 8
+QUEUE_CAPACITY = 20  # calls
+CALL_SERVICE_TIMES = (0.05, 0.125)  # seconds
+FLEET_OUTAGE_DURATION = 3.0  # seconds
 COUNTED_AFTER = 10.0  # after the outage, in which calls are counted
 
 ENTRIES = [
@@ -76,7 +76,7 @@
 
 def failing_for_a_while(failure: Failure | None) -> Fault:
     """Return a fault: an outage; None: connections are refused."""
-    return lambda case: case.discovery.fail_for(failure, OUTAGE)
+    return lambda case: case.discovery.fail_for(failure, CASE_OUTAGE_DURATION)
 
 
 FAULTS: dict[str, Fault] = {
@@ -160,7 +160,7 @@
 # ---- A fleet after an outage ----
 
 
-class CrowdRun(NamedTuple):
+class FleetOutageRun(NamedTuple):
     """A fleet whose discovery, which works through a queue of calls, comes back from an outage."""
 
     discovery: ScriptedDiscovery
@@ -172,10 +172,10 @@
 
     def table_row(self) -> str:
         """Return its row in the table."""
-        written = [self.discovery.written_at(number, self.version) for number in range(CROWD)]
+        written = [self.discovery.written_at(number, self.version) for number in range(FLEET_SIZE)]
         ages = sorted(MAX_AGE if at is None else at - self.back_at for at in written)
         calls = [call.at for call in self.discovery.calls]
-        during = sum(self.began_at <= at < self.back_at for at in calls) / CROWD_OUTAGE
+        during = sum(self.began_at <= at < self.back_at for at in calls) / FLEET_OUTAGE_DURATION
         after = sum(self.back_at <= at < self.back_at + COUNTED_AFTER for at in calls) / COUNTED_AFTER
         cells = [
             f"{self.queue.service_time * 1000:.0f} ms",
@@ -189,19 +189,19 @@
         return f"| {' | '.join(cells)} |"
 
 
-async def run_crowd(queue: CallQueue, is_refusing: bool) -> CrowdRun:
+async def run_fleet_outage(queue: CallQueue, is_refusing: bool) -> FleetOutageRun:
     """Run a fleet through an outage of its discovery."""
     loop, discovery = asyncio.get_running_loop(), ScriptedDiscovery(ENTRIES)
     with tempfile.TemporaryDirectory() as folder:
         dispatchers = [
-            DispatcherProcess(Path(folder), n, await discovery.address_for(n), n + 1, PeersTotal=CROWD)
-            for n in range(CROWD)
+            DispatcherProcess(Path(folder), n, await discovery.address_for(n), n + 1, PeersTotal=FLEET_SIZE)
+            for n in range(FLEET_SIZE)
         ]
         try:
-            for first in range(0, CROWD, CROWD_STARTS):
-                group = dispatchers[first : first + CROWD_STARTS]
+            for first in range(0, FLEET_SIZE, STARTS_AT_ONCE):
+                group = dispatchers[first : first + STARTS_AT_ONCE]
                 await asyncio.gather(*(dispatcher.start() for dispatcher in group))
-            await asyncio.gather(*(wait_for_watch(discovery, number) for number in range(CROWD)))
+            await asyncio.gather(*(wait_for_watch(discovery, number) for number in range(FLEET_SIZE)))
             discovery.queue = queue
             began_at = loop.time()
             if is_refusing:
@@ -209,7 +209,7 @@
             else:
                 discovery.outage = Failure.REJECTED
                 discovery.wake_watches()
-            await asyncio.sleep(CROWD_OUTAGE)
+            await asyncio.sleep(FLEET_OUTAGE_DURATION)
             discovery.outage = None
             version, back_at = discovery.change("w0", "Terminating"), loop.time()
             if is_refusing:
@@ -218,26 +218,32 @@
         finally:
             await asyncio.gather(*(dispatcher.kill() for dispatcher in dispatchers))
             discovery.close()
-    return CrowdRun(discovery, queue, is_refusing, version, began_at, back_at)
+    return FleetOutageRun(discovery, queue, is_refusing, version, began_at, back_at)
 
 
-async def print_crowd_table() -> None:
+async def print_outage_table() -> None:
     """Print the ages in a fleet at a discovery that comes back."""
     print("| a call | rejections are served | while down | median | last | calls/s down | calls/s after |")
     print("| --- | --- | --- | --- | --- | --- | --- |")
-    for service_time in CROWD_SERVICE_TIMES:
+    for service_time in CALL_SERVICE_TIMES:
         for are_served in (False, True):
-            queue = CallQueue(service_time, CROWD_QUEUE_CAPACITY, are_served)
+            queue = CallQueue(service_time, QUEUE_CAPACITY, are_served)
             for is_refusing in (True, False):
-                run = await run_crowd(queue, is_refusing)
+                run = await run_fleet_outage(queue, is_refusing)
                 print(run.table_row(), flush=True)
 
 
 @click.command()
-@click.option("--crowd", "is_crowd", is_flag=True, help="The table of a crowd in place of that of faults.")
-def main(is_crowd: bool) -> None:
+@click.option(
+    "--outage",
+    "--crowd",
+    "is_outage",
+    is_flag=True,
+    help="The table of a fleet after an outage of discovery, in place of that of faults.",
+)
+def main(is_outage: bool) -> None:
     """Measure with the program of this checkout; takes some minutes."""
-    uvloop.run(print_crowd_table() if is_crowd else print_fault_table())
+    uvloop.run(print_outage_table() if is_outage else print_fault_table())
 
 
 if __name__ == "__main__":
--- a/ploverspoke/testbed/scenarios/soak.py
+++ b/ploverspoke/testbed/scenarios/soak.py
@@ -23,7 +23,7 @@
 FLEET_SIZES = (1, 30, 177, 1000, 3000)  # dispatchers, in the settings
 
 # Kinds of fault: each is drawn where the number is below its limit, and above the one before.
-DRAIN_LIMIT, MOVE_LIMIT, CROWD_LIMIT = 0.2, 0.3, 0.4
+DRAIN_LIMIT, MOVE_LIMIT, IDLE_CLIENTS_LIMIT = 0.2, 0.3, 0.4
 FAULT_PAUSES = (0.05, 0.4, 1.5, 3.0)  # until the next fault
 DRAIN_DURING_FAILURE_SHARE = 0.5
 MAX_DRAIN_DELAY = 0.5  # after a failure has begun
@@ -31,10 +31,10 @@
 MAX_FAILED_CALLS = 4
 REFUSED_SHARE = 0.2  # of the outages
 OUTAGES = (0.2, 1.0, 4.0, 9.0)
-CROWD_SHARE = 0.3  # of the seeds
-CROWD_CONNECTIONS = 150
-CROWD_DURATION = 3.0
-CROWD_SOCKET_LIMIT = 128
+IDLE_CLIENTS_SHARE = 0.3  # of the seeds
+IDLE_CONNECTIONS = 150
+IDLE_CONNECTIONS_DURATION = 3.0  # seconds
+SOCKET_LIMIT_WITH_IDLE_CLIENTS = 128
 
 KILL_DELAY = DEADLINE + 0.7  # after SIGTERM: the earliest time at which a platform kills
 STOP_SIGNALS = (
@@ -46,7 +46,7 @@
 # After a drain, or the start of a process, no attempt may be sent to the worker later than the sum of these.
 LIST_VALIDITY = 6.0
 DRAIN_GRACE = 0.55
-SOCKET_SLACK = 0.1
+SOCKET_TOLERANCE = 0.1
 
 
 @dataclass
@@ -104,9 +104,9 @@
     def _make_dispatcher(self) -> DispatcherProcess:
         fleet_size = self.random.choice(FLEET_SIZES)
         dispatcher = DispatcherProcess(self.folder, 0, self.addresses[0], self.seed, PeersTotal=fleet_size)
-        self.has_crowd = self.random.random() < CROWD_SHARE
-        if self.has_crowd:
-            dispatcher.document["limits"] = {"sockets": CROWD_SOCKET_LIMIT}
+        self.has_idle_clients = self.random.random() < IDLE_CLIENTS_SHARE
+        if self.has_idle_clients:
+            dispatcher.document["limits"] = {"sockets": SOCKET_LIMIT_WITH_IDLE_CLIENTS}
         return dispatcher
 
     # ---- Faults ----
@@ -128,9 +128,11 @@
             self._drain_one()
         elif drawn < MOVE_LIMIT:
             self._move_discovery()
-        elif drawn < CROWD_LIMIT and self.has_crowd:
-            crowd = hold_idle_connections(self.dispatcher.port, CROWD_CONNECTIONS, CROWD_DURATION)
-            self.tasks.append(self.loop.create_task(crowd))
+        elif drawn < IDLE_CLIENTS_LIMIT and self.has_idle_clients:
+            idle_clients = hold_idle_connections(
+                self.dispatcher.port, IDLE_CONNECTIONS, IDLE_CONNECTIONS_DURATION
+            )
+            self.tasks.append(self.loop.create_task(idle_clients))
         elif not self.outage_lock.locked():
             self.tasks.append(self.loop.create_task(self._fail_discovery()))
             # A drain that is missed matters most just after a failure has begun.
@@ -216,7 +218,7 @@
         # A later process may begin with an old list, and has it for as long as it would from its start on.
         known_since = self.known_since[arrival.worker]
         since = known_since if arrival.at >= known_since else drained_at
-        last_allowed = since + LIST_VALIDITY + DRAIN_GRACE + SOCKET_SLACK + self.verdict.lateness
+        last_allowed = since + LIST_VALIDITY + DRAIN_GRACE + SOCKET_TOLERANCE + self.verdict.lateness
         late_by = arrival.at - last_allowed
         return f"{arrival.request_id} at {arrival.worker}, {late_by:.2f} s late" if late_by > 0 else ""
 
--- a/tests/testbed/scenarios/test_soak.py
+++ b/tests/testbed/scenarios/test_soak.py
@@ -7,7 +7,7 @@
 from ploverspoke.testbed.scenarios.soak import SoakVerdict, run_seed
 
 RUNS_LONG = True  # scheduled first: see tests/conftest.py
-SEEDS = (101, 102, 106, 109)  # the last two have a crowd
+SEEDS = (101, 102, 106, 109)  # the last two have idle clients
 
 
 def test_dispatcher_under_signals_and_faults_loses_and_misplaces_nothing() -> None:
