--- a/ploverspoke/testbed/capacity/measurements/config_server.py
+++ b/ploverspoke/testbed/capacity/measurements/config_server.py
@@ -1,14 +1,12 @@
-"""Measures the costs of config servers, of a dispatcher that watches them, and of publishing.
+"""Measures the costs of config servers and of publishing.
 
 Three servers on a rig, with the proxy in front of them and between them, where bytes are counted. Watchers
-are the product's own clients in the measuring process, all at the leader; the dispatcher is the program as
-users start it.
+are the product's own clients in the measuring process, all at the leader.
 """
 
 import asyncio
 import tempfile
 import time
-from functools import partial
 from pathlib import Path
 
 from ploverspoke.config_distribution.client import WatchClient
@@ -16,8 +14,6 @@
 from ploverspoke.config_distribution.messages import VerifiedVersion
 from ploverspoke.consensus.framing import FrameError
 
-from ...experiment_files.durations import SECOND
-from ...experiment_files.reader import parse_experiment
 from ...processes.addresses import ProcessAddress
 from ...processes.capacity_check import memory_backed_folder
 from ...processes.rig import Rig
@@ -26,7 +22,7 @@
 from .command_costs import METHOD as COMMAND_METHOD
 from .command_costs import run_command
 from .config_server_fleet import CLUSTER, SECRET, SERVER_COUNT, ConfigServerFleet, make_body
-from .dispatcher import RELOAD_OFFSET, WORKERS, dispatcher_experiment, measuring_interval
+from .dispatcher import RELOAD_OFFSET, measuring_interval
 from .measurement import (
     FOLDER_PREFIX,
     NO_RESULT,
@@ -41,14 +37,9 @@
     result_of,
     run_points,
 )
-from .measurement_fleet import Action, MeasurementFleet, run_fleet
-from .replica_usage import ByteRates, LinkBytes, UsageSampler, read_link_bytes, replica_metrics
+from .replica_usage import ByteRates, UsageSampler, read_link_bytes, replica_metrics
 
-ROLE, WATCHING_ROLE, PUBLISHER = (
-    "config server",
-    "dispatcher watching configuration",
-    "configuration publisher",
-)
+ROLE, PUBLISHER = "config server", "configuration publisher"
 BODY_SIZES = (4096, 16384)  # bytes
 CHANGE_RATES = (0, 10, 30, 60)  # a minute
 WATCHER_COUNTS = (20, 60, 150)
@@ -59,17 +50,10 @@
 SECONDS_PER_MINUTE = 60
 METHOD = (
     "the server that leads and that all watch, the others as follower_*; schedstat and /proc/PID/status, "
-    "bytes at relays; servers have the rig's starter"
-)
-WATCHING_METHOD = (
-    "schedstat and /proc/PID/status; bytes_*_config at a relay before the config servers, the others at the "
-    "stand-ins"
+    "bytes at the proxy; servers have the rig's launcher"
 )
 
 
-# ---- One server ----
-
-
 class _Watchers:
     """Light watchers of one server, in this process."""
 
@@ -188,108 +172,6 @@
     return result
 
 
-# ---- A dispatcher that watches ----
-
-
-async def _measure_without_watch(request: MeasurementRequest) -> Point:
-    interval = measuring_interval(request.quick)
-    experiment = parse_experiment(dispatcher_experiment(interval))
-    _, reading = await run_fleet(experiment, SEED, interval.settled * SECOND)
-    return Point(0.0, reading.metrics, reading.void)
-
-
-async def _measure_watching(changes: int, body_size: int, request: MeasurementRequest) -> Point:
-    interval = measuring_interval(request.quick)
-    experiment = parse_experiment(dispatcher_experiment(interval))
-    readings: list[LinkBytes] = []
-    with tempfile.TemporaryDirectory(prefix=FOLDER_PREFIX, dir=memory_backed_folder()) as folder:
-        try:
-            async with Rig(Path(folder), SEED) as rig:
-                servers = ConfigServerFleet(rig)
-                await servers.start()
-                leader = await servers.find_leader()
-                actions = _watching_actions(servers, readings, interval, changes, body_size)
-                watch = servers.write_watch_file(leader)
-                _, reading = await run_fleet(
-                    experiment, SEED, interval.settled * SECOND, actions, watch=watch
-                )
-                void = reading.void or rig.void_reason()
-        except (ProcessStartError, OSError, FrameError) as error:
-            return Point(float(changes), {}, str(error) or NOT_READY)
-    if not void and len(readings) < 2:
-        void = "too little was seen at the config servers"
-    # At config servers only bytes are counted.
-    metrics = {key: value for key, value in reading.metrics.items() if "messages" not in key}
-    if not void:
-        _add_config_traffic(metrics, ByteRates(*readings), leader.name)
-    text = void or f"core {metrics['core_share']:.3%}, {metrics['bytes_in_config']:.0f} bytes a second in"
-    request.say(f"{WATCHING_ROLE}, {changes} changes a minute of {body_size} bytes: {text}")
-    return Point(float(changes), metrics, void)
-
-
-def _watching_actions(
-    servers: ConfigServerFleet,
-    readings: list[LinkBytes],
-    interval: Interval,
-    changes: int,
-    body_size: int,
-) -> list[tuple[int, Action]]:
-    """Return a first version, a reading of the proxy at both ends of the interval, and changes in between."""
-    count = changes * interval.lasts // SECONDS_PER_MINUTE
-    publish = partial(_publish, servers, body_size)
-    read = partial(_append_link_bytes, servers, readings)
-    times = (interval.settled + RELOAD_OFFSET + number * interval.lasts / count for number in range(count))
-    return [
-        (SECOND, publish),
-        (interval.settled * SECOND, read),
-        *((int(at * SECOND), publish) for at in times),
-        (interval.end * SECOND, read),
-    ]
-
-
-async def _publish(servers: ConfigServerFleet, body_size: int, fleet: MeasurementFleet) -> None:
-    await servers.publish(body_size)
-    fleet.expected_reloads += 1
-
-
-async def _append_link_bytes(
-    servers: ConfigServerFleet, readings: list[LinkBytes], fleet: MeasurementFleet
-) -> None:
-    readings.append(await read_link_bytes(servers.rig))
-
-
-def _add_config_traffic(metrics: dict[str, float], rates: ByteRates, server: str) -> None:
-    into, out_of = rates.between(server, OUTSIDE), rates.between(OUTSIDE, server)
-    metrics["bytes_in_config"], metrics["bytes_out_config"] = into, out_of
-    metrics["bytes_in"] += into
-    metrics["bytes_out"] += out_of
-
-
-async def measure_changes_at_dispatcher(request: MeasurementRequest) -> MeasurementResult:
-    """Vary the changes a minute at a dispatcher that watches; one without a watch is noted beside it."""
-    result = NO_RESULT
-    for body_size in BODY_SIZES:
-        watching = [_measure_watching(rate, body_size, request) for rate in CHANGE_RATES]
-        without, *points = await run_points([_measure_without_watch(request), *watching], request)
-        fixed = {"body_bytes": float(body_size), "workers_listed": float(WORKERS)}
-        note = _note_without_watch(without)
-        measured = MeasuredLoad(WATCHING_ROLE, "changes_a_minute", WATCHING_METHOD, fixed, note)
-        result = result.plus(result_of(measured, points))
-    return result
-
-
-def _note_without_watch(point: Point) -> str:
-    if point.void:
-        return f"without a watch: void: {point.void}"
-    return (
-        f"without a watch, in the same call: core_share {point.metrics['core_share']:.6f}, "
-        f"memory_bytes {point.metrics['memory_bytes']:.0f}"
-    )
-
-
-# ---- The command that publishes ----
-
-
 async def measure_publisher(request: MeasurementRequest) -> MeasurementResult:
     """Vary the body of `config publish`, from the start of the command to the committed version."""
     points = [await _measure_publish(size, request) for size in PUBLISHED_SIZES]
@@ -318,6 +200,5 @@
 MEASUREMENTS = [
     Measurement((ROLE,), "watchers", measure_watchers),
     Measurement((ROLE,), "changes_a_minute", measure_changes_at_server),
-    Measurement((WATCHING_ROLE,), "changes_a_minute", measure_changes_at_dispatcher),
     Measurement((PUBLISHER,), "body_bytes", measure_publisher),
 ]
--- a/ploverspoke/testbed/capacity/measurements/discovery_and_workers.py
+++ b/ploverspoke/testbed/capacity/measurements/discovery_and_workers.py
@@ -11,6 +11,7 @@
 from ...experiment_files.reader import parse_experiment
 from ..measured_costs import CostPerUnit
 from .dispatcher import STARTS_PER_DISPATCHER
+from .fake_reports import TRAFFIC
 from .measurement import (
     SEED,
     Interval,
@@ -23,7 +24,7 @@
     result_of,
     run_points,
 )
-from .measurement_fleet import TRAFFIC, MeasurementFleet, run_fleet
+from .measurement_fleet import MeasurementFleet, run_fleet
 
 ZONES, WORKERS_PER_ZONE = 7, 140
 WORKERS = ZONES * WORKERS_PER_ZONE
@@ -34,7 +35,7 @@
 DEATH_NOTICED_AFTER = 3  # seconds, by discovery
 WORST_WITHIN = 4  # seconds after a loss, and after its end
 RESTARTED_AT, RESTART_LASTS, RESTART_SETTLED = 5, 9, 2  # seconds
-METHOD = "streams at the stand-ins, without TCP and IP heads; the dispatchers have the rig's starter"
+METHOD = "streams at the fakes, without TCP and IP heads; the dispatchers have the rig's launcher"
 # A dispatcher's direction of traffic, from the other side.
 REVERSED = {
     "bytes_in": "bytes_out",
@@ -169,25 +170,27 @@
 def _at_discovery(fleet: MeasurementFleet) -> dict[str, float]:
     """Return the rates of all dispatchers together; in and out from discovery's side."""
     begin, end = fleet.settled, fleet.ends
-    rates = fleet.rates("discovery", TRAFFIC, begin, end)
+    rates = fleet.reports.rates("discovery", TRAFFIC, begin, end)
     metrics = {REVERSED[key]: rate for key, rate in rates.items()}
-    return {**metrics, "connections": fleet.mean("discovery", "connections", begin, end)}
+    return {**metrics, "connections": fleet.reports.mean("discovery", "connections", begin, end)}
 
 
 def _at_worker(fleet: MeasurementFleet) -> dict[str, float]:
     """Return one worker's part, on average; in and out from its side."""
     begin, end = fleet.settled, fleet.ends
-    rates = fleet.rates("workers", (*TRAFFIC, "connected", "probes"), begin, end)
+    rates = fleet.reports.rates("workers", (*TRAFFIC, "connected", "probes"), begin, end)
     connected = rates.pop("connected")
     metrics = {REVERSED.get(key, key): rate / WORKERS for key, rate in rates.items()}
-    connections = fleet.mean("workers", "connections", begin, end)
+    connections = fleet.reports.mean("workers", "connections", begin, end)
     return {**metrics, "connections": connections / WORKERS, "connections_made": connected / WORKERS}
 
 
 def _worst_second(fleet: MeasurementFleet, begin: int, end: int) -> dict[str, float]:
     """Return the most that came to discovery in any second; times in seconds of the run."""
     return {
-        f"{REVERSED[key]}_worst_second": fleet.worst_second("discovery", key, begin * SECOND, end * SECOND)
+        f"{REVERSED[key]}_worst_second": fleet.reports.worst_second(
+            "discovery", key, begin * SECOND, end * SECOND
+        )
         for key in ("messages_out", "bytes_in")
     }
 
@@ -196,7 +199,8 @@
     """Return what came to discovery in that time."""
     names = {"messages_out": "messages_after_restart", "bytes_in": "bytes_after_restart"}
     return {
-        name: fleet.increase("discovery", key, begin * SECOND, end * SECOND) for key, name in names.items()
+        name: fleet.reports.increase("discovery", key, begin * SECOND, end * SECOND)
+        for key, name in names.items()
     }
 
 
--- a/ploverspoke/testbed/capacity/measurements/dispatcher.py
+++ b/ploverspoke/testbed/capacity/measurements/dispatcher.py
@@ -29,11 +29,11 @@
 ROLE = "dispatcher"
 METHOD = (
     "processor time of the scheduler's own count (schedstat), memory of /proc/PID/status, "
-    "bytes and messages of the streams at the stand-ins, without TCP and IP heads"
+    "bytes and messages of the streams at the fakes, without TCP and IP heads"
 )
 GOSSIP_METHOD = (
-    "one zone, so that each tells all; bytes and datagrams at the relays between dispatchers; "
-    "core_share is with the rig's starter, which costs time of its own"
+    "one zone, so that each sends to all; bytes and datagrams at the proxy between dispatchers; "
+    "core_share is with the rig's launcher, which costs time of its own"
 )
 INTERVAL, QUICK_INTERVAL = Interval(5, 12), Interval(3, 4)
 WORKERS = 100  # where they are not varied
--- a/ploverspoke/testbed/capacity/measurements/lease_server.py
+++ b/ploverspoke/testbed/capacity/measurements/lease_server.py
@@ -49,8 +49,8 @@
 SAMPLE_INTERVAL = 0.5  # seconds
 POLL_INTERVAL = 0.1  # seconds
 METHOD = (
-    "the keeper that leads, the others as follower_*; schedstat and /proc/PID/status, bytes at relays; "
-    "keepers have the rig's starter"
+    "the lease server that leads, the others as follower_*; schedstat and /proc/PID/status, "
+    "bytes at the proxy; lease servers have the rig's launcher"
 )
 
 
--- a/ploverspoke/testbed/capacity/measurements/measurement_fleet.py
+++ b/ploverspoke/testbed/capacity/measurements/measurement_fleet.py
@@ -28,22 +28,18 @@
 from ...processes.running_process import ProcessStartError, RunningProcess
 from ...scenarios.dispatcher_program import DispatcherProgram
 from ...scenarios.socket_fleet import SocketFleet
+from .fake_reports import FAKES, TRAFFIC, FakeReports, increase_rate
 from .measurement import FOLDER_PREFIX
 from .replica_usage import core_share, memory_growth
 
 SAMPLE_INTERVAL = 500 * MILLISECOND
 REPORT_DELAY = 400 * MILLISECOND  # after the end of the interval, until the fakes have reported it
-SECOND_TOLERANCE = 20 * MILLISECOND  # by which four reports may make less than a second
 LOOPBACK = "127.0.0.1"  # the kernel's own choice of a sender's address
 MAX_UNSUCCESSFUL = 0.02  # share of the answers; with more the fleet did not carry its load
 MIN_ANSWERS = 50  # that the share is taken of
-# Which fake reports, by a key that only its reports have.
-FAKE_BY_KEY = {"running": "workers", "answers": "clients", "version": "discovery"}
 SETTINGS_APPLIED = "new configuration: settings applied"  # in a dispatcher's log
-TRAFFIC = ("bytes_in", "bytes_out", "messages_in", "messages_out")
 
 Action = Callable[["MeasurementFleet"], Awaitable[None] | None]
-Report = dict[str, Any]  # of a fake process, as JSON
 
 
 class Reading(NamedTuple):
@@ -83,12 +79,12 @@
         watch: Path | None = None,
     ) -> None:
         """`interval` and the times of `actions` are ns from the start of the run."""
-        super().__init__(experiment, seed, folder, self._on_report)
+        self.reports = FakeReports()
+        super().__init__(experiment, seed, folder, self.reports.add)
         self.reports_traffic = True
         self.settled, self.ends = interval
         self.configs: list[dict[str, Any]] = []  # of the dispatchers
         self.expected_reloads = 0
-        self.reports: dict[str, list[Report]] = {fake: [] for fake in FAKE_BY_KEY.values()}
         self.samples: list[list[tuple[int, ResourceUsage]]] = []  # by dispatcher
         self._watch = watch
         self._actions = sorted(actions, key=lambda action: action[0])
@@ -120,14 +116,6 @@
 
     # ---- While it runs ----
 
-    def _on_report(self, report: Report) -> None:
-        if "traffic" not in report:
-            return
-        for key, fake in FAKE_BY_KEY.items():
-            if key in report:
-                keys = (key, "counted_at", "traffic", *(["sent"] if fake == "clients" else []))
-                self.reports[fake].append({each: report[each] for each in keys})
-
     async def _sample(self, epoch: int) -> None:
         self.samples = [[] for _ in self.programs]
         at = self.settled
@@ -159,43 +147,6 @@
             except (OSError, ProcessStartError, FrameError) as error:
                 self.rig.errors.append(f"what was to be done could not be: {error}")
 
-    # ---- What was reported ----
-
-    def reports_between(self, fake: str, begin: int, end: int) -> list[Report]:
-        """Return the reports of these fakes in that time of the run (ns)."""
-        return [report for report in self.reports[fake] if begin <= report["counted_at"] <= end]
-
-    def rates(self, fake: str, keys: Sequence[str], begin: int, end: int) -> dict[str, float]:
-        """Return the rates a second over all dispatchers."""
-        reports = self.reports_between(fake, begin, end)
-        first, last = reports[0], reports[-1]
-        seconds = (last["counted_at"] - first["counted_at"]) / SECOND
-        return {key: (_total(last, key) - _total(first, key)) / seconds for key in keys}
-
-    def increase(self, fake: str, key: str, begin: int, end: int) -> float:
-        """Return the increase of a counter over all dispatchers."""
-        reports = self.reports_between(fake, begin, end)
-        return _total(reports[-1], key) - _total(reports[0], key)
-
-    def worst_second(self, fake: str, key: str, begin: int, end: int) -> float:
-        """Return the largest increase a second of a counter, over all dispatchers."""
-        counts = [
-            (report["counted_at"], _total(report, key)) for report in self.reports_between(fake, begin, end)
-        ]
-        largest = 0.0
-        for index, (at, count) in enumerate(counts):
-            later = next(
-                (other for other in counts[index:] if other[0] - at >= SECOND - SECOND_TOLERANCE), None
-            )
-            if later is not None:
-                largest = max(largest, (later[1] - count) * SECOND / (later[0] - at))
-        return largest
-
-    def mean(self, fake: str, key: str, begin: int, end: int) -> float:
-        """Return the mean of a value, summed over all dispatchers."""
-        reports = self.reports_between(fake, begin, end)
-        return float(np.mean([_total(report, key) for report in reports]))
-
     # ---- What it comes to ----
 
     def read(self) -> Reading:
@@ -210,7 +161,7 @@
 
     def _too_little_seen(self) -> str:
         interval = self.settled, self.ends
-        has_reports = all(len(self.reports_between(fake, *interval)) >= 2 for fake in self.reports)
+        has_reports = all(len(self.reports.between(fake, *interval)) >= 2 for fake in FAKES)
         has_samples = all(len(samples) >= 2 for samples in self.samples)
         return "" if has_reports and has_samples else "too little was seen of the stretch"
 
@@ -227,8 +178,8 @@
         count = len(self.programs)
         metrics: dict[str, float] = {}
         totals = dict.fromkeys(TRAFFIC, 0.0)
-        for fake in self.reports:
-            for key, rate in self.rates(fake, TRAFFIC, self.settled, self.ends).items():
+        for fake in FAKES:
+            for key, rate in self.reports.rates(fake, TRAFFIC, self.settled, self.ends).items():
                 totals[key] += rate / count
                 if key.startswith("bytes"):
                     metrics[f"{key}_{fake}"] = rate / count
@@ -255,33 +206,23 @@
     def _observed_amounts(self) -> dict[str, float]:
         interval = self.settled, self.ends
         count = len(self.programs)
-        running = [report["running"] for report in self.reports_between("workers", *interval)]
-        sent = self.reports_between("clients", *interval)
-        versions = self.reports_between("discovery", *interval)
+        running = [report["running"] for report in self.reports.between("workers", *interval)]
+        sent = self.reports.between("clients", *interval)
+        versions = self.reports.between("discovery", *interval)
         return {
             "tasks_running": float(np.mean(running)) / count,
-            "starts_a_second": _rate(sent, "sent") / count,
-            "list_changes_a_second": _rate(versions, "version"),
+            "starts_a_second": increase_rate(sent, "sent") / count,
+            "list_changes_a_second": increase_rate(versions, "version"),
         }
 
     def _load_not_carried(self) -> str:
-        answers: dict[str, int] = self.reports["clients"][-1]["answers"]
+        answers: dict[str, int] = self.reports.latest("clients")["answers"]
         unsuccessful = sum(count for outcome, count in answers.items() if outcome != "satisfied")
         if unsuccessful > MAX_UNSUCCESSFUL * max(MIN_ANSWERS, sum(answers.values())):
             return f"the load was not carried: {answers}"
         return ""
 
 
-def _total(report: Report, key: str) -> float:
-    """Return a counter's sum over all dispatchers."""
-    return float(sum(traffic[key] for traffic in report["traffic"]))
-
-
-def _rate(reports: Sequence[Report], key: str) -> float:
-    first, last = reports[0], reports[-1]
-    return float((last[key] - first[key]) / ((last["counted_at"] - first["counted_at"]) / SECOND))
-
-
 async def run_fleet(
     experiment: Experiment,
     seed: int,
--- a/ploverspoke/testbed/capacity/measurements/store_replica.py
+++ b/ploverspoke/testbed/capacity/measurements/store_replica.py
@@ -46,11 +46,11 @@
 CATCH_UP_POLL = 0.005  # seconds
 WORKERS = 20
 METHOD = (
-    "the replica that leads, the others as follower_*; schedstat and /proc/PID/status, bytes at the relays "
-    "between replicas; they have the rig's starter"
+    "the replica that leads, the others as follower_*; schedstat and /proc/PID/status, bytes at the proxy "
+    "between replicas; they have the rig's launcher"
 )
 STATE_METHOD = "a process that holds a ledger alone: its memory beyond the empty one, its snapshot on disk"
-ABSENCE_METHOD = "from the replica's own readiness on, bytes at the relays towards it"
+ABSENCE_METHOD = "from the replica's own readiness on, bytes at the proxy towards it"
 
 
 def _experiment(rate: float, seconds: int, replicas: int, **more: Any) -> dict[str, Any]:
--- a/ploverspoke/testbed/commands/measure_costs.py
+++ b/ploverspoke/testbed/commands/measure_costs.py
@@ -26,6 +26,7 @@
     dispatcher,
     lease_server,
     store_replica,
+    watching_dispatcher,
 )
 from ..capacity.measurements.measurement import Measurement, MeasurementRequest, MeasurementResult
 from ..processes.capacity_check import CapacityError
@@ -39,6 +40,7 @@
     *lease_server.MEASUREMENTS,
     *store_replica.MEASUREMENTS,
     *config_server.MEASUREMENTS,
+    *watching_dispatcher.MEASUREMENTS,
     *command_costs.MEASUREMENTS,
 ]
 
--- a/ploverspoke/testbed/scenarios/scale_fleet.py
+++ b/ploverspoke/testbed/scenarios/scale_fleet.py
@@ -243,7 +243,7 @@
         if self.loop_lateness > MAX_LATENESS:
             late = format_duration(self.loop_lateness)
             first = f"first by {self._late_at / SECOND:.0f} s"
-            return f"hollow dispatchers held each other up: their loop was late by {late} ({first})"
+            return f"simulated dispatchers delayed each other: their loop was late by {late} ({first})"
         return super().void_reason()
 
 
--- a/ploverspoke/testbed/scenarios/scale_resources.py
+++ b/ploverspoke/testbed/scenarios/scale_resources.py
@@ -104,7 +104,7 @@
     load = cores.tasks_running * DESCRIPTORS_PER_TASK + cores.starts_a_second * DESCRIPTORS_PER_START
     descriptors = PROCESS_DESCRIPTORS + int(per_host * (DESCRIPTORS_PER_DISPATCHER + load / count))
     memory = PROCESS_MEMORY + per_host * DISPATCHER_MEMORY
-    return ResourceDemand("hollow processes", hosts, memory, descriptors)
+    return ResourceDemand("processes of simulated dispatchers", hosts, memory, descriptors)
 
 
 def total_memory() -> int:
--- /dev/null
+++ b/ploverspoke/testbed/scenarios/scale_results.py
@@ -0,0 +1,115 @@
+"""Results of scale scenarios: the file that they are kept in, and what of them a comparison makes void."""
+
+import platform
+import subprocess
+import time
+from collections.abc import Callable, Sequence
+from os import sched_getaffinity
+from pathlib import Path
+
+import msgspec
+
+from ..capacity.scenario_results import FORMAT, ScenarioResult, ScenarioResults
+from ..checkers.scale_comparison import ALWAYS_VOID, mark_void_metrics
+from ..checkers.scale_metrics import Metrics
+from ..experiment_files.errors import ExperimentError
+from .scale_experiment import COMPARISON
+from .scale_resources import total_memory
+
+LENGTHS = "absences of two lengths"  # the row that compares cuts of a region
+GIBIBYTE_SHIFT = 30
+
+
+class ResultLog:
+    """Results of this call and those that the file has; the file is written after each one."""
+
+    def __init__(self, out: Path | None, on_result: Callable[[ScenarioResult], None]) -> None:
+        """Read the file `out` if there is one. Raises ExperimentError where it cannot be read."""
+        self._out = out
+        self._on_result = on_result
+        self._stored = read_or_begin_results(out)
+        self.fresh: list[ScenarioResult] = []
+
+    @property
+    def all(self) -> list[ScenarioResult]:
+        """The results of the file and of this call, in order of time."""
+        return self._stored.runs
+
+    def add(self, result: ScenarioResult) -> None:
+        """Add a result of this call and write the file."""
+        self.fresh.append(result)
+        self._stored.runs.append(result)
+        self._on_result(result)
+        if self._out is not None:
+            document = msgspec.json.format(msgspec.json.encode(self._stored))
+            self._out.write_bytes(document + b"\n")
+
+    def apply_void_kinds(self, void_kinds: Sequence[str]) -> None:
+        """Mark results of earlier calls, which a new comparison binds as well."""
+        self._stored.runs[:] = [mark_void_result(result, void_kinds) for result in self._stored.runs]
+
+
+def known_metrics(result: ScenarioResult) -> Metrics:
+    """Return the metrics that were measured."""
+    return {key: value for key, value in result.metrics.items() if value is not None}
+
+
+def mark_void_result(result: ScenarioResult, void_kinds: Sequence[str]) -> ScenarioResult:
+    """Mark the metrics of void kinds in a simulated run's result, and drop the checks that rest on them."""
+    if not result.simulated or result.scenario.startswith(COMPARISON) or result.scenario == LENGTHS:
+        return result
+    # Metrics that were not measured are null in stored results and have nothing to mark.
+    marked = mark_void_metrics(known_metrics(result), void_kinds)
+    unknown = {key: None for key, value in result.metrics.items() if value is None}
+    result = msgspec.structs.replace(result, metrics={**marked, **unknown})
+    openings = tuple(kind for kind in void_kinds if kind != ALWAYS_VOID)
+    if not openings:
+        return result
+    return msgspec.structs.replace(
+        result,
+        held=[text for text in result.held if not text.startswith(openings)],
+        failed=[text for text in result.failed if not text.startswith(openings)],
+        note=void_note(void_kinds),
+    )
+
+
+def void_note(void_kinds: Sequence[str]) -> str:
+    """Return the note of a result that has void kinds of metrics."""
+    return f"void by kind, since simulated and real dispatchers differ there: {', '.join(void_kinds)}"
+
+
+def void_kinds_of(results: Sequence[ScenarioResult]) -> list[str]:
+    """Return the kinds that are void by the last comparison that is not void itself."""
+    comparisons = (row for row in reversed(results) if row.scenario == COMPARISON and not row.void)
+    last = next(comparisons, None)
+    kinds = [] if last is None else [text.partition(":")[0] for text in last.failed]
+    return [*kinds, ALWAYS_VOID]
+
+
+def read_or_begin_results(out: Path | None) -> ScenarioResults:
+    """Return new results with the runs that the file has, if there is one. Raises ExperimentError."""
+    today = time.strftime("%Y-%m-%d", time.gmtime())
+    runs: list[ScenarioResult] = []
+    if out is not None and out.exists():
+        try:
+            runs = msgspec.json.decode(out.read_bytes(), type=ScenarioResults).runs
+        except (OSError, msgspec.DecodeError) as error:
+            raise ExperimentError(reason=f"no results of plays: {error}", location=str(out)) from error
+    return ScenarioResults(
+        format=FORMAT, date=today, commit=_commit(), machine=_describe_machine(), runs=runs
+    )
+
+
+def _commit() -> str:
+    """Return the commit that is run; unknown outside of a repository."""
+    words = ["git", "rev-parse", "--short", "HEAD"]
+    try:
+        done = subprocess.run(words, capture_output=True, text=True, check=True, cwd=Path(__file__).parent)
+    except (OSError, subprocess.CalledProcessError):
+        return "unknown"
+    return done.stdout.strip()
+
+
+def _describe_machine() -> str:
+    cores, gibibytes = len(sched_getaffinity(0)), total_memory() >> GIBIBYTE_SHIFT
+    return f"{cores} cores, {gibibytes} GiB, Python {platform.python_version()}"
--- a/tests/testbed/capacity/test_measured_costs.py
+++ b/tests/testbed/capacity/test_measured_costs.py
@@ -135,10 +135,10 @@
     """Eight long tasks run and tell their progress; one reload; nothing else passes in the stretch."""
     interval = Interval(2, 3)
     traffic = [{"rate": 8.0, "start": "0s", "end": "1s"}]
-    e = parse_experiment(dispatcher_experiment(interval, 5, work="900s", traffic=traffic))
-    acts = [(int(2.2 * SECOND), reload_action(e, 0))]
-    fleet, _ = asyncio.run(run_fleet(e, 1, interval.settled * SECOND, acts))
-    reports = {kind: received[-1] for kind, received in fleet.reports.items()}
+    experiment = parse_experiment(dispatcher_experiment(interval, 5, work="900s", traffic=traffic))
+    acts = [(int(2.2 * SECOND), reload_action(experiment, 0))]
+    fleet, _ = asyncio.run(run_fleet(experiment, 1, interval.settled * SECOND, acts))
+    reports = {kind: fleet.reports.latest(kind) for kind in ("workers", "clients", "discovery")}
     (at_workers,), (at_clients,) = reports["workers"]["traffic"], reports["clients"]["traffic"]
     (at_discovery,) = reports["discovery"]["traffic"]
     sent, running = reports["clients"]["sent"], reports["workers"]["running"]
--- a/tests/testbed/checkers/test_distribution_checker.py
+++ b/tests/testbed/checkers/test_distribution_checker.py
@@ -157,7 +157,8 @@
     reachability = ObservedReachability(make_run(one_way, third))
     # With s2 away s0 and s1 are the majority, and they are apart meanwhile.
     assert [
-        (b // MILLISECOND, e // MILLISECOND) for b, e in reachability.reachable_intervals(4 * SECOND)["d0"]
+        (begin // MILLISECOND, end // MILLISECOND)
+        for begin, end in reachability.reachable_intervals(4 * SECOND)["d0"]
     ] == [
         (0, 5000),
         (0, 10_000),
--- a/tests/testbed/commands/test_experiment_commands.py
+++ b/tests/testbed/commands/test_experiment_commands.py
@@ -103,10 +103,10 @@
 
 
 def test_result_is_written_and_read_back(tmp_path: Path) -> None:
-    e = small_experiment(
+    experiment = small_experiment(
         seeds=[1, 2], policies=["ours", "random"], must_hold={"service": 0.5, "over": {"random": 2.0}}
     )
-    result = run_experiment(e, "virtual", tmp_path)
+    result = run_experiment(experiment, "virtual", tmp_path)
     assert len(result.held) == 2 and "over random" in result.failed[0]
     again = read_result(tmp_path)
     assert again.runs == result.runs
--- a/tests/testbed/models/test_models.py
+++ b/tests/testbed/models/test_models.py
@@ -266,9 +266,11 @@
 def test_a_paused_dispatcher_handles_what_came_meanwhile_and_the_others_go_on() -> None:
     pause = {"what": "dispatcher paused", "at": "2s", "lasts": "500ms", "dispatchers": [0]}
     events = run_virtual_time(small_experiment(troubles=[pause]), 1, "ours")
-    answered = [e for e in events if e.kind == event_records.REQUEST_ANSWERED]
-    stopped = [e for e in answered if e.dispatcher == 0 and 2.001 * SECOND < e.at < 2.5 * SECOND]
-    went_on = [e for e in answered if e.dispatcher == 1 and 2 * SECOND < e.at < 2.5 * SECOND]
-    woke = [e for e in answered if e.dispatcher == 0 and 2.5 * SECOND <= e.at < 2.51 * SECOND]
+    answered = [event for event in events if event.kind == event_records.REQUEST_ANSWERED]
+    stopped = [
+        event for event in answered if event.dispatcher == 0 and 2.001 * SECOND < event.at < 2.5 * SECOND
+    ]
+    went_on = [event for event in answered if event.dispatcher == 1 and 2 * SECOND < event.at < 2.5 * SECOND]
+    woke = [event for event in answered if event.dispatcher == 0 and 2.5 * SECOND <= event.at < 2.51 * SECOND]
     assert not stopped and went_on and len(woke) > 3
     assert audit_requests(small_experiment(), events, VIRTUAL_TOLERANCE) == []
--- a/tests/testbed/scale/test_scale.py
+++ b/tests/testbed/scale/test_scale.py
@@ -161,7 +161,7 @@
     spec.write_bytes(msgspec.json.encode(DispatcherHostSpec([places])))
     with (folder / "log").open("wb") as log:
         child = SimulatedDispatcherHost(await ChildProcess.start(MODULE, [str(spec), "0"], log))
-    e = small_experiment(dispatchers={"count": count})
+    experiment = small_experiment(dispatchers={"count": count})
     try:
         await child.listen()
         programs = [
@@ -173,7 +173,7 @@
                     "listen": f"{place.address}:{block.reserve_port(place.address)}",
                     "discovery": discovery,
                     "seed": f"{place.number}",
-                    "settings": dispatcher_settings(e, place.number),
+                    "settings": dispatcher_settings(experiment, place.number),
                 },
             )
             for place in places
@@ -228,10 +228,10 @@
         assert await harness.status_of(0, "POST /look", same) == 409 != first
         assert await harness.status_of(1, "POST /look", same) == first
         # A setting that is changed at one binds that one.
-        e = small_experiment(
+        experiment = small_experiment(
             dispatchers={"count": 2}, grades=[{"name": name} for name in ("look", "book", "more")]
         )
-        harness.programs[0].config["settings"] = dispatcher_settings(e, 0)
+        harness.programs[0].config["settings"] = dispatcher_settings(experiment, 0)
         harness.programs[0].write_config()
         harness.programs[0].reload_config()
         while await harness.status_of(0, "GET /more") == 404:
@@ -255,9 +255,9 @@
 
 
 def run_simulated(
-    e: Experiment, folder: Path, counts: ProcessCounts
+    experiment: Experiment, folder: Path, counts: ProcessCounts
 ) -> tuple[SimulatedScaleFleet, list[Event]]:
-    fleet = SimulatedScaleFleet(e, 1, folder, counts)
+    fleet = SimulatedScaleFleet(experiment, 1, folder, counts)
 
     async def whole() -> None:
         try:
@@ -271,7 +271,7 @@
 
 
 def test_run_with_a_lost_zone_and_a_region_partition_keeps_the_rules(tmp_path: Path) -> None:
-    e = small_experiment(
+    experiment = small_experiment(
         lasts="5s",
         dispatchers={"count": 9},
         workers=THREE_ZONES,
@@ -283,9 +283,9 @@
             {"what": "dispatcher restarted", "at": "2s", "lasts": "2500ms", "dispatchers": [4]},
         ],
     )
-    fleet, events = run_simulated(e, tmp_path, ProcessCounts(hosts=2, workers=2, clients=1))
+    fleet, events = run_simulated(experiment, tmp_path, ProcessCounts(hosts=2, workers=2, clients=1))
     assert fleet.rig.errors == []
-    assert audit_requests(e, events, SOCKETS_TOLERANCE) == []
+    assert audit_requests(experiment, events, SOCKETS_TOLERANCE) == []
     assert {event.dispatcher for event in events if event.kind == ATTEMPT_ARRIVED} == set(range(9))
     sent = {event.job for event in events if event.kind == REQUEST_SENT}
     began = {event.job for event in events if event.kind == ATTEMPT_STARTED}
@@ -295,7 +295,7 @@
     # What the stand-ins counted is what came: an answer to each hand-off at the least.
     came = sum(event.kind == ATTEMPT_ARRIVED for event in events)
     assert last.traffic["workers"]["messages_out"] >= came
-    assert last.traffic["discovery"]["bytes_in"] > 9 * len(e.worker_names()) * 50
+    assert last.traffic["discovery"]["bytes_in"] > 9 * len(experiment.worker_names()) * 50
 
 
 def test_no_message_passes_a_partition_between_regions_on_virtual_time() -> None:
@@ -303,21 +303,25 @@
     trouble = {"what": "region cut", "at": "2s", "lasts": "2s"}
     # The second region has less than its dispatchers need, so they send into the first.
     workers = [{"count": 3, "zone": "a"}, {"count": 3, "zone": "b"}, {"count": 1, "slots": 1, "zone": "c"}]
-    e = small_experiment(
+    experiment = small_experiment(
         dispatchers={"count": 6},
         workers=workers,
         network=REGIONS,
         troubles=[trouble],
         traffic=[{"rate": 200.0}],
     )
-    events = run_virtual_time(e, 1, "ours")
-    assert audit_requests(e, events, VIRTUAL_TOLERANCE) == []
-    zone_of = {name: number // 3 for number, name in enumerate(e.worker_names())}
+    events = run_virtual_time(experiment, 1, "ours")
+    assert audit_requests(experiment, events, VIRTUAL_TOLERANCE) == []
+    zone_of = {name: number // 3 for number, name in enumerate(experiment.worker_names())}
     came = [event for event in events if event.kind == ATTEMPT_ARRIVED]
-    across = [x for x in came if e.region(x.dispatcher % 3) != e.region(zone_of[x.worker])]
+    across = [x for x in came if experiment.region(x.dispatcher % 3) != experiment.region(zone_of[x.worker])]
     assert not [x for x in across if begin + 10 * SECOND // 1000 < x.at < end]
     assert any(x.at < begin for x in across) and any(x.at >= end for x in across)
-    assert (e.one_way(0, 0), e.one_way(0, 1), e.one_way(1, 2)) == (200_000, 1_000_000, 5_000_000)
+    assert (experiment.one_way(0, 0), experiment.one_way(0, 1), experiment.one_way(1, 2)) == (
+        200_000,
+        1_000_000,
+        5_000_000,
+    )
 
 
 @pytest.mark.parametrize(
@@ -345,12 +349,12 @@
         raise AssertionError("something was started")
 
     monkeypatch.setattr(ChildProcess, "start", no_child)
-    e = small_experiment(dispatchers={"count": 40}, workers=THREE_ZONES)
+    experiment = small_experiment(dispatchers={"count": 40}, workers=THREE_ZONES)
     with pytest.raises(CapacityError, match=r"cores wanted .*40 dispatchers\), 0.01 are there"):
-        run_simulated(e, tmp_path, ProcessCounts(2, 1, 1, cores=0.01))
+        run_simulated(experiment, tmp_path, ProcessCounts(2, 1, 1, cores=0.01))
     monkeypatch.setattr(scale_fleet, "total_memory", lambda: 1 << 30)
     with pytest.raises(CapacityError, match="MiB wanted, 512 are half of the machine's"):
-        run_simulated(e, tmp_path, ProcessCounts(2, 1, 1))
+        run_simulated(experiment, tmp_path, ProcessCounts(2, 1, 1))
     monkeypatch.undo()
     shared = small_experiment(grades=[{"name": "a", "repeat": "labelled"}], workers=THREE_ZONES)
     with pytest.raises(ExperimentError, match="worker processes"):
@@ -361,7 +365,7 @@
     fleet = SimulatedScaleFleet(small_experiment(), 1, tmp_path, ProcessCounts(1, 1, 1))
     assert fleet.void_reason() == ""
     fleet.loop_lateness = MAX_LATENESS + 1
-    assert "held each other up" in fleet.void_reason()
+    assert "delayed each other" in fleet.void_reason()
     fleet.rig.block.close()
 
     async def held_up() -> int:
@@ -407,14 +411,18 @@
 def test_scenario_has_the_load_of_the_fleet_file() -> None:
     fleet = parse_fleet(FLEET)
     table = read_scale_scenarios(fleet)
-    e = scale_experiment(fleet, table, table.scenarios[0])
-    _, running, starts = estimate_cores(e)
+    experiment = scale_experiment(fleet, table, table.scenarios[0])
+    _, running, starts = estimate_cores(experiment)
     assert (round(running, 6), starts) == (12.0, 20.0)
-    assert len(e.worker_names()) == 9 and e.zones() == ["a", "b", "c"] and e.dispatchers.count == 4
+    assert (
+        len(experiment.worker_names()) == 9
+        and experiment.zones() == ["a", "b", "c"]
+        and experiment.dispatchers.count == 4
+    )
 
 
 def test_metrics_are_checked_against_their_limits() -> None:
-    e = small_experiment(grades=[{"name": "urgent"}, {"name": "ordinary"}], counted_from="1s")
+    experiment = small_experiment(grades=[{"name": "urgent"}, {"name": "ordinary"}], counted_from="1s")
     sent = [
         Event(n * SECOND, REQUEST_SENT, f"{n}-0", n, 0, detail=[0, 0, 9 * SECOND, n * SECOND])
         for n in (0, 1, 2, 3)
@@ -425,7 +433,7 @@
         for n in (1, 2)
         for again in (0, 1)
     ]
-    assert urgent_start_delays(e, merge_events([sent, began])) == [1, 2, -1]
+    assert urgent_start_delays(experiment, merge_events([sent, began])) == [1, 2, -1]
     ratios, void = compare_metrics(
         {"core_share": 0.8, "network_bytes_in": 1.1}, {"core_share": 1.0, "network_bytes_in": 1.0}, 0.15
     )
@@ -441,7 +449,7 @@
 
 
 def test_metrics_of_an_outage_are_read_from_its_own_interval() -> None:
-    e = small_experiment(grades=[{"name": "urgent"}], lasts="30s", counted_from="2s")
+    experiment = small_experiment(grades=[{"name": "urgent"}], lasts="30s", counted_from="2s")
     cut = ScaleScenario(
         name="cut",
         kind="region cut",
@@ -463,7 +471,7 @@
         return UsageSample(second * SECOND, used, {"workers": octets, "discovery": octets}, 0)
 
     seen = ScaleObservations(
-        e, [], cast(RunScore, None), [sample(second) for second in range(0, 30, 2)], [], 0
+        experiment, [], cast(RunScore, None), [sample(second) for second in range(0, 30, 2)], [], 0
     )
     assert region_cut_metrics(seen, cut) == {
         "away_resident_mb": 7.0,
