--- a/ploverspoke/testbed/capacity/fleet_size.py
+++ b/ploverspoke/testbed/capacity/fleet_size.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from ..experiment_files.durations import Duration, parse_duration
+from ..experiment_files.durations import Duration, decode_duration
 
 
 class FleetFileError(ValueError):
@@ -93,7 +93,7 @@
 def parse_fleet(document: dict[str, Any]) -> FleetSize:
     """Check a document: unknown keys, units, zero and negative sizes. Raises FleetFileError."""
     try:
-        fleet = msgspec.convert(document, FleetSize, dec_hook=_decode_duration)
+        fleet = msgspec.convert(document, FleetSize, dec_hook=decode_duration)
     except msgspec.ValidationError as error:
         raise FleetFileError("", str(error).replace("`$.", "`")) from error
     if fleet.kind != "fleet":
@@ -113,9 +113,3 @@
         values = value if isinstance(value, list) else [value]
         if not values or any(each <= 0 for each in values):
             raise FleetFileError(f"{name}.{key}", f"expected more than 0, got {value!r}")
-
-
-def _decode_duration(kind: type, value: Any) -> Any:
-    if kind is Duration:
-        return parse_duration(value)
-    raise NotImplementedError(kind)
--- a/ploverspoke/testbed/experiment_files/durations.py
+++ b/ploverspoke/testbed/experiment_files/durations.py
@@ -34,6 +34,18 @@
     return Duration(round(float(match[1]) * NANOSECONDS_PER_UNIT[match[2]]))
 
 
+def decode_duration(kind: type, value: object) -> Duration:
+    """Decode a value of a file as `msgspec.convert` asks for it, its `dec_hook`.
+
+    Raises:
+        DurationError: The number or its unit is missing.
+        NotImplementedError: `kind` is another type.
+    """
+    if kind is not Duration:
+        raise NotImplementedError(kind)
+    return value if isinstance(value, Duration) else parse_duration(value)
+
+
 def format_duration(nanoseconds: float) -> str:
     """Format for people: three digits and the largest unit that leaves a whole part."""
     for unit in ("s", "ms", "us"):
--- a/ploverspoke/testbed/experiment_files/reader.py
+++ b/ploverspoke/testbed/experiment_files/reader.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from .durations import Duration, parse_duration
+from .durations import decode_duration
 from .errors import ExperimentError
 from .experiment import Experiment
 from .validation import check_experiment
@@ -42,7 +42,7 @@
         ExperimentError: It is not a valid experiment.
     """
     try:
-        experiment = msgspec.convert(document, Experiment, dec_hook=_decode_duration)
+        experiment = msgspec.convert(document, Experiment, dec_hook=decode_duration)
     except msgspec.ValidationError as error:
         raise ExperimentError(str(error).replace("`$.", "`")) from None
     check_experiment(experiment)
@@ -52,9 +52,3 @@
 def experiment_from_builtins(document: dict[str, Any]) -> Experiment:
     """Return the experiment of `msgspec.to_builtins(experiment, enc_hook=int)`, where durations are ns."""
     return msgspec.convert(document, Experiment, dec_hook=lambda kind, value: kind(value))
-
-
-def _decode_duration(kind: type, value: object) -> Duration:
-    if kind is not Duration:
-        raise NotImplementedError(kind)
-    return value if isinstance(value, Duration) else parse_duration(value)
--- a/ploverspoke/testbed/scale/scenario_file.py
+++ b/ploverspoke/testbed/scale/scenario_file.py
@@ -3,12 +3,12 @@
 Fields have the glossary's terms; the keys of the file stand beside them.
 """
 
-from typing import Any, Literal
+from typing import Literal
 
 import msgspec
 
 from ..capacity.fleet_size import FleetFileError, FleetSize, Part
-from ..experiment_files.durations import Duration, parse_duration
+from ..experiment_files.durations import Duration, decode_duration
 
 Kind = Literal["steady", "zone lost", "rack lost", "region cut", "changes", "restart"]
 KINDS_WITH_FAULTS = ("zone lost", "rack lost", "region cut", "restart")
@@ -98,7 +98,7 @@
 def read_scale_scenarios(fleet: FleetSize) -> ScaleScenarios:
     """Read and check the table of a fleet file. Raises FleetFileError, naming the key."""
     try:
-        scenarios = msgspec.convert(fleet.scenarios, ScaleScenarios, dec_hook=_decode_duration)
+        scenarios = msgspec.convert(fleet.scenarios, ScaleScenarios, dec_hook=decode_duration)
     except msgspec.ValidationError as error:
         text = str(error).replace("`$.", "`play.").replace("`$`", "`play`")
         raise FleetFileError("", text if "`play" in text else f"{text} - at `play`") from error
@@ -108,12 +108,6 @@
     return scenarios
 
 
-def _decode_duration(kind: type, value: Any) -> Any:
-    if kind is Duration:
-        return parse_duration(value)
-    raise NotImplementedError(kind)
-
-
 def _must(holds: bool, key: str, reason: str) -> None:
     if not holds:
         raise FleetFileError(f"play.{key}", reason)
