--- a/ploverspoke/testbed/scenarios/distribution_experiment.py
+++ b/ploverspoke/testbed/scenarios/distribution_experiment.py
@@ -5,8 +5,9 @@
 import msgspec
 
 from ..checkers.distribution_checker import MIN_FAULTS, MIN_VERSIONS
-from ..experiment_files.durations import MILLISECOND, SECOND, Duration, format_duration, parse_duration
+from ..experiment_files.durations import MILLISECOND, SECOND, Duration, format_duration
 from ..experiment_files.fault_timeline import TimelineError
+from ..experiment_files.timeline_experiment import TimelineExperiment, convert_timeline_experiment
 
 REGIONS = ("a", "b")
 QUIET_END = 2 * SECOND  # ns without faults and publications, beyond the limit of the checks
@@ -103,19 +104,14 @@
 
 
 class DistributionExperiment(
-    msgspec.Struct,
+    TimelineExperiment,
     frozen=True,
     kw_only=True,
     forbid_unknown_fields=True,
-    rename={"description": "about", "is_calm": "calm", "scenario": "plan", "demands": "must_hold"},
+    rename={"scenario": "plan", "demands": "must_hold"},
 ):
-    """A whole file."""
+    """A whole file; where it is calm, there are no faults but the partition of the regions."""
 
-    kind: str
-    name: str
-    description: str = ""
-    seeds: list[int]
-    is_calm: bool = False  # no faults but the partition of the regions
     scenario: DistributionScenario = DistributionScenario()
     demands: DistributionDemands = DistributionDemands()
 
@@ -126,14 +122,7 @@
     Raises:
         TimelineError: it is invalid; it names the key.
     """
-    try:
-        experiment = msgspec.convert(
-            document, DistributionExperiment, dec_hook=lambda _, value: parse_duration(value)
-        )
-    except msgspec.ValidationError as error:
-        raise TimelineError(str(error)) from None
-    except ValueError as error:
-        raise TimelineError(str(error), key="plan") from None
+    experiment = convert_timeline_experiment(document, DistributionExperiment)
     _check_counts(experiment.scenario)
     _check_times(experiment.scenario)
     return experiment
--- a/ploverspoke/testbed/scenarios/lease_experiment.py
+++ b/ploverspoke/testbed/scenarios/lease_experiment.py
@@ -5,8 +5,9 @@
 import msgspec
 
 from ..checkers.lease_checker import MIN_HOLDER_CHANGES
-from ..experiment_files.durations import MILLISECOND, SECOND, Duration, parse_duration
+from ..experiment_files.durations import MILLISECOND, SECOND, Duration
 from ..experiment_files.fault_timeline import TimelineError
+from ..experiment_files.timeline_experiment import TimelineExperiment, convert_timeline_experiment
 
 SERVER_COUNTS = (1, 3, 5)
 DEFAULT_LEASES = {"one": 1, "two": 1, "three": 3}
@@ -90,19 +91,14 @@
 
 
 class LeaseExperiment(
-    msgspec.Struct,
+    TimelineExperiment,
     frozen=True,
     kw_only=True,
     forbid_unknown_fields=True,
-    rename={"description": "about", "is_calm": "calm", "scenario": "plan", "demands": "must_hold"},
+    rename={"scenario": "plan", "demands": "must_hold"},
 ):
-    """A whole file."""
+    """A whole file; where it is calm, there are no faults but kills of holders."""
 
-    kind: str
-    name: str
-    description: str = ""
-    seeds: list[int]
-    is_calm: bool = False  # no faults but kills of holders
     scenario: LeaseScenario = LeaseScenario()
     demands: LeaseDemands = LeaseDemands()
 
@@ -113,14 +109,7 @@
     Raises:
         TimelineError: it is invalid; it names the key.
     """
-    try:
-        experiment = msgspec.convert(
-            document, LeaseExperiment, dec_hook=lambda _, value: parse_duration(value)
-        )
-    except msgspec.ValidationError as error:
-        raise TimelineError(str(error)) from None
-    except ValueError as error:
-        raise TimelineError(str(error), key="plan") from None
+    experiment = convert_timeline_experiment(document, LeaseExperiment)
     _check(experiment.scenario)
     return experiment
 
