--- a/ploverspoke/testbed/capacity/measured_costs.py
+++ b/ploverspoke/testbed/capacity/measured_costs.py
@@ -10,20 +10,12 @@
 
 import msgspec
 
+from .stored_file import read_stored_file
+
 FORMAT = 1
 MAX_RESIDUAL = 0.15  # of the value at a point; a fit with a larger one is contradicted
 
 
-class CostFileError(ValueError):
-    """The file holds no costs of this format."""
-
-    def __init__(self, path: Path, reason: str) -> None:
-        """`reason` says what is wrong with the file."""
-        super().__init__(f"{path}: {reason}")
-        self.path = path
-        self.reason = reason
-
-
 class CostPerUnit(
     msgspec.Struct,
     frozen=True,
@@ -75,16 +67,8 @@
 
 
 def read_measured_costs(path: Path) -> MeasuredCosts:
-    """Read a file of costs. Raises CostFileError."""
-    try:
-        costs: MeasuredCosts = msgspec.json.decode(path.read_bytes(), type=MeasuredCosts)
-    except OSError as error:
-        raise CostFileError(path, error.strerror or str(error)) from error
-    except msgspec.DecodeError as error:
-        raise CostFileError(path, f"no slopes: {error}") from error
-    if costs.format != FORMAT:
-        raise CostFileError(path, f"format {costs.format}, this version reads {FORMAT}")
-    return costs
+    """Read a file of costs. Raises StoredFileError."""
+    return read_stored_file(path, MeasuredCosts, "slopes", FORMAT)
 
 
 def write_measured_costs(costs: MeasuredCosts, path: Path) -> None:
--- a/ploverspoke/testbed/capacity/scenario_results.py
+++ b/ploverspoke/testbed/capacity/scenario_results.py
@@ -4,17 +4,9 @@
 
 import msgspec
 
-FORMAT = 1
-
+from .stored_file import read_stored_file
 
-class ScenarioResultsError(ValueError):
-    """The file holds no results of this format."""
-
-    def __init__(self, path: Path, reason: str) -> None:
-        """`reason` says what is wrong with the file."""
-        super().__init__(f"{path}: {reason}")
-        self.path = path
-        self.reason = reason
+FORMAT = 1
 
 
 class ScenarioResult(
@@ -51,13 +43,5 @@
 
 
 def read_scenario_results(path: Path) -> ScenarioResults:
-    """Read a file of results. Raises ScenarioResultsError."""
-    try:
-        results: ScenarioResults = msgspec.json.decode(path.read_bytes(), type=ScenarioResults)
-    except OSError as error:
-        raise ScenarioResultsError(path, error.strerror or str(error)) from error
-    except msgspec.DecodeError as error:
-        raise ScenarioResultsError(path, f"no plays: {error}") from error
-    if results.format != FORMAT:
-        raise ScenarioResultsError(path, f"format {results.format}, this version reads {FORMAT}")
-    return results
+    """Read a file of results. Raises StoredFileError."""
+    return read_stored_file(path, ScenarioResults, "plays", FORMAT)
--- a/ploverspoke/testbed/commands/capacity.py
+++ b/ploverspoke/testbed/commands/capacity.py
@@ -7,8 +7,9 @@
 import msgspec
 
 from ..capacity.fleet_size import FleetFileError, read_fleet
-from ..capacity.measured_costs import CostFileError, read_measured_costs
-from ..capacity.scenario_results import NO_RESULTS, ScenarioResultsError, read_scenario_results
+from ..capacity.measured_costs import read_measured_costs
+from ..capacity.scenario_results import NO_RESULTS, read_scenario_results
+from ..capacity.stored_file import StoredFileError
 from ..capacity.table import make_table
 from ..reports.capacity_page.page import (
     CapacityPageError,
@@ -49,7 +50,7 @@
         if page is not None:
             text = replace_between_markers(page.read_text(encoding="utf-8"), markdown)
             page.write_text(text, encoding="utf-8")
-    except (FleetFileError, CostFileError, ScenarioResultsError) as error:
+    except (FleetFileError, StoredFileError) as error:
         raise click.UsageError(str(error)) from error
     except CapacityPageError as error:
         message = f"{page}: {error}"
--- a/ploverspoke/testbed/commands/measure_costs.py
+++ b/ploverspoke/testbed/commands/measure_costs.py
@@ -13,7 +13,6 @@
 
 from ..capacity.measured_costs import (
     FORMAT,
-    CostFileError,
     CostPerUnit,
     MeasuredCosts,
     read_measured_costs,
@@ -29,6 +28,7 @@
     watching_dispatcher,
 )
 from ..capacity.measurements.measurement import Measurement, MeasurementRequest, MeasurementResult
+from ..capacity.stored_file import StoredFileError
 from ..processes.capacity_check import CapacityError
 from ..reports.cost_tables import cost_tables
 from ..reports.tables import make_console
@@ -141,7 +141,7 @@
         known = ", ".join(dict.fromkeys(role for each in MEASUREMENTS for role in each.roles))
         message = f"{error.word!r} is no role; there are {known}"
         raise click.UsageError(message) from error
-    except CostFileError as error:
+    except StoredFileError as error:
         raise click.UsageError(str(error)) from error
     request = MeasurementRequest(_print_progress, quick, not in_turn)
     result = asyncio.run(measure(measurements, request))
--- a/ploverspoke/testbed/scenarios/scale_results.py
+++ b/ploverspoke/testbed/scenarios/scale_results.py
@@ -9,7 +9,8 @@
 
 import msgspec
 
-from ..capacity.scenario_results import FORMAT, ScenarioResult, ScenarioResults
+from ..capacity.scenario_results import FORMAT, ScenarioResult, ScenarioResults, read_scenario_results
+from ..capacity.stored_file import StoredFileError
 from ..checkers.scale_comparison import ALWAYS_VOID, mark_void_metrics
 from ..checkers.scale_metrics import Metrics
 from ..experiment_files.errors import ExperimentError
@@ -92,9 +93,9 @@
     runs: list[ScenarioResult] = []
     if out is not None and out.exists():
         try:
-            runs = msgspec.json.decode(out.read_bytes(), type=ScenarioResults).runs
-        except (OSError, msgspec.DecodeError) as error:
-            raise ExperimentError(reason=f"no results of plays: {error}", location=str(out)) from error
+            runs = read_scenario_results(out).runs
+        except StoredFileError as error:
+            raise ExperimentError(error.reason, str(out)) from error
     return ScenarioResults(
         format=FORMAT, date=today, commit=_commit(), machine=_describe_machine(), runs=runs
     )
--- a/tests/testbed/capacity/test_measured_costs.py
+++ b/tests/testbed/capacity/test_measured_costs.py
@@ -8,7 +8,6 @@
 
 from ploverspoke.testbed.capacity.linear_fit import TooFewPointsError, fit_line
 from ploverspoke.testbed.capacity.measured_costs import (
-    CostFileError,
     CostPerUnit,
     MeasuredCosts,
     read_measured_costs,
@@ -24,6 +23,7 @@
     cost_lines,
 )
 from ploverspoke.testbed.capacity.measurements.measurement_fleet import run_fleet
+from ploverspoke.testbed.capacity.stored_file import StoredFileError
 from ploverspoke.testbed.commands import measure_costs
 from ploverspoke.testbed.experiment_files.durations import SECOND
 from ploverspoke.testbed.experiment_files.reader import parse_experiment
@@ -84,13 +84,13 @@
     assert (line.unit, line.max_load, line.points[0]) == ("cores", 3.0, (1.0, 2.0))
     assert line.fixed_amounts == {"k": 1.0} and line.slope == pytest.approx(2.0)
     path.write_text(path.read_text().replace('"format": 1', '"format": 9'))
-    with pytest.raises(CostFileError, match="format 9"):
+    with pytest.raises(StoredFileError, match="format 9"):
         read_measured_costs(path)
     for text in ("{}", "no json", '{"format": 1, "strange": 2}'):
         path.write_text(text)
-        with pytest.raises(CostFileError):
+        with pytest.raises(StoredFileError):
             read_measured_costs(path)
-    with pytest.raises(CostFileError):
+    with pytest.raises(StoredFileError):
         read_measured_costs(tmp_path / "none.json")
 
 
