--- a/ploverspoke/consensus/admin_messages.py
+++ b/ploverspoke/consensus/admin_messages.py
@@ -160,7 +160,7 @@
 
 
 def encode_reply(reply: msgspec.Struct) -> WireMap:
-    """Return the map that represents a reply, or for a part of a status, on the wire."""
+    """Return the map that represents a reply, or a part of a status, on the wire."""
     return _to_map(reply)
 
 
--- a/ploverspoke/decisions/admission_policy.py
+++ b/ploverspoke/decisions/admission_policy.py
@@ -35,7 +35,7 @@
         return chance > 0 and self.context.random.fraction() < chance
 
     def set_deadlines(self, request: Request, deadline: int, work_hint: int) -> None:
-        """Set the latest start that is on time, from the client's first attempt on, and queueing budget."""
+        """Set the queueing budget, and the latest start on time, as from the client's first attempt."""
         number, rules = request.class_number, request.rules
         request.deadline = deadline
         request.last_send_at = deadline - self.context.settings.batch_interval
--- a/ploverspoke/leases/client.py
+++ b/ploverspoke/leases/client.py
@@ -74,7 +74,7 @@
         return lease
 
     def release(self, name: str, hand_over_to: str = "") -> None:
-        """Return the lease up; see `LeaseHolder.release`."""
+        """Give the lease up; see `LeaseHolder.release`."""
         self.holder.release(name, hand_over_to)
         self._schedule_tick()
 
--- a/ploverspoke/leases/holder.py
+++ b/ploverspoke/leases/holder.py
@@ -85,7 +85,7 @@
         return lease
 
     def release(self, name: str, hand_over_to: str = "") -> None:
-        """Return the lease up: it is not held from now on.
+        """Give the lease up: it is not held from now on.
 
         Lease servers learn of it so that others need not wait for its end; `hand_over_to` goes before them.
         """
--- a/ploverspoke/transport/connection_pool.py
+++ b/ploverspoke/transport/connection_pool.py
@@ -168,7 +168,7 @@
     def acquire(
         self, address: str, user: PoolUser, max_idle_time: int | None = None
     ) -> PendingConnection | None:
-        """Return the user a connection to the address.
+        """Connect the user to the address.
 
         A connection that was idle for less than `max_idle_time` ns (None: any time) is reused, and
         `on_connected` is called before this returns None. Else a new one is established and returned while
