--- a/ploverspoke/consensus/raft.py
+++ b/ploverspoke/consensus/raft.py
@@ -21,8 +21,7 @@
 from .membership_changes import MembershipChanges
 from .message_dispatch import MessageDispatcher
 from .persisted_state import PersistedState
-from .raft_state import RaftEnvironment, RaftState, RaftTimeouts
-from .raft_state import Role as Role
+from .raft_state import RaftEnvironment, RaftState, RaftTimeouts, Role
 from .read_index import ReadIndex
 from .replication import Replication
 from .snapshot_transfer import SnapshotReceiver
--- a/ploverspoke/store/request_log.py
+++ b/ploverspoke/store/request_log.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Sequence
 from hashlib import blake2b
 
-from ploverspoke.consensus.raft import Role
+from ploverspoke.consensus.raft_state import Role
 from ploverspoke.decisions.interface import AttemptOutcome
 from ploverspoke.decisions.settings import RequestClass
 from ploverspoke.routing.answers import FinalAnswer, RecordedAnswer
