--- a/ploverspoke/store/endpoint_cache.py
+++ b/ploverspoke/store/endpoint_cache.py
@@ -3,27 +3,20 @@
 import json
 import time
 from collections.abc import Callable
-from typing import TypedDict
+
+from ploverspoke.protocol.discovery import EndpointListDocument
 
 SAVE_INTERVAL = 1.0  # seconds between two saves of changes
 GONE = "Gone"  # state of an endpoint that discovery removes
 
 
-class EndpointList(TypedDict):
-    """A list in discovery's own form: what it answers, and what is stored."""
-
-    version: int
-    full: bool  # false: only changes since the version before
-    servers: list[dict[str, object]]
-
-
 class EndpointCache:
     """Merges discovery's answers into one list and hands that to `save`, at most once a second."""
 
     def __init__(
         self,
-        save: Callable[[EndpointList], None],
-        known: EndpointList | None = None,
+        save: Callable[[EndpointListDocument], None],
+        known: EndpointListDocument | None = None,
         now: Callable[[], float] = time.monotonic,
     ) -> None:
         """`known` is the list that the watch goes on from: the first answer may hold its changes alone.
@@ -40,7 +33,7 @@
 
     def update(self, body: bytes) -> None:
         """Merge the body of an answer that the router has accepted, so that its form is right."""
-        answer: EndpointList = json.loads(body)
+        answer: EndpointListDocument = json.loads(body)
         if answer["full"]:
             self.is_complete = True
             self.endpoints.clear()
--- a/ploverspoke/store/node.py
+++ b/ploverspoke/store/node.py
@@ -14,9 +14,9 @@
 from ploverspoke.consensus.node import ReplicaNode
 from ploverspoke.consensus.peer_links import Reply
 from ploverspoke.consensus.storage import ReplicaStorage
+from ploverspoke.protocol.discovery import EndpointListDocument
 
 from .admin_messages import ConfigurationRow, ConfigurationsRequest, ConfigureReply, ConfigureRequest
-from .endpoint_cache import EndpointList
 from .log_commands import CommitConfiguration
 from .snapshot import SharedConfiguration
 from .state_machine import RequestStateMachine
@@ -62,11 +62,11 @@
         """Return the body of the configuration that is saved; "" where none was ever committed."""
         return self._load_configuration().body
 
-    def saved_endpoints(self) -> EndpointList | None:
+    def saved_endpoints(self) -> EndpointListDocument | None:
         """Return the endpoint list that is saved, if there is one."""
-        return self.storage.load_value(ENDPOINTS_KEY, EndpointList)
+        return self.storage.load_value(ENDPOINTS_KEY, EndpointListDocument)
 
-    def save_endpoints(self, endpoints: EndpointList) -> None:
+    def save_endpoints(self, endpoints: EndpointListDocument) -> None:
         """Save the endpoint list in the background."""
         self.save_value(ENDPOINTS_KEY, endpoints)
 
--- a/ploverspoke/store/shared_config.py
+++ b/ploverspoke/store/shared_config.py
@@ -9,16 +9,15 @@
 from collections.abc import Mapping
 
 from ploverspoke.consensus.cluster_config import ReplicaConfig
+from ploverspoke.protocol.discovery import EndpointListDocument
 from ploverspoke.service.config import Config, parse_config
 from ploverspoke.service.config_reader import ConfigSection
 
-from .endpoint_cache import EndpointList
-
 SHARED_KEYS = ("settings", "discovery")
 
 
 def merge_config(
-    document: object, shared_body: str, replica_config: ReplicaConfig, endpoints: EndpointList | None
+    document: object, shared_body: str, replica_config: ReplicaConfig, endpoints: EndpointListDocument | None
 ) -> Config:
     """Merge a dispatcher's own document with the shared configuration and the endpoints last known.
 
--- a/tests/store/test_endpoint_cache.py
+++ b/tests/store/test_endpoint_cache.py
@@ -2,15 +2,16 @@
 
 import json
 
-from ploverspoke.store.endpoint_cache import EndpointCache, EndpointList
+from ploverspoke.protocol.discovery import EndpointListDocument
+from ploverspoke.store.endpoint_cache import EndpointCache
 
 
-def server_ids(endpoint_list: EndpointList) -> list[object]:
+def server_ids(endpoint_list: EndpointListDocument) -> list[object]:
     return [server["id"] for server in endpoint_list["servers"]]
 
 
 def test_endpoints_are_merged_from_discovery_s_answers_and_go_on_after_a_restart() -> None:
-    saved: list[EndpointList] = []
+    saved: list[EndpointListDocument] = []
     clock = [0.0]
     cache = EndpointCache(saved.append, None, lambda: clock[0])
 
@@ -26,7 +27,7 @@
     assert saved[-1]["version"] == 3 and server_ids(saved[-1]) == ["a", "c"]
     # A restart goes on from what was saved; changes alone are not taken for the whole.
     for known, expected in ((saved[-1], ["a", "c"]), (None, None)):
-        later: list[EndpointList] = []
+        later: list[EndpointListDocument] = []
         again = EndpointCache(later.append, known, lambda: 9.0)
         again.update(b'{"version": 4, "full": false, "servers": []}')
         assert [server_ids(each) for each in later] == ([expected] if expected else [])
