--- a/tests/decisions/decision_settings.py
+++ b/tests/decisions/decision_settings.py
@@ -14,43 +14,36 @@
 from ploverspoke.decisions.state import MILLISECOND, SECOND
 
 MS = MILLISECOND
+IDEMPOTENT_CLASS = RequestClass(
+    latency_objective=100 * MS,
+    deadline=3 * SECOND,
+    priority_weight=1.0,
+    overdue_weight=0.25,
+    idempotency=Idempotency.IDEMPOTENT,
+    retry_scope=RetryScope.ALL,
+    retry_window=SECOND,
+    machine_kind=ANY_MACHINE_KIND,
+    latency_stretch=2.0,
+    max_attempts=4,
+)
 DECISION_SETTINGS = Settings(
     classes=(
-        RequestClass(
-            latency_objective=100 * MS,
-            deadline=3 * SECOND,
-            priority_weight=1.0,
-            overdue_weight=0.25,
-            idempotency=Idempotency.IDEMPOTENT,
-            retry_scope=RetryScope.ALL,
-            retry_window=SECOND,
-            machine_kind=ANY_MACHINE_KIND,
-            latency_stretch=2.0,
-            max_attempts=4,
-        ),
-        RequestClass(
+        IDEMPOTENT_CLASS,
+        replace(
+            IDEMPOTENT_CLASS,
             latency_objective=300 * MS,
-            deadline=3 * SECOND,
             priority_weight=2.0,
             overdue_weight=0.0,
             idempotency=Idempotency.IDEMPOTENT_WITH_KEY,
             retry_scope=RetryScope.RACK,
-            retry_window=SECOND,
-            machine_kind=ANY_MACHINE_KIND,
-            latency_stretch=2.0,
-            max_attempts=4,
         ),
-        RequestClass(
+        replace(
+            IDEMPOTENT_CLASS,
             latency_objective=300 * MS,
-            deadline=3 * SECOND,
             priority_weight=3.0,
             overdue_weight=0.5,
             idempotency=Idempotency.NON_IDEMPOTENT,
-            retry_scope=RetryScope.ALL,
-            retry_window=SECOND,
             machine_kind=1,
-            latency_stretch=2.0,
-            max_attempts=4,
         ),
     ),
     active_classes=(0, 1, 2),
