--- a/ploverspoke/transport/loop_timer.py
+++ b/ploverspoke/transport/loop_timer.py
@@ -18,7 +18,10 @@
         self._when = 0
 
     def set(self, when: int) -> None:
-        """Call back at `when` (monotonic ns) or as soon as possible after it, in place of any other time."""
+        """Call back at `when` (monotonic ns), in place of any other time.
+
+        uvloop counts in milliseconds: it may call back up to one before `when`.
+        """
         if self._handle is not None:
             if self._when == when:
                 return
