--- a/tests/testbed/processes/test_rig.py
+++ b/tests/testbed/processes/test_rig.py
@@ -17,8 +17,8 @@
 from ploverspoke.testbed.processes.running_process import ProcessStartError, RunningProcess
 from ploverspoke.testbed.scenarios.experiment_runner import run_virtual
 from ploverspoke.testbed.scenarios.socket_run import run_on_sockets
+from tests.polling import until
 from tests.testbed.harness import SMALL_EXPERIMENT, small_experiment
-from tests.testbed.processes.harness import wait_until
 
 RUNS_LONG = True  # scheduled first: see tests/conftest.py
 
@@ -62,7 +62,7 @@
             process.clock_rate = rate
             process.set_wall_clock_offset(HOUR if name == "slow" else 0)
         await rig.start_processes()
-        await wait_until(lambda: len(connections) == len(CLOCK_RATES))
+        await until(lambda: len(connections) == len(CLOCK_RATES))
 
         async def ask(address: ProcessAddress) -> tuple[str, ClockReport]:
             return address.name, await ask_probe(connections[address.host])
--- a/tests/testbed/processes/test_tcp_proxy.py
+++ b/tests/testbed/processes/test_tcp_proxy.py
@@ -16,7 +16,7 @@
     ResetConnections,
 )
 from ploverspoke.testbed.processes.tcp_proxy import TcpProxy
-from tests.testbed.processes.harness import wait_until
+from tests.polling import until
 
 SILENCE = 0.05  # seconds in which nothing may arrive
 
@@ -73,12 +73,12 @@
     writer.write(b"one")
     assert await reader.read(10) == b"ONE" and server.clients == [a.host]
     sender.sendto(b"x", (b.proxy_host, ports[1]))
-    await wait_until(lambda: datagrams.received == [(b"x", a.proxy_host)])  # from where b believes a to be
+    await until(lambda: datagrams.received == [(b"x", a.proxy_host)])  # from where b believes a to be
 
     # Answers are cut off, requests arrive; then the other way round.
     proxy.handle(AddLinkFault(1, LinkFault(origin=["b"], target=["a"], cut=True)))
     writer.write(b"two")
-    await wait_until(lambda: server.received[-1] == b"two")
+    await until(lambda: server.received[-1] == b"two")
     await assert_silent(reader)
     proxy.handle(AddLinkFault(2, LinkFault(origin=["a"], cut=True)))
     proxy.handle(RemoveLinkFault(1))
@@ -89,7 +89,7 @@
     await asyncio.sleep(SILENCE)
     assert server.received[-1] == b"two" and len(datagrams.received) == 1
     proxy.handle(RemoveLinkFault(2))
-    await wait_until(lambda: server.received[-2:] == [b"three", b"end"])
+    await until(lambda: server.received[-2:] == [b"three", b"end"])
 
     reader, writer = await connect()
     writer.write(b"four")
