--- a/tests/consensus/simulated_cluster.py
+++ b/tests/consensus/simulated_cluster.py
@@ -33,7 +33,6 @@
         size: int,
         inject_fault: FaultInjector = no_fault,
         spare: int = 0,
-        stormy: bool = False,
     ) -> None:
         """`size` members and `spare` replicas that may become ones."""
         self.random = Random(seed)
