--- a/tests/routing/test_start_times.py
+++ b/tests/routing/test_start_times.py
@@ -3,8 +3,10 @@
 import pytest
 
 from ploverspoke.routing.start_times import MAX_LISTING_DELAY, StartTimes
+from ploverspoke.transport.units import MILLISECOND as MS
+from ploverspoke.transport.units import SECOND
 
-MS, SECOND, HOUR = 1_000_000, 1_000_000_000, 3600 * 1_000_000_000
+HOUR = 3600 * SECOND
 EPOCH = 1_700_000_000 * SECOND
 
 
--- a/tests/testbed/checkers/test_request_audit.py
+++ b/tests/testbed/checkers/test_request_audit.py
@@ -9,10 +9,11 @@
 from ploverspoke.decisions.interface import AttemptOutcome, AttemptResult, Endpoint, EndpointCondition
 from ploverspoke.decisions.settings import Idempotency, Settings
 from ploverspoke.testbed.checkers.request_audit import VIRTUAL_TOLERANCE, audit_requests
+from ploverspoke.testbed.experiment_files.durations import MILLISECOND
 from ploverspoke.testbed.models.baseline_policies import POLICIES, OpenRequest, TwoChoices
 from ploverspoke.testbed.models.event_records import Event
 from ploverspoke.testbed.models.virtual_run import run_virtual_time
-from tests.testbed.harness import MILLISECOND, small_experiment
+from tests.testbed.harness import small_experiment
 
 CRASH = {"what": "crash", "at": "1s", "lasts": "2s", "workers": ["w0"]}
 DRAIN = {"what": "drain", "at": "1s", "lasts": "4s", "workers": ["w0"]}
--- a/tests/testbed/harness.py
+++ b/tests/testbed/harness.py
@@ -5,8 +5,6 @@
 from ploverspoke.testbed.experiment_files.experiment import Experiment
 from ploverspoke.testbed.experiment_files.reader import parse_experiment
 
-MILLISECOND, SECOND = 1_000_000, 1_000_000_000
-
 SMALL_EXPERIMENT: dict[str, Any] = {
     "name": "small",
     "lasts": "6s",
--- a/tests/testbed/models/test_models.py
+++ b/tests/testbed/models/test_models.py
@@ -7,6 +7,7 @@
 import pytest
 
 from ploverspoke.testbed.checkers.request_audit import VIRTUAL_TOLERANCE, audit_requests
+from ploverspoke.testbed.experiment_files.durations import MILLISECOND, SECOND
 from ploverspoke.testbed.experiment_files.experiment import Experiment
 from ploverspoke.testbed.experiment_files.tables import WorkerGroup
 from ploverspoke.testbed.models import event_records
@@ -18,7 +19,7 @@
 from ploverspoke.testbed.models.virtual_clock import VirtualClock
 from ploverspoke.testbed.models.virtual_run import run_virtual_time
 from ploverspoke.testbed.models.worker import Worker
-from tests.testbed.harness import MILLISECOND, SECOND, small_experiment
+from tests.testbed.harness import small_experiment
 
 
 class RecordingListener:
--- a/tests/testbed/scale/test_scale.py
+++ b/tests/testbed/scale/test_scale.py
@@ -22,7 +22,7 @@
     region_cut_metrics,
     urgent_start_delays,
 )
-from ploverspoke.testbed.experiment_files.durations import Duration
+from ploverspoke.testbed.experiment_files.durations import SECOND, Duration
 from ploverspoke.testbed.experiment_files.errors import ExperimentError
 from ploverspoke.testbed.experiment_files.experiment import Experiment
 from ploverspoke.testbed.models.deployment_settings import dispatcher_settings
@@ -53,7 +53,7 @@
 from ploverspoke.testbed.scenarios.scale_fleet import SimulatedScaleFleet
 from ploverspoke.testbed.scenarios.scale_resources import ProcessCounts, estimate_cores
 from ploverspoke.testbed.scenarios.socket_fleet import MAX_LATENESS
-from tests.testbed.harness import SECOND, small_experiment
+from tests.testbed.harness import small_experiment
 
 RUNS_LONG = True  # scheduled first: see tests/conftest.py
 
