--- a/tests/testbed/processes/test_tcp_proxy.py
+++ b/tests/testbed/processes/test_tcp_proxy.py
@@ -2,6 +2,7 @@
 
 import asyncio
 
+import msgspec
 import pytest
 import uvloop
 
@@ -10,6 +11,8 @@
 from ploverspoke.testbed.processes.proxy_messages import (
     AddLinkFault,
     ProxiedProcess,
+    ProxyCounters,
+    ProxyRequest,
     ProxySpec,
     ReadCounters,
     RemoveLinkFault,
@@ -47,6 +50,13 @@
         writer.close()
 
 
+def ask(proxy: TcpProxy, request: ProxyRequest) -> ProxyCounters:
+    """Hand a request to the proxy, and its answer back, as each is read from its line."""
+    line = msgspec.json.encode(request)
+    answer = msgspec.json.encode(proxy.handle(msgspec.json.decode(line, type=ProxyRequest)))
+    return msgspec.json.decode(answer, type=ProxyCounters)
+
+
 async def assert_silent(reader: asyncio.StreamReader) -> None:
     with pytest.raises(TimeoutError):
         await asyncio.wait_for(reader.read(10), SILENCE)
@@ -76,34 +86,34 @@
     await until(lambda: datagrams.received == [(b"x", a.proxy_host)])  # from where b believes a to be
 
     # Answers are cut off, requests arrive; then the other way round.
-    proxy.handle(AddLinkFault(1, LinkFault(origin=["b"], target=["a"], cut=True)))
+    ask(proxy, AddLinkFault(1, LinkFault(origin=["b"], target=["a"], cut=True)))
     writer.write(b"two")
     await until(lambda: server.received[-1] == b"two")
     await assert_silent(reader)
-    proxy.handle(AddLinkFault(2, LinkFault(origin=["a"], cut=True)))
-    proxy.handle(RemoveLinkFault(1))
+    ask(proxy, AddLinkFault(2, LinkFault(origin=["a"], cut=True)))
+    ask(proxy, RemoveLinkFault(1))
     assert await reader.read(10) == b"TWO"
     writer.write(b"three")
     sender.sendto(b"y", (b.proxy_host, ports[1]))
     writer.close()  # the end arrives behind what was sent before it
     await asyncio.sleep(SILENCE)
     assert server.received[-1] == b"two" and len(datagrams.received) == 1
-    proxy.handle(RemoveLinkFault(2))
+    ask(proxy, RemoveLinkFault(2))
     await until(lambda: server.received[-2:] == [b"three", b"end"])
 
     reader, writer = await connect()
     writer.write(b"four")
     await reader.read(10)
-    proxy.handle(ResetConnections(LinkFault(origin=["a"], target=["b"])))
+    ask(proxy, ResetConnections(LinkFault(origin=["a"], target=["b"])))
     with pytest.raises(ConnectionResetError):
         await reader.read(10)
-    proxy.handle(AddLinkFault(3, LinkFault(silent=True)))
+    ask(proxy, AddLinkFault(3, LinkFault(silent=True)))
     reader, writer = await connect()
     writer.write(b"five")
     await assert_silent(reader)
-    proxy.handle(RemoveLinkFault(3))
+    ask(proxy, RemoveLinkFault(3))
     assert b"five" not in server.received and len(server.clients) == 2
-    counters = proxy.handle(ReadCounters())
+    counters = ask(proxy, ReadCounters())
     assert counters.accepted_connections == 3 and counters.links.lost == 1
 
 
