--- a/tests/testbed/commands/test_experiment_commands.py
+++ b/tests/testbed/commands/test_experiment_commands.py
@@ -23,6 +23,7 @@
 from ploverspoke.testbed.scenarios.experiment_runner import run_experiment
 from ploverspoke.testbed.scenarios.lease_experiment import read_lease_experiment
 from ploverspoke.testbed.scenarios.scale_experiment import scale_experiment
+from tests.example_config import EXAMPLE_PATH
 from tests.testbed.harness import SMALL_EXPERIMENT, small_experiment
 
 SHIPPED = sorted((Path(__file__).parents[3] / "experiments").glob("*.toml"))
@@ -153,11 +154,10 @@
 
 def test_check_reports_the_key_of_an_invalid_configuration(tmp_path: Path) -> None:
     run = CliRunner()
-    example = Path(__file__).parents[3] / "deploy" / "example.json"
-    assert run.invoke(main, ["check", str(example)]).exit_code == 0
-    wrong = write(tmp_path / "wrong.json", example.read_text().replace('"free"', '"often"'))
-    document = run.invoke(main, ["check", wrong])
-    assert document.exit_code == 2 and "Repeat is 'often'" in document.output
+    assert run.invoke(main, ["check", str(EXAMPLE_PATH)]).exit_code == 0
+    wrong = write(tmp_path / "wrong.json", EXAMPLE_PATH.read_text().replace('"free"', '"often"'))
+    rejected = run.invoke(main, ["check", wrong])
+    assert rejected.exit_code == 2 and "Repeat is 'often'" in rejected.output
 
 
 def test_start_of_the_dispatcher_does_not_import_the_testbed() -> None:
