--- a/tests/leases/lease_server_rig.py
+++ b/tests/leases/lease_server_rig.py
@@ -11,16 +11,15 @@
 from ploverspoke.testbed.scenarios.lease_experiment import LeaseScenario
 from ploverspoke.testbed.scenarios.lease_fleet import LeaseFleet
 
-Call = Callable[
-    ..., Coroutine[object, object, tuple[int, str]]
-]  # command and arguments; gives exit code and output
+# Command and arguments; gives exit code and output.
+Call = Callable[..., Coroutine[object, object, tuple[int, str]]]
 
 
 def run_with_lease_servers(
     tmp_path: Path, script: Callable[[LeaseFleet, Call], Awaitable[None]], names: dict[str, int] | None = None
 ) -> None:
     """Starts three real lease servers on a rig, then runs the script, which may call `ploverspoke lease`."""
-    plan = LeaseScenario(
+    scenario = LeaseScenario(
         servers=3, candidates=0, leases=names or {"one": 1, "two": 1}, lease_duration=Duration(4 * SECOND)
     )
 
@@ -36,7 +35,7 @@
 
     async def run() -> None:
         async with Rig(tmp_path, 1) as rig:
-            leases = LeaseFleet(rig, plan)
+            leases = LeaseFleet(rig, scenario)
             await leases.start()
             while (await call(leases, "status"))[0]:
                 await asyncio.sleep(0.1)
--- a/tests/routing/faulty_discovery.py
+++ b/tests/routing/faulty_discovery.py
@@ -66,8 +66,8 @@
         self.fault = fault
         if self.server is not None:
             self.server.close()
-        for blockers in self.blockers:
-            blockers.close()
+        for blocker in self.blockers:
+            blocker.close()
         self.server, self.blockers = None, []
         if fault == "refuses":
             return
--- a/tests/testbed/capacity/test_measured_costs.py
+++ b/tests/testbed/capacity/test_measured_costs.py
@@ -73,13 +73,13 @@
     )
 
 
-def slopes(*found: CostPerUnit) -> MeasuredCosts:
+def costs(*found: CostPerUnit) -> MeasuredCosts:
     return MeasuredCosts(format=1, date="2026-12-02", commit="abc", machine="8 cores", lines=list(found))
 
 
 def test_file_is_read_back_and_errors_in_it_are_reported(tmp_path: Path) -> None:
     path = tmp_path / "slopes.json"
-    write_measured_costs(slopes(*lines("dispatcher", "tasks_running", 2.0)), path)
+    write_measured_costs(costs(*lines("dispatcher", "tasks_running", 2.0)), path)
     (line,) = read_measured_costs(path).of("dispatcher", "core_share")
     assert (line.unit, line.max_load, line.points[0]) == ("cores", 3.0, (1.0, 2.0))
     assert line.fixed_amounts == {"k": 1.0} and line.slope == pytest.approx(2.0)
@@ -95,8 +95,8 @@
 
 
 def test_later_measurement_replaces_only_the_amounts_that_it_measured() -> None:
-    old = slopes(*lines("dispatcher", "a", 1.0), *lines("dispatcher", "b", 1.0), *lines("keeper", "a", 1.0))
-    new = measure_costs.merge_costs(old, slopes(*lines("dispatcher", "a", 5.0)))
+    old = costs(*lines("dispatcher", "a", 1.0), *lines("dispatcher", "b", 1.0), *lines("keeper", "a", 1.0))
+    new = measure_costs.merge_costs(old, costs(*lines("dispatcher", "a", 5.0)))
     found = {(line.role, line.load): round(line.slope) for line in new.lines}
     assert found == {("dispatcher", "a"): 5, ("dispatcher", "b"): 1, ("keeper", "a"): 1}
     assert measure_costs.merge_costs(None, old) == old
--- a/tests/testbed/scale/test_scale.py
+++ b/tests/testbed/scale/test_scale.py
@@ -1,4 +1,4 @@
-"""Many dispatchers in one process: real ones, apart from one another; refused, void and judged by counts."""
+"""Many dispatchers in one process: they are real and share nothing; rejected, void and checked by counts."""
 
 import asyncio
 import signal
@@ -120,9 +120,9 @@
     """Some dispatchers in one process, and a discovery that notes who calls and says nothing."""
 
     def __init__(
-        self, child: SimulatedDispatcherHost, programs: list[SimulatedDispatcherProgram], callers: set[str]
+        self, host: SimulatedDispatcherHost, programs: list[SimulatedDispatcherProgram], callers: set[str]
     ) -> None:
-        self.host = child
+        self.host = host
         self.programs = programs
         self.callers = callers
 
@@ -154,34 +154,34 @@
 
     server = await asyncio.start_server(called, block.fake_host(1), 0)
     discovery = f"{block.fake_host(1)}:{server.sockets[0].getsockname()[1]}"
-    places = [
+    addresses = [
         DispatcherAddress(n, f"d{n}", block.process_host(n), str(folder / f"d{n}.json")) for n in range(count)
     ]
     spec = folder / "hollow.json"
-    spec.write_bytes(msgspec.json.encode(DispatcherHostSpec([places])))
+    spec.write_bytes(msgspec.json.encode(DispatcherHostSpec([addresses])))
     with (folder / "log").open("wb") as log:
-        child = SimulatedDispatcherHost(await ChildProcess.start(MODULE, [str(spec), "0"], log))
+        host = SimulatedDispatcherHost(await ChildProcess.start(MODULE, [str(spec), "0"], log))
     experiment = small_experiment(dispatchers={"count": count})
     try:
-        await child.listen()
+        await host.listen()
         programs = [
             SimulatedDispatcherProgram(
-                child,
-                place,
+                host,
+                address,
                 {
-                    "name": place.name,
-                    "listen": f"{place.address}:{block.reserve_port(place.address)}",
+                    "name": address.name,
+                    "listen": f"{address.address}:{block.reserve_port(address.address)}",
                     "discovery": discovery,
-                    "seed": f"{place.number}",
-                    "settings": dispatcher_settings(experiment, place.number),
+                    "seed": f"{address.number}",
+                    "settings": dispatcher_settings(experiment, address.number),
                 },
             )
-            for place in places
+            for address in addresses
         ]
         await asyncio.gather(*(program.start() for program in programs))
-        yield HostHarness(child, programs, callers)
+        yield HostHarness(host, programs, callers)
     finally:
-        await child.child.stop()
+        await host.child.stop()
         server.close()
         block.close()
 
