--- a/ploverspoke/testbed/fakes/client_process.py
+++ b/ploverspoke/testbed/fakes/client_process.py
@@ -2,7 +2,6 @@
 
 import asyncio
 from collections import Counter
-from typing import cast
 
 from ..experiment_files.durations import MILLISECOND, SECOND
 from ..models.clients import ClientRequest, Clients
@@ -12,7 +11,8 @@
 from ..processes.pipe_messages import send_message
 from .fake_messages import ClientsReady, ClientsStatus, FakeCommand, FakeProcessSpec, FaultReport
 from .fake_process import FakeProcess
-from .http_wire import HttpMessage, HttpReader, HttpSyntaxError
+from .http_connection import CountedConnection
+from .http_wire import HttpMessage, HttpSyntaxError
 
 TEMPORARY_REDIRECT = 307  # the replica that leads the store is elsewhere
 SERVICE_UNAVAILABLE = 503
@@ -22,24 +22,16 @@
 LEAVING_NOTICE = 300 * MILLISECOND  # after which no new connections go to a dispatcher that is leaving
 
 
-class ClientConnection(asyncio.Protocol):
+class ClientConnection(CountedConnection):
     """One persistent connection to a dispatcher; it carries one request at a time."""
 
     def __init__(self, clients: "FakeClients", dispatcher: int) -> None:
         """A connection that is about to be made."""
+        super().__init__(clients.counters, dispatcher)
         self.clients = clients
-        self.dispatcher = dispatcher
-        self.reader = HttpReader()
-        self.transport: asyncio.Transport | None = None
         self.request: ClientRequest | None = None
         self.requests_sent = 0
         self.sent_at = 0
-        self.traffic = clients.counters.of(dispatcher)
-
-    def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Count it."""
-        self.transport = cast(asyncio.Transport, transport)
-        self.traffic.count_opened()
 
     def send(self, request: ClientRequest) -> None:
         """Send a request."""
@@ -48,25 +40,28 @@
         request.connection = self
         self.requests_sent += 1
         self.sent_at = self.clients.clock.now()
-        data = self.clients.encode_request(request)
-        self.traffic.count_message_in(len(data))
-        self.transport.write(data)
+        self.write(self.clients.encode_request(request))
         self.clients.model.accepted(request)
 
     def data_received(self, data: bytes) -> None:
         """Hand the responses in it to the model."""
-        self.traffic.bytes_out += len(data)
         try:
-            for message in self.reader.feed(data):
-                self.traffic.messages_out += 1
-                request, self.request = self.request, None
-                if request is None:
-                    send_message(FaultReport(f"an unexpected response: {message.start_line[:40]!r}"))
-                else:
-                    self._on_response(request, message)
+            super().data_received(data)
         except (HttpSyntaxError, ValueError) as error:
             send_message(FaultReport(f"a dispatcher's response: {error}"))
-            self.close()
+            self.abort()
+
+    def on_message(self, message: HttpMessage) -> None:
+        """Hand a response to the model.
+
+        Raises:
+            ValueError: its status, or a header that belongs to it, is invalid.
+        """
+        request, self.request = self.request, None
+        if request is None:
+            send_message(FaultReport(f"an unexpected response: {message.start_line[:40]!r}"))
+        else:
+            self._on_response(request, message)
 
     def _on_response(self, request: ClientRequest, message: HttpMessage) -> None:
         status = message.status
@@ -94,8 +89,7 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Send the request again where it crossed the end of an idle connection, else it is broken."""
-        self.transport = None
-        self.traffic.count_closed()
+        super().connection_lost(exc)
         self.clients.forget(self)
         request, self.request = self.request, None
         if request is None or request.is_over:
@@ -110,11 +104,6 @@
         else:
             self.clients.on_broken(request)
 
-    def close(self) -> None:
-        """Reset the connection."""
-        if self.transport is not None:
-            self.transport.abort()
-
 
 class FakeClients(FakeProcess):
     """One process of clients."""
@@ -208,7 +197,7 @@
         if request.expects_answer() and connection.transport is not None:
             connection.send(request)
             return
-        connection.close()
+        connection.abort()
         if not request.is_over:
             self.on_broken(request)
 
@@ -241,4 +230,4 @@
         connection = request.connection
         if isinstance(connection, ClientConnection) and connection.request is request:
             connection.request = None
-            connection.close()
+            connection.abort()
--- a/ploverspoke/testbed/fakes/discovery_server.py
+++ b/ploverspoke/testbed/fakes/discovery_server.py
@@ -4,9 +4,7 @@
 off. Dispatchers are known by their addresses.
 """
 
-import asyncio
 import time
-from typing import cast
 
 from ..experiment_files.durations import MILLISECOND
 from ..models.connection_faults import NetworkPartitions
@@ -23,16 +21,16 @@
     encode_list_update,
     parse_list_query,
 )
+from .dispatcher_connection import DispatcherConnection
 from .fake_messages import (
     AnsweredCount,
     DiscoveryOpened,
     DiscoveryStatus,
     FakeCommand,
     FakeProcessSpec,
-    FaultReport,
 )
 from .fake_process import FakeProcess
-from .http_wire import HttpMessage, HttpReader, HttpSyntaxError, encode_response
+from .http_wire import HttpMessage, HttpSyntaxError, encode_response
 
 STATES = {
     EndpointStatus.READY: "Ready",
@@ -43,67 +41,50 @@
 EXTRA_BACKLOG = 64
 
 
-class DiscoveryConnection(asyncio.Protocol):
-    """One connection of a dispatcher."""
+class DiscoveryConnection(DispatcherConnection):
+    """One connection of a dispatcher; calls that wait at its end are answered to nobody."""
 
     def __init__(self, discovery: "FakeDiscovery") -> None:
         """A connection that is about to be made."""
+        super().__init__(discovery, "discovery")
         self.discovery = discovery
-        self.dispatcher = -1
-        self.reader = HttpReader()
-        self.transport: asyncio.Transport | None = None
-        self.traffic = discovery.counters.of(-1)
-
-    def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Identify the dispatcher by its address."""
-        self.transport = cast(asyncio.Transport, transport)
-        self.dispatcher = self.discovery.dispatchers.get(transport.get_extra_info("peername")[0], -1)
-        if self.dispatcher < 0:
-            send_message(FaultReport("discovery was called by somebody who is no dispatcher"))
-            self.transport.abort()
-            return
-        self.traffic = self.discovery.counters.of(self.dispatcher)
-        self.traffic.count_opened()
-
-    def connection_lost(self, exc: Exception | None) -> None:
-        """Count it; calls that wait are answered to nobody."""
-        self.transport = None
-        self.traffic.count_closed()
 
     def data_received(self, data: bytes) -> None:
         """Hand the calls in it to the model."""
         if self.discovery.model.is_unreachable(self.dispatcher):
             return
-        self.traffic.bytes_out += len(data)
         try:
-            for message in self.reader.feed(data):
-                self.traffic.messages_out += 1
-                self._on_request(message)
+            super().data_received(data)
         except (HttpSyntaxError, ValueError):
-            self._write(encode_response(400, "Bad Request", b""))
+            self.write(encode_response(400, "Bad Request", b""))
+
+    def on_message(self, message: HttpMessage) -> None:
+        """Hand a call to the model.
 
-    def _on_request(self, request: HttpMessage) -> None:
-        query = parse_list_query(request)
+        Raises:
+            ValueError: a number in it is none.
+        """
+        query = parse_list_query(message)
         if query.path != LIST_PATH:
-            self._write(encode_response(404, "Not Found", b""))
+            self.write(encode_response(404, "Not Found", b""))
             return
         hold = min(MAX_HOLD_MS, query.hold_ms) * MILLISECOND
         self.discovery.model.call(DiscoveryCall(self.dispatcher, query.version, self._answer), hold)
 
     def _answer(self, answer: EndpointUpdate | None) -> None:
         if answer is None:
-            self._write(encode_response(503, "Service Unavailable", b"", "Connection: close\r\n"))
+            self.write(encode_response(503, "Service Unavailable", b"", "Connection: close\r\n"))
             if self.transport is not None and not self.discovery.model.is_unreachable(self.dispatcher):
                 self.transport.close()
             return
         version, is_full, entries = answer
         endpoints = [self.discovery.listed(entry) for entry in entries]
-        self._write(encode_list_update(EndpointListUpdate(version, is_full, endpoints)))
+        self.write(encode_list_update(EndpointListUpdate(version, is_full, endpoints)))
 
-    def _write(self, data: bytes) -> None:
-        if self.transport is not None and not self.discovery.model.is_unreachable(self.dispatcher):
-            self.traffic.count_message_in(len(data))
-            self.transport.write(data)
+    def write(self, data: bytes) -> None:
+        """Send a response, unless the dispatcher is out of reach."""
+        if not self.discovery.model.is_unreachable(self.dispatcher):
+            super().write(data)
 
 
 class FakeDiscovery(FakeProcess):
@@ -121,12 +102,11 @@
             )
         self.addresses: dict[str, str] = {}
         self.zones, self.kinds = self.experiment.zones(), self.experiment.kinds()
-        self.dispatchers = {host: number for number, host in enumerate(spec.hosts)}
 
     async def prepare(self) -> DiscoveryOpened:
         """Listen."""
         host = self.spec.own_hosts["discovery"]
-        backlog = len(self.dispatchers) + EXTRA_BACKLOG
+        backlog = len(self.dispatcher_by_host) + EXTRA_BACKLOG
         server = await self.loop.create_server(lambda: DiscoveryConnection(self), host, 0, backlog=backlog)
         return DiscoveryOpened(f"{host}:{server.sockets[0].getsockname()[1]}")
 
--- a/ploverspoke/testbed/fakes/fake_process.py
+++ b/ploverspoke/testbed/fakes/fake_process.py
@@ -76,6 +76,7 @@
         self.seed = spec.seed
         self.context = RunContext(self.experiment, self.seed, self.clock, self.records)
         self.counters = ByteCounters(len(spec.hosts))
+        self.dispatcher_by_host = {host: number for number, host in enumerate(spec.hosts)}
 
     async def prepare(self) -> msgspec.Struct:
         """Open what there is to open; returns the first message of the process."""
--- a/ploverspoke/testbed/fakes/instant_workers.py
+++ b/ploverspoke/testbed/fakes/instant_workers.py
@@ -6,13 +6,13 @@
 
 import asyncio
 import sys
-from typing import cast
 
 import msgspec
 import uvloop
 
 from ..processes.pipe_messages import send_message, wait_for_input_end
-from .http_wire import HttpMessage, HttpReader, encode_response
+from .http_connection import HttpConnection
+from .http_wire import HttpMessage, encode_response
 from .worker_protocol import LoadReport, RunUpdate, encode_load_report, encode_run_update
 
 LOAD_RESPONSE = encode_load_report(LoadReport(0, 1000))
@@ -26,23 +26,13 @@
     ports: list[int]
 
 
-class InstantWorkerConnection(asyncio.Protocol):
+class InstantWorkerConnection(HttpConnection):
     """One connection to a worker."""
 
-    def __init__(self) -> None:
-        """A connection that is about to be made."""
-        self.reader = HttpReader()
-        self.transport: asyncio.Transport | None = None
-
-    def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
-        self.transport = cast(asyncio.Transport, transport)
-
-    def data_received(self, data: bytes) -> None:
-        """Answer the requests in it."""
+    def on_message(self, message: HttpMessage) -> None:
+        """Answer a request."""
         assert self.transport is not None
-        for message in self.reader.feed(data):
-            self.transport.write(_response(message))
+        self.transport.write(_response(message))
 
 
 def _response(message: HttpMessage) -> bytes:
--- a/ploverspoke/testbed/fakes/load_generator.py
+++ b/ploverspoke/testbed/fakes/load_generator.py
@@ -10,14 +10,15 @@
 import sys
 import time
 from collections import deque
-from typing import NamedTuple, cast
+from typing import NamedTuple
 
 import msgspec
 import uvloop
 from hdrh.histogram import HdrHistogram
 
 from ..processes.pipe_messages import send_message
-from .http_wire import HttpReader
+from .http_connection import HttpConnection
+from .http_wire import HttpMessage
 
 NANOSECONDS = 1e9  # in a second
 MAX_LATENCY_US = 60_000_000
@@ -48,20 +49,15 @@
     connections_ended: int
 
 
-class LoadClient(asyncio.Protocol):
+class LoadClient(HttpConnection):
     """One connection, with one request in flight at most."""
 
     def __init__(self, generator: "LoadGenerator") -> None:
         """A connection that is about to be made."""
+        super().__init__()
         self.generator = generator
-        self.reader = HttpReader()
-        self.transport: asyncio.Transport | None = None
         self.due_at = 0  # ns
 
-    def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
-        self.transport = cast(asyncio.Transport, transport)
-
     def connection_lost(self, exc: Exception | None) -> None:
         """Count it."""
         self.generator.connections_ended += 1
@@ -72,10 +68,9 @@
         self.due_at = due_at
         self.transport.write(self.generator.next_request())
 
-    def data_received(self, data: bytes) -> None:
-        """Report the answers in it."""
-        for message in self.reader.feed(data):
-            self.generator.on_answer(self, message.status == 200)
+    def on_message(self, message: HttpMessage) -> None:
+        """Report an answer."""
+        self.generator.on_answer(self, message.status == 200)
 
 
 class LoadGenerator:
--- a/ploverspoke/testbed/fakes/worker_connection.py
+++ b/ploverspoke/testbed/fakes/worker_connection.py
@@ -1,16 +1,15 @@
 """A dispatcher's connection to a fake worker of an experiment: HTTP in front of the worker's model."""
 
 import asyncio
-from typing import TYPE_CHECKING, cast
+from typing import TYPE_CHECKING
 
 from ..models import event_records
 from ..models.connection_faults import ARRIVAL_PROBABILITY, MAX_RESET_DELAY
 from ..models.event_records import Event, ExecutionEnd
 from ..models.execution import Execution
 from ..models.request_schedule import ScheduledRequest
-from ..processes.pipe_messages import send_message
-from .fake_messages import FaultReport
-from .http_wire import HttpMessage, HttpReader, HttpSyntaxError, encode_response
+from .dispatcher_connection import NO_DISPATCHER, DispatcherConnection
+from .http_wire import HttpMessage, HttpSyntaxError, encode_response
 from .worker_protocol import (
     LoadReport,
     RunUpdate,
@@ -23,87 +22,70 @@
     from .worker_server import WorkerListener
 
 
-class WorkerConnection(asyncio.Protocol):
+class WorkerConnection(DispatcherConnection):
     """One connection of a dispatcher; the listener of the run that it carries."""
 
     def __init__(self, listener: "WorkerListener") -> None:
         """A connection that is about to be made."""
+        super().__init__(listener.workers, listener.worker.name)
         self.listener = listener
         self.worker = listener.worker
         self.workers = listener.workers
-        self.dispatcher = self.zone = -1
-        self.reader = HttpReader()
-        self.transport: asyncio.Transport | None = None
+        self.zone = -1
         self.run: Execution | None = None
         self.requests = 0
         self.is_silent = False  # whatever is written is dropped
-        self.traffic = self.workers.counters.of(-1)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Identify the dispatcher by its address."""
-        self.transport = cast(asyncio.Transport, transport)
-        self.dispatcher = self.workers.dispatchers.get(transport.get_extra_info("peername")[0], -1)
-        if self.dispatcher < 0:
-            self._report_fault("was called by somebody who is no dispatcher")
-            self.abort()
-            return
-        self.zone = self.dispatcher % len(self.workers.experiment.zones())
-        self.listener.connections.add(self)
-        self.traffic = self.workers.counters.of(self.dispatcher)
-        self.traffic.count_opened()
+        """Identify the dispatcher and its zone."""
+        super().connection_made(transport)
+        if self.dispatcher != NO_DISPATCHER:
+            self.zone = self.dispatcher % len(self.workers.experiment.zones())
+            self.listener.connections.add(self)
 
     def data_received(self, data: bytes) -> None:
         """Take in requests, each after the latency of the network."""
-        self.traffic.bytes_out += len(data)
         try:
-            for message in self.reader.feed(data):
-                self.traffic.messages_out += 1
-                self._receive(message)
+            super().data_received(data)
         except HttpSyntaxError as error:
-            self._report_fault(f"was sent: {error}")
+            self.report_fault(f"was sent: {error}")
             self.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Cancel the run, unless a cut hides the end of the connection."""
         self.listener.connections.discard(self)
-        self.traffic.count_closed()
-        self.transport = None
+        super().connection_lost(exc)
         run = self.run
         if run is not None and not run.is_over:
             self._record_closed(run)
             if self.worker.is_up and not self.listener.is_cut(self.zone):
                 self.worker.cancel(run)
 
-    def abort(self) -> None:
-        """Reset the connection."""
-        if self.transport is not None:
-            self.transport.abort()
-
     # ---- Requests ----
 
-    def _receive(self, message: HttpMessage) -> None:
+    def on_message(self, message: HttpMessage) -> None:
+        """Serve a request after the latency of the network."""
         delay = self.listener.one_way_delay(self.zone)
         if self.listener.is_cut(self.zone):
             self.is_silent = True
         elif delay:
             clock = self.workers.clock
-            clock.call_at(clock.now() + delay, self._on_message, message)
+            clock.call_at(clock.now() + delay, self._serve, message)
         else:
-            self._on_message(message)
+            self._serve(message)
 
-    def _on_message(self, message: HttpMessage) -> None:
+    def _serve(self, message: HttpMessage) -> None:
         self.requests += 1
         if self.transport is None or not self.worker.is_up:
             return
-        method, _, rest = message.start_line.partition(" ")
-        if method == "GET":
-            self._on_probe(rest.split(" ")[0])
+        if message.method == "GET":
+            self._on_probe(message.target)
             return
         request_id = message.headers.get("request-id", "")
         job = self.workers.job(request_id)
         if job is None:
             self._write(encode_response(404 if not request_id else 400, "No", b""))
-            self._report_fault(f"was sent an id that no client sent: {request_id!r}")
+            self.report_fault(f"was sent an id that no client sent: {request_id!r}")
             return
         draws, faults = self.workers.draws, self.workers.connections
         if self.requests > 1 and faults.idle_drops.strikes(self.worker.name, draws):
@@ -188,9 +170,8 @@
             self._write_now(data)
 
     def _write_now(self, data: bytes) -> None:
-        if self.transport is not None and not self.is_silent:
-            self.traffic.count_message_in(len(data))
-            self.transport.write(data)
+        if not self.is_silent:
+            self.write(data)
 
     def _record_closed(self, run: Execution) -> None:
         if run.serial:
@@ -204,6 +185,3 @@
                 run.serial,
             )
             self.workers.records.add(closed)
-
-    def _report_fault(self, text: str) -> None:
-        send_message(FaultReport(f"{self.worker.name} {text}"))
--- a/ploverspoke/testbed/fakes/worker_server.py
+++ b/ploverspoke/testbed/fakes/worker_server.py
@@ -89,7 +89,6 @@
         self.draws = RandomStreams(self.seed).draws("sockets")
         self.connections = ConnectionFaults()
         self.tasks: set[asyncio.Task[None]] = set()
-        self.dispatchers = {host: number for number, host in enumerate(spec.hosts)}
         self.listeners = {name: WorkerListener(self, worker) for name, worker in self.fleet.workers.items()}
         self.partitions: NetworkPartitions | None = None  # None: the run has not begun, nothing is cut
 
