--- a/ploverspoke/testbed/processes/addresses.py
+++ b/ploverspoke/testbed/processes/addresses.py
@@ -120,17 +120,17 @@
 
     def close(self) -> None:
         """Release the block and its ports."""
-        for bind_without_listening in self._bound_sockets:
-            bind_without_listening.close()
+        for bound in self._bound_sockets:
+            bound.close()
         self._lock.close()
 
 
 def bind_without_listening(host: str, port: int) -> socket.socket:
     """Bind a TCP socket that keeps the port: a listener that also sets SO_REUSEADDR may still bind it."""
-    bind_without_listening = socket.socket()
-    bind_without_listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    bind_without_listening.bind((host, port))
-    return bind_without_listening
+    bound = socket.socket()
+    bound.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    bound.bind((host, port))
+    return bound
 
 
 _reserved_sockets: list[socket.socket] = []  # kept until this process ends
@@ -139,4 +139,4 @@
 def reserve_ports(count: int) -> list[int]:
     """Reserve ports at 127.0.0.1 on which nobody listens, until this process ends."""
     _reserved_sockets.extend(bind_without_listening(LOCALHOST, 0) for _ in range(count))
-    return [bind_without_listening.getsockname()[1] for bind_without_listening in _reserved_sockets[-count:]]
+    return [reserved.getsockname()[1] for reserved in _reserved_sockets[-count:]]
--- a/ploverspoke/testbed/processes/link_faults.py
+++ b/ploverspoke/testbed/processes/link_faults.py
@@ -11,9 +11,7 @@
 
 from ..experiment_files.durations import MILLISECOND, SECOND
 
-RETRANSMIT_TIMEOUT = (
-    200 * MILLISECOND
-)  # the kernel's shortest, after a segment was lost; it doubles each time
+RETRANSMIT_TIMEOUT = 200 * MILLISECOND  # the kernel's shortest after a loss; it doubles each time
 MAX_RETRANSMITS = 6
 
 RandomFraction = Callable[[], float]  # a number from 0 up to 1
