--- a/ploverspoke/testbed/fakes/config_clients.py
+++ b/ploverspoke/testbed/fakes/config_clients.py
@@ -11,8 +11,9 @@
 import msgspec
 import uvloop
 
-from ..experiment_files.durations import SECOND
-from ..processes.history import History, monotonic_now
+from ..experiment_files.durations import MILLISECOND
+from ..processes.history import History
+from ..processes.lateness import LatenessMeter
 from ..processes.pipe_messages import input_lines, send_message
 from .config_client_messages import (
     ConfigClientsCommand,
@@ -26,7 +27,7 @@
 
 DISCOVERY_ADDRESSES = 2  # that bodies name in turn
 MAX_HOLD = 2.0  # seconds
-LATENESS_CHECK_INTERVAL = 0.05  # seconds
+LATENESS_CHECK_INTERVAL = 50 * MILLISECOND
 
 
 class ConfigClients:
@@ -37,7 +38,7 @@
         self.spec = spec
         self.history = History(Path(spec.history), "clients")
         self.discovery = ScriptedDiscovery([], host=spec.discovery, max_hold=MAX_HOLD)
-        self.lateness = 0  # ns, the largest so far
+        self.lateness = LatenessMeter(LATENESS_CHECK_INTERVAL)
         self.tasks: list[asyncio.Task[None]] = []
 
     async def open(self) -> None:
@@ -54,7 +55,7 @@
             await self.publishers.publish_last()
         else:
             await self.publishers.read_servers()
-        send_message(ConfigClientsReply(command.action, self.lateness))
+        send_message(ConfigClientsReply(command.action, self.lateness.max_lateness))
 
     def _start(self) -> None:
         self.publishers.start()
@@ -63,13 +64,7 @@
             for name in self.spec.dispatchers
         ]
         self.tasks = [asyncio.create_task(prober.run()) for prober in probers]
-        self.tasks.append(asyncio.create_task(self._watch_lateness()))
-
-    async def _watch_lateness(self) -> None:
-        while True:
-            due_at = monotonic_now() + int(LATENESS_CHECK_INTERVAL * SECOND)
-            await asyncio.sleep(LATENESS_CHECK_INTERVAL)
-            self.lateness = max(self.lateness, monotonic_now() - due_at)
+        self.tasks.append(asyncio.create_task(self.lateness.run()))
 
 
 async def main() -> None:
--- a/ploverspoke/testbed/fakes/fake_process.py
+++ b/ploverspoke/testbed/fakes/fake_process.py
@@ -14,17 +14,19 @@
 import msgspec
 import uvloop
 
+from ..experiment_files.durations import MILLISECOND
 from ..experiment_files.experiment import Experiment
 from ..experiment_files.reader import experiment_from_builtins
 from ..models.event_records import EventLog, write_events
 from ..models.run_context import RunContext
 from ..models.virtual_clock import TimerHandle
+from ..processes.lateness import LatenessMeter
 from ..processes.pipe_messages import input_lines, send_message
 from .byte_counters import ByteCounters
 from .fake_messages import FakeCommand, FakeProcessSpec, RunFinished, StatusReport
 
 STATUS_INTERVAL = 0.25  # seconds
-LATENESS_CHECK_INTERVAL = 0.02  # seconds
+LATENESS_CHECK_INTERVAL = 20 * MILLISECOND
 
 
 class LoopTimer:
@@ -69,7 +71,7 @@
         self.loop = asyncio.get_running_loop()
         self.clock = LoopClock(self.loop)
         self.records = EventLog()
-        self.lateness = 0  # ns, the largest so far
+        self.lateness = LatenessMeter(LATENESS_CHECK_INTERVAL)
         self.spec = spec
         self.part = part
         self.experiment: Experiment = experiment_from_builtins(spec.experiment)
@@ -105,25 +107,18 @@
         # A collection of all records of a run would hold the process up for longer than it may be late.
         gc.disable()
         self.begin(command)
-        return [self.loop.create_task(self._report_status()), self.loop.create_task(self._watch_lateness())]
+        return [self.loop.create_task(self._report_status()), self.loop.create_task(self.lateness.run())]
 
     async def _report_status(self) -> None:
         while True:
             await asyncio.sleep(STATUS_INTERVAL)
             report = self.status()
-            report.lateness = self.lateness
+            report.lateness = self.lateness.max_lateness
             if self.spec.reports_traffic:
                 report.counted_at = self.clock.now()
                 report.traffic = self.counters.traffic
             send_message(report)
 
-    async def _watch_lateness(self) -> None:
-        """Note how late this process is with what is due: its records are off by as much."""
-        while True:
-            due = self.clock.now() + int(LATENESS_CHECK_INTERVAL * 1e9)
-            await asyncio.sleep(LATENESS_CHECK_INTERVAL)
-            self.lateness = max(self.lateness, self.clock.now() - due)
-
 
 FakeProcessFactory = Callable[[FakeProcessSpec, int], FakeProcess]
 
--- a/ploverspoke/testbed/processes/rig.py
+++ b/ploverspoke/testbed/processes/rig.py
@@ -140,7 +140,7 @@
 
     def void_reason(self) -> str:
         """Why the run proves nothing; "" if it does."""
-        lateness = self.timeline.max_lateness
+        lateness = self.timeline.lateness.max_lateness
         if lateness > MAX_LATENESS:
             return f"the machine was too slow: the rig itself was late by {format_duration(lateness)}"
         return ""
--- a/ploverspoke/testbed/processes/timeline_runner.py
+++ b/ploverspoke/testbed/processes/timeline_runner.py
@@ -13,6 +13,7 @@
 from .child_process import STOP_TIMEOUT
 from .fault_controls import DiskMode
 from .history import History, monotonic_now
+from .lateness import LatenessMeter
 from .link_fault_controller import LinkFaultController
 from .link_faults import LinkFault
 from .running_process import ProcessStartError, RunningProcess
@@ -37,7 +38,7 @@
         self.on_process_up: Callable[[str], None] = lambda name: None
         self.stop_timeout = STOP_TIMEOUT  # seconds, of a process that is restarted
         self.epoch = 0  # ns of the machine's monotonic clock, when the timeline began
-        self.max_lateness = 0  # ns, of a step or of this process's event loop
+        self.lateness = LatenessMeter(LATENESS_CHECK_INTERVAL)  # of steps and of this process's event loop
         self.finished = asyncio.Event()  # set to end the run early
         self.busy: set[str] = set()  # names of processes to which a step is being applied
         self._processes = processes
@@ -59,10 +60,10 @@
         """
         self.epoch = monotonic_now() if starts_at is None else starts_at
         self._history.add("begin", [seed, [step.describe() for step in steps]])
-        lateness_watch = asyncio.create_task(self._watch_lateness())
+        lateness_watch = asyncio.create_task(self.lateness.run())
         for step in steps:
             await asyncio.sleep(max(0.0, (step.start - self.now()) / SECOND))
-            self.max_lateness = max(self.max_lateness, self.now() - step.start)
+            self.lateness.record(self.now() - step.start)
             self._begin_step(step)
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(self.finished.wait(), max(0.0, (duration - self.now()) / SECOND))
@@ -79,13 +80,6 @@
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    async def _watch_lateness(self) -> None:
-        """Measure how late this event loop is: on a machine that is too slow a run shows nothing."""
-        while True:
-            due = monotonic_now() + LATENESS_CHECK_INTERVAL
-            await asyncio.sleep(LATENESS_CHECK_INTERVAL / SECOND)
-            self.max_lateness = max(self.max_lateness, monotonic_now() - due)
-
     def _begin_step(self, step: FaultStep) -> None:
         task = asyncio.create_task(self._apply_step(step))
         self._tasks.add(task)
