--- a/ploverspoke/testbed/fakes/faulty_discovery.py
+++ b/ploverspoke/testbed/fakes/faulty_discovery.py
@@ -6,8 +6,6 @@
 import asyncio
 import contextlib
 import math
-import socket
-import struct
 from collections import deque
 from collections.abc import Iterable
 from enum import Enum
@@ -16,6 +14,8 @@
 
 import msgspec
 
+from ..processes.addresses import bind_without_listening
+from ..processes.connection_reset import reset_on_close
 from .discovery_protocol import (
     EndpointListUpdate,
     ListedEndpoint,
@@ -25,7 +25,6 @@
 )
 from .http_wire import encode_response, read_message
 
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 BACKLOG = 256
 INVALID_LIST = b'{"version":"soon"}'
 
@@ -161,9 +160,7 @@
     # ---- Calls ----
 
     async def _listen(self, dispatcher: int) -> None:
-        listening = socket.socket()
-        listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        listening.bind((self.host, self.ports.get(dispatcher, 0)))
+        listening = bind_without_listening(self.host, self.ports.get(dispatcher, 0))
         self.ports[dispatcher] = listening.getsockname()[1]
         serve = partial(self._serve, dispatcher)
         self.servers[dispatcher] = await asyncio.start_server(serve, sock=listening, backlog=BACKLOG)
@@ -254,5 +251,5 @@
     end = writer.get_extra_info("socket")
     if end is not None and end.fileno() >= 0:
         with contextlib.suppress(OSError):
-            end.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
+            reset_on_close(end)
     writer.transport.abort()
--- a/ploverspoke/testbed/processes/proxied_stream.py
+++ b/ploverspoke/testbed/processes/proxied_stream.py
@@ -5,17 +5,15 @@
 """
 
 import asyncio
-import socket
-import struct
 from collections import deque
 from collections.abc import Callable
 from typing import NamedTuple, cast
 
+from .connection_reset import reset_on_close
 from .history import monotonic_now
 from .link_faults import Link
 
 MAX_QUEUED = 1 << 20  # bytes in one direction; beyond that the proxy stops reading from the sender
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER on, 0 s: the peer reads a reset in place of an end
 
 
 class StreamAddress(NamedTuple):
@@ -130,8 +128,7 @@
         """Close the connection so that the process reads a reset."""
         self.is_closed = True
         if self.transport is not None:
-            connection = self.transport.get_extra_info("socket")
-            connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
+            reset_on_close(self.transport.get_extra_info("socket"))
             self.transport.abort()
 
 
