--- a/ploverspoke/testbed/processes/child_process.py
+++ b/ploverspoke/testbed/processes/child_process.py
@@ -7,8 +7,9 @@
 
 import msgspec
 
+from .pipe_messages import MAX_LINE
+
 STOP_TIMEOUT = 10.0  # seconds
-MAX_LINE = 1 << 22  # bytes of one message from a child
 
 Message = TypeVar("Message")
 
--- a/ploverspoke/testbed/processes/pipe_messages.py
+++ b/ploverspoke/testbed/processes/pipe_messages.py
@@ -6,6 +6,8 @@
 
 import msgspec
 
+MAX_LINE = 1 << 22  # bytes of one message, either way
+
 
 def send_message(message: object) -> None:
     """Write a message, a struct or a dict, to the parent process."""
@@ -15,7 +17,7 @@
 
 async def input_lines() -> AsyncIterator[bytes]:
     """Yield the lines of the standard input until the parent closes it."""
-    lines = asyncio.StreamReader()
+    lines = asyncio.StreamReader(limit=MAX_LINE)
     loop = asyncio.get_running_loop()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(lines), sys.stdin)
     while line := await lines.readline():
--- a/tests/testbed/scale/test_scale.py
+++ b/tests/testbed/scale/test_scale.py
@@ -39,6 +39,7 @@
 from ploverspoke.testbed.processes.capacity_check import CapacityError
 from ploverspoke.testbed.processes.child_process import ChildProcess
 from ploverspoke.testbed.reports.scores import RunScore
+from ploverspoke.testbed.scale.config_poller import ChangeApplied, ConfigChange, PollTargets
 from ploverspoke.testbed.scale.dispatcher_host import DispatcherHost
 from ploverspoke.testbed.scale.host_messages import BeginRun, DispatcherAddress, DispatcherHostSpec
 from ploverspoke.testbed.scale.scenario_file import ScaleScenario, read_scale_scenarios
@@ -251,6 +252,31 @@
     run_with_host(tmp_path, 2, test)
 
 
+def test_config_poller_takes_the_addresses_of_thousands_of_dispatchers() -> None:
+    async def answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        await reader.readuntil(b"\r\n\r\n")
+        writer.write(b"HTTP/1.1 405 Method Not Allowed\r\nContent-Length: 0\r\n\r\n")
+        writer.close()
+
+    async def whole() -> None:
+        server = await asyncio.start_server(answer, "127.0.0.1", 0)
+        host, port = server.sockets[0].getsockname()
+        child = await ChildProcess.start(f"{MODULE}.config_poller", [])
+        try:
+            # Nobody is polled before a change, and the later addresses replace the first ones.
+            child.send(PollTargets(["127.200.200.200:65535"] * 10_000))
+            child.send(PollTargets([f"{host}:{port}"]))
+            child.send(ConfigChange(1, "added"))
+            applied = await asyncio.wait_for(child.receive_as(ChangeApplied), 20)
+            assert applied is not None and applied.number == 1
+            assert len(applied.delays) == 1 and applied.delays[0] >= 0
+        finally:
+            await child.stop()
+            server.close()
+
+    asyncio.run(whole())
+
+
 # ---- Worlds ----
 
 
