--- a/ploverspoke/testbed/capacity/measurements/lease_server.py
+++ b/ploverspoke/testbed/capacity/measurements/lease_server.py
@@ -192,11 +192,13 @@
     for servers in SERVER_COUNTS:
         runs = [_measure_point(servers, amount, make_load, request) for amount in amounts]
         points = await run_points(runs, request)
+        fleet = f"{servers} keepers"
         for point in points:
             text = point.void or f"core {point.metrics['core_share']:.2%}"
-            request.say(f"{servers} keepers, {load} {point.load:g}: {text}")
+            request.say(f"{fleet}, {load} {point.load:g}: {text}")
         fixed = {"keepers": float(servers), **fixed_amounts}
-        result = result.plus(result_of(MeasuredLoad(ROLE, load, METHOD, fixed), points))
+        measured = MeasuredLoad(ROLE, load, METHOD, fixed, fleet=fleet)
+        result = result.plus(result_of(measured, points))
     return result
 
 
--- a/ploverspoke/testbed/capacity/measurements/measurement.py
+++ b/ploverspoke/testbed/capacity/measurements/measurement.py
@@ -86,6 +86,7 @@
     method: str  # how the metrics were read
     fixed_amounts: dict[str, float]
     note: str = ""
+    fleet: str = ""  # in which of several fleets, for the lines of void runs
 
 
 class Point(NamedTuple):
@@ -105,8 +106,11 @@
 
 def result_of(measured: MeasuredLoad, points: Sequence[Point]) -> MeasurementResult:
     """Fit lines through the points that are not void; void ones are named, in the notes of the lines too."""
+    fleet = f", {measured.fleet}" if measured.fleet else ""
     void = [
-        f"{measured.role}, {measured.load} {point.load:g}: {point.void}" for point in points if point.void
+        f"{measured.role}, {measured.load} {point.load:g}{fleet}: {point.void}"
+        for point in points
+        if point.void
     ]
     note = "; ".join(text for text in (*(f"void: {text}" for text in void), measured.note) if text)
     values = [(point.load, point.metrics) for point in points if not point.void]
--- a/tests/testbed/capacity/test_measured_costs.py
+++ b/tests/testbed/capacity/test_measured_costs.py
@@ -14,6 +14,7 @@
     read_measured_costs,
     write_measured_costs,
 )
+from ploverspoke.testbed.capacity.measurements import lease_server
 from ploverspoke.testbed.capacity.measurements.dispatcher import dispatcher_experiment, reload_action
 from ploverspoke.testbed.capacity.measurements.measurement import (
     Interval,
@@ -21,6 +22,7 @@
     Measurement,
     MeasurementRequest,
     MeasurementResult,
+    Point,
     cost_lines,
 )
 from ploverspoke.testbed.capacity.measurements.measurement_fleet import run_fleet
@@ -102,6 +104,19 @@
     assert measure_costs.merge_costs(None, old) == old
 
 
+def test_void_run_of_lease_servers_is_named_with_their_number(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def measure_point(servers: int, amount: float, *_: object) -> Point:
+        if (servers, amount) == (5, 150):
+            return Point(amount, {}, "late")
+        return Point(amount, {"core_share": amount})
+
+    monkeypatch.setattr(lease_server, "_measure_point", measure_point)
+    result = asyncio.run(lease_server.measure_holders(MeasurementRequest(lambda _: None)))
+    assert result.void == ["keeper, holders 150, 5 keepers: late"]
+    notes = [(line.fixed_amounts["keepers"], line.note) for line in result.lines]
+    assert notes == [(3.0, ""), (5.0, "void: keeper, holders 150, 5 keepers: late")]
+
+
 async def _found(asked: MeasurementRequest) -> MeasurementResult:
     return MeasurementResult(lines("dispatcher", "a", 2.0), [])
 
