--- a/ploverspoke/testbed/scenarios/dispatcher_bench.py
+++ b/ploverspoke/testbed/scenarios/dispatcher_bench.py
@@ -18,6 +18,7 @@
 from ..fakes.load_generator import LoadResult
 from ..models.deployment_settings import dispatcher_settings
 from ..processes.addresses import reserve_ports
+from ..processes.running_process import ProcessStartError
 from .bench_process import (
     FAKES,
     WORKERS,
@@ -86,7 +87,7 @@
         """Start it and wait until it accepts connections; nobody listens at its discovery.
 
         Raises:
-            RuntimeError: it does not in time.
+            ProcessStartError: it does not in time.
         """
         module = PROGRAMS[name]
         [self.port, unused_port] = reserve_ports(2)
@@ -104,7 +105,7 @@
         self.process = BenchProcess(["-m", module], core, RELAY_CONFIG=str(path))
         if not self._wait_until_ready():
             self.process.stop()
-            raise RuntimeError(module)
+            raise ProcessStartError(process=module, problem="did not come up")
 
     def _wait_until_ready(self) -> bool:
         deadline = time.monotonic() + START_TIMEOUT
