--- a/ploverspoke/testbed/reports/cost_tables.py
+++ b/ploverspoke/testbed/reports/cost_tables.py
@@ -6,7 +6,7 @@
 
 from ..capacity.measured_costs import CostPerUnit
 
-LEFT_ALIGNED = ("figure", "size", "still")
+LEFT_ALIGNED = ("metric", "load", "fixed loads")
 
 
 def cost_tables(lines: Sequence[CostPerUnit]) -> list[Table]:
@@ -17,7 +17,7 @@
 
 def _role_table(role: str, lines: Sequence[CostPerUnit]) -> Table:
     table = Table(title=role, title_justify="left")
-    for heading in ("figure", "size", "still", "intercept", "slope", "residual", "measured to", ""):
+    for heading in ("metric", "load", "fixed loads", "intercept", "slope", "residual", "measured to", ""):
         table.add_column(heading, justify="left" if heading in LEFT_ALIGNED else "right")
     for line in lines:
         if any(value for _, value in line.points):
