--- a/ploverspoke/testbed/scenarios/scale_fleet.py
+++ b/ploverspoke/testbed/scenarios/scale_fleet.py
@@ -32,7 +32,7 @@
     scaled_fake_demands,
     total_memory,
 )
-from .socket_fleet import MAX_LATENESS, ReportListener, SocketFleet
+from .socket_fleet import MAX_LATENESS, SocketFleet
 
 LIST_TIMEOUT, LIST_POLL_INTERVAL = 30.0, 0.1  # seconds
 SAMPLE_INTERVAL = 2 * SECOND
@@ -45,17 +45,9 @@
 class ScaleFleet(SocketFleet):
     """A fleet that is sampled while it runs, and ends once no client waits for an answer."""
 
-    def __init__(
-        self,
-        experiment: Experiment,
-        seed: int,
-        folder: Path,
-        counts: ProcessCounts,
-        listener: ReportListener | None = None,
-    ) -> None:
-        """`listener` gets each report of a fake."""
+    def __init__(self, experiment: Experiment, seed: int, folder: Path, counts: ProcessCounts) -> None:
+        """Draw the requests; nothing is started before `run`."""
         super().__init__(experiment, seed, folder, self._on_report)
-        self.listener = listener
         self.counts = counts
         self.worker_processes = counts.workers
         self.reports_traffic = True
@@ -111,8 +103,6 @@
         self._latest[report["child"]] = report
         if report.get("late", 0) > MAX_LATENESS and not self._first_late:
             self._first_late = f"{_kind_of_fake(report)} by {report['at'] / SECOND:.1f} s"
-        if self.listener is not None:
-            self.listener(report)
         if "sent" in report:
             self._check_if_over(report["at"])
 
@@ -165,16 +155,9 @@
 class SimulatedScaleFleet(ScaleFleet):
     """A fleet with many simulated dispatchers in a few processes."""
 
-    def __init__(
-        self,
-        experiment: Experiment,
-        seed: int,
-        folder: Path,
-        counts: ProcessCounts,
-        listener: ReportListener | None = None,
-    ) -> None:
-        """`listener` gets each report of a fake."""
-        super().__init__(experiment, seed, folder, counts, listener)
+    def __init__(self, experiment: Experiment, seed: int, folder: Path, counts: ProcessCounts) -> None:
+        """A fleet without hosts of simulated dispatchers yet."""
+        super().__init__(experiment, seed, folder, counts)
         self.hosts: list[SimulatedDispatcherHost] = []
         self.loop_lateness = 0  # ns, of the processes' event loops
         self._late_at = 0  # ns of the run, when it was first too much
