--- a/ploverspoke/testbed/processes/rig.py
+++ b/ploverspoke/testbed/processes/rig.py
@@ -21,7 +21,7 @@
 from .addresses import AddressBlock, ProcessAddress
 from .capacity_check import MEBIBYTE, ResourceDemand, check_capacity
 from .child_process import ChildProcess
-from .history import History, HistoryEvent, events_around, read_histories
+from .history import EVENTS_SHOWN, History, HistoryEvent, events_around, read_histories
 from .link_fault_controller import LinkFaultController
 from .proxy_messages import ProxiedProcess
 from .running_process import RunningProcess
@@ -149,9 +149,10 @@
         """The events of all histories up to now, in order of time."""
         return read_histories(self.folder)
 
-    def describe_finding(self, finding: str, at: int) -> str:
-        """A finding with the seed, the timeline and the events around it."""
-        events = self.read_events()
+    def describe_finding(
+        self, finding: str, at: int, events: list[HistoryEvent], shown: int = EVENTS_SHOWN
+    ) -> str:
+        """A finding with the seed, the timeline and those of `events` that are nearest to it."""
         steps: list[str] = next((event.detail[1] for event in events if event.kind == "begin"), [])
         return "\n".join(
             [
@@ -159,7 +160,7 @@
                 f"seed {self.seed}; timeline:",
                 *(f"  {step}" for step in steps),
                 "events around it:",
-                *(f"  {line}" for line in events_around(events, at)),
+                *(f"  {line}" for line in events_around(events, at, shown)),
             ]
         )
 
--- a/ploverspoke/testbed/scenarios/distribution_scenario.py
+++ b/ploverspoke/testbed/scenarios/distribution_scenario.py
@@ -13,7 +13,7 @@
 from ..experiment_files.durations import MILLISECOND, SECOND, Duration, format_duration
 from ..experiment_files.fault_timeline import FaultStep, check_timeline
 from ..processes.capacity_check import memory_backed_folder
-from ..processes.history import HistoryEvent, events_around, monotonic_now
+from ..processes.history import HistoryEvent, monotonic_now
 from ..processes.link_faults import LinkCounters
 from ..processes.rig import Rig
 from .distribution_experiment import DistributionDemands, DistributionExperiment, DistributionScenario
@@ -70,7 +70,12 @@
         events = rig.read_events()
         verdict = check_distribution_history(events, scenario.within)
         shown = verdict.findings[:MAX_FINDINGS_SHOWN]
-        findings = [_describe_finding(finding, seed, timeline, events) for finding in shown]
+        findings = [
+            rig.describe_finding(
+                finding.text, finding.at, _related_events(finding, events), EVENTS_AROUND_FINDING
+            )
+            for finding in shown
+        ]
     void, links = _void_reason(rig, fleet), rig.link_faults.counters.links
     return DistributionRunOutcome(verdict, void, rig.errors, findings, events, timeline, links, samples)
 
@@ -116,22 +121,9 @@
     return void
 
 
-def _describe_finding(
-    finding: HistoryFinding, seed: int, steps: list[FaultStep], events: list[HistoryEvent]
-) -> str:
-    """Return a finding with the timeline and the events around it."""
-    related = [
-        event for event in events if event.kind not in FREQUENT_EVENTS or event.detail[0] in finding.text
-    ]
-    return "\n".join(
-        [
-            finding.text,
-            f"seed {seed}; timeline:",
-            *(f"  {step.describe()}" for step in steps),
-            "events around it:",
-            *(f"  {line}" for line in events_around(related, finding.at, EVENTS_AROUND_FINDING)),
-        ]
-    )
+def _related_events(finding: HistoryFinding, events: list[HistoryEvent]) -> list[HistoryEvent]:
+    """Return the events that are shown around a finding."""
+    return [event for event in events if event.kind not in FREQUENT_EVENTS or event.detail[0] in finding.text]
 
 
 # ---- Experiments ----
--- a/ploverspoke/testbed/scenarios/lease_scenario.py
+++ b/ploverspoke/testbed/scenarios/lease_scenario.py
@@ -111,7 +111,8 @@
             killing.cancel()
         events = rig.read_events()
     verdict = check_lease_history(events, scenario.holders_by_lease())
-    findings = [rig.describe_finding(each.text, each.at) for each in verdict.findings[:MAX_FINDINGS_SHOWN]]
+    shown = verdict.findings[:MAX_FINDINGS_SHOWN]
+    findings = [rig.describe_finding(finding.text, finding.at, events) for finding in shown]
     links = rig.link_faults.counters.links
     return LeaseRunOutcome(verdict, rig.void_reason(), rig.errors, findings, events, timeline, links)
 
