--- a/ploverspoke/testbed/scenarios/distribution_growth.py
+++ b/ploverspoke/testbed/scenarios/distribution_growth.py
@@ -1,7 +1,6 @@
 """Samples memory, disk and traffic of a config distribution run, and their growth in a partition."""
 
 import asyncio
-import os
 from collections.abc import Sequence
 from pathlib import Path
 
@@ -9,12 +8,12 @@
 
 from ..experiment_files.durations import SECOND
 from ..processes.addresses import ProcessAddress
+from ..processes.resource_usage import read_resource_usage
 from ..processes.running_process import RunningProcess
 from .distribution_experiment import DistributionScenario
 from .distribution_fleet import DistributionFleet
 
 SETTLING_TIME = 10 * SECOND  # ns, after the regions lose or find each other
-PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 MIN_SAMPLES = 2
 
 
@@ -61,10 +60,9 @@
     """Return the resident memory; 0 where the process does not run."""
     try:
         assert process.process is not None
-        pages = Path(f"/proc/{process.process.pid}/statm").read_text().split()[1]
+        return read_resource_usage(process.process.pid).memory
     except OSError:
         return 0
-    return int(pages) * PAGE_BYTES
 
 
 def _folder_bytes(folder: Path) -> int:
--- a/ploverspoke/testbed/scenarios/lease_bench.py
+++ b/ploverspoke/testbed/scenarios/lease_bench.py
@@ -18,7 +18,8 @@
 from ploverspoke.leases.config import LeaseServers, read_lease_servers
 
 from ..experiment_files.durations import SECOND, Duration
-from ..processes.capacity_check import memory_backed_folder
+from ..processes.capacity_check import MEBIBYTE, memory_backed_folder
+from ..processes.resource_usage import read_resource_usage
 from ..processes.rig import Rig
 from .bench_process import Log
 from .lease_experiment import LeaseScenario
@@ -115,7 +116,7 @@
         direct = LeaseServers({}, [leader.address], servers.secret)
         clients = [LeaseClient(direct, f"h{number}") for number in range(HOLDERS)]
         holding = await _measure_holders(leader, clients, max(seconds, 2 * HOLD_DURATION))
-        leader_mib = _resident_mib(leader.pid)
+        leader_mib = read_resource_usage(leader.pid).memory / MEBIBYTE
         await asyncio.gather(*(client.close() for client in clients))
     log(
         f"{size} lease servers, {holding.held} leases held for {HOLD_DURATION} s: "
@@ -181,13 +182,6 @@
     return (int(user) + int(system)) / CLOCK_TICKS
 
 
-def _resident_mib(pid: int) -> float:
-    for line in Path(f"/proc/{pid}/status").read_text().splitlines():
-        if line.startswith("VmRSS:"):
-            return int(line.split()[1]) / 1024
-    return 0.0
-
-
 def lease_tables(metrics: LeaseMetrics) -> list[Table]:
     """Return the table of all measurements."""
     title = f"lease servers: {CONNECTIONS} connections that send at once, {LEASES_PER_MESSAGE} leases each"
