--- a/ploverspoke/testbed/capacity/measurements/config_server.py
+++ b/ploverspoke/testbed/capacity/measurements/config_server.py
@@ -19,9 +19,10 @@
 from ...processes.rig import Rig
 from ...processes.running_process import ProcessStartError
 from ...processes.tcp_proxy import OUTSIDE
+from ...scenarios.replica_files import SECRET
 from .command_costs import METHOD as COMMAND_METHOD
 from .command_costs import run_command
-from .config_server_fleet import CLUSTER, SECRET, SERVER_COUNT, ConfigServerFleet, make_body
+from .config_server_fleet import CLUSTER, SERVER_COUNT, ConfigServerFleet, make_body
 from .dispatcher import RELOAD_OFFSET, measuring_interval
 from .measurement import (
     FOLDER_PREFIX,
--- a/ploverspoke/testbed/capacity/measurements/config_server_fleet.py
+++ b/ploverspoke/testbed/capacity/measurements/config_server_fleet.py
@@ -22,10 +22,10 @@
 from ...processes.readiness import accepts_connections
 from ...processes.rig import Rig
 from ...processes.running_process import ProcessStartError
+from ...scenarios.replica_files import SECRET, proxied_replicas, write_secret
 from .dispatcher import dispatcher_experiment, measuring_interval
 
 SERVER_COUNT = 3
-SECRET = "a secret of the testbed's own"
 CLUSTER = "testbed"
 ELECTION_TIMEOUT = 20.0  # seconds
 POLL_INTERVAL = 0.1  # seconds
@@ -61,17 +61,11 @@
     async def start(self) -> None:
         """Start the servers with empty folders. Raises ProcessStartError."""
         rig = self.rig
-        (rig.folder / "secret").write_text(SECRET)
+        write_secret(rig.folder)
         self.addresses = [
             rig.allocate_address(f"c{number}", ["peers", "clients"]) for number in range(SERVER_COUNT)
         ]
-        replicas = {
-            address.name: {
-                "peers": address.proxied_endpoint("peers"),
-                "clients": address.proxied_endpoint("clients"),
-            }
-            for address in self.addresses
-        }
+        replicas = proxied_replicas(self.addresses)
         for address in self.addresses:
             config = {
                 "cluster": CLUSTER,
--- a/ploverspoke/testbed/capacity/measurements/store_replica.py
+++ b/ploverspoke/testbed/capacity/measurements/store_replica.py
@@ -16,6 +16,7 @@
 from ...experiment_files.fault_timeline import FaultStep
 from ...experiment_files.reader import parse_experiment
 from ...processes.capacity_check import memory_backed_folder
+from ...scenarios.replica_files import SECRET
 from .dispatcher import measuring_interval
 from .measurement import (
     FOLDER_PREFIX,
@@ -40,7 +41,6 @@
 ABSENCES = (1.0, 4.0, 10.0)  # seconds
 ABSENT_REPLICAS = 3
 SNAPSHOT_INTERVALS = (20_000, 200)  # entries; with the second the absent replica gets a snapshot
-SECRET = b"a secret of the testbed's own"  # that of the fleet
 RATE_DURING_ABSENCE = 50.0  # requests a second
 CATCH_UP_TIMEOUT = 15.0  # seconds
 CATCH_UP_POLL = 0.005  # seconds
@@ -85,7 +85,7 @@
 async def _read_status(fleet: MeasurementFleet, number: int) -> dict[str, Any]:
     address = fleet.rig.addresses[f"d{number}"]
     status = await asyncio.to_thread(
-        call_replica, address.endpoint("peers"), SECRET, StatusRequest(), StatusRow
+        call_replica, address.endpoint("peers"), SECRET.encode(), StatusRequest(), StatusRow
     )
     return dict(status.fields)
 
--- a/ploverspoke/testbed/scenarios/config_change_fleet.py
+++ b/ploverspoke/testbed/scenarios/config_change_fleet.py
@@ -18,12 +18,12 @@
 from ..scale.host_messages import DispatcherAddress
 from ..scale.scenario_file import ScaleScenario
 from ..scale.simulated_programs import MODULE, SimulatedDispatcherProgram
+from .replica_files import SECRET, write_secret
 from .scale_fleet import SimulatedScaleFleet
 from .scale_resources import ProcessCounts
 
 ADDED_CLASS = "change"  # the request classes that changes add: change-1, change-2, ...
 CLUSTER = "testbed"
-SECRET = b"a secret of the testbed's own"
 PUBLISH_TIMEOUT = 10.0  # seconds, for a leader to take a version
 
 
@@ -117,7 +117,7 @@
         self.servers: list[RunningProcess] = []
 
     async def _before_dispatchers(self, addresses: list[ProcessAddress]) -> None:
-        (self.folder / "secret").write_bytes(SECRET)
+        write_secret(self.folder)
         self.servers = [self._make_server(address) for address in self.server_addresses]
         await asyncio.gather(*(server.start(["--new"]) for server in self.servers))
         await super()._before_dispatchers(addresses)
@@ -173,7 +173,7 @@
         body = {"settings": {key: settings[key] for key in ("ServiceGrades", "Domain")}}
         text = msgspec.json.encode(body).decode()
         endpoints = {address.name: address.endpoint("peers") for address in self.server_addresses}
-        servers = ConfigServers(endpoints, SECRET)
+        servers = ConfigServers(endpoints, SECRET.encode())
         try:
             reply = await asyncio.to_thread(publish, servers, text, None, CLUSTER, PUBLISH_TIMEOUT)
         except NoServerAvailableError as error:
--- a/ploverspoke/testbed/scenarios/distribution_faults.py
+++ b/ploverspoke/testbed/scenarios/distribution_faults.py
@@ -11,7 +11,8 @@
 from ..experiment_files.durations import SECOND
 from ..processes.link_faults import LinkFault
 from ..processes.running_process import ProcessStartError, RunningProcess
-from .distribution_fleet import SECRET, DistributionFleet
+from .distribution_fleet import DistributionFleet
+from .replica_files import SECRET
 
 LEADER_POLL_INTERVAL = 0.05  # seconds
 CUT_SHARE = 0.9  # of the interval for which a leader is cut off
--- a/ploverspoke/testbed/scenarios/distribution_fleet.py
+++ b/ploverspoke/testbed/scenarios/distribution_fleet.py
@@ -20,9 +20,9 @@
 from ..processes.rig import Rig
 from ..processes.running_process import ProcessStartError, RunningProcess
 from .distribution_experiment import REGIONS, DistributionScenario
+from .replica_files import SECRET, proxied_replicas, write_secret
 
 CLIENTS_MODULE = "ploverspoke.testbed.fakes.config_clients"
-SECRET = "a secret of the testbed's own"
 CLIENT_PORT, ADMIN_PORT = "clients", "admin"  # of dispatchers
 OWN_FILE_TAG = 0
 
@@ -50,7 +50,7 @@
         rig, scenario = self.rig, self.scenario
         roles = {"servers": scenario.server_names(), "dispatchers": scenario.dispatcher_names()}
         rig.history.add("roles", roles)
-        (rig.folder / "secret").write_text(SECRET)
+        write_secret(rig.folder)
         self._add_servers()
         self.dispatchers = [
             rig.allocate_address(name, direct=[CLIENT_PORT, ADMIN_PORT]) for name in roles["dispatchers"]
@@ -78,13 +78,7 @@
     def _add_servers(self) -> None:
         rig, scenario = self.rig, self.scenario
         self.servers = [rig.allocate_address(name, ["peers", "clients"]) for name in scenario.server_names()]
-        replicas = {
-            address.name: {
-                "peers": address.proxied_endpoint("peers"),
-                "clients": address.proxied_endpoint("clients"),
-            }
-            for address in self.servers
-        }
+        replicas = proxied_replicas(self.servers)
         for address in self.servers:
             config = {
                 "cluster": "testbed",
--- a/ploverspoke/testbed/scenarios/lease_fleet.py
+++ b/ploverspoke/testbed/scenarios/lease_fleet.py
@@ -15,10 +15,10 @@
 from ..processes.rig import Rig
 from ..processes.running_process import RunningProcess
 from .lease_experiment import LeaseScenario
+from .replica_files import proxied_replicas, write_secret
 
 HOLDER_KILLED = "holder killed"  # event of the history
 FAKES_MODULE = "ploverspoke.testbed.fakes"
-SECRET = "a secret of the testbed's own"
 SNAPSHOT_INTERVAL = 200  # log entries
 MAX_DURATION_FACTOR = 3  # longest lease that servers grant, in durations of the scenario
 EFFECTS_PER_DURATION = 5  # the longest effect is that part of a lease's duration
@@ -44,7 +44,7 @@
         Raises:
             CapacityError, ProcessStartError: see `Rig`.
         """
-        (self.rig.folder / "secret").write_text(SECRET)
+        write_secret(self.rig.folder)
         self._add_servers()
         resource_address = self.rig.allocate_address("r", ["act"])
         for number in range(self.scenario.candidates):
@@ -72,13 +72,7 @@
         return {
             "cluster": "testbed",
             "secret_file": "secret",
-            "replicas": {
-                address.name: {
-                    "peers": address.proxied_endpoint("peers"),
-                    "clients": address.proxied_endpoint("clients"),
-                }
-                for address in self.servers
-            },
+            "replicas": proxied_replicas(self.servers),
             "election_ms": self.scenario.election_timeout // MILLISECOND,
             "snapshot_every": SNAPSHOT_INTERVAL,
             "leases": {
--- a/ploverspoke/testbed/scenarios/socket_fleet.py
+++ b/ploverspoke/testbed/scenarios/socket_fleet.py
@@ -36,6 +36,7 @@
 from .dispatcher_program import CLIENT_PORT, DispatcherProgram
 from .fake_children import FakeChildren
 from .outage_steps import outage_steps
+from .replica_files import write_secret
 from .socket_resources import count_client_processes, fake_resource_demands
 
 START_DELAY = 300 * MILLISECOND  # from the command to start until the start
@@ -44,7 +45,6 @@
 FINAL_CALM = SECOND
 STOP_GRACE = 0.7  # seconds, for a dispatcher after the last deadline
 SEED_FACTOR = 1_000_003
-STORE_SECRET = "a secret of the testbed's own"
 FAKES_MODULE = "ploverspoke.testbed.fakes"
 VIRTUAL_TIME_ONLY = "replacing and changed settings run on virtual time only"
 
@@ -218,7 +218,7 @@
         return config
 
     def _store(self, number: int, addresses: Sequence[ProcessAddress]) -> dict[str, Any]:
-        (self.folder / "secret").write_text(STORE_SECRET)
+        write_secret(self.folder)
         replicas = {
             f"r{n}": {"peers": each.proxied_endpoint("peers"), "clients": each.endpoint(CLIENT_PORT)}
             for n, each in enumerate(addresses)
