--- a/ploverspoke/testbed/scenarios/distribution_growth.py
+++ b/ploverspoke/testbed/scenarios/distribution_growth.py
@@ -17,7 +17,7 @@
 MIN_SAMPLES = 2
 
 
-class UsageSample(msgspec.Struct, rename={"bytes_passed": "octets"}):
+class GrowthSample(msgspec.Struct, rename={"bytes_passed": "octets"}):
     """One sample; memory is resident bytes of all processes of a kind in a region."""
 
     at: int  # ns of the run
@@ -29,13 +29,13 @@
     bytes_passed: int  # through the proxy so far
 
 
-async def sample_usage(fleet: DistributionFleet, samples: list[UsageSample]) -> None:
+async def sample_usage(fleet: DistributionFleet, samples: list[GrowthSample]) -> None:
     """Add a sample in each interval, forever."""
     rig = fleet.rig
     while True:
         counters = await rig.link_faults.read_counters()
         folders = sum(_folder_bytes(rig.processes[server.name].folder) for server in fleet.servers)
-        sample = UsageSample(
+        sample = GrowthSample(
             at=rig.timeline.now(),
             servers_a=_memory_of(fleet, fleet.servers, "a"),
             servers_b=_memory_of(fleet, fleet.servers, "b"),
@@ -75,7 +75,7 @@
     return total
 
 
-def growth_metrics(scenario: DistributionScenario, samples: Sequence[UsageSample]) -> dict[str, int]:
+def growth_metrics(scenario: DistributionScenario, samples: Sequence[GrowthSample]) -> dict[str, int]:
     """Return the growth while the regions are apart, and the traffic before, during and after.
 
     The keys are those of `result.json`; there are none where the regions are never apart.
@@ -85,7 +85,7 @@
     partition_start = scenario.partition_start
     partition_end = partition_start + scenario.partition_duration
 
-    def sample_at(when: int) -> UsageSample:
+    def sample_at(when: int) -> GrowthSample:
         """Return the sample nearest to that time."""
         return min(samples, key=lambda sample: abs(sample.at - when))
 
--- a/ploverspoke/testbed/scenarios/distribution_scenario.py
+++ b/ploverspoke/testbed/scenarios/distribution_scenario.py
@@ -19,7 +19,7 @@
 from .distribution_experiment import DistributionDemands, DistributionExperiment, DistributionScenario
 from .distribution_faults import ServerFaults
 from .distribution_fleet import DistributionFleet, Replacements
-from .distribution_growth import UsageSample, growth_metrics, sample_usage
+from .distribution_growth import GrowthSample, growth_metrics, sample_usage
 from .distribution_timeline import draw_distribution_timeline, region_steps
 
 MAX_FINDINGS_SHOWN = 3
@@ -38,7 +38,7 @@
     events: list[HistoryEvent]
     steps: list[FaultStep]
     links: LinkCounters
-    samples: list[UsageSample]
+    samples: list[GrowthSample]
 
 
 def run_distribution_scenario(
@@ -61,7 +61,7 @@
     steps: list[FaultStep],
     replacements: Replacements,
 ) -> DistributionRunOutcome:
-    samples: list[UsageSample] = []
+    samples: list[GrowthSample] = []
     async with Rig(folder, seed) as rig:
         fleet = DistributionFleet(rig, scenario, replacements)
         await fleet.start()
@@ -81,7 +81,7 @@
 
 
 async def _run_timeline(
-    fleet: DistributionFleet, timeline: list[FaultStep], samples: list[UsageSample]
+    fleet: DistributionFleet, timeline: list[FaultStep], samples: list[GrowthSample]
 ) -> None:
     """Publish, probe and set off all faults; at the end read what the servers have."""
     rig, scenario, faults = fleet.rig, fleet.scenario, ServerFaults(fleet)
--- a/tests/config_distribution/test_processes.py
+++ b/tests/config_distribution/test_processes.py
@@ -12,7 +12,7 @@
     DistributionScenario,
     read_distribution_experiment,
 )
-from ploverspoke.testbed.scenarios.distribution_growth import UsageSample, growth_metrics
+from ploverspoke.testbed.scenarios.distribution_growth import GrowthSample, growth_metrics
 from ploverspoke.testbed.scenarios.distribution_scenario import (
     DistributionRunOutcome,
     run_distribution_scenario,
@@ -22,6 +22,7 @@
 RUNS_LONG = True  # scheduled first: see tests/conftest.py
 
 FAULTY = "tests.config_distribution.faulty_distribution"
+FAULT_SCENARIO = DistributionScenario(kill_interval=Duration(2 * SECOND))
 
 
 def findings_of(outcome: DistributionRunOutcome) -> list[str]:
@@ -30,8 +31,8 @@
     return [finding for finding, _ in outcome.verdict.findings]
 
 
-def test_acknowledged_versions_are_applied_in_time_through_kills_pauses_cuts_and_lost_folders() -> None:
-    scenario = DistributionScenario(kill_interval=Duration(2 * SECOND))
+@pytest.fixture(scope="module")
+def run_with_faults() -> DistributionRunOutcome:
     # All that is done to two dispatchers; of the drawn faults some may be skipped where two would meet.
     own_steps = [
         FaultStep(
@@ -54,14 +55,18 @@
     apart = {"a-d2", "a-d4"}
     others = [
         step
-        for step in draw_distribution_timeline(scenario, 53)
+        for step in draw_distribution_timeline(FAULT_SCENARIO, 53)
         if step.kind in (*LINK_FAULTS, "copy") or not apart & set(step.processes)
     ]
-    outcome = run_distribution_scenario(scenario, 53, [*others, *own_steps])
-    assert outcome.findings == [], "\n".join(outcome.findings)
-    assert (outcome.void, outcome.errors, outcome.verdict.void_reason()) == ("", [], "")
-    assert outcome.verdict.reported_rejections == scenario.dispatchers
-    rig_events = {event.kind for event in outcome.events if event.source == "rig"}
+    return run_distribution_scenario(FAULT_SCENARIO, 53, [*others, *own_steps])
+
+
+def test_acknowledged_versions_are_applied_in_time_through_kills_pauses_cuts_and_lost_folders(
+    run_with_faults: DistributionRunOutcome,
+) -> None:
+    assert run_with_faults.findings == [], "\n".join(run_with_faults.findings)
+    assert run_with_faults.verdict.reported_rejections == FAULT_SCENARIO.dispatchers
+    rig_events = {event.kind for event in run_with_faults.events if event.source == "rig"}
     expected = {"kill", "pause", "restart", "empty", "older"}
     assert rig_events >= {
         "add fault",
@@ -70,10 +75,17 @@
         "refuses",
         *(f"{what} is over" for what in expected),
     }
-    kinds = {event.detail[2] for event in outcome.events if event.kind == "wants"}
+    kinds = {event.detail[2] for event in run_with_faults.events if event.kind == "wants"}
     assert kinds == {"good", "refusable", "unacceptable"}
 
 
+def test_run_through_kills_pauses_cuts_and_lost_folders_is_not_void(
+    run_with_faults: DistributionRunOutcome,
+) -> None:
+    outcome = run_with_faults
+    assert (outcome.void, outcome.errors, outcome.verdict.void_reason()) == ("", [], "")
+
+
 def test_checker_finds_each_faulty_watcher() -> None:
     faulty_programs = {
         "a-d0": [FAULTY, "reverts_version"],
@@ -191,7 +203,7 @@
     )
     # One region's servers grow by a byte a second, folders by ten; octets are twice as many afterwards.
     samples = [
-        UsageSample(at * SECOND, 1000 + at, 1000, 5000, 5000, 10 * at, 100 * at + 100 * max(0, at - 80))
+        GrowthSample(at * SECOND, 1000 + at, 1000, 5000, 5000, 10 * at, 100 * at + 100 * max(0, at - 80))
         for at in range(0, 100, 5)
     ]
     metrics = growth_metrics(scenario, samples)
