--- a/ploverspoke/decisions/admission_policy.py
+++ b/ploverspoke/decisions/admission_policy.py
@@ -10,9 +10,10 @@
 from .observations import Observations
 from .state import MILLISECOND, NO_WORKER, Request, RequestQueue
 
-QUEUEING_SHARE = 0.5  # of the time left before it must start, which a request may wait here
+# A request may wait in its queue for this share of the time until its latest start on time.
+QUEUEING_BUDGET_SHARE = 0.5
 MAX_REFUSAL_CHANCE = 0.9
-MAX_ACCEPTED_LATENESS = 0.3  # mean lateness of starts, 0 to 1, up to which no request is refused
+MAX_ACCEPTED_LATENESS = 0.3  # no request is refused up to this mean start lateness, 0 to 1
 
 
 @dataclass(eq=False)
@@ -25,8 +26,8 @@
     gossip: GossipExchange
     retries: RetryPolicy
 
-    def refuses(self, request: Request, now: int) -> bool:
-        """Whether to refuse a request at random, where starts are late and no load is reported."""
+    def should_refuse(self, request: Request, now: int) -> bool:
+        """Whether to refuse a request at random because starts are late and load probes are not allowed."""
         settings = self.context.settings
         if settings.probing_allowed or request.retry_group is not None:
             return False
@@ -35,42 +36,46 @@
         return chance > 0 and self.context.random.fraction() < chance
 
     def set_deadlines(self, request: Request, deadline: int, work_hint: int) -> None:
-        """Set the queueing budget, and the latest start on time, as from the client's first attempt."""
+        """Set a request's deadlines, counted from the estimated time of the client's first attempt."""
         number, rules = request.class_number, request.rules
         request.deadline = deadline
         request.last_send_at = deadline - self.context.settings.batch_interval
-        times_given, shortest_mean = self.observations.times_given[number], self.observations.shortest_mean
-        times_given.append(deadline - request.arrived_at)
-        first_tried_at = deadline - max(times_given)
+        time_limits = self.observations.time_limits[number]
+        min_class_means = self.observations.min_class_means
+        time_limits.append(deadline - request.arrived_at)
+        first_attempt_at = deadline - max(time_limits)
         running_time = self.observations.class_running_time(number)
-        # The stretch counts a request's own work: running times prolonged by overload shorten the wait.
-        own_work = shortest_mean[number] = min(shortest_mean.get(number) or running_time, running_time)
+        # The latency stretch applies to the running time without overload, the lowest class mean so far.
+        # Running times that overload has prolonged leave less time to wait.
+        own_work = min_class_means[number] = min(min_class_means.get(number) or running_time, running_time)
         if work_hint:
             own_work = running_time = work_hint
         time_left = max(0, rules.latency_objective + rules.latency_stretch * own_work - running_time)
-        # When not all can be on time, requests of low weight are given up first: their budgets are shorter.
-        rank = rules.priority_weight / self.context.highest_weight
-        request.on_time_until = int(first_tried_at + time_left)
-        request.queueing_deadline = int(first_tried_at + QUEUEING_SHARE * rank * time_left)
+        # Requests of low weight have shorter queueing budgets, so under overload they are given up first.
+        relative_weight = rules.priority_weight / self.context.highest_weight
+        request.on_time_until = int(first_attempt_at + time_left)
+        request.queueing_deadline = int(
+            first_attempt_at + QUEUEING_BUDGET_SHARE * relative_weight * time_left
+        )
 
     def start_timer(self, request: Request, now: int) -> None:
-        """Schedule the check of a request that begins to wait, at the end of its budget or of its time."""
-        when = request.queueing_deadline if now < request.queueing_deadline else request.last_send_at
-        self.context.timers.start(request, min(when, request.last_send_at))
+        """Schedule a waiting request's check at the end of its queueing budget or at its last send time."""
+        check_at = request.queueing_deadline if now < request.queueing_deadline else request.last_send_at
+        self.context.timers.start(request, min(check_at, request.last_send_at))
 
     def is_exhausted(self, request: Request, now: int) -> bool:
-        """Whether a request has used up its queueing budget, and others wait that can still be on time."""
+        """Whether a request has used up its queueing budget and should make way for other requests."""
         if now < request.queueing_deadline or request.retry_group not in (None, NO_WORKER):
             return False
         if not request.rules.overdue_weight:
             return True
-        # Without others behind it, the request may still earn the weight of an overdue answer.
+        # While no other request waits, this one may still earn the weight of an overdue answer.
         return any(len(queue.waiting) > (queue is request.queue) for queue in self.queues.values())
 
     def check(self, request: Request, now: int) -> None:
-        """Let a waiting request wait on or give it up, when its timer has fired."""
+        """Give up a waiting request or schedule its next check, after its timer has fired."""
         if request.queue.probed and now < request.last_send_at:
-            # The probe answers are awaited first: they take no longer than a few round trips.
+            # Wait for the probe answers first: they take at most a few round trips.
             answered_at = request.queue.probed_until + MILLISECOND
             self.context.timers.start(request, min(answered_at, request.last_send_at))
         elif now >= request.last_send_at or self.is_exhausted(request, now):
@@ -79,7 +84,7 @@
             self.context.timers.start(request, request.last_send_at)
 
     def give_up(self, request: Request, now: int) -> None:
-        """End the wait of a request without success."""
+        """Remove a request from its queue and end it without success."""
         request.queue.waiting.remove(request)
         is_too_late = now >= request.last_send_at
         self.retries.give_up(request, EndReason.TOO_LATE if is_too_late else EndReason.QUEUEING_BUDGET_USED)
--- a/ploverspoke/decisions/context.py
+++ b/ploverspoke/decisions/context.py
@@ -6,20 +6,20 @@
 from .state import MILLISECOND, SECOND, LimitedLog, Timers
 
 GOSSIP_BUDGET = 0.02  # points of service that gossip may cost
-MESSAGE_SHARE = 16 / 256  # of a full message's price, for a request and receiver
+GOSSIP_MESSAGE_SHARE = 16 / 256  # of a full message's price: the price of gossip per request and receiver
 PROBE_BUDGET = 0.006  # points of service that load probes may cost
-MAX_PROBES_PER_REQUEST = 8.0  # on average, whatever their price
+MAX_PROBES_PER_REQUEST = 8.0  # on average, regardless of their price
 MIN_PRICE = 1e-9  # points of service; prices may be configured as 0
 MIN_MESSAGE_PRICE = 1e-6
-CANCEL_BUDGET = 0.02  # points of service that cancelled attempts may cost if they run all the same
-SAVED_REQUESTS = 4  # requests' worth of probes, and of cancellations, that can be saved up
-SILENT_HALF_INTERVALS = 3  # half progress intervals without a report, which count as silence
-TICKS_PER_OBJECTIVE = 4  # the fewest ticks of the shared clock within the shortest latency objective
-DISCOVERY_CALL_NS = 125 * MILLISECOND  # of service discovery's time
+CANCEL_BUDGET = 0.02  # points of service that cancelled attempts may cost if workers run them anyway
+MAX_SAVED_REQUESTS = 4  # unused credit for probes and for cancellations is kept for this many requests
+SILENT_HALF_INTERVALS = 3  # a worker is silent after this many half progress intervals without a report
+MIN_TICKS_PER_OBJECTIVE = 4  # ticks of the shared clock within the shortest latency objective
+DISCOVERY_CALL_NS = 125 * MILLISECOND  # service discovery's time for one call
 
 
 def time_for_all_calls(settings: Settings) -> int:
-    """Time in ns that service discovery takes for one call from each dispatcher, as far as is known."""
+    """Estimated time in ns that service discovery takes for one call from each dispatcher."""
     all_calls = settings.dispatcher_count * DISCOVERY_CALL_NS
     return int(min(all_calls, settings.discovery_poll_interval // 2))
 
@@ -28,7 +28,7 @@
     """Shared by the parts of one dispatcher."""
 
     def __init__(self, actions: DispatchActions, seed: int, settings: Settings) -> None:
-        """Begin with the settings of the start; the same seed gives the same draws."""
+        """Create the context with the initial settings; the same seed gives the same random numbers."""
         self.actions = actions
         self.random = RandomNumbers(seed)
         self.timers = Timers(actions)
@@ -36,13 +36,13 @@
         self.apply(settings)
 
     def apply(self, settings: Settings) -> None:
-        """Use other settings from now on; classes that are not active have no part in the limits."""
+        """Apply new settings; only active classes count towards the derived limits."""
         self.settings = settings
         self.retry_after = settings.max_retry_after if settings.send_retry_after else 0
         active = [settings.classes[number] for number in settings.active_classes]
         self.highest_weight = max(rules.priority_weight for rules in active) or 1.0
         shortest_objective = max(MILLISECOND, min(rules.latency_objective for rules in active))
-        self.least_tick_rate = TICKS_PER_OBJECTIVE * SECOND / shortest_objective
+        self.min_tick_rate = MIN_TICKS_PER_OBJECTIVE * SECOND / shortest_objective
         self.needed_kinds = {rules.machine_kind for rules in active}
         self.any_idempotent = any(rules.idempotency is not Idempotency.NON_IDEMPOTENT for rules in active)
         self.never_ran = never_ran(settings.full_may_have_run)
@@ -50,7 +50,7 @@
         if settings.full_may_have_run:
             self.probed_classes.add(Idempotency.IDEMPOTENT_WITH_KEY)
         self.gossip_fanout = max(
-            1, int(GOSSIP_BUDGET / max(MIN_MESSAGE_PRICE, MESSAGE_SHARE * settings.gossip_cost))
+            1, int(GOSSIP_BUDGET / max(MIN_MESSAGE_PRICE, GOSSIP_MESSAGE_SHARE * settings.gossip_cost))
         )
         self.probes_per_request = min(
             MAX_PROBES_PER_REQUEST, PROBE_BUDGET / max(MIN_PRICE, settings.probe_cost)
--- a/ploverspoke/decisions/dispatcher.py
+++ b/ploverspoke/decisions/dispatcher.py
@@ -1,7 +1,7 @@
-"""The events of a dispatcher, one method for each, which passes it to the part that decides.
+"""Entry point for the events of a dispatcher: each method passes one event to the part that handles it.
 
-Its caller builds one `Dispatcher` with its own actions, a seed and the settings, then calls one method for
-each event. `docs/design.md` says where each decision comes from. Dispatchers share nothing but load gossip.
+The caller creates a `Dispatcher` with its `DispatchActions`, a seed and the settings, then calls one method
+for each event. `docs/design.md` describes the basis of each decision. Dispatchers share only load gossip.
 """
 
 from collections.abc import Iterable, Mapping
@@ -22,10 +22,10 @@
 
 
 class Dispatcher:
-    """One dispatcher, as its caller sees it."""
+    """The decisions of one dispatcher, with one method for each event."""
 
     def __init__(self, actions: DispatchActions, seed: int, settings: Settings) -> None:
-        """Build the parts; `actions` is called from inside the events only."""
+        """Build the parts; `actions` are called only while an event is processed."""
         self.actions = actions
         self.parts = parts = Parts(actions, seed, settings)
         self.request_path = RequestPath(parts)
@@ -36,19 +36,19 @@
     # ---- Events ----
 
     def started(self) -> None:
-        """Begin to watch the endpoint list and to send gossip: the state at the start has been reported."""
+        """Start watching the endpoint list and sending gossip, after the initial state has been reported."""
         now = self.actions.now()
-        self.parts.gossip.begin(now)
-        self.parts.polling.begin(bool(self.workers), now)
+        self.parts.gossip.start(now)
+        self.parts.polling.start(bool(self.workers), now)
 
     def settings_changed(self, settings: Settings, predecessors: Mapping[int, int]) -> None:
-        """Apply new settings to what arrives from now on.
+        """Apply new settings; open requests keep the rules of their class.
 
-        `predecessors` maps a new class number to the one whose measured times it takes over.
+        `predecessors` maps a new class number to the one whose measured running times it takes over.
         """
         context = self.parts.context
         for number in set(settings.active_classes) - set(context.settings.active_classes):
-            self.parts.observations.begin_class(number, predecessors.get(number))
+            self.parts.observations.reset_class(number, predecessors.get(number))
         context.apply(settings)
         self.parts.choice.clear_cached_tiers()
 
@@ -61,7 +61,7 @@
         work_hint: int,
         affinity_key: str,
     ) -> None:
-        """A client waits for an answer until `deadline`; `work_hint`: running time in ns, 0 if unknown."""
+        """Process a request to answer by `deadline`; `work_hint`: its running time in ns, 0 if unknown."""
         rules = self.parts.context.settings.classes[request_class]
         queue = self.parts.queues.get((slots, rules.machine_kind))
         if queue is None:
@@ -71,15 +71,15 @@
         self.request_path.arrived(request, affinity_key, deadline, work_hint)
 
     def request_resumed(self, request_id: int, attempts: int, may_have_run_on: str, sent_at: int) -> None:
-        """The next request under this id was another dispatcher's, which made so many attempts.
+        """Record another dispatcher's attempts for the request that will arrive with this id.
 
-        `may_have_run_on` is the first worker that may have run it, "" where none may.
+        `may_have_run_on` is the first worker that may have run it, "" if there is none.
         """
         earlier = EarlierAttempts(attempts, may_have_run_on, sent_at)
         self.parts.retries.earlier_attempts[request_id] = earlier
 
     def attempt_started(self, request_id: int, attempt: int) -> None:
-        """A worker reports that it has begun a request."""
+        """Record a worker's report that it has started a request."""
         request = self.open_requests.get(request_id)
         if request is None or request.worker is None or request.started_at:
             return
@@ -87,13 +87,13 @@
             self.request_path.attempt_started(request, request.worker, self.actions.now())
 
     def attempt_progressed(self, request_id: int, attempt: int, share_done: float) -> None:
-        """A worker reports progress of a request."""
+        """Record a worker's progress report on a request."""
         request = self.open_requests.get(request_id)
         if request is not None and request.worker is not None and attempt == request.attempts - 1:
             request.last_contact_at = request.worker.last_contact_at = self.actions.now()
 
     def attempt_ended(self, request_id: int, attempt: int, result: AttemptResult) -> None:
-        """An attempt has ended; where the request is still open it is retried or answered."""
+        """Process the end of an attempt; if the request is still open it is retried or answered."""
         worker = self.workers[result.worker]
         request = worker.attempts.pop(request_id, None)
         if request is not None:
@@ -106,48 +106,48 @@
             request.queue.waiting.remove(request)
 
     def endpoint_list_received(self, endpoints: Iterable[Endpoint]) -> None:
-        """Apply a whole list: workers that it does not contain are gone."""
+        """Apply a complete list: workers that it does not contain are gone."""
         endpoints = list(endpoints)
         self.endpoints_changed(endpoints)
-        shown = {endpoint.worker for endpoint in endpoints}
-        absent = [worker.endpoint for worker in self.listed_workers() if worker.name not in shown]
+        names = {endpoint.worker for endpoint in endpoints}
+        absent = [worker.endpoint for worker in self.listed_workers() if worker.name not in names]
         self.endpoints_changed([endpoint._replace(condition=EndpointCondition.GONE) for endpoint in absent])
 
     def endpoints_changed(self, endpoints: Iterable[Endpoint]) -> None:
         """Apply changes of the list, in order."""
         now = self.actions.now()
-        self.parts.polling.answered()
+        self.parts.polling.record_answer()
         for endpoint in endpoints:
             self.parts.endpoints.update(endpoint, now)
 
     def endpoint_list_confirmed(self, as_of: int) -> None:
-        """Service discovery has answered: all that it had at `as_of` was reported before this event.
+        """Renew the endpoint list: all that service discovery had at `as_of` has been reported before.
 
-        The first such event begins the list's validity. Without any the list never expires: the caller
-        then receives changes by other means.
+        The list's validity starts with the first such event. Without any such event the list never expires:
+        the caller then receives changes by other means.
         """
-        self.parts.polling.answered()
+        self.parts.polling.record_answer()
         self.parts.validity.confirm(as_of, self.actions.now())
 
     def endpoint_watch_failed(self, is_rejected: bool = False, is_unreachable: bool = False) -> None:
-        """The watch of the list has ended without an answer, or service discovery was too busy for it.
+        """Schedule another watch after one that ended without an answer or was rejected by a busy discovery.
 
-        `is_unreachable`: nobody listens at its address, so no change of the list is binding.
+        `is_unreachable`: no process listens at discovery's address, so no change of the list is binding.
         """
         self.parts.polling.watch_failed(is_rejected, is_unreachable, self.actions.now())
 
     def endpoint_watch_silent(self, as_of: int) -> None:
-        """A call that was begun at `as_of`, to be answered at once, was not answered in time."""
-        self.parts.polling.call_was_silent(as_of, self.actions.now())
+        """Handle a call started at `as_of` that requested an immediate answer and got none in time."""
+        self.parts.polling.call_timed_out(as_of, self.actions.now())
 
     def discovery_moved(self) -> None:
-        """Service discovery has another address; the list is requested there after `watch_endpoints`."""
-        self.parts.polling.moved(self.actions.now())
+        """Handle a change of service discovery's address, which `watch_endpoints` uses from now on."""
+        self.parts.polling.address_changed(self.actions.now())
 
     def probe_completed(
         self, worker_name: str, outcome: AttemptOutcome, elapsed: int, load: LoadReport | None
     ) -> None:
-        """A probe has ended, for any of its purposes."""
+        """Process the result of a probe according to its purpose."""
         parts, worker, now = self.parts, self.workers[worker_name], self.actions.now()
         purpose, worker.probe = worker.probe, None
         parts.confirmation.completed(worker)
@@ -170,14 +170,14 @@
             parts.ejection.record_probe(worker, outcome, now)
 
     def timer_fired(self, token: int) -> None:
-        """A timer that was started by `wake_at` is due."""
-        parts, timer, now = self.parts, self.parts.context.timers.take(token), self.actions.now()
+        """Process a timer that was started by `wake_at` and is due."""
+        parts, timer, now = self.parts, self.parts.context.timers.pop(token), self.actions.now()
         if isinstance(timer, Request):
             self._check_request(timer, now)
         elif isinstance(timer, RequestQueue):
             # Some probed workers have not answered in time, or all had a fresh report.
             if timer.probed and now >= timer.probed_until:
-                parts.service.settle(timer, now)
+                parts.service.send_after_probes(timer, now)
         elif isinstance(timer, Worker):
             parts.ejection.ejection_ended(timer, now)
         elif timer is PeriodicTimer.CLOCK_TICK:
@@ -197,18 +197,18 @@
             self.parts.admission.check(request, now)
 
     def gossip_received(self, peer: int, gossip: LoadGossip) -> None:
-        """Another dispatcher reports where it has slots in flight, one entry for each."""
+        """Record another dispatcher's report of its load."""
         self.parts.gossip.receive(peer, gossip, self.actions.now())
 
     # ---- Queries ----
 
     def may_send_to(self, worker_name: str) -> bool:
-        """Whether an attempt that was decided on may be written now."""
+        """Whether an attempt that has been decided on may be sent now."""
         worker = self.workers[worker_name]
         return worker.ready and self.parts.validity.covers(worker, self.actions.now())
 
     def list_time_left(self) -> int | None:
-        """Time in ns until the endpoint list expires, less than 0 after that; None: it does not."""
+        """Time in ns until the endpoint list expires, negative after the expiry; None if it never expires."""
         return self.parts.validity.time_left(self.actions.now())
 
     def list_expirations(self) -> int:
--- a/ploverspoke/decisions/endpoint_polling.py
+++ b/ploverspoke/decisions/endpoint_polling.py
@@ -1,4 +1,4 @@
-"""When service discovery is called: spread over time, with backoff, before the endpoint list expires."""
+"""Scheduling of service discovery calls: spread over time, with backoff, before the endpoint list expires."""
 
 from dataclasses import dataclass
 from typing import NamedTuple
@@ -8,27 +8,28 @@
 from .state import MILLISECOND, SECOND, PeriodicTimer
 
 FIRST_BACKOFF_NS = 250 * MILLISECOND
-MAX_DOUBLINGS = 5
-BACKOFFS_PER_POLL_INTERVAL = 4  # at the least
+MAX_BACKOFF_DOUBLINGS = 5
+MIN_BACKOFFS_PER_POLL_INTERVAL = 4
 MAX_BACKOFF_NS = 3 * SECOND
 MAX_BACKOFF_AFTER_REJECTION_NS = 5 * SECOND  # less than the delay after which a change is binding
-# While the list is valid a backoff takes only a part of the time left, so that several calls come before it
-# expires: each would be bounded without that, but not their sum. Once it has expired there is no such hurry.
+# While the list is valid, a backoff takes only this share of the time left, so that several calls are made
+# before the list expires: a limit on each backoff does not limit their sum. After the expiry it is not used.
 TIME_LEFT_SHARE = 0.6
-ANSWER_TIME_NS = 250 * MILLISECOND  # for the last call before the expiry to be answered
-MIN_TIME_LEFT_NS = 400 * MILLISECOND  # with less, the list expires before any answer
+ANSWER_TIME_NS = 250 * MILLISECOND  # reserved for the answer to the last call before the expiry
+MIN_TIME_LEFT_NS = 400 * MILLISECOND  # with less time left, the list expires before any answer
 # A backoff is multiplied by a random factor in this range (jitter), which spreads the calls of dispatchers.
 MIN_JITTER = 0.5
 MAX_JITTER = 1.5
 MAX_JITTER_AFTER_REJECTION = 1.0
-PUSH_RETRY_NS = 100 * MILLISECOND  # an agent that pushes lists has no other callers
-MOVE_BINDING_DELAY_NS = 3500 * MILLISECOND  # half a second before changes at another address are binding
-MOVE_SPREAD_SHARE = 0.2  # of the time that the calls of all dispatchers take
-MAX_MOVE_SPREAD_NS = SECOND
+PUSH_RETRY_NS = 100 * MILLISECOND  # short, as an agent that pushes lists has no other callers
+# After a change of discovery's address: half a second less than the delay until changes there are binding.
+ADDRESS_CHANGE_TTL_NS = 3500 * MILLISECOND
+ADDRESS_CHANGE_SPREAD_SHARE = 0.2  # of the time that the calls of all dispatchers take
+MAX_ADDRESS_CHANGE_SPREAD_NS = SECOND
 
 
 class Backoff(NamedTuple):
-    """The time until the next call, and why it is that long."""
+    """The time until the next call, and the reason for its length."""
 
     delay: int  # ns
     reason: str  # for the log
@@ -40,12 +41,12 @@
 
     context: Context
     validity: ListValidity
-    failures: int = 0  # in a row
-    due_token: int = 0  # of the timer that counts, 0: none; others belong to an earlier state
+    failures: int = 0  # consecutive
+    due_token: int = 0  # of the current timer, 0: none; timers with other tokens are outdated
     due_at: int = 0
 
-    def begin(self, has_workers: bool, now: int) -> None:
-        """Watch the list from a random moment on, or at once where no worker is known."""
+    def start(self, has_workers: bool, now: int) -> None:
+        """Start watching the list after a random delay, or at once if no worker is known."""
         if not self.context.settings.discovery_polling:
             return
         if has_workers:
@@ -54,32 +55,33 @@
         else:
             self.context.actions.watch_endpoints()
 
-    def moved(self, now: int) -> None:
-        """Discovery has another address, which all dispatchers have to call."""
+    def address_changed(self, now: int) -> None:
+        """Schedule a call to discovery's new address, spread over time as all dispatchers have to call it."""
         self.failures = 0
-        self.validity.shorten(now + MOVE_BINDING_DELAY_NS)
-        spread = min(self.context.time_for_all_calls * MOVE_SPREAD_SHARE, MAX_MOVE_SPREAD_NS)
+        self.validity.shorten(now + ADDRESS_CHANGE_TTL_NS)
+        all_calls = self.context.time_for_all_calls
+        spread = min(all_calls * ADDRESS_CHANGE_SPREAD_SHARE, MAX_ADDRESS_CHANGE_SPREAD_NS)
         if not self.context.settings.discovery_polling:
             spread = 0
         delay = int(spread * self.context.random.fraction())
-        # Moves in quick succession must not put the call off again and again.
+        # Address changes in quick succession must not postpone the call repeatedly.
         if not self.due_token or now + delay < self.due_at:
             self._call_after(delay, now)
 
-    def answered(self) -> None:
-        """A list was received or confirmed."""
+    def record_answer(self) -> None:
+        """Reset the failures and the timer after a list was received or confirmed."""
         self.failures = 0
         self.due_token = 0
 
     def is_due(self, token: int) -> bool:
-        """Whether this timer still counts, which it does once, or belongs to an earlier state."""
+        """Whether this timer is the current one; true only once for each timer."""
         if token != self.due_token:
             return False
         self.due_token = 0
         return True
 
     def watch_failed(self, is_rejected: bool, is_unreachable: bool, now: int) -> None:
-        """Watch again after a backoff; `is_unreachable`: nobody listens at discovery's address."""
+        """Watch again after a backoff; `is_unreachable`: no process listens at discovery's address."""
         self.failures += 1
         settings = self.context.settings
         if is_unreachable and not settings.probing_allowed and self.validity.is_valid(now):
@@ -102,23 +104,23 @@
                 f"next call in {backoff.delay / SECOND:.2f} s: {backoff.reason}"
             )
 
-    def call_was_silent(self, as_of: int, now: int) -> None:
-        """Renew a pushed list: its agent is silent while it learns nothing, so no change is binding yet."""
+    def call_timed_out(self, as_of: int, now: int) -> None:
+        """Renew a pushed list: an agent is silent while it learns nothing, so no change is binding yet."""
         settings = self.context.settings
         if not settings.discovery_polling and not settings.probing_allowed and self.validity.is_valid(now):
             self.validity.confirm(as_of, now)
 
     def _backoff(self, is_rejected: bool, now: int) -> Backoff:
-        """Exponential backoff with jitter, shortened where the list expires soon."""
-        longest = min(
-            self.context.settings.discovery_poll_interval // BACKOFFS_PER_POLL_INTERVAL, MAX_BACKOFF_NS
+        """Exponential backoff with jitter, shortened if the list expires soon."""
+        max_delay = min(
+            self.context.settings.discovery_poll_interval // MIN_BACKOFFS_PER_POLL_INTERVAL, MAX_BACKOFF_NS
         )
-        delay = min(FIRST_BACKOFF_NS << min(self.failures, MAX_DOUBLINGS), longest)
+        delay = min(FIRST_BACKOFF_NS << min(self.failures, MAX_BACKOFF_DOUBLINGS), max_delay)
         reason, max_jitter = "it grows with each failure", MAX_JITTER
         if is_rejected:
-            # Discovery has too many calls: those of all dispatchers need their time.
+            # Discovery is overloaded: leave enough time for the calls of all dispatchers.
             delay = min(max(delay, self.context.time_for_all_calls), MAX_BACKOFF_AFTER_REJECTION_NS)
-            reason, max_jitter = "it leaves time for the calls of all", MAX_JITTER_AFTER_REJECTION
+            reason, max_jitter = "it leaves time for the calls of all dispatchers", MAX_JITTER_AFTER_REJECTION
         time_left = self.validity.time_left(now)
         if time_left is not None and time_left - ANSWER_TIME_NS > MIN_TIME_LEFT_NS:
             affordable = int(TIME_LEFT_SHARE * (time_left - ANSWER_TIME_NS) / max_jitter)
--- a/ploverspoke/decisions/endpoint_updates.py
+++ b/ploverspoke/decisions/endpoint_updates.py
@@ -21,22 +21,22 @@
     ejection: OutlierEjection
 
     def update(self, endpoint: Endpoint, now: int) -> None:
-        """Apply the current entry of a worker."""
+        """Apply the current list entry of a worker."""
         worker = self.workers.get(endpoint.worker)
         if worker is None:
             worker = self.workers[endpoint.worker] = Worker(endpoint, INITIAL_CAPACITY)
-        before, started_at = worker.endpoint, endpoint.started_at
-        if started_at > before.started_at or (started_at and not worker.warm_at):
+        previous, started_at = worker.endpoint, endpoint.started_at
+        if started_at > previous.started_at or (started_at and not worker.warm_at):
             worker.reset_after_restart(started_at + self.context.settings.warmup_period, INITIAL_CAPACITY)
             self.choice.clear_cached_tiers()
-            self.slow_start.begin(worker, now)
+            self.slow_start.start_budget(worker, now)
         is_gone = endpoint.condition is EndpointCondition.GONE
         worker.drained = endpoint.condition is EndpointCondition.DRAINING or (worker.drained and is_gone)
-        # Where only a drain is binding, the list does not show who is up: a worker listed as gone is probed.
+        # If only drains are binding, a worker that is listed as gone may still be up, so it is probed.
         is_probed = is_gone and not worker.drained and self.context.settings.only_draining_is_binding
         ready = endpoint.condition is EndpointCondition.READY or is_probed
-        is_moved = (endpoint.zone, endpoint.machine_kind) != (before.zone, before.machine_kind)
-        if ready != worker.ready or is_moved:
+        has_new_tier = (endpoint.zone, endpoint.machine_kind) != (previous.zone, previous.machine_kind)
+        if ready != worker.ready or has_new_tier:
             self.choice.clear_cached_tiers()
         worker.endpoint = endpoint
         worker.ready = ready
--- a/ploverspoke/decisions/gossip_state.py
+++ b/ploverspoke/decisions/gossip_state.py
@@ -1,4 +1,4 @@
-"""State of load gossip: the peers, their latest reports, and where own slots are in flight."""
+"""State of load gossip: the peers, their latest reports, and the workers that this dispatcher uses."""
 
 from bisect import insort
 from collections.abc import Mapping
@@ -26,26 +26,26 @@
 
 @dataclass(eq=False)
 class PeerReports:
-    """The latest report of each peer, oldest first; its slots are counted at the workers."""
+    """The latest report of each peer, oldest first; `Worker.peer_slots` counts the reported slots."""
 
     workers: Mapping[str, Worker]
     by_peer: dict[int, PeerReport] = field(default_factory=dict)
 
-    def take(self, peer: int, gossip: LoadGossip, now: int) -> bool:
-        """Replace a peer's last report; False where the message is late or a duplicate."""
-        known, sequence = self.by_peer.get(peer), gossip.sequence
-        # 0 is the first after a start, 255 is followed by 1.
+    def record(self, peer: int, gossip: LoadGossip, now: int) -> bool:
+        """Replace a peer's last report; returns False if the message is late or a duplicate."""
+        last_report, sequence = self.by_peer.get(peer), gossip.sequence
+        # Sequence number 0 is the first after a start, and 255 is followed by 1.
         if (
-            known is not None
+            last_report is not None
             and sequence
-            and not 0 < (sequence - known.sequence) % SEQUENCE_MODULUS < MAX_SEQUENCE_LEAD
+            and not 0 < (sequence - last_report.sequence) % SEQUENCE_MODULUS < MAX_SEQUENCE_LEAD
         ):
             return False
         self._drop(peer)
-        named = [self.workers[name] for name in gossip.workers if name in self.workers]
-        for worker in named:
+        workers = [self.workers[name] for name in gossip.workers if name in self.workers]
+        for worker in workers:
             worker.peer_slots += 1
-        self.by_peer[peer] = PeerReport(gossip.sequence, now, named, gossip.lateness, gossip.zone)
+        self.by_peer[peer] = PeerReport(gossip.sequence, now, workers, gossip.lateness, gossip.zone)
         return True
 
     def drop_older(self, received_before: int) -> None:
@@ -94,5 +94,5 @@
             self.by_name.pop(worker.name, None)
 
     def slots(self) -> list[str]:
-        """The worker of each slot in flight, once for each slot."""
+        """Names of the workers with slots in flight, one entry for each slot."""
         return [worker.name for worker in self.by_name.values() for _ in range(ceil(worker.in_flight))]
--- a/ploverspoke/decisions/interface.py
+++ b/ploverspoke/decisions/interface.py
@@ -8,11 +8,11 @@
 from enum import Enum, StrEnum
 from typing import NamedTuple, Protocol
 
-LoadReport = Mapping[str, float]  # by name of the field
+LoadReport = Mapping[str, float]  # values by field name
 
 
 class AttemptOutcome(StrEnum):
-    """How an attempt or a probe ended. The values are those of stored data and must not change."""
+    """How an attempt or a probe ended. The values occur in stored data and must not change."""
 
     SUCCEEDED = "satisfied"
     WORKER_ERROR = "worker_error"
@@ -31,12 +31,12 @@
 
 
 def never_ran(full_may_have_run: bool) -> frozenset[AttemptOutcome]:
-    """Outcomes that prove that a request never ran; FULL does not where workers return started work too."""
+    """Outcomes that prove that a request never ran; FULL does not if workers may return started requests."""
     return NEVER_RAN - {AttemptOutcome.FULL} if full_may_have_run else NEVER_RAN
 
 
 class EndpointCondition(Enum):
-    """Condition of a worker as service discovery shows it."""
+    """Condition of a worker as reported by service discovery."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -47,16 +47,16 @@
     """Why a request ends without success; for logs and counters."""
 
     NOT_STATED = "not_stated"
-    TOO_LATE = "too_late"  # no attempt that begins now could be answered in time
-    REFUSED_AT_RANDOM = "refused_at_random"  # starts are late, and no load is reported
+    TOO_LATE = "too_late"  # an attempt that starts now could not be answered in time
+    REFUSED_AT_RANDOM = "refused_at_random"  # starts are late, and load probes are not allowed
     QUEUEING_BUDGET_USED = "queueing_budget_used"
     NO_CAPACITY = "no_room"  # more requests, connections or bytes than the limits allow
-    NO_DECISION = "no_decision"  # after a fault of the decisions, or at the end of a shutdown
-    NO_FURTHER_ATTEMPT = "no_further_attempt"  # after one that failed: no time, no attempts or no group left
+    NO_DECISION = "no_decision"  # after an error in the decisions, or at the end of a shutdown
+    NO_FURTHER_ATTEMPT = "no_further_attempt"  # after a failure, with no time, attempts or workers left
 
 
 class Endpoint(NamedTuple):
-    """One worker as service discovery shows it."""
+    """One worker as reported by service discovery."""
 
     worker: str
     zone: int
@@ -64,11 +64,11 @@
     rack: int
     condition: EndpointCondition
     weight: float
-    started_at: int  # 0: long past
+    started_at: int  # 0: long ago
 
 
 class AttemptResult(NamedTuple):
-    """What is known when an attempt has ended."""
+    """The result of an attempt that has ended."""
 
     worker: str
     outcome: AttemptOutcome
@@ -78,12 +78,12 @@
 
 
 class LoadGossip(NamedTuple):
-    """What a dispatcher sends to its peers about its own load."""
+    """Message in which a dispatcher reports its own load to its peers."""
 
     zone: int
     sequence: int  # 0: first after a start; then 1 to 255, and 1 again
     lateness: float  # how late its attempts started, 0 to 1
-    workers: Iterable[str]  # one entry for each slot that it has in flight there
+    workers: Iterable[str]  # one entry for each slot that the sender has in flight at the worker
 
 
 class DispatchActions(Protocol):
@@ -99,22 +99,22 @@
         """Stop waiting for one attempt, counted from 0; its end is still reported, once."""
 
     def reject(self, request_id: int, retry_after: int, reason: EndReason = EndReason.NOT_STATED) -> None:
-        """Final answer: not done, and a retry is harmless, after so many ns; 0 gives no advice on when."""
+        """Final answer: not done, a retry is harmless after `retry_after` ns; 0 gives no advice on when."""
 
     def fail(self, request_id: int, reason: EndReason = EndReason.NOT_STATED) -> None:
-        """Final answer: not done as far as is known, with no promise about its effect."""
+        """Final answer: failed, without a guarantee that the request had no effect."""
 
     def wake_at(self, token: int, when: int) -> None:
-        """Call `timer_fired(token)` at that time or as soon as possible after it."""
+        """Call `timer_fired(token)` at `when` or as soon as possible after it."""
 
     def probe(self, worker: str) -> None:
         """Request a worker's health and load; answered by `probe_completed`."""
 
     def send_gossip(self, peers: Iterable[int] | None, gossip: LoadGossip) -> None:
-        """Send to these peers, None: to all; it may be lost."""
+        """Send gossip to these peers, or to all if None; it may be lost."""
 
     def watch_endpoints(self) -> None:
-        """Subscribe to the endpoint list; answered by the whole list and then by each change."""
+        """Subscribe to the endpoint list; answered by the complete list and then by each change."""
 
     def log(self, line: str) -> None:
-        """Write a line for the person on call."""
+        """Write a log line for the operator on call."""
--- a/ploverspoke/decisions/outlier_ejection.py
+++ b/ploverspoke/decisions/outlier_ejection.py
@@ -10,7 +10,7 @@
 
 EJECTION_NS = 8 * SECOND  # plus a random part of up to half of it
 ERRORS_TO_EJECT = 2  # among the latest attempts at a worker
-WORKERS_PER_EJECTION = 3  # at most one worker in so many is ejected on suspicion
+WORKERS_PER_EJECTION = 3  # at most one in this many workers is ejected on suspicion
 CAPACITY_AFTER_EJECTION = 1.0
 
 
@@ -34,7 +34,7 @@
                 self.eject(worker, now)
 
     def suspect(self, worker: Worker, now: int) -> None:
-        """Suspect a worker with a failed or silent connection; a health check or second failure proves it."""
+        """Suspect a worker with a failed or silent connection; a failed check or second failure is proof."""
         if self.context.settings.probing_allowed:
             if not worker.ejected and worker.probe is None:
                 worker.probe = ProbePurpose.HEALTH
@@ -45,8 +45,8 @@
             self.eject(worker, now, is_proven=True)
 
     def eject(self, worker: Worker, now: int, is_proven: bool = False) -> None:
-        """Eject a worker for a while; on suspicion alone only a limited part of the workers."""
-        # Workers ejected on proof do not count: else a lost zone would protect failing ones elsewhere.
+        """Eject a worker for a while; on suspicion alone only a limited share of the workers is ejected."""
+        # Workers ejected on proof do not count; otherwise a lost zone would prevent ejections in other zones.
         ready = [each for each in self.workers.values() if each.ready]
         counted = [each.ejected for each in ready if not (each.ejected and each.unreachable)]
         too_many = (sum(counted) + 1) * WORKERS_PER_EJECTION > len(counted)
@@ -55,12 +55,12 @@
         worker.ejected, worker.unreachable = True, is_proven
         self.choice.clear_cached_tiers()
         reason, count = "unreachable" if is_proven else "suspected", sum(each.ejected for each in ready)
-        self.context.log.write(f"{worker.name} ejected: {reason}; {count} are now")
+        self.context.log.write(f"{worker.name} ejected: {reason}; {count} workers are ejected now")
         worker.placeholders.clear()
         self._start_ejection_timer(worker, now)
 
     def ejection_ended(self, worker: Worker, now: int) -> None:
-        """Readmit a worker, where permitted only after a probe that it answers well."""
+        """Readmit a worker after its ejection; if probing is allowed, only after a successful probe."""
         if not worker.ejected:
             return
         if self.context.settings.probing_allowed and worker.ready:
@@ -70,7 +70,7 @@
             self._readmit(worker, now)
 
     def record_probe(self, worker: Worker, outcome: AttemptOutcome, now: int) -> None:
-        """Readmit an ejected worker after a good probe, or prolong its ejection."""
+        """Readmit an ejected worker after a successful probe, or prolong its ejection."""
         if worker.ejected and outcome is AttemptOutcome.SUCCEEDED:
             self._readmit(worker, now)
         elif worker.ejected:
--- a/ploverspoke/decisions/parts.py
+++ b/ploverspoke/decisions/parts.py
@@ -1,4 +1,4 @@
-"""Composition of a dispatcher: builds its parts and connects them."""
+"""Composition of a dispatcher: creates its parts and connects them."""
 
 from .admission_policy import AdmissionPolicy
 from .attempt_policy import AttemptPolicy, RetryPolicy
--- a/ploverspoke/decisions/queues.py
+++ b/ploverspoke/decisions/queues.py
@@ -1,6 +1,7 @@
 """Scheduling of waiting requests: the queues' shared clock, and which request goes to which worker.
 
-RMS-RF-AD+ of "Randomized Algorithms for Scheduling Multi-Resource Jobs in the Cloud" (Psychas and Ghaderi).
+The algorithm is RMS-RF-AD+ of Psychas and Ghaderi, "Randomized Algorithms for Scheduling Multi-Resource Jobs
+in the Cloud".
 """
 
 from collections.abc import Mapping
@@ -17,15 +18,15 @@
 from .worker_choice import SEARCH_INTERVAL_NS, WorkerChoice
 
 TICKS_PER_ARRIVAL = 5
-MAX_TICK_GAP_NS = SECOND
-EPSILON = 0.5  # of the source's weight function
-SEARCH_DEPTH = 16  # requests from the head on among which one that suits a worker is searched
+MAX_TICK_INTERVAL_NS = SECOND
+EPSILON = 0.5  # of the paper's weight function
+SEARCH_DEPTH = 16  # requests, from the head of a queue, that are considered for a worker
 MAX_PROBE_ROUNDS = 3  # for one request, while no worker reports a free slot
 
 
 @dataclass(eq=False)
 class SharedClock:
-    """Ticks while requests wait, and draws the queue that a tick is for."""
+    """Ticks while requests wait, and draws the queue to serve at each tick."""
 
     context: Context
     observations: Observations
@@ -38,23 +39,24 @@
         return any(queue.waiting for queue in self.queues.values())
 
     def run(self, now: int) -> None:
-        """Start the next tick's timer; while no request waits the clock is stopped."""
+        """Start the timer of the next tick; the clock stops while no request waits."""
         if self.is_running or not self.has_waiting():
             return
         self.is_running = True
-        # With few requests the rate of arrivals alone would give too slow a clock.
-        rate = max(TICKS_PER_ARRIVAL * self.observations.arrival_rate(now), self.context.least_tick_rate)
-        gap = -log(1.0 - self.context.random.fraction()) / rate
-        self.context.timers.start(PeriodicTimer.CLOCK_TICK, now + min(int(gap * SECOND), MAX_TICK_GAP_NS))
+        # With few arrivals, the arrival rate alone would make the clock too slow.
+        rate = max(TICKS_PER_ARRIVAL * self.observations.arrival_rate(now), self.context.min_tick_rate)
+        interval_s = -log(1.0 - self.context.random.fraction()) / rate
+        interval_ns = min(int(interval_s * SECOND), MAX_TICK_INTERVAL_NS)
+        self.context.timers.start(PeriodicTimer.CLOCK_TICK, now + interval_ns)
 
     def draw_queue(self) -> RequestQueue:
-        """The queue of this tick, drawn with a chance proportional to exp(weight)."""
+        """Draw the queue of this tick with a probability proportional to exp(weight)."""
         self.is_running = False
         drawn = self.context.random.weighted([exp(weight) for weight in self._weights()])
         return list(self.queues.values())[drawn]
 
     def replacement_chance(self, queue: RequestQueue) -> float:
-        """Chance that a request of this queue takes the place of a served one: 1 - exp(-weight)."""
+        """Probability that a request of this queue replaces a served one: 1 - exp(-weight)."""
         return 1 - exp(-self._weights()[list(self.queues.values()).index(queue)])
 
     def _weights(self) -> list[float]:
@@ -62,8 +64,8 @@
         longest = max(len(queue.waiting) for queue in self.queues.values())
         smallest = min(queue.slots for queue in self.queues.values()) or 1.0
         most_slots = max((worker.capacity for worker in self.workers.values()), default=1.0)
-        least = EPSILON / (8 * max(1.0, most_slots / smallest)) * log(1 + longest)
-        return [max(log(1 + len(queue.waiting)), least) for queue in self.queues.values()]
+        min_weight = EPSILON / (8 * max(1.0, most_slots / smallest)) * log(1 + longest)
+        return [max(log(1 + len(queue.waiting)), min_weight) for queue in self.queues.values()]
 
 
 @dataclass(eq=False)
@@ -78,33 +80,33 @@
     attempts: AttemptPolicy
 
     def tick(self, now: int) -> None:
-        """Send the head of a randomly drawn queue, or leave a placeholder where that queue is empty."""
+        """Send the head of a randomly drawn queue, or add a placeholder if that queue is empty."""
         queue = self.clock.draw_queue()
         if queue.waiting:
             self.serve(queue, now)
         else:
             drawn = self.choice.draw_two(queue, now, None)
             if drawn:
-                self.choice.better(drawn, None).leave_placeholder(queue, now)
+                self.choice.choose_better(drawn, None).add_placeholder(queue, now)
         self.clock.run(now)
 
     def serve(self, queue: RequestQueue, now: int) -> None:
         """Send the head to the better of two workers drawn at random, or probe both first."""
         if queue.probed or now < queue.no_capacity_until:
             return
-        # A head that is restricted to a group must not block the others when the group has no capacity.
+        # A head that is restricted to its retry group must not block the others if the group has no capacity.
         for request in self._heads(queue):
             drawn = self.choice.draw_two(queue, now, request)
             if drawn and self.probes.are_needed(request, drawn, now):
                 self.probes.send(request, drawn, now)
                 return
             if drawn:
-                self._send(request, self.choice.better(drawn, request), now)
+                self._send(request, self.choice.choose_better(drawn, request), now)
                 return
         queue.no_capacity_until = now + SEARCH_INTERVAL_NS
 
     def _heads(self, queue: RequestQueue) -> list[Request]:
-        """The first requests up to one that is restricted neither by a group nor by an affinity key."""
+        """The first requests, up to the first that has neither a retry group nor an affinity key."""
         heads = []
         for request in islice(queue.waiting, SEARCH_DEPTH):
             heads.append(request)
@@ -123,11 +125,12 @@
         if self.context.random.fraction() >= self.clock.replacement_chance(queue):
             return
         if not queue.waiting:
-            worker.leave_placeholder(queue, now)
+            worker.add_placeholder(queue, now)
             return
         if self.capacity.has_pending_start(worker, now):
             return
-        # Most slots are filled here under load; a request whose key's data this worker has saves a fetch.
+        # Most slots are filled here under load. A request that prefers this worker for its affinity key goes
+        # first: the worker has the key's data, which saves a fetch.
         preferring = [
             request
             for request in islice(queue.waiting, SEARCH_DEPTH)
@@ -146,18 +149,20 @@
                 self.serve(queue, now)
 
     def probe_answered(self, worker: Worker, now: int) -> None:
-        """Settle each queue whose probes are all answered."""
+        """Send the head of each queue whose probes have all been answered."""
         for queue in self.clock.queues.values():
-            if worker in queue.probed and all(each.probe is None for each in queue.probed):
-                self.settle(queue, now)
+            if worker in queue.probed and all(probed.probe is None for probed in queue.probed):
+                self.send_after_probes(queue, now)
 
-    def settle(self, queue: RequestQueue, now: int) -> None:
-        """Send the head to the best worker that answered, or to none where the wait may be too long."""
+    def send_after_probes(self, queue: RequestQueue, now: int) -> None:
+        """Send the head to the best worker that answered, or to none if the wait may be too long."""
         answered = [worker for worker in queue.probed if worker.probe is None and not worker.ejected]
         reported = [worker for worker in answered if now - worker.reported_at <= REPORT_MAX_AGE_NS]
-        # A worker that has just started has no report yet; probing it again and again would block the queue.
+        # A worker that has just started has no report yet; probing it repeatedly would block the queue.
         in_contact = (
-            [] if reported else [each for each in answered if now - each.last_contact_at < CONTACT_MAX_AGE_NS]
+            []
+            if reported
+            else [worker for worker in answered if now - worker.last_contact_at < CONTACT_MAX_AGE_NS]
         )
         queue.probed = []
         for request in self._heads(queue):
@@ -165,7 +170,7 @@
                 worker for worker in in_contact if self.choice.has_capacity(worker, queue, now, request)
             ]
             if usable:
-                self._send(request, self.choice.better(usable, request), now)
+                self._send(request, self.choice.choose_better(usable, request), now)
                 break
             allowed = [worker for worker in reported if self.choice.allows(worker, queue, now, request)]
             if allowed and not self._send_by_report(request, allowed, now):
@@ -176,17 +181,19 @@
             self.serve(queue, now)
 
     def _send_by_report(self, request: Request, allowed: list[Worker], now: int) -> bool:
-        """Send to the best by the load reports; False where the request waits for other probes or workers."""
+        """Send to the best worker by load report; False if the request waits for other probes or workers."""
         probes, queue = self.probes, request.queue
         ranked = [(probes.expected_delay(worker, now), worker) for worker in allowed]
         best = min(ranked, key=lambda pair: (pair[1] is request.failed_on, pair[0]))[1]
         request.any_zone = True
         if request.probe_rounds < MAX_PROBE_ROUNDS and probes.reports.load(best, now) + queue.slots > 0:
-            others = [each for each in self.choice.draw_two(queue, now, request) if each not in allowed]
+            drawn = self.choice.draw_two(queue, now, request)
+            others = [worker for worker in drawn if worker not in allowed]
             if others and probes.send(request, [best, *others], now):
                 return False
-        # Reports are delayed, and all dispatchers that read one must not decide alike: the longer the wait
-        # relative to the time left, the fewer send. A late request is sent only where it need not wait.
+        # Reports are delayed, and the dispatchers that read the same report must not all decide alike: the
+        # longer the wait relative to the time left, the fewer send. A late request is sent only if it need
+        # not wait.
         wait = probes.expected_wait(best, queue, now)
         if wait and wait >= self.context.random.fraction() * max(0, request.on_time_until - now):
             for worker in allowed:
--- a/ploverspoke/decisions/random_numbers.py
+++ b/ploverspoke/decisions/random_numbers.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Sequence
 
-# Knuth's MMIX generator.
+# Parameters of Knuth's MMIX generator.
 MULTIPLIER = 6364136223846793005
 INCREMENT = 1442695040888963407
 STATE_MASK = 0xFFFF_FFFF_FFFF_FFFF  # 64 bits
@@ -14,7 +14,7 @@
     """A linear congruential generator; only the high bits are used."""
 
     def __init__(self, seed: int) -> None:
-        """Begin at a seed; its first draw is dropped."""
+        """Initialize the state with a seed and drop the first number."""
         self.state = seed & STATE_MASK
         self.fraction()
 
@@ -24,7 +24,7 @@
         return (self.state >> FRACTION_BITS) / FRACTION_SCALE
 
     def weighted(self, weights: Sequence[float]) -> int:
-        """Draw an index with a chance proportional to its weight."""
+        """Draw an index with a probability proportional to its weight."""
         draw, drawn = self.fraction() * sum(weights), 0
         while drawn < len(weights) - 1 and draw >= weights[drawn]:
             draw -= weights[drawn]
@@ -32,5 +32,5 @@
         return drawn
 
     def below(self, limit: int) -> int:
-        """Draw a whole number of at least 0 and less than the limit."""
+        """Draw an integer of at least 0 and less than the limit."""
         return int(self.fraction() * limit)
--- a/ploverspoke/decisions/request_path.py
+++ b/ploverspoke/decisions/request_path.py
@@ -14,7 +14,7 @@
     parts: Parts
 
     def arrived(self, request: Request, affinity_key: str, deadline: int, work_hint: int) -> None:
-        """Admit a request, and send it or let it wait."""
+        """Send a request that has arrived, let it wait in its queue, or give it up."""
         parts, queue, now = self.parts, request.queue, request.arrived_at
         parts.observations.arrivals.append(now)
         parts.gossip.expire(now)
@@ -28,16 +28,16 @@
         if now >= request.last_send_at:
             parts.retries.give_up(request, EndReason.TOO_LATE)
             return
-        if parts.admission.refuses(request, now):
+        if parts.admission.should_refuse(request, now):
             parts.retries.give_up(request, EndReason.REFUSED_AT_RANDOM)
             return
-        # The request takes a placeholder's slots; a queue where nothing waits is served at once.
+        # The request takes a placeholder's slots. Without one it is sent at once if its queue is empty.
         drawn = parts.choice.worker_with_placeholder(queue, now)
         if not drawn and not queue.waiting:
             drawn = parts.choice.draw_two(queue, now, request)
         needs_probes = parts.probes.are_needed(request, drawn, now)
         if drawn and not needs_probes:
-            parts.attempts.start(request, parts.choice.better(drawn, request), now)
+            parts.attempts.start(request, parts.choice.choose_better(drawn, request), now)
             return
         # Otherwise it waits: probe answers, ticks and freed slots take requests from the queue's head.
         queue.waiting.append(request)
@@ -50,12 +50,12 @@
         parts.clock.run(now)
 
     def attempt_started(self, request: Request, worker: Worker, now: int) -> None:
-        """Record that the worker has begun the request."""
+        """Record that the worker has started the request."""
         delay = now - request.sent_at
         request.started_at = request.last_contact_at = worker.last_contact_at = now
         worker.probation_until = 0
         self.parts.capacity.record_start(request, worker, delay, now)
-        worker.begin_running(request)
+        worker.record_start(request)
         self.parts.observations.start_delays[worker.endpoint.zone].append(delay)
         self.parts.lateness.record(delay)
 
@@ -72,7 +72,7 @@
             parts.open_requests.pop(request.id, None)
         if request.id in parts.open_requests:
             self._retry(request, worker, outcome, now)
-        # Where many dispatchers have one request waiting each, replacement would keep a worker's queue long.
+        # If many dispatchers have one waiting request each, replacement would keep a worker's queue long.
         if outcome is AttemptOutcome.SUCCEEDED and not request.started_too_late:
             parts.service.replace(request.queue, worker, now)
 
@@ -81,12 +81,12 @@
         if outcome is AttemptOutcome.SUCCEEDED:
             self.parts.observations.record_success(request, worker, result.elapsed, now)
             if not request.started_at:
-                capacity.accepted(worker, request.slots_in_use)
+                capacity.record_accepted(worker, request.slots_in_use)
         elif outcome is AttemptOutcome.FULL:
             in_use = worker.in_flight + self.parts.gossip.peer_slots(worker)
             capacity.cut(worker, in_use, 2 * worker.recovery_time, now)
         elif outcome is AttemptOutcome.CANCELLED and not request.started_at:
-            # A request restricted to its group would be sent to the same full worker again and again.
+            # Otherwise a request restricted to its group would be sent to the same full worker repeatedly.
             if request.group_after_attempt(worker):
                 capacity.cut(worker, worker.running, 0, now)
 
--- a/ploverspoke/decisions/settings.py
+++ b/ploverspoke/decisions/settings.py
@@ -37,15 +37,15 @@
 class RequestClass:
     """Rules of one class of requests."""
 
-    latency_objective: int  # ns; within it a request earns its whole weight
-    deadline: int  # ns; by then the final answer is given
+    latency_objective: int  # ns; a request that is answered within it earns its whole weight
+    deadline: int  # ns; the final answer is given by then
     priority_weight: float
     overdue_weight: float  # earned between the objective and the deadline
     idempotency: Idempotency
     retry_scope: RetryScope
-    retry_window: int  # ns from an attempt, in which workers recognize its duplicates
-    machine_kind: int  # that it needs, or ANY_MACHINE_KIND
-    latency_stretch: float  # of a request's own running time, added to the objective
+    retry_window: int  # ns after an attempt in which workers recognize its duplicates
+    machine_kind: int  # required kind, or ANY_MACHINE_KIND
+    latency_stretch: float  # multiple of a request's own running time that is added to the objective
     max_attempts: int
 
 
@@ -53,15 +53,15 @@
 class Settings:
     """Everything that the decisions take from a deployment's configuration."""
 
-    classes: tuple[RequestClass, ...]  # by number; also those that only open requests still have
+    classes: tuple[RequestClass, ...]  # by number; includes former classes of requests that are still open
     active_classes: tuple[int, ...]
-    batch_interval: int  # ns, least spacing between batches of events
+    batch_interval: int  # ns, minimum time between batches of events
     dispatcher_count: int
     dispatcher_index: int
     zone: int
     discovery_polling: bool  # endpoints must be polled: changes are not pushed
     discovery_poll_interval: int  # ns
-    drain_grace: int  # ns, in which sending to a worker has to stop once its drain binds
+    drain_grace: int  # ns within which sending to a worker must stop after its drain becomes binding
     workers_report_start: bool
     progress_interval: int  # ns between progress reports; 0: none
     load_reporting: LoadReporting
@@ -74,9 +74,9 @@
     connect_timeout: int  # ns
     idle_timeout: int  # ns
     max_open_requests: int
-    full_may_have_run: bool  # a worker that answers "full" may have begun the request
-    only_draining_is_binding: bool  # an endpoint that is called gone may still be up
-    warmup_share: float  # of a warm worker's load that a worker bears at its start
+    full_may_have_run: bool  # a worker that answers "full" may have started the request
+    only_draining_is_binding: bool  # a worker that is listed as gone may still be up
+    warmup_share: float  # load of a worker at its start, as a share of a warm worker's load
     warmup_period: int  # ns
     overload_multiple: float
     overload_window: int  # ns
--- a/tests/decisions/harness.py
+++ b/tests/decisions/harness.py
@@ -1,4 +1,4 @@
-"""Runs a dispatcher in simulated time and checks the four rules on each of its actions."""
+"""Runs a dispatcher in simulated time and checks the four dispatch rules on each of its actions."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -35,12 +35,12 @@
 
 
 class Answer(Enum):
-    """The end of a request, as its client sees it."""
+    """The final result of a request for its client."""
 
     SUCCEEDED = auto()
     REJECTED = auto()
     FAILED = auto()
-    DISCONNECTED = auto()  # the client has left
+    DISCONNECTED = auto()
 
 
 @dataclass
@@ -56,7 +56,7 @@
 
 
 class DispatchHarness:
-    """Runs one dispatcher; every action is checked against the rules as it is made."""
+    """Runs one dispatcher and checks each of its actions against the rules."""
 
     def __init__(self, endpoints: list[Endpoint], seed: int = 1, **overrides: Any) -> None:
         self.clock = 100 * SECOND
@@ -86,18 +86,18 @@
         request_class = self.settings.classes[self.class_of[request_id]]
         assert request_id not in self.answers and self.clock < self.deadline[request_id]
         assert self.clock + timeout <= self.deadline[request_id] and timeout > 0
-        assert worker in self.endpoints and worker not in self.closed_at, "drains are respected"
-        assert all(each.outcome for each in attempts), "never two attempts at once"
+        assert worker in self.endpoints and worker not in self.closed_at, "no attempt at a drained worker"
+        assert all(each.outcome for each in attempts), "at most one attempt in flight"
         for earlier in [each for each in attempts if self.may_have_run(each)]:
-            assert request_class.idempotency is not Idempotency.NON_IDEMPOTENT, "no effect twice"
+            assert request_class.idempotency is not Idempotency.NON_IDEMPOTENT, "no second execution"
             if request_class.idempotency is Idempotency.IDEMPOTENT_WITH_KEY:
                 assert self.endpoints[earlier.worker].rack == self.endpoints[worker].rack
                 assert self.clock < earlier.sent_at + request_class.retry_window
         attempts.append(RecordedAttempt(worker, self.clock, self.clock + timeout))
 
     def may_have_run(self, attempt: RecordedAttempt) -> bool:
-        is_no_proof = attempt.outcome is AttemptOutcome.FULL and self.settings.full_may_have_run
-        return is_no_proof or attempt.outcome not in NEVER_RAN
+        full_is_no_proof = attempt.outcome is AttemptOutcome.FULL and self.settings.full_may_have_run
+        return full_is_no_proof or attempt.outcome not in NEVER_RAN
 
     def cancel_attempt(self, request_id: int, attempt: int) -> None:
         assert self.attempts[request_id][attempt].outcome is None
@@ -171,7 +171,7 @@
         self.dispatcher.client_disconnected(request_id)
 
     def advance(self, duration: int) -> None:
-        """Let time pass; due timers and timeouts fire in order, timers before timeouts."""
+        """Advance the clock; due timers and timeouts fire in order of time, timers first if both are due."""
         end = self.clock + duration
         while True:
             in_flight = [
--- a/tests/decisions/random_runs.py
+++ b/tests/decisions/random_runs.py
@@ -19,7 +19,7 @@
 
 
 def random_run(seed: int, steps: int, **overrides: Any) -> DispatchHarness:
-    """Run random events on a dispatcher, and check its accounting after each."""
+    """Send random events to a dispatcher, and check its accounting after each."""
     random_numbers = random.Random(seed)
     names = [f"w{number}" for number in range(random_numbers.randint(1, 7))]
     endpoints = [endpoint(name, kind=number % 2, rack=number % 3) for number, name in enumerate(names)]
@@ -74,8 +74,8 @@
             EndpointCondition.GONE,
         ]
     )
-    before = harness.endpoints[name]
-    harness.endpoints[name] = before._replace(condition=condition, started_at=harness.clock)
+    previous = harness.endpoints[name]
+    harness.endpoints[name] = previous._replace(condition=condition, started_at=harness.clock)
     was_closed = harness.closed_at.pop(name, None) is not None
     gone_is_binding = not harness.settings.only_draining_is_binding or was_closed
     if condition is EndpointCondition.DRAINING or (condition is EndpointCondition.GONE and gone_is_binding):
--- a/tests/decisions/test_endpoint_polling.py
+++ b/tests/decisions/test_endpoint_polling.py
@@ -1,4 +1,4 @@
-"""When service discovery is called, and how long the endpoint list is used without an answer."""
+"""Scheduling of calls to service discovery, and expiry of the endpoint list without an answer."""
 
 from typing import Any
 
@@ -11,7 +11,7 @@
 
 
 def harness_with_expired_list(names: str, **settings: Any) -> DispatchHarness:
-    """A harness of a dispatcher whose endpoint list has just expired."""
+    """Return a harness with a dispatcher whose endpoint list has just expired."""
     harness = DispatchHarness([endpoint(name) for name in names], **settings)
     harness.dispatcher.endpoint_list_confirmed(harness.clock)
     harness.advance(LIST_TTL_NS)
@@ -46,7 +46,7 @@
 
 
 def test_workers_that_fail_health_checks_are_checked_at_an_interval() -> None:
-    # Each answer led to the next checks at once, as fast as answers came.
+    # Without the interval, each failed check was followed by the next one at once.
     harness = harness_with_expired_list("abcdefgh")
     checks = 0
     for request_id in range(10):
--- a/tests/decisions/test_fleet.py
+++ b/tests/decisions/test_fleet.py
@@ -1,16 +1,16 @@
-"""Many dispatchers at once: behaviour that is harmful only in the sum of all."""
+"""Behaviour of a dispatcher that is harmful only in large fleets."""
 
 from ploverspoke.decisions.interface import AttemptOutcome
 from ploverspoke.decisions.state import SECOND
 from tests.decisions.decision_settings import PROBING_SETTINGS
 from tests.decisions.harness import MS, DispatchHarness, endpoint
 
-CALL_DURATION = 140 * MS  # of discovery's time, also for a call that has been rejected meanwhile
+CALL_DURATION = 140 * MS  # discovery's time for each call, even if the call has been rejected meanwhile
 REJECTED_AFTER = 2 * SECOND
 
 
 def watch_start_times(harnesses: list[DispatchHarness], duration: int) -> list[int]:
-    """When each watch was answered by a discovery that handles one call after the other; 0: never."""
+    """Return when each watch was answered, 0 for never, by a discovery that handles one call at a time."""
     start, free_at = harnesses[0].clock, harnesses[0].clock
     calls_seen, watching_since = [0] * len(harnesses), [0] * len(harnesses)
     rejections: list[tuple[int, int]] = []
@@ -25,9 +25,9 @@
                 watching_since[number] = free_at - start
             else:
                 rejections.append((harness.clock + REJECTED_AFTER, number))
-        for due in [rejection for rejection in rejections if rejection[0] <= harnesses[0].clock]:
-            rejections.remove(due)
-            harnesses[due[1]].dispatcher.endpoint_watch_failed(is_rejected=True)
+        for rejection in [each for each in rejections if each[0] <= harnesses[0].clock]:
+            rejections.remove(rejection)
+            harnesses[rejection[1]].dispatcher.endpoint_watch_failed(is_rejected=True)
     return watching_since
 
 
@@ -40,7 +40,8 @@
 
 
 def test_rejected_dispatchers_are_answered_later() -> None:
-    # Without a list nothing can be sent, so all call at once; rejected calls must not fill the next seconds.
+    # Without a list nothing can be sent, so all dispatchers call at once. The retries of rejected calls must
+    # not overload discovery again in the next seconds.
     watching_since = watch_start_times(
         [DispatchHarness([], seed, dispatcher_count=40) for seed in range(40)], 25 * SECOND
     )
@@ -48,7 +49,7 @@
 
 
 def test_a_worker_that_reports_an_error_gets_no_requests_until_it_restarts() -> None:
-    # Each dispatcher lost requests at each draining or failing worker, though probes had shown its state.
+    # Each dispatcher lost requests at each draining or failing worker, though probes had reported its state.
     harness = DispatchHarness([endpoint(name) for name in "abcdef"], **PROBING_SETTINGS)
     for request_id in range(40):
         harness.send_request(request_id, request_class=2)
@@ -76,7 +77,7 @@
 
 
 def test_an_error_does_not_count_as_recent_contact_with_a_worker() -> None:
-    # A worker that has just failed has free slots and recent contact: non-idempotent requests went there.
+    # A worker that has just failed has free slots and recent contact, so non-idempotent requests went there.
     harness = DispatchHarness([endpoint("a"), endpoint("b")], **PROBING_SETTINGS)
     for worker in harness.dispatcher.workers.values():
         worker.last_contact_at = harness.clock
--- a/tests/decisions/test_load_gossip.py
+++ b/tests/decisions/test_load_gossip.py
@@ -1,4 +1,4 @@
-"""Load gossip: decisions that use it, its bytes and its sockets; it is a hint and may be lost."""
+"""Load gossip: decisions that use it, its encoding and its sockets; it is a hint and may be lost."""
 
 import asyncio
 import random
@@ -55,7 +55,7 @@
     receive_gossip(0, LoadGossip(0, 8, 0.0, FULL))  # from this dispatcher
     receive_gossip(1, LoadGossip(0, 8, 0.0, ["nobody"]))
     assert harness.dispatcher.workers["a"].peer_slots == 0 and set(harness.dispatcher.workers) == {"a"}
-    receive_gossip(1, LoadGossip(0, 0, 0.0, FULL))  # a new start
+    receive_gossip(1, LoadGossip(0, 0, 0.0, FULL))  # after a restart
     assert harness.dispatcher.workers["a"].peer_slots == 2
 
 
@@ -97,7 +97,7 @@
         harness.dispatcher.parts.lateness.recent.extend([own_lateness] * 16)
         if other is not None:
             harness.dispatcher.gossip_received(2, LoadGossip(1, 1, other, []))
-        harness.dispatcher.parts.admission.refuses = lambda request, now: False  # type: ignore[method-assign]
+        harness.dispatcher.parts.admission.should_refuse = lambda request, now: False  # type: ignore[method-assign]
         harness.send_request(1)
         assert harness.worker_of(1) == expected
 
@@ -118,7 +118,7 @@
 
 @pytest.mark.parametrize("seed", range(12))
 def test_rules_hold_whatever_gossip_says(seed: int) -> None:
-    """Also with false gossip: full fleets, late or duplicate messages, unknown workers and dispatchers."""
+    """Sends false gossip: full fleets, late or duplicate messages, unknown workers and dispatchers."""
     random_numbers = random.Random(seed)
     original_send_request = DispatchHarness.send_request
 
@@ -163,24 +163,22 @@
 def test_datagrams_go_between_listed_addresses_only() -> None:
     async def run() -> None:
         loop = asyncio.get_running_loop()
-        probes = [socket.socket(type=socket.SOCK_DGRAM) for _ in range(2)]
-        for each in probes:
+        reserved = [socket.socket(type=socket.SOCK_DGRAM) for _ in range(2)]
+        for each in reserved:
             each.bind(("127.0.0.1", 0))
-        addresses = [each.getsockname() for each in probes]
-        for each in probes:
+        addresses = [each.getsockname() for each in reserved]
+        for each in reserved:
             each.close()
         received: list[tuple[object, ...]] = []
         peers = [
             GossipSocket(addresses, number, lambda: ["a"], lambda *arguments: received.append(arguments))
             for number in range(2)
         ]
-        old = GossipSocket(addresses, 1, list, lambda *arguments: None)
-        for gossip_socket in (
-            old,
-            *peers,
-        ):  # a successor opens the address while its predecessor has it
+        predecessor = GossipSocket(addresses, 1, list, lambda *arguments: None)
+        # A successor opens the address while its predecessor still has it open.
+        for gossip_socket in (predecessor, *peers):
             await gossip_socket.open(loop)
-        old.close()
+        predecessor.close()
         await asyncio.sleep(0.01)
         peers[0].send(None, LoadGossip(1, 3, 0.0, ["a"]))
         stranger = socket.socket(type=socket.SOCK_DGRAM)
--- a/tests/decisions/test_load_probes.py
+++ b/tests/decisions/test_load_probes.py
@@ -32,8 +32,8 @@
 
 
 def test_a_worker_without_a_report_yet_is_not_probed_again_and_again() -> None:
-    # After a start workers have none: the head of the queue probed until the credit was used up, and all
-    # others were rejected.
+    # Workers that have just started have no report: the head of the queue was probed for until the credit was
+    # used up, and all other requests were rejected.
     harness = DispatchHarness([endpoint("a"), endpoint("b")], **PROBING_SETTINGS)
     harness.send_request(1, request_class=2)
     harness.send_request(2, request_class=0)
@@ -51,7 +51,8 @@
 
 
 def test_keyed_request_is_probed_for_where_full_is_no_proof() -> None:
-    # An attempt restricted it to its group and left work running: a large fleet rejected half of them.
+    # An attempt restricted the request to its retry group and left work running, so a large fleet rejected
+    # half of these requests.
     harness = DispatchHarness([endpoint("a"), endpoint("b")], full_may_have_run=True, **PROBING_SETTINGS)
     harness.send_request(1, request_class=1)
     assert sorted(harness.probes) == ["a", "b"] and harness.worker_of(1) is None
@@ -88,7 +89,7 @@
 
 
 def test_a_late_request_is_not_sent_behind_a_reported_queue() -> None:
-    # Under overload no request had time left, and all were sent whatever the wait, without end.
+    # Under overload no request had time left, and all were sent regardless of the wait, so it never ended.
     short_objectives = {"latency_objective": [MS] * 3, "latency_stretch": [0.0] * 3, **PROBING_SETTINGS}
     for waiting in (0.0, 3.0):
         harness = DispatchHarness([endpoint("a")], **short_objectives)
@@ -179,10 +180,10 @@
 def test_fewer_attempts_are_cancelled_the_more_wasted_work_costs(
     waste_price: float, lowest: int, highest: int
 ) -> None:
-    # Workers that ignore cancellation ran all cancelled attempts, which filled half of them in a large fleet.
+    # Workers that ignore cancellation ran all cancelled attempts, which filled half of a large fleet.
     harness = DispatchHarness([endpoint(f"w{number}") for number in range(40)], waste_cost=waste_price)
     for number in range(40):
-        harness.send_request(number)  # none starts
+        harness.send_request(number)  # no attempt starts
         harness.advance(20 * MS)
     harness.advance(500 * MS)
     cancelled_count = sum(attempt.cancelled for attempts in harness.attempts.values() for attempt in attempts)
--- a/tests/decisions/test_mechanism.py
+++ b/tests/decisions/test_mechanism.py
@@ -1,4 +1,4 @@
-"""Queueing, retries, ejection and affinity, one small case for each."""
+"""Queueing, retries, ejection and affinity, in small single cases."""
 
 import itertools
 from collections import deque
@@ -120,7 +120,7 @@
 
 
 def test_a_silent_connection_does_not_eject_its_worker() -> None:
-    # A single connection may fall silent; each one ejected its worker for 8 to 12 s.
+    # A single connection may fall silent; each silent connection ejected its worker for 8 to 12 s.
     harness = DispatchHarness([endpoint(name) for name in "abcd"])
     harness.send_request(1)
     harness.report_start(1)
@@ -240,7 +240,8 @@
 
 
 def test_a_bound_request_is_not_cancelled_to_be_sent_to_the_same_worker() -> None:
-    # On sockets a keyed request was sent to the same worker six times, and left a copy there each time.
+    # In a run with real sockets, a request with an idempotency key was sent to the same worker six times, and
+    # left a copy there each time.
     harness = DispatchHarness([endpoint("a"), endpoint("b")])
     for request_id in (1, 2):
         harness.send_request(request_id, affinity_key="s")
@@ -254,8 +255,8 @@
 
 
 def test_an_affinity_key_has_preferred_workers_by_its_share_of_the_latest_arrivals() -> None:
-    # One key has a seventh of the traffic, more than a worker's load; of thousands of others only the latest
-    # are remembered.
+    # One key has a seventh of the traffic, more than a worker's load. Of thousands of other keys only the
+    # latest are stored.
     harness = DispatchHarness([endpoint(f"w{number}") for number in range(40)])
     for number in range(700):
         harness.dispatcher.parts.observations.affinity_keys.record(
--- a/tests/decisions/test_rules.py
+++ b/tests/decisions/test_rules.py
@@ -1,4 +1,4 @@
-"""The rules and the accounting, in seeded random runs and in single cases."""
+"""Dispatch rules and accounting, in seeded random runs and in single cases."""
 
 import pytest
 
@@ -134,4 +134,4 @@
     assert not harness.probes and not any(harness.attempts.values())
     harness.dispatcher.endpoints_changed([endpoint("a")])
     harness.dispatcher.endpoints_changed([endpoint("a", EndpointCondition.GONE)])
-    assert harness.probes == ["a"], "it was ready since, and is gone without a drain"
+    assert harness.probes == ["a"], "the worker was ready after its drain, and is gone without another one"
