--- a/ploverspoke/decisions/dispatcher.py
+++ b/ploverspoke/decisions/dispatcher.py
@@ -25,7 +25,7 @@
     """The decisions of one dispatcher, with one method for each event."""
 
     def __init__(self, actions: DispatchActions, seed: int, settings: Settings) -> None:
-        """Build the parts; `actions` are called only while an event is processed."""
+        """Build the parts; except for `now`, `actions` are called only while an event is processed."""
         self.actions = actions
         self.parts = parts = Parts(actions, seed, settings)
         self.request_path = RequestPath(parts)
--- a/tests/decisions/test_fleet.py
+++ b/tests/decisions/test_fleet.py
@@ -9,10 +9,10 @@
 REJECTED_AFTER = 2 * SECOND
 
 
-def watch_start_times(harnesses: list[DispatchHarness], duration: int) -> list[int]:
-    """Return when each watch was answered, 0 for never, by a discovery that handles one call at a time."""
+def watch_answer_times(harnesses: list[DispatchHarness], duration: int) -> list[int]:
+    """Return the ns until each watch was answered, 0 for never; discovery handles one call at a time."""
     start, free_at = harnesses[0].clock, harnesses[0].clock
-    calls_seen, watching_since = [0] * len(harnesses), [0] * len(harnesses)
+    calls_seen, answered_after = [0] * len(harnesses), [0] * len(harnesses)
     rejections: list[tuple[int, int]] = []
     for _ in range(duration // (10 * MS)):
         for number, harness in enumerate(harnesses):
@@ -22,30 +22,30 @@
             calls_seen[number] = harness.watch_calls
             free_at = max(free_at, harness.clock) + CALL_DURATION
             if free_at <= harness.clock + REJECTED_AFTER:
-                watching_since[number] = free_at - start
+                answered_after[number] = free_at - start
             else:
                 rejections.append((harness.clock + REJECTED_AFTER, number))
         for rejection in [each for each in rejections if each[0] <= harnesses[0].clock]:
             rejections.remove(rejection)
             harnesses[rejection[1]].dispatcher.endpoint_watch_failed(is_rejected=True)
-    return watching_since
+    return answered_after
 
 
 def test_dispatchers_started_together_do_not_overload_discovery() -> None:
     workers = [endpoint(f"w{number}") for number in range(3)]
-    watching_since = watch_start_times(
+    answered_after = watch_answer_times(
         [DispatchHarness(workers, seed, dispatcher_count=40) for seed in range(40)], 8 * SECOND
     )
-    assert all(watching_since) and max(watching_since) < 8 * SECOND
+    assert all(answered_after) and max(answered_after) < 8 * SECOND
 
 
 def test_rejected_dispatchers_are_answered_later() -> None:
     # Without a list nothing can be sent, so all dispatchers call at once. The retries of rejected calls must
     # not overload discovery again in the next seconds.
-    watching_since = watch_start_times(
+    answered_after = watch_answer_times(
         [DispatchHarness([], seed, dispatcher_count=40) for seed in range(40)], 25 * SECOND
     )
-    assert all(watching_since)
+    assert all(answered_after)
 
 
 def test_a_worker_that_reports_an_error_gets_no_requests_until_it_restarts() -> None:
--- a/tests/decisions/test_rules.py
+++ b/tests/decisions/test_rules.py
@@ -102,17 +102,19 @@
 
 
 @pytest.mark.parametrize(
-    ("proof", "request_class", "again"),
+    ("full_is_proof", "request_class", "is_retried"),
     [(True, 0, True), (False, 0, True), (True, 2, True), (False, 2, False)],
 )
-def test_after_a_full_answer(proof: bool, request_class: int, again: bool) -> None:
-    harness = DispatchHarness([endpoint("a", kind=1), endpoint("b", kind=1)], full_may_have_run=not proof)
+def test_after_a_full_answer(full_is_proof: bool, request_class: int, is_retried: bool) -> None:
+    harness = DispatchHarness(
+        [endpoint("a", kind=1), endpoint("b", kind=1)], full_may_have_run=not full_is_proof
+    )
     harness.send_request(1, request_class)
     first = harness.worker_of(1)
     harness.end_attempt(1, AttemptOutcome.FULL)
     harness.advance(100 * MS)
-    assert harness.worker_of(1) == ({"a": "b", "b": "a"}[str(first)] if again else None)
-    assert harness.answers == ({} if again else {1: Answer.FAILED}), "no other attempt and no rejection"
+    assert harness.worker_of(1) == ({"a": "b", "b": "a"}[str(first)] if is_retried else None)
+    assert harness.answers == ({} if is_retried else {1: Answer.FAILED}), "no other attempt and no rejection"
 
 
 def test_gone_is_binding_only_where_no_drain_is_needed() -> None:
