--- a/ploverspoke/consensus/election.py
+++ b/ploverspoke/consensus/election.py
@@ -10,7 +10,7 @@
 
 
 class Election:
-    """The election timeout of a replica, the votes that it gives and those that it gets."""
+    """The election timeout of a replica, the votes that it grants and those that it receives."""
 
     def __init__(
         self,
@@ -18,38 +18,38 @@
         random_fraction: Callable[[], float],
         become_leader: Callable[[], None],
     ) -> None:
-        """`random_fraction` returns numbers from 0 up to 1; `become_leader` is called when it is elected."""
+        """`random_fraction` returns numbers in [0, 1); `become_leader` is called on winning an election."""
         self.state = state
         self.random_fraction = random_fraction
         self.become_leader = become_leader
-        self.votes: dict[str, bool] = {}
+        self.votes: dict[str, bool] = {}  # whether the vote was granted, by replica id
         self.timeout_at = 0
-        # A replica that restarts may have answered a leader just before: for one election timeout it votes
-        # for no other.
+        # A replica may have answered a leader just before it restarted, so it does not vote for another
+        # candidate for one election timeout after the start.
         self.leader_contact_at = state.environment.now() if state.current_term else LONG_AGO
         self.postpone()
 
     def postpone(self) -> None:
-        """Start the election timeout anew, with another random length."""
+        """Restart the election timeout with a new random length."""
         timeout = int(self.state.timeouts.election * (1 + self.random_fraction()))
         self.timeout_at = self.state.environment.now() + timeout
 
     def record_leader_contact(self) -> None:
-        """The leader of the current term has sent something."""
+        """Record that a message has arrived from the leader of the current term."""
         self.leader_contact_at = self.state.environment.now()
         self.postpone()
 
     def has_recent_leader(self) -> bool:
-        """Whether a leader has sent something within the shortest election timeout."""
+        """Whether a leader has sent a message within the minimum election timeout."""
         return self.state.environment.now() - self.leader_contact_at < self.state.timeouts.election
 
     def on_timeout(self) -> None:
-        """No leader has sent anything for a whole election timeout."""
+        """Start a pre-vote: no leader has sent a message for a whole election timeout."""
         self.postpone()
         if self.state.is_voter():
             self._start_pre_vote()
 
-    # ---- Standing ----
+    # ---- As a candidate ----
 
     def _start_pre_vote(self) -> None:
         state = self.state
@@ -96,15 +96,15 @@
     # ---- Messages ----
 
     def handle_pre_vote(self, sender: str, message: PreVote) -> None:
-        """Answer whether the sender would get this replica's vote; nothing is promised."""
+        """Answer whether this replica would vote for the sender; the answer is not binding."""
         granted = self.state.role is not Role.LEADER and self._is_up_to_date(message)
         self.state.send(sender, PreVoteReply(term=message.term, granted=granted))
 
     def handle_request_vote(self, sender: str, message: RequestVote) -> None:
-        """Vote for the first candidate of a term whose log is up to date."""
+        """Vote for the first candidate of the term whose log is up to date."""
         state = self.state
-        is_free = state.voted_for in ("", sender)
-        granted = is_free and self._is_up_to_date(message) and state.role is not Role.LEADER
+        has_no_other_vote = state.voted_for in ("", sender)
+        granted = has_no_other_vote and self._is_up_to_date(message) and state.role is not Role.LEADER
         if granted:
             state.vote_for(sender)
             self.postpone()
@@ -124,7 +124,7 @@
             self._count_votes()
 
     def handle_timeout_now(self, sender: str, message: TimeoutNow) -> None:
-        """Start an election at once: the leader hands over (thesis, section 3.10)."""
+        """Start an election at once, because the leader transfers its leadership (thesis, section 3.10)."""
         if self.state.is_voter() and self.state.role is not Role.LEADER:
             self._start_election(is_transfer=True)
 
--- a/ploverspoke/consensus/errors.py
+++ b/ploverspoke/consensus/errors.py
@@ -1,4 +1,4 @@
-"""The base class of all errors of this package; each module defines the errors that it raises."""
+"""The base class of the errors of this package; each module defines the errors that it raises."""
 
 
 class ConsensusError(Exception):
--- a/ploverspoke/consensus/leadership_transfer.py
+++ b/ploverspoke/consensus/leadership_transfer.py
@@ -1,4 +1,4 @@
-"""Leadership transfer (thesis, section 3.10): a voter catches up, then is asked to start an election."""
+"""Leadership transfer (thesis, section 3.10): a voter catches up and is asked to start an election."""
 
 from .leadership import Leadership
 from .membership import voters
@@ -7,13 +7,13 @@
 
 
 class LeadershipTransfer:
-    """The transfer that is under way, if any. While it is, the leader takes no proposals."""
+    """The leadership transfer in progress, if any. Meanwhile the leader accepts no proposals."""
 
     def __init__(self, state: RaftState, leadership: Leadership) -> None:
-        """Begin without a transfer."""
+        """Start without a transfer."""
         self.state = state
         self.leadership = leadership
-        self._target = ""  # "": none
+        self._target = ""  # "": no transfer
         self._deadline = 0
 
     def start(self, target: str) -> bool:
@@ -29,20 +29,20 @@
         return True
 
     def is_in_progress(self) -> bool:
-        """Whether leadership is being handed over."""
+        """Whether leadership is being transferred."""
         return bool(self._target)
 
     def cancel(self) -> None:
-        """Go on without a transfer."""
+        """Cancel the transfer, if any; the leader accepts proposals again."""
         self._target = ""
 
     def cancel_if_late(self, now: int) -> None:
-        """Cancel a transfer that has taken an election timeout."""
+        """Cancel a transfer that has not completed within an election timeout."""
         if self._target and now >= self._deadline:
             self.cancel()
 
     def on_progress(self, replica_id: str) -> None:
-        """A follower's log has grown: the target is asked to stand once it has all entries."""
+        """Handle progress of a follower: once the target has all entries, ask it to start an election."""
         follower = self.leadership.followers.get(replica_id)
         if self._target != replica_id or follower is None:
             return
--- a/ploverspoke/consensus/log.py
+++ b/ploverspoke/consensus/log.py
@@ -1,4 +1,4 @@
-"""The replicated log in memory: the entries since the last snapshot. Durability is the driver's business."""
+"""The replicated log in memory: the entries since the last snapshot. The driver makes it durable."""
 
 from enum import StrEnum
 from typing import Protocol, TypeAlias
@@ -7,22 +7,23 @@
 
 from .membership import Members, members_from_plain
 
-# What msgpack holds: None, bool, int, float, str, bytes, and lists and maps of them.
+# A value that msgpack can encode: None, bool, int, float, str, bytes, and lists and maps of these.
 PlainValue: TypeAlias = object
 
-PLAIN_COMMAND_SIZE = 64  # bytes assumed for a command that is not bytes, when a message is filled
+# The assumed size of a command that is not `bytes`, when the size of a message is limited.
+ASSUMED_COMMAND_BYTES = 64
 
 
 class EntryKind(StrEnum):
-    """What an entry is for. The values are stored and sent."""
+    """The kind of an entry. The values are stored and sent."""
 
     NOOP = "noop"  # the first entry of each leader (Raft paper, section 8)
-    MEMBERS = "members"  # a change of the members; its data are the new `Members`
+    MEMBERS = "members"  # a membership change; its data is the new `Members`
     DATA = "data"  # a command for the state machine
 
 
 class Entry(msgspec.Struct, array_like=True, frozen=True):
-    """One entry of the log. `data` are plain values (those of msgpack), but for members, which are typed."""
+    """One log entry. `data` is a plain msgpack value, except that of a MEMBERS entry, which is `Members`."""
 
     index: int
     term: int
@@ -31,55 +32,55 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True):
-    """The state of everything up to an entry, which takes the place of the log up to there."""
+    """The state after all entries up to `index`; it replaces the log up to there."""
 
-    index: int  # of the last entry that is in it
+    index: int  # of the last entry included
     term: int  # of that entry
     members: Members
     data: bytes
 
 
 class StateMachine(Protocol):
-    """What the committed commands of the log change; the same on all replicas."""
+    """The replicated state, which all replicas change by applying the same committed commands."""
 
     def apply(self, index: int, command: PlainValue) -> None:
-        """Execute the command that was committed at `index`, as plain values. Must not fail."""
+        """Execute the command that was committed at `index`, a plain value. Must not fail."""
 
     def take_snapshot(self) -> bytes:
         """Return the whole state."""
 
     def restore_snapshot(self, data: bytes) -> None:
-        """Replace the state by that of a snapshot; b"" is the empty state."""
+        """Replace the state by that of a snapshot; b"" stands for the empty state."""
 
 
 def with_typed_members(entry: Entry) -> Entry:
-    """Return an entry read from disk or wire with its members typed. Raises msgspec.ValidationError."""
+    """Convert the members in an entry that was read from disk or received. Raises msgspec.ValidationError."""
     if entry.kind is not EntryKind.MEMBERS:
         return entry
     return Entry(entry.index, entry.term, entry.kind, members_from_plain(entry.data))
 
 
 class Log:
-    """The entries behind a snapshot. Indexes start at 1; the snapshot stands for all up to its index."""
+    """The entries after a snapshot. Indexes start at 1; the snapshot replaces all entries up to its index."""
 
     def __init__(self, snapshot_index: int = 0, snapshot_term: int = 0) -> None:
-        """Begin an empty log behind a snapshot; 0 means that there is none."""
+        """Create an empty log after a snapshot; 0 means that there is no snapshot."""
         self.snapshot_index = snapshot_index
         self.snapshot_term = snapshot_term
         self.entries: list[Entry] = []
-        # Kept apart because the members are looked up at each message.
+        # A separate list, because the members are looked up for every message.
         self.membership_changes: list[Entry] = []
 
     def last_index(self) -> int:
-        """Return the index of the last entry, or of the snapshot if there is none."""
+        """Return the index of the last entry, or of the snapshot if there are no entries."""
         return self.snapshot_index + len(self.entries)
 
     def last_term(self) -> int:
-        """Return the term of the last entry, or of the snapshot if there is none."""
+        """Return the term of the last entry, or of the snapshot if there are no entries."""
         return self.entries[-1].term if self.entries else self.snapshot_term
 
     def term_at(self, index: int) -> int | None:
-        """Return the term of an entry; None if it is not here: compacted away, or not received yet."""
+        """Return the term of an entry; None if it was compacted away or is not in the log yet."""
         if index == self.snapshot_index:
             return self.snapshot_term
         if self.snapshot_index < index <= self.last_index():
@@ -87,33 +88,33 @@
         return None
 
     def get(self, index: int) -> Entry:
-        """Return an entry that is behind the snapshot."""
+        """Return an entry after the snapshot."""
         return self.entries[index - self.snapshot_index - 1]
 
-    def after(self, index: int, max_entries: int, max_bytes: int) -> list[Entry]:
-        """Return the entries behind `index`: at least one if there is any, then as many as fit."""
+    def entries_after(self, index: int, max_entries: int, max_bytes: int) -> list[Entry]:
+        """Return the entries after `index` that fit the limits, and at least one if there is any."""
         selected: list[Entry] = []
         size = 0
         position = index - self.snapshot_index
         for entry in self.entries[position : position + max_entries]:
-            size += len(entry.data) if isinstance(entry.data, bytes) else PLAIN_COMMAND_SIZE
+            size += len(entry.data) if isinstance(entry.data, bytes) else ASSUMED_COMMAND_BYTES
             if selected and size > max_bytes:
                 break
             selected.append(entry)
         return selected
 
     def append(self, entries: list[Entry]) -> None:
-        """Add entries that follow the last one."""
+        """Append entries whose indexes follow the last one."""
         self.entries += entries
         self.membership_changes += [entry for entry in entries if entry.kind is EntryKind.MEMBERS]
 
     def truncate_from(self, index: int) -> None:
-        """Drop the entry at `index` and all behind it."""
+        """Delete the entry at `index` and all after it."""
         del self.entries[index - self.snapshot_index - 1 :]
         self.membership_changes = [entry for entry in self.membership_changes if entry.index < index]
 
     def compact(self, index: int) -> None:
-        """Drop the entries up to `index`, which is in the log: a snapshot holds them."""
+        """Drop the entries up to `index`, which is in the log, because a snapshot includes them."""
         term = self.term_at(index)
         assert term is not None
         del self.entries[: index - self.snapshot_index]
@@ -121,15 +122,15 @@
         self.snapshot_index = index
         self.snapshot_term = term
 
-    def restart_at(self, index: int, term: int) -> None:
-        """Drop everything: a leader's snapshot up to `index` takes its place."""
+    def reset_to_snapshot(self, index: int, term: int) -> None:
+        """Drop all entries, because a leader's snapshot up to `index` replaces them."""
         self.entries.clear()
         self.membership_changes.clear()
         self.snapshot_index = index
         self.snapshot_term = term
 
-    def first_of_term(self, index: int) -> int:
-        """Return the first index known here whose entry has the term of the one at `index`."""
+    def first_index_of_same_term(self, index: int) -> int:
+        """Return the first index in this log of the run of entries that have the same term as `index`."""
         term = self.term_at(index)
         while index - 1 > self.snapshot_index and self.term_at(index - 1) == term:
             index -= 1
--- a/ploverspoke/consensus/membership.py
+++ b/ploverspoke/consensus/membership.py
@@ -1,7 +1,7 @@
-"""The members of a cluster, and which changes of them are safe (Ongaro's thesis, section 4.1).
+"""The members of a cluster, and which membership changes are safe (Ongaro's thesis, section 4.1).
 
-A replica id names one replica for as long as its storage lasts. A replica whose disk was lost comes back
-under another id, so that nothing the old one had promised is taken for a promise of the new one.
+A replica id identifies one replica for the lifetime of its storage. A replica that has lost its disk rejoins
+under a new id, so that votes and entries acknowledged under the old id are not attributed to it.
 """
 
 from collections.abc import Mapping
@@ -18,7 +18,7 @@
     name: str
     peer_address: str
     client_address: str
-    votes: bool  # False: a learner, which receives the log and counts in no majority
+    votes: bool  # False: a learner, which receives the log but does not count towards a majority
 
 
 Members = dict[str, Member]  # by replica id
@@ -35,24 +35,24 @@
 
 
 def majority(members: Mapping[str, Member]) -> int:
-    """Return how many voters are a majority."""
+    """Return the number of voters that form a majority."""
     return len(voters(members)) // 2 + 1
 
 
-def differ_by_one(old: Members, new: Members) -> bool:
-    """Whether the voters differ by at most one: then any majority of `old` meets any majority of `new`."""
+def differ_by_at_most_one_voter(old: Members, new: Members) -> bool:
+    """Whether at most one voter differs, so that any majority of `old` overlaps any majority of `new`."""
     return len(set(voters(old)) ^ set(voters(new))) <= 1
 
 
 def find_by_name(members: Members, name: str) -> str:
-    """Return the id of the member of that name; "" if there is none."""
+    """Return the id of the member with this name; "" if there is none."""
     return next((replica_id for replica_id, member in members.items() if member.name == name), "")
 
 
 def fingerprint(cluster: str, members: Members) -> str:
-    """Identify a cluster by its name and first members: replicas with another fingerprint are not talked to.
+    """Return a digest of a cluster's name and initial members; replicas refuse peers with another digest.
 
-    The text that is hashed must not change: the digest is stored and compared with that of other replicas.
+    The text that is hashed must not change: the digest is stored and compared with those of other replicas.
     """
     lines = [cluster]
     for replica_id in sorted(members):
--- a/ploverspoke/consensus/message_dispatch.py
+++ b/ploverspoke/consensus/message_dispatch.py
@@ -1,4 +1,4 @@
-"""Hands each message of another replica to the handler of its type."""
+"""Passes each message from another replica to the handler for its type."""
 
 from collections.abc import Callable
 from typing import TypeVar, cast
@@ -9,16 +9,16 @@
 
 
 class MessageDispatcher:
-    """The handlers of messages, by message type."""
+    """The message handlers, by message type."""
 
     def __init__(self) -> None:
-        """Begin without handlers."""
+        """Start without handlers."""
         self._handlers: dict[type[RaftMessage], Callable[[str, Message], None]] = {}
 
     def register(self, message_type: type[MessageT], handler: Callable[[str, MessageT], None]) -> None:
-        """Have `handler` called with the sender's replica id and each message of exactly that type."""
+        """Call `handler` with the sender's replica id and each message of exactly this type."""
         self._handlers[message_type] = cast(Callable[[str, Message], None], handler)
 
     def dispatch(self, sender: str, message: Message) -> None:
-        """Call the handler of the message's type. Raises KeyError where none is registered."""
+        """Call the handler for the message's type. Raises KeyError if none is registered."""
         self._handlers[type(message)](sender, message)
--- a/ploverspoke/consensus/raft_state.py
+++ b/ploverspoke/consensus/raft_state.py
@@ -1,4 +1,4 @@
-"""The state of one Raft replica (paper, figure 2), which the modules of its concerns share.
+"""The state of one Raft replica (paper, figure 2), shared by the modules that implement the algorithm.
 
 Times are nanoseconds of a monotonic clock.
 """
@@ -13,72 +13,75 @@
 from .persisted_state import PersistedState
 from .wire_messages import Message
 
-DEFAULT_ELECTION_TIMEOUT = 200 * MILLISECOND
-DEFAULT_HEARTBEAT_INTERVAL = 50 * MILLISECOND
+DEFAULT_ELECTION_TIMEOUT_NS = 200 * MILLISECOND
+DEFAULT_HEARTBEAT_INTERVAL_NS = 50 * MILLISECOND
 
 
 class Role(StrEnum):
-    """What a replica is in its term. The values are shown by tools."""
+    """The role of a replica in the current term. The values are shown by tools."""
 
     FOLLOWER = "follower"
-    PRECANDIDATE = "precandidate"  # asks whether it would be elected (thesis, section 9.6)
+    PRECANDIDATE = "precandidate"  # asks whether it would win an election (thesis, section 9.6)
     CANDIDATE = "candidate"
     LEADER = "leader"
-    STOPPED = "stopped"  # its storage cannot be written: it takes no part
+    STOPPED = "stopped"  # its storage cannot be written, so it does not participate
 
 
 class RaftTimeouts(NamedTuple):
     """The timing of elections and heartbeats, in nanoseconds."""
 
-    election: int = DEFAULT_ELECTION_TIMEOUT  # at least; at most twice that
-    heartbeat: int = DEFAULT_HEARTBEAT_INTERVAL
+    election: int = DEFAULT_ELECTION_TIMEOUT_NS  # the minimum; the actual timeout is random, below twice this
+    heartbeat: int = DEFAULT_HEARTBEAT_INTERVAL_NS
 
 
 class RaftEnvironment(Protocol):
-    """What consensus, which does no I/O, asks of its driver.
+    """The I/O that consensus requests from its driver, and the events that it reports.
 
-    A message given to `send` goes out only when all that was asked to be written before it is synced. One
-    given to `send_now` claims nothing about this replica's storage and may go at once.
+    A message passed to `send` is sent only after all writes requested before it are synced. A message passed
+    to `send_now` does not depend on this replica's storage and may be sent at once.
     """
 
     def now(self) -> int:
         """Return the monotonic time in nanoseconds."""
 
     def send(self, to: str, message: Message) -> None:
-        """Send a message once all that was asked to be written is synced."""
+        """Send a message once all writes requested so far are synced."""
 
     def send_now(self, to: str, message: Message) -> None:
         """Send a message at once."""
 
     def save_vote(self, term: int, voted_for: str) -> None:
-        """Write the current term and for whom this replica has voted in it; "" for no vote."""
+        """Write the current term and the replica that was voted for in it; "" for no vote."""
 
     def save_entries(self, entries: list[Entry]) -> None:
-        """Write entries that follow those written before."""
+        """Append entries to those written before."""
 
     def truncate_entries_from(self, index: int) -> None:
-        """Drop the entry at `index` and all behind it."""
+        """Delete the entry at `index` and all after it."""
 
     def install_snapshot(self, snapshot: Snapshot) -> None:
-        """Write a leader's snapshot in place of all that is stored, in one step."""
+        """Replace the stored snapshot and all stored entries by a leader's snapshot, atomically."""
 
     def latest_snapshot(self) -> Snapshot | None:
-        """Return the latest snapshot that is durable."""
+        """Return the latest durable snapshot, if there is one."""
 
     def on_entry_committed(self, entry: Entry) -> None:
-        """An entry is committed; called in the order of the log."""
+        """An entry is committed; called in log order."""
 
     def on_snapshot_installed(self, data: bytes) -> None:
-        """The state is that of a leader's snapshot from now on."""
+        """A leader's snapshot has replaced the state."""
 
     def on_role_changed(self, role: Role, leader_id: str) -> None:
         """The role or the known leader has changed."""
 
     def on_read_ready(self, token: int, index: int) -> None:
-        """Once `index` is applied here, the read sees all that was committed before it was asked for."""
+        """A read is confirmed: it may be served once this replica has applied the entry at `index`.
+
+        It then sees everything that was committed before it was requested.
+        """
 
     def on_read_failed(self, token: int) -> None:
-        """This replica does not lead, or ceased to before the read was confirmed."""
+        """A read failed: this replica is not the leader, or lost leadership before confirming the read."""
 
 
 class RaftState:
@@ -91,7 +94,7 @@
         persisted: PersistedState,
         timeouts: RaftTimeouts,
     ) -> None:
-        """Begin as a follower with what the storage holds."""
+        """Start as a follower with the persisted state."""
         self.environment = environment
         self.replica_id = replica_id
         self.timeouts = timeouts
@@ -101,21 +104,21 @@
         self.log = persisted.log
         self.snapshot_members = persisted.members
         self.role = Role.FOLLOWER
-        self.leader_id = ""  # "": not known
+        self.leader_id = ""  # "": unknown
         self.commit_index = self.log.snapshot_index
-        self.synced_index = self.log.last_index()  # up to there the log is durable here
+        self.synced_index = self.log.last_index()  # the log is durable here up to this index
 
-    # ---- Members: those of the latest entry count, committed or not (thesis, section 4.1) ----
+    # ---- Members: the latest membership entry applies, committed or not (thesis, section 4.1) ----
 
     def members(self) -> Members:
-        """Return the members by the latest entry of the log."""
+        """Return the members as of the last log entry."""
         return self.members_at(self.log.last_index())
 
     def members_at(self, index: int) -> Members:
-        """Return the members by the entries up to `index`."""
+        """Return the members as of the log entry at `index`."""
         for entry in reversed(self.log.membership_changes):
             if entry.index <= index:
-                return cast(Members, entry.data)  # typed when it was read or proposed
+                return cast(Members, entry.data)  # converted when it was read or proposed
         return self.snapshot_members
 
     def is_voter(self) -> bool:
@@ -126,7 +129,7 @@
     # ---- Terms and roles ----
 
     def enter_term(self, term: int, voted_for: str) -> None:
-        """Begin a term, with a vote for this replica itself or none yet."""
+        """Start a new term, with a vote for this replica itself or with no vote yet ("")."""
         self.current_term = term
         self.vote_for(voted_for)
 
@@ -145,7 +148,7 @@
     # ---- The log ----
 
     def append(self, kind: EntryKind, commands: list[PlainValue]) -> None:
-        """Add entries of the current term, as its leader."""
+        """Append commands as entries of the current term; only the leader calls this."""
         first = self.log.last_index() + 1
         entries = [
             Entry(index, self.current_term, kind, command) for index, command in enumerate(commands, first)
@@ -154,7 +157,7 @@
         self.environment.save_entries(entries)
 
     def commit_to(self, index: int) -> None:
-        """Commit the entries up to `index`, as far as they are here."""
+        """Commit the entries up to `index` that are in this log."""
         while self.commit_index < min(index, self.log.last_index()):
             self.commit_index += 1
             self.environment.on_entry_committed(self.log.get(self.commit_index))
@@ -162,11 +165,11 @@
     # ---- Messages ----
 
     def send(self, to: str, message: Message) -> None:
-        """Send a message that rests on what is written here."""
+        """Send a message that depends on this replica's storage, after the pending writes are synced."""
         message.storage_id = self.storage_id
         self.environment.send(to, message)
 
     def send_now(self, to: str, message: Message) -> None:
-        """Send a message that claims nothing about what is written here."""
+        """Send a message that does not depend on this replica's storage, without waiting."""
         message.storage_id = self.storage_id
         self.environment.send_now(to, message)
--- a/ploverspoke/consensus/snapshot_transfer.py
+++ b/ploverspoke/consensus/snapshot_transfer.py
@@ -1,4 +1,4 @@
-"""Snapshots for followers whose next entry was compacted away (paper, section 7): sent in chunks."""
+"""Transfer of snapshots, in chunks, to followers whose next entry was compacted away (paper, section 7)."""
 
 from collections.abc import Callable
 
@@ -8,19 +8,19 @@
 from .wire_messages import InstallSnapshot, InstallSnapshotReply
 
 CHUNK_BYTES = 64 * 1024
-INCOMPLETE = -1  # the match index of a reply to a chunk that was not the last
+SNAPSHOT_INCOMPLETE = -1  # the match index in replies as long as chunks are missing
 
 
 class SnapshotSender:
-    """The leader's side."""
+    """Sends the leader's latest snapshot to followers."""
 
     def __init__(self, state: RaftState) -> None:
-        """Take the snapshots from the environment of `state`."""
+        """Send the snapshots that the environment of `state` provides."""
         self.state = state
 
     def send_chunk(self, replica_id: str, follower: FollowerProgress, round_number: int) -> None:
-        """Send the next chunk, unless the answer to the one before is still awaited."""
-        if follower.waiting_since:
+        """Send the next chunk, unless the previous one is still unanswered."""
+        if follower.awaiting_reply_since:
             return
         snapshot = self.state.environment.latest_snapshot()
         if snapshot is None:
@@ -29,7 +29,7 @@
             follower.snapshot = SnapshotProgress(snapshot.index, 0)
         offset = follower.snapshot.offset
         chunk = snapshot.data[offset : offset + CHUNK_BYTES]
-        follower.waiting_since = self.state.environment.now()
+        follower.awaiting_reply_since = self.state.environment.now()
         message = InstallSnapshot(
             term=self.state.current_term,
             last_index=snapshot.index,
@@ -43,14 +43,14 @@
         self.state.send_now(replica_id, message)
 
     def record_reply(self, follower: FollowerProgress, reply: InstallSnapshotReply) -> bool:
-        """Note how far a follower has come; returns whether it has the whole snapshot."""
-        follower.waiting_since = 0
+        """Record a follower's progress; returns whether it has the whole snapshot."""
+        follower.awaiting_reply_since = 0
         if reply.match_index >= 0:
             follower.snapshot = None
             follower.match_index = max(follower.match_index, reply.match_index)
             follower.next_index = follower.match_index + 1
             follower.is_probing = True
-            follower.in_flight = 0
+            follower.messages_in_flight = 0
             return True
         if follower.snapshot is not None and follower.snapshot.index == reply.last_index:
             follower.snapshot = SnapshotProgress(reply.last_index, reply.offset)
@@ -58,32 +58,32 @@
 
 
 class SnapshotReceiver:
-    """The follower's side."""
+    """Receives snapshots on a follower and installs them."""
 
-    def __init__(self, state: RaftState, follow: Callable[[str], None]) -> None:
-        """`follow` is called with the id of the leader that has sent something."""
+    def __init__(self, state: RaftState, follow_leader: Callable[[str], None]) -> None:
+        """`follow_leader` is called with the leader's id for each message from the leader."""
         self.state = state
-        self.follow = follow
-        self._received = bytearray()
-        self._index = 0  # of the snapshot that is being received
+        self.follow_leader = follow_leader
+        self._received_data = bytearray()
+        self._receiving_index = 0  # of the last entry in the snapshot that is being received
 
     def handle_install_snapshot(self, sender: str, message: InstallSnapshot) -> None:
-        """Take a chunk, and install the snapshot with the last one."""
-        self.follow(sender)
+        """Store a chunk; after the last one, install the snapshot."""
+        self.follow_leader(sender)
         if message.last_index <= self.state.commit_index:
-            # Entries came faster than the snapshot: what is here is newer.
+            # Entries have arrived before the snapshot, so the log is already newer.
             self._reply(sender, message, offset=0, match_index=self.state.commit_index)
             return
-        if message.offset == 0 or message.last_index != self._index:
-            self._received = bytearray()
-            self._index = message.last_index
-        if message.offset == len(self._received):
-            self._received += message.data
+        if message.offset == 0 or message.last_index != self._receiving_index:
+            self._received_data = bytearray()
+            self._receiving_index = message.last_index
+        if message.offset == len(self._received_data):
+            self._received_data += message.data
             if message.done:
                 self._install(message)
                 self._reply(sender, message, offset=0, match_index=message.last_index)
                 return
-        self._reply(sender, message, offset=len(self._received), match_index=INCOMPLETE)
+        self._reply(sender, message, offset=len(self._received_data), match_index=SNAPSHOT_INCOMPLETE)
 
     def _reply(self, sender: str, message: InstallSnapshot, offset: int, match_index: int) -> None:
         reply = InstallSnapshotReply(
@@ -97,16 +97,16 @@
 
     def _install(self, message: InstallSnapshot) -> None:
         state, log = self.state, self.state.log
-        data = bytes(self._received)
-        self._received = bytearray()
-        self._index = 0
+        data = bytes(self._received_data)
+        self._received_data = bytearray()
+        self._receiving_index = 0
         index, term = message.last_index, message.last_term
-        # A log that holds the snapshot's last entry goes on past it and agrees: what is behind it stays.
-        agrees = log.term_at(index) == term
-        later_entries = log.entries[index - log.snapshot_index :] if agrees else []
+        # If the log holds the snapshot's last entry, its later entries are valid and are kept.
+        has_last_entry = log.term_at(index) == term
+        later_entries = log.entries[index - log.snapshot_index :] if has_last_entry else []
         state.environment.install_snapshot(Snapshot(index, term, message.members, data))
         state.snapshot_members = message.members
-        log.restart_at(index, term)
+        log.reset_to_snapshot(index, term)
         if later_entries:
             log.append(later_entries)
             state.environment.save_entries(later_entries)
--- a/ploverspoke/consensus/wire_messages.py
+++ b/ploverspoke/consensus/wire_messages.py
@@ -1,9 +1,9 @@
-"""The messages among replicas: the RPCs of the Raft paper and thesis, and how they are encoded.
+"""The messages between replicas: the RPCs of the Raft paper and thesis, and their encoding.
 
-Each message is one msgpack map. The names and the order of its keys are fixed, since replicas of different
-versions talk to one another: the tag `k` first, then the fields as they are declared here, `disk` last.
+Each message is one msgpack map. The names and the order of its keys are fixed, because replicas of different
+versions communicate: the tag `k` first, then the fields in the order declared here, `disk` last.
 
-Sections are those of Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm" (2014),
+Section numbers refer to Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm" (2014),
 and of Ongaro's thesis, "Consensus: Bridging Theory and Practice" (2014).
 """
 
@@ -16,25 +16,25 @@
 
 
 class MessageError(ConsensusError):
-    """A message is not one of those below."""
+    """A received message is malformed or of an unknown type."""
 
     def __init__(self, reason: str) -> None:
-        """Keep what is wrong with it."""
-        super().__init__(f"a message that is not valid: {reason}")
+        """`reason` says what is wrong with the message."""
+        super().__init__(f"invalid message: {reason}")
         self.reason = reason
 
 
 class RaftMessage(msgspec.Struct, tag_field="k", kw_only=True):
-    """Base of all messages. A keyword-only field comes behind the others, also behind those of subclasses."""
+    """Base class of all messages. Its keyword-only field is encoded after the fields of the subclasses."""
 
     storage_id: str = field(name="disk", default="")  # of the sender; set when the message is sent
 
 
 class RequestVote(RaftMessage, tag="vote"):
-    """A candidate asks for a vote (paper, section 5.2)."""
+    """A candidate requests a vote (paper, section 5.2)."""
 
     term: int = field(name="t")
-    is_transfer: bool = field(name="transfer")  # the leader has asked for this election itself
+    is_transfer: bool = field(name="transfer")  # the leader requested this election to transfer leadership
     last_index: int = field(name="li")  # of the candidate's log
     last_term: int = field(name="lt")
 
@@ -47,30 +47,33 @@
 
 
 class PreVote(RaftMessage, tag="prevote"):
-    """A follower asks whether it would get a vote in the next term, without starting it (thesis, 9.6)."""
+    """A follower asks whether it would get a vote in the next term, without starting that term.
 
-    term: int = field(name="t")  # the one that the election would begin
+    See the thesis, section 9.6.
+    """
+
+    term: int = field(name="t")  # the term that the election would start
     is_transfer: bool = field(name="transfer")  # always false
     last_index: int = field(name="li")
     last_term: int = field(name="lt")
 
 
 class PreVoteReply(RaftMessage, tag="prevote-granted"):
-    """The answer to PreVote, with its term."""
+    """The answer to PreVote; its term is that of the request."""
 
     term: int = field(name="t")
     granted: bool = field(name="yes")
 
 
 class AppendEntries(RaftMessage, tag="append"):
-    """The leader replicates entries; without entries a heartbeat (paper, section 5.3)."""
+    """The leader replicates entries; without entries it is a heartbeat (paper, section 5.3)."""
 
     term: int = field(name="t")
-    previous_index: int = field(name="li")  # of the entry before the first one here
+    previous_index: int = field(name="li")  # of the entry before `entries`
     previous_term: int = field(name="lt")
     entries: list[Entry] = field(name="e")
     commit_index: int = field(name="c")
-    round_number: int = field(name="r")  # of the latest heartbeat, for the read index and the lease
+    round_number: int = field(name="r")  # the latest heartbeat round, for the read index and the lease
 
 
 class AppendEntriesReply(RaftMessage, tag="appended"):
@@ -80,20 +83,20 @@
     round_number: int = field(name="r")
     had_entries: bool = field(name="e")
     success: bool = field(name="ok")
-    match_index: int = field(name="li")  # up to which the logs agree
-    next_index: int = field(name="hint")  # where they may agree, if they do not (paper, end of section 5.3)
+    match_index: int = field(name="li")  # the logs match up to this index
+    next_index: int = field(name="hint")  # if not `success`: where they may match (paper, end of section 5.3)
 
 
 class InstallSnapshot(RaftMessage, tag="piece"):
     """One chunk of the leader's snapshot (paper, section 7)."""
 
     term: int = field(name="t")
-    last_index: int = field(name="si")  # the snapshot holds all entries up to there
+    last_index: int = field(name="si")  # of the last entry in the snapshot
     last_term: int = field(name="st")
     members: Members = field(name="m")
     offset: int = field(name="o")  # of the chunk, in bytes
     data: bytes = field(name="d")
-    done: bool = field(name="done")  # it is the last chunk
+    done: bool = field(name="done")  # this is the last chunk
     round_number: int = field(name="r")
 
 
@@ -102,9 +105,9 @@
 
     term: int = field(name="t")
     round_number: int = field(name="r")
-    last_index: int = field(name="si")  # which snapshot
-    offset: int = field(name="o")  # where the next chunk begins
-    match_index: int = field(name="li")  # up to which the logs agree; negative: the snapshot is not whole yet
+    last_index: int = field(name="si")  # identifies the snapshot
+    offset: int = field(name="o")  # of the next chunk, in bytes
+    match_index: int = field(name="li")  # the logs match up to this index; negative: chunks are missing
 
 
 class TimeoutNow(RaftMessage, tag="stand"):
@@ -114,9 +117,9 @@
 
 
 class StaleTerm(RaftMessage, tag="behind"):
-    """A message had an older term than that of the receiver, which is this one."""
+    """The answer to a request whose term is older than the receiver's."""
 
-    term: int = field(name="t")
+    term: int = field(name="t")  # the receiver's term
 
 
 Message = (
@@ -137,12 +140,12 @@
 
 
 def encode_message(message: Message) -> bytes:
-    """Return a message as it is sent."""
+    """Return the encoded message."""
     return _encoder.encode(message)
 
 
 def decode_message(data: bytes) -> Message:
-    """Return the message of a frame's body. Raises MessageError."""
+    """Decode the body of a frame. Raises MessageError."""
     try:
         message = _decoder.decode(data)
         if isinstance(message, AppendEntries):
@@ -150,10 +153,10 @@
     except msgspec.DecodeError as error:
         raise MessageError(str(error)) from error
     if not message.storage_id:
-        raise MessageError(reason="it does not name the storage of its sender")
+        raise MessageError(reason="the storage id of the sender is missing")
     return message
 
 
 def message_kind(message_type: type[RaftMessage]) -> str:
-    """Return the tag of a type of message on the wire."""
+    """Return the wire tag of a message type."""
     return str(message_type.__struct_config__.tag)
