--- a/tests/consensus/raft_faults.py
+++ b/tests/consensus/raft_faults.py
@@ -1,4 +1,4 @@
-"""Faults that are put into one replica's Raft, which the simulation must find."""
+"""Faults to inject into the Raft of each replica; the simulation must detect them."""
 
 from ploverspoke.consensus.raft import Raft
 from ploverspoke.consensus.raft_state import Role
@@ -18,7 +18,7 @@
 
 
 def commits_older_terms(raft: Raft) -> None:
-    """Commit by counting replicas, whatever the term (paper, figure 8)."""
+    """Commit entries of any term by counting replicas (paper, figure 8)."""
 
     def faulty() -> None:
         index = raft.leadership.replicated_index()
@@ -29,23 +29,23 @@
 
 
 def acknowledges_before_sync(raft: Raft) -> None:
-    """Answer AppendEntries before the entries are written."""
+    """Answer AppendEntries before the entries are synced."""
     handle = raft.log_receiver.handle_append_entries
     replica = raft.state.environment
     assert isinstance(replica, Replica)
 
     def faulty(sender: str, message: AppendEntries) -> None:
-        held_back, replica.batch.messages = replica.batch.messages, []
+        queued_messages, replica.batch.messages = replica.batch.messages, []
         handle(sender, message)
         for to, reply in replica.batch.messages:
             replica.send_now(to, reply)
-        replica.batch.messages = held_back
+        replica.batch.messages = queued_messages
 
     raft.messages.register(AppendEntries, faulty)
 
 
 def reads_without_heartbeat(raft: Raft) -> None:
-    """Answer reads without asking whether this replica still leads."""
+    """Answer reads without confirming that this replica is still the leader."""
 
     def faulty(token: int) -> None:
         if raft.role is Role.LEADER:
--- a/tests/consensus/simulated_cluster.py
+++ b/tests/consensus/simulated_cluster.py
@@ -1,4 +1,4 @@
-"""A cluster of simulated replicas: the messages among them, its clients, and the invariants of Raft."""
+"""A cluster of simulated replicas: their messages, its clients, and the invariants of Raft."""
 
 from collections.abc import Callable
 from random import Random
@@ -9,7 +9,7 @@
 from ploverspoke.transport.units import MILLISECOND
 from tests.consensus.simulated_replica import FaultInjector, SimulatedReplica, no_fault
 
-CHECKED_ENTRIES = 4  # the latest of each log, after each step
+CHECKED_ENTRIES = 4  # the number of latest entries of each log that are checked after each step
 
 
 class InvariantViolationError(AssertionError):
@@ -23,7 +23,7 @@
 
 
 class SimulatedCluster:
-    """Replicas, the messages among them, and the invariants of Raft (paper, figure 3)."""
+    """Replicas, the messages between them, and the invariants of Raft (paper, figure 3)."""
 
     replica_type: type[SimulatedReplica] = SimulatedReplica
 
@@ -32,18 +32,18 @@
         seed: int,
         size: int,
         inject_fault: FaultInjector = no_fault,
-        spare: int = 0,
+        spare_replicas: int = 0,
     ) -> None:
-        """`size` members and `spare` replicas that may become ones."""
+        """Create `size` members, and `spare_replicas` replicas that may become members."""
         self.random = Random(seed)
         self.inject_fault = inject_fault
         self.now = 1000 * MILLISECOND
-        names = [f"n{number}" for number in range(size + spare)]
+        names = [f"n{number}" for number in range(size + spare_replicas)]
         self.members: Members = {name: Member(name, "", "", votes=True) for name in names[:size]}
         self.in_flight: list[tuple[str, str, Message]] = []  # sender, receiver, message
-        self.partitioned: set[str] = set()  # these and the others do not reach one another
+        self.partitioned: set[str] = set()  # messages between these and the other replicas are lost
         self.leaders: dict[int, str] = {}  # by term
-        # What stands at an index and term: the data, and the term of the entry before.
+        # By index and term: the data of the entry, and the term of the entry before it.
         self.entries_seen: dict[tuple[int, int], tuple[object, int]] = {}
         self.committed_entries: dict[int, Entry] = {}
         self.last_committed = 0
@@ -62,13 +62,13 @@
         if to in self.nodes and (node is None or node.incarnation == incarnation):
             self.in_flight.append((sender, to, message))
 
-    def deliver(self, position: int, keep: bool = False) -> None:
-        sender, to, message = self.in_flight[position] if keep else self.in_flight.pop(position)
+    def deliver(self, position: int, keep_in_flight: bool = False) -> None:
+        sender, to, message = self.in_flight[position] if keep_in_flight else self.in_flight.pop(position)
         if self.nodes[to].is_running and (sender in self.partitioned) == (to in self.partitioned):
             self.nodes[to].replica.raft.receive(sender, message)
 
     def deliver_all(self, reaches: Callable[[str, str], bool] = lambda sender, to: True) -> None:
-        """Deliver what is in flight now, in order; what does not reach its receiver is lost."""
+        """Deliver all messages in flight, in order; those that cannot reach the receiver are lost."""
         messages, self.in_flight = self.in_flight, []
         for sender, to, message in messages:
             if reaches(sender, to):
@@ -77,17 +77,17 @@
     # ---- Invariants ----
 
     def check_elected(self, node: SimulatedReplica) -> None:
-        """Election safety and leader completeness."""
+        """Check election safety and leader completeness."""
         raft = node.replica.raft
         leader = self.leaders.setdefault(raft.current_term, node.name)
         require(leader == node.name, f"two leaders of term {raft.current_term}: {leader}, {node.name}")
         for index in range(raft.log.snapshot_index + 1, self.last_committed + 1):
-            has_it = raft.log.term_at(index) == self.committed_entries[index].term
-            require(has_it, f"leader {node.name} lacks committed entry {index}")
+            has_entry = raft.log.term_at(index) == self.committed_entries[index].term
+            require(has_entry, f"leader {node.name} lacks committed entry {index}")
         require(raft.log.last_index() >= self.last_committed, f"leader {node.name} lacks committed entries")
 
     def check_committed(self, node: SimulatedReplica, entry: Entry) -> None:
-        """State machine safety, and that a majority has stored what is committed."""
+        """Check state machine safety, and that a majority has stored the committed entry."""
         known = self.committed_entries.setdefault(entry.index, entry)
         require(known == entry, f"{node.name} applied another entry {entry.index}")
         if entry.index <= self.last_committed:
@@ -96,28 +96,30 @@
         require(entry.index == expected, f"entry {entry.index} is committed before {expected}")
         self.last_committed = entry.index
         members = node.replica.raft.members()
-        have = sum(self.nodes[name].storage.has(entry) for name in voters(members))
-        is_majority = have >= majority(members)
-        require(is_majority, f"entry {entry.index} is committed, but only {have} disks have it")
+        stored_count = sum(self.nodes[name].storage.has(entry) for name in voters(members))
+        is_majority = stored_count >= majority(members)
+        require(is_majority, f"entry {entry.index} is committed, but only {stored_count} disks have it")
 
     def check(self) -> None:
-        """Check what must hold at any time."""
+        """Check the invariants that hold at any time."""
         for node in self.nodes.values():
             if node.is_running:
                 self._check_state(node)
                 self._check_log(node)
 
     def _check_log(self, node: SimulatedReplica) -> None:
-        """Log matching, of the latest entries; the older ones were checked when they were that."""
+        """Check log matching for the latest entries; older ones were checked when they were new."""
         log = node.replica.raft.log
         previous_term = log.snapshot_term
         for entry in log.entries[-CHECKED_ENTRIES:]:
             if entry.index - 1 > log.snapshot_index:
                 previous_term = log.get(entry.index - 1).term
-            found = (entry.data, previous_term)
-            known = self.entries_seen.setdefault((entry.index, entry.term), found)
-            require(known == found, f"logs differ at {entry.index} of term {entry.term}")
-        require(node.replica.raft.commit_index <= log.last_index(), "more is committed than there is")
+            observed = (entry.data, previous_term)
+            known = self.entries_seen.setdefault((entry.index, entry.term), observed)
+            require(known == observed, f"logs differ at {entry.index} of term {entry.term}")
+        require(
+            node.replica.raft.commit_index <= log.last_index(), "the commit index is beyond the last entry"
+        )
 
     def _check_state(self, node: SimulatedReplica) -> None:
         applied_index = node.replica.applied_index
@@ -126,9 +128,9 @@
         entries = [self.committed_entries[index] for index in range(1, applied_index + 1)]
         expected = sum(entry.kind is EntryKind.DATA for entry in entries)
         applied = len(node.state_machine.values)
-        require(applied == expected, f"{node.name} has applied {applied} of {expected}")
+        require(applied == expected, f"{node.name} has applied {applied} of {expected} commands")
 
-    # ---- What clients and operators do ----
+    # ---- Actions of clients and operators ----
 
     def propose(self, node: SimulatedReplica) -> None:
         self.proposed += 1
@@ -136,7 +138,7 @@
 
         def on_result(committed: bool) -> None:
             if committed:
-                require(value in node.state_machine.values, f"{value} was acknowledged and is not there")
+                require(value in node.state_machine.values, f"{value} was acknowledged but not applied")
                 self.acknowledged.append(value)
 
         node.replica.propose([value], on_result)
@@ -148,7 +150,9 @@
             if confirmed:
                 self.reads += 1
                 applied = node.replica.applied_index
-                require(applied >= expected, f"{node.name} read {applied}, {expected} is old")
+                require(
+                    applied >= expected, f"{node.name} read at index {applied}, but {expected} was committed"
+                )
 
         node.replica.read(on_result)
 
@@ -157,7 +161,7 @@
         index = replica.applied_index
         if index <= log.snapshot_index or log.term_at(index) is None:
             return
-        if node.writing is not None or not replica.batch.is_empty():
+        if node.batch_being_written is not None or not replica.batch.is_empty():
             return
         snapshot = replica.take_snapshot()
         node.storage.save_snapshot(snapshot)
@@ -174,10 +178,10 @@
             del members[name]
         node.replica.raft.change_members(members)
 
-    # ---- A healthy cluster ----
+    # ---- Recovery ----
 
     def settle(self, steps: int = 3000) -> None:
-        """Heal everything: a leader must be elected, and what it takes must be committed everywhere."""
+        """Heal all faults; then a leader must be elected and its entries applied by all voters."""
         self.partitioned = set()
         self.start_all()
         for step in range(steps):
@@ -192,7 +196,7 @@
             if leaders and self._is_settled(leaders[-1]):
                 self.check()
                 return
-        raise InvariantViolationError("no leader that commits, though all is well")
+        raise InvariantViolationError("no leader commits entries although all replicas run and are connected")
 
     def _is_settled(self, leader: SimulatedReplica) -> bool:
         if self.last_committed <= 3 or leader.replica.raft.log.last_index() != self.last_committed:
@@ -201,7 +205,7 @@
         return all(self.nodes[name].replica.applied_index == self.last_committed for name in voters(members))
 
     def settled_leader(self) -> SimulatedReplica:
-        """Return the leader once the cluster is healthy."""
+        """Heal all faults and return the leader that is elected."""
         self.settle()
         [leader] = [node for node in self.nodes.values() if node.is_leader()]
         return leader
--- a/tests/consensus/simulated_replica.py
+++ b/tests/consensus/simulated_replica.py
@@ -1,4 +1,4 @@
-"""One simulated replica: its storage outlives crashes, in which what is not synced is lost."""
+"""One simulated replica, whose storage survives crashes; writes that are not synced are lost in them."""
 
 from collections.abc import Callable, Sequence
 from random import Random
@@ -12,15 +12,15 @@
 from ploverspoke.consensus.replica import Replica, Runtime
 from ploverspoke.consensus.wire_messages import Message
 
-FaultInjector = Callable[[Raft], None]  # replaces a part of a Raft that was just built
+FaultInjector = Callable[[Raft], None]  # replaces a part of a newly created Raft
 
 
 def no_fault(raft: Raft) -> None:
-    """Inject none."""
+    """Inject no fault."""
 
 
 class SimulatedStorage:
-    """What a replica finds after a crash: whole batches or nothing."""
+    """Storage that survives crashes and in which each batch is written atomically."""
 
     def __init__(self, members: Members, storage_id: str) -> None:
         self.current_term = 0
@@ -63,15 +63,15 @@
 
 
 class RecordedState(StateMachine, Protocol):
-    """A state machine that remembers what was applied to it."""
+    """A state machine that records the commands that were applied to it."""
 
     @property
     def values(self) -> Sequence[object]:
-        """The commands that were applied, the first one first."""
+        """The commands that were applied, in order."""
 
 
 class RecordingStateMachine:
-    """A state that is the list of what was applied."""
+    """A state machine whose state is the list of applied commands."""
 
     def __init__(self) -> None:
         self.values: list[object] = []
@@ -86,8 +86,8 @@
         self.values = [*data.decode().split("\n")] if data else []
 
 
-class ReplicaSurroundings(Protocol):
-    """What a simulated replica needs of its cluster."""
+class ClusterInterface(Protocol):
+    """The interface of the cluster that a simulated replica uses."""
 
     now: int
     random: Random
@@ -95,29 +95,29 @@
     inject_fault: FaultInjector
 
     def send(self, sender: str, to: str, message: Message, incarnation: int) -> None:
-        """Put a message of one incarnation of the sender in flight."""
+        """Send a message from one incarnation of the sender."""
 
     def check_elected(self, node: "SimulatedReplica") -> None:
-        """Check the invariants of elections. Raises InvariantViolationError."""
+        """Check the invariants of a new leader. Raises InvariantViolationError."""
 
     def check_committed(self, node: "SimulatedReplica", entry: Entry) -> None:
-        """Check the invariants of an entry that a replica is to apply. Raises InvariantViolationError."""
+        """Check the invariants of an entry before a replica applies it. Raises InvariantViolationError."""
 
 
 class SimulatedReplica:
-    """One replica with its storage, which outlives crashes."""
+    """One replica with its storage, which survives crashes."""
 
     state_machine_type: type[RecordedState] = RecordingStateMachine
     state_machine: RecordedState
 
-    def __init__(self, cluster: ReplicaSurroundings, name: str) -> None:
+    def __init__(self, cluster: ClusterInterface, name: str) -> None:
         self.cluster = cluster
         self.name = name
         self.storage = SimulatedStorage(cluster.members, f"storage of {name}")
         self.incarnation = 0
         self.is_running = False
-        self.writing: WriteBatch | None = None
-        self.checked_index = 0  # the highest applied index that was checked since the start
+        self.batch_being_written: WriteBatch | None = None
+        self.checked_index = 0  # the highest applied index that was checked since the last start
         self.start()
 
     def start(self) -> None:
@@ -125,7 +125,7 @@
         self.incarnation += 1
         self.checked_index = 0
         self.state_machine = self.state_machine_type()
-        self.writing = None
+        self.batch_being_written = None
         incarnation = self.incarnation
         runtime = Runtime(
             lambda: self.cluster.now,
@@ -154,17 +154,17 @@
             self.cluster.check_elected(self)
 
     def write(self, finish: bool) -> None:
-        """Take a batch, or finish the one that is being written."""
-        if self.writing is not None:
+        """Start to write a batch; if one is being written, complete it if `finish`."""
+        if self.batch_being_written is not None:
             if finish:
-                batch, self.writing = self.writing, None
+                batch, self.batch_being_written = self.batch_being_written, None
                 self.storage.write(batch)
                 self.replica.on_batch_written(batch)
         elif not self.replica.batch.is_empty():
-            self.writing = self.replica.take_batch()
+            self.batch_being_written = self.replica.take_batch()
 
     def write_all(self) -> None:
-        """Finish the batch that is being written and take one, or take one and finish it."""
+        """Make two write steps: complete a batch and start the next one, or start one and complete it."""
         self.write(finish=True)
         self.write(finish=True)
 
--- a/tests/consensus/test_membership.py
+++ b/tests/consensus/test_membership.py
@@ -1,4 +1,4 @@
-"""Members of a cluster: which changes are safe, and what identifies the first members."""
+"""Members of a cluster: which changes are safe, and the fingerprint of the initial members."""
 
 from ploverspoke.consensus.membership import Member, Members, differ_by_at_most_one_voter, fingerprint
 
--- a/tests/consensus/test_raft_scenarios.py
+++ b/tests/consensus/test_raft_scenarios.py
@@ -1,4 +1,4 @@
-"""Raft in single scenarios: each rule of the paper and the thesis that needs a certain order of events."""
+"""Raft scenarios: rules of the paper and the thesis that only matter in a specific order of events."""
 
 from collections.abc import Callable
 
@@ -20,10 +20,10 @@
 )
 
 
-def drive(
-    cluster: SimulatedCluster, connected: set[str], candidate: str, until: Callable[[Raft], bool]
+def run_until(
+    cluster: SimulatedCluster, connected: set[str], candidate: str, condition: Callable[[Raft], bool]
 ) -> None:
-    """Run only the connected replicas, of which only the candidate's time passes, until its machine fits."""
+    """Run the connected replicas until the candidate meets `condition`; only the candidate times out."""
     raft = cluster.nodes[candidate].replica.raft
     for _ in range(400):
         cluster.now += 5 * MILLISECOND
@@ -31,10 +31,10 @@
             if name == candidate:
                 cluster.nodes[name].tick_if_due()
             cluster.nodes[name].write_all()
-        cluster.deliver_all(lambda sender, to: {sender, to} <= connected and not until(raft))
-        if until(raft):
+        cluster.deliver_all(lambda sender, to: {sender, to} <= connected and not condition(raft))
+        if condition(raft):
             return
-    raise AssertionError("it did not come so far")
+    raise AssertionError("the condition was not met within 400 steps")
 
 
 def is_leader(raft: Raft) -> bool:
@@ -42,7 +42,7 @@
 
 
 def crash(cluster: SimulatedCluster, node: SimulatedReplica) -> None:
-    """Crash a replica, and lose all messages."""
+    """Crash a replica and drop all messages in flight."""
     node.crash()
     cluster.in_flight.clear()
 
@@ -51,7 +51,7 @@
 def test_entry_of_older_term_is_not_committed_by_counting_replicas(
     fault: FaultInjector, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The schedule in which a majority has an entry and another leader replaces it (paper, figure 8)."""
+    """A majority has an entry of an older term, and another leader replaces it (paper, figure 8)."""
     monkeypatch.setattr(replication, "MAX_ENTRIES_PER_MESSAGE", 1)
     cluster = SimulatedCluster(1, 3, fault)
     first, second = cluster.nodes["n0"], cluster.nodes["n1"]
@@ -66,17 +66,17 @@
     def elect_second_again() -> None:
         crash(cluster, first)
         second.start()
-        drive(cluster, {"n1", "n2"}, "n1", is_leader)
+        run_until(cluster, {"n1", "n2"}, "n1", is_leader)
 
-    drive(cluster, set(cluster.nodes), "n0", has_replicated_noop)
+    run_until(cluster, set(cluster.nodes), "n0", has_replicated_noop)
     cluster.propose(first)
-    first.write_all()  # on one disk, and on no other
+    first.write_all()  # only on its own disk
     crash(cluster, first)
-    drive(cluster, {"n1", "n2"}, "n1", is_leader)
-    second.write_all()  # its first entry is on its own disk only
+    run_until(cluster, {"n1", "n2"}, "n1", is_leader)
+    second.write_all()  # its first entry is only on its own disk
     crash(cluster, second)
     first.start()
-    drive(cluster, {"n0", "n2"}, "n0", has_replicated_old_entry)
+    run_until(cluster, {"n0", "n2"}, "n0", has_replicated_old_entry)
     if fault is no_fault:
         assert first.replica.raft.commit_index <= 1
         elect_second_again()
@@ -90,10 +90,10 @@
     cluster = SimulatedCluster(2, 3, fault)
     cluster.settle()
     leader = cluster.settled_leader()
-    behind = next(node for node in cluster.nodes.values() if node is not leader)
-    behind.storage = SimulatedStorage(cluster.members, behind.storage.storage_id)
+    lagging = next(node for node in cluster.nodes.values() if node is not leader)
+    lagging.storage = SimulatedStorage(cluster.members, lagging.storage.storage_id)
     cluster.compact(leader)
-    behind.start()
+    lagging.start()
     chunks: list[InstallSnapshot] = []
     send = cluster.send
 
@@ -105,8 +105,8 @@
     cluster.send = record_and_send  # type: ignore[method-assign]
     for _ in range(2):
         cluster.settle()
-    assert chunks and behind.replica.applied_index > chunks[-1].last_index
-    behind.replica.raft.receive(leader.name, chunks[-1])
+    assert chunks and lagging.replica.applied_index > chunks[-1].last_index
+    lagging.replica.raft.receive(leader.name, chunks[-1])
     if fault is no_fault:
         cluster.check()
     else:
@@ -156,17 +156,17 @@
         cluster.deliver_all(lambda sender, to: cluster.nodes[to].is_running)
         if leader.is_leader() and cluster.now % (20 * MILLISECOND) == 0:
             cluster.propose(leader)
-    assert cluster.last_committed == committed, "two disks of three have it, and one of them is new"
+    assert cluster.last_committed == committed, "an entry was committed by counting a replaced disk"
 
 
 def test_second_membership_change_is_refused_until_the_first_is_committed() -> None:
-    cluster = SimulatedCluster(8, 3, spare=2)
+    cluster = SimulatedCluster(8, 3, spare_replicas=2)
     leader = cluster.settled_leader()
     raft = leader.replica.raft
     with_one_more = {**raft.members(), "n3": Member("n3", "", "", votes=True)}
     assert raft.change_members(with_one_more)
     assert not raft.change_members({**with_one_more, "n4": Member("n4", "", "", votes=True)})
     two_members = {name: member for name, member in with_one_more.items() if name in ("n0", "n1")}
-    assert not raft.change_members(two_members), "two at once"
+    assert not raft.change_members(two_members), "it would change two voters at once"
     cluster.settle()
     assert len(cluster.nodes["n3"].state_machine.values) == len(leader.state_machine.values)
--- a/tests/consensus/test_raft_simulation.py
+++ b/tests/consensus/test_raft_simulation.py
@@ -1,4 +1,4 @@
-"""Raft in random and in exhaustive schedules, and injected faults that the schedules must find."""
+"""Raft in random and exhaustive schedules, and injected faults that the schedules must detect."""
 
 import itertools
 from concurrent.futures import ProcessPoolExecutor
@@ -13,27 +13,35 @@
     reads_without_heartbeat,
     votes_twice_in_a_term,
 )
-from tests.consensus.raft_simulation import WORKER_PROCESSES, Sweep, explore, sweep
+from tests.consensus.raft_simulation import WORKER_PROCESSES, SimulationJob, run_job, run_schedule
 from tests.consensus.simulated_cluster import InvariantViolationError, SimulatedCluster
 from tests.consensus.simulated_replica import FaultInjector
 
 RUNS_LONG = True  # scheduled first: see tests/conftest.py
 
 SCHEDULES_PER_JOB = 250
-SWEEPS = [
-    Sweep(first_seed, SCHEDULES_PER_JOB, size, 300, spare, stormy)
+JOBS = [
+    SimulationJob(first_seed, SCHEDULES_PER_JOB, size, 300, spare_replicas, extra_disturbances)
     for first_seed in range(0, 20 * SCHEDULES_PER_JOB, SCHEDULES_PER_JOB)
-    for size, spare, stormy in [(3, 0, False), (5, 0, False), (3, 1, False), (3, 0, True)]
+    for size, spare_replicas, extra_disturbances in [
+        (3, 0, False),
+        (5, 0, False),
+        (3, 1, False),
+        (3, 0, True),
+    ]
 ]
 FAULTS = [votes_twice_in_a_term, acknowledges_before_sync, reads_without_heartbeat]
 
 
 def test_invariants_hold_in_twenty_thousand_schedules() -> None:
     with ProcessPoolExecutor(WORKER_PROCESSES, mp_context=get_context("spawn")) as pool:
-        found = list(pool.map(sweep, SWEEPS))
-    total = {key: sum(one.get(key, 0) for one in found) for key in ("terms", "reads", "acknowledged")}
-    # A schedule in which nothing happens proves nothing.
-    assert total["acknowledged"] > len(SWEEPS) * SCHEDULES_PER_JOB
+        counts_by_job = list(pool.map(run_job, JOBS))
+    total = {
+        key: sum(job_counts.get(key, 0) for job_counts in counts_by_job)
+        for key in ("terms", "reads", "acknowledged")
+    }
+    # The schedules only test the invariants if enough elections, reads and commits happen in them.
+    assert total["acknowledged"] > len(JOBS) * SCHEDULES_PER_JOB
     assert total["reads"] > 5_000 and total["terms"] > 10_000
 
 
@@ -42,17 +50,17 @@
     monkeypatch.setattr(replication, "MAX_ENTRIES_PER_MESSAGE", 1)
     with pytest.raises(InvariantViolationError):
         for seed in range(8000):
-            explore(seed, 3, 400, fault, stormy=True)
+            run_schedule(seed, 3, 400, fault, extra_disturbances=True)
 
 
 def test_seed_replays_its_schedule() -> None:
-    first, second = explore(11, 3, 400), explore(11, 3, 400)
+    first, second = run_schedule(11, 3, 400), run_schedule(11, 3, 400)
     assert first.committed_entries == second.committed_entries
     assert first.leaders == second.leaders and first.now == second.now
 
 
 def test_contested_election_elects_one_leader_in_every_short_order() -> None:
-    """Exhaustive to a small depth: three replicas, two candidates, every order of the messages in flight."""
+    """Try every order of the first seven deliveries between three replicas, two of which are candidates."""
     elected = 0
     for order in itertools.product(range(3), repeat=7):
         cluster = SimulatedCluster(0, 3)
--- a/tests/consensus/test_wire_messages.py
+++ b/tests/consensus/test_wire_messages.py
@@ -1,4 +1,4 @@
-"""Messages among replicas: each keeps its type, and what is none of them closes its connection."""
+"""Messages between replicas: decoding restores their types, and a malformed one closes its connection."""
 
 import asyncio
 from unittest import mock
