--- a/ploverspoke/consensus/__init__.py
+++ b/ploverspoke/consensus/__init__.py
@@ -1,1 +1,1 @@
-"""Raft consensus among replicas: log, storage, framing and connections; other packages have the states."""
+"""Raft consensus of replicas: log, storage, framing, connections. Other packages have the state machines."""
--- a/ploverspoke/consensus/admin_messages.py
+++ b/ploverspoke/consensus/admin_messages.py
@@ -1,7 +1,7 @@
 """Requests that command-line tools send to a running replica, and its replies, as typed messages.
 
 On the wire each is a msgpack map in a frame of `framing.py`; a request names its kind under the key "ask".
-Key names and their order are fixed: tools and replicas of different versions talk to one another.
+Key names and their order are fixed: tools and replicas of different versions communicate with one another.
 """
 
 from collections.abc import Mapping
@@ -12,18 +12,18 @@
 
 from .framing import FrameError
 
-WireMap = Mapping[str, object]  # a message as it stands on the wire: texts, numbers, lists and maps by key
+WireMap = Mapping[str, object]  # a message in its wire form: strings, numbers, lists and maps by key
 
 KIND_KEY = "ask"
 UNKNOWN_REQUEST = "unknown question"
 
 
 class AdminRequest(msgspec.Struct, frozen=True, tag_field=KIND_KEY, tag="", omit_defaults=True):
-    """Base of all requests; a package with requests of its own derives them from it, each with its `tag`."""
+    """Base class of all requests, also of those in other packages. Each subclass has its own `tag`."""
 
 
 class MalformedRequestError(FrameError):
-    """A request of a known kind lacks a field or has one of a wrong type: its connection is closed."""
+    """A request of a known kind lacks a field or has one of the wrong type; its connection is closed."""
 
     def __init__(self, kind: str, reason: str) -> None:
         """`kind` is the request's tag."""
@@ -33,9 +33,9 @@
 
 
 class StatusRequest(AdminRequest, frozen=True, tag="status"):
-    """Ask a replica what it is doing.
+    """Ask a replica for its status.
 
-    Answered with one map: the keys of `ReplicaStatus`, then those of the state machine's own, then those of
+    Answered with one map: the keys of `ReplicaStatus`, then those of the state machine, then those of
     `ConsensusStatus` while the replica takes part in consensus.
     """
 
@@ -79,7 +79,7 @@
     """Whether a request was carried out."""
 
     done: bool
-    why: str | UnsetType = UNSET  # the reason where it was not done
+    why: str | UnsetType = UNSET  # the reason if it was not carried out
 
 
 class MemberStatus(msgspec.Struct, frozen=True):
@@ -92,37 +92,37 @@
 
 
 class ReplicaStatus(msgspec.Struct, frozen=True):
-    """The part of a status that every replica gives, also while its storage cannot be used."""
+    """The part of a status that a replica always reports, also while its storage cannot be used."""
 
     name: str
     cluster: str
     store: str  # fingerprint of the cluster's first members
     role: str
-    trouble: str  # the storage error that stops this replica now; "": none
-    troubles: int  # how often storage failed since the start
+    trouble: str  # the storage error that keeps this replica stopped; "": none
+    troubles: int  # storage failures since the start
     disk_bytes: int
     batches: int  # write batches since the start
     entries_written: int
     refused: int  # connections that were rejected
-    stuck: int  # connections that were closed as nothing went out on them
+    stuck: int  # connections that were closed because no data could be sent on them
 
 
 class ConsensusStatus(msgspec.Struct, frozen=True):
-    """The part of a status that a replica gives while it takes part in consensus. Indexes are of the log."""
+    """The part of a status that a replica reports while it takes part in consensus."""
 
     term: int
     leader: str  # name; "": none is known
     leads: bool
-    last: int
+    last: int  # this and the next three are log indexes
     committed: int
     applied: int
     snapshot: int
     members: list[MemberStatus]
-    behind: dict[str, int]  # entries that a follower lacks, by its name; known to the leader
+    behind: dict[str, int]  # entries that each follower lacks, by its name; known only to the leader
 
 
 class StatusRow(msgspec.Struct):
-    """A status as a tool receives it: what tools decide by, and every key as it was sent.
+    """A status as a tool receives it: the fields that tools evaluate, and all keys as they were sent.
 
     A tool that reads keys of one state machine derives a type with those fields.
     """
@@ -139,8 +139,8 @@
 def decode_request(raw: object, *request_types: type[RequestT]) -> RequestT | None:
     """Convert a received message to the request type whose tag it carries.
 
-    None where it is of none of these types: the replica answers `unknown_request_reply()`. Raises
-    MalformedRequestError.
+    Returns None if it is of none of these types; the replica then answers with `unknown_request_reply()`.
+    Raises MalformedRequestError.
     """
     if not isinstance(raw, dict):
         return None
@@ -165,7 +165,7 @@
 
 
 def unknown_request_reply() -> ResultReply:
-    """Return the answer to a request of a kind that a replica does not know."""
+    """Return the reply to a request of a kind that the replica does not know."""
     return ResultReply(done=False, why=UNKNOWN_REQUEST)
 
 
--- a/ploverspoke/consensus/admin_requests.py
+++ b/ploverspoke/consensus/admin_requests.py
@@ -1,4 +1,4 @@
-"""Answers the requests that tools send to a replica: status, changes of members, transfer and backup."""
+"""Answers the requests of tools to a replica: status, member changes, leadership transfer and backup."""
 
 from pathlib import Path
 from typing import Protocol
@@ -31,7 +31,7 @@
 
 
 class AdministeredReplica(Protocol):
-    """What the requests of tools read and do at a replica."""
+    """The parts of a replica node that the requests of tools use."""
 
     config: ReplicaConfig
     replica: Replica | None  # None: the storage cannot be used
@@ -43,19 +43,19 @@
     peer_links: PeerLinks
 
     def members(self) -> Members:
-        """The members by replica id, as they are known here."""
+        """Return the members by replica id, as this replica knows them."""
 
     def change_members(self, members: Members) -> bool:
-        """Begin to replace the members; returns False if that cannot be now."""
+        """Start replacing the members; return False if that is not possible now."""
 
     def transfer(self, name: str) -> bool:
-        """Begin to hand leadership to the voter of that name; returns False if this replica cannot."""
+        """Start transferring leadership to the voter of that name; return False if that is not possible."""
 
     def state_status(self) -> msgspec.Struct | WireMap:
-        """The part of the status that is about the state machine."""
+        """Return the part of the status that describes the state machine."""
 
     def handle_state_request(self, request: WireMap, reply: Reply) -> bool:
-        """Answer a tool's request about the state machine; returns False if it is none."""
+        """Answer a tool's request to the state machine; return False if it is not such a request."""
 
 
 class AdminRequests:
@@ -66,7 +66,7 @@
         self.node = node
 
     def handle(self, raw: object, reply: Reply) -> None:
-        """Answer a request as it was received. Raises MalformedRequestError."""
+        """Answer a request, given as the decoded body of its frame. Raises MalformedRequestError."""
         request = decode_request(
             raw, StatusRequest, ChangeMemberRequest, TransferLeadershipRequest, BackupRequest
         )
@@ -90,24 +90,24 @@
 
 
 def changed_members(members: Members, request: ChangeMemberRequest) -> Members:
-    """Return the members after the change that a tool asks for. Raises MalformedRequestError."""
+    """Return the members with the requested change. Raises MalformedRequestError."""
     replica_id = find_by_name(members, request.name)
     if request.remove is True:
         return {other_id: member for other_id, member in members.items() if other_id != replica_id}
     if not isinstance(request.peers, str) or not isinstance(request.clients, str):
-        raise MalformedRequestError("members", "a member has two addresses")
+        raise MalformedRequestError("members", "a member needs two addresses, peers and clients")
     member = Member(request.name, request.peers, request.clients, votes=request.votes is True)
     return {**members, replica_id or initial_replica_id(request.name): member}
 
 
 def status_fields(node: AdministeredReplica) -> WireMap:
-    """Return the status of a replica as tools get it."""
-    parts: list[msgspec.Struct | WireMap] = [_replica_status(node), node.state_status()]
+    """Return the status of a replica as tools receive it."""
+    sections: list[msgspec.Struct | WireMap] = [_replica_status(node), node.state_status()]
     if node.replica is not None:
-        parts.append(_consensus_status(node.replica))
+        sections.append(_consensus_status(node.replica))
     fields: dict[str, object] = {}
-    for part in parts:
-        fields |= encode_reply(part) if isinstance(part, msgspec.Struct) else part
+    for section in sections:
+        fields |= encode_reply(section) if isinstance(section, msgspec.Struct) else section
     return fields
 
 
--- a/ploverspoke/consensus/cluster_config.py
+++ b/ploverspoke/consensus/cluster_config.py
@@ -1,4 +1,4 @@
-"""Files of configuration that replicas and command-line tools read, checked key by key."""
+"""Reads and checks the configuration files of replicas and command-line tools."""
 
 import json
 import re
@@ -10,23 +10,23 @@
 
 from .membership import Member, Members
 
-NAME = re.compile(r"[a-z0-9][a-z0-9-]{0,31}")
+REPLICA_NAME_PATTERN = re.compile(r"[a-z0-9][a-z0-9-]{0,31}")
 MIN_SECRET_BYTES = 16
-DEFAULT_ELECTION_MS = 200
-MIN_ELECTION_MS = 50
+DEFAULT_ELECTION_TIMEOUT_MS = 200
+MIN_ELECTION_TIMEOUT_MS = 50
 DEFAULT_SNAPSHOT_EVERY = 20_000  # log entries
 MIN_SNAPSHOT_EVERY = 100
 
 
 class ReplicaAddresses(NamedTuple):
-    """Where a replica listens, as `host:port`."""
+    """The addresses where a replica listens, as `host:port`."""
 
     peer: str  # for the other replicas and for tools
     client: str
 
 
 class ReplicaConfig(NamedTuple):
-    """One replica's own file, checked."""
+    """The checked configuration file of one replica."""
 
     cluster: str
     name: str
@@ -37,7 +37,7 @@
     snapshot_every: int  # entries
 
     def members(self) -> Members:
-        """Return the members that a new cluster begins with."""
+        """Return the initial members of a new cluster."""
         return {
             initial_replica_id(name): Member(name, addresses.peer, addresses.client, votes=True)
             for name, addresses in self.replicas.items()
@@ -45,14 +45,14 @@
 
 
 class ClusterServers(NamedTuple):
-    """Where the replicas of a cluster are, for tools that call them."""
+    """The addresses and the secret of a cluster, for tools that call its replicas."""
 
     replicas: dict[str, ReplicaAddresses]  # by name
     secret: bytes
 
 
 def initial_replica_id(name: str) -> str:
-    """Return the id of a first replica: its name and a 1."""
+    """Return the id of the first replica with that name: the name, a dot and a 1."""
     return f"{name}.1"
 
 
@@ -69,19 +69,20 @@
 
 
 def unreadable_file_error(path: Path, cause: OSError, key: str = "") -> ConfigError:
-    """Return the error for a file that cannot be read; `key` leads to the key that names it."""
+    """Return the error for a file that cannot be read; `key` is a prefix with the key that names the file."""
     return ConfigError(f"{key}{path} cannot be read: {cause.strerror}")
 
 
 def read_replica_config(path: Path) -> ReplicaConfig:
-    """Read a replica's own file. Raises ConfigError, naming the key."""
+    """Read the configuration file of a replica. Raises ConfigError, which names the key."""
     return parse_replica_config(read_json_file(path), path)
 
 
 def read_cluster_servers(path: Path, expected: str) -> ClusterServers:
-    """Read where the replicas of a cluster are: from any replica's file, or one with these keys alone.
+    """Read the addresses and the secret of a cluster from any replica's file, or a file with only these keys.
 
-    `expected` says what is missing where it names no replica. Raises ConfigError, naming the key.
+    `expected` is the expectation stated in the error if the file names no replica. Raises ConfigError, which
+    names the key.
     """
     section = read_json_file(path)
     replicas = read_replica_addresses(section)
@@ -91,12 +92,12 @@
 
 
 def read_replica_addresses(section: ConfigSection) -> dict[str, ReplicaAddresses]:
-    """Check the key `replicas`; give the addresses for peers and for clients by name. Raises ConfigError."""
+    """Check the key `replicas` and return the addresses of each replica by name. Raises ConfigError."""
     replicas = section.section("replicas")
     addresses = {}
     for name in replicas.value:
-        if not NAME.fullmatch(name):
-            message = f"replicas.{name}: expected a name of small letters, digits and dashes"
+        if not REPLICA_NAME_PATTERN.fullmatch(name):
+            message = f"replicas.{name}: expected a name of lowercase letters, digits and dashes"
             raise ConfigError(message)
         replica = replicas.section(name)
         for key in ("peers", "clients"):
@@ -113,13 +114,13 @@
     except OSError as error:
         raise unreadable_file_error(secret_file, error, "secret_file: ") from error
     if len(secret) < MIN_SECRET_BYTES:
-        message = f"secret_file: {secret_file} holds less than {MIN_SECRET_BYTES} bytes"
+        message = f"secret_file: {secret_file} holds fewer than {MIN_SECRET_BYTES} bytes"
         raise ConfigError(message)
     return secret
 
 
 def parse_replica_config(section: ConfigSection, path: Path) -> ReplicaConfig:
-    """Check the keys of a replica's own file, which was read from `path`. Raises ConfigError."""
+    """Check the keys of a replica's configuration file, read from `path`. Raises ConfigError."""
     replicas = read_replica_addresses(section)
     name = section.text("name")
     if name not in replicas:
@@ -130,12 +131,13 @@
         path.parent / section.text("folder"),
         read_shared_secret(section, path),
         replicas,
-        section.integer("election_ms", DEFAULT_ELECTION_MS, least=MIN_ELECTION_MS) * MILLISECOND,
+        section.integer("election_ms", DEFAULT_ELECTION_TIMEOUT_MS, least=MIN_ELECTION_TIMEOUT_MS)
+        * MILLISECOND,
         section.integer("snapshot_every", DEFAULT_SNAPSHOT_EVERY, least=MIN_SNAPSHOT_EVERY),
     )
 
 
 def split_address(address_text: str) -> tuple[str, int]:
-    """Split "host:port", or "[host]:port" of IPv6, that was checked when it was read."""
+    """Split a checked address: "host:port", or "[host]:port" for IPv6."""
     host, _, port = address_text.rpartition(":")
     return host.strip("[]"), int(port)
--- a/ploverspoke/consensus/framed_client.py
+++ b/ploverspoke/consensus/framed_client.py
@@ -1,4 +1,4 @@
-"""The client side of a `FramedServer`: one connection that speaks authenticated frames with one server."""
+"""The client side of a `FramedServer`: one connection that exchanges authenticated frames with it."""
 
 import abc
 import asyncio
@@ -13,24 +13,24 @@
 
 
 class FramedClientConnection(StreamProtocol, asyncio.Protocol, abc.ABC):
-    """A connection to one server, used once. A subclass handles what arrives.
+    """A connection to one server; it is not reused after it ends. A subclass handles received messages.
 
-    Errors of the types in `server_errors`, raised while received bytes are handled, are logged and abort the
-    connection.
+    Errors of the types in `server_errors` that are raised while received data is handled are logged and abort
+    the connection.
     """
 
     server_errors: ClassVar[tuple[type[Exception], ...]] = (FrameError,)
-    log_name: ClassVar[str]  # what log lines begin with
-    max_unsent_bytes: ClassVar[int | None] = None  # above that messages are left out; None: no limit
+    log_name: ClassVar[str]  # prefix of log lines
+    max_unsent_bytes: ClassVar[int | None] = None  # messages are dropped while more is unsent; None: no limit
 
     def __init__(self, secret: bytes, greeting: Mapping[str, str | int]) -> None:
         """`greeting` is the first message that the server receives, without the nonce."""
         super().__init__()
         self.frames = FrameCodec(secret, dict(greeting))
-        self.ready = False  # the server has greeted
+        self.ready = False  # the greeting of the server was received
         self.closed = False
 
-    # ---- What a subclass defines ----
+    # ---- Defined by subclasses ----
 
     @abc.abstractmethod
     def on_connected(self) -> None:
@@ -38,13 +38,13 @@
 
     @abc.abstractmethod
     def on_message(self, message: object) -> None:
-        """Handle a decoded message of any form."""
+        """Handle a decoded message, whose form has not been checked."""
 
     @abc.abstractmethod
     def on_disconnected(self) -> None:
-        """Handle the end of the connection, also where it was aborted for what the server sent."""
+        """Handle the end of the connection, including an abort because of invalid data from the server."""
 
-    # ---- Use ----
+    # ---- Operations ----
 
     async def connect(self, address: str) -> None:
         """Connect to `address` ("host:port"). Raises OSError."""
@@ -56,7 +56,7 @@
         return self.ready and self.transport is not None
 
     def write(self, message: object) -> None:
-        """Send a message; left out where the connection is not ready or the server does not read."""
+        """Send a message; drop it if the connection is not ready or the server does not read."""
         if self.transport is None or not self.ready:
             return
         unsent = self.transport.get_write_buffer_size()
@@ -64,7 +64,7 @@
             self.transport.write(self.frames.encode(message))
 
     def close(self) -> None:
-        """Close the connection at once, or as soon as it is made; no handler is called again."""
+        """Close the connection now, or as soon as it is established; no handler is called again."""
         self.closed = True
         self.abort()
 
@@ -79,7 +79,7 @@
             self.transport.write(self.frames.greeting_frame())
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Report the end; called by asyncio."""
+        """Report the end of the connection; called by asyncio."""
         self.transport = None
         if not self.closed:
             self.closed = True
@@ -98,5 +98,5 @@
                 if not self.closed:
                     self.on_message(message)
         except self.server_errors as error:
-            log_line(f"{self.log_name}: a message of a server is refused: {error}")
+            log_line(f"{self.log_name}: a message from the server is refused: {error}")
             self.abort()
--- a/ploverspoke/consensus/framed_server.py
+++ b/ploverspoke/consensus/framed_server.py
@@ -1,7 +1,7 @@
 """Serves clients over authenticated frames: an asyncio server with one current connection for each client.
 
-`FramedServer` owns the listening socket and all accepted connections. What the frames mean is up to its
-subclass: it names a client (`FramedServer.register`) once it is known, and handles its messages.
+`FramedServer` owns the listening socket and all accepted connections. A subclass defines the messages: it
+registers a client (`FramedServer.register`) once the name of the client is known, and handles its messages.
 """
 
 import abc
@@ -16,18 +16,18 @@
 from .framing import FrameCodec, FrameError
 
 BACKLOG = 1024
-MAX_UNSENT_BYTES = 1 << 20  # towards a client that does not read
+MAX_UNSENT_BYTES = 1 << 20  # for a client that does not read; above this its connection is aborted
 
 
 class RegistrationLimits(NamedTuple):
-    """Bounds for connections that are accepted but not registered yet."""
+    """Limits for connections that are accepted but not registered yet."""
 
-    timeout: float  # seconds from the connection to its registration
-    max_unregistered: int  # such connections at once
+    timeout: float  # seconds from accepting a connection to its registration
+    max_unregistered: int  # unregistered connections at the same time
 
 
 class FramedConnection(StreamProtocol, asyncio.Protocol):
-    """One accepted connection. It is created by its server, to which it reports all events."""
+    """One accepted connection. It is created by its server and reports all events to it."""
 
     def __init__(self, server: "FramedServer") -> None:
         """Prepare the greeting; it is sent when the connection is made."""
@@ -46,7 +46,7 @@
         self.transport.write(self.frames.greeting_frame())
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Report the end to the server; called by asyncio."""
+        """Report the end of the connection to the server; called by asyncio."""
         self.transport = None
         self.cancel_registration_timer()
         self.server.remove_connection(self)
@@ -67,13 +67,13 @@
             self.server.handle_client_error(self, error)
 
     def is_open(self) -> bool:
-        """Return whether messages are still taken and sent."""
+        """Return whether messages are still received and sent."""
         return self.transport is not None and not self.transport.is_closing()
 
     def write(self, message: object) -> int:
-        """Send a message and return its bytes on the wire, 0 where it was not sent.
+        """Send a message and return the number of bytes on the wire, 0 if it was not sent.
 
-        A connection whose client leaves too many bytes unread is aborted instead.
+        If the client leaves too many bytes unread, the connection is aborted instead.
         """
         if self.transport is None or not self.is_open():
             return 0
@@ -85,11 +85,11 @@
         return len(data)
 
     def start_registration_timer(self, timeout: float) -> None:
-        """Abort the connection after `timeout` seconds unless the timer is cancelled before."""
+        """Abort the connection after `timeout` seconds unless the timer is cancelled first."""
         self.registration_timer = asyncio.get_running_loop().call_later(timeout, self.abort)
 
     def cancel_registration_timer(self) -> None:
-        """Let the connection stay. Does nothing where no timer runs."""
+        """Cancel the timer that would abort the connection. Does nothing if no timer was started."""
         if self.registration_timer is not None:
             self.registration_timer.cancel()
 
@@ -102,14 +102,14 @@
     """
 
     client_errors: ClassVar[tuple[type[Exception], ...]] = (FrameError,)
-    log_name: ClassVar[str]  # what log lines begin with
+    log_name: ClassVar[str]  # prefix of log lines
 
     def __init__(self, secret: bytes, limits: RegistrationLimits | None = None) -> None:
         """`secret` is shared with the clients; without `limits` a connection may stay unregistered."""
         self.secret = secret
         self.limits = limits
         self.connections: set[FramedConnection] = set()
-        self.clients: dict[str, FramedConnection] = {}  # the latest connection of each, by name
+        self.clients: dict[str, FramedConnection] = {}  # the latest connection of each client, by name
         self.listener: asyncio.Server | None = None
         self.refused = 0
 
@@ -127,7 +127,7 @@
         for connection in list(self.connections):
             connection.abort()
 
-    # ---- What a subclass defines ----
+    # ---- Defined by subclasses ----
 
     @abc.abstractmethod
     def greeting(self) -> Mapping[str, str | int]:
@@ -135,19 +135,19 @@
 
     @abc.abstractmethod
     def handle_message(self, connection: FramedConnection, message: object) -> None:
-        """Handle a decoded message of any form."""
+        """Handle a decoded message, whose form has not been checked."""
 
     @abc.abstractmethod
     def on_disconnected(self, client_name: str) -> None:
         """Handle the loss of the current connection of a client."""
 
-    def handle_greeting(  # noqa: B027 - optional: a subclass may name a client by its first message instead
+    def handle_greeting(  # noqa: B027 - optional: a subclass may identify a client by its first message instead
         self, connection: FramedConnection, greeting: Mapping[str, object]
     ) -> None:
         """Handle a client's greeting, before its first message. Does nothing unless overridden."""
 
     def handle_client_error(self, connection: FramedConnection, error: Exception) -> None:
-        """Log what a client did wrong and abort its connection."""
+        """Log the error of a client and abort its connection."""
         log_line(f"{self.log_name}: a connection is refused: {error}")
         connection.abort()
 
@@ -167,18 +167,18 @@
         return older
 
     def is_current(self, connection: FramedConnection) -> bool:
-        """Return whether this is the connection that its client is served on."""
+        """Return whether this is the latest connection of its client."""
         return self.clients.get(connection.client_name) is connection
 
     def send(self, client_name: str, message: object) -> int:
-        """Send to a client; returns the bytes on the wire, 0 where it is not connected or not reading."""
+        """Send to a client; return the bytes on the wire, 0 if it is not connected or does not read."""
         connection = self.clients.get(client_name)
         return connection.write(message) if connection is not None else 0
 
     # ---- Called by connections ----
 
     def add_connection(self, connection: FramedConnection) -> None:
-        """Register a new connection, within the limits."""
+        """Add a new connection; abort it if too many others are not registered yet."""
         self.connections.add(connection)
         if self.limits is not None:
             if len(self.connections) - len(self.clients) > self.limits.max_unregistered:
@@ -186,7 +186,7 @@
             connection.start_registration_timer(self.limits.timeout)
 
     def remove_connection(self, connection: FramedConnection) -> None:
-        """Forget a connection that was lost."""
+        """Remove a lost connection; report its client as disconnected if the connection was its latest."""
         self.connections.discard(connection)
         if self.is_current(connection):
             del self.clients[connection.client_name]
--- a/ploverspoke/consensus/framing.py
+++ b/ploverspoke/consensus/framing.py
@@ -1,11 +1,11 @@
-"""Frames among replicas, and between them and their clients: msgpack behind a length, each with a MAC.
+"""Authenticated frames between replicas, and between replicas and their clients. Opens no sockets.
 
-A connection begins with a greeting of both sides: who sends it, of which cluster, and a nonce. The MAC of
-each later frame is BLAKE2b, keyed with the shared secret and both nonces, over the number of the frame and
-its body. So nothing can be forged, replayed from another connection, left out or reordered unseen. Opens no
-sockets.
+A frame is the length of the body (4 bytes, big-endian), the MAC, and the body in msgpack.
 
-A frame is the length of the body (4 bytes, big-endian), the MAC, and the body.
+A connection begins with a greeting from each side: the id of the sender, its cluster, and a nonce. The MAC of
+each later frame is BLAKE2b over the sequence number of the frame and its body, keyed with the shared secret
+and both nonces. So frames that are forged, replayed from another connection, omitted or reordered are
+detected.
 """
 
 import hmac
@@ -23,21 +23,21 @@
 NONCE_BYTES = 16
 KEY_BYTES = 32
 MAX_BLAKE2_KEY_BYTES = 64
-NUMBER_BYTES = 8
+SEQUENCE_NUMBER_BYTES = 8
 MAX_BODY_BYTES = 4 * 1024 * 1024
 MAX_GREETING_BYTES = 4096
 
 
 class FrameError(ConsensusError):
-    """The other side is not a replica or client of this cluster, or what it sent was changed on the way."""
+    """The other side is not a replica or client of this cluster, or its data was altered in transit."""
 
 
 class FrameTooLargeError(FrameError):
-    """A body is over the limit."""
+    """The body of a frame exceeds the size limit."""
 
     def __init__(self, size: int, limit: int) -> None:
         """Keep the size of the body and the limit, in bytes."""
-        super().__init__(f"a frame of {size} bytes, over the limit of {limit}")
+        super().__init__(f"a frame of {size} bytes exceeds the limit of {limit}")
         self.size = size
         self.limit = limit
 
@@ -46,12 +46,12 @@
     """A MAC does not match."""
 
     def __init__(self) -> None:
-        """State the possible cause."""
-        super().__init__("a wrong MAC: another secret, or the frame was changed")
+        """State the possible causes."""
+        super().__init__("a wrong MAC: the secrets differ, or the frame was altered")
 
 
 class FrameDecodeError(FrameError):
-    """The body of a frame does not hold what it should."""
+    """The body of a frame cannot be decoded, or is not the expected message."""
 
     def __init__(self, reason: str) -> None:
         """Keep the reason."""
@@ -60,7 +60,7 @@
 
 
 class FrameCodec:
-    """The frames of one connection, both ways."""
+    """Encodes and decodes the frames of one connection."""
 
     def __init__(self, secret: bytes, greeting: Mapping[str, object]) -> None:
         """Prepare a connection; `greeting` is the first message to the other side."""
@@ -70,77 +70,78 @@
         self.peer_greeting: dict[str, object] | None = None  # None: not received yet
         self._send_key = b""
         self._receive_key = b""
-        self._sent = 0
-        self._received = 0
-        self._unread = bytearray()
+        self._sent_frames = 0
+        self._received_frames = 0
+        self._receive_buffer = bytearray()
         self._encoder = msgspec.msgpack.Encoder()
 
     def greeting_frame(self) -> bytes:
         """Return the first frame to send."""
-        return _frame(self.greeting_body, _mac(derive_key(self.secret), 0, self.greeting_body))
+        return _build_frame(self.greeting_body, _compute_mac(derive_key(self.secret), 0, self.greeting_body))
 
     def encode(self, message: object) -> bytes:
-        """Return the frame of a message, any value that msgspec encodes. Raises FrameTooLargeError."""
+        """Return the frame of a message: any value that msgspec encodes. Raises FrameTooLargeError."""
         body = self._encoder.encode(message)
         if len(body) > MAX_BODY_BYTES:
             raise FrameTooLargeError(len(body), MAX_BODY_BYTES)
-        self._sent += 1
-        return _frame(body, _mac(self._send_key, self._sent, body))
+        self._sent_frames += 1
+        return _build_frame(body, _compute_mac(self._send_key, self._sent_frames, body))
 
     def decode(self, data: bytes) -> list[object]:
         """Return the messages that `data` completes, as plain values. Raises FrameError.
 
-        A greeting is none of them; it is put in `peer_greeting`.
+        The greeting is not returned, but stored in `peer_greeting`.
         """
         return [_decode_body(body) for body in self.receive(data)]
 
     def receive(self, data: bytes) -> list[bytes]:
         """Return the bodies of the frames that `data` completes, for a typed decoder. Raises FrameError."""
-        self._unread += data
+        self._receive_buffer += data
         bodies: list[bytes] = []
-        while len(self._unread) >= LENGTH_BYTES:
-            length = int.from_bytes(self._unread[:LENGTH_BYTES], "big")
+        while len(self._receive_buffer) >= LENGTH_BYTES:
+            length = int.from_bytes(self._receive_buffer[:LENGTH_BYTES], "big")
             limit = MAX_BODY_BYTES if self.peer_greeting is not None else MAX_GREETING_BYTES
             if length > limit:
                 raise FrameTooLargeError(length, limit)
             end = HEADER_BYTES + length
-            if len(self._unread) < end:
+            if len(self._receive_buffer) < end:
                 break
-            mac = bytes(self._unread[LENGTH_BYTES:HEADER_BYTES])
-            body = bytes(self._unread[HEADER_BYTES:end])
-            del self._unread[:end]
+            mac = bytes(self._receive_buffer[LENGTH_BYTES:HEADER_BYTES])
+            body = bytes(self._receive_buffer[HEADER_BYTES:end])
+            del self._receive_buffer[:end]
             if self.peer_greeting is None:
                 self._accept_greeting(mac, body)
             else:
-                self._received += 1
-                _check_mac(mac, _mac(self._receive_key, self._received, body))
+                self._received_frames += 1
+                _check_mac(mac, _compute_mac(self._receive_key, self._received_frames, body))
                 bodies.append(body)
         return bodies
 
     def _accept_greeting(self, mac: bytes, body: bytes) -> None:
-        _check_mac(mac, _mac(derive_key(self.secret), 0, body))
+        _check_mac(mac, _compute_mac(derive_key(self.secret), 0, body))
         greeting = _decode_body(body)
         if not isinstance(greeting, dict) or not isinstance(greeting.get("nonce"), bytes):
-            raise FrameDecodeError(reason="no greeting")
+            raise FrameDecodeError(reason="the first frame is not a greeting")
         peer_nonce: bytes = greeting["nonce"]
         if peer_nonce == self.nonce:
-            raise FrameDecodeError(reason="our own greeting, sent back")
+            raise FrameDecodeError(reason="the greeting of this side was sent back")
         self.peer_greeting = greeting
         self._send_key = derive_key(self.secret, self.nonce + peer_nonce)
         self._receive_key = derive_key(self.secret, peer_nonce + self.nonce)
 
 
 def derive_key(secret: bytes, salt: bytes = b"") -> bytes:
-    """Return the key of MACs: of greetings without a salt, of later frames with both nonces as the salt."""
+    """Return the MAC key: for greetings without a salt, for later frames with both nonces as the salt."""
     return blake2b(salt, key=secret[:MAX_BLAKE2_KEY_BYTES], digest_size=KEY_BYTES).digest()
 
 
-def _frame(body: bytes, mac: bytes) -> bytes:
+def _build_frame(body: bytes, mac: bytes) -> bytes:
     return len(body).to_bytes(LENGTH_BYTES, "big") + mac + body
 
 
-def _mac(key: bytes, number: int, body: bytes) -> bytes:
-    return blake2b(number.to_bytes(NUMBER_BYTES, "big") + body, key=key, digest_size=MAC_BYTES).digest()
+def _compute_mac(key: bytes, sequence_number: int, body: bytes) -> bytes:
+    data = sequence_number.to_bytes(SEQUENCE_NUMBER_BYTES, "big") + body
+    return blake2b(data, key=key, digest_size=MAC_BYTES).digest()
 
 
 def _check_mac(received: bytes, expected: bytes) -> None:
@@ -152,4 +153,4 @@
     try:
         return msgspec.msgpack.decode(body)
     except msgspec.DecodeError as error:
-        raise FrameDecodeError(reason=f"no msgpack: {error}") from error
+        raise FrameDecodeError(reason=f"the body is not msgpack: {error}") from error
--- a/ploverspoke/consensus/node.py
+++ b/ploverspoke/consensus/node.py
@@ -1,7 +1,7 @@
-"""One replica on its storage and its sockets: drives a `Replica`.
+"""A replica with its storage and network connections: does the I/O of a `Replica`.
 
-One thread writes; while it syncs one batch, the next gathers. Proposals of one turn of the event loop are
-one batch.
+A single thread writes to storage. While it syncs one batch, the writes of the next are collected. Commands
+that are proposed in the same iteration of the event loop are proposed together.
 """
 
 import asyncio
@@ -30,7 +30,7 @@
 from .storage_thread import StorageThread
 from .wire_messages import Message
 
-REOPEN_DELAY = 0.5  # seconds, after the storage could not be written
+REOPEN_DELAY_S = 0.5  # before each attempt to reopen storage that could not be written
 HEARTBEATS_PER_ELECTION_TIMEOUT = 4
 
 CommitCallback = Callable[[bool], None]
@@ -45,12 +45,12 @@
 
 
 class ReplicaNode:
-    """A replica as its users see it. A service derives its own from it and overrides the hooks."""
+    """The interface of a replica to its service, which derives a subclass and overrides the hooks."""
 
     def __init__(
         self, config: ReplicaConfig, state_machine: StateMachine, storage: ReplicaStorage | None = None
     ) -> None:
-        """Prepare a replica; nothing is opened yet. `storage` is that of the configuration, if not given."""
+        """Prepare a replica without opening it. `storage` defaults to the one in the configured folder."""
         self.config = config
         self.replica_id = initial_replica_id(config.name)
         self.state_machine = state_machine
@@ -67,15 +67,15 @@
         self.storage_failures = 0
         self.write_counters = WriteCounters()
         self._driver: ReplicaDriver | None = None  # None: the storage cannot be used
-        self._proposals: list[Proposal] = []  # of this turn of the event loop
+        self._proposals: list[Proposal] = []  # made in this iteration of the event loop
         self._tasks: set[asyncio.Task[None]] = set()
 
-    # ---- Start and end ----
+    # ---- Start and stop ----
 
     async def open(self, new: bool = False, join: str = "") -> None:
-        """Open storage and sockets, and take part.
+        """Open storage and sockets, and take part in consensus.
 
-        `new` sets up the storage of a new cluster, `join` that of a replica that joins the cluster with this
+        `new` initializes empty storage for a new cluster, `join` for joining the cluster with that
         fingerprint. Raises ClusterMismatchError, CorruptionError, StorageError or OSError.
         """
         self.loop = asyncio.get_running_loop()
@@ -86,7 +86,7 @@
         self._start_replica()
 
     async def close(self) -> None:
-        """Stop, and close storage and sockets; also one that could not be opened."""
+        """Stop, and close storage and sockets. May also be called after `open` has failed."""
         self.closed = True
         if self._driver is not None:
             self._driver.stop()
@@ -113,18 +113,18 @@
         self._connect_to_members()
         self._driver.schedule_step()
 
-    # ---- Use ----
+    # ---- Operations ----
 
     def leads(self) -> bool:
-        """Whether this replica leads for certain: no other can lead now."""
+        """Whether this replica is the leader and, by its lease, no other replica can lead now."""
         return self.replica is not None and self.replica.leads()
 
     def is_elected(self) -> bool:
-        """Whether this replica is the leader of its term; whether no other is by now, `leads` says."""
+        """Whether this replica is the leader of its term; unlike `leads`, another may lead a later term."""
         return self.replica is not None and self.replica.raft.role is Role.LEADER
 
     def is_in_contact(self, within: int) -> bool:
-        """Whether this replica leads, or its leader has sent something `within` so many ns."""
+        """Whether this replica leads, or has received from its leader in the last `within` nanoseconds."""
         if self.replica is None:
             return False
         if self.is_elected():
@@ -132,13 +132,13 @@
         return self.replica.raft.has_leader_contact_within(within)
 
     def members(self) -> Members:
-        """Return the members by replica id, as they are known here."""
+        """Return the members by replica id, as this replica knows them."""
         if self.replica is None:
             return self.storage.persisted.members
         return self.replica.raft.members()
 
     def leader(self) -> Member | None:
-        """Return the leader, as far as it is known here."""
+        """Return the leader, or None if this replica knows of none."""
         if self.replica is None:
             return None
         return self.replica.raft.members().get(self.replica.raft.leader_id)
@@ -149,18 +149,21 @@
         return leader.client_address if leader is not None else ""
 
     def propose(self, command: Command, on_result: CommitCallback) -> None:
-        """Have a command committed. `on_result` is called later, not from here, with whether it was.
+        """Propose a command. `on_result` is called after this returns, with whether it was committed.
 
-        False is no promise that it never will be. A struct goes into the log as its plain values.
+        False does not mean that it will never be committed. A struct is written to the log as plain values.
         """
         if isinstance(command, msgspec.Struct):
             command = msgspec.to_builtins(command, builtin_types=(bytes,))
         if not self._proposals:
-            self.loop.call_soon(self._propose_all)
+            self.loop.call_soon(self._propose_batch)
         self._proposals.append(Proposal(command, on_result))
 
     def read(self, on_result: CommitCallback) -> None:
-        """Call `on_result` with True once the state holds all that was committed before this call."""
+        """Call `on_result` with True once the state includes all that was committed before this call.
+
+        False means that this could not be confirmed.
+        """
         if self.replica is None:
             self.loop.call_soon(on_result, False)
         else:
@@ -168,7 +171,7 @@
             self._schedule_step()
 
     def change_members(self, members: Members) -> bool:
-        """Begin to replace the members; returns False if that cannot be now."""
+        """Start replacing the members; return False if that is not possible now."""
         accepted = self.replica is not None and bool(self.replica.raft.change_members(members))
         if accepted:
             self._connect_to_members()
@@ -176,7 +179,7 @@
         return accepted
 
     def transfer(self, name: str) -> bool:
-        """Begin to hand leadership to the voter of that name; returns False if this replica cannot."""
+        """Start transferring leadership to the voter of that name; return False if that is not possible."""
         if self.replica is None:
             return False
         accepted = self.replica.raft.transfer_leadership(find_by_name(self.members(), name))
@@ -184,13 +187,13 @@
         return accepted
 
     def status(self) -> WireMap:
-        """Return the status as tools get it."""
+        """Return the status as tools receive it."""
         return status_fields(self)
 
     def save_value(self, key: str, value: object) -> None:
-        """Write a value of this replica alone, beside the log, when the thread comes to it.
+        """Queue the write of a value that belongs to this replica alone and is kept outside the log.
 
-        A value that could not be written is not written again: an older one is found after a restart.
+        A failed write is logged and not retried: after a restart, the previous value is read.
         """
 
         def on_done(error: Exception | None) -> None:
@@ -202,19 +205,19 @@
     # ---- Hooks ----
 
     def on_storage_opened(self) -> None:
-        """The storage can be read; called before the state is restored from it."""
+        """Called when the storage can be read, before the state is restored from it."""
 
     def on_role_changed(self, role: Role, leader_id: str) -> None:
-        """The role or the known leader has changed. Called in the middle of an event of consensus."""
+        """Called while consensus handles an event that changed the role or the known leader."""
         for listener in self.role_listeners:
             self.loop.call_soon(listener, role, leader_id)
 
     def state_status(self) -> msgspec.Struct | WireMap:
-        """Return the part of the status that is about the state machine."""
+        """Return the part of the status that describes the state machine."""
         return {}
 
     def handle_state_request(self, request: WireMap, reply: Reply) -> bool:
-        """Answer a tool's request about the state machine; returns False if it is none."""
+        """Answer a tool's request to the state machine; return False if it is not such a request."""
         return False
 
     # ---- Events ----
@@ -224,7 +227,7 @@
             self.replica.raft.receive(sender, message)
             self._schedule_step()
 
-    def _propose_all(self) -> None:
+    def _propose_batch(self) -> None:
         proposals, self._proposals = self._proposals, []
         callbacks = [proposal.on_result for proposal in proposals]
 
@@ -250,14 +253,14 @@
     # ---- Storage failures ----
 
     def _stop_replica(self, error: Exception) -> None:
-        """Take no part until the storage can be written; what was not written counts as never received."""
+        """Leave consensus until the storage can be written; unwritten data counts as never received."""
         if self.replica is None or self._driver is None:
             return
         self._driver.stop()
         self._driver = None
         self.storage_error = str(error)
         self.storage_failures += 1
-        log_line(f"store: the disk cannot be written, this replica stands aside: {error}")
+        log_line(f"store: the disk cannot be written, this replica takes no part in consensus: {error}")
         replica, self.replica = self.replica, None
         replica.stop()
         task = self.loop.create_task(self._reopen_storage())
@@ -266,7 +269,7 @@
 
     async def _reopen_storage(self) -> None:
         while not self.closed:
-            await asyncio.sleep(REOPEN_DELAY)
+            await asyncio.sleep(REOPEN_DELAY_S)
             try:
                 await self.storage_thread.run(self._reopen_and_write)
             except (StorageError, CorruptionError) as error:
@@ -279,7 +282,7 @@
 
     def _reopen_and_write(self) -> None:
         self.storage.reopen()
-        # A vote that is written once more changes nothing, and shows whether the disk can be written.
+        # Writing the current vote again changes nothing and tests whether the disk can be written.
         batch = WriteBatch()
         batch.vote = (self.storage.persisted.current_term, self.storage.persisted.voted_for)
         self.storage.write(batch)
--- a/ploverspoke/consensus/peer_links.py
+++ b/ploverspoke/consensus/peer_links.py
@@ -1,9 +1,9 @@
-"""Connections among replicas and from tools.
+"""Connections between replicas, and from tools.
 
-Each replica connects to every other one and sends on that; it only receives on connections that it accepts.
+Each replica opens a connection to every other replica to send on, and only receives on those it accepts.
 Tools connect as well, and get their replies on the connection that they opened.
 
-A lost connection is opened again. Messages for it are dropped meanwhile, since consensus repeats them.
+A lost connection is reopened. Until then its messages are dropped, since consensus sends them again.
 """
 
 import asyncio
@@ -19,9 +19,11 @@
 from .framing import FrameCodec, FrameError
 from .wire_messages import Message, decode_message
 
-RECONNECT_DELAY = 0.1  # seconds
-MAX_UNSENT_BYTES = 8 * 1024 * 1024  # for a peer that does not read
-STALL_TIMEOUT = 2.0  # seconds; then what waits unsent is stale, and would go out before anything new
+RECONNECT_DELAY_S = 0.1
+MAX_UNSENT_BYTES = 8 * 1024 * 1024  # for a peer that does not read; above this messages are dropped
+# A connection is closed after this time without progress: its unsent messages are stale, and would be sent
+# before any new ones.
+STALL_TIMEOUT_S = 2.0
 ADMIN_CLIENT_ID = "?"  # the id in the greeting of a tool
 ANY_CLUSTER = ""  # the cluster in the greeting of a tool
 
@@ -37,7 +39,7 @@
     cluster_fingerprint: str
 
     def greeting(self) -> dict[str, str]:
-        """Return the greeting as it is sent."""
+        """Return the fields of the greeting that is sent."""
         return {"id": self.replica_id, "store": self.cluster_fingerprint}
 
 
@@ -45,11 +47,11 @@
     """A peer that this replica connects to."""
 
     address: str
-    task: asyncio.Task[None]  # keeps it connected
+    task: asyncio.Task[None]  # reconnects whenever the connection is lost
 
 
 class GreetingError(ConsensusError):
-    """The greeting of the other side is not that of the expected replica."""
+    """The greeting of the other side is incomplete, or not from the expected replica or cluster."""
 
     def __init__(self, reason: str) -> None:
         """Keep the reason."""
@@ -58,7 +60,7 @@
 
 
 class PeerLinks:
-    """All connections of one replica with its peers, and those of tools."""
+    """All connections of one replica with its peers and with tools."""
 
     def __init__(
         self,
@@ -76,7 +78,7 @@
         self.outbound: dict[str, OutboundConnection] = {}  # by replica id
         self.refused_connections = 0
         self.dropped_messages = 0
-        self.stalled_connections = 0  # given up because nothing went out on them
+        self.stalled_connections = 0  # closed because no data could be sent on them
         self._peers: dict[str, ConnectedPeer] = {}  # by replica id
         self._server: asyncio.Server | None = None
 
@@ -86,7 +88,7 @@
         self._server = await loop.create_server(lambda: InboundConnection(self), host, port)
 
     def set_peers(self, addresses: dict[str, str]) -> None:
-        """Connect to these peers, addresses by replica id, and to no others."""
+        """Connect to the peers at `addresses`, by replica id, and disconnect from all others."""
         for replica_id, peer in list(self._peers.items()):
             if addresses.get(replica_id) != peer.address:
                 peer.task.cancel()
@@ -122,21 +124,21 @@
         while True:
             connection = OutboundConnection(self, replica_id)
             try:
-                # The factory is called before the next iteration binds `connection` anew.
+                # The factory is called before the next iteration rebinds `connection`.
                 await loop.create_connection(
-                    lambda: connection,  # noqa: B023 - called before the loop goes on
+                    lambda: connection,  # noqa: B023 - called before the next iteration
                     host.strip("[]"),
                     int(port),
                 )
                 self.outbound[replica_id] = connection
                 await connection.disconnected.wait()
             except OSError:
-                pass  # not reachable for now: the next attempt follows
-            await asyncio.sleep(RECONNECT_DELAY)
+                pass  # not reachable now: tried again after the delay
+            await asyncio.sleep(RECONNECT_DELAY_S)
 
 
 class InboundConnection(StreamProtocol, asyncio.Protocol):
-    """A connection that a peer or a tool has opened."""
+    """A connection opened by a peer or a tool."""
 
     def __init__(self, links: PeerLinks) -> None:
         """Prepare a connection that is being accepted."""
@@ -152,12 +154,12 @@
         self.transport.write(self.frames.greeting_frame())
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Forget the connection."""
+        """Remove the connection."""
         self.links.inbound.discard(self)
         self.transport = None
 
     def data_received(self, data: bytes) -> None:
-        """Pass on the messages that are complete; close the connection at the first that is not valid."""
+        """Handle each complete message; abort the connection at the first invalid one."""
         try:
             for body in self.frames.receive(data):
                 self._handle(body)
@@ -167,27 +169,27 @@
             self.abort()
 
     def reply(self, message: object) -> None:
-        """Answer a tool, if it is still there."""
+        """Send a reply to a tool, if it is still connected."""
         if self.transport is not None:
             self.transport.write(self.frames.encode(message))
 
     def _handle(self, body: bytes) -> None:
         if not self.sender:
-            self.sender = self._checked_sender()
+            self.sender = self._verify_sender()
         if self.sender == ADMIN_CLIENT_ID:
             self.links.on_admin_request(msgspec.msgpack.decode(body), self.reply)
         else:
             self.links.on_message(self.sender, decode_message(body))
 
-    def _checked_sender(self) -> str:
+    def _verify_sender(self) -> str:
         peer = peer_identity(self.frames)
         if peer.cluster_fingerprint not in (self.links.identity.cluster_fingerprint, ANY_CLUSTER):
-            raise GreetingError(wrong_cluster(peer.replica_id))
+            raise GreetingError(wrong_cluster_reason(peer.replica_id))
         return peer.replica_id
 
 
 class OutboundConnection(StreamProtocol, asyncio.Protocol):
-    """A connection that this replica has opened to a peer."""
+    """A connection opened by this replica to a peer."""
 
     def __init__(self, links: PeerLinks, peer_id: str) -> None:
         """Prepare a connection to the replica `peer_id`."""
@@ -195,11 +197,11 @@
         self.links = links
         self.peer_id = peer_id
         self.frames = FrameCodec(links.secret, links.identity.greeting())
-        self.ready = False  # the greeting of the expected peer has come
+        self.ready = False  # the greeting of the expected peer was received
         self.disconnected = asyncio.Event()
-        self._written = 0  # bytes
-        self._flushed = 0  # of them, when that last grew
-        self._flushed_at = 0.0
+        self._written_bytes = 0
+        self._flushed_bytes = 0  # of the written bytes, those not buffered, when their number last grew
+        self._flushed_at = 0.0  # event loop time when it last grew, or when nothing was buffered
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Send the greeting."""
@@ -208,13 +210,13 @@
         self._write(self.frames.greeting_frame())
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Let the link connect again."""
+        """Notify the task that reconnects to the peer."""
         self.transport = None
         self.ready = False
         self.disconnected.set()
 
     def data_received(self, data: bytes) -> None:
-        """Check the greeting of the peer; it sends nothing else here."""
+        """Check the greeting of the peer, which sends nothing else on this connection."""
         try:
             self.frames.receive(data)
             if self.frames.peer_greeting is not None and not self.ready:
@@ -226,13 +228,14 @@
             self.abort()
 
     def send(self, message: object) -> None:
-        """Send a message; drop it if the peer has not greeted yet or does not read."""
+        """Send a message; drop it if no valid greeting was received or the peer does not read."""
         if not self.ready or self.transport is None:
             return
         unsent = self.transport.get_write_buffer_size()
         if self._is_stalled(unsent):
             self.links.stalled_connections += 1
-            # `connection_lost` is called a turn later: until then nothing more is written, or counted.
+            # `connection_lost` is called in a later iteration of the event loop: until then no more messages
+            # are written, and the stall is not counted again.
             self.ready = False
             self.abort()
         elif unsent > MAX_UNSENT_BYTES:
@@ -242,23 +245,23 @@
 
     def _is_stalled(self, unsent: int) -> bool:
         now = asyncio.get_running_loop().time()
-        flushed = self._written - unsent
-        if not unsent or flushed > self._flushed:
-            self._flushed = flushed
+        flushed_bytes = self._written_bytes - unsent
+        if not unsent or flushed_bytes > self._flushed_bytes:
+            self._flushed_bytes = flushed_bytes
             self._flushed_at = now
             return False
-        return now - self._flushed_at > STALL_TIMEOUT
+        return now - self._flushed_at > STALL_TIMEOUT_S
 
     def _check_peer(self) -> None:
         peer = peer_identity(self.frames)
         if peer.cluster_fingerprint not in (self.links.identity.cluster_fingerprint, ANY_CLUSTER):
-            raise GreetingError(wrong_cluster(self.peer_id))
+            raise GreetingError(wrong_cluster_reason(self.peer_id))
         if peer.replica_id != self.peer_id:
-            raise GreetingError(reason=f"{peer.replica_id} answers where {self.peer_id} was")
+            raise GreetingError(reason=f"{peer.replica_id} answers at the address of {self.peer_id}")
 
     def _write(self, data: bytes) -> None:
         assert self.transport is not None
-        self._written += len(data)
+        self._written_bytes += len(data)
         self.transport.write(data)
 
 
@@ -266,10 +269,10 @@
     """Return the identity in the greeting of the other side. Raises GreetingError."""
     greeting = frames.peer_greeting
     if greeting is None or "id" not in greeting or "store" not in greeting:
-        raise GreetingError(reason="a greeting without id and store")
+        raise GreetingError(reason="the greeting lacks id or store")
     return PeerIdentity(str(greeting["id"]), str(greeting["store"]))
 
 
-def wrong_cluster(replica_id: str) -> str:
+def wrong_cluster_reason(replica_id: str) -> str:
     """Return the reason for refusing a replica of another cluster."""
     return f"{replica_id} belongs to another store, or was started with other replicas"
--- a/ploverspoke/consensus/replica.py
+++ b/ploverspoke/consensus/replica.py
@@ -1,7 +1,7 @@
-"""One replica without I/O: consensus and a state machine, between batches of writes.
+"""A replica without I/O: consensus and a state machine, whose writes are collected in batches.
 
-The driver takes a `WriteBatch` when there is one, writes it in one synced step, and hands it back to
-`on_batch_written`: only then the messages in it go out. So whatever is sent rests on what is durable, and
+The driver takes a `WriteBatch` when there is one, writes and syncs it in one step, and passes it back to
+`on_batch_written`, which sends the messages in it. So a queued message depends only on durable state, and
 many events share one sync.
 """
 
@@ -21,29 +21,29 @@
 
 
 class Runtime(NamedTuple):
-    """What a replica, which does no I/O, gets from its driver."""
+    """The clock, random numbers and network of a replica, which does no I/O itself."""
 
     now: Callable[[], int]  # monotonic time in ns
-    random_fraction: Callable[[], float]  # from 0 up to 1
-    send: Callable[[str, Message], None]  # to the replica of that id
+    random_fraction: Callable[[], float]  # at least 0, less than 1
+    send: Callable[[str, Message], None]  # to the replica with that id
 
 
 class PendingProposal(NamedTuple):
-    """A proposal that is in the log and not committed yet."""
+    """A proposal that is in the log but not committed yet."""
 
-    term: int  # of the entry; another leader's entry may be committed at its index
+    term: int  # of the entry; another leader's entry may be committed at the same index
     on_result: ResultCallback
 
 
 class PendingRead(msgspec.Struct, frozen=True):
-    """A read that is confirmed and waits until the state holds the entry at `index`."""
+    """A confirmed read that waits until the entry at `index` is applied."""
 
     index: int
     on_result: ResultCallback
 
 
 class Replica:
-    """Applies what consensus commits, and gathers what it asks to be written (a `RaftEnvironment`)."""
+    """Applies committed entries, and collects the writes that consensus requests (a `RaftEnvironment`)."""
 
     def __init__(
         self,
@@ -53,7 +53,7 @@
         runtime: Runtime,
         timeouts: RaftTimeouts = DEFAULT_TIMEOUTS,
     ) -> None:
-        """Begin with what the storage holds; the state machine must be empty."""
+        """Start from the persisted state; the state machine must be empty."""
         self.replica_id = replica_id
         self.state_machine = state_machine
         self.batch = WriteBatch()
@@ -75,10 +75,13 @@
             )
         self.raft = Raft(self, replica_id, persisted, runtime.random_fraction, timeouts)
 
-    # ---- Use ----
+    # ---- Operations ----
 
     def propose(self, commands: list[PlainValue], on_result: ResultCallback) -> None:
-        """Have commands committed; False is no promise that they never will be."""
+        """Propose commands; `on_result` receives whether they were committed.
+
+        False does not mean that they will never be committed.
+        """
         index = self.raft.propose(commands)
         if not index:
             on_result(False)
@@ -86,25 +89,28 @@
             self._proposals[index] = PendingProposal(self.raft.current_term, on_result)
 
     def read(self, on_result: ResultCallback) -> None:
-        """Call `on_result` with True once the state holds all that was committed before this call."""
+        """Call `on_result` with True once the state includes all that was committed before this call.
+
+        False means that this could not be confirmed.
+        """
         token = self._next_read_token
         self._next_read_token += 1
         self._unconfirmed_reads[token] = on_result
         self.raft.read(token)
 
     def leads(self) -> bool:
-        """Whether no other replica can lead now, by the lease."""
+        """Whether this replica is the leader and, by its lease, no other replica can lead now."""
         return self.raft.role is Role.LEADER and self._runtime.now() < self.raft.lease_until()
 
-    # ---- Driver ----
+    # ---- Called by the driver ----
 
     def take_batch(self) -> WriteBatch:
-        """Return what has gathered since the last batch, to be written."""
+        """Return the batch collected so far, to be written, and begin the next one."""
         batch, self.batch = self.batch, WriteBatch()
         return batch
 
     def on_batch_written(self, batch: WriteBatch) -> None:
-        """A batch is durable: the messages that rest on it go out."""
+        """Send the messages of a batch that is now durable, and report its entries as synced."""
         for to, message in batch.messages:
             self._runtime.send(to, message)
         if batch.entries:
@@ -112,30 +118,33 @@
             self.raft.on_synced(last.index, last.term)
 
     def on_snapshot_written(self, snapshot: Snapshot) -> None:
-        """A snapshot of this replica's own state is durable: the log up to it is dropped."""
+        """Drop the log up to a snapshot of this replica's own state, which is now durable."""
         if snapshot.index > self.raft.log.snapshot_index:
             self._durable_snapshot = snapshot
             self.raft.on_compacted(snapshot.index)
 
     def take_snapshot(self) -> Snapshot:
-        """Return a snapshot of the state as it is now."""
+        """Return a snapshot of the current state."""
         index = self.applied_index
         term = self.raft.log.term_at(index)
-        assert term is not None, "what is applied is in the log, or is the snapshot"
+        assert term is not None, "the applied index is in the log, or is that of the snapshot"
         return Snapshot(index, term, self.raft.members_at(index), self.state_machine.take_snapshot())
 
     def stop(self) -> None:
-        """The storage cannot be written: nothing that is waited for will come."""
+        """Fail pending proposals and confirmed reads, as the storage cannot be written.
+
+        The listeners are notified of the role STOPPED.
+        """
         self.on_role_changed(Role.STOPPED, "")
 
-    # ---- The environment of consensus ----
+    # ---- RaftEnvironment ----
 
     def now(self) -> int:
         """Return the monotonic time in nanoseconds."""
         return self._runtime.now()
 
     def send(self, to: str, message: Message) -> None:
-        """Send a message after the batch that gathers now is written."""
+        """Send a message after the current batch is written."""
         self.batch.messages.append((to, message))
 
     def send_now(self, to: str, message: Message) -> None:
@@ -151,22 +160,22 @@
         self.batch.entries += entries
 
     def truncate_entries_from(self, index: int) -> None:
-        """Have entries dropped by the batch, and from it."""
+        """Drop the entries from `index` on, in storage (by the batch) and in the batch itself."""
         self.batch.entries = [entry for entry in self.batch.entries if entry.index < index]
         self.batch.truncate_from = min(index, self.batch.truncate_from or index)
 
     def install_snapshot(self, snapshot: Snapshot) -> None:
-        """Add a leader's snapshot to the batch, in place of its entries."""
+        """Add a leader's snapshot to the batch; it replaces the entries in the batch."""
         self.batch.snapshot = self._durable_snapshot = snapshot
         self.batch.entries = []
         self.batch.truncate_from = 0
 
     def latest_snapshot(self) -> Snapshot | None:
-        """Return the snapshot that followers get."""
+        """Return the snapshot that is sent to followers."""
         return self._durable_snapshot
 
     def on_entry_committed(self, entry: Entry) -> None:
-        """Apply an entry, and answer the proposal and the reads that waited for it."""
+        """Apply an entry, and answer the proposal and the reads that wait for it."""
         if entry.kind is EntryKind.DATA:
             self.state_machine.apply(entry.index, entry.data)
         self.applied_index = entry.index
@@ -177,27 +186,27 @@
             self._answer_reads()
 
     def on_snapshot_installed(self, data: bytes) -> None:
-        """Replace the state by a leader's snapshot."""
+        """Replace the state with a leader's snapshot."""
         self.state_machine.restore_snapshot(data)
         self.applied_index = self.raft.commit_index
-        self._fail_waiting()
+        self._fail_pending()
 
     def on_role_changed(self, role: Role, leader_id: str) -> None:
-        """Notify the listeners; what waits for this replica as the leader fails when it is none."""
+        """Notify the listeners; a replica that does not lead fails its pending proposals and reads."""
         if role is not Role.LEADER:
-            self._fail_waiting()
+            self._fail_pending()
         for listener in self.role_listeners:
             listener(role, leader_id)
 
     def on_read_ready(self, token: int, index: int) -> None:
-        """Answer a read once `index` is applied."""
+        """Answer a read once the entry at `index` is applied."""
         on_result = self._unconfirmed_reads.pop(token, None)
         if on_result is not None:
             self._confirmed_reads.append(PendingRead(index, on_result))
             self._answer_reads()
 
     def on_read_failed(self, token: int) -> None:
-        """Answer a read that cannot be confirmed."""
+        """Answer False to a read that cannot be confirmed."""
         on_result = self._unconfirmed_reads.pop(token, None)
         if on_result is not None:
             on_result(False)
@@ -208,7 +217,7 @@
         for read in ready:
             read.on_result(True)
 
-    def _fail_waiting(self) -> None:
+    def _fail_pending(self) -> None:
         proposals, self._proposals = self._proposals, {}
         for proposal in proposals.values():
             proposal.on_result(False)
--- a/ploverspoke/consensus/replica_client.py
+++ b/ploverspoke/consensus/replica_client.py
@@ -1,4 +1,4 @@
-"""Sends one request of a command-line tool to a running replica and waits for its reply."""
+"""Sends a request of a command-line tool to a running replica and waits for the reply."""
 
 import socket
 from typing import TypeVar
@@ -10,9 +10,9 @@
 from .framing import FrameCodec, FrameError
 from .peer_links import ADMIN_CLIENT_ID
 
-TIMEOUT = 3.0  # seconds, to connect and for each read
-READ_SIZE = 65536  # bytes
-CONNECTION_CLOSED = "the replica hung up: another secret, or another store"
+TIMEOUT_S = 3.0  # to connect, and for each read
+READ_SIZE_BYTES = 65536
+CONNECTION_CLOSED = "the replica closed the connection: the secret or the store may differ"
 
 ReplyT = TypeVar("ReplyT")
 
@@ -21,21 +21,22 @@
     """A replica's reply is not of the type that was expected."""
 
     def __init__(self, address: str, reason: str) -> None:
-        """`address` is the replica's, for peers."""
+        """`address` is the address of the replica for peers."""
         super().__init__(reason)
         self.address = address
         self.reason = reason
 
 
 class RequestRejectedError(ReplyError):
-    """A replica rejected a request; `reason` is its own."""
+    """A replica rejected a request; `reason` is the one that it gave."""
 
 
 def call_replica(address: str, secret: bytes, request: AdminRequest, reply_type: type[ReplyT]) -> ReplyT:
-    """Send a request to the replica at `address` ("host:port" for peers) and give its typed reply.
+    """Send a request to the replica at `address` ("host:port" for peers) and return its typed reply.
 
-    Raises OSError where nothing answers there, FrameError where it is no replica with this secret,
-    RequestRejectedError where it gives no such reply but says why, ReplyError for any other reply.
+    Raises OSError if nothing answers there, FrameError if it is not a replica with this secret,
+    RequestRejectedError if the reply is a rejection with a reason, ReplyError for any other reply that is not
+    a `reply_type`.
     """
     raw = send_admin_request(address, secret, encode_request(request))
     try:
@@ -50,13 +51,13 @@
 
 
 def send_admin_request(address: str, secret: bytes, message: WireMap) -> object:
-    """Exchange one message for its reply, both as plain maps and lists.
+    """Send one message and return the reply, both as plain maps and lists.
 
-    Raises OSError where nothing answers at `address`, FrameError where it is no replica with this secret.
+    Raises OSError if nothing answers at `address`, FrameError if it is not a replica with this secret.
     """
     frames = FrameCodec(secret, {"id": ADMIN_CLIENT_ID, "store": ""})
-    with socket.create_connection(split_address(address), TIMEOUT) as connection:
-        connection.settimeout(TIMEOUT)
+    with socket.create_connection(split_address(address), TIMEOUT_S) as connection:
+        connection.settimeout(TIMEOUT_S)
         connection.sendall(frames.greeting_frame())
         while frames.peer_greeting is None:
             frames.decode(_receive(connection))
@@ -68,7 +69,7 @@
 
 
 def _receive(connection: socket.socket) -> bytes:
-    data = connection.recv(READ_SIZE)
+    data = connection.recv(READ_SIZE_BYTES)
     if not data:
         raise FrameError(CONNECTION_CLOSED)
     return data
--- a/ploverspoke/consensus/replica_driver.py
+++ b/ploverspoke/consensus/replica_driver.py
@@ -1,6 +1,7 @@
-"""Drives one `Replica` on an event loop: writes its batches, calls it when time is wanted, takes snapshots.
+"""Drives one `Replica` on an event loop: writes its batches, runs its timer and takes snapshots.
 
-Used from one replica's start until its storage fails; after that the node starts another.
+A driver is used from the start of a replica until its storage fails; then the node creates a new replica and
+driver.
 """
 
 import asyncio
@@ -19,21 +20,21 @@
 
 @dataclass
 class WriteCounters:
-    """What was written since the process began."""
+    """The numbers of batches and entries written since the process started."""
 
     batches: int = 0
     entries: int = 0
 
 
 class DriverCallbacks(NamedTuple):
-    """What a driver reports to its node."""
+    """The events that a driver reports to its node."""
 
     on_members_written: Callable[[], None]  # the members may have changed
     on_failure: Callable[[Exception], None]  # the storage cannot be written
 
 
 class ReplicaDriver:
-    """The driver of one replica. After each event `schedule_step` is to be called."""
+    """The driver of one replica. Call `schedule_step` after each event."""
 
     def __init__(
         self,
@@ -44,7 +45,7 @@
         counters: WriteCounters,
         callbacks: DriverCallbacks,
     ) -> None:
-        """Drive `replica`; it takes a snapshot after so many entries."""
+        """Drive `replica`. `snapshot_every` is the number of applied entries between snapshots."""
         self.replica = replica
         self.storage = storage
         self.storage_thread = storage_thread
@@ -59,13 +60,13 @@
         self._timer = LoopTimer(self._on_timer)
 
     def schedule_step(self) -> None:
-        """Write what has gathered, and see when time is wanted next, behind what the loop has to do now."""
+        """Write the current batch and set the timer, after the callbacks that the loop has queued already."""
         if not self._is_step_scheduled:
             self._is_step_scheduled = True
             self._loop.call_soon(self._step)
 
     def stop(self) -> None:
-        """Drive the replica no more; what is being written still is."""
+        """Stop driving the replica; a write in progress is still completed."""
         self._is_stopped = True
         self._timer.cancel()
 
@@ -101,14 +102,14 @@
         self.schedule_step()
 
     def _take_snapshot_if_due(self) -> None:
-        since_snapshot = self.replica.applied_index - self.replica.raft.log.snapshot_index
-        if self._is_taking_snapshot or since_snapshot < self.snapshot_every:
+        entries_since_snapshot = self.replica.applied_index - self.replica.raft.log.snapshot_index
+        if self._is_taking_snapshot or entries_since_snapshot < self.snapshot_every:
             return
         snapshot = self.replica.take_snapshot()
         self._is_taking_snapshot = True
 
         def on_done(error: Exception | None) -> None:
-            """Compact the log before a snapshot that was written."""
+            """Compact the log up to the snapshot that was written, or report the failure."""
             self._is_taking_snapshot = False
             if self._is_stopped:
                 return
--- a/ploverspoke/consensus/server.py
+++ b/ploverspoke/consensus/server.py
@@ -1,4 +1,4 @@
-"""Runs one replica as a process of its own, with the server for its clients, until a signal ends it."""
+"""Runs one replica and the server for its clients as a process, until a signal ends it."""
 
 import asyncio
 import signal
@@ -17,20 +17,19 @@
 
 
 class ClientFacingServer(Protocol):
-    """Where the clients of a replica connect."""
+    """The server that the clients of a replica connect to."""
 
     async def open(self) -> None:
-        """Listen. Raises OSError."""
+        """Start listening. Raises OSError."""
 
     def close(self) -> None:
         """Stop listening and close all connections."""
 
 
 def run_replica_process(serve: Callable[[], Coroutine[object, object, None]]) -> int:
-    """Run what `serve` returns on an event loop, and return the exit code of the process.
+    """Run the coroutine that `serve` returns on an event loop, and return the exit code of the process.
 
-    0: it was ended by a signal. 2: the configuration or the storage cannot be used, and the reason was
-    printed.
+    0: a signal ended it. 2: the configuration or the storage cannot be used, and the reason was printed.
     """
     return run_with_exit_code(
         lambda: uvloop.run(serve()), ClusterMismatchError, CorruptionError, StorageError
@@ -40,7 +39,7 @@
 async def serve_replica(
     log_prefix: str, node: ReplicaNode, client_server: ClientFacingServer, new: bool, join: str
 ) -> None:
-    """Run until SIGTERM or SIGINT. `new` and `join` are those of `ReplicaNode.open`.
+    """Run until SIGTERM or SIGINT. `new` and `join` are passed to `ReplicaNode.open`.
 
     Raises what `ReplicaNode.open` raises, and OSError.
     """
@@ -63,7 +62,7 @@
 
 
 async def hand_over_leadership(node: ReplicaNode) -> None:
-    """Make another voter the leader before this one stops, so that the others need no election time-out."""
+    """Transfer leadership before stopping, so that the others need not wait for an election timeout."""
     for member in node.members().values():
         if member.votes and member.name != node.config.name and node.transfer(member.name):
             await asyncio.sleep(node.config.election_timeout / SECOND)
--- a/ploverspoke/consensus/storage.py
+++ b/ploverspoke/consensus/storage.py
@@ -1,8 +1,8 @@
-"""The durable state of one replica, in SQLite: term and vote, log, snapshot, and which cluster it belongs to.
+"""The durable state of one replica, in SQLite: term and vote, log, snapshot, and the identity of its cluster.
 
-A batch is one transaction with one sync. Entries and the snapshot carry a checksum, the file a format
-version. What could not be written is not acknowledged: the caller gets `StorageError` and stops until
-`reopen` succeeds. What fails its checksum is a `CorruptionError`, and the replica does not start on it.
+A batch is one transaction with one sync. Entries and the snapshot have a checksum, and the file has a format
+version. A failed write is not acknowledged: the caller gets `StorageError` and stops until `reopen`
+succeeds. Data that fails its checksum raises `CorruptionError`, and the replica does not start with it.
 """
 
 import secrets
@@ -27,7 +27,7 @@
 
 
 class StorageError(ConsensusError):
-    """Nothing more can be written for now: the disk is full, a sync failed, or the file is not open."""
+    """The storage cannot be written at present: the disk is full, a sync failed, or the file is not open."""
 
     def __init__(self, reason: str) -> None:
         """Keep the reason, as the operating system or SQLite gives it."""
@@ -36,10 +36,10 @@
 
 
 class CorruptionError(ConsensusError):
-    """The file does not hold what was written to it."""
+    """The file does not contain what was written to it."""
 
     def __init__(self, path: Path, detail: str) -> None:
-        """Keep the file, and what is wrong in it."""
+        """Keep the path of the file, and what is wrong in it."""
         super().__init__(f"{path}: {detail}")
         self.path = path
         self.detail = detail
@@ -49,7 +49,7 @@
     """The folder holds the state of another cluster, another replica or another format version."""
 
     def __init__(self, path: Path, detail: str) -> None:
-        """Keep the file, and what it is; `detail` goes on where the path ends."""
+        """Keep the path of the file; `detail` completes the sentence that begins with the path."""
         super().__init__(f"{path} {detail}")
         self.path = path
         self.detail = detail
@@ -58,13 +58,13 @@
 def restore_from_backup(folder: Path, backup: Path, replica_id: str) -> "ReplicaStorage":
     """Restore a backup of any replica into an empty folder as the storage of `replica_id`, and open it.
 
-    It gets a storage id of its own, as it lacks what the other storage acknowledged after the backup.
-    Raises ClusterMismatchError if the folder is not empty, CorruptionError, or StorageError; then nothing is
-    left there.
+    It gets a new storage id, since it lacks what the original storage acknowledged after the backup. Raises
+    ClusterMismatchError if the folder holds a storage already, CorruptionError, or StorageError; a partly
+    restored file is deleted.
     """
     target = folder / schema.DATABASE_FILE
     if target.exists():
-        raise ClusterMismatchError(target, "exists: it is never written over")
+        raise ClusterMismatchError(target, "already exists and is not overwritten")
     folder.mkdir(parents=True, exist_ok=True)
     try:
         with closing(sqlite3.connect(backup)) as source, closing(sqlite3.connect(target)) as copy:
@@ -84,17 +84,17 @@
 
 
 class ReplicaStorage:
-    """The SQLite file of one replica. Used by one thread at a time."""
+    """The SQLite file of one replica. To be used by one thread at a time."""
 
     def __init__(self, folder: Path) -> None:
-        """Name the folder; nothing is opened yet."""
+        """Prepare the storage in `folder`; nothing is opened yet."""
         self.folder = folder
         self.path = folder / schema.DATABASE_FILE
         self.connection: sqlite3.Connection | None = None
         self.persisted = PersistedState()  # as read by `open`
         self.replica_id = ""  # "": the storage is empty
         self.cluster_fingerprint = ""
-        self.max_pages = 0  # SQLite's bound on the file; 0: that of the disk
+        self.max_pages = 0  # limit of the file in SQLite pages; 0: limited by the disk alone
         self._encoder = msgspec.msgpack.Encoder()
 
     def __enter__(self) -> Self:
@@ -113,7 +113,7 @@
         try:
             self.folder.mkdir(parents=True, exist_ok=True)
             self._connect()
-            self._read()
+            self._load_state()
         except (sqlite3.OperationalError, OSError) as error:
             self.close()
             raise StorageError(str(error)) from error
@@ -128,7 +128,7 @@
             raise
 
     def reopen(self) -> None:
-        """Close and open again: what is in the file is what counts. Raises as `open`."""
+        """Close the file, open it and read it again. Raises the same errors as `open`."""
         self.close()
         self.open()
 
@@ -139,16 +139,16 @@
             connection.close()
 
     def initialize(self, replica_id: str, cluster_fingerprint: str, members: Members) -> None:
-        """Set up the storage of a new replica. Raises ClusterMismatchError if it has been set up already."""
+        """Set up the storage of a new replica. Raises ClusterMismatchError if that was done before."""
         if self.replica_id:
             raise ClusterMismatchError(self.path, f"is the store of {self.replica_id} already")
-        connection = self._opened()
+        connection = self._require_connection()
         connection.execute("begin immediate")
         self._put(schema.REPLICA_ID_KEY, replica_id)
         self._put(schema.FINGERPRINT_KEY, cluster_fingerprint)
         self._put(schema.FIRST_MEMBERS_KEY, members)
         connection.execute("commit")
-        self._read()
+        self._load_state()
 
     def _connect(self) -> None:
         connection = sqlite3.connect(self.path, isolation_level=None, check_same_thread=False)
@@ -158,19 +158,20 @@
         connection.execute("pragma locking_mode = exclusive")
         if self.max_pages:
             connection.execute(f"pragma max_page_count = {self.max_pages}")
-        connection.executescript(schema.TABLES)
+        connection.executescript(schema.CREATE_TABLES)
         if self.load_value(schema.FORMAT_KEY, int) is None:
             connection.execute("begin immediate")
-            self._put(schema.FORMAT_KEY, schema.FORMAT)
+            self._put(schema.FORMAT_KEY, schema.FORMAT_VERSION)
             self._put(schema.STORAGE_ID_KEY, secrets.token_hex(schema.STORAGE_ID_BYTES))
             connection.execute("commit")
-        found = self.load_value(schema.FORMAT_KEY, int)
-        if found != schema.FORMAT:
-            raise ClusterMismatchError(self.path, f"has format {found}, this version reads {schema.FORMAT}")
+        stored_version = self.load_value(schema.FORMAT_KEY, int)
+        if stored_version != schema.FORMAT_VERSION:
+            detail = f"has format {stored_version}, this version reads {schema.FORMAT_VERSION}"
+            raise ClusterMismatchError(self.path, detail)
 
     # ---- Reading ----
 
-    def _read(self) -> None:
+    def _load_state(self) -> None:
         self.replica_id = self.load_value(schema.REPLICA_ID_KEY, str) or ""
         self.cluster_fingerprint = self.load_value(schema.FINGERPRINT_KEY, str) or ""
         current_term, voted_for = self.load_value(schema.VOTE_KEY, tuple[int, str]) or (0, "")
@@ -191,7 +192,7 @@
 
     def _read_snapshot(self) -> Snapshot | None:
         query = "select at, term, members, state, sum from snapshot"
-        row = self._opened().execute(query).fetchone()
+        row = self._require_connection().execute(query).fetchone()
         if row is None:
             return None
         index, term, members, data, checksum = row
@@ -200,22 +201,22 @@
         return Snapshot(index, term, msgspec.msgpack.decode(members, type=Members), data)
 
     def _read_entries(self, first_index: int) -> Iterator[Entry]:
-        expected = first_index
-        rows = self._opened().execute("select at, term, body, sum from entries order by at")
+        expected_index = first_index
+        rows = self._require_connection().execute("select at, term, body, sum from entries order by at")
         for index, term, body, checksum in rows:
-            if index < expected:
+            if index < expected_index:
                 continue
-            if index != expected:
-                raise CorruptionError(self.path, f"entry {expected} is missing")
+            if index != expected_index:
+                raise CorruptionError(self.path, f"entry {expected_index} is missing")
             if crc32(body, index) != checksum:
                 raise CorruptionError(self.path, f"entry {index} fails its checksum")
             kind, data = msgspec.msgpack.decode(body)
             yield with_typed_members(Entry(index, term, EntryKind(kind), data))
-            expected += 1
+            expected_index += 1
 
     def load_value(self, key: str, value_type: type[ValueT]) -> ValueT | None:
-        """Return a saved value of that type; None if there is none. Raises CorruptionError."""
-        row = self._opened().execute("select value from told where key = ?", (key,)).fetchone()
+        """Return the value saved under `key`; None if there is none. Raises CorruptionError."""
+        row = self._require_connection().execute("select value from told where key = ?", (key,)).fetchone()
         if row is None:
             return None
         try:
@@ -224,18 +225,18 @@
             raise CorruptionError(self.path, f"the value {key!r} cannot be read: {error}") from error
 
     def size_bytes(self) -> int:
-        """Return the size of the file and its journal."""
+        """Return the total size of the SQLite file and its write-ahead log files."""
         return sum(path.stat().st_size for path in self.folder.glob(f"{schema.DATABASE_FILE}*"))
 
     def backup(self, target: Path) -> None:
-        """Copy the whole as it is now, while it is in use. Raises sqlite3.Error."""
+        """Copy the open storage to a new file, while it is in use. Raises sqlite3.Error or StorageError."""
         with closing(sqlite3.connect(target)) as copy:
-            self._opened().backup(copy)
+            self._require_connection().backup(copy)
 
     # ---- Writing ----
 
     def write(self, batch: WriteBatch) -> None:
-        """Write all of a batch or nothing; it is durable when this returns. Raises StorageError."""
+        """Write a batch atomically; it is durable when this returns. Raises StorageError."""
         with self._transaction() as connection:
             if batch.vote is not None:
                 self._put(schema.VOTE_KEY, batch.vote)
@@ -244,24 +245,26 @@
                 self._put_snapshot(batch.snapshot)
             if batch.truncate_from:
                 connection.execute("delete from entries where at >= ?", (batch.truncate_from,))
-            connection.executemany("insert into entries values (?, ?, ?, ?)", map(self._row, batch.entries))
+            connection.executemany(
+                "insert into entries values (?, ?, ?, ?)", map(self._entry_row, batch.entries)
+            )
 
     def save_snapshot(self, snapshot: Snapshot) -> None:
-        """Write a snapshot of the replica's own state; the entries up to it go. Raises StorageError."""
+        """Write a snapshot of the replica's own state, delete the entries up to it. Raises StorageError."""
         with self._transaction() as connection:
             self._put_snapshot(snapshot)
             connection.execute("delete from entries where at <= ?", (snapshot.index,))
 
     def save_value(self, key: str, value: object) -> None:
-        """Write a value of this replica alone, beside the log. Raises StorageError."""
+        """Write a value that belongs to this replica alone, outside the log. Raises StorageError."""
         with self._transaction():
             self._put(key, value)
 
     @contextmanager
     def _transaction(self) -> Iterator[sqlite3.Connection]:
-        """One transaction, rolled back when something fails. Raises StorageError."""
+        """Run one transaction, and roll it back when a write fails. Raises StorageError."""
         try:
-            connection = self._opened()
+            connection = self._require_connection()
             connection.execute("begin immediate")
             yield connection
             connection.execute("commit")
@@ -275,10 +278,10 @@
         try:
             self.connection.execute("rollback")
         except sqlite3.Error:
-            # The state of the connection is not known any more; `reopen` finds out what is in the file.
+            # The state of the connection is unknown now; `reopen` reads what the file contains.
             self.close()
 
-    def _opened(self) -> sqlite3.Connection:
+    def _require_connection(self) -> sqlite3.Connection:
         if self.connection is None:
             raise StorageError(NOT_OPEN)
         return self.connection
@@ -287,12 +290,12 @@
         members = self._encoder.encode(snapshot.members)
         checksum = crc32(snapshot.data, crc32(members))
         row = (snapshot.index, snapshot.term, members, snapshot.data, checksum)
-        self._opened().execute("insert or replace into snapshot values (1, ?, ?, ?, ?, ?)", row)
+        self._require_connection().execute("insert or replace into snapshot values (1, ?, ?, ?, ?, ?)", row)
 
-    def _row(self, entry: Entry) -> tuple[int, int, bytes, int]:
+    def _entry_row(self, entry: Entry) -> tuple[int, int, bytes, int]:
         body = self._encoder.encode((entry.kind, entry.data))
         return entry.index, entry.term, body, crc32(body, entry.index)
 
     def _put(self, key: str, value: object) -> None:
         row = (key, self._encoder.encode(value))
-        self._opened().execute("insert or replace into told values (?, ?)", row)
+        self._require_connection().execute("insert or replace into told values (?, ?)", row)
--- a/ploverspoke/consensus/storage_schema.py
+++ b/ploverspoke/consensus/storage_schema.py
@@ -1,9 +1,9 @@
-"""The layout of the SQLite file of a replica. Its names are stored: they do not change.
+"""The schema of a replica's SQLite file. Its names are stored in existing files and must not change.
 
-The table `told` holds single values by key, `entries` the log, `snapshot` one row at most.
+The table `told` holds single values by key, `entries` the log, and `snapshot` at most one row.
 """
 
-FORMAT = 1
+FORMAT_VERSION = 1
 DATABASE_FILE = "store.db"
 STORAGE_ID_BYTES = 8
 
@@ -15,8 +15,8 @@
 VOTE_KEY = "vote"
 FIRST_MEMBERS_KEY = "first members"
 
-# The text of these statements is stored in the file, and compared with that of older releases.
-TABLES = """
+# SQLite stores the text of these statements; compatibility tests compare it with that of older releases.
+CREATE_TABLES = """
 create table if not exists told (key text primary key, value blob) without rowid;
 create table if not exists entries (at integer primary key, term integer, body blob, sum integer);
 create table if not exists snapshot (one integer primary key, at integer, term integer, members blob,
--- a/ploverspoke/consensus/storage_setup.py
+++ b/ploverspoke/consensus/storage_setup.py
@@ -1,4 +1,4 @@
-"""Opens the storage of a replica, sets it up at the first start, and checks that it is the right one."""
+"""Opens the storage of a replica, sets it up at the first start, and checks which replica it belongs to."""
 
 import msgspec
 
@@ -6,18 +6,18 @@
 from .membership import Members, fingerprint
 from .storage import ClusterMismatchError, ReplicaStorage
 
-EMPTY_STORAGE = (
+EMPTY_STORAGE_DETAIL = (
     "is empty: a new store begins with --new on all of its replicas; a replica whose disk was lost is removed"
     " from the store and added under another name, and starts with --join"
 )
-OTHER_CLUSTER = "is of a store with another name or with other replicas"
+OTHER_CLUSTER_DETAIL = "belongs to a store with another name or with other replicas"
 
 
 def open_storage(storage: ReplicaStorage, config: ReplicaConfig, new: bool, join: str) -> None:
     """Open the storage of the replica that `config` describes.
 
-    `new` sets it up for a new cluster, `join` for the cluster with this fingerprint, if it is empty. Raises
-    ClusterMismatchError, CorruptionError or StorageError.
+    Empty storage is set up for a new cluster if `new`, or to join the cluster with the fingerprint `join`.
+    Raises ClusterMismatchError, CorruptionError or StorageError.
     """
     storage.open()
     replica_id = initial_replica_id(config.name)
@@ -26,17 +26,18 @@
         members = as_learners(config.members()) if join else config.members()
         storage.initialize(replica_id, cluster_fingerprint, members)
     if not storage.replica_id:
-        raise ClusterMismatchError(storage.path, EMPTY_STORAGE)
+        raise ClusterMismatchError(storage.path, EMPTY_STORAGE_DETAIL)
     if storage.replica_id != replica_id:
         raise ClusterMismatchError(storage.path, f"is the store of {storage.replica_id}, not of {replica_id}")
     if (new or join) and storage.cluster_fingerprint != cluster_fingerprint:
-        raise ClusterMismatchError(storage.path, OTHER_CLUSTER)
+        raise ClusterMismatchError(storage.path, OTHER_CLUSTER_DETAIL)
 
 
 def as_learners(members: Members) -> Members:
-    """Return the members without votes.
+    """Return the members as learners, without votes.
 
-    A replica that joins stands for no election until the leader has brought it up to date and made it one.
+    A joining replica is no candidate in elections until the leader has brought it up to date and made it a
+    voter.
     """
     return {
         replica_id: msgspec.structs.replace(member, votes=False) for replica_id, member in members.items()
--- a/ploverspoke/consensus/storage_thread.py
+++ b/ploverspoke/consensus/storage_thread.py
@@ -1,4 +1,4 @@
-"""Runs the calls of a storage in order on a thread of its own, so that a sync blocks no event loop."""
+"""Runs storage calls in order on a dedicated thread, so that a sync does not block the event loop."""
 
 import asyncio
 from collections.abc import Callable
@@ -10,7 +10,7 @@
 
 
 class StorageThread:
-    """A thread with a queue of calls."""
+    """One thread that runs queued calls in order."""
 
     def __init__(self) -> None:
         """Prepare the thread; it starts with the first call."""
@@ -23,10 +23,10 @@
         *args: Arguments.args,
         **kwargs: Arguments.kwargs,
     ) -> None:
-        """Queue a call; `on_done` gets the exception that it raised, or None, on the running event loop."""
+        """Queue a call; `on_done` is called on the running event loop with its exception, or None."""
 
         def on_future_done(future: asyncio.Future[object]) -> None:
-            """Pass on the exception; one that would end the process is raised."""
+            """Pass the exception to `on_done`; raise it if it is meant to end the process."""
             error = future.exception()
             if error is not None and not isinstance(error, Exception):
                 raise error
@@ -38,10 +38,10 @@
     async def run(
         self, call: Callable[Arguments, object], *args: Arguments.args, **kwargs: Arguments.kwargs
     ) -> None:
-        """Queue a call and wait for it. Raises what it raises."""
+        """Queue a call and wait for it. An exception of the call is raised here."""
         loop = asyncio.get_running_loop()
         await loop.run_in_executor(self._executor, lambda: call(*args, **kwargs))
 
     def close(self) -> None:
-        """End the thread after the calls that are queued."""
+        """Wait for the queued calls, then end the thread."""
         self._executor.shutdown()
--- a/tests/consensus/test_admin_messages.py
+++ b/tests/consensus/test_admin_messages.py
@@ -1,4 +1,4 @@
-"""Requests of tools and replies of replicas keep their keys on the wire; what cannot be read is rejected."""
+"""Requests of tools and replies of replicas keep their keys on the wire; malformed ones are rejected."""
 
 import json
 import socket
@@ -55,7 +55,7 @@
 @pytest.mark.parametrize(("request_", "on_wire"), REQUESTS)
 def test_a_request_keeps_its_keys_and_their_order(request_: AdminRequest, on_wire: dict[str, object]) -> None:
     assert json.dumps(encode_request(request_)) == json.dumps(on_wire)
-    request_types = {type(each): None for each, _ in REQUESTS}
+    request_types = {type(listed): None for listed, _ in REQUESTS}
     assert decode_request(on_wire, *request_types) == request_
 
 
@@ -89,7 +89,7 @@
 
 
 class FakeConnection:
-    """A connection to a replica that gives one reply, or closes where there is none."""
+    """A connection to a replica that sends one reply, or closes the connection if `reply` is None."""
 
     def __init__(self, reply: object) -> None:
         self.frames = FrameCodec(SECRET, {"id": "r1.1", "store": ""})
@@ -133,5 +133,7 @@
     assert (rejected.value.reason, rejected.value.address) == ("unknown question", "127.0.0.1:1")
     with pytest.raises(ReplyError):
         call(monkeypatch, "garbage", StatusRow)
-    with pytest.raises(FrameError, match="hung up"):
+    with pytest.raises(
+        FrameError, match="the replica closed the connection: the secret or the store may differ"
+    ):
         call(monkeypatch, None, StatusRow)
--- a/tests/consensus/test_cluster_config.py
+++ b/tests/consensus/test_cluster_config.py
@@ -1,4 +1,4 @@
-"""Files of configuration of replicas: what is wrong in one is named by its key."""
+"""Configuration files of replicas: an error names the invalid key."""
 
 from pathlib import Path
 
--- a/tests/consensus/test_command_line.py
+++ b/tests/consensus/test_command_line.py
@@ -1,4 +1,4 @@
-"""What the commands of replicas share: rows, exit codes, and what they say where a replica does not reply."""
+"""Functions shared by the commands of replicas: rows, exit codes, and output if a replica does not reply."""
 
 import json
 from pathlib import Path
@@ -49,7 +49,7 @@
     ("reply", "code", "text", "document"),
     [
         (ResultReply(True), 0, "done", {"done": True}),
-        (ResultReply(False), 1, "not done: it may not be just now", {"done": False}),
+        (ResultReply(False), 1, "not done: it is not possible now", {"done": False}),
         (ResultReply(False, "a reason"), 1, "not done: a reason", {"done": False, "why": "a reason"}),
     ],
 )
--- a/tests/consensus/test_framed_connections.py
+++ b/tests/consensus/test_framed_connections.py
@@ -1,4 +1,4 @@
-"""`FramedServer` and `FramedClientConnection` on transports that are kept in memory."""
+"""`FramedServer` and `FramedClientConnection` on in-memory transports."""
 
 import asyncio
 
@@ -16,7 +16,7 @@
 
 
 class FakeTransport(asyncio.Transport):
-    """Collects what is written; `closed` says how it was closed."""
+    """Collects written data; `closed` is "close" or "abort" after that call."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -82,7 +82,7 @@
 
 
 class Link:
-    """A client and its connection at the server; bytes go over when `exchange` is called."""
+    """A client and its connection at the server; `exchange` transfers the written bytes."""
 
     def __init__(self, server: FramedServer, client: RecordingClient) -> None:
         self.client, self.connection = client, FramedConnection(server)
@@ -171,7 +171,7 @@
         if registers:
             link.client.write("hello")
             link.exchange()
-        await asyncio.sleep(0.001)  # a turn of the loop, in which a timer of 0 s is due
+        await asyncio.sleep(0.001)  # lets the event loop run a timer of 0 s
         return link.server_transport.closed
 
     assert asyncio.run(run()) == ("" if registers else "abort")
@@ -181,9 +181,9 @@
     async def run() -> list[str]:
         server = EchoServer(RegistrationLimits(timeout=60.0, max_unregistered=2))
         links = [Link(server, RecordingClient(f"c{number}")) for number in range(3)]
-        found = [link.server_transport.closed for link in links]
+        closed = [link.server_transport.closed for link in links]
         for link in links:
             link.connection.connection_lost(None)
-        return found
+        return closed
 
     assert asyncio.run(run()) == ["", "", "abort"]
--- a/tests/consensus/test_framing.py
+++ b/tests/consensus/test_framing.py
@@ -1,4 +1,4 @@
-"""Frames arrive whole, and are refused if they are forged, changed, repeated or missing."""
+"""Frames arrive whole; forged, changed, repeated and missing ones are refused."""
 
 import pytest
 
@@ -8,7 +8,7 @@
 
 
 def connected_codecs(peer_secret: bytes = SECRET) -> tuple[FrameCodec, FrameCodec]:
-    """Return both ends of a connection, which have greeted one another."""
+    """Return both ends of a connection, after the exchange of greetings."""
     sender = FrameCodec(SECRET, {"id": "a.1", "store": "s"})
     receiver = FrameCodec(peer_secret, {"id": "b.1", "store": "s"})
     receiver.decode(sender.greeting_frame())
--- a/tests/consensus/test_peer_links.py
+++ b/tests/consensus/test_peer_links.py
@@ -1,4 +1,4 @@
-"""Connections among replicas on real sockets."""
+"""Connections between replicas on real sockets."""
 
 import asyncio
 from typing import cast
@@ -14,17 +14,17 @@
 def test_a_connection_that_sends_nothing_out_is_closed_and_dialled_again(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # What waits for a replica that is cut off is stale, and must not go out before anything new.
-    monkeypatch.setattr(peer_links, "STALL_TIMEOUT", 0.2)
+    # Messages that wait for an unreachable replica are stale, and must not be sent before new ones.
+    monkeypatch.setattr(peer_links, "STALL_TIMEOUT_S", 0.2)
     secret, greeting = b"a secret of the test", {"id": "b.1", "store": "s"}
-    dialled: list[asyncio.Transport] = []
+    accepted: list[asyncio.Transport] = []
 
     class PeerThatDoesNotRead(asyncio.Protocol):
         def connection_made(self, transport: asyncio.BaseTransport) -> None:
             stream = cast(asyncio.Transport, transport)
             stream.write(FrameCodec(secret, greeting).greeting_frame())
             asyncio.get_running_loop().call_soon(stream.pause_reading)
-            dialled.append(stream)
+            accepted.append(stream)
 
     async def scenario() -> None:
         loop = asyncio.get_running_loop()
@@ -44,10 +44,10 @@
             first.transport is None
             or first.transport.get_write_buffer_size() <= peer_links.MAX_UNSENT_BYTES + 70_000
         )
-        await until(lambda: len(dialled) > 1 and links.outbound["b.1"] is not first)
+        await until(lambda: len(accepted) > 1 and links.outbound["b.1"] is not first)
         links.close()
         server.close()
-        for transport in dialled:
+        for transport in accepted:
             transport.abort()
 
     uvloop.run(asyncio.wait_for(scenario(), 20))
--- a/tests/consensus/test_storage.py
+++ b/tests/consensus/test_storage.py
@@ -23,7 +23,7 @@
 
 
 def batch(first: int, count: int, size: int = 10, **fields: object) -> WriteBatch:
-    """Return a batch of entries from an index on; `fields` are other fields of it."""
+    """Return a batch of `count` entries from index `first` on; `fields` are its other attributes."""
     made = WriteBatch()
     made.entries = [
         Entry(index, 1, EntryKind.DATA, [f"e{index}", "x" * size]) for index in range(first, first + count)
