--- a/ploverspoke/routing/__init__.py
+++ b/ploverspoke/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Runs the decisions on real sockets: clients and operators, requests and attempts, endpoints and gossip."""
+"""Connects the decision logic to sockets: clients, operators, requests, attempts, endpoints and gossip."""
--- a/ploverspoke/routing/active_settings.py
+++ b/ploverspoke/routing/active_settings.py
@@ -1,4 +1,4 @@
-"""The current settings of the router, and the numbers that stand for the names of the deployment."""
+"""The current settings of the router, and the numbers that stand for names of the deployment."""
 
 from collections.abc import Collection, Sequence
 from dataclasses import replace
@@ -11,7 +11,7 @@
 
 
 class ActiveSettings:
-    """The current settings, with classes, zones and machine kinds under numbers that never change meaning."""
+    """The current settings; the numbers of classes, zones and machine kinds never change their meaning."""
 
     def __init__(self, settings: Settings, names: DeploymentNames) -> None:
         """`settings` are numbered in the order of `names`."""
@@ -19,23 +19,28 @@
         self.classes = RequestClassTable(names.request_classes)
         self.zones = {name: number for number, name in enumerate(names.zones)}
         self.machine_kinds = {name: number for number, name in enumerate(names.machine_kinds)}
-        self.x0_name = _x0_name(settings)  # what the load report's field "x0" means
+        self.x0_name = _x0_name(settings)  # name for the field "x0" of load reports
 
-    def change(self, settings: Settings, names: DeploymentNames, in_use: Collection[int]) -> dict[int, int]:
+    def change(
+        self, settings: Settings, names: DeploymentNames, numbers_in_use: Collection[int]
+    ) -> dict[int, int]:
         """Activate other settings, numbered in the order of `names`; open requests keep their rules.
 
-        `in_use` has the class numbers of open requests. Returns, by new class number, the number whose
-        running times the class takes along.
+        `numbers_in_use` are the class numbers of open requests. Returns, by new class number, the old number
+        whose measured times apply to the class.
         """
         zone = settings.zone
         if zone < len(names.zones):
             zone = self.zone_number(names.zones[zone])
         classes = tuple(
-            replace(each, machine_kind=self._translate_kind(each.machine_kind, names.machine_kinds))
-            for each in settings.classes
+            replace(
+                request_class,
+                machine_kind=self._translate_kind(request_class.machine_kind, names.machine_kinds),
+            )
+            for request_class in settings.classes
         )
         translated = replace(settings, zone=zone, classes=classes)
-        numbered = self.classes.apply(self.current, translated, names.request_classes, in_use)
+        numbered = self.classes.apply(self.current, translated, names.request_classes, numbers_in_use)
         self.current = numbered.settings
         self.x0_name = _x0_name(numbered.settings)
         return numbered.predecessors
@@ -49,7 +54,7 @@
         return self.machine_kinds.setdefault(name, len(self.machine_kinds))
 
     def class_name(self, class_number: int) -> str:
-        """The name of a request class, also of one that only open requests still have."""
+        """The name of a request class, including a class that only open requests still use."""
         return self.classes.names[class_number]
 
     def idempotency(self, class_number: int) -> Idempotency:
@@ -61,12 +66,12 @@
         return PaceLimits(time_for_all_calls(self.current), int(self.current.discovery_poll_interval))
 
     def is_pushed(self) -> bool:
-        """Whether changes of the endpoint list are pushed, and binding without a call for them."""
+        """Whether endpoint list changes are pushed, and binding even if they have not been requested."""
         return not self.current.discovery_polling
 
-    def _translate_kind(self, number: int, names: Sequence[str]) -> int:
-        """The number by which a machine kind is known here, wherever its name stands now."""
-        return self.machine_kind_number(names[number]) if 0 <= number < len(names) else number
+    def _translate_kind(self, index: int, names: Sequence[str]) -> int:
+        """The number of the machine kind at `index` in `names`; an index out of range is kept as it is."""
+        return self.machine_kind_number(names[index]) if 0 <= index < len(names) else index
 
 
 def _x0_name(settings: Settings) -> str:
--- a/ploverspoke/routing/answers.py
+++ b/ploverspoke/routing/answers.py
@@ -1,16 +1,16 @@
-"""The final answers that a client can get, and what the router needs of a client that waits for one."""
+"""The final answers to clients, and the interface of a client that waits for one."""
 
 from enum import Enum
 from typing import NamedTuple, Protocol
 
 
 class FinalAnswer(Enum):
-    """How a request was answered; the values are the words that the store's log holds."""
+    """How a request was answered. The values are stored in the store's log and must not change."""
 
     SUCCEEDED = "satisfied"
     REJECTED = "nacked"  # it did not run, or may run again: the client may retry
-    FAILED = "abandoned"  # nothing is promised about its effect
-    INVALID_REQUEST = "rejected"  # a worker found the request itself at fault
+    FAILED = "abandoned"  # it may or may not have taken effect
+    INVALID_REQUEST = "rejected"  # a worker rejected the request as invalid
 
 
 class RecordedAnswer(NamedTuple):
@@ -30,4 +30,4 @@
         """Whether the client has closed its connection, even if the event loop has not reported it yet."""
 
     def disconnect(self) -> None:
-        """Close the connection without an answer: another replica has it, or will have it."""
+        """Close the connection without an answer, because another replica has or will have the answer."""
--- a/ploverspoke/routing/attempt_sender.py
+++ b/ploverspoke/routing/attempt_sender.py
@@ -1,4 +1,4 @@
-"""Sends attempts to workers and reports their outcomes to the decisions."""
+"""Sends attempts to workers and reports their outcomes to the decision logic."""
 
 from functools import partial
 
@@ -20,56 +20,56 @@
 
 
 class AttemptCall:
-    """One attempt as the user of a worker call."""
+    """One attempt; implements `WorkerCallUser` for its worker call."""
 
-    def __init__(self, attempts: "AttemptSender", request: Request, index: int, worker: str) -> None:
+    def __init__(self, sender: "AttemptSender", request: Request, index: int, worker: str) -> None:
         """`index` counts the attempts of the request from 0."""
-        self.attempts = attempts
+        self.sender = sender
         self.request = request
         self.index = index
         self.worker = worker
-        self.address = ""  # of the worker when the call began
-        self.decided_at = attempts.deadlines.now()
+        self.address = ""  # of the worker at the start of the call
+        self.decided_at = sender.deadlines.now()
 
     def encode_request(self, time_left: int) -> bytes:
-        """The bytes for the worker, which is given `time_left` ns."""
+        """Encode the request for the worker, which is given `time_left` ns to answer it."""
         message = self.request.message
         return workers.encode_attempt(
             message.method, message.target, message.headers, message.body, time_left, self.address
         )
 
     def make_reader(self, listener: ResponseListener) -> AttemptResponseReader:
-        """A reader for the worker's response."""
-        return AttemptResponseReader(listener, self.attempts.settings.x0_name, self.request.request_id)
+        """Create a reader for the worker's response."""
+        return AttemptResponseReader(listener, self.sender.settings.x0_name, self.request.request_id)
 
     def may_send(self) -> bool:
         """Whether the attempt may still be written."""
-        return self.attempts.may_send(self)
+        return self.sender.may_send(self)
 
     def on_written(self) -> None:
-        """Count the attempt."""
-        class_name = self.attempts.settings.class_name(self.request.class_number)
-        self.attempts.counters.count_attempt(class_name)
+        """Count the attempt, which was written completely."""
+        class_name = self.sender.settings.class_name(self.request.class_number)
+        self.sender.counters.count_attempt(class_name)
 
     def on_started(self) -> None:
-        """Report that the worker has begun the request."""
-        event = partial(self.attempts.dispatcher.attempt_started, self.request.number, self.index)
-        self.attempts.events.emit(event, self.request.number)
+        """Report that the worker has started the request."""
+        event = partial(self.sender.dispatcher.attempt_started, self.request.number, self.index)
+        self.sender.events.emit(event, self.request.number)
 
     def on_progress(self, fraction_done: float) -> None:
         """Report the worker's progress."""
         event = partial(
-            self.attempts.dispatcher.attempt_progressed, self.request.number, self.index, fraction_done
+            self.sender.dispatcher.attempt_progressed, self.request.number, self.index, fraction_done
         )
-        self.attempts.events.emit(event, self.request.number)
+        self.sender.events.emit(event, self.request.number)
 
     def on_ended(self, outcome: ExchangeOutcome, result: str, load: LoadReport | None) -> None:
-        """Pass on the outcome."""
-        self.attempts.on_ended(self, outcome, result, load)
+        """Pass the outcome to the attempt sender."""
+        self.sender.on_ended(self, outcome, result, load)
 
 
 class AttemptSender(RouterPart):
-    """Starts and cancels attempts for the decisions, and reports their outcomes."""
+    """Starts and cancels attempts for the decision logic, and reports their outcomes."""
 
     def __init__(
         self,
@@ -78,7 +78,7 @@
         completion: RequestCompletion,
         recorder: RequestRecorder | None,
     ) -> None:
-        """With a `recorder` attempts are committed before they are sent."""
+        """With a `recorder`, attempts are committed before they are sent."""
         super().__init__(context)
         self.endpoints = endpoints
         self.completion = completion
@@ -88,24 +88,24 @@
         """Send the request to the worker and wait at most `timeout` ns for its answer."""
         request = self.requests.get(request_number)
         if request is None or request.client is None or worker not in self.endpoints.addresses:
-            self._refuse(request_number, request, worker)
+            self._report_not_sent(request_number, request, worker)
             return
         call = AttemptCall(self, request, len(request.attempts), worker)
         request.attempts.append(None)
         if self.recorder is not None and self.recorder.records_attempts(request):
-            self._send_once_recorded(self.recorder, call, timeout)
+            self._send_after_commit(self.recorder, call, timeout)
         else:
             self._send(call, timeout)
 
     def cancel(self, request_number: int, index: int) -> None:
-        """Stop waiting for one attempt; its end is still reported, once."""
+        """Stop waiting for the attempt with this index; its end is still reported exactly once."""
         request = self.requests.get(request_number)
         attempt = request.attempts[index] if request is not None else None
         if attempt is not None:
             attempt.cancel()
 
-    def _refuse(self, request_number: int, request: Request | None, worker: str) -> None:
-        """Report an attempt that was decided on just when the request ended or the worker was gone."""
+    def _report_not_sent(self, request_number: int, request: Request | None, worker: str) -> None:
+        """Report that an attempt was not sent because the request had ended or the worker is not known."""
         index = 0
         if request is not None:
             index = len(request.attempts)
@@ -115,13 +115,13 @@
         event = partial(self.dispatcher.attempt_ended, request_number, index, result)
         self.events.emit(event, request_number)
 
-    def _send_once_recorded(self, recorder: RequestRecorder, call: AttemptCall, timeout: int) -> None:
-        """Send a request that must not run twice only once the attempt is committed."""
+    def _send_after_commit(self, recorder: RequestRecorder, call: AttemptCall, timeout: int) -> None:
+        """Send the attempt after its record is committed, for a request that must not run twice."""
         request, send_until = call.request, self.deadlines.now() + timeout
         pending = request.attempts[call.index] = PendingAttempt()
 
         def on_committed(is_committed: bool) -> None:
-            """Send the attempt unless it was withheld or its time is over."""
+            """Send the attempt, unless the commit failed, it was cancelled or its timeout has passed."""
             if request.attempts[call.index] is not pending:
                 return
             time_left = send_until - self.deadlines.now()
@@ -147,8 +147,8 @@
     def may_send(self, call: AttemptCall) -> bool:
         """Whether an attempt may still be written.
 
-        Each is checked here last, whatever it waited for since its worker was chosen: a connection, a
-        commit, or this process, which may have been stopped.
+        Every attempt is checked here just before it is written. Since its worker was chosen, it may have
+        waited for a connection or a commit, or this process may have been suspended.
         """
         request = call.request
         allowed = (
@@ -165,7 +165,7 @@
     def on_ended(
         self, call: AttemptCall, outcome: ExchangeOutcome, result: str, load: LoadReport | None
     ) -> None:
-        """Answer the request if the outcome is final, and report the outcome to the decisions."""
+        """Answer the request if the outcome is final, and report the outcome to the decision logic."""
         request = call.request
         request.attempts[call.index] = None
         self.completion.reject_if_never_sent(request)
@@ -174,7 +174,7 @@
         if outcome is ExchangeOutcome.SUCCEEDED:
             self.completion.answer(request, FinalAnswer.SUCCEEDED, result)
         elif outcome is ExchangeOutcome.REJECTED:
-            # It is not retried: the decisions would eject one worker after the other for it.
+            # Not retried, or the decision logic would eject one worker after another for the invalid request.
             self.completion.answer(request, FinalAnswer.INVALID_REQUEST)
         elapsed = self.deadlines.now() - call.decided_at
         list_age = self.endpoints.journal.list_age()
--- a/ploverspoke/routing/client_server.py
+++ b/ploverspoke/routing/client_server.py
@@ -1,4 +1,4 @@
-"""The server for clients: accepts their connections, and evicts idle ones at the limit."""
+"""The server for clients: accepts their connections, and evicts idle ones at the connection limit."""
 
 import asyncio
 
@@ -12,12 +12,12 @@
 from .close_reasons import CloseReason
 from .router import Router
 
-# Beyond the limit on sessions one more in seven is accepted, only to reject its request.
+# Beyond the limit on sessions, one more is accepted for every seven, only to reject its request.
 SESSIONS_WITH_EXCESS, SESSIONS_WITHOUT_EXCESS = 8, 7
 
 
 class ClientServer:
-    """Owner of the listening socket for clients and of the sessions with them."""
+    """Owns the listening socket for clients and their sessions."""
 
     def __init__(
         self,
@@ -27,7 +27,7 @@
         max_sessions: int,
         max_buffered_bytes: int,
     ) -> None:
-        """`max_buffered_bytes` is for requests, those that are admitted included."""
+        """`max_buffered_bytes` limits the memory for requests, including admitted ones."""
         self.loop = loop
         self.deadlines = deadlines
         self.router = router
@@ -35,15 +35,15 @@
         self.max_buffered_bytes = max_buffered_bytes
         self.buffered_bytes = 0  # of requests that are not admitted yet
         self.connections: SlotTable[Connection] = SlotTable()
-        self.sessions: dict[int, ClientSession] = {}  # by their connection's number, oldest first
-        self.unserved: dict[int, ClientSession] = {}  # those without an admitted request, oldest first
+        self.sessions: dict[int, ClientSession] = {}  # by connection number, oldest first
+        self.unserved: dict[int, ClientSession] = {}  # sessions without an admitted request, oldest first
         self.is_leaving = False  # not ready for new clients
         self.is_handing_over = False  # other processes accept new connections
-        self.is_shut = False  # nothing is accepted any more
+        self.is_shut = False  # no more connections are accepted
         self.listener = Listener(loop, deadlines, self._make_connection, self._may_accept)
 
     def is_full(self) -> bool:
-        """Whether requests hold more memory than they may."""
+        """Whether the memory limit for requests is exceeded."""
         return self.buffered_bytes + self.router.requests.body_bytes > self.max_buffered_bytes
 
     def is_empty(self) -> bool:
@@ -51,7 +51,7 @@
         return not self.sessions and not self.listener.setup_tasks and not self.listener.is_finishing
 
     def forget(self, session: ClientSession) -> None:
-        """The session has ended, or is about to."""
+        """Remove a session that has ended or is about to end."""
         self.sessions.pop(session.connection.number, None)
         self.unserved.pop(session.connection.number, None)
 
@@ -60,8 +60,8 @@
     def leave(self, hand_over: bool = False) -> None:
         """Report that this process is not ready for new clients; further requests are still served.
 
-        With `hand_over` another process has the listening socket, too: it is closed here, and each response
-        ends its connection, which sends the client to the other process.
+        With `hand_over`, another process shares the listening socket: it is closed here, and each connection
+        is closed after its next response, so that the client reconnects to the other process.
         """
         self.is_leaving = True
         if hand_over:
@@ -69,7 +69,7 @@
             self.listener.close()
 
     def shut(self) -> None:
-        """Accept no more connections, and close each as soon as it is between two requests."""
+        """Accept no more connections, and close each existing one once it is between two requests."""
         if self.is_shut:
             return
         self.is_shut = True
@@ -90,7 +90,7 @@
             session.is_excess = True
 
     def _may_accept(self, pending_count: int) -> bool:
-        """Whether to accept one more connection, if only to reject its request; else it waits."""
+        """Whether to accept one more connection, even if only to reject its request; else it must wait."""
         session_count = len(self.sessions) + pending_count
         if session_count < self.max_sessions or self._evict_one():
             return True
@@ -100,7 +100,10 @@
         )
 
     def _evict_one(self) -> bool:
-        """Close the oldest session that has sent nothing for a while, else the one idle for the longest."""
+        """Close the oldest session that has sent no request for a while, or else the longest idle one.
+
+        Returns whether a session was closed.
+        """
         session = self._oldest_unserved()
         if session is None:
             session = self._longest_idle()
@@ -116,7 +119,7 @@
         return next((session for session in self.unserved.values() if not session.is_answering), None)
 
     def _may_evict_unserved(self, session: ClientSession) -> bool:
-        """Where the event loop was busy, what the client has sent may not be read yet."""
+        """Whether the client had time to send a request; on a busy event loop one may still be unread."""
         age = self.deadlines.now() - session.idle_since
         return age >= FIRST_BYTES_WITHIN and not session.connection.has_unread_data()
 
--- a/ploverspoke/routing/client_session.py
+++ b/ploverspoke/routing/client_session.py
@@ -1,4 +1,4 @@
-"""One client's connection: its requests are read one after the other, and each gets its response."""
+"""The connection of one client: reads its requests one after the other and responds to each."""
 
 import traceback
 from collections import deque
@@ -16,48 +16,48 @@
 from .close_reasons import CloseReason, reason_after_response
 from .request_admission import NotAdmitted
 from .requests import Request
-from .responses import OWN_TARGETS, UNSUCCESSFUL, redirect_response, status_response
+from .responses import OWN_TARGET_PREFIX, UNSUCCESSFUL_RESPONSES, redirect_response, status_response
 
-REQUEST_TIMEOUT = 2500 * MILLISECOND  # for a complete request, the first from the connect on
-RESPONSE_TIMEOUT = 10 * SECOND  # for a response to be read
-CLOSE_TIMEOUT = SECOND  # for a client to read the last response
-# What a client sends ahead of its response (pipelining) is read, as its disconnect comes after that.
-UNCOUNTED_READ_AHEAD = 64 * 1024  # bytes that do not count as buffered
-MAX_READ_AHEAD = 256 * 1024  # bytes that are kept; a client that sends more is closed after its response
-MAX_DROPPED = 8 * 1024 * 1024  # bytes beyond those that are read and dropped; then the client has to wait
+REQUEST_TIMEOUT = 2500 * MILLISECOND  # for receiving a whole request; the first one is timed from the connect
+RESPONSE_TIMEOUT = 10 * SECOND  # for the client to read a response
+CLOSE_TIMEOUT = SECOND  # for the client to read the last response
+# Data sent ahead of the response (pipelining) is read, because a disconnect is only seen after that data.
+UNCOUNTED_READ_AHEAD_BYTES = 64 * 1024  # do not count as buffered
+MAX_READ_AHEAD_BYTES = 256 * 1024  # kept; a client that sends more is disconnected after its response
+MAX_DROPPED_BYTES = 8 * 1024 * 1024  # read and dropped beyond that; then reading is paused
 
 
 class ClientSession:
     """Owner of one client's connection; implements `Client` and `RequestListener`."""
 
     def __init__(self, server: "ClientSessionOwner[ClientSession]", connection: Connection) -> None:
-        """Begin to read; the server is notified when the connection has ended."""
+        """Start reading; the server is notified when the connection has ended."""
         self.server = server
         self.connection = connection
         self.reader = clients.RequestReader(self)
-        self.queue: deque[HttpRequest] = deque()  # read, and not handled yet
-        self.request: Request | None = None  # admitted, and not answered yet
+        self.queue: deque[HttpRequest] = deque()  # read but not handled yet
+        self.request: Request | None = None  # admitted but not answered yet
         self.is_answering = False  # a request is being handled
         self.keep_alive = True
         self.is_closing = False
         self.close_reason = CloseReason.CLIENT_LEFT  # unless this side closes it first
-        self.failure: HttpSyntaxError | None = None  # of the reader; sent when all before it is answered
-        self.dropped_bytes = 0  # received beyond what may be sent ahead
-        self.buffered_bytes = 0  # of requests, read and not admitted yet
+        self.failure: HttpSyntaxError | None = None  # from the reader; sent after all earlier responses
+        self.dropped_bytes = 0  # received beyond the read-ahead limit
+        self.buffered_bytes = 0  # of requests that are read but not admitted yet
         self.was_served = False  # a request of this session was admitted
         self.is_excess = False  # beyond the limit on sessions: its request is rejected
         self.idle_since = server.deadlines.now()
-        self.deadline: Deadline | None = None  # for the client to send or to read
+        self.deadline: Deadline | None = None  # for the client to send a request or read its response
         connection.user = self
-        self._watch_pace()
+        self._update_deadline()
 
     def is_idle(self) -> bool:
-        """Whether the client has its responses and has sent nothing since."""
+        """Whether the client has received all its responses and has sent nothing since."""
         is_busy = self.is_answering or self.queue or self.is_closing or self.reader.in_message
         return not is_busy and not len(self.connection.buffer) and not self.connection.has_unsent_data
 
     def close_if_idle(self) -> None:
-        """Close it between two requests; one that waits in the kernel is read first, and answered."""
+        """Close the connection if it is between two requests; one still in the kernel is answered first."""
         if self.is_idle() and not self.connection.has_unread_data():
             self.hang_up(CloseReason.SHUTDOWN)
 
@@ -70,17 +70,17 @@
     # ---- Events of the connection ----
 
     def on_data_available(self) -> None:
-        """Read requests, or buffer what is sent ahead of the response."""
+        """Read requests, or buffer data that is sent ahead of the response."""
         if self.is_closing:
             buffer = self.connection.buffer
             buffer.consume(len(buffer))
         elif self.is_answering or self.connection.has_unsent_data:
-            self._keep_read_ahead()
+            self._buffer_read_ahead()
         else:
-            self._read_on()
+            self._continue_reading()
 
     def on_disconnected(self) -> None:
-        """End the session, and the request that it waits for."""
+        """End the session, and the request that the client is waiting for."""
         self.server.forget(self)
         self.server.buffered_bytes -= self.buffered_bytes
         self.buffered_bytes = 0
@@ -93,27 +93,27 @@
             self.server.router.completion.on_client_disconnected(request, self)
 
     def on_write_drained(self) -> None:
-        """Read on: the response has been sent."""
+        """Continue reading, as the response has been sent."""
         if not self.is_answering and not self.is_closing:
-            self._read_on()
+            self._continue_reading()
 
-    def _keep_read_ahead(self) -> None:
+    def _buffer_read_ahead(self) -> None:
         self._update_buffered_bytes()
         buffer = self.connection.buffer
         read_ahead = len(buffer)
-        limit = UNCOUNTED_READ_AHEAD if self.server.is_full() else MAX_READ_AHEAD
+        limit = UNCOUNTED_READ_AHEAD_BYTES if self.server.is_full() else MAX_READ_AHEAD_BYTES
         if self.dropped_bytes or read_ahead > limit:
             buffer.consume(read_ahead)
             self.dropped_bytes += read_ahead
             self._update_buffered_bytes()
-            if self.dropped_bytes > MAX_DROPPED:
+            if self.dropped_bytes > MAX_DROPPED_BYTES:
                 self.connection.set_reading_paused(True)
 
     # ---- Requests ----
 
     def on_request_head(self, method: str, target: str, headers: dict[str, str]) -> None:
         """Check a request before its body is read. Raises HttpSyntaxError."""
-        if not target.startswith(OWN_TARGETS):
+        if not target.startswith(OWN_TARGET_PREFIX):
             self.server.router.admission.check_head(method, target, headers)
 
     def on_request(self, request: HttpRequest) -> None:
@@ -121,16 +121,16 @@
         self.queue.append(request)
 
     def on_continue_expected(self) -> None:
-        """Request the body, unless a response is to be sent before it."""
+        """Ask for the body, unless a response must be sent first."""
         if not self.is_answering and not self.queue:
             self.connection.write(clients.CONTINUE_RESPONSE)
 
-    def _read_on(self) -> None:
-        """Read and handle requests until one has to be waited for or nothing is left."""
+    def _continue_reading(self) -> None:
+        """Read and handle requests until one is waiting for its response or no data is left."""
         self.connection.set_reading_paused(False)
         while not self.is_answering and not self.is_closing and not self.connection.has_unsent_data:
             if self.dropped_bytes:
-                self._close(CloseReason.SENT_TOO_MUCH)  # the data after it is lost
+                self._close(CloseReason.SENT_TOO_MUCH)  # the data after that response was dropped
             elif self.queue:
                 self.is_answering = True
                 self._handle(self.queue.popleft())
@@ -140,19 +140,19 @@
                 self._parse_buffer()
             else:
                 break
-        self._watch_pace()
+        self._update_deadline()
 
     def _parse_buffer(self) -> None:
         try:
             self.connection.feed(self.reader)
         except HttpSyntaxError as error:
-            self.failure = error  # requests before the one at fault are answered first
+            self.failure = error  # requests before the invalid one are answered first
         self._update_buffered_bytes()
         if self.server.is_full():
             self._reject_all()
 
     def _reject_all(self) -> None:
-        """There is no memory for more requests: reject what was read, and close."""
+        """Reject the requests that were read, and close: they exceed the memory limit."""
         admission = self.server.router.admission
         for message in self.queue:
             admission.count_rejected(message.target)
@@ -165,14 +165,14 @@
     def _update_buffered_bytes(self) -> None:
         buffered = len(self.reader.body) if self.reader.in_message else 0
         buffered += sum(len(message.body) for message in self.queue)
-        buffered += max(0, len(self.connection.buffer) - UNCOUNTED_READ_AHEAD)
+        buffered += max(0, len(self.connection.buffer) - UNCOUNTED_READ_AHEAD_BYTES)
         self.server.buffered_bytes += buffered - self.buffered_bytes
         self.buffered_bytes = buffered
 
     def _handle(self, message: HttpRequest) -> None:
         self.keep_alive = message.keep_alive and not self.is_excess
         self._update_buffered_bytes()
-        if message.target.startswith(OWN_TARGETS):
+        if message.target.startswith(OWN_TARGET_PREFIX):
             self._respond(*status_response(message, self.server.is_leaving))
             return
         leader = self.server.router.leader_redirect()
@@ -183,7 +183,7 @@
             self._admit(message)
         except HttpSyntaxError as error:
             self._respond(error.status, str(error).encode())
-        except Exception:  # any fault of the router: the client must get a response all the same
+        except Exception:  # any fault of the router: the client must still get a response
             log_line(f"a request could not be admitted: {traceback.format_exc()}")
             self._respond(500, b"a fault of ours")
 
@@ -198,7 +198,7 @@
         if admitted is NotAdmitted.NO_CAPACITY:
             self.answer(FinalAnswer.REJECTED)
             return
-        # A client that only checks whether this process is ready is not served, and may be evicted.
+        # A client that only checks whether this process is ready does not count as served and may be evicted.
         self.was_served = True
         self.server.unserved.pop(self.connection.number, None)
         if self.is_answering and isinstance(admitted, Request):
@@ -207,18 +207,18 @@
     # ---- Responses ----
 
     def answer(self, answer: FinalAnswer, result: str = "", retry_after: int = 0) -> None:
-        """Write the final answer of the current request; `retry_after` (ns) is advice, 0: none."""
+        """Write the final answer of the current request; `retry_after` (ns) is advice, 0 gives none."""
         if answer is FinalAnswer.SUCCEEDED:
             self._respond(200, result.encode("utf-8", "surrogatepass"))
         else:
-            response = UNSUCCESSFUL[answer]
+            response = UNSUCCESSFUL_RESPONSES[answer]
             self._respond(response.status, response.body, retry_after)
 
     def has_disconnected(self) -> bool:
-        """Whether the client has closed its connection, which is then closed here, too."""
+        """Whether the client has closed its connection; if so, this side closes it as well."""
         is_closed = self.connection.is_closed_by_peer()
         if is_closed:
-            # While reading is paused, or before the event loop runs again, its end would be seen too late.
+            # While reading is paused, or before the loop runs again, the disconnect would be seen too late.
             self.connection.abort()
         return is_closed
 
@@ -231,33 +231,33 @@
     def _respond(self, status: int, body: bytes, retry_after: int = 0, location: str = "") -> None:
         self.is_answering = False
         self.request = None
-        # A client whose request is at fault would send the same again as fast as it can.
-        is_at_fault = 400 <= status < 500
+        # After an invalid request the connection is closed, as the client might repeat it as fast as it can.
+        is_client_error = 400 <= status < 500
         has_dropped = self.dropped_bytes > 0
         is_ending = self.server.is_shut or self.server.is_handing_over
-        keep_alive = self.keep_alive and not (is_at_fault or has_dropped or is_ending)
+        keep_alive = self.keep_alive and not (is_client_error or has_dropped or is_ending)
         self.connection.write(clients.encode_response(status, body, keep_alive, retry_after, location))
         self.idle_since = self.server.deadlines.now()
         if not keep_alive:
             self._close(reason_after_response(status, has_dropped, is_ending, not self.is_excess))
         else:
-            # What the client has sent in the meantime is read in another turn of the event loop.
-            self.server.loop.call_soon(self._read_on_if_open)
-        self._watch_pace()
+            # Data that the client has sent in the meantime is read in another turn of the event loop.
+            self.server.loop.call_soon(self._continue_reading_if_open)
+        self._update_deadline()
 
-    def _read_on_if_open(self) -> None:
+    def _continue_reading_if_open(self) -> None:
         if not self.is_answering and not self.is_closing and self.connection.is_open:
-            self._read_on()
+            self._continue_reading()
 
     def _close(self, reason: CloseReason) -> None:
-        """Close the connection so that the response arrives even if more was sent than was read."""
+        """Close the connection so that the response arrives even if the client has sent unread data."""
         self.close_reason = reason
         self.is_closing = True
         self.queue.clear()
         buffer = self.connection.buffer
         buffer.consume(len(buffer))
         if isinstance(self.failure, MessageTooLongError):
-            self.connection.set_reading_paused(True)  # it may have much more to send
+            self.connection.set_reading_paused(True)  # the client may have much more to send
         self.connection.shut_down_writing()
         self.server.deadlines.cancel(self.deadline)
         abort_at = self.server.deadlines.now() + CLOSE_TIMEOUT
@@ -265,7 +265,7 @@
 
     # ---- Slow clients ----
 
-    def _watch_pace(self) -> None:
+    def _update_deadline(self) -> None:
         """Set a deadline while the client has to send a whole request or to read its response."""
         if self.is_closing:
             return
@@ -274,15 +274,17 @@
             self.server.deadlines.cancel(self.deadline)
             self.deadline = None
         elif self.deadline is None:
-            # Set once: a client that sends byte by byte does not extend it.
+            # Set only once, so that a client that sends byte by byte does not extend it.
             timeout = REQUEST_TIMEOUT if has_to_send else RESPONSE_TIMEOUT
             now = self.server.deadlines.now()
             self.deadline = self.server.deadlines.schedule(now + timeout, self._on_timeout)
 
     def _on_timeout(self) -> None:
         if self.connection.has_unsent_data or not self.reader.in_message:
-            has_unread = self.connection.has_unsent_data
-            self.close_reason = CloseReason.RESPONSE_NOT_READ if has_unread else CloseReason.NOTHING_SENT
+            is_response_unread = self.connection.has_unsent_data
+            self.close_reason = (
+                CloseReason.RESPONSE_NOT_READ if is_response_unread else CloseReason.NOTHING_SENT
+            )
             self.connection.abort()
         elif not self.is_answering:
             self._respond(408, b"the request did not come whole")
--- a/ploverspoke/routing/client_session_owner.py
+++ b/ploverspoke/routing/client_session_owner.py
@@ -1,4 +1,4 @@
-"""The interface of the server for clients, as its sessions use it."""
+"""The interface of the client server that its sessions use."""
 
 import asyncio
 from typing import Protocol, TypeVar
@@ -11,19 +11,19 @@
 
 
 class ClientSessionOwner(Protocol[Session]):
-    """What a session needs of the server that accepted its connection."""
+    """The server that accepted the connection of a session."""
 
     loop: asyncio.AbstractEventLoop
     deadlines: Deadlines
     router: Router
-    unserved: dict[int, Session]  # by connection number, those without an admitted request
-    buffered_bytes: int  # of requests that are not admitted yet, in all sessions
+    unserved: dict[int, Session]  # sessions without an admitted request, by connection number
+    buffered_bytes: int  # of requests in all sessions that are not admitted yet
     is_leaving: bool  # not ready for new clients
     is_handing_over: bool  # other processes accept new connections
-    is_shut: bool  # nothing is accepted any more
+    is_shut: bool  # no more connections are accepted
 
     def is_full(self) -> bool:
-        """Whether requests hold more memory than they may."""
+        """Whether the memory limit for requests is exceeded."""
 
     def forget(self, session: Session) -> None:
-        """The session has ended."""
+        """Remove a session that has ended."""
--- a/ploverspoke/routing/close_reasons.py
+++ b/ploverspoke/routing/close_reasons.py
@@ -1,21 +1,21 @@
-"""Why connections of clients end."""
+"""Why client connections end."""
 
 from enum import Enum
 
 
 class CloseReason(Enum):
-    """Who ended a client's connection, and why; for logs and counters."""
+    """Why a client connection ended, and which side closed it; for logs and counters."""
 
-    CLIENT_LEFT = "client_left"  # it closed or reset the connection
-    CLIENT_ASKED = "client_asked"  # for a close after the response
-    INVALID_REQUEST = "invalid_request"  # answered with 4xx, also where it was not received completely
-    SENT_TOO_MUCH = "sent_too_much"  # ahead of its response
-    NOTHING_SENT = "nothing_sent"  # in the time that a new connection is given
+    CLIENT_LEFT = "client_left"  # the client closed or reset the connection
+    CLIENT_ASKED = "client_asked"  # the client asked for a close after the response
+    INVALID_REQUEST = "invalid_request"  # answered with 4xx, even if it was not received completely
+    SENT_TOO_MUCH = "sent_too_much"  # the client sent too much ahead of its response
+    NOTHING_SENT = "nothing_sent"  # a new connection sent no request in time
     RESPONSE_NOT_READ = "response_not_read"
     NO_CAPACITY = "no_room"  # for this connection or its request
-    EVICTED = "evicted"  # idle, to make room for another
-    SHUTDOWN = "shutdown"  # or the handover to another process
-    OTHER_LEADER = "other_leader"  # another replica of the store answers its request
+    EVICTED = "evicted"  # idle, closed to make room for another connection
+    SHUTDOWN = "shutdown"  # shutdown, or handover to another process
+    OTHER_LEADER = "other_leader"  # another replica of the store answers the request
 
 
 def reason_after_response(status: int, has_dropped: bool, is_ending: bool, has_capacity: bool) -> CloseReason:
--- a/ploverspoke/routing/completion.py
+++ b/ploverspoke/routing/completion.py
@@ -1,4 +1,4 @@
-"""Ends requests: the one final answer, a client that disconnects, a leader that steps down."""
+"""Ends requests: by the final answer, when a client disconnects, or when the leader steps down."""
 
 from functools import partial
 
@@ -14,17 +14,17 @@
 
 
 class RequestCompletion(RouterPart):
-    """Gives each request its one end."""
+    """Ends each request exactly once."""
 
     def __init__(self, context: RoutingContext, recorder: RequestRecorder | None) -> None:
-        """With a `recorder` answers are committed before they are given."""
+        """With a `recorder`, answers are committed before they are given."""
         super().__init__(context)
         self.recorder = recorder
 
     def answer(
         self, request: Request | None, answer: FinalAnswer, result: str = "", retry_after: int = 0
     ) -> None:
-        """Give the final answer, unless the request has one or its client has disconnected.
+        """Give the final answer, unless the request already has one or its client has disconnected.
 
         `retry_after` (ns) advises a rejected client when to retry; 0 gives no advice.
         """
@@ -36,10 +36,10 @@
             client.answer(answer, result, retry_after)
         else:
             recorded = RecordedAnswer(answer, result)
-            self._answer_once_recorded(self.recorder, request, client, recorded, retry_after)
+            self._answer_after_commit(self.recorder, request, client, recorded, retry_after)
         self.requests.remove_if_ended(request)
 
-    def _answer_once_recorded(
+    def _answer_after_commit(
         self,
         recorder: RequestRecorder,
         request: Request,
@@ -47,7 +47,7 @@
         recorded: RecordedAnswer,
         retry_after: int,
     ) -> None:
-        """Answer once the answer is committed: a retry, here or at another replica, must get the same one."""
+        """Commit the answer before it is given: a retry at any replica must get the same answer."""
 
         def on_committed(is_committed: bool) -> None:
             """Answer the client, or leave the answer to the leader."""
@@ -60,7 +60,11 @@
         recorder.record_answer(request, recorded, on_committed)
 
     def on_client_disconnected(self, request: Request, client: Client) -> None:
-        """End the request of a client that has disconnected; with a store it may retry and get its answer."""
+        """End the request of a client that has disconnected.
+
+        With a store, a request that may have been sent to a worker continues: the client may retry and get
+        its answer.
+        """
         if request.waiting_clients is not None:
             if client in request.waiting_clients.clients:
                 request.waiting_clients.clients.remove(client)
@@ -73,7 +77,7 @@
     def reject_if_never_sent(self, request: Request) -> None:
         """Reject a request that no client waits for and that was sent to no worker.
 
-        A client that retries then learns that it has not run.
+        A client that retries is then told that the request has not run.
         """
         waiting = request.waiting_clients
         if waiting is None or waiting.clients or request.may_have_been_sent:
@@ -83,13 +87,13 @@
             self._report_client_disconnected(request)
 
     def on_deadline(self, request: Request) -> None:
-        """Answer a request that the decisions have not answered in time."""
+        """Answer a request that the decision logic has not answered in time."""
         if request.client is not None:
-            log_line(f"request {request.request_id} was not answered in time by the decisions")
+            log_line(f"request {request.request_id} was not answered in time by the decision logic")
             self.answer_without_decision(request)
 
     def answer_without_decision(self, request: Request | None) -> None:
-        """After a fault, or at shutdown: reject what cannot have run or is idempotent, fail the others."""
+        """After a fault or at shutdown: reject what cannot have run or is idempotent, and fail the rest."""
         if request is None or request.client is None:
             return
         self.request_journal.request_ended(request, "answered", EndReason.NO_DECISION)
@@ -101,19 +105,19 @@
         self._report_client_disconnected(request)
 
     def answer_all(self) -> None:
-        """Answer every open request: the process ends."""
+        """Answer every open request because the process is about to exit."""
         for request in self.requests:
             self.answer_without_decision(request)
 
     def leave_all_to_leader(self) -> None:
-        """Another replica answers from now on; attempts that are out go on, their outcomes are not needed."""
+        """Leave all open requests to the leader. Active attempts continue; their outcomes are not needed."""
         for request in self.requests:
             if request.client is not None:
                 self.leave_to_leader(request)
                 self._report_client_disconnected(request)
 
     def leave_to_leader(self, request: Request) -> None:
-        """Disconnect the clients of a request: its answer is another replica's to give."""
+        """Disconnect the clients of a request that another replica answers."""
         client = request.client
         if client is not None:
             self._close(request, UnansweredEnd.LEFT_TO_LEADER)
--- a/ploverspoke/routing/context.py
+++ b/ploverspoke/routing/context.py
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutingContext:
-    """The objects that several parts of the router work on; each of them has one instance a process."""
+    """The objects that the parts of the router share; each has one instance per process."""
 
     deadlines: Deadlines
     pool: ConnectionPool  # of connections to workers
@@ -28,7 +28,7 @@
 
 
 class RouterPart:
-    """Base class of the parts of the router: the shared objects as attributes of each part."""
+    """Base class of the parts of the router; gives each part the shared objects as attributes."""
 
     def __init__(self, context: RoutingContext) -> None:
         """Take the shared objects from the context."""
--- a/ploverspoke/routing/counters.py
+++ b/ploverspoke/routing/counters.py
@@ -1,4 +1,4 @@
-"""What a dispatcher has done since its start, counted in this one place."""
+"""Counters of requests, attempts and configurations since the start of a dispatcher, all in one place."""
 
 from collections import Counter
 from collections.abc import Iterable, Iterator
@@ -10,7 +10,7 @@
 
 
 class UnansweredEnd(Enum):
-    """How a request ends without an answer from this process; operators are not shown these."""
+    """How a request ends without an answer from this process; not shown to operators."""
 
     CLIENT_DISCONNECTED = auto()
     LEFT_TO_LEADER = auto()  # another replica of the store answers it
@@ -18,7 +18,7 @@
 
 RequestEnd = FinalAnswer | UnansweredEnd
 
-# The operators' names of the final answers, and the order in which they are shown.
+# The names of final answers that operators see, and the order in which they are shown.
 STATUS_NAMES = {
     FinalAnswer.SUCCEEDED: "fulfilled",
     FinalAnswer.REJECTED: "throttled",
@@ -30,18 +30,18 @@
 
 
 class Counters:
-    """Counts by the name of the request class: a class that was dropped from the settings keeps its own."""
+    """Counts by name of the request class; a class that was removed from the settings keeps its counts."""
 
     def __init__(self) -> None:
-        """Begin with nothing counted."""
-        self.admitted = 0  # requests, also those that were rejected at once
+        """Start with all counts at 0."""
+        self.admitted = 0  # requests, including those that were rejected at once
         self.ends: dict[str, Counter[RequestEnd]] = {}
-        self.attempts: Counter[str] = Counter()  # that were written completely
+        self.attempts: Counter[str] = Counter()  # attempts that were written completely, by class
         self.configs_accepted = 0
         self.configs_invalid = 0
 
-    def show(self, class_names: Iterable[str]) -> None:
-        """Show these classes from now on, even while they have counted nothing."""
+    def register_classes(self, class_names: Iterable[str]) -> None:
+        """Include these classes in the counters from now on, even while their counts are 0."""
         for class_name in class_names:
             self.ends.setdefault(class_name, Counter())
 
@@ -67,12 +67,12 @@
         return sum(sum(ends.values()) for ends in self.ends.values())
 
     def operations(self) -> Iterator[str]:
-        """The lines that operators fetch: four for each request class."""
+        """Yield the lines that operators fetch, four for each request class."""
         for class_name, ends in self.ends.items():
-            shown = Counter[str]()
+            counts = Counter[str]()
             for end, count in ends.items():
                 if isinstance(end, FinalAnswer):
-                    shown[STATUS_NAMES[end]] += count
+                    counts[STATUS_NAMES[end]] += count
             for status in STATUSES:
-                yield admin.operations_line(class_name, status, shown[status])
+                yield admin.operations_line(class_name, status, counts[status])
             yield admin.operations_line(class_name, ATTEMPTS_STATUS, self.attempts[class_name])
--- a/ploverspoke/routing/event_queue.py
+++ b/ploverspoke/routing/event_queue.py
@@ -1,4 +1,4 @@
-"""Delivers events to the decisions, never from inside one of their own calls."""
+"""Delivers events to the decision logic, never from within one of its own calls."""
 
 import traceback
 from collections import deque
@@ -9,7 +9,7 @@
 
 
 class EventQueue:
-    """Calls event methods of the decisions one after the other, in the order in which they were emitted."""
+    """Calls event methods of the decision logic one after the other, in the order of their emission."""
 
     def __init__(self, on_failure: Callable[[int], None]) -> None:
         """`on_failure` is given the number of the request whose event raised an exception."""
@@ -18,9 +18,9 @@
         self.is_delivering = False
 
     def emit(self, event: partial[None], request_number: int | None = None) -> None:
-        """Deliver an event now, or, from inside a call of the decisions, once that call is over.
+        """Deliver an event now, or after the event that is being delivered, if there is one.
 
-        An exception is logged with its trace, and `on_failure` is called for the request.
+        An exception is logged with its traceback, and `on_failure` is called for the request.
         """
         self.events.append((event, request_number))
         if self.is_delivering:
@@ -30,7 +30,7 @@
             event, request_number = self.events.popleft()
             try:
                 event()
-            except Exception:  # any fault of a decision: the events after it are delivered all the same
+            except Exception:  # any fault of the decision logic: later events must be delivered
                 name = getattr(event.func, "__name__", event.func)
                 log_line(f"a decision failed in {name}: {traceback.format_exc()}")
                 if request_number is not None:
--- a/ploverspoke/routing/outcomes.py
+++ b/ploverspoke/routing/outcomes.py
@@ -1,6 +1,6 @@
 """Maps the outcome of an exchange on a connection to the outcome of an attempt for the decisions.
 
-Outcomes that mean "it never ran" are given only where that is certain.
+An outcome that means that the request never ran is used only where that is certain.
 """
 
 from ploverspoke.decisions.interface import AttemptOutcome
@@ -10,7 +10,7 @@
     ExchangeOutcome.SUCCEEDED: AttemptOutcome.SUCCEEDED,
     ExchangeOutcome.FAILED: AttemptOutcome.WORKER_ERROR,
     ExchangeOutcome.NOT_STARTED: AttemptOutcome.FULL,  # never ran
-    ExchangeOutcome.REJECTED: AttemptOutcome.REJECTED,  # final, and no fault of the worker's
+    ExchangeOutcome.REJECTED: AttemptOutcome.REJECTED,  # final; the worker is not at fault
     ExchangeOutcome.KILLED: AttemptOutcome.BROKEN_OFF,
     ExchangeOutcome.CONNECTION_REFUSED: AttemptOutcome.UNREACHABLE,  # never ran
     ExchangeOutcome.CONNECT_FAILED: AttemptOutcome.UNREACHABLE,  # never ran
@@ -20,5 +20,5 @@
     ExchangeOutcome.TIMED_OUT: AttemptOutcome.TIMED_OUT,
     ExchangeOutcome.CANCELLED: AttemptOutcome.CANCELLED,
     ExchangeOutcome.NOT_SENT: AttemptOutcome.NOT_SENT,  # never ran
-    ExchangeOutcome.NO_DESCRIPTOR: AttemptOutcome.NOT_SENT,  # never ran; no fault of the worker's
+    ExchangeOutcome.NO_DESCRIPTOR: AttemptOutcome.NOT_SENT,  # never ran; the worker is not at fault
 }
--- a/ploverspoke/routing/request_admission.py
+++ b/ploverspoke/routing/request_admission.py
@@ -1,4 +1,4 @@
-"""Admits requests of clients: checks them, sets their deadlines and reports them to the decisions."""
+"""Admits client requests: checks them, sets their deadlines and reports them to the decision logic."""
 
 from enum import Enum, auto
 from functools import partial
@@ -20,25 +20,25 @@
 from .request_recorder import RequestRecorder
 from .requests import Request
 
-# The final answer is due this long before the client gives up, but no more than a tenth of its timeout.
+# The final answer is due this long before the client times out, but by at most a tenth of the timeout.
 MAX_ANSWER_MARGIN = 20 * MILLISECOND
-TIMEOUT_PER_MARGIN = 10
+ANSWER_MARGIN_DIVISOR = 10
 
 
 class NotAdmitted(Enum):
     """Why a valid request was not admitted."""
 
-    NO_CAPACITY = auto()  # the caller rejects it
-    ANSWERED_BEFORE = auto()  # its client was given the recorded answer
+    NO_CAPACITY = auto()  # the caller must reject the request
+    ANSWERED_BEFORE = auto()  # its client has been given the recorded answer
 
 
 class RequestAdmission(RouterPart):
-    """Checks requests of clients and reports those that it admits to the decisions."""
+    """Checks client requests and reports the admitted ones to the decision logic."""
 
     def __init__(
         self, context: RoutingContext, completion: RequestCompletion, recorder: RequestRecorder | None
     ) -> None:
-        """With a `recorder` requests are committed before they are reported to the decisions."""
+        """With a `recorder`, requests are committed before they are reported to the decision logic."""
         super().__init__(context)
         self.completion = completion
         self.recorder = recorder
@@ -57,23 +57,23 @@
     def admit(self, client: Client, message: HttpRequest) -> Request | NotAdmitted:
         """Admit a request whose head was checked. Raises HttpSyntaxError.
 
-        With a store the result may be a request that another client waits for already.
+        With a store, the result may be an open request that another client is already waiting for.
         """
-        # Checked once more: the id may have been used, or the class dropped, while the body was received.
+        # Checked again: the id may have been used, or the class removed, while the body was being received.
         self._check_id_is_unused(message.headers[REQUEST_ID])
         class_number = self._class_number(message.target)
         timeout = self._timeout(message, class_number)
         slots = clients.requested_slots(message.headers)
         work_hint = clients.work_hint(message.headers)
         if self.recorder is not None:
-            known = self._find_known(self.recorder, client, message)
-            if known is not None:
-                return known
+            repeat_result = self._handle_repeat(self.recorder, client, message)
+            if repeat_result is not None:
+                return repeat_result
         if len(self.requests) >= self.settings.current.max_open_requests:
             self.counters.count_rejected(self.settings.class_name(class_number))
             self.request_journal.rejected_for_capacity()
             return NotAdmitted.NO_CAPACITY
-        deadline = self.deadlines.now() + timeout - min(MAX_ANSWER_MARGIN, timeout // TIMEOUT_PER_MARGIN)
+        deadline = self.deadlines.now() + timeout - min(MAX_ANSWER_MARGIN, timeout // ANSWER_MARGIN_DIVISOR)
         request = Request(client, class_number, message, deadline)
         self._register(request)
         affinity_key = message.headers.get(AFFINITY_KEY, "")
@@ -90,8 +90,8 @@
             self.events.emit(event, request.number)
         else:
             on_admitted = partial(self.events.emit, event, request.number)
-            on_lost = partial(self.completion.leave_to_leader, request)
-            self.recorder.record_request(request, client, on_admitted, on_lost)
+            on_commit_failed = partial(self.completion.leave_to_leader, request)
+            self.recorder.record_request(request, client, on_admitted, on_commit_failed)
         return request
 
     def count_rejected(self, target: str) -> None:
@@ -108,21 +108,24 @@
         return class_number
 
     def _check_id_is_unused(self, request_id: str) -> None:
-        # With a store the request log shows whether it is the same request.
+        # With a store, the request log tells a retry of the same request from a different request.
         if request_id in self.requests.recent_ids and self.recorder is None:
             raise RequestIdInUseError(reason="request-id is in use")
 
     def _timeout(self, message: HttpRequest, class_number: int) -> int:
-        """How long (ns) the client waits, which is no longer than its class allows."""
-        longest = self.settings.current.classes[class_number].deadline
-        stated = clients.request_timeout(message.headers)
-        return longest if stated is None else min(stated, longest)
+        """The client's timeout in ns, limited to the deadline of the request class."""
+        max_timeout = self.settings.current.classes[class_number].deadline
+        requested = clients.request_timeout(message.headers)
+        return max_timeout if requested is None else min(requested, max_timeout)
 
-    def _find_known(
+    def _handle_repeat(
         self, recorder: RequestRecorder, client: Client, message: HttpRequest
     ) -> Request | NotAdmitted | None:
-        """Let the client of a repeated request wait with the first, or give it the answer again."""
-        request = recorder.join(client, message)
+        """Let the client of a repeated request wait for the open one, or give it the recorded answer.
+
+        Returns None if the request is new or has no answer yet.
+        """
+        request = recorder.join_open_request(client, message)
         if request is not None:
             return request
         recorded = recorder.recorded_answer(message)
@@ -134,6 +137,6 @@
     def _register(self, request: Request) -> None:
         self.requests.add(request)
         self.counters.count_admitted()
-        # The decisions answer in time; this guards the client against a fault of theirs.
+        # The decision logic should answer before this; the timer answers the client if a fault prevents that.
         on_deadline = partial(self.completion.on_deadline, request)
         request.answer_deadline = self.deadlines.schedule(request.deadline, on_deadline)
--- a/ploverspoke/routing/request_journal.py
+++ b/ploverspoke/routing/request_journal.py
@@ -1,4 +1,4 @@
-"""Counts and logs of how requests ended: outcomes of attempts, and why a request was rejected or failed."""
+"""Counts and logs how attempts, requests and client connections end, and why."""
 
 from collections import Counter
 from collections.abc import Iterator
@@ -13,14 +13,14 @@
 from .requests import Request
 
 BURST_LINES = 20
-LINES_PER_SECOND = 1.0  # a limit of its own, so that other lines are not suppressed
+LINES_PER_SECOND = 1.0  # a separate limit, so that these lines do not suppress others
 
 
 class RequestJournal:
-    """Counts every end, and logs them at a limited rate."""
+    """Counts every end, and logs the unsuccessful ones at a limited rate."""
 
     def __init__(self) -> None:
-        """Begin with nothing counted."""
+        """Start with all counts at 0."""
         self.log = RateLimitedLog(BURST_LINES, LINES_PER_SECOND)
         self.attempt_ends: Counter[ExchangeOutcome] = Counter()
         self.request_ends: Counter[EndReason] = Counter()
@@ -29,7 +29,7 @@
     def attempt_ended(
         self, request: Request, worker: str, index: int, outcome: ExchangeOutcome, elapsed: int, list_age: int
     ) -> None:
-        """Count the end of an attempt; one without success is logged. Times are in ns."""
+        """Count the end of an attempt, and log it unless it succeeded. Times are in ns."""
         self.attempt_ends[outcome] += 1
         if outcome is not ExchangeOutcome.SUCCEEDED:
             self.log.write(
@@ -39,7 +39,7 @@
             )
 
     def request_ended(self, request: Request | None, answer: str, reason: EndReason) -> None:
-        """Count and log a request that ends without success; None: it has ended already."""
+        """Count and log a request that ends without success; does nothing if it has already ended."""
         if request is None or request.client is None:
             return
         self.request_ends[reason] += 1
@@ -52,13 +52,13 @@
         self.request_ends[EndReason.NO_CAPACITY] += 1
 
     def client_closed(self, reason: CloseReason, request: Request | None) -> None:
-        """Count the end of a client's connection; `request`: which it still waited for."""
+        """Count the end of a client's connection; `request` is the one that it was still waiting for."""
         self.client_closes[reason] += 1
         if request is not None:
             self.log.write(f"request {request.request_id}: its connection ended, {reason.value}")
 
     def lines(self) -> Iterator[str]:
-        """The counters that operators fetch."""
+        """Yield the lines of the counters that operators fetch."""
         for outcome in ExchangeOutcome:
             labels = {"outcome": outcome.name.lower()}
             yield admin.labeled_counter_line("attempt_ends", labels, self.attempt_ends[outcome])
--- a/ploverspoke/routing/request_log.py
+++ b/ploverspoke/routing/request_log.py
@@ -1,4 +1,4 @@
-"""Interface of the router to a replicated store, which commits requests, attempts and answers in advance.
+"""Interface to a replicated store, which commits requests, attempts and answers before they take effect.
 
 Without a store the router has no request log, and none of this is called.
 """
@@ -10,33 +10,34 @@
 
 from .answers import Client, FinalAnswer, RecordedAnswer
 
-CommitCallback = Callable[[bool], None]  # called with whether it was committed; never from inside the call
+# Called with whether the record was committed, and never before the method that records it has returned.
+CommitCallback = Callable[[bool], None]
 
 
 class PreviousOutcome(NamedTuple):
-    """What the store knows of a request id that was used before."""
+    """The store's record of a request id that was used before."""
 
     answer: RecordedAnswer | None  # None: not answered yet
     digest: bytes
     attempt_count: int
-    bound_worker: str  # the first worker that may have run it; "": none may have
-    time_since_bound: int  # ns since the attempt at that worker
+    bound_worker: str  # the first worker that may have run it; "" if there is none
+    time_since_bound: int  # ns since the attempt at `bound_worker`
 
 
 class RequestLog(Protocol):
     """The durable record of requests, shared by the replicas of a store."""
 
     def is_leader(self) -> bool:
-        """Whether this replica may act: no other one can be the leader now."""
+        """Whether this replica may act as the leader: no other replica can be the leader now."""
 
     def leader_address(self) -> str:
-        """The address that clients are redirected to; "" where no leader is known."""
+        """The address to redirect clients to; "" if no leader is known."""
 
     def digest(self, method: str, target: str, body: bytes) -> bytes:
-        """A digest that distinguishes two different requests under one id."""
+        """A digest that distinguishes different requests with the same id."""
 
     def previous_outcome(self, request_id: str) -> PreviousOutcome | None:
-        """What is known of the id from before; None if it is new."""
+        """The record of an earlier request with this id; None if the id is new."""
 
     def record_request(
         self,
@@ -46,7 +47,7 @@
         time_left: int,
         on_committed: CommitCallback,
     ) -> None:
-        """Record an admitted request; `time_left` is in ns until its deadline."""
+        """Record an admitted request; `time_left` is the time in ns until its deadline."""
 
     def record_attempt(self, request_id: str, worker: str, index: int, on_committed: CommitCallback) -> None:
         """Record that the attempt with this index, counted from 0, is about to be sent to the worker."""
@@ -57,14 +58,14 @@
     def record_answer(
         self, request_id: str, answer: RecordedAnswer, digest: bytes, on_committed: CommitCallback
     ) -> None:
-        """Record the final answer; the callback gets False where another answer was committed first."""
+        """Record the final answer; the callback gets False if another answer was committed first."""
 
 
 class PendingAttempt:
-    """An attempt whose record is not committed yet; it stands in the place of its worker call until then."""
+    """An attempt whose record is not committed yet; a placeholder for its worker call until then."""
 
     def __init__(self) -> None:
-        """To be sent, unless it is cancelled."""
+        """Create an attempt that is sent once committed, unless it is cancelled."""
         self.cancelled = False
 
     def cancel(self) -> None:
@@ -77,28 +78,28 @@
 
 
 class WaitingClients:
-    """All clients that wait for one request: a client that retries with its id joins the others."""
+    """All clients that wait for the same request, including clients that have retried with its id."""
 
     def __init__(self, first: Client) -> None:
         """`first` is the client that sent the request."""
         self.clients = [first]
 
     def answer(self, answer: FinalAnswer, result: str = "", retry_after: int = 0) -> None:
-        """Give all of them the final answer."""
-        for client in self._release():
+        """Give all clients the final answer."""
+        for client in self._take_clients():
             client.answer(answer, result, retry_after)
 
     def has_disconnected(self) -> bool:
-        """Whether all have; a request that was resumed and has no client yet goes on."""
-        # Each is checked, as the check closes the connection of a client that has disconnected.
+        """Whether all clients have disconnected; False for a resumed request that has no client yet."""
+        # Every client is checked, because the check closes the connection of a client that has disconnected.
         waiting = [client for client in self.clients if not client.has_disconnected()]
         return bool(self.clients) and not waiting
 
     def disconnect(self) -> None:
-        """Close all their connections without an answer."""
-        for client in self._release():
+        """Close the connections of all clients without an answer."""
+        for client in self._take_clients():
             client.disconnect()
 
-    def _release(self) -> list[Client]:
+    def _take_clients(self) -> list[Client]:
         clients, self.clients = self.clients, []
         return clients
--- a/ploverspoke/routing/request_recorder.py
+++ b/ploverspoke/routing/request_recorder.py
@@ -19,27 +19,27 @@
     """The router's side of the request log; exists only where there is a store."""
 
     def __init__(self, context: RoutingContext, request_log: RequestLog) -> None:
-        """`request_log` is that of the store."""
+        """`request_log` is the log of the store."""
         super().__init__(context)
         self.request_log = request_log
         self.open_requests: dict[str, Request] = {}  # by request id, until the answer is committed
 
     def is_leader(self) -> bool:
-        """Whether this replica may act: no other one can be the leader now."""
+        """Whether this replica may act as the leader: no other replica can be the leader now."""
         return self.request_log.is_leader()
 
     def leader_redirect(self) -> str | None:
-        """Where clients are redirected to: None if this replica leads, "" if no leader is known."""
+        """The address to redirect clients to; None if this replica leads, "" if no leader is known."""
         return None if self.request_log.is_leader() else self.request_log.leader_address()
 
     def records_attempts(self, request: Request) -> bool:
-        """Whether attempts are recorded: those of idempotent requests need not be."""
+        """Whether attempts are recorded; attempts of idempotent requests need no record."""
         return self.settings.idempotency(request.class_number) is not Idempotency.IDEMPOTENT
 
     # ---- Requests ----
 
-    def join(self, client: Client, message: HttpRequest) -> Request | None:
-        """Let the client wait for an open request with the same id; None if there is none.
+    def join_open_request(self, client: Client, message: HttpRequest) -> Request | None:
+        """Let the client wait for the open request with the same id; None if there is none.
 
         Raises RequestIdInUseError if the id belongs to a different request, open or ended.
         """
@@ -48,7 +48,7 @@
             return None
         if request.digest != self._digest(message):
             raise RequestIdInUseError(reason="request-id is in use")
-        # Also while its answer is being committed: as a new request it would be sent again.
+        # Joining is possible even while the answer is being committed: a new request would be sent again.
         assert request.waiting_clients is not None
         request.waiting_clients.clients.append(client)
         return request
@@ -66,13 +66,17 @@
         return previous.answer
 
     def record_request(
-        self, request: Request, client: Client, on_admitted: Callable[[], None], on_lost: Callable[[], None]
+        self,
+        request: Request,
+        client: Client,
+        on_admitted: Callable[[], None],
+        on_commit_failed: Callable[[], None],
     ) -> None:
-        """Call `on_admitted` once it is committed that the request is here.
+        """Call `on_admitted` once the record of the request is committed.
 
-        An idempotent request need not wait for that, and one that was recorded before is resumed. Where
-        the commit fails `on_lost` is called: the request may be recorded all the same, and then the leader
-        answers it.
+        An idempotent request is admitted without a record, and a request that was recorded before is resumed.
+        If the commit fails, `on_commit_failed` is called: the request may have been recorded nevertheless,
+        and the leader then answers it.
         """
         request.digest = self._digest(request.message)
         request.client = request.waiting_clients = WaitingClients(client)
@@ -88,7 +92,7 @@
 
         def on_committed(is_committed: bool) -> None:
             if request.client is not None:
-                (on_admitted if is_committed else on_lost)()
+                (on_admitted if is_committed else on_commit_failed)()
 
         time_left = request.deadline - self.deadlines.now()
         self.request_log.record_request(
@@ -96,7 +100,7 @@
         )
 
     def _resume(self, request: Request, previous: PreviousOutcome) -> None:
-        """Take over the attempts of another replica; the first that may have run restricts the retries."""
+        """Continue after the attempts of another replica; the first that may have run restricts retries."""
         request.attempts = [None] * previous.attempt_count
         request.may_have_been_sent = previous.attempt_count > 0
         sent_at = self.deadlines.now() - previous.time_since_bound
@@ -110,7 +114,7 @@
         self.events.emit(event, request.number)
 
     def forget(self, request: Request) -> None:
-        """The request is answered, or left to another replica."""
+        """Remove a request that is answered or left to another replica."""
         self.open_requests.pop(request.request_id, None)
 
     def _digest(self, message: HttpRequest) -> bytes:
@@ -127,5 +131,5 @@
         self.request_log.record_attempt_outcome(request.request_id, index, outcome)
 
     def record_answer(self, request: Request, answer: RecordedAnswer, on_committed: CommitCallback) -> None:
-        """Commit the final answer; the callback gets False where another one was committed first."""
+        """Commit the final answer; the callback gets False if another answer was committed first."""
         self.request_log.record_answer(request.request_id, answer, request.digest, on_committed)
--- a/ploverspoke/routing/request_table.py
+++ b/ploverspoke/routing/request_table.py
@@ -1,4 +1,4 @@
-"""The requests that are open or still have an attempt out, and the ids that must not be used again."""
+"""Requests that are open or still have an active attempt, and recent ids that must not be reused."""
 
 from collections import deque
 from collections.abc import Iterator
@@ -7,16 +7,16 @@
 
 from .requests import Request
 
-MIN_RECENT_IDS = 4096  # remembered, of the latest requests
+MIN_RECENT_IDS = 4096  # at least the ids of this many recent requests are kept
 
 
 class RequestTable:
     """Numbers each request, and remembers the ids of the latest ones, ended or not."""
 
     def __init__(self) -> None:
-        """Begin without requests."""
+        """Create an empty table."""
         self.slots: SlotTable[Request] = SlotTable()
-        self.body_bytes = 0  # of all requests in the table
+        self.body_bytes = 0  # total for all requests in the table
         self.recent_ids: set[str] = set()
         self.recent_id_order: deque[str] = deque()
 
@@ -25,7 +25,7 @@
         return len(self.slots)
 
     def __iter__(self) -> Iterator[Request]:
-        """All requests in the table; it may change meanwhile."""
+        """Iterate over all requests; the table may change during the iteration."""
         return iter(self.slots)
 
     def get(self, number: int) -> Request | None:
@@ -36,11 +36,11 @@
         """Give the request its number."""
         request.number = self.slots.add(request)
         self.body_bytes += len(request.message.body)
-        # A duplicate may arrive just after the answer: the id outlives the request.
+        # A duplicate may arrive just after the answer, so the id is kept longer than the request.
         self.recent_ids.add(request.request_id)
         self.recent_id_order.append(request.request_id)
-        remembered = len(self.recent_id_order)
-        if remembered > MIN_RECENT_IDS and remembered > 2 * len(self.slots):
+        id_count = len(self.recent_id_order)
+        if id_count > MIN_RECENT_IDS and id_count > 2 * len(self.slots):
             self.recent_ids.discard(self.recent_id_order.popleft())
 
     def remove_if_ended(self, request: Request) -> None:
--- a/ploverspoke/routing/responses.py
+++ b/ploverspoke/routing/responses.py
@@ -1,4 +1,4 @@
-"""Responses that the dispatcher gives clients by itself, without a worker."""
+"""Responses that the dispatcher itself sends to clients, without a worker."""
 
 from typing import NamedTuple
 
@@ -7,13 +7,13 @@
 
 from .answers import FinalAnswer
 
-OWN_TARGETS = "/-/"  # prefix of targets that the dispatcher itself answers
+OWN_TARGET_PREFIX = "/-/"  # of requests that the dispatcher itself answers
 STATUS_TARGETS = ("/-/ready", "/-/healthy")
-NO_LEADER_RETRY_AFTER = 200 * MILLISECOND  # advice to clients where no replica of the store leads
+NO_LEADER_RETRY_AFTER = 200 * MILLISECOND  # advice to clients while the store has no leader
 
 
 class Response(NamedTuple):
-    """One response; `retry_after` (ns) and `location` are headers where they are given."""
+    """One response; `retry_after` (ns) and `location` become headers if they are given."""
 
     status: int
     body: bytes
@@ -21,7 +21,7 @@
     location: str = ""
 
 
-UNSUCCESSFUL = {  # final answers, which carry no result
+UNSUCCESSFUL_RESPONSES = {  # by final answer; they carry no result
     FinalAnswer.REJECTED: Response(503, b"nacked"),
     FinalAnswer.FAILED: Response(504, b"abandoned"),
     FinalAnswer.INVALID_REQUEST: Response(400, b"no worker can use it"),
@@ -29,7 +29,7 @@
 
 
 def status_response(message: HttpRequest, is_leaving: bool) -> Response:
-    """The response to a question about this process."""
+    """The response to a status request about this process."""
     if message.target.partition("?")[0] not in STATUS_TARGETS:
         return Response(404, b"not found")
     if message.method != "GET":
@@ -38,7 +38,7 @@
 
 
 def redirect_response(leader: str, target: str) -> Response:
-    """The response of a replica that does not lead; "" where no leader is known: one soon will be."""
+    """The response of a replica that does not lead; if no leader is known (""), clients are to retry."""
     if not leader:
         return Response(503, b"no replica leads", NO_LEADER_RETRY_AFTER)
     return Response(307, b"another replica leads", location=f"http://{leader}{target}")
--- a/ploverspoke/routing/router.py
+++ b/ploverspoke/routing/router.py
@@ -1,4 +1,4 @@
-"""Runs the decisions on real sockets: their actions become calls and answers, outcomes become events."""
+"""Connects the decision logic to real sockets: carries out its actions and reports outcomes as events."""
 
 from collections.abc import Collection, Iterable
 from functools import partial
@@ -29,10 +29,10 @@
 
 
 class Router:
-    """Owner of the decisions and of the parts that act for them; implements `DispatchActions`.
+    """Owns the decision logic and the parts that act for it; implements `DispatchActions`.
 
     Attributes:
-        load_gossip: The socket to the other dispatchers, set where there are addresses for them.
+        load_gossip: The socket to the other dispatchers; None unless their addresses are configured.
     """
 
     def __init__(
@@ -44,11 +44,11 @@
         settings: ActiveSettings,
         request_log: RequestLog | None = None,
     ) -> None:
-        """`seed` is that of the decisions' random numbers; with a store there is a `request_log`."""
+        """`seed` is for the random numbers of the decision logic; `request_log` is None without a store."""
         self.deadlines = deadlines
         self.active_settings = settings
         self.counters = Counters()
-        self.counters.show(settings.classes.numbers)
+        self.counters.register_classes(settings.classes.numbers)
         self.requests = RequestTable()
         self.request_journal = RequestJournal()
         self.events = EventQueue(self._on_decision_failed)
@@ -77,28 +77,28 @@
         return self.active_settings.current
 
     def start(self, known: EndpointList | None = None, resume: bool = True) -> None:
-        """Follow the endpoint list, from a known one on if there is one.
+        """Start following the endpoint list, beginning with the list `known` if one is given.
 
-        With `resume` only changes after the known list are requested from discovery, else the whole list.
+        With `resume` only changes since that list are requested from discovery, else the whole list.
         """
         if known is not None:
             self.endpoints.load_known(known, resume)
         self.endpoints.list_confirmed(self.deadlines.now())
         self.events.emit(partial(self.dispatcher.started))
         if self.active_settings.is_pushed():
-            # On sockets pushed changes arrive by this watch alone.
+            # On real sockets, pushed changes arrive only through this watch.
             self.endpoints.start_watch()
 
     def change_settings(self, settings: Settings, names: DeploymentNames) -> None:
-        """Activate checked settings for what is admitted from now on; open requests keep their rules."""
-        in_use = self.requests.class_numbers()
-        predecessors = self.active_settings.change(settings, names, in_use)
-        self.counters.show(names.request_classes)
+        """Activate validated settings for requests admitted from now on; open requests keep their rules."""
+        numbers_in_use = self.requests.class_numbers()
+        predecessors = self.active_settings.change(settings, names, numbers_in_use)
+        self.counters.register_classes(names.request_classes)
         self.endpoints.apply_settings()
         self.events.emit(partial(self.dispatcher.settings_changed, self.settings, predecessors))
 
     def leader_redirect(self) -> str | None:
-        """Where clients are redirected to: None for nowhere, "" if no leader of the store is known."""
+        """The address to redirect clients to; None: no redirect, "": no leader of the store is known."""
         return None if self.recorder is None else self.recorder.leader_redirect()
 
     def known_workers(self) -> Collection[str]:
@@ -106,13 +106,13 @@
         return self.dispatcher.workers
 
     def on_gossip(self, peer: int, gossip: LoadGossip) -> None:
-        """Pass on what another dispatcher has sent."""
+        """Report load gossip from another dispatcher to the decision logic."""
         self.events.emit(partial(self.dispatcher.gossip_received, peer, gossip))
 
     def _on_decision_failed(self, request_number: int) -> None:
         self.completion.answer_without_decision(self.requests.get(request_number))
 
-    # ---- Actions of the decisions: see `DispatchActions` ----
+    # ---- Actions requested by the decision logic: see `DispatchActions` ----
 
     def now(self) -> int:
         """Time of the monotonic clock in ns."""
@@ -123,23 +123,23 @@
         self.attempts.start(request_id, worker, timeout)
 
     def cancel_attempt(self, request_id: int, attempt: int) -> None:
-        """Stop waiting for one attempt, counted from 0."""
+        """Stop waiting for the attempt with this index, counted from 0."""
         self.attempts.cancel(request_id, attempt)
 
     def reject(self, request_id: int, retry_after: int, reason: EndReason = EndReason.NOT_STATED) -> None:
-        """Give the final answer that a retry is harmless, after so many ns; 0 gives no advice on when."""
+        """Answer that the client may safely retry, after `retry_after` ns; 0 gives no advice on when."""
         request = self.requests.get(request_id)
         self.request_journal.request_ended(request, "rejected", reason)
         self.completion.answer(request, FinalAnswer.REJECTED, "", retry_after)
 
     def fail(self, request_id: int, reason: EndReason = EndReason.NOT_STATED) -> None:
-        """Give the final answer that promises nothing about the effect."""
+        """Answer that the request failed and may or may not have taken effect."""
         request = self.requests.get(request_id)
         self.request_journal.request_ended(request, "failed", reason)
         self.completion.answer(request, FinalAnswer.FAILED)
 
     def wake_at(self, token: int, when: int) -> None:
-        """Call `timer_fired(token)` at that time or as soon as possible after it."""
+        """Call `timer_fired(token)` at the time `when` or as soon as possible after it."""
         event = partial(self.dispatcher.timer_fired, token)
         self.deadlines.schedule(when, partial(self.events.emit, event))
 
@@ -148,7 +148,7 @@
         self.health_checks.start(worker)
 
     def send_gossip(self, peers: Iterable[int] | None, gossip: LoadGossip) -> None:
-        """Send to these peers, None: to all; nothing is sent where there are no addresses."""
+        """Send load gossip to these peers, or to all if None; does nothing if no peers are configured."""
         if self.load_gossip is not None:
             self.load_gossip.send(peers, gossip)
 
@@ -157,5 +157,5 @@
         self.endpoints.start_watch()
 
     def log(self, line: str) -> None:
-        """Write a line for the person on call."""
+        """Write a line to the log for operators."""
         log_line(line)
