--- a/tests/routing/harness.py
+++ b/tests/routing/harness.py
@@ -20,7 +20,7 @@
 from tests.routing.http_messages import Headers, chunk, read_message
 from tests.routing.worker_behaviours import WorkerBehaviour
 
-Entry = dict[str, object]  # of an endpoint list, in discovery's form
+Entry = dict[str, object]  # an entry of an endpoint list, in discovery's format
 
 
 Result = TypeVar("Result")
@@ -42,7 +42,7 @@
         self.list_changed = asyncio.Event()
         self.behaviours: dict[str, WorkerBehaviour] = {}
         self.watch_count = 0
-        self.next_list_body = b""  # in place of the list, once
+        self.next_list_body = b""  # if set, sent once in place of the list
         self.discovery_keeps_alive = True
         self.answers_waiting_calls = True  # False: calls that wait at discovery get no response
         self.servers: list[asyncio.Server] = []
@@ -77,7 +77,7 @@
         self.running = asyncio.create_task(self.service.run())
         while self.service.client_server.listener.socket is None or not self.watch_count:
             if self.running.done():
-                self.running.result()  # raises the error of the start
+                self.running.result()  # raises the startup error
             await asyncio.sleep(0.001)
 
     async def start_workers_and_discovery(self, workers: int) -> str:
@@ -89,7 +89,7 @@
             self.entries.append(endpoint_entry(name, server.sockets[0].getsockname()[1]))
         discovery = await asyncio.start_server(self._discovery, "127.0.0.1", 0)
         self.servers.append(discovery)
-        # Reserved until they are used, or a concurrent run might take them.
+        # Reserved until they are used, because a concurrent run might take them otherwise.
         self.port, self.admin_port = reserve_ports(2)
         return f"127.0.0.1:{discovery.sockets[0].getsockname()[1]}"
 
@@ -146,7 +146,7 @@
             writer.close()
 
     async def _changes_within(self, call: str) -> bool:
-        """Whether the list changes within the wait of the call, by the clock of the dispatcher."""
+        """Whether the list changes within the wait that the call requests, by the dispatcher's clock."""
         self.list_changed.clear()
         now = self.service.deadlines.now if hasattr(self, "service") else time.monotonic_ns
         until = now() + int(call.partition("hold_ms=")[2].split(" ")[0]) * 1_000_000
@@ -175,7 +175,7 @@
         self.servers[-1] = await asyncio.start_server(self._discovery, host, port)
 
     def config_document(self, discovery: str) -> dict[str, object]:
-        """The configuration file of a dispatcher beside these workers, at the address of discovery."""
+        """The configuration file of a dispatcher that uses these workers and the given discovery address."""
         known = {"version": 1, "full": True, "servers": self.entries}
         return {
             "listen": f"127.0.0.1:{self.port}",
@@ -191,7 +191,7 @@
 
     def attempt_count(self, request_id: str) -> int:
         """The number of attempts of the request that workers received."""
-        return len([each for _, each in self.sent if each == request_id])
+        return len([sent_id for _, sent_id in self.sent if sent_id == request_id])
 
     async def connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         return await asyncio.open_connection("127.0.0.1", self.port)
@@ -225,7 +225,7 @@
 def run_script(
     script: Callable[[ServiceHarness], Coroutine[Any, Any, None]], workers: int = 2, **options: Any
 ) -> ServiceHarness:
-    """Run a script beside a started dispatcher; every request must be answered at its end."""
+    """Run a script against a started dispatcher; every request must be answered when it ends."""
 
     async def run() -> ServiceHarness:
         harness = ServiceHarness()
--- a/tests/routing/http_messages.py
+++ b/tests/routing/http_messages.py
@@ -1,4 +1,4 @@
-"""HTTP messages of the tests: reading one, and one chunk of a worker's response."""
+"""Reads HTTP messages for tests, and builds chunks of worker responses."""
 
 import asyncio
 import json
--- a/tests/routing/race_harness.py
+++ b/tests/routing/race_harness.py
@@ -1,7 +1,7 @@
 """Forces rare orders of events on real sockets.
 
 Nothing here depends on timing: peers are plain sockets that the test writes to and closes while the event
-loop does not run, a connection comes up when its gate opens, and the test sets the program's clock.
+loop does not run, a connect completes when its gate opens, and the test sets the program's clock.
 """
 
 import asyncio
@@ -20,7 +20,7 @@
 from tests.routing.harness import Entry, Result, ServiceHarness
 from tests.routing.http_messages import chunk
 
-# No probes, since these tests are not about the choice of a worker; and long deadlines.
+# No probes, because these tests are not about the choice of a worker, and long deadlines.
 LENIENT_SETTINGS: dict[str, object] = {
     "Limits": {"Cancel": True, "ConnectTimeoutUs": 20_000_000, "MaxHandOffs": 6, "IdleCloseUs": 60_000_000},
     "ServiceGrades": [
@@ -40,9 +40,9 @@
 
 async def wait_until(condition: Callable[[], Result], description: str = "") -> Result:
     for _ in range(400_000):
-        found = condition()
-        if found:
-            return found
+        result = condition()
+        if result:
+            return result
         await asyncio.sleep(0)
     raise AssertionError(description or "the condition never held")
 
@@ -56,7 +56,7 @@
 
 
 class Clock:
-    """The program's clock: real time with an offset of the test, or held at one moment."""
+    """The program's clock: real time plus an offset that the test sets, or stopped at one moment."""
 
     def __init__(self, deadlines: Deadlines) -> None:
         self.deadlines, self.real = deadlines, deadlines.now
@@ -82,7 +82,7 @@
 
 
 class Gate:
-    """Delays the report of connections that are up until the test opens it."""
+    """Delays the completion of connects until the test sets `event`."""
 
     def __init__(self, pool: ConnectionPool) -> None:
         self.loop, self.event, self.waiting = pool.loop, asyncio.Event(), 0
@@ -110,10 +110,10 @@
         with contextlib.suppress(BlockingIOError):
             while not self.ended:
                 try:
-                    part = self.socket.recv(1 << 16)
+                    data = self.socket.recv(1 << 16)
                 except ConnectionError:
-                    part = b""
-                self.received, self.ended = self.received + part, not part
+                    data = b""
+                self.received, self.ended = self.received + data, not data
         return self.received
 
     def has_ended(self) -> bool:
@@ -184,7 +184,7 @@
 
 
 def deliver_list(harness: ServiceHarness, *entries: Entry) -> None:
-    """Deliver an endpoint list to the router, between two steps."""
+    """Deliver an endpoint list to the router at once, without a turn of the event loop."""
     harness.service.router.endpoints.receive_list(endpoint_list(*entries))
 
 
@@ -195,7 +195,7 @@
 async def idle_client(
     harness: ServiceHarness, class_name: str = "look", worker: ManualWorker | None = None
 ) -> Peer:
-    """A client that was answered once, by that worker if one is given; its connections are idle now."""
+    """Connect a client and have it answered once, by `worker` if given; its connections are idle then."""
     client, request_id = connect_to(harness.port), f"before-{class_name}"
     client.socket.send(harness.request(request_id, class_name))
     if worker is not None:
--- a/tests/routing/test_acceptance_rules.py
+++ b/tests/routing/test_acceptance_rules.py
@@ -1,4 +1,4 @@
-"""Acceptance rules: retries, slow start and starts of the program, on sockets and in simulated fleets."""
+"""Acceptance rules for retries, slow start and program starts, on sockets and in simulated fleets."""
 
 import asyncio
 import contextlib
@@ -36,7 +36,7 @@
 
 RUNS_LONG = True  # scheduled first: see tests/conftest.py
 
-# ---- No attempt, first or retry, begins once its client has closed ----
+# ---- No attempt, first or retry, starts after its client has disconnected ----
 
 
 @pytest.mark.parametrize("class_name", CLASS_NAMES)
@@ -47,7 +47,7 @@
 def test_no_retry_begins_once_its_client_has_disconnected(
     after: int, disconnect: str, class_name: str
 ) -> None:
-    # The first attempt is rejected unstarted; the client leaves so many loop turns later, before the retry.
+    # The first attempt is rejected unstarted; `after` loop turns later, before the retry, the client leaves.
     async def script(harness: ServiceHarness) -> None:
         worker, other = ManualWorker(), harness.entries[0]
         deliver_list(harness, endpoint_entry("h", worker.port))
@@ -57,11 +57,12 @@
         if disconnect == "queued behind":
             client.socket.send(harness.request("behind", class_name))
             await run_loop_turns()
-        out, connection = next(iter(harness.service.pool.connections)), newest_session(harness).connection
+        worker_connection = next(iter(harness.service.pool.connections))
+        client_connection = newest_session(harness).connection
         deliver_list(harness, {**endpoint_entry("h", worker.port), "state": "Terminating"}, other)
         gate = Gate(harness.service.pool) if disconnect == "while it comes up" else None
         worker.peers[0].socket.send(b"HTTP/1.1 503 Busy\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
-        wait_for_kernel(out.has_unread_data)
+        wait_for_kernel(worker_connection.has_unread_data)
         await run_loop_turns(after)
         if gate is not None:
             await wait_until(lambda: gate.waiting)
@@ -72,17 +73,17 @@
             client.socket.shutdown(socket.SHUT_WR)
         else:
             client.close()
-        wait_for_kernel(connection.is_closed_by_peer)
-        begun = len(harness.sent)
+        wait_for_kernel(client_connection.is_closed_by_peer)
+        sent_count = len(harness.sent)
         if gate is not None:
             gate.event.set()
         await run_loop_turns(200)
-        assert len(harness.sent) == begun and not harness.service.router.requests.open_count()
+        assert len(harness.sent) == sent_count and not harness.service.router.requests.open_count()
 
     run_script(script, workers=1, **LENIENT_SETTINGS)
 
 
-# ---- A worker that warms up gets no more from all dispatchers than its budget and random variation ----
+# ---- A worker that warms up gets at most its budget plus random variation from all dispatchers ----
 
 
 MEAN_WORK, SLOTS = 200 * MS, 2
@@ -107,9 +108,10 @@
 
 
 def max_excess_starts(policy: str, seed: int) -> tuple[float, int]:
-    """The largest excess of requests at workers that warm up, and the total of their requests.
+    """The largest excess of requests at workers that warm up, and the total number of their requests.
 
-    The excess is over N + 2 sqrt(N) + 2 in the overload window, N being what the settings allow then.
+    The excess is the number of requests in the overload window above N + 2 sqrt(N) + 2, where N is the number
+    that the settings allow at that time.
     """
     experiment = parse_experiment(CRASH_EXPERIMENT)
     rules, up_since, starts = experiment.worker_rules, dict[str, int](), dict[str, list[int]]()
@@ -125,8 +127,8 @@
             share = rules.warmup_share + (1 - rules.warmup_share) * warmth
             allowed = rules.overload_multiple * share * SLOTS * rules.overload_window / MEAN_WORK
             starts[event.worker].append(event.at)
-            late = [at for at in starts[event.worker] if at > event.at - rules.overload_window]
-            max_excess, total = max(max_excess, len(late) - allowed - 2 * math.sqrt(allowed) - 2), total + 1
+            recent = [at for at in starts[event.worker] if at > event.at - rules.overload_window]
+            max_excess, total = max(max_excess, len(recent) - allowed - 2 * math.sqrt(allowed) - 2), total + 1
     return max_excess, total
 
 
@@ -134,9 +136,10 @@
 def test_thirty_dispatchers_do_not_overload_a_worker_that_warms_up(
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(Worker, "_is_overloaded_by", lambda *_: False)  # else it fails before all starts
-    over, got = max_excess_starts("ours", seed)
-    assert over <= 0 and got > 20
+    # Otherwise an overloaded worker would fail before it has received all its requests.
+    monkeypatch.setattr(Worker, "_is_overloaded_by", lambda *_: False)
+    excess, request_count = max_excess_starts("ours", seed)
+    assert excess <= 0 and request_count > 20
     assert max_excess_starts("two choices", seed)[0] > 0, "a policy without slow start exceeds it"
 
 
@@ -158,7 +161,7 @@
 
 
 async def add_idle_client(harness: ServiceHarness, number: int, idle: list[asyncio.StreamWriter]) -> None:
-    """Connect a client that stays: of three, one is silent, one is served, one checks the status once."""
+    """Connect a client that stays; in turn one is silent, one is served and one checks the status once."""
     with contextlib.suppress(ConnectionError, TimeoutError, asyncio.IncompleteReadError):
         reader, client = await harness.connect()
         idle.append(client)
@@ -175,7 +178,7 @@
     await harness.restart_discovery(host, port)
     watch_count_before, harness.watch_count = harness.watch_count, 0
     end = time.monotonic() + 6
-    while harness.watch_count < 2 and time.monotonic() < end:  # the changes, and the next watch
+    while harness.watch_count < 2 and time.monotonic() < end:  # one call for the changes, and the next watch
         await asyncio.sleep(0.02)
     assert harness.watch_count >= 2 and watch_count_before
 
@@ -199,14 +202,16 @@
                 await asyncio.sleep(0.01)
         discovery_address = harness.stop_discovery()
         idle: list[asyncio.StreamWriter] = []
-        max_held = 0
+        max_descriptors = 0
         for number in range(360):
             await add_idle_client(harness, number, idle)
             if number % 20 == 0:
-                held = len(list(Path(f"/proc/{process.pid}/fd").iterdir()))
-                max_held = max(max_held, held)
+                descriptor_count = len(list(Path(f"/proc/{process.pid}/fd").iterdir()))
+                max_descriptors = max(max_descriptors, descriptor_count)
                 await served(f"during-{number}")
-        assert 48 < max_held <= descriptor_limit - 8, f"{max_held} of {descriptor_limit} descriptors"
+        assert 48 < max_descriptors <= descriptor_limit - 8, (
+            f"{max_descriptors} of {descriptor_limit} descriptors"
+        )
         await restart_discovery_with_a_drain(harness, *discovery_address)
         harness.sent.clear()
         for number in range(8):
@@ -214,8 +219,8 @@
         assert {worker for worker, _ in harness.sent} == {"w1"}
         process.kill()
         await process.wait()
-        for each in [writer, *idle]:
-            each.close()
+        for client_writer in [writer, *idle]:
+            client_writer.close()
         harness.close_servers()
 
     uvloop.run(run())
@@ -242,7 +247,7 @@
 
 
 def test_restarted_fleet_is_ready_soon_beside_an_overloaded_discovery(tmp_path: Path) -> None:
-    # Nine in ten within 10 s; none may wait for discovery, which has answered nobody yet.
+    # Nine in ten must be ready within 10 s, and none may wait for discovery, which has answered no call yet.
     count = 20
 
     async def run() -> None:
--- a/tests/routing/test_attempts.py
+++ b/tests/routing/test_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts at workers that fail, reject, break off or are not there; what must not run twice does not."""
+"""Attempts at workers that fail, reject, disconnect or are absent; non-idempotent requests run once."""
 
 import asyncio
 import contextlib
@@ -29,7 +29,7 @@
 
 
 def test_request_that_a_worker_rejects_is_final_and_ejects_no_worker() -> None:
-    # Such a request was retried at one worker after the other, and each was ejected for its errors.
+    # An invalid request was retried at one worker after another, and each was ejected for its errors.
     async def script(harness: ServiceHarness) -> None:
         async def reject(
             reader: asyncio.StreamReader, writer: asyncio.StreamWriter, headers: Headers, body: bytes
@@ -41,7 +41,7 @@
             status, headers, _ = await harness.exchange(harness.request(f"r{number}"))
             assert status == 400 and headers["connection"] == "close"
         assert len(harness.sent) == 6
-        assert not any(w.ejected for w in harness.service.router.dispatcher.workers.values())
+        assert not any(worker.ejected for worker in harness.service.router.dispatcher.workers.values())
 
     run_script(script)
 
@@ -56,8 +56,8 @@
 
 
 def test_request_on_a_dropped_connection_is_retried_and_runs_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Workers drop idle connections silently, or reset new ones: each time a non-idempotent request was lost.
-    # The worker of the test shares the event loop: on a busy machine it may read some ms later.
+    # Workers drop idle connections silently, or reset new ones; each time, a non-idempotent request was lost.
+    # The worker of this test shares the event loop, so on a busy machine it may read some ms late.
     monkeypatch.setattr(worker_calls, "LAST_BYTE_DELAY", 100_000_000)
 
     async def script(harness: ServiceHarness) -> None:
@@ -83,17 +83,17 @@
 
 
 def test_request_to_a_worker_that_accepts_no_connection_is_retried() -> None:
-    # The worker's accept queue is full: new connections never come up, without an error.
+    # The worker's accept queue is full, so new connects neither complete nor fail.
     async def script(harness: ServiceHarness) -> None:
-        with socket.socket() as deaf, contextlib.ExitStack() as held:
-            deaf.bind(("127.0.0.1", 0))
-            deaf.listen(0)
+        with socket.socket() as full_listener, contextlib.ExitStack() as fillers:
+            full_listener.bind(("127.0.0.1", 0))
+            full_listener.listen(0)
             for _ in range(4):
-                filler = held.enter_context(socket.socket())
+                filler = fillers.enter_context(socket.socket())
                 filler.setblocking(False)
-                filler.connect_ex(deaf.getsockname())
-            mute = {**harness.entries[0], "addr": f"127.0.0.1:{deaf.getsockname()[1]}"}
-            await harness.change_list([mute, harness.entries[1]])
+                filler.connect_ex(full_listener.getsockname())
+            unresponsive = {**harness.entries[0], "addr": f"127.0.0.1:{full_listener.getsockname()[1]}"}
+            await harness.change_list([unresponsive, harness.entries[1]])
             answers = [harness.exchange(harness.request(f"r{n}", "book")) for n in range(4)]
             assert [status for status, _, _ in await asyncio.gather(*answers)] == [200] * 4
             assert (
--- a/tests/routing/test_client_requests.py
+++ b/tests/routing/test_client_requests.py
@@ -1,4 +1,4 @@
-"""Requests of clients: served, refused, rejected at the limits; clients that stall or leave."""
+"""Client requests that are served, refused or rejected at limits; clients that stall or disconnect."""
 
 import asyncio
 import contextlib
@@ -72,7 +72,7 @@
 @pytest.mark.parametrize(
     ("data", "status"),
     [
-        # The rest of each is never sent: they are refused by their heads.
+        # The rest of each request is never sent, as its head is enough to refuse it.
         (b"POST /look HTTP/1.1\r\nRequest-Id: 1\r\nContent-Length: 60000000\r\n\r\n" + b"x" * 70_000, 413),
         (b"POST /look HTTP/1.1\r\nRequest-Id: 1\r\nContent-Length: 99999999999999999999\r\n\r\n", 400),
         (b"POST /unknown HTTP/1.1\r\nRequest-Id: 1\r\nContent-Length: 9\r\n\r\n", 404),
@@ -84,7 +84,7 @@
             400,
         ),
         (b"POST /look HTTP/1.1\r\nRequest-Id: 1\r\nTransfer-Encoding: gzip, chunked\r\n\r\n", 400),
-        (b"POST /look HTTP/1.1\r\nA: " + b"b" * 300_000, 400),  # was kept, as long as it came
+        (b"POST /look HTTP/1.1\r\nA: " + b"b" * 300_000, 400),  # heads of any length were buffered
     ],
 )
 def test_invalid_request_is_refused_by_its_head_and_not_forwarded(data: bytes, status: int) -> None:
@@ -100,33 +100,35 @@
 
 
 def test_silent_and_slow_clients_are_disconnected_and_served_ones_stay() -> None:
-    # A new connection that sent nothing stayed open for good, a started request for 10 s.
+    # A new connection that sent nothing stayed open forever, and one with an incomplete request for 10 s.
     async def script(harness: ServiceHarness) -> None:
         kept_reader, kept = await harness.connect()
         kept.write(harness.request("first"))
         await read_message(kept_reader)
         silent, _ = await harness.connect()
-        asker, asker_writer = await harness.connect()
-        asker_writer.write(b"GET /-/ready HTTP/1.1\r\n\r\n")
-        half, half_writer = await harness.connect()
-        drip, drip_writer = await harness.connect()
-        half_writer.write(harness.request("half")[:-1])
+        status_client, status_writer = await harness.connect()
+        status_writer.write(b"GET /-/ready HTTP/1.1\r\n\r\n")
+        partial, partial_writer = await harness.connect()
+        slow, slow_writer = await harness.connect()
+        partial_writer.write(harness.request("half")[:-1])
         started = asyncio.get_running_loop().time()
         for byte in b"POST /look HTTP/1.1\r\nRequest-Id":
-            if drip.at_eof() or drip._buffer:  # type: ignore[attr-defined]
+            if slow.at_eof() or slow._buffer:  # type: ignore[attr-defined]
                 break
-            drip_writer.write(bytes([byte]))
+            slow_writer.write(bytes([byte]))
             await asyncio.sleep(0.1)
         assert await asyncio.wait_for(silent.read(), 1) == b""
         with contextlib.suppress(ConnectionError):
-            assert (await asyncio.wait_for(asker.read(), 1)).count(b"HTTP/1.1") == 1, "no answer unasked"
-        assert (await asyncio.wait_for(half.read(), 1)).startswith(b"HTTP/1.1 408")
-        assert (await asyncio.wait_for(drip.read(), 1)).startswith(b"HTTP/1.1 408")
+            assert (await asyncio.wait_for(status_client.read(), 1)).count(b"HTTP/1.1") == 1, (
+                "no answer unasked"
+            )
+        assert (await asyncio.wait_for(partial.read(), 1)).startswith(b"HTTP/1.1 408")
+        assert (await asyncio.wait_for(slow.read(), 1)).startswith(b"HTTP/1.1 408")
         assert asyncio.get_running_loop().time() - started < 3
         kept.write(harness.request("second"))
         assert (await read_message(kept_reader))[0] == "HTTP/1.1 200 OK"
         kept.close()
-        for writer in (half_writer, drip_writer):
+        for writer in (partial_writer, slow_writer):
             writer.close()
         closes = harness.service.router.request_journal.client_closes
         await wait_until(
@@ -144,11 +146,11 @@
         await read_message(kept_reader)
         silent = [asyncio.create_task(harness.connect()) for _ in range(300)]
         await asyncio.sleep(0.3)
-        for _ in range(60):  # that ask once and stay
-            asker = await harness.connect()
-            silent.append(asyncio.create_task(asyncio.sleep(0, asker)))
-            asker[1].write(b"GET /-/ready HTTP/1.1\r\n\r\n")
-            assert (await read_message(asker[0]))[0] == "HTTP/1.1 200 OK"
+        for _ in range(60):  # these check the status once and stay connected
+            status_client = await harness.connect()
+            silent.append(asyncio.create_task(asyncio.sleep(0, status_client)))
+            status_client[1].write(b"GET /-/ready HTTP/1.1\r\n\r\n")
+            assert (await read_message(status_client[0]))[0] == "HTTP/1.1 200 OK"
         assert (await harness.exchange(harness.request("new")))[0] == 200
         kept.write(harness.request("second"))
         assert (await read_message(kept_reader))[0] == "HTTP/1.1 200 OK"
@@ -165,21 +167,21 @@
 def test_requests_beyond_the_memory_limit_are_rejected() -> None:
     async def script(harness: ServiceHarness) -> None:
         harness.behaviours = {"w0": stay_silent, "w1": stay_silent}
-        held = [
+        pending_responses = [
             asyncio.create_task(harness.exchange(harness.request(f"r{n}", body=b"x" * 65536)))
             for n in range(80)
         ]
         await asyncio.sleep(0.3)
         server = harness.service.client_server
         assert server.buffered_bytes + server.router.requests.body_bytes <= server.max_buffered_bytes + 65536
-        assert {status for status, _, _ in await asyncio.gather(*held)} == {503}
+        assert {status for status, _, _ in await asyncio.gather(*pending_responses)} == {503}
         assert not server.buffered_bytes and not server.router.requests.body_bytes
 
     run_script(script, memory_mb=32)
 
 
 def test_pipeline_of_invalid_requests_ends_with_the_first() -> None:
-    # Hundreds of them were answered one by one, and the valid requests after them waited.
+    # Hundreds of invalid requests were answered one by one while the valid requests after them waited.
     async def script(harness: ServiceHarness) -> None:
         reader, writer = await harness.connect()
         writer.write(harness.request("a", "unknown") * 300 + harness.request("b"))
@@ -215,7 +217,7 @@
         for _, writer in idle:
             writer.close()
         await asyncio.sleep(0.05)
-        # The newest was closed when it alone was idle; it reconnected at once, and was closed again.
+        # The newest connection was closed if it alone was idle; its client reconnected, and was closed again.
         harness.behaviours = {"w0": stay_silent, "w1": stay_silent}
         busy = [harness.exchange(harness.request(f"b{n}", "book")) for n in range(40)]
         statuses = [status for status, _, _ in await asyncio.gather(*busy)]
--- a/tests/routing/test_program.py
+++ b/tests/routing/test_program.py
@@ -1,4 +1,4 @@
-"""The program from its start, through new configurations, to its shutdown."""
+"""The program from startup, through configuration changes, to shutdown."""
 
 import asyncio
 import contextlib
@@ -30,7 +30,7 @@
 async def write_and_signal(
     process: asyncio.subprocess.Process, path: Path, text: str, *signals: signal.Signals
 ) -> None:
-    """Write the configuration file and send the signals, one at once after the other."""
+    """Write the configuration file and send the signals immediately after each other."""
     path.write_text(text)
     for number in signals:
         process.send_signal(number)
@@ -43,7 +43,7 @@
         harness, new_discovery = ServiceHarness(), ServiceHarness()
         path = tmp_path / "config.json"
         process, document, log = await start_ready_program(harness, path)
-        # Its list happens to have the version of the first one's.
+        # Its list has the same version number as the list of the first discovery.
         address = await new_discovery.start_workers_and_discovery(0)
         new_discovery.entries = harness.entries[1:]
         kept, writer = await harness.connect()
@@ -69,7 +69,7 @@
             assert (await read_message(kept))[0] == "HTTP/1.1 200 OK"
         assert {worker for worker, _ in harness.sent} == {"w1"}
         writer.close()
-        # Twice at once, and beside the signal to end.
+        # Two reloads at once, and another beside the signal to terminate.
         signals = (signal.SIGHUP, signal.SIGHUP, signal.SIGTERM, signal.SIGHUP)
         await write_and_signal(process, path, json.dumps(document), *signals)
         assert await asyncio.wait_for(process.wait(), 4) == 0
@@ -80,12 +80,12 @@
 
 
 def test_program_starts_serves_and_stops_on_sigterm(tmp_path: Path) -> None:
-    # Clients go on over kept connections and, for a while, new ones; admitted requests must be answered.
+    # Clients continue over kept connections and, for a while, new ones; admitted requests must be answered.
     async def client(harness: ServiceHarness, name: str, until: float, statuses: list[int]) -> None:
         number, kept = 0, None
         while asyncio.get_running_loop().time() < until:
             number += 1
-            for _ in range(2):  # once more where the close crossed the request
+            for _ in range(2):  # a second time if the close crossed the request
                 reader, writer = kept or await harness.connect()
                 writer.write(harness.request(f"{name}-{number}"))
                 try:
@@ -122,7 +122,7 @@
         half.write(harness.request("half")[:30])
         harness.service.shut_down()
         assert (await harness.exchange(b"GET /-/ready HTTP/1.1\r\n\r\n"))[0] == 503
-        # Closed at once, clients found nobody where the other dispatcher was restarted as well.
+        # When it closed at once, clients found no dispatcher if the other one was restarted as well.
         for number in range(6):
             await asyncio.sleep(0.2)
             kept.write(harness.request(f"r{number}"))
@@ -135,7 +135,7 @@
         ]
         assert (await asyncio.wait_for(kept_reader.read(), 1.5)) == b""  # closed between requests
         assert [(await answer)[0] for answer in last] == [503, 504]
-        await asyncio.wait_for(harness.running, 2)  # whoever has not sent a request whole by then
+        await asyncio.wait_for(harness.running, 2)  # even though one client has not sent a complete request
         half.close()
         kept.close()
 
--- a/tests/routing/test_race_conditions.py
+++ b/tests/routing/test_race_conditions.py
@@ -1,4 +1,4 @@
-"""Attempts and connections: an end, a response or a list between any two steps, on real sockets."""
+"""Race conditions on real sockets: a disconnect, a response or a list arrives between any two steps."""
 
 from collections.abc import Callable
 
@@ -29,7 +29,7 @@
 @pytest.mark.parametrize("class_name", CLASS_NAMES)
 @pytest.mark.parametrize("event", ["drains", "gone", "moved", "left", "late", "lost"])
 def test_attempt_is_not_written_once_it_is_no_longer_allowed(event: str, class_name: str) -> None:
-    # A connection that came up late took the request to a worker that was listed as draining by then.
+    # After a slow connect, the request was sent to a worker that had meanwhile been listed as draining.
     async def script(harness: ServiceHarness) -> None:
         worker, other, clock = ManualWorker(), harness.entries[0], Clock(harness.service.deadlines)
         chosen = endpoint_entry("h", worker.port)
@@ -73,11 +73,13 @@
 @pytest.mark.parametrize("class_name", CLASS_NAMES)
 @pytest.mark.parametrize("disconnect", ["closed", "reset", "in a turn before", "far ahead", "queued behind"])
 def test_nothing_is_sent_for_a_client_that_has_disconnected(disconnect: str, class_name: str) -> None:
-    # Timers ran before unread data; and after data that a client had sent ahead its disconnect was not read.
+    # Timers ran before unread data was read, and a disconnect after data that was sent ahead was not seen.
     async def script(harness: ServiceHarness) -> None:
         ready, clock = harness.entries[0], Clock(harness.service.deadlines)
         draining = {**ready, "state": "Terminating"}
-        await idle_client(harness, class_name)  # whose connection the next attempt reuses in the same turn
+        await idle_client(
+            harness, class_name
+        )  # the next attempt reuses this worker connection in the same turn
         deliver_list(harness, draining)
         client = connect_to(harness.port)
         client.socket.send(harness.request("left", class_name))
@@ -101,7 +103,7 @@
             wait_for_kernel(connection.is_closed_by_peer)
         harness.sent.clear()
         deliver_list(harness, ready)
-        for _ in range(4):  # the clock ticks, and waiting requests are sent
+        for _ in range(4):  # due timers run, and waiting requests are sent
             clock.resume_after(500 * MS)
         await run_loop_turns(100)
         assert not harness.sent and not harness.service.router.requests.open_count()
@@ -137,8 +139,8 @@
 def test_idle_connection_with_unread_data_is_not_reused(
     request_first: bool, data: bytes, class_name: str
 ) -> None:
-    # A late second answer to the previous request was accepted: a second attempt was sent beside the first.
-    # Empty: the worker closes the idle connection while the request is sent.
+    # A late second response to the previous request was accepted, and caused a second concurrent attempt.
+    # With empty data, the worker closes the idle connection while the request is sent.
     async def script(harness: ServiceHarness) -> None:
         worker = ManualWorker()
         deliver_list(harness, endpoint_entry("h", worker.port))
@@ -157,7 +159,7 @@
         await wait_until(lambda: worker.copies("r"))
         await run_loop_turns(300)
         assert worker.copies("r") == 1
-        next(p for p in worker.accept_pending() if b"request-id: r\r\n" in p.read()).socket.send(
+        next(peer for peer in worker.accept_pending() if b"request-id: r\r\n" in peer.read()).socket.send(
             success_response("r")
         )
         assert await wait_until(client.status) == 200
@@ -166,20 +168,20 @@
 
 
 def test_idle_connection_that_receives_data_is_discarded_at_once() -> None:
-    # It was aborted, and the next user got it before the event loop reported its end.
+    # The connection was aborted, and its next user got it before the event loop reported its end.
     async def script(harness: ServiceHarness) -> None:
         await idle_client(harness)
         pool, address = harness.service.pool, str(harness.entries[0]["addr"])
         idle = next(iter(pool.connections))
-        next_one = RecordingPoolUser()
+        next_user = RecordingPoolUser()
         assert idle.user is not None
         idle.user.on_data_available()
-        pool.acquire(address, next_one)
-        assert next_one.connection is None
-        given = await wait_until(lambda: next_one.connection)
-        assert given is not None
-        assert given is not idle and pool.connection_count() == 1
-        given.abort()
+        pool.acquire(address, next_user)
+        assert next_user.connection is None
+        new_connection = await wait_until(lambda: next_user.connection)
+        assert new_connection is not None
+        assert new_connection is not idle and pool.connection_count() == 1
+        new_connection.abort()
 
     run_script(script, workers=1, **LENIENT_SETTINGS)
 
--- a/tests/routing/test_shutdown_races.py
+++ b/tests/routing/test_shutdown_races.py
@@ -1,4 +1,4 @@
-"""Shutdown, handover and eviction between any two steps of a connection, and signals during the start."""
+"""Shutdown, handover and eviction between any two steps of a connection, and signals during startup."""
 
 import json
 import os
@@ -35,7 +35,7 @@
     async def script(harness: ServiceHarness) -> None:
         clock, service = Clock(harness.service.deadlines), harness.service
         clock.hold()
-        deliver_list(harness)  # no worker: requests wait
+        deliver_list(harness)  # without a worker, requests wait
         idle, clients = connect_to(harness.port), [connect_to(harness.port) for _ in range(3)]
         clients[0].socket.send(harness.request("before"))
         await wait_until(
@@ -43,7 +43,7 @@
         )
         service.shut_down()
         elapsed_ms = 0
-        while elapsed_ms < 1590:  # 900 ms and 700 ms
+        while elapsed_ms < 1590:  # the longest deadline of 900 ms, and 700 ms for accepting
             if elapsed_ms in (600, 680, 1000):
                 clients[{600: 1, 680: 2, 1000: 0}[elapsed_ms]].socket.send(
                     harness.request(f"at-{elapsed_ms}")
@@ -61,7 +61,7 @@
 
 @pytest.mark.parametrize("first", ["kept", "new"])
 def test_requests_unread_at_shutdown_are_answered(first: str) -> None:
-    # Connections with unread requests were closed, and those that were not accepted yet were reset.
+    # Connections with unread requests were closed, and connections that were not accepted yet were reset.
     async def script(harness: ServiceHarness) -> None:
         kept = await idle_client(harness)
         new = [connect_to(harness.port) for _ in range(12)]
@@ -86,14 +86,14 @@
         service.listening_socket, other = (
             listener.socket,
             listener.socket.dup(),
-        )  # the other process has it, too
-        seating, queued = connect_to(harness.port), connect_to(harness.port)
-        for name, client in (("kept", kept), ("seating", seating), ("queued", queued)):
+        )  # shared with the other process
+        accepted, queued = connect_to(harness.port), connect_to(harness.port)
+        for name, client in (("kept", kept), ("seating", accepted), ("queued", queued)):
             client.socket.send(harness.request(name))
         wait_for_kernel(newest_session(harness).connection.has_unread_data)
         listener._accept_some(1)  # accepted, and not set up yet
         service.shut_down()
-        for client in (kept, seating):
+        for client in (kept, accepted):
             await wait_until(client.has_ended)
             assert client.status() == 200 and b"connection: close" in client.received.lower()
         taken = Peer(other.accept()[0])
@@ -117,8 +117,8 @@
 
 
 @pytest.fixture
-def held_start(tmp_path: Path) -> Iterator[Callable[[str], subprocess.Popen[bytes]]]:
-    """Starts the program, and sends it a signal during its imports."""
+def start_with_signal(tmp_path: Path) -> Iterator[Callable[[str], subprocess.Popen[bytes]]]:
+    """Starts the program, which gets a signal during its imports."""
     started: list[subprocess.Popen[bytes]] = []
     path, (listen, discovery) = tmp_path / "config.json", reserve_ports(2)
     addresses = {"listen": f"127.0.0.1:{listen}", "discovery": f"127.0.0.1:{discovery}"}
@@ -142,10 +142,10 @@
 
 @pytest.mark.parametrize("name", ["SIGHUP", "SIGTERM"])
 def test_signal_during_the_start_is_kept_until_it_is_handled(
-    name: str, held_start: Callable[[str], subprocess.Popen[bytes]]
+    name: str, start_with_signal: Callable[[str], subprocess.Popen[bytes]]
 ) -> None:
-    # A SIGHUP during the start ended the program.
-    process = held_start(name)
+    # A SIGHUP during startup ended the program.
+    process = start_with_signal(name)
     assert process.stderr is not None
     if name == "SIGHUP":
         assert b"serves at" in process.stderr.readline()
--- a/tests/routing/worker_behaviours.py
+++ b/tests/routing/worker_behaviours.py
@@ -1,4 +1,4 @@
-"""Behaviours of workers, most of them with a fault, which a test gives to workers of its harness."""
+"""Worker behaviours, mostly faulty ones, that tests assign to the workers of their harness."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
