--- a/ploverspoke/routing/admin_connection.py
+++ b/ploverspoke/routing/admin_connection.py
@@ -1,4 +1,4 @@
-"""One operator's connection: one command, one reply, the end."""
+"""One operator's connection, which is closed after one command and its reply."""
 
 from typing import Protocol
 
@@ -8,42 +8,42 @@
 from ploverspoke.transport.deadlines import Deadlines
 from ploverspoke.transport.units import SECOND
 
-COMMAND_TIMEOUT = 2 * SECOND  # for the complete command, and again for the reply to be read
+COMMAND_TIMEOUT_NS = 2 * SECOND  # to receive the command, and again for the operator to read the reply
 
 
 class AdminConnectionOwner(Protocol):
-    """What a connection needs of the server that accepted it."""
+    """The part of the admin server that a connection uses."""
 
     deadlines: Deadlines
 
     def execute(self, command: str) -> bytes:
-        """The reply to a command, an error reply where it failed."""
+        """Return the reply to a command, which is an error reply if the command failed."""
 
-    def forget(self, session: "AdminConnection") -> None:
-        """The connection has ended."""
+    def remove_session(self, session: "AdminConnection") -> None:
+        """Remove the session, whose connection has ended."""
 
 
 class AdminConnection:
-    """Owner of one operator's connection."""
+    """Owns one operator's connection."""
 
     def __init__(self, server: AdminConnectionOwner, connection: Connection) -> None:
-        """Begin to read; the server is notified when the connection has ended."""
+        """Start to read; the server is notified when the connection has ended."""
         self.server = server
         self.connection = connection
         self.reader = admin.AdminCommandReader()
         self.began_at = server.deadlines.now()
         self.is_answered = False
-        self.deadline = server.deadlines.schedule(self.began_at + COMMAND_TIMEOUT, self._on_timeout)
+        self.deadline = server.deadlines.schedule(self.began_at + COMMAND_TIMEOUT_NS, self._on_timeout)
         connection.user = self
 
-    def hang_up(self) -> None:
-        """Close the connection now."""
+    def abort(self) -> None:
+        """Close the connection at once."""
         self.connection.abort()
 
     # ---- Events of the connection ----
 
     def on_data_available(self) -> None:
-        """Read the command, and reply once it is complete; bytes after it are dropped."""
+        """Read the command, and reply once it is complete; bytes after it are discarded."""
         if self.is_answered:
             self.connection.buffer.consume(len(self.connection.buffer))
             return
@@ -62,7 +62,7 @@
     def on_disconnected(self) -> None:
         """End the session."""
         self.server.deadlines.cancel(self.deadline)
-        self.server.forget(self)
+        self.server.remove_session(self)
 
     def on_write_drained(self) -> None:
         """Do nothing: the connection closes when the reply is sent."""
@@ -76,6 +76,6 @@
         if self.is_answered:
             self.connection.abort()
         else:
-            self._reply(admin.error_reply("no whole line came"))
+            self._reply(admin.error_reply("no complete line within the time limit"))
             now = self.server.deadlines.now()
-            self.deadline = self.server.deadlines.schedule(now + COMMAND_TIMEOUT, self._on_timeout)
+            self.deadline = self.server.deadlines.schedule(now + COMMAND_TIMEOUT_NS, self._on_timeout)
--- a/ploverspoke/routing/admin_server.py
+++ b/ploverspoke/routing/admin_server.py
@@ -1,4 +1,4 @@
-"""The server for operators: answers commands from the current state of the process."""
+"""The admin server: answers operators' commands from the current state of the process."""
 
 import asyncio
 import traceback
@@ -15,11 +15,11 @@
 from .client_server import ClientServer
 from .router import Router
 
-MAX_SESSIONS = 16  # their descriptors are reserved in transport/resource_limits.py
+MAX_SESSIONS = 16  # their file descriptors are reserved in transport/resource_limits.py
 
 
 class AdminServer:
-    """Owner of the listening socket for operators and of the sessions with them."""
+    """Owns the listening socket for operators and their sessions."""
 
     def __init__(
         self,
@@ -28,28 +28,28 @@
         client_server: ClientServer,
         router: Router,
     ) -> None:
-        """Reports on `client_server` and `router`."""
+        """Commands report on `client_server` and `router`."""
         self.deadlines = deadlines
         self.client_server = client_server
         self.router = router
         self.commands: dict[str, Callable[[], bytes]] = {"check": self._check, "vars": self._vars}
         self.connections: SlotTable[Connection] = SlotTable()
-        self.sessions: dict[int, AdminConnection] = {}  # by their connection's number, oldest first
+        self.sessions: dict[int, AdminConnection] = {}  # by the number of the connection, oldest first
         self.listener = Listener(loop, deadlines, self._make_connection, self._may_accept)
 
     def execute(self, command: str) -> bytes:
-        """The reply to a command, an error reply where it is unknown or has failed."""
+        """Return the reply to a command, which is an error reply if it is unknown or has failed."""
         execute = self.commands.get(command)
         if execute is None:
             return admin.error_reply("expected one of " + ", ".join(self.commands))
         try:
             return execute()
-        except Exception:  # any fault of a report: requests of clients must not suffer from it
+        except Exception:  # an error in a report must not affect the clients' requests
             log_line(f"an admin command failed: {traceback.format_exc()}")
-            return admin.error_reply("a fault of ours")
+            return admin.error_reply("internal error")
 
-    def forget(self, session: AdminConnection) -> None:
-        """The session has ended, or is about to."""
+    def remove_session(self, session: AdminConnection) -> None:
+        """Remove a session that has ended or is about to be closed."""
         self.sessions.pop(session.connection.number, None)
 
     # ---- Commands ----
@@ -89,12 +89,15 @@
         self.sessions[connection.number] = AdminConnection(self, connection)
 
     def _may_accept(self, pending_count: int) -> bool:
-        """Whether to accept one more connection; at the limit the oldest without a command is closed."""
+        """Return whether to accept one more connection.
+
+        At the limit the oldest session without a complete command is closed, unless it is very new.
+        """
         if len(self.sessions) + pending_count < MAX_SESSIONS:
             return True
         oldest = next((session for session in self.sessions.values() if not session.is_answered), None)
         if oldest is None or self.deadlines.now() - oldest.began_at < FIRST_BYTES_WITHIN:
             return False
-        self.forget(oldest)
-        oldest.hang_up()
+        self.remove_session(oldest)
+        oldest.abort()
         return True
--- a/ploverspoke/routing/endpoint_directory.py
+++ b/ploverspoke/routing/endpoint_directory.py
@@ -1,4 +1,4 @@
-"""The directory of endpoints: workers' addresses from discovery, and the watch that keeps them up to date."""
+"""The directory of worker addresses from discovery, and the watch that keeps it up to date."""
 
 from collections.abc import Callable
 from functools import partial
@@ -20,30 +20,36 @@
 
 
 class EndpointDirectory(RouterPart):
-    """Follows discovery, stores the workers' addresses and reports each change to the decisions."""
+    """Watches discovery, stores the workers' addresses and reports each change to the decision logic."""
 
     def __init__(self, context: RoutingContext, discovery_address: str) -> None:
-        """`discovery_address` is "host:port"; it is not called before the watch is started."""
+        """`discovery_address` is "host:port"; the first call is made when the watch is started."""
         super().__init__(context)
-        self.addresses: dict[str, str] = {}  # by worker; also of those that are gone
-        self.lists_received = 0  # from discovery, since the start
-        self.on_list: Callable[[bytes], None] | None = None  # given the body of each list
+        self.addresses: dict[str, str] = {}  # by worker name, including workers that are gone
+        self.lists_received = 0  # from discovery, since this process started
+        self.on_list: Callable[[bytes], None] | None = None  # called with the body of each list
         self.start_times = StartTimes(self.deadlines.now)
         self.journal = WatchJournal(self.deadlines.now)
         self.watch = self._make_watch(discovery_address)
-        self.has_moved = False  # to another address that has not been called yet
+        self.has_new_address = False  # the address changed and has not been called since
 
     def load_known(self, known: EndpointList, resume: bool) -> None:
-        """Begin with a stored list; with `resume` only newer changes are requested, else the whole list."""
+        """Load a stored list before the first call to discovery.
+
+        With `resume` only changes after its version are requested, otherwise the whole list.
+        """
         self.watch.version = known.version if resume else None
         self._report(known, is_complete=True)
 
     def receive_list(self, body: bytes) -> EndpointList:
-        """Apply a list from discovery. Raises EndpointListError, and no part of it is reported."""
+        """Apply a list from discovery.
+
+        Raises EndpointListError for an invalid list; no part of it is reported to the decision logic.
+        """
         try:
             received = read_endpoint_list(body)
         except InvalidEntryError as error:
-            # The entries before the invalid one are valid: the new addresses of workers apply at once.
+            # The entries before the invalid one are valid, so the addresses in them are stored.
             for entry in error.entries_before:
                 self._store_entry(entry)
             raise
@@ -54,16 +60,19 @@
         return received
 
     def start_watch(self) -> None:
-        """Watch the list, unless the watch is running."""
-        reason = CallReason.ADDRESS_CHANGED if self.has_moved else CallReason.DUE
-        self.has_moved = False
+        """Start the watch unless it is already running."""
+        reason = CallReason.ADDRESS_CHANGED if self.has_new_address else CallReason.DUE
+        self.has_new_address = False
         self.watch.start(reason)
 
     def change_address(self, address: str) -> None:
-        """Watch at another address, from the whole list on, as versions differ between addresses."""
+        """Replace the watch by one on another address.
+
+        It requests the whole list first, since versions differ between addresses.
+        """
         self.watch.stop()
         self.watch = self._make_watch(address)
-        self.has_moved = True
+        self.has_new_address = True
         self.events.emit(partial(self.dispatcher.discovery_moved))
 
     def apply_settings(self) -> None:
@@ -82,19 +91,19 @@
         )
 
     def list_confirmed(self, as_of: int) -> None:
-        """Report that everything that discovery had at that time has been received."""
+        """Report that the list contains everything that discovery had at `as_of` (monotonic ns)."""
         self.events.emit(partial(self.dispatcher.endpoint_list_confirmed, as_of))
 
     def list_time_left(self) -> int | None:
-        """Time in ns until the list expires, less than 0 after that; None: it does not."""
+        """Return the time (ns) until the list expires: negative after the expiry, None if it has none."""
         return self.dispatcher.list_time_left()
 
     def call_was_silent(self, as_of: int) -> None:
-        """Report that a call for an immediate response was not answered in time."""
+        """Report that a call begun at `as_of` (ns), which requested an immediate response, timed out."""
         self.events.emit(partial(self.dispatcher.endpoint_watch_silent, as_of))
 
     def watch_failed(self, outcome: CallOutcome) -> None:
-        """Report the failure: the decisions choose when to watch again."""
+        """Report the failure; the decision logic chooses when the watch is started again."""
         is_rejected = outcome is CallOutcome.REJECTED
         is_unreachable = outcome is CallOutcome.REFUSED
         event = partial(self.dispatcher.endpoint_watch_failed, is_rejected, is_unreachable)
@@ -108,8 +117,8 @@
             self.events.emit(partial(self.dispatcher.endpoints_changed, endpoints))
 
     def _store_entry(self, entry: EndpointEntry) -> Endpoint:
-        """Store the worker's address, and retire the connections to its former one."""
-        # A worker in an unknown state gets no new attempts.
+        """Store the worker's address, and retire the connections to its previous address."""
+        # An unknown state counts as draining, so that the worker gets no new attempts.
         condition = EndpointCondition(ENDPOINT_STATES.get(entry.state, EndpointCondition.DRAINING.value))
         known_address = self.addresses.get(entry.name)
         is_gone = condition is EndpointCondition.GONE
--- a/ploverspoke/routing/worker_calls.py
+++ b/ploverspoke/routing/worker_calls.py
@@ -1,4 +1,4 @@
-"""Worker calls: one request to a worker each, from the wait for a connection to its one outcome."""
+"""Worker calls: each sends one request to a worker and reports its single outcome."""
 
 from typing import Protocol
 
@@ -9,42 +9,42 @@
 from ploverspoke.transport.outcomes import ExchangeOutcome
 from ploverspoke.transport.units import MILLISECOND
 
-RESPONSE_END_TIMEOUT = 500 * MILLISECOND  # for the rest of a response whose outcome is known
-# A worker that has dropped a connection, or wants no new one, shows it this soon after the first bytes.
-LAST_BYTE_DELAY = 2 * MILLISECOND
+RESPONSE_END_TIMEOUT_NS = 500 * MILLISECOND  # to read the rest of a response whose outcome is known
+# A worker that has closed the connection, or rejects it, is noticed within this time after the first bytes.
+LAST_BYTE_DELAY_NS = 2 * MILLISECOND
 
 
 class WorkerCallUser(Protocol):
-    """The user of a worker call: gives the request to send, and is notified of progress and outcome."""
+    """The user of a worker call: provides the request, and is notified of its progress and outcome."""
 
     def encode_request(self, time_left: int) -> bytes:
-        """The bytes to send, where `time_left` ns remain for the call."""
+        """Return the bytes to send; `time_left` ns remain for the call."""
 
     def make_reader(self, listener: ResponseListener) -> ResponseReader:
-        """A reader for the response, which reports to `listener`."""
+        """Return a reader that reports the response to `listener`."""
 
     def may_send(self) -> bool:
-        """Whether the call may still be written.
+        """Return whether the request may still be written.
 
-        Called just before the first byte and again before the last: the connection may have come up late,
-        and this process may have been suspended.
+        Called just before the first byte and again before the last, since the connection may have been
+        established late, and this process may have been suspended.
         """
 
     def on_written(self) -> None:
-        """The last byte was accepted by the kernel."""
+        """The kernel has accepted the last byte of the request."""
 
     def on_started(self) -> None:
-        """The worker has begun the request."""
+        """The worker has started to process the request."""
 
     def on_progress(self, fraction_done: float) -> None:
-        """The worker has done that part of the request, 0 to 1."""
+        """The worker has processed this fraction of the request, 0 to 1."""
 
     def on_ended(self, outcome: ExchangeOutcome, result: str, load: LoadReport | None) -> None:
-        """The call has ended; called exactly once, and never from inside a call of the user's."""
+        """The call has ended. Called exactly once, and never while the user is calling `WorkerCall`."""
 
 
 class WorkerCall:
-    """Owner of the connection to a worker while one request is exchanged on it."""
+    """Owns a connection to a worker while one request is exchanged on it."""
 
     def __init__(
         self,
@@ -55,39 +55,40 @@
         delay_last_byte: bool = False,
         use_new_connection: bool = False,
     ) -> None:
-        """Begin the call, which may take `timeout` ns.
+        """Start the call, which may take `timeout` ns.
 
-        With `delay_last_byte` the last byte is written `LAST_BYTE_DELAY` after the others: a worker begins
-        a request when it has all of it, so a connection that breaks before has certainly not run it.
+        With `delay_last_byte` the last byte is written `LAST_BYTE_DELAY_NS` after the others. A
+        worker starts a request only when it has received all of it, so the request has certainly not run if
+        the connection breaks before.
         """
         self.pool = pool
         self.deadlines = pool.deadlines
-        self.user: WorkerCallUser | None = user  # None: it was notified of the end
+        self.user: WorkerCallUser | None = user  # None: it was notified of the outcome
         self.reader = user.make_reader(self)
         self.connection: Connection | None = None
         self.pending_connection: PendingConnection | None = None
         self.abort_outcome: ExchangeOutcome | None = None  # why this side closed the connection
-        self.is_reusable = False  # the connection, after the response
+        self.is_reusable = False  # whether the connection can carry another request
         self.delay_last_byte = delay_last_byte
-        self.last_byte: bytes | None = None  # not written yet
+        self.last_byte: bytes | None = None  # if it is delayed and not written yet
         self.ends_at = self.deadlines.now() + timeout
         self.deadline = self.deadlines.schedule(self.ends_at, self._on_timeout)
         max_idle_time = pool.safe_idle_time() if delay_last_byte else None
         self.pending_connection = pool.acquire(address, self, 0 if use_new_connection else max_idle_time)
 
     def cancel(self) -> None:
-        """Stop waiting: the connection is closed, and what was not sent yet is not sent."""
+        """Stop the call: its connection is closed, and bytes not written yet are not sent."""
         self._stop(ExchangeOutcome.CANCELLED, ExchangeOutcome.NOT_SENT)
 
     def withhold(self) -> None:
-        """Do not send the request if it is not sent completely; else wait on for its outcome."""
+        """Stop the call unless its request is sent completely; otherwise keep waiting for its outcome."""
         if self.connection is None or self.last_byte is not None:
             self._stop(ExchangeOutcome.NOT_SENT, ExchangeOutcome.NOT_SENT)
 
     # ---- Events of the connection ----
 
     def on_connected(self, connection: Connection) -> None:
-        """Write the request, unless it may not be sent any more."""
+        """Write the request, unless it may no longer be sent."""
         self.pending_connection = None
         user = self.user
         if user is None or not self._may_still_send(user):
@@ -101,7 +102,7 @@
             return
         self.last_byte = message[-1:]
         connection.write(message[:-1])
-        self.deadlines.schedule(self.deadlines.now() + LAST_BYTE_DELAY, self._write_last_byte)
+        self.deadlines.schedule(self.deadlines.now() + LAST_BYTE_DELAY_NS, self._write_last_byte)
 
     def on_connect_failed(self, outcome: ExchangeOutcome) -> None:
         """End the call."""
@@ -113,7 +114,7 @@
         if self.connection is None:
             return
         if self.last_byte is not None and self.connection.idle_time is not None:
-            # The worker has not received the whole request: this is a second response to the previous one.
+            # The worker has not received the whole request: this is a second response to the one before.
             self._stop(ExchangeOutcome.SEND_INCOMPLETE, ExchangeOutcome.SEND_INCOMPLETE)
             return
         try:
@@ -136,7 +137,7 @@
         if self.connection is None:
             return
         has_status = bool(self.reader.status)
-        # Only a request of which a part is certainly still in this process has certainly not run.
+        # A request has certainly not run only if a part of it is certainly still in this process.
         is_incomplete = self.last_byte is not None or (self.connection.has_unsent_data and not has_status)
         if self.abort_outcome is None and not has_status:
             self.pool.record_break(self.connection)
@@ -145,7 +146,7 @@
         self._end(self.abort_outcome or outcome)
 
     def on_write_drained(self) -> None:
-        """Report that the request is written, if it is complete."""
+        """Report that the request is written, if no byte of it is left."""
         if self.last_byte is None and self.abort_outcome is None and self.user is not None:
             self.user.on_written()
 
@@ -153,7 +154,7 @@
         if self.last_byte is None or self.connection is None:
             return
         if self.connection.has_unread_data():
-            # The worker's end, or a response to what it has not got completely: that is read first.
+            # The worker closed the connection or responded to an incomplete request: that is read first.
             self.deadlines.schedule(self.deadlines.now(), self._write_last_byte)
             return
         if self.user is None or not self._may_still_send(self.user):
@@ -168,49 +169,51 @@
             self.user.on_written()
 
     def _may_still_send(self, user: WorkerCallUser) -> bool:
-        """A process that was suspended resumes with its deadlines past and its state outdated."""
+        """Return whether the request may be written: a process may resume late, with outdated state."""
         return self.deadlines.now() < self.ends_at and user.may_send()
 
     # ---- Events of the response ----
 
     def on_started(self) -> None:
-        """Pass on that the worker has begun the request."""
+        """Report that the worker has started to process the request."""
         if self.user is not None and self.abort_outcome is None:
             self.user.on_started()
 
     def on_progress(self, fraction_done: float) -> None:
-        """Pass on the worker's progress."""
+        """Report the worker's progress."""
         if self.user is not None and self.abort_outcome is None:
             self.user.on_progress(fraction_done)
 
     def on_outcome(self, outcome: ExchangeOutcome, result: str, load: LoadReport | None) -> None:
-        """End the call; what is left of the response is still read."""
+        """End the call; the rest of the response is still read."""
         if outcome is ExchangeOutcome.MALFORMED_RESPONSE or self.last_byte is not None:
-            # A response before the request was complete: the rest of that is not written any more.
+            # The rest of the request is not written after a malformed response or one that came too early.
             self.abort_outcome, self.last_byte = outcome, None
         self._end(outcome, result, load)
 
     def on_response_complete(self, reusable: bool) -> None:
-        """Note whether the connection can carry another request."""
+        """Record whether the connection can carry another request."""
         self.is_reusable = reusable
 
     # ---- The end of the call ----
 
     def _on_timeout(self) -> None:
-        # With little time left a connection that is not up yet says nothing of its worker.
+        # A connection that was not established within a short remaining time says nothing about its worker.
         self._stop(ExchangeOutcome.TIMED_OUT, ExchangeOutcome.NOT_SENT)
 
-    def _stop(self, if_sent: ExchangeOutcome, if_not_sent: ExchangeOutcome) -> None:
+    def _stop(self, outcome_if_sent: ExchangeOutcome, outcome_if_not_sent: ExchangeOutcome) -> None:
         if self.connection is not None:
-            # The end is reported when the connection is closed: until then no second copy may be sent.
-            self.abort_outcome = self.abort_outcome or (if_sent if self.last_byte is None else if_not_sent)
+            # The outcome is reported when the connection is closed: no second copy may be sent before.
+            self.abort_outcome = self.abort_outcome or (
+                outcome_if_sent if self.last_byte is None else outcome_if_not_sent
+            )
             self.last_byte = None
             self.connection.abort()
         elif self.user is not None:
             if self.pending_connection is not None:
                 self.pending_connection.cancel()
                 self.pending_connection = None
-            self._end(if_not_sent)
+            self._end(outcome_if_not_sent)
 
     def _end(self, outcome: ExchangeOutcome, result: str = "", load: LoadReport | None = None) -> None:
         user, self.user = self.user, None
@@ -219,6 +222,6 @@
         self.deadlines.cancel(self.deadline)
         if self.connection is not None:
             self.deadline = self.deadlines.schedule(
-                self.deadlines.now() + RESPONSE_END_TIMEOUT, self._on_timeout
+                self.deadlines.now() + RESPONSE_END_TIMEOUT_NS, self._on_timeout
             )
         self.pool.loop.call_soon(user.on_ended, outcome, result, load)
--- a/tests/routing/simulated_discovery.py
+++ b/tests/routing/simulated_discovery.py
@@ -1,4 +1,4 @@
-"""Discovery with faults in virtual time, connections to it, and the timers that a router shares."""
+"""A discovery with faults in virtual time, connections to it, and timers that a router shares with it."""
 
 import asyncio
 import heapq
@@ -23,8 +23,8 @@
 
     NONE = auto()
     REFUSED = auto()
-    NEVER_UP = auto()
-    NO_BUFFERS = auto()  # a local error of connect
+    NEVER_UP = auto()  # no connection is established, as with an unreachable machine
+    NO_BUFFERS = auto()  # connect fails with a local error
     RESET = auto()
     REJECTED = auto()
     REJECTED_LATE = auto()
@@ -40,11 +40,11 @@
 HANGING = (Fault.NEVER_UP, Fault.REJECTED_LATE, Fault.HALF_THEN_SILENT, Fault.SILENT, Fault.SLOW)
 FIRST_VERSION, VERSIONS_OF_A_RUN = 100_000, 100
 BINDING_DELAY = 6 * SECOND
-MOVE_BINDING_DELAY = 4 * SECOND  # of a move, where lists are pushed
+MOVE_BINDING_DELAY = 4 * SECOND  # after a change of discovery's address, where lists are pushed
 
 
 class VirtualDeadlines(Deadlines):
-    """Timers on a clock that the test sets."""
+    """Timers on a virtual clock that the test sets."""
 
     def __init__(self) -> None:
         self.time = 1000 * SECOND
@@ -58,7 +58,7 @@
         self.pending_callbacks.append(lambda: callback(*args))
 
     def _arm(self) -> None:
-        """Do nothing: the test runs the due timers."""
+        """Do nothing: the test runs the timers that are due."""
 
     def settle(self) -> None:
         while self.pending_callbacks:
@@ -79,14 +79,14 @@
 
 
 class FakeConnection:
-    """A connection to discovery, also while it is pending."""
+    """A connection to discovery, which may still be pending."""
 
     def __init__(self, pool: "FakePool", address: str, user: Any) -> None:
-        self.pool, self.address, self.user, self.waiting_user = pool, address, user, user
+        self.pool, self.address, self.user, self.pending_user = pool, address, user, user
         self.data, self.is_open = b"", True
 
     def cancel(self) -> None:
-        self.waiting_user = None
+        self.pending_user = None
 
     def write(self, data: bytes) -> None:
         self.pool.discovery.on_call(self, data)
@@ -127,22 +127,22 @@
 
 
 class FakeDiscovery:
-    """Simulates discovery: it shows changes after a delay, with the fault that the test sets."""
+    """Simulates a discovery that publishes changes after a delay and has the fault that the test sets."""
 
     def __init__(self, deadlines: VirtualDeadlines, randomness: random.Random, workers: int) -> None:
         self.deadlines, self.random = deadlines, randomness
         self.fault = Fault.NONE
         self.unreachable: tuple[Fault, ...] = UNREACHABLE
-        self.reachable_since: int | None = 0  # None: it cannot be reached
-        self.version = self.shown_version = FIRST_VERSION
-        self.restarts = 0
+        self.reachable_since: int | None = 0  # ns; None: unreachable
+        self.version = self.published_version = FIRST_VERSION
+        self.restart_count = 0
         self.states = {f"w{number}": "Ready" for number in range(workers)}
-        self.shown = dict(self.states)
-        self.drained_at: dict[str, int] = {}  # when discovery had it
-        self.shown_at: dict[str, int] = {}
+        self.published_states = dict(self.states)
+        self.drained_at: dict[str, int] = {}  # when discovery received the drain
+        self.published_at: dict[str, int] = {}
         self.written_at: dict[str, int] = {}
-        self.hung_at = self.moved_at = -BINDING_DELAY  # when calls last hung; when it last moved
-        self.waiting: dict[FakeConnection, int] = {}  # with the version that each call has
+        self.hung_at = self.moved_at = -BINDING_DELAY  # end of the last hanging fault; last move
+        self.waiting: dict[FakeConnection, int] = {}  # waiting calls with the version that each has
 
     def run_after(self, delay: int, callback: Callable[[], None]) -> Deadline:
         return self.deadlines.schedule(self.deadlines.now() + delay, callback)
@@ -161,23 +161,23 @@
         self.states[worker] = "Terminating"
         self.drained_at[worker] = self.deadlines.now()
         self.version += 1
-        self.run_after(self.random.randrange(SECOND), self.show_changes)
+        self.run_after(self.random.randrange(SECOND), self.publish_changes)
 
-    def show_changes(self) -> None:
-        self.shown, self.shown_version = dict(self.states), self.version
+    def publish_changes(self) -> None:
+        self.published_states, self.published_version = dict(self.states), self.version
         for worker in self.drained_at:
-            self.shown_at.setdefault(worker, self.deadlines.now())
+            self.published_at.setdefault(worker, self.deadlines.now())
         waiting, self.waiting = self.waiting, {}
         for connection in waiting:
             self.answer(connection, 0)
 
     def restart(self) -> None:
-        """Restart with versions that no other list has."""
+        """Restart with versions that no earlier list had."""
         self.break_watches(Fault.RESET)
-        self.restarts += 1
-        self.shown_version = FIRST_VERSION - self.restarts * VERSIONS_OF_A_RUN
-        # A change that is not shown yet has a later version.
-        self.version = self.shown_version + (self.states != self.shown)
+        self.restart_count += 1
+        self.published_version = FIRST_VERSION - self.restart_count * VERSIONS_OF_A_RUN
+        # A change that is not published yet has a later version.
+        self.version = self.published_version + (self.states != self.published_states)
 
     def move(self) -> None:
         """Move to another address, with other versions."""
@@ -186,7 +186,7 @@
 
     def break_watches(self, fault: Fault) -> None:
         if fault in (Fault.NONE, Fault.NO_BUFFERS):
-            return  # these do not affect a call that waits
+            return  # these do not affect a waiting call
         waiting, self.waiting = self.waiting, {}
         for connection in waiting:
             self.fail(connection, fault)
@@ -207,11 +207,11 @@
             self.run_after(ROUND_TRIP, lambda: self.connected(connection))
 
     def connect_failed(self, connection: FakeConnection, outcome: ExchangeOutcome) -> None:
-        if connection.waiting_user is not None:
-            connection.waiting_user.on_connect_failed(outcome)
+        if connection.pending_user is not None:
+            connection.pending_user.on_connect_failed(outcome)
 
     def connected(self, connection: FakeConnection) -> None:
-        user, connection.waiting_user = connection.waiting_user, None
+        user, connection.pending_user = connection.pending_user, None
         if user is not None:
             user.on_connected(connection)
 
@@ -226,7 +226,7 @@
             self.run_after(self.random.randrange(4 * SECOND), lambda: self.answer(connection, version))
         elif self.fault not in (Fault.NONE, Fault.NO_BUFFERS):
             self.fail(connection, self.fault)
-        elif version == self.shown_version:
+        elif version == self.published_version:
             self.waiting[connection] = version
             self.run_after(wait, lambda: self.end_wait(connection))
         else:
@@ -255,25 +255,32 @@
     def answer(self, connection: FakeConnection, version: int | None) -> None:
         if not connection.is_open or connection.user is None:
             return
-        is_newer = version != self.shown_version
-        if version is not None and version > self.shown_version:
-            # No change is newer: a restarted discovery does not know that the version is not its own.
-            body = json.dumps({"version": self.shown_version, "full": False, "servers": []}).encode()
+        is_newer = version != self.published_version
+        if version is not None and version > self.published_version:
+            # No change is newer: a restarted discovery cannot tell that the version precedes its restart.
+            body = json.dumps({"version": self.published_version, "full": False, "servers": []}).encode()
             connection.deliver(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
             return
         entries = [
             {"id": name, "addr": "127.0.0.1:9", "zone": "a", "kind": "plain", "state": state}
-            for name, state in self.shown.items()
+            for name, state in self.published_states.items()
         ]
-        for name, state in self.shown.items():
+        for name, state in self.published_states.items():
             if state != "Ready" and is_newer:
                 self.written_at.setdefault(name, self.deadlines.now())
-        document = {"version": self.shown_version, "full": is_newer, "servers": entries if is_newer else []}
+        document = {
+            "version": self.published_version,
+            "full": is_newer,
+            "servers": entries if is_newer else [],
+        }
         body = json.dumps(document).encode()
         connection.deliver(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
 
     def drain_binding_at(self, worker: str, only_if_reachable: bool) -> float:
-        """When the worker's drain is binding; with `only_if_reachable`: while discovery is reachable."""
+        """Return when the worker's drain becomes binding.
+
+        With `only_if_reachable` the delay counts only while discovery is reachable.
+        """
         drained_at, written_at = self.drained_at[worker], self.written_at.get(worker, float("inf"))
         if not only_if_reachable:
             return min(written_at, drained_at + BINDING_DELAY)
@@ -282,9 +289,14 @@
         return min(written_at, max(drained_at, self.reachable_since) + BINDING_DELAY)
 
     def pushed_drain_binding_at(self, worker: str) -> float:
-        """When a drain that an agent has is binding: at once, but for hanging calls and after a move."""
-        if worker not in self.shown_at or self.reachable_since is None:
+        """Return when a drain that an agent has becomes binding.
+
+        It is binding at once, except while or shortly after calls hang, and after a move.
+        """
+        if worker not in self.published_at or self.reachable_since is None:
             return float("inf")
-        shown_at = max(self.shown_at[worker], self.reachable_since, self.moved_at + MOVE_BINDING_DELAY)
+        published_at = max(
+            self.published_at[worker], self.reachable_since, self.moved_at + MOVE_BINDING_DELAY
+        )
         hung_at = self.deadlines.now() if self.fault in HANGING else self.hung_at
-        return shown_at + (BINDING_DELAY if hung_at > shown_at - BINDING_DELAY else 0)
+        return published_at + (BINDING_DELAY if hung_at > published_at - BINDING_DELAY else 0)
--- a/tests/routing/test_admin_server.py
+++ b/tests/routing/test_admin_server.py
@@ -1,4 +1,4 @@
-"""The admin server and the counters: commands read in any pieces, and counts that add up."""
+"""The admin server and the counters: commands split at any byte, and counts that add up."""
 
 import asyncio
 import random
@@ -32,14 +32,14 @@
     data: bytes, command: str | type[AdminCommandError] | None
 ) -> None:
     for cut in range(len(data)):
-        reader, found = AdminCommandReader(), None
+        reader, parsed = AdminCommandReader(), None
         try:
             for part in (data[:cut], data[cut:]):
-                found = found if found is not None else reader.feed(memoryview(part))
-            got: str | type[AdminCommandError] | None = found
+                parsed = parsed if parsed is not None else reader.feed(memoryview(part))
+            result: str | type[AdminCommandError] | None = parsed
         except AdminCommandError:
-            got = AdminCommandError
-        assert got == command or (
+            result = AdminCommandError
+        assert result == command or (
             b"\n" in data[:cut] and cut < len(data)
         )  # bytes after a complete command are not read
 
@@ -65,38 +65,43 @@
             served += status == 200
             adds_up(harness)
         _reader, writer = await harness.connect()
-        writer.write(harness.request("gone"))  # its client disconnects: an end that is not reported
+        writer.write(harness.request("gone"))  # the client disconnects, so no end is reported to it
         await writer.drain()
         writer.close()
         assert (await harness.exchange(harness.request("none", "unheard-of")))[0] == 404
         await asyncio.sleep(0.05)
         adds_up(harness)
-        shown = await admin_counters(harness)
-        assert sum(shown[operations_key(g, "fulfilled")] for g in ("look", "book")) in (served, served + 1)
-        assert sum(shown[operations_key(g, "relayed")] for g in ("look", "book")) == len(harness.sent)
-        assert shown["dispatcher_registry_entries"] == 2 and shown["dispatcher_open_requests"] == 0
-        assert shown["dispatcher_cfg_accepted"] == shown["dispatcher_cfg_invalid"] == 0
+        counters = await admin_counters(harness)
+        assert sum(counters[operations_key(name, "fulfilled")] for name in ("look", "book")) in (
+            served,
+            served + 1,
+        )
+        assert sum(counters[operations_key(name, "relayed")] for name in ("look", "book")) == len(
+            harness.sent
+        )
+        assert counters["dispatcher_registry_entries"] == 2 and counters["dispatcher_open_requests"] == 0
+        assert counters["dispatcher_cfg_accepted"] == counters["dispatcher_cfg_invalid"] == 0
         await harness.change_list([{**harness.entries[0], "state": "Terminating"}])
-        shown = await admin_counters(harness)
-        assert shown["dispatcher_registry_entries"] == shown["dispatcher_out_of_rotation"] == 1
+        counters = await admin_counters(harness)
+        assert counters["dispatcher_registry_entries"] == counters["dispatcher_out_of_rotation"] == 1
 
     run_script(script)
 
 
 def test_silent_admin_connections_block_no_other() -> None:
     async def script(harness: ServiceHarness) -> None:
-        quiet = []
+        idle_writers = []
         for number in range(3 * MAX_SESSIONS):
             _reader, writer = await asyncio.open_connection("127.0.0.1", harness.admin_port)
             writer.write(b"chec" if number % 2 else b"")
-            quiet.append(writer)
-        for _ in range(150):  # and more clients than the limit
-            quiet.append((await harness.connect())[1])
+            idle_writers.append(writer)
+        for _ in range(150):  # and more client connections than the limit
+            idle_writers.append((await harness.connect())[1])
         for _ in range(5):
             assert (await admin_call(harness, b"check\n")).startswith("+OK")
         assert (await admin_call(harness, b"chek\r\n")).startswith("-ERR")
         assert len(harness.service.admin_server.sessions) <= MAX_SESSIONS
-        for writer in quiet:
+        for writer in idle_writers:
             writer.close()
         harness.service.shut_down()
         assert (await admin_call(harness, b"check\n")).startswith("-ERR leaving")
--- a/tests/routing/test_attempts.py
+++ b/tests/routing/test_attempts.py
@@ -58,7 +58,7 @@
 def test_request_on_a_dropped_connection_is_retried_and_runs_once(monkeypatch: pytest.MonkeyPatch) -> None:
     # Workers drop idle connections silently, or reset new ones: each time a non-idempotent request was lost.
     # The worker of the test shares the event loop: on a busy machine it may read some ms later.
-    monkeypatch.setattr(worker_calls, "LAST_BYTE_DELAY", 100_000_000)
+    monkeypatch.setattr(worker_calls, "LAST_BYTE_DELAY_NS", 100_000_000)
 
     async def script(harness: ServiceHarness) -> None:
         async def drop_attempts(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/tests/routing/test_discovery.py
+++ b/tests/routing/test_discovery.py
@@ -1,4 +1,4 @@
-"""Discovery that drains workers, is down, sends malformed lists or falls silent."""
+"""Discovery that drains workers, is down, sends malformed lists or stops responding."""
 
 import asyncio
 
@@ -12,7 +12,7 @@
 def test_draining_worker_gets_no_request_and_a_malformed_list_is_requested_again(
     mode: str, keep_alive: bool
 ) -> None:
-    # Where changes are pushed no watch was opened on sockets.
+    # Guards against this failure: with pushed changes no watch was opened on sockets.
     async def script(harness: ServiceHarness) -> None:
         harness.discovery_keeps_alive = keep_alive
         harness.next_list_body = b'{"version":"soon"}'
@@ -33,7 +33,7 @@
         await asyncio.sleep(0.1)
         calls_before = harness.watch_count
         assert (await harness.exchange(harness.request("r")))[0] == 200
-        await asyncio.sleep(1.2)  # calls to an address where nobody listens
+        await asyncio.sleep(1.2)  # calls to an address without a listener
         harness.version, harness.entries = 7, harness.entries[1:]
         await harness.restart_discovery(host, port)
         for _ in range(300):
@@ -50,11 +50,11 @@
 
 
 def test_silent_discovery_is_called_again() -> None:
-    # A network partition leaves the watch open: after the allowed wait no response comes.
+    # A network partition leaves the watch open, and no response arrives after the allowed wait.
     async def script(harness: ServiceHarness) -> None:
-        harness.answers_waiting_calls, first = False, harness.watch_count
+        harness.answers_waiting_calls, calls_before = False, harness.watch_count
         await asyncio.sleep(2.6)
-        assert harness.watch_count > first and len(harness.discovery_connections) > 1
+        assert harness.watch_count > calls_before and len(harness.discovery_connections) > 1
         harness.version, harness.entries = 2, harness.entries[:1]
         harness.list_changed.set()
         await asyncio.sleep(0.3)
--- a/tests/routing/test_discovery_faults.py
+++ b/tests/routing/test_discovery_faults.py
@@ -1,4 +1,4 @@
-"""A drain is respected 6 s after discovery has it and can be reached, whatever faults came before."""
+"""A drain is respected within 6 s after discovery has it and is reachable, whatever faults came before."""
 
 import itertools
 
@@ -63,12 +63,13 @@
 @MODES
 @pytest.mark.parametrize("dispatchers", [5, 30, 177, 3000])
 def test_drain_is_respected_in_time_after_rejected_watches(dispatchers: int, mode: str) -> None:
-    # Discovery that is down may answer 503: the backoff after the last one grew to 10 s.
+    # Guards against this failure: a discovery that is down may respond 503, and the backoff after the last
+    # rejection grew to 10 s.
     for fault in REJECTING:
         run_with_faults([(fault, 6)], dispatchers, 10 * SECOND, mode)
 
 
 def test_drain_is_respected_in_time_where_the_list_is_polled_rarely() -> None:
-    # The backoff is derived from the poll interval of the settings, up to 12 s.
+    # The backoff is derived from the poll interval in the settings, up to an interval of 12 s.
     for fault in ("refuses", "never up", "garbage", "silent"):
         run_with_faults([(fault, 6)], 5, 60 * SECOND, "ask")
--- a/tests/routing/test_endpoint_watch.py
+++ b/tests/routing/test_endpoint_watch.py
@@ -1,4 +1,4 @@
-"""The watch on the endpoint list: silences, failures and restarts at any moment."""
+"""The watch on the endpoint list: timeouts, failures and restarts at any moment."""
 
 import asyncio
 import json
@@ -29,16 +29,16 @@
 )
 
 
-class HeldWatch:
-    """A watch, and a discovery that the test works by hand."""
+class ManualWatch:
+    """A watch, its held clock, and a discovery whose responses the test writes."""
 
     def __init__(self, pushed: bool = False) -> None:
         loop = asyncio.get_running_loop()
         self.discovery, deadlines = ManualWorker(), Deadlines(loop)
-        self.clock, self.lists, self.lost = Clock(deadlines), list[int](), list[bool]()
+        self.clock, self.lists, self.failures = Clock(deadlines), list[int](), list[bool]()
         self.clock.hold()
         address, journal = f"127.0.0.1:{self.discovery.port}", WatchJournal(deadlines.now)
-        self.time_left: int | None = 5 * SECOND
+        self.time_left: int | None = 5 * SECOND  # until the list expires
         self.confirmations = 0
         pace = WatchPace(0, 10 * SECOND)
         self.watch = EndpointWatch(deadlines, address, self, journal, pace, pushed)
@@ -53,7 +53,7 @@
         pass
 
     def watch_failed(self, outcome: CallOutcome) -> None:
-        self.lost.append(outcome is CallOutcome.REJECTED)
+        self.failures.append(outcome is CallOutcome.REJECTED)
 
     def receive_list(self, body: bytes) -> EndpointList:
         received = read_endpoint_list(body)
@@ -61,7 +61,7 @@
         return received
 
     def calls(self) -> list[bytes]:
-        """Each call on each connection, in the order of connections."""
+        """Return the calls received on all connections, in the order of connections."""
         return [c for p in self.discovery.accept_pending() for c in p.read().split(b"\r\n\r\n") if c]
 
     async def wait_for_calls(self, count: int) -> Peer:
@@ -71,22 +71,22 @@
         return self.discovery.peers[-1]
 
 
-async def watching(pushed: bool = False) -> tuple[HeldWatch, Peer]:
-    """A watch that has had the whole list and made its next call, and the connection that this came over."""
-    held = HeldWatch(pushed)
-    held.watch.start()
-    (await held.wait_for_calls(1)).socket.send(discovery_response(endpoint_list(version=5)))
-    return held, await held.wait_for_calls(2)
+async def start_manual_watch(pushed: bool = False) -> tuple[ManualWatch, Peer]:
+    """Return a watch that has the whole list and has made its next call, and the connection of that call."""
+    manual = ManualWatch(pushed)
+    manual.watch.start()
+    (await manual.wait_for_calls(1)).socket.send(discovery_response(endpoint_list(version=5)))
+    return manual, await manual.wait_for_calls(2)
 
 
 def test_silent_watch_is_restarted_before_missed_changes_are_binding() -> None:
-    # It was given up just when missed changes became binding; with the backoff, the connection and the answer
-    # the next list came after the grace.
+    # Guards against this failure: the watch timed out just when missed changes became binding. The backoff,
+    # the connection and the response took longer than the grace, so the next list came too late.
     async def script() -> None:
-        held = HeldWatch()
-        held.watch.start()
-        peer = await held.wait_for_calls(1)
-        for silences in range(3):  # the whole list, a watch, and the same once more
+        manual = ManualWatch()
+        manual.watch.start()
+        peer = await manual.wait_for_calls(1)
+        for silences in range(3):  # the call for the whole list, a watch, and the call after that
             if silences:
                 peer.socket.send(
                     discovery_response(endpoint_list(version=40 + silences))
@@ -94,32 +94,32 @@
                     else b"HTTP/1.1 200 O"
                 )
                 if silences == 1:
-                    await held.wait_for_calls(3)
-            counts_as_told = 6 * SECOND if not silences else 12 * SECOND
-            held.clock.resume_after(counts_as_told - 3 * SECOND // 2)
+                    await manual.wait_for_calls(3)
+            binding_after = 6 * SECOND if not silences else 12 * SECOND
+            manual.clock.resume_after(binding_after - 3 * SECOND // 2)
             await run_loop_turns()
-            held.clock.resume_after(10 * MS)  # once more, after what lay unread
-            peer = await held.wait_for_calls(2 if not silences else 3 + silences)
-            assert not held.lost, "no pause is asked for"
-        assert b"from=41&" in held.calls()[-1]
+            manual.clock.resume_after(10 * MS)  # the timeout is extended once if data is unread
+            peer = await manual.wait_for_calls(2 if not silences else 3 + silences)
+            assert not manual.failures, "the watch restarts without a backoff"
+        assert b"from=41&" in manual.calls()[-1]
         peer.socket.send(discovery_response(endpoint_list(version=42)))
-        await held.wait_for_calls(6)
-        assert held.lists == [41, 42] and held.discovery.peers[0].has_ended()
-        held.watch.stop()
+        await manual.wait_for_calls(6)
+        assert manual.lists == [41, 42] and manual.discovery.peers[0].has_ended()
+        manual.watch.stop()
 
     run_on_loop(script)
 
 
 def test_drain_missed_by_a_silent_watch_is_respected_within_the_grace_time() -> None:
     async def script(harness: ServiceHarness) -> None:
-        clock, grace = Clock(harness.service.deadlines), 500 * MS
+        clock, grace_ns = Clock(harness.service.deadlines), 500 * MS
         drained = [{**harness.entries[0], "state": "Terminating"}, harness.entries[1]]
         await wait_until(lambda: harness.watch_count)
-        harness.entries, harness.version = drained, 2  # the watch that is open never reports it
-        for _ in range(240):  # 12 s: the wait of 10 s, and 2 s until it binds
+        harness.entries, harness.version = drained, 2  # the open watch never reports this change
+        for _ in range(240):  # 12 s: the wait of 10 s, and 2 s until the change is binding
             clock.resume_after(50 * MS)
             await asyncio.sleep(0.001)
-        clock.resume_after(grace - 50 * MS)
+        clock.resume_after(grace_ns - 50 * MS)
         await run_loop_turns(100)
         for number in range(8):
             assert (await harness.exchange(harness.request(f"r{number}")))[0] == 200
@@ -132,9 +132,10 @@
 
 
 @pytest.mark.parametrize(
-    ("data", "lists", "lost", "calls"),
+    ("data", "lists", "failures", "calls"),
     [
-        # What is received after the watch request; versions taken, failures, and the number of requests.
+        # Data received after the watch request; versions applied; whether each failure is a rejection; number of
+        # requests.
         (LIST_7, [7], [], 3),
         (discovery_response(endpoint_list(version=7), "Connection: close\r\n"), [7], [], 3),
         (
@@ -142,13 +143,13 @@
             [7],
             [False],
             2,
-        ),  # its end right behind the answer
+        ),  # the connection ends right after the response
         (
             LIST_7 * 2,
             [7],
             [False],
             2,
-        ),  # twice: two calls went out on one connection
+        ),  # guards against two requests on one connection
         (LIST_7 + b"garbage", [7], [False], 2),
         (discovery_response(b'{"version":"soon"}'), [], [False], 2),
         (LIST_7[:-4] + b"END", [], [False], 2),
@@ -156,72 +157,78 @@
         (b"END", [], [False], 2),
     ],
 )
-def test_watch_has_one_request_at_a_time(data: bytes, lists: list[int], lost: list[bool], calls: int) -> None:
+def test_watch_has_one_request_at_a_time(
+    data: bytes, lists: list[int], failures: list[bool], calls: int
+) -> None:
     async def script() -> None:
-        held, peer = await watching()
+        manual, peer = await start_manual_watch()
         peer.socket.send(data.removesuffix(b"END"))
         if data.endswith(b"END"):
             peer.socket.shutdown(socket.SHUT_WR)
         await wait_until(
-            lambda: held.lists[1:] == lists and (held.lost or len(held.calls()) == 3 or not lists)
+            lambda: manual.lists[1:] == lists and (manual.failures or len(manual.calls()) == 3 or not lists)
         )
-        await wait_until(lambda: len(held.calls()) >= calls and len(held.lost) >= len(lost))
+        await wait_until(lambda: len(manual.calls()) >= calls and len(manual.failures) >= len(failures))
         await run_loop_turns(100)
-        open_now = [p for p in held.discovery.accept_pending() if not p.has_ended()]
-        if data.endswith(b"END") and lists and not held.lost:
-            await wait_until(lambda: held.lost)
-        assert held.lists == [5, *lists] and held.lost == lost
-        assert len(open_now) == (0 if lost else 1)
-        if lost:
-            # The next watch has one request: nothing is left of the last call.
-            held.watch.start()
-            held.watch.start()
-            peer = await held.wait_for_calls(len(held.calls()) + 1)
+        open_now = [p for p in manual.discovery.accept_pending() if not p.has_ended()]
+        if data.endswith(b"END") and lists and not manual.failures:
+            await wait_until(lambda: manual.failures)
+        assert manual.lists == [5, *lists] and manual.failures == failures
+        assert len(open_now) == (0 if failures else 1)
+        if failures:
+            # The next watch makes one request: no state is left of the last call.
+            manual.watch.start()
+            manual.watch.start()
+            peer = await manual.wait_for_calls(len(manual.calls()) + 1)
             peer.socket.send(discovery_response(endpoint_list(version=9)))
-            await wait_until(lambda: held.lists[-1] == 9)
-            assert held.lost == lost and sum(not p.has_ended() for p in held.discovery.accept_pending()) == 1
-        held.watch.stop()
+            await wait_until(lambda: manual.lists[-1] == 9)
+            assert (
+                manual.failures == failures
+                and sum(not p.has_ended() for p in manual.discovery.accept_pending()) == 1
+            )
+        manual.watch.stop()
 
     run_on_loop(script)
 
 
 def test_response_unread_at_the_timeout_is_read() -> None:
-    # A process that was suspended resumes with its deadline past, and with the answer unread in the kernel.
+    # A suspended process resumes after its deadline, with the response still unread in the kernel.
     async def script() -> None:
-        held, peer = await watching()
+        manual, peer = await start_manual_watch()
         peer.socket.send(discovery_response(endpoint_list(version=6)))
-        held.clock.resume_after(13 * SECOND)
-        await held.wait_for_calls(3)
-        assert held.lists == [5, 6] and len(held.discovery.accept_pending()) == 1 and not held.lost
-        # A response that comes byte by byte counts as silence.
+        manual.clock.resume_after(13 * SECOND)
+        await manual.wait_for_calls(3)
+        assert manual.lists == [5, 6] and len(manual.discovery.accept_pending()) == 1 and not manual.failures
+        # A response that arrives byte by byte counts as a timeout.
         peer.socket.send(b"HTTP/1.1 200 O")
-        held.clock.resume_after(13 * SECOND)
+        manual.clock.resume_after(13 * SECOND)
         await run_loop_turns()
         peer.socket.send(b"K")
-        held.clock.resume_after(10 * MS)
-        await wait_until(lambda: len(held.discovery.accept_pending()) == 2)
-        held.watch.stop()
+        manual.clock.resume_after(10 * MS)
+        await wait_until(lambda: len(manual.discovery.accept_pending()) == 2)
+        manual.watch.stop()
 
     run_on_loop(script)
 
 
 def test_pushed_watch_that_breaks_is_restarted_without_backoff() -> None:
-    # A change during the backoff became binding, and the grace was over before it was received.
+    # Guards against this failure: a change during the backoff became binding, and was received only after the
+    # grace.
     async def script() -> None:
-        held, peer = await watching(pushed=True)
+        manual, peer = await start_manual_watch(pushed=True)
         peer.reset()
-        held.discovery.peers.clear()
-        peer = await held.wait_for_calls(1)
-        assert b"from=5&" in held.calls()[0] and not held.lost
-        peer.reset()  # again at once: it is down, or ends each call
-        await wait_until(lambda: held.lost)
-        assert held.lost == [False]
+        manual.discovery.peers.clear()
+        peer = await manual.wait_for_calls(1)
+        assert b"from=5&" in manual.calls()[0] and not manual.failures
+        peer.reset()  # broken again at once: discovery is down, or ends each call
+        await wait_until(lambda: manual.failures)
+        assert manual.failures == [False]
 
     run_on_loop(script)
 
 
 def test_change_of_the_discovery_mode_applies_to_the_open_watch() -> None:
-    # After SIGHUP the watch went on with the settings of the start.
+    # Guards against this failure: after SIGHUP the watch continued with the settings of the process start.
     async def script(harness: ServiceHarness) -> None:
         clock, pushed = (
             Clock(harness.service.deadlines),
@@ -229,28 +236,28 @@
         )
         await wait_until(lambda: harness.watch_count)
         harness.service.router.change_settings(parse_settings(pushed), parse_names(pushed))
-        clock.hold()  # a pause never ends now
-        asked = harness.watch_count
+        clock.hold()  # a backoff would never end
+        calls_before = harness.watch_count
         harness.discovery_connections[-1][1].transport.abort()
-        await wait_until(lambda: harness.watch_count > asked)
+        await wait_until(lambda: harness.watch_count > calls_before)
 
     run_script(script, workers=1, **LENIENT_SETTINGS)
 
 
 def test_lower_versions_make_the_watch_request_the_whole_list() -> None:
     async def script() -> None:
-        held = HeldWatch()
-        held.watch.start()
-        peer = await held.wait_for_calls(1)
+        manual = ManualWatch()
+        manual.watch.start()
+        peer = await manual.wait_for_calls(1)
         for number, (version, full) in enumerate([(50, True), (3, False), (3, True), (4, False)]):
             peer.socket.send(discovery_response(endpoint_list(version=version, full=full)))
-            peer = await held.wait_for_calls(number + 2)
-        asked = [b"from=" in call for call in held.calls()]
-        assert asked == [False, True, False, True, True]
-        held.watch.stop()
+            peer = await manual.wait_for_calls(number + 2)
+        requests_changes = [b"from=" in call for call in manual.calls()]
+        assert requests_changes == [False, True, False, True, True]
+        manual.watch.stop()
         peer.socket.send(discovery_response(endpoint_list(version=5)))
         await run_loop_turns(100)
-        assert held.lists[-1] == 4, "a watch that was stopped reports nothing"
+        assert manual.lists[-1] == 4, "a stopped watch reports nothing"
 
     run_on_loop(script)
 
@@ -272,16 +279,17 @@
 
 
 def test_incomplete_lists_do_not_confirm_the_list() -> None:
-    # A restarted discovery does not report earlier changes, and its answer counted as a confirmation.
+    # Guards against this failure: a restarted discovery does not report earlier changes, but its response
+    # counted as a confirmation of the list.
     async def script() -> None:
-        held, peer = await watching()
-        assert held.confirmations == 1
+        manual, peer = await start_manual_watch()
+        assert manual.confirmations == 1
         peer.socket.send(discovery_response(endpoint_list(version=3, full=False)))
-        peer = await held.wait_for_calls(3)
-        assert held.confirmations == 1 and b"from=" not in held.calls()[-1]
+        peer = await manual.wait_for_calls(3)
+        assert manual.confirmations == 1 and b"from=" not in manual.calls()[-1]
         peer.socket.send(discovery_response(endpoint_list(version=4, full=False)))
-        await wait_until(lambda: held.lost)
-        assert held.confirmations == 1 and held.lost == [False]
-        held.watch.stop()
+        await wait_until(lambda: manual.failures)
+        assert manual.confirmations == 1 and manual.failures == [False]
+        manual.watch.stop()
 
     run_on_loop(script)
--- a/tests/routing/test_list_validity.py
+++ b/tests/routing/test_list_validity.py
@@ -1,4 +1,4 @@
-"""Drains are respected within 6 s and the grace whatever happens to calls, in fleets of 1 to 3,000."""
+"""Drains are respected within 6 s and the grace whatever calls fail, in fleets of 1 to 3,000 dispatchers."""
 
 import os
 import random
@@ -16,7 +16,7 @@
 WORKERS = 6
 REQUEST_INTERVAL = 40 * MS
 RECOVERY_TIME = 20 * SECOND
-SEEDS = int(os.environ.get("LIST_VALIDITY_SEEDS", "24"))  # of each mode
+SEEDS = int(os.environ.get("LIST_VALIDITY_SEEDS", "24"))  # for each mode
 
 
 @pytest.fixture(autouse=True)
@@ -32,7 +32,7 @@
         randomness, WORKERS, Discovery=mode, Limits=limits, PeersTotal=randomness.choice(FLEETS)
     )
     router.start()
-    clock, discovery, moves = router.virtual, router.discovery, 0
+    clock, discovery, move_count = router.virtual, router.discovery, 0
     began_at, next_event = clock.now(), 0
     to_drain = [f"w{number}" for number in range(WORKERS - 2)]
     while clock.now() < began_at + duration:
@@ -49,13 +49,13 @@
         elif event < 0.7 and to_drain and clock.now() > began_at + SECOND:
             discovery.drain(to_drain.pop())
         elif event < 0.8:
-            moves += 1
+            move_count += 1
             discovery.move()
-            router.endpoints.change_address(f"discovery-{moves}:1")
+            router.endpoints.change_address(f"discovery-{move_count}:1")
         elif event < 0.84:
             discovery.restart()
         elif event < 0.89:
-            # The process was suspended: timers are late, and received data is read after them.
+            # The process was suspended: timers run late, and received data is read after them.
             clock.time += randomness.randrange(8 * SECOND)
     discovery.set_fault(Fault.NONE)
     clock.run_until(clock.now() + RECOVERY_TIME)
--- a/tests/routing/test_worker_call_races.py
+++ b/tests/routing/test_worker_call_races.py
@@ -29,13 +29,13 @@
             RecordingPoolUser(),
         )
 
-        opening = pool.acquire(f"127.0.0.1:{worker.port}", user)
-        assert opening is not None
+        pending_connection = pool.acquire(f"127.0.0.1:{worker.port}", user)
+        assert pending_connection is not None
         await run_loop_turns(after)
-        getattr(opening, method)()
-        pool.deadlines.cancel(opening.deadline)
+        getattr(pending_connection, method)()
+        pool.deadlines.cancel(pending_connection.deadline)
         await wait_until(
-            lambda: pool.connection_count() == 0, f"held for good: {user.connection}, {user.outcome}"
+            lambda: pool.connection_count() == 0, f"never released: {user.connection}, {user.outcome}"
         )
         await run_loop_turns()
         assert pool.pending_count == 0 and (user.connection is None or user.outcome is None)
@@ -46,7 +46,7 @@
 
 
 class RecordingCallUser:
-    """Records the outcomes of its call, and whether the call was at its end then."""
+    """Records the outcomes of its call, and whether the call had ended when each was reported."""
 
     call: WorkerCall
 
@@ -69,7 +69,7 @@
     def on_progress(self, fraction_done: float) -> None: ...
 
     def on_ended(self, outcome: ExchangeOutcome, result: str, load: LoadReport | None) -> None:
-        # A second attempt may be sent now: the first must be at its end.
+        # A second attempt may be sent now, so the first must have ended.
         is_at_end = bool(self.call.reader.is_complete) or self.call.connection is None
         self.outcomes.append((outcome, is_at_end))
 
--- a/tests/routing/virtual_router.py
+++ b/tests/routing/virtual_router.py
@@ -1,6 +1,6 @@
-"""A router in virtual time, with its own watch, decisions and timers, beside a faulty discovery and workers.
+"""A router in virtual time with real watch and decision code, and simulated discovery and workers.
 
-It uses no sockets: connections to discovery, attempts and health checks are simulated.
+No sockets are used: connections to discovery, attempts and health checks are simulated.
 """
 
 import random
@@ -18,7 +18,7 @@
 
 
 class VirtualRouter(Router):
-    """A router whose attempts and health checks are simulated, and checked against the drains."""
+    """A router with simulated attempts and health checks; attempts after binding drains are violations."""
 
     def __init__(self, randomness: random.Random, workers: int, **settings: Any) -> None:
         self.virtual = VirtualDeadlines()
@@ -28,7 +28,7 @@
         pool = cast(ConnectionPool, FakePool())
         pool.retire_address = lambda address: None  # type: ignore[method-assign]
         if not active.current.discovery_polling and not active.current.probing_allowed:
-            # An agent without news does not answer.
+            # An agent that receives no changes does not respond.
             self.discovery.unreachable = (*UNREACHABLE, *HANGING)
         super().__init__(self.virtual, pool, "discovery-0:1", randomness.randrange(1 << 32), active)
         self.requests_sent = self.served = 0
