--- a/ploverspoke/routing/endpoint_watch.py
+++ b/ploverspoke/routing/endpoint_watch.py
@@ -64,7 +64,7 @@
         self.reader = discovery.EndpointListReader(self._on_complete)
         self.body: bytes | None = None  # of the complete response
         self.is_reusable = False  # whether the connection can carry another request
-        self.is_timeout_extended = False  # once, to read data that had already arrived
+        self.is_timeout_extended = False  # at most once, to read data that has already arrived
 
     def acquire_connection(self) -> None:
         """Acquire a connection, unless the watch has replaced this request."""
--- a/ploverspoke/routing/watch_pace.py
+++ b/ploverspoke/routing/watch_pace.py
@@ -7,8 +7,9 @@
 MIN_WAIT_NS = 2 * SECOND
 MIN_WAIT_OF_LARGE_FLEET_NS = 3 * SECOND
 MAX_WAIT_NS = 4 * SECOND  # the list has to be confirmed before it expires
-# Discovery counts as overloaded if its responses are at least this late. A wait is the lateness multiplied by
-# the factor, so that the calls of a fleet of any size take only a small part of discovery's time.
+# Discovery counts as overloaded if its responses are at least this late. Within its bounds a wait is
+# `WAIT_PER_LATENESS` times the lateness, so that the calls of a fleet of any size take only a small part of
+# discovery's time.
 OVERLOAD_LATENESS_NS = 250 * MILLISECOND
 WAIT_PER_LATENESS = 20
 # Weight of a new response in the smoothed lateness, if it is later or earlier than the smoothed value.
@@ -25,7 +26,7 @@
 class PaceLimits(NamedTuple):
     """Limits on the waits that follow from the settings, in ns."""
 
-    time_for_all_calls: int  # that discovery takes for one call from each dispatcher
+    time_for_all_calls: int  # discovery's time for one call from each dispatcher
     max_wait: int
 
 
--- a/ploverspoke/routing/worker_calls.py
+++ b/ploverspoke/routing/worker_calls.py
@@ -57,9 +57,9 @@
     ) -> None:
         """Start the call, which may take `timeout` ns.
 
-        With `delay_last_byte` the last byte is written `LAST_BYTE_DELAY_NS` after the others. A
-        worker starts a request only when it has received all of it, so the request has certainly not run if
-        the connection breaks before.
+        With `delay_last_byte` the last byte is written `LAST_BYTE_DELAY_NS` after the others. A worker
+        starts a request only when it has received all of it, so the request has certainly not run if the
+        connection breaks before.
         """
         self.pool = pool
         self.deadlines = pool.deadlines
@@ -187,7 +187,7 @@
     def on_outcome(self, outcome: ExchangeOutcome, result: str, load: LoadReport | None) -> None:
         """End the call; the rest of the response is still read."""
         if outcome is ExchangeOutcome.MALFORMED_RESPONSE or self.last_byte is not None:
-            # The rest of the request is not written after a malformed response or one that came too early.
+            # The rest of the request is not written after a malformed or a premature response.
             self.abort_outcome, self.last_byte = outcome, None
         self._end(outcome, result, load)
 
--- a/tests/routing/faulty_discovery.py
+++ b/tests/routing/faulty_discovery.py
@@ -36,7 +36,7 @@
 
     def __init__(self, discovery: "FaultyDiscovery") -> None:
         self.discovery, self.is_waiting, self.received = discovery, False, b""
-        self.is_silent = False  # permanently: no response follows
+        self.is_silent = False  # no response will follow
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
@@ -128,7 +128,7 @@
         self.clock = Clock(harness.service.deadlines)
         self.clock.hold()
         self.discovery = FaultyDiscovery(harness, harness.servers[-1].sockets[0].getsockname()[1], self.clock)
-        self.call_without_connection: WatchRequest | None = None  # as the fault changed
+        self.call_without_connection: WatchRequest | None = None  # could not connect before the fault changed
         self.failures, watch = 0, self.router.endpoints.watch
         watch.on_failed = self.counting_failures(watch.on_failed)  # type: ignore[method-assign]
         watch.on_timed_out = self.counting_failures(watch.on_timed_out)  # type: ignore[method-assign]
--- a/tests/routing/simulated_discovery.py
+++ b/tests/routing/simulated_discovery.py
@@ -133,7 +133,7 @@
         self.deadlines, self.random = deadlines, randomness
         self.fault = Fault.NONE
         self.unreachable: tuple[Fault, ...] = UNREACHABLE
-        self.reachable_since: int | None = 0  # ns; None: unreachable
+        self.reachable_since: int | None = 0  # None: it is unreachable
         self.version = self.published_version = FIRST_VERSION
         self.restart_count = 0
         self.states = {f"w{number}": "Ready" for number in range(workers)}
--- a/tests/routing/test_endpoint_watch.py
+++ b/tests/routing/test_endpoint_watch.py
@@ -134,8 +134,8 @@
 @pytest.mark.parametrize(
     ("data", "lists", "failures", "calls"),
     [
-        # Data received after the watch request; versions applied; whether each failure is a rejection; number of
-        # requests.
+        # Data received after the watch request; versions applied; whether each failure is a rejection; the
+        # number of requests.
         (LIST_7, [7], [], 3),
         (discovery_response(endpoint_list(version=7), "Connection: close\r\n"), [7], [], 3),
         (
