--- a/ploverspoke/store/__init__.py
+++ b/ploverspoke/store/__init__.py
@@ -1,1 +1,1 @@
-"""The daemon's own replicated store: requests and their answers, agreed on by `consensus/`."""
+"""The dispatcher's replicated store of requests and their answers, built on the replicas of `consensus/`."""
--- a/ploverspoke/store/admin_messages.py
+++ b/ploverspoke/store/admin_messages.py
@@ -1,4 +1,4 @@
-"""Requests of tools that a store's state machine answers, beside those that every replica knows."""
+"""Admin requests that a store handles in addition to those that every replica handles."""
 
 import msgspec
 from msgspec import UNSET, UnsetType
@@ -10,22 +10,22 @@
     """Commit a configuration as the next version. Answered with `ConfigureReply`."""
 
     body: str
-    by: str  # who commits it
+    by: str  # author: a user name or the id of a lease holder
     token: int = 0  # fencing token of the lease under which it is committed; 0: none
 
 
 class ConfigurationsRequest(AdminRequest, frozen=True, tag="configurations"):
-    """Ask for the versions that are kept. Answered with a list of `ConfigurationRow`, the latest last."""
+    """List the retained versions. Answered with a list of `ConfigurationRow`, the latest last."""
 
 
 class ConfigureReply(ResultReply, frozen=True):
-    """Whether a configuration was committed, and as which version."""
+    """Says whether a configuration was committed, and as which version."""
 
     version: int | UnsetType = UNSET
 
 
 class ConfigurationRow(msgspec.Struct, array_like=True, frozen=True):
-    """One version that is kept."""
+    """One retained version."""
 
     version: int
     by: str
--- a/ploverspoke/store/commands.py
+++ b/ploverspoke/store/commands.py
@@ -1,4 +1,4 @@
-"""`ploverspoke store`: look at a store and change it. Requests that change something go to the leader."""
+"""`ploverspoke store`: commands that inspect or change a store. Changes are sent to the leader."""
 
 import getpass
 import sys
@@ -44,7 +44,7 @@
 
 @click.group()
 def store() -> None:
-    """Look at a store and change it. FILE is the store file of any of its replicas."""
+    """Inspect or change a store. FILE is the store file of any of its replicas."""
 
 
 def _read_config(file: Path) -> ReplicaConfig:
@@ -52,7 +52,7 @@
 
 
 def _call_leader(config: ReplicaConfig, request: AdminRequest, as_json: bool) -> NoReturn:
-    """Ask the leader to do something and end the command with the result."""
+    """Send a request to the leader and exit with its result."""
     peer_addresses = {name: addresses.peer for name, addresses in config.replicas.items()}
     call_for_result(config, find_leader(peer_addresses, config.secret), request, as_json)
 
@@ -61,7 +61,7 @@
 @FILE_ARGUMENT
 @JSON_OPTION
 def status(file: Path, as_json: bool) -> None:
-    """Show the status of each replica. Exit 1 where none leads."""
+    """Show the status of each replica. Exits with 1 if none is the leader."""
     config = _read_config(file)
     rows = [
         request_status(name, addresses.peer, config.secret, StatusRow)
@@ -81,10 +81,12 @@
 @click.argument("name")
 @click.option("--peers", required=True, help="Address for the other replicas.")
 @click.option("--clients", required=True, help="Address for clients.")
-@click.option("--votes/--learns", default=False, help="A voter, or one that only learns (first).")
+@click.option(
+    "--votes/--learns", default=False, help="Voter or learner; add a new replica as a learner first."
+)
 @JSON_OPTION
 def add(file: Path, name: str, peers: str, clients: str, votes: bool, as_json: bool) -> None:
-    """Add a replica that learns, or make one that has learned a voter."""
+    """Add a replica as a learner, or promote a learner to a voter."""
     _call_leader(_read_config(file), add_member_request(name, peers, clients, votes), as_json)
 
 
@@ -102,7 +104,7 @@
 @click.argument("to")
 @JSON_OPTION
 def transfer(file: Path, to: str, as_json: bool) -> None:
-    """Hand leadership to the replica of that name."""
+    """Transfer leadership to the replica named TO."""
     _call_leader(_read_config(file), TransferLeadershipRequest(to), as_json)
 
 
@@ -111,9 +113,9 @@
 @click.argument("configuration", type=EXISTING_FILE)
 @JSON_OPTION
 def configure(file: Path, configuration: Path, as_json: bool) -> None:
-    """Commit a CONFIGURATION: `settings` and `discovery` are then the same on all replicas.
+    """Commit CONFIGURATION, whose `settings` and `discovery` then apply to all replicas.
 
-    A new discovery is watched at once; what else differs waits for each replica's next start.
+    A new discovery address takes effect at once; all other changes at the next start of each replica.
     """
     config, body = read_configuration(file, configuration)
     try:
@@ -127,10 +129,10 @@
 @FILE_ARGUMENT
 @JSON_OPTION
 def configurations(file: Path, as_json: bool) -> None:
-    """List the versions that are kept, the latest last."""
+    """List the retained versions, the latest last."""
     config = _read_config(file)
     try:
-        found = request_reply(
+        versions = request_reply(
             config.name,
             config.replicas[config.name].peer,
             config.secret,
@@ -141,7 +143,7 @@
         raise click.ClickException(error.reason) from error
     rows: list[WireMap] = [
         {"version": row.version, "by": row.by, "at": row.committed_at, "bytes": len(row.body)}
-        for row in found
+        for row in versions
     ]
     print_rows(rows, as_json)
 
@@ -151,7 +153,7 @@
 @click.argument("path", type=click.Path(path_type=Path))
 @JSON_OPTION
 def backup(file: Path, path: Path, as_json: bool) -> None:
-    """Copy the store of this file's replica, while it runs, to PATH on its machine."""
+    """Back up the store of this file's running replica to PATH on the replica's machine."""
     config = _read_config(file)
     call_for_result(config, config.name, BackupRequest(str(path.absolute())), as_json)
 
@@ -160,9 +162,9 @@
 @FILE_ARGUMENT
 @click.argument("path", type=EXISTING_FILE)
 def restore(file: Path, path: Path) -> None:
-    """Put a backup in the place of this replica's store, which must not run and must be empty.
+    """Restore this replica's store from a backup. The replica must be stopped and its store empty.
 
-    What was committed after the backup is gone: only for all replicas together, from one backup.
+    Everything committed after the backup is lost: restore all replicas together, from the same backup.
     """
     with closing(restore_backup(_read_config(file), path)) as storage:
         click.echo(f"restored {storage.path}")
@@ -172,7 +174,7 @@
 @FILE_ARGUMENT
 @JSON_OPTION
 def inspect(file: Path, as_json: bool) -> None:
-    """Show what the store on this machine holds; its replica must not run. Checksums are verified."""
+    """Show the contents of this machine's store and verify its checksums. The replica must be stopped."""
     try:
         inspection = inspect_storage(_read_config(file).folder)
     except (CorruptionError, StorageError, ClusterMismatchError) as error:
--- a/ploverspoke/store/configuration_client.py
+++ b/ploverspoke/store/configuration_client.py
@@ -1,4 +1,4 @@
-"""Commits a new version of the shared configuration through the leading replica, for command-line tools."""
+"""Commits a new version of the shared configuration through the leader, for command-line tools."""
 
 import json
 from pathlib import Path
@@ -15,16 +15,16 @@
 
 
 class CheckedConfiguration(NamedTuple):
-    """A shared configuration, checked for the store that it is for."""
+    """A shared configuration that was validated for its store."""
 
     store: ReplicaConfig
     body: str  # JSON
 
 
 def read_configuration(store_file: Path, configuration: Path) -> CheckedConfiguration:
-    """Read a store's file and a configuration's text, checked for that store.
+    """Read a store file and a configuration, and validate the configuration for that store.
 
-    Ends the command with exit code 2 where one of them is wrong.
+    Exits with code 2 if either of them is invalid.
     """
     config = read_config_or_exit(read_replica_config, store_file)
     try:
@@ -39,7 +39,7 @@
 def commit_configuration(config: ReplicaConfig, request: ConfigureRequest) -> ConfigureReply:
     """Ask the leader to commit a configuration.
 
-    Raises NoLeaderError, and ReplicaUnavailableError where the leader gave no reply.
+    Raises NoLeaderError, or ReplicaUnavailableError if the leader did not reply.
     """
     peer_addresses = {name: addresses.peer for name, addresses in config.replicas.items()}
     leader = find_leader(peer_addresses, config.secret)
--- a/ploverspoke/store/daemon.py
+++ b/ploverspoke/store/daemon.py
@@ -1,4 +1,4 @@
-"""The dispatcher as one replica of a store: `service/service.py` with a replicated request log."""
+"""Runs a dispatcher as a replica of a store: `service/service.py` with a replicated request log."""
 
 import asyncio
 import os
@@ -20,21 +20,22 @@
 
 
 class StoreDaemon:
-    """A store replica and the dispatcher that runs on it, in one process."""
+    """A store replica and the dispatcher that uses it, in one process."""
 
     def __init__(self, config: ReplicaConfig) -> None:
-        """`config` is the replica's own file; the dispatcher's is read when it starts."""
+        """`config` is the replica's configuration; the dispatcher's own file is read by `run`."""
         self.config = config
         self.node = StoreNode(config)
-        self.shared_body = ""  # JSON of the shared configuration; "": none was committed
+        self.shared_body = ""  # JSON of the shared configuration; "" if none was committed
 
     async def run(self, new: bool, join: str) -> None:
         """Serve until SIGTERM or SIGINT.
 
-        `new` is the first start of a new store, `join` the fingerprint of the store that is joined. Raises
-        ConfigError, ClusterMismatchError, CorruptionError, StorageError or OSError.
+        `new`: this is the first start of a new store. `join`: the fingerprint of the store to join, or "".
+
+        Raises ConfigError, ClusterMismatchError, CorruptionError, StorageError or OSError.
         """
-        read_config_document(os.environ)  # a bad file is reported before anything is opened
+        read_config_document(os.environ)  # reports an invalid file before anything is opened
         try:
             await self.node.open(new, join)
             self.shared_body = self.node.saved_configuration()
@@ -46,7 +47,7 @@
             await self.node.close()
 
     def read_config(self) -> Config:
-        """Read the dispatcher's file and merge it with what is shared. Raises ConfigError."""
+        """Read the dispatcher's file and merge it with the shared configuration. Raises ConfigError."""
         document = read_config_document(os.environ)
         return merge_config(document, self.shared_body, self.config, self.node.saved_endpoints())
 
@@ -57,11 +58,11 @@
         service.load_config = self.read_config
         endpoint_cache = EndpointCache(self.node.save_endpoints, config.known_endpoints)
         service.router.endpoints.on_list = endpoint_cache.update
-        request_log.on_lost = service.router.completion.leave_all_to_leader
+        request_log.on_leadership_lost = service.router.completion.leave_all_to_leader
         return service
 
     def _apply_configuration(self, configuration: SharedConfiguration) -> None:
-        """Apply a version that was committed as SIGHUP does; the whole of it applies at the next start."""
+        """Apply a committed version as SIGHUP does; keys that need a restart apply at the next start."""
         previous, self.shared_body = self.shared_body, configuration.body
         try:
             self.service.apply_config(self.read_config())
@@ -76,6 +77,6 @@
 def main(store: Path, new: bool = False, join: str = "") -> int:
     """Run the daemon with the replica's file `store` and return the exit code of `run_replica_process`.
 
-    `new` and `join` are those of `StoreDaemon.run`.
+    See `StoreDaemon.run` for `new` and `join`.
     """
     return run_replica_process(lambda: StoreDaemon(read_replica_config(store)).run(new, join))
--- a/ploverspoke/store/errors.py
+++ b/ploverspoke/store/errors.py
@@ -6,10 +6,10 @@
 
 
 class MalformedCommandError(StoreError):
-    """A command of the log has a known verb and is not followed by the fields of that verb."""
+    """A command in the log has a known verb, but its fields are not those of that verb."""
 
     def __init__(self, verb: str, reason: str) -> None:
-        """Keep the verb as it is stored, and what is wrong with the fields."""
+        """`verb` is the stored verb; `reason` says why the fields are invalid."""
         super().__init__(f"the command {verb!r} cannot be read: {reason}")
         self.verb = verb
         self.reason = reason
@@ -19,6 +19,6 @@
     """A snapshot of the state cannot be read."""
 
     def __init__(self, reason: str) -> None:
-        """Keep what is wrong with it."""
+        """`reason` says why it cannot be read."""
         super().__init__(f"the snapshot cannot be read: {reason}")
         self.reason = reason
--- a/ploverspoke/store/inspection.py
+++ b/ploverspoke/store/inspection.py
@@ -1,4 +1,4 @@
-"""Reads the storage of a replica that does not run, for `store inspect`."""
+"""Reads the storage of a stopped replica, for `store inspect`."""
 
 from pathlib import Path
 
@@ -15,10 +15,10 @@
 
 
 class StorageInspection(msgspec.Struct, frozen=True):
-    """What a replica's storage holds. Key names are those of `store inspect --json`."""
+    """The contents of a replica's storage, encoded with the keys of `store inspect --json`."""
 
     replica: str
-    store: str  # fingerprint of the cluster's first members
+    store: str  # fingerprint of the cluster's initial members
     term: int
     vote: str
     snapshot: int  # index of the last entry in the snapshot
@@ -31,7 +31,7 @@
 
 
 def inspect_storage(folder: Path) -> StorageInspection:
-    """Read the storage in `folder`, checking its checksums, and apply its whole log.
+    """Read the storage in `folder`, verify its checksums and replay its log.
 
     Raises StorageError, CorruptionError or ClusterMismatchError.
     """
--- a/ploverspoke/store/log_commands.py
+++ b/ploverspoke/store/log_commands.py
@@ -1,9 +1,10 @@
-"""Commands of the log as they are stored, and the words that stored data has for outcomes of attempts.
+"""The stored form of the commands in the log, and the stored words for outcomes of attempts.
 
-A command is a msgpack array that begins with its verb. Verbs, words and the order of the fields are the
-format of the log on disk and between replicas: they do not follow the names in the code. Fields added later
-stand last and have a default, as entries of older versions lack them. Times are nanoseconds of the replicated
-clock (`consensus/clock.py`) as the leader read it, wall times nanoseconds of Unix time.
+A command is a msgpack array that begins with its verb. The verbs, the outcome words and the order of the
+fields define the format of the log on disk and between replicas: they must not change when names in the code
+change. A field added later must come last and have a default, because entries of older versions lack it.
+Times are nanoseconds of the replicated clock (`consensus/clock.py`) as read by the leader; wall times are
+nanoseconds of Unix time.
 """
 
 import msgspec
@@ -16,10 +17,10 @@
 OUTCOMES_BY_WORD = {outcome.value: outcome for outcome in AttemptOutcome}
 
 
-def read_outcome(word: str) -> AttemptOutcome | None:
-    """Read the stored word of an attempt's outcome.
+def parse_outcome(word: str) -> AttemptOutcome | None:
+    """Return the outcome for a stored word; None if the word is empty or from a later version.
 
-    None where nothing is known: the word is empty, or of a later version. Such an attempt may have run.
+    An attempt whose outcome is None may have run.
     """
     return OUTCOMES_BY_WORD.get(word)
 
@@ -29,17 +30,17 @@
 
     request_id: str
     request_class: int  # its number in the settings
-    digest: bytes  # of the request, to tell another one under the same id apart
+    digest: bytes  # of the request, to detect another request with the same id
     deadline: int
     now: int
 
 
 class StartAttempt(msgspec.Struct, array_like=True, frozen=True, tag="intend"):
-    """An attempt may be sent to a worker; committed before it is."""
+    """An attempt may be sent to a worker; committed before it is sent."""
 
     request_id: str
     worker: str
-    index: int  # of the attempt among those of the request
+    index: int  # of the attempt within the request
     now: int
     wall_time: int = 0
 
@@ -49,11 +50,11 @@
 
     request_id: str
     index: int
-    outcome_word: str  # of an `AttemptOutcome`; one of a later version is kept as it is
+    outcome_word: str  # value of an `AttemptOutcome`; one from a later version is kept as it is
 
 
 class AnswerRequest(msgspec.Struct, array_like=True, frozen=True, tag="answer"):
-    """A request got its final answer; the first one that is committed stands."""
+    """A request received its final answer; only the first committed answer is valid."""
 
     request_id: str
     answer: FinalAnswer
@@ -63,7 +64,7 @@
 
 
 class CommitConfiguration(msgspec.Struct, array_like=True, frozen=True, tag="configure"):
-    """The next version of the configuration that the replicas share."""
+    """Commits the next version of the shared configuration."""
 
     body: str
     committed_by: str
@@ -72,7 +73,7 @@
 
 
 LogCommand = AcceptRequest | StartAttempt | FinishAttempt | AnswerRequest | CommitConfiguration
-# By verb: converting to the union would build its type information anew for each command.
+# Command types by verb. Converting to the union type would rebuild its type information for each command.
 COMMAND_TYPES: dict[object, type[LogCommand]] = {
     command_type.__struct_config__.tag: command_type
     for command_type in (AcceptRequest, StartAttempt, FinishAttempt, AnswerRequest, CommitConfiguration)
@@ -86,7 +87,7 @@
 
 
 def decode_command(entry: object) -> LogCommand | None:
-    """Read an array of the log; None for a verb of a later version, which changes nothing here.
+    """Decode an entry of the log; None if its verb is from a later version, which is ignored.
 
     Raises MalformedCommandError.
     """
--- a/ploverspoke/store/node.py
+++ b/ploverspoke/store/node.py
@@ -1,4 +1,4 @@
-"""A replica whose state is that of requests, and what it saves of its own beside the log."""
+"""A replica of the store, and the values that it saves outside the replicated log."""
 
 import time
 from collections.abc import Callable
@@ -21,20 +21,20 @@
 from .snapshot import SharedConfiguration
 from .state_machine import RequestStateMachine
 
-# Keys of the values that are saved beside the log; the names on disk stay as they are.
+# Keys of the values saved outside the log. These names are stored on disk and must not change.
 CONFIGURATION_KEY, ENDPOINTS_KEY = "configuration", "roster"
 
 
 class StoreStatus(msgspec.Struct, frozen=True):
     """The state machine's part of a replica's status."""
 
-    open: int  # requests
-    answered: int  # requests whose answer is kept
+    open: int  # open requests
+    answered: int  # requests whose answer is retained
     configuration: int  # the latest version; 0: none
 
 
 class SavedConfiguration(msgspec.Struct, array_like=True, frozen=True):
-    """This replica's own copy of the latest configuration, which it starts with."""
+    """This replica's copy of the latest shared configuration, which it uses when it starts."""
 
     version: int = 0
     body: str = ""
@@ -44,26 +44,26 @@
     """One replica of the store."""
 
     def __init__(self, config: ReplicaConfig, storage: ReplicaStorage | None = None) -> None:
-        """`config` is the replica's own file; `storage` is by default that of the folder it names."""
+        """`config` is the replica's configuration; `storage` defaults to the storage in its folder."""
         self.requests = RequestStateMachine()
         super().__init__(config, self.requests, storage)
         self.requests.on_time = self.clock.advance_to
         self.on_configuration: Callable[[SharedConfiguration], None] | None = None
-        self.saved_version = 0  # of the configuration that is saved
+        self.saved_version = 0  # version of the saved configuration
 
     def on_storage_opened(self) -> None:
-        """Note which configuration is saved, and save each later one that is committed."""
+        """Read the version of the saved configuration, and save each later one once it is committed."""
         self.saved_version = self._load_configuration().version
-        self.requests.on_configuration = self._configuration_committed
+        self.requests.on_configuration = self._on_configuration_committed
 
-    # ---- Saved beside the log ----
+    # ---- Values saved outside the log ----
 
     def saved_configuration(self) -> str:
-        """Return the body of the configuration that is saved; "" where none was ever committed."""
+        """Return the body of the saved configuration; "" if none was ever committed."""
         return self._load_configuration().body
 
     def saved_endpoints(self) -> EndpointListDocument | None:
-        """Return the endpoint list that is saved, if there is one."""
+        """Return the saved endpoint list, if there is one."""
         return self.storage.load_value(ENDPOINTS_KEY, EndpointListDocument)
 
     def save_endpoints(self, endpoints: EndpointListDocument) -> None:
@@ -73,7 +73,7 @@
     def _load_configuration(self) -> SavedConfiguration:
         return self.storage.load_value(CONFIGURATION_KEY, SavedConfiguration) or SavedConfiguration()
 
-    def _configuration_committed(self, configuration: SharedConfiguration) -> None:
+    def _on_configuration_committed(self, configuration: SharedConfiguration) -> None:
         if configuration.version <= self.saved_version:
             return
         self.saved_version = configuration.version
@@ -81,10 +81,10 @@
         if self.on_configuration is not None:
             self.loop.call_soon(self.on_configuration, configuration)
 
-    # ---- Requests of tools ----
+    # ---- Admin requests ----
 
     def state_status(self) -> StoreStatus:
-        """Count requests and give the latest version of the configuration."""
+        """Return the request counts and the latest version of the configuration."""
         configuration = self.requests.configuration()
         return StoreStatus(
             open=len(self.requests.open_requests),
@@ -93,34 +93,38 @@
         )
 
     def handle_state_request(self, request: WireMap, reply: Reply) -> bool:
-        """Answer a request about configurations; False where it is none. Raises MalformedRequestError."""
+        """Handle a request about configurations; return False for any other. Raises MalformedRequestError."""
         if not isinstance(request.get("token", 0), int):
             return False
         match decode_request(request, ConfigureRequest, ConfigurationsRequest):
             case ConfigureRequest() as configure:
-                self._configure(configure, reply)
+                self._commit_configuration(configure, reply)
             case ConfigurationsRequest():
-                reply([msgspec.to_builtins(row) for row in self._configuration_rows()])
+                reply([msgspec.to_builtins(row) for row in self._list_configurations()])
             case _:
                 return False
         return True
 
-    def _configure(self, request: ConfigureRequest, reply: Reply) -> None:
+    def _commit_configuration(self, request: ConfigureRequest, reply: Reply) -> None:
         command = CommitConfiguration(request.body, request.by, time.time_ns(), request.token)
         self.propose(
             command,
-            lambda is_committed: reply(encode_reply(self._configure_reply(is_committed, request.token))),
+            lambda is_committed: reply(
+                encode_reply(self._build_configure_reply(is_committed, request.token))
+            ),
         )
 
-    def _configure_reply(self, is_committed: bool, token: int) -> ConfigureReply:
+    def _build_configure_reply(self, is_committed: bool, token: int) -> ConfigureReply:
         if not is_committed:
             return ConfigureReply(False, version=0)
         if token < self.requests.highest_token:
-            return ConfigureReply(False, why=f"published under token {self.requests.highest_token} since")
+            return ConfigureReply(
+                False, why=f"superseded: published under token {self.requests.highest_token}"
+            )
         configuration = self.requests.configuration()
         return ConfigureReply(True, version=configuration.version if configuration is not None else 0)
 
-    def _configuration_rows(self) -> list[ConfigurationRow]:
+    def _list_configurations(self) -> list[ConfigurationRow]:
         return [
             ConfigurationRow(
                 configuration.version,
--- a/ploverspoke/store/recovery.py
+++ b/ploverspoke/store/recovery.py
@@ -1,7 +1,7 @@
-"""Decides what becomes of open requests when another replica takes over, from the state alone.
+"""Decides what a new leader may do with the requests that an earlier leader left open.
 
-A request's client may come back with the same id, and brings the request again; until then there is nothing
-that could be sent.
+The decision uses only the replicated state, which does not contain the request itself: a request can be sent
+again only after its client has retried it with the same id.
 """
 
 from enum import Enum, auto
@@ -17,43 +17,47 @@
 class RecoveryVerdict(Enum):
     """What a new leader may do with an open request."""
 
-    MAY_RUN = auto()  # no attempt may have run, or it is idempotent: it starts like a new one
-    MAY_RUN_IN_SCOPE = auto()  # idempotent with a key, one may have run: in its retry scope and window only
-    MUST_FAIL = auto()  # non-idempotent, and one may have run: failed, and never sent again
+    MAY_RUN = auto()  # no attempt may have run, or it is idempotent: handled like a new request
+    # An attempt may have run, and the request is idempotent with a key: only in its retry scope and window.
+    MAY_RUN_IN_SCOPE = auto()
+    MUST_FAIL = auto()  # non-idempotent, and an attempt may have run: fails and is never sent again
 
 
 class Recovery(NamedTuple):
-    """A verdict and what it rests on."""
+    """A verdict and the facts that it is based on."""
 
     verdict: RecoveryVerdict
-    may_have_run: AttemptRecord | None  # the first attempt that may have
-    attempts: int  # spent before
+    first_possibly_run: AttemptRecord | None  # the first attempt that may have run
+    attempt_count: int  # attempts made so far
 
 
-def recover_request(
+def decide_recovery(
     request: OpenRequest, idempotency: Idempotency, full_may_have_run: bool = False
 ) -> Recovery:
-    """Decide how an open request of a class with that idempotency may end.
+    """Decide what may be done with an open request of a class with that idempotency.
 
-    `full_may_have_run`: workers also shed what they had begun, so "full" is no proof that it did not run.
+    `full_may_have_run`: workers may also shed requests that they have started, so the answer "full" does not
+    prove that a request did not run.
     """
-    proofs = never_ran(full_may_have_run)
-    first = next((attempt for attempt in request.attempts if attempt.outcome not in proofs), None)
-    attempts = len(request.attempts)
-    if first is None or idempotency is Idempotency.IDEMPOTENT:
-        return Recovery(RecoveryVerdict.MAY_RUN, None, attempts)
+    never_ran_outcomes = never_ran(full_may_have_run)
+    first_possibly_run = next(
+        (attempt for attempt in request.attempts if attempt.outcome not in never_ran_outcomes), None
+    )
+    attempt_count = len(request.attempts)
+    if first_possibly_run is None or idempotency is Idempotency.IDEMPOTENT:
+        return Recovery(RecoveryVerdict.MAY_RUN, None, attempt_count)
     if idempotency is Idempotency.NON_IDEMPOTENT:
-        return Recovery(RecoveryVerdict.MUST_FAIL, first, attempts)
-    return Recovery(RecoveryVerdict.MAY_RUN_IN_SCOPE, first, attempts)
+        return Recovery(RecoveryVerdict.MUST_FAIL, first_possibly_run, attempt_count)
+    return Recovery(RecoveryVerdict.MAY_RUN_IN_SCOPE, first_possibly_run, attempt_count)
 
 
 def answer_at_deadline(
     request: OpenRequest, request_class: RequestClass, full_may_have_run: bool = False
 ) -> FinalAnswer:
-    """Return the final answer of a request whose client did not come back by its deadline."""
-    verdict = recover_request(request, request_class.idempotency, full_may_have_run).verdict
+    """Return the final answer for a request whose client did not return before the deadline."""
+    verdict = decide_recovery(request, request_class.idempotency, full_may_have_run).verdict
     may_run_again = verdict is RecoveryVerdict.MAY_RUN or (
-        # Its client may ask for it again: each worker of the scope drops what is a duplicate.
+        # The client may retry it: its scope includes every worker, and each of them drops duplicates.
         verdict is RecoveryVerdict.MAY_RUN_IN_SCOPE and request_class.retry_scope is RetryScope.ALL
     )
     return FinalAnswer.REJECTED if may_run_again else FinalAnswer.FAILED
--- a/ploverspoke/store/request_log.py
+++ b/ploverspoke/store/request_log.py
@@ -1,4 +1,4 @@
-"""Commits the router's requests, attempts and answers, and ends what an earlier leader left open."""
+"""Commits the router's requests, attempts and answers, and ends requests that an earlier leader left open."""
 
 import asyncio
 import time
@@ -20,10 +20,10 @@
     StartAttempt,
 )
 from .node import StoreNode
-from .recovery import Recovery, RecoveryVerdict, answer_at_deadline, recover_request
+from .recovery import Recovery, RecoveryVerdict, answer_at_deadline, decide_recovery
 from .snapshot import AttemptRecord, OpenRequest
 
-ANSWER_GRACE = 0.05  # seconds after a deadline in which the answer of its own dispatcher may still come
+ANSWER_GRACE_S = 0.05  # time after a deadline in which the answer of the request's own dispatcher may arrive
 DIGEST_BYTES = 16
 
 
@@ -36,35 +36,35 @@
         request_classes: Sequence[RequestClass],
         full_may_have_run: bool = False,
     ) -> None:
-        """`request_classes` are those of the settings, by number.
+        """`request_classes` are the classes of the settings, in the order of their numbers.
 
-        `full_may_have_run`: a worker's "full" is no proof that it did not run the request.
+        `full_may_have_run`: a worker's answer "full" does not prove that it did not run the request.
         """
         self.node = node
         self.request_classes = request_classes
         self.full_may_have_run = full_may_have_run
-        self.on_lost: Callable[[], None] = lambda: None
+        self.on_leadership_lost: Callable[[], None] = lambda: None
         self.is_leading = False
-        self.recovered = 0  # open requests found when this replica took over
-        node.role_listeners.append(self._role_changed)
+        self.recovered_count = 0  # open requests that this replica found when it became the leader
+        node.role_listeners.append(self._on_role_changed)
 
     def is_leader(self) -> bool:
-        """Whether this replica may act: it has read all that was committed, and no other can lead now."""
+        """Whether this replica may act: it has applied all committed entries, and no other can lead now."""
         return self.is_leading and self.node.leads()
 
     def leader_address(self) -> str:
-        """Return the leader's address for clients; "" where it is this replica or is not known."""
+        """Return the leader's address for clients; "" if the leader is this replica or unknown."""
         own_address = self.node.config.replicas[self.node.config.name].client
         leader_address = self.node.leader_client_address()
         return "" if leader_address == own_address else leader_address
 
     def digest(self, method: str, target: str, body: bytes) -> bytes:
-        """Return a digest by which two different requests under one id can be told apart."""
+        """Return a digest that distinguishes different requests with the same id."""
         head = f"{method} {target}\n".encode("utf-8", "surrogatepass")
         return blake2b(head + body, digest_size=DIGEST_BYTES).digest()
 
     def previous_outcome(self, request_id: str) -> PreviousOutcome | None:
-        """Return what is known of an id from before; None where it is new."""
+        """Return the recorded outcome of a request id; None if the id is new."""
         answered = self.node.requests.answered.get(request_id)
         if answered is not None:
             answer = RecordedAnswer(answered.answer, answered.result)
@@ -72,11 +72,12 @@
         request = self.node.requests.open_requests.get(request_id)
         if request is None:
             return None
-        recovery = self._recovery_of(request)
-        first = recovery.may_have_run
-        if first is None:
-            return PreviousOutcome(None, request.digest, recovery.attempts, "", 0)
-        return PreviousOutcome(None, request.digest, recovery.attempts, first.worker, self._time_since(first))
+        recovery = self._decide_recovery(request)
+        attempt = recovery.first_possibly_run
+        if attempt is None:
+            return PreviousOutcome(None, request.digest, recovery.attempt_count, "", 0)
+        elapsed = self._time_since_start(attempt)
+        return PreviousOutcome(None, request.digest, recovery.attempt_count, attempt.worker, elapsed)
 
     def record_request(
         self,
@@ -86,7 +87,7 @@
         time_left: int,
         on_committed: CommitCallback,
     ) -> None:
-        """Commit that a request is accepted; `time_left` is ns until its deadline."""
+        """Commit that a request was accepted; `time_left` is the time until its deadline in ns."""
         now = self.node.clock.now()
         self.node.propose(AcceptRequest(request_id, class_number, digest, now + time_left, now), on_committed)
 
@@ -96,16 +97,16 @@
         self.node.propose(StartAttempt(request_id, worker, index, now, time.time_ns()), on_committed)
 
     def record_attempt_outcome(self, request_id: str, index: int, outcome: AttemptOutcome) -> None:
-        """Commit how an attempt ended; nothing waits for it."""
+        """Commit the outcome of an attempt; nothing waits for this commit."""
         self.node.propose(FinishAttempt(request_id, index, outcome.value), _ignore_commit)
 
     def record_answer(
         self, request_id: str, answer: RecordedAnswer, digest: bytes, on_committed: CommitCallback
     ) -> None:
-        """Commit the final answer; `on_committed` gets False where another one stands."""
+        """Commit the final answer; `on_committed` gets False if another answer was committed first."""
 
         def on_answer_committed(is_committed: bool) -> None:
-            """Report False where another answer was committed first: that one stands."""
+            """Report False if another answer was committed first: the first one is valid."""
             recorded = self.node.requests.answered.get(request_id)
             is_ours = recorded is not None and RecordedAnswer(recorded.answer, recorded.result) == answer
             on_committed(is_committed and is_ours)
@@ -115,42 +116,42 @@
             AnswerRequest(request_id, answer.answer, answer.result, digest, now), on_answer_committed
         )
 
-    def _time_since(self, attempt: AttemptRecord) -> int:
-        """Return the ns since the attempt started, by the longer of two clocks.
+    def _time_since_start(self, attempt: AttemptRecord) -> int:
+        """Return the time since the attempt started in ns: the longer of the times that two clocks measured.
 
-        The replicated clock stands still while no replica runs, the wall clock may have been set back; past
-        the window in which workers drop duplicates nothing must run again.
+        The replicated clock stops while no replica runs, and the wall clock may have been set back. An
+        attempt must not be repeated after the window in which workers drop duplicates.
         """
         by_replicated_clock = self.node.clock.now() - attempt.started_at
         by_wall_clock = time.time_ns() - (attempt.started_wall_time or attempt.started_at)
         return max(by_replicated_clock, by_wall_clock)
 
-    # ---- Taking over ----
+    # ---- Changes of the leader ----
 
-    def _role_changed(self, role: Role, leader: str) -> None:
+    def _on_role_changed(self, role: Role, leader: str) -> None:
         if role is Role.LEADER:
             self.node.read(self._take_over)
         elif self.is_leading:
             self.is_leading = False
             log_line(f"store: {self.node.config.name} is no longer the leader")
-            self.on_lost()
+            self.on_leadership_lost()
 
     def _take_over(self, is_current: bool) -> None:
-        """Begin to lead, and end what is open: all that was committed before is applied here."""
+        """Start to lead and handle the open requests; all entries committed before are applied by now."""
         if not is_current:
             return
         self.is_leading = True
         open_requests = list(self.node.requests.open_requests.items())
         log_line(f"store: {self.node.config.name} is the leader, open_requests={len(open_requests)}")
         for request_id, request in open_requests:
-            self._recover(request_id, request)
+            self._recover_request(request_id, request)
 
-    def _recover(self, request_id: str, request: OpenRequest) -> None:
-        self.recovered += 1
-        if self._recovery_of(request).verdict is RecoveryVerdict.MUST_FAIL:
-            self._end(request_id, FinalAnswer.FAILED)
+    def _recover_request(self, request_id: str, request: OpenRequest) -> None:
+        self.recovered_count += 1
+        if self._decide_recovery(request).verdict is RecoveryVerdict.MUST_FAIL:
+            self._commit_answer(request_id, FinalAnswer.FAILED)
         else:
-            delay = (request.deadline - self.node.clock.now()) / SECOND + ANSWER_GRACE
+            delay = (request.deadline - self.node.clock.now()) / SECOND + ANSWER_GRACE_S
             asyncio.get_running_loop().call_later(max(0.0, delay), self._on_deadline, request_id)
 
     def _on_deadline(self, request_id: str) -> None:
@@ -158,16 +159,16 @@
         if request is None or not self.is_leading:
             return
         request_class = self.request_classes[request.request_class]
-        self._end(request_id, answer_at_deadline(request, request_class, self.full_may_have_run))
+        self._commit_answer(request_id, answer_at_deadline(request, request_class, self.full_may_have_run))
 
-    def _recovery_of(self, request: OpenRequest) -> Recovery:
+    def _decide_recovery(self, request: OpenRequest) -> Recovery:
         idempotency = self.request_classes[request.request_class].idempotency
-        return recover_request(request, idempotency, self.full_may_have_run)
+        return decide_recovery(request, idempotency, self.full_may_have_run)
 
-    def _end(self, request_id: str, answer: FinalAnswer) -> None:
+    def _commit_answer(self, request_id: str, answer: FinalAnswer) -> None:
         now = self.node.clock.now()
         self.node.propose(AnswerRequest(request_id, answer, "", b"", now), _ignore_commit)
 
 
 def _ignore_commit(is_committed: bool) -> None:
-    """Wait for nothing: the next leader ends what is lost here."""
+    """Ignore the result: if the commit fails, the next leader ends the request."""
--- a/ploverspoke/store/snapshot.py
+++ b/ploverspoke/store/snapshot.py
@@ -1,7 +1,8 @@
-"""The records of which the store's state consists, as a snapshot holds them.
+"""The records of the store's state, in the form in which a snapshot stores them.
 
-Each is stored as a msgpack array: the order of the fields is the format. Fields added later stand last and
-have a default. Times are nanoseconds of the replicated clock, wall times nanoseconds of Unix time.
+Each is stored as a msgpack array, so the order of its fields is part of the format. A field added later must
+come last and have a default. Times are nanoseconds of the replicated clock; wall times are nanoseconds of
+Unix time.
 """
 
 import msgspec
@@ -10,24 +11,24 @@
 from ploverspoke.routing.answers import FinalAnswer
 
 from .errors import MalformedSnapshotError
-from .log_commands import read_outcome
+from .log_commands import parse_outcome
 
 SNAPSHOT_FORMAT = 1
 
 
 class AttemptRecord(msgspec.Struct, array_like=True):
-    """An attempt that was allowed to be sent."""
+    """An attempt whose start was committed: it may have been sent."""
 
     worker: str
     index: int
     started_at: int
-    outcome_word: str = ""  # see `read_outcome`
+    outcome_word: str = ""  # see `parse_outcome`
     started_wall_time: int = 0
 
     @property
     def outcome(self) -> AttemptOutcome | None:
-        """How it ended; None where that is not known."""
-        return read_outcome(self.outcome_word)
+        """The outcome of the attempt; None if unknown."""
+        return parse_outcome(self.outcome_word)
 
 
 class OpenRequest(msgspec.Struct, array_like=True):
@@ -41,7 +42,7 @@
 
 
 class AnsweredRequest(msgspec.Struct, array_like=True):
-    """A request's final answer, kept until `forget_at`."""
+    """A request's final answer, retained until `forget_at`."""
 
     answer: FinalAnswer
     result: str
@@ -50,7 +51,7 @@
 
 
 class SharedConfiguration(msgspec.Struct, array_like=True):
-    """One version of the configuration that the replicas share."""
+    """One version of the shared configuration."""
 
     version: int
     body: str
@@ -59,23 +60,23 @@
 
 
 class RequestSnapshot(msgspec.Struct, array_like=True):
-    """The whole state of `RequestStateMachine`."""
+    """The complete state of `RequestStateMachine`."""
 
     format: int
     open_requests: dict[str, OpenRequest]
     answered: dict[str, AnsweredRequest]
     configurations: list[SharedConfiguration]
-    now: int = 0  # 0: written by a version whose times were wall times
+    now: int = 0  # 0 if written by an older version, whose times were wall times
     highest_token: int = 0
 
 
 def encode_snapshot(snapshot: RequestSnapshot) -> bytes:
-    """Return the bytes of a snapshot."""
+    """Encode a snapshot."""
     return msgspec.msgpack.encode(snapshot)
 
 
 def decode_snapshot(data: bytes) -> RequestSnapshot:
-    """Read the bytes of a snapshot; none stand for the empty state. Raises MalformedSnapshotError."""
+    """Decode a snapshot; empty data is the empty state. Raises MalformedSnapshotError."""
     if not data:
         return RequestSnapshot(SNAPSHOT_FORMAT, {}, {}, [])
     try:
--- a/ploverspoke/store/state_machine.py
+++ b/ploverspoke/store/state_machine.py
@@ -1,8 +1,8 @@
-"""The state that the log changes: what became of each request, and versions of the shared configuration.
+"""The replicated state: open requests, final answers, and versions of the shared configuration.
 
-A command that no longer fits the state changes nothing. All times that matter stand in the commands,
-so that every replica comes to the same state. Answers are bounded by count, by bytes of results and by age,
-the oldest go first; open requests are never dropped.
+A command that no longer matches the state is ignored. The state depends only on times that the commands
+contain, so that every replica reaches the same state. The number, size and age of the retained answers are
+limited, and the oldest are dropped first; open requests are never dropped.
 """
 
 from collections import OrderedDict
@@ -32,23 +32,23 @@
 
 MAX_ANSWERS = 200_000
 MAX_RESULT_BYTES = 64 * 1024 * 1024
-ANSWER_RETENTION = 15 * MINUTE  # past the deadline
+ANSWER_RETENTION = 15 * MINUTE  # after the deadline or the answer, whichever is later
 MAX_CONFIGURATIONS = 20
 
 
 class RequestStateMachine:
-    """Requests and configurations, as all replicas agree on them."""
+    """The requests and configurations that all replicas agree on."""
 
     def __init__(self, max_answers: int = MAX_ANSWERS, max_result_bytes: int = MAX_RESULT_BYTES) -> None:
-        """Begin empty; `max_result_bytes` bounds the results of all answers together."""
+        """Create the empty state; `max_result_bytes` limits the total size of all results."""
         self.max_answers = max_answers
         self.max_result_bytes = max_result_bytes
         self.open_requests: dict[str, OpenRequest] = {}
         self.answered: OrderedDict[str, AnsweredRequest] = OrderedDict()
         self.result_bytes = 0
         self.configurations: list[SharedConfiguration] = []
-        self.highest_token = 0  # that a configuration was committed under
-        self.now = 0  # time of the latest entry
+        self.highest_token = 0  # highest fencing token that a configuration was committed under
+        self.now = 0  # latest time in an applied entry
         self.on_configuration: Callable[[SharedConfiguration], None] | None = None
         self.on_time: Callable[[int], None] | None = None
 
@@ -59,13 +59,13 @@
     # ---- State machine of consensus ----
 
     def apply(self, index: int, command: object) -> None:
-        """Apply the entry at `index` of the log, in its stored form. Raises MalformedCommandError."""
+        """Apply the stored command at `index` of the log. Raises MalformedCommandError."""
         decoded = decode_command(command)
         if decoded is not None:
             self._apply(decoded)
 
     def take_snapshot(self) -> bytes:
-        """Take a snapshot of the whole state."""
+        """Return a snapshot of the complete state."""
         return encode_snapshot(
             RequestSnapshot(
                 SNAPSHOT_FORMAT,
@@ -78,7 +78,7 @@
         )
 
     def restore_snapshot(self, data: bytes) -> None:
-        """Replace the whole state by a snapshot's; no bytes: by the empty state.
+        """Replace the complete state with a snapshot; empty data is the empty state.
 
         Raises MalformedSnapshotError.
         """
@@ -91,7 +91,7 @@
         self.now = 0
         latest_accepted = max((request.accepted_at for request in self.open_requests.values()), default=0)
         self._advance_time(snapshot.now or latest_accepted)
-        self._announce_configuration()
+        self._report_configuration()
 
     # ---- Commands ----
 
@@ -120,7 +120,7 @@
         self._advance_time(command.now)
         request = self.open_requests.get(command.request_id)
         if request is not None:
-            # An entry of an older version has one time only, which was the wall time.
+            # An entry of an older version has only one time, which is the wall time.
             wall_time = command.wall_time or command.now
             request.attempts.append(
                 AttemptRecord(command.worker, command.index, command.now, started_wall_time=wall_time)
@@ -133,7 +133,7 @@
                 attempt.outcome_word = command.outcome_word
 
     def _answer(self, command: AnswerRequest) -> None:
-        """Keep the answer unless there is one: the first stands."""
+        """Record the answer unless there is one already: only the first answer is valid."""
         self._advance_time(command.now)
         if command.request_id in self.answered:
             return
@@ -146,18 +146,18 @@
         self._evict_answers(command.now, command.request_id)
 
     def _evict_answers(self, now: int, latest_id: str) -> None:
-        """Drop the oldest answers while they are too many, too large or too old; never the latest."""
+        """Drop the oldest answers while they are too many, too large or expired; never the latest."""
         while True:
             oldest_id, oldest = next(iter(self.answered.items()))
-            is_over = len(self.answered) > self.max_answers or self.result_bytes > self.max_result_bytes
-            if oldest_id == latest_id or (not is_over and oldest.forget_at > now):
+            exceeds_limit = len(self.answered) > self.max_answers or self.result_bytes > self.max_result_bytes
+            if oldest_id == latest_id or (not exceeds_limit and oldest.forget_at > now):
                 return
             del self.answered[oldest_id]
             self.result_bytes -= len(oldest.result)
 
     def _commit_configuration(self, command: CommitConfiguration) -> None:
-        # Once a lease guards it, an earlier holder's configuration comes too late, and so does one without a
-        # lease.
+        # Once a configuration was committed under a lease, those of earlier holders and those without a lease
+        # (token 0) are outdated.
         if command.token < self.highest_token:
             return
         self.highest_token = command.token
@@ -166,9 +166,9 @@
             SharedConfiguration(version, command.body, command.committed_by, command.wall_time)
         )
         del self.configurations[:-MAX_CONFIGURATIONS]
-        self._announce_configuration()
+        self._report_configuration()
 
-    def _announce_configuration(self) -> None:
+    def _report_configuration(self) -> None:
         if self.on_configuration is not None and self.configurations:
             self.on_configuration(self.configurations[-1])
 
--- a/tests/store/cluster_harness.py
+++ b/tests/store/cluster_harness.py
@@ -1,4 +1,4 @@
-"""Replicas of a store on sockets and disks in one loop, for tests that stop, starve and change them."""
+"""Replicas of a store on real sockets and disks in one event loop, for tests that stop or change them."""
 
 import asyncio
 import json
@@ -66,7 +66,7 @@
         return next((node for node in self.nodes.values() if node.leads()), None)
 
     async def change_members(self, change: Callable[[Members], Members]) -> None:
-        """By whoever leads by then: a sync that takes longer than an election time-out moves the lead."""
+        """Ask the current leader, which changes when a disk sync takes longer than the election timeout."""
 
         def begin_change() -> bool:
             leader = self.leader()
@@ -80,7 +80,7 @@
 
 
 def commit(node: StoreNode, body: str) -> Awaitable[bool]:
-    """A configuration with that body; whether it is committed."""
+    """Propose a configuration with that body; the result says whether it was committed."""
     future: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
 
     def on_decided(is_committed: bool) -> None:
@@ -96,7 +96,7 @@
 
 
 def fill_disk(node: StoreNode) -> None:
-    """Let its storage grow to FULL_DISK_PAGES pages and no further from now on."""
+    """Limit the node's storage to FULL_DISK_PAGES pages from now on."""
     node.storage.max_pages = FULL_DISK_PAGES
     assert node.storage.connection is not None
     node.storage.connection.execute(f"pragma max_page_count = {FULL_DISK_PAGES}")
@@ -105,7 +105,7 @@
 def run_cluster(
     folder: Path, size: int, scenario: Callable[[Cluster], Awaitable[None]], spare: int = 0
 ) -> None:
-    """Start a new store of `size` replicas, run the scenario, and stop what still runs."""
+    """Start a new store of `size` replicas, run the scenario, and stop the replicas that still run."""
 
     async def run() -> None:
         cluster = Cluster(folder, size, spare)
--- a/tests/store/request_log_harness.py
+++ b/tests/store/request_log_harness.py
@@ -1,4 +1,4 @@
-"""A request log whose commits the test makes, and a router on real sockets that uses it."""
+"""A request log whose commits the test controls, and a router on real sockets that uses it."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -11,17 +11,17 @@
 
 
 class ControlledRequestLog:
-    """Commits at once, but for the calls in `holds`: those wait until the test commits them."""
+    """Commits at once, except for the calls in `delayed_calls`, which wait until the test commits them."""
 
     def __init__(self) -> None:
-        self.leading = True
-        self.held: list[tuple[str, CommitCallback]] = []  # calls that wait for their commit
-        self.holds: set[str] = set()
+        self.is_leading = True
+        self.pending_commits: list[tuple[str, CommitCallback]] = []  # calls that wait for their commit
+        self.delayed_calls: set[str] = set()
         self.outcomes: list[tuple[str, int, AttemptOutcome]] = []
         self.previous: dict[str, PreviousOutcome] = {}
 
     def is_leader(self) -> bool:
-        return self.leading
+        return self.is_leading
 
     def leader_address(self) -> str:
         return "127.0.0.1:9"
@@ -59,25 +59,25 @@
         self._commit("answer", on_answer_committed)
 
     def _commit(self, call: str, on_committed: CommitCallback) -> None:
-        if call in self.holds:
-            self.held.append((call, on_committed))
+        if call in self.delayed_calls:
+            self.pending_commits.append((call, on_committed))
         else:
             asyncio.get_running_loop().call_soon(on_committed, True)
 
     async def wait_for(self, call: str) -> CommitCallback:
-        while not self.held:
+        while not self.pending_commits:
             await asyncio.sleep(0.001)
-        assert self.held[0][0] == call
-        return self.held.pop(0)[1]
+        assert self.pending_commits[0][0] == call
+        return self.pending_commits.pop(0)[1]
 
 
 Scenario = Callable[[ServiceHarness, ControlledRequestLog], Awaitable[None]]
 
 
-def run_with_request_log(scenario: Scenario, *holds: str, **settings: Any) -> None:
-    """Run the scenario on a router whose request log holds the commits of these calls."""
+def run_with_request_log(scenario: Scenario, *delayed_calls: str, **settings: Any) -> None:
+    """Run the scenario on a router whose request log delays the commits of these calls."""
     request_log = ControlledRequestLog()
-    request_log.holds = set(holds)
+    request_log.delayed_calls = set(delayed_calls)
 
     async def run(harness: ServiceHarness) -> None:
         await scenario(harness, request_log)
--- a/tests/store/test_commands.py
+++ b/tests/store/test_commands.py
@@ -76,7 +76,7 @@
 
 
 def commit_a_configuration(store: StoreProcesses) -> None:
-    """Commit a version that all replicas apply, and none of a document that lacks a key."""
+    """Commit a version that all replicas apply; a document that lacks a key is rejected."""
     changed = store.write("new.json", {**store.document, "discovery": "127.0.0.1:8599"})
     committed = run_store("configure", store.files["r0"], str(changed))
     assert committed.exit_code == 0, committed.output
--- a/tests/store/test_endpoint_cache.py
+++ b/tests/store/test_endpoint_cache.py
@@ -1,4 +1,4 @@
-"""The endpoint list that a replica keeps beside its log."""
+"""The endpoint list that a replica saves outside its log."""
 
 import json
 
@@ -25,9 +25,9 @@
     clock[0] = 5.0
     answer(3, False, ("c", "Terminating"))
     assert saved[-1]["version"] == 3 and server_ids(saved[-1]) == ["a", "c"]
-    # A restart goes on from what was saved; changes alone are not taken for the whole.
+    # A restart resumes from the saved list; changes without a full list are not saved as one.
     for known, expected in ((saved[-1], ["a", "c"]), (None, None)):
         later: list[EndpointListDocument] = []
-        again = EndpointCache(later.append, known, lambda: 9.0)
-        again.update(b'{"version": 4, "full": false, "servers": []}')
-        assert [server_ids(each) for each in later] == ([expected] if expected else [])
+        restarted = EndpointCache(later.append, known, lambda: 9.0)
+        restarted.update(b'{"version": 4, "full": false, "servers": []}')
+        assert [server_ids(saved_list) for saved_list in later] == ([expected] if expected else [])
--- a/tests/store/test_node.py
+++ b/tests/store/test_node.py
@@ -1,4 +1,4 @@
-"""Replicas on sockets and disks: elections, a lost leader, full disks, other clusters, members."""
+"""Replicas on sockets and disks: elections, leader loss, full disks, other clusters, member changes."""
 
 import asyncio
 from pathlib import Path
@@ -19,13 +19,13 @@
 
 
 def transfer_leadership(cluster: Cluster, name: str) -> bool:
-    """Have the leader, where there is one, begin to hand over to the replica of that name."""
+    """Start a transfer of leadership to the named replica, if there is a leader."""
     leader = cluster.leader()
     return leader is not None and leader.transfer(name)
 
 
 def members_all_vote(node: StoreNode) -> bool:
-    """Whether the node knows its members, and each of them has a vote."""
+    """Whether the node knows its members and all of them are voters."""
     members = node.status()["members"]
     assert isinstance(members, list)
     return bool(members) and all(member["votes"] for member in members)
@@ -83,7 +83,7 @@
 
 @pytest.mark.parametrize("full", [1, 2])
 def test_full_disks_of_followers_lose_no_acknowledged_write(full: int, tmp_path: Path) -> None:
-    """One of three is done without; two of three stop all writes until there is room."""
+    """One full disk of three does not stop writes; two stop all writes until there is space."""
 
     async def scenario(cluster: Cluster) -> None:
         leader = await cluster.wait_for_leader()
--- a/tests/store/test_recovery.py
+++ b/tests/store/test_recovery.py
@@ -1,4 +1,4 @@
-"""What a new leader decides of requests that others left open."""
+"""What a new leader decides for requests that an earlier leader left open."""
 
 from dataclasses import replace
 
@@ -13,7 +13,7 @@
     StartAttempt,
     encode_command,
 )
-from ploverspoke.store.recovery import RecoveryVerdict, answer_at_deadline, recover_request
+from ploverspoke.store.recovery import RecoveryVerdict, answer_at_deadline, decide_recovery
 from ploverspoke.store.state_machine import RequestStateMachine
 from tests.decisions.decision_settings import DECISION_SETTINGS
 
@@ -46,13 +46,13 @@
         if outcome:
             state.apply(0, encode_command(FinishAttempt("r", index, outcome)))
     request = state.open_requests["r"]
-    recovery = recover_request(request, idempotency)
-    assert (recovery.verdict, recovery.attempts) == (verdict, len(attempts))
+    recovery = decide_recovery(request, idempotency)
+    assert (recovery.verdict, recovery.attempt_count) == (verdict, len(attempts))
     request_class = replace(DECISION_SETTINGS.classes[0], idempotency=idempotency, retry_scope=RetryScope.ALL)
     assert answer_at_deadline(request, request_class) is at_deadline
     if verdict is MAY_RUN_IN_SCOPE:
         in_rack = replace(request_class, retry_scope=RetryScope.RACK)
         assert answer_at_deadline(request, in_rack) is FAILED
     if attempts == [("w0", FULL)]:
-        assert recover_request(request, idempotency, full_may_have_run=True).verdict is MUST_FAIL
+        assert decide_recovery(request, idempotency, full_may_have_run=True).verdict is MUST_FAIL
         assert answer_at_deadline(request, request_class, full_may_have_run=True) is FAILED
--- a/tests/store/test_router_with_request_log.py
+++ b/tests/store/test_router_with_request_log.py
@@ -1,4 +1,4 @@
-"""What the router commits before it sends, answers and redirects, with a log that the test controls."""
+"""What the router commits before it sends, answers and redirects, with commits that the test controls."""
 
 import asyncio
 
@@ -38,8 +38,8 @@
         reply = asyncio.create_task(harness.exchange(harness.request("r1", "book")))
         commit = await log.wait_for("attempt")
         if lost == "leadership":
-            log.leading = False
-        log.holds = set()
+            log.is_leading = False
+        log.delayed_calls = set()
         commit(lost != "commit")
         await asyncio.sleep(0.01)
         assert lost == "commit" or harness.sent == []
@@ -51,15 +51,15 @@
 
 
 def test_a_leader_paused_in_the_middle_of_a_send_does_not_finish_it() -> None:
-    # On sockets a paused replica wrote the last byte when it woke, a second after another had failed the
-    # request.
+    # Guards against a leader that is paused in the middle of a send and writes the last byte when it resumes:
+    # on sockets this happened a second after another replica had answered the request as failed.
     async def scenario(harness: ServiceHarness, log: ControlledRequestLog) -> None:
         reply = asyncio.create_task(harness.exchange(harness.request("r1", "book")))
         commit = await log.wait_for("attempt")
         commit(True)
         while not harness.service.pool.connection_count() - harness.service.pool.pending_count:
             await asyncio.sleep(0)
-        log.leading = False
+        log.is_leading = False
         await asyncio.sleep(0.05)
         assert harness.sent == [] and ("r1", 0, "not_sent") in log.outcomes
         harness.service.router.completion.leave_all_to_leader()
@@ -73,7 +73,7 @@
     async def scenario(harness: ServiceHarness, log: ControlledRequestLog) -> None:
         first = asyncio.create_task(harness.exchange(harness.request("r1", "book")))
         commit = await log.wait_for("answer")
-        # Its answer is on its way to be committed: treated as a new one it would be sent again.
+        # The commit of the answer is pending: if this were treated as a new request, it would be sent again.
         second = asyncio.create_task(harness.exchange(harness.request("r1", "book")))
         await asyncio.sleep(0.05)
         assert not first.done() and not second.done()
@@ -103,7 +103,8 @@
 
 @pytest.mark.parametrize("client_returns", [False, True])
 def test_a_request_without_clients_that_was_not_sent_is_rejected(client_returns: bool) -> None:
-    # The last had left while it waited for a worker, and it was sent all the same, as soon as one was ready.
+    # Guards against a request that was still sent once a worker was ready, although its last client had
+    # disconnected while it waited for one.
     async def scenario(harness: ServiceHarness, log: ControlledRequestLog) -> None:
         ready = harness.entries
         await harness.change_list([{**entry, "state": "Terminating"} for entry in ready])
@@ -121,14 +122,14 @@
         assert (await harness.exchange(harness.request("r2", "book")))[0] == 200
         assert [name for _, name in harness.sent] == ["r2"]
 
-    patient = {"AbandonTimeUs": 30_000_000, "ExpectedTimeUs": 20_000_000}
-    grades = [{**grade, **patient} for grade in SETTINGS["ServiceGrades"]]
+    long_times = {"AbandonTimeUs": 30_000_000, "ExpectedTimeUs": 20_000_000}
+    grades = [{**grade, **long_times} for grade in SETTINGS["ServiceGrades"]]
     run_with_request_log(scenario, ServiceGrades=grades)
 
 
 def test_clients_are_redirected_to_the_leader() -> None:
     async def scenario(harness: ServiceHarness, log: ControlledRequestLog) -> None:
-        log.leading = False
+        log.is_leading = False
         status, headers, _ = await harness.exchange(harness.request("r1", "book"))
         assert status == 307 and headers["location"] == "http://127.0.0.1:9/book/1?a=b"
         reader, writer = await harness.connect()
@@ -154,13 +155,13 @@
 
 
 def test_a_request_idempotent_with_a_key_resumes_only_in_its_rack_and_window() -> None:
-    for spent, rack, place in ((0, 1, "a"), (0, 2, None), (2 * SECOND, 1, None)):
+    for elapsed, rack, expected_worker in ((0, 1, "a"), (0, 2, None), (2 * SECOND, 1, None)):
         harness = DispatchHarness([endpoint("a", rack=1), endpoint("gone", rack=1), endpoint("b", rack=2)])
         harness.dispatcher.workers["gone"].ready = False
         harness.dispatcher.workers["gone"].endpoint = endpoint("gone", rack=rack if rack == 1 else 3)
-        harness.dispatcher.request_resumed(1, 0, "gone", harness.clock - spent)
+        harness.dispatcher.request_resumed(1, 0, "gone", harness.clock - elapsed)
         harness.send_request(1, request_class=1)
-        assert harness.worker_of(1) == place
+        assert harness.worker_of(1) == expected_worker
 
 
 def test_replicas_killed_and_paused_run_nothing_twice_and_answer_every_request() -> None:
--- a/tests/store/test_state_machine.py
+++ b/tests/store/test_state_machine.py
@@ -1,4 +1,4 @@
-"""The replicated state of requests: answers, bounds, the clock, and commands as they are stored."""
+"""The replicated state: answers, limits, the clock, and the stored form of commands."""
 
 from functools import partial
 
@@ -69,11 +69,11 @@
         CommitConfiguration("{}", "me", 5),
     )
     state.apply(6, ["a verb of a later version", 1, 2])
-    again = RequestStateMachine()
-    again.restore_snapshot(state.take_snapshot())
-    assert again.answered["r1"].answer is FinalAnswer.SUCCEEDED
-    assert (again.open_requests, again.configurations[-1].version) == ({}, 1)
-    assert msgspec.msgpack.encode(state.answered["r1"]) == msgspec.msgpack.encode(again.answered["r1"])
+    restored = RequestStateMachine()
+    restored.restore_snapshot(state.take_snapshot())
+    assert restored.answered["r1"].answer is FinalAnswer.SUCCEEDED
+    assert (restored.open_requests, restored.configurations[-1].version) == ({}, 1)
+    assert msgspec.msgpack.encode(state.answered["r1"]) == msgspec.msgpack.encode(restored.answered["r1"])
 
 
 def test_answers_are_bounded_and_open_requests_never_dropped() -> None:
@@ -94,17 +94,18 @@
     states = [RequestStateMachine(), RequestStateMachine()]
     for state, clock in zip(states, clocks, strict=True):
         state.on_time = clock.advance_to
-    local_times[0] += 40  # the leader has run for longer
+    local_times[0] += 40  # the leader's clock has advanced further
     for state in states:
         now = clocks[0].now()
         state.apply(1, encode_command(AcceptRequest("r", 0, b"", now + 100, now)))
         state.apply(2, encode_command(StartAttempt("r", "w", 0, clocks[0].now(), 777)))
     assert [clock.now() for clock in clocks] == [40, 40]
-    local_times[1] += 10  # without a leader; then the other one leads, behind nothing that was committed
+    # Time passes without a leader. Then the other replica leads: its clock is not behind committed entries.
+    local_times[1] += 10
     assert clocks[1].now() == 50 and clocks[0].now() == 40
     states[0].apply(3, encode_command(AnswerRequest("r", FinalAnswer.FAILED, "", b"", clocks[1].now())))
     assert clocks[0].now() == 50
-    again, late = RequestStateMachine(), ReplicatedClock(lambda: 0)
-    again.on_time = late.advance_to
-    again.restore_snapshot(states[0].take_snapshot())
-    assert late.now() == 50
+    restored, restored_clock = RequestStateMachine(), ReplicatedClock(lambda: 0)
+    restored.on_time = restored_clock.advance_to
+    restored.restore_snapshot(states[0].take_snapshot())
+    assert restored_clock.now() == 50
