--- a/ploverspoke/service/config.py
+++ b/ploverspoke/service/config.py
@@ -1,6 +1,7 @@
-"""The configuration of one dispatcher: read from its file, checked as a whole, and typed.
+"""Reads the configuration of one dispatcher from its file, validates it and converts it to typed values.
 
-The keys are the operators' (README.md); this module and `settings.py` map them to our names.
+The keys of the file are documented in README.md; this module and `settings.py` map them to the names in the
+code.
 """
 
 import json
@@ -24,9 +25,9 @@
 DEFAULT_MEMORY_MB, MIN_MEMORY_MB = 192, 32
 SEED_BASE = 16
 
-# Logged and printed where `Config.lacks_peers`.
-NO_PEERS = "messages are permitted and cannot be sent: the configuration has no addresses (peers)"
-NO_KEYS: JsonObject = MappingProxyType({})
+# Logged at the start, and printed by `ploverspoke check`, if `Config.lacks_peers` is set.
+NO_PEERS = "load gossip is permitted but cannot be sent: the configuration has no addresses (peers)"
+EMPTY_OBJECT: JsonObject = MappingProxyType({})
 
 
 class Config(NamedTuple):
@@ -34,50 +35,50 @@
 
     name: str
     listen: Address
-    admin_address: Address | None  # where operators' commands are answered; None: nowhere
+    admin_address: Address | None  # address of the admin server; None if there is none
     discovery: str  # address of discovery, as written in the file
     seed: int
-    descriptor_limit: int  # open descriptors of the whole process
+    descriptor_limit: int  # open file descriptors of the whole process
     memory_limit: int  # bytes, of the whole process
     known_endpoints: EndpointListDocument | None  # the latest known endpoint list
     settings: Settings
     names: DeploymentNames
-    document: JsonObject = NO_KEYS  # the file as it was read, without the endpoint list
-    peers: Sequence[Address] = ()  # where each dispatcher receives load gossip, by its index
-    lacks_peers: bool = False  # load gossip is permitted, and there are no addresses to send it to
+    document: JsonObject = EMPTY_OBJECT  # the document of the file, without the endpoint list
+    peers: Sequence[Address] = ()  # address of each dispatcher for load gossip, by its index
+    lacks_peers: bool = False  # load gossip is permitted, but there are no addresses to send it to
 
 
 def read_config(environment: Mapping[str, str]) -> Config:
-    """Read and check the file that RELAY_CONFIG names.
+    """Read and validate the file that RELAY_CONFIG names.
 
-    Keys that the file leaves out come from RELAY_LISTEN, RELAY_DISCOVERY, RELAY_NAME and RELAY_ADMIN_ADDR.
+    Keys missing in the file are taken from RELAY_LISTEN, RELAY_DISCOVERY, RELAY_NAME and RELAY_ADMIN_ADDR.
     Raises ConfigError.
     """
     return parse_config(read_config_document(environment), environment)
 
 
 def read_config_document(environment: Mapping[str, str]) -> JsonDocument:
-    """Read the file that RELAY_CONFIG names, unchecked. Raises ConfigError where it is no JSON file."""
+    """Read the file that RELAY_CONFIG names without validation. Raises ConfigError if it is not JSON."""
     path = environment.get(CONFIG_VARIABLE)
     if not path:
         raise InvalidValueError(
-            key=CONFIG_VARIABLE, problem="is not set: expected the path of the configuration"
+            key=CONFIG_VARIABLE, problem="is not set: expected the path of the configuration file"
         )
     try:
         document: JsonDocument = json.loads(Path(path).read_text(encoding="utf-8"))
     except OSError as error:
         raise ConfigError(key=CONFIG_VARIABLE, problem=f"{path} cannot be read: {error.strerror}") from error
     except (ValueError, RecursionError) as error:
-        raise ConfigError(key=CONFIG_VARIABLE, problem=f"{path} is no JSON: {error}") from error
+        raise ConfigError(key=CONFIG_VARIABLE, problem=f"{path} is not valid JSON: {error}") from error
     return document
 
 
 def parse_config(document: JsonDocument, environment: Mapping[str, str]) -> Config:
-    """Check a configuration document and return it typed; see `read_config`. Raises ConfigError."""
+    """Validate a configuration document and return it typed; see `read_config`. Raises ConfigError."""
     top = ConfigSection(document)
     if "settings" not in top.value:
         raise top.invalid("settings", "an object")
-    # In this order, also where a value is read again below: the first wrong key is the one that is reported.
+    # The order of these reads decides which invalid key is reported; some values are read again below.
     listen = top.address("listen", environment.get("RELAY_LISTEN"))
     top.address("discovery", environment.get("RELAY_DISCOVERY"))
     seed = _parse_seed(top)
@@ -118,7 +119,7 @@
     try:
         return int(text, SEED_BASE)
     except ValueError as error:
-        raise top.invalid("seed", "a hexadecimal number in a text") from error
+        raise top.invalid("seed", "a hexadecimal number as a string") from error
 
 
 def _parse_known_endpoints(top: ConfigSection) -> EndpointListDocument | None:
@@ -128,22 +129,22 @@
     try:
         parse_endpoint_list(known)
     except EndpointListError as error:
-        raise top.invalid("known", f"a list in discovery's form ({error})") from error
+        raise top.invalid("known", f"an endpoint list as discovery sends it ({error})") from error
     return cast(EndpointListDocument, known)
 
 
 def _parse_peers(top: ConfigSection, settings: Settings) -> list[Address]:
-    """Return one address for each dispatcher; none where load gossip is not configured."""
+    """Return one address for each dispatcher; none if load gossip is not configured."""
     texts = top.values("peers", [], str)
     if not texts:
         return []
     if not settings.gossip_allowed:
         raise InvalidValueError(
-            key="settings.Limits.Peers", problem="is not true: expected that beside peers"
+            key="settings.Limits.Peers", problem="is not true: required if there are peers"
         )
     if len(texts) != settings.dispatcher_count or settings.dispatcher_index >= len(texts):
-        raise top.invalid("peers", "an address for each of settings.PeersTotal, settings.SlotNo among them")
+        raise top.invalid("peers", "settings.PeersTotal addresses, and settings.SlotNo below that number")
     peers = [ConfigSection({"peers": text}).address("peers") for text in texts]
     if len(set(peers)) < len(peers):
-        raise top.invalid("peers", "addresses that differ")
+        raise top.invalid("peers", "distinct addresses")
     return peers
--- a/ploverspoke/service/exit_codes.py
+++ b/ploverspoke/service/exit_codes.py
@@ -1,4 +1,4 @@
-"""How a command ends: the exit codes and the error line that all entry points share."""
+"""The exit codes and the error line that all entry points share."""
 
 import sys
 from collections.abc import Callable
@@ -6,19 +6,19 @@
 from .config_reader import ConfigError
 
 EXIT_OK = 0
-EXIT_UNUSABLE = 2  # the configuration, a file or the call cannot be used
+EXIT_UNUSABLE = 2  # the configuration, a file or the command line is invalid
 
 
 def print_error(error: Exception) -> None:
-    """Print `ploverspoke: ERROR` on standard error, in the one form that operators know."""
+    """Print `ploverspoke: ERROR` on standard error; every command uses this form."""
     print(f"ploverspoke: {error}", file=sys.stderr)
 
 
 def run_with_exit_code(run: Callable[[], int | None], *unusable: type[Exception]) -> int:
-    """Return the exit code that `run` gives, EXIT_OK where it gives none.
+    """Call `run` and return its exit code; EXIT_OK if it returns none.
 
-    A ConfigError, and each error type in `unusable`, is printed and gives EXIT_UNUSABLE. So does an OSError:
-    what is left of those at the start is an address that cannot be listened on.
+    A ConfigError or an error of a type in `unusable` is printed, and the exit code is EXIT_UNUSABLE. The same
+    applies to an OSError: the only one that is not handled during startup is a failure to listen.
     """
     unusable_errors: tuple[type[Exception], ...] = (ConfigError, *unusable)
     try:
--- a/ploverspoke/service/inherited_socket.py
+++ b/ploverspoke/service/inherited_socket.py
@@ -5,34 +5,34 @@
 
 from .config_reader import InvalidValueError
 
-VARIABLE = "RELAY_PASSED_SOCKET"
-MAX_DIGITS = 7  # of a descriptor's number
-MAX_MESSAGE_LENGTH = 200  # characters of an error that quotes the variable
+SOCKET_VARIABLE = "RELAY_PASSED_SOCKET"
+MAX_DESCRIPTOR_DIGITS = 7
+MAX_MESSAGE_LENGTH = 200  # in characters, of an error that quotes the variable
 
 
-def inherited_socket(environment: Mapping[str, str]) -> socket.socket | None:
-    """Return the listening TCP socket whose descriptor RELAY_PASSED_SOCKET names, None where it is unset.
+def open_inherited_socket(environment: Mapping[str, str]) -> socket.socket | None:
+    """Return the listening TCP socket whose descriptor RELAY_PASSED_SOCKET names; None if it is unset.
 
-    The socket is shared with other processes: it may be closed and must never be shut down. Raises
-    ConfigError where the variable names anything else; that descriptor is left open.
+    The socket is shared with other processes: it may be closed but must never be shut down. Raises
+    ConfigError if the variable names anything else; that descriptor stays open.
     """
-    value = environment.get(VARIABLE)
+    value = environment.get(SOCKET_VARIABLE)
     if not value:
         return None
-    invalid = InvalidValueError(
-        key=VARIABLE,
-        problem=f"is {value!r}: expected the number of a descriptor that listens for TCP",
+    invalid_error = InvalidValueError(
+        key=SOCKET_VARIABLE,
+        problem=f"is {value!r}: expected the descriptor number of a listening TCP socket",
         longest=MAX_MESSAGE_LENGTH,
     )
-    if not (value.isascii() and value.isdigit() and len(value) <= MAX_DIGITS):
-        raise invalid
+    if not (value.isascii() and value.isdigit() and len(value) <= MAX_DESCRIPTOR_DIGITS):
+        raise invalid_error
     try:
         inherited = socket.socket(fileno=int(value))
     except OSError as error:
-        raise invalid from error
+        raise invalid_error from error
     if not _is_listening_tcp(inherited):
-        inherited.detach()  # this process does not own it
-        raise invalid
+        inherited.detach()  # keeps the descriptor open: this process does not own it
+        raise invalid_error
     inherited.setblocking(False)
     return inherited
 
--- a/ploverspoke/service/service.py
+++ b/ploverspoke/service/service.py
@@ -1,4 +1,4 @@
-"""The running dispatcher: start, signals, a new configuration, shutdown."""
+"""The running dispatcher: startup, signals, changes of the configuration, and shutdown."""
 
 import asyncio
 import os
@@ -29,11 +29,11 @@
 from .descriptor_limit import usable_descriptors
 from .exit_codes import run_with_exit_code
 from .handover import ProcessRegistry
-from .inherited_socket import inherited_socket
+from .inherited_socket import open_inherited_socket
 from .shutdown import ShutdownSchedule, shutdown_schedule
 from .startup import BLOCKED_SIGNALS, block_signals
 
-FIRST_LIST_TIMEOUT = 1500 * MILLISECOND  # for discovery's first answer, while a predecessor serves
+FIRST_LIST_TIMEOUT = 1500 * MILLISECOND  # wait for discovery's first answer while a predecessor serves
 FIRST_LIST_CHECK_INTERVAL = 20 * MILLISECOND
 PROCESS_COUNT_INTERVAL = 250 * MILLISECOND
 
@@ -42,22 +42,22 @@
     """One dispatcher: its servers, its router and its signal handlers.
 
     Attributes that may be set before `run`:
-        load_config: Reads the configuration again at SIGHUP; may raise ConfigError.
+        load_config: Reads the configuration again on SIGHUP; may raise ConfigError.
         listening_socket: An inherited listening socket, used in place of a new one.
-        process_registry: The registry in which the processes of this dispatcher find one another.
+        process_registry: The registry that counts the processes of this dispatcher.
         on_ready: Called when clients can connect.
     """
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, config: Config, request_log: RequestLog | None = None
     ) -> None:
-        """Build the parts; nothing is opened before `run`. With a store there is a `request_log`."""
+        """Build the components; nothing is opened before `run`. `request_log` is that of a store, if any."""
         self.loop = loop
         self.config = config
         self.load_config: Callable[[], Config] = partial(read_config, os.environ)
         self.deadlines = Deadlines(loop)
         self.descriptor_limit = usable_descriptors(config.descriptor_limit)
-        self.process_count = 1  # of this dispatcher, this one included
+        self.process_count = 1  # processes of this dispatcher, including this one
         resources = split_resources(self.descriptor_limit, config.memory_limit)
         settings = config.settings
         idle_timeout, connect_timeout = settings.idle_timeout, settings.connect_timeout
@@ -83,24 +83,24 @@
         self.listening_socket: socket.socket | None = None
         self.process_registry = ProcessRegistry(None)
         self.on_ready: Callable[[], None] = lambda: None
-        self.shutdown_began_at = 0  # monotonic ns; 0: it has not begun
+        self.shutdown_started_at = 0  # monotonic ns; 0 if it has not started
         self.stopped = asyncio.Event()
 
     def inherit_socket(self, environment: Mapping[str, str]) -> None:
-        """Use the socket that the environment names, if any, together with the process that holds it too.
+        """Use the socket that the environment names, if any, together with the other processes that have it.
 
-        Raises ConfigError where what it names is no listening socket.
+        Raises ConfigError if it is not a listening socket.
         """
-        self.listening_socket = inherited_socket(environment)
+        self.listening_socket = open_inherited_socket(environment)
         if self.listening_socket is not None:
             self.process_registry = ProcessRegistry(environment.get("TMPDIR"))
 
     async def run(self) -> None:
-        """Serve until SIGTERM or SIGINT. Raises OSError where an address cannot be listened on."""
+        """Serve until SIGTERM or SIGINT. Raises OSError if an address cannot be listened on."""
         self._handle_signals()
         if self.config.admin_address is not None:
             self.admin_server.listener.open(*self.config.admin_address)
-        if self.process_registry.enter():
+        if self.process_registry.register():
             self._update_process_count()
         if self.router.load_gossip is not None:
             await self.router.load_gossip.open(self.loop)
@@ -111,11 +111,11 @@
         known = None if document is None else parse_endpoint_list(document)
         self.router.start(known, resume=not has_predecessor)
         if has_predecessor:
-            await self._first_list()
-        if not self.shutdown_began_at:
+            await self._wait_for_first_list()
+        if not self.shutdown_started_at:
             self._listen()
         await self.stopped.wait()
-        self.process_registry.leave()
+        self.process_registry.unregister()
 
     def _handle_signals(self) -> None:
         for number in (signal.SIGTERM, signal.SIGINT):
@@ -131,18 +131,20 @@
         log_line(f"{self.config.name} serves at {self.config.listen}")
         self.on_ready()
 
-    async def _first_list(self) -> None:
+    async def _wait_for_first_list(self) -> None:
         """Wait for discovery's first answer; the predecessor serves until this process listens."""
-        until = self.deadlines.now() + FIRST_LIST_TIMEOUT
+        deadline = self.deadlines.now() + FIRST_LIST_TIMEOUT
         endpoints = self.router.endpoints
-        while not endpoints.lists_received and self.deadlines.now() < until and not self.shutdown_began_at:
+        while (
+            not endpoints.lists_received and self.deadlines.now() < deadline and not self.shutdown_started_at
+        ):
             await asyncio.sleep(FIRST_LIST_CHECK_INTERVAL / SECOND)
 
     def _update_process_count(self) -> None:
-        """Divide the limits of the dispatcher among the processes that it has at the moment."""
-        process_count = 1 + self.process_registry.others()
+        """Divide the limits of the dispatcher among its current processes."""
+        process_count = 1 + self.process_registry.count_others()
         if process_count != self.process_count:
-            log_line(f"processes={process_count}: each has its part of the descriptors and of the memory")
+            log_line(f"processes={process_count}: each gets an equal share of the descriptors and the memory")
             self.process_count = process_count
             resources = split_resources(self.descriptor_limit, self.config.memory_limit, process_count)
             self.pool.resize(resources.worker_connections)
@@ -150,7 +152,7 @@
             self.client_server.max_buffered_bytes = resources.buffered_bytes
         self.deadlines.schedule(self.deadlines.now() + PROCESS_COUNT_INTERVAL, self._update_process_count)
 
-    # ---- A new configuration ----
+    # ---- Changes of the configuration ----
 
     def _reload_config(self) -> None:
         """Read the configuration again and apply it; an invalid one changes nothing."""
@@ -162,21 +164,21 @@
             log_line(f"new configuration rejected, the active one stays: {error}")
 
     def apply_config(self, new: Config) -> None:
-        """Apply what of a new configuration needs no restart: the settings and the address of discovery.
+        """Apply the parts of a new configuration that need no restart: settings and address of discovery.
 
-        Raises ConfigError, with nothing changed, where it lacks a key that the active one has.
+        Raises ConfigError, with nothing changed, if it lacks a key that the active one has.
         """
         old = self.config
         missing = first_missing_key(old.document, new.document)
         if missing is not None:
             raise InvalidValueError(key=missing, problem="is missing: the configuration in force has it")
         if self.router.load_gossip is None:
-            # Peers are read at the start only, and without them there is no load gossip.
+            # Peers are read only at the start; without them there is no load gossip.
             new = new._replace(settings=replace(new.settings, gossip_allowed=False))
         settings_differ = new.settings != old.settings or new.names != old.names
-        # A store keeps requests with the numbers of their classes: there these must not change.
+        # A store records requests with their class numbers, so these must not change while it is in use.
         settings_are_fixed = self.router.recorder is not None
-        _log_keys_left_unchanged(old, new, settings_differ and settings_are_fixed)
+        _log_unapplied_keys(old, new, settings_differ and settings_are_fixed)
         if new.discovery != old.discovery:
             log_line(f"new configuration: discovery is at {new.discovery} now")
             self.router.endpoints.change_address(new.discovery)
@@ -194,20 +196,20 @@
     # ---- Shutdown ----
 
     def shut_down(self) -> None:
-        """Begin the shutdown: finish the admitted requests, serve late ones, then let `run` return."""
-        if self.shutdown_began_at:
+        """Start the shutdown: finish the admitted requests, serve late ones, then let `run` return."""
+        if self.shutdown_started_at:
             return
         log_line("stopping: finishing the requests that were admitted")
-        self.shutdown_began_at = self.deadlines.now()
+        self.shutdown_started_at = self.deadlines.now()
         if self.router.load_gossip is not None:
-            self.router.load_gossip.close()  # from now on load gossip is for the successor
+            self.router.load_gossip.close()  # from now on the successor receives load gossip
         shares_socket = self.listening_socket is not None
         self.client_server.leave(hand_over=shares_socket)
         self._continue_shutdown(shutdown_schedule(self.router.settings, shares_socket))
 
     def _continue_shutdown(self, schedule: ShutdownSchedule) -> None:
         now = self.deadlines.now()
-        elapsed = now - self.shutdown_began_at
+        elapsed = now - self.shutdown_started_at
         is_empty = self.client_server.is_empty()
         if elapsed >= (schedule.accept_until if is_empty else schedule.serve_until):
             self.client_server.shut()
@@ -220,9 +222,9 @@
             self.deadlines.schedule(now + schedule.check_interval, partial(self._continue_shutdown, schedule))
 
 
-def _log_keys_left_unchanged(old: Config, new: Config, settings_are_left: bool) -> None:
-    """Log the keys that differ and wait for the next start."""
-    for key, is_left in (
+def _log_unapplied_keys(old: Config, new: Config, settings_unapplied: bool) -> None:
+    """Log the changed keys that take effect only at the next start."""
+    for key, is_unapplied in (
         ("name", new.name != old.name),
         ("listen", new.listen != old.listen),
         ("admin_addr", new.admin_address != old.admin_address),
@@ -231,21 +233,21 @@
             "limits",
             (new.descriptor_limit, new.memory_limit) != (old.descriptor_limit, old.memory_limit),
         ),
-        ("settings", settings_are_left),
+        ("settings", settings_unapplied),
     ):
-        if is_left:
+        if is_unapplied:
             log_line(f"new configuration: {key} stays as it was until the next start")
 
 
 def create_service(config: Config) -> Service:
-    """Build a dispatcher on a new event loop, which becomes the current one of this thread."""
+    """Build a dispatcher on a new event loop, which becomes the current event loop of this thread."""
     loop = uvloop.new_event_loop()
     asyncio.set_event_loop(loop)
     return Service(loop, config)
 
 
 def run_service(service: Service) -> None:
-    """Run a service of `create_service` until it has shut down. Raises OSError, see `Service.run`."""
+    """Run a service built by `create_service` until it has shut down. Raises OSError, see `Service.run`."""
     freeze_startup_objects()
     service.loop.run_until_complete(service.run())
 
@@ -259,7 +261,7 @@
 def main() -> int:
     """Serve with the configuration of the environment until SIGTERM.
 
-    Returns the exit code. 0: stopped on request. 2: the configuration is unusable or an address cannot be
+    Returns the exit code. 0: stopped on request. 2: the configuration is invalid or an address cannot be
     listened on.
     """
     block_signals()
--- a/ploverspoke/service/settings.py
+++ b/ploverspoke/service/settings.py
@@ -1,4 +1,4 @@
-"""Builds the typed settings of the decisions from the operators' names; times become nanoseconds."""
+"""Converts the operators' settings to the typed settings of the decisions, with times in nanoseconds."""
 
 from ploverspoke.decisions.settings import (
     ANY_MACHINE_KIND,
@@ -14,13 +14,13 @@
 
 from .config_reader import ConfigSection, JsonDocument
 
-DEFAULT_POLL_INTERVAL = 10 * SECOND  # where no rule gives one; a failed watch is retried at least that often
-DEFAULT_DRAIN_GRACE_US = 500_000  # where no rule gives one
+DEFAULT_POLL_INTERVAL = 10 * SECOND  # if not set; a failed watch is retried at least this often
+DEFAULT_DRAIN_GRACE_US = 500_000  # if not set
 DEFAULT_IDLE_TIMEOUT_US = 30_000_000
 DEFAULT_MAX_OPEN_REQUESTS = 10_000
-MIN_POLL_INTERVAL = 200 * MILLISECOND  # backoffs are derived from it and must not be 0
+MIN_POLL_INTERVAL = 200 * MILLISECOND  # backoffs are derived from the interval and must not be 0
 
-# The values of the operators' settings, mapped to those of this code.
+# The values in the operators' settings, mapped to the values in the code.
 IDEMPOTENCY = {
     "free": Idempotency.IDEMPOTENT,
     "guarded": Idempotency.IDEMPOTENT_WITH_KEY,
@@ -35,7 +35,10 @@
 
 
 def parse_settings(document: JsonDocument, path: str = "") -> Settings:
-    """Return the checked `settings` of a configuration; errors name keys below `path`. Raises ConfigError."""
+    """Validate and return the `settings` of a configuration; errors name keys below `path`.
+
+    Raises ConfigError.
+    """
     top = ConfigSection(document, path)
     limits, rules, domain = top.section("Limits"), top.section("Invariants"), top.section("Domain")
     report, prices = top.section("Report"), top.section("Tariffs")
@@ -82,7 +85,7 @@
     for section in top.sections("ServiceGrades", least=1):
         name = section.text("Name")
         if not name or name in names:
-            raise section.invalid("Name", "a name of its own")
+            raise section.invalid("Name", "a unique name that is not empty")
         names.append(name)
     zones, machine_kinds = top.values("Localities", [], str), top.values("HostTypes", [], str)
     return DeploymentNames(tuple(names), tuple(zones), tuple(machine_kinds))
@@ -101,7 +104,7 @@
         if name.startswith("Class"):
             domain.values_per_class(name, 0, count)
     max_attempts = limits.integer("MaxHandOffs", 1, least=1)
-    # By key and not by class: where several are wrong, the error names the first key.
+    # Read key by key, not class by class: if several keys are invalid, the error names the first one.
     columns = (
         [section.duration("ExpectedTimeUs", least=1) for section in sections],
         [section.duration("AbandonTimeUs", least=1) for section in sections],
--- a/ploverspoke/service/shutdown.py
+++ b/ploverspoke/service/shutdown.py
@@ -1,4 +1,4 @@
-"""When the phases of a shutdown end, as a decision without I/O."""
+"""Decides when the phases of a shutdown end; performs no I/O."""
 
 from dataclasses import dataclass
 
@@ -6,9 +6,9 @@
 from ploverspoke.transport.units import MILLISECOND, SECOND
 
 ACCEPT_TIME = 700 * MILLISECOND  # the listening socket stays open, as clients may still connect
-MAX_FINISH_TIME = 3 * SECOND  # for admitted requests, where the longest deadline is later
-HANDOVER_SERVE_TIME = 600 * MILLISECOND  # for clients, where another process has the socket
-# Of the finish time, in twentieths: when open requests are answered, and when the process exits.
+MAX_FINISH_TIME = 3 * SECOND  # for admitted requests, if the longest deadline is later
+HANDOVER_SERVE_TIME = 600 * MILLISECOND  # for connected clients, if another process has the listening socket
+# Times within the finish time, in twentieths of it: open requests are answered, and the process exits.
 TWENTIETHS = 20
 ANSWER_AFTER_TWENTIETHS = 18
 EXIT_AFTER_TWENTIETHS = 19
@@ -21,18 +21,18 @@
     """The phases of a shutdown, in nanoseconds from the signal."""
 
     accept_until: int  # the listening socket stays open, even with no client connected
-    serve_until: int  # connected clients are served: no other process may be there yet
+    serve_until: int  # connected clients are served: there may be no other process yet
     answer_at: int  # all open requests are answered
-    exit_at: int  # the process ends, whatever is left
-    check_interval: int  # between two checks of what is left
+    exit_at: int  # the process exits, even with connected clients or open requests
+    check_interval: int  # between two checks for remaining clients
 
 
 def shutdown_schedule(settings: Settings, shares_socket: bool) -> ShutdownSchedule:
-    """Return the schedule under these settings.
+    """Return the schedule for these settings.
 
     The process may be killed once the longest deadline of the active classes has passed for the last
-    request: the shutdown ends before. `shares_socket`: another process has the listening socket, too, and
-    each answer makes its client reconnect there.
+    request, so the shutdown ends before that. `shares_socket`: another process has the same listening socket,
+    and each answer makes its client reconnect to that process.
     """
     longest_deadline = max(settings.classes[number].deadline for number in settings.active_classes)
     finish_time = min(MAX_FINISH_TIME, longest_deadline)
--- a/ploverspoke/service/startup.py
+++ b/ploverspoke/service/startup.py
@@ -1,4 +1,4 @@
-"""What has to be done before anything else is imported."""
+"""Setup that must run before anything else is imported."""
 
 import signal
 
@@ -6,8 +6,8 @@
 
 
 def block_signals() -> None:
-    """Hold SIGHUP and SIGTERM back until `Service.run` has handlers for them and lets them in again.
+    """Block SIGHUP and SIGTERM until `Service.run` has installed handlers for them and unblocks them.
 
-    Without this a SIGHUP for a new configuration that comes during the start ends the process.
+    Otherwise a SIGHUP for a new configuration that arrives during startup would end the process.
     """
     signal.pthread_sigmask(signal.SIG_BLOCK, BLOCKED_SIGNALS)
--- a/ploverspoke/supervisor/child.py
+++ b/ploverspoke/supervisor/child.py
@@ -6,7 +6,7 @@
 
 from ploverspoke.service.config import Config, read_config
 from ploverspoke.service.config_reader import ConfigError
-from ploverspoke.service.descriptor_limit import descriptor_limit
+from ploverspoke.service.descriptor_limit import system_descriptor_limit
 from ploverspoke.service.exit_codes import EXIT_OK, EXIT_UNUSABLE, print_error
 from ploverspoke.service.service import create_service
 from ploverspoke.service.startup import block_signals
@@ -19,7 +19,7 @@
     """Serve until SIGTERM. Returns the exit code: 0 stopped on request, 2 the configuration is unusable."""
     block_signals()
     child = ChildEnvironment.from_environment(os.environ)
-    limit = descriptor_limit()
+    limit = system_descriptor_limit()
 
     def load_config() -> Config:
         return child_config(read_config(os.environ), child.index, child.count, limit)
--- a/ploverspoke/supervisor/process_runner.py
+++ b/ploverspoke/supervisor/process_runner.py
@@ -17,7 +17,7 @@
 
 from ploverspoke.service.config import Config, read_config
 from ploverspoke.service.config_reader import Address, ConfigError
-from ploverspoke.service.descriptor_limit import descriptor_limit
+from ploverspoke.service.descriptor_limit import system_descriptor_limit
 from ploverspoke.service.exit_codes import run_with_exit_code
 from ploverspoke.transport.listener import BACKLOG
 from ploverspoke.transport.loop_timer import LoopTimer
@@ -160,7 +160,7 @@
 
 async def _run(count: int) -> int:
     config = read_config(os.environ)
-    limit = descriptor_limit()
+    limit = system_descriptor_limit()
     for index in range(count):
         child_config(config, index, count, limit)  # a share that is too small ends the start
     return await ProcessRunner(config, count).run()
--- a/tests/service/handover_harness.py
+++ b/tests/service/handover_harness.py
@@ -31,7 +31,7 @@
 
     @classmethod
     async def create(cls, listening: socket.socket, folder: Path) -> "ReplacedDispatcher":
-        """With two workers."""
+        """Create a dispatcher with two workers."""
         harness = ServiceHarness()
         return cls(harness, await harness.start_workers_and_discovery(2), listening, folder)
 
@@ -53,14 +53,14 @@
         return subprocess.Popen(command, env=environment, pass_fds=[descriptor])
 
     async def check(self) -> str:
-        """The reply of the latest process to `check`; empty where its admin server does not listen yet."""
+        """Return the latest process's reply to `check`; empty if its admin server does not listen yet."""
         try:
             return await admin_call(self.harness, b"check\n")
         except ConnectionError:
             return ""
 
     async def first_check(self) -> str:
-        """The first reply of the latest process to `check`."""
+        """Return the first reply of the latest process to `check`."""
         for _ in range(500):
             answer = await self.check()
             if answer:
@@ -69,7 +69,7 @@
         raise AssertionError("its admin server never listened")
 
     async def start(self) -> tuple[subprocess.Popen[bytes], int]:
-        """Start a process; returns it once it is ready, and the port of its admin server."""
+        """Start a process and wait until it is ready; return it and the port of its admin server."""
         process = self.spawn()
         for _ in range(500):
             if (await self.check()).startswith("+OK"):
@@ -87,7 +87,7 @@
 
 
 def run_script(listening: socket.socket, folder: Path, script: Script) -> None:
-    """Run a script; it returns the process that is left, which must end with 0 when asked to."""
+    """Run a script, which returns the last running process; that one must exit with 0 on SIGTERM."""
 
     async def run() -> None:
         dispatcher = await ReplacedDispatcher.create(listening, folder)
--- a/tests/service/test_config.py
+++ b/tests/service/test_config.py
@@ -1,4 +1,4 @@
-"""The configuration: what is read, its defaults, and the key that an error names."""
+"""Reading the configuration: its values and defaults, and the key that an error names."""
 
 import copy
 import json
@@ -12,7 +12,7 @@
 from ploverspoke.service.config_reader import ConfigError
 from tests.decisions.harness import SETTINGS
 
-GOOD: dict[str, Any] = {
+VALID_DOCUMENT: dict[str, Any] = {
     "name": "n3",
     "listen": "127.0.0.1:8081",
     "discovery": "127.0.0.2:8500",
@@ -29,22 +29,22 @@
 
 
 def test_missing_keys_get_their_defaults(tmp_path: Path) -> None:
-    config = read(GOOD, tmp_path)
+    config = read(VALID_DOCUMENT, tmp_path)
     assert config.listen == ("127.0.0.1", 8081) and config.seed == 0x8C1F30D27A5BE964
     assert config.descriptor_limit == 4096 and config.memory_limit == 2048 * 1024 * 1024
     assert config.settings.idle_timeout == 30_000_000_000
-    assert [each.idempotency for each in config.settings.classes] == [
+    assert [request_class.idempotency for request_class in config.settings.classes] == [
         Idempotency.IDEMPOTENT,
         Idempotency.NON_IDEMPOTENT,
     ]
-    shorter = {key: value for key, value in GOOD.items() if key not in ("listen", "limits", "name")}
+    shorter = {key: value for key, value in VALID_DOCUMENT.items() if key not in ("listen", "limits", "name")}
     config = read(shorter, tmp_path, RELAY_LISTEN="127.0.0.1:99", RELAY_NAME="n4")
     assert config.listen == ("127.0.0.1", 99) and config.name == "n4"
     assert config.descriptor_limit == 1024
 
 
 @pytest.mark.parametrize(
-    ("path", "value", "complaint"),
+    ("path", "value", "message"),
     [
         (["listen"], "nowhere", "listen is 'nowhere'"),
         (["listen"], "127.0.0.1:0", "listen is"),
@@ -67,13 +67,13 @@
         (["settings", "Domain"], {"ClassKind": [1]}, "settings.Domain.ClassKind"),
     ],
 )
-def test_wrong_value_is_named_by_its_key(path: list[Any], value: Any, complaint: str, tmp_path: Path) -> None:
-    document = copy.deepcopy(GOOD)
+def test_wrong_value_is_named_by_its_key(path: list[Any], value: Any, message: str, tmp_path: Path) -> None:
+    document = copy.deepcopy(VALID_DOCUMENT)
     section: Any = document
     for step in path[:-1]:
         section = section[step]
     section[path[-1]] = value
-    with pytest.raises(ConfigError, match=complaint):
+    with pytest.raises(ConfigError, match=message):
         read(document, tmp_path)
 
 
@@ -82,7 +82,7 @@
         read_config({})
     with pytest.raises(ConfigError, match="cannot be read"):
         read_config({"RELAY_CONFIG": str(tmp_path / "none")})
-    with pytest.raises(ConfigError, match="no JSON"):
+    with pytest.raises(ConfigError, match="not valid JSON"):
         read("{", tmp_path)
 
 
@@ -99,7 +99,8 @@
 def test_times_near_zero_get_safe_values(
     section: str, name: str, value: int, setting: str, expected: int, tmp_path: Path
 ) -> None:
-    # A connect timeout of 0 let no connection come up, and a poll interval of 0 made calls without a backoff.
-    document = copy.deepcopy(GOOD)
+    # Guards against two faults: a connect timeout of 0 prevented all connections, and a poll interval of 0
+    # caused calls without a backoff.
+    document = copy.deepcopy(VALID_DOCUMENT)
     document["settings"].setdefault(section, {})[name] = value
     assert getattr(read(document, tmp_path).settings, setting) == expected
--- a/tests/service/test_config_reader.py
+++ b/tests/service/test_config_reader.py
@@ -1,4 +1,4 @@
-"""Reading a document key by key: types, ranges, defaults, and what an error says."""
+"""Reading a document key by key: types, ranges, defaults and error messages."""
 
 import pytest
 
@@ -40,7 +40,7 @@
 
 
 @pytest.mark.parametrize(
-    ("before", "now", "missing"),
+    ("old", "new", "missing"),
     [
         ({"a": {"b": 1}}, {"a": {"c": 1}}, "a.b"),
         ({"a": {"b": 1}}, {"a": 1}, None),
@@ -50,5 +50,5 @@
         ({"a": [{"b": 1}]}, {"a": [{"b": 1}, {}]}, "a[1].b"),
     ],
 )
-def test_first_missing_key_is_found(before: object, now: object, missing: str | None) -> None:
-    assert first_missing_key(before, now) == missing
+def test_first_missing_key_is_found(old: object, new: object, missing: str | None) -> None:
+    assert first_missing_key(old, new) == missing
--- a/tests/service/test_handover.py
+++ b/tests/service/test_handover.py
@@ -1,4 +1,4 @@
-"""One process replaces another on a socket that both inherit: nothing is lost, doubled or refused."""
+"""One process replaces another on a socket that both inherit: no request is lost, duplicated or refused."""
 
 import asyncio
 import copy
@@ -30,27 +30,28 @@
 
 
 async def send_requests(harness: ServiceHarness, name: str, stop: asyncio.Event, statuses: list[int]) -> None:
-    """One client that keeps its connection until an answer asks it to close it."""
+    """Send requests as one client that keeps its connection until an answer asks it to close it."""
     number, connection = 0, None
     while not stop.is_set():
         number += 1
         reader, writer = connection or await harness.connect()
         writer.write(harness.request(f"{name}-{number}", CLASSES[number % 2]))
-        first, headers, _ = await asyncio.wait_for(read_message(reader), 3)  # no close crosses a request
-        statuses.append(int(first.split()[1]))
+        # The dispatcher never closes a connection while a request is on its way.
+        status_line, headers, _ = await asyncio.wait_for(read_message(reader), 3)
+        statuses.append(int(status_line.split()[1]))
         connection = None if headers.get("connection") == "close" else (reader, writer)
         await asyncio.sleep(0.005)
 
 
-async def fulfilled(harness: ServiceHarness) -> int:
-    shown = await admin_counters(harness)
-    return sum(shown[operations_key(name, "fulfilled")] for name in CLASSES)
+async def count_fulfilled(harness: ServiceHarness) -> int:
+    counters = await admin_counters(harness)
+    return sum(counters[operations_key(name, "fulfilled")] for name in CLASSES)
 
 
-async def replace(
+async def replace_process(
     dispatcher: ReplacedDispatcher, old: subprocess.Popen[bytes], statuses: list[int]
 ) -> tuple[subprocess.Popen[bytes], int]:
-    """Replace the process; returns the new one, and what the old one counted as fulfilled."""
+    """Replace the process; return the new one and the number of requests that the old one fulfilled."""
     harness, old_admin_port = dispatcher.harness, dispatcher.harness.admin_port
     # A connection that stays open keeps the old process alive, so that its counters can be read to the end.
     reader, writer = await harness.connect()
@@ -61,8 +62,8 @@
     await asyncio.sleep(0.1)
     harness.admin_port = old_admin_port
     assert (await admin_call(harness, b"check\n")).startswith("-ERR leaving")
-    await asyncio.sleep(0.2)  # every answer since has made its client reconnect
-    old_fulfilled = await fulfilled(harness)
+    await asyncio.sleep(0.2)  # since then, every answer has made its client reconnect
+    old_fulfilled = await count_fulfilled(harness)
     harness.admin_port = new_admin_port
     assert await exit_code(old) == 0
     writer.close()
@@ -80,11 +81,11 @@
         total = 0
         for _ in range(2):
             await asyncio.sleep(0.2)
-            process, old_fulfilled = await replace(dispatcher, process, statuses)
+            process, old_fulfilled = await replace_process(dispatcher, process, statuses)
             total += old_fulfilled
         stop.set()
         await clients
-        total += await fulfilled(harness)
+        total += await count_fulfilled(harness)
         assert set(statuses) == {200} and len(statuses) == total == len(harness.run_counts)
         assert set(harness.run_counts.values()) == {1}
         return process
@@ -102,7 +103,7 @@
         second.kill()
         await exit_code(second)
         harness.admin_port = admin_port
-        for number in range(4):  # a process that ends does not shut down the socket
+        for number in range(4):  # the end of a process does not shut down the shared socket
             assert (await harness.exchange(harness.request(f"a{number}")))[0] == 200
         third, _ = await dispatcher.start()
         first.kill()
@@ -119,7 +120,7 @@
 
 
 async def stop_before_it_is_ready(dispatcher: ReplacedDispatcher) -> None:
-    """A new process whose discovery gives no answer is up and not ready; SIGTERM ends it all the same."""
+    """A new process whose discovery does not answer runs but is not ready; SIGTERM still ends it."""
     silent = await asyncio.start_server(never_answer, "127.0.0.1", 0)
     silent_address = f"127.0.0.1:{silent.sockets[0].getsockname()[1]}"
     dispatcher.write_config({**dispatcher.document, "discovery": silent_address})
@@ -134,7 +135,7 @@
 async def rename_first_class(
     dispatcher: ReplacedDispatcher, processes: dict[int, subprocess.Popen[bytes]]
 ) -> None:
-    """Reload all processes, by the port of their admin server, and wait until each has the settings."""
+    """Reload all processes, keyed by the port of their admin server, and wait until each has the settings."""
     settings = copy.deepcopy(SETTINGS)
     settings["ServiceGrades"][0]["Name"] = "next"
     dispatcher.write_config({**dispatcher.document, "settings": settings})
@@ -155,7 +156,7 @@
         writer.write(harness.request("early"))
         assert "200" in (await read_message(reader))[0]
         await stop_before_it_is_ready(dispatcher)
-        # Both processes apply new settings while both run; the first has them when it is stopped.
+        # Both processes apply new settings while both run; the first one is stopped after that.
         last, last_admin_port = await dispatcher.start()
         await rename_first_class(dispatcher, {first_admin_port: first, last_admin_port: last})
 
@@ -164,7 +165,7 @@
             await harness.serve(*exchange)
 
         harness.behaviours = {"w0": serve_slowly, "w1": serve_slowly}
-        writer.write(harness.request("late", "book"))  # the first one still has it when it is stopped
+        writer.write(harness.request("late", "book"))  # still open in the first process when that is stopped
         await asyncio.sleep(0.05)
         first.send_signal(signal.SIGTERM)
         line, headers, _ = await read_message(reader)
--- a/tests/service/test_migration.py
+++ b/tests/service/test_migration.py
@@ -14,13 +14,13 @@
 from ploverspoke.service.config import parse_config
 from ploverspoke.service.config_reader import ConfigError
 from ploverspoke.service.key_tracking import TrackedObject
-from tests.service.test_config import GOOD
+from tests.service.test_config import VALID_DOCUMENT
 
 PEERS = ["127.0.0.1:9301", "127.0.0.1:9302"]
 
 
 def migrate(old: Path, new: Path, *options: str) -> tuple[int, str]:
-    """Exit code and output of the command."""
+    """Run the command and return its exit code and output."""
     result = CliRunner().invoke(main, ["migrate", str(old), str(new), *options])
     return result.exit_code, result.output
 
@@ -31,7 +31,7 @@
 
 
 def test_migrated_file_has_the_new_shape_and_is_valid(tmp_path: Path) -> None:
-    document = copy.deepcopy(GOOD)
+    document = copy.deepcopy(VALID_DOCUMENT)
     document["settings"] |= {"PeersTotal": 2, "Surprise": 1, "WeightKind": "live"}
     old, new = write(tmp_path / "old.json", document), tmp_path / "new.json"
     options = [word for peer in PEERS for word in ("--peer", peer)]
@@ -57,23 +57,23 @@
 
 
 @pytest.mark.parametrize(
-    ("content", "complaint"),
+    ("content", "message"),
     [
         (None, "cannot be read"),
-        ("{", "no JSON"),
+        ("{", "not valid JSON"),
         ("[]", "expected an object"),
-        ({**GOOD, "settings": {}}, "settings.ServiceGrades"),
-        ({**GOOD, "listen": "nowhere"}, "listen"),
+        ({**VALID_DOCUMENT, "settings": {}}, "settings.ServiceGrades"),
+        ({**VALID_DOCUMENT, "listen": "nowhere"}, "listen"),
     ],
 )
 def test_unusable_old_file_is_reported_and_nothing_is_written(
-    tmp_path: Path, content: str | dict[str, Any] | None, complaint: str
+    tmp_path: Path, content: str | dict[str, Any] | None, message: str
 ) -> None:
     old = tmp_path / "old.json"
     if content is not None:
         write(old, content)
     code, output = migrate(old, tmp_path / "new.json")
-    assert code == 2 and complaint in output and not (tmp_path / "new.json").exists()
+    assert code == 2 and message in output and not (tmp_path / "new.json").exists()
 
 
 def test_unread_keys_are_found_at_every_level_but_in_the_list_of_workers() -> None:
@@ -96,15 +96,18 @@
     ],
 )
 def test_wrong_peer_addresses_are_refused(peers: list[str], limits: dict[str, bool], key: str) -> None:
-    settings = {**GOOD["settings"], "PeersTotal": 2}
+    settings = {**VALID_DOCUMENT["settings"], "PeersTotal": 2}
     settings["Limits"] = {**settings["Limits"], **limits}
     with pytest.raises(ConfigError, match=key):
-        parse_config({**GOOD, "settings": settings, "peers": peers}, {})
+        parse_config({**VALID_DOCUMENT, "settings": settings, "peers": peers}, {})
 
 
 def test_gossip_permitted_without_addresses_is_reported(tmp_path: Path) -> None:
-    settings = {**GOOD["settings"], "Limits": {**GOOD["settings"]["Limits"], "Peers": True}}
-    path = write(tmp_path / "c.json", {**GOOD, "settings": settings})
+    settings = {
+        **VALID_DOCUMENT["settings"],
+        "Limits": {**VALID_DOCUMENT["settings"]["Limits"], "Peers": True},
+    }
+    path = write(tmp_path / "c.json", {**VALID_DOCUMENT, "settings": settings})
     result = CliRunner().invoke(main, ["check", str(path)])
     assert result.exit_code == 0 and "cannot be sent" in result.output
     config = parse_config(json.loads(path.read_text()), {})
@@ -112,7 +115,7 @@
 
 
 def test_fleet_without_probes_and_reports_keeps_its_rules() -> None:
-    # A hung, a slow and two pausing workers, a fleet that shrinks, four in ten dispatchers gone and back.
+    # A hung, a slow and two pausing workers, a shrinking fleet, four in ten dispatchers leave and return.
     experiment = Path(__file__).parents[2] / "experiments" / "unasked.toml"
     result = CliRunner().invoke(main, ["testbed", "run", str(experiment), "--seed", "1", "--policy", "ours"])
     assert result.exit_code == 0, result.output
--- a/tests/service/test_settings_change.py
+++ b/tests/service/test_settings_change.py
@@ -1,4 +1,4 @@
-"""Settings that change while serving: valid ones apply to later requests, unusable ones change nothing."""
+"""Settings that change while serving: valid ones apply to later requests, invalid ones change nothing."""
 
 import asyncio
 import copy
@@ -35,33 +35,33 @@
 
 def test_each_number_stands_for_one_class_under_one_set_of_rules() -> None:
     random_numbers, letters = random.Random(3), "abcdef"
-    current = parse_settings(settings(*({**CLASSES[0], "Name": each} for each in letters)))
+    current = parse_settings(settings(*({**CLASSES[0], "Name": letter} for letter in letters)))
     values = {field.name: getattr(current, field.name) for field in fields(current)}
     per_class = {key for key, row in values.items() if isinstance(row, tuple) and len(row) == len(letters)}
-    assert per_class == {"classes", "active_classes"}, "a value for each class that is not numbered anew"
+    assert per_class == {"classes", "active_classes"}, "a value for each class that is not renumbered"
     current = parse_settings(settings())
-    table, open_now = RequestClassTable(["look", "book"]), list[tuple[int, RequestClass]]()
+    table, open_classes = RequestClassTable(["look", "book"]), list[tuple[int, RequestClass]]()
     for _ in range(200):
         classes = [
-            {**CLASSES[random_numbers.randrange(2)], "Name": each}
-            for each in random_numbers.sample(["look", "book", *letters], random_numbers.randrange(1, 5))
+            {**CLASSES[random_numbers.randrange(2)], "Name": name}
+            for name in random_numbers.sample(["look", "book", *letters], random_numbers.randrange(1, 5))
         ]
         document = settings(*classes, MaxHandOffs=random_numbers.randrange(1, 3))
         new = parse_settings(document)
         names = parse_names(document).request_classes
-        current, replaced = table.apply(current, new, names, {number for number, _ in open_now})
+        current, replaced = table.apply(current, new, names, {number for number, _ in open_classes})
         assert tuple(table.numbers) == names
         assert tuple(sorted(table.numbers.values())) == current.active_classes
         for index, name in enumerate(names):
             number = table.numbers[name]
             assert table.names[number] == name
             assert current.classes[number] == new.classes[index]
-            open_now.append((number, current.classes[number]))
-        # Open requests keep the rules with which they were admitted.
-        open_now = random_numbers.sample(open_now, min(len(open_now), 6))
-        assert all(current.classes[number] == kept for number, kept in open_now)
+            open_classes.append((number, current.classes[number]))
+        # Open requests keep the settings of the class under which they were admitted.
+        open_classes = random_numbers.sample(open_classes, min(len(open_classes), 6))
+        assert all(current.classes[number] == kept for number, kept in open_classes)
         assert all(table.names[newer] == table.names[older] for newer, older in replaced.items())
-    assert len(table.names) < 25, "numbers are given out again"
+    assert len(table.names) < 25, "numbers are reused"
 
 
 def test_open_request_keeps_its_attempts_and_its_idempotency() -> None:
@@ -84,7 +84,7 @@
 
 Corruption = Callable[
     [Document], Document | str
-]  # changes a good document in place, or gives a text in its place
+]  # changes a valid document in place, or returns a text that replaces it
 
 
 def first_class(document: Document, **values: Any) -> Document:
@@ -112,7 +112,7 @@
     return document
 
 
-UNUSABLE: dict[str, Corruption] = {
+INVALID_DOCUMENTS: dict[str, Corruption] = {
     "empty": lambda document: "",
     "cut": lambda document: json.dumps(document)[: len(json.dumps(document)) // 2],
     "no object": lambda document: "[]",
@@ -130,7 +130,7 @@
 }
 
 
-@pytest.mark.parametrize("corrupt", UNUSABLE.values(), ids=UNUSABLE.keys())
+@pytest.mark.parametrize("corrupt", INVALID_DOCUMENTS.values(), ids=INVALID_DOCUMENTS.keys())
 def test_unusable_file_changes_nothing_and_is_counted(corrupt: Corruption, tmp_path: Path) -> None:
     path = tmp_path / "config.json"
 
@@ -182,8 +182,8 @@
             service._reload_config()
 
         reload(settings({**CLASSES[0], "AbandonTimeUs": 700_000}, CLASSES[1]))
-        for each in range(6):
-            assert (await harness.exchange(harness.request(f"r{each}", "look")))[0] == 200
+        for index in range(6):
+            assert (await harness.exchange(harness.request(f"r{index}", "look")))[0] == 200
         number = service.router.active_settings.classes.numbers["look"]
         assert service.router.settings.classes[number].deadline == 700 * MS
 
--- a/tests/service/test_shutdown.py
+++ b/tests/service/test_shutdown.py
@@ -1,4 +1,4 @@
-"""The phases of a shutdown: nobody waits longer than the process may live."""
+"""The phases of a shutdown: no client waits longer than the process may live."""
 
 from dataclasses import replace
 
@@ -12,9 +12,9 @@
 CURRENT = parse_settings(SETTINGS)
 
 
-def with_longest_deadline(deadline: int) -> list[int]:
-    """Milliseconds of the four phases of a dispatcher with a socket of its own."""
-    classes = tuple(replace(each, deadline=deadline) for each in CURRENT.classes)
+def phase_ends_ms(deadline: int) -> list[int]:
+    """Return the ends of the four phases in ms, for a dispatcher with its own listening socket."""
+    classes = tuple(replace(request_class, deadline=deadline) for request_class in CURRENT.classes)
     schedule = shutdown_schedule(replace(CURRENT, classes=classes), shares_socket=False)
     phases = (schedule.accept_until, schedule.serve_until, schedule.answer_at, schedule.exit_at)
     return [phase // MILLISECOND for phase in phases]
@@ -22,11 +22,11 @@
 
 @pytest.mark.parametrize("deadline", [3 * SECOND, 60 * SECOND])
 def test_long_deadlines_count_as_three_seconds(deadline: int) -> None:
-    assert with_longest_deadline(deadline) == [700, 2200, 3400, 3550]
+    assert phase_ends_ms(deadline) == [700, 2200, 3400, 3550]
 
 
 def test_shutdown_is_over_before_the_longest_deadline_has_passed() -> None:
-    assert with_longest_deadline(1 * SECOND) == [700, 1200, 1600, 1650]
+    assert phase_ends_ms(1 * SECOND) == [700, 1200, 1600, 1650]
 
 
 def test_process_that_hands_over_accepts_nothing_more() -> None:
