--- a/ploverspoke/supervisor/child.py
+++ b/ploverspoke/supervisor/child.py
@@ -1,4 +1,4 @@
-"""The entry point of a child process: a dispatcher with its share of the limits on the inherited socket."""
+"""The entry point of a child process: a dispatcher on the inherited socket, with its share of the limits."""
 
 import os
 import socket
@@ -16,7 +16,7 @@
 
 
 def main() -> int:
-    """Serve until SIGTERM. Returns the exit code: 0 stopped on request, 2 the configuration is unusable."""
+    """Serve until SIGTERM. Returns 0 if stopped on request, 2 if the configuration is invalid."""
     block_signals()
     child = ChildEnvironment.from_environment(os.environ)
     limit = system_descriptor_limit()
--- a/ploverspoke/supervisor/child_environment.py
+++ b/ploverspoke/supervisor/child_environment.py
@@ -3,7 +3,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-VARIABLE = "PLOVERSPOKE_CHILD"
+CHILD_VARIABLE = "PLOVERSPOKE_CHILD"
 
 
 @dataclass(frozen=True)
@@ -16,10 +16,10 @@
 
     def to_environment(self) -> dict[str, str]:
         """Return the variable to add to the child's environment."""
-        return {VARIABLE: f"{self.index},{self.count},{self.socket_descriptor}"}
+        return {CHILD_VARIABLE: f"{self.index},{self.count},{self.socket_descriptor}"}
 
     @classmethod
     def from_environment(cls, environment: Mapping[str, str]) -> "ChildEnvironment":
-        """Read what `to_environment` wrote. Raises KeyError or ValueError where no supervisor wrote it."""
-        index, count, socket_descriptor = map(int, environment[VARIABLE].split(","))
+        """Parse the variable that `to_environment` returns. Raises KeyError or ValueError if that fails."""
+        index, count, socket_descriptor = map(int, environment[CHILD_VARIABLE].split(","))
         return cls(index, count, socket_descriptor)
--- a/ploverspoke/supervisor/process_runner.py
+++ b/ploverspoke/supervisor/process_runner.py
@@ -1,7 +1,7 @@
-"""The driver of the supervisor: the listening socket that all children inherit, their processes, signals.
+"""The driver of the supervisor: opens the listening socket, runs the child processes and handles signals.
 
-The children share one socket instead of each having its own by SO_REUSEPORT, so that connections which wait
-to be accepted are not lost with a child that dies.
+All children inherit one socket. If each had its own with SO_REUSEPORT, connections waiting to be accepted
+would be lost when a child dies.
 """
 
 import asyncio
@@ -28,39 +28,41 @@
 from .supervisor import ProcessSupervisor
 
 CHILD_COMMAND = (sys.executable, "-m", "ploverspoke.supervisor.child")
-NOT_STARTED = -1  # the exit status that is reported for a process that never ran
+NOT_STARTED = -1  # exit status reported for a process that could not be started
 
 
 class ProcessRunner:
     """Carries out what `ProcessSupervisor` decides; implements `SupervisorActions`."""
 
     def __init__(self, config: Config, count: int) -> None:
-        """Prepare `count` children of this configuration; `run` starts them. To be built inside the loop."""
+        """Prepare `count` children with this configuration; `run` starts them. Needs a running event loop."""
         self.loop = asyncio.get_running_loop()
         self.count = count
         self.config = config
         self.processes: dict[int, asyncio.subprocess.Process] = {}  # by the index of the slot
-        self.tasks: set[asyncio.Task[None]] = set()  # one for each running child; a loop holds tasks weakly
-        self.any_killed: asyncio.Future[bool] = self.loop.create_future()  # set when all have stopped
+        # One for each running child: the event loop itself holds only weak references to tasks.
+        self.tasks: set[asyncio.Task[None]] = set()
+        # Set when all children have stopped: whether any of them had to be killed.
+        self.shutdown_result: asyncio.Future[bool] = self.loop.create_future()
         self.supervisor = ProcessSupervisor(self, count)
-        self.timer = LoopTimer(partial(self._handle, self.supervisor.tick))
+        self.timer = LoopTimer(partial(self._handle_event, self.supervisor.tick))
         self.socket: socket.socket | None = None  # open while `run` is running
 
     async def run(self) -> int:
-        """Supervise until SIGTERM or SIGINT and the last child's exit. Raises OSError where listening fails.
+        """Supervise until SIGTERM or SIGINT and the last child's exit. Raises OSError if listening fails.
 
-        Returns 0, or 1 where a child had to be killed.
+        Returns 0, or 1 if a child had to be killed.
         """
         with _open_listening_socket(self.config.listen) as self.socket:
             for number in (signal.SIGTERM, signal.SIGINT):
-                self.loop.add_signal_handler(number, self._handle, self.supervisor.shut_down)
+                self.loop.add_signal_handler(number, self._handle_event, self.supervisor.shut_down)
             self.loop.add_signal_handler(signal.SIGHUP, self._reload_config)
             log_line(f"{self.config.name}: {self.count} processes at {self.config.listen}")
-            self._handle(self.supervisor.start_all)
-            return int(await self.any_killed)
+            self._handle_event(self.supervisor.start_all)
+            return int(await self.shutdown_result)
 
     def _reload_config(self) -> None:
-        """Check the configuration as all children will see it, then replace them one by one."""
+        """Validate the new configuration for each child, then replace the children one by one."""
         try:
             new = read_config(os.environ)
             for index in range(self.count):
@@ -71,16 +73,16 @@
         if new.listen != self.config.listen:
             log_line("new configuration: listen stays as it was until the next start")
         log_line("new configuration: the processes are replaced one by one")
-        self._handle(self.supervisor.on_new_configuration)
+        self._handle_event(self.supervisor.on_new_configuration)
 
-    def _handle(self, event: Callable[[], None]) -> None:
-        """Pass one event to the supervisor and set the timer anew, since any event may move it."""
+    def _handle_event(self, event: Callable[[], None]) -> None:
+        """Pass one event to the supervisor and reset the timer, as any event may change the next deadline."""
         event()
-        due = self.supervisor.next_tick()
-        if due is None:
+        next_tick = self.supervisor.next_tick()
+        if next_tick is None:
             self.timer.cancel()
         else:
-            self.timer.set(due)
+            self.timer.set(next_tick)
 
     async def _run_child(self, index: int) -> None:
         """Run one process from its start to its exit."""
@@ -88,18 +90,18 @@
             process = await self._spawn(index)
         except OSError as error:
             log_line(f"child {index} cannot be started: {error.strerror}")
-            self._handle(partial(self.supervisor.on_child_exited, index, NOT_STARTED))
+            self._handle_event(partial(self.supervisor.on_child_exited, index, NOT_STARTED))
             return
         self.processes[index] = process
         assert process.stdout is not None, "it was started with a pipe"
-        if await process.stdout.readline():  # its only line means that it is ready; empty: it has exited
-            self._handle(partial(self.supervisor.on_child_ready, index))
+        if await process.stdout.readline():  # its only line says that it is ready; empty: it has exited
+            self._handle_event(partial(self.supervisor.on_child_ready, index))
         status = await process.wait()
         del self.processes[index]
-        self._handle(partial(self.supervisor.on_child_exited, index, status))
+        self._handle_event(partial(self.supervisor.on_child_exited, index, status))
 
     async def _spawn(self, index: int) -> asyncio.subprocess.Process:
-        """Raises OSError where the system gives no process."""
+        """Raises OSError if the process cannot be created."""
         assert self.socket is not None, "children are started by `run`"
         descriptor = self.socket.fileno()
         child = ChildEnvironment(index, self.count, descriptor)
@@ -122,7 +124,7 @@
         return time.monotonic_ns()
 
     def start_child(self, index: int) -> None:
-        """Start a process in the slot; a failure comes later, as an exit with NOT_STARTED."""
+        """Start a process in the slot; a failure is reported later as an exit with NOT_STARTED."""
         task = self.loop.create_task(self._run_child(index))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
@@ -141,8 +143,8 @@
 
     def on_all_stopped(self, any_killed: bool) -> None:
         """Let `run` return."""
-        if not self.any_killed.done():
-            self.any_killed.set_result(any_killed)
+        if not self.shutdown_result.done():
+            self.shutdown_result.set_result(any_killed)
 
 
 def _open_listening_socket(address: Address) -> socket.socket:
@@ -162,7 +164,7 @@
     config = read_config(os.environ)
     limit = system_descriptor_limit()
     for index in range(count):
-        child_config(config, index, count, limit)  # a share that is too small ends the start
+        child_config(config, index, count, limit)  # raises ConfigError if a child's share is too small
     return await ProcessRunner(config, count).run()
 
 
@@ -170,6 +172,6 @@
     """Run `count` dispatchers until SIGTERM.
 
     Returns the exit code. 0: all stopped on request. 1: one had to be killed. 2: the configuration is
-    unusable or the address cannot be listened on.
+    invalid or the address cannot be listened on.
     """
     return run_with_exit_code(lambda: uvloop.run(_run(count)))
--- a/ploverspoke/supervisor/supervisor.py
+++ b/ploverspoke/supervisor/supervisor.py
@@ -1,6 +1,6 @@
 """The decisions of the supervisor, without I/O: when a child process is started, stopped or killed.
 
-The driver (`process_runner.py`) calls one method for each event; the supervisor answers by calling its
+The driver (`process_runner.py`) calls one method for each event; the supervisor responds by calling its
 `SupervisorActions`. All times are nanoseconds of a monotonic clock. A child is identified by the index of its
 slot, 0 to N-1; a slot holds at most one process. The supervisor knows nothing about requests.
 """
@@ -12,13 +12,13 @@
 
 from ploverspoke.transport.units import MILLISECOND, SECOND
 
-FIRST_RESTART_DELAY = 200 * MILLISECOND  # before the first restart; doubled with each further crash
-LONGEST_RESTART_DELAY = 15 * SECOND
-STABLE_AFTER = 30 * SECOND  # a child that ran this long starts again with the first delay
-CRASH_LOOP_EXITS = 5  # so many crashes within the window are a crash loop
+INITIAL_RESTART_DELAY = 200 * MILLISECOND  # before the first restart; doubled with each further crash
+MAX_RESTART_DELAY = 15 * SECOND
+STABLE_RUN_TIME = 30 * SECOND  # after a run of this length, the delay starts from the initial one again
+CRASH_LOOP_EXITS = 5  # this number of crashes within the window is a crash loop
 CRASH_LOOP_WINDOW = 60 * SECOND
-READY_TIMEOUT = 20 * SECOND  # from the start of a child until it is ready, else it is killed
-STOP_TIMEOUT = 6 * SECOND  # from the request to stop until the exit, else it is killed
+READY_TIMEOUT = 20 * SECOND  # after its start, a child that is not ready by then is killed
+STOP_TIMEOUT = 6 * SECOND  # after the request to stop, a child that still runs by then is killed
 
 
 class ChildState(Enum):
@@ -28,7 +28,7 @@
     STARTING = auto()
     READY = auto()
     STOPPING = auto()  # asked to stop, still running
-    STOPPED = auto()  # empty for good: the supervisor is shutting down
+    STOPPED = auto()  # permanently empty: the supervisor is shutting down
 
 
 TIMED_STATES = (ChildState.WAITING, ChildState.STARTING, ChildState.STOPPING)
@@ -36,13 +36,13 @@
 
 
 class SupervisorActions(Protocol):
-    """What the supervisor needs from its driver."""
+    """The actions that the driver carries out for the supervisor."""
 
     def now(self) -> int:
         """Return the monotonic time in nanoseconds."""
 
     def start_child(self, index: int) -> None:
-        """Start a process in the slot. Raises OSError where the system gives none."""
+        """Start a process in the slot. Raises OSError if it cannot be created."""
 
     def stop_child(self, index: int) -> None:
         """Ask the process in the slot to stop."""
@@ -51,10 +51,10 @@
         """Kill the process in the slot."""
 
     def log(self, line: str) -> None:
-        """Write one line for the person on call."""
+        """Write one log line for the operators."""
 
     def on_all_stopped(self, any_killed: bool) -> None:
-        """Take note that the shutdown is complete; `any_killed`: a child had to be killed, now or before."""
+        """Handle the end of the shutdown; `any_killed`: a child had to be killed, now or earlier."""
 
 
 @dataclass
@@ -64,15 +64,15 @@
     state: ChildState = ChildState.WAITING
     deadline: int = 0  # when the supervisor acts if the state has not changed by then
     started_at: int = 0
-    restart_delay: int = FIRST_RESTART_DELAY
+    restart_delay: int = INITIAL_RESTART_DELAY
     crash_times: deque[int] = field(default_factory=lambda: deque(maxlen=CRASH_LOOP_EXITS))
-    in_crash_loop: bool = False
+    is_in_crash_loop: bool = False
     is_outdated: bool = False  # the process runs an older configuration
-    was_killed: bool = False  # the process in it was killed, and its exit has not been seen yet
+    was_killed: bool = False  # the process was killed, but its exit was not reported yet
 
 
 class ProcessSupervisor:
-    """Keeps one process in each slot, rolls a new configuration through them and shuts them down."""
+    """Keeps one process in each slot, restarts them one by one for a new configuration, shuts them down."""
 
     def __init__(self, actions: SupervisorActions, count: int) -> None:
         """Create `count` empty slots; `start_all` fills them."""
@@ -89,14 +89,14 @@
             self._start(index)
 
     def on_child_ready(self, index: int) -> None:
-        """The process in the slot serves."""
+        """The process in the slot is ready to serve."""
         slot = self.slots[index]
         if slot.state is ChildState.STARTING:
             slot.state = ChildState.READY
-            self._continue_roll()
+            self._continue_rolling_restart()
 
     def on_child_exited(self, index: int, status: int) -> None:
-        """The process in the slot is gone. `status`: its exit code, or minus the signal that ended it."""
+        """The process in the slot has exited. `status`: its exit code, or minus the signal that ended it."""
         slot, now = self.slots[index], self.actions.now()
         was_expected = slot.state is ChildState.STOPPING
         slot.was_killed = slot.is_outdated = False
@@ -109,7 +109,7 @@
             self._restart_after_crash(index, status, now)
 
     def shut_down(self) -> None:
-        """Stop all children and start none from now on."""
+        """Stop all children and start no new ones."""
         if self.is_shutting_down:
             return
         self.is_shutting_down = True
@@ -121,13 +121,13 @@
         self._check_all_stopped()
 
     def on_new_configuration(self) -> None:
-        """Replace the children one by one, so that the others serve meanwhile. The file was checked."""
+        """Replace the children one by one while the others serve. The new configuration must be valid."""
         for slot in self.slots:
             slot.is_outdated = slot.state in RUNNING_STATES
-        self._continue_roll()
+        self._continue_rolling_restart()
 
     def tick(self) -> None:
-        """Act on every slot whose deadline has come. To be called at the time that `next_tick` gives."""
+        """Act on every slot whose deadline has passed. To be called at the time that `next_tick` returns."""
         now = self.actions.now()
         for index, slot in enumerate(self.slots):
             if now < slot.deadline:
@@ -138,7 +138,7 @@
                 self._kill(index)
 
     def next_tick(self) -> int | None:
-        """Return the time of the next `tick`, None where nothing is due."""
+        """Return the time of the next `tick`; None if none is needed."""
         deadlines = (
             slot.deadline for slot in self.slots if slot.state in TIMED_STATES and not slot.was_killed
         )
@@ -172,22 +172,22 @@
     def _restart_after_crash(self, index: int, status: int, now: int) -> None:
         slot = self.slots[index]
         run_time = now - slot.started_at
-        if run_time >= STABLE_AFTER:
-            slot.restart_delay = FIRST_RESTART_DELAY
-            slot.in_crash_loop = False
+        if run_time >= STABLE_RUN_TIME:
+            slot.restart_delay = INITIAL_RESTART_DELAY
+            slot.is_in_crash_loop = False
         slot.crash_times.append(now)
         self._report_crash(index, status, run_time, now)
         self._wait_for_restart(slot, now)
-        self._continue_roll()
+        self._continue_rolling_restart()
 
     def _report_crash(self, index: int, status: int, run_time: int, now: int) -> None:
-        """Report a crash loop once; nothing about the slot while the loop goes on."""
+        """Log a crash. A crash loop is logged once; further crashes during the loop are not logged."""
         slot = self.slots[index]
-        if slot.in_crash_loop:
+        if slot.is_in_crash_loop:
             return
         is_full = len(slot.crash_times) == CRASH_LOOP_EXITS
-        slot.in_crash_loop = is_full and now - slot.crash_times[0] <= CRASH_LOOP_WINDOW
-        if slot.in_crash_loop:
+        slot.is_in_crash_loop = is_full and now - slot.crash_times[0] <= CRASH_LOOP_WINDOW
+        if slot.is_in_crash_loop:
             self.actions.log(
                 f"CRASH LOOP: child {index} exited {CRASH_LOOP_EXITS} times within a minute, "
                 f"last with status {status}"
@@ -197,19 +197,19 @@
 
     def _wait_for_restart(self, slot: ChildSlot, now: int) -> None:
         slot.state, slot.deadline = ChildState.WAITING, now + slot.restart_delay
-        slot.restart_delay = min(2 * slot.restart_delay, LONGEST_RESTART_DELAY)
+        slot.restart_delay = min(2 * slot.restart_delay, MAX_RESTART_DELAY)
 
-    def _continue_roll(self) -> None:
-        """Replace the next outdated child, unless another one is down: N-1 of them must go on serving.
+    def _continue_rolling_restart(self) -> None:
+        """Replace the next outdated child, unless another one is down: N-1 children must keep serving.
 
-        A child that is still starting with the older configuration is replaced like any other.
+        A child that is still starting with the old configuration is replaced like any other.
         """
         outdated = [index for index, slot in enumerate(self.slots) if slot.is_outdated]
-        is_one_down = any(
+        is_any_down = any(
             slot.state in (ChildState.STARTING, ChildState.STOPPING) and not slot.is_outdated
             for slot in self.slots
         )
-        if self.is_shutting_down or not outdated or is_one_down:
+        if self.is_shutting_down or not outdated or is_any_down:
             return
         self.slots[outdated[0]].is_outdated = False
         self._stop(outdated[0])
--- a/tests/supervisor/harness.py
+++ b/tests/supervisor/harness.py
@@ -13,7 +13,7 @@
 
 
 class FakeProcesses:
-    """`SupervisorActions` whose processes are numbers and whose clock is moved by hand."""
+    """`SupervisorActions` whose processes are numbers and whose clock the test controls."""
 
     def __init__(self, count: int) -> None:
         self.clock = 100 * SECOND
@@ -28,7 +28,7 @@
 
     @classmethod
     def started(cls, count: int) -> "FakeProcesses":
-        """All slots filled and ready."""
+        """Create an instance whose slots are all filled and ready."""
         processes = cls(count)
         processes.supervisor.start_all()
         processes.report_all_ready()
@@ -41,7 +41,7 @@
 
     def start_child(self, index: int) -> None:
         if self.start_fails:
-            raise OSError("no process to be had")
+            raise OSError("cannot create a process")
         assert index not in self.alive, "two processes in one slot"
         self.alive.add(index)
         self.starts.append((self.clock, index))
@@ -61,7 +61,7 @@
         assert not self.alive and self.shutdown_result is None
         self.shutdown_result = any_killed
 
-    # ---- What happens to them ----
+    # ---- Events ----
 
     def exit(self, index: int, status: int = 1) -> None:
         self.alive.discard(index)
@@ -98,10 +98,10 @@
             self.process = subprocess.Popen([sys.executable, *arguments], stderr=log)
 
     def children(self) -> list[int]:
-        """Process ids."""
+        """Return the process ids of the children."""
         listing = Path(f"/proc/{self.process.pid}/task/{self.process.pid}/children")
         return [int(pid) for pid in listing.read_text().split()]
 
-    def logged(self, text: str) -> int:
-        """How often the log has this text."""
+    def count_logged(self, text: str) -> int:
+        """Return how often the log contains this text."""
         return self.log_path.read_text().count(text)
--- a/tests/supervisor/test_child_environment.py
+++ b/tests/supervisor/test_child_environment.py
@@ -1,4 +1,4 @@
-"""What the supervisor writes into a child's environment is what the child reads."""
+"""A child reads the environment that the supervisor writes."""
 
 import pytest
 
--- a/tests/supervisor/test_processes.py
+++ b/tests/supervisor/test_processes.py
@@ -1,4 +1,4 @@
-"""Real children under load: killed, replaced by a new configuration, shut down."""
+"""Real children under load: killed, replaced because of a new configuration, and shut down."""
 
 import asyncio
 import json
@@ -33,22 +33,22 @@
 
 
 async def kill_children(dispatchers: SupervisedDispatchers) -> None:
-    await until(lambda: dispatchers.logged(" serves at") == 3, EVENT_TIMEOUT)
+    await until(lambda: dispatchers.count_logged(" serves at") == 3, EVENT_TIMEOUT)
     os.kill(dispatchers.children()[0], signal.SIGKILL)
-    await until(lambda: dispatchers.logged(" serves at") == 4, EVENT_TIMEOUT)
+    await until(lambda: dispatchers.count_logged(" serves at") == 4, EVENT_TIMEOUT)
     for pid in dispatchers.children():
         os.kill(pid, signal.SIGKILL)
-    await until(lambda: dispatchers.logged(" serves at") == 7, EVENT_TIMEOUT)
+    await until(lambda: dispatchers.count_logged(" serves at") == 7, EVENT_TIMEOUT)
 
 
 async def reload_config(dispatchers: SupervisedDispatchers) -> None:
-    """Reload a bad file first, then a good one."""
+    """Reload an invalid file first, then a valid one."""
     dispatchers.config_path.write_text("{")
     dispatchers.process.send_signal(signal.SIGHUP)
-    await until(lambda: dispatchers.logged("new configuration rejected") > 0, EVENT_TIMEOUT)
+    await until(lambda: dispatchers.count_logged("new configuration rejected") > 0, EVENT_TIMEOUT)
     dispatchers.config_path.write_text(json.dumps({**dispatchers.document, "seed": "77"}))
     dispatchers.process.send_signal(signal.SIGHUP)
-    await until(lambda: dispatchers.logged(" serves at") == 10, EVENT_TIMEOUT)
+    await until(lambda: dispatchers.count_logged(" serves at") == 10, EVENT_TIMEOUT)
 
 
 async def kill_reload_and_shut_down_under_load(folder: Path) -> None:
@@ -56,7 +56,7 @@
     dispatchers = SupervisedDispatchers(folder, harness, await harness.start_workers_and_discovery(2), 3)
     statuses: list[int] = []
     try:
-        await until(lambda: dispatchers.logged(" serves at") == 3, EVENT_TIMEOUT)
+        await until(lambda: dispatchers.count_logged(" serves at") == 3, EVENT_TIMEOUT)
         clients = [
             asyncio.create_task(send_requests(harness, dispatchers.port, f"c{number}", statuses))
             for number in range(4)
@@ -67,7 +67,7 @@
         await reload_config(dispatchers)
         before = len(statuses)
         await until(lambda: len(statuses) > before + 100, EVENT_TIMEOUT)
-        # A planned replacement loses nothing; what a killed child had is lost with it.
+        # A planned replacement loses no connection; the connections of a killed child are lost.
         assert statuses.count(CONNECTION_LOST) == lost and lost < 50
         assert set(statuses) <= {CONNECTION_LOST, 200, 503}
         for client in clients:
@@ -85,6 +85,6 @@
 
 
 def test_requests_are_answered_while_children_are_killed_replaced_and_shut_down(tmp_path: Path) -> None:
-    began = time.monotonic()
+    started_at = time.monotonic()
     uvloop.run(asyncio.wait_for(kill_reload_and_shut_down_under_load(tmp_path), 60))
-    assert time.monotonic() - began < 60
+    assert time.monotonic() - started_at < 60
--- a/tests/supervisor/test_resource_split.py
+++ b/tests/supervisor/test_resource_split.py
@@ -1,4 +1,4 @@
-"""Each child's share of the limits and its place among all dispatchers."""
+"""Each child's share of the limits and its index among all dispatchers."""
 
 import pytest
 
--- a/tests/supervisor/test_supervisor.py
+++ b/tests/supervisor/test_supervisor.py
@@ -1,4 +1,4 @@
-"""The decisions of the supervisor, event by event on a clock that is moved by hand."""
+"""The decisions of the supervisor, event by event on a clock that the test controls."""
 
 import random
 
@@ -6,7 +6,7 @@
 
 from ploverspoke.supervisor.supervisor import (
     CRASH_LOOP_EXITS,
-    LONGEST_RESTART_DELAY,
+    MAX_RESTART_DELAY,
     READY_TIMEOUT,
     STOP_TIMEOUT,
     ChildState,
@@ -24,16 +24,16 @@
         processes.exit(0)
         processes.pass_time((processes.supervisor.next_tick() or 0) - processes.clock)
         delays.append(processes.starts[-1][0] - exited_at)
-    assert delays == sorted(delays) and delays[0] < SECOND and delays[-1] == LONGEST_RESTART_DELAY
+    assert delays == sorted(delays) and delays[0] < SECOND and delays[-1] == MAX_RESTART_DELAY
     assert sum("CRASH LOOP" in line for line in processes.log_lines) == 1
-    assert 1 in processes.alive, "the other is left alone"
+    assert 1 in processes.alive, "the other child is not affected"
 
 
 def test_restart_delay_is_short_again_after_a_long_run() -> None:
     processes = FakeProcesses.started(1)
     for _ in range(CRASH_LOOP_EXITS):
         processes.exit(0)
-        processes.pass_time(LONGEST_RESTART_DELAY)
+        processes.pass_time(MAX_RESTART_DELAY)
     processes.report_all_ready()
     processes.pass_time(60 * SECOND)
     processes.exit(0)
@@ -62,7 +62,7 @@
     processes.supervisor.start_all()
     processes.pass_time(READY_TIMEOUT)
     assert processes.killed == [0]
-    processes.pass_time(LONGEST_RESTART_DELAY)
+    processes.pass_time(MAX_RESTART_DELAY)
     processes.report_all_ready()
     processes.supervisor.shut_down()
     processes.pass_time(STOP_TIMEOUT + 1)
@@ -83,7 +83,7 @@
     processes.supervisor.start_all()
     processes.pass_time(SECOND)
     processes.start_fails = False
-    processes.pass_time(LONGEST_RESTART_DELAY)
+    processes.pass_time(MAX_RESTART_DELAY)
     assert processes.alive == {0}
 
 
