--- a/ploverspoke/service/migration.py
+++ b/ploverspoke/service/migration.py
@@ -18,7 +18,7 @@
 
 MutableJsonObject: TypeAlias = dict[str, object]
 
-# Keys without effect where workers are neither probed nor report load: section, key.
+# Section and key of settings without effect if workers are neither probed nor report load.
 UNUSED_KEYS = (("Domain", "ReportX0"), ("Domain", "ReportX1"), ("Tariffs", "Probe"))
 
 
--- a/ploverspoke/store/node.py
+++ b/ploverspoke/store/node.py
@@ -118,9 +118,7 @@
         if not is_committed:
             return ConfigureReply(False, version=0)
         if token < self.requests.highest_token:
-            return ConfigureReply(
-                False, why=f"superseded: published under token {self.requests.highest_token}"
-            )
+            return ConfigureReply(False, why=f"published under token {self.requests.highest_token} since")
         configuration = self.requests.configuration()
         return ConfigureReply(True, version=configuration.version if configuration is not None else 0)
 
--- a/tests/store/cluster_harness.py
+++ b/tests/store/cluster_harness.py
@@ -68,11 +68,11 @@
     async def change_members(self, change: Callable[[Members], Members]) -> None:
         """Ask the current leader, which changes when a disk sync takes longer than the election timeout."""
 
-        def begin_change() -> bool:
+        def start_change() -> bool:
             leader = self.leader()
             return leader is not None and leader.change_members(change(leader.members()))
 
-        await until(begin_change)
+        await until(start_change)
 
     async def close(self) -> None:
         for name in list(self.nodes):
--- a/tests/store/test_commands.py
+++ b/tests/store/test_commands.py
@@ -57,7 +57,7 @@
         return list(json.loads(run_store("status", self.files["r0"], "--json").output))
 
     def leader(self) -> object:
-        """Return the name of the leader; None where none leads."""
+        """Return the name of the leader; None if there is none."""
         return next((row["name"] for row in self.status() if row.get("leads")), None)
 
     def all_have_the_first_version(self) -> bool:
