--- a/ploverspoke/supervisor/child.py
+++ b/ploverspoke/supervisor/child.py
@@ -1,4 +1,4 @@
-"""The entry point of a child process: a dispatcher with its share of the limits on the inherited socket."""
+"""The entry point of a child process: a dispatcher on the inherited socket, with its share of the limits."""
 
 import os
 import socket
@@ -6,7 +6,7 @@
 
 from ploverspoke.service.config import Config, read_config
 from ploverspoke.service.config_reader import ConfigError
-from ploverspoke.service.descriptor_limit import descriptor_limit
+from ploverspoke.service.descriptor_limit import system_descriptor_limit
 from ploverspoke.service.exit_codes import EXIT_OK, EXIT_UNUSABLE, print_error
 from ploverspoke.service.service import create_service
 from ploverspoke.service.startup import block_signals
@@ -16,10 +16,10 @@
 
 
 def main() -> int:
-    """Serve until SIGTERM. Returns the exit code: 0 stopped on request, 2 the configuration is unusable."""
+    """Serve until SIGTERM. Returns 0 if stopped on request, 2 if the configuration is invalid."""
     block_signals()
     child = ChildEnvironment.from_environment(os.environ)
-    limit = descriptor_limit()
+    limit = system_descriptor_limit()
 
     def load_config() -> Config:
         return child_config(read_config(os.environ), child.index, child.count, limit)
--- a/tests/store/test_commands.py
+++ b/tests/store/test_commands.py
@@ -57,7 +57,7 @@
         return list(json.loads(run_store("status", self.files["r0"], "--json").output))
 
     def leader(self) -> object:
-        """Return the name of the leader; None where none leads."""
+        """Return the name of the leader; None if there is none."""
         return next((row["name"] for row in self.status() if row.get("leads")), None)
 
     def all_have_the_first_version(self) -> bool:
@@ -76,7 +76,7 @@
 
 
 def commit_a_configuration(store: StoreProcesses) -> None:
-    """Commit a version that all replicas apply, and none of a document that lacks a key."""
+    """Commit a version that all replicas apply; a document that lacks a key is rejected."""
     changed = store.write("new.json", {**store.document, "discovery": "127.0.0.1:8599"})
     committed = run_store("configure", store.files["r0"], str(changed))
     assert committed.exit_code == 0, committed.output
