--- a/ploverspoke/__main__.py
+++ b/ploverspoke/__main__.py
@@ -1,4 +1,4 @@
-"""Starts one dispatcher without arguments, as the platform does; with arguments, the command line."""
+"""Runs one dispatcher when started without arguments, as the platform does, else the command line."""
 
 import sys
 
@@ -9,7 +9,7 @@
 else:
     from .service.startup import block_signals
 
-    block_signals()  # before anything else is imported, which takes a while
+    block_signals()  # before the other imports, which take a while
 
     from .service.service import main
 
--- a/ploverspoke/cli.py
+++ b/ploverspoke/cli.py
@@ -1,4 +1,4 @@
-"""The command line. A start without arguments, as the platform's, imports none of it."""
+"""The command line. It is not imported when the platform starts a dispatcher without arguments."""
 
 import importlib
 import json
@@ -25,41 +25,39 @@
     "testbed": LazyCommand(
         "ploverspoke.testbed.commands.main",
         "testbed",
-        "Experiments with the dispatcher on virtual time or sockets.",
+        "Run experiments with the dispatcher in virtual time or on real sockets.",
     ),
-    "store": LazyCommand("ploverspoke.store.commands", "store", "Look at a store and change it."),
+    "store": LazyCommand("ploverspoke.store.commands", "store", "Inspect and change a store."),
     "config": LazyCommand(
         "ploverspoke.config_distribution.commands",
         "config",
-        "Carry a change of configuration to every dispatcher.",
-    ),
-    "lease": LazyCommand(
-        "ploverspoke.leases.commands", "lease", "Leases for tasks that belong to the whole fleet."
+        "Distribute configuration changes to all dispatchers.",
     ),
+    "lease": LazyCommand("ploverspoke.leases.commands", "lease", "Use leases for tasks of the whole fleet."),
     "demo": LazyCommand(
         "ploverspoke.testbed.commands.demo",
         "demo",
-        "See it work: workers, dispatchers and load on free ports.",
+        "Run a demo: workers, dispatchers and load on free ports.",
     ),
 }
 
-MAX_HELP_WIDTH = 80  # characters of a command's line in the list
+MAX_SHORT_HELP_LENGTH = 80  # characters of a command's short help in the list of commands
 MAX_PROCESSES = 64
 WATCH_EXCLUDES = "--watch goes neither with --processes nor with --store"
-STORE_EXCLUDES = "--processes and --store do not go together: a replica is one process"
+STORE_EXCLUDES = "--processes and --store cannot be combined: a replica is a single process"
 
 
 class MissingPackageError(click.ClickException):
-    """A command needs a package that is not installed; the message names the extra that brings it."""
+    """A command needs a package that is not installed; the message names the extra to install."""
 
     def __init__(self, needed_by: str, package: str | None, extra: str) -> None:
-        """`extra`: the optional dependencies of ploverspoke that the package belongs to."""
+        """`extra` names the group of optional dependencies of ploverspoke that contains the package."""
         super().__init__(f"{needed_by} needs {package}: install ploverspoke[{extra}]")
 
 
 @contextmanager
-def imports_of(needed_by: str, extra: str) -> Iterator[None]:
-    """Raises MissingPackageError where an import in the block fails for a third-party package."""
+def report_missing_package(needed_by: str, extra: str) -> Iterator[None]:
+    """Raises MissingPackageError if the block imports a third-party package that is not installed."""
     try:
         yield
     except ModuleNotFoundError as error:
@@ -69,7 +67,7 @@
 
 
 class LazyGroup(click.Group):
-    """The top command: its own subcommands, and those of LAZY_COMMANDS."""
+    """The top-level command, with the subcommands defined here and those of LAZY_COMMANDS."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
         """Return the names of all subcommands."""
@@ -79,22 +77,22 @@
         """Return the subcommand, importing its package. Raises MissingPackageError."""
         if cmd_name not in LAZY_COMMANDS:
             return super().get_command(ctx, cmd_name)
-        lazy = LAZY_COMMANDS[cmd_name]
-        with imports_of(cmd_name, "testbed"):
-            command = getattr(importlib.import_module(lazy.module), lazy.attribute)
+        lazy_command = LAZY_COMMANDS[cmd_name]
+        with report_missing_package(cmd_name, "testbed"):
+            command = getattr(importlib.import_module(lazy_command.module), lazy_command.attribute)
         assert isinstance(command, click.Command)
         return command
 
     def format_commands(self, ctx: click.Context, formatter: click.HelpFormatter) -> None:
-        """List the subcommands from the texts here, so that help imports no package."""
-        texts = {name: lazy.short_help for name, lazy in LAZY_COMMANDS.items()}
-        texts |= {
-            name: command.get_short_help_str(MAX_HELP_WIDTH)
+        """List the subcommands. The help of lazy commands is defined here, so that no package is imported."""
+        help_texts = {name: lazy_command.short_help for name, lazy_command in LAZY_COMMANDS.items()}
+        help_texts |= {
+            name: command.get_short_help_str(MAX_SHORT_HELP_LENGTH)
             for name, command in self.commands.items()
             if not command.hidden
         }
         with formatter.section("Commands"):
-            formatter.write_dl(sorted(texts.items()))
+            formatter.write_dl(sorted(help_texts.items()))
 
 
 def _version() -> str:
@@ -109,35 +107,40 @@
 def main() -> None:
     """A dispatcher that runs beside each submitter and pushes jobs to workers.
 
-    Start with `ploverspoke demo`. `ploverspoke serve` runs one dispatcher; `ploverspoke check` looks at its
-    configuration first.
+    Start with `ploverspoke demo`. `ploverspoke serve` runs one dispatcher; `ploverspoke check` validates its
+    configuration.
     """
 
 
-FILE = click.Path(exists=True, dir_okay=False, path_type=Path)
-CONFIG = click.argument("configuration", type=FILE, envvar="RELAY_CONFIG")
+EXISTING_FILE = click.Path(exists=True, dir_okay=False, path_type=Path)
+CONFIG_ARGUMENT = click.argument("configuration", type=EXISTING_FILE, envvar="RELAY_CONFIG")
 
 
 @main.command()
-@CONFIG
+@CONFIG_ARGUMENT
 @click.option(
-    "--processes", type=click.IntRange(1, MAX_PROCESSES), default=1, help="Dispatchers behind one address."
+    "--processes",
+    type=click.IntRange(1, MAX_PROCESSES),
+    default=1,
+    help="Number of dispatcher processes that share one address.",
 )
-@click.option("--store", type=FILE, help="A replica's file.")
-@click.option("--new", is_flag=True, help="The first start of a new store.")
-@click.option("--join", default="", help="The mark of the running store that it joins.")
+@click.option("--store", type=EXISTING_FILE, help="File of the store replica to run.")
+@click.option("--new", is_flag=True, help="Initialize a new store at the first start.")
+@click.option("--join", default="", help="Fingerprint of the running store to join.")
 @click.option(
-    "--watch", type=FILE, help="Where config servers are, whose versions are laid on CONFIGURATION."
+    "--watch",
+    type=EXISTING_FILE,
+    help="File with the addresses of the config servers whose versions override CONFIGURATION.",
 )
 def serve(
     configuration: Path, processes: int, store: Path | None, new: bool, join: str, watch: Path | None
 ) -> None:
     """Run a dispatcher with this CONFIGURATION (or that of RELAY_CONFIG).
 
-    It runs until SIGTERM. SIGHUP reads the configuration again. With --store it is one replica of a
-    replicated store that remembers the requests it admitted (docs/store.md); with --watch it applies the
-    versions of config servers (docs/operating-distribution.md). Exit 0: stopped on request. 2: the
-    configuration, the store or the watch's file cannot be used; the reason is printed.
+    It runs until SIGTERM. SIGHUP reloads the configuration. With --store it is one replica of a replicated
+    store that records the requests it has admitted (docs/store.md); with --watch it applies the versions
+    published by config servers (docs/operating-distribution.md). Exit code 0: stopped on request. 2: the
+    configuration, the store or the file of --watch cannot be used; the reason is printed.
     """
     os.environ["RELAY_CONFIG"] = str(configuration)
     if watch is not None:
@@ -147,54 +150,54 @@
     if processes > 1:
         if store is not None:
             raise click.UsageError(STORE_EXCLUDES)
-        from ploverspoke.supervisor.process_runner import main as supervise
+        from ploverspoke.supervisor.process_runner import main as run_processes
 
-        sys.exit(supervise(processes))
+        sys.exit(run_processes(processes))
     if store is not None:
         sys.exit(_serve_with_store(store, new, join))
-    from ploverspoke.service.service import main as serve_alone
+    from ploverspoke.service.service import main as run_dispatcher
 
-    sys.exit(serve_alone())
+    sys.exit(run_dispatcher())
 
 
 def _serve_with_watch(watch: Path) -> int:
-    with imports_of("a watch", "daemon"):
-        from ploverspoke.config_distribution.dynamic_config import main as serve_watching
-    return serve_watching(watch)
+    with report_missing_package("--watch", "daemon"):
+        from ploverspoke.config_distribution.dynamic_config import main as run_watching_dispatcher
+    return run_watching_dispatcher(watch)
 
 
 def _serve_with_store(store: Path, new: bool, join: str) -> int:
-    with imports_of("a store", "daemon"):
-        from ploverspoke.store.daemon import main as serve_replica
-    return serve_replica(store, new, join)
+    with report_missing_package("a store", "daemon"):
+        from ploverspoke.store.daemon import main as run_replica
+    return run_replica(store, new, join)
 
 
 def _serve_leases(file: Path, new: bool, join: str) -> int:
-    with imports_of("a lease server", "daemon"):
-        from ploverspoke.leases.daemon import main as serve_leases
-    return serve_leases(file, new, join)
+    with report_missing_package("a lease server", "daemon"):
+        from ploverspoke.leases.daemon import main as run_lease_server
+    return run_lease_server(file, new, join)
 
 
 @main.command(name="lease-server")
-@click.argument("file", type=FILE)
-@click.option("--new", is_flag=True, help="The first start of a new set of lease servers.")
-@click.option("--join", default="", help="The mark of the running set that it joins.")
+@click.argument("file", type=EXISTING_FILE)
+@click.option("--new", is_flag=True, help="Initialize a new cluster of lease servers at the first start.")
+@click.option("--join", default="", help="Fingerprint of the running cluster to join.")
 def lease_server(file: Path, new: bool, join: str) -> None:
-    """Run one lease server with this FILE (docs/operating-leases.md).
+    """Run one lease server with the configuration in FILE (docs/operating-leases.md).
 
-    It runs until SIGTERM. Exit 0: stopped on request. 2: the file or storage cannot be used; the reason is
-    printed.
+    It runs until SIGTERM. Exit code 0: stopped on request. 2: the file or its storage cannot be used; the
+    reason is printed.
     """
     sys.exit(_serve_leases(file, new, join))
 
 
 @main.command(hidden=True)
-@click.argument("file", type=FILE)
-@click.option("--new", is_flag=True, help="As of `lease-server`.")
-@click.option("--join", default="", help="As of `lease-server`.")
+@click.argument("file", type=EXISTING_FILE)
+@click.option("--new", is_flag=True, help="See `lease-server`.")
+@click.option("--join", default="", help="See `lease-server`.")
 def keep(file: Path, new: bool, join: str) -> None:
-    """Run one lease server, as `lease-server` does: the name of that command until now."""
-    click.echo("lease server: `keep` is now called `lease-server`; the old name goes on working", err=True)
+    """Run one lease server. This is the former name of `lease-server`."""
+    click.echo("lease server: `keep` is now called `lease-server`; the old name still works", err=True)
     sys.exit(_serve_leases(file, new, join))
 
 
@@ -202,16 +205,20 @@
 @click.argument("old", type=click.Path(path_type=Path))
 @click.argument("new", type=click.Path(path_type=Path))
 @click.option(
-    "--peer", "peers", multiple=True, help="Address of a dispatcher, in order; turns load gossip on."
+    "--peer",
+    "peers",
+    multiple=True,
+    help="Address of a dispatcher; repeat it for each dispatcher, in order. Enables load gossip.",
 )
-@click.option("--dry-run", is_flag=True, help="Print the same report and write nothing.")
-@click.option("--force", is_flag=True, help="Replace NEW where it exists.")
-@click.option("--json", "as_json", is_flag=True, help="For tools.")
+@click.option("--dry-run", is_flag=True, help="Print the same report but write nothing.")
+@click.option("--force", is_flag=True, help="Overwrite NEW if it exists.")
+@click.option("--json", "as_json", is_flag=True, help="Print the report as JSON.")
 def migrate(old: Path, new: Path, peers: tuple[str, ...], dry_run: bool, force: bool, as_json: bool) -> None:
-    """Write NEW, the configuration OLD for workers without probes and load reports.
+    """Convert configuration OLD to NEW for workers without probes and load reports.
 
-    Lists what was changed, dropped or is to be supplied; docs/migration.md has the steps. Exit 0: done, or
-    nothing to do. 2: OLD cannot be used or NEW exists, and nothing is written.
+    Lists the keys that were changed or dropped and those still to be supplied; docs/migration.md describes
+    the steps. Exit code 0: done, or nothing to do. 2: OLD cannot be used or NEW exists, and nothing is
+    written.
     """
     from ploverspoke.service.config_reader import ConfigError
     from ploverspoke.service.exit_codes import EXIT_UNUSABLE
@@ -231,11 +238,11 @@
 
 
 @main.command()
-@CONFIG
+@CONFIG_ARGUMENT
 def check(configuration: Path) -> None:
     """Check a CONFIGURATION (or that of RELAY_CONFIG) without starting anything.
 
-    Exit 0: it can be used, and a summary is printed. 2: it cannot, and the key is named.
+    Exit code 0: it is valid, and a summary is printed. 2: it is invalid, and the error names the key.
     """
     from ploverspoke.service.config import NO_PEERS, read_config
     from ploverspoke.service.config_reader import ConfigError
--- a/ploverspoke/protocol/__init__.py
+++ b/ploverspoke/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""The protocols with clients, workers, discovery, operators and other dispatchers. Opens no sockets."""
+"""The protocols spoken with clients, workers, discovery, operators and other dispatchers, without I/O."""
--- a/ploverspoke/protocol/admin.py
+++ b/ploverspoke/protocol/admin.py
@@ -1,22 +1,22 @@
-"""The admin protocol: one line with a command, one reply that begins with +OK or -ERR."""
+"""The admin protocol: one command line per connection, and one reply that begins with +OK or -ERR."""
 
 from collections.abc import Iterable, Mapping
 
 from .errors import AdminCommandError
 
-MAX_COMMAND_SIZE = 64  # bytes, with the end of the line
+MAX_COMMAND_SIZE = 64  # bytes, including the line end
 PRINTABLE_ASCII = range(0x20, 0x7F)
 
 
 class AdminCommandReader:
-    """Assembles the one command line of a connection from the pieces received."""
+    """Assembles the single command line of a connection from the received data."""
 
     def __init__(self) -> None:
         """Begin with an empty line."""
         self.line = bytearray()
 
     def feed(self, data: memoryview) -> str | None:
-        """Return the command when its line is complete, None before that. Raises AdminCommandError."""
+        """Return the command once its line is complete, None until then. Raises AdminCommandError."""
         self.line += data[: MAX_COMMAND_SIZE + 1 - len(self.line)]
         line, newline, rest = bytes(self.line).partition(b"\n")
         if not newline:
@@ -42,20 +42,20 @@
 
 
 def escape_label(text: str) -> str:
-    """Return a text as the value of a label: quotes, backslashes and line ends are escaped."""
+    """Escape quotes, backslashes, line ends and non-ASCII characters in the value of a label."""
     escaped = text.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n")
     return escaped.encode("ascii", "backslashreplace").decode("ascii")
 
 
 def operations_line(request_class: str, status: str, count: int) -> str:
-    """Return the line for the requests of one class that ended with one status."""
+    """Return the line with the number of requests of one class that ended with one status."""
     return labeled_counter_line("operations", {"priority": request_class, "status": status}, count)
 
 
 def labeled_counter_line(name: str, labels: Mapping[str, str], value: int) -> str:
-    """Return the line for one counter with labels, in the form of Prometheus."""
-    shown = ",".join(f'{label}="{escape_label(text)}"' for label, text in labels.items())
-    return f"dispatcher_{name}{{{shown}}} {value}"
+    """Return the line for one counter with labels, in the Prometheus text format."""
+    label_pairs = ",".join(f'{label}="{escape_label(text)}"' for label, text in labels.items())
+    return f"dispatcher_{name}{{{label_pairs}}} {value}"
 
 
 def counter_line(name: str, value: int) -> str:
@@ -64,5 +64,5 @@
 
 
 def counters_reply(lines: Iterable[str]) -> bytes:
-    """Return the complete reply to `vars` from lines made by the functions above."""
+    """Return the complete reply to the command `vars`, given the lines of all counters."""
     return "\n".join(("+OK", *lines, ".\n")).encode("ascii")
--- a/ploverspoke/protocol/clients.py
+++ b/ploverspoke/protocol/clients.py
@@ -1,4 +1,4 @@
-"""HTTP with clients: their requests are read, responses to them are written."""
+"""HTTP with clients: reads their requests and writes the responses."""
 
 from typing import NamedTuple, NoReturn, Protocol
 
@@ -25,8 +25,8 @@
 }
 CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
 MAX_SLOTS = 1e6
-MAX_LENGTH_DIGITS = 18  # of a Content-Length
-MAX_NUMBER_DIGITS = 15  # of a number in another header
+MAX_LENGTH_DIGITS = 18  # digits of a Content-Length
+MAX_NUMBER_DIGITS = 15  # digits of a whole number in any other header
 
 
 class HttpRequest(NamedTuple):
@@ -36,37 +36,37 @@
     target: str
     headers: Headers
     body: bytes
-    keep_alive: bool  # the client wants to use the connection again
+    keep_alive: bool  # the client wants to reuse the connection
 
 
 class RequestListener(Protocol):
     """Receives the requests of one connection."""
 
     def on_request_head(self, method: str, target: str, headers: Headers) -> None:
-        """Check a request whose body is not read yet. Raises HttpSyntaxError to have it not read."""
+        """Check a request before its body is read. Raises HttpSyntaxError to reject it without its body."""
 
     def on_request(self, request: HttpRequest) -> None:
-        """Take a complete request."""
+        """Handle a complete request."""
 
     def on_continue_expected(self) -> None:
-        """Send `CONTINUE_RESPONSE`: the client waits for it before it sends the body."""
+        """Send `CONTINUE_RESPONSE`, for which the client waits before it sends the body."""
 
 
 class RequestReader(HttpMessageReader[httptools.HttpRequestParser]):
     """Reads the requests of one connection, which may be pipelined."""
 
     def __init__(self, listener: RequestListener) -> None:
-        """Read requests for `listener`."""
+        """Report the requests to `listener`."""
         super().__init__(httptools.HttpRequestParser)
         self.listener = listener
         self.target = b""
-        self.in_message = False  # a request has begun and not ended
-        # Of a request whose head is complete:
+        self.in_message = False  # a request has begun and is not complete yet
+        # Method and target of the latest request whose head is complete.
         self.request_method = ""
         self.request_target = ""
 
     def on_message_begin(self) -> None:
-        """Begin a request."""
+        """Reset the state for the next request."""
         super().on_message_begin()
         self.target = b""
         self.in_message = True
@@ -77,14 +77,18 @@
         self.target += part
 
     def on_headers_complete(self) -> None:
-        """Check the head and pass it on."""
+        """Check the head and report it to the listener."""
         super().on_headers_complete()
-        length = self.headers.get("content-length")
-        coding = self.headers.get("transfer-encoding")
-        if coding is not None and (length is not None or coding.lower() != "chunked"):
-            # Request smuggling: where two readers see different ends of a body, it may hide a request.
+        content_length = self.headers.get("content-length")
+        transfer_encoding = self.headers.get("transfer-encoding")
+        if transfer_encoding is not None and (
+            content_length is not None or transfer_encoding.lower() != "chunked"
+        ):
+            # Request smuggling: if two readers disagree on where a body ends, it can hide another request.
             self.fail(HttpSyntaxError("the length of the body is not clear"))
-        if length is not None and (len(length) > MAX_LENGTH_DIGITS or int(length) > MAX_BODY_SIZE):
+        if content_length is not None and (
+            len(content_length) > MAX_LENGTH_DIGITS or int(content_length) > MAX_BODY_SIZE
+        ):
             self.on_body_too_long()
         self.request_method = self.parser.get_method().decode("latin-1")
         self.request_target = self.target.decode("latin-1")
@@ -96,11 +100,11 @@
             self.listener.on_continue_expected()
 
     def on_body_too_long(self) -> NoReturn:
-        """Raise the error for a body beyond the limit."""
+        """Reject the request with status 413."""
         self.fail(MessageTooLongError("body too long"))
 
     def on_message_complete(self) -> None:
-        """Pass the request on."""
+        """Report the complete request to the listener."""
         self.in_message = False
         self.listener.on_request(
             HttpRequest(
@@ -122,7 +126,7 @@
 
 
 def whole_number(headers: Headers, name: str) -> int | None:
-    """Return the number in a header, None where there is none. Raises HttpSyntaxError."""
+    """Return the number in a header, or None if the header is absent. Raises HttpSyntaxError."""
     text = headers.get(name)
     if text is None:
         return None
@@ -132,7 +136,7 @@
 
 
 def request_timeout(headers: Headers) -> int | None:
-    """Return how long (ns) the client waits for the response, None where it does not say.
+    """Return how long the client waits for the response, in ns, or None if it does not say.
 
     Raises HttpSyntaxError.
     """
@@ -141,7 +145,7 @@
 
 
 def work_hint(headers: Headers) -> int:
-    """Return the client's estimate of the running time (ns), 0 where there is none.
+    """Return the client's estimate of the running time, in ns, or 0 if it gives none.
 
     Raises HttpSyntaxError.
     """
@@ -149,9 +153,9 @@
 
 
 def requested_slots(headers: Headers) -> float:
-    """Return how many slots of a worker the request takes. Raises HttpSyntaxError.
+    """Return how many slots of a worker the request occupies, 1 by default. Raises HttpSyntaxError.
 
-    Other pairs of the header are not checked.
+    The other name=value pairs of the header are not checked.
     """
     for pair in headers.get(REQUEST_INFO, "").split(","):
         name, _, value = pair.partition("=")
@@ -169,7 +173,7 @@
 def encode_response(
     status: int, body: bytes, keep_alive: bool, retry_after: int = 0, location: str = ""
 ) -> bytes:
-    """Return the bytes of a response; `retry_after` (ns) and `location` become headers where given."""
+    """Return the bytes of a response; `retry_after` (ns) and `location` are sent as headers if given."""
     headers = {"Content-Length": str(len(body))}
     if location:
         headers["Location"] = location
--- a/ploverspoke/protocol/discovery.py
+++ b/ploverspoke/protocol/discovery.py
@@ -1,4 +1,4 @@
-"""HTTP with discovery: requests for changes of the endpoint list, and the lists in its responses."""
+"""HTTP with discovery: writes requests for the endpoint list and its changes, and reads the responses."""
 
 from collections.abc import Callable, Mapping
 from typing import NamedTuple, TypedDict
@@ -12,12 +12,12 @@
 from .http_messages import HttpMessageReader, encode_head
 from .json_values import is_finite, parse_json
 
-MAX_LIST_SIZE = 1024 * 1024  # bytes; a parsed list takes ten times as many in memory
-OVERLOADED = (429, 503)  # statuses
+MAX_LIST_SIZE = 1024 * 1024  # bytes of the response body; the parsed list takes ten times as much memory
+OVERLOAD_STATUSES = (429, 503)
 
 
 class EndpointEntry(NamedTuple):
-    """One worker of an endpoint list; zone, machine kind and state are the names that discovery uses."""
+    """One worker of an endpoint list; zone, machine kind and state are the names used by discovery."""
 
     name: str
     address: str
@@ -30,16 +30,16 @@
 
 
 class InvalidEntryError(EndpointListError):
-    """An entry of a list is invalid; carries the entries that stand before it."""
+    """An entry of a list is invalid; the error carries the valid entries before it."""
 
     def __init__(self, *, reason: str, entries_before: list[EndpointEntry]) -> None:
-        """`reason` says what is wrong with the entry."""
+        """`reason` describes the problem of the invalid entry."""
         super().__init__(reason=reason)
         self.entries_before = entries_before
 
 
 class EndpointListDocument(TypedDict):
-    """An endpoint list in the JSON form that discovery gives and configurations hold."""
+    """An endpoint list in the JSON form used by discovery and in configurations."""
 
     version: int
     full: bool  # false: only the entries that changed
@@ -47,7 +47,7 @@
 
 
 class EndpointList(NamedTuple):
-    """The answer to a watch request."""
+    """A parsed endpoint list: the response to a watch request."""
 
     version: int
     is_complete: bool  # false: only the entries that changed
@@ -55,9 +55,9 @@
 
 
 def encode_watch_request(version: int | None, max_wait: int, address: str) -> bytes:
-    """Return a request for the changes after a version, or for the whole list where that is None.
+    """Return a request for the changes since `version`, or for the complete list if `version` is None.
 
-    Discovery may wait `max_wait` ns for a change before it responds.
+    Discovery may wait up to `max_wait` ns for a change before it responds.
     """
     target = wire.ENDPOINTS_PATH
     if version is not None:
@@ -71,16 +71,16 @@
     max_body_size = MAX_LIST_SIZE
 
     def __init__(self, on_complete: Callable[[bytes, bool], None]) -> None:
-        """`on_complete` is given the body, and whether the connection can carry another request."""
+        """`on_complete` receives the body, and whether the connection can carry another request."""
         super().__init__(httptools.HttpResponseParser)
         self.on_complete = on_complete
 
     def on_message_complete(self) -> None:
-        """Pass the body on. Raises WatchRejectedError or HttpSyntaxError for another status than 200."""
+        """Pass on the body. Raises WatchRejectedError or HttpSyntaxError if the status is not 200."""
         status = self.parser.get_status_code()
         if status < 200:
             return
-        if status in OVERLOADED:
+        if status in OVERLOAD_STATUSES:
             self.fail(WatchRejectedError(f"answered {status}"))
         if status != 200:
             self.fail(HttpSyntaxError(f"answered {status}"))
@@ -95,7 +95,7 @@
 def parse_endpoint_list(document: object) -> EndpointList:
     """Return the list in a JSON document. Raises EndpointListError."""
     if not isinstance(document, Mapping):
-        raise EndpointListError(reason="the list is no JSON object")
+        raise EndpointListError(reason="the list is not a JSON object")
     version, is_complete = document.get(wire.LIST_VERSION), document.get(wire.LIST_IS_COMPLETE)
     entries = document.get(wire.LIST_ENDPOINTS)
     if not isinstance(version, int) or not isinstance(is_complete, bool) or not isinstance(entries, list):
@@ -117,7 +117,7 @@
         raise EndpointListError(reason="an entry of the list lacks id or addr")
     weight, started_ms = entry.get(wire.ENDPOINT_WEIGHT, 1.0), entry.get(wire.ENDPOINT_STARTED, 0)
     if not is_finite(weight) or not is_finite(started_ms):
-        raise EndpointListError(reason=f"weight or started_ms of {name} is no number")
+        raise EndpointListError(reason=f"weight or started_ms of {name} is not a number")
     rack = entry.get(wire.ENDPOINT_RACK, 0)
     return EndpointEntry(
         name,
--- a/ploverspoke/protocol/errors.py
+++ b/ploverspoke/protocol/errors.py
@@ -1,17 +1,17 @@
-"""Errors of this package: something that was received breaks its protocol."""
+"""Errors of this package: received data violates its protocol."""
 
 
 class ProtocolError(Exception):
-    """What was received is not what its protocol allows; `reason` may be sent to the sender."""
+    """Received data violates its protocol; `reason` may be sent back to the sender."""
 
     def __init__(self, reason: str) -> None:
-        """Keep the reason; it must not hold what is secret."""
+        """Store the reason, which must not contain secrets."""
         super().__init__(reason)
         self.reason = reason
 
 
 class HttpSyntaxError(ProtocolError):
-    """An HTTP message is malformed or exceeds a limit; `status` answers a client that sent it."""
+    """An HTTP message is malformed or exceeds a limit; `status` is returned to a client that sent it."""
 
     status = 400
 
@@ -23,7 +23,7 @@
 
 
 class UnknownRequestClassError(HttpSyntaxError):
-    """The path of a request names no request class."""
+    """The path of a request does not name a known request class."""
 
     status = 404
 
@@ -35,22 +35,22 @@
 
 
 class RequestIdInUseError(HttpSyntaxError):
-    """The request id belongs to another request: sent to a worker, this one would be a copy of that."""
+    """The request id is in use by another request; a worker would take this one for a copy of it."""
 
     status = 409
 
 
 class EndpointListError(ProtocolError):
-    """A document is no endpoint list."""
+    """A document is not a valid endpoint list."""
 
 
 class WatchRejectedError(HttpSyntaxError):
-    """Discovery has more watchers than it can serve in time."""
+    """Discovery rejected a watch request: it has more watchers than it can serve in time."""
 
 
 class GossipSyntaxError(ProtocolError):
-    """A datagram is no gossip message."""
+    """A datagram is not a valid gossip message."""
 
 
 class AdminCommandError(ProtocolError):
-    """What an operator sent is no command."""
+    """The data sent by an operator is not a valid command line."""
--- a/ploverspoke/protocol/http_messages.py
+++ b/ploverspoke/protocol/http_messages.py
@@ -1,4 +1,4 @@
-"""The common base of request and response readers: one message at a time, with its headers and body."""
+"""Common base of the readers of HTTP requests and responses."""
 
 from typing import Generic, NoReturn, TypeAlias, TypeVar
 
@@ -9,31 +9,31 @@
 MAX_HEADERS = 100
 MAX_HEAD_SIZE = 16 * 1024  # bytes
 MAX_BODY_SIZE = 64 * 1024  # bytes
-CHUNKING_OVERHEAD = 8  # bytes on the wire for each byte of a body in the smallest chunks
+CHUNKING_OVERHEAD = 8  # bytes received for each byte of a body sent in the smallest possible chunks
 
-Headers: TypeAlias = dict[str, str]  # by their names in lower case, where they were received
+Headers: TypeAlias = dict[str, str]  # by header name; received names are in lower case
 Parser = TypeVar("Parser", httptools.HttpRequestParser, httptools.HttpResponseParser)
 
 
 class HttpMessageReader(Generic[Parser]):
-    """Callbacks of httptools that requests and responses share."""
+    """Parses one message at a time; implements the httptools callbacks shared by requests and responses."""
 
     max_body_size = MAX_BODY_SIZE
 
     def __init__(self, parser: type[Parser]) -> None:
-        """`parser` is the class of httptools that parses this kind of message."""
+        """`parser` is the httptools class that parses this kind of message."""
         self.parser: Parser = parser(self)
         self.headers: Headers = {}
         self.body = bytearray()
         self.head_size = 0
         self.in_head = True
-        self.received = 0  # bytes of this message
+        self.received = 0  # bytes received for this message
         self.failure: HttpSyntaxError | None = None
 
     def feed(self, data: memoryview) -> None:
-        """Parse the bytes. Raises HttpSyntaxError; nothing more can be parsed then."""
+        """Parse the bytes. Raises HttpSyntaxError, after which the reader cannot be used any more."""
         self.received += len(data)
-        # The parser buffers each header completely: an endless line would grow without limit.
+        # The parser buffers each header completely, so that an endless line would use unlimited memory.
         if self.received > 2 * MAX_HEAD_SIZE + (
             0 if self.in_head else CHUNKING_OVERHEAD * self.max_body_size
         ):
@@ -41,12 +41,12 @@
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            pass  # no other protocol is supported: what follows is not read
+            pass  # upgrades to other protocols are not supported; the data after the message is not read
         except httptools.HttpParserError as error:
             raise self.failure or HttpSyntaxError(str(error)) from error
 
     def fail(self, failure: HttpSyntaxError) -> NoReturn:
-        """Raise the error from a callback; `feed` raises it again, as the parser replaces it."""
+        """Raise the error from a callback. The parser replaces it with its own, so `feed` raises it again."""
         self.failure = failure
         raise failure
 
@@ -57,7 +57,7 @@
     # ---- Callbacks of httptools ----
 
     def on_message_begin(self) -> None:
-        """Reset the state of the previous message."""
+        """Reset the state for the next message."""
         self.headers = {}
         self.body = bytearray()
         self.head_size = 0
@@ -65,20 +65,20 @@
         self.received = 0
 
     def on_headers_complete(self) -> None:
-        """Note the end of the head."""
+        """Record the end of the head."""
         self.in_head = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Add a header, under its name in lower case; equal names are joined."""
+        """Store a header under its lower-case name; values of repeated headers are joined."""
         self.add_head_size(len(name) + len(value))
-        # The parser keeps trailing blanks of a value, with which a request id would be another id.
+        # The parser keeps trailing blanks of a value, which would turn a request id into a different one.
         key, text = name.decode("latin-1").lower(), value.decode("latin-1").strip(" \t")
         self.headers[key] = f"{self.headers[key]}, {text}" if key in self.headers else text
         if len(self.headers) > MAX_HEADERS:
             self.fail(HttpSyntaxError("head too long"))
 
     def add_head_size(self, size: int) -> None:
-        """Count bytes of the head. Raises HttpSyntaxError beyond the limit."""
+        """Count bytes of the head. Raises HttpSyntaxError if it exceeds the limit."""
         self.head_size += size
         if self.head_size > MAX_HEAD_SIZE:
             self.fail(HttpSyntaxError("head too long"))
@@ -90,11 +90,11 @@
         self.body += part
 
     def on_body_too_long(self) -> NoReturn:
-        """Raise the error for a body beyond the limit."""
+        """Raise the error for a body that exceeds the limit."""
         self.fail(HttpSyntaxError("body too long"))
 
 
 def encode_head(first_line: str, headers: Headers) -> bytes:
-    """Return the head of a message, with the empty line after it."""
+    """Return the head of a message, including the empty line at its end."""
     lines = [first_line, *(f"{name}: {value}" for name, value in headers.items())]
     return ("\r\n".join(lines) + "\r\n\r\n").encode("latin-1")
--- a/ploverspoke/protocol/wire_names.py
+++ b/ploverspoke/protocol/wire_names.py
@@ -1,25 +1,25 @@
-"""The names that wires and settings use, mapped to the names of this code."""
+"""Names used on the wire and in settings, mapped to the names used in this code."""
 
-# Headers of requests, in lower case as `HttpMessageReader` gives them.
+# Headers of requests, in lower case as `HttpMessageReader` stores them.
 REQUEST_ID = "request-id"
 AFFINITY_KEY = "affinity-key"
 REQUEST_TIMEOUT = "request-timeout-ms"
 WORK_HINT = "work-hint"
-REQUEST_INFO = "request-info"  # pairs of name=value, of which only the one below is read
+REQUEST_INFO = "request-info"  # name=value pairs, of which only `SLOTS` is read
 SLOTS = "slots"
 
 # Headers of workers' responses.
 LOAD_HEADER = "server-load"
-NOT_STARTED = "not-started"  # "1": the request has certainly not run
+NOT_STARTED = "not-started"  # "1": the worker guarantees that the request has not run
 
 # Targets of requests to workers and to discovery.
 LOAD_PATH = "/-/load"
 HEALTH_PATH = "/-/healthy"
 ENDPOINTS_PATH = "/api/targets"
-LIST_SINCE = "from"  # parameter: a version
-LIST_MAX_WAIT = "hold_ms"  # parameter
+LIST_SINCE = "from"  # query parameter: the version after which changes are requested
+LIST_MAX_WAIT = "hold_ms"  # query parameter: how long discovery may wait for a change
 
-# Keys and values of the lines in a worker's response.
+# Keys and values of the JSON lines in a worker's response.
 LINE_ID = "id"
 LINE_STATE = "state"
 LINE_LOAD = "load"
@@ -47,7 +47,7 @@
 
 # Values of endpoint lists, load reports and settings.
 ENDPOINT_STATES = {"Ready": "ready", "Terminating": "draining", "Gone": "gone"}
-UNDEFINED_LOAD_FIELD = "x0"  # its meaning depends on the settings
+CUSTOM_LOAD_FIELD = "x0"  # its meaning is defined in the settings
 LOAD_NAMES = {
     "outstanding": "in_hand",
     "inflight": "in_hand",
--- a/ploverspoke/protocol/workers.py
+++ b/ploverspoke/protocol/workers.py
@@ -1,4 +1,4 @@
-"""HTTP with workers: attempts and health checks are written, their responses are read line by line."""
+"""HTTP with workers: writes attempts and health checks, and reads the responses line by line."""
 
 from typing import Protocol, TypeAlias
 
@@ -12,12 +12,12 @@
 from .http_messages import MAX_BODY_SIZE, Headers, HttpMessageReader, encode_head
 from .json_values import JsonValue, is_finite, parse_json
 
-MAX_LINE_SIZE = MAX_BODY_SIZE + 4 * 1024  # a result, and the JSON around it
-MAY_BE_NOT_STARTED = (503, 504)  # statuses
+MAX_LINE_SIZE = MAX_BODY_SIZE + 4 * 1024  # bytes: a result, and the JSON around it
+NOT_STARTED_STATUSES = (503, 504)  # statuses for which the header `wire_names.NOT_STARTED` is read
 
-LoadReport: TypeAlias = dict[str, float]  # by the names of `wire_names.LOAD_NAMES`
+LoadReport: TypeAlias = dict[str, float]  # by field, named as in the values of `wire_names.LOAD_NAMES`
 
-# Headers that apply to one connection only, and the one that is replaced.
+# Headers that apply to a single connection and are not forwarded, and the request timeout, which is replaced.
 HOP_BY_HOP_HEADERS = {
     "connection",
     "content-length",
@@ -39,26 +39,26 @@
 
 
 class ResponseListener(Protocol):
-    """Receives the reports of a worker on one request."""
+    """Receives the events of a worker's response to one request."""
 
     def on_started(self) -> None:
-        """The worker has begun the request."""
+        """The worker has started the request."""
 
     def on_progress(self, fraction_done: float) -> None:
-        """The worker has done that part of the request, 0 to 1."""
+        """The worker has completed this fraction of the request, from 0 to 1."""
 
     def on_outcome(self, outcome: ExchangeOutcome, result: str, load: LoadReport | None) -> None:
-        """The outcome is known; called at most once. The result is empty unless it succeeded."""
+        """The outcome is known; called at most once. The result is empty unless the request succeeded."""
 
     def on_response_complete(self, reusable: bool) -> None:
-        """The last byte was read; `reusable`: the connection can carry another request."""
+        """The whole response was read; `reusable` says if the connection can carry another request."""
 
 
 def encode_attempt(
     method: str, target: str, headers: Headers, body: bytes, timeout: int, address: str
 ) -> bytes:
-    """Return the client's request as it is sent to a worker, which is given `timeout` ns for it."""
-    # All other headers are forwarded: some workers detect duplicates by a header of their own.
+    """Return the client's request as it is sent to a worker, with a timeout of `timeout` ns."""
+    # All end-to-end headers are forwarded: some workers detect duplicates by a header that is unknown here.
     connection_headers = {name.strip().lower() for name in headers.get("connection", "").split(",")}
     forwarded = {
         name: value
@@ -72,15 +72,15 @@
 
 
 def encode_health_check(with_load: bool, address: str) -> bytes:
-    """Return a request for a worker's health, with a load report where `with_load` is set."""
+    """Return a request for a worker's health, and for its load report if `with_load` is set."""
     path = wire.LOAD_PATH if with_load else wire.HEALTH_PATH
     return encode_head(f"GET {path} HTTP/1.1", {"Host": address})
 
 
 def parse_load_report(document: JsonValue, x0_name: str) -> LoadReport | None:
-    """Return the known fields of a load report, None where the document is none.
+    """Return the known fields of a load report, or None if the document is not a JSON object.
 
-    `x0_name` is the name of the field that deployments define.
+    `x0_name` is the name that the settings give to the field x0.
     """
     if not isinstance(document, dict):
         return None
@@ -88,7 +88,7 @@
     for wire_name, value in document.items():
         name = wire.LOAD_NAMES.get(wire_name)
         if name is not None and is_finite(value):
-            report[x0_name if name == wire.UNDEFINED_LOAD_FIELD else name] = float(value)
+            report[x0_name if name == wire.CUSTOM_LOAD_FIELD else name] = float(value)
     return report
 
 
@@ -105,53 +105,53 @@
         self.is_complete = False
 
     def finish(self, outcome: ExchangeOutcome, result: str = "", load: LoadReport | None = None) -> None:
-        """Report the outcome, unless one was reported."""
+        """Report the outcome, unless one was reported before."""
         if not self.has_outcome:
             self.has_outcome = True
             self.listener.on_outcome(outcome, result, load)
 
     def header_load(self) -> LoadReport | None:
-        """Return the load report of the header, if any."""
+        """Return the load report in the header, if any."""
         text = self.headers.get(wire.LOAD_HEADER)
         return None if text is None else parse_load_report(parse_json(text), self.x0_name)
 
     def on_message_begin(self) -> None:
-        """Begin the response. Raises HttpSyntaxError for a second one."""
+        """Begin the response. Raises HttpSyntaxError if there was one already."""
         if self.is_complete:
             self.fail(HttpSyntaxError("more than one response"))
         super().on_message_begin()
 
     def on_headers_complete(self) -> None:
-        """Note the status."""
+        """Record the status."""
         super().on_headers_complete()
         self.status = self.parser.get_status_code()
 
     def on_message_complete(self) -> None:
-        """End the response, if it was not an interim one."""
+        """End the response, unless it is an interim one (1xx)."""
         if self.status >= 200:
             self.is_complete = True
             self.on_response_end()
             self.listener.on_response_complete(self.keeps_alive())
 
     def on_response_end(self) -> None:
-        """Report the outcome that the end of the response implies."""
+        """Report the outcome implied by the end of the response."""
         raise NotImplementedError
 
 
 class AttemptResponseReader(ResponseReader):
-    """Reads the response to an attempt: 200 with one JSON object a line, or a status that is the outcome."""
+    """Reads the response to an attempt: 200 with JSON lines, or a status that determines the outcome."""
 
     def __init__(self, listener: ResponseListener, x0_name: str, request_id: str) -> None:
-        """Lines that name another request than `request_id` are malformed."""
+        """A line with an id other than `request_id` is treated as malformed."""
         super().__init__(listener, x0_name)
         self.request_id = request_id
 
     def on_headers_complete(self) -> None:
-        """Report the outcome where the status determines it."""
+        """Report the outcome if the status determines it."""
         super().on_headers_complete()
         if self.status <= 200:
             return
-        if self.status in MAY_BE_NOT_STARTED and self.headers.get(wire.NOT_STARTED, "").strip() == "1":
+        if self.status in NOT_STARTED_STATUSES and self.headers.get(wire.NOT_STARTED, "").strip() == "1":
             outcome = ExchangeOutcome.NOT_STARTED
         elif 400 <= self.status < 500:
             outcome = ExchangeOutcome.REJECTED
@@ -160,7 +160,7 @@
         self.finish(outcome, load=self.header_load())
 
     def on_body(self, part: bytes) -> None:
-        """Read the lines that are complete."""
+        """Parse all complete lines."""
         if self.status != 200 or self.has_outcome:
             return
         self.body += part
@@ -174,7 +174,7 @@
             self.finish(ExchangeOutcome.MALFORMED_RESPONSE)
 
     def on_response_end(self) -> None:
-        """Read a last line without a line end; a response without an outcome was cut off."""
+        """Parse a last line without a line end. A response without an outcome counts as cut off."""
         if self.status == 200 and not self.has_outcome and self.body.strip():
             self._read_line(self.body)
         self.finish(ExchangeOutcome.CONNECTION_LOST)
@@ -206,10 +206,10 @@
 
 
 class HealthCheckResponseReader(ResponseReader):
-    """Reads the response to a health check: 200 or 503, with a load report where there is one."""
+    """Reads the response to a health check: 200 (healthy) or 503, optionally with a load report."""
 
     def on_response_end(self) -> None:
-        """Report the outcome with the load report of the body, else of the header."""
+        """Report the outcome, with the load report in the body or else in the header."""
         load = parse_load_report(parse_json(self.body), self.x0_name) or self.header_load()
-        healthy = self.status == 200
-        self.finish(ExchangeOutcome.SUCCEEDED if healthy else ExchangeOutcome.FAILED, load=load)
+        is_healthy = self.status == 200
+        self.finish(ExchangeOutcome.SUCCEEDED if is_healthy else ExchangeOutcome.FAILED, load=load)
--- a/ploverspoke/simulator/__init__.py
+++ b/ploverspoke/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter to the simulator: its messages become events of dispatchers, their actions become replies."""
+"""Adapter to the simulator: its messages become dispatcher events, and dispatcher actions become replies."""
--- a/ploverspoke/simulator/adapter.py
+++ b/ploverspoke/simulator/adapter.py
@@ -1,4 +1,4 @@
-"""The adapter between the simulator's messages and dispatchers: reads batches and writes replies."""
+"""The adapter between the simulator and dispatchers: reads batches of messages and writes the replies."""
 
 import gc
 import sys
@@ -29,7 +29,7 @@
     """Reads batches from one stream and writes the replies of its dispatchers to another."""
 
     def __init__(self, source: TextIO, sink: TextIO) -> None:
-        """Neither stream is closed here."""
+        """Read from `source` and write to `sink`; neither stream is closed by the adapter."""
         self.source = source
         self.sink = sink
         self.shared = SharedState()
@@ -37,8 +37,8 @@
         self.line_number = 0  # of the latest line, for error messages
 
     def run(self) -> None:
-        """Answer batches until the input ends. Raises CodecError."""
-        serial: int | None = None  # of the batch that is being read
+        """Process batches until the input ends. Raises CodecError."""
+        serial: int | None = None  # serial number of the current batch; None: between batches
         while line := self._next_line():
             message = decode_message(line)
             if serial is None:
@@ -54,7 +54,7 @@
             raise UnexpectedEndError
 
     def _next_line(self) -> str:
-        """Return the next line without its end, a blank for an empty line, or "" at the end of the input."""
+        """Return the next line without its line end; an empty line as " ", and the end of the input as ""."""
         line = self.source.readline()
         if not line:
             return ""
@@ -90,7 +90,7 @@
             self._dispatch(number, message)
         except CodecError:
             raise
-        except Exception as error:  # any fault of one dispatcher: it is reported, the others go on
+        except Exception as error:  # a fault in one dispatcher is reported, and the others continue
             traceback.print_exc(file=sys.stderr)
             self.shared.replies.append(encode_fault(number, error))
 
@@ -105,7 +105,7 @@
 
 
 def read_endpoint(message: Message) -> Endpoint:
-    """Return the endpoint of one row of a table. Raises CodecError."""
+    """Return the endpoint in one row of an endpoint table. Raises CodecError."""
     if message.name != wire.ENDPOINT_ROW:
         raise UnexpectedMessageError(wire.ENDPOINT_ROW, message.name)
     state = message.text(wire.ENDPOINT_STATE)
@@ -124,14 +124,14 @@
 
 def encode_fault(dispatcher: int, error: Exception) -> str:
     """Return the report of a fault in a dispatcher: the error, and where it was raised."""
-    place = traceback.extract_tb(error.__traceback__)[-1]
-    cause = f"{type(error).__name__}: {error} in {place.name}, line {place.lineno}"
+    frame = traceback.extract_tb(error.__traceback__)[-1]
+    cause = f"{type(error).__name__}: {error} in {frame.name}, line {frame.lineno}"
     return encode_message(wire.FAULT, {wire.DISPATCHER: dispatcher, wire.TEXT: cause.replace("\n", " ")})
 
 
 def main() -> int:
     """Run the adapter on standard input and output; return the exit code."""
-    gc.freeze()  # what is loaded lives to the end: the collector need not look at it
+    gc.freeze()  # the loaded modules are never freed, so the garbage collector need not traverse them
     adapter = Adapter(sys.stdin, sys.stdout)
     try:
         adapter.run()
--- a/ploverspoke/simulator/dispatcher_instance.py
+++ b/ploverspoke/simulator/dispatcher_instance.py
@@ -1,4 +1,4 @@
-"""One simulated dispatcher: the decisions, and their actions as messages to the simulator."""
+"""A simulated dispatcher, whose actions are sent to the simulator as messages."""
 
 from base64 import b64encode
 from collections.abc import Iterable
@@ -16,20 +16,20 @@
 
 
 class SharedState:
-    """State that the dispatchers of one adapter share: the simulated time, and the replies to a batch."""
+    """State shared by the dispatchers of an adapter: time, replies to the current batch, endpoint tables."""
 
     def __init__(self) -> None:
-        """Begin at time 0, with nothing to reply."""
-        self.now = 0  # ns
+        """Begin at time 0, without replies."""
+        self.now = 0  # simulated time in ns
         self.replies: list[str] = []
         self.endpoint_tables: dict[int, list[Endpoint]] = {}
 
 
 class DispatcherInstance:
-    """One dispatcher and its actions (`decisions.interface.DispatchActions`); times are in nanoseconds."""
+    """One dispatcher, with its actions (`decisions.interface.DispatchActions`); times are in nanoseconds."""
 
     def __init__(self, number: int, shared: SharedState, start: Message) -> None:
-        """Start a dispatcher with the settings of the message. Raises CodecError."""
+        """Start a dispatcher with the settings in the message `start`. Raises CodecError."""
         self.number = number
         self.shared = shared
         try:
@@ -60,11 +60,11 @@
         self._reply(wire.CANCEL_ATTEMPT, {wire.REQUEST: request_id, wire.ATTEMPT: attempt})
 
     def reject(self, request_id: int, retry_after: int, reason: EndReason = EndReason.NOT_STATED) -> None:
-        """Give the final answer that a request did not run."""
+        """Send the final answer that a request did not run."""
         self._reply(wire.REJECT, {wire.REQUEST: request_id, wire.RETRY_AFTER: retry_after // MICROSECOND})
 
     def fail(self, request_id: int, reason: EndReason = EndReason.NOT_STATED) -> None:
-        """Give the final answer that a request failed."""
+        """Send the final answer that a request failed."""
         self._reply(wire.FAIL, {wire.REQUEST: request_id})
 
     def wake_at(self, token: int, when: int) -> None:
@@ -72,14 +72,14 @@
         self._reply(wire.SET_TIMER, {wire.TIMER_TOKEN: token, wire.TIMER_TIME: -(-when // MICROSECOND)})
 
     def probe(self, worker: str) -> None:
-        """Request a worker's load."""
+        """Request a load report from a worker."""
         self._reply(wire.PROBE, {wire.WORKER: worker})
 
     def send_gossip(self, peers: Iterable[int] | None, gossip: LoadGossip) -> None:
-        """Send gossip to dispatchers, None: to all."""
+        """Send gossip to the dispatchers `peers`, or to all if it is None."""
         message = GossipMessage(gossip.zone, gossip.sequence, gossip.lateness, list(gossip.workers))
         data = b64encode(encode_gossip(message)).decode()
-        targets: Iterable[int | str] = [wire.EVERYONE] if peers is None else peers
+        targets: Iterable[int | str] = [wire.GOSSIP_TO_ALL] if peers is None else peers
         for target in targets:
             self._reply(wire.SEND_GOSSIP, {wire.GOSSIP_TARGET: target, wire.GOSSIP_BYTES: data})
 
@@ -88,5 +88,5 @@
         self._reply(wire.WATCH_ENDPOINTS, {wire.IS_ACTIVE: 1})
 
     def log(self, line: str) -> None:
-        """Pass a line to the simulator's log."""
+        """Send a line to the simulator's log."""
         self._reply(wire.LOG, {wire.TEXT: line})
--- a/ploverspoke/simulator/errors.py
+++ b/ploverspoke/simulator/errors.py
@@ -1,33 +1,33 @@
-"""Errors of this package: the input is not what the simulator's protocol allows. Each ends the adapter."""
+"""Errors of this package: the input violates the simulator's protocol. Each of them ends the adapter."""
 
 
 class CodecError(Exception):
-    """Base of the errors below; `reason` is a sentence without the number of the line."""
+    """Base of the errors below; `reason` does not include the line number."""
 
     def __init__(self, reason: str) -> None:
-        """Keep the reason."""
+        """Store the reason."""
         super().__init__(reason)
         self.reason = reason
 
 
 class LineSyntaxError(CodecError):
-    """A line is no message."""
+    """A line is not a valid message."""
 
 
 class MissingFieldError(CodecError):
     """A message lacks a required field."""
 
     def __init__(self, field: str) -> None:
-        """Keep the name of the field."""
+        """Store the name of the field."""
         super().__init__(f"required field {field} is missing")
         self.field = field
 
 
 class FieldValueError(CodecError):
-    """The value of a field is not of its type, or not one of its values."""
+    """The value of a field has the wrong type, or is not one of the allowed values."""
 
     def __init__(self, field: str, reason: str) -> None:
-        """Keep the name of the field, and what is wrong."""
+        """Store the name of the field and the reason."""
         super().__init__(reason)
         self.field = field
 
@@ -37,10 +37,10 @@
 
 
 class UnknownMessageError(CodecError):
-    """No message has this name."""
+    """There is no message with this name."""
 
     def __init__(self, name: str) -> None:
-        """Keep the name."""
+        """Store the name."""
         super().__init__(f"unknown message {name}")
         self.name = name
 
@@ -49,17 +49,17 @@
     """Another message was expected."""
 
     def __init__(self, expected: str, name: str) -> None:
-        """Keep the names of the expected and of the received message."""
+        """Store the names of the expected and of the received message."""
         super().__init__(f"expected {expected}, got {name}")
         self.expected = expected
         self.name = name
 
 
 class UnknownDispatcherError(CodecError):
-    """A message is for a dispatcher that was not started, or was stopped."""
+    """A message is addressed to a dispatcher that was not started, or was stopped."""
 
     def __init__(self, name: str, dispatcher: int) -> None:
-        """Keep the name of the message, and the number of the dispatcher."""
+        """Store the name of the message and the number of the dispatcher."""
         super().__init__(f"{name} for dispatcher {dispatcher}, which is not up")
         self.name = name
         self.dispatcher = dispatcher
@@ -69,8 +69,8 @@
     """A message refers to an endpoint table that was not sent."""
 
     def __init__(self, number: int) -> None:
-        """Keep the number of the table."""
-        super().__init__(f"list {number} was not sent")
+        """Store the number of the table."""
+        super().__init__(f"endpoint table {number} was not sent")
         self.number = number
 
 
--- a/ploverspoke/simulator/events.py
+++ b/ploverspoke/simulator/events.py
@@ -1,4 +1,4 @@
-"""Events of the simulator as calls of a dispatcher's decisions."""
+"""Handlers that report the simulator's events to a dispatcher."""
 
 from binascii import a2b_base64
 from collections.abc import Callable, Mapping
@@ -29,7 +29,7 @@
 
 
 def handle_attempt_report(instance: DispatcherInstance, message: Message) -> None:
-    """A worker reports on an attempt: that it began, or how far it is; other reports are ignored."""
+    """A worker reported the start or the progress of an attempt; other reports are ignored."""
     kind = message.whole_number(wire.REPORT_KIND)
     if kind == wire.REPORT_STARTED:
         handle_attempt_started(instance, message)
@@ -42,7 +42,7 @@
 
 
 def handle_attempt_started(instance: DispatcherInstance, message: Message) -> None:
-    """An attempt began to run."""
+    """An attempt started to run."""
     request, attempt = message.whole_number(wire.REQUEST), message.whole_number(wire.ATTEMPT)
     instance.dispatcher.attempt_started(request, attempt)
 
@@ -63,7 +63,7 @@
 
 
 def handle_client_disconnected(instance: DispatcherInstance, message: Message) -> None:
-    """A client no longer waits for its request."""
+    """A client is no longer waiting for the answer to its request."""
     instance.dispatcher.client_disconnected(message.whole_number(wire.REQUEST))
 
 
@@ -88,7 +88,7 @@
         data = a2b_base64(message.text(wire.GOSSIP_BYTES))
         gossip = instance.gossip_reader.read(data, instance.dispatcher.workers)
     except (GossipSyntaxError, ValueError):
-        return  # gossip may be damaged or of another version: it is only a hint, and is dropped
+        return  # gossip is only a hint, so a message that is damaged or of another version is dropped
     instance.dispatcher.gossip_received(
         message.whole_number(wire.GOSSIP_SENDER),
         LoadGossip(gossip.zone, gossip.sequence, gossip.lateness, gossip.workers),
@@ -96,7 +96,7 @@
 
 
 def handle_endpoints_received(instance: DispatcherInstance, message: Message) -> None:
-    """Discovery sent endpoints, or cannot be reached."""
+    """Discovery sent endpoints, or the watch of the endpoint list failed."""
     scope = message.text(wire.LIST_SCOPE)
     if scope == wire.SCOPE_WATCH_FAILED:
         instance.dispatcher.endpoint_watch_failed()
--- a/ploverspoke/simulator/wire_names.py
+++ b/ploverspoke/simulator/wire_names.py
@@ -1,15 +1,15 @@
-"""The names in the simulator's messages, mapped to the names of this code."""
+"""Names used in the simulator's messages, mapped to the names used in this code."""
 
 from ploverspoke.decisions.interface import AttemptOutcome
 
-# Messages that frame a batch, or concern all dispatchers.
+# Messages that delimit a batch or concern all dispatchers.
 BATCH_BEGIN = "MARK"
 BATCH_END = "GO"
 BATCH_DONE = "OK"
 ENDPOINT_TABLE = "TABLE"
 ENDPOINT_ROW = "ENTRY"
 
-# Events of one dispatcher.
+# Messages to one dispatcher: its events.
 DISPATCHER_STARTED = "UP"
 DISPATCHER_STOPPED = "RETIRE"
 REQUEST_ARRIVED = "NEW_REQUEST"
@@ -22,7 +22,7 @@
 ENDPOINTS_RECEIVED = "PEERS_KNOWN"
 GOSSIP_RECEIVED = "HEARD"
 
-# Actions of one dispatcher, and the report of a fault in it.
+# Messages from one dispatcher: its actions, and the report of a fault in it.
 START_ATTEMPT = "FORWARD"
 CANCEL_ATTEMPT = "REVOKE"
 REJECT = "BUSY"
@@ -34,7 +34,7 @@
 LOG = "REMARK"
 FAULT = "PANIC"
 
-# Fields. Those whose name ends in "Us" are microseconds.
+# Fields. The unit of those whose name ends in "Us" is microseconds.
 BATCH_TIME = "AtTimeUs"
 BATCH_SERIAL = "serial"
 DISPATCHER = "Who"
@@ -73,11 +73,11 @@
 ENDPOINT_WEIGHT = "Heft"
 ENDPOINT_STARTED = "UpSinceUs"
 
-# Fields whose text runs to the end of the line.
-TEXT_FIELDS = (SETTINGS, TEXT)
+# Fields whose value is the rest of the line, including blanks.
+REST_OF_LINE_FIELDS = (SETTINGS, TEXT)
 
 # Values.
-EVERYONE = "all"  # target of gossip
+GOSSIP_TO_ALL = "all"  # gossip target: all dispatchers
 REPORT_STARTED = 1
 REPORT_PROGRESS = 2
 SCOPE_WATCH_FAILED = "lost"
--- a/ploverspoke/transport/__init__.py
+++ b/ploverspoke/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Connections, buffers, timers and limits, without knowledge of any protocol."""
+"""Connections, buffers, timers and limits, independent of any protocol."""
--- a/ploverspoke/transport/buffers.py
+++ b/ploverspoke/transport/buffers.py
@@ -5,7 +5,7 @@
 
 
 class ReadBuffer:
-    """Bytes received and not yet consumed, in the order in which they came."""
+    """The received bytes that are not consumed yet, in the order of arrival."""
 
     def __init__(self) -> None:
         """Begin empty, with `INITIAL_SIZE` bytes of memory."""
@@ -18,9 +18,9 @@
         return self.end - self.start
 
     def writable_space(self) -> memoryview:
-        """Return the space for the next bytes, at least `MIN_WRITABLE` of them.
+        """Return the space for the next bytes from the socket, at least `MIN_WRITABLE` bytes.
 
-        The buffer changes its size only here, where nobody holds a view of it.
+        The buffer changes its size only in this method, since there must be no view of it then.
         """
         if self.start == self.end:
             self.start = self.end = 0
--- a/ploverspoke/transport/connection_pool.py
+++ b/ploverspoke/transport/connection_pool.py
@@ -1,4 +1,4 @@
-"""A pool of connections to workers (or discovery), kept open between requests and reused."""
+"""A pool of connections to workers or to discovery, which are kept open between requests and reused."""
 
 import asyncio
 import errno
@@ -14,58 +14,59 @@
 from .slot_table import SlotTable
 from .units import MILLISECOND, SECOND
 
-# Of the time after which the other side closes an idle connection: a request that crosses the close is lost.
+# An idle connection is closed after this fraction of the time after which the other side would close it: a
+# request that is sent while the other side closes the connection is lost.
 MAX_IDLE_FRACTION = 0.7
-MAX_BREAKS_KEPT = 16  # of connections that broke when they were reused
-MIN_BREAKS_FOR_LIMIT = 4  # recent ones, from which a safe idle time can be estimated
-BREAK_IS_RECENT = 10 * SECOND
+MAX_BREAKS_KEPT = 16  # latest breaks of reused connections that are remembered
+MIN_BREAKS_FOR_LIMIT = 4  # recent breaks needed to estimate a safe idle time
+BREAK_MAX_AGE = 10 * SECOND  # older breaks are not counted as recent
 MIN_CLEANUP_INTERVAL = 250 * MILLISECOND
-OUT_OF_RESOURCES = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
+OUT_OF_RESOURCES_ERRORS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
 
 
 def max_idle_time_for(idle_limit: int) -> int:
-    """Return how long (ns) a connection may be idle where the other side closes it after `idle_limit` ns."""
+    """Return how long a connection may be idle, in ns, if the other side closes it after `idle_limit` ns."""
     return int(idle_limit * MAX_IDLE_FRACTION)
 
 
 class PoolUser(ConnectionUser, Protocol):
-    """A user that may have to wait for its connection."""
+    """A user of pooled connections, which may have to wait until one is established."""
 
     def on_connected(self, connection: Connection) -> None:
-        """The connection is the user's from now on, until it is released."""
+        """The user owns the connection from now on, until it releases it."""
 
     def on_connect_failed(self, outcome: ExchangeOutcome) -> None:
-        """There is no connection; called instead of `on_connected`."""
+        """No connection could be provided; called instead of `on_connected`."""
 
 
-class IdleSlot(NamedTuple):
+class IdleEntry(NamedTuple):
     """One idle connection of an address."""
 
-    number: int  # of the connection, in the pool's table
-    since: int  # ns
+    number: int  # number of the connection in the pool's table
+    since: int  # ns; when the connection became idle
 
 
 class ReuseBreak(NamedTuple):
-    """A connection that broke, without a response, under the first request after an idle time."""
+    """A connection that broke without a response during the first request after an idle time."""
 
     at: int  # ns
     idle_time: int  # ns
 
 
-class IdleConnection:
-    """The user of a connection while it is idle: any data or end makes it useless."""
+class IdleConnectionUser:
+    """The user of a connection while it is idle; unexpected data or a close makes the connection unusable."""
 
     def __init__(self, connection: Connection) -> None:
-        """Watch over `connection`."""
+        """Watch the idle `connection`."""
         self.connection = connection
 
     def on_data_available(self) -> None:
-        """Discard the connection: nothing was asked on it."""
-        # After a plain abort it could be acquired until the event loop reports its end.
+        """Discard the connection, since no request was sent on it."""
+        # After an abort alone, it could still be acquired until the event loop reports its end.
         self.connection.discard()
 
     def on_disconnected(self) -> None:
-        """Do nothing: the number in the pool's list is stale now."""
+        """Do nothing: the number in the pool's list has become stale."""
 
     def on_write_drained(self) -> None:
         """Do nothing."""
@@ -75,7 +76,7 @@
     """A connection that is being established for a user."""
 
     def __init__(self, pool: "ConnectionPool", address: str, user: PoolUser, timeout: int) -> None:
-        """Begin to connect to `address`, for at most `timeout` ns."""
+        """Begin to connect to `address`, with a timeout of `timeout` ns."""
         self.pool = pool
         self.connection = Connection(pool.connections, address=address)
         self.user: PoolUser | None = user
@@ -90,7 +91,7 @@
         except ConnectionRefusedError:
             outcome = ExchangeOutcome.CONNECTION_REFUSED
         except OSError as error:
-            if error.errno in OUT_OF_RESOURCES:
+            if error.errno in OUT_OF_RESOURCES_ERRORS:
                 outcome = ExchangeOutcome.NO_DESCRIPTOR
             elif error.errno != errno.ECONNRESET:
                 outcome = ExchangeOutcome.CONNECT_FAILED
@@ -109,12 +110,12 @@
             user.on_connected(self.connection)
 
     def on_timeout(self) -> None:
-        """Give up and report it to the user."""
+        """Stop connecting and report the failure to the user."""
         self._stop()
         self._fail(ExchangeOutcome.CONNECT_FAILED)
 
     def cancel(self) -> None:
-        """Give up; the user no longer waits and is not called."""
+        """Stop connecting; the user is not called any more."""
         self.pool.deadlines.cancel(self.deadline)
         self._stop()
         if self.user is not None:
@@ -133,7 +134,7 @@
 
 
 class ConnectionPool:
-    """Owner of all connections that are idle or being established; the others belong to their users."""
+    """Owns all connections that are idle or being established; those in use belong to their users."""
 
     def __init__(
         self,
@@ -143,10 +144,10 @@
         idle_limit: int,
         connect_timeout: int,
     ) -> None:
-        """`capacity` is in connections.
+        """`capacity` is a number of connections.
 
-        `idle_limit` is the time in ns after which the other side closes an idle connection, and
-        `connect_timeout` is in ns, too.
+        `idle_limit` is the time in ns after which the other side closes an idle connection; `connect_timeout`
+        is also in ns.
         """
         self.loop = loop
         self.deadlines = deadlines
@@ -155,12 +156,15 @@
         self.connect_timeout = connect_timeout
         self.connections: SlotTable[Connection] = SlotTable()
         self.pending_count = 0
-        self.idle: dict[str, list[IdleSlot]] = defaultdict(list)  # by address, longest idle first
-        self.cleanup: Deadline | None = None
-        self.breaks: deque[ReuseBreak] = deque(maxlen=MAX_BREAKS_KEPT)
+        self.idle: dict[str, list[IdleEntry]] = defaultdict(list)  # by address, longest idle first
+        self.cleanup_deadline: Deadline | None = None
+        self.reuse_breaks: deque[ReuseBreak] = deque(maxlen=MAX_BREAKS_KEPT)
 
     def resize(self, capacity: int) -> None:
-        """Change the capacity: idle connections beyond it are closed now, used ones after their use."""
+        """Change the capacity.
+
+        Idle connections in excess of it are closed now; those in use stay open.
+        """
         self.capacity = capacity
         while self.connection_count() > capacity and self._close_longest_idle():
             pass
@@ -170,16 +174,17 @@
     ) -> PendingConnection | None:
         """Connect the user to the address.
 
-        A connection that was idle for less than `max_idle_time` ns (None: any time) is reused, and
-        `on_connected` is called before this returns None. Else a new one is established and returned while
-        pending, or `on_connect_failed` is called where the pool is full.
+        A connection that has been idle for less than `max_idle_time` ns (None: any time) is reused, and
+        `on_connected` is called before this method returns None. Otherwise the pending new connection is
+        returned, or `on_connect_failed` is called if the pool is full.
         """
         now = self.deadlines.now()
         idle = self.idle.get(address)
         while idle and (max_idle_time is None or now - idle[-1].since < max_idle_time):
-            number, since = idle.pop()  # the latest used
+            number, since = idle.pop()  # the most recently used one
             connection = self.connections.get(number)
-            # Unread data is the other side's end, or would be taken for the response to the next request.
+            # Unread data means that the other side has closed the connection, or it is data that would be
+            # taken for the response to the next request.
             if (
                 connection is not None
                 and now - since < self.max_idle_time
@@ -197,18 +202,19 @@
         return PendingConnection(self, address, user, self.connect_timeout)
 
     def record_break(self, connection: Connection) -> None:
-        """Note that the connection broke under a request, without a response."""
+        """Record that the connection broke during a request, without a response."""
         if connection.idle_time is not None:
-            self.breaks.append(ReuseBreak(self.deadlines.now(), connection.idle_time))
+            self.reuse_breaks.append(ReuseBreak(self.deadlines.now(), connection.idle_time))
 
     def safe_idle_time(self) -> int | None:
-        """Return how long (ns) a connection may be idle before a request that must not be lost; None: any.
+        """Return how long a connection may have been idle, in ns, to carry a request that must not be lost.
 
-        Workers, or proxies before them, may drop idle connections silently, long before the idle limit of
-        the settings: half of the lower quartile of the idle times that broke lately is taken as safe.
+        None means any time. Workers, or proxies in front of them, may drop idle connections silently, long
+        before the idle limit in the settings. Half of the lower quartile of the idle times after which
+        connections broke recently is considered safe.
         """
-        recent_from = self.deadlines.now() - BREAK_IS_RECENT
-        idle_times = sorted(idle_time for at, idle_time in self.breaks if at > recent_from)
+        oldest_recent = self.deadlines.now() - BREAK_MAX_AGE
+        idle_times = sorted(idle_time for at, idle_time in self.reuse_breaks if at > oldest_recent)
         return idle_times[len(idle_times) // 4] // 2 if len(idle_times) >= MIN_BREAKS_FOR_LIMIT else None
 
     def connection_count(self) -> int:
@@ -216,39 +222,42 @@
         return len(self.connections) + self.pending_count
 
     def release(self, connection: Connection, unused: bool = False) -> None:
-        """Take a connection back that can carry another request; an unused one was idle all the time."""
+        """Return a connection that can carry another request to the pool.
+
+        `unused` says that no request was sent on it, so that its previous idle time continues.
+        """
         since = self.deadlines.now() - (connection.idle_time or 0 if unused else 0)
         if not connection.is_open:
             return
         if connection.is_retired:
             self._close(connection.number)
             return
-        connection.user = IdleConnection(connection)
+        connection.user = IdleConnectionUser(connection)
         idle = self.idle[connection.address]
-        slot = IdleSlot(connection.number, since)
+        entry = IdleEntry(connection.number, since)
         if idle and since < idle[-1].since:
-            insort(idle, slot, key=attrgetter("since"))
+            insort(idle, entry, key=attrgetter("since"))
         else:
-            idle.append(slot)
-        if self.cleanup is None:
-            self.cleanup = self.deadlines.schedule(since + self.max_idle_time, self._close_expired)
+            idle.append(entry)
+        if self.cleanup_deadline is None:
+            self.cleanup_deadline = self.deadlines.schedule(since + self.max_idle_time, self._close_expired)
 
     def retire_address(self, address: str) -> None:
-        """Close the connections to an address that is no longer used, those in use after their use."""
+        """Close the connections to an address that is no longer used; those in use are closed on release."""
         for number, _ in self.idle.pop(address, []):
             self._close(number)
         for connection in self.connections:
             connection.is_retired = connection.is_retired or connection.address == address
 
     def _close(self, number: int) -> None:
-        """Close a connection, unless the other side has done so: then its number is stale."""
+        """Close a connection, unless its number is stale because the other side has closed it."""
         connection = self.connections.get(number)
         if connection is not None:
             connection.user = None
             connection.abort()
 
     def _close_longest_idle(self) -> bool:
-        """Close one idle connection of the address that was not used for the longest time, if any."""
+        """Close the connection that has been idle for the longest time; returns whether there was one."""
         while address := self._longest_idle_address():
             number, _ = self.idle[address].pop(0)
             if self.connections.get(number) is not None:
@@ -264,13 +273,13 @@
         return self.idle[address][0].since
 
     def _close_expired(self) -> None:
-        """Close the connections that the other side would soon close."""
+        """Close the idle connections that the other side would close soon."""
         now = self.deadlines.now()
         for idle in self.idle.values():
             while idle and now - idle[0].since >= self.max_idle_time:
                 self._close(idle.pop(0).number)
-        self.cleanup = None
+        self.cleanup_deadline = None
         address = self._longest_idle_address()
         if address is not None:
             when = max(self._idle_since(address) + self.max_idle_time, now + MIN_CLEANUP_INTERVAL)
-            self.cleanup = self.deadlines.schedule(when, self._close_expired)
+            self.cleanup_deadline = self.deadlines.schedule(when, self._close_expired)
--- a/ploverspoke/transport/connections.py
+++ b/ploverspoke/transport/connections.py
@@ -1,4 +1,4 @@
-"""One stream connection, to a client, a worker, discovery or an operator."""
+"""A stream connection to a client, a worker, discovery or an operator."""
 
 import asyncio
 import select
@@ -11,27 +11,27 @@
 
 
 class ConnectionUser(Protocol):
-    """Receives the events of a connection while it uses it."""
+    """Receives the events of a connection that it uses."""
 
     def on_data_available(self) -> None:
         """There are unread bytes in the connection's buffer."""
 
     def on_disconnected(self) -> None:
-        """The connection is closed, whoever closed it; called once."""
+        """The connection was closed by either side; called once."""
 
     def on_write_drained(self) -> None:
-        """All bytes that had to wait are written to the kernel."""
+        """All buffered outgoing bytes have been passed to the kernel."""
 
 
 class Reader(Protocol):
-    """Parses bytes as they come."""
+    """Parses received bytes incrementally."""
 
     def feed(self, data: memoryview) -> None:
-        """Parse the bytes; the view is not valid afterwards."""
+        """Parse the bytes; the view is only valid during the call."""
 
 
 class Connection(StreamProtocol, asyncio.BufferedProtocol):
-    """A connection with its read buffer, and the user that it serves at the moment."""
+    """A connection with its read buffer and its current user."""
 
     def __init__(
         self,
@@ -39,30 +39,31 @@
         on_accepted: "Callable[[Connection], None] | None" = None,
         address: str = "",
     ) -> None:
-        """`on_accepted` is called once a connection that the other side opened is set up.
+        """`on_accepted` is called when a connection opened by the other side is set up.
 
-        `address` is the address that was connected to, and `table` gives the connection a number while it
-        is open.
+        `address` is the remote address of a connection opened by this side. `table` assigns a number to the
+        connection while it is open.
         """
         super().__init__()
         self.table = table
         self.address = address
-        self.is_retired = False  # to be closed after its present use
+        self.is_retired = False  # closed when its user releases it
         self.number = 0
         self.on_accepted = on_accepted
         self.user: ConnectionUser | None = None
         self.buffer = ReadBuffer()
         self.is_open = False
-        self.has_unsent_data = False  # some written bytes are not in the kernel yet
+        self.has_unsent_data = False  # some written bytes have not been passed to the kernel yet
         self.is_reading = True
-        self.idle_time: int | None = None  # ns before its present use; None: it is new
+        self.idle_time: int | None = None  # ns for which it was idle before its current use; None: it is new
 
     # ---- Called by the event loop ----
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Register the connection."""
         self.transport = cast(asyncio.Transport, transport)
-        # Any byte kept in this process counts: it must be known whether a request was sent completely.
+        # With a limit of 0, pause_writing reports any byte that is still buffered in this process: it must be
+        # known whether a request was sent completely.
         self.transport.set_write_buffer_limits(high=0)
         self.is_open = True
         self.number = self.table.add(self)
@@ -74,7 +75,7 @@
         return self.buffer.writable_space()
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Pass on that `nbytes` were received."""
+        """Tell the user that `nbytes` bytes were received."""
         self.buffer.commit(nbytes)
         if self.user is not None:
             self.user.on_data_available()
@@ -84,17 +85,17 @@
         return False
 
     def pause_writing(self) -> None:
-        """Note that the kernel has not accepted all bytes."""
+        """Record that the kernel has not accepted all bytes yet."""
         self.has_unsent_data = True
 
     def resume_writing(self) -> None:
-        """Note that the kernel has accepted all bytes."""
+        """Record that the kernel has accepted all bytes, and tell the user."""
         self.has_unsent_data = False
         if self.user is not None:
             self.user.on_write_drained()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Unregister the connection; a second call does nothing."""
+        """Unregister the connection and tell the user; a second call does nothing."""
         if not self.is_open:
             return
         self.is_open = False
@@ -106,12 +107,12 @@
     # ---- Called by the user ----
 
     def write(self, data: bytes) -> None:
-        """Send bytes; ignored when the connection is closed."""
+        """Send bytes; does nothing if the connection is closed."""
         if self.is_open and self.transport is not None:
             self.transport.write(data)
 
     def feed(self, reader: Reader) -> None:
-        """Pass all unread bytes to the reader, whose errors go through; the bytes are consumed either way."""
+        """Pass all unread bytes to the reader and consume them, even if the reader raises an error."""
         data = self.buffer.unread()
         try:
             reader.feed(data)
@@ -120,27 +121,27 @@
             data.release()
 
     def has_unread_data(self) -> bool:
-        """Whether the kernel holds bytes, or the end of the connection, that the event loop has not read."""
+        """Whether the kernel holds bytes, or the end of the stream, that the event loop has not read yet."""
         return self._has_event(select.POLLIN | select.POLLRDHUP)
 
     def is_closed_by_peer(self) -> bool:
         """Whether the other side has closed the connection.
 
-        The kernel is asked, since the event loop may not have run since, or reading may be paused.
+        This asks the kernel, since the event loop may not have run since the close, or reading may be paused.
         """
         return not self.is_open or self._has_event(select.POLLRDHUP)
 
     def _has_event(self, events: int) -> bool:
         """Whether the kernel reports one of the events, an error or a reset."""
-        taken = None if self.transport is None else self.transport.get_extra_info("socket")
-        if not self.is_open or taken is None or taken.fileno() < 0:
+        transport_socket = None if self.transport is None else self.transport.get_extra_info("socket")
+        if not self.is_open or transport_socket is None or transport_socket.fileno() < 0:
             return False
-        poll = select.poll()  # not select(): that is limited to descriptors below 1,024
-        poll.register(taken, events)
+        poll = select.poll()  # select() only supports descriptors below 1,024
+        poll.register(transport_socket, events)
         return bool(poll.poll(0))
 
     def set_reading_paused(self, paused: bool) -> None:
-        """Stop or resume reading; while it is stopped a peer that sends too much has to wait."""
+        """Pause or resume reading; while it is paused, a peer that sends too much is blocked."""
         if self.is_open and self.transport is not None and self.is_reading == paused:
             self.is_reading = not paused
             if paused:
@@ -149,15 +150,15 @@
                 self.transport.resume_reading()
 
     def discard(self) -> None:
-        """Abort, and report the end at once.
+        """Abort the connection, and report its end to the user immediately.
 
-        Where a connect task is cancelled just when the connection is up, the event loop closes it without
-        calling `connection_lost`, and it would stay registered for ever.
+        If a connect task is cancelled at the moment when the connection is established, the event loop closes
+        the connection without calling `connection_lost`, and it would stay registered forever.
         """
         self.abort()
         self.connection_lost(None)
 
     def shut_down_writing(self) -> None:
-        """Send the end of the stream; the other side may read to the end."""
+        """Send the end of the stream, so that the other side can still read all data before it."""
         if self.is_open and self.transport is not None:
             self.transport.write_eof()
--- a/ploverspoke/transport/deadlines.py
+++ b/ploverspoke/transport/deadlines.py
@@ -1,4 +1,4 @@
-"""All timers of the process: one heap, and one timer of the event loop for the earliest of them."""
+"""All timers of the process, in one heap; a single event loop timer is set to the earliest of them."""
 
 import asyncio
 import heapq
@@ -13,12 +13,12 @@
 
 
 class Deadline:
-    """One scheduled callback; `done` is true once it ran or was cancelled."""
+    """One scheduled callback; `done` is true once it has run or was cancelled."""
 
     __slots__ = ("callback", "done", "serial", "when")
 
     def __init__(self, when: int, serial: int, callback: Callable[[], None]) -> None:
-        """`when` is in ns; `serial` orders deadlines of the same time."""
+        """`when` is in ns; `serial` orders deadlines with the same time."""
         self.when = when
         self.serial = serial
         self.callback = callback
@@ -46,7 +46,7 @@
         return time.monotonic_ns()
 
     def schedule(self, when: int, callback: Callable[[], None]) -> Deadline:
-        """Call `callback` at `when` or as soon as possible after it, never from inside this method."""
+        """Call `callback` at `when` or as soon as possible afterwards, but never inside this method."""
         self.serial += 1
         deadline = Deadline(when, self.serial, callback)
         heapq.heappush(self.heap, deadline)
@@ -55,12 +55,12 @@
         return deadline
 
     def cancel(self, deadline: Deadline | None) -> None:
-        """Cancel a deadline; None or one that is done is ignored."""
+        """Cancel a deadline; does nothing if it is None or done."""
         if deadline is None or deadline.done:
             return
         deadline.done = True
         self.cancelled_count += 1
-        # Most deadlines are cancelled; left in the heap until they are due they would be most of the memory.
+        # Most deadlines are cancelled. Left in the heap until due, they would use most of the memory.
         if self.cancelled_count > max(MIN_CANCELLED_TO_COMPACT, len(self.heap) // 2):
             self.heap = [pending for pending in self.heap if not pending.done]
             heapq.heapify(self.heap)
@@ -91,6 +91,6 @@
             deadline.done = True
             try:
                 deadline.callback()
-            except Exception:  # a fault in one callback must not stop the others
-                log_line("a deadline's callback failed: " + traceback.format_exc())
+            except Exception:  # an error in one callback must not prevent the others
+                log_line("a timer callback failed: " + traceback.format_exc())
         self._arm()
--- a/ploverspoke/transport/errors.py
+++ b/ploverspoke/transport/errors.py
@@ -1,4 +1,4 @@
-"""Errors of this package; those of sockets stay OSError."""
+"""Errors of this package; socket errors are raised as OSError."""
 
 
 class TransportError(Exception):
@@ -9,6 +9,6 @@
     """All `capacity` slots of a table are in use."""
 
     def __init__(self, capacity: int) -> None:
-        """Keep the number of slots."""
+        """Store the number of slots."""
         super().__init__(f"all {capacity} slots are in use")
         self.capacity = capacity
--- a/ploverspoke/transport/garbage_collection.py
+++ b/ploverspoke/transport/garbage_collection.py
@@ -1,9 +1,9 @@
-"""Keeps what a process has built at its start out of Python's garbage collector."""
+"""Excludes the objects created at startup from Python's garbage collector."""
 
 import gc
 
 
 def freeze_startup_objects() -> None:
-    """Exempt all objects that live now: they stay until the end, and each collection would walk them."""
+    """Exempt all existing objects: they are never freed, and each collection would traverse them."""
     gc.collect()
     gc.freeze()
--- a/ploverspoke/transport/listener.py
+++ b/ploverspoke/transport/listener.py
@@ -1,4 +1,4 @@
-"""Accepts connections at one address, a few in each turn of the event loop."""
+"""Accepts connections at one address, a few in each iteration of the event loop."""
 
 import asyncio
 import errno
@@ -12,18 +12,20 @@
 from .units import MILLISECOND, SECOND
 
 BACKLOG = 512
-ACCEPTS_PER_TURN = 8  # their first bytes are read before more are accepted: a flood would evict its own
-FIRST_BYTES_WITHIN = 20 * MILLISECOND  # a new connection that sent nothing for so long may be evicted
-RETRY_AFTER = 10 * MILLISECOND  # when there is no capacity for one more
-FINISH_TRIES = 20  # to accept what waits before the socket is closed
-SETUP_TRIES = 5  # to hand a connection to the event loop
-MOMENTARY_ERRORS = frozenset(
+# The first bytes of these connections are read before more are accepted. Otherwise the new connections of a
+# flood would evict each other before their requests are read.
+ACCEPTS_PER_ITERATION = 8
+FIRST_BYTES_WITHIN = 20 * MILLISECOND  # a new connection that sends nothing for this time may be evicted
+RETRY_DELAY = 10 * MILLISECOND  # after an accept or setup failed, or while there is no capacity
+FINISH_ATTEMPTS = 20  # attempts to accept all pending connections before the socket is closed
+SETUP_ATTEMPTS = 5  # attempts to hand an accepted connection to the event loop
+TRANSIENT_ERRORS = frozenset(
     {errno.EINTR, errno.EAGAIN, errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM}
 )
 
 
 class Listener:
-    """Owner of a listening socket."""
+    """Owns a listening socket."""
 
     def __init__(
         self,
@@ -32,7 +34,10 @@
         make_connection: Callable[[], Connection],
         has_capacity: Callable[[int], bool],
     ) -> None:
-        """`has_capacity` is given the number of accepted connections that are not set up yet."""
+        """`has_capacity` says if one more connection may be accepted.
+
+        Its argument is the number of accepted connections that are not set up yet.
+        """
         self.loop = loop
         self.deadlines = deadlines
         self.make_connection = make_connection
@@ -42,47 +47,47 @@
         self.setup_tasks: set[asyncio.Task[None]] = set()
 
     def open(self, host: str, port: int) -> None:
-        """Listen at an address. Raises OSError where that is not possible."""
-        listening = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET)
+        """Listen at an address. Raises OSError if that is not possible."""
+        listening_socket = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET)
         try:
-            listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-            listening.setblocking(False)
-            listening.bind((host, port))
-            listening.listen(BACKLOG)
+            listening_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+            listening_socket.setblocking(False)
+            listening_socket.bind((host, port))
+            listening_socket.listen(BACKLOG)
         except OSError:
-            listening.close()
+            listening_socket.close()
             raise
-        self.adopt(listening)
+        self.adopt(listening_socket)
 
-    def adopt(self, listening: socket.socket) -> None:
-        """Accept from a socket that listens already; other processes may accept from it too."""
-        self.socket = listening
-        self.loop.add_reader(listening, self._accept_some)
+    def adopt(self, listening_socket: socket.socket) -> None:
+        """Accept from a socket that is already listening, and may be shared with other processes."""
+        self.socket = listening_socket
+        self.loop.add_reader(listening_socket, self._accept_some)
 
     def close(self) -> None:
         """Close the listening socket; accepted connections stay open."""
-        listening, self.socket = self.socket, None
-        if listening is not None:
-            self.loop.remove_reader(listening)
-            listening.close()
+        listening_socket, self.socket = self.socket, None
+        if listening_socket is not None:
+            self.loop.remove_reader(listening_socket)
+            listening_socket.close()
 
     def finish(self) -> None:
-        """Accept what waits in the kernel's queue, which a close would reset, then close."""
+        """Accept the connections in the kernel's queue, which a close would reset, then close the socket."""
         if self.socket is not None and not self.is_finishing:
             self.is_finishing = True
-            self._accept_rest(FINISH_TRIES)
+            self._accept_pending(FINISH_ATTEMPTS)
 
-    def _accept_rest(self, tries_left: int) -> None:
-        """Accept until nothing waits; what keeps that from happening may last a moment only."""
-        if self._accept_some(BACKLOG) or not tries_left:
+    def _accept_pending(self, attempts_left: int) -> None:
+        """Accept until the kernel's queue is empty; retries, since a failure to accept may be transient."""
+        if self._accept_some(BACKLOG) or not attempts_left:
             self.is_finishing = False
             self.close()
             return
-        retry_at = self.deadlines.now() + RETRY_AFTER
-        self.deadlines.schedule(retry_at, partial(self._accept_rest, tries_left - 1))
+        retry_at = self.deadlines.now() + RETRY_DELAY
+        self.deadlines.schedule(retry_at, partial(self._accept_pending, attempts_left - 1))
 
-    def _accept_some(self, limit: int = ACCEPTS_PER_TURN) -> bool:
-        """Accept so many connections; returns whether none waits any more."""
+    def _accept_some(self, limit: int = ACCEPTS_PER_ITERATION) -> bool:
+        """Accept up to `limit` connections; returns whether the kernel's queue is empty."""
         for _ in range(limit):
             if self.socket is None:
                 return True
@@ -90,41 +95,44 @@
                 self._pause(self.socket)
                 return False
             try:
-                accepted, _ = self.socket.accept()
+                accepted_socket, _ = self.socket.accept()
             except (ConnectionAbortedError, InterruptedError):
                 continue
             except BlockingIOError:
                 return True
             except OSError as error:
-                log_line(f"a connection could not be accepted: {error.strerror}")
+                log_line(f"could not accept a connection: {error.strerror}")
                 self._pause(self.socket)
                 return False
-            task = self.loop.create_task(self._set_up(accepted))
+            task = self.loop.create_task(self._set_up(accepted_socket))
             self.setup_tasks.add(task)
             task.add_done_callback(self.setup_tasks.discard)
         return False
 
-    async def _set_up(self, accepted: socket.socket) -> None:
-        """Set up an accepted connection on the event loop; it may hold a request already."""
+    async def _set_up(self, accepted_socket: socket.socket) -> None:
+        """Hand an accepted connection to the event loop.
+
+        Transient errors are retried, because the connection may already contain a request.
+        """
         failure: OSError | None = None
-        for _ in range(SETUP_TRIES):
+        for _ in range(SETUP_ATTEMPTS):
             try:
-                await self.loop.connect_accepted_socket(self.make_connection, accepted)
+                await self.loop.connect_accepted_socket(self.make_connection, accepted_socket)
             except OSError as error:
                 failure = error
-                if error.errno not in MOMENTARY_ERRORS:
+                if error.errno not in TRANSIENT_ERRORS:
                     break
-                await asyncio.sleep(RETRY_AFTER / SECOND)
+                await asyncio.sleep(RETRY_DELAY / SECOND)
             else:
                 return
-        # In most cases the client has gone already, and there is nobody to report it to.
-        log_line(f"an accepted connection is closed: {failure.strerror if failure else ''}")
-        accepted.close()
+        # In most cases the client has already disconnected, so that no error can be sent to it.
+        log_line(f"could not set up an accepted connection: {failure.strerror if failure else ''}")
+        accepted_socket.close()
 
-    def _pause(self, listening: socket.socket) -> None:
+    def _pause(self, listening_socket: socket.socket) -> None:
         """Leave new connections in the kernel's queue for a while."""
-        self.loop.remove_reader(listening)
-        self.deadlines.schedule(self.deadlines.now() + RETRY_AFTER, self._resume)
+        self.loop.remove_reader(listening_socket)
+        self.deadlines.schedule(self.deadlines.now() + RETRY_DELAY, self._resume)
 
     def _resume(self) -> None:
         if self.socket is not None:
--- a/ploverspoke/transport/loop_timer.py
+++ b/ploverspoke/transport/loop_timer.py
@@ -1,4 +1,4 @@
-"""One timer of the running event loop, set to a time of the monotonic clock and moved as often as needed."""
+"""A timer of the running event loop that is set to a time of the monotonic clock and can be reset."""
 
 import asyncio
 import time
@@ -11,16 +11,16 @@
     """Calls back at the time that it is set to; it can be set again at any time."""
 
     def __init__(self, callback: Callable[[], None], max_delay: float | None = None) -> None:
-        """With `max_delay` (seconds) it calls back after that, where the time is later."""
+        """With `max_delay` (seconds), it calls back after that delay at the latest."""
         self._callback = callback
         self._max_delay = max_delay
-        self._handle: asyncio.TimerHandle | None = None  # None: it is not set
+        self._handle: asyncio.TimerHandle | None = None  # None: the timer is not set
         self._when = 0
 
     def set(self, when: int) -> None:
-        """Call back at `when` (monotonic ns), in place of any other time.
+        """Call back at `when` (monotonic ns), which replaces any earlier setting.
 
-        uvloop counts in milliseconds: it may call back up to one before `when`.
+        uvloop has a resolution of one millisecond and may call back up to one millisecond before `when`.
         """
         if self._handle is not None:
             if self._when == when:
@@ -33,12 +33,12 @@
         self._handle = asyncio.get_running_loop().call_later(delay, self._on_due)
 
     def set_earlier(self, when: int) -> None:
-        """Call back at `when` unless that is set for this time or an earlier one."""
+        """Call back at `when`, unless the timer is already set to that time or an earlier one."""
         if self._handle is None or when < self._when:
             self.set(when)
 
     def cancel(self) -> None:
-        """Do not call back any more, until it is set again."""
+        """Do not call back until the timer is set again."""
         if self._handle is not None:
             self._handle.cancel()
             self._handle = None
--- a/ploverspoke/transport/rate_limited_log.py
+++ b/ploverspoke/transport/rate_limited_log.py
@@ -19,7 +19,7 @@
         self.suppressed = 0  # lines since the last one that was written
 
     def write(self, line: str) -> None:
-        """Write one line, or count it as suppressed where the rate is exceeded."""
+        """Write one line, or count it as suppressed if the rate is exceeded."""
         now = time.monotonic()
         self.tokens = min(self.burst, self.tokens + (now - self.refilled_at) * self.lines_per_second)
         self.refilled_at = now
@@ -33,7 +33,7 @@
         try:
             print(line, file=sys.stderr, flush=True)
         except OSError:
-            # Standard error is closed: no reason to stop serving. The line counts as suppressed.
+            # Standard error is closed, which is no reason to stop serving. The line counts as suppressed.
             self.suppressed += 1
 
 
--- a/ploverspoke/transport/resource_limits.py
+++ b/ploverspoke/transport/resource_limits.py
@@ -1,18 +1,20 @@
-"""The split of file descriptors and memory among clients, workers and buffers."""
+"""How file descriptors and memory are divided among clients, workers and buffers."""
 
 from typing import NamedTuple
 
 from .units import MEBIBYTE
 
-RESERVED_DESCRIPTORS = (
-    32  # for the event loop, listeners, discovery, admin connections, log and configuration
-)
-WORKER_FRACTION = 0.4  # of the other descriptors
-CLIENT_FRACTION = 7 / 8  # of those left then; the last eighth is for clients that are refused with an answer
-BASE_MEMORY = 22 * MEBIBYTE  # of a process with all connections open and nothing buffered
-BUFFER_FRACTION = 0.4  # of the other memory: received bytes are held twice for a moment
+# For the event loop, listeners, discovery, admin connections, log and configuration.
+RESERVED_DESCRIPTORS = 32
+WORKER_FRACTION = 0.4  # share of the unreserved descriptors for connections to workers
+# Share of the remaining descriptors for clients. The last eighth is left for clients that are refused with an
+# answer.
+CLIENT_FRACTION = 7 / 8
+BASE_MEMORY = 22 * MEBIBYTE  # used by a process with all connections open and nothing buffered
+BUFFER_FRACTION = 0.4  # share of the remaining memory for buffers: received bytes are briefly held twice
 MAX_BUFFERED = 32 * MEBIBYTE
-MIN_BUFFERED = MEBIBYTE // 2  # a few bodies each, while two processes share the smallest allowed memory
+# Enough for a few bodies in each of two processes that share the smallest allowed memory.
+MIN_BUFFERED = MEBIBYTE // 2
 
 
 class ResourceLimits(NamedTuple):
@@ -20,11 +22,11 @@
 
     worker_connections: int
     client_connections: int
-    buffered_bytes: int  # of requests, complete or partial
+    buffered_bytes: int  # buffered bytes of complete and partial requests
 
 
 def split_resources(descriptors: int, memory: int, processes: int = 1) -> ResourceLimits:
-    """Return the limits of one of `processes` equal processes that share descriptors and memory (bytes)."""
+    """Return the limits of one of `processes` equal processes that share `descriptors` and `memory` bytes."""
     descriptors, memory = descriptors // processes, memory // processes
     available = max(0, descriptors - RESERVED_DESCRIPTORS)
     workers = int(available * WORKER_FRACTION)
--- a/ploverspoke/transport/stream_protocol.py
+++ b/ploverspoke/transport/stream_protocol.py
@@ -1,4 +1,4 @@
-"""What all protocols of stream connections share: their transport, and the two ways to close it."""
+"""Common base of the protocols of stream connections: the transport, and the two ways to close it."""
 
 import asyncio
 
@@ -11,11 +11,11 @@
         self.transport: asyncio.Transport | None = None
 
     def close(self) -> None:
-        """Close the connection once all written bytes are sent; does nothing without one."""
+        """Close the connection once all written bytes are sent; does nothing if there is no connection."""
         if self.transport is not None:
             self.transport.close()
 
     def abort(self) -> None:
-        """Close the connection at once; unsent bytes are dropped. Does nothing without one."""
+        """Close the connection immediately and drop unsent bytes; does nothing if there is no connection."""
         if self.transport is not None:
             self.transport.abort()
--- a/tests/example_config.py
+++ b/tests/example_config.py
@@ -1,4 +1,4 @@
-"""The dispatcher's configuration of `deploy/example.json`, which tests change to their needs."""
+"""The dispatcher configuration in `deploy/example.json`, which tests modify as needed."""
 
 import json
 from pathlib import Path
--- a/tests/expected_failures.py
+++ b/tests/expected_failures.py
@@ -1,8 +1,8 @@
-"""Tests that fail for a known fault that is not fixed yet, as listed in KNOWN-RED.txt at the root.
+"""Tests that fail because of known faults that are not fixed yet, as listed in KNOWN-RED.txt at the root.
 
 An entry is a line `test id | command and seed | what was seen | issue`. The issue is `issue N` or the text
-of a heading of docs/ROADMAP.md. Listed tests run like all others: a failure is reported with its entry at the
-end and does not fail the run, a success is reported as an entry to remove. Nothing else is passed over.
+of a heading in docs/ROADMAP.md. Listed tests run like all others: at the end, a failure is reported with its
+entry and does not fail the run, and a success is reported as an entry to remove. No other failure is ignored.
 """
 
 import re
@@ -14,30 +14,30 @@
 FILE_NAME = "KNOWN-RED.txt"
 ROADMAP = Path("docs") / "ROADMAP.md"
 ENTRY_FORM = "test id | command and seed | what was seen | issue"
-MAX_ENTRY_LENGTH = 500  # characters; an entry is a pointer, its story belongs into the issue
+MAX_ENTRY_LENGTH = 500  # characters; an entry only refers to the issue, which has the details
 ISSUE = re.compile(r"issue \d+")
 HEADING = re.compile(r"^#+ +(.+?) *$", re.MULTILINE)
-WORKER_OUTPUT_KEY = "unknown_expected_failures"  # from a worker process to the reporting process
+WORKER_OUTPUT_KEY = "unknown_expected_failures"  # key of the data sent by a worker process of pytest-xdist
 
 
 class ExpectedFailure(NamedTuple):
     """One entry of KNOWN-RED.txt."""
 
-    test: str  # as pytest writes it, with its parameters
-    command: str  # that shows the failure, with its seed
+    test: str  # test id as printed by pytest, with parameters
+    command: str  # command that reproduces the failure, with its seed
     observation: str
     issue: str
 
     def __str__(self) -> str:
-        """Return the entry as it stands in the file."""
+        """Return the entry as it is written in the file."""
         return " | ".join(self)
 
 
 def read_expected_failures(root: Path) -> list[ExpectedFailure]:
-    """Read the entries below `root`, none where there is no such file.
+    """Read the entries of the file in the folder `root`; there are none if the file does not exist.
 
     Raises:
-        pytest.UsageError: where an entry is malformed, too long, listed twice or names no issue.
+        pytest.UsageError: if an entry is malformed, too long, listed twice or names no issue.
     """
     path = root / FILE_NAME
     if not path.exists():
@@ -71,41 +71,41 @@
 
 
 class ExpectedFailures:
-    """A pytest plugin for one run; with pytest-xdist there is also one in each worker process."""
+    """A pytest plugin for one run. With pytest-xdist, each worker process has an instance of its own, too."""
 
     def __init__(self, config: pytest.Config) -> None:
-        """Read the entries. Raises pytest.UsageError where the file cannot be used."""
+        """Read the entries. Raises pytest.UsageError if the file cannot be used."""
         self.config = config
         self.entries = {str(entry): entry for entry in read_expected_failures(config.rootpath)}
-        self.unknown: set[str] = set()
+        self.unknown: set[str] = set()  # listed tests that do not exist
 
-    def _is_in_selection(self, test: str) -> bool:
-        """Whether the paths on the command line include the test, if it exists."""
+    def _should_be_collected(self, test: str) -> bool:
+        """Whether the test would be collected in this run if it existed; true if its file does not exist."""
         path = self.config.rootpath / test.partition("::")[0]
         selected = [Path(arg).absolute() for arg in self.config.args if "::" not in arg]
-        is_selected = any(path.is_relative_to(each) for each in selected)
+        is_selected = any(path.is_relative_to(selected_path) for selected_path in selected)
         return (is_selected and not self.config.getoption("lf", False)) or not path.exists()
 
     @pytest.hookimpl(tryfirst=True)  # before options such as -k deselect tests
     def pytest_collection_modifyitems(self, items: list[pytest.Item]) -> None:
-        """Mark listed tests; note entries whose test does not exist."""
-        found = {item.nodeid: item for item in items}
+        """Mark the listed tests, and record entries whose test does not exist."""
+        items_by_id = {item.nodeid: item for item in items}
         for line, entry in self.entries.items():
-            if entry.test in found:
+            if entry.test in items_by_id:
                 mark = pytest.mark.xfail(reason=line, strict=False, run=True)
-                found[entry.test].add_marker(mark, append=False)
-            elif self._is_in_selection(entry.test):
+                items_by_id[entry.test].add_marker(mark, append=False)
+            elif self._should_be_collected(entry.test):
                 self.unknown.add(entry.test)
         if hasattr(self.config, "workeroutput"):
             self.config.workeroutput[WORKER_OUTPUT_KEY] = sorted(self.unknown)
 
     @pytest.hookimpl(optionalhook=True)
     def pytest_testnodedown(self, node: Any) -> None:
-        """Take over what a worker process has noted."""
+        """Collect the entries recorded by a worker process."""
         self.unknown.update(getattr(node, "workeroutput", {}).get(WORKER_OUTPUT_KEY, ()))
 
     def pytest_sessionfinish(self, session: pytest.Session) -> None:
-        """Fail the run where an entry names a test that does not exist."""
+        """Fail the run if an entry names a test that does not exist."""
         if self.unknown and session.exitstatus in (pytest.ExitCode.OK, pytest.ExitCode.NO_TESTS_COLLECTED):
             session.exitstatus = pytest.ExitCode.TESTS_FAILED
 
--- a/tests/polling.py
+++ b/tests/polling.py
@@ -1,18 +1,18 @@
-"""Waiting in tests for what other tasks or processes bring about."""
+"""Polling for conditions that are brought about by other tasks or processes."""
 
 import asyncio
 from collections.abc import Callable
 from typing import TypeVar
 
 ValueT = TypeVar("ValueT")
-POLL_INTERVAL = 0.01  # seconds
+POLL_INTERVAL_S = 0.01
 
 
 async def until(condition: Callable[[], ValueT | None], seconds: float = 10.0) -> ValueT:
-    """Wait until the condition returns something true, and return that. Raises AssertionError in time."""
-    for _ in range(int(seconds / POLL_INTERVAL)):
+    """Wait until the condition returns a true value, and return it. Raises AssertionError after `seconds`."""
+    for _ in range(int(seconds / POLL_INTERVAL_S)):
         value = condition()
         if value:
             return value
-        await asyncio.sleep(POLL_INTERVAL)
-    raise AssertionError("it did not come to that")
+        await asyncio.sleep(POLL_INTERVAL_S)
+    raise AssertionError(f"the condition was not met within {seconds} s")
--- a/tests/protocol/recording_listener.py
+++ b/tests/protocol/recording_listener.py
@@ -1,4 +1,4 @@
-"""A listener that records what the readers of HTTP messages report, and a way to feed them in pieces."""
+"""A listener that records the reports of the HTTP message readers, and a function to feed them in pieces."""
 
 import random
 from collections.abc import Callable
@@ -9,11 +9,11 @@
 
 
 class RecordingListener:
-    """Listens to requests and to responses."""
+    """Records both requests and the events of responses."""
 
     def __init__(self) -> None:
         self.requests: list[HttpRequest] = []
-        self.events: list[object] = []  # of a response
+        self.events: list[object] = []  # events of a response
 
     def on_request_head(self, method: str, target: str, headers: dict[str, str]) -> None:
         pass
--- a/tests/protocol/test_endpoint_lists.py
+++ b/tests/protocol/test_endpoint_lists.py
@@ -1,4 +1,4 @@
-"""Endpoint lists of discovery."""
+"""Validation of endpoint lists from discovery."""
 
 import pytest
 
--- a/tests/protocol/test_http_readers.py
+++ b/tests/protocol/test_http_readers.py
@@ -1,4 +1,4 @@
-"""The readers of HTTP messages: the same result however a message is split, and no success from garbage."""
+"""The HTTP message readers give the same result however a message is split, and reject malformed messages."""
 
 import contextlib
 import random
@@ -21,8 +21,8 @@
     chunked = b"POST /a/1?q HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n\r\n"
     plain = b"POST /b HTTP/1.1\r\nContent-Length: 3\r\nConnection: close\r\n\r\nxyz"
     feed_in_pieces(random_numbers, chunked * 2 + plain, clients.RequestReader(listener).feed)
-    found = [(request.target, request.body, request.keep_alive) for request in listener.requests]
-    assert found == [("/a/1?q", b"abc", True)] * 2 + [("/b", b"xyz", False)]
+    requests = [(request.target, request.body, request.keep_alive) for request in listener.requests]
+    assert requests == [("/a/1?q", b"abc", True)] * 2 + [("/b", b"xyz", False)]
     lines = (
         b'{"id":"7","state":"started"}\n{"id":"7","state":"running","share":0.5}\n'
         b'{"id":"7","state":"done","result":"ok","load":{"queue":2,"x0":1,"eps":"?"}}\n'
@@ -98,7 +98,7 @@
 def test_a_message_split_at_any_byte_reads_the_same(
     message: bytes, make_feed: Callable[[RecordingListener], Feed], expected: object
 ) -> None:
-    # A request id was forwarded with its trailing blanks, and the worker's response was refused.
+    # Guards against forwarding a request id with trailing blanks: the worker's response was refused then.
     def events(parts: list[bytes]) -> list[object]:
         listener = RecordingListener()
         feed = make_feed(listener)
--- a/tests/protocol/test_worker_messages.py
+++ b/tests/protocol/test_worker_messages.py
@@ -1,10 +1,10 @@
-"""What is sent to workers."""
+"""Messages sent to workers."""
 
 from ploverspoke.protocol import workers
 
 
 def test_an_attempt_forwards_all_end_to_end_headers_of_the_request() -> None:
-    # An idempotency key in a header of its own was dropped: workers took duplicates for new requests.
+    # Guards against dropping a header with an idempotency key: workers then took duplicates for new requests.
     headers = {
         "request-id": "7",
         "idempotency-key": "3a7d",
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -19,7 +19,7 @@
 
 
 @pytest.mark.parametrize(
-    ("line", "complaint"),
+    ("line", "error_text"),
     [
         ("SURPRISE Who=1", "unknown message SURPRISE"),
         ("NEW_REQUEST Who=1 RequestId=5", "not up"),
@@ -30,8 +30,8 @@
         ("MARK AtTimeUs=1 serial=2", "Who is missing"),
     ],
 )
-def test_a_malformed_line_ends_the_adapter_with_an_error_message(line: str, complaint: str) -> None:
-    with pytest.raises(CodecError, match=complaint):
+def test_a_malformed_line_ends_the_adapter_with_an_error_message(line: str, error_text: str) -> None:
+    with pytest.raises(CodecError, match=error_text):
         replies_to(f"MARK AtTimeUs=1 serial=1\n{line}\nGO\n")
 
 
--- a/tests/simulator/test_codec.py
+++ b/tests/simulator/test_codec.py
@@ -1,4 +1,4 @@
-"""The lines of the simulator's protocol."""
+"""Decoding of the simulator's messages."""
 
 from ploverspoke.simulator.codec import decode_message
 
--- a/tests/test_documentation.py
+++ b/tests/test_documentation.py
@@ -1,4 +1,4 @@
-"""Files, types and functions that docs/architecture.md names are there.
+"""The files, types and functions that docs/architecture.md mentions exist.
 
 The page writes files and folders with their path, types as `Type` or `Type.member`, functions as `name()`.
 """
@@ -10,16 +10,16 @@
 ROOT = Path(__file__).parents[1]
 PACKAGE = ROOT / "ploverspoke"
 PAGE = ROOT / "docs" / "architecture.md"
-CODE = re.compile(r"`([^`\n]+)`")
+CODE_SPAN = re.compile(r"`([^`\n]+)`")
 PATH = re.compile(r"[\w./-]+(\.(py|md|toml|json)|/)")
 TYPE = re.compile(r"[A-Z]\w*[a-z]\w*(\.\w+)?")
 FUNCTION = re.compile(r"(\w+)\(\)")
-# Words of the operators that look like types.
-NOT_OURS = {"Limits.MaxOpen"}
+# Names of settings that look like types.
+SETTING_NAMES = {"Limits.MaxOpen"}
 
 
 def defined_names() -> set[str]:
-    """Types, `Type.member` and functions of the package, by their definitions and annotations."""
+    """Types, members as `Type.member`, and functions that the package defines or annotates."""
     names: set[str] = set()
     for path in PACKAGE.rglob("*.py"):
         for node in ast.walk(ast.parse(path.read_text())):
@@ -32,13 +32,13 @@
 
 
 def members_of(node: ast.ClassDef) -> set[str]:
-    """Methods, fields and attributes set on `self`."""
+    """Methods, fields, and attributes that are set on `self`."""
     members: set[str] = set()
-    for part in ast.walk(node):
-        if isinstance(part, ast.FunctionDef | ast.AsyncFunctionDef):
-            members.add(part.name)
-        target = part.targets[0] if isinstance(part, ast.Assign) else None
-        target = part.target if isinstance(part, ast.AnnAssign) else target
+    for descendant in ast.walk(node):
+        if isinstance(descendant, ast.FunctionDef | ast.AsyncFunctionDef):
+            members.add(descendant.name)
+        target = descendant.targets[0] if isinstance(descendant, ast.Assign) else None
+        target = descendant.target if isinstance(descendant, ast.AnnAssign) else target
         if isinstance(target, ast.Name):
             members.add(target.id)
         if isinstance(target, ast.Attribute):
@@ -48,11 +48,11 @@
 
 def test_the_architecture_names_only_what_there_is() -> None:
     text = re.sub(r"^( {4}.*|```.*?```)$", "", PAGE.read_text(), flags=re.MULTILINE)
-    tokens = set(CODE.findall(text)) - NOT_OURS
+    tokens = set(CODE_SPAN.findall(text)) - SETTING_NAMES
     names = defined_names()
     paths = {token for token in tokens if PATH.fullmatch(token)}
     missing = {path for path in paths if not (ROOT / path).exists() and not (PACKAGE / path).exists()}
     types = {token for token in tokens - paths if TYPE.fullmatch(token)}
-    functions = {found[1] for token in tokens if (found := FUNCTION.fullmatch(token))}
+    functions = {match[1] for token in tokens if (match := FUNCTION.fullmatch(token))}
     assert missing | (types - names) | (functions - names) == set()
     assert len(paths) > 20 and len(types) > 20, "the page names files and types"
--- a/tests/test_expected_failures.py
+++ b/tests/test_expected_failures.py
@@ -1,4 +1,7 @@
-"""A listed failure is reported and passed over, and nothing else is: runs of pytest on a small project."""
+"""Listed failures, and no others, are reported without failing the run.
+
+Each test runs pytest on a small project of its own.
+"""
 
 import os
 import subprocess
@@ -15,19 +18,21 @@
 
 def test_red(): assert False
 
-def test_mended(): pass
+def test_fixed(): pass
 
 @pytest.fixture
-def broken():
+def fails_in_teardown():
     yield
-    raise OSError("left behind")
+    raise OSError("teardown failed")
 
-def test_ends_badly(broken): pass
+def test_teardown(fails_in_teardown): pass
 
 @pytest.mark.parametrize("n", [1, 2])
-def test_some(n): assert n == 1
+def test_params(n): assert n == 1
 """
-RED, MENDED, ENDS, SOME = (f"test_it.py::test_{name}" for name in ("red", "mended", "ends_badly", "some[2]"))
+RED, FIXED, TEARDOWN, PARAMS = (
+    f"test_it.py::test_{name}" for name in ("red", "fixed", "teardown", "params[2]")
+)
 
 
 COMMAND = "pytest -q, seed 3"
@@ -46,7 +51,7 @@
 
 
 def run_pytest(folder: Path, entries: list[str], *words: str) -> tuple[int, str]:
-    """Exit code and output of a run with the project's own conftest, in a project of its own."""
+    """Exit code and output of a pytest run in a new small project that uses the conftest of these tests."""
     project = folder / f"project-{len(list(folder.iterdir()))}"
     project.mkdir()
     (project / "conftest.py").write_text("from tests.conftest import pytest_configure as pytest_configure\n")
@@ -54,42 +59,42 @@
     (project / "test_it.py").write_text(TESTS)
     write_project(project, entries)
     environment = {name: value for name, value in os.environ.items() if not name.startswith("PYTEST_")}
-    ran = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-m", "pytest", "-q", *words],
         cwd=project,
         env={**environment, "PYTHONPATH": str(ROOT)},
         capture_output=True,
         text=True,
     )
-    return ran.returncode, ran.stdout + ran.stderr
+    return result.returncode, result.stdout + result.stderr
 
 
 def test_only_what_is_listed_is_passed_over(tmp_path: Path) -> None:
-    code, output = run_pytest(tmp_path, [entry(RED), entry(ENDS, "issue 8")], "-n0")
-    assert code == 1 and f"FAILED {SOME}" in output and "1 failed, 2 passed, 2 xfailed, 1 xpassed" in output
-    assert f"known red: {entry(RED)}\n" in output and f"known red: {entry(ENDS, 'issue 8')}\n" in output
-    code, output = run_pytest(tmp_path, [entry(RED), entry(SOME, HEADING), entry(ENDS)], "-n0")
-    assert code == 0 and f"known red: {entry(SOME, HEADING)}\n" in output
+    code, output = run_pytest(tmp_path, [entry(RED), entry(TEARDOWN, "issue 8")], "-n0")
+    assert code == 1 and f"FAILED {PARAMS}" in output and "1 failed, 2 passed, 2 xfailed, 1 xpassed" in output
+    assert f"known red: {entry(RED)}\n" in output and f"known red: {entry(TEARDOWN, 'issue 8')}\n" in output
+    code, output = run_pytest(tmp_path, [entry(RED), entry(PARAMS, HEADING), entry(TEARDOWN)], "-n0")
+    assert code == 0 and f"known red: {entry(PARAMS, HEADING)}\n" in output
 
 
 def test_what_passes_and_what_does_not_exist_is_reported(tmp_path: Path) -> None:
-    gone = ["test_it.py::test_some[3]", "test_gone.py::test_it"]
-    code, output = run_pytest(tmp_path, [entry(MENDED), *map(entry, gone)], "-n0", "-k", "mended")
-    assert code == 1 and f"known red passes now: take it out: {MENDED}\n" in output
-    assert all(f"no such test, so the run fails: {test}\n" in output for test in gone)
-    code, output = run_pytest(tmp_path, [entry(RED)], MENDED, "-n0")
+    missing = ["test_it.py::test_params[3]", "test_gone.py::test_it"]
+    code, output = run_pytest(tmp_path, [entry(FIXED), *map(entry, missing)], "-n0", "-k", "fixed")
+    assert code == 1 and f"known red passes now: take it out: {FIXED}\n" in output
+    assert all(f"no such test, so the run fails: {test}\n" in output for test in missing)
+    code, output = run_pytest(tmp_path, [entry(RED)], FIXED, "-n0")
     assert code == 0 and f"known red, not run: {RED}\n" in output
 
 
 def test_worker_processes_report_the_same(tmp_path: Path) -> None:
-    entries = [entry(RED), entry(SOME), entry(ENDS)]
+    entries = [entry(RED), entry(PARAMS), entry(TEARDOWN)]
     code, output = run_pytest(tmp_path, entries, "-n2")
     assert code == 0 and all(f"known red: {line}\n" in output for line in entries)
     code, output = run_pytest(
-        tmp_path, [entry(MENDED), entry("test_it.py::test_some[3]")], "-n1", "-k", "mended"
+        tmp_path, [entry(FIXED), entry("test_it.py::test_params[3]")], "-n1", "-k", "fixed"
     )
-    assert code == 1 and f"known red passes now: take it out: {MENDED}\n" in output
-    assert "no such test, so the run fails: test_it.py::test_some[3]\n" in output
+    assert code == 1 and f"known red passes now: take it out: {FIXED}\n" in output
+    assert "no such test, so the run fails: test_it.py::test_params[3]\n" in output
 
 
 MALFORMED = "KNOWN-RED.txt:1: expected 'test id | command and seed | what was seen | issue'"
--- a/tests/test_lint_exceptions.py
+++ b/tests/test_lint_exceptions.py
@@ -1,4 +1,4 @@
-"""The table of lint exceptions in pyproject.toml lists nothing of the program."""
+"""The lint exceptions in pyproject.toml apply only to tests; in the program, single lines need a reason."""
 
 import re
 import tomllib
--- a/tests/transport/conftest.py
+++ b/tests/transport/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of these tests."""
+"""Fixtures for the tests of the transport."""
 
 import asyncio
 from collections.abc import Iterator
--- a/tests/transport/recording_pool_user.py
+++ b/tests/transport/recording_pool_user.py
@@ -1,11 +1,11 @@
-"""A user of a connection pool that keeps what it is given."""
+"""A user of a connection pool that records the result of its request."""
 
 from ploverspoke.transport.connections import Connection
 from ploverspoke.transport.outcomes import ExchangeOutcome
 
 
 class RecordingPoolUser:
-    """Has a connection or the outcome of its failure, or is still waiting."""
+    """Holds the connection or the outcome of the failure; neither while it is still waiting."""
 
     def __init__(self) -> None:
         self.connection: Connection | None = None
--- a/tests/transport/test_connection_pool.py
+++ b/tests/transport/test_connection_pool.py
@@ -11,8 +11,8 @@
 from .recording_pool_user import RecordingPoolUser
 
 
-class HoldingServer:
-    """Accepts connections and holds them until the other side closes."""
+class SilentServer:
+    """Accepts connections, sends nothing and keeps them open until the other side closes them."""
 
     def __init__(self) -> None:
         self.accepted: list[asyncio.StreamWriter] = []
@@ -20,10 +20,10 @@
         self.server: asyncio.Server | None = None
 
     async def open(self) -> None:
-        self.server = await asyncio.start_server(self._hold, "127.0.0.1", 0)
+        self.server = await asyncio.start_server(self._keep_open, "127.0.0.1", 0)
         self.address = f"127.0.0.1:{self.server.sockets[0].getsockname()[1]}"
 
-    async def _hold(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _keep_open(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.accepted.append(writer)
         await reader.read()
         writer.close()
@@ -45,7 +45,7 @@
     loop: asyncio.AbstractEventLoop,
 ) -> None:
     async def script() -> None:
-        server = HoldingServer()
+        server = SilentServer()
         await server.open()
         pool = ConnectionPool(loop, Deadlines(loop), 2, 300 * MILLISECOND, 500 * MILLISECOND)
         first, second = await acquire(pool, server.address), await acquire(pool, server.address)
@@ -55,11 +55,12 @@
         assert (await acquire(pool, server.address)).connection is first.connection
         assert len(server.accepted) == 2
         pool.release(first.connection)
-        # The idle connection makes room.
+        # The idle connection is closed to make room for a new one.
         assert (await acquire(pool, "127.0.0.1:1")).outcome is ExchangeOutcome.CONNECTION_REFUSED
         pool.release(second.connection)
         await asyncio.sleep(1)
-        # Closed before the other side's limit: a request that crosses its close would be reset.
+        # The idle connection was closed before the other side's limit: a request that is sent while the other
+        # side closes the connection would be reset.
         assert not second.connection.is_open and pool.connection_count() == 0
         server.close()
 
@@ -69,7 +70,8 @@
 def test_after_breaks_a_request_that_must_not_be_lost_gets_no_connection_that_was_idle_too_long(
     loop: asyncio.AbstractEventLoop,
 ) -> None:
-    # Workers dropped idle connections long before the limit in the settings, and the request with them.
+    # Guards against lost requests: workers dropped idle connections long before the limit in the settings, so
+    # that the next request on such a connection was lost.
     pool = ConnectionPool(loop, Deadlines(loop), 9, 30_000 * MILLISECOND, 500 * MILLISECOND)
     broken = Connection(pool.connections)
     for idle_time in (None, 200 * MILLISECOND, 300 * MILLISECOND, 400 * MILLISECOND):
@@ -86,7 +88,7 @@
         return user.connection
 
     async def script() -> None:
-        server = HoldingServer()
+        server = SilentServer()
         await server.open()
         first = await connected(server.address, None)
         pool.release(first)
@@ -96,7 +98,7 @@
         assert await connected(server.address, pool.safe_idle_time()) is not first
         assert await connected(server.address, None) is first
         pool.release(first, unused=True)
-        # To the other side it has been idle all the time.
+        # Nothing was sent on the connection: for the other side it has been idle all the time.
         assert await connected(server.address, pool.safe_idle_time()) is not first
         for connection in pool.connections:
             connection.abort()
--- a/tests/transport/test_deadlines.py
+++ b/tests/transport/test_deadlines.py
@@ -13,16 +13,18 @@
 @pytest.mark.parametrize("seed", range(3))
 def test_deadlines_run_in_order_and_not_when_cancelled(seed: int, loop: asyncio.AbstractEventLoop) -> None:
     random_numbers, deadlines = random.Random(seed), Deadlines(loop)
-    run: list[int] = []
+    executed: list[int] = []
     start = deadlines.now()
     scheduled: list[tuple[int, Deadline]] = []
     for number in range(600):
         when = random_numbers.randrange(-5, 30)
-        deadline = deadlines.schedule(start + when * MILLISECOND, partial(run.append, number))
+        deadline = deadlines.schedule(start + when * MILLISECOND, partial(executed.append, number))
         scheduled.append((when, deadline))
     cancelled = set(random_numbers.sample(range(600), 400))
     for number in cancelled:
         deadlines.cancel(scheduled[number][1])
     loop.run_until_complete(asyncio.sleep(0.1))
-    assert set(run) == set(range(600)) - cancelled
-    assert [scheduled[number][0] for number in run] == sorted(scheduled[number][0] for number in run)
+    assert set(executed) == set(range(600)) - cancelled
+    assert [scheduled[number][0] for number in executed] == sorted(
+        scheduled[number][0] for number in executed
+    )
--- a/tests/transport/test_listener.py
+++ b/tests/transport/test_listener.py
@@ -1,4 +1,4 @@
-"""The listening socket while system calls fail for a moment."""
+"""The listener while system calls fail with transient errors."""
 
 import asyncio
 import errno
@@ -18,7 +18,7 @@
 
 
 class FailingProxy:
-    """Passes calls on to an object; the second call of one method fails."""
+    """Forwards calls to an object, but the second call of one method fails."""
 
     def __init__(self, inner: object, method: str, error_number: int) -> None:
         self.inner, self.method, self.error_number = inner, method, error_number
@@ -30,13 +30,13 @@
     def call(self, *args: object) -> object:
         self.calls += 1
         if self.calls == 2:
-            raise OSError(self.error_number, "for a moment")
+            raise OSError(self.error_number, "transient failure")
         result: object = getattr(self.inner, self.method)(*args)
         return result
 
 
 def count_accepted(inject_failure: Callable[[Listener], None]) -> int:
-    """Connect clients, then accept and close; returns how many were accepted."""
+    """Connect clients, then let the listener finish; returns how many connections were accepted."""
 
     async def run() -> int:
         loop = asyncio.get_running_loop()
--- a/tests/transport/test_loop_timer.py
+++ b/tests/transport/test_loop_timer.py
@@ -1,4 +1,4 @@
-"""The timer of the event loop that is moved."""
+"""The timer of the event loop that can be set repeatedly."""
 
 import asyncio
 import time
@@ -10,7 +10,7 @@
 
 
 async def calls_within(seconds: float, calls: list[int]) -> int:
-    """Return how many calls come in that time."""
+    """Return the number of calls within `seconds` from now."""
     before = len(calls)
     await asyncio.sleep(seconds)
     return len(calls) - before
@@ -21,12 +21,12 @@
 
     async def script() -> None:
         timer = LoopTimer(lambda: calls.append(time.monotonic_ns()))
-        began = time.monotonic_ns()
-        timer.set(began + 10_000 * MILLISECOND)
-        timer.set(began + SOON)
-        timer.set(began + SOON)
-        timer.set_earlier(began + 10_000 * MILLISECOND)
-        assert await calls_within(0.2, calls) == 1 and calls[0] >= began + SOON
+        start = time.monotonic_ns()
+        timer.set(start + 10_000 * MILLISECOND)
+        timer.set(start + SOON)
+        timer.set(start + SOON)
+        timer.set_earlier(start + 10_000 * MILLISECOND)
+        assert await calls_within(0.2, calls) == 1 and calls[0] >= start + SOON
         timer.set_earlier(time.monotonic_ns() + SOON)
         assert await calls_within(0.2, calls) == 1
 
