--- a/ploverspoke/protocol/admin.py
+++ b/ploverspoke/protocol/admin.py
@@ -12,7 +12,7 @@
     """Assembles the single command line of a connection from the received data."""
 
     def __init__(self) -> None:
-        """Begin with an empty line."""
+        """Start with an empty line."""
         self.line = bytearray()
 
     def feed(self, data: memoryview) -> str | None:
--- a/ploverspoke/protocol/gossip_messages.py
+++ b/ploverspoke/protocol/gossip_messages.py
@@ -73,7 +73,7 @@
     """Decodes the messages that a dispatcher receives, using the workers that it knows."""
 
     def __init__(self) -> None:
-        """Begin without known workers."""
+        """Start without known workers."""
         self.by_hash: dict[int, str] = {}
         self.known_count = 0  # workers are only ever added, so a changed count shows that there are new ones
 
--- a/ploverspoke/simulator/dispatcher_instance.py
+++ b/ploverspoke/simulator/dispatcher_instance.py
@@ -19,7 +19,7 @@
     """State shared by the dispatchers of an adapter: time, replies to the current batch, endpoint tables."""
 
     def __init__(self) -> None:
-        """Begin at time 0, without replies."""
+        """Start at time 0, without replies."""
         self.now = 0  # simulated time in ns
         self.replies: list[str] = []
         self.endpoint_tables: dict[int, list[Endpoint]] = {}
--- a/ploverspoke/transport/buffers.py
+++ b/ploverspoke/transport/buffers.py
@@ -8,7 +8,7 @@
     """The received bytes that are not consumed yet, in the order of arrival."""
 
     def __init__(self) -> None:
-        """Begin empty, with `INITIAL_SIZE` bytes of memory."""
+        """Start empty, with `INITIAL_SIZE` bytes of memory."""
         self.data = bytearray(INITIAL_SIZE)
         self.start = 0
         self.end = 0
--- a/ploverspoke/transport/connection_pool.py
+++ b/ploverspoke/transport/connection_pool.py
@@ -76,7 +76,7 @@
     """A connection that is being established for a user."""
 
     def __init__(self, pool: "ConnectionPool", address: str, user: PoolUser, timeout: int) -> None:
-        """Begin to connect to `address`, with a timeout of `timeout` ns."""
+        """Start connecting to `address`, with a timeout of `timeout` ns."""
         self.pool = pool
         self.connection = Connection(pool.connections, address=address)
         self.user: PoolUser | None = user
@@ -222,7 +222,7 @@
         return len(self.connections) + self.pending_count
 
     def release(self, connection: Connection, unused: bool = False) -> None:
-        """Return a connection that can carry another request to the pool.
+        """Give back a connection, which must be able to carry another request.
 
         `unused` says that no request was sent on it, so that its previous idle time continues.
         """
--- a/ploverspoke/transport/rate_limited_log.py
+++ b/ploverspoke/transport/rate_limited_log.py
@@ -11,7 +11,7 @@
     """A token bucket in front of standard error; suppressed lines are counted and reported."""
 
     def __init__(self, burst: int = BURST_LINES, lines_per_second: float = LINES_PER_SECOND) -> None:
-        """Begin with a full bucket of `burst` lines."""
+        """Start with a full bucket of `burst` lines."""
         self.burst = burst
         self.lines_per_second = lines_per_second
         self.tokens = float(burst)
--- a/ploverspoke/transport/slot_table.py
+++ b/ploverspoke/transport/slot_table.py
@@ -15,7 +15,7 @@
     """Stores items by number; slots are reused, numbers are not."""
 
     def __init__(self) -> None:
-        """Begin empty."""
+        """Create an empty table."""
         self.items: list[Item | None] = []
         self.numbers: list[int] = []  # number of the item that each slot holds, or held last
         self.vacant: list[int] = []  # slots without an item
--- a/ploverspoke/transport/stream_protocol.py
+++ b/ploverspoke/transport/stream_protocol.py
@@ -7,7 +7,7 @@
     """A protocol with its transport, which is None before the connection is made and may be after its end."""
 
     def __init__(self) -> None:
-        """Begin without a connection."""
+        """Start without a connection."""
         self.transport: asyncio.Transport | None = None
 
     def close(self) -> None:
