--- a/ploverspoke/config_distribution/__init__.py
+++ b/ploverspoke/config_distribution/__init__.py
@@ -1,1 +1,1 @@
-"""Distribution of configuration: config servers agree on versions, every dispatcher watches one of them."""
+"""Configuration distribution: config servers replicate versions; each dispatcher watches one server."""
--- a/ploverspoke/config_distribution/admin_client.py
+++ b/ploverspoke/config_distribution/admin_client.py
@@ -1,4 +1,4 @@
-"""What tools do with config servers: ask all of them, publish by the leader, wait for the fleet."""
+"""Client functions for tools: query all config servers, publish through the leader, wait for the fleet."""
 
 import itertools
 import secrets
@@ -26,14 +26,14 @@
 from .state_machine import VersionRow
 from .watcher_records import WatcherRow
 
-RETRY_INTERVAL = 0.1  # seconds between two searches for a leader
-POLL_INTERVAL = 0.2  # seconds between two looks at the fleet
+RETRY_INTERVAL_S = 0.1  # between searches for a leader
+POLL_INTERVAL_S = 0.2  # between queries of the fleet status
 REQUEST_ID_BYTES = 12
 ReplyT = TypeVar("ReplyT")
 
 
 class ServerReply(NamedTuple, Generic[ReplyT]):
-    """What one server replied, or why it did not."""
+    """The reply of one server, or the error that prevented it."""
 
     server: str
     reply: ReplyT | None
@@ -43,10 +43,10 @@
 def ask_all(
     servers: ConfigServers, request: AdminRequest, reply_type: type[ReplyT]
 ) -> list[ServerReply[ReplyT]]:
-    """The replies of all servers, asked at once, in the order of the file."""
+    """Send a request to all servers in parallel; return the replies in the order of the servers file."""
 
     def ask(server: str) -> ServerReply[ReplyT]:
-        """Return the reply of one server, or the error in its place."""
+        """Return the reply of one server, or its error."""
         try:
             reply = call_replica(servers.peers[server], servers.secret, request, reply_type)
         except (OSError, FrameError) as error:
@@ -57,8 +57,10 @@
         return list(threads.map(ask, servers.peers))
 
 
-def _ask_any(servers: ConfigServers, request: AdminRequest, reply_type: type[ReplyT]) -> dict[str, ReplyT]:
-    """The replies of those servers that replied, by name. Raises NoServerAvailableError where none did."""
+def _ask_available(
+    servers: ConfigServers, request: AdminRequest, reply_type: type[ReplyT]
+) -> dict[str, ReplyT]:
+    """Return the replies of the available servers by name. Raises NoServerAvailableError if none replied."""
     all_replies = ask_all(servers, request, reply_type)
     replies = {answer.server: answer.reply for answer in all_replies if answer.reply is not None}
     if not replies:
@@ -70,14 +72,14 @@
 
 
 def list_versions(servers: ConfigServers) -> list[VersionRow]:
-    """The kept versions of the server that knows the latest. Raises NoServerAvailableError."""
-    lists = _ask_any(servers, VersionListRequest(), list[VersionRow])
+    """Return the versions kept by the most up-to-date server. Raises NoServerAvailableError."""
+    lists = _ask_available(servers, VersionListRequest(), list[VersionRow])
     return max(lists.values(), key=_latest_number)
 
 
 def get_version(servers: ConfigServers, number: int = 0) -> VersionReply:
-    """The body of a version, 0: the latest. Raises NoServerAvailableError."""
-    replies = _ask_any(servers, VersionRequest(number), VersionReply)
+    """Return a version with its body; number 0 selects the latest. Raises NoServerAvailableError."""
+    replies = _ask_available(servers, VersionRequest(number), VersionReply)
     return max(replies.values(), key=lambda version: version.number)
 
 
@@ -91,26 +93,26 @@
 def publish(
     servers: ConfigServers, body: str, expected_version: int | None, author: str, timeout: float
 ) -> PublishReply:
-    """Ask the leader to commit a body in the place of a version (None: of whichever is the latest).
+    """Ask the leader to commit a body that replaces `expected_version` (None: the latest version).
 
-    The same request is repeated where a reply is lost, with the same id: it is committed once at most.
-    `timeout` is in seconds. A reply with `is_unknown` says that it may be committed or not.
+    If a reply is lost, the request is repeated with the same id, so it is committed at most once.
+    `timeout` is in seconds. A reply with `is_unknown` means that the body may or may not be committed.
 
-    Raises NoServerAvailableError where no server led in time.
+    Raises NoServerAvailableError if there was no leader before the timeout.
     """
     return _Publisher(servers, body, expected_version, author).run(timeout)
 
 
 class LeaderSearch(NamedTuple):
-    """The result of asking all servers whether they lead."""
+    """The result of a search for the leader among all servers."""
 
-    address: str  # for peers; empty where none leads
-    failures: dict[str, str]  # why each server is of no use, by its name, where none leads
+    address: str  # the peer address of the leader; empty if there is none
+    failures: dict[str, str]  # why each server is not usable, by server name; empty if there is a leader
     any_replied: bool
 
 
 def find_leader(servers: ConfigServers) -> LeaderSearch:
-    """The server that leads."""
+    """Ask all servers for their status and return the one that leads."""
     answers = ask_all(servers, StatusRequest(), StatusRow)
     for answer in answers:
         if answer.reply is not None and answer.reply.leads:
@@ -120,60 +122,60 @@
 
 
 class _Publisher:
-    """One body on its way to be committed, over any number of attempts."""
+    """Publishes one body, in as many attempts as needed."""
 
     def __init__(self, servers: ConfigServers, body: str, expected_version: int | None, author: str) -> None:
         self.servers = servers
         self.body = body
         self.expected_version = expected_version
-        self.replaces_any = expected_version is None
+        self.replaces_latest = expected_version is None
         self.author = author
         self.request_id = secrets.token_hex(REQUEST_ID_BYTES)
-        self.unknown: PublishReply | None = None  # an attempt may have been committed
+        self.unknown_reply: PublishReply | None = None  # set after an attempt that may have been committed
 
     def run(self, timeout: float) -> PublishReply:
-        """Attempt it until there is a final reply, or `timeout` seconds are over. Raises as `publish`."""
+        """Repeat attempts until a final reply, `timeout` seconds at most. Raises the errors of `publish`."""
         deadline = time.monotonic() + timeout
         while True:
             leader = find_leader(self.servers)
-            if not leader.any_replied and self.unknown is None:
+            if not leader.any_replied and self.unknown_reply is None:
                 raise NoServerAvailableError(leader.failures)
             reply = self._attempt(leader.address) if leader.address else None
             if reply is not None:
-                if reply.accepted or reply.is_invalid or not self.replaces_any:
+                if reply.accepted or reply.is_invalid or not self.replaces_latest:
                     return reply
                 if time.monotonic() > deadline:
                     return reply
-                self._begin_anew()
+                self._start_new_request()
                 continue
             if time.monotonic() > deadline:
-                if self.unknown is not None:
-                    return self.unknown
-                raise NoServerAvailableError(leader.failures, "the leader changes")
-            time.sleep(RETRY_INTERVAL)
+                if self.unknown_reply is not None:
+                    return self.unknown_reply
+                raise NoServerAvailableError(leader.failures, "the leader is changing")
+            time.sleep(RETRY_INTERVAL_S)
 
     def _attempt(self, leader: str) -> PublishReply | None:
-        """The final reply of the leader; None: it has to be repeated."""
+        """Return the final reply of the leader, or None if the attempt must be repeated."""
         try:
             if self.expected_version is None:
-                versions = self._ask(leader, VersionListRequest(), list[VersionRow])
+                versions = self._call(leader, VersionListRequest(), list[VersionRow])
                 self.expected_version = _latest_number(versions)
             request = PublishRequest(self.body, self.expected_version, self.author, self.request_id)
-            reply = self._ask(leader, request, PublishReply)
+            reply = self._call(leader, request, PublishReply)
         except (OSError, FrameError) as error:
             if self.expected_version is not None:
-                self.unknown = PublishReply(False, 0, f"no answer: {error}", is_unknown=True)
+                self.unknown_reply = PublishReply(False, 0, f"no answer: {error}", is_unknown=True)
             return None
         if reply.is_unknown:
-            self.unknown = reply
+            self.unknown_reply = reply
         return reply if not reply.is_unknown and reply.leader is UNSET else None
 
-    def _ask(self, leader: str, request: AdminRequest, reply_type: type[ReplyT]) -> ReplyT:
+    def _call(self, leader: str, request: AdminRequest, reply_type: type[ReplyT]) -> ReplyT:
         return call_replica(leader, self.servers.secret, request, reply_type)
 
-    def _begin_anew(self) -> None:
-        """Another version came first: this request is known not to be committed."""
-        self.expected_version, self.unknown = None, None
+    def _start_new_request(self) -> None:
+        """Prepare a new request after another version was committed first, so this one cannot be."""
+        self.expected_version, self.unknown_reply = None, None
         self.request_id = secrets.token_hex(REQUEST_ID_BYTES)
 
 
@@ -181,11 +183,11 @@
 
 
 def fleet_status(servers: ConfigServers, version: int = 0) -> FleetStatus:
-    """Which dispatchers have `version` or a later one applied (0: the latest that a server has).
+    """Return which dispatchers have applied `version` or a later one (0: the latest known to any server).
 
     Raises NoServerAvailableError.
     """
-    lists = _ask_any(servers, WatcherListRequest(), list[WatcherRow])
+    lists = _ask_available(servers, WatcherListRequest(), list[WatcherRow])
     silent_servers = [server for server in servers.peers if server not in lists]
     if not version:
         version = _latest_number(list_versions(servers))
@@ -193,7 +195,7 @@
 
 
 def wait_until_applied(servers: ConfigServers, version: int, timeout: float) -> FleetStatus:
-    """Wait until every connected dispatcher has applied or rejected a version, `timeout` seconds at most.
+    """Wait up to `timeout` seconds until every connected dispatcher has applied or rejected a version.
 
     Raises NoServerAvailableError.
     """
@@ -202,4 +204,4 @@
         status = fleet_status(servers, version)
         if not status.behind or time.monotonic() > deadline:
             return status
-        time.sleep(POLL_INTERVAL)
+        time.sleep(POLL_INTERVAL_S)
--- a/ploverspoke/config_distribution/admin_messages.py
+++ b/ploverspoke/config_distribution/admin_messages.py
@@ -1,6 +1,6 @@
-"""What tools ask config servers, and the replies: their wire form, read and checked.
+"""Requests of tools to config servers and the replies: wire format, parsing and validation.
 
-Beside these, a config server answers the requests of any replica (`status`, `members` and others).
+A config server also answers the requests that every replica supports (`status`, `members` and others).
 """
 
 import msgspec
@@ -11,7 +11,7 @@
 
 from .messages import is_version_number
 
-# Kinds of requests, as they stand on the wire.
+# Kinds of requests on the wire.
 PUBLISH = "publish"
 LIST_VERSIONS = "versions"
 READ_VERSION = "version"
@@ -23,12 +23,12 @@
 
 
 class PublishRequest(AdminRequest, frozen=True, tag=PUBLISH):
-    """Commit a body in the place of the version that its author has seen."""
+    """Commit a body that replaces the latest version its author has seen."""
 
     body: str
-    expected_version: int = msgspec.field(name="expect")  # 0: none
+    expected_version: int = msgspec.field(name="expect")  # 0: no version
     author: str = msgspec.field(name="by")
-    request_id: str = msgspec.field(name="id")  # a repeated request with the same id commits nothing more
+    request_id: str = msgspec.field(name="id")  # a repetition with the same id is not committed again
 
 
 class VersionListRequest(AdminRequest, frozen=True, tag=LIST_VERSIONS):
@@ -38,7 +38,7 @@
 class VersionRequest(AdminRequest, frozen=True, tag=READ_VERSION, omit_defaults=False):
     """Get the body of one version; the reply is a `VersionReply`."""
 
-    number: int = msgspec.field(name="n", default=0)  # 0: the latest
+    number: int = msgspec.field(name="n", default=0)  # 0: the latest version
 
 
 class WatcherListRequest(AdminRequest, frozen=True, tag=LIST_WATCHERS):
@@ -46,47 +46,47 @@
 
 
 class PublishReply(msgspec.Struct, frozen=True, omit_defaults=True):
-    """The result of a publish request, or why there is none yet."""
+    """The result of a publish request, or the reason why there is no result yet."""
 
     accepted: bool = msgspec.field(name="done")
-    version: int  # the one it made, or the latest that the server knows
+    version: int  # the published version, or the latest one that the server knows
     reason: str = msgspec.field(name="why")
-    # Only from a server that does not lead: the leader's address for peers, empty where it is not known.
+    # Only set by a server that is not the leader: the peer address of the leader, empty if unknown.
     leader: str | UnsetType = UNSET
-    is_unknown: bool = msgspec.field(name="unknown", default=False)  # it may be committed or not
-    is_invalid: bool = msgspec.field(name="bad", default=False)  # no server will ever accept it
+    is_unknown: bool = msgspec.field(name="unknown", default=False)  # the body may or may not be committed
+    is_invalid: bool = msgspec.field(name="bad", default=False)  # no server accepts this body
 
 
 class VersionReply(msgspec.Struct, frozen=True, omit_defaults=True):
-    """A version's body."""
+    """A version with its body."""
 
-    number: int = msgspec.field(name="n")  # 0: the version is not kept
+    number: int = msgspec.field(name="n")  # 0: the version does not exist or is no longer kept
     body: str = ""
     author: str = msgspec.field(name="by", default="")
 
 
 class ConfigServerStatus(msgspec.Struct, frozen=True):
-    """The part of a status that only config servers have; counters begin with the process."""
+    """The fields that a config server adds to the replica status; counters start at 0 with the process."""
 
-    version: int  # the latest; 0: none
-    has_recent_leader: bool = msgspec.field(name="fresh")  # it leads, or a leader has lately sent something
-    watchers: int  # connected
+    version: int  # the latest version; 0: none
+    has_recent_leader: bool = msgspec.field(name="fresh")  # it is the leader, or has recently heard from one
+    watchers: int  # connected watchers
     watchers_behind: int
     versions_sent: int = msgspec.field(name="pushes")
     whole_versions_sent: int = msgspec.field(name="whole_pushes")
     version_bytes_sent: int = msgspec.field(name="pushed_bytes")
-    silent_watchers: int = msgspec.field(name="silent")  # disconnected for sending no status
-    watchers_sent_elsewhere: int = msgspec.field(name="sent_elsewhere")  # for want of capacity
+    silent_watchers: int = msgspec.field(name="silent")  # disconnected because they sent no status
+    watchers_sent_elsewhere: int = msgspec.field(name="sent_elsewhere")  # because this server had no capacity
 
 
 def read_version_request(message: WireMap) -> VersionRequest:
-    """A decoded request for a version's body; a value that is no number names no version."""
+    """Parse a request for a version's body; an invalid number selects a version that does not exist."""
     number = message.get("n") or 0
     return VersionRequest(number if is_version_number(number) else NO_SUCH_VERSION)
 
 
 def read_publish_request(message: WireMap) -> PublishRequest:
-    """A decoded publish request. Raises ConfigError with the key."""
+    """Parse a publish request. Raises ConfigError with the invalid key."""
     body, expected_version = message.get("body"), message.get("expect")
     if not isinstance(body, str):
         raise _error("body", "expected a text")
--- a/ploverspoke/config_distribution/cache.py
+++ b/ploverspoke/config_distribution/cache.py
@@ -1,4 +1,4 @@
-"""The file with the last version that a dispatcher applied: it begins with it where no server answers."""
+"""The cache file with the last applied version, which a dispatcher starts with if no server answers."""
 
 import asyncio
 import json
@@ -14,26 +14,26 @@
 from .state_machine import digest_of
 
 CACHE_FORMAT = 1
-MAX_FILE_BYTES = 8 * MAX_BODY_BYTES  # escapes in JSON make a body longer
-WRITE_INTERVAL = 1.0  # seconds at the least between two writes
+MAX_FILE_BYTES = 8 * MAX_BODY_BYTES  # JSON escapes make the body longer
+MIN_WRITE_INTERVAL_S = 1.0
 
 
 class CachedVersion(NamedTuple):
-    """What a cache holds."""
+    """The result of reading a cache file."""
 
-    version: VerifiedVersion  # NO_VERSION where there is none, or an unusable one
-    problem: str  # why the file is unusable; empty where it is usable or does not exist
+    version: VerifiedVersion  # NO_VERSION if the file does not exist or is unusable
+    problem: str  # why the file is unusable; empty if it is usable or does not exist
 
 
 def read_cache(config: WatchConfig) -> CachedVersion:
-    """The last version that was applied, where the cache holds it for the same cluster."""
+    """Read the last applied version from the cache file, which must be for the same cluster."""
     path: Path = config.cache_file
     try:
         if path.stat().st_size > MAX_FILE_BYTES:
-            return CachedVersion(NO_VERSION, "it is too long")
+            return CachedVersion(NO_VERSION, f"the file is larger than {MAX_FILE_BYTES} bytes")
         document = json.loads(path.read_text(encoding="utf-8"))
         version = VerifiedVersion(document["version"], bytes.fromhex(document["digest"]), document["body"])
-        problem = _problem(document["format"], document["cluster"], version, config.cluster)
+        problem = _find_problem(document["format"], document["cluster"], version, config.cluster)
     except FileNotFoundError:
         return CachedVersion(NO_VERSION, "")
     except (OSError, ValueError, KeyError, TypeError, AttributeError, RecursionError) as error:
@@ -41,20 +41,20 @@
     return CachedVersion(NO_VERSION, problem) if problem else CachedVersion(version, "")
 
 
-def _problem(file_format: object, file_cluster: object, version: VerifiedVersion, cluster: str) -> str:
+def _find_problem(file_format: object, file_cluster: object, version: VerifiedVersion, cluster: str) -> str:
     if file_format != CACHE_FORMAT:
         return f"format {file_format!r}, this release reads {CACHE_FORMAT}"
     if file_cluster != cluster:
-        return f"it is of cluster {file_cluster!r}"
+        return f"the file is for cluster {file_cluster!r}"
     if not is_version_number(version.number) or not version.number:
-        return f"version {version.number!r:.20} is none"
+        return f"version {version.number!r:.20} is not a valid version number"
     if digest_of(version.body) != version.digest:
-        return "its digest is wrong"
+        return "the digest does not match the body"
     return ""
 
 
 def write_cache(config: WatchConfig, version: VerifiedVersion) -> None:
-    """Replace the file in one step. Raises OSError."""
+    """Replace the file atomically. Raises OSError."""
     document = {
         "format": CACHE_FORMAT,
         "cluster": config.cluster,
@@ -63,33 +63,33 @@
         "body": version.body,
     }
     path: Path = config.cache_file
-    new = path.with_name(f".{path.name}.{os.getpid()}.new")
+    temporary_path = path.with_name(f".{path.name}.{os.getpid()}.new")
     path.parent.mkdir(parents=True, exist_ok=True)
-    new.write_text(json.dumps(document), encoding="utf-8")
-    new.replace(path)
+    temporary_path.write_text(json.dumps(document), encoding="utf-8")
+    temporary_path.replace(path)
 
 
 class CacheWriter:
-    """Writes applied versions by a thread: at once, but in a burst the latest alone each second."""
+    """Writes applied versions in a thread: at once, but at most one version a second, the latest."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, config: WatchConfig) -> None:
         """The file is `config.cache_file`."""
         self.loop = loop
         self.config = config
         self.pending: VerifiedVersion | None = None
-        self.write_timer: asyncio.TimerHandle | None = None  # until its write has ended
-        self.next_write_at = 0.0  # by the loop's clock
+        self.write_timer: asyncio.TimerHandle | None = None  # set until the write has finished
+        self.next_write_at = 0.0  # time of the loop's clock
         self.is_closed = False
 
     def schedule(self, version: VerifiedVersion) -> None:
-        """Write this version, or a later one that comes before it is written."""
+        """Write this version, or a later one if it is scheduled before the write starts."""
         self.pending = version
         if self.write_timer is None and not self.is_closed:
             at = max(self.loop.time(), self.next_write_at)
             self.write_timer = self.loop.call_at(at, self._write)
 
     def close(self) -> None:
-        """Write what is pending, in this thread."""
+        """Write the pending version, if any, in the calling thread."""
         self.is_closed = True
         if self.write_timer is not None:
             self.write_timer.cancel()
@@ -100,12 +100,12 @@
                 self._log_failure(error)
 
     def _write(self) -> None:
-        # By a thread: a slow disk holds up nothing.
+        # In a thread, so that a slow disk does not block the event loop.
         assert self.pending is not None
         version, self.pending = self.pending, None
-        self.next_write_at = self.loop.time() + WRITE_INTERVAL
-        written = self.loop.run_in_executor(None, write_cache, self.config, version)
-        written.add_done_callback(lambda future: self._on_written(future.exception()))
+        self.next_write_at = self.loop.time() + MIN_WRITE_INTERVAL_S
+        write_future = self.loop.run_in_executor(None, write_cache, self.config, version)
+        write_future.add_done_callback(lambda future: self._on_written(future.exception()))
 
     def _on_written(self, error: BaseException | None) -> None:
         self.write_timer = None
@@ -115,4 +115,4 @@
             self.schedule(self.pending)
 
     def _log_failure(self, error: BaseException) -> None:
-        log_line(f"config: the cache cannot be written: {error}")
+        log_line(f"config: cannot write the cache: {error}")
--- a/ploverspoke/config_distribution/client.py
+++ b/ploverspoke/config_distribution/client.py
@@ -1,4 +1,4 @@
-"""A watcher on sockets: the driver of `ConfigWatcher`, with the cache of the last applied version."""
+"""Runs a `ConfigWatcher` on the event loop: sockets, timers and the cache of the last applied version."""
 
 import asyncio
 import os
@@ -20,20 +20,20 @@
 from .server_link import NO_HEARTBEAT
 from .watcher import ConfigWatcher
 
-MAX_TIMER_SECONDS = 60.0
+MAX_TIMER_DELAY_S = 60.0
 SEED_BYTES = 8
 
 ApplyVersion = Callable[[VerifiedVersion], None]  # raises VersionRejectedError
 
 
 class WatchMetrics(NamedTuple):
-    """What operators see of a watch, by the names at the admin port."""
+    """The metrics of a watch; the field names are the metric names at the admin port."""
 
-    config_version: int  # the active one; 0: none
-    config_received_version: int  # the latest that arrived intact; 0: none
-    config_connected: int  # 1: a server is watched
-    config_server_version: int  # the latest one of that server; -1: unknown
-    config_silent_ms: int  # since the server last sent something; -1: there is none
+    config_version: int  # the active version; 0: none
+    config_received_version: int  # the latest version that arrived intact; 0: none
+    config_connected: int  # 1: connected to a server; 0: not connected
+    config_server_version: int  # the latest version of that server; -1: unknown
+    config_silent_ms: int  # time since the last message of the server; -1: no server
     config_versions_applied: int
     config_versions_rejected: int
     config_messages_rejected: int
@@ -41,33 +41,33 @@
 
 
 class ServerConnection(FramedClientConnection):
-    """One connection of a watch to a config server."""
+    """A connection of a watch client to a config server."""
 
     server_errors = (FrameError, KeyError, TypeError, ValueError)
     log_name = "config"
-    max_unsent_bytes = 1 << 16  # a status that is left out is repeated
+    max_unsent_bytes = 1 << 16  # above this, statuses are skipped; the next one replaces them
 
     def __init__(self, client: "WatchClient", link_id: int) -> None:
-        """`client` gets the events of the connection, with this `link_id`."""
+        """`client` receives the events of the connection, together with `link_id`."""
         super().__init__(client.config.secret, watcher_greeting(client.name, client.config.cluster))
         self.client = client
         self.link_id = link_id
 
     def on_connected(self) -> None:
-        """The server has greeted."""
+        """Report the greeting of the server."""
         self.client.on_greeting(self.link_id)
 
     def on_message(self, message: object) -> None:
-        """A message of any form has arrived."""
+        """Report a decoded message, which has not been validated."""
         self.client.on_message(self.link_id, message)
 
     def on_disconnected(self) -> None:
-        """The connection is lost."""
+        """Report that the connection was lost."""
         self.client.on_disconnected(self.link_id)
 
 
 class WatchClient:
-    """The environment of a `ConfigWatcher`: sockets, time, random numbers, the cache."""
+    """The environment of a `ConfigWatcher`: sockets, clock, random numbers and cache."""
 
     def __init__(
         self,
@@ -78,27 +78,29 @@
         applied: VerifiedVersion = NO_VERSION,
         seed: int | None = None,
     ) -> None:
-        """`apply` makes a version active; `applied` is active already. `seed` None: one of the system."""
+        """`apply` makes a version active; `applied` is already active. `seed` None: seeded by the system."""
         self.loop = loop
         self.config = config
         self.name = name
         self.apply = apply
         self.random = random.Random(int.from_bytes(os.urandom(SEED_BYTES), "big") if seed is None else seed)
         self.watcher = ConfigWatcher(self, config.cluster, config.servers, config.local_servers, applied)
-        self.connections: dict[int, ServerConnection] = {}  # by link id, also those that are being made
+        self.connections: dict[
+            int, ServerConnection
+        ] = {}  # by link id, including those still being established
         self.dial_tasks: dict[int, asyncio.Task[None]] = {}
-        self.timer = LoopTimer(self._tick, MAX_TIMER_SECONDS)
+        self.timer = LoopTimer(self._tick, MAX_TIMER_DELAY_S)
         self.cache_writer = CacheWriter(loop, config)
-        self.closed = False
+        self.is_closed = False
 
     def start(self) -> None:
-        """Begin to watch."""
+        """Start watching."""
         self.watcher.start()
         self._schedule_tick()
 
     def close(self) -> None:
-        """Close all connections, and write the cache where it is behind."""
-        self.closed = True
+        """Close all connections, and write a pending version to the cache."""
+        self.is_closed = True
         self.timer.cancel()
         for link_id in list(self.connections):
             self.hang_up(link_id)
@@ -107,11 +109,11 @@
     # ---- Environment of the watcher ----
 
     def now(self) -> int:
-        """The monotonic clock, ns."""
+        """Return the time of the monotonic clock, ns."""
         return time.monotonic_ns()
 
     def random_fraction(self) -> float:
-        """A random number, 0 <= x < 1."""
+        """Return a random number, 0 <= x < 1."""
         return self.random.random()
 
     def log(self, line: str) -> None:
@@ -119,12 +121,12 @@
         log_line(line)
 
     def dial(self, link_id: int, address: str) -> None:
-        """Connect to a server; reported later by an event."""
+        """Start connecting to a server; an event reports the result later."""
         connection = self.connections[link_id] = ServerConnection(self, link_id)
         self.dial_tasks[link_id] = self.loop.create_task(self._dial(connection, address))
 
     def hang_up(self, link_id: int) -> None:
-        """Close a connection; nothing of it is reported any more."""
+        """Close a connection; no further events are reported for it."""
         task, connection = self.dial_tasks.pop(link_id, None), self.connections.pop(link_id, None)
         if task is not None:
             task.cancel()
@@ -132,37 +134,37 @@
             connection.close()
 
     def send(self, link_id: int, status: WatchStatus) -> None:
-        """Send a status; left out where the server does not read, since it is repeated."""
+        """Send a status; it is skipped if the server does not read, since statuses are sent repeatedly."""
         connection = self.connections.get(link_id)
         if connection is not None:
             connection.write(status)
 
     def apply_version(self, version: VerifiedVersion) -> None:
-        """Make a version active, and keep it in the cache. Raises VersionRejectedError."""
+        """Make a version active and write it to the cache. Raises VersionRejectedError."""
         self.apply(version)
         self.cache_writer.schedule(version)
 
     # ---- Events of connections ----
 
     def on_greeting(self, link_id: int) -> None:
-        """A server has answered with the shared secret."""
+        """Handle the greeting of a server, which proves that it knows the shared secret."""
         self.watcher.on_greeting(link_id)
         self._schedule_tick()
 
     def on_message(self, link_id: int, message: object) -> None:
-        """A server has sent a message."""
+        """Handle a message of a server."""
         self.watcher.on_message(link_id, message)
         self._schedule_tick()
 
     def on_disconnected(self, link_id: int) -> None:
-        """A connection is lost, or could not be made."""
+        """Handle a connection that was lost or could not be established."""
         self.connections.pop(link_id, None)
         self.watcher.on_disconnected(link_id)
         self._schedule_tick()
 
     async def _dial(self, connection: ServerConnection, address: str) -> None:
         try:
-            # By the loop that the service was given, which may choose the local address.
+            # With the service's own loop, which may choose the local address.
             await self.loop.create_connection(lambda: connection, *split_address(address))
         except OSError:
             self.on_disconnected(connection.link_id)
@@ -172,8 +174,8 @@
     # ---- Time ----
 
     def _schedule_tick(self) -> None:
-        """Have the watcher's `tick` called when it is due; a timer that is too early does no harm."""
-        if not self.closed:
+        """Schedule the watcher's `tick`; a timer that fires too early is harmless."""
+        if not self.is_closed:
             self.timer.set_earlier(self.watcher.next_tick())
 
     def _tick(self) -> None:
@@ -183,7 +185,7 @@
     # ---- Metrics ----
 
     def metrics(self) -> WatchMetrics:
-        """The present values, for the call `config` of the admin port."""
+        """Return the current values, for the `config` command of the admin port."""
         versions, link, counters = self.watcher.versions, self.watcher.link, self.watcher.counters
         return WatchMetrics(
             config_version=versions.applied_version,
--- a/ploverspoke/config_distribution/cluster_config.py
+++ b/ploverspoke/config_distribution/cluster_config.py
@@ -1,4 +1,4 @@
-"""The files of config servers, of those that watch them, and of tools, read and checked."""
+"""Configuration files of config servers, watchers and tools: parsing and validation."""
 
 from pathlib import Path
 from typing import NamedTuple
@@ -12,7 +12,7 @@
 )
 from ploverspoke.service.config_reader import ConfigSection
 
-DEFAULT_SNAPSHOT_EVERY = 200  # log entries; they hold whole bodies, so there is no reason for many
+DEFAULT_SNAPSHOT_EVERY = 200  # log entries; kept few because each holds a whole body
 MIN_SNAPSHOT_EVERY = 100
 DEFAULT_MAX_WATCHERS = 1024
 DEFAULT_BYTES_PER_SECOND = 4_000_000
@@ -20,32 +20,32 @@
 
 
 class ConfigServerConfig(NamedTuple):
-    """The file of one config server."""
+    """The configuration of one config server."""
 
     replica: ReplicaConfig
     max_watchers: int
-    bytes_per_second: int  # sent to all watchers together
+    bytes_per_second: int  # limit for all watchers together
 
 
 class ConfigServers(NamedTuple):
-    """Where the config servers are, for tools."""
+    """The config servers, as tools need them."""
 
-    peers: dict[str, str]  # their addresses for peers, by name
+    peers: dict[str, str]  # peer addresses by server name
     secret: bytes
 
 
 class WatchConfig(NamedTuple):
-    """The file of one watcher."""
+    """The configuration of one watcher."""
 
     cluster: str
-    servers: list[str]  # their addresses for clients
-    local_servers: list[str]  # those of them that are preferred
+    servers: list[str]  # client addresses
+    local_servers: list[str]  # the preferred ones among `servers`
     secret: bytes
     cache_file: Path
 
 
 def read_config_server_config(path: Path) -> ConfigServerConfig:
-    """The file of a config server. Raises ConfigError with the key."""
+    """Read the file of a config server. Raises ConfigError with the invalid key."""
     section = read_json_file(path)
     replica = parse_replica_config(section, path)
     snapshot_every = section.integer("snapshot_every", DEFAULT_SNAPSHOT_EVERY, least=MIN_SNAPSHOT_EVERY)
@@ -57,14 +57,14 @@
 
 
 def read_config_servers(path: Path) -> ConfigServers:
-    """From a config server's file, or one with `replicas` and `secret_file` alone. Raises ConfigError."""
+    """Read a config server's file, or one with only `replicas` and `secret_file`. Raises ConfigError."""
     cluster = read_cluster_servers(path, "at least one config server")
     peers = {name: addresses.peer for name, addresses in cluster.replicas.items()}
     return ConfigServers(peers, cluster.secret)
 
 
 def read_watch_config(path: Path) -> WatchConfig:
-    """The file that `serve --watch` names. Raises ConfigError with the key."""
+    """Read the file given by `serve --watch`. Raises ConfigError with the invalid key."""
     section = read_json_file(path)
     servers, local_servers = section.values("servers", [], str), section.values("near", [], str)
     if not servers or len(set(servers)) < len(servers):
@@ -73,8 +73,8 @@
         ConfigSection({"servers": server}).address("servers")
     if not set(local_servers) <= set(servers):
         raise section.invalid("near", "some of servers")
-    cache = section.text("cache")
-    if not cache:
+    cache_file_name = section.text("cache")
+    if not cache_file_name:
         raise section.invalid("cache", "the path of a file")
     secret = read_shared_secret(section, path)
-    return WatchConfig(section.text("cluster"), servers, local_servers, secret, path.parent / cache)
+    return WatchConfig(section.text("cluster"), servers, local_servers, secret, path.parent / cache_file_name)
--- a/ploverspoke/config_distribution/command_output.py
+++ b/ploverspoke/config_distribution/command_output.py
@@ -1,4 +1,4 @@
-"""What `ploverspoke config` prints."""
+"""Output and exit codes of `ploverspoke config`."""
 
 import json
 import sys
@@ -18,7 +18,7 @@
 
 
 def exit_without_server(error: NoServerAvailableError, as_json: bool) -> NoReturn:
-    """Print why no server could be used, and end with exit code 3."""
+    """Print why no server is available, and exit with code 3."""
     if as_json:
         click.echo(json.dumps({"done": False, "why": str(error)}))
     click.echo(f"ploverspoke: no config server leads or answers: {error}", err=True)
@@ -26,7 +26,7 @@
 
 
 def exit_with_publish_reply(reply: PublishReply, fleet: FleetStatus | None, as_json: bool) -> NoReturn:
-    """Print the result of a publish request and, where it was waited for, the fleet's; end with its code."""
+    """Print the result of a publish request and the fleet status, if given; exit with the matching code."""
     if as_json:
         document = msgspec.to_builtins(reply)
         if fleet is not None:
@@ -45,21 +45,21 @@
 
 
 def print_fleet(fleet: FleetStatus) -> None:
-    """Which dispatchers have the version, in lines for operators."""
+    """Print for operators which dispatchers have applied the version."""
     click.echo(f"version {fleet.version}: applied at {len(fleet.applied)} of {fleet.connected()} connected")
     if fleet.silent_servers:
-        click.echo(f"no answer from {', '.join(fleet.silent_servers)}: who watches there is not known")
+        click.echo(f"no answer from {', '.join(fleet.silent_servers)}: their watchers are not known")
     if fleet.behind:
-        click.echo(f"behind: {_shortened(fleet.behind)}")
+        click.echo(f"behind: {_join_names(fleet.behind)}")
     for name, reason in sorted(fleet.rejected.items())[:MAX_NAMES_PER_LINE]:
         click.echo(f"rejected at {name}: {reason}")
     if len(fleet.rejected) > MAX_NAMES_PER_LINE:
         click.echo(f"rejected at {len(fleet.rejected) - MAX_NAMES_PER_LINE} more")
     if fleet.disconnected:
         names = [f"{name} ({seconds:.0f} s)" for name, seconds in fleet.disconnected.items()]
-        click.echo(f"not connected: {_shortened(names)}")
+        click.echo(f"not connected: {_join_names(names)}")
 
 
-def _shortened(names: list[str]) -> str:
+def _join_names(names: list[str]) -> str:
     more = f" and {len(names) - MAX_NAMES_PER_LINE} more" if len(names) > MAX_NAMES_PER_LINE else ""
     return ", ".join(names[:MAX_NAMES_PER_LINE]) + more
--- a/ploverspoke/config_distribution/commands.py
+++ b/ploverspoke/config_distribution/commands.py
@@ -1,4 +1,4 @@
-"""`ploverspoke config`: run a config server, publish a version, see which dispatchers have applied it."""
+"""`ploverspoke config`: run a config server, publish versions, show which dispatchers have applied them."""
 
 import difflib
 import functools
@@ -32,33 +32,33 @@
 from .errors import NoServerAvailableError
 from .overlay import apply_overlay, read_body
 
-PUBLISH_TIMEOUT = 10.0  # seconds, for a leader to commit a version
+PUBLISH_TIMEOUT_S = 10.0  # until a leader has committed the version
 STATUS_KEYS = ("name", "role", "why", "version", "fresh", "watchers", "watchers_behind")
 
 
 @click.group()
 def config() -> None:
-    """Carry a change of configuration to every dispatcher (docs/operating-distribution.md).
+    """Distribute configuration changes to all dispatchers (docs/operating-distribution.md).
 
-    FILE is the file of any config server, or one with `replicas` and `secret_file` alone.
+    FILE is the file of any config server, or one with only `replicas` and `secret_file`.
 
-    Exit 0: done. 1: not done, or not applied everywhere: who and why is printed. 2: the call or a file is
-    invalid, and the key is named. 3: no config server leads, or none answers.
+    Exit 0: done. 1: not done, or not applied everywhere; the dispatchers and reasons are printed. 2: the call
+    or a file is invalid; the invalid key is printed. 3: no config server leads, or none answers.
     """
 
 
-def _read_servers(file: Path) -> ConfigServers:
+def _read_servers_file(file: Path) -> ConfigServers:
     return read_config_or_exit(read_config_servers, file)
 
 
 @config.command()
 @FILE_ARGUMENT
-@click.option("--new", is_flag=True, help="The first start of a new set of config servers.")
-@click.option("--join", default="", metavar="MARK", help="The mark of the running set that it joins.")
+@click.option("--new", is_flag=True, help="Start a new cluster of config servers for the first time.")
+@click.option("--join", default="", metavar="MARK", help="Join the running cluster with this fingerprint.")
 def serve(file: Path, new: bool, join: str) -> None:
     """Run one config server with this FILE until SIGTERM.
 
-    Exit 0: ended by SIGTERM. 2: the file or the disk cannot be used, and why is printed.
+    Exit 0: stopped by SIGTERM. 2: the file or the disk cannot be used; the reason is printed.
     """
     try:
         from .daemon import main
@@ -72,16 +72,16 @@
 
 
 class PublishOptions(NamedTuple):
-    """The options that `publish` and `rollback` share."""
+    """The common options of `publish` and `rollback`."""
 
-    expect: int | None  # None: whichever version is the latest
+    expect: int | None  # None: the latest version, whatever its number
     wait: float  # seconds; 0: do not wait
-    by: str | None  # None: the user
+    by: str | None  # None: the current user
     as_json: bool
 
 
 def publish_options(command: Callable[..., None]) -> Callable[..., None]:
-    """Add the shared options to a command, which receives them as one `PublishOptions`."""
+    """Add the common options to a command, which receives them as `PublishOptions`."""
 
     @functools.wraps(command)
     def with_options(
@@ -91,13 +91,13 @@
 
     for option in (
         JSON_OPTION,
-        click.option("--by", default=None, help="Who publishes; by default the user."),
-        click.option("--wait", type=float, default=0.0, help="Seconds to wait until it is applied."),
+        click.option("--by", default=None, help="The author of the version; by default the current user."),
+        click.option("--wait", type=float, default=0.0, help="Seconds to wait until the version is applied."),
         click.option(
             "--expect",
             type=click.IntRange(0),
             default=None,
-            help="The version that it replaces; 0: there is none.",
+            help="The version to replace; 0: there is no version yet.",
         ),
     ):
         with_options = option(with_options)
@@ -107,16 +107,16 @@
 @config.command()
 @FILE_ARGUMENT
 @click.argument("body", type=EXISTING_FILE)
-@click.option("--against", type=EXISTING_FILE, help="A dispatcher's configuration that BODY is checked with.")
+@click.option("--against", type=EXISTING_FILE, help="A dispatcher's configuration to check BODY against.")
 @publish_options
 def publish(file: Path, body: Path, against: Path | None, options: PublishOptions) -> None:
     """Commit BODY, a file, as the next version.
 
-    With --expect it is rejected where another version is the latest; without, it replaces whichever is. Exit
-    0: committed, and with --wait applied at every dispatcher that is connected. 1: another version was
-    published, or it is not applied in time. 2: BODY is invalid. 3: no server leads.
+    With --expect, BODY is rejected if another version is the latest; without, it replaces any version. Exit
+    0: committed, and with --wait applied at every connected dispatcher. 1: another version was published, or
+    this one was not applied in time. 2: BODY is invalid. 3: no server leads.
     """
-    servers = _read_servers(file)
+    servers = _read_servers_file(file)
     try:
         text = body.read_text(encoding="utf-8")
         if against is not None:
@@ -134,20 +134,20 @@
 @click.argument("version", type=click.IntRange(1))
 @publish_options
 def rollback(file: Path, version: int, options: PublishOptions) -> None:
-    """Publish the body of an older VERSION as a new one. Exit as `publish`; 1 where VERSION is not kept."""
-    servers = _read_servers(file)
+    """Publish the body of an older VERSION as a new one. Exit as `publish`; 1 also if VERSION is not kept."""
+    servers = _read_servers_file(file)
     _publish(servers, _get_body(servers, version, options.as_json), options)
 
 
 def _check_against(text: str, against: Path) -> None:
-    """Check a body as the dispatcher with that configuration will. Raises ConfigError with the key."""
+    """Check a body as a dispatcher with this configuration would. Raises ConfigError with the key."""
     try:
-        own = json.loads(against.read_text(encoding="utf-8"))
+        own_config = json.loads(against.read_text(encoding="utf-8"))
     except (OSError, ValueError) as error:
         message = f"{against}: {error}"
         raise ConfigError(message) from error
-    new = parse_config(apply_overlay(own, read_body(text)), os.environ)
-    missing = first_missing_key(without_known_endpoints(own), new.document)
+    new_config = parse_config(apply_overlay(own_config, read_body(text)), os.environ)
+    missing = first_missing_key(without_known_endpoints(own_config), new_config.document)
     if missing is not None:
         raise InvalidValueError(key=missing, problem=f"is missing: {against} has it")
 
@@ -155,7 +155,7 @@
 def _publish(servers: ConfigServers, text: str, options: PublishOptions) -> None:
     author = options.by or _user_name()
     try:
-        reply = publish_body(servers, text, options.expect, author, PUBLISH_TIMEOUT)
+        reply = publish_body(servers, text, options.expect, author, PUBLISH_TIMEOUT_S)
         fleet = None
         if reply.accepted and options.wait > 0:
             fleet = wait_until_applied(servers, reply.version, options.wait)
@@ -178,11 +178,11 @@
 @FILE_ARGUMENT
 @JSON_OPTION
 def status(file: Path, as_json: bool) -> None:
-    """The state of each server, and which dispatchers have applied the latest version.
+    """Show the state of each server, and which dispatchers have applied the latest version.
 
-    Exit 0: all that are connected have applied it. 1: some have not. 3: no server answers.
+    Exit 0: all connected dispatchers have applied it. 1: some have not. 3: no server answers.
     """
-    servers = _read_servers(file)
+    servers = _read_servers_file(file)
     rows = [_status_row(answer) for answer in ask_all(servers, StatusRequest(), StatusRow)]
     try:
         fleet = fleet_status(servers)
@@ -208,9 +208,9 @@
 @FILE_ARGUMENT
 @JSON_OPTION
 def history(file: Path, as_json: bool) -> None:
-    """The versions that are kept, the latest last."""
+    """List the kept versions, the latest last."""
     try:
-        versions = list_versions(_read_servers(file))
+        versions = list_versions(_read_servers_file(file))
     except NoServerAvailableError as error:
         exit_without_server(error, as_json)
     rows = [
@@ -225,8 +225,8 @@
 @click.argument("version", type=click.IntRange(1), required=False)
 @JSON_OPTION
 def show(file: Path, version: int | None, as_json: bool) -> None:
-    """The body of VERSION, or of the latest one. Exit 1 where it is not kept."""
-    body = _get_body(_read_servers(file), version or 0, as_json)
+    """Show the body of VERSION, by default the latest one. Exit 1 if it is not kept."""
+    body = _get_body(_read_servers_file(file), version or 0, as_json)
     click.echo(json.dumps(json.loads(body), indent=2) if as_json else body)
 
 
@@ -235,11 +235,11 @@
 @click.argument("old", type=click.IntRange(1), required=False)
 @click.argument("new", type=click.IntRange(1), required=False)
 def diff(file: Path, old: int | None, new: int | None) -> None:
-    """The differences from version OLD (the one before the latest) to NEW (the latest).
+    """Show the differences between version OLD (default: before the latest) and NEW (default: the latest).
 
-    Exit 1 where one of them is not kept.
+    Exit 1 if one of them is not kept.
     """
-    servers = _read_servers(file)
+    servers = _read_servers_file(file)
     if old is None:
         try:
             versions = list_versions(servers)
@@ -256,12 +256,12 @@
 
 
 def _get_body(servers: ConfigServers, version: int, as_json: bool) -> str:
-    """The body of a version, 0: the latest; ends the call where no server has it."""
+    """Return the body of a version (0: the latest); exit if no server has it."""
     try:
-        found = get_version(servers, version)
+        reply = get_version(servers, version)
     except NoServerAvailableError as error:
         exit_without_server(error, as_json)
-    if not found.number:
+    if not reply.number:
         click.echo(f"ploverspoke: version {version or 'any'} is not kept", err=True)
         sys.exit(EXIT_NOT_DONE)
-    return found.body
+    return reply.body
--- a/tests/config_distribution/test_broadcaster.py
+++ b/tests/config_distribution/test_broadcaster.py
@@ -3,9 +3,9 @@
 from ploverspoke.config_distribution.broadcaster import (
     MAX_REMEMBERED_WATCHERS,
     MAX_VERSIONS_PER_TURN,
-    MIN_VERSION_INTERVAL,
-    RESEND_AFTER,
-    WATCHER_TIMEOUT,
+    MIN_VERSION_INTERVAL_NS,
+    RESEND_DELAY_NS,
+    WATCHER_TIMEOUT_NS,
     VersionBroadcaster,
 )
 from ploverspoke.config_distribution.messages import ServerMessage, VersionMessage, WatchStatus
@@ -60,13 +60,13 @@
     ((_, first),) = environment.versions_sent(100 * MILLISECOND)
     assert (first.version, first.base_digest) == (29, version(1).digest)
     broadcaster.add_version(version(30))
-    assert not environment.versions_sent(MIN_VERSION_INTERVAL)  # no status has answered the first one yet
+    assert not environment.versions_sent(MIN_VERSION_INTERVAL_NS)  # no status has answered the first one yet
     broadcaster.on_watch_status("n1", status(29))
     ((_, second),) = environment.versions_sent(10 * MILLISECOND)
     assert (second.version, second.base_digest) == (30, version(29).digest)
     broadcaster.on_watch_status("n1", status(30))
     broadcaster.add_version(version(31))
-    assert not environment.versions_sent(MIN_VERSION_INTERVAL - 20 * MILLISECOND)  # paced
+    assert not environment.versions_sent(MIN_VERSION_INTERVAL_NS - 20 * MILLISECOND)  # paced
     assert len(environment.versions_sent(20 * MILLISECOND)) == 1
     broadcaster.on_watch_status("n1", WatchStatus(31, version(31).digest, 30, "settings.X", 0))
     broadcaster.add_version(version(31))
@@ -80,9 +80,9 @@
     broadcaster.add_version(version(1))
     broadcaster.on_watch_status("n1", status(1))
     broadcaster.add_version(version(2))
-    again = environment.versions_sent(2 * RESEND_AFTER + 50 * MILLISECOND)
+    again = environment.versions_sent(2 * RESEND_DELAY_NS + 50 * MILLISECOND)
     assert [message.base_digest is None for _, message in again] == [False, True, True]
-    environment.versions_sent(WATCHER_TIMEOUT)
+    environment.versions_sent(WATCHER_TIMEOUT_NS)
     assert environment.disconnected == ["n1"] and not broadcaster.watchers
     assert broadcaster.watcher_rows()[0].is_connected is False
     broadcaster.on_watch_status("n1", status(1))
@@ -133,5 +133,5 @@
     for number in range(MAX_REMEMBERED_WATCHERS + 50):
         broadcaster.on_watch_status(f"x{number}", NO_STATUS)
         broadcaster.on_disconnected(f"x{number}")
-    assert len(broadcaster.remembered) == MAX_REMEMBERED_WATCHERS
-    assert "n2" in broadcaster.remembered  # a connected watcher is not forgotten
+    assert len(broadcaster.remembered_watchers) == MAX_REMEMBERED_WATCHERS
+    assert "n2" in broadcaster.remembered_watchers  # a connected watcher is not forgotten
