--- a/ploverspoke/config_distribution/broadcaster.py
+++ b/ploverspoke/config_distribution/broadcaster.py
@@ -16,7 +16,7 @@
 from ploverspoke.transport.units import MILLISECOND, NEVER, SECOND
 
 from .messages import Heartbeat, ServerMessage, VersionMessage, WatchStatus, pack_version
-from .state_machine import Version, excess_versions
+from .state_machine import Version, count_excess_versions
 from .watcher_records import BroadcastCounters, ConnectedWatcher, RememberedWatcher, WatcherRow
 
 HEARTBEAT_INTERVAL_NS = SECOND
@@ -85,7 +85,7 @@
             return
         self.versions[version.number] = version
         kept = sorted(self.versions.values(), key=lambda kept_version: kept_version.number)
-        for excess_version in kept[: excess_versions(kept)]:
+        for excess_version in kept[: count_excess_versions(kept)]:
             del self.versions[excess_version.number]
         if self.latest is not None and version.number < self.latest.number:
             return
--- a/ploverspoke/config_distribution/dynamic_config.py
+++ b/ploverspoke/config_distribution/dynamic_config.py
@@ -1,7 +1,7 @@
-"""The dispatcher with a watch: the service of `service/service.py`, its configuration overlaid by versions.
+"""A dispatcher with dynamic configuration: the service of `service/service.py`, which watches config servers.
 
-The active configuration is the dispatcher's own file with the last version applied that passed the checks of
-a file. Where none did, or no server ever answered, it is the file alone.
+The active configuration is the dispatcher's own configuration file, overlaid with the last version that
+passed all checks. If no version has passed them, or no server has ever answered, it is the file alone.
 """
 
 import os
@@ -35,39 +35,39 @@
 
 @dataclass
 class OwnConfig:
-    """A dispatcher's own configuration, without any version."""
+    """A dispatcher's own configuration file, without any distributed version."""
 
     document: JsonDocument
     environment: Mapping[str, str]
-    reread: Callable[[], JsonDocument]  # the document as it is now, at SIGHUP; raises ConfigError
+    read_document: Callable[[], JsonDocument]  # reads the file again, at SIGHUP; raises ConfigError
 
     def with_body(self, body: str) -> Config:
-        """The configuration with a version's body applied; empty: alone. Raises ConfigError."""
+        """Return the configuration overlaid with a version's body, if not empty. Raises ConfigError."""
         document = apply_overlay(self.document, read_body(body)) if body else self.document
         return parse_config(document, self.environment)
 
 
 def read_own_config(environment: Mapping[str, str]) -> OwnConfig:
-    """The own configuration of the dispatcher with this environment. Raises ConfigError."""
-    reread = partial(read_config_document, environment)
-    return OwnConfig(reread(), environment, reread)
+    """Read the configuration file that the environment names. Raises ConfigError."""
+    read_document = partial(read_config_document, environment)
+    return OwnConfig(read_document(), environment, read_document)
 
 
 class InitialConfig(NamedTuple):
-    """What a dispatcher begins with."""
+    """The configuration that a dispatcher starts with."""
 
     config: Config
     applied: VerifiedVersion  # from the cache, or NO_VERSION
 
 
-def initial_config(own: OwnConfig, watch_config: WatchConfig) -> InitialConfig:
-    """The own configuration with the cached version, or alone; logs which. Raises ConfigError."""
-    own_alone = own.with_body("")
+def load_initial_config(own_config: OwnConfig, watch_config: WatchConfig) -> InitialConfig:
+    """Return the own configuration, with the cached version if usable, and log which. Raises ConfigError."""
+    config_without_version = own_config.with_body("")
     cached = read_cache(watch_config)
     version, problem = cached.version, cached.problem
     if version != NO_VERSION:
         try:
-            config = own.with_body(version.body)
+            config = own_config.with_body(version.body)
         except ValueError as error:
             problem = f"version {version.number}: {error}"
         else:
@@ -76,80 +76,82 @@
             return InitialConfig(config, version)
     suffix = f": the cache is unusable: {problem}" if problem else ""
     log_line(f"config: no version applied, own configuration alone{suffix}")
-    return InitialConfig(own_alone, NO_VERSION)
+    return InitialConfig(config_without_version, NO_VERSION)
 
 
 class VersionApplier:
-    """Applies versions to the configuration of one running service."""
+    """Applies versions to a running service."""
 
-    def __init__(self, service: Service, own: OwnConfig, applied: VerifiedVersion) -> None:
-        """`service` was started with `applied` on its own configuration."""
+    def __init__(self, service: Service, own_config: OwnConfig, applied: VerifiedVersion) -> None:
+        """`service` was started with its own configuration overlaid with `applied`."""
         self.service = service
-        self.own = own
+        self.own_config = own_config
         self.body = applied.body
 
     def apply(self, version: VerifiedVersion) -> None:
-        """Make a version active. A rejected one changes nothing.
+        """Make a version active. A rejected version changes nothing.
 
-        A key of the dispatcher's own file may not be missing. One that only an earlier version has brought
-        may: otherwise no version that has added a key could be rolled back.
+        A version may not remove a key of the dispatcher's own file. It may remove a key that only an earlier
+        version has added; otherwise no version that added a key could be rolled back.
 
-        Raises VersionRejectedError with the key at fault.
+        Raises VersionRejectedError with the invalid key.
         """
-        service, before = self.service, self.service.config
+        service, previous_config = self.service, self.service.config
         try:
-            new = self.own.with_body(version.body)
-            service.config = before._replace(
-                document=without_known_endpoints(ConfigSection(self.own.document).value)
+            new_config = self.own_config.with_body(version.body)
+            service.config = previous_config._replace(
+                document=without_known_endpoints(ConfigSection(self.own_config.document).value)
             )
-            service.apply_config(new)
+            service.apply_config(new_config)
         except ValueError as error:
-            service.config = before
+            service.config = previous_config
             raise VersionRejectedError(version.number, str(error)) from error
-        except Exception:  # whatever a check raises, the configuration before it stays in effect
-            service.config = before
+        except Exception:  # after any error of a check, the previous configuration stays active
+            service.config = previous_config
             raise
-        service.config = service.config._replace(document=new.document)
+        service.config = service.config._replace(document=new_config.document)
         self.body = version.body
 
-    def reread(self) -> Config:
-        """At SIGHUP: the own configuration as it is now, with the active version. Raises ConfigError."""
-        document = self.own.reread()
-        config = OwnConfig(document, self.own.environment, self.own.reread).with_body(self.body)
+    def reload_config(self) -> Config:
+        """Read the own configuration again at SIGHUP and apply the active version. Raises ConfigError."""
+        document = self.own_config.read_document()
+        config = OwnConfig(document, self.own_config.environment, self.own_config.read_document).with_body(
+            self.body
+        )
         missing = first_missing_key(self.service.config.document, config.document)
         if missing is not None:
             raise InvalidValueError(key=missing, problem="is missing: the configuration in force has it")
-        self.own.document = document  # only one that passed the checks: later versions are applied to it
+        self.own_config.document = document  # only after all checks, since later versions are applied to it
         return config
 
 
 def attach_watch(
     service: Service,
     watch_config: WatchConfig,
-    own: OwnConfig,
+    own_config: OwnConfig,
     applied: VerifiedVersion = NO_VERSION,
     seed: int | None = None,
 ) -> WatchClient:
-    """A watch for a service that was built from `own` with `applied`; it is still to be started.
+    """Create a watch client, not yet started, for a service built from `own_config` with `applied`.
 
-    Nothing is global: many may live in one loop, each with a cache of its own. `seed` is that of the watch's
-    random numbers; None: the system's.
+    There is no global state: many clients can run in one event loop, each with its own cache. `seed` is for
+    the random numbers of the watch; None: seeded by the system.
 
-    Raises ConfigError where the service's name is not fit for a watcher.
+    Raises ConfigError if the service's name is not valid for a watcher.
     """
     name = service.config.name
     if not is_watcher_name(name):
         problem = f"is {name!r}: config servers expect 1 to {MAX_NAME_CHARACTERS} characters"
         raise InvalidValueError(key="name", problem=problem)
-    applier = VersionApplier(service, own, applied)
+    applier = VersionApplier(service, own_config, applied)
     client = WatchClient(service.loop, watch_config, name, applier.apply, applied, seed)
-    service.load_config = applier.reread
+    service.load_config = applier.reload_config
     service.admin_server.commands["config"] = partial(admin_reply, client)
     return client
 
 
 def admin_reply(client: WatchClient) -> bytes:
-    """The reply to the call `config` at the admin port: the version and the metrics, or the rejection."""
+    """Return the reply to `config` at the admin port: version and metrics, or the reason of a rejection."""
     versions = client.watcher.versions
     if versions.rejection:
         return admin.error_reply(f"version {versions.received.number} rejected: {versions.rejection}")
@@ -158,13 +160,13 @@
     return admin.ok_reply(f"version {versions.applied_version} applied") + metrics
 
 
-def _run(watch_file: Path) -> None:
+def _run_dispatcher(watch_file: Path) -> None:
     watch_config = read_watch_config(watch_file)
-    own = read_own_config(os.environ)
-    config, applied = initial_config(own, watch_config)
+    own_config = read_own_config(os.environ)
+    config, applied = load_initial_config(own_config, watch_config)
     service = create_service(config)
     service.inherit_socket(os.environ)
-    client = attach_watch(service, watch_config, own, applied)
+    client = attach_watch(service, watch_config, own_config, applied)
     service.on_ready = client.start
     try:
         run_service(service)
@@ -173,6 +175,6 @@
 
 
 def main(watch_file: Path) -> int:
-    """Run the dispatcher until SIGTERM and give the exit code: 2 where a file is wrong."""
+    """Run the dispatcher until SIGTERM and return the exit code: 2 if a file is invalid."""
     block_signals()
-    return run_with_exit_code(partial(_run, watch_file))
+    return run_with_exit_code(partial(_run_dispatcher, watch_file))
--- a/ploverspoke/config_distribution/fleet_status.py
+++ b/ploverspoke/config_distribution/fleet_status.py
@@ -1,4 +1,4 @@
-"""Which dispatchers have a version applied, put together from what all config servers know."""
+"""Which dispatchers have applied a version, combined from the replies of all config servers."""
 
 from collections.abc import Iterable
 
@@ -8,30 +8,32 @@
 
 
 class FleetStatus(msgspec.Struct):
-    """Dispatchers by what is known of them; each name stands in one group.
+    """The dispatchers, grouped by state; each dispatcher is in exactly one group.
 
-    The names of the fields in JSON are those that `ploverspoke config --json` prints.
+    The JSON field names are printed by `ploverspoke config --json`.
     """
 
-    version: int  # the one that is asked for
-    applied: list[str] = msgspec.field(name="in_force", default_factory=list)  # this version or a later one
+    version: int  # the requested version
+    applied: list[str] = msgspec.field(name="in_force", default_factory=list)  # this version or later
     behind: list[str] = msgspec.field(default_factory=list)
-    rejected: dict[str, str] = msgspec.field(name="refused", default_factory=dict)  # why, by name
-    # Seconds since the last status of a dispatcher that is not connected, by its name.
+    rejected: dict[str, str] = msgspec.field(
+        name="refused", default_factory=dict
+    )  # reasons by dispatcher name
+    # Seconds since the last status of each disconnected dispatcher, by name.
     disconnected: dict[str, float] = msgspec.field(name="away", default_factory=dict)
-    # Servers that gave no reply: who watches them is not known.
+    # Servers that did not reply, so that their watchers are unknown.
     silent_servers: list[str] = msgspec.field(name="unheard", default_factory=list)
 
     def connected(self) -> int:
-        """How many dispatchers are connected."""
+        """Return the number of connected dispatchers."""
         return len(self.applied) + len(self.behind) + len(self.rejected)
 
     def is_applied_everywhere(self) -> bool:
-        """Whether every dispatcher that is connected has the version applied."""
+        """Whether every connected dispatcher has applied the version."""
         return not self.behind and not self.rejected
 
     def add(self, row: WatcherRow) -> None:
-        """Add one dispatcher to its group."""
+        """Add a dispatcher to its group."""
         if not row.is_connected:
             self.disconnected[row.name] = row.silent_seconds
         elif row.applied_version >= self.version:
@@ -43,18 +45,19 @@
 
 
 def group_watchers(version: int, rows: Iterable[WatcherRow], silent_servers: list[str]) -> FleetStatus:
-    """The fleet's status from the rows of all servers, which may know one dispatcher several times."""
-    best: dict[str, WatcherRow] = {}
+    """Return the fleet status from the rows of all servers, which may contain a dispatcher several times."""
+    best_rows: dict[str, WatcherRow] = {}
     for row in rows:
-        known = best.get(row.name)
-        if known is None or _precedence(row) < _precedence(known):
-            best[row.name] = row
+        best_row = best_rows.get(row.name)
+        if best_row is None or _precedence(row) < _precedence(best_row):
+            best_rows[row.name] = row
     status = FleetStatus(version, silent_servers=silent_servers)
-    for name in sorted(best):
-        status.add(best[name])
+    for name in sorted(best_rows):
+        status.add(best_rows[name])
     return status
 
 
 def _precedence(row: WatcherRow) -> tuple[bool, float]:
-    # A connection counts before what was received last: a dispatcher leaves a trace at its old server.
+    # A connected row takes precedence over a more recent status: the server that a dispatcher has left still
+    # remembers it.
     return not row.is_connected, row.silent_seconds
--- a/ploverspoke/config_distribution/messages.py
+++ b/ploverspoke/config_distribution/messages.py
@@ -1,10 +1,10 @@
-"""The messages of config servers and watchers: their wire form, read and checked. Without I/O.
+"""Messages between config servers and watchers: wire format, parsing and validation. Without I/O.
 
-This module is the only one that knows the keys and words of the wire (docs/distribution.md). A version
-travels as a delta, zlib with the watcher's present body as its dictionary, or whole where that body is not
-known. Nothing of it is used before the digest of the unpacked body is right.
+This is the only module that knows the keys and values of the wire format (docs/distribution.md). A version is
+sent as a delta, compressed by zlib with the watcher's current body as the dictionary, or as a whole body if
+the watcher's body is not known. No part of a version is used before the digest of its body is verified.
 
-Texts of `MessageRejectedError` that a server raises go to the watcher: their bytes are part of the wire.
+A server sends the text of its `MessageRejectedError` to the watcher, so the text is part of the wire format.
 """
 
 import zlib
@@ -18,18 +18,18 @@
 from .overlay import MAX_BODY_BYTES
 from .state_machine import DIGEST_BYTES, Version, digest_of
 
-WIRE_FORMAT = 1  # of messages that carry versions, and of greetings
+WIRE_FORMAT = 1  # of version messages and greetings
 MAX_NAME_CHARACTERS = 128
 MAX_REASON_CHARACTERS = 300
-NUMBER_LIMIT = 1 << 53  # numbers of versions are below it
-ZLIB_WINDOW_BITS = 15  # zlib's largest: of a longer dictionary the last 32 KiB serve
+VERSION_NUMBER_LIMIT = 1 << 53  # version numbers are below this
+ZLIB_WINDOW_BITS = 15  # the maximum; zlib uses only the last 32 KiB of a longer dictionary
 ZLIB_LEVEL = 6
 
-# Reasons of rejections.
-NOT_FROM_SERVER = "not what a server says"
+# Reasons for rejecting messages.
+NOT_FROM_SERVER = "not a message of a config server"
 NOT_FROM_WATCHER = "not what a watcher says"
-INVALID_VERSION_MESSAGE = "a version message that is none"
-INVALID_HEARTBEAT = "a heartbeat that is none"
+INVALID_VERSION_MESSAGE = "malformed version message"
+INVALID_HEARTBEAT = "malformed heartbeat"
 INVALID_STATUS_NUMBER = "what a watcher has is no number"
 INVALID_STATUS_REASON = "a reason that is none"
 INVALID_STATUS_DIGEST = "a digest that is none"
@@ -37,40 +37,40 @@
 
 
 class WatchStatus(msgspec.Struct, frozen=True, tag="have", tag_field="k", omit_defaults=True):
-    """What a watcher reports of itself."""
+    """The state that a watcher reports to its server."""
 
-    received_version: int = msgspec.field(name="n")  # the latest that arrived intact; 0: none
-    received_digest: bytes = msgspec.field(name="d")  # empty where none arrived
+    received_version: int = msgspec.field(name="n")  # the latest version that arrived intact; 0: none
+    received_digest: bytes = msgspec.field(name="d")  # empty if there is none
     applied_version: int = msgspec.field(name="f")  # 0: none
-    rejection: str = msgspec.field(name="w")  # why the received version is not applied; empty where it is
-    lowest_rejected: int = msgspec.field(name="r")  # since the applied one was applied; 0: none
-    wants_full_body: bool = msgspec.field(name="all", default=False)  # it cannot use a delta
+    rejection: str = msgspec.field(name="w")  # why the received version was not applied; empty if it was
+    lowest_rejected: int = msgspec.field(name="r")  # since the last applied version; 0: none
+    wants_full_body: bool = msgspec.field(name="all", default=False)  # the watcher cannot use a delta
 
 
 class Heartbeat(msgspec.Struct, frozen=True, tag="beat", tag_field="k"):
-    """What a server sends once a second."""
+    """The message that a server sends once a second."""
 
-    latest_version: int = msgspec.field(name="n")  # 0: none
-    has_recent_leader: bool = msgspec.field(name="l")  # it leads, or a leader has lately sent something
+    latest_version: int = msgspec.field(name="n")  # 0: no version
+    has_recent_leader: bool = msgspec.field(name="l")  # it is the leader, or has recently heard from one
 
 
 class VersionMessage(msgspec.Struct, frozen=True, tag="push", tag_field="k"):
-    """A version, from a server to a watcher."""
+    """A version sent by a server to a watcher."""
 
     format: int = msgspec.field(name="v")
     cluster: str = msgspec.field(name="c")
     version: int = msgspec.field(name="n")
-    digest: bytes = msgspec.field(name="d")  # of the unpacked body
-    base_digest: bytes | None = msgspec.field(name="b")  # of the dictionary; None: the body is whole
+    digest: bytes = msgspec.field(name="d")  # of the uncompressed body
+    base_digest: bytes | None = msgspec.field(name="b")  # of the zlib dictionary; None: whole body
     compressed_body: bytes = msgspec.field(name="z")
 
 
 class WatchElsewhere(msgspec.Struct, frozen=True, tag="elsewhere", tag_field="k"):
-    """The server has its full number of watchers; it closes the connection."""
+    """The server has reached its maximum number of watchers; it closes the connection."""
 
 
 class WatchRejected(msgspec.Struct, frozen=True, tag="refused", tag_field="k"):
-    """The server does not serve this watcher; it closes the connection."""
+    """The server rejects this watcher; it closes the connection."""
 
     reason: str = msgspec.field(name="w")
 
@@ -79,7 +79,7 @@
 
 
 class VerifiedVersion(NamedTuple):
-    """A version whose format, cluster, number and digest were checked."""
+    """A version whose format, cluster, number and digest have been verified."""
 
     number: int  # 0: no version
     digest: bytes
@@ -93,7 +93,7 @@
 
 
 def pack_version(cluster: str, version: Version, base_body: str | None) -> VersionMessage:
-    """The message of a version; `base_body` is the watcher's present body, None: send the body whole."""
+    """Compress a version; `base_body` is the watcher's current body, None: send the whole body."""
     if base_body is None:
         compressor = zlib.compressobj(ZLIB_LEVEL, zlib.DEFLATED, ZLIB_WINDOW_BITS)
     else:
@@ -106,7 +106,7 @@
 
 @dataclass(frozen=True)
 class UnverifiedVersion:
-    """A version message as it arrived, with any value in any field."""
+    """A version message whose fields have not been validated."""
 
     format: object
     cluster: object
@@ -116,17 +116,17 @@
     compressed_body: object
 
     def claimed_number(self) -> int | None:
-        """The number that the message gives, to pass over an old one without unpacking it; None: unclear."""
+        """Return the unverified version number, to skip old versions without unpacking; None: invalid."""
         return self.version if isinstance(self.version, int) and self.format else None
 
     def verify(self, cluster: str, base_body: str) -> VerifiedVersion:
-        """Check and unpack the version; `base_body` is the watcher's present body.
+        """Verify and unpack the version; `base_body` is the watcher's current body.
 
         Raises MessageRejectedError.
         """
         number, digest, compressed = self._checked_fields(cluster)
         if self.base_digest is not None and self.base_digest != digest_of(base_body):
-            reason = f"version {number} rests on a body that is not ours"
+            reason = f"version {number} is a delta to a body that this watcher does not have"
             raise MessageRejectedError(reason)
         body = _unpack(number, compressed, base_body if self.base_digest is not None else None)
         if digest_of(body) != digest:
@@ -139,7 +139,7 @@
             reason = f"format version {self.format!r:.20}, this release reads {WIRE_FORMAT}"
             raise MessageRejectedError(reason)
         if self.cluster != cluster:
-            reason = f"it is of cluster {self.cluster!r:.60}, not of {cluster!r}"
+            reason = f"the version is for cluster {self.cluster!r:.60}, not for {cluster!r}"
             raise MessageRejectedError(reason)
         number, digest, compressed = self.version, self.digest, self.compressed_body
         if (
@@ -167,7 +167,7 @@
         reason = f"version {number} is over {MAX_BODY_BYTES} bytes"
         raise MessageRejectedError(reason)
     if not decompressor.eof or decompressor.unused_data:
-        reason = f"version {number} is cut off, or has something behind it"
+        reason = f"version {number} is truncated or has trailing data"
         raise MessageRejectedError(reason)
     return body
 
@@ -178,7 +178,7 @@
 def read_server_message(
     message: object,
 ) -> Heartbeat | UnverifiedVersion | WatchElsewhere | WatchRejected:
-    """A decoded message of a server. Raises MessageRejectedError."""
+    """Parse a decoded message of a server. Raises MessageRejectedError."""
     if isinstance(message, dict):
         kind = message.get("k")
         if kind == "beat":
@@ -200,7 +200,7 @@
 
 
 def read_watch_status(message: object) -> WatchStatus:
-    """A decoded message of a watcher. Raises MessageRejectedError."""
+    """Parse a decoded message of a watcher. Raises MessageRejectedError."""
     if not isinstance(message, dict) or message.get("k") != "have":
         raise MessageRejectedError(NOT_FROM_WATCHER)
     received, digest, applied = message.get("n"), message.get("d"), message.get("f")
@@ -216,19 +216,21 @@
     if not isinstance(digest, bytes) or len(digest) not in (0, DIGEST_BYTES):
         raise MessageRejectedError(INVALID_STATUS_DIGEST)
     wants_full_body = message.get("all", False) is True
-    return WatchStatus(received, digest, applied, printable(reason), lowest_rejected, wants_full_body)
+    return WatchStatus(
+        received, digest, applied, escape_untrusted_text(reason), lowest_rejected, wants_full_body
+    )
 
 
 # ---- Greetings ----
 
 
 def watcher_greeting(name: str, cluster: str) -> dict[str, str | int]:
-    """What a watcher adds to the greeting of its connection."""
+    """Return the fields that a watcher adds to the greeting of its connection."""
     return {"id": name, "store": "", "watch": WIRE_FORMAT, "cluster": cluster}
 
 
 def read_watcher_greeting(greeting: Mapping[str, object], cluster: str) -> str:
-    """The name of the watcher that greets. Raises MessageRejectedError."""
+    """Return the watcher's name from its greeting. Raises MessageRejectedError."""
     name, wire_format = greeting.get("id"), greeting.get("watch")
     if not is_watcher_name(name):
         raise MessageRejectedError(GREETING_WITHOUT_NAME)
@@ -245,17 +247,17 @@
 
 
 def is_version_number(value: object) -> TypeGuard[int]:
-    """Whether a value may be the number of a version, 0 for none."""
-    return isinstance(value, int) and not isinstance(value, bool) and 0 <= value < NUMBER_LIMIT
+    """Whether a value is a valid version number, or 0 for no version."""
+    return isinstance(value, int) and not isinstance(value, bool) and 0 <= value < VERSION_NUMBER_LIMIT
 
 
 def is_watcher_name(value: object) -> TypeGuard[str]:
-    """Whether a dispatcher may have this name."""
+    """Whether a value is a valid name for a watching dispatcher."""
     return isinstance(value, str) and 0 < len(value) <= MAX_NAME_CHARACTERS and value.isprintable()
 
 
-def printable(text: str) -> str:
-    """A text of the other side, escaped and cut for a log line or a reply to operators."""
+def escape_untrusted_text(text: str) -> str:
+    """Escape and truncate a text of the peer for a log line or a reply to operators."""
     return text.encode("unicode_escape").decode("ascii")[:MAX_REASON_CHARACTERS]
 
 
--- a/ploverspoke/config_distribution/overlay.py
+++ b/ploverspoke/config_distribution/overlay.py
@@ -1,9 +1,10 @@
-"""The body of a version: an overlay on the own configuration of every dispatcher.
+"""The body of a version: an overlay on each dispatcher's own configuration.
 
-A body is a JSON object with `settings` and `discovery` for all dispatchers, and with `zones` for those of one
-zone, each applied as a JSON merge patch (RFC 7386). It is complete: it does not depend on earlier versions.
+A body is a JSON object with `settings` and `discovery` for all dispatchers, and with `zones` for the
+dispatchers of one zone, each applied as a JSON merge patch (RFC 7386). It is complete: it does not depend on
+earlier versions.
 
-Errors of this module reach operators through the replies of servers, so their texts are part of the wire.
+Servers send the errors of this module to operators, so the error texts are part of the wire format.
 """
 
 import json
@@ -13,43 +14,43 @@
 from ploverspoke.service.config_reader import ConfigError
 
 SETTINGS, DISCOVERY, ZONES = "settings", "discovery", "zones"
-PARTS = (SETTINGS, DISCOVERY)
-IDENTITY_SETTINGS = ("SlotNo", "Zone")  # which dispatcher it is: never the same for two
+OVERLAY_KEYS = (SETTINGS, DISCOVERY)
+IDENTITY_SETTINGS = ("SlotNo", "Zone")  # together they identify one dispatcher; no two have the same
 MAX_BODY_BYTES = 1 << 20
 MAX_DEPTH = 32
 MAX_ERROR_CHARACTERS = 200
-WHOLE_BODY = "the body"  # in place of a key
+WHOLE_BODY = "the body"  # stands for the key in errors about the whole body
 
 JsonObject: TypeAlias = dict[str, object]
 
 
 def read_body(text: str) -> JsonObject:
-    """A body whose structure is checked; its values are left to the dispatcher's own checks.
+    """Parse a body and check its structure; dispatchers check the values.
 
-    Raises ConfigError with the key.
+    Raises ConfigError with the invalid key.
     """
     if len(text.encode("utf-8", "surrogatepass")) > MAX_BODY_BYTES:
-        raise _error(WHOLE_BODY, f"expected {MAX_BODY_BYTES} bytes at the most")
+        raise _body_error(WHOLE_BODY, f"expected {MAX_BODY_BYTES} bytes at the most")
     body = _parse(text)
     for key in body:
-        if key not in (*PARTS, ZONES):
-            raise _error(key, "a dispatcher's own, expected settings, discovery and zones alone")
-    _check_parts({key: value for key, value in body.items() if key in PARTS}, "")
+        if key not in (*OVERLAY_KEYS, ZONES):
+            raise _body_error(key, "a dispatcher's own, expected settings, discovery and zones alone")
+    _check_overlay({key: value for key, value in body.items() if key in OVERLAY_KEYS}, "")
     zones = body.get(ZONES, {})
     if not isinstance(zones, dict):
-        raise _error(ZONES, "expected an object")
-    for zone, parts in zones.items():
-        _check_zone(zone, parts)
+        raise _body_error(ZONES, "expected an object")
+    for zone, overlay in zones.items():
+        _check_zone(zone, overlay)
     return body
 
 
 def canonical_json(document: Mapping[str, object]) -> str:
-    """The same text for the same values, however they were written."""
+    """Return a canonical text, which is equal for documents with equal values."""
     return json.dumps(document, sort_keys=True, separators=(",", ":"))
 
 
 def merge_patch(target: object, patch: object) -> object:
-    """RFC 7386, section 2: objects are merged, null removes a key, all else replaces."""
+    """Apply a JSON merge patch (RFC 7386, section 2): objects are merged, null removes a key."""
     if not isinstance(patch, dict):
         return patch
     merged = dict(target) if isinstance(target, Mapping) else {}
@@ -61,18 +62,18 @@
     return merged
 
 
-def apply_overlay(own: object, body: JsonObject) -> object:
-    """A dispatcher's own configuration with a body applied: the common part first, then that of its zone."""
-    if not isinstance(own, Mapping):
-        return own  # `parse_config` reports what is wrong with it
-    patched = merge_patch(own, {key: body[key] for key in PARTS if key in body})
+def apply_overlay(own_config: object, body: JsonObject) -> object:
+    """Apply a body to a dispatcher's own configuration: first the common overlay, then that of its zone."""
+    if not isinstance(own_config, Mapping):
+        return own_config  # `parse_config` reports the error
+    patched = merge_patch(own_config, {key: body[key] for key in OVERLAY_KEYS if key in body})
     zones = body.get(ZONES)
-    parts = zones.get(zone_of(patched)) if isinstance(zones, dict) else None
-    return patched if parts is None else merge_patch(patched, parts)
+    overlay = zones.get(zone_of(patched)) if isinstance(zones, dict) else None
+    return patched if overlay is None else merge_patch(patched, overlay)
 
 
 def zone_of(configuration: object) -> str | None:
-    """The name of the zone that a dispatcher is in; None where it has none."""
+    """Return the name of a dispatcher's zone; None if it has none."""
     settings = configuration.get(SETTINGS) if isinstance(configuration, Mapping) else None
     if not isinstance(settings, Mapping):
         return None
@@ -85,7 +86,7 @@
 # ---- Checks ----
 
 
-def _error(key: str, problem: str) -> ConfigError:
+def _body_error(key: str, problem: str) -> ConfigError:
     return ConfigError(problem, key=key, longest=MAX_ERROR_CHARACTERS)
 
 
@@ -99,30 +100,30 @@
         problem = f"the body is no JSON: {error}"
         raise ConfigError(problem, longest=MAX_ERROR_CHARACTERS) from error
     if not isinstance(body, dict):
-        raise _error(WHOLE_BODY, "expected an object")
+        raise _body_error(WHOLE_BODY, "expected an object")
     return body
 
 
-def _check_zone(zone: str, parts: object) -> None:
-    if not isinstance(parts, dict):
-        raise _error(f"zones.{zone}", "expected an object")
-    for key in parts:
-        if key not in PARTS:
-            raise _error(f"zones.{zone}.{key}", "expected settings and discovery alone")
-    _check_parts(parts, f"zones.{zone}.")
+def _check_zone(zone: str, overlay: object) -> None:
+    if not isinstance(overlay, dict):
+        raise _body_error(f"zones.{zone}", "expected an object")
+    for key in overlay:
+        if key not in OVERLAY_KEYS:
+            raise _body_error(f"zones.{zone}.{key}", "expected settings and discovery alone")
+    _check_overlay(overlay, f"zones.{zone}.")
 
 
-def _check_parts(parts: JsonObject, path: str) -> None:
-    settings = parts.get(SETTINGS, {})
+def _check_overlay(overlay: JsonObject, path: str) -> None:
+    settings = overlay.get(SETTINGS, {})
     if not isinstance(settings, dict):
         raise ConfigError(problem="expected an object", key=f"{path}settings")
-    if not isinstance(parts.get(DISCOVERY, ""), str):
+    if not isinstance(overlay.get(DISCOVERY, ""), str):
         raise ConfigError(problem="expected a text", key=f"{path}discovery")
     for key in IDENTITY_SETTINGS:
         if key in settings:
             problem = "a dispatcher's own, no version may set it"
             raise ConfigError(problem, key=f"{path}settings.{key}")
-    _check_depth(parts, path.rstrip(".") or WHOLE_BODY)
+    _check_depth(overlay, path.rstrip(".") or WHOLE_BODY)
 
 
 def _check_depth(document: object, path: str) -> None:
@@ -130,7 +131,7 @@
     while level:
         depth += 1
         if depth > MAX_DEPTH:
-            raise _error(path, f"expected {MAX_DEPTH} levels at the most")
+            raise _body_error(path, f"expected {MAX_DEPTH} levels at the most")
         level = [child for value in level for child in _children(value)]
 
 
@@ -141,13 +142,13 @@
 
 
 def _unique_keys(pairs: list[tuple[str, object]]) -> JsonObject:
-    found = dict(pairs)
-    if len(found) < len(pairs):
+    json_object = dict(pairs)
+    if len(json_object) < len(pairs):
         keys = [key for key, _ in pairs]
         repeated = next(key for key in keys if keys.count(key) > 1)
-        raise _error(repeated, "twice in one object")
-    return found
+        raise _body_error(repeated, "twice in one object")
+    return json_object
 
 
 def _reject_constant(name: str) -> NoReturn:
-    raise _error(WHOLE_BODY, f"{name} is no number of JSON")
+    raise _body_error(WHOLE_BODY, f"{name} is no number of JSON")
--- a/ploverspoke/config_distribution/server.py
+++ b/ploverspoke/config_distribution/server.py
@@ -1,4 +1,4 @@
-"""Where watchers connect to a config server: authenticated frames, one current connection a watcher."""
+"""The listener for watchers of a config server: authenticated frames, one connection per watcher."""
 
 from collections.abc import Mapping
 
@@ -16,7 +16,7 @@
 )
 from .server_node import ConfigServerNode
 
-STATUS_TIMEOUT = 5.0  # seconds from the connection to the watcher's first status
+STATUS_TIMEOUT_S = 5.0  # from the connection to the watcher's first status
 MAX_CONNECTIONS_WITHOUT_STATUS = 1024
 
 
@@ -27,8 +27,8 @@
     log_name = "config"
 
     def __init__(self, node: ConfigServerNode) -> None:
-        """`node` decides what is sent to the watchers; it uses this server's connections from now on."""
-        limits = RegistrationLimits(STATUS_TIMEOUT, MAX_CONNECTIONS_WITHOUT_STATUS)
+        """`node` decides what is sent to the watchers; it sends over the connections of this server."""
+        limits = RegistrationLimits(STATUS_TIMEOUT_S, MAX_CONNECTIONS_WITHOUT_STATUS)
         super().__init__(node.config.secret, limits)
         self.node = node
         node.watcher_connections = self
@@ -41,16 +41,16 @@
     # ---- Events of connections ----
 
     def greeting(self) -> Mapping[str, str | int]:
-        """The first message that a watcher receives."""
+        """Return the greeting, the first message that a watcher receives."""
         return {"id": self.node.replica_id, "store": ""}
 
     def handle_greeting(self, connection: FramedConnection, greeting: Mapping[str, object]) -> None:
-        """Name the watcher, and send it the first heartbeat. Raises MessageRejectedError."""
+        """Read the watcher's name, and send the first heartbeat. Raises MessageRejectedError."""
         connection.client_name = read_watcher_greeting(greeting, self.node.config.cluster)
         connection.write(self.node.broadcaster.heartbeat())
 
     def handle_message(self, connection: FramedConnection, message: object) -> None:
-        """Take a watcher's status; the first one registers it. Raises MessageRejectedError."""
+        """Handle a watcher's status; the first one registers it. Raises MessageRejectedError."""
         status = read_watch_status(message)
         if not connection.registered and not self._register_watcher(connection):
             return
@@ -65,7 +65,7 @@
             return False
         if self.register(connection) is not None:
             self.node.broadcaster.on_disconnected(name)
-            log_line(f"config: {name} connected again, its older connection is closed")
+            log_line(f"config: {name} connected again, its previous connection is closed")
         return True
 
     def _report_status(self, name: str, status: WatchStatus) -> None:
@@ -73,7 +73,7 @@
         self.node.schedule_tick()
 
     def handle_client_error(self, connection: FramedConnection, error: Exception) -> None:
-        """Log a message that breaks the protocol and end its connection, where possible with the reason."""
+        """Log a protocol error and close the connection, if possible after sending the reason."""
         log_line(f"config: message rejected: {error}")
         if isinstance(error, MessageRejectedError):
             connection.write(WatchRejected(error.reason))
@@ -82,13 +82,13 @@
             connection.abort()
 
     def on_disconnected(self, client_name: str) -> None:
-        """A watcher's current connection is lost."""
+        """Handle the loss of a watcher's current connection."""
         self.node.broadcaster.on_disconnected(client_name)
 
     # ---- Used by the node ----
 
     def disconnect(self, client_name: str, reason: str) -> None:
-        """Close a watcher's connection; it is not reported as lost."""
+        """Close a watcher's connection, without a call of `on_disconnected`."""
         connection = self.clients.pop(client_name, None)
         if connection is not None:
             log_line(f"config: {client_name} is disconnected: {reason}")
--- a/ploverspoke/config_distribution/server_link.py
+++ b/ploverspoke/config_distribution/server_link.py
@@ -1,9 +1,9 @@
-"""A watcher's connection to one config server, as its decisions see it. Without I/O; times in ns."""
+"""The state of a watcher's connection to one config server. Without I/O; times in ns."""
 
 from ploverspoke.transport.units import MILLISECOND, SECOND
 
-GREETING_TIMEOUT = SECOND  # from the attempt to connect to the server's greeting
-SILENCE_TIMEOUT = 2500 * MILLISECOND  # two heartbeats are lost, and half of one
+GREETING_TIMEOUT_NS = SECOND  # from the attempt to connect to the server's greeting
+SILENCE_TIMEOUT_NS = 2500 * MILLISECOND  # two lost heartbeats, plus half an interval
 NO_HEARTBEAT = -1
 
 
@@ -15,22 +15,22 @@
         self.link_id = link_id
         self.address = address
         self.dialed_at = now
-        self.greeted_at = 0  # 0: not yet
+        self.greeted_at = 0  # 0: no greeting yet
         self.last_received_at = now
-        self.server_version = NO_HEARTBEAT  # the server's latest version, by its last heartbeat
+        self.server_version = NO_HEARTBEAT  # the server's latest version, from its last heartbeat
         self.is_healthy = True  # the server is in contact with a leader and not behind this watcher
         self.healthy_at = now
 
     def on_greeting(self, now: int) -> None:
-        """The server has proved that it knows the shared secret."""
+        """Record the greeting, which proves that the server knows the shared secret."""
         self.greeted_at = self.last_received_at = self.healthy_at = now
 
     def deadline(self) -> int:
-        """When the server is given up unless it sends something before."""
+        """Return when the connection is abandoned unless the server sends a message before."""
         if self.greeted_at:
-            return self.last_received_at + SILENCE_TIMEOUT
-        return self.dialed_at + GREETING_TIMEOUT
+            return self.last_received_at + SILENCE_TIMEOUT_NS
+        return self.dialed_at + GREETING_TIMEOUT_NS
 
     def is_overdue(self, now: int) -> bool:
-        """Whether the server has not greeted, or has been silent, for too long."""
+        """Whether the greeting or the next message of the server is overdue."""
         return now > self.deadline()
--- a/ploverspoke/config_distribution/server_node.py
+++ b/ploverspoke/config_distribution/server_node.py
@@ -28,60 +28,60 @@
 from .overlay import canonical_json, read_body
 from .state_machine import ConfigStateMachine, PublishCommand, Version, digest_of, short_digest
 
-COMMITTED_KEY = "committed version"  # of the value kept in this replica's storage, beside the log
-# Without contact to a leader for as many election timeouts a server reports so to its watchers.
-LEADER_CONTACT_ELECTIONS = 3
-MIN_LEADER_CONTACT = 800 * MILLISECOND
+COMMITTED_KEY = "committed version"  # of a value in this replica's storage, outside the log
+# After this many election timeouts without a leader, a server reports the loss of contact to its watchers.
+LEADER_CONTACT_ELECTION_TIMEOUTS = 3
+MIN_LEADER_CONTACT_TIMEOUT_NS = 800 * MILLISECOND
 
-# Reasons in replies: part of the wire.
+# Reasons in replies; they are part of the wire format.
 NOT_LEADER = "this server does not lead"
 UNKNOWN_RESULT = "it is not known whether this was committed; ask again with the same id"
 
 
 class WatcherConnections(Protocol):
-    """The connections of the watchers, by their names."""
+    """The connections of the watchers, by watcher name."""
 
     def send(self, client_name: str, message: ServerMessage) -> int:
-        """Send a message; the bytes on the wire, 0 where it was not sent."""
+        """Send a message; return its size on the wire in bytes, 0 if it was not sent."""
 
     def disconnect(self, client_name: str, reason: str) -> None:
         """Close a watcher's connection."""
 
 
 class ConfigServerNode(ReplicaNode):
-    """The replica of one config server; what is committed goes to its watchers whether it leads or not."""
+    """The replica of one config server, which sends committed versions to its watchers in any role."""
 
     def __init__(self, server_config: ConfigServerConfig, storage: ReplicaStorage | None = None) -> None:
-        """Without `storage` the one in the folder of the configuration is used."""
+        """Without `storage`, the storage in the configured folder is used."""
         replica_config = server_config.replica
         self.versions = ConfigStateMachine()
         super().__init__(replica_config, self.versions, storage)
         self.broadcaster = VersionBroadcaster(
             self, replica_config.cluster, server_config.max_watchers, server_config.bytes_per_second
         )
-        self.watcher_connections: WatcherConnections | None = None  # None: no watcher is served yet
+        self.watcher_connections: WatcherConnections | None = None  # None: watchers are not served yet
         self.leader_contact_timeout = max(
-            MIN_LEADER_CONTACT, LEADER_CONTACT_ELECTIONS * replica_config.election_timeout
+            MIN_LEADER_CONTACT_TIMEOUT_NS, LEADER_CONTACT_ELECTION_TIMEOUTS * replica_config.election_timeout
         )
         self.tick_timer = LoopTimer(self._tick)
-        self.committed_number = 0  # of the version that storage holds as committed
+        self.stored_committed_number = 0  # number of the version stored under COMMITTED_KEY
 
     def on_storage_opened(self) -> None:
-        """Offer the version that was known to be committed.
+        """Serve the stored version that is known to be committed.
 
-        Without a leader the log itself does not show which of its entries are committed.
+        Without a leader, the log alone does not show which of its entries are committed.
         """
         self.versions.on_version = self._on_committed
         version = self.storage.load_value(COMMITTED_KEY, Version)
         if version is not None:
-            self.committed_number = version.number
+            self.stored_committed_number = version.number
             self.broadcaster.add_version(version)
             self.schedule_tick()
 
     def _on_committed(self, version: Version) -> None:
         self.broadcaster.add_version(version)
-        if version.number > self.committed_number and version is self.versions.latest():
-            self.committed_number = version.number
+        if version.number > self.stored_committed_number and version is self.versions.latest():
+            self.stored_committed_number = version.number
             self.save_value(COMMITTED_KEY, version)
             log_line(f"config: version {version.number} is committed ({short_digest(version.digest)})")
         self.schedule_tick()
@@ -89,15 +89,15 @@
     # ---- Environment of the broadcaster ----
 
     def now(self) -> int:
-        """The monotonic clock, ns."""
+        """Return the time of the monotonic clock, ns."""
         return self.clock.monotonic()
 
     def has_recent_leader(self) -> bool:
-        """Whether this replica leads, or has lately received something from one."""
+        """Whether this replica is the leader, or has recently received a message from the leader."""
         return self.is_in_contact(self.leader_contact_timeout)
 
     def send(self, name: str, message: ServerMessage) -> int:
-        """Send to that watcher; the bytes that it takes on the wire."""
+        """Send a message to the watcher; return its size on the wire, in bytes."""
         return self.watcher_connections.send(name, message) if self.watcher_connections is not None else 0
 
     def disconnect(self, name: str, reason: str) -> None:
@@ -106,10 +106,10 @@
             self.watcher_connections.disconnect(name, reason)
 
     def schedule_tick(self) -> None:
-        """Have the broadcaster's `tick` called when it is due; to be called after each of its events."""
-        due = self.broadcaster.next_tick
-        if not self.closed and due < NEVER:
-            self.tick_timer.set_earlier(due)
+        """Schedule the broadcaster's next `tick`; to be called after each of its events."""
+        next_tick_at = self.broadcaster.next_tick
+        if not self.closed and next_tick_at < NEVER:
+            self.tick_timer.set_earlier(next_tick_at)
 
     def _tick(self) -> None:
         if not self.closed:
@@ -119,7 +119,7 @@
     # ---- Requests of tools ----
 
     def state_status(self) -> ConfigServerStatus:
-        """The part of the status that only config servers have."""
+        """Return the fields that a config server adds to the replica status."""
         counters = self.broadcaster.counters
         return ConfigServerStatus(
             version=self.broadcaster.latest_number(),
@@ -134,7 +134,7 @@
         )
 
     def handle_state_request(self, request: WireMap, reply: Reply) -> bool:
-        """Reply to a request of a tool; False: it is none of those that only config servers know."""
+        """Reply to a tool's request; return False if it is not a request specific to config servers."""
         kind = request.get(KIND_KEY)
         if kind == PUBLISH:
             self._publish(request, reply)
@@ -155,7 +155,7 @@
         return VersionReply(version.number, version.body, version.author)
 
     def _publish(self, message: WireMap, reply: Reply) -> None:
-        """Propose a version; replied to once it is known whether it is committed, or lost."""
+        """Propose a version; the reply is sent once it is committed or lost."""
         if not self.leads():
             reply(PublishReply(False, 0, NOT_LEADER, leader=self._leader_address()))
             return
@@ -168,7 +168,7 @@
         command = PublishCommand(
             request.body, canonical_digest, request.expected_version, request.author, request.request_id
         )
-        # As bytes, so that consensus bounds its messages by their length.
+        # Encoded as bytes, so that consensus can limit its messages by their length.
         self.propose(command.encode(), lambda _: reply(self._publish_reply(request.request_id)))
 
     def _publish_reply(self, request_id: str) -> PublishReply:
@@ -178,7 +178,7 @@
         return PublishReply(result.accepted, result.version, result.reason)
 
     def _leader_address(self) -> str:
-        """The address for peers of the server that leads; empty where another one is not known."""
+        """Return the leader's peer address; empty if unknown or if this server is the leader."""
         leader = self.leader()
         return leader.peer_address if leader is not None and leader.name != self.config.name else ""
 
--- a/ploverspoke/config_distribution/state_machine.py
+++ b/ploverspoke/config_distribution/state_machine.py
@@ -1,7 +1,8 @@
-"""The replicated state of config servers: the versions in order, and the result of each publish request.
+"""The replicated state machine of config servers: the versions in order, and the results of publish requests.
 
-State of the consensus log, without I/O. A command is msgpack, a list that begins with its name. Applying a
-command never fails: a publish request that no longer fits changes nothing, and its result says why.
+It is driven by the consensus log and does no I/O. A command is a msgpack list that starts with the command's
+name. Applying a command never fails: a publish request with an outdated expected version changes nothing, and
+its result contains the reason.
 """
 
 from collections.abc import Callable, Sequence
@@ -10,37 +11,37 @@
 import msgspec
 
 SNAPSHOT_FORMAT = 1
-MAX_VERSIONS = 64  # kept, the latest among them
-MAX_VERSION_BYTES = 4 * 1024 * 1024  # of the bodies kept beside the latest
-MAX_RESULTS = 4096  # of publish requests that are remembered
+MAX_VERSIONS = 64  # kept, including the latest
+MAX_VERSION_BYTES = 4 * 1024 * 1024  # total size of the kept bodies without the latest
+MAX_RESULTS = 4096  # publish results kept to answer repeated requests
 DIGEST_BYTES = 16
 PUBLISH_COMMAND = "publish"  # the name of a command in the log
 SHORT_DIGEST_CHARACTERS = 16
 
 
 def digest_of(body: str) -> bytes:
-    """BLAKE2b of the UTF-8 text, 16 bytes."""
+    """Return the 16-byte BLAKE2b digest of the UTF-8 text."""
     return blake2b(body.encode(), digest_size=DIGEST_BYTES).digest()
 
 
 def short_digest(digest: bytes) -> str:
-    """A digest as log lines show it."""
+    """Return the abbreviated digest for log lines."""
     return digest.hex()[:SHORT_DIGEST_CHARACTERS]
 
 
 class Version(msgspec.Struct, array_like=True, frozen=True):
     """One committed version of the configuration."""
 
-    number: int  # counted from 1
+    number: int  # starts at 1
     body: str
-    digest: bytes  # of the body as it was published
-    canonical_digest: bytes  # of the canonical JSON: equal for bodies with the same values
+    digest: bytes  # of the published body
+    canonical_digest: bytes  # of the canonical JSON; equal for bodies with equal values
     author: str
     request_id: str  # of the request that published it
 
 
 class VersionRow(msgspec.Struct, array_like=True, frozen=True):
-    """A version without its body, as tools list it."""
+    """A version without its body, for lists in tools."""
 
     number: int
     digest: str  # hexadecimal
@@ -49,11 +50,11 @@
 
 
 class PublishResult(msgspec.Struct, array_like=True, frozen=True):
-    """The result of one publish request; a repeated request gets the same one."""
+    """The result of one publish request; a repeated request gets the same result."""
 
     accepted: bool
-    version: int  # the one it made, or the latest where it made none
-    reason: str  # why it made none; empty where it made one
+    version: int  # the published version, or the latest one if none was published
+    reason: str  # why no version was published; empty if one was
 
 
 class PublishCommand(msgspec.Struct, array_like=True, frozen=True, tag=PUBLISH_COMMAND):
@@ -61,17 +62,17 @@
 
     body: str
     canonical_digest: bytes
-    expected_version: int  # the latest version that its author has seen; 0: none
+    expected_version: int  # the latest version that the author has seen; 0: none
     author: str
     request_id: str
 
     def encode(self) -> bytes:
-        """The bytes of the log entry."""
+        """Return the encoded log entry."""
         return msgspec.msgpack.encode(self)
 
 
 class ConfigSnapshot(msgspec.Struct, array_like=True):
-    """The whole state, as snapshots hold it."""
+    """The whole state, in the format of a snapshot."""
 
     format: int
     versions: list[Version]  # the latest last
@@ -84,8 +85,8 @@
     name: str
 
 
-def excess_versions(versions: Sequence[Version]) -> int:
-    """How many of the oldest versions are over the limits; the latest two are always kept."""
+def count_excess_versions(versions: Sequence[Version]) -> int:
+    """Return how many of the oldest versions exceed the limits; the latest two are always kept."""
     count, size = 0, sum(len(version.body) for version in versions[:-1])
     while len(versions) - count > 2 and (len(versions) - count > MAX_VERSIONS or size > MAX_VERSION_BYTES):
         size -= len(versions[count].body)
@@ -94,10 +95,10 @@
 
 
 class ConfigStateMachine:
-    """The state of the config servers' log."""
+    """The versions and publish results, as replicated by the config servers' log."""
 
     def __init__(self) -> None:
-        """An empty state; `on_version` is called with each version that is committed or restored."""
+        """Create an empty state; `on_version` is called with each version that is committed or restored."""
         self.versions: list[Version] = []  # the latest last
         self.results: dict[str, PublishResult] = {}  # by request id, the oldest first
         self.on_version: Callable[[Version], None] = lambda version: None
@@ -105,17 +106,17 @@
     # ---- The replicated log ----
 
     def apply(self, index: int, command: object) -> None:
-        """Apply a committed log entry, bytes; a command that only a later release knows changes nothing."""
+        """Apply a committed log entry; an unknown command, written by a later release, changes nothing."""
         assert isinstance(command, bytes)
         if msgspec.msgpack.decode(command, type=_CommandHeader).name == PUBLISH_COMMAND:
             self._publish(msgspec.msgpack.decode(command, type=PublishCommand))
 
     def take_snapshot(self) -> bytes:
-        """The whole state, for a snapshot."""
+        """Return the whole state, encoded for a snapshot."""
         return msgspec.msgpack.encode(ConfigSnapshot(SNAPSHOT_FORMAT, self.versions, self.results))
 
     def restore_snapshot(self, data: bytes) -> None:
-        """Replace the state by that of a snapshot; empty: begin with no versions."""
+        """Replace the state by a snapshot; empty data means a state without versions."""
         snapshot = ConfigSnapshot(SNAPSHOT_FORMAT, [], {})
         if data:
             snapshot = msgspec.msgpack.decode(data, type=ConfigSnapshot)
@@ -126,19 +127,19 @@
     # ---- Queries ----
 
     def latest(self) -> Version | None:
-        """The latest version; None where none was published."""
+        """Return the latest version; None if none was published."""
         return self.versions[-1] if self.versions else None
 
     def latest_number(self) -> int:
-        """The number of the latest version; 0 where none was published."""
+        """Return the number of the latest version; 0 if none was published."""
         return self.versions[-1].number if self.versions else 0
 
     def get(self, number: int) -> Version | None:
-        """The version of that number; None where it is not kept."""
+        """Return the version with this number; None if it is not kept."""
         return next((version for version in self.versions if version.number == number), None)
 
     def version_rows(self) -> list[VersionRow]:
-        """All kept versions without their bodies, the latest last."""
+        """Return all kept versions without their bodies, the latest last."""
         return [
             VersionRow(version.number, version.digest.hex(), version.author, version.request_id)
             for version in self.versions
@@ -148,13 +149,13 @@
 
     def _publish(self, command: PublishCommand) -> None:
         if command.request_id in self.results:
-            return  # repeated after a lost reply
+            return  # the request was repeated after a lost reply
         self.results[command.request_id] = self._publish_result(command)
         while len(self.results) > MAX_RESULTS:
             del self.results[next(iter(self.results))]
 
     def _publish_result(self, command: PublishCommand) -> PublishResult:
-        # The reasons are part of the replicated state: every release writes the same bytes.
+        # The reasons are part of the replicated state, so every release must write the same bytes.
         latest, number = self.latest(), self.latest_number()
         if latest is not None and latest.canonical_digest == command.canonical_digest:
             return PublishResult(True, number, f"version {number} says the same")
@@ -170,6 +171,6 @@
             command.request_id,
         )
         self.versions.append(version)
-        del self.versions[: excess_versions(self.versions)]
+        del self.versions[: count_excess_versions(self.versions)]
         self.on_version(version)
         return PublishResult(True, version.number, "")
--- a/ploverspoke/config_distribution/version_receiver.py
+++ b/ploverspoke/config_distribution/version_receiver.py
@@ -1,18 +1,18 @@
-"""A watcher's versions, without I/O: which ones it was sent, which it applied, which it rejected and why."""
+"""Tracks the versions that a watcher has received, applied and rejected, without I/O."""
 
 from dataclasses import dataclass
 from typing import Protocol
 
 from .errors import MessageRejectedError, VersionRejectedError
-from .messages import UnverifiedVersion, VerifiedVersion, WatchStatus, printable
+from .messages import UnverifiedVersion, VerifiedVersion, WatchStatus, escape_untrusted_text
 from .state_machine import short_digest
 
 
 class VersionEnvironment(Protocol):
-    """What a receiver needs of its driver."""
+    """The functions that a receiver needs from its driver."""
 
     def apply_version(self, version: VerifiedVersion) -> None:
-        """Check a version and make it active. Raises VersionRejectedError, or any error of a check."""
+        """Check a version and make it active. Raises VersionRejectedError or any other error of a check."""
 
     def log(self, line: str) -> None:
         """Write a line to the log."""
@@ -20,16 +20,16 @@
 
 @dataclass
 class WatcherCounters:
-    """What a watcher counts from its start on."""
+    """Counters of a watcher since its start."""
 
     versions_applied: int = 0
     versions_rejected: int = 0
     messages_rejected: int = 0
-    server_changes: int = 0  # to a better server beside one that still answered
+    server_changes: int = 0  # changes to a better server while the old one still answered
 
 
 class VersionReceiver:
-    """The versions of one watcher."""
+    """Verifies and applies the versions that one watcher is sent."""
 
     def __init__(
         self,
@@ -43,14 +43,14 @@
         self.cluster = cluster
         self.received = applied  # the latest version that arrived intact
         self.applied_version = applied.number
-        self.rejection = ""  # why the received version is not applied
-        # The lowest version that was rejected since the applied one; the server sends those between, if any.
+        self.rejection = ""  # why the received version was not applied
+        # The lowest version rejected since the last applied one; the server sends the versions between them.
         self.lowest_rejected = 0
         self.wants_full_body = False
         self.counters = counters
 
     def status(self) -> WatchStatus:
-        """What the watcher reports to its server."""
+        """Return the status that the watcher reports to its server."""
         return WatchStatus(
             self.received.number,
             self.received.digest,
@@ -61,9 +61,9 @@
         )
 
     def on_version(self, message: UnverifiedVersion) -> None:
-        """A server sent a version. Raises MessageRejectedError where the message fails a check."""
+        """Handle a version from a server. Raises MessageRejectedError if the message fails a check."""
         number = message.claimed_number()
-        if number is not None and self._is_known(number):
+        if number is not None and self._was_handled(number):
             if number < self.applied_version:
                 self.counters.messages_rejected += 1
                 reason = f"version {number} is older than {self.applied_version}"
@@ -77,8 +77,8 @@
         self.wants_full_body = False
         self._record(version, self._apply(version))
 
-    def _is_known(self, number: int) -> bool:
-        """Whether a version is not above the received one, and was not skipped for a rejected one."""
+    def _was_handled(self, number: int) -> bool:
+        """Whether a version is not newer than the received one and was not skipped for a rejected one."""
         was_skipped = self.applied_version < number < self.lowest_rejected
         return 0 < number <= self.received.number and not was_skipped
 
@@ -89,18 +89,18 @@
         if rejection is None:
             self.lowest_rejected = 0
         elif not self.lowest_rejected or not follows_received:
-            # Otherwise it only continues a row of rejected versions.
+            # Otherwise the version only extends a sequence of consecutive rejected versions.
             self.lowest_rejected = version.number
 
     def _apply(self, version: VerifiedVersion) -> str | None:
-        """Why the version was rejected; None: it is the active one."""
+        """Apply a version; return the reason for a rejection, or None if the version is active now."""
         try:
             self.environment.apply_version(version)
         except VersionRejectedError as error:
             reason = error.reason
         except ValueError as error:
             reason = str(error)
-        except Exception as error:  # a fault in a check: the active version stays, the reason is reported
+        except Exception as error:  # a bug in a check: report it and keep the active version
             reason = f"{type(error).__name__}: {error}"
         else:
             self.counters.versions_applied += 1
@@ -108,7 +108,7 @@
             digest = short_digest(version.digest)
             self.environment.log(f"config: version {version.number} applied ({digest})")
             return None
-        reason = printable(reason)
+        reason = escape_untrusted_text(reason)
         self.counters.versions_rejected += 1
         self.environment.log(f"config: version {version.number} rejected: {reason}")
         return reason
--- a/ploverspoke/config_distribution/watcher.py
+++ b/ploverspoke/config_distribution/watcher.py
@@ -1,8 +1,9 @@
-"""A watcher of config servers, without I/O: which server it watches, and which versions it applies.
+"""A watcher of config servers, without I/O: selects the server to watch and applies its versions.
 
-It watches one server. Where that one is silent it goes to the next. Where that one lives but is cut off from
-the leader, or is a remote one, it keeps the connection, tries another server beside it, and changes only to
-a better one. So a partitioned region keeps its watches, and watchers do not flap.
+A watcher watches one server. If that server becomes silent, the watcher tries the next one. If the server
+responds but has no contact with a leader, or is a remote one, the watcher keeps the connection, tries another
+server in parallel, and changes only to a better server. So a partitioned region keeps its watches, and
+watchers do not flap between servers.
 
 Times are nanoseconds of a monotonic clock.
 """
@@ -22,45 +23,45 @@
     WatchElsewhere,
     WatchRejected,
     WatchStatus,
-    printable,
+    escape_untrusted_text,
     read_server_message,
 )
 from .server_link import NO_HEARTBEAT, ServerLink
-from .server_selection import LOCAL_TRIAL_INTERVAL, ServerSelector
+from .server_selection import LOCAL_TRIAL_INTERVAL_NS, ServerSelector
 from .version_receiver import VersionReceiver, WatcherCounters
 
-STATUS_INTERVAL = 4 * SECOND
-UNHEALTHY_GRACE = 2 * SECOND  # a server without a leader is kept for as long as an election may take
-STABLE_AFTER = 5 * SECOND  # a connection that lasted as long counts as no failed attempt
+STATUS_INTERVAL_NS = 4 * SECOND
+UNHEALTHY_GRACE_NS = 2 * SECOND  # a server without a leader is kept for as long as an election may take
+STABLE_CONNECTION_NS = 5 * SECOND  # a connection that lasted this long does not count as a failed attempt
 
 
 class ConfigWatcherEnvironment(Protocol):
-    """What a watcher needs of its driver."""
+    """The functions that a watcher needs from its driver."""
 
     def now(self) -> int:
-        """The monotonic clock, ns."""
+        """Return the time of the monotonic clock, ns."""
 
     def random_fraction(self) -> float:
-        """A random number, 0 <= x < 1."""
+        """Return a random number, 0 <= x < 1."""
 
     def dial(self, link_id: int, address: str) -> None:
-        """Connect; reported later by `on_greeting` or `on_disconnected`, not during this call."""
+        """Start connecting; `on_greeting` or `on_disconnected` is called later, not during this call."""
 
     def hang_up(self, link_id: int) -> None:
-        """Close a connection; nothing of it is reported any more."""
+        """Close a connection; no further events are reported for it."""
 
     def send(self, link_id: int, status: WatchStatus) -> None:
-        """Send to the server of that connection."""
+        """Send a status to the server of this connection."""
 
     def apply_version(self, version: VerifiedVersion) -> None:
-        """Check a version and make it active. Raises VersionRejectedError, or any error of a check."""
+        """Check a version and make it active. Raises VersionRejectedError or any other error of a check."""
 
     def log(self, line: str) -> None:
         """Write a line to the log."""
 
 
 class ConfigWatcher:
-    """The decisions of one watcher; a driver calls it on each event and at `next_tick`."""
+    """The decisions of one watcher; a driver calls it at each event, and `tick` at `next_tick`."""
 
     def __init__(
         self,
@@ -72,24 +73,24 @@
     ) -> None:
         """`applied` is the version that is active at the start, from a cache."""
         self.environment = environment
-        self.servers = ServerSelector(servers, local_servers, environment.random_fraction)
+        self.selector = ServerSelector(servers, local_servers, environment.random_fraction)
         self.counters = WatcherCounters()
         self.versions = VersionReceiver(environment, cluster, applied, self.counters)
-        self.link: ServerLink | None = None  # to the server that is watched
-        self.trial_link: ServerLink | None = None  # to another one, to see whether it is better
+        self.link: ServerLink | None = None  # to the watched server
+        self.trial_link: ServerLink | None = None  # to another server that may be better
         self.links_dialed = 0
-        self.next_dial = NEVER
-        self.next_status = NEVER
-        self.next_trial = 0
+        self.next_dial_at = NEVER
+        self.next_status_at = NEVER
+        self.next_trial_at = 0
 
     # ---- Events ----
 
     def start(self) -> None:
-        """Begin to look for a server."""
-        self.next_dial = self.environment.now() + self.servers.first_delay()
+        """Schedule the first connection attempt."""
+        self.next_dial_at = self.environment.now() + self.selector.first_delay()
 
     def on_greeting(self, link_id: int) -> None:
-        """A server has answered with the shared secret."""
+        """Handle the greeting of a server, which proves that it knows the shared secret."""
         now, link = self.environment.now(), self._find_link(link_id)
         if link is None:
             return
@@ -98,51 +99,51 @@
             self._send_status(now)
 
     def on_disconnected(self, link_id: int) -> None:
-        """An attempt to connect failed, or a connection ended."""
+        """Handle a failed connection attempt or the end of a connection."""
         link = self._find_link(link_id)
         if link is not None:
-            self._drop(link, self.environment.now())
+            self._remove_link(link, self.environment.now())
 
     def on_message(self, link_id: int, message: object) -> None:
-        """A decoded message of a server; a server that breaks the protocol is left and changes nothing."""
+        """Handle a decoded message; a protocol violation only closes the connection."""
         now, link = self.environment.now(), self._find_link(link_id)
         if link is None:
             return
         link.last_received_at = now
         try:
-            self._handle(link, message, now)
+            self._handle_message(link, message, now)
         except MessageRejectedError as error:
             self.counters.messages_rejected += 1
             self.environment.log(f"config: message rejected: {error} (from {link.address})")
-            self._leave(link, now)
+            self._close_link(link, now)
 
     def tick(self) -> None:
-        """Time has passed, `next_tick` at the earliest."""
+        """Perform all actions that are due; to be called at `next_tick`."""
         now = self.environment.now()
         for link in (self.link, self.trial_link):
             if link is not None and link.is_overdue(now):
                 if link is self.link and link.greeted_at:
-                    self.environment.log(f"config: {link.address} is silent, another server is tried")
-                self._leave(link, now)
+                    self.environment.log(f"config: {link.address} is silent, trying another server")
+                self._close_link(link, now)
         if self.link is None:
-            if now >= self.next_dial:
-                self.link = self._dial(self.servers.next_server())
-                self.next_dial = NEVER
+            if now >= self.next_dial_at:
+                self.link = self._dial(self.selector.next_server())
+                self.next_dial_at = NEVER
         elif self.link.greeted_at:
-            if now >= self.next_status:
+            if now >= self.next_status_at:
                 self._send_status(now)
-            if self.trial_link is None and now >= self._trial_at(self.link):
+            if self.trial_link is None and now >= self._next_trial_time(self.link):
                 self._try_alternative(self.link, now)
 
     def next_tick(self) -> int:
-        """When `tick` is to be called next."""
+        """Return when `tick` must be called next."""
         times = [link.deadline() + 1 for link in (self.link, self.trial_link) if link is not None]
         if self.link is None:
-            times.append(self.next_dial)
+            times.append(self.next_dial_at)
         elif self.link.greeted_at:
-            times.append(self.next_status)
+            times.append(self.next_status_at)
             if self.trial_link is None:
-                times.append(self._trial_at(self.link))
+                times.append(self._next_trial_time(self.link))
         return min(times, default=NEVER)
 
     # ---- Queries ----
@@ -153,7 +154,7 @@
 
     # ---- Messages ----
 
-    def _handle(self, link: ServerLink, message: object, now: int) -> None:
+    def _handle_message(self, link: ServerLink, message: object, now: int) -> None:
         parsed = read_server_message(message)
         if isinstance(parsed, Heartbeat):
             self._on_heartbeat(link, parsed, now)
@@ -161,16 +162,16 @@
             self.versions.on_version(parsed)
             self._send_status(now)
         elif isinstance(parsed, WatchElsewhere):
-            self._leave(link, now)
+            self._close_link(link, now)
         elif isinstance(parsed, WatchRejected):
-            reason = printable(f"the server rejects this watcher: {parsed.reason}")
+            reason = escape_untrusted_text(f"the server rejected this watcher: {parsed.reason}")
             raise MessageRejectedError(reason)
         else:
             raise MessageRejectedError(NOT_FROM_SERVER)
 
     def _send_status(self, now: int) -> None:
         assert self.link is not None
-        self.next_status = now + STATUS_INTERVAL
+        self.next_status_at = now + STATUS_INTERVAL_NS
         self.environment.send(self.link.link_id, self.versions.status())
 
     # ---- Servers ----
@@ -182,41 +183,41 @@
             link.healthy_at = now
         if link is self.trial_link:
             self._evaluate_trial(link, now)
-        elif link.is_healthy and not self.servers.is_remote(link.address):
-            self.servers.trials = 0
+        elif link.is_healthy and not self.selector.is_remote(link.address):
+            self.selector.consecutive_trials = 0
 
     def _evaluate_trial(self, trial: ServerLink, now: int) -> None:
-        """Watch the server that was tried where it is better than the present one; leave it otherwise."""
+        """Change to the tried server if it is better than the current one; otherwise disconnect from it."""
         link = self.link
-        assert link is not None  # a trial takes the place of the watched server when that one is lost
+        assert link is not None  # if the watched server is lost, the tried one replaces it
         if not self._is_better(trial, link):
-            self._leave(trial, now)
+            self._close_link(trial, now)
             return
         self.environment.hang_up(link.link_id)
         self.link, self.trial_link = trial, None
-        self.servers.trials = 0
+        self.selector.consecutive_trials = 0
         self.counters.server_changes += 1
         self._send_status(now)
 
     def _is_better(self, trial: ServerLink, link: ServerLink) -> bool:
         if trial.server_version > max(self.versions.received.number, link.server_version):
             return True
-        is_nearer = self.servers.is_remote(link.address) and not self.servers.is_remote(trial.address)
+        is_nearer = self.selector.is_remote(link.address) and not self.selector.is_remote(trial.address)
         return trial.is_healthy and (not link.is_healthy or is_nearer)
 
-    def _trial_at(self, link: ServerLink) -> int:
-        """When another server is tried beside this one."""
-        if len(self.servers.servers) == 1 or link.server_version == NO_HEARTBEAT:
+    def _next_trial_time(self, link: ServerLink) -> int:
+        """Return when another server is to be tried in parallel to this one."""
+        if len(self.selector.servers) == 1 or link.server_version == NO_HEARTBEAT:
             return NEVER
         if not link.is_healthy:
-            return max(self.next_trial, link.healthy_at + UNHEALTHY_GRACE)
-        if self.servers.is_remote(link.address):
-            return max(self.next_trial, link.greeted_at + LOCAL_TRIAL_INTERVAL)
+            return max(self.next_trial_at, link.healthy_at + UNHEALTHY_GRACE_NS)
+        if self.selector.is_remote(link.address):
+            return max(self.next_trial_at, link.greeted_at + LOCAL_TRIAL_INTERVAL_NS)
         return NEVER
 
     def _try_alternative(self, link: ServerLink, now: int) -> None:
-        self.trial_link = self._dial(self.servers.next_alternative(link.address, link.is_healthy))
-        self.next_trial = now + self.servers.alternative_delay(link.is_healthy)
+        self.trial_link = self._dial(self.selector.next_alternative(link.address, link.is_healthy))
+        self.next_trial_at = now + self.selector.alternative_delay(link.is_healthy)
 
     def _dial(self, address: str) -> ServerLink:
         self.links_dialed += 1
@@ -224,26 +225,26 @@
         self.environment.dial(link.link_id, address)
         return link
 
-    def _leave(self, link: ServerLink, now: int) -> None:
+    def _close_link(self, link: ServerLink, now: int) -> None:
         self.environment.hang_up(link.link_id)
-        self._drop(link, now)
+        self._remove_link(link, now)
 
-    def _drop(self, link: ServerLink, now: int) -> None:
+    def _remove_link(self, link: ServerLink, now: int) -> None:
         if link is self.trial_link:
             self.trial_link = None
             return
         self.link = None
         if self.trial_link is not None:
-            # It was tried for being better, and its connection is there already.
+            # The trial was started to find a better server, and its connection already exists.
             self.link, self.trial_link = self.trial_link, None
             if self.link.greeted_at:
                 self._send_status(now)
             return
-        if link.greeted_at and now - link.greeted_at >= STABLE_AFTER:
-            delay = self.servers.delay_after_stable(link.address)
+        if link.greeted_at and now - link.greeted_at >= STABLE_CONNECTION_NS:
+            delay = self.selector.delay_after_stable(link.address)
         else:
-            delay = self.servers.delay_after_failure()
-        self.next_dial = now + delay
+            delay = self.selector.delay_after_failure()
+        self.next_dial_at = now + delay
 
     def _find_link(self, link_id: int) -> ServerLink | None:
         links = (self.link, self.trial_link)
--- a/ploverspoke/config_distribution/watcher_records.py
+++ b/ploverspoke/config_distribution/watcher_records.py
@@ -1,4 +1,4 @@
-"""What a config server knows of each of its watchers."""
+"""The state that a config server keeps of each of its watchers."""
 
 from dataclasses import dataclass
 
@@ -8,13 +8,13 @@
 
 
 class WatcherRow(msgspec.Struct, array_like=True, frozen=True):
-    """What a server knows of one watcher, as tools list it."""
+    """The state of one watcher on one server, for lists in tools."""
 
     name: str
     applied_version: int
     received_version: int
-    rejection: str  # why the received version is not applied; empty where it is
-    silent_seconds: float  # since its last status
+    rejection: str  # why the received version was not applied; empty if it was
+    silent_seconds: float  # since the last status
     is_connected: bool
 
 
@@ -26,16 +26,16 @@
         self.name = name
         self.status = status
         self.last_received_at = now
-        self.sent_at = 0  # when a version was sent that no status has answered yet; 0: none
+        self.sent_at = 0  # when the unacknowledged version was sent; 0: none
         self.was_resent = False
         self.next_version_at = 0
 
 
 class RememberedWatcher:
-    """The last status of a watcher, also of one that is no longer connected."""
+    """The last status of a watcher, kept after it disconnects."""
 
     def __init__(self, status: WatchStatus, last_received_at: int) -> None:
-        """A watcher that is connected."""
+        """Create the record of a connected watcher."""
         self.status = status
         self.last_received_at = last_received_at
         self.is_connected = True
@@ -43,10 +43,10 @@
 
 @dataclass
 class BroadcastCounters:
-    """What a broadcaster counts from its start on."""
+    """Counters of a broadcaster since its start."""
 
     versions_sent: int = 0
-    whole_versions_sent: int = 0  # not as a delta
+    whole_versions_sent: int = 0  # versions sent as a whole body, not as a delta
     version_bytes_sent: int = 0
-    silent_watchers: int = 0  # disconnected for sending no status
-    watchers_sent_elsewhere: int = 0  # for want of capacity
+    silent_watchers: int = 0  # disconnected because they sent no status
+    watchers_sent_elsewhere: int = 0  # because this server had no capacity
--- a/tests/config_distribution/faulty_distribution.py
+++ b/tests/config_distribution/faulty_distribution.py
@@ -1,6 +1,6 @@
-"""Faulty variants of config servers and watchers, which the checker has to find.
+"""Config servers and watchers with injected bugs, which the checker must detect.
 
-`python -m tests.config_distribution.faulty_distribution FAULT,... WORDS...` starts the program with them.
+`python -m tests.config_distribution.faulty_distribution FAULT,... ARGUMENT...` runs the program with them.
 """
 
 import asyncio
@@ -23,25 +23,25 @@
 
 
 def reverts_version() -> None:
-    """A watcher that applies an older version some time after a newer one."""
+    """A watcher that applies an older version again after a newer one."""
     on_version, applied = version_receiver.VersionReceiver.on_version, [messages.NO_VERSION]
 
     def on_version_and_reapply(
         self: version_receiver.VersionReceiver, message: messages.UnverifiedVersion
     ) -> None:
         on_version(self, message)
-        before, received = applied[-1], self.received
-        if received.number == self.applied_version and received is not before:
+        previous, received = applied[-1], self.received
+        if received.number == self.applied_version and received is not previous:
             applied.append(received)
-            if before is not messages.NO_VERSION:
+            if previous is not messages.NO_VERSION:
                 reapply = self.environment.apply_version
-                asyncio.get_running_loop().call_later(0.1, reapply, before)
+                asyncio.get_running_loop().call_later(0.1, reapply, previous)
 
     vars(version_receiver)["VersionReceiver"].on_version = on_version_and_reapply
 
 
-def applies_half() -> None:
-    """A watcher that applies half of a body."""
+def applies_half_of_body() -> None:
+    """A watcher that applies only half of a body."""
     apply_overlay = overlay.apply_overlay
 
     def apply_first_class(own: object, body: overlay.JsonObject) -> object:
@@ -55,7 +55,7 @@
 
 
 def applies_part_of_rejected() -> None:
-    """A watcher that applies what is good of a body that its checks reject."""
+    """A watcher that applies the valid part of a body that its checks reject."""
     apply = dynamic_config.VersionApplier.apply
 
     def apply_good_part(self: dynamic_config.VersionApplier, version: messages.VerifiedVersion) -> None:
@@ -65,20 +65,20 @@
             settings = overlay.read_body(version.body)["settings"]
             assert isinstance(settings, dict)
             good_part: overlay.JsonObject = {"settings": {"ServiceGrades": settings["ServiceGrades"]}}
-            patched = overlay.apply_overlay(self.own.document, good_part)
-            self.service.apply_config(parse_config(patched, self.own.environment))
+            patched = overlay.apply_overlay(self.own_config.document, good_part)
+            self.service.apply_config(parse_config(patched, self.own_config.environment))
             raise
 
     vars(dynamic_config)["VersionApplier"].apply = apply_good_part
 
 
 def keeps_silent_server() -> None:
-    """A watcher that never leaves a silent server."""
+    """A watcher that never disconnects from a silent server."""
     vars(server_link)["ServerLink"].is_overdue = lambda self, now: False
 
 
 def sends_uncommitted() -> None:
-    """A server that sends versions that are not committed."""
+    """A server that sends uncommitted versions."""
     publish = server_node.ConfigServerNode._publish
 
     def send_at_once(self: server_node.ConfigServerNode, message: WireMap, reply: Reply) -> None:
@@ -96,7 +96,7 @@
 
 
 def ignores_expected_version() -> None:
-    """A server that ignores which version is expected."""
+    """A server that ignores the expected version of a publish request."""
     publish = state_machine.ConfigStateMachine._publish
 
     def publish_unconditionally(
@@ -116,26 +116,28 @@
     vars(state_machine)["ConfigStateMachine"]._publish = publish_unconditionally
 
 
-def begins_anew() -> None:
-    """A server that begins anew where its folder is empty."""
+def restarts_as_new_cluster() -> None:
+    """A server that starts a new cluster if its folder is empty."""
     open_node = server_node.ConfigServerNode.open
 
-    async def open_anew(self: server_node.ConfigServerNode, new: bool = False, join: str = "") -> None:
+    async def open_as_new_cluster(
+        self: server_node.ConfigServerNode, new: bool = False, join: str = ""
+    ) -> None:
         await open_node(self, True, join)
 
-    vars(server_node)["ConfigServerNode"].open = open_anew
+    vars(server_node)["ConfigServerNode"].open = open_as_new_cluster
 
 
 FAULTS = {
     fault.__name__: fault
     for fault in (
         reverts_version,
-        applies_half,
+        applies_half_of_body,
         applies_part_of_rejected,
         keeps_silent_server,
         sends_uncommitted,
         ignores_expected_version,
-        begins_anew,
+        restarts_as_new_cluster,
     )
 }
 
--- a/tests/config_distribution/own_files.py
+++ b/tests/config_distribution/own_files.py
@@ -1,4 +1,4 @@
-"""Files of a dispatcher as the tests of this folder use them."""
+"""A dispatcher's configuration file and version bodies for the tests of this folder."""
 
 import json
 from pathlib import Path
@@ -10,7 +10,7 @@
 
 
 def write_own_config(folder: Path, ports: list[int]) -> Path:
-    """The file of a dispatcher that serves clients and operators at these ports."""
+    """Write the file of a dispatcher; `ports` are its client and admin port."""
     document = {
         **EXAMPLE,
         "listen": f"127.0.0.1:{ports[0]}",
@@ -23,6 +23,6 @@
 
 
 def body_with_classes(*names: str) -> str:
-    """The body of a version with more request classes."""
+    """Return a version body that adds request classes with these names."""
     classes = [REQUEST_CLASS, *({**REQUEST_CLASS, "Name": name} for name in names)]
     return json.dumps({"settings": {"ServiceGrades": classes}})
--- a/tests/config_distribution/process_fleet.py
+++ b/tests/config_distribution/process_fleet.py
@@ -1,4 +1,4 @@
-"""Three config servers and a dispatcher as processes, and a connection to them frame by frame."""
+"""Runs three config servers and a dispatcher as processes, and connects to them at the level of frames."""
 
 import asyncio
 import json
@@ -22,7 +22,7 @@
 
 
 class WatcherConnection:
-    """A watcher's connection, frame by frame."""
+    """A watcher's connection at the level of frames."""
 
     def __init__(self, address: str, name: str) -> None:
         host, port = address.split(":")
@@ -34,13 +34,13 @@
         self.socket.sendall(self.frames.encode(NO_STATUS))
 
     def receive_message(self) -> dict[str, object]:
-        """Return the next message; the connection must not have ended."""
+        """Return the next message; fails if the connection has ended."""
         message = self.receive()
         assert message is not None
         return message
 
     def receive(self) -> dict[str, object] | None:
-        """Return the next message, heartbeats included; None where the connection has ended."""
+        """Return the next message, including heartbeats; None if the connection has ended."""
         while not self.unread:
             try:
                 data = self.socket.recv(65536)
@@ -61,16 +61,26 @@
         self.folder = folder
         ports = reserve_ports(8)
         (folder / "secret").write_bytes(SECRET)
-        self.peers = {name: f"127.0.0.1:{ports[at]}" for at, name in enumerate(SERVERS)}
-        self.clients = {name: f"127.0.0.1:{ports[3 + at]}" for at, name in enumerate(SERVERS)}
+        self.peers = {name: f"127.0.0.1:{ports[index]}" for index, name in enumerate(SERVERS)}
+        self.clients = {name: f"127.0.0.1:{ports[3 + index]}" for index, name in enumerate(SERVERS)}
         replicas = {name: {"peers": self.peers[name], "clients": self.clients[name]} for name in SERVERS}
-        common = {"cluster": "fleet", "secret_file": "secret", "replicas": replicas, "most_watchers": 2}
+        common_document = {
+            "cluster": "fleet",
+            "secret_file": "secret",
+            "replicas": replicas,
+            "most_watchers": 2,
+        }
         for name in SERVERS:
-            self.write(f"{name}.json", {**common, "name": name, "folder": name})
+            self.write(f"{name}.json", {**common_document, "name": name, "folder": name})
         self.tools_file = self.write("tools.json", {"replicas": replicas, "secret_file": "secret"})
-        servers = list(self.clients.values())
-        document = {"cluster": "fleet", "servers": servers, "near": servers[:1], "secret_file": "secret"}
-        self.watch_file = self.write("watch.json", {**document, "cache": "n0.cache"})
+        server_addresses = list(self.clients.values())
+        watch_document = {
+            "cluster": "fleet",
+            "servers": server_addresses,
+            "near": server_addresses[:1],
+            "secret_file": "secret",
+        }
+        self.watch_file = self.write("watch.json", {**watch_document, "cache": "n0.cache"})
         self.client_port, self.admin_port = ports[6:]
         self.own_file = write_own_config(folder, ports[6:])
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
@@ -88,30 +98,30 @@
     def start_dispatcher(self) -> None:
         self.start("n0", "serve", str(self.own_file), "--watch", str(self.watch_file))
 
-    async def logs(self, name: str, line: str, times: int = 1) -> None:
-        """Wait until its log has that line so often."""
+    async def wait_for_log_line(self, name: str, line: str, times: int = 1) -> None:
+        """Wait until the log of a process contains the line this many times."""
         while (self.folder / f"{name}.log").read_text().count(line) < times:
             assert self.processes[name].poll() is None, f"{name} ended before it logged {line!r}"
             await asyncio.sleep(0.02)
 
-    async def config(self, command: str, *arguments: str) -> tuple[int, str]:
-        """As the command line does; in this process, which is imported already."""
-        call = ["config", command, str(self.tools_file), *arguments]
-        result = await asyncio.to_thread(CliRunner().invoke, command_line, call)
+    async def run_config_command(self, command: str, *arguments: str) -> tuple[int, str]:
+        """Run `ploverspoke config` in this process, which saves the time of imports."""
+        command_arguments = ["config", command, str(self.tools_file), *arguments]
+        result = await asyncio.to_thread(CliRunner().invoke, command_line, command_arguments)
         return result.exit_code, result.output
 
     async def wait_until_watched(self) -> None:
-        """The servers know of the dispatcher: `--wait` is for those that are connected."""
-        while "applied at 1 of 1 connected" not in (await self.config("status"))[1]:
+        """Wait until the servers know the dispatcher, since `--wait` only covers connected dispatchers."""
+        while "applied at 1 of 1 connected" not in (await self.run_config_command("status"))[1]:
             await asyncio.sleep(0.05)
 
     async def publish(self, body: str, *arguments: str) -> tuple[int, str]:
         path = self.folder / "body.json"
         path.write_text(body)
-        return await self.config("publish", str(path), *arguments)
+        return await self.run_config_command("publish", str(path), *arguments)
 
     async def has_class(self, name: str) -> bool:
-        """Whether the dispatcher has that request class, as clients see it."""
+        """Whether the dispatcher accepts requests of this class from clients."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.client_port)
         writer.write(f"POST /{name} HTTP/1.1\r\nHost: n0\r\nContent-Length: 0\r\n\r\n".encode())
         status = (await reader.readline()).split()[1]
@@ -121,9 +131,9 @@
     async def admin_reply(self) -> str:
         reader, writer = await asyncio.open_connection("127.0.0.1", self.admin_port)
         writer.write(b"config\n")
-        answer = (await reader.read()).decode()
+        reply = (await reader.read()).decode()
         writer.close()
-        return answer
+        return reply
 
     async def terminate(self, name: str) -> int:
         process = self.processes.pop(name)
@@ -131,7 +141,7 @@
         return await asyncio.to_thread(process.wait)
 
 
-def with_fleet(folder: Path, script: Callable[[ProcessFleet], Awaitable[None]]) -> None:
+def run_with_fleet(folder: Path, script: Callable[[ProcessFleet], Awaitable[None]]) -> None:
     fleet = ProcessFleet(folder)
 
     async def run() -> None:
@@ -139,7 +149,7 @@
             for name in SERVERS:
                 fleet.start(name, "config", "serve", str(folder / f"{name}.json"), "--new")
             for name in SERVERS:
-                await fleet.logs(name, f"config: {name} serves at {fleet.clients[name]}")
+                await fleet.wait_for_log_line(name, f"config: {name} serves at {fleet.clients[name]}")
             await script(fleet)
         finally:
             for process in fleet.processes.values():
--- a/tests/config_distribution/samples.py
+++ b/tests/config_distribution/samples.py
@@ -1,4 +1,4 @@
-"""Versions with numbered bodies, as the tests of this folder use them."""
+"""Sample versions with numbered bodies for the tests of this folder."""
 
 import json
 
@@ -23,14 +23,14 @@
 
 
 def status(number: int) -> WatchStatus:
-    """That of a watcher which has applied this version."""
+    """Return the status of a watcher that has applied this version."""
     return WatchStatus(number, version(number).digest, number, "", 0)
 
 
 def decoded(message: msgspec.Struct) -> dict[str, object]:
-    """A message as the other side decodes it."""
+    """Return a message as the receiver decodes it."""
     return msgspec.msgpack.decode(msgspec.msgpack.encode(message), type=dict[str, object])
 
 
-def whole(number: int, cluster: str = CLUSTER) -> VersionMessage:
+def whole_version_message(number: int, cluster: str = CLUSTER) -> VersionMessage:
     return pack_version(cluster, version(number), None)
--- a/tests/config_distribution/test_broadcaster.py
+++ b/tests/config_distribution/test_broadcaster.py
@@ -1,4 +1,4 @@
-"""A config server's decisions towards its watchers: what is sent to whom, pace, limits, silence."""
+"""A config server's decisions about its watchers: which versions it sends, pacing, limits and timeouts."""
 
 from ploverspoke.config_distribution.broadcaster import (
     MAX_REMEMBERED_WATCHERS,
@@ -38,7 +38,7 @@
         self.disconnected.append(name)
 
     def versions_sent(self, duration: int = 0) -> list[tuple[str, VersionMessage]]:
-        """What is sent in that time, while the clock follows `next_tick`; heartbeats left out."""
+        """Return the versions sent in `duration`, advancing the clock to each `next_tick`."""
         self.sent.clear()
         until = self.clock + duration
         self.broadcaster.tick()
@@ -60,17 +60,17 @@
     ((_, first),) = environment.versions_sent(100 * MILLISECOND)
     assert (first.version, first.base_digest) == (29, version(1).digest)
     broadcaster.add_version(version(30))
-    assert not environment.versions_sent(MIN_VERSION_INTERVAL_NS)  # no status has answered the first one yet
+    assert not environment.versions_sent(MIN_VERSION_INTERVAL_NS)  # the first version is not yet acknowledged
     broadcaster.on_watch_status("n1", status(29))
     ((_, second),) = environment.versions_sent(10 * MILLISECOND)
     assert (second.version, second.base_digest) == (30, version(29).digest)
     broadcaster.on_watch_status("n1", status(30))
     broadcaster.add_version(version(31))
-    assert not environment.versions_sent(MIN_VERSION_INTERVAL_NS - 20 * MILLISECOND)  # paced
+    assert not environment.versions_sent(MIN_VERSION_INTERVAL_NS - 20 * MILLISECOND)  # delayed by pacing
     assert len(environment.versions_sent(20 * MILLISECOND)) == 1
     broadcaster.on_watch_status("n1", WatchStatus(31, version(31).digest, 30, "settings.X", 0))
     broadcaster.add_version(version(31))
-    assert not environment.versions_sent(2 * SECOND)  # what it rejects is not sent again
+    assert not environment.versions_sent(2 * SECOND)  # a rejected version is not sent again
     assert broadcaster.watcher_rows()[0] == WatcherRow("n1", 30, 31, "settings.X", 2.0, True)
 
 
@@ -80,8 +80,8 @@
     broadcaster.add_version(version(1))
     broadcaster.on_watch_status("n1", status(1))
     broadcaster.add_version(version(2))
-    again = environment.versions_sent(2 * RESEND_DELAY_NS + 50 * MILLISECOND)
-    assert [message.base_digest is None for _, message in again] == [False, True, True]
+    resent = environment.versions_sent(2 * RESEND_DELAY_NS + 50 * MILLISECOND)
+    assert [message.base_digest is None for _, message in resent] == [False, True, True]
     environment.versions_sent(WATCHER_TIMEOUT_NS)
     assert environment.disconnected == ["n1"] and not broadcaster.watchers
     assert broadcaster.watcher_rows()[0].is_connected is False
@@ -115,10 +115,10 @@
     broadcaster.add_version(version(2))
     broadcaster.tick()
     assert len(environment.sent) == MAX_VERSIONS_PER_TURN
-    got = {name for name, _ in environment.versions_sent(100 * MILLISECOND)}
-    assert len(got) < 160
-    got |= {name for name, _ in environment.versions_sent(900 * MILLISECOND)}
-    assert len(got) == 400 - MAX_VERSIONS_PER_TURN
+    served = {name for name, _ in environment.versions_sent(100 * MILLISECOND)}
+    assert len(served) < 160
+    served |= {name for name, _ in environment.versions_sent(900 * MILLISECOND)}
+    assert len(served) == 400 - MAX_VERSIONS_PER_TURN
 
 
 def test_watchers_and_remembered_names_are_bounded() -> None:
--- a/tests/config_distribution/test_cache.py
+++ b/tests/config_distribution/test_cache.py
@@ -1,4 +1,4 @@
-"""The cache of the last version that a dispatcher applied."""
+"""The cache of the last version applied by a dispatcher."""
 
 import json
 from pathlib import Path
@@ -7,7 +7,7 @@
 
 from ploverspoke.config_distribution.cache import read_cache, write_cache
 from ploverspoke.config_distribution.cluster_config import read_watch_config
-from ploverspoke.config_distribution.dynamic_config import initial_config, read_own_config
+from ploverspoke.config_distribution.dynamic_config import load_initial_config, read_own_config
 from ploverspoke.config_distribution.messages import NO_VERSION, VerifiedVersion
 from ploverspoke.config_distribution.state_machine import digest_of
 
@@ -26,7 +26,7 @@
     applied = VerifiedVersion(7, digest_of(body), body)
     write_cache(config, applied)
     assert read_cache(config) == (applied, "")
-    initial = initial_config(own, config)
+    initial = load_initial_config(own, config)
     assert initial.config.names.request_classes == ("look-up", "g01") and initial.applied == applied
     whole = config.cache_file.read_text()
     for corrupt, expected in (
@@ -38,11 +38,11 @@
         (whole.replace('"version": 7', '"version": "7"'), "version '7'"),
     ):
         config.cache_file.write_text(corrupt)
-        initial = initial_config(own, config)
+        initial = load_initial_config(own, config)
         assert initial.applied is NO_VERSION and initial.config.names.request_classes == ("look-up",)
         assert expected in capsys.readouterr().err
-    # A version that does not fit the dispatcher's file any more.
+    # A cached version that is no longer valid with the dispatcher's own file.
     wrong = '{"settings": {"RoundUs": -4}}'
     write_cache(config, VerifiedVersion(8, digest_of(wrong), wrong))
-    assert initial_config(own, config).applied is NO_VERSION
+    assert load_initial_config(own, config).applied is NO_VERSION
     assert "version 8: settings.RoundUs is -4" in capsys.readouterr().err
--- a/tests/config_distribution/test_cluster_config.py
+++ b/tests/config_distribution/test_cluster_config.py
@@ -1,4 +1,4 @@
-"""The files of config servers, watchers and tools."""
+"""Configuration files of config servers, watchers and tools."""
 
 import json
 from collections.abc import Callable
--- a/tests/config_distribution/test_dynamic_config.py
+++ b/tests/config_distribution/test_dynamic_config.py
@@ -1,4 +1,4 @@
-"""Versions on a dispatcher's own configuration."""
+"""Versions applied to a dispatcher's own configuration."""
 
 import json
 import os
--- a/tests/config_distribution/test_fleet.py
+++ b/tests/config_distribution/test_fleet.py
@@ -1,4 +1,4 @@
-"""Watchers and config servers together on a virtual clock: faults, an isolated region, a full restart."""
+"""Watchers and config servers on a virtual clock: faults, an isolated region, a restart of all servers."""
 
 from collections.abc import Callable
 
@@ -23,11 +23,11 @@
         fleet.run(SECOND)
         assert set(fleet.applied_versions()) == {number}
     assert fleet.dials() == 100
-    assert fleet.whole_versions_sent() == 100  # the first; then deltas
+    assert fleet.whole_versions_sent() == 100  # the first version only; later ones are deltas
 
 
 def cut_off_servers(fleet: VirtualFleet, *servers: str) -> None:
-    """Nothing passes between these servers and any watcher."""
+    """Block all messages between these servers and all watchers."""
     for watcher in fleet.watchers:
         for server in servers:
             fleet.cut(watcher.name, server)
@@ -81,7 +81,9 @@
     fleet = VirtualFleet(5, 20, local_by_half)
     fleet.add_version(1)
     fleet.run(8 * SECOND)
-    cut_off = [watcher for watcher in fleet.watchers if watcher.watcher.servers.local_servers == {"s3", "s4"}]
+    cut_off = [
+        watcher for watcher in fleet.watchers if watcher.watcher.selector.local_servers == {"s3", "s4"}
+    ]
     for watcher in fleet.watchers:
         for name in ("s0", "s1", "s2") if watcher in cut_off else ("s3", "s4"):
             fleet.cut(watcher.name, name)
@@ -92,7 +94,7 @@
     dials = [len(watcher.dialed) for watcher in cut_off]
     assert [watcher.watcher.link for watcher in fleet.watchers] == before
     assert not any(watcher.server_changes() for watcher in cut_off)
-    assert max(dials) <= 600 / 8 + 10  # trials go on, ever more rarely
+    assert max(dials) <= 600 / 8 + 10  # trials continue with growing backoff
     assert {watcher.applied_version() for watcher in cut_off} == {1}
     assert set(fleet.applied_versions()) == {1, 2}
     fleet.cuts.clear()
@@ -103,23 +105,26 @@
     assert set(fleet.applied_versions()) == {2}
 
 
-@pytest.mark.parametrize("down", [SECOND, 3 * SECOND])
-def test_reconnects_after_a_full_restart_are_spread_over_time(down: int) -> None:
+@pytest.mark.parametrize("downtime", [SECOND, 3 * SECOND])
+def test_reconnects_after_a_full_restart_are_spread_over_time(downtime: int) -> None:
     fleet = VirtualFleet(5, 100, local_by_half)
     fleet.add_version(1)
     fleet.run(8 * SECOND)
     for server in fleet.servers.values():
         server.crash()
-    fleet.run(down)
-    back_at = fleet.clock
+    fleet.run(downtime)
+    restarted_at = fleet.clock
     for server in fleet.servers.values():
         server.start()
     fleet.add_version(2)
     fleet.run(10 * SECOND)
     assert set(fleet.applied_versions()) == {2}
-    reconnects = sorted(watcher.dialed[-1][0] - back_at for watcher in fleet.watchers)
-    most = max(sum(1 for at in reconnects if begin <= at < begin + 100 * MILLISECOND) for begin in reconnects)
-    assert most < 50 and reconnects[-1] < 4 * SECOND
+    reconnects = sorted(watcher.dialed[-1][0] - restarted_at for watcher in fleet.watchers)
+    max_reconnects = max(
+        sum(1 for at in reconnects if window_start <= at < window_start + 100 * MILLISECOND)
+        for window_start in reconnects
+    )
+    assert max_reconnects < 50 and reconnects[-1] < 4 * SECOND
 
 
 def test_watcher_of_a_remote_server_returns_to_a_local_one() -> None:
--- a/tests/config_distribution/test_messages.py
+++ b/tests/config_distribution/test_messages.py
@@ -1,4 +1,4 @@
-"""Messages of config servers and watchers: what is accepted, and what is rejected with which reason."""
+"""Messages of config servers and watchers: accepted messages, and the reasons for rejections."""
 
 import zlib
 
@@ -18,7 +18,7 @@
 from ploverspoke.config_distribution.overlay import MAX_BODY_BYTES
 from ploverspoke.config_distribution.state_machine import digest_of
 
-from .samples import body, decoded, status, version, whole
+from .samples import body, decoded, status, version, whole_version_message
 
 
 def verified(message: object, base_body: str) -> VerifiedVersion:
@@ -30,12 +30,12 @@
 def test_delta_is_small_and_unpacks_to_the_same_version_as_the_whole() -> None:
     delta = pack_version("fleet", version(2), body(1))
     expected = (2, version(2).digest, body(2))
-    assert verified(decoded(delta), body(1)) == verified(decoded(whole(2)), "") == expected
-    assert len(delta.compressed_body) < 60 and len(whole(2).compressed_body) > 500
+    assert verified(decoded(delta), body(1)) == verified(decoded(whole_version_message(2)), "") == expected
+    assert len(delta.compressed_body) < 60 and len(whole_version_message(2).compressed_body) > 500
 
 
 def corrupt(**fields: object) -> dict[str, object]:
-    return {**decoded(whole(2)), **fields}
+    return {**decoded(whole_version_message(2)), **fields}
 
 
 @pytest.mark.parametrize(
@@ -44,17 +44,17 @@
         (corrupt(v=2), "format version 2"),
         (corrupt(v=None), "format version None"),
         (corrupt(c="other"), "cluster 'other'"),
-        (corrupt(n=True), "none"),
-        (corrupt(n=-1), "none"),
-        (corrupt(d=b"short"), "none"),
+        (corrupt(n=True), "malformed version message"),
+        (corrupt(n=-1), "malformed version message"),
+        (corrupt(d=b"short"), "malformed version message"),
         (corrupt(d=digest_of("")), "wrong digest"),
-        (corrupt(z="text"), "none"),
+        (corrupt(z="text"), "malformed version message"),
         (corrupt(z=b"garbage"), "cannot be unpacked"),
-        (corrupt(z=whole(2).compressed_body[:-3]), "cut off"),
-        (corrupt(z=whole(2).compressed_body + b"x"), "something behind"),
+        (corrupt(z=whole_version_message(2).compressed_body[:-3]), "truncated"),
+        (corrupt(z=whole_version_message(2).compressed_body + b"x"), "trailing data"),
         (corrupt(z=zlib.compress(b"x" * 50 * MAX_BODY_BYTES)), "over 1048576 bytes"),
         (corrupt(z=zlib.compress(b"\xff\xfe")), "cannot be unpacked"),
-        (decoded(pack_version("fleet", version(2), body(7))), "not ours"),
+        (decoded(pack_version("fleet", version(2), body(7))), "a body that this watcher does not have"),
     ],
 )
 def test_corrupt_or_foreign_version_message_is_rejected(message: object, expected: str) -> None:
--- a/tests/config_distribution/test_overlay.py
+++ b/tests/config_distribution/test_overlay.py
@@ -1,4 +1,4 @@
-"""Bodies of versions: their checks, and how they are applied to a dispatcher's own configuration."""
+"""Version bodies: validation, and application to a dispatcher's own configuration."""
 
 import json
 
@@ -39,7 +39,7 @@
     without_zone = apply_overlay({**own, "settings": {"Zone": 5}}, overlay)
     assert isinstance(without_zone, dict)
     assert without_zone["discovery"] == "a:1"
-    # Of RFC 7386, appendix A.
+    # Examples of RFC 7386, appendix A.
     for target, patch, result in (
         ({"a": "b"}, {"a": None}, {}),
         ({"a": [{"b": "c"}]}, {"a": [1]}, {"a": [1]}),
--- a/tests/config_distribution/test_processes.py
+++ b/tests/config_distribution/test_processes.py
@@ -1,4 +1,4 @@
-"""Config servers and dispatchers as real processes, checked from outside; faulty variants are found."""
+"""Config servers and dispatchers as processes, checked from outside; the checker detects faulty variants."""
 
 from pathlib import Path
 
@@ -19,21 +19,21 @@
 )
 from ploverspoke.testbed.scenarios.distribution_timeline import draw_distribution_timeline, region_steps
 
-RUNS_LONG = True  # scheduled first: see tests/conftest.py
+RUNS_LONG = True  # scheduled first, see tests/conftest.py
 
 FAULTY = "tests.config_distribution.faulty_distribution"
 FAULT_SCENARIO = DistributionScenario(kill_interval=Duration(2 * SECOND))
 
 
 def findings_of(outcome: DistributionRunOutcome) -> list[str]:
-    """What the checker found in a run that is not void."""
+    """Return the findings of the checker in a run that is not void."""
     assert outcome.void == ""
     return [finding for finding, _ in outcome.verdict.findings]
 
 
 @pytest.fixture(scope="module")
 def run_with_faults() -> DistributionRunOutcome:
-    # All that is done to two dispatchers; of the drawn faults some may be skipped where two would meet.
+    # All faults of two dispatchers are set here, since drawn faults that would overlap may be skipped.
     own_steps = [
         FaultStep(
             start=Duration(3 * SECOND), kind="empty", processes=["a-d4"], duration=Duration(200 * MILLISECOND)
@@ -52,13 +52,13 @@
             start=Duration(3 * SECOND), kind="kill", processes=["a-d2"], duration=Duration(200 * MILLISECOND)
         ),
     ]
-    apart = {"a-d2", "a-d4"}
-    others = [
+    separate_dispatchers = {"a-d2", "a-d4"}
+    drawn_steps = [
         step
         for step in draw_distribution_timeline(FAULT_SCENARIO, 53)
-        if step.kind in (*LINK_FAULTS, "copy") or not apart & set(step.processes)
+        if step.kind in (*LINK_FAULTS, "copy") or not separate_dispatchers & set(step.processes)
     ]
-    return run_distribution_scenario(FAULT_SCENARIO, 53, [*others, *own_steps])
+    return run_distribution_scenario(FAULT_SCENARIO, 53, [*drawn_steps, *own_steps])
 
 
 def test_acknowledged_versions_are_applied_in_time_through_kills_pauses_cuts_and_lost_folders(
@@ -89,7 +89,7 @@
 def test_checker_finds_each_faulty_watcher() -> None:
     faulty_programs = {
         "a-d0": [FAULTY, "reverts_version"],
-        "b-d1": [FAULTY, "applies_half"],
+        "b-d1": [FAULTY, "applies_half_of_body"],
         "a-d2": [FAULTY, "applies_part_of_rejected"],
         "b-d3": [FAULTY, "keeps_silent_server"],
     }
@@ -100,7 +100,7 @@
         publish_interval=Duration(SECOND),
         empty_folder_interval=Duration(0),
     )
-    # The one local server of b-d3 is paused for most of the run.
+    # The only local server of b-d3 is paused for most of the run.
     paused = FaultStep(
         start=Duration(2 * SECOND), kind="pause", processes=["b-s1"], duration=Duration(9 * SECOND)
     )
@@ -118,8 +118,8 @@
 
 
 def test_checker_finds_a_server_that_sends_uncommitted_versions() -> None:
-    # The leader is cut off from the other servers, not from publishers and watchers, and is asked to commit
-    # what it cannot; the others elect another leader and commit, and no publisher repeats its request.
+    # The leader is cut off from the other servers, but not from publishers and watchers, so it receives
+    # requests that it cannot commit. The others elect a new leader and commit; publishers never retry.
     scenario = DistributionScenario(
         within=Duration(2 * SECOND),
         run_duration=Duration(12 * SECOND),
@@ -151,7 +151,7 @@
         empty_folder_interval=Duration(3 * SECOND),
     )
     faulty_programs = {
-        name: [FAULTY, "ignores_expected_version,begins_anew"] for name in scenario.server_names()
+        name: [FAULTY, "ignores_expected_version,restarts_as_new_cluster"] for name in scenario.server_names()
     }
     findings = findings_of(run_distribution_scenario(scenario, 4, region_steps(scenario), faulty_programs))
     for expected in ("all were committed", "and follows", "serves with an empty folder"):
@@ -201,7 +201,7 @@
         partition_start=Duration(20 * SECOND),
         partition_duration=Duration(60 * SECOND),
     )
-    # One region's servers grow by a byte a second, folders by ten; octets are twice as many afterwards.
+    # The servers of one region grow by 1 byte/s and the folders by 10; the octet rate doubles afterwards.
     samples = [
         GrowthSample(at * SECOND, 1000 + at, 1000, 5000, 5000, 10 * at, 100 * at + 100 * max(0, at - 80))
         for at in range(0, 100, 5)
--- a/tests/config_distribution/test_state_machine.py
+++ b/tests/config_distribution/test_state_machine.py
@@ -1,4 +1,4 @@
-"""The replicated versions: compare-and-swap, repeated requests, limits, snapshots."""
+"""The replicated versions: compare-and-swap, repeated requests, limits and snapshots."""
 
 import json
 
@@ -28,7 +28,7 @@
     assert publish(state, body(2), 0, "b") == conflict
     assert publish(state, body(2), 1, "c") == PublishResult(True, 2, "")
     assert publish(state, body(2), 1, "c") == PublishResult(True, 2, "")  # repeated: no new version
-    assert publish(state, body(2), 1, "b").accepted is False  # also for a rejected request
+    assert publish(state, body(2), 1, "b").accepted is False  # a repeated request stays rejected
     same = json.dumps(json.loads(body(2)), indent=3)
     assert publish(state, same, 2, "d") == PublishResult(True, 2, "version 2 says the same")
     state.apply(0, b"\x91\xa4what")  # a command of a later release
--- a/tests/config_distribution/virtual_fleet.py
+++ b/tests/config_distribution/virtual_fleet.py
@@ -1,4 +1,4 @@
-"""Config servers and watchers on one virtual clock: their decisions alone, without sockets."""
+"""Simulates the decisions of config servers and watchers on one virtual clock, without sockets."""
 
 import heapq
 import random
@@ -20,12 +20,12 @@
 
 
 class VirtualFleet:
-    """Servers and watchers on one virtual clock; what is sent over a link that is cut is lost."""
+    """Servers and watchers on one virtual clock; messages over a cut link are lost."""
 
     def __init__(self, servers: int, watchers: int, local: Callable[[int], list[int]], seed: int = 1) -> None:
         self.clock = 100 * SECOND
         self.events: list[tuple[int, int, Callable[[], None]]] = []
-        self.count = 0
+        self.event_count = 0
         self.seed = seed
         self.cuts: set[tuple[str, str]] = set()
         self.names = [f"s{number}" for number in range(servers)]
@@ -35,9 +35,9 @@
             for number in range(watchers)
         ]
 
-    def after(self, delay: int, action: Callable[[], None]) -> None:
-        self.count += 1
-        heapq.heappush(self.events, (self.clock + delay, self.count, action))
+    def call_later(self, delay: int, action: Callable[[], None]) -> None:
+        self.event_count += 1
+        heapq.heappush(self.events, (self.clock + delay, self.event_count, action))
 
     def run(self, duration: int) -> None:
         until = self.clock + duration
@@ -50,7 +50,7 @@
         for name in to or self.names:
             if self.servers[name].is_up:
                 self.servers[name].broadcaster.add_version(version(number))
-                self.servers[name].arm()
+                self.servers[name].schedule_tick()
 
     def cut(self, name: str, other: str) -> None:
         self.cuts |= {(name, other), (other, name)}
@@ -59,7 +59,7 @@
         return [watcher.applied_version() for watcher in self.watchers]
 
     def whole_versions_sent(self) -> int:
-        """By all servers since their start."""
+        """Return the number of versions sent whole by all servers since their start."""
         return sum(server.broadcaster.counters.whole_versions_sent for server in self.servers.values())
 
     def dials(self) -> int:
@@ -67,7 +67,7 @@
 
 
 class FakeServer:
-    """A config server's decisions; `has_leader`: whether its replica is in contact with a leader."""
+    """A simulated config server; `has_leader`: whether its replica is in contact with a leader."""
 
     def __init__(self, fleet: VirtualFleet, name: str) -> None:
         self.fleet, self.name = fleet, name
@@ -78,7 +78,7 @@
         self.is_up = True
         self.links: dict[str, tuple[FakeWatcher, int]] = {}
         self.broadcaster = VersionBroadcaster(self, "fleet", 1000, 4_000_000)
-        self.armed = 0
+        self.scheduled_tick_at = 0
 
     def now(self) -> int:
         return self.fleet.clock
@@ -88,35 +88,35 @@
 
     def send(self, name: str, message: ServerMessage) -> int:
         watcher, link = self.links[name]
-        self.fleet.after(MILLISECOND, lambda: watcher.on_message(link, self, decoded(message)))
+        self.fleet.call_later(MILLISECOND, lambda: watcher.on_message(link, self, decoded(message)))
         return 200
 
     def disconnect(self, name: str, reason: str) -> None:
         watcher, link = self.links.pop(name)
-        self.fleet.after(MILLISECOND, lambda: watcher.on_disconnected(link, self))
+        self.fleet.call_later(MILLISECOND, lambda: watcher.on_disconnected(link, self))
 
-    def arm(self) -> None:
+    def schedule_tick(self) -> None:
         broadcaster = self.broadcaster
-        if broadcaster.next_tick < (self.armed or 1 << 62):
-            self.armed = broadcaster.next_tick
+        if broadcaster.next_tick < (self.scheduled_tick_at or 1 << 62):
+            self.scheduled_tick_at = broadcaster.next_tick
             delay = max(0, broadcaster.next_tick - self.fleet.clock)
-            self.fleet.after(delay, lambda: self.on_timer(broadcaster))
+            self.fleet.call_later(delay, lambda: self.on_timer(broadcaster))
 
     def on_timer(self, broadcaster: VersionBroadcaster) -> None:
         if broadcaster is self.broadcaster and self.is_up:
-            self.armed = 0
+            self.scheduled_tick_at = 0
             broadcaster.tick()
-            self.arm()
+            self.schedule_tick()
 
     def crash(self) -> None:
-        """The process ends: its connections end, and further ones are refused."""
+        """End the process: its connections end, and new ones are refused."""
         self.is_up = False
         for watcher, link in self.links.values():
-            self.fleet.after(MILLISECOND, partial(watcher.on_disconnected, link, self))
+            self.fleet.call_later(MILLISECOND, partial(watcher.on_disconnected, link, self))
 
 
 class FakeWatcher:
-    """A watcher's decisions; it rejects the versions in `rejected_numbers`."""
+    """A simulated watcher that rejects the versions in `rejected_numbers`."""
 
     def __init__(self, fleet: VirtualFleet, number: int, local_servers: list[str]) -> None:
         self.fleet, self.name = fleet, f"n{number}"
@@ -128,7 +128,7 @@
         self.log_lines: list[str] = []
         self.applied: list[int] = []
         self.watcher.start()
-        self.arm()
+        self.schedule_tick()
 
     def now(self) -> int:
         return self.fleet.clock
@@ -157,7 +157,7 @@
         self.dialed.append((self.fleet.clock, address))
         self.open[link] = address
         if self.reaches(address) and self.reaches(address, back=True):
-            self.fleet.after(2 * MILLISECOND, lambda: self.on_connected(link, address))
+            self.fleet.call_later(2 * MILLISECOND, lambda: self.on_connected(link, address))
 
     def on_connected(self, link: int, address: str) -> None:
         server = self.fleet.servers[address]
@@ -180,31 +180,31 @@
     def send(self, link: int, status: WatchStatus) -> None:
         if self.reaches(self.open[link]):
             server = self.fleet.servers[self.open[link]]
-            self.fleet.after(MILLISECOND, lambda: self.status_arrives(link, server, status))
+            self.fleet.call_later(MILLISECOND, lambda: self.on_status(link, server, status))
 
-    def status_arrives(self, link: int, server: FakeServer, status: WatchStatus) -> None:
+    def on_status(self, link: int, server: FakeServer, status: WatchStatus) -> None:
         if server.is_up and link in self.open:
             server.links[self.name] = (self, link)
             server.broadcaster.on_watch_status(self.name, read_watch_status(decoded(status)))
-            server.arm()
+            server.schedule_tick()
 
     def on_message(self, link: int, server: FakeServer, message: object) -> None:
         if link in self.open and server.is_up and self.reaches(server.name, back=True):
             self.watcher.on_message(link, message)
-            self.arm()
+            self.schedule_tick()
 
     def on_disconnected(self, link: int, server: FakeServer) -> None:
         if link in self.open and self.reaches(server.name, back=True):
             del self.open[link]
             self.watcher.on_disconnected(link)
-            self.arm()
+            self.schedule_tick()
 
-    def arm(self) -> None:
+    def schedule_tick(self) -> None:
         at = self.watcher.next_tick()
         if at < 1 << 60:
-            self.fleet.after(max(0, at - self.fleet.clock), lambda: self.on_timer(at))
+            self.fleet.call_later(max(0, at - self.fleet.clock), lambda: self.on_timer(at))
 
     def on_timer(self, at: int) -> None:
         if self.watcher.next_tick() <= self.fleet.clock:
             self.watcher.tick()
-            self.arm()
+            self.schedule_tick()
