--- a/ploverspoke/config_distribution/admin_client.py
+++ b/ploverspoke/config_distribution/admin_client.py
@@ -61,10 +61,10 @@
     servers: ConfigServers, request: AdminRequest, reply_type: type[ReplyT]
 ) -> dict[str, ReplyT]:
     """Return the replies of the available servers by name. Raises NoServerAvailableError if none replied."""
-    all_replies = ask_all(servers, request, reply_type)
-    replies = {answer.server: answer.reply for answer in all_replies if answer.reply is not None}
+    results = ask_all(servers, request, reply_type)
+    replies = {result.server: result.reply for result in results if result.reply is not None}
     if not replies:
-        raise NoServerAvailableError({answer.server: str(answer.error) for answer in all_replies})
+        raise NoServerAvailableError({result.server: str(result.error) for result in results})
     return replies
 
 
@@ -113,12 +113,12 @@
 
 def find_leader(servers: ConfigServers) -> LeaderSearch:
     """Ask all servers for their status and return the one that leads."""
-    answers = ask_all(servers, StatusRequest(), StatusRow)
-    for answer in answers:
-        if answer.reply is not None and answer.reply.leads:
-            return LeaderSearch(servers.peers[answer.server], {}, any_replied=True)
-    failures = {answer.server: str(answer.error or "does not lead") for answer in answers}
-    return LeaderSearch("", failures, any(answer.reply is not None for answer in answers))
+    results = ask_all(servers, StatusRequest(), StatusRow)
+    for result in results:
+        if result.reply is not None and result.reply.leads:
+            return LeaderSearch(servers.peers[result.server], {}, any_replied=True)
+    failures = {result.server: str(result.error or "does not lead") for result in results}
+    return LeaderSearch("", failures, any(result.reply is not None for result in results))
 
 
 class _Publisher:
--- a/ploverspoke/config_distribution/watcher.py
+++ b/ploverspoke/config_distribution/watcher.py
@@ -105,7 +105,7 @@
             self._remove_link(link, self.environment.now())
 
     def on_message(self, link_id: int, message: object) -> None:
-        """Handle a decoded message; a protocol violation only closes the connection."""
+        """Handle a decoded message; a protocol violation closes the connection and changes no version."""
         now, link = self.environment.now(), self._find_link(link_id)
         if link is None:
             return
