--- a/ploverspoke/leases/admin_messages.py
+++ b/ploverspoke/leases/admin_messages.py
@@ -1,4 +1,4 @@
-"""What tools ask a lease server beside what every replica answers. Key names on the wire are fixed."""
+"""Requests of command-line tools that only lease servers answer. Key names on the wire are fixed."""
 
 import msgspec
 
@@ -9,17 +9,17 @@
 
 
 class LeasesRequest(AdminRequest, frozen=True, tag="leases"):
-    """Ask which leases are held, waited for and declared. Answered with `LeaseListing` by the leader."""
+    """Asks which leases are held, waited for and declared. The leader replies with `LeaseListing`."""
 
 
 class HeldLease(msgspec.Struct, frozen=True, rename={"expires_in_ms": "over_in_ms"}):
-    """One lease that a holder has."""
+    """A lease that is held, and its holder."""
 
     name: str
     holder: str
     token: int
     duration_ms: int
-    expires_in_ms: int  # as the leader counts; the holder stops earlier
+    expires_in_ms: int  # by the leader's clock; the holder stops earlier
 
 
 class DeclaredLease(
@@ -32,40 +32,40 @@
 
 
 class FollowerReply(msgspec.Struct, frozen=True):
-    """The answer to `LeasesRequest` of a lease server that does not lead."""
+    """The reply to `LeasesRequest` of a lease server that does not lead."""
 
     leads: bool = False
 
 
 class LeaseListing(msgspec.Struct, frozen=True):
-    """The leading lease server's answer to `LeasesRequest`; without `leads` it is a follower's, and empty."""
+    """The leader's reply to `LeasesRequest`. A `FollowerReply` decodes as one that is empty."""
 
     leads: bool = False
     held: list[HeldLease] = []
-    waiting: dict[str, list[str]] = {}  # holders by name of the lease, the next one first
+    waiting: dict[str, list[str]] = {}  # holders by lease name, the next one first
     declared: dict[str, DeclaredLease] = {}
 
 
 class LeaseStatus(msgspec.Struct, frozen=True, rename={"is_leader": "leading", "epoch": "era"}):
-    """A lease server's own part of its status."""
+    """The fields that a lease server adds to the status of its replica."""
 
-    is_leader: bool  # and grants leases
-    leases: int  # that are held
+    is_leader: bool  # whether it grants leases
+    leases: int  # held ones, counted once for each holder
     last_token: int
     epoch: int
-    waiting: int  # holders, counted once for each lease
-    granted: int  # since the start
-    renewed: int  # since the start
+    waiting: int  # waiting holders, counted once for each lease
+    granted: int  # grants since the start
+    renewed: int  # renewals since the start
 
 
 class LeaseStatusRow(StatusRow, rename={"is_leader": "leading"}):
-    """A status as a tool receives it."""
+    """The status of a lease server, as a command-line tool decodes it."""
 
     is_leader: bool = False
 
 
 def describe_definitions(definitions: LeaseDefinitions) -> dict[str, DeclaredLease]:
-    """Return the declared leases, by the names of the file."""
+    """Return the declared leases by their names in the file."""
     return {
         name: DeclaredLease(definition.max_holders, definition.max_duration // MILLISECOND)
         for name, definition in definitions.by_declared_name().items()
--- a/ploverspoke/leases/backup_commands.py
+++ b/ploverspoke/leases/backup_commands.py
@@ -1,4 +1,4 @@
-"""`ploverspoke lease backup` and `restore`: what a lease server has stored."""
+"""`ploverspoke lease backup` and `restore`: copies of a lease server's storage."""
 
 import time
 from pathlib import Path
@@ -24,7 +24,7 @@
 @click.argument("path", type=click.Path(path_type=Path))
 @JSON_OPTION
 def backup(file: Path, path: Path, as_json: bool) -> None:
-    """Copy what the lease server of this FILE stores to PATH on its machine. Exit 1: not done."""
+    """Copy the storage of the lease server of this FILE to PATH on the server's machine. Exit 1: not done."""
     config = read_config_or_exit(read_lease_server_config, file).replica
     call_for_result(config, config.name, BackupRequest(str(path.absolute())), as_json)
 
@@ -33,14 +33,15 @@
 @FILE_ARGUMENT
 @click.argument("path", type=EXISTING_FILE)
 def restore(file: Path, path: Path) -> None:
-    """Put a backup in the place of the storage of this FILE's lease server, which must not run and be empty.
+    """Restore the storage of this FILE's lease server from a backup.
 
-    For all lease servers together, from one backup. A new epoch of tokens begins, above all that were
-    granted; nothing is granted until the longest lease has expired.
+    The server must be stopped and its storage empty. Restore all lease servers together, from the same
+    backup. A new epoch begins, whose tokens are higher than all that were granted before; nothing is granted
+    until the longest lease has expired.
     """
     config = read_config_or_exit(read_lease_server_config, file).replica
     storage = restore_backup(config, path)
-    # Above every epoch that was begun before, as long as clocks do not go back between two restores.
+    # Higher than every earlier epoch, as long as clocks do not go back between two restores.
     epoch = max((storage.load_value(EPOCH_KEY, int) or 0) + 1, int(time.time()))
     storage.save_value(EPOCH_KEY, epoch)
     storage.close()
--- a/ploverspoke/leases/client.py
+++ b/ploverspoke/leases/client.py
@@ -1,4 +1,4 @@
-"""A lease holder on sockets: drives a `LeaseHolder`, and talks to one lease server at a time."""
+"""The network client of a holder: drives a `LeaseHolder` over a connection to one lease server at a time."""
 
 import asyncio
 import contextlib
@@ -14,10 +14,10 @@
 from .holder import Lease, LeaseHolder
 from .messages import LeaderRedirect, LeaseRequest, parse_response
 
-CONNECT_TIMEOUT = 1.0  # seconds
-FINAL_RELEASE_TIME = 0.05  # seconds that the last request has to be sent
-MAX_SLEEP = 60.0  # seconds
-START_ID_BYTES = 6  # random
+CONNECT_TIMEOUT_S = 1.0
+FINAL_RELEASE_DELAY_S = 0.05  # before the connection closes, so that the last request is sent
+MAX_TICK_DELAY_S = 60.0
+START_ID_BYTES = 6  # random bytes, for the id of one start of the process
 
 
 class LeaseServerConnection(FramedClientConnection):
@@ -27,12 +27,12 @@
     log_name = "leases"
 
     def __init__(self, client: "LeaseClient") -> None:
-        """Greet with the holder id of its client."""
+        """Create a connection whose greeting carries the client's holder id."""
         super().__init__(client.servers.secret, {"id": client.holder_id, "store": ""})
         self.client = client
 
     def on_connected(self) -> None:
-        """Let the client send."""
+        """Notify the client that requests can be sent."""
         self.client.on_connected(self)
 
     def on_message(self, message: object) -> None:
@@ -45,54 +45,54 @@
 
 
 class LeaseClient:
-    """Holds leases for its user; the environment of a `LeaseHolder`.
+    """Acquires, renews and releases leases for its user; the environment of a `LeaseHolder`.
 
-    Its holder id is new with each start, so that a process never takes an answer to its predecessor for its
-    own.
+    The holder id is new with each start, so that a process never mistakes a response to an earlier process
+    for a response to its own request.
     """
 
     def __init__(self, servers: LeaseServers, name: str, start: str = "") -> None:
-        """`start` distinguishes this start of the process from others; random unless given."""
+        """`start` is the id of this start of the process; it is random unless given."""
         self.servers = servers
         self.holder_id = f"{name}/{start or os.urandom(START_ID_BYTES).hex()}"
         self.holder = LeaseHolder(self)
         self.loop = asyncio.get_running_loop()
-        # Not all clients begin with the first server.
+        # A random first server, so that not all clients connect to the same one.
         self.server_index = int.from_bytes(os.urandom(2), "big") % len(servers.client_addresses)
         self.connection: LeaseServerConnection | None = None
         self.connect_task: asyncio.Task[None] | None = None
-        self.timer = LoopTimer(self._tick, MAX_SLEEP)
+        self.timer = LoopTimer(self._tick, MAX_TICK_DELAY_S)
         self.closed = False
         self.changed = asyncio.Event()  # set when a lease may have been acquired, lost or rejected
 
-    # ---- What its user calls ----
+    # ---- Interface for the user ----
 
     def want(self, name: str, duration: int) -> Lease:
-        """Want the lease for `duration` ns, and renew it, until `release`."""
+        """Request the lease for `duration` ns, and renew it until `release` is called."""
         lease = self.holder.want(name, duration)
         self._schedule_tick()
         return lease
 
     def release(self, name: str, hand_over_to: str = "") -> None:
-        """Give the lease up; see `LeaseHolder.release`."""
+        """Release the lease; see `LeaseHolder.release`."""
         self.holder.release(name, hand_over_to)
         self._schedule_tick()
 
     def release_token(self, name: str, token: int) -> None:
-        """Release what an earlier process of this holder id was granted."""
+        """Release a lease that an earlier process with this holder id was granted."""
         self.holder.release_token(name, token)
         self._schedule_tick()
 
     def time_left(self, name: str) -> int:
-        """Return nanoseconds for which the lease is certainly held; 0 where it is not."""
+        """Return for how many nanoseconds the lease is certainly still held; 0 if it is not held."""
         return self.holder.time_left(name)
 
     def token(self, name: str) -> int:
-        """Return the fencing token of a lease that is held now; 0 where it is not."""
+        """Return the fencing token of a lease that is held now; 0 if it is not held."""
         return self.holder.token(name)
 
     async def wait_until_held(self, name: str, timeout: float) -> int:
-        """Wait up to `timeout` seconds; return the token, or 0 where the lease is not held or rejected."""
+        """Return the token of the lease, or 0 if it is rejected or not held within `timeout` seconds."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(timeout):
                 while not (token := self.token(name)) and name in self.holder.leases:
@@ -102,64 +102,64 @@
         return 0
 
     def keep_until_expiry(self) -> None:
-        """Stop renewing all leases without releasing them: each ends by its time."""
+        """Stop renewing the leases without releasing them: each is held until it expires."""
         self.holder.leases.clear()
 
     async def close(self) -> None:
-        """Release everything; where that cannot be sent, the leases end by their time."""
+        """Release all leases; if the release cannot be sent, they expire by themselves."""
         for name in list(self.holder.leases):
             self.release(name)
-        await asyncio.sleep(FINAL_RELEASE_TIME if self.connection is not None else 0)
+        await asyncio.sleep(FINAL_RELEASE_DELAY_S if self.connection is not None else 0)
         self.closed = True
         self.timer.cancel()
         self._disconnect()
 
-    # ---- The environment of its holder ----
+    # ---- Environment of the holder ----
 
     def now(self) -> int:
         """Return nanoseconds of the monotonic clock."""
         return time.monotonic_ns()
 
     def send(self, request: LeaseRequest) -> None:
-        """Send to the current lease server, or connect to it first."""
+        """Send to the current lease server; if not connected, drop the request and connect instead."""
         if self.connection is not None and self.connection.is_ready():
             self.connection.write(request)
         elif self.connect_task is None:
             self._connect()
 
     def try_next_server(self) -> None:
-        """Leave the current lease server; the next request goes to the one after it."""
+        """Disconnect from the current lease server; the next request goes to the one after it."""
         self._disconnect()
         self._select_next_server()
 
-    # ---- What its connection calls ----
+    # ---- Events of the connection ----
 
     def on_connected(self, connection: LeaseServerConnection) -> None:
-        """Send what is wanted."""
+        """Send a request for all wanted leases."""
         if connection is self.connection:
-            self.holder.connected()
+            self.holder.on_connected()
             self._schedule_tick()
 
     def on_message(self, connection: LeaseServerConnection, message: object) -> None:
-        """Handle a response, or go to the leader that it names. Raises LeaseMessageError."""
+        """Handle a response, or follow a redirect to the leader. Raises LeaseMessageError."""
         if connection is not self.connection:
             return
         response = parse_response(message)
         if isinstance(response, LeaderRedirect):
-            self._follow(response)
+            self._follow_redirect(response)
             return
         self.holder.handle_response(response)
         self.changed.set()
         self._schedule_tick()
 
     def on_disconnected(self, connection: LeaseServerConnection) -> None:
-        """Forget the connection: the next request makes another."""
+        """Drop the connection; the next request opens another."""
         if connection is self.connection:
             self.connection = None
 
     # ---- Internals ----
 
-    def _follow(self, redirect: LeaderRedirect) -> None:
+    def _follow_redirect(self, redirect: LeaderRedirect) -> None:
         if redirect.address in self.servers.client_addresses:
             self._disconnect()
             self.server_index = self.servers.client_addresses.index(redirect.address)
@@ -184,19 +184,20 @@
     async def _connect_to(self, address: str) -> None:
         connection = LeaseServerConnection(self)
         try:
-            async with asyncio.timeout(CONNECT_TIMEOUT):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 await connection.connect(address)
             self.connection = connection
         except (OSError, TimeoutError):
-            self._select_next_server()  # tried at the holder's next request
+            self._select_next_server()  # the holder's next request connects to it
         finally:
             if self.connect_task is asyncio.current_task():
                 self.connect_task = None
 
     def _schedule_tick(self) -> None:
-        self.timer.cancel()  # set again also for the same time: MAX_SLEEP counts from now
+        # Cancelled first, so that MAX_TICK_DELAY_S counts from now even if the time is unchanged.
+        self.timer.cancel()
         if not self.closed:
-            self.timer.set(self.holder.next_wake())
+            self.timer.set(self.holder.next_tick_at())
 
     def _tick(self) -> None:
         lost_before = self.holder.lost
--- a/ploverspoke/leases/command_options.py
+++ b/ploverspoke/leases/command_options.py
@@ -1,4 +1,4 @@
-"""What the modules of `ploverspoke lease` share: options, exit codes, and running with a lease client."""
+"""Shared code of the `ploverspoke lease` commands: options, exit codes, and running with a lease client."""
 
 import asyncio
 import functools
@@ -23,25 +23,24 @@
 from .config import LeaseServers, read_lease_servers
 from .errors import NoLeaderError
 
-# Exit codes
-NOT_HELD = 1
-NO_LEADER = 3
-LEASE_ENDED = 4
-NOT_READY = 5
+EXIT_NOT_HELD = 1
+EXIT_NO_LEADER = 3
+EXIT_LEASE_ENDED = 4
+EXIT_NOT_READY = 5
 
-DEFAULT_DURATION = 30.0  # seconds
+DEFAULT_DURATION_S = 30.0
 
 NAME_ARGUMENT = click.argument("name")
 DURATION_OPTION = click.option(
     "--for",
     "seconds",
     type=float,
-    default=DEFAULT_DURATION,
+    default=DEFAULT_DURATION_S,
     show_default=True,
-    help="Duration of the lease, s.",
+    help="Duration of the lease in seconds.",
 )
 HOLDER_OPTION = click.option(
-    "--as", "holder", default=socket.gethostname, help="The holder's name; a start is added."
+    "--as", "holder", default=socket.gethostname, help="The holder's name; an id of this start is appended."
 )
 COMMAND_ARGUMENT = click.argument("command", nargs=-1, required=True, type=click.UNPROCESSED)
 
@@ -50,7 +49,7 @@
 
 
 class LeaseArguments(NamedTuple):
-    """What every command that wants a lease is given."""
+    """The arguments of every command that acquires a lease."""
 
     file: Path
     name: str
@@ -64,7 +63,7 @@
 
 
 def lease_arguments(command: Callable[Concatenate[LeaseArguments, Options], None]) -> Callable[..., None]:
-    """Pass a click command FILE, NAME, --for and --as as one `LeaseArguments`, its first parameter."""
+    """Pass FILE, NAME, --for and --as to a click command as one `LeaseArguments`, its first parameter."""
 
     @FILE_ARGUMENT
     @NAME_ARGUMENT
@@ -79,24 +78,24 @@
     return with_arguments
 
 
-def read_servers(file: Path) -> LeaseServers:
-    """Read where the lease servers are. Ends the command with exit code 2 where the file is wrong."""
+def read_servers_or_exit(file: Path) -> LeaseServers:
+    """Read the addresses of the lease servers. Ends the command with exit code 2 if the file is invalid."""
     return read_config_or_exit(read_lease_servers, file)
 
 
 def run_with_client(
     servers: LeaseServers,
     holder: str,
-    use: Callable[[LeaseClient], Coroutine[object, object, ResultT]],
+    operation: Callable[[LeaseClient], Coroutine[object, object, ResultT]],
     start: str = "",
 ) -> ResultT:
-    """Run `use` on an event loop with a client, which releases at the end what it still wants."""
+    """Run `operation` on an event loop with a client, which releases its leases at the end."""
 
     async def run() -> ResultT:
-        """Run `use` with a client, and close it."""
+        """Run `operation` with a client, and close the client."""
         client = LeaseClient(servers, holder, start)
         try:
-            return await use(client)
+            return await operation(client)
         finally:
             await client.close()
 
@@ -104,7 +103,7 @@
 
 
 def request_listing(servers: LeaseServers) -> LeaseListing:
-    """Return what the leading lease server knows. Raises NoLeaderError."""
+    """Return the listing of the leading lease server. Raises NoLeaderError."""
     reasons = []
     for name, address in servers.peer_addresses.items():
         try:
@@ -119,9 +118,9 @@
 
 
 def request_listing_or_exit(servers: LeaseServers) -> LeaseListing:
-    """Return what the leading lease server knows. Ends the command with exit code 3 where none leads."""
+    """Return the listing of the leading lease server. Ends the command with exit code 3 if none leads."""
     try:
         return request_listing(servers)
     except NoLeaderError as error:
         click.echo(f"ploverspoke: {error}", err=True)
-        sys.exit(NO_LEADER)
+        sys.exit(EXIT_NO_LEADER)
--- a/ploverspoke/leases/commands.py
+++ b/ploverspoke/leases/commands.py
@@ -1,4 +1,4 @@
-"""`ploverspoke lease`: the group of its commands, and the tasks of the fleet that run under a lease."""
+"""The command group `ploverspoke lease`, and its commands for tasks of the whole fleet."""
 
 import json
 import sys
@@ -21,12 +21,12 @@
 from .client import LeaseClient
 from .command_options import (
     COMMAND_ARGUMENT,
-    LEASE_ENDED,
-    NOT_HELD,
-    NOT_READY,
+    EXIT_LEASE_ENDED,
+    EXIT_NOT_HELD,
+    EXIT_NOT_READY,
     LeaseArguments,
     lease_arguments,
-    read_servers,
+    read_servers_or_exit,
     run_with_client,
 )
 from .errors import LeaseLostError
@@ -34,21 +34,22 @@
 from .fleet_tasks import publish as publish_under_lease
 from .guarded_process import guard_process, start_under_lease
 
-RESTART_GRACES = 8  # of the lease's duration: how much of it COMMAND has from TERM to KILL
-DEFAULT_READY_TIMEOUT = 30.0  # seconds
-DEFAULT_RESTART_WAIT = 3600.0  # seconds
-DEFAULT_PUBLISH_WAIT = 60.0  # seconds
-DEFAULT_SUMMARY_INTERVAL = 10.0  # seconds
-PUBLISH_STEPS = 3  # of the lease's duration: how much of it a commit may take
+RESTART_GRACE_DIVISOR = 8  # from TERM to KILL, COMMAND has an eighth of the lease's duration
+DEFAULT_READY_TIMEOUT_S = 30.0
+DEFAULT_RESTART_WAIT_S = 3600.0
+DEFAULT_PUBLISH_WAIT_S = 60.0
+DEFAULT_SUMMARY_INTERVAL_S = 10.0
+PUBLISH_TIMEOUT_DIVISOR = 3  # a commit may take a third of the lease's duration
 
 
 @click.group()
 def lease() -> None:
     """Leases for tasks of the whole fleet.
 
-    FILE is the file of any lease server, or one with `replicas` and `secret_file` alone.
+    FILE is the file of any lease server, or one that has only `replicas` and `secret_file`.
 
-    Exit 0: done. 1: not held, or not there. 2: the call or the file is of no use. 3: no lease server leads.
+    Exit 0: done. 1: the lease is not held or not acquired. 2: wrong usage or an invalid file. 3: no lease
+    server leads.
     """
 
 
@@ -69,18 +70,18 @@
 @lease.command()
 @lease_arguments
 @COMMAND_ARGUMENT
-@click.option("--ready", required=True, help="The admin address (admin_addr) of what is restarted.")
+@click.option("--ready", required=True, help="The admin address (admin_addr) of the dispatcher.")
 @click.option(
     "--within",
     type=float,
-    default=DEFAULT_READY_TIMEOUT,
+    default=DEFAULT_READY_TIMEOUT_S,
     show_default=True,
-    help="Seconds for it to be back.",
+    help="Seconds within which the dispatcher must be ready again.",
 )
 @click.option(
     "--wait",
     type=float,
-    default=DEFAULT_RESTART_WAIT,
+    default=DEFAULT_RESTART_WAIT_S,
     show_default=True,
     help="Seconds to wait for the lease.",
 )
@@ -89,28 +90,28 @@
 ) -> None:
     """Restart a dispatcher under a lease: `lease restart FILE NAME --ready A:P -- COMMAND`.
 
-    COMMAND restarts it, or makes it take a new configuration; the lease is released once its admin address
-    answers `check`. Exit: 0; 1 where the lease was not acquired; 4 where it was lost; 5 where COMMAND failed
-    or the dispatcher is not back in time: then the lease is held until it expires, and not all follow at
-    once.
+    COMMAND restarts the dispatcher, or makes it load a new configuration; the lease is released once the
+    admin address confirms `check`. Exit: 0; 1 if the lease was not acquired; 4 if it was lost; 5 if COMMAND
+    failed or the dispatcher was not ready in time. After a failure the lease is held until it expires, so
+    that the restarts of other dispatchers do not all follow at once.
     """
     name = arguments.name
 
     async def restart_under_lease(client: LeaseClient) -> int:
-        """Run COMMAND under the lease and wait for the dispatcher; returns the exit code."""
+        """Run COMMAND under the lease and wait for the dispatcher; return the exit code."""
         guarded = await start_under_lease(client, name, arguments.duration, wait, command)
         if guarded is None:
-            return NOT_HELD
-        outcome = await guard_process(client, guarded, arguments.duration // RESTART_GRACES)
-        code = LEASE_ENDED if outcome.lease_ended else outcome.exit_code
+            return EXIT_NOT_HELD
+        outcome = await guard_process(client, guarded, arguments.duration // RESTART_GRACE_DIVISOR)
+        code = EXIT_LEASE_ENDED if outcome.lease_ended else outcome.exit_code
         if code == 0 and await wait_until_ready(ready, within):
-            return 0 if client.token(name) == guarded.token else LEASE_ENDED
-        reason = f"the command gave {code}" if code else f"{ready} is not back within {within:g} s"
+            return 0 if client.token(name) == guarded.token else EXIT_LEASE_ENDED
+        reason = f"the command exited with {code}" if code else f"{ready} is not ready within {within:g} s"
         click.echo(f"ploverspoke: {reason}; the lease is held until it expires", err=True)
         client.keep_until_expiry()
-        return LEASE_ENDED if code == LEASE_ENDED else NOT_READY
+        return EXIT_LEASE_ENDED if code == EXIT_LEASE_ENDED else EXIT_NOT_READY
 
-    sys.exit(run_with_client(read_servers(arguments.file), arguments.holder, restart_under_lease))
+    sys.exit(run_with_client(read_servers_or_exit(arguments.file), arguments.holder, restart_under_lease))
 
 
 @lease.command()
@@ -120,7 +121,7 @@
 @click.option(
     "--wait",
     type=float,
-    default=DEFAULT_PUBLISH_WAIT,
+    default=DEFAULT_PUBLISH_WAIT_S,
     show_default=True,
     help="Seconds to wait for the lease.",
 )
@@ -128,19 +129,19 @@
 def publish(
     arguments: LeaseArguments, store_file: Path, configuration: Path, wait: float, as_json: bool
 ) -> None:
-    """Commit CONFIGURATION in the store of STORE_FILE under a lease, as `store configure` does without.
+    """Commit CONFIGURATION to the store of STORE_FILE under a lease; `store configure` needs no lease.
 
-    The store rejects what comes under a lower token than it has seen, and from then on what comes without.
-    Exit 1 where it was not committed.
+    Once the store has seen a token, it rejects configurations with a lower token or without one. Exit 1 if
+    it was not committed.
     """
-    # Imported here: it checks the configuration with the whole service, which other commands do not need.
+    # Imported here: the check of the configuration loads the whole service, which other commands do not need.
     from ploverspoke.store.configuration_client import commit_configuration, read_configuration
 
-    servers = read_servers(arguments.file)
+    servers = read_servers_or_exit(arguments.file)
     store, body = read_configuration(store_file, configuration)
 
     async def publish_when_held(client: LeaseClient) -> ConfigureReply | None:
-        """Acquire the lease and commit under it; None: no reply came in time."""
+        """Acquire the lease and commit under it; return None if no reply came in time."""
 
         def commit(token: int) -> ConfigureReply:
             return commit_configuration(store, ConfigureRequest(body, client.holder_id, token))
@@ -150,7 +151,7 @@
             return ConfigureReply(done=False, why=f"{arguments.name} is not acquired")
         try:
             return await publish_under_lease(
-                client, arguments.name, commit, arguments.seconds / PUBLISH_STEPS
+                client, arguments.name, commit, arguments.seconds / PUBLISH_TIMEOUT_DIVISOR
             )
         except LeaseLostError as error:
             return ConfigureReply(done=False, why=str(error))
@@ -160,7 +161,7 @@
     except ReplicaUnavailableError as error:
         exit_with_failure(error, as_json)
     _print_publish_result(reply, as_json)
-    sys.exit(0 if reply is not None and reply.done else NOT_HELD)
+    sys.exit(0 if reply is not None and reply.done else EXIT_NOT_HELD)
 
 
 def _print_publish_result(reply: ConfigureReply | None, as_json: bool) -> None:
@@ -180,26 +181,36 @@
     "--from", "addresses", multiple=True, required=True, help="Admin address of a dispatcher; repeated."
 )
 @click.option(
-    "--to", "path", type=click.Path(path_type=Path), required=True, help="The file, replaced whole."
+    "--to",
+    "path",
+    type=click.Path(path_type=Path),
+    required=True,
+    help="The summary file, replaced atomically.",
 )
-@click.option("--every", type=float, default=DEFAULT_SUMMARY_INTERVAL, show_default=True, help="Seconds.")
-@click.option("--times", type=int, default=0, help="End after so many files; 0: go on.")
+@click.option(
+    "--every",
+    type=float,
+    default=DEFAULT_SUMMARY_INTERVAL_S,
+    show_default=True,
+    help="Seconds from one summary to the next.",
+)
+@click.option("--times", type=int, default=0, help="Exit after this many summaries; 0: never.")
 def summary(
     arguments: LeaseArguments, addresses: tuple[str, ...], path: Path, every: float, times: int
 ) -> None:
     """Write the counters of all dispatchers and their sums to one file, while the lease is held.
 
-    Started on several machines, one of them writes and the others wait. The file holds the token, and is
-    never replaced by one of an earlier holder. Exit 1 where the lease is rejected.
+    When it runs on several machines, one of them writes and the others wait. The file contains the fencing
+    token, and an earlier holder never replaces the file of a later one. Exit 1 if the lease is rejected.
     """
     name = arguments.name
     plan = SummaryPlan(list(addresses), path, every, times)
 
     async def summarise_while_held(client: LeaseClient) -> bool:
-        """Write summaries; False where the lease is rejected."""
+        """Write summaries; return False if the lease is rejected."""
         wanted = client.want(name, arguments.duration)
         wanted.on_lost = lambda reason: click.echo(f"{name}: {reason}", err=True)
         return await summarise(client, name, plan)
 
-    completed = run_with_client(read_servers(arguments.file), arguments.holder, summarise_while_held)
-    sys.exit(0 if completed else NOT_HELD)
+    completed = run_with_client(read_servers_or_exit(arguments.file), arguments.holder, summarise_while_held)
+    sys.exit(0 if completed else EXIT_NOT_HELD)
--- a/ploverspoke/leases/config.py
+++ b/ploverspoke/leases/config.py
@@ -1,4 +1,4 @@
-"""The files of lease servers and of those that call them, read and checked."""
+"""Reads and checks the files of lease servers and of their clients."""
 
 from pathlib import Path
 from typing import NamedTuple
@@ -14,30 +14,30 @@
 
 
 class LeaseServerConfig(NamedTuple):
-    """One lease server's own file, checked."""
+    """The checked contents of one lease server's file."""
 
     replica: ReplicaConfig
     definitions: LeaseDefinitions
 
 
 class LeaseServers(NamedTuple):
-    """Where the lease servers are, for their clients."""
+    """The addresses of the lease servers, for their clients."""
 
-    peer_addresses: dict[str, str]  # by name; tools call these
+    peer_addresses: dict[str, str]  # by server name; command-line tools connect to these
     client_addresses: list[str]  # holders connect to these
     secret: bytes
 
 
 def read_lease_server_config(path: Path) -> LeaseServerConfig:
-    """Read a lease server's own file. Raises ConfigError, naming the key."""
-    top = read_json_file(path)
-    replica = parse_replica_config(top, path)
-    return LeaseServerConfig(replica, read_definitions(top, replica.election_timeout))
+    """Read a lease server's file. Raises ConfigError, which names the key."""
+    config = read_json_file(path)
+    replica = parse_replica_config(config, path)
+    return LeaseServerConfig(replica, read_definitions(config, replica.election_timeout))
 
 
 def read_lease_servers(path: Path) -> LeaseServers:
-    """Read a lease server's file, or one with `replicas` and `secret_file` alone. Raises ConfigError."""
-    found = read_cluster_servers(path, "at least one lease server")
-    peer_addresses = {name: peers for name, (peers, _) in found.replicas.items()}
-    client_addresses = [clients for _, clients in found.replicas.values()]
-    return LeaseServers(peer_addresses, client_addresses, found.secret)
+    """Read a lease server's file, or one that has only `replicas` and `secret_file`. Raises ConfigError."""
+    cluster = read_cluster_servers(path, "at least one lease server")
+    peer_addresses = {name: peer_address for name, (peer_address, _) in cluster.replicas.items()}
+    client_addresses = [client_address for _, client_address in cluster.replicas.values()]
+    return LeaseServers(peer_addresses, client_addresses, cluster.secret)
--- a/ploverspoke/leases/daemon.py
+++ b/ploverspoke/leases/daemon.py
@@ -10,14 +10,14 @@
 
 
 async def serve(path: Path, new: bool, join: str) -> None:
-    """Serve until SIGTERM or SIGINT. Raises ConfigError, and what `serve_replica` raises."""
+    """Serve until SIGTERM or SIGINT. Raises ConfigError, and the errors of `serve_replica`."""
     node = LeaseServerNode(read_lease_server_config(path))
     await serve_replica("lease server", node, LeaseServer(node), new, join)
 
 
 def main(path: Path, new: bool = False, join: str = "") -> int:
-    """Run one lease server and return its exit code, that of `run_replica_process`.
+    """Run one lease server and return the exit code of `run_replica_process`.
 
-    `new` is the first start of a new cluster, `join` the fingerprint of the cluster that it joins.
+    `new` marks the first start of a new cluster; `join` is the fingerprint of the cluster to join.
     """
     return run_replica_process(lambda: serve(path, new, join))
--- a/ploverspoke/leases/definitions.py
+++ b/ploverspoke/leases/definitions.py
@@ -1,4 +1,4 @@
-"""Which leases there are, as the lease servers' file declares them; a name with `*` at the end is many."""
+"""The leases that the lease servers' file declares, by name or, with `*` at the end, by a prefix of names."""
 
 import re
 from typing import NamedTuple
@@ -6,16 +6,19 @@
 from ploverspoke.service.config_reader import ConfigError, ConfigSection
 from ploverspoke.transport.units import MILLISECOND
 
-NAME = re.compile(r"[a-z0-9][a-z0-9._/-]{0,63}\*?")
+NAME_PATTERN = re.compile(r"[a-z0-9][a-z0-9._/-]{0,63}\*?")
 WILDCARD = "*"
-DRIFT = 0.1  # of a duration: a holder stops that much earlier, so two clocks may differ by a tenth of a span
-MIN_ELECTIONS = 5  # a duration outlasts a lost leader: elections, round trips and some retries
+# A holder stops using a lease before its end, by this fraction of the duration: the clocks of the holder and
+# the lease server may drift apart by a tenth of the duration.
+DRIFT = 0.1
+# The shortest lease outlasts the loss of a leader, which takes elections, round trips and some retries.
+MIN_DURATION_ELECTION_TIMEOUTS = 5
 DEFAULT_MAX_DURATION_MS = 60_000
 MAX_DURATION_MS = 3600 * 1000
 
 
 class LeaseDefinition(NamedTuple):
-    """What is declared of one lease, or of all whose names begin alike."""
+    """The declaration of one lease, or of all leases whose names share a prefix."""
 
     max_holders: int  # at once
     max_duration: int  # ns
@@ -25,27 +28,30 @@
     """All declared leases."""
 
     def __init__(self, definitions: dict[str, LeaseDefinition], min_duration: int) -> None:
-        """`min_duration` in ns holds for all of them."""
-        self.exact = {name: found for name, found in definitions.items() if not name.endswith(WILDCARD)}
+        """`min_duration` (ns) applies to all of them."""
+        self.exact = {
+            name: definition for name, definition in definitions.items() if not name.endswith(WILDCARD)
+        }
         prefixes = [
-            (name.removesuffix(WILDCARD), found)
-            for name, found in definitions.items()
+            (name.removesuffix(WILDCARD), definition)
+            for name, definition in definitions.items()
             if name.endswith(WILDCARD)
         ]
-        # Of several prefixes that fit, the longest counts.
+        # If several prefixes match a name, the longest one applies.
         self.prefixes = sorted(prefixes, key=lambda prefix: -len(prefix[0]))
         self.min_duration = min_duration
-        self.max_duration = max((found.max_duration for found in definitions.values()), default=0)
+        self.max_duration = max((definition.max_duration for definition in definitions.values()), default=0)
 
     def find(self, name: str) -> LeaseDefinition | None:
-        """Return the definition that holds for a lease; None where it is not declared."""
-        found = self.exact.get(name)
-        if found is None:
-            found = next((found for prefix, found in self.prefixes if name.startswith(prefix)), None)
-        return found
+        """Return the definition that applies to a lease; None if the lease is not declared."""
+        definition = self.exact.get(name)
+        if definition is None:
+            matching = (definition for prefix, definition in self.prefixes if name.startswith(prefix))
+            definition = next(matching, None)
+        return definition
 
     def rejection_reason(self, name: str, duration: int) -> str | None:
-        """Return why the lease is never granted for `duration` ns; None where it can be."""
+        """Return why the lease can never be granted for `duration` ns; None if it can be."""
         definition = self.find(name)
         if definition is None:
             return f"no lease is called {name!r}"
@@ -62,23 +68,25 @@
         return None
 
     def by_declared_name(self) -> dict[str, LeaseDefinition]:
-        """Return all definitions under the names of the file, wildcards included."""
-        return {**self.exact, **{f"{prefix}{WILDCARD}": found for prefix, found in self.prefixes}}
+        """Return all definitions by the names in the file, wildcards included."""
+        return {**self.exact, **{f"{prefix}{WILDCARD}": definition for prefix, definition in self.prefixes}}
 
 
-def read_definitions(top: ConfigSection, election_timeout: int) -> LeaseDefinitions:
-    """Read the key `leases`; `election_timeout` in ns. Raises ConfigError, naming the key."""
-    leases = top.section("leases")
-    min_duration = MIN_ELECTIONS * election_timeout
+def read_definitions(config: ConfigSection, election_timeout: int) -> LeaseDefinitions:
+    """Read the key `leases`; `election_timeout` in ns. Raises ConfigError, which names the key."""
+    leases = config.section("leases")
+    min_duration = MIN_DURATION_ELECTION_TIMEOUTS * election_timeout
     definitions = {name: _read_definition(leases, name, min_duration) for name in leases.value}
     if not definitions:
-        raise top.invalid("leases", "at least one lease")
+        raise config.invalid("leases", "at least one lease")
     return LeaseDefinitions(definitions, min_duration)
 
 
 def _read_definition(leases: ConfigSection, name: str, min_duration: int) -> LeaseDefinition:
-    if not NAME.fullmatch(name):
-        message = f"leases.{name}: expected small letters, digits and . _ / -, and * at the end at most"
+    if not NAME_PATTERN.fullmatch(name):
+        message = (
+            f"leases.{name}: expected lowercase letters, digits and . _ / -, and an optional * at the end"
+        )
         raise ConfigError(message)
     section = leases.section(name)
     max_holders = section.integer("places", 1, least=1)
--- a/ploverspoke/leases/errors.py
+++ b/ploverspoke/leases/errors.py
@@ -1,4 +1,4 @@
-"""The errors of this package; each holds what went wrong in fields beside its sentence."""
+"""The errors of this package; each has attributes for the details of its message."""
 
 from collections.abc import Sequence
 
@@ -8,26 +8,26 @@
 
 
 class LeaseMessageError(LeaseError):
-    """The other side of a connection sent a message of another form."""
+    """A malformed message was received over a connection."""
 
     def __init__(self, sender: str, reason: str) -> None:
-        """`sender` is what kind of process sent it."""
-        super().__init__(f"no message of a {sender}: {reason}")
+        """`sender` is the kind of process that sent it."""
+        super().__init__(f"malformed message from a {sender}: {reason}")
         self.sender = sender
         self.reason = reason
 
 
 class HolderIdError(LeaseError):
-    """A greeting names no holder."""
+    """The greeting of a client has no valid holder id."""
 
     def __init__(self, holder: object) -> None:
-        """`holder` is what stood in its place."""
-        super().__init__("a greeting without the id of a holder")
+        """`holder` is the invalid value, None if there was none."""
+        super().__init__("the greeting has no valid holder id")
         self.holder = holder
 
 
 class NoLeaderError(LeaseError):
-    """No lease server answers as the leader."""
+    """No lease server answered as the leader."""
 
     def __init__(self, reasons: Sequence[str]) -> None:
         """`reasons` has one sentence for each lease server that was asked."""
@@ -36,19 +36,19 @@
 
 
 class NoReplyError(LeaseError):
-    """The admin address of a dispatcher did not answer, or not with success."""
+    """The admin address of a dispatcher did not reply, or replied with an error."""
 
     def __init__(self, address: str, reason: str) -> None:
-        """`reason` is the error, or the first line of the answer."""
+        """`reason` is the connection error, or the first line of the reply."""
         super().__init__(f"{address}: {reason}")
         self.address = address
         self.reason = reason
 
 
 class LeaseLostError(LeaseError):
-    """A lease did not last for what was to be done under it."""
+    """A lease was lost, or had too little time left, before the work under it could begin."""
 
     def __init__(self, name: str) -> None:
-        """`name` is the lease's."""
-        super().__init__("the lease did not last")
+        """`name` is the name of the lease."""
+        super().__init__("the lease did not last long enough")
         self.name = name
--- a/ploverspoke/leases/fencing.py
+++ b/ploverspoke/leases/fencing.py
@@ -1,4 +1,4 @@
-"""The receiving side of effects: a receiver that has seen a fencing token rejects all lower ones."""
+"""Fencing at the receiver of effects: once it has seen a fencing token, it rejects all lower ones."""
 
 from collections import OrderedDict
 
@@ -8,17 +8,17 @@
 class FencingTokenGuard:
     """Remembers the latest token of each lease, in memory.
 
-    What must outlive its process is stored by its user, through `latest_tokens`.
+    A user that has to keep the tokens across restarts stores `latest_tokens` itself.
     """
 
     def __init__(self, max_names: int = MAX_NAMES) -> None:
-        """Remember `max_names` leases at the most; those not used for longest are forgotten."""
+        """Remember at most `max_names` leases; the least recently used ones are dropped."""
         self.max_names = max_names
         self.latest_tokens: OrderedDict[str, int] = OrderedDict()
         self.rejected = 0
 
     def allows(self, name: str, token: int) -> bool:
-        """Return whether an effect under this token may happen, and remember the token if so."""
+        """Return whether an effect under this token may happen; if so, remember the token."""
         if token <= 0 or token < self.latest_tokens.get(name, 0):
             self.rejected += 1
             return False
--- a/ploverspoke/leases/fleet_tasks.py
+++ b/ploverspoke/leases/fleet_tasks.py
@@ -1,7 +1,7 @@
 """Tasks of the whole fleet, each under a lease: publishing a configuration, writing the fleet's summary.
 
-What a pause between looking at the lease and the effect can do stands at each; the receiving side of both
-rejects old fencing tokens.
+The process may be paused between the check of the lease and the effect; each function says what can happen
+then. The receivers of both effects reject old fencing tokens.
 """
 
 import asyncio
@@ -18,7 +18,7 @@
 
 from ploverspoke.transport.units import SECOND
 
-from .admin_calls import CALL_TIMEOUT, call_admin
+from .admin_calls import CALL_TIMEOUT_S, call_admin
 from .client import LeaseClient
 from .errors import LeaseLostError, NoReplyError
 from .guarded_task import GuardedStep, run_guarded_steps
@@ -26,7 +26,7 @@
 
 MAX_CONCURRENT_CALLS = 32
 LOCK_FILE_MODE = 0o644
-WRITE_DURATION = SECOND // 10  # ns, to write a summary
+MAX_WRITE_DURATION_NS = SECOND // 10  # to write a summary
 
 ReplyT = TypeVar("ReplyT")
 
@@ -37,18 +37,18 @@
 async def publish(
     client: LeaseClient, name: str, commit: Callable[[int], ReplyT], max_duration: float
 ) -> ReplyT | None:
-    """Commit a configuration under the lease `name`, which is held, and return the reply.
+    """Commit a configuration under the lease `name`, which must be held, and return the reply.
 
-    `commit` blocks, and sends the token with the configuration: the store rejects a lower token than it has
-    seen, so a publisher that was paused overwrites nothing that came later. None where `commit` did not
-    return within `max_duration` seconds: it may have been committed. Raises LeaseLostError, and what
-    `commit` raises.
+    `commit` blocks, and sends the token with the configuration. The store rejects a lower token than it has
+    seen, so a publisher that was paused overwrites no later configuration. Returns None if `commit` did not
+    return within `max_duration` seconds; the configuration may have been committed then. Raises
+    LeaseLostError, and the errors of `commit`.
     """
     started = False
     reply: ReplyT | None = None
 
     async def run_commit(token: int) -> None:
-        """Commit on a thread of its own, and note that this has begun."""
+        """Run `commit` on a thread, and record that it was started."""
         nonlocal started, reply
         started = True
         reply = await asyncio.to_thread(commit, token)
@@ -66,34 +66,35 @@
     """The counters of all dispatchers at one time."""
 
     at: float  # Unix time, seconds
-    asked: int  # dispatchers
-    answered: int
-    sums: dict[str, int]  # of each counter, over all dispatchers
-    dispatchers: dict[str, dict[str, int] | str]  # counters, or why there are none, by admin address
+    asked: int  # number of dispatchers
+    answered: int  # number of dispatchers that answered
+    sums: dict[str, int]  # by counter, over all dispatchers
+    dispatchers: dict[str, dict[str, int] | str]  # by admin address: counters, or an error message
 
 
 class SummaryPlan(NamedTuple):
-    """What is summarised, and to which file."""
+    """Which dispatchers are summarised, how often, and to which file."""
 
     admin_addresses: list[str]
     path: Path
     interval: float  # seconds
-    max_files: int = 0  # written, then it ends; 0: it goes on
+    max_files: int = 0  # ends after writing this many; 0: never
 
 
 async def summarise(client: LeaseClient, name: str, plan: SummaryPlan) -> bool:
-    """Write the summary again and again while the lease `name` is held, and wait while it is not.
+    """Write the summary repeatedly while the lease `name` is held, and wait while it is not.
 
-    True once `max_files` are written; False where the lease is rejected. A pause between looking at the lease
-    and the effect can write an old summary, never over one of a later holder.
+    Returns True once `max_files` are written, False if the lease is rejected. A process that is paused
+    between the check of the lease and the write may write an old summary, but never over one of a later
+    holder.
     """
     written = 0
     while not 0 < plan.max_files <= written:
         token = await client.wait_until_held(name, plan.interval)
         if token:
-            began = time.monotonic()
+            started_at = time.monotonic()
             written += await _write_once(client, name, plan)
-            await asyncio.sleep(max(0.0, plan.interval - (time.monotonic() - began)))
+            await asyncio.sleep(max(0.0, plan.interval - (time.monotonic() - started_at)))
         elif name not in client.holder.leases:
             return False
     return True
@@ -107,14 +108,15 @@
         collected.append(await collect_summary(plan.admin_addresses))
 
     async def write(token: int) -> None:
-        """Replace the file, under the token of the lease."""
+        """Replace the file under the fencing token of the lease."""
         nonlocal written
         written = write_summary(plan.path, collected[0], token)
 
-    # Addresses are called in turns, and a silent one costs a call's time; half of what is left must do.
-    turns = 1 + len(plan.admin_addresses) // MAX_CONCURRENT_CALLS
-    max_duration = min(int(CALL_TIMEOUT * turns * SECOND), client.time_left(name) // 2)
-    steps = [GuardedStep(max_duration, collect), GuardedStep(WRITE_DURATION, write)]
+    # A batch of calls takes the whole call timeout if a dispatcher does not answer. The collection may take
+    # at most half of the time that the lease has left.
+    batches = 1 + len(plan.admin_addresses) // MAX_CONCURRENT_CALLS
+    max_duration = min(int(CALL_TIMEOUT_S * batches * SECOND), client.time_left(name) // 2)
+    steps = [GuardedStep(max_duration, collect), GuardedStep(MAX_WRITE_DURATION_NS, write)]
     await run_guarded_steps(client, name, steps)
     return written
 
@@ -132,38 +134,38 @@
                 return address, str(error)
 
     dispatchers = dict(await asyncio.gather(*map(read_counters, admin_addresses)))
-    counters = [found for found in dispatchers.values() if isinstance(found, dict)]
+    answers = [answer for answer in dispatchers.values() if isinstance(answer, dict)]
     sums: dict[str, int] = {}
-    for found in counters:
-        for key, value in found.items():
+    for counters in answers:
+        for key, value in counters.items():
             sums[key] = sums.get(key, 0) + value
-    return FleetSummary(started_at, len(dispatchers), len(counters), sums, dispatchers)
+    return FleetSummary(started_at, len(dispatchers), len(answers), sums, dispatchers)
 
 
 def parse_counters(lines: list[str]) -> dict[str, int]:
-    """Read lines of a name and a whole number; leave out others."""
-    found = {}
+    """Parse the lines that consist of a name and a whole number; skip all others."""
+    counters = {}
     for line in lines:
         key, _, value = line.rpartition(" ")
         if key and value.isdecimal():
-            found[key] = int(value)
-    return found
+            counters[key] = int(value)
+    return counters
 
 
 def write_summary(path: Path, summary: FleetSummary, token: int) -> bool:
-    """Replace the file at once; return False where it was written under a higher token. Raises OSError."""
+    """Replace the file atomically; return False if it was written under a higher token. Raises OSError."""
     with _locked(path):
         if token < read_summary_token(path):
             return False
         document = {"token": token, **msgspec.to_builtins(summary)}
-        new = path.with_name(f".{path.name}.new")
-        new.write_text(json.dumps(document, indent=1) + "\n", encoding="utf-8")
-        new.replace(path)
+        new_path = path.with_name(f".{path.name}.new")
+        new_path.write_text(json.dumps(document, indent=1) + "\n", encoding="utf-8")
+        new_path.replace(path)
         return True
 
 
 def read_summary_token(path: Path) -> int:
-    """Return the token under which a summary was written; 0 where there is no summary that can be read."""
+    """Return the token under which a summary was written; 0 if there is no readable summary."""
     try:
         token = json.loads(path.read_text(encoding="utf-8"))["token"]
     except (OSError, ValueError, KeyError, TypeError):
@@ -173,7 +175,7 @@
 
 @contextmanager
 def _locked(path: Path) -> Iterator[None]:
-    """Hold a lock beside the file, which the end of this process frees, too."""
+    """Hold a lock file next to the file; the lock is also released when this process ends."""
     lock_path = path.with_name(f".{path.name}.lock")
     lock = os.open(lock_path, os.O_CREAT | os.O_RDWR | os.O_CLOEXEC, LOCK_FILE_MODE)
     try:
--- a/ploverspoke/leases/guarded_task.py
+++ b/ploverspoke/leases/guarded_task.py
@@ -1,9 +1,9 @@
-"""Acting under a lease: a task is a list of steps, and none begins that may outlast the lease.
+"""Acting under a lease: a task is a list of steps, and no step begins that may outlast the lease.
 
-Between looking at the lease and the effect a process can be paused for any time. A receiver of effects
-rejects a lower token than it has seen (`fencing.py`); where none does, a step that was begun may still have
-its effect after the lease has expired: once, and as late as the pause lasts. `docs/leases.md` has what that
-means for each task.
+A process can be paused for any time between the check of the lease and the effect. A receiver that supports
+fencing rejects a lower token than it has seen (`fencing.py`). With other receivers a step that has begun may
+still take effect after the lease has expired: once, and as late as the pause lasts. `docs/leases.md` says
+what that means for each task.
 """
 
 import asyncio
@@ -14,13 +14,13 @@
 
 
 class LeaseView(Protocol):
-    """What a task needs to know of its lease."""
+    """The state of leases that a task checks."""
 
     def time_left(self, name: str) -> int:
-        """Return nanoseconds for which the lease is certainly held; 0 where it is not."""
+        """Return for how many nanoseconds the lease is certainly still held; 0 if it is not held."""
 
     def token(self, name: str) -> int:
-        """Return the fencing token of a lease that is held now; 0 where it is not."""
+        """Return the fencing token of a lease that is held now; 0 if it is not held."""
 
 
 class GuardedStep(NamedTuple):
@@ -31,10 +31,10 @@
 
 
 async def run_guarded_steps(leases: LeaseView, name: str, steps: Iterable[GuardedStep]) -> bool:
-    """Run the steps in order under the lease `name`; return False where it did not last for all of them.
+    """Run the steps in order under the lease `name`; return False if it did not last for all of them.
 
-    A step that does not end within its duration is cancelled and ends the task with False, too. What a step
-    raises is raised.
+    A step that exceeds its maximum duration is cancelled, which also ends the task with False. Errors of a
+    step are propagated.
     """
     for step in steps:
         token = leases.token(name)
--- a/ploverspoke/leases/manager.py
+++ b/ploverspoke/leases/manager.py
@@ -1,14 +1,15 @@
-"""The leading lease server, without I/O: who waits for a lease, and when a grant expires.
+"""The leading lease server, without I/O: the holders that wait for leases, and the expiry of grants.
 
-Its time is its own monotonic clock, in nanoseconds. A grant counts from when it was made or renewed here,
-and from the change of leader where another lease server made it: so no lease is granted to the next holder
-before the previous one, which counts from before its request and less a margin for drift, has stopped.
+Times are nanoseconds of this server's monotonic clock. The duration of a grant counts from when this server
+made or renewed it, or, if another server made it, from the change of leader. So no lease is granted to the
+next holder before the previous one has stopped: that one counts from before its request, less a margin for
+clock drift.
 
-A renewal changes nothing in the log. It is answered once a majority has confirmed that this lease server
-still led after the request had come; the next leader begins to count later than that.
+A renewal changes nothing in the log. It is answered once a majority has confirmed that this server was still
+the leader after the request had arrived; the next leader starts to count after that.
 
-A request names all that its holder wants, and is repeated before a third of the time has passed. Duplicated
-and late ones change nothing: their number is not above the latest one of that holder.
+A request names all leases that its holder wants, and is repeated at the latest after a third of the shortest
+duration. Duplicate and late requests are ignored: their number is not above the holder's latest one.
 """
 
 from ploverspoke.transport.units import NEVER
@@ -34,48 +35,51 @@
 )
 from .waiting_queue import WaitingHolder, WaitingQueues
 
-MAX_WANTED_LEASES = 1000  # of one holder
+MAX_WANTED_LEASES = 1000  # per holder
 
 
 class LeaseManager:
-    """Grants leases while its lease server leads; does nothing while another does."""
+    """Grants leases while its lease server is the leader; does nothing while another server is."""
 
     def __init__(
         self, environment: LeaseManagerEnvironment, state: LeaseStateMachine, definitions: LeaseDefinitions
     ) -> None:
-        """Follow the state's changes from now on."""
+        """Subscribe to the changes of `state`."""
         self.environment = environment
         self.state = state
         self.definitions = definitions
         self.is_leader = False
-        self.epoch = 0  # above the state's epoch: the state is a restored one, and what is held is not known
-        self.restored_until = 0  # leases granted before the restore may be held until then
+        # If this is above the epoch of the state, the state was restored from a backup, and it is not known
+        # which leases are held.
+        self.epoch = 0
+        self.no_grants_until = 0  # after a restore: leases granted before it may be held until then
         self.epoch_proposed = False
-        self.expires_at: dict[int, int] = {}  # by token
-        self.ended_tokens: set[int] = set()  # whose end is in the log or proposed
+        self.expires_at: dict[int, int] = {}  # times by token
+        self.ended_tokens: set[int] = set()  # tokens of grants whose end is in the log or proposed
         self.queues = WaitingQueues()
-        self.proposed_grants: set[str] = set()  # names
-        self.latest_request: dict[str, int] = {}  # by holder
-        self.unconfirmed: list[tuple[str, LeaseRequest]] = []  # requests that no round has begun for
-        self.confirming = False
-        self.next_wake = NEVER
-        self.granted = self.renewed = 0  # since the start
+        self.proposed_grants: set[str] = set()  # names of leases that have a grant proposed
+        self.latest_request_numbers: dict[str, int] = {}  # by holder
+        # Requests for which no round of confirmation has begun, each with its holder.
+        self.unconfirmed_requests: list[tuple[str, LeaseRequest]] = []
+        self.is_confirming = False
+        self.next_tick_at = NEVER
+        self.granted = self.renewed = 0  # counts since the start
         state.on_granted = self._on_granted
         state.on_ended = self._on_ended
 
     # ---- Leadership ----
 
     def become_leader(self, epoch: int = 0) -> None:
-        """Begin to grant; all that was committed before is applied here.
+        """Begin to grant leases. All entries committed before must have been applied here.
 
-        `epoch` is stored with this lease server's log. Where it is above the state's, all that the state
-        holds has ended, and nothing is granted until the longest lease has expired.
+        `epoch` is stored with this lease server's log. If it is above the epoch of the state, all grants in
+        the state have ended, and nothing is granted until the longest lease has expired.
         """
         now = self.environment.now()
         self.lose_leadership()
         self.is_leader = True
         self.epoch = epoch
-        self.restored_until = now + self.definitions.max_duration
+        self.no_grants_until = now + self.definitions.max_duration
         for grants in self.state.grants.values():
             for grant in grants:
                 self.expires_at[grant.token] = now + grant.duration
@@ -83,14 +87,14 @@
                     self.ended_tokens.add(grant.token)
 
     def is_restored(self) -> bool:
-        """Return whether the state comes from a backup whose new epoch has not begun."""
+        """Return whether the state was restored from a backup and its new epoch has not begun."""
         return self.epoch > self.state.epoch
 
     def lose_leadership(self) -> None:
-        """Stop granting and forget who waits.
+        """Stop granting leases and drop the queues.
 
-        Must be called before anything is applied that another leader has committed: a holder that receives
-        a grant counts from its latest request here, and must not receive an old one.
+        Must be called before an entry of another leader is applied. Otherwise this server would send the old
+        grant to its holder, which would count its duration from its latest request here.
         """
         self.is_leader = False
         self.epoch_proposed = False
@@ -98,56 +102,56 @@
         self.ended_tokens.clear()
         self.queues.clear()
         self.proposed_grants.clear()
-        self.latest_request.clear()
-        self.unconfirmed.clear()
-        self.confirming = False
-        self.next_wake = NEVER
+        self.latest_request_numbers.clear()
+        self.unconfirmed_requests.clear()
+        self.is_confirming = False
+        self.next_tick_at = NEVER
 
-    # ---- What its environment calls ----
+    # ---- Interface for the environment ----
 
     def handle_request(self, holder: str, request: LeaseRequest) -> None:
-        """Handle a request: all that the holder wants now. What it leaves out is no longer waited for."""
-        if not self.is_leader or request.number <= self.latest_request.get(holder, 0):
+        """Handle a request. The holder stops waiting for the leases that it does not name."""
+        if not self.is_leader or request.number <= self.latest_request_numbers.get(holder, 0):
             return
-        self.latest_request[holder] = request.number
+        self.latest_request_numbers[holder] = request.number
         now = self.environment.now()
-        self._release(holder, request.released)
+        self._release_grants(holder, request.released)
         wanted = request.wanted[:MAX_WANTED_LEASES]
         self.queues.remove_from_all(holder, keep={lease.name for lease in wanted})
         for lease in wanted:
             self._renew_or_enqueue(holder, lease, now)
-        self.unconfirmed.append((holder, request))
-        self._confirm()
+        self.unconfirmed_requests.append((holder, request))
+        self._confirm_requests()
 
     def forget_holder(self, holder: str) -> None:
-        """Take a holder whose connection is lost out of the queues. It may still act under what it has."""
-        self.latest_request.pop(holder, None)
+        """Remove a disconnected holder from the queues. It may still act under the leases that it holds."""
+        self.latest_request_numbers.pop(holder, None)
         self.queues.remove_from_all(holder)
 
     def tick(self) -> None:
-        """Grant what has expired by now; to be called from `next_wake` on."""
-        if not self.is_leader or self.environment.now() < self.next_wake:
+        """Grant expired leases to the next holders; to be called from the time `next_tick_at` on."""
+        if not self.is_leader or self.environment.now() < self.next_tick_at:
             return
-        self.next_wake = NEVER
+        self.next_tick_at = NEVER
         self._grant_all()
 
     # ---- Responses ----
 
-    def _confirm(self) -> None:
-        """Answer all requests that have come, by one round of a majority at a time."""
-        if self.confirming or not self.unconfirmed:
+    def _confirm_requests(self) -> None:
+        """Answer all pending requests after one round of confirmation by a majority; one round at a time."""
+        if self.is_confirming or not self.unconfirmed_requests:
             return
-        self.confirming = True
-        confirmed, self.unconfirmed = self.unconfirmed, []
+        self.is_confirming = True
+        confirmed, self.unconfirmed_requests = self.unconfirmed_requests, []
 
         def on_decided(leads: bool) -> None:
-            """Respond to the confirmed requests of a leader, and confirm those that came meanwhile."""
-            self.confirming = False
+            """Respond to the requests if this server leads, then confirm those that arrived meanwhile."""
+            self.is_confirming = False
             if leads and self.is_leader:
                 for holder, request in confirmed:
                     self._respond(holder, request)
             if self.is_leader:
-                self._confirm()
+                self._confirm_requests()
 
         self.environment.confirm_leadership(on_decided)
 
@@ -166,7 +170,7 @@
         self.environment.send(holder, response)
 
     def _active_grant(self, holder: str, lease: RequestedLease) -> LeaseGrant | None:
-        """Return the grant that a holder asks to keep, or that it does not know of yet."""
+        """Return the grant that the holder wants to renew, or that it does not know of yet."""
         grant = self.state.find_grant(lease.name, holder)
         if grant is None or grant.token in self.ended_tokens or lease.token not in (0, grant.token):
             return None
@@ -181,9 +185,9 @@
         self.proposed_grants.discard(name)
         self.expires_at[grant.token] = self.environment.now() + grant.duration
         self.queues.remove(name, grant.holder)
-        number = self.latest_request.get(grant.holder)
+        number = self.latest_request_numbers.get(grant.holder)
         if number is not None:
-            # The holder counts from when it sent the request of that number, the latest that has come.
+            # The holder counts from when it sent the request with this number, its latest one to arrive.
             granted = GrantedLease(name, grant.token, grant.duration)
             self.environment.send(grant.holder, LeaseResponse(number, [granted]))
         self._grant_next(name)
@@ -201,25 +205,25 @@
             return
         grant = self._active_grant(holder, lease)
         if grant is not None:
-            # To count for longer is always safe; the response waits for the majority.
+            # Extending the grant here is always safe; the response waits for the confirmation by a majority.
             self.expires_at[grant.token] = now + grant.duration
         else:
             waiting = WaitingHolder(holder, lease.duration, now - lease.waited, now)
             self.queues.add(lease.name, waiting)
             self._grant_next(lease.name)
 
-    def _release(self, holder: str, released: list[ReleasedLease]) -> None:
-        """End what a holder gives back: only who has a lease can release it, under its own token."""
-        found = []
+    def _release_grants(self, holder: str, released: list[ReleasedLease]) -> None:
+        """End the grants that a holder releases: only its own, and only under their current tokens."""
+        tokens = []
         for lease in released:
             grant = self.state.find_grant(lease.name, holder)
             if grant is None or grant.token != lease.token or lease.token in self.ended_tokens:
                 continue
-            found.append(ReleasedToken(lease.name, lease.token))
+            tokens.append(ReleasedToken(lease.name, lease.token))
             self.ended_tokens.add(lease.token)
             self.queues.move_to_front(lease.name, lease.hand_over_to)
-        if found:
-            self.environment.propose(ReleaseCommand(found), lambda committed: None)
+        if tokens:
+            self.environment.propose(ReleaseCommand(tokens), lambda committed: None)
 
     # ---- Grants ----
 
@@ -228,7 +232,7 @@
             self._grant_next(name)
 
     def _grant_next(self, name: str) -> None:
-        """Propose a grant to who is next where one may be made, else note when one may."""
+        """Propose a grant to the next holder if one is possible, else schedule the next attempt."""
         definition = self.definitions.find(name)
         if name not in self.queues.by_name or definition is None or name in self.proposed_grants:
             return
@@ -238,14 +242,14 @@
             return
         active, expired = self._split_expired(name, now)
         if len(active) >= definition.max_holders:
-            self.next_wake = min(self.next_wake, *(self.expires_at[grant.token] for grant in active))
+            self.next_tick_at = min(self.next_tick_at, *(self.expires_at[grant.token] for grant in active))
             return
         waiting = self.queues.next_waiting(name, {grant.holder for grant in active}, now)
         if waiting is not None:
             self._propose_grant(name, waiting, definition, expired)
 
     def _split_expired(self, name: str, now: int) -> tuple[list[LeaseGrant], list[int]]:
-        """Return the grants of a lease that are still held, and the tokens of those that are not."""
+        """Return the grants of a lease that are still active, and the tokens of the others."""
         active, expired = [], []
         for grant in self.state.grants.get(name, []):
             if grant.token in self.ended_tokens or self.expires_at[grant.token] <= now:
@@ -258,7 +262,7 @@
         self, name: str, waiting: WaitingHolder, definition: LeaseDefinition, expired: list[int]
     ) -> None:
         def on_decided(committed: bool) -> None:
-            """Grant to the next one. Where the state rejected the grant, its holder waits on."""
+            """Grant to the next holder. If the state rejected the grant, its holder keeps waiting."""
             if self.is_leader and name in self.proposed_grants:
                 self.proposed_grants.discard(name)
                 if committed:
@@ -270,8 +274,8 @@
         self.environment.propose(command, on_decided)
 
     def _begin_epoch(self, now: int) -> None:
-        if now < self.restored_until:
-            self.next_wake = min(self.next_wake, self.restored_until)
+        if now < self.no_grants_until:
+            self.next_tick_at = min(self.next_tick_at, self.no_grants_until)
         elif not self.epoch_proposed:
             self.epoch_proposed = True
             self.environment.propose(EpochCommand(self.epoch), self._on_epoch_decided)
--- a/ploverspoke/leases/manager_environment.py
+++ b/ploverspoke/leases/manager_environment.py
@@ -8,16 +8,16 @@
 
 
 class LeaseManagerEnvironment(Protocol):
-    """What a `LeaseManager` needs from its driver."""
+    """The functions that a `LeaseManager` needs from its driver."""
 
     def now(self) -> int:
         """Return nanoseconds of a monotonic clock."""
 
     def propose(self, command: LeaseCommand, on_decided: Callable[[bool], None], /) -> None:
-        """Append a command to the log; call `on_decided` later with whether it is committed."""
+        """Propose a command for the log; call `on_decided` later with whether it was committed."""
 
     def confirm_leadership(self, on_decided: Callable[[bool], None]) -> None:
         """Call `on_decided` with whether a majority confirms, after this call, that this server leads."""
 
     def send(self, holder: str, response: LeaseResponse) -> None:
-        """Send to a holder; dropped where that is not connected."""
+        """Send to a holder; the response is dropped if the holder is not connected."""
--- a/ploverspoke/leases/messages.py
+++ b/ploverspoke/leases/messages.py
@@ -1,7 +1,7 @@
-"""The messages between holders and lease servers, and their form on the wire. Without I/O.
+"""The messages between holders and lease servers, and their encoding on the wire. No I/O.
 
-On the wire a message is a map with the keys of `rename`, its rows are arrays: docs/leases.md lists them.
-Times are whole nanoseconds; a token of 0 stands for none.
+On the wire a message is a map with the keys given by `rename`, and its rows are arrays; docs/leases.md lists
+them. Times are whole nanoseconds; a token of 0 means that there is none.
 """
 
 from typing import Annotated
@@ -11,7 +11,7 @@
 from .errors import LeaseMessageError
 
 NO_TOKEN = 0
-HOLDER, LEASE_SERVER = "holder", "lease server"  # kinds of senders
+HOLDER, LEASE_SERVER = "holder", "lease server"  # the kinds of senders
 
 WIRE_INTEGER_END = 1 << 62  # exclusive
 
@@ -27,22 +27,22 @@
 
     name: str
     duration: WireInteger  # ns
-    token: WireInteger  # of the grant that it has; NO_TOKEN where it waits
+    token: WireInteger  # of the grant that it has; NO_TOKEN if it waits
     waited: WireInteger  # ns since it began to wait
 
 
 class ReleasedLease(_Row):
-    """A lease that a holder gives back before its end."""
+    """A lease that a holder releases before it expires."""
 
     name: str
     token: WireInteger
-    hand_over_to: str  # the holder that goes before all that wait; "" for none
+    hand_over_to: str  # the holder that is granted the lease before all others; "" for none
 
 
 class LeaseRequest(msgspec.Struct, rename={"number": "n", "wanted": "want", "released": "release"}):
-    """All that a holder wants by now; what it leaves out it does not want any more."""
+    """All leases that a holder wants now; it no longer wants those that are not named."""
 
-    number: WireInteger  # grows with each request of a holder
+    number: WireInteger  # increases with each request of a holder
     wanted: list[RequestedLease]
     released: list[ReleasedLease]
 
@@ -56,7 +56,7 @@
 
 
 class LostLease(_Row):
-    """A lease that the holder has no more."""
+    """A lease that the holder no longer has."""
 
     name: str
     token: int
@@ -72,7 +72,7 @@
 class LeaseResponse(
     msgspec.Struct, rename={"number": "n", "granted": "has", "lost": "lost", "rejected": "refused"}
 ):
-    """The message of a lease server to a holder, at its request or when a lease is granted later."""
+    """The response of a lease server to a holder's request, also sent when a lease is granted later."""
 
     number: int  # of the request from which durations count
     granted: list[GrantedLease] = msgspec.field(default_factory=list)
@@ -81,13 +81,13 @@
 
 
 class LeaderRedirect(msgspec.Struct, rename={"address": "elsewhere"}):
-    """A follower's answer: where the leader listens for clients; "" where it is not known."""
+    """A follower's response: the leader's address for clients; "" if it is not known."""
 
     address: str
 
 
 def parse_request(message: object) -> LeaseRequest:
-    """Check a decoded message of a holder. Raises LeaseMessageError."""
+    """Validate a decoded message from a holder. Raises LeaseMessageError."""
     try:
         return msgspec.convert(message, LeaseRequest)
     except msgspec.ValidationError as error:
@@ -95,7 +95,7 @@
 
 
 def parse_response(message: object) -> LeaseResponse | LeaderRedirect:
-    """Check a decoded message of a lease server. Raises LeaseMessageError."""
+    """Validate a decoded message from a lease server. Raises LeaseMessageError."""
     try:
         if isinstance(message, dict) and "elsewhere" in message:
             return msgspec.convert(message, LeaderRedirect)
--- a/ploverspoke/leases/server.py
+++ b/ploverspoke/leases/server.py
@@ -1,4 +1,4 @@
-"""Where holders connect to a lease server: authenticated frames, one current connection for each holder."""
+"""The server for holders: authenticated frames, and one current connection for each holder."""
 
 from ploverspoke.consensus.framed_server import FramedConnection, FramedServer
 from ploverspoke.consensus.framing import FrameError
@@ -7,28 +7,28 @@
 from .messages import LeaderRedirect, LeaseResponse, parse_request
 from .server_node import LeaseServerNode
 
-MAX_HOLDER_ID = 128  # characters
+MAX_HOLDER_ID_LENGTH = 128  # characters
 
 
 class LeaseServer(FramedServer):
-    """Serves the holders of leases; those that come to a follower are sent to the leader."""
+    """Serves the holders of leases; a follower redirects them to the leader."""
 
     client_errors = (FrameError, HolderIdError, LeaseMessageError)
     log_name = "lease server"
 
     def __init__(self, node: LeaseServerNode) -> None:
-        """Let the node's manager respond through this server."""
+        """Register this server as the one through which the node's manager responds."""
         super().__init__(node.config.secret)
         self.node = node
         node.send_to_holder = self.send_response
 
     async def open(self) -> None:
-        """Listen at the address for clients in the node's configuration. Raises OSError."""
+        """Listen at the client address of the node's configuration. Raises OSError."""
         config = self.node.config
         await self.listen(config.replicas[config.name].client)
 
     def greeting(self) -> dict[str, str]:
-        """Name this replica; holders need not know its cluster."""
+        """Return the id of this replica; holders need not know its cluster."""
         return {"id": self.node.replica_id, "store": ""}
 
     def handle_message(self, connection: FramedConnection, message: object) -> None:
@@ -43,11 +43,11 @@
             self.node.manager.handle_request(connection.client_name, request)
 
     def on_disconnected(self, client_name: str) -> None:
-        """Take the holder out of the queues."""
+        """Remove the holder from the queues."""
         self.node.manager.forget_holder(client_name)
 
     def send_response(self, holder: str, response: LeaseResponse) -> None:
-        """Send to a holder; dropped where it is not connected."""
+        """Send to a holder; the response is dropped if the holder is not connected."""
         self.send(holder, response)
 
 
@@ -55,6 +55,6 @@
     """Return the id in the client's greeting. Raises HolderIdError."""
     greeting = connection.frames.peer_greeting or {}
     holder = greeting.get("id")
-    if not isinstance(holder, str) or not 0 < len(holder) <= MAX_HOLDER_ID:
+    if not isinstance(holder, str) or not 0 < len(holder) <= MAX_HOLDER_ID_LENGTH:
         raise HolderIdError(holder)
     return holder
--- a/ploverspoke/leases/server_node.py
+++ b/ploverspoke/leases/server_node.py
@@ -1,4 +1,4 @@
-"""A lease server on a disk and on sockets: drives a `LeaseManager` on a replica of a `LeaseStateMachine`."""
+"""A lease server with I/O: a replica of a `LeaseStateMachine` that drives a `LeaseManager`."""
 
 from collections.abc import Callable
 
@@ -22,70 +22,70 @@
 from .messages import LeaseResponse
 from .state_machine import LeaseStateMachine
 
-EPOCH_KEY = "era"  # in this replica's storage: the epoch that its latest restore began
-TICK_INTERVAL = 0.02  # seconds, while it leads
+EPOCH_KEY = "era"  # key in this replica's storage: the epoch that the latest restore began
+TICK_INTERVAL_S = 0.02  # while this replica leads
 
 
 class LeaseServerNode(ReplicaNode):
-    """A replica of the lease servers' log; the environment of its `LeaseManager`."""
+    """A replica of the lease servers' log, and the environment of a `LeaseManager`."""
 
     def __init__(self, config: LeaseServerConfig) -> None:
-        """Open nothing yet; `send_to_holder` is set by the server that has the holders' connections."""
+        """Open nothing yet; the server with the connections of the holders sets `send_to_holder`."""
         self.leases = LeaseStateMachine()
         super().__init__(config.replica, self.leases)
         self.definitions = config.definitions
         self.manager = LeaseManager(self, self.leases, self.definitions)
         self.send_to_holder: Callable[[str, LeaseResponse], None] = lambda holder, response: None
-        self.ticking = False
+        self.is_ticking = False
 
-    # ---- The environment of its manager; `propose` is the replica's own ----
+    # ---- Environment of the manager; `propose` is inherited from the replica ----
 
     def now(self) -> int:
         """Return nanoseconds of the monotonic clock."""
         return self.clock.monotonic()
 
     def confirm_leadership(self, on_decided: Callable[[bool], None]) -> None:
-        """Ask a majority whether this replica leads."""
+        """Ask a majority to confirm that this replica leads."""
         self.read(on_decided)
 
     def send(self, holder: str, response: LeaseResponse) -> None:
-        """Send to a holder; dropped where it is not connected."""
+        """Send to a holder; the response is dropped if the holder is not connected."""
         self.send_to_holder(holder, response)
 
     # ---- Leadership ----
 
     def on_role_changed(self, role: Role, leader: str) -> None:
-        """Begin to lead once a majority has confirmed it; cease at once."""
-        # At once, and not behind what the event loop has to do: a lease server that applied another leader's
-        # entries while it still believed to lead would send a holder an old grant as if it were new.
+        """Start leading once a majority has confirmed it; stop leading immediately."""
+        # Leading stops here, not in a later callback of the event loop: a lease server that applied another
+        # leader's entries while it still believed that it led would send a holder an old grant as a new one.
         if role is Role.LEADER:
-            self.loop.call_soon(self.read, self._begin_to_lead)
+            self.loop.call_soon(self.read, self._start_leading)
         elif self.manager.is_leader:
             self.manager.lose_leadership()
             log_line(f"lease server: {self.config.name} does not lead any more")
         super().on_role_changed(role, leader)
 
-    def _begin_to_lead(self, confirmed: bool) -> None:
-        """Lead, as all that was committed before is applied here."""
+    def _start_leading(self, confirmed: bool) -> None:
+        """Start leading if a majority confirmed it; all entries committed before are applied here."""
         if not confirmed or not self.is_elected() or self.manager.is_leader:
             return
         self.manager.become_leader(self.storage.load_value(EPOCH_KEY, int) or 0)
         restored = " (restored)" if self.manager.is_restored() else ""
         log_line(f"lease server: {self.config.name} leads; {self.leases.total()} leases are held{restored}")
-        if not self.ticking:
-            self.ticking = True
-            self.loop.call_later(TICK_INTERVAL, self._tick)
+        if not self.is_ticking:
+            self.is_ticking = True
+            self.loop.call_later(TICK_INTERVAL_S, self._tick)
 
     def _tick(self) -> None:
-        self.ticking = self.manager.is_leader and not self.closed
-        if self.ticking:
+        self.is_ticking = self.manager.is_leader and not self.closed
+        if self.is_ticking:
             self.manager.tick()
-            self.loop.call_later(TICK_INTERVAL, self._tick)
+            self.loop.call_later(TICK_INTERVAL_S, self._tick)
 
-    # ---- Requests of tools ----
+    # ---- Requests of command-line tools ----
 
     def state_status(self) -> LeaseStatus:
-        """Return what this lease server adds to the status of its replica."""
+        """Return the fields that a lease server adds to the status of its replica."""
         return LeaseStatus(
             is_leader=self.manager.is_leader,
             leases=self.leases.total(),
@@ -102,15 +102,15 @@
             return False
 
         def on_decided(leads: bool) -> None:
-            """Reply what the leader knows; a follower knows nothing."""
-            found = self.list_leases() if leads and self.manager.is_leader else FollowerReply()
-            reply(encode_reply(found))
+            """Reply with the listing if this server leads, with an empty reply otherwise."""
+            result = self.list_leases() if leads and self.manager.is_leader else FollowerReply()
+            reply(encode_reply(result))
 
         self.read(on_decided)
         return True
 
     def list_leases(self) -> LeaseListing:
-        """Return what is held, waited for and declared, as the leader knows it."""
+        """Return the held, waited-for and declared leases as the leader knows them."""
         now, manager = self.now(), self.manager
         held = [
             HeldLease(
--- a/ploverspoke/leases/state_machine.py
+++ b/ploverspoke/leases/state_machine.py
@@ -1,11 +1,11 @@
-"""What lease servers agree on: which holder has which lease under which fencing token. No I/O and no time.
+"""The replicated state of the lease servers: which holder has which lease under which fencing token.
 
-Applying a command never fails; what no longer fits the state is left out. Only the leading lease server knows
-when a grant expires: it counts by its own monotonic clock (`manager.py`) and says with the next grant which
-tokens have expired. So no two clocks have to agree.
+It uses no I/O and no clock. Applying a command never fails: parts that no longer fit the state are skipped.
+Only the leading lease server knows when a grant expires. It counts by its own monotonic clock (`manager.py`)
+and lists the expired tokens in the next grant command, so no two clocks have to agree.
 
-Tokens only grow, over the whole life of all names: a restored state begins a new epoch, whose tokens are
-above all of the one before.
+Tokens only increase, across all leases and for as long as the cluster exists. A restored state begins a new
+epoch, whose tokens are above all tokens of the previous one.
 """
 
 from collections.abc import Callable
@@ -13,11 +13,11 @@
 import msgspec
 
 SNAPSHOT_FORMAT = 1
-EPOCH_TOKEN_BITS = 24  # an epoch has so many bits of tokens
+EPOCH_TOKEN_BITS = 24  # low bits of a token, which number the grants of one epoch
 
 
 class LeaseGrant(msgspec.Struct, array_like=True):
-    """A lease as it is held."""
+    """The grant of a lease to a holder."""
 
     holder: str
     token: int
@@ -25,7 +25,7 @@
 
 
 class GrantCommand(msgspec.Struct, array_like=True, tag="grant"):
-    """Ends the expired tokens, then grants the lease to a holder unless it has its most."""
+    """Ends the grants of the expired tokens, then grants the lease unless it has `max_holders` holders."""
 
     name: str
     holder: str
@@ -35,20 +35,20 @@
 
 
 class ReleasedToken(msgspec.Struct, array_like=True):
-    """A grant that its holder gave back."""
+    """A grant that its holder released."""
 
     name: str
     token: int
 
 
 class ReleaseCommand(msgspec.Struct, array_like=True, tag="release"):
-    """Ends grants that were given back."""
+    """Ends grants that were released."""
 
     released: list[ReleasedToken]
 
 
 class EpochCommand(msgspec.Struct, array_like=True, tag="era"):
-    """Ends all grants and begins an epoch, unless it has begun."""
+    """Ends all grants and begins an epoch, unless that epoch has already begun."""
 
     epoch: int
 
@@ -67,7 +67,7 @@
 
 
 def parse_command(entry: object) -> LeaseCommand | None:
-    """Read a log entry, typed or as a plain list; return None where its kind is not known to this release."""
+    """Parse a log entry, typed or a plain list; return None if this release does not know its kind."""
     if isinstance(entry, GrantCommand | ReleaseCommand | EpochCommand):
         return entry
     if not isinstance(entry, list | tuple) or not entry or entry[0] not in COMMAND_TAGS:
@@ -80,17 +80,17 @@
     """The state of the lease servers' log."""
 
     def __init__(self) -> None:
-        """Begin without any grant; a snapshot may replace that."""
+        """Begin without any grants; a snapshot may replace this state."""
         self.last_token = 0
         self.epoch = 0
-        self.grants: dict[str, list[LeaseGrant]] = {}  # by name; only leases that are held
+        self.grants: dict[str, list[LeaseGrant]] = {}  # by name of the lease; only held leases
         self.on_granted: Callable[[str, LeaseGrant], None] = lambda name, grant: None
         self.on_ended: Callable[[str, LeaseGrant], None] = lambda name, grant: None
 
     # ---- Interface of a replica's state machine ----
 
     def apply(self, index: int, command: object) -> None:
-        """Apply a committed command; one of an unknown kind changes nothing."""
+        """Apply a committed command; a command of an unknown kind is ignored."""
         parsed = parse_command(command)
         if isinstance(parsed, GrantCommand):
             self._grant(parsed)
@@ -98,7 +98,7 @@
             for released in parsed.released:
                 self._end(released.name, {released.token})
         elif isinstance(parsed, EpochCommand) and parsed.epoch > self.epoch:
-            # The grants at the time of the backup are not those of now.
+            # The grants in the state date from the backup and need not be the current ones.
             self.epoch = parsed.epoch
             for name, grants in list(self.grants.items()):
                 self._end(name, {grant.token for grant in grants})
@@ -110,7 +110,7 @@
         )
 
     def restore_snapshot(self, data: bytes) -> None:
-        """Replace the whole state by an encoded one; by the empty state where there are no bytes."""
+        """Replace the whole state with an encoded one, or with the empty state if there are no bytes."""
         empty = LeaseSnapshot(SNAPSHOT_FORMAT, 0, 0, {})
         snapshot = msgspec.msgpack.decode(data, type=LeaseSnapshot) if data else empty
         self.last_token = snapshot.last_token
@@ -124,7 +124,7 @@
         return next((grant for grant in self.grants.get(name, ()) if grant.holder == holder), None)
 
     def total(self) -> int:
-        """Return how many leases are held, each counted once for each holder."""
+        """Return the number of held leases, each counted once for each holder."""
         return sum(len(grants) for grants in self.grants.values())
 
     def next_token(self) -> int:
--- a/ploverspoke/leases/waiting_queue.py
+++ b/ploverspoke/leases/waiting_queue.py
@@ -1,17 +1,18 @@
-"""Who waits for which lease, in the order in which they are granted one. No I/O; times are nanoseconds."""
+"""The holders that wait for each lease, in the order of the next grants. No I/O; times are nanoseconds."""
 
 from collections.abc import Collection
 
 from ploverspoke.transport.units import LONG_AGO
 
-SILENCE_LIMIT = 0.6  # of a duration: who has sent no request for so long is passed over
+# A holder that has sent no request for this fraction of its lease's duration is skipped.
+MAX_SILENCE_FRACTION = 0.6
 
 
 class WaitingHolder:
     """A holder that wants a lease and does not have it."""
 
     def __init__(self, holder: str, duration: int, waiting_since: int, requested_at: int) -> None:
-        """`waiting_since` gives its place in the queue, `requested_at` when its last request came."""
+        """`waiting_since` determines its place in the queue; `requested_at` is when its last request came."""
         self.holder = holder
         self.duration = duration
         self.waiting_since = waiting_since
@@ -19,45 +20,45 @@
 
     def is_silent(self, now: int) -> bool:
         """Return whether it has sent no request for so long that it may be dead."""
-        return now - self.requested_at > self.duration * SILENCE_LIMIT
+        return now - self.requested_at > self.duration * MAX_SILENCE_FRACTION
 
 
 class WaitingQueues:
-    """The queues of all leases, by name; there is none for a lease that nobody waits for."""
+    """The queues of all leases by name; a lease that no holder waits for has none."""
 
     def __init__(self) -> None:
-        """Begin without anybody that waits."""
+        """Begin without any waiting holders."""
         self.by_name: dict[str, list[WaitingHolder]] = {}
 
     def names(self) -> list[str]:
-        """Return the leases that somebody waits for."""
+        """Return the names of the leases that holders wait for."""
         return list(self.by_name)
 
     def holders(self, name: str) -> list[str]:
-        """Return who waits for a lease, the next one first."""
+        """Return the holders that wait for a lease, the next one first."""
         return [waiting.holder for waiting in self.by_name.get(name, ())]
 
     def total(self) -> int:
-        """Return how many wait, each counted once for each lease."""
+        """Return the number of waiting holders, each counted once for each lease."""
         return sum(len(queue) for queue in self.by_name.values())
 
     def clear(self) -> None:
-        """Forget everybody."""
+        """Remove all waiting holders."""
         self.by_name.clear()
 
     def add(self, name: str, waiting: WaitingHolder) -> None:
-        """Add a holder, or note a further request of one that waits."""
+        """Add a holder, or update the entry of a holder that already waits."""
         queue = self.by_name.setdefault(name, [])
-        known = next((other for other in queue if other.holder == waiting.holder), None)
-        if known is not None:
-            known.requested_at, known.duration = waiting.requested_at, waiting.duration
+        existing = next((other for other in queue if other.holder == waiting.holder), None)
+        if existing is not None:
+            existing.requested_at, existing.duration = waiting.requested_at, waiting.duration
             return
-        # In the order in which they began to wait, also where another lease server led by then.
+        # Ordered by when the holders began to wait, even if another lease server led at that time.
         later = (i for i, other in enumerate(queue) if other.waiting_since > waiting.waiting_since)
         queue.insert(next(later, len(queue)), waiting)
 
     def remove(self, name: str, holder: str) -> None:
-        """Forget that a holder waits for a lease; nothing happens where it does not."""
+        """Remove a holder from the queue of a lease, if it waits there."""
         remaining = [waiting for waiting in self.by_name.get(name, ()) if waiting.holder != holder]
         if remaining:
             self.by_name[name] = remaining
@@ -65,13 +66,13 @@
             self.by_name.pop(name, None)
 
     def remove_from_all(self, holder: str, keep: Collection[str] = ()) -> None:
-        """Forget that a holder waits, but for the leases in `keep`."""
+        """Remove a holder from all queues except those of the leases in `keep`."""
         for name in self.names():
             if name not in keep:
                 self.remove(name, holder)
 
     def move_to_front(self, name: str, holder: str) -> None:
-        """Let a holder go before all others that wait for a lease, where it waits."""
+        """Move a holder to the front of the queue of a lease, if it waits there."""
         queue = self.by_name.get(name, [])
         for waiting in queue:
             if waiting.holder == holder:
@@ -79,11 +80,12 @@
         queue.sort(key=lambda waiting: waiting.waiting_since)
 
     def next_waiting(self, name: str, exclude: Collection[str], now: int) -> WaitingHolder | None:
-        """Return the first holder that is not in `exclude`; silent ones before it are forgotten."""
+        """Return the first holder that is not in `exclude`, and remove silent holders before it."""
         for waiting in list(self.by_name.get(name, ())):
             if waiting.holder in exclude:
                 continue
             if not waiting.is_silent(now):
                 return waiting
-            self.remove(name, waiting.holder)  # its next request gives how long it has waited
+            # Its next request adds it again, and says how long it has waited.
+            self.remove(name, waiting.holder)
         return None
--- a/tests/leases/faulty_variants.py
+++ b/tests/leases/faulty_variants.py
@@ -1,4 +1,4 @@
-"""Test harness: faulty variants of the parts of leases, each with one fault that the simulation must find."""
+"""Test harness: variants of the lease classes, each with one fault that the simulation must detect."""
 
 from ploverspoke.leases.definitions import DRIFT
 from ploverspoke.leases.holder import Lease, LeaseHolder
@@ -27,7 +27,7 @@
 class FaultyAcceptsOldResponses(LeaseHolder):
     def want(self, name: str, duration: int) -> Lease:
         lease = super().want(name, duration)
-        lease.first_request = 0
+        lease.first_request_number = 0
         return lease
 
 
@@ -48,7 +48,7 @@
 
 
 class FaultyRenewsExpired(LeaseManager):
-    """Renews a lease that has ended for as long as its end is not committed, and once more after."""
+    """Renews a lease that has ended, both before and after its end is committed."""
 
     def _respond(self, holder: str, request: LeaseRequest) -> None:
         granted = [
@@ -58,16 +58,16 @@
 
 
 class FaultyReleasesForAnybody(LeaseManager):
-    """A release by an old holder, or under an old token, ends what another has by now."""
+    """A release by an earlier holder, or under an old token, ends the grant of the current holder."""
 
-    def _release(self, holder: str, released: list[ReleasedLease]) -> None:
-        found = [
+    def _release_grants(self, holder: str, released: list[ReleasedLease]) -> None:
+        tokens = [
             ReleasedToken(lease.name, grant.token)
             for lease in released
             for grant in self.state.grants.get(lease.name, ())
         ]
-        if found:
-            self.environment.propose(ReleaseCommand(found), lambda committed: None)
+        if tokens:
+            self.environment.propose(ReleaseCommand(tokens), lambda committed: None)
 
 
 class FaultyAllowsAllTokens(EffectGuard):
@@ -76,9 +76,9 @@
 
 
 class FaultyRenewsWithoutMajority(LeaseManager):
-    def _confirm(self) -> None:
-        unconfirmed, self.unconfirmed = self.unconfirmed, []
-        for holder, request in unconfirmed:
+    def _confirm_requests(self) -> None:
+        unconfirmed_requests, self.unconfirmed_requests = self.unconfirmed_requests, []
+        for holder, request in unconfirmed_requests:
             self._respond(holder, request)
 
 
--- a/tests/leases/lease_raft_simulation.py
+++ b/tests/leases/lease_raft_simulation.py
@@ -1,4 +1,4 @@
-"""Test harness: leases in simulated schedules, on replicas of the real consensus in place of a model."""
+"""Test harness: leases in simulated schedules on replicas of the real consensus instead of a model."""
 
 from collections.abc import Callable
 
@@ -16,7 +16,7 @@
 
 
 class CountingLeaseStateMachine:
-    """LeaseStateMachine, with the count of entries that the consensus simulation checks."""
+    """A LeaseStateMachine that also counts entries, because the consensus simulation checks the count."""
 
     def __init__(self) -> None:
         self.leases = LeaseStateMachine()
@@ -36,7 +36,7 @@
 
 
 class LeaseRaftReplica(SimulatedReplica):
-    """A replica with a manager on it, as `leases/server_node.py` puts them together."""
+    """A replica that drives a manager in the same way as `leases/server_node.py`."""
 
     cluster: "LeaseRaftCluster"
     state_machine_type = CountingLeaseStateMachine
@@ -59,19 +59,19 @@
         self.cluster.deferred_calls.append((self, self.incarnation, call))
 
     def _confirm_leadership(self) -> None:
-        self.replica.read(self._begin_to_lead)
+        self.replica.read(self._start_leading)
 
-    def _begin_to_lead(self, confirmed: bool) -> None:
+    def _start_leading(self, confirmed: bool) -> None:
         if confirmed and self.replica.raft.role is Role.LEADER and not self.manager.is_leader:
             self.manager.become_leader()
 
-    # The environment of its manager.
+    # Environment of the manager.
 
     def now(self) -> int:
         return self.cluster.now
 
     def propose(self, command: LeaseCommand, on_decided: Callable[[bool], None]) -> None:
-        entry = msgspec.to_builtins(command)  # as a follower receives it
+        entry = msgspec.to_builtins(command)  # the form in which a follower receives it
         self._defer(lambda: self.replica.propose([entry], on_decided))
 
     def confirm_leadership(self, on_decided: Callable[[bool], None]) -> None:
@@ -82,7 +82,7 @@
 
 
 class RaftHolder:
-    """The environment of a holder; its clock runs up to 5% fast or slow beside the lease servers'."""
+    """The environment of a holder; its clock runs up to 5% faster or slower than the lease servers'."""
 
     def __init__(self, cluster: "LeaseRaftCluster", number: int) -> None:
         self.cluster, self.number = cluster, number
@@ -106,30 +106,35 @@
     def __init__(self, seed: int, variants: Variants | None = None) -> None:
         self.variants = variants or Variants()
         self.definitions = LeaseDefinitions({NAME: LeaseDefinition(1, DURATION)}, MIN_DURATION)
-        # What an event loop would do next: replica, its incarnation, call.
+        # The pending callbacks of an event loop: the replica, its incarnation and the callback.
         self.deferred_calls: list[tuple[LeaseRaftReplica, int, Callable[[], None]]] = []
         self.responses: list[tuple[int, LeaseResponse]] = []
         self.requests: list[tuple[str, str, LeaseRequest]] = []
         super().__init__(seed, 3)
         self.holders = [RaftHolder(self, number) for number in range(3)]
         self.holding: set[tuple[int, int]] = set()
-        self.highest = self.changes = 0
-        for each in self.holders:
-            each.holder.want(NAME, DURATION)
+        self.highest_token = self.holder_changes = 0
+        for raft_holder in self.holders:
+            raft_holder.holder.want(NAME, DURATION)
 
     def propose(self, node: SimulatedReplica) -> None:
-        """The lease servers propose for themselves."""
+        """Nothing: the lease managers make their own proposals."""
 
     def check(self) -> None:
         super().check()
         holding = {
-            (each.number, each.holder.token(NAME)) for each in self.holders if each.holder.time_left(NAME)
+            (raft_holder.number, raft_holder.holder.token(NAME))
+            for raft_holder in self.holders
+            if raft_holder.holder.time_left(NAME)
         }
-        require(len(holding) <= 1, f"two hold it at once: {sorted(holding)}")
+        require(len(holding) <= 1, f"several holders hold the lease at once: {sorted(holding)}")
         for number, token in holding - self.holding:
-            require(token >= self.highest, f"holder {number} begins under {token}, not {self.highest}")
-            self.changes += token > self.highest
-            self.highest = max(self.highest, token)
+            require(
+                token >= self.highest_token,
+                f"holder {number} acquired the lease under token {token}, after {self.highest_token}",
+            )
+            self.holder_changes += token > self.highest_token
+            self.highest_token = max(self.highest_token, token)
         self.holding = holding
 
     def step(self) -> None:
@@ -140,10 +145,10 @@
         if rng.random() < 0.9:
             self.deferred_calls.clear()
         if self.requests and rng.random() < 0.7:
-            to, holder, request = self.requests.pop(
+            target, holder, request = self.requests.pop(
                 0 if rng.random() < 0.8 else rng.randrange(len(self.requests))
             )
-            node = self.nodes[to]
+            node = self.nodes[target]
             assert isinstance(node, LeaseRaftReplica)
             if node.is_running:
                 node.manager.handle_request(holder, request)
@@ -158,17 +163,17 @@
             assert isinstance(node, LeaseRaftReplica)
             if node.is_running:
                 node.manager.tick()
-        for each in self.holders:
-            each.holder.tick()
+        for raft_holder in self.holders:
+            raft_holder.holder.tick()
             if rng.random() < 0.002:
-                each.holder.release(NAME)
-                each.holder.tick()
-                each.holder.want(NAME, DURATION)
+                raft_holder.holder.release(NAME)
+                raft_holder.holder.tick()
+                raft_holder.holder.want(NAME, DURATION)
         super().step()
 
 
 def explore_raft(seed: int, steps: int = 1500, variants: Variants | None = None) -> LeaseRaftCluster:
-    """One schedule on real replicas of the consensus. Raises InvariantViolationError."""
+    """Run one schedule on replicas of the real consensus. Raises InvariantViolationError."""
     cluster = LeaseRaftCluster(seed, variants)
     try:
         for _ in range(steps):
--- a/tests/leases/lease_server_rig.py
+++ b/tests/leases/lease_server_rig.py
@@ -1,4 +1,4 @@
-"""Test harness: real lease servers as processes, and `ploverspoke lease` called on them."""
+"""Test harness: real lease servers as processes, and calls of `ploverspoke lease` on them."""
 
 import asyncio
 import subprocess
@@ -11,16 +11,24 @@
 from ploverspoke.testbed.scenarios.lease_experiment import LeaseScenario
 from ploverspoke.testbed.scenarios.lease_fleet import LeaseFleet
 
-# Command and arguments; gives exit code and output.
+# Takes a command and its arguments; returns the exit code and the output.
 Call = Callable[..., Coroutine[object, object, tuple[int, str]]]
 
 
 def run_with_lease_servers(
-    tmp_path: Path, script: Callable[[LeaseFleet, Call], Awaitable[None]], names: dict[str, int] | None = None
+    tmp_path: Path,
+    script: Callable[[LeaseFleet, Call], Awaitable[None]],
+    max_holders: dict[str, int] | None = None,
 ) -> None:
-    """Starts three real lease servers on a rig, then runs the script, which may call `ploverspoke lease`."""
+    """Start three real lease servers, then run the script, which may call `ploverspoke lease`.
+
+    `max_holders` declares the leases by name.
+    """
     scenario = LeaseScenario(
-        servers=3, candidates=0, leases=names or {"one": 1, "two": 1}, lease_duration=Duration(4 * SECOND)
+        servers=3,
+        candidates=0,
+        leases=max_holders or {"one": 1, "two": 1},
+        lease_duration=Duration(4 * SECOND),
     )
 
     async def call(leases: LeaseFleet, command: str, *arguments: str) -> tuple[int, str]:
--- a/tests/leases/lease_simulation.py
+++ b/tests/leases/lease_simulation.py
@@ -1,6 +1,6 @@
-"""Drives lease managers and holders through schedules of all that can go wrong, and checks each step.
+"""Test harness: drives lease managers and holders through schedules of faults, and checks each step.
 
-A schedule is named by its seed, or is a list of choices.
+A schedule is generated from a seed, or given as a list of choices.
 """
 
 from collections.abc import Sequence
@@ -21,19 +21,19 @@
     """A cluster in which each step is drawn at random."""
 
     def step(self) -> None:
-        """Let one thing happen, drawn at random, and check."""
+        """Run one event, drawn at random, and check the invariants."""
         roll = self.rng.random()
-        node = self.rng.choice(self.servers)
+        server = self.rng.choice(self.servers)
         holder = self.rng.choice(self.holders)
         if roll < 0.86:
-            self._step_of_normal_operation(roll, node)
+            self._run_normal_event(roll, server)
         else:
-            self._step_of_rare_events(roll, node, holder)
+            self._run_rare_event(roll, server, holder)
         if self.rng.random() < 0.003:
-            node.manager.forget_holder(str(holder.number))
+            server.manager.forget_holder(str(holder.number))
         self.check()
 
-    def _step_of_normal_operation(self, roll: float, node: SimulatedLeaseServer) -> None:
+    def _run_normal_event(self, roll: float, server: SimulatedLeaseServer) -> None:
         rng = self.rng
         if roll < 0.22 and self.requests:
             self.deliver_request(rng.randrange(len(self.requests)) if rng.random() < 0.3 else 0)
@@ -44,7 +44,7 @@
         elif roll < 0.64:
             if self.leader is not None:
                 self.confirm_reads(self.leader)
-            self.answer_confirmed_reads(node if rng.random() < 0.3 or self.leader is None else self.leader)
+            self.answer_confirmed_reads(server if rng.random() < 0.3 or self.leader is None else self.leader)
         elif roll < 0.78:
             self.time += rng.choice([5, 50, 200, 400, 700, 1000, 2200]) * MILLISECOND
             if rng.random() < 0.8:
@@ -52,40 +52,40 @@
         else:
             self.tick()
 
-    def _step_of_rare_events(self, roll: float, node: SimulatedLeaseServer, holder: SimulatedHolder) -> None:
+    def _run_rare_event(self, roll: float, server: SimulatedLeaseServer, holder: SimulatedHolder) -> None:
         rng = self.rng
         if roll < 0.89:
-            self.act(holder)
+            self.send_effect(holder)
         elif roll < 0.91 and self.effects:
-            self.effect(rng.randrange(len(self.effects)))
+            self.deliver_effect(rng.randrange(len(self.effects)))
         elif roll < 0.93 and self.requests:
             self.requests.pop(rng.randrange(len(self.requests)))
         elif roll < 0.945 and self.requests:
-            self.deliver_request(rng.randrange(len(self.requests)), keep=True)
+            self.deliver_request(rng.randrange(len(self.requests)), duplicate=True)
         elif roll < 0.96 and self.responses:
-            self.deliver_response(rng.randrange(len(self.responses)), keep=True)
+            self.deliver_response(rng.randrange(len(self.responses)), duplicate=True)
         elif roll < 0.97:
             holder.holder.release(NAME)
             self.tick()
             holder.holder.want(NAME, DURATION)
         elif roll < 0.98:
-            self.elect(node)
+            self.elect(server)
             if rng.random() < 0.6:
-                self.depose()
+                self.notify_deposed_leaders()
         elif roll < 0.984:
-            self.crash(node)
+            self.crash(server)
         elif roll < 0.987:
             self.back_up()
         elif roll < 0.99:
             self.restore()
         elif self.leader is None:
-            self.elect(node)
+            self.elect(server)
 
 
 def explore(
     seed: int, steps: int = 500, variants: Variants | None = None, max_holders: int = 1
 ) -> RandomLeaseCluster:
-    """Run one schedule. Raises InvariantError, with a note of the seed that replays it."""
+    """Run one random schedule. Raises InvariantError, with a note of the seed that replays it."""
     cluster = RandomLeaseCluster(seed, 2 + seed % 3, 3, max_holders, variants)
     cluster.elect(cluster.servers[0])
     try:
@@ -98,7 +98,7 @@
 
 
 class Choice(IntEnum):
-    """One thing that happens in a schedule of choices."""
+    """One event in a schedule of choices."""
 
     HEALTHY_ROUND = 0
     DELIVER_LAST_REQUEST = 1
@@ -111,24 +111,24 @@
     RELEASE = 8
 
 
-def by_choices(choices: Sequence[Choice], variants: Variants | None = None) -> SimulatedLeaseCluster:
+def run_choices(choices: Sequence[Choice], variants: Variants | None = None) -> SimulatedLeaseCluster:
     """Run the choices on two holders and three lease servers, of which the first leads."""
     cluster = SimulatedLeaseCluster(1, 2, 3, 1, variants)
     for number, rate in enumerate((0.95, 1.05)):
         cluster.holders[number].rate = rate
-    for node in cluster.servers:
-        node.rate = 1.05
+    for server in cluster.servers:
+        server.rate = 1.05
     cluster.elect(cluster.servers[0])
     for _ in range(3):
-        choose(cluster, Choice.HEALTHY_ROUND)
+        run_choice(cluster, Choice.HEALTHY_ROUND)
     for choice in choices:
-        choose(cluster, choice)
+        run_choice(cluster, choice)
         cluster.check()
     return cluster
 
 
-def choose(cluster: SimulatedLeaseCluster, choice: Choice) -> None:
-    """Let it happen, where it can."""
+def run_choice(cluster: SimulatedLeaseCluster, choice: Choice) -> None:
+    """Run the event, if it is possible now."""
     if choice is Choice.HEALTHY_ROUND:
         run_healthy_round(cluster)
     elif choice is Choice.DELIVER_LAST_REQUEST and cluster.requests:
@@ -157,8 +157,8 @@
     while cluster.requests:
         cluster.deliver_request(0)
     cluster.confirm_reads(cluster.leader or cluster.servers[0])
-    for node in cluster.servers:
-        cluster.answer_confirmed_reads(node)
+    for server in cluster.servers:
+        cluster.answer_confirmed_reads(server)
     while cluster.leader is not None and cluster.leader.pending:
         cluster.commit()
     while cluster.responses:
@@ -166,9 +166,9 @@
 
 
 def elect_next_server(cluster: SimulatedLeaseCluster) -> None:
-    """Elect the server after the leader; all holders turn to it."""
+    """Elect the server after the leader; all holders switch to it."""
     position = cluster.servers.index(cluster.leader) if cluster.leader is not None else 0
     elected = (position + 1) % len(cluster.servers)
-    cluster.elect(cluster.servers[elected], keep=1.0)
-    for each in cluster.holders:
-        each.server = elected
+    cluster.elect(cluster.servers[elected], commit_probability=1.0)
+    for holder in cluster.holders:
+        holder.server = elected
--- a/tests/leases/simulated_lease_cluster.py
+++ b/tests/leases/simulated_lease_cluster.py
@@ -1,9 +1,9 @@
-"""A model of lease servers and holders on virtual time, with all that can happen to them, and invariants.
+"""Test harness: lease servers and holders in virtual time, the events that can happen, and invariants.
 
-Consensus is a model of what it promises, with everything it allows: a proposal of a leader that was replaced
-may be committed or not; one that was deposed may go on believing that it leads; a read is confirmed if the
-lease server still led when it was asked for, which may become known at any later time. Clocks of processes
-run up to 5% fast or slow.
+Consensus is replaced by a model of its guarantees that includes all behaviour that they allow: a proposal of
+a leader that was replaced may or may not be committed; a deposed leader may still believe that it leads; a
+read is confirmed if the lease server still led when it was requested, but possibly at any later time. The
+clocks of processes run up to 5% fast or slow.
 """
 
 import random
@@ -21,11 +21,11 @@
 
 
 class InvariantError(AssertionError):
-    """An invariant does not hold."""
+    """An invariant is violated."""
 
 
 class EffectGuard:
-    """The receiving side of effects."""
+    """The receiver of effects."""
 
     def __init__(self) -> None:
         self.latest = 0
@@ -38,7 +38,7 @@
 
 
 class Variants:
-    """The types of the parts that are driven; a faulty variant replaces one of them."""
+    """The classes under test; a faulty variant replaces one of them."""
 
     def __init__(
         self,
@@ -46,7 +46,7 @@
         holder: type[LeaseHolder] = LeaseHolder,
         state: type[LeaseStateMachine] = LeaseStateMachine,
         guard: type[EffectGuard] = EffectGuard,
-        late_role_change: bool = False,  # another leader's entries are applied before a server knows of it
+        late_role_change: bool = False,  # a new leader's entries are applied before the server stops leading
     ) -> None:
         self.late_role_change = late_role_change
         self.manager, self.holder, self.state, self.guard = manager, holder, state, guard
@@ -56,33 +56,35 @@
     def __init__(self, cluster: "SimulatedLeaseCluster") -> None:
         self.cluster = cluster
         self.rate = cluster.rng.choice([0.95, 1.0, 1.05])
-        self.ahead = cluster.rng.randrange(1000 * MILLISECOND)
+        self.offset = cluster.rng.randrange(1000 * MILLISECOND)
 
     def now(self) -> int:
-        return int(self.cluster.time * self.rate) + self.ahead
+        return int(self.cluster.time * self.rate) + self.offset
 
 
 class SimulatedLeaseServer(Clock):
-    """The environment of one manager, and its place in the model of consensus."""
+    """The environment of one manager, and a replica in the model of consensus."""
 
     def __init__(self, cluster: "SimulatedLeaseCluster", number: int) -> None:
         super().__init__(cluster)
         self.number = number
         self.epoch = 0
         self.pending: list[tuple[LeaseCommand, Callable[[bool], None]]] = []
-        self.reads: list[tuple[int, Callable[[bool], None]]] = []  # the term in which it was asked for
+        self.reads: list[
+            tuple[int, Callable[[bool], None]]
+        ] = []  # with the terms in which they were requested
         self.confirmed_reads: list[Callable[[bool], None]] = []
         self.applied = 0
-        self._begin()
+        self._create_manager()
 
-    def _begin(self) -> None:
+    def _create_manager(self) -> None:
         self.state = self.cluster.variants.state()
         self.manager = self.cluster.variants.manager(self, self.state, self.cluster.definitions)
 
     def restart(self) -> None:
         self.applied = 0
         self.pending, self.reads, self.confirmed_reads = [], [], []
-        self._begin()
+        self._create_manager()
         self.state.restore_snapshot(self.cluster.snapshot)
 
     def catch_up(self) -> None:
@@ -90,7 +92,7 @@
             self.state.apply(0, command)
         self.applied = len(self.cluster.log)
 
-    # The environment of its manager.
+    # Environment of the manager.
 
     def propose(self, command: LeaseCommand, on_decided: Callable[[bool], None]) -> None:
         self.pending.append((command, on_decided))
@@ -129,7 +131,7 @@
         self.variants = variants or Variants()
         self.definitions = LeaseDefinitions({NAME: LeaseDefinition(max_holders, DURATION)}, MIN_DURATION)
         self.max_holders = max_holders
-        self.time = 10_000 * MILLISECOND  # the true one
+        self.time = 10_000 * MILLISECOND  # true time, ns
         self.term = 0
         self.log: list[LeaseCommand] = []
         self.snapshot = b""
@@ -139,113 +141,121 @@
         self.holders = [SimulatedHolder(self, number) for number in range(holders)]
         self.requests: list[tuple[int, int, LeaseRequest]] = []
         self.responses: list[tuple[int, int, LeaseResponse]] = []
-        self.effects: list[int] = []  # tokens on their way to what is acted on
+        self.effects: list[int] = []  # tokens of effects on their way to the receiver
         self.guard = self.variants.guard()
-        self.taken = 0  # the highest token that had an effect
+        self.accepted_token = 0  # of the latest accepted effect
         self.holding: set[tuple[int, int]] = set()  # holder and token, as of the last step
-        self.highest = 0
-        self.changes = self.refused = 0
-        for node in self.holders:
-            node.holder.want(NAME, DURATION)
+        self.highest_token = 0
+        self.holder_changes = self.rejected_effects = 0
+        for simulated_holder in self.holders:
+            simulated_holder.holder.want(NAME, DURATION)
 
-    # ---- What must hold ----
+    # ---- Invariants ----
 
     def check(self) -> None:
         holding = {
-            (each.number, each.holder.token(NAME)) for each in self.holders if each.holder.time_left(NAME)
+            (simulated_holder.number, simulated_holder.holder.token(NAME))
+            for simulated_holder in self.holders
+            if simulated_holder.holder.time_left(NAME)
         }
         if len(holding) > self.max_holders:
-            raise InvariantError(f"{len(holding)} hold it at once, {self.max_holders} may: {sorted(holding)}")
+            raise InvariantError(
+                f"{len(holding)} holders at once, only {self.max_holders} allowed: {sorted(holding)}"
+            )
         for number, token in holding - self.holding:
-            if token < self.highest and self.max_holders == 1:
-                raise InvariantError(f"holder {number} begins under {token}, {self.highest} was there before")
-            self.changes += token > self.highest
-            self.highest = max(self.highest, token)
+            if token < self.highest_token and self.max_holders == 1:
+                raise InvariantError(
+                    f"holder {number} acquired the lease under token {token}, after {self.highest_token}"
+                )
+            self.holder_changes += token > self.highest_token
+            self.highest_token = max(self.highest_token, token)
         self.holding = holding
 
-    # ---- What can happen ----
+    # ---- Events ----
 
-    def elect(self, node: SimulatedLeaseServer, keep: float = 0.5) -> None:
+    def elect(self, server: SimulatedLeaseServer, commit_probability: float = 0.5) -> None:
         """Make this server the leader.
 
-        The old leader's proposals are committed up to some point; it may not know that it is deposed.
+        The old leader's proposals are committed up to a random one; it may not know that it was deposed.
         """
         old = self.leader
         if old is not None:
-            while old.pending and self.rng.random() < keep:
+            while old.pending and self.rng.random() < commit_probability:
                 self._commit(old, notify=False)
         self.term += 1
-        self.leader = node
-        # Whoever applies another's entries knows by that time that it leads no more.
+        self.leader = server
+        # A server that applies another leader's entries knows by then that it does not lead.
         if not self.variants.late_role_change:
-            node.manager.lose_leadership()
-        node.pending.clear()
-        node.catch_up()
-        node.manager.become_leader(node.epoch)
-
-    def depose(self) -> None:
-        """Notify the servers that lead no more."""
-        for node in self.servers:
-            if node is not self.leader and node.manager.is_leader:
-                node.manager.lose_leadership()
-                node.pending.clear()
-                for _, on_decided in node.reads:
+            server.manager.lose_leadership()
+        server.pending.clear()
+        server.catch_up()
+        server.manager.become_leader(server.epoch)
+
+    def notify_deposed_leaders(self) -> None:
+        """Tell all servers that still believe that they lead that they do not."""
+        for server in self.servers:
+            if server is not self.leader and server.manager.is_leader:
+                server.manager.lose_leadership()
+                server.pending.clear()
+                for _, on_decided in server.reads:
                     on_decided(False)
-                node.reads.clear()
+                server.reads.clear()
 
-    def _commit(self, node: SimulatedLeaseServer, notify: bool = True) -> None:
-        command, on_decided = node.pending.pop(0)
+    def _commit(self, server: SimulatedLeaseServer, notify: bool = True) -> None:
+        command, on_decided = server.pending.pop(0)
         self.log.append(command)
         if notify:
-            node.catch_up()
+            server.catch_up()
             on_decided(True)
 
     def commit(self) -> None:
         if self.leader is not None and self.leader.pending:
             self._commit(self.leader)
 
-    def confirm_reads(self, node: SimulatedLeaseServer) -> None:
-        """Confirm the reads that were asked for while it led, if it leads still."""
-        if node is self.leader and node.manager.is_leader:
-            node.confirmed_reads += [on_decided for term, on_decided in node.reads if term == self.term]
-            node.reads = [row for row in node.reads if row[0] != self.term]
+    def confirm_reads(self, server: SimulatedLeaseServer) -> None:
+        """Confirm the reads that were requested in the current term, if the server still leads."""
+        if server is self.leader and server.manager.is_leader:
+            server.confirmed_reads += [on_decided for term, on_decided in server.reads if term == self.term]
+            server.reads = [row for row in server.reads if row[0] != self.term]
 
-    def answer_confirmed_reads(self, node: SimulatedLeaseServer) -> None:
-        confirmed_reads, node.confirmed_reads = node.confirmed_reads, []
+    def answer_confirmed_reads(self, server: SimulatedLeaseServer) -> None:
+        confirmed_reads, server.confirmed_reads = server.confirmed_reads, []
         for on_decided in confirmed_reads:
             on_decided(True)
 
-    def deliver_request(self, at: int, keep: bool = False) -> None:
-        holder, server, request = self.requests[at] if keep else self.requests.pop(at)
+    def deliver_request(self, index: int, duplicate: bool = False) -> None:
+        holder, server, request = self.requests[index] if duplicate else self.requests.pop(index)
         self.servers[server].manager.handle_request(str(holder), request)
 
-    def deliver_response(self, at: int, keep: bool = False) -> None:
-        _, holder, response = self.responses[at] if keep else self.responses.pop(at)
+    def deliver_response(self, index: int, duplicate: bool = False) -> None:
+        _, holder, response = self.responses[index] if duplicate else self.responses.pop(index)
         self.holders[holder].holder.handle_response(response)
 
     def tick(self) -> None:
-        for node in self.servers:
-            node.manager.tick()
-        for each in self.holders:
-            each.holder.tick()
+        for server in self.servers:
+            server.manager.tick()
+        for simulated_holder in self.holders:
+            simulated_holder.holder.tick()
 
     def pass_time(self, duration: int) -> None:
         self.time += duration
         self.tick()
 
-    def act(self, node: SimulatedHolder) -> None:
-        """Let a holder send an effect; it may be on its way for any time."""
-        if token := node.holder.token(NAME):
+    def send_effect(self, simulated_holder: SimulatedHolder) -> None:
+        """Let a holder send an effect if it holds the lease; the effect may be delayed for any time."""
+        if token := simulated_holder.holder.token(NAME):
             self.effects.append(token)
 
-    def effect(self, at: int) -> None:
-        token = self.effects.pop(at)
+    def deliver_effect(self, index: int) -> None:
+        token = self.effects.pop(index)
         if not self.guard.allows(token):
-            self.refused += 1
+            self.rejected_effects += 1
             return
-        if token < self.taken:
-            raise InvariantError(f"an effect under {token} was taken after one under {self.taken}")
-        self.taken = token
+        if token < self.accepted_token:
+            raise InvariantError(
+                f"an effect under token {token} was accepted after one under {self.accepted_token}"
+            )
+        self.accepted_token = token
 
     def back_up(self) -> None:
         self.backups = [(list(self.log), self.snapshot)]
@@ -256,13 +266,13 @@
             self.log, self.snapshot = list(self.backups[0][0]), self.backups[0][1]
             self.leader = None
             self.term += 1
-            epoch = max(node.epoch for node in self.servers) + 1
-            for node in self.servers:
-                node.epoch = epoch
-                node.restart()
+            epoch = max(server.epoch for server in self.servers) + 1
+            for server in self.servers:
+                server.epoch = epoch
+                server.restart()
 
-    def crash(self, node: SimulatedLeaseServer) -> None:
-        if node is self.leader:
+    def crash(self, server: SimulatedLeaseServer) -> None:
+        if server is self.leader:
             self.leader = None
             self.term += 1
-        node.restart()
+        server.restart()
--- a/tests/leases/test_config.py
+++ b/tests/leases/test_config.py
@@ -1,4 +1,4 @@
-"""Files of lease servers that are wrong name the key."""
+"""The files of lease servers: errors name the key, and the shipped examples are valid."""
 
 import json
 from pathlib import Path
@@ -48,10 +48,10 @@
 
 def test_shipped_examples_under_both_names_declare_the_same_leases(tmp_path: Path) -> None:
     folder = Path(__file__).parents[2] / "deploy"
-    found = []
+    configs = []
     for name in ("lease-servers", "keepers"):
         (tmp_path / f"{name}.json").write_bytes((folder / f"{name}.json").read_bytes())
         (tmp_path / f"{name}.secret").write_text("a secret that is long enough")
-        found.append(read_lease_server_config(tmp_path / f"{name}.json"))
-    assert found[0].replica == found[1].replica
-    assert found[0].definitions.by_declared_name() == found[1].definitions.by_declared_name()
+        configs.append(read_lease_server_config(tmp_path / f"{name}.json"))
+    assert configs[0].replica == configs[1].replica
+    assert configs[0].definitions.by_declared_name() == configs[1].definitions.by_declared_name()
--- a/tests/leases/test_fleet_tasks.py
+++ b/tests/leases/test_fleet_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks under leases, on real lease servers and processes: what fake dispatchers saw of them is checked."""
+"""Tasks of the fleet under leases, with real lease servers and processes, and fake dispatchers."""
 
 import asyncio
 import json
@@ -32,7 +32,7 @@
 
 
 class Overlap:
-    """Is reached once so many dispatchers are restarting at once."""
+    """Has been reached once `count` dispatchers were restarting at the same time."""
 
     def __init__(self, count: int) -> None:
         self.count = count
@@ -49,13 +49,13 @@
 
 
 class FakeDispatcher:
-    """The admin address of a dispatcher. `restart` takes it out for a while, `break` for good."""
+    """The admin address of a dispatcher. `restart` makes it unready for a while, `break` forever."""
 
     def __init__(self, overlap: Overlap) -> None:
-        """A restart is not over before `overlap` was reached."""
+        """A restart does not end before `overlap` has been reached."""
         self.overlap = overlap
-        self.returning: asyncio.Task[None] | None = None
-        self.events: list[tuple[str, float]] = []  # "out" and "back", and when
+        self.restart_task: asyncio.Task[None] | None = None
+        self.events: list[tuple[str, float]] = []  # "out" or "back", and the monotonic time
         self.ready = True
         self.port = 0
 
@@ -69,14 +69,14 @@
             self.ready = False
             self.events.append(("out", time.monotonic()))
             if line == b"restart":
-                self.returning = asyncio.create_task(self._return())
+                self.restart_task = asyncio.create_task(self._finish_restart())
         if line == b"vars":
             writer.write(b"+OK\ndispatcher_open_requests 2\ndispatcher_cfg_accepted 1\n.\n")
         else:
             writer.write(b"+OK ready\n" if self.ready else b"-ERR leaving\n")
         writer.close()
 
-    async def _return(self) -> None:
+    async def _finish_restart(self) -> None:
         self.overlap.begin()
         await self.overlap.reached.wait()
         await asyncio.sleep(0.4)
@@ -85,7 +85,7 @@
         self.events.append(("back", time.monotonic()))
 
 
-SENDS_COMMAND = """
+SEND_COMMAND_SCRIPT = """
 import socket, sys
 with socket.create_connection(("127.0.0.1", int(sys.argv[1]))) as admin:
     admin.sendall(sys.argv[2].encode() + b"\\n")
@@ -102,23 +102,23 @@
         for dispatcher in dispatchers:
             await dispatcher.open()
 
-        async def restart(dispatcher: FakeDispatcher, admin_command: str, within: str) -> int:
-            options = ["--ready", f"127.0.0.1:{dispatcher.port}", "--for", "1.5", "--within", within]
-            command = ["--", sys.executable, "-c", SENDS_COMMAND, str(dispatcher.port), admin_command]
+        async def restart(dispatcher: FakeDispatcher, admin_command: str, ready_timeout: str) -> int:
+            options = ["--ready", f"127.0.0.1:{dispatcher.port}", "--for", "1.5", "--within", ready_timeout]
+            command = ["--", sys.executable, "-c", SEND_COMMAND_SCRIPT, str(dispatcher.port), admin_command]
             return (await call("restart", "both", *options, *command))[0]
 
         broken = await restart(dispatchers[0], "break", "2")
-        # The first one waits for the second, and that one for the lease of the broken one to expire.
+        # The first restart waits for the second one, which waits until the lease for the broken one expires.
         restarts = [restart(dispatcher, "restart", "10") for dispatcher in dispatchers[1:]]
         codes = await asyncio.gather(*restarts)
         assert broken == 5 and codes == [0] * (DISPATCHERS - 1)
-        # The broken one is out for good; its lease expired, and only then another got it.
+        # The broken dispatcher stays out. Its lease was granted to another holder only after it had expired.
         events = sorted((at, event) for dispatcher in dispatchers[1:] for event, at in dispatcher.events)
-        out = most = 0
+        out = max_out = 0
         for _, event in events:
             out += 1 if event == "out" else -1
-            most = max(most, out)
-        assert most == MAX_HOLDERS and len(events) == 2 * (DISPATCHERS - 1)
+            max_out = max(max_out, out)
+        assert max_out == MAX_HOLDERS and len(events) == 2 * (DISPATCHERS - 1)
 
     run_with_lease_servers(tmp_path, script, {"both": MAX_HOLDERS})
 
@@ -132,16 +132,16 @@
 
 
 async def read_tokens_and_kill_writers(call: Call, path: Path, writers: list[Process]) -> list[int]:
-    """The tokens of the summaries as they change; the writer of each is killed, but for the last."""
+    """Return the successive tokens of the summary; the writer of each is killed, except for the last."""
     tokens: list[int] = []
     killed: set[int] = set()
-    until = time.monotonic() + 30
+    deadline = time.monotonic() + 30
     while len(tokens) < 3:
-        assert time.monotonic() < until
+        assert time.monotonic() < deadline
         await asyncio.sleep(0.05)
         if not path.exists():
             continue
-        summary = json.loads(path.read_text())  # whole, whenever it is read
+        summary = json.loads(path.read_text())  # complete at any time, as it is replaced atomically
         assert summary["asked"] == 4 and summary["answered"] == 3
         assert summary["sums"] == {"dispatcher_open_requests": 6, "dispatcher_cfg_accepted": 3}
         if not tokens or summary["token"] != tokens[-1]:
@@ -179,7 +179,7 @@
 
 
 async def run_store_command(*arguments: str) -> tuple[int, bytes]:
-    """Exit code and output."""
+    """Return the exit code and the output."""
     command = [sys.executable, "-m", "ploverspoke", "store", *arguments]
     process = await asyncio.create_subprocess_exec(*command, stdout=asyncio.subprocess.PIPE)
     output, _ = await process.communicate()
@@ -188,14 +188,14 @@
 
 
 async def start_store(leases: LeaseFleet, file: Path) -> None:
-    """A store of one replica, ready; its configuration is written to `file`."""
+    """Start a store of one replica and wait until it is ready; its configuration is written to `file`."""
     rig = leases.rig
-    place = rig.allocate_address("store", [], direct=["peers", "clients"])
+    address = rig.allocate_address("store", [], direct=["peers", "clients"])
     config = {"cluster": "s", "name": "r1", "folder": "store", "secret_file": "secret"}
-    replicas = {"r1": {"peers": place.endpoint("peers"), "clients": place.endpoint("clients")}}
+    replicas = {"r1": {"peers": address.endpoint("peers"), "clients": address.endpoint("clients")}}
     file.write_bytes(msgspec.json.encode({**config, "replicas": replicas}))
-    process = rig.add_process(place, "ploverspoke", ["serve", str(EXAMPLE_PATH), "--store", str(file)])
-    process.ready = accepts_connections(place.host, place.ports["peers"])
+    process = rig.add_process(address, "ploverspoke", ["serve", str(EXAMPLE_PATH), "--store", str(file)])
+    process.ready = accepts_connections(address.host, address.ports["peers"])
     await rig.start_processes(["store"], ["--new"])
     while (await run_store_command("status", str(file)))[0]:
         await asyncio.sleep(0.1)
@@ -230,14 +230,14 @@
     state_machine = RequestStateMachine()
     for body, token in (("a", 0), ("b", 7), ("late", 6), ("without", 0), ("c", 7), ("d", 9)):
         state_machine.apply(1, encode_command(CommitConfiguration(body, "me", 1, token)))
-    again = RequestStateMachine()
-    again.restore_snapshot(state_machine.take_snapshot())
-    again.apply(1, encode_command(CommitConfiguration("late", "me", 1, 8)))
-    assert [configuration.body for configuration in again.configurations] == ["a", "b", "c", "d"]
+    restored = RequestStateMachine()
+    restored.restore_snapshot(state_machine.take_snapshot())
+    restored.apply(1, encode_command(CommitConfiguration("late", "me", 1, 8)))
+    assert [configuration.body for configuration in restored.configurations] == ["a", "b", "c", "d"]
 
 
 class FakeLeaseClient:
-    """Returns one of the times left after the other."""
+    """Returns the given times left, one for each call."""
 
     def __init__(self, *times_left: int) -> None:
         self.times_left = list(times_left)
@@ -253,7 +253,7 @@
     ("times_left", "max_duration", "done", "completed"),
     [
         ([10**9, 10**9], 10**8, 2, True),
-        ([10**9, 10**7], 10**8, 1, False),  # what is left is too short for the second
+        ([10**9, 10**7], 10**8, 1, False),  # the time left is too short for the second step
         ([10**9, 10**9], 10**6, 0, False),  # a step that takes longer than its max_duration is cancelled
     ],
 )
--- a/tests/leases/test_holder.py
+++ b/tests/leases/test_holder.py
@@ -1,4 +1,4 @@
-"""A lease holder event by event: from when it counts, how it renews, what a pause does."""
+"""Single events of a lease holder: when durations begin, renewal, and a pause of the process."""
 
 from ploverspoke.leases.holder import LeaseHolder
 from ploverspoke.leases.messages import GrantedLease, LeaseRequest, LeaseResponse, ReleasedLease
@@ -6,7 +6,7 @@
 
 
 class HolderEnvironment:
-    """A clock moved by hand, and the requests that were sent."""
+    """A manual clock, and a record of the requests that were sent."""
 
     def __init__(self) -> None:
         self.clock = 50 * SECOND
@@ -42,7 +42,7 @@
     [request] = environment.sent
     wanted = [(lease.name, lease.duration, lease.token) for lease in request.wanted]
     assert wanted == [("one", 2 * SECOND, 0), ("team-a", 2 * SECOND, 0)]
-    environment.clock += SECOND // 10  # that is how long the response takes
+    environment.clock += SECOND // 10  # the time until the response arrives
     environment.respond(1, ("one", 7), ("team-a", 8))
     assert holder.time_left("one") == 2 * SECOND - SECOND // 5 - SECOND // 10 and holder.token("team-a") == 8
     environment.pass_time(SECOND)  # a third of the time has passed: both are renewed with one request
@@ -51,9 +51,9 @@
     assert len(environment.sent) == 3 and environment.server_changes == 1
     environment.pass_time(SECOND)
     assert not holder.time_left("one") and lost == ["it was not renewed in time"] * 2
-    environment.respond(1, ("one", 7))  # duplicated, and to a request of long ago: expired by now
+    environment.respond(1, ("one", 7))  # a duplicate, to an old request: already expired
     assert not holder.token("one")
-    environment.respond(2, ("one", 7))  # late, and some of it is left
+    environment.respond(2, ("one", 7))  # late, but some time is left
     assert holder.time_left("one") == 6 * SECOND // 10
     assert holder.token("one") == 7
     holder.release("one", hand_over_to="other/1")
--- a/tests/leases/test_lease_checker.py
+++ b/tests/leases/test_lease_checker.py
@@ -1,4 +1,4 @@
-"""The checker of lease histories, on histories written by hand."""
+"""The checker of lease histories, on hand-written histories."""
 
 import pytest
 
@@ -21,7 +21,7 @@
 
 
 @pytest.mark.parametrize(
-    ("more", "found"),
+    ("extra_events", "expected"),
     [
         ([], ""),
         ([event_at(25, "a", "acts", "n", 1)], "n: a with 1, b with 2 hold it at once, 1 may"),
@@ -31,9 +31,9 @@
         ([event_at(30, "resource", "effect", "n", 1, 10, True, "a")], "n: token 1 was accepted after 2"),
     ],
 )
-def test_checker_finds_each_kind_of_violation(more: list[HistoryEvent], found: str) -> None:
-    findings = check_lease_history(sorted([*CORRECT, *more]), {"n": 1}).findings
-    assert (not findings) if not found else any(found in what for what, _ in findings)
+def test_checker_finds_each_kind_of_violation(extra_events: list[HistoryEvent], expected: str) -> None:
+    findings = check_lease_history(sorted([*CORRECT, *extra_events]), {"n": 1}).findings
+    assert (not findings) if not expected else any(expected in message for message, _ in findings)
 
 
 def test_checker_counts_simultaneous_holders_and_takeover_gaps() -> None:
--- a/tests/leases/test_lease_commands.py
+++ b/tests/leases/test_lease_commands.py
@@ -1,4 +1,4 @@
-"""`ploverspoke lease` as operators call it, on lease servers that run as processes."""
+"""`ploverspoke lease` as operators run it, with lease servers as processes."""
 
 import asyncio
 import json
@@ -17,7 +17,7 @@
 RUNS_LONG = True  # scheduled first: see tests/conftest.py
 
 
-LONGEST_DECLARED_LEASE = 12.0  # seconds
+LONGEST_DECLARED_LEASE_S = 12.0
 RUN_OPTIONS = ["--for", "2", "--grace", "0.4", "--", sys.executable, "-c"]
 PRINTS_TOKEN = "import os, sys; print(os.environ['PLOVERSPOKE_LEASE_TOKEN']); sys.exit(7)"
 IGNORES_TERM = (
@@ -26,7 +26,7 @@
 
 
 async def acquire_show_and_release(call: Call) -> int:
-    """The token that was granted."""
+    """Return the token that was granted."""
     code, output = await call("acquire", "one", "--for", "4", "--as", "me", "--json")
     held = json.loads(output)
     assert code == 0 and held["holder"].startswith("me/") and 3 < held["left_s"] <= 3.6
@@ -61,15 +61,15 @@
 
 
 async def run_command_while_the_majority_is_paused(leases: LeaseFleet, call: Call) -> None:
-    """The command is terminated, and killed where it ignores that."""
+    """The command is terminated, and killed because it ignores TERM."""
     running = asyncio.create_task(call("run", "two", *RUN_OPTIONS, IGNORES_TERM))
     while (await call("show", "two"))[0]:
         await asyncio.sleep(0.05)
-    began = time.monotonic()
+    started_at = time.monotonic()
     for name in ("k0", "k1"):
         leases.rig.processes[name].pause()
     code, output = await running
-    assert code == 4 and "cannot be renewed" in output and time.monotonic() - began < 10
+    assert code == 4 and "cannot be renewed" in output and time.monotonic() - started_at < 10
     assert (await call("list"))[0] == 3
     for name in ("k0", "k1"):
         leases.rig.processes[name].resume()
@@ -87,7 +87,7 @@
 
 
 async def run_lease_tool(command: str, file: Path, *arguments: str) -> int:
-    """Run a command on the file of one lease server; returns the exit code."""
+    """Run a command with the file of one lease server; return the exit code."""
     process = await asyncio.create_subprocess_exec(
         *(sys.executable, "-m", "ploverspoke", "lease", command, str(file), *arguments),
         stdout=subprocess.DEVNULL,
@@ -101,7 +101,7 @@
 
 
 async def fail_to_start_with_an_empty_folder(server: RunningProcess) -> None:
-    """A server alone whose folder was cleared does not start as what it was."""
+    """A single server whose folder was cleared refuses to start as the replica that it was before."""
     await server.kill()
     server.clear_folder()
     server.ready = None
@@ -119,22 +119,23 @@
         files = [tmp_path / f"k{number}.json" for number in range(3)]
 
         assert await run_lease_tool("backup", files[0], str(backup)) == 0
-        later = [await acquire_token(call) for _ in range(2)]
-        assert later[0] < later[1]
+        tokens_after_backup = [await acquire_token(call) for _ in range(2)]
+        assert tokens_after_backup[0] < tokens_after_backup[1]
         servers = [leases.rig.processes[f"k{number}"] for number in range(3)]
         for server, file in zip(servers, files, strict=True):
             await server.stop(signal.SIGTERM, 10)
-            assert await run_lease_tool("restore", file, str(backup)) == 2  # never written over
+            # Existing storage is never overwritten.
+            assert await run_lease_tool("restore", file, str(backup)) == 2
             server.clear_folder()
             assert await run_lease_tool("restore", file, str(backup)) == 0
-        began = time.monotonic()  # before any server can lead; the third may be ready much later
+        started_at = time.monotonic()  # before any server can lead; the third may be ready much later
         await leases.rig.start_processes()
-        assert await acquire_token(call) > later[1]
-        # What was granted after the backup may be held for that long.
-        assert time.monotonic() - began > LONGEST_DECLARED_LEASE
+        assert await acquire_token(call) > tokens_after_backup[1]
+        # A lease that was granted after the backup may be held for that long.
+        assert time.monotonic() - started_at > LONGEST_DECLARED_LEASE_S
 
         await fail_to_start_with_an_empty_folder(servers[0])
-        assert await acquire_token(call) > later[1]
+        assert await acquire_token(call) > tokens_after_backup[1]
 
     run_with_lease_servers(tmp_path, script)
 
@@ -158,6 +159,6 @@
                     pass
         server = leases.rig.processes["k0"]
         assert server.is_running() and (await call("status"))[0] == 0
-        assert "wrong MAC" in server.log_tail() and "no message" in server.log_tail()
+        assert "wrong MAC" in server.log_tail() and "malformed message from a holder" in server.log_tail()
 
     run_with_lease_servers(tmp_path, script)
--- a/tests/leases/test_lease_processes.py
+++ b/tests/leases/test_lease_processes.py
@@ -1,4 +1,4 @@
-"""Lease servers and candidates as processes, killed, paused and cut off; what a resource saw is checked."""
+"""Lease servers and candidates as processes, killed, paused and cut off; a resource records the effects."""
 
 import pytest
 
@@ -21,7 +21,7 @@
 
 @pytest.mark.parametrize("fenced", [True, False])
 def test_late_effect_is_rejected_by_its_fencing_token_and_found_without_one(fenced: bool) -> None:
-    # Each in turn does not reach the resource for a while: what it has sent comes when others act by then.
+    # Each candidate in turn is cut off from the resource: its effects arrive when others already act.
     steps = [
         FaultStep(
             start=Duration(number * 700 * MILLISECOND),
@@ -47,7 +47,7 @@
 
 
 def test_faulty_holders_that_count_too_long_are_found_on_processes() -> None:
-    # Each in turn does not reach the lease servers for a while, and the next is given the lease by then.
+    # Each candidate in turn is cut off from the lease servers for so long that another is granted the lease.
     servers = ["k0", "k1", "k2"]
     steps = [
         FaultStep(
@@ -72,18 +72,25 @@
 
 
 def test_no_holder_acts_after_expiry_without_a_majority_and_all_continue_when_it_is_back() -> None:
-    begins, lasts = 4 * SECOND, 6 * SECOND
+    outage_start, outage_duration = 4 * SECOND, 6 * SECOND
     steps = [
-        FaultStep(start=Duration(begins), kind="pause", processes=["k0", "k1"], duration=Duration(lasts)),
-        FaultStep(start=Duration(begins), kind="kill", processes=["k2"], duration=Duration(lasts)),
+        FaultStep(
+            start=Duration(outage_start),
+            kind="pause",
+            processes=["k0", "k1"],
+            duration=Duration(outage_duration),
+        ),
+        FaultStep(
+            start=Duration(outage_start), kind="kill", processes=["k2"], duration=Duration(outage_duration)
+        ),
     ]
     scenario = LeaseScenario(
         servers=5, candidates=8, leases={"one": 1, "two": 1}, run_duration=Duration(16 * SECOND)
     )
     outcome = run_lease_scenario(scenario, 3, steps)
     assert (outcome.findings, outcome.void, outcome.errors) == ([], "", [])
-    epoch = next(event.at for event in outcome.events if event.kind == "begin")
-    acts = [(event.at - epoch) / SECOND for event in outcome.events if event.kind == "acts"]
-    # A lease lasts 1 s, and a holder's clock is 5% slow at the most.
+    started_at = next(event.at for event in outcome.events if event.kind == "begin")
+    acts = [(event.at - started_at) / SECOND for event in outcome.events if event.kind == "acts"]
+    # A lease lasts 1 s, and a holder's clock is at most 5% slow.
     assert not [at for at in acts if 5.1 < at < 9.9]
     assert [at for at in acts if at < 4] and [at for at in acts if at > 13]
--- a/tests/leases/test_lease_server_command.py
+++ b/tests/leases/test_lease_server_command.py
@@ -1,4 +1,4 @@
-"""`ploverspoke lease-server`, and `keep`, its name of earlier releases."""
+"""`ploverspoke lease-server`, and `keep`, its name in earlier releases."""
 
 from pathlib import Path
 
--- a/tests/leases/test_manager.py
+++ b/tests/leases/test_manager.py
@@ -1,4 +1,4 @@
-"""A leading lease server event by event: order of waiting, handing over, what is left out or rejected."""
+"""Single events of a leading lease server: the order of waiting holders, handover, expiry and rejection."""
 
 from collections.abc import Callable
 
@@ -27,14 +27,14 @@
 
 
 class SingleLeaseServer:
-    """An environment that leads alone: what is proposed is committed at once, as a later event."""
+    """The environment of a sole leader: `commit_proposals` commits all proposals, in order."""
 
     def __init__(self) -> None:
         self.clock = 100 * SECOND
         self.state = LeaseStateMachine()
         self.sent: list[tuple[str, LeaseResponse]] = []
         self.proposed: list[tuple[LeaseCommand, Callable[[bool], None]]] = []
-        self.commands = 0
+        self.committed_commands = 0
         self.manager = LeaseManager(self, self.state, DEFINITIONS)
         self.manager.become_leader()
         self.number = 0
@@ -51,10 +51,10 @@
     def send(self, holder: str, response: LeaseResponse) -> None:
         self.sent.append((holder, response))
 
-    def settle(self) -> None:
+    def commit_proposals(self) -> None:
         while self.proposed:
             command, on_decided = self.proposed.pop(0)
-            self.commands += 1
+            self.committed_commands += 1
             self.state.apply(0, command)
             on_decided(True)
 
@@ -69,7 +69,7 @@
         rows = [RequestedLease(name, duration, token, waited) for name, duration, token in wanted]
         releases = [ReleasedLease(*row) for row in released]
         self.manager.handle_request(holder, LeaseRequest(self.number, rows, releases))
-        self.settle()
+        self.commit_proposals()
 
     def holders(self, name: str) -> list[str]:
         return [grant.holder for grant in self.state.grants.get(name, ())]
@@ -77,25 +77,28 @@
     def pass_time(self, span: int) -> None:
         self.clock += span
         self.manager.tick()
-        self.settle()
+        self.commit_proposals()
 
 
 def test_a_thousand_holders_wait_in_order_and_only_the_next_is_sent_a_message() -> None:
     server = SingleLeaseServer()
     server.request("first", ("one", 2 * SECOND, 0))
     for number in range(1000):
-        # They come in any order; how long each has waited by its own request is what counts.
-        place = number * 7 % 1000
-        server.request(f"w{place:03}", ("one", 2 * SECOND, 0), waited=(1000 - place) * 1000)
+        # The requests arrive in any order; the waiting time that each of them states determines the order.
+        position = number * 7 % 1000
+        server.request(f"w{position:03}", ("one", 2 * SECOND, 0), waited=(1000 - position) * 1000)
     for number in range(20):
         holder = "first" if number == 0 else f"w{number - 1:03}"
         assert server.holders("one") == [holder]
         server.sent.clear()
-        commands = server.commands
+        commands_before = server.committed_commands
         server.request(holder, released=(("one", server.state.last_token, ""),))
-        # One release, one grant; a response to who released, and one to who is next.
-        assert server.commands == commands + 2
-        assert [to for to, _ in server.sent] in ([f"w{number:03}", holder], [holder, f"w{number:03}"])
+        # One release and one grant; one response to the holder that released, and one to the next holder.
+        assert server.committed_commands == commands_before + 2
+        assert [recipient for recipient, _ in server.sent] in (
+            [f"w{number:03}", holder],
+            [holder, f"w{number:03}"],
+        )
     server.manager.forget_holder("w020")
     server.request("w019", released=(("one", server.state.last_token, ""),))
     assert server.holders("one") == ["w021"]
@@ -127,10 +130,10 @@
     assert server.holders("one") == ["d"]
     server.request("d", released=(("one", 2, ""),))
     assert server.holders("one") == ["c"]
-    # Neither an old request nor another holder's ends it.
+    # Neither an old request nor a release by another holder ends the grant.
     server.manager.handle_request("c", LeaseRequest(1, [], [ReleasedLease("one", 3, "")]))
     server.request("a", released=(("one", 3, ""),))
-    server.settle()
+    server.commit_proposals()
     assert server.holders("one") == ["c"]
 
 
--- a/tests/leases/test_messages.py
+++ b/tests/leases/test_messages.py
@@ -1,4 +1,4 @@
-"""Messages of holders in a wrong form."""
+"""Malformed messages of holders."""
 
 import pytest
 
