--- a/ploverspoke/leases/admin_calls.py
+++ b/ploverspoke/leases/admin_calls.py
@@ -10,7 +10,7 @@
 CALL_TIMEOUT_S = 2.0
 MAX_REPLY_BYTES = 1 << 20
 READY_COMMAND = "check"
-REQUIRED_READY_REPLIES = 2  # consecutive ones, from a dispatcher that has been restarted
+REQUIRED_READY_REPLIES = 2  # in a row, before a restarted dispatcher counts as ready
 READY_POLL_INTERVAL_S = 0.2
 SUCCESS_PREFIX = "+OK"
 END_OF_REPLY = "."
--- a/ploverspoke/leases/admin_messages.py
+++ b/ploverspoke/leases/admin_messages.py
@@ -50,7 +50,7 @@
     """The fields that a lease server adds to the status of its replica."""
 
     is_leader: bool  # whether it grants leases
-    leases: int  # held ones, counted once for each holder
+    leases: int  # held leases, counted once for each holder
     last_token: int
     epoch: int
     waiting: int  # waiting holders, counted once for each lease
--- a/ploverspoke/leases/guarded_process.py
+++ b/ploverspoke/leases/guarded_process.py
@@ -18,7 +18,7 @@
 PR_SET_PDEATHSIG = 1  # of prctl(2)
 MIN_POLL_INTERVAL_S, MAX_POLL_INTERVAL_S = 0.01, 0.25
 KILL_MARGIN_DIVISOR = 4  # the process is killed while the lease has a quarter of the grace left
-SIGNAL_EXIT_CODE = 128  # plus the signal's number, as shells do
+SIGNAL_EXIT_CODE_BASE = 128  # plus the number of the signal, as in shells
 
 
 class GuardedProcess(NamedTuple):
@@ -81,7 +81,7 @@
         until_next_s = (time_left - (kill_at if terminated else terminate_at)) / SECOND
         await asyncio.wait([ended], timeout=max(MIN_POLL_INTERVAL_S, min(MAX_POLL_INTERVAL_S, until_next_s)))
     code = ended.result()
-    return ProcessOutcome(code if code >= 0 else SIGNAL_EXIT_CODE - code, terminated)
+    return ProcessOutcome(code if code >= 0 else SIGNAL_EXIT_CODE_BASE - code, terminated)
 
 
 def _set_parent_death_signal() -> None:
--- a/tests/leases/simulated_lease_cluster.py
+++ b/tests/leases/simulated_lease_cluster.py
@@ -70,9 +70,8 @@
         self.number = number
         self.epoch = 0
         self.pending: list[tuple[LeaseCommand, Callable[[bool], None]]] = []
-        self.reads: list[
-            tuple[int, Callable[[bool], None]]
-        ] = []  # with the terms in which they were requested
+        # The reads that are not yet confirmed, each with the term in which it was requested.
+        self.reads: list[tuple[int, Callable[[bool], None]]] = []
         self.confirmed_reads: list[Callable[[bool], None]] = []
         self.applied = 0
         self._create_manager()
@@ -143,7 +142,7 @@
         self.responses: list[tuple[int, int, LeaseResponse]] = []
         self.effects: list[int] = []  # tokens of effects on their way to the receiver
         self.guard = self.variants.guard()
-        self.accepted_token = 0  # of the latest accepted effect
+        self.accepted_token = 0  # token of the latest accepted effect
         self.holding: set[tuple[int, int]] = set()  # holder and token, as of the last step
         self.highest_token = 0
         self.holder_changes = self.rejected_effects = 0
@@ -178,10 +177,10 @@
 
         The old leader's proposals are committed up to a random one; it may not know that it was deposed.
         """
-        old = self.leader
-        if old is not None:
-            while old.pending and self.rng.random() < commit_probability:
-                self._commit(old, notify=False)
+        old_leader = self.leader
+        if old_leader is not None:
+            while old_leader.pending and self.rng.random() < commit_probability:
+                self._commit(old_leader, notify=False)
         self.term += 1
         self.leader = server
         # A server that applies another leader's entries knows by then that it does not lead.
