--- a/ploverspoke/testbed/models/baseline_policies.py
+++ b/ploverspoke/testbed/models/baseline_policies.py
@@ -1,7 +1,7 @@
-"""Baseline policies to compare with, behind the same DispatchActions as the product's decisions.
+"""Baseline policies that the product's decisions are compared with, using the same DispatchActions.
 
-They share one frame: a request is sent to a worker at once, is retried where its class allows that, and is
-rejected or fails when no worker may get it. They differ in the choice of the worker only.
+All of them send a request to a worker at once, retry it if its class allows that, and reject or fail it when
+it may be sent to no worker. They differ only in how they choose the worker.
 """
 
 from collections.abc import Callable, Iterable, Mapping
@@ -21,17 +21,17 @@
 
 from ..experiment_files.durations import MILLISECOND
 
-ANY_KIND = -1
-WATCH_BACKOFF = 250 * MILLISECOND  # multiplied by the number of failures in a row
+ANY_MACHINE_KIND = -1
+WATCH_BACKOFF = 250 * MILLISECOND  # multiplied by the number of consecutive failures
 MAX_BACKOFF_FACTOR = 8
-TrueLoad = Callable[[str], float]
+TrueLoad = Callable[[str], float]  # worker -> its load at this moment
 
 
 class OpenRequest:
-    """A request that is not answered yet."""
+    """A request that has not been answered yet."""
 
     def __init__(self, request_id: int, request_class: int, slots: float, deadline: int) -> None:
-        """No attempt has been made."""
+        """Start without attempts."""
         self.id = request_id
         self.request_class = request_class
         self.slots = slots
@@ -39,17 +39,17 @@
         self.attempt_count = 0
         self.worker = ""  # of the last attempt
         self.may_have_run_at = ""  # the first worker at which it may have run
-        self.retry_until = 0  # end of the retry window after that attempt
+        self.retry_until = 0  # ns; end of the retry window, which starts with the attempt that may have run
         self.failed_workers: list[str] = []
 
 
 class BaselinePolicy:
-    """The frame; `choose` picks one of the workers that may get a request."""
+    """The behavior that all baselines share; `choose` picks one of the workers allowed for a request."""
 
     def __init__(
         self, actions: DispatchActions, seed: int, settings: Settings, true_load: TrueLoad | None = None
     ) -> None:
-        """Only the policy that sees the true load uses `true_load`."""
+        """`true_load` is used only by the policy that sees the true load."""
         self.actions = actions
         self.settings = settings
         self.random = RandomNumbers(seed)
@@ -57,10 +57,10 @@
         self.workers: dict[str, Endpoint] = {}
         self.slots_in_flight: dict[str, float] = {}
         self.open: dict[int, OpenRequest] = {}
-        self.watch_failures = 0  # in a row
+        self.watch_failures = 0  # consecutive
 
     def choose(self, candidates: list[str]) -> str:
-        """Return one of the workers, of which there is at least one."""
+        """Return one of the candidates; there is at least one."""
         raise NotImplementedError
 
     # ---- Events of the driver ----
@@ -111,7 +111,7 @@
         self.send(request)
 
     def client_disconnected(self, request_id: int) -> None:
-        """Forget a request that was not sent; the end of an attempt closes any other."""
+        """Forget a request without attempts; any other is closed when its attempt ends."""
         request = self.open.get(request_id)
         if request is not None and not request.worker:
             del self.open[request_id]
@@ -146,7 +146,7 @@
     # ---- Attempts ----
 
     def send(self, request: OpenRequest) -> None:
-        """Make the next attempt, or answer where none is allowed."""
+        """Make the next attempt, or answer the request if no attempt is allowed."""
         now = self.actions.now()
         allowed = self._allowed_workers(request, now)
         if not allowed or request.attempt_count >= self._class_of(request).max_attempts:
@@ -171,7 +171,7 @@
             worker
             for worker, endpoint in self.workers.items()
             if endpoint.condition is EndpointCondition.READY
-            and request_class.machine_kind in (ANY_KIND, endpoint.machine_kind)
+            and request_class.machine_kind in (ANY_MACHINE_KIND, endpoint.machine_kind)
         ]
         if not request.may_have_run_at or request_class.idempotency is Idempotency.IDEMPOTENT:
             return ready
@@ -183,13 +183,13 @@
         scope = self._class_of(request).retry_scope
         if scope is RetryScope.ALL:
             return True
-        first = self.workers.get(request.may_have_run_at)
-        if first is None:
+        first_endpoint = self.workers.get(request.may_have_run_at)
+        if first_endpoint is None:
             return False
-        other = self.workers[worker]
+        endpoint = self.workers[worker]
         if scope is RetryScope.ZONE:
-            return first.zone == other.zone
-        return first.rack == other.rack
+            return first_endpoint.zone == endpoint.zone
+        return first_endpoint.rack == endpoint.rack
 
     def _answer(self, request: OpenRequest) -> None:
         del self.open[request.id]
@@ -201,39 +201,39 @@
 
 
 class RandomPick(BaselinePolicy):
-    """A random worker."""
+    """Chooses a random worker."""
 
     def choose(self, candidates: list[str]) -> str:
-        """Draw one."""
+        """Draw one candidate."""
         return candidates[self.random.below(len(candidates))]
 
 
 class RoundRobin(BaselinePolicy):
-    """One worker after the other."""
+    """Chooses the workers in turn."""
 
-    turn = 0
+    choice_count = 0
 
     def choose(self, candidates: list[str]) -> str:
-        """Take the next one."""
-        self.turn += 1
-        return candidates[self.turn % len(candidates)]
+        """Return the next candidate."""
+        self.choice_count += 1
+        return candidates[self.choice_count % len(candidates)]
 
 
 class TwoChoices(BaselinePolicy):
-    """Of two random workers the one with fewer slots in flight from this dispatcher."""
+    """Chooses the one of two random workers that has fewer slots in flight from this dispatcher."""
 
     def choose(self, candidates: list[str]) -> str:
-        """Draw two and compare them."""
+        """Draw two candidates and compare them."""
         first = candidates[self.random.below(len(candidates))]
         second = candidates[self.random.below(len(candidates))]
         return first if self.slots_in_flight[first] <= self.slots_in_flight[second] else second
 
 
 class LeastTrueLoad(BaselinePolicy):
-    """The worker with the least true load, which no real dispatcher can see."""
+    """Chooses the worker with the least true load, which no real dispatcher can see."""
 
     def choose(self, candidates: list[str]) -> str:
-        """Take the least loaded one; ties go to the first after a random place."""
+        """Return the least loaded candidate; a tie goes to the first one after a random position."""
         if self.true_load is None:
             raise TypeError
         start = self.random.below(len(candidates))
@@ -241,7 +241,7 @@
 
 
 class Policy(Dispatcher):
-    """The product's decisions, which see no true load."""
+    """The product's decisions, which do not see the true load."""
 
     def __init__(
         self, actions: DispatchActions, seed: int, settings: Settings, true_load: TrueLoad | None = None
--- a/ploverspoke/testbed/models/clients.py
+++ b/ploverspoke/testbed/models/clients.py
@@ -1,8 +1,8 @@
-"""Open-loop clients: they send what the schedule says when it says so, however long answers take.
+"""Open-loop clients: they send each request when it is due, however long the answers take.
 
-A rejected request is retried as the experiment says, at another dispatcher, until the deadline of the first
-attempt; that holds for non-idempotent ones too, since a rejection promises that the request did not run. One
-whose connection broke is retried only where it is idempotent.
+A rejected request is retried at another dispatcher, as the experiment configures, until the deadline of the
+first attempt. This includes non-idempotent requests, since a rejection guarantees that the request did not
+run. A request whose connection broke is retried only if it is idempotent.
 """
 
 from collections.abc import Sequence
@@ -16,18 +16,18 @@
 from .run_context import RunContext
 from .virtual_clock import TimerHandle
 
-MAX_UNREPORTED_LATENESS = 5 * MILLISECOND  # of the load generator
-REPLICA_BACKOFF = 40 * MILLISECOND  # before the same id is sent to another replica; doubled each time
+MAX_UNREPORTED_LATENESS = 5 * MILLISECOND  # of the load generator; only a greater lateness is recorded
+REPLICA_BACKOFF = 40 * MILLISECOND  # before the same request is sent to another replica; doubled each time
 MAX_BACKOFF_DOUBLINGS = 5
-MAX_IMMEDIATE_REDIRECTS = 2  # two replicas may redirect to each other
-LATE_ANSWER_ALLOWANCE = 5000 * MILLISECOND  # past the deadline, where dispatchers are replicas of a store
-ANSWER_GRACE = 50 * MILLISECOND  # past the deadline, else
-REPEAT_QUERY_SHARE = 0.1  # of answered requests whose answer is asked for again, at another replica
-MIN_TIME_LEFT = 5 * MILLISECOND  # for a retry
+MAX_IMMEDIATE_REDIRECTS = 2  # later ones are delayed, since two replicas may redirect to each other
+LATE_ANSWER_ALLOWANCE = 5000 * MILLISECOND  # after the deadline, if dispatchers are replicas of a store
+ANSWER_GRACE = 50 * MILLISECOND  # after the deadline, if they are not
+REPEAT_QUERY_SHARE = 0.1  # share of answered requests whose answer is requested again from another replica
+MIN_TIME_LEFT = 5 * MILLISECOND  # until the deadline, for a retry to be made
 
 
 class ClientRequest:
-    """One attempt of a client at one scheduled request; on the wire a request of its own."""
+    """One attempt of a client at a scheduled request; each attempt is a separate request on the wire."""
 
     __slots__ = (
         "attempt",
@@ -39,7 +39,7 @@
         "is_over",
         "is_repeat_query",
         "job",
-        "send_count",
+        "resend_count",
         "target",
         "timers",
     )
@@ -47,33 +47,33 @@
     def __init__(
         self, job: ScheduledRequest, attempt: int, dispatcher: int, deadline: int, has_key: bool
     ) -> None:
-        """Attempts are counted from 0; all those of one scheduled request have the same idempotency key."""
+        """Attempts are counted from 0; all attempts at one scheduled request share the idempotency key."""
         self.job = job
         self.attempt = attempt
         self.id = f"{job.number:x}-{attempt}"
         self.idempotency_key = f"{job.number:x}" if has_key else ""
         self.dispatcher = dispatcher
         self.deadline = deadline
-        self.target = dispatcher  # to which its id was last sent
+        self.target = dispatcher  # the dispatcher that it was last sent to
         self.is_over = False
-        self.send_count = 0  # of its id, after the first time
-        self.is_repeat_query = False  # it is answered, and its answer is asked for again
+        self.resend_count = 0
+        self.is_repeat_query = False  # answered before, and its answer is requested again
         self.timers: list[TimerHandle] = []
-        self.connection: object = None  # the driver's
+        self.connection: object = None  # set and used by the driver
 
     def expects_answer(self) -> bool:
-        """Whether an answer is still of use."""
+        """Whether the client still waits for an answer."""
         return self.is_repeat_query or not self.is_over
 
 
 class ClientConnections(Protocol):
-    """Connections to dispatchers, as a driver has them."""
+    """The connections to dispatchers, which the driver provides."""
 
     def send(self, request: ClientRequest) -> None:
         """Send the request to its target."""
 
     def close(self, request: ClientRequest) -> None:
-        """Close the connection of a request whose answer is no longer waited for."""
+        """Close the connection of a request whose answer the client no longer waits for."""
 
 
 class Clients:
@@ -84,9 +84,9 @@
         context: RunContext,
         jobs: Sequence[ScheduledRequest],
         connections: ClientConnections,
-        part: int = 0,
+        process_number: int = 0,
     ) -> None:
-        """Jobs are in the order in which they are due; `part` numbers the processes of clients."""
+        """`jobs` are sorted by due time; `process_number` counts the client processes from 0."""
         self.experiment = context.experiment
         self.options = context.experiment.clients
         self.has_store = context.experiment.dispatchers.store
@@ -94,11 +94,11 @@
         self.clock = context.clock
         self.event_log = context.event_log
         self.connections = connections
-        self.draws = context.streams().draws(f"clients {part}")
-        self.backoff_generator = context.streams().generator(f"retry waits {part}")
-        self.sent_count = 0  # jobs that were sent for the first time
+        self.draws = context.streams().draws(f"clients {process_number}")
+        self.backoff_generator = context.streams().generator(f"retry waits {process_number}")
+        self.sent_count = 0  # jobs whose first attempt was sent
         self.open_count = 0
-        self.max_lateness = 0  # ns, of a first attempt
+        self.max_lateness = 0  # ns by which a first attempt was sent late
 
     def start(self) -> None:
         """Send each job when it is due."""
@@ -107,23 +107,23 @@
     # ---- Calls of the driver ----
 
     def accepted(self, request: ClientRequest) -> None:
-        """The dispatcher's machine has the whole request."""
+        """The whole request was sent on a connection that the dispatcher's machine accepted."""
         if not request.is_over:
             self._record(event_records.REQUEST_ACCEPTED, request)
 
     def answered(self, request: ClientRequest, outcome: str, retry_after: int = 0) -> None:
-        """The answer has come, or the connection broke; `retry_after` is in ns."""
+        """The answer has arrived, or the connection broke; `retry_after` is in ns."""
         if self.has_store and outcome == event_records.BROKEN and not request.is_over:
             self._resend(request, self._next_dispatcher(request))
             return
         if request.is_over:
-            # The checker looks at answers after the first one.
+            # The checker also examines answers after the first one.
             self._record(event_records.REQUEST_ANSWERED, request, outcome)
             return
         self._finish(request)
         self._record(event_records.REQUEST_ANSWERED, request, outcome)
         if self.has_store and self.draws.happens(REPEAT_QUERY_SHARE):
-            self.clock.call_at(self.clock.now() + REPLICA_BACKOFF, self._query_again, request)
+            self.clock.call_at(self.clock.now() + REPLICA_BACKOFF, self._repeat_query, request)
         request_class = self.experiment.request_classes[request.job.request_class]
         is_idempotent = request_class.idempotency is Idempotency.IDEMPOTENT
         is_broken = outcome == event_records.BROKEN
@@ -131,7 +131,7 @@
             self._retry(request, retry_after)
 
     def connect_failed(self, request: ClientRequest) -> None:
-        """No connection came up: the next dispatcher is tried at once."""
+        """The connection failed; try another dispatcher, at once unless it is a replica of a store."""
         if request.is_over:
             return
         if self.has_store:
@@ -142,7 +142,7 @@
         self._retry(request, 0, at_once=True)
 
     def redirected(self, request: ClientRequest, target: int) -> None:
-        """Another replica leads: the same id is sent there."""
+        """Another replica leads; send the same request to it."""
         if request.expects_answer():
             self._resend(request, target, at_once=True)
 
@@ -150,10 +150,10 @@
 
     def _schedule_next(self) -> None:
         if self.sent_count < len(self.jobs):
-            self.clock.call_at(self.jobs[self.sent_count].due_at, self._send_due)
+            self.clock.call_at(self.jobs[self.sent_count].due_at, self._send_due_jobs)
 
-    def _send_due(self) -> None:
-        """Send all that are due; a delayed loop catches up and records by how much it was late."""
+    def _send_due_jobs(self) -> None:
+        """Send all jobs that are due; after a delay of the event loop, catch up and record the lateness."""
         now = self.clock.now()
         while self.sent_count < len(self.jobs) and self.jobs[self.sent_count].due_at <= now:
             job = self.jobs[self.sent_count]
@@ -162,7 +162,7 @@
             if lateness > max(MAX_UNREPORTED_LATENESS, self.max_lateness):
                 self.max_lateness = lateness
                 self.event_log.add(Event(now, event_records.BEHIND_SCHEDULE, job=job.number, detail=lateness))
-            # Deadlines count from when the job was due, not from when it was sent.
+            # The deadline is relative to the time when the job was due, not to the time when it was sent.
             self._attempt(job, 0, job.dispatcher, job.due_at)
         self._schedule_next()
 
@@ -212,10 +212,10 @@
 
     def _resend(self, request: ClientRequest, target: int, at_once: bool = False) -> None:
         request.target = target
-        request.send_count += 1
+        request.resend_count += 1
         wait = 0.0
-        if not at_once or request.send_count > MAX_IMMEDIATE_REDIRECTS:
-            backoff = REPLICA_BACKOFF << min(request.send_count, MAX_BACKOFF_DOUBLINGS)
+        if not at_once or request.resend_count > MAX_IMMEDIATE_REDIRECTS:
+            backoff = REPLICA_BACKOFF << min(request.resend_count, MAX_BACKOFF_DOUBLINGS)
             wait = backoff * (0.5 + self.draws.fraction())
         self.clock.call_at(self.clock.now() + int(wait), self._send_if_needed, request)
 
@@ -230,13 +230,13 @@
             request.timers.append(self.clock.call_at(self.clock.now() + timeout, self._fail_over, request))
 
     def _fail_over(self, request: ClientRequest) -> None:
-        """A paused replica neither answers nor closes the connection."""
+        """Try the next replica: a paused one neither answers nor closes the connection."""
         if not request.is_over:
             self.connections.close(request)
             self._resend(request, self._next_dispatcher(request), at_once=True)
 
-    def _query_again(self, request: ClientRequest) -> None:
-        """Each replica must give the same answer again; the driver calls `answered` with it."""
+    def _repeat_query(self, request: ClientRequest) -> None:
+        """Request the answer again, which must be the same; the driver calls `answered` with it."""
         request.is_repeat_query = True
         request.target = self._next_dispatcher(request)
         self.connections.send(request)
--- a/ploverspoke/testbed/models/deployment_settings.py
+++ b/ploverspoke/testbed/models/deployment_settings.py
@@ -1,4 +1,4 @@
-"""The settings of a dispatcher in an experiment, in the form that its configuration has."""
+"""Builds the settings of a dispatcher from an experiment, in the format of its configuration."""
 
 from typing import Any
 
@@ -16,11 +16,11 @@
 LIST_VALIDITY_US = 10_000_000
 BATCH_INTERVAL_US = 2000
 CROSS_ZONE_COST = 0.01
-ANY_KIND = -1
+ANY_MACHINE_KIND = -1
 
 
 def dispatcher_settings(experiment: Experiment, dispatcher: int, at: int = 0) -> dict[str, Any]:
-    """Return the dispatcher's settings at that time of the run (ns)."""
+    """Return the settings of a dispatcher, by its number, `at` ns after the start of the run."""
     zones = experiment.zones()
     return {
         "Discovery": "ask" if experiment.rules.discovery_polling else "push",
@@ -67,12 +67,12 @@
 
 def _workers(experiment: Experiment) -> dict[str, Any]:
     kinds = experiment.kinds()
-    needed = [request_class.machine_kind for request_class in experiment.request_classes]
+    required_kinds = [request_class.machine_kind for request_class in experiment.request_classes]
     return {
         "TellsStart": experiment.worker_rules.reports_start,
         "ProgressUs": _microseconds(experiment.worker_rules.progress_interval),
         "ReportX0": "free slots",
-        "ClassKind": [kinds.index(kind) if kind else ANY_KIND for kind in needed],
+        "ClassKind": [kinds.index(kind) if kind else ANY_MACHINE_KIND for kind in required_kinds],
     }
 
 
--- a/ploverspoke/testbed/models/discovery.py
+++ b/ploverspoke/testbed/models/discovery.py
@@ -1,4 +1,4 @@
-"""Service discovery: versions of the endpoint list, watches with delays, calls served one by one."""
+"""Model of service discovery: a versioned endpoint list, delayed watches, and calls served one at a time."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -11,18 +11,18 @@
 
 
 class EndpointEntry(NamedTuple):
-    """One worker as the endpoint list shows it; a driver adds what its wire needs."""
+    """One worker as the endpoint list shows it; a driver adds the fields that its wire format needs."""
 
     worker: str
     zone: int
     kind: int
     rack: int
     condition: EndpointStatus
-    started_at: int  # ns from the start of the run; 0: long before
+    started_at: int  # ns from the start of the run; 0: long before the run
 
 
 class EndpointUpdate(NamedTuple):
-    """The answer to a call: the whole list, or what has changed since the caller's version."""
+    """The answer to a call: the whole list, or the entries changed since the caller's version."""
 
     version: int
     is_complete: bool
@@ -30,12 +30,12 @@
 
 
 class DiscoveryCall:
-    """A call of one dispatcher, answered once; None: discovery is down or out of reach."""
+    """A call of one dispatcher, answered once; None as the answer: discovery is down or unreachable."""
 
     def __init__(
         self, dispatcher: int, version: int | None, on_answer: Callable[[EndpointUpdate | None], None]
     ) -> None:
-        """Without a version the call asks for the whole list; else it is a watch from that version on."""
+        """A call with a version is a watch from that version on; without, it requests the whole list."""
         self.dispatcher = dispatcher
         self.version = version
         self._on_answer: Callable[[EndpointUpdate | None], None] | None = on_answer
@@ -53,7 +53,7 @@
 
 
 class DiscoveryModel:
-    """The endpoint list and the calls for it."""
+    """The endpoint list and the calls that request it."""
 
     def __init__(
         self, options: DiscoveryOptions, clock: Clock, event_log: EventLog, draws: RandomDraws
@@ -65,8 +65,8 @@
         self.draws = draws
         self.version = 1
         self.entries: dict[str, EndpointEntry] = {}
-        self.free_at = 0  # when all calls so far have been served
-        self.is_unreachable: Callable[[int], bool] = lambda dispatcher: False  # for that dispatcher
+        self.free_at = 0  # ns; when all calls received so far will have been served
+        self.is_unreachable: Callable[[int], bool] = lambda dispatcher: False  # by dispatcher number
         self._changed_in: dict[str, int] = {}  # worker -> version
         self._watches: list[DiscoveryCall] = []
         self._outages: set[int] = set()  # fault numbers
@@ -92,7 +92,7 @@
             self.clock.call_at(self.clock.now() + delay, self._serve, call)
 
     def call(self, call: DiscoveryCall, hold: int) -> None:
-        """Answer at once, or hold a watch of the present version for at most `hold` ns."""
+        """Answer the call, or hold a watch of the current version for at most `hold` ns."""
         if self._outages or self.is_unreachable(call.dispatcher):
             call.answer(None)
         elif call.version == self.version:
@@ -101,16 +101,16 @@
         else:
             self._serve(call)
 
-    def start_outage(self, fault: int) -> None:
-        """Fail all watches, and all calls until the outage ends."""
-        self._outages.add(fault)
+    def start_outage(self, fault_number: int) -> None:
+        """Fail all open watches, and all calls until the outage ends."""
+        self._outages.add(fault_number)
         watches, self._watches = self._watches, []
         for call in watches:
             call.answer(None)
 
-    def end_outage(self, fault: int) -> None:
-        """Answer again, unless another outage lasts."""
-        self._outages.discard(fault)
+    def end_outage(self, fault_number: int) -> None:
+        """Answer calls again, unless another outage has not ended."""
+        self._outages.discard(fault_number)
 
     def _end_hold(self, call: DiscoveryCall) -> None:
         if call in self._watches:
@@ -138,7 +138,7 @@
         return EndpointUpdate(self.version, False, entries)
 
     def _record_notified(self, dispatcher: int, update: EndpointUpdate) -> None:
-        """Record what the dispatcher knows from now on."""
+        """Record the conditions that the answer gives to the dispatcher."""
         conditions = {entry.worker: entry.condition for entry in update.entries}
         if update.is_complete:
             conditions = {**dict.fromkeys(self.entries, EndpointStatus.GONE), **conditions}
--- a/ploverspoke/testbed/models/dispatcher_outages.py
+++ b/ploverspoke/testbed/models/dispatcher_outages.py
@@ -1,4 +1,4 @@
-"""Outages of dispatchers in an experiment; random ones are drawn from the seed."""
+"""Outages of dispatchers in an experiment; random outages are drawn from the seed."""
 
 from enum import StrEnum
 from typing import NamedTuple
@@ -17,7 +17,7 @@
 
 
 class OutageKind(StrEnum):
-    """What happens to the dispatcher's process."""
+    """The kind of outage of a dispatcher process."""
 
     KILLED = "killed"
     PAUSED = "paused"
@@ -26,7 +26,7 @@
 
 
 class DispatcherOutage(NamedTuple):
-    """One outage of one dispatcher; times in ns from the start of the run."""
+    """One outage of one dispatcher; times are in ns from the start of the run."""
 
     start: int
     end: int
@@ -34,7 +34,7 @@
     kind: OutageKind
 
 
-KINDS: dict[type[Fault], OutageKind] = {
+OUTAGE_KINDS: dict[type[Fault], OutageKind] = {
     DispatcherKilled: OutageKind.KILLED,
     DispatcherPaused: OutageKind.PAUSED,
     DispatcherRestarted: OutageKind.RESTARTED,
@@ -43,28 +43,28 @@
 
 
 def dispatcher_outages(experiment: Experiment, seed: int) -> list[DispatcherOutage]:
-    """Return all outages of dispatchers in the order in which they start."""
-    found: list[DispatcherOutage] = []
+    """Return all outages of dispatchers, sorted by their start."""
+    outages: list[DispatcherOutage] = []
     for number, fault in enumerate(experiment.faults):
         if isinstance(fault, NamedDispatcherFault):
-            end, kind = fault.start + fault.duration, KINDS[type(fault)]
-            found += [
+            end, kind = fault.start + fault.duration, OUTAGE_KINDS[type(fault)]
+            outages += [
                 DispatcherOutage(fault.start, end, dispatcher, kind) for dispatcher in fault.dispatchers
             ]
         elif isinstance(fault, RandomDispatcherOutages):
-            found += _draw_outages(experiment, fault, RandomStreams(seed).draws(f"outages {number}"))
-    return sorted(found)
+            outages += _draw_outages(experiment, fault, RandomStreams(seed).draws(f"outages {number}"))
+    return sorted(outages)
 
 
 def _draw_outages(
     experiment: Experiment, fault: RandomDispatcherOutages, draws: RandomDraws
 ) -> list[DispatcherOutage]:
-    found = []
+    outages = []
     interval_start: int = fault.start
     while interval_start + fault.downtime <= fault.start + fault.duration:
         dispatcher = draws.below(experiment.dispatchers.count)
         start = interval_start + int(draws.fraction() * (fault.interval - fault.downtime))
         kind = OutageKind.PAUSED if draws.happens(fault.pause_share) else OutageKind.KILLED
-        found.append(DispatcherOutage(start, start + fault.downtime, dispatcher, kind))
+        outages.append(DispatcherOutage(start, start + fault.downtime, dispatcher, kind))
         interval_start += fault.interval
-    return found
+    return outages
--- a/ploverspoke/testbed/models/duplicate_filter.py
+++ b/ploverspoke/testbed/models/duplicate_filter.py
@@ -6,34 +6,34 @@
 from .virtual_clock import Clock
 
 
-class _KnownExecution(NamedTuple):
-    """An execution and since when its key is known."""
+class _RememberedExecution(NamedTuple):
+    """An execution, and when it was remembered."""
 
-    since: int
+    remembered_at: int  # ns from the start of the run
     execution: Execution
 
 
 class DuplicateFilter:
-    """Remembers the execution of each idempotency key for a while."""
+    """Remembers the latest execution of each idempotency key."""
 
     def __init__(self, clock: Clock) -> None:
-        """Start without any."""
+        """Start without remembered executions."""
         self.clock = clock
-        self._known: dict[str, _KnownExecution] = {}  # by idempotency key
+        self._remembered: dict[str, _RememberedExecution] = {}  # by idempotency key
 
     def find_original(self, key: str, window: int) -> Execution | None:
         """Return the execution that was remembered for the key less than `window` ns ago."""
-        known = self._known.get(key)
-        if known is None or self.clock.now() - known.since >= window:
+        remembered = self._remembered.get(key)
+        if remembered is None or self.clock.now() - remembered.remembered_at >= window:
             return None
-        return known.execution
+        return remembered.execution
 
     def remember(self, execution: Execution) -> None:
-        """Take later executions of its key for duplicates."""
-        self._known[execution.idempotency_key] = _KnownExecution(self.clock.now(), execution)
+        """Treat later executions with the same key as duplicates of this one."""
+        self._remembered[execution.idempotency_key] = _RememberedExecution(self.clock.now(), execution)
 
     def forget(self, execution: Execution) -> None:
-        """The execution ended before it had an effect."""
-        known = self._known.get(execution.idempotency_key)
-        if known is not None and known.execution is execution:
-            del self._known[execution.idempotency_key]
+        """Forget an execution that ended without an effect."""
+        remembered = self._remembered.get(execution.idempotency_key)
+        if remembered is not None and remembered.execution is execution:
+            del self._remembered[execution.idempotency_key]
--- a/ploverspoke/testbed/models/event_records.py
+++ b/ploverspoke/testbed/models/event_records.py
@@ -1,7 +1,7 @@
-"""Events that clients, workers and discovery observe, in one form for both drivers.
+"""Events that clients, workers and discovery observe, in the same form for both drivers.
 
-Dispatchers record none: the checkers judge by what is seen from outside. An event file has one JSON array in
-each line.
+Dispatchers record no events: the checkers rely only on observations from outside. An event file has one JSON
+array in each line.
 """
 
 from collections.abc import Iterable, Iterator
@@ -11,30 +11,30 @@
 
 import msgspec
 
-# Events of clients.
+# Events of clients
 REQUEST_SENT = "sent"  # detail: RequestSent
-REQUEST_ACCEPTED = "taken"  # its last byte is on a connection that the dispatcher's machine accepted
+REQUEST_ACCEPTED = "taken"  # its last byte was sent on a connection that the dispatcher's machine accepted
 REQUEST_ANSWERED = "answered"  # detail: one of the outcomes below
 CLIENT_DISCONNECTED = "left"
 CONNECT_FAILED = "never taken"
 REQUEST_TIMED_OUT = "unanswered"  # no answer by the deadline
-BEHIND_SCHEDULE = "behind"  # the load generator is late; detail: by how many ns
-# Events of workers.
-ATTEMPT_ARRIVED = "came"  # its last byte has arrived; detail: its serial number at the worker
-ATTEMPT_STARTED = "began"  # detail: the same number
+BEHIND_SCHEDULE = "behind"  # the load generator is late; detail: the lateness in ns
+# Events of workers
+ATTEMPT_ARRIVED = "came"  # its last byte has arrived; detail: the attempt's serial number at the worker
+ATTEMPT_STARTED = "began"  # detail: the serial number
 ATTEMPT_ENDED = "ended"  # detail: AttemptEnded
-ATTEMPT_CLOSED = "closed"  # the dispatcher closed its connection; detail: the same number
-WORKER_OVERLOADED = "fell"  # crashed by overload while cold; detail: WorkerOverloaded
+ATTEMPT_CLOSED = "closed"  # the dispatcher closed its connection; detail: the serial number
+WORKER_OVERLOADED = "fell"  # it crashed by overload while cold; detail: WorkerOverloaded
 WORKER_DIED = "died"
 WORKER_STARTED = "up"
-# Events of discovery.
+# Events of discovery
 ENDPOINT_NOTIFIED = "told"  # a dispatcher has received a worker's condition; detail: EndpointStatus
-# Events of the fault injection.
+# Events of the fault injection
 DISPATCHER_KILLED = "dispatcher down"
 DISPATCHER_TERMINATING = "dispatcher leaves"  # SIGTERM
 DISPATCHER_STARTED = "dispatcher up"
 
-# Outcomes of a request, as the client sees them.
+# Outcomes of a request, as the client sees them
 SUCCEEDED = "satisfied"
 REJECTED = "nacked"
 FAILED = "abandoned"
@@ -47,7 +47,7 @@
 
     DONE = "done"
     FAILED = "failed"
-    RETURNED = "returned"  # never started
+    RETURNED = "returned"  # without having been started
     LOST = "lost"  # the worker died
     CANCELLED = "recalled"
     DUPLICATE_DROPPED = "repeat dropped"
@@ -62,10 +62,10 @@
 
 
 class RequestSent(NamedTuple):
-    """Detail of REQUEST_SENT; times in ns from the start of the run."""
+    """Detail of REQUEST_SENT; times are in ns from the start of the run."""
 
     request_class: int
-    attempt: int  # of the client; 0: the first
+    attempt: int  # of the client, counted from 0
     deadline: int
     first_sent_at: int
 
@@ -78,15 +78,15 @@
 
 
 class WorkerOverloaded(NamedTuple):
-    """Detail of WORKER_OVERLOADED; work in ns of one slot at speed 1."""
+    """Detail of WORKER_OVERLOADED; work is in ns of one slot at speed 1."""
 
-    arrived_work: int  # in the overload window
+    arrived_work: int  # within the overload window
     work_limit: int
     work_by_dispatcher: dict[str, int]
 
 
 class Event(NamedTuple):
-    """One event; what its kind does not have is -1 or empty."""
+    """One event; fields that do not apply to its kind are -1 or empty."""
 
     at: int  # ns from the start of the run
     kind: str
@@ -117,7 +117,7 @@
 
 
 def read_events(path: Path) -> Iterator[Event]:
-    """Yield the events of a file up to its last complete line: its writer may have been killed."""
+    """Yield the events up to the last complete line, since the writer may have been killed while writing."""
     decoder: msgspec.json.Decoder[Event] = msgspec.json.Decoder(Event)
     with path.open("rb") as file:
         for line in file:
@@ -127,5 +127,5 @@
 
 
 def merge_events(logs: Iterable[Iterable[Event]]) -> list[Event]:
-    """Sort events by time; those of one instant keep the order of their log."""
+    """Sort events by time; events of the same time keep the order of their log."""
     return sorted((event for log in logs for event in log), key=lambda event: event.at)
--- a/ploverspoke/testbed/models/execution.py
+++ b/ploverspoke/testbed/models/execution.py
@@ -9,29 +9,29 @@
 
 
 class ExecutionListener(Protocol):
-    """Receives what the worker sends about an execution."""
+    """Receives the messages that the worker sends about an execution."""
 
-    def run_started(self, run: "Execution") -> None:
+    def run_started(self, execution: "Execution") -> None:
         """The execution has started."""
 
-    def run_progressed(self, run: "Execution", share: float) -> None:
-        """That share of its work is done."""
+    def run_progressed(self, execution: "Execution", share: float) -> None:
+        """That share of the work is done."""
 
-    def run_ended(self, run: "Execution", end: ExecutionEnd) -> None:
-        """It has ended; called at most once, and not after a cancel."""
+    def run_ended(self, execution: "Execution", end: ExecutionEnd) -> None:
+        """The execution has ended; called at most once, and not after it was cancelled."""
 
 
 class IgnoringListener:
-    """Drops what a worker sends on a connection that has fallen silent."""
+    """Ignores the messages that a worker sends on a connection that has fallen silent."""
 
-    def run_started(self, run: "Execution") -> None:
-        """Drop it."""
+    def run_started(self, execution: "Execution") -> None:
+        """Ignore the message."""
 
-    def run_progressed(self, run: "Execution", share: float) -> None:
-        """Drop it."""
+    def run_progressed(self, execution: "Execution", share: float) -> None:
+        """Ignore the message."""
 
-    def run_ended(self, run: "Execution", end: ExecutionEnd) -> None:
-        """Drop it."""
+    def run_ended(self, execution: "Execution", end: ExecutionEnd) -> None:
+        """Ignore the message."""
 
 
 class Execution:
@@ -65,30 +65,30 @@
         listener: ExecutionListener,
         idempotency_key: str = "",
     ) -> None:
-        """An empty idempotency key: duplicates are not recognized."""
+        """Without an idempotency key, duplicates of the execution are not detected."""
         self.request_id = request_id
         self.job = job
         self.dispatcher = dispatcher
         self.listener = listener
         self.idempotency_key = idempotency_key
-        self.serial = 0  # given by the worker on arrival
+        self.serial = 0  # assigned by the worker on arrival
         self.has_started = False
         self.is_over = False
-        self.remaining_work = float(job.work)  # ns at speed 1, at the time rate_since
-        self.rate = 0.0
-        self.rate_since = 0
+        self.remaining_work = float(job.work)  # ns of one slot at speed 1, as of `rate_since`
+        self.rate = 0.0  # relative to speed 1
+        self.rate_since = 0  # ns from the start of the run
         self.completion_timer: TimerHandle | None = None
         self.progress_timer: TimerHandle | None = None
         self.is_fetching = False
         self.fetch: Fetch | None = None
         self.duplicate_of: Execution | None = None
-        self.duplicates: list[Execution] = []  # that end as this one does
+        self.duplicates: list[Execution] = []  # they end when this execution ends
 
     def change_rate(self, rate: float, now: int) -> None:
-        """Account for the work done so far and go on at another rate."""
+        """Account for the work done so far and continue at another rate."""
         if self.rate > 0:
-            done = (now - self.rate_since) * self.rate
-            self.remaining_work = max(0.0, self.remaining_work - done)
+            work_done = (now - self.rate_since) * self.rate
+            self.remaining_work = max(0.0, self.remaining_work - work_done)
         self.rate_since = now
         self.rate = rate
 
@@ -97,7 +97,7 @@
         return 0.0 if self.is_fetching else 1 - self.remaining_work / self.job.work
 
     def cancel_timers(self) -> None:
-        """Stop work, progress reports and the fetch."""
+        """Cancel the completion, the progress reports and the fetch."""
         for timer in (self.completion_timer, self.progress_timer):
             if timer is not None:
                 timer.cancel()
--- a/ploverspoke/testbed/models/executor.py
+++ b/ploverspoke/testbed/models/executor.py
@@ -1,6 +1,6 @@
-"""Executes the requests that a worker has: its queue, its slots and its cache.
+"""Executes the requests of a worker, with its queue, slots and cache.
 
-Work is counted in ns of one slot at speed 1 and is done at the worker's present rate.
+Work is measured in ns of one slot at speed 1 and is done at the current rate of the worker.
 """
 
 from collections import OrderedDict, deque
@@ -30,7 +30,7 @@
         duplicate_filters: dict[int, DuplicateFilter],
         store: SharedStore | None,
     ) -> None:
-        """Start idle; duplicate filters are by number of the request class."""
+        """Start idle; `duplicate_filters` are keyed by the number of the request class."""
         self.worker = worker
         self.slots = group.slots
         self.queue_limit = group.queue_limit
@@ -45,64 +45,72 @@
         self.free_slots = float(group.slots)
         self.queue: deque[Execution] = deque()
         self.running: dict[Execution, None] = {}
-        self.cached_keys: OrderedDict[str, None] = OrderedDict()  # the most recently used last
+        self.cached_keys: OrderedDict[str, None] = OrderedDict()  # least recently used first
         self.on_idle: Callable[[], None] | None = None
 
     def load(self) -> float:
-        """Return the slots in use and queued for, as a share of the slots."""
-        queued = sum(run.job.slots for run in self.queue)
+        """Return the slots that are in use or requested by queued executions, as a share of all slots."""
+        queued = sum(execution.job.slots for execution in self.queue)
         return (self.slots - self.free_slots + queued) / self.slots
 
     def is_idle(self) -> bool:
-        """Whether nothing runs or waits."""
+        """Whether no execution is running or queued."""
         return not self.running and not self.queue
 
     def change_rate(self, rate: float) -> None:
-        """Do all work at another rate from now on."""
+        """Continue all running work at another rate."""
         if rate == self.rate:
             return
         self.rate = rate
-        for run in self.running:
-            if not run.is_fetching and run.duplicate_of is None:
-                self._work(run)
+        for execution in self.running:
+            if not execution.is_fetching and execution.duplicate_of is None:
+                self._schedule_completion(execution)
 
-    def record(self, kind: str, run: Execution, detail: int | AttemptEnded) -> None:
+    def record(self, kind: str, execution: Execution, detail: int | AttemptEnded) -> None:
         """Record an event of an execution."""
         self.event_log.add(
-            Event(self.clock.now(), kind, run.request_id, run.job.number, run.dispatcher, self.worker, detail)
+            Event(
+                self.clock.now(),
+                kind,
+                execution.request_id,
+                execution.job.number,
+                execution.dispatcher,
+                self.worker,
+                detail,
+            )
         )
 
     # ---- Arrival, cancellation, loss ----
 
-    def enqueue(self, run: Execution) -> None:
-        """Start a request now or later; return it where the queue is full."""
-        self.queue.append(run)
+    def enqueue(self, execution: Execution) -> None:
+        """Queue a request and start it if slots are free; return it unstarted if the queue is full."""
+        self.queue.append(execution)
         self._start_queued()
-        if len(self.queue) > self.queue_limit and self.queue[-1] is run:
+        if len(self.queue) > self.queue_limit and self.queue[-1] is execution:
             self.queue.pop()
-            self.end(run, ExecutionEnd.RETURNED)
+            self.end(execution, ExecutionEnd.RETURNED)
 
-    def fail_fast(self, run: Execution) -> None:
-        """Start a request that fails after a short time."""
+    def fail_fast(self, execution: Execution) -> None:
+        """Start a request that fails after a short time, without queueing it."""
         end_at = self.clock.now() + FAST_FAILURE_TIME
-        run.completion_timer = self.clock.call_at(end_at, self._finish, run, ExecutionEnd.FAILED)
-        self._occupy_slots(run)
+        execution.completion_timer = self.clock.call_at(end_at, self._finish, execution, ExecutionEnd.FAILED)
+        self._occupy_slots(execution)
 
-    def cancel(self, run: Execution) -> None:
-        """Stop an execution, unless duplicates wait for its end."""
-        if not run.has_started and run.duplicate_of is None and run in self.queue:
-            self.queue.remove(run)
-            self.end(run, ExecutionEnd.CANCELLED)
-        elif not run.duplicates:
-            self._finish(run, ExecutionEnd.CANCELLED)
+    def cancel(self, execution: Execution) -> None:
+        """Cancel an execution, unless duplicates wait for its end."""
+        if not execution.has_started and execution.duplicate_of is None and execution in self.queue:
+            self.queue.remove(execution)
+            self.end(execution, ExecutionEnd.CANCELLED)
+        elif not execution.duplicates:
+            self._finish(execution, ExecutionEnd.CANCELLED)
 
     def lose_all(self) -> None:
-        """The process has died."""
-        for run in [*self.running, *self.queue]:
-            run.cancel_timers()
-            if run.idempotency_key and run.has_started:
-                self._duplicate_filter(run).forget(run)
-            self.end(run, ExecutionEnd.LOST)
+        """End all executions as lost: the process has died."""
+        for execution in [*self.running, *self.queue]:
+            execution.cancel_timers()
+            if execution.idempotency_key and execution.has_started:
+                self._duplicate_filter(execution).forget(execution)
+            self.end(execution, ExecutionEnd.LOST)
         self.running.clear()
         self.queue.clear()
         self.free_slots = float(self.slots)
@@ -110,66 +118,66 @@
     # ---- Start ----
 
     def _start_queued(self) -> None:
-        skips_large = self.options.queue_order is QueueOrder.FIRST_FIT
+        can_skip = self.options.queue_order is QueueOrder.FIRST_FIT
         index = 0
         while index < len(self.queue):
-            run = self.queue[index]
-            if run.job.slots <= self.free_slots:
+            execution = self.queue[index]
+            if execution.job.slots <= self.free_slots:
                 del self.queue[index]
-                self._start(run)
-            elif skips_large:
+                self._start(execution)
+            elif can_skip:
                 index += 1
             else:
                 return
 
-    def _occupy_slots(self, run: Execution) -> None:
-        self.free_slots -= run.job.slots
-        self.running[run] = None
-        run.has_started = True
-        self.record(event_records.ATTEMPT_STARTED, run, run.serial)
-
-    def _start(self, run: Execution) -> None:
-        if run.idempotency_key:
-            known = self._duplicate_filter(run)
-            window = self.request_classes[run.job.request_class].retry_window
-            original = known.find_original(run.idempotency_key, window)
-            if original is not None and original is not run:
-                self._follow(run, original)
+    def _occupy_slots(self, execution: Execution) -> None:
+        self.free_slots -= execution.job.slots
+        self.running[execution] = None
+        execution.has_started = True
+        self.record(event_records.ATTEMPT_STARTED, execution, execution.serial)
+
+    def _start(self, execution: Execution) -> None:
+        if execution.idempotency_key:
+            duplicate_filter = self._duplicate_filter(execution)
+            window = self.request_classes[execution.job.request_class].retry_window
+            original = duplicate_filter.find_original(execution.idempotency_key, window)
+            if original is not None and original is not execution:
+                self._attach_to_original(execution, original)
                 return
-            known.remember(run)
-        self._occupy_slots(run)
+            duplicate_filter.remember(execution)
+        self._occupy_slots(execution)
         if self.options.reports_start:
-            run.listener.run_started(run)
-            if not run.is_over:
-                self._schedule_progress(run)
-        if run.is_over:
+            execution.listener.run_started(execution)
+            if not execution.is_over:
+                self._schedule_progress(execution)
+        if execution.is_over:
             return
-        key = run.job.affinity_key
-        if key and self.store is not None and not self._has_cached(key):
-            run.is_fetching = True
-            run.fetch = self.store.fetch(partial(self._fetched, run))
+        key = execution.job.affinity_key
+        if key and self.store is not None and not self._use_cached(key):
+            execution.is_fetching = True
+            execution.fetch = self.store.fetch(partial(self._finish_fetch, execution))
         else:
-            self._work(run)
+            self._schedule_completion(execution)
 
-    def _follow(self, run: Execution, original: Execution) -> None:
-        """A duplicate is not executed: it ends as the original does."""
-        run.duplicate_of = original
+    def _attach_to_original(self, execution: Execution, original: Execution) -> None:
+        """Do not execute a duplicate; it ends as the original does."""
+        execution.duplicate_of = original
         if original.is_over:
-            self._tell_end(run, ExecutionEnd.DONE)
+            self._end_one(execution, ExecutionEnd.DONE)
             return
-        original.duplicates.append(run)
+        original.duplicates.append(execution)
 
-    def _fetched(self, run: Execution) -> None:
-        run.is_fetching = False
-        run.fetch = None
-        if run.is_over:
+    def _finish_fetch(self, execution: Execution) -> None:
+        execution.is_fetching = False
+        execution.fetch = None
+        if execution.is_over:
             return
-        self.cached_keys[run.job.affinity_key] = None
+        self.cached_keys[execution.job.affinity_key] = None
         if len(self.cached_keys) > self.options.cached_keys:
             self.cached_keys.popitem(last=False)
-        self._work(run)
+        self._schedule_completion(execution)
 
-    def _has_cached(self, affinity_key: str) -> bool:
+    def _use_cached(self, affinity_key: str) -> bool:
         if affinity_key not in self.cached_keys:
             return False
         self.cached_keys.move_to_end(affinity_key)
@@ -177,68 +185,70 @@
 
     # ---- Work ----
 
-    def _work(self, run: Execution) -> None:
-        """Work on at the present rate."""
+    def _schedule_completion(self, execution: Execution) -> None:
+        """Continue work at the current rate."""
         now = self.clock.now()
-        run.change_rate(self.rate, now)
-        if run.completion_timer is not None:
-            run.completion_timer.cancel()
-            run.completion_timer = None
+        execution.change_rate(self.rate, now)
+        if execution.completion_timer is not None:
+            execution.completion_timer.cancel()
+            execution.completion_timer = None
         if self.rate > 0:
-            end_at = now + int(run.remaining_work / self.rate)
-            run.completion_timer = self.clock.call_at(end_at, self._finish, run, ExecutionEnd.DONE)
+            end_at = now + int(execution.remaining_work / self.rate)
+            execution.completion_timer = self.clock.call_at(
+                end_at, self._finish, execution, ExecutionEnd.DONE
+            )
 
-    def _schedule_progress(self, run: Execution) -> None:
+    def _schedule_progress(self, execution: Execution) -> None:
         next_at = self.clock.now() + self.options.progress_interval
-        run.progress_timer = self.clock.call_at(next_at, self._report_progress, run)
+        execution.progress_timer = self.clock.call_at(next_at, self._report_progress, execution)
 
-    def _report_progress(self, run: Execution) -> None:
-        if run.is_over:
+    def _report_progress(self, execution: Execution) -> None:
+        if execution.is_over:
             return
         if not self.is_hung:
-            run.listener.run_progressed(run, round(run.progress(), 3))
-        self._schedule_progress(run)
+            execution.listener.run_progressed(execution, round(execution.progress(), 3))
+        self._schedule_progress(execution)
 
     # ---- End of an execution ----
 
-    def _finish(self, run: Execution, end: ExecutionEnd) -> None:
-        run.cancel_timers()
-        if run in self.running:
-            del self.running[run]
-            self.free_slots += run.job.slots
-        if run.idempotency_key and end is not ExecutionEnd.DONE:
-            self._duplicate_filter(run).forget(run)
-        if run.duplicate_of is not None and run in run.duplicate_of.duplicates:
-            run.duplicate_of.duplicates.remove(run)
-        self.end(run, end)
+    def _finish(self, execution: Execution, end: ExecutionEnd) -> None:
+        execution.cancel_timers()
+        if execution in self.running:
+            del self.running[execution]
+            self.free_slots += execution.job.slots
+        if execution.idempotency_key and end is not ExecutionEnd.DONE:
+            self._duplicate_filter(execution).forget(execution)
+        if execution.duplicate_of is not None and execution in execution.duplicate_of.duplicates:
+            execution.duplicate_of.duplicates.remove(execution)
+        self.end(execution, end)
         self._start_queued()
         if self.on_idle is not None and self.is_idle():
             self.on_idle()
 
-    def end(self, run: Execution, end: ExecutionEnd) -> None:
-        """End an execution and its duplicates, and tell their listeners."""
-        if run.is_over:
+    def end(self, execution: Execution, end: ExecutionEnd) -> None:
+        """End an execution and its duplicates, and notify their listeners."""
+        if execution.is_over:
             return
-        if run.duplicate_of is None:
-            self._record_end(run, end)
-        self._tell_end(run, end)
-        for duplicate in run.duplicates:
-            # Without an effect of the original, its duplicates do not count as done either.
-            self._tell_end(duplicate, end if end is ExecutionEnd.DONE else ExecutionEnd.LOST)
-        run.duplicates.clear()
-
-    def _tell_end(self, run: Execution, end: ExecutionEnd) -> None:
-        if run.is_over:
+        if execution.duplicate_of is None:
+            self._record_end(execution, end)
+        self._end_one(execution, end)
+        for duplicate in execution.duplicates:
+            # If the original had no effect, its duplicates do not count as done either.
+            self._end_one(duplicate, end if end is ExecutionEnd.DONE else ExecutionEnd.LOST)
+        execution.duplicates.clear()
+
+    def _end_one(self, execution: Execution, end: ExecutionEnd) -> None:
+        if execution.is_over:
             return
-        run.is_over = True
-        if run.duplicate_of is not None:
-            dropped = end is ExecutionEnd.DONE
-            self._record_end(run, ExecutionEnd.DUPLICATE_DROPPED if dropped else end)
+        execution.is_over = True
+        if execution.duplicate_of is not None:
+            is_dropped = end is ExecutionEnd.DONE
+            self._record_end(execution, ExecutionEnd.DUPLICATE_DROPPED if is_dropped else end)
         if end is not ExecutionEnd.CANCELLED:
-            run.listener.run_ended(run, end)
+            execution.listener.run_ended(execution, end)
 
-    def _duplicate_filter(self, run: Execution) -> DuplicateFilter:
-        return self.duplicate_filters[run.job.request_class]
+    def _duplicate_filter(self, execution: Execution) -> DuplicateFilter:
+        return self.duplicate_filters[execution.job.request_class]
 
-    def _record_end(self, run: Execution, end: ExecutionEnd) -> None:
-        self.record(event_records.ATTEMPT_ENDED, run, AttemptEnded(run.serial, end.value))
+    def _record_end(self, execution: Execution, end: ExecutionEnd) -> None:
+        self.record(event_records.ATTEMPT_ENDED, execution, AttemptEnded(execution.serial, end.value))
--- a/ploverspoke/testbed/models/fault_targets.py
+++ b/ploverspoke/testbed/models/fault_targets.py
@@ -6,7 +6,7 @@
 
 
 def fault_targets(experiment: Experiment, seed: int) -> list[list[str]]:
-    """Return the names of each fault's workers; those given by a share are drawn from the seed."""
+    """Return the names of each fault's workers; a share of workers is drawn from the seed."""
     return [_workers_of(experiment, fault, number, seed) for number, fault in enumerate(experiment.faults)]
 
 
--- a/ploverspoke/testbed/models/load_reports.py
+++ b/ploverspoke/testbed/models/load_reports.py
@@ -1,4 +1,4 @@
-"""Load reports of a worker, as old and as noisy as the experiment says."""
+"""Load reports of a worker, with the age and the noise that the experiment configures."""
 
 from collections import deque
 from typing import NamedTuple
@@ -14,9 +14,9 @@
 
 
 class _TimedSample(NamedTuple):
-    """A sample and when it was taken."""
+    """A sample, and when it was taken."""
 
-    at: int
+    at: int  # ns from the start of the run
     sample: LoadSample
 
 
@@ -24,24 +24,24 @@
     """Delays samples and adds noise to them."""
 
     def __init__(self, noise: float, draws: RandomDraws) -> None:
-        """Take the noise as the standard deviation relative to the value."""
+        """`noise` is the standard deviation, as a share of the value."""
         self.noise = noise
         self.draws = draws
         self._history: deque[_TimedSample] = deque()
 
     def clear(self) -> None:
-        """Forget older samples."""
+        """Forget all samples."""
         self._history.clear()
 
     def report(self, sample: LoadSample, now: int, age: int) -> LoadSample:
-        """Return the newest sample that is at least `age` ns old, else the oldest one, with noise."""
+        """Return, with noise, the newest sample that is at least `age` ns old, or else the oldest sample."""
         if age:
-            sample = self._delayed(sample, now, age)
+            sample = self._delayed_sample(sample, now, age)
         if not self.noise:
             return sample
         return LoadSample(self._with_noise(sample.queue_length), self._with_noise(sample.free_slots))
 
-    def _delayed(self, sample: LoadSample, now: int, age: int) -> LoadSample:
+    def _delayed_sample(self, sample: LoadSample, now: int, age: int) -> LoadSample:
         self._history.append(_TimedSample(now, sample))
         while len(self._history) > 1 and self._history[1].at <= now - age:
             self._history.popleft()
--- a/ploverspoke/testbed/models/overload_detector.py
+++ b/ploverspoke/testbed/models/overload_detector.py
@@ -1,4 +1,4 @@
-"""Detects that a cold worker gets more work than it bears."""
+"""Detects that a cold worker receives more work than it can handle."""
 
 from collections import deque
 from typing import NamedTuple
@@ -7,10 +7,10 @@
 
 
 class _ArrivedWork(NamedTuple):
-    """Work of one request, in ns of one slot at speed 1."""
+    """The work of one request."""
 
-    at: int
-    work: float
+    at: int  # ns from the start of the run
+    work: float  # ns of one slot at speed 1
     dispatcher: int
 
 
@@ -18,7 +18,7 @@
     """Sums the work that has arrived in the overload window."""
 
     def __init__(self, window: int) -> None:
-        """Sum over that many ns."""
+        """`window` is in ns."""
         self.window = window
         self._arrivals: deque[_ArrivedWork] = deque()
         self._total = 0.0
@@ -35,8 +35,8 @@
         while self._arrivals[0].at < now - self.window:
             self._total -= self._arrivals.popleft().work
 
-    def overload(self, work_limit: float) -> WorkerOverloaded | None:
-        """Return the overload where the sum is above the limit; a single arrival is none."""
+    def detect_overload(self, work_limit: float) -> WorkerOverloaded | None:
+        """Return the overload if the sum exceeds the limit; a single arrival is never an overload."""
         if self._total <= work_limit or len(self._arrivals) < 2:
             return None
         by_dispatcher: dict[str, int] = {}
--- a/ploverspoke/testbed/models/pausable_process.py
+++ b/ploverspoke/testbed/models/pausable_process.py
@@ -1,4 +1,4 @@
-"""A process that can be stopped and continued (SIGSTOP, SIGCONT)."""
+"""A process that can be paused and resumed (SIGSTOP, SIGCONT)."""
 
 from collections.abc import Callable
 from functools import update_wrapper
@@ -9,19 +9,19 @@
 
 
 class PausableProcess:
-    """Keeps calls that come while it is stopped and makes them in order when it continues."""
+    """Defers calls made while it is paused, and makes them in order when it resumes."""
 
     def __init__(self) -> None:
-        """Start running."""
-        self.pause_count = 0  # pauses may overlap
+        """Start without a pause."""
+        self.pause_count = 0  # pauses that have not ended; they may overlap
         self.deferred: list[Callable[[], None]] = []
 
     def pause(self) -> None:
-        """Stop."""
+        """Defer calls from now on."""
         self.pause_count += 1
 
     def resume(self) -> None:
-        """Continue, unless another pause lasts."""
+        """Make the deferred calls, unless another pause has not ended."""
         self.pause_count -= 1
         while self.deferred and not self.pause_count:
             self.deferred.pop(0)()
@@ -30,7 +30,7 @@
 def deferred_while_paused(
     method: Callable[Concatenate[_Process, _Parameters], None],
 ) -> Callable[Concatenate[_Process, _Parameters], None]:
-    """Defer calls of the method while its process is stopped."""
+    """Defer calls of the method while its process is paused."""
 
     def call_or_defer(self: _Process, /, *args: _Parameters.args, **kwargs: _Parameters.kwargs) -> None:
         if self.pause_count:
--- a/ploverspoke/testbed/models/request_schedule.py
+++ b/ploverspoke/testbed/models/request_schedule.py
@@ -1,4 +1,4 @@
-"""The requests of a run, drawn before it starts: all policies and both drivers get the same ones."""
+"""The requests of a run, drawn before it starts, so that all policies and both drivers get the same ones."""
 
 from collections.abc import Sequence
 from typing import NamedTuple
@@ -17,21 +17,21 @@
 
 
 class ScheduledRequest(NamedTuple):
-    """One request as its client will first send it."""
+    """One request, as its client sends it the first time."""
 
     number: int
     due_at: int  # ns from the start of the run
     request_class: int
     slots: float
     work: int  # ns of one slot at speed 1
-    affinity_key: str  # empty: none
+    affinity_key: str  # empty: it has none
     tenant: int
     dispatcher: int  # to which it is first sent
     disconnects_after: int  # ns from due_at; 0: the client waits for the answer
 
 
 class _RequestDraws(NamedTuple):
-    """What is drawn by request class; one element for each request."""
+    """The properties that are drawn by request class; each array has one element for each request."""
 
     slots: Samples
     work: Samples  # ns
@@ -39,7 +39,7 @@
 
 
 def draw_schedule(experiment: Experiment, seed: int) -> list[ScheduledRequest]:
-    """Return all requests in the order in which they are due."""
+    """Return all requests, sorted by due time."""
     streams = RandomStreams(seed)
     arrivals = [
         _draw_arrivals(phase, experiment, streams, number) for number, phase in enumerate(experiment.traffic)
@@ -56,7 +56,7 @@
     draws = _draw_by_class(experiment, streams, class_numbers)
 
     def scheduled_request(number: int) -> ScheduledRequest:
-        """Return the request with this position in the order of due times."""
+        """Return the request at this position of the schedule."""
         request_class = classes[class_numbers[number]]
         key = draws.affinity_keys[number]
         return ScheduledRequest(
@@ -76,13 +76,13 @@
 
 def normalized_shares(weights: Sequence[float] | Samples) -> Samples:
     """Scale the weights so that they add up to 1."""
-    given = np.asarray(weights, dtype=float)
-    shares: Samples = given / given.sum()
+    unscaled = np.asarray(weights, dtype=float)
+    shares: Samples = unscaled / unscaled.sum()
     return shares
 
 
 def _draw_disconnects(experiment: Experiment, streams: RandomStreams, count: int) -> Samples:
-    """Return when clients disconnect early, as a share of the deadline; 0: they do not."""
+    """Return when each client disconnects, as a share of the deadline; 0: it waits for the answer."""
     generator = streams.generator("leaving")
     is_early = generator.random(count) < experiment.clients.early_disconnect_share
     return np.where(is_early, generator.random(count), 0.0)
@@ -102,25 +102,27 @@
             draws.slots[chosen] = generator.choice(slot_counts, len(chosen), p=shares)
         if request_class.affinity_keys:
             generator = streams.generator(f"subjects {request_class.name}")
-            shares = normalized_shares(1 / np.arange(1, request_class.affinity_keys + 1))
-            draws.affinity_keys[chosen] = generator.choice(request_class.affinity_keys, len(chosen), p=shares)
+            zipf_shares = normalized_shares(1 / np.arange(1, request_class.affinity_keys + 1))
+            draws.affinity_keys[chosen] = generator.choice(
+                request_class.affinity_keys, len(chosen), p=zipf_shares
+            )
     return draws
 
 
 def _draw_arrivals(
     phase: TrafficPhase, experiment: Experiment, streams: RandomStreams, number: int
 ) -> Samples:
-    """Draw a Poisson process by thinning from the phase's highest rate; each point is one burst."""
+    """Draw a Poisson process of bursts, by thinning one that has the highest rate of the phase."""
     end = experiment.duration if phase.end is None else phase.end
     end_rate = phase.rate if phase.end_rate is None else phase.end_rate
     peak_rate = max(phase.rate, end_rate) * (1 + phase.wave_amplitude)
     if peak_rate <= 0:
         return np.zeros(0)
     generator = streams.generator(f"arrivals {number}")
-    length = end - phase.start
-    count = generator.poisson(peak_rate * length / SECOND / phase.burst_size)
-    points = np.sort(generator.random(count)) * length
-    rate = phase.rate + (end_rate - phase.rate) * points / length
-    rate = rate * (1 + phase.wave_amplitude * np.sin(2 * np.pi * points / phase.wave_period))
-    accepted = points[generator.random(count) * peak_rate < rate]
-    return np.repeat(accepted + phase.start, phase.burst_size)
+    duration = end - phase.start
+    count = generator.poisson(peak_rate * duration / SECOND / phase.burst_size)
+    burst_times = np.sort(generator.random(count)) * duration
+    rate = phase.rate + (end_rate - phase.rate) * burst_times / duration
+    rate = rate * (1 + phase.wave_amplitude * np.sin(2 * np.pi * burst_times / phase.wave_period))
+    accepted_times = burst_times[generator.random(count) * peak_rate < rate]
+    return np.repeat(accepted_times + phase.start, phase.burst_size)
--- a/ploverspoke/testbed/models/run_context.py
+++ b/ploverspoke/testbed/models/run_context.py
@@ -1,4 +1,4 @@
-"""What all models of one run share."""
+"""The context that all models of one run share."""
 
 from typing import NamedTuple
 
--- a/ploverspoke/testbed/models/shared_store.py
+++ b/ploverspoke/testbed/models/shared_store.py
@@ -1,4 +1,4 @@
-"""The store that all workers share: a limited number of concurrent fetches, the others wait in a queue."""
+"""The store that all workers share; it limits concurrent fetches and queues the others."""
 
 from collections import deque
 from collections.abc import Callable
@@ -7,26 +7,26 @@
 from .random_streams import RandomStreams
 from .virtual_clock import Clock
 
-SAMPLE_BLOCK = 4096  # fetch times drawn at once
+SAMPLE_BLOCK_SIZE = 4096  # fetch times drawn at once
 
 
 class Fetch:
-    """One fetch, and the call that gets its result."""
+    """One fetch, and the function to call when it has finished."""
 
     __slots__ = ("is_cancelled", "on_fetched")
 
     def __init__(self, on_fetched: Callable[[], None]) -> None:
-        """Call `on_fetched` at the end."""
+        """Call `on_fetched` when the fetch has finished."""
         self.on_fetched = on_fetched
         self.is_cancelled = False
 
     def cancel(self) -> None:
-        """Do not make the call; a fetch that has begun is finished all the same."""
+        """Do not call `on_fetched`; a fetch that has started still runs to its end."""
         self.is_cancelled = True
 
 
 class SharedStore:
-    """Fetches data for workers, each after a time from the store's distribution."""
+    """Fetches data for workers; each fetch takes a time drawn from the store's distribution."""
 
     def __init__(self, options: StoreOptions, clock: Clock, streams: RandomStreams) -> None:
         """Draw fetch times from the stream "store"."""
@@ -39,7 +39,7 @@
         self._queue: deque[Fetch] = deque()
 
     def fetch(self, on_fetched: Callable[[], None]) -> Fetch:
-        """Fetch now or when a slot is free, then call `on_fetched`."""
+        """Fetch now, or when few enough fetches are active, then call `on_fetched`."""
         fetch = Fetch(on_fetched)
         if self._active_count < self.options.max_concurrent:
             self._start(fetch)
@@ -50,7 +50,7 @@
     def _start(self, fetch: Fetch) -> None:
         self._active_count += 1
         if not self._fetch_times:
-            self._fetch_times = self.options.fetch_time.sample(self._generator, SAMPLE_BLOCK).tolist()
+            self._fetch_times = self.options.fetch_time.sample(self._generator, SAMPLE_BLOCK_SIZE).tolist()
         duration = self._fetch_times.pop()
         for factor in self.slowdowns.values():
             duration *= factor
--- a/ploverspoke/testbed/models/virtual_attempt.py
+++ b/ploverspoke/testbed/models/virtual_attempt.py
@@ -1,4 +1,4 @@
-"""Attempts of a virtual dispatcher and the connections that carry them."""
+"""Attempts of a virtual dispatcher, and the connections that carry them."""
 
 from collections.abc import Callable
 from typing import Any, Protocol
@@ -29,11 +29,11 @@
     __slots__ = ("attempts", "client_request", "is_answered", "number", "request_class")
 
     def __init__(self, number: int, request_class: int, client_request: ClientRequest) -> None:
-        """The number and the class's number are those of this dispatcher."""
+        """`number` and `request_class` are numbers that this dispatcher assigned."""
         self.number = number
         self.request_class = request_class
         self.client_request = client_request
-        self.attempts: list[VirtualAttempt | None] = []  # None: its end was reported
+        self.attempts: list[VirtualAttempt | None] = []  # None: the end of the attempt was reported
         self.is_answered = False
 
 
@@ -41,17 +41,17 @@
     """The dispatcher that made the attempts."""
 
     def attempt_started(self, attempt: "VirtualAttempt") -> None:
-        """The worker says that it has started."""
+        """The worker has reported that it started the attempt."""
 
     def attempt_progressed(self, attempt: "VirtualAttempt", share: float) -> None:
-        """The worker says what share of the work is done."""
+        """The worker has reported the share of the work that is done."""
 
     def attempt_ended(self, attempt: "VirtualAttempt", outcome: AttemptOutcome) -> None:
-        """It has ended, or its connection has."""
+        """The attempt or its connection has ended."""
 
 
 class VirtualAttempt:
-    """One attempt from the choice of the worker to its end; hears what the worker sends."""
+    """One attempt, from the choice of the worker to its end; receives the messages of the worker."""
 
     __slots__ = (
         "connections",
@@ -66,7 +66,7 @@
     )
 
     def __init__(self, connections: "AttemptConnections", request: AcceptedRequest, worker: Worker) -> None:
-        """Add it to the attempts of the request."""
+        """Add the attempt to those of the request."""
         self.connections = connections
         self.request = request
         self.index = len(request.attempts)
@@ -78,25 +78,27 @@
         self.execution: Execution | None = None
         self.timers: list[TimerHandle] = []
 
-    def run_started(self, run: Execution) -> None:
-        """Tell the dispatcher one latency later."""
-        self._send_back(self.connections.listener.attempt_started, self)
+    def run_started(self, execution: Execution) -> None:
+        """Notify the dispatcher after the latency."""
+        self._notify(self.connections.listener.attempt_started, self)
 
-    def run_progressed(self, run: Execution, share: float) -> None:
-        """Tell the dispatcher one latency later."""
-        self._send_back(self.connections.listener.attempt_progressed, self, share)
+    def run_progressed(self, execution: Execution, share: float) -> None:
+        """Notify the dispatcher after the latency."""
+        self._notify(self.connections.listener.attempt_progressed, self, share)
 
-    def run_ended(self, run: Execution, end: ExecutionEnd) -> None:
-        """Tell the dispatcher one latency later."""
-        self._send_back(self.connections.listener.attempt_ended, self, OUTCOMES[end])
+    def run_ended(self, execution: Execution, end: ExecutionEnd) -> None:
+        """Notify the dispatcher after the latency."""
+        self._notify(self.connections.listener.attempt_ended, self, OUTCOMES[end])
 
-    def _send_back(self, call: Callable[..., None], *args: Any) -> None:
+    def _notify(self, call: Callable[..., None], *args: Any) -> None:
         connections = self.connections
-        if self.is_open and not connections.is_cut(self.worker):
-            connections.clock.call_at(connections.clock.time + connections.one_way(self.worker), call, *args)
+        if self.is_open and not connections.is_partitioned(self.worker):
+            connections.clock.call_at(
+                connections.clock.time + connections.one_way_latency(self.worker), call, *args
+            )
 
     def cancel_timers(self) -> None:
-        """Stop its timeout and what is under way."""
+        """Cancel the timeout and the scheduled events of the connection."""
         for timer in self.timers:
             timer.cancel()
 
@@ -112,7 +114,7 @@
         draws: RandomDraws,
         listener: AttemptListener,
     ) -> None:
-        """The number and the zone are those of the dispatcher."""
+        """`number` and `zone` are those of the dispatcher."""
         self.environment = environment
         self.clock = environment.clock
         self.number = number
@@ -121,22 +123,22 @@
         self.listener = listener
         self._idle_counts: dict[str, int] = {}  # by worker
 
-    def one_way(self, worker: Worker) -> int:
-        """Return the latency to a worker, in ns."""
-        return self.environment.network.one_way(self.zone, worker.zone)
+    def one_way_latency(self, worker: Worker) -> int:
+        """Return the one-way latency to a worker, in ns."""
+        return self.environment.network.one_way_latency(self.zone, worker.zone)
 
-    def is_cut(self, worker: Worker) -> bool:
-        """Whether nothing passes between the dispatcher and a worker."""
-        return self.environment.network.is_cut(self.zone, worker.zone)
+    def is_partitioned(self, worker: Worker) -> bool:
+        """Whether the dispatcher and a worker are partitioned from each other."""
+        return self.environment.network.is_partitioned(self.zone, worker.zone)
 
     def drop_idle(self, worker: str) -> None:
-        """A worker has died, and its idle connections with it."""
+        """Drop the idle connections to a worker that has died."""
         self._idle_counts.pop(worker, None)
 
     # ---- Start of an attempt ----
 
     def start(self, request: AcceptedRequest, worker: Worker, timeout: int) -> None:
-        """Send a request on an idle connection, else on a new one."""
+        """Send a request on an idle connection, or on a new one if there is none."""
         attempt = VirtualAttempt(self, request, worker)
         self._end_after(attempt, timeout, AttemptOutcome.TIMED_OUT)
         if self._idle_counts.get(worker.name, 0) > 0:
@@ -146,16 +148,16 @@
             self._connect(attempt)
 
     def _send_on_idle_connection(self, attempt: VirtualAttempt) -> None:
-        latency = self.one_way(attempt.worker)
+        latency = self.one_way_latency(attempt.worker)
         idle_drops = self.environment.connection_faults.idle_drops
         if idle_drops.strikes(attempt.worker.name, self.draws):
             self._end_after(attempt, 2 * latency, AttemptOutcome.BROKEN_OFF)
-        elif not self.is_cut(attempt.worker):
+        elif not self.is_partitioned(attempt.worker):
             self._arrive_after(attempt, latency)
 
     def _connect(self, attempt: VirtualAttempt) -> None:
-        latency = self.one_way(attempt.worker)
-        if self.is_cut(attempt.worker) or attempt.worker.is_hung:
+        latency = self.one_way_latency(attempt.worker)
+        if self.is_partitioned(attempt.worker) or attempt.worker.is_hung:
             timeout = self.environment.network.connect_timeout
             self._end_after(attempt, timeout, AttemptOutcome.UNREACHABLE)
         elif not attempt.worker.is_up:
@@ -172,7 +174,7 @@
 
     def _arrive(self, attempt: VirtualAttempt) -> None:
         worker = attempt.worker
-        if not attempt.is_open or self.is_cut(worker):
+        if not attempt.is_open or self.is_partitioned(worker):
             return
         if not worker.is_up:
             self.listener.attempt_ended(attempt, AttemptOutcome.UNREACHABLE)
@@ -199,7 +201,7 @@
     # ---- End of an attempt ----
 
     def end(self, attempt: VirtualAttempt, outcome: AttemptOutcome) -> None:
-        """Keep the connection for the next attempt after an answer, else close it."""
+        """Keep the connection for another attempt if the worker has answered, else close it."""
         if outcome not in ANSWERS:
             self.close(attempt)
             return
@@ -231,8 +233,8 @@
             )
         )
         # A worker behind a partition does not notice.
-        if not self.is_cut(worker):
-            cancel_at = self.clock.time + self.one_way(worker)
+        if not self.is_partitioned(worker):
+            cancel_at = self.clock.time + self.one_way_latency(worker)
             self.clock.call_at(cancel_at, _cancel_if_up, execution, worker)
 
 
--- a/ploverspoke/testbed/models/virtual_clock.py
+++ b/ploverspoke/testbed/models/virtual_clock.py
@@ -1,4 +1,4 @@
-"""Virtual time: a heap of scheduled calls; those of the same time run in the order of scheduling."""
+"""Virtual time: a heap of scheduled calls; calls for the same time run in the order of scheduling."""
 
 from collections.abc import Callable
 from heapq import heappop, heappush
@@ -9,21 +9,21 @@
     """A scheduled call."""
 
     def cancel(self) -> None:
-        """Do not make the call; without effect once it was made."""
+        """Do not make the call; no effect once it was made."""
 
 
 class Clock(Protocol):
-    """The clock of the models; times are ns from the start of the run."""
+    """The clock of the models; times are in ns from the start of the run."""
 
     def now(self) -> int:
-        """Return the present time."""
+        """Return the current time."""
 
     def call_at(self, when: int, call: Callable[..., None], *args: Any) -> TimerHandle:
-        """Make the call at that time, or right after the present event where it is past."""
+        """Make the call at that time, or right after the current event if that time has passed."""
 
 
 class VirtualTimer:
-    """A call in the heap; a cancelled one stays there and is skipped when its time comes."""
+    """A call in the heap; a cancelled call stays in the heap and is skipped at its time."""
 
     __slots__ = ("args", "call")
 
@@ -39,7 +39,7 @@
 
 
 class VirtualClock:
-    """A clock that stands still during a call and then moves on to the next one."""
+    """A clock whose time does not change during a call and advances to that of the next call."""
 
     def __init__(self) -> None:
         """Start at 0."""
@@ -48,18 +48,18 @@
         self._heap: list[tuple[int, int, VirtualTimer]] = []
 
     def now(self) -> int:
-        """Return the present time."""
+        """Return the current time."""
         return self.time
 
     def call_at(self, when: int, call: Callable[..., None], *args: Any) -> VirtualTimer:
-        """Make the call at that time, or right after the present event where it is past."""
+        """Make the call at that time, or right after the current event if that time has passed."""
         timer = VirtualTimer(call, args)
         self._sequence_number += 1
         heappush(self._heap, (max(when, self.time), self._sequence_number, timer))
         return timer
 
     def run(self, until: int) -> None:
-        """Make all calls up to and at that time, in order."""
+        """Make all calls scheduled for up to and including that time, in order."""
         heap = self._heap
         while heap and heap[0][0] <= until:
             self.time, _, timer = heappop(heap)
--- a/ploverspoke/testbed/models/virtual_dispatcher.py
+++ b/ploverspoke/testbed/models/virtual_dispatcher.py
@@ -1,4 +1,4 @@
-"""One dispatcher process of a virtual run: the product's decisions, or a baseline, between the models."""
+"""One dispatcher process of a virtual run: connects the product's decisions, or a baseline, to the models."""
 
 from collections.abc import Iterable
 from functools import partial
@@ -26,13 +26,15 @@
 
 PROBE_TIMEOUT = 250 * MILLISECOND
 WATCH_HOLD = 10 * SECOND
-MAX_ANSWER_MARGIN = 20 * MILLISECOND  # before the client's deadline
-ANSWER_MARGIN_DIVISOR = 10  # of the time left: the margin where that is shorter
-SEED_FACTOR, NUMBER_FACTOR = 1_000_003, 7919  # of the run's seed and the dispatcher's number
+MAX_ANSWER_MARGIN = 20 * MILLISECOND  # between the deadline of the decisions and that of the client
+ANSWER_MARGIN_DIVISOR = 10  # the margin is at most the remaining time divided by this
+# The seed of the decisions is the sum of the run's seed and the dispatcher's number, each multiplied by its
+# factor, and the incarnation.
+SEED_FACTOR, NUMBER_FACTOR = 1_000_003, 7919
 
 
 class VirtualDispatcher(PausableProcess):
-    """The actions of one dispatcher's decisions, and what they hear of clients, workers and discovery."""
+    """Performs the actions of one dispatcher's decisions, and reports events of the models to them."""
 
     def __init__(self, environment: VirtualEnvironment, number: int, policy: str, incarnation: int) -> None:
         """Start the process; incarnations of one dispatcher are counted from 0."""
@@ -59,11 +61,11 @@
         self.decisions.started()
 
     def has_open_requests(self) -> bool:
-        """Whether a client waits for an answer."""
+        """Whether any client still waits for an answer."""
         return any(not request.is_answered for request in self.requests.values())
 
     def settings_changed(self, settings: Settings) -> None:
-        """Apply other settings."""
+        """Apply changed settings."""
         in_use = {request.request_class for request in self.requests.values()}
         self.settings, predecessors = self.request_classes.apply(
             self.settings, settings, self._class_names, in_use
@@ -71,7 +73,7 @@
         self.decisions.settings_changed(self.settings, predecessors)
 
     def die(self) -> None:
-        """SIGKILL: all connections to workers and clients are reset."""
+        """Die as after SIGKILL: all connections to workers and clients are reset."""
         self.is_alive = False
         self.deferred.clear()
         for request in self.requests.values():
@@ -86,7 +88,7 @@
 
     @deferred_while_paused
     def receive_request(self, client_request: ClientRequest) -> None:
-        """A request has arrived."""
+        """Accept a request that has arrived."""
         job = client_request.job
         request_class = self.request_classes.numbers[self._class_names[job.request_class]]
         request = AcceptedRequest(self._next_number, request_class, client_request)
@@ -106,15 +108,15 @@
             if request.client_request is client_request and not request.is_answered:
                 request.is_answered = True
                 self.decisions.client_disconnected(request.number)
-                self._forget_if_over(request)
+                self._forget_if_finished(request)
                 return
 
     def reject(self, request_id: int, retry_after: int, reason: EndReason = EndReason.NOT_STATED) -> None:
-        """Answer that a request was not done and may be retried."""
+        """Answer that the request was not done and may be retried."""
         self._answer(request_id, event_records.REJECTED, retry_after)
 
     def fail(self, request_id: int, reason: EndReason = EndReason.NOT_STATED) -> None:
-        """Answer that a request was not done as far as is known."""
+        """Answer that the request was not done, as far as is known."""
         self._answer(request_id, event_records.FAILED)
 
     def _answer(self, number: int, outcome: str, retry_after: int = 0) -> None:
@@ -126,16 +128,16 @@
         for attempt in request.attempts:
             if attempt is not None and not attempt.has_reached_worker:
                 self.cancel_attempt(number, attempt.index)
-        self._forget_if_over(request)
+        self._forget_if_finished(request)
 
-    def _forget_if_over(self, request: AcceptedRequest) -> None:
+    def _forget_if_finished(self, request: AcceptedRequest) -> None:
         if request.is_answered and not any(request.attempts):
             self.requests.pop(request.number, None)
 
     # ---- Clock and log ----
 
     def now(self) -> int:
-        """Return the present time."""
+        """Return the current time."""
         return self.clock.time
 
     def wake_at(self, token: int, when: int) -> None:
@@ -148,10 +150,10 @@
             self.decisions.timer_fired(token)
 
     def log(self, line: str) -> None:
-        """Drop it."""
+        """Ignore log lines."""
 
     def send_gossip(self, peers: Iterable[int] | None, gossip: LoadGossip) -> None:
-        """Drop it: experiments with gossip run on sockets only."""
+        """Ignore gossip: experiments with gossip run on sockets only."""
 
     # ---- Attempts ----
 
@@ -162,7 +164,7 @@
             self.connections.start(request, self.environment.worker(worker), timeout)
 
     def cancel_attempt(self, request_id: int, attempt: int) -> None:
-        """Close an attempt's connection and report its end."""
+        """Close the connection of an attempt and report its end."""
         request = self.requests.get(request_id)
         cancelled = request.attempts[attempt] if request is not None else None
         if cancelled is None:
@@ -173,19 +175,19 @@
 
     @deferred_while_paused
     def attempt_started(self, attempt: VirtualAttempt) -> None:
-        """The worker says that it has started."""
+        """The worker has reported that it started the attempt."""
         if attempt.is_open and self.is_alive:
             self.decisions.attempt_started(attempt.request.number, attempt.index)
 
     @deferred_while_paused
     def attempt_progressed(self, attempt: VirtualAttempt, share: float) -> None:
-        """The worker says what share of the work is done."""
+        """The worker has reported the share of the work that is done."""
         if attempt.is_open and self.is_alive:
             self.decisions.attempt_progressed(attempt.request.number, attempt.index, share)
 
     @deferred_while_paused
     def attempt_ended(self, attempt: VirtualAttempt, outcome: AttemptOutcome) -> None:
-        """It has ended, or its connection has."""
+        """The attempt or its connection has ended."""
         if attempt.is_open and self.is_alive:
             self.connections.end(attempt, outcome)
             self._report_end(attempt, outcome)
@@ -201,15 +203,15 @@
         elapsed = self.clock.time - attempt.sent_at
         result = AttemptResult(attempt.worker.name, outcome, elapsed, request.is_answered)
         self.decisions.attempt_ended(request.number, attempt.index, result)
-        self._forget_if_over(request)
+        self._forget_if_finished(request)
 
     # ---- Probes ----
 
     def probe(self, worker: str) -> None:
-        """Ask a worker for its health and load."""
+        """Request the health and load of a worker."""
         target = self.environment.worker(worker)
-        now, latency = self.clock.time, self.connections.one_way(target)
-        if target.is_hung or self.connections.is_cut(target):
+        now, latency = self.clock.time, self.connections.one_way_latency(target)
+        if target.is_hung or self.connections.is_partitioned(target):
             self.clock.call_at(now + PROBE_TIMEOUT, self._probe_failed, worker, AttemptOutcome.TIMED_OUT, now)
         elif not target.is_up:
             self.clock.call_at(now + 2 * latency, self._probe_failed, worker, AttemptOutcome.UNREACHABLE, now)
@@ -217,7 +219,7 @@
             self.clock.call_at(now + latency, self._answer_probe, target, now)
 
     def _answer_probe(self, worker: Worker, sent_at: int) -> None:
-        arrives_at = self.clock.time + self.connections.one_way(worker)
+        arrives_at = self.clock.time + self.connections.one_way_latency(worker)
         self.clock.call_at(arrives_at, self._probe_succeeded, worker, sent_at)
 
     @deferred_while_paused
@@ -236,7 +238,7 @@
     # ---- Discovery ----
 
     def watch_endpoints(self) -> None:
-        """Call discovery; each answer but the initial list starts the next call."""
+        """Call discovery; each answer except the initial list starts the next call."""
         call_at = self.clock.time + self.environment.network.discovery_latency
         self.clock.call_at(call_at, self._call_discovery)
 
@@ -258,14 +260,14 @@
             self._endpoints_version = None
             self.decisions.endpoint_watch_failed()
             return
-        is_initial = self._endpoints_version is None and update is self.environment.initial_endpoints
+        is_initial_list = self._endpoints_version is None and update is self.environment.initial_endpoints
         self._endpoints_version = update.version
         endpoints = [_endpoint(entry) for entry in update.entries]
         if update.is_complete:
             self.decisions.endpoint_list_received(endpoints)
         else:
             self.decisions.endpoints_changed(endpoints)
-        if not is_initial:
+        if not is_initial_list:
             self._call_discovery()
 
 
--- a/ploverspoke/testbed/models/virtual_dispatchers.py
+++ b/ploverspoke/testbed/models/virtual_dispatchers.py
@@ -1,4 +1,4 @@
-"""The dispatcher processes of a virtual run: outages, restarts, replacements and changes of settings."""
+"""The dispatcher processes of a virtual run, with outages, restarts, replacements and settings changes."""
 
 from ..experiment_files.durations import MILLISECOND
 from ..experiment_files.fault_tables import SettingsChange
@@ -8,13 +8,13 @@
 from .virtual_dispatcher import VirtualDispatcher
 from .virtual_environment import VirtualEnvironment, settings_by_zone
 
-STARTUP_TIME = 500 * MILLISECOND  # until a successor serves
-RESTART_POLL_INTERVAL = 100 * MILLISECOND
-REPLACEMENT_POLL_INTERVAL = 20 * MILLISECOND
+STARTUP_TIME = 500 * MILLISECOND  # until a successor serves requests
+RESTART_POLL_INTERVAL = 100 * MILLISECOND  # until a terminating process has no open requests
+REPLACEMENT_POLL_INTERVAL = 20 * MILLISECOND  # until a replaced process has no open requests
 
 
 def schedule_settings_changes(environment: VirtualEnvironment, dispatchers: "VirtualDispatchers") -> None:
-    """Apply the settings of the time when a change begins or ends."""
+    """Schedule an update of the settings when each change starts and ends."""
     for fault in environment.experiment.faults:
         if isinstance(fault, SettingsChange):
             environment.clock.call_at(fault.start, dispatchers.update_settings)
@@ -22,15 +22,15 @@
 
 
 class VirtualDispatchers:
-    """All processes; `current` has the one of each dispatcher that gets new connections."""
+    """All dispatcher processes; `current` has the process of each dispatcher that gets new connections."""
 
     def __init__(self, environment: VirtualEnvironment, policy: str) -> None:
-        """Start none yet."""
+        """Create no processes; `start` does."""
         self.environment = environment
         self.clock = environment.clock
         self.policy = policy
         self.current: list[VirtualDispatcher] = []
-        self._predecessors: list[VirtualDispatcher] = []  # replaced, and not ended yet
+        self._predecessors: list[VirtualDispatcher] = []  # replaced processes that have not ended
         self._incarnations = [0] * environment.experiment.dispatchers.count
 
     def start(self) -> None:
@@ -56,7 +56,7 @@
             process.connections.drop_idle(worker)
 
     def update_settings(self) -> None:
-        """Apply the settings of the present time."""
+        """Apply the settings that are valid at the current time."""
         self.environment.settings = settings_by_zone(self.environment.experiment, self.clock.time)
         for process in self.processes():
             if process.is_alive:
@@ -77,7 +77,7 @@
                 self.clock.call_at(outage.end, self._restart, number)
 
     def _pause(self, number: int, end: int) -> None:
-        """SIGSTOP; the SIGCONT goes to the same process, whatever happens to it meanwhile."""
+        """Send SIGSTOP; SIGCONT goes to the same process, even if it was killed or replaced meanwhile."""
         dispatcher = self.current[number]
         dispatcher.pause()
         self.clock.call_at(end, dispatcher.resume)
@@ -88,7 +88,7 @@
             self.current[number].die()
 
     def _terminate(self, number: int) -> None:
-        """SIGTERM: no new connections; open requests are finished."""
+        """Send SIGTERM: the process gets no new connections and finishes its open requests."""
         dispatcher = self.current[number]
         if dispatcher.is_alive and not dispatcher.is_terminating:
             self._record(event_records.DISPATCHER_TERMINATING, number)
@@ -108,7 +108,7 @@
         self.current[number] = self._new_process(number)
 
     def _start_successor(self, number: int, end: int) -> None:
-        """Start a process beside the present one; it gets new connections once it serves."""
+        """Start a process beside the current one; it gets new connections once it serves."""
         if self.current[number].is_alive:
             self._incarnations[number] += 1
             successor = self._new_process(number)
--- a/ploverspoke/testbed/models/virtual_environment.py
+++ b/ploverspoke/testbed/models/virtual_environment.py
@@ -1,4 +1,4 @@
-"""What the dispatchers of a virtual run share."""
+"""The environment that all dispatchers of a virtual run share."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -17,12 +17,12 @@
 from .worker import Worker
 from .worker_fleet import WorkerFleet
 
-UNREACHABLE_LOAD = 1e9  # of a worker that cannot be reached, for the baseline that sees true loads
+UNREACHABLE_LOAD = 1e9  # reported to the baseline that sees true loads, for a worker that cannot be reached
 
 
 @dataclass(slots=True)
 class VirtualEnvironment:
-    """The models that dispatchers call, and the settings that they have at present."""
+    """The models that the dispatchers call, and their current settings."""
 
     context: RunContext
     clock: VirtualClock
@@ -32,11 +32,11 @@
     discovery: DiscoveryModel
     initial_endpoints: EndpointUpdate
     settings: list[Settings]  # by zone
-    answer_client: Callable[[ClientRequest, str, int], None]  # outcome; ns after which to retry
+    answer_client: Callable[[ClientRequest, str, int], None]  # request, outcome, ns after which to retry
 
     @property
     def experiment(self) -> Experiment:
-        """The experiment that runs."""
+        """The experiment of this run."""
         return self.context.experiment
 
     def worker(self, name: str) -> Worker:
@@ -44,13 +44,15 @@
         return self.fleet.workers[name]
 
     def true_load(self, zone: int, worker_name: str) -> float:
-        """Return the load of a worker relative to its speed; the highest where that zone cannot reach it."""
+        """Return a worker's load relative to its speed; UNREACHABLE_LOAD if the zone cannot reach it."""
         worker = self.fleet.workers[worker_name]
-        is_reachable = worker.is_up and not worker.is_hung and not self.network.is_cut(zone, worker.zone)
+        is_reachable = (
+            worker.is_up and not worker.is_hung and not self.network.is_partitioned(zone, worker.zone)
+        )
         return worker.load() / worker.speed if is_reachable else UNREACHABLE_LOAD
 
 
 def settings_by_zone(experiment: Experiment, at: int) -> list[Settings]:
-    """Return the settings of the dispatchers of each zone at that time."""
+    """Return the settings that the dispatchers of each zone have at that time."""
     count = min(len(experiment.zones()), experiment.dispatchers.count)
     return [parse_settings(dispatcher_settings(experiment, number, at)) for number in range(count)]
--- a/ploverspoke/testbed/models/virtual_network.py
+++ b/ploverspoke/testbed/models/virtual_network.py
@@ -6,7 +6,7 @@
 
 
 class VirtualNetwork:
-    """Latencies in ns, one way."""
+    """One-way latencies in ns, and the current partitions."""
 
     def __init__(self, experiment: Experiment, clock: Clock) -> None:
         """Schedule the partitions of the experiment."""
@@ -17,10 +17,10 @@
         self.connect_timeout: int = experiment.network.connect_timeout
         self._latency = [[experiment.one_way(zone, other) for other in zones] for zone in zones]
 
-    def one_way(self, zone: int, other: int) -> int:
-        """Return the latency between two zones."""
+    def one_way_latency(self, zone: int, other: int) -> int:
+        """Return the one-way latency between two zones, in ns."""
         return self._latency[zone][other]
 
-    def is_cut(self, zone: int, other: int) -> bool:
-        """Whether nothing passes between two zones at present."""
+    def is_partitioned(self, zone: int, other: int) -> bool:
+        """Whether two zones are currently partitioned from each other."""
         return self.partitions.separates(zone, other)
--- a/ploverspoke/testbed/models/virtual_run.py
+++ b/ploverspoke/testbed/models/virtual_run.py
@@ -1,4 +1,4 @@
-"""A run on virtual time: dispatchers between the models. The same seed gives the same events to the byte."""
+"""A run of dispatchers and models on virtual time. The same seed gives byte-identical events."""
 
 from collections.abc import Callable
 
@@ -22,8 +22,8 @@
 from .worker_fleet import WorkerFleet
 
 FINAL_GRACE = 2 * SECOND  # after the last deadline
-SOCKETS_ONLY = "played on sockets only"
-STORE_ON_SOCKETS_ONLY = "a store is played on sockets only"
+SOCKETS_ONLY = "supported on sockets only"
+STORE_ON_SOCKETS_ONLY = "a store is supported on sockets only"
 
 
 class VirtualRun:
@@ -42,7 +42,7 @@
         context = RunContext(experiment, seed, self.clock, self.event_log)
         self.network = VirtualNetwork(experiment, self.clock)
         self.environment = self._create_environment(context)
-        # Calls of one time run in the order in which they were scheduled, here and below.
+        # Calls for the same time run in the order of scheduling, so the order of the steps below matters.
         self.dispatchers = VirtualDispatchers(self.environment, policy)
         schedule_settings_changes(self.environment, self.dispatchers)
         self._schedule_faults(context)
@@ -52,7 +52,7 @@
         self.clients.start()
 
     def run(self, on_second: Callable[[int], None] | None = None) -> list[Event]:
-        """Run until all requests must be answered; `on_second` gets the time, once a second of it."""
+        """Run until all requests must be answered; `on_second` gets the time after each virtual second."""
         max_deadline = max(request_class.deadline for request_class in self.experiment.request_classes)
         end = self.experiment.duration + max_deadline + FINAL_GRACE
         for second in range(SECOND, end + SECOND, SECOND):
@@ -93,18 +93,18 @@
     # ---- Workers ----
 
     def worker_died(self, worker: Worker) -> None:
-        """Connections to it are gone."""
+        """The idle connections to it are lost."""
         self.dispatchers.worker_died(worker.name)
 
     def worker_started(self, worker: Worker) -> None:
-        """Discovery has its own schedule."""
+        """Nothing to do: discovery has its own schedule."""
 
     def worker_overloaded(self, worker: Worker) -> None:
-        """Discovery will detect it."""
+        """Let discovery detect the crash."""
         self.discovery_faults.overloaded(worker.name)
 
     def worker_recovered(self, worker: Worker) -> None:
-        """Discovery shows it again."""
+        """Let discovery list the worker as ready again."""
         self.discovery_faults.recovered(worker.name)
 
     # ---- Connections of clients ----
--- a/ploverspoke/testbed/models/worker.py
+++ b/ploverspoke/testbed/models/worker.py
@@ -1,6 +1,7 @@
-"""One worker process and its restarts: arrival of requests, warm-up after a start, and what faults do to it.
+"""One worker and its restarts: arrival of requests, warm-up after a start, and the effects of faults.
 
-The driver calls `accept`, `cancel` and `report`; each execution's listener gets what the worker would send.
+The driver calls `accept`, `cancel` and `report`. The listener of each execution receives the messages that
+the worker would send.
 """
 
 from collections.abc import Callable
@@ -18,18 +19,18 @@
 from .run_context import RunContext
 from .shared_store import SharedStore
 
-WARMUP_STEPS = 10  # in which a cold worker's rate rises
+WARMUP_STEPS = 10  # steps in which the rate of a cold worker rises
 
 
 class DeferredCall(NamedTuple):
-    """A call to a worker that hangs."""
+    """A call to a hung worker, to be made when the hang ends."""
 
     call: Callable[..., None]
     args: tuple[Any, ...]
 
 
 class WorkerFaultState:
-    """Faults of one worker by fault number, so that they may end in any order."""
+    """Active faults of one worker by fault number, so that they may end in any order."""
 
     def __init__(self) -> None:
         """Start without faults."""
@@ -38,15 +39,15 @@
         self.fast_failures: dict[int, float] = {}  # probability
         self.report_delays: dict[int, int] = {}  # ns
 
-    def clear(self, fault: int) -> None:
+    def clear(self, fault_number: int) -> None:
         """End a slowdown, fast failures or delayed reports."""
-        self.slowdowns.pop(fault, None)
-        self.fast_failures.pop(fault, None)
-        self.report_delays.pop(fault, None)
+        self.slowdowns.pop(fault_number, None)
+        self.fast_failures.pop(fault_number, None)
+        self.report_delays.pop(fault_number, None)
 
 
 class Worker:
-    """One worker; a new process after a crash is the same object."""
+    """One worker; a restart after a crash uses the same object."""
 
     def __init__(
         self,
@@ -56,7 +57,7 @@
         duplicate_filters: dict[int, DuplicateFilter],
         store: SharedStore | None = None,
     ) -> None:
-        """Start warm; duplicate filters are by number of the request class."""
+        """Start warm; `duplicate_filters` are keyed by the number of the request class."""
         self.name = name
         self.zone = context.experiment.zones().index(group.zone)
         self.kind = context.experiment.kinds().index(group.machine_kind)
@@ -72,64 +73,64 @@
         self.overload_detector = OverloadDetector(self.options.overload_window)
         self.faults = WorkerFaultState()
         self.is_up = True
-        self.warm_at = 0
-        self.last_serial = 0  # of the attempts that have arrived
+        self.warm_at = 0  # ns from the start of the run
+        self.last_serial = 0  # serial number of the attempt that arrived last
         self.deferred: list[DeferredCall] = []
         self.on_overload: Callable[[Worker], None] | None = None
         self.on_idle: Callable[[Worker], None] | None = None
 
     # ---- Calls of the driver ----
 
-    def accept(self, run: Execution) -> None:
+    def accept(self, execution: Execution) -> None:
         """The last byte of a request has arrived."""
         self.last_serial += 1
-        run.serial = self.last_serial
-        self.executor.record(event_records.ATTEMPT_ARRIVED, run, run.serial)
+        execution.serial = self.last_serial
+        self.executor.record(event_records.ATTEMPT_ARRIVED, execution, execution.serial)
         if self.is_hung:
-            self.defer(self._admit, run)
+            self.defer(self._admit, execution)
         else:
-            self._admit(run)
+            self._admit(execution)
 
-    def cancel(self, run: Execution) -> None:
+    def cancel(self, execution: Execution) -> None:
         """The dispatcher has closed the connection."""
         if self.is_hung:
-            self.defer(self.cancel, run)
-        elif not run.is_over and self.options.cancel_stops_work:
-            self.executor.cancel(run)
+            self.defer(self.cancel, execution)
+        elif not execution.is_over and self.options.cancel_stops_work:
+            self.executor.cancel(execution)
 
     def defer(self, call: Callable[..., None], *args: Any) -> None:
-        """Make the call once the worker no longer hangs."""
+        """Make the call when the hang has ended."""
         self.deferred.append(DeferredCall(call, args))
 
     def report(self) -> LoadSample:
-        """Return the load as the worker reports it."""
+        """Return the load that the worker reports, with its age and noise."""
         age = self.options.report_age + max(self.faults.report_delays.values(), default=0)
         sample = LoadSample(float(len(self.executor.queue)), max(0.0, self.executor.free_slots))
         return self.reporter.report(sample, self.clock.now(), age)
 
     def load(self) -> float:
-        """Return the true load: slots in use and queued for, as a share of the slots."""
+        """Return the true load: slots in use or requested by queued executions, as a share of all slots."""
         return self.executor.load()
 
     def is_idle(self) -> bool:
-        """Whether nothing runs or waits."""
+        """Whether no execution is running or queued."""
         return self.executor.is_idle()
 
     @property
     def is_hung(self) -> bool:
-        """Whether it sends and does nothing at present."""
+        """Whether the worker currently hangs: it sends nothing and does no work."""
         return bool(self.faults.hangs)
 
     # ---- Calls of the fault injection ----
 
-    def freeze(self, fault: int) -> None:
+    def start_hang(self, fault_number: int) -> None:
         """Stop sending and working."""
-        self.faults.hangs.add(fault)
+        self.faults.hangs.add(fault_number)
         self.update_rate()
 
-    def thaw(self, fault: int) -> None:
-        """Go on, unless another hang lasts."""
-        self.faults.hangs.discard(fault)
+    def end_hang(self, fault_number: int) -> None:
+        """Resume sending and working, unless another hang has not ended."""
+        self.faults.hangs.discard(fault_number)
         if self.is_hung:
             return
         self.update_rate()
@@ -137,18 +138,18 @@
         for call, args in deferred:
             call(*args)
 
-    def slow_down(self, fault: int, factor: float) -> None:
+    def start_slowdown(self, fault_number: int, factor: float) -> None:
         """Divide the speed by the factor."""
-        self.faults.slowdowns[fault] = factor
+        self.faults.slowdowns[fault_number] = factor
         self.update_rate()
 
-    def recover(self, fault: int) -> None:
+    def clear_fault(self, fault_number: int) -> None:
         """End a slowdown, fast failures or delayed reports."""
-        self.faults.clear(fault)
+        self.faults.clear(fault_number)
         self.update_rate()
 
     def die(self) -> None:
-        """The process dies and loses all requests."""
+        """Kill the process, which loses all its requests."""
         if not self.is_up:
             return
         self.is_up = False
@@ -162,7 +163,7 @@
         self.executor.lose_all()
 
     def start(self) -> None:
-        """A new process starts: cold, with an empty cache."""
+        """Start a new process, which is cold and has an empty cache."""
         now = self.clock.now()
         self.is_up = True
         self.warm_at = now + self.options.warmup_period
@@ -176,15 +177,15 @@
         self.update_rate()
 
     def warmth(self) -> float:
-        """Return its share of a warm worker's rate."""
-        left = self.warm_at - self.clock.now()
-        if left <= 0:
+        """Return the current rate as a share of that of a warm worker."""
+        time_left = self.warm_at - self.clock.now()
+        if time_left <= 0:
             return 1.0
         cold_share = self.options.warmup_share
-        return cold_share + (1 - cold_share) * (1 - left / self.options.warmup_period)
+        return cold_share + (1 - cold_share) * (1 - time_left / self.options.warmup_period)
 
     def update_rate(self) -> None:
-        """Work at the rate that warmth and faults leave."""
+        """Work at the rate that results from warmth, hangs and slowdowns."""
         rate = 0.0 if self.is_hung else self.speed * self.warmth()
         for factor in self.faults.slowdowns.values():
             rate /= factor
@@ -193,20 +194,20 @@
 
     # ---- Arrival ----
 
-    def _admit(self, run: Execution) -> None:
-        if self.warm_at > self.clock.now() and self._is_overloaded_by(run):
+    def _admit(self, execution: Execution) -> None:
+        if self.warm_at > self.clock.now() and self._is_overloaded_by(execution):
             return
         if self.faults.fast_failures and self.draws.happens(max(self.faults.fast_failures.values())):
-            self.executor.fail_fast(run)
+            self.executor.fail_fast(execution)
         else:
-            self.executor.enqueue(run)
+            self.executor.enqueue(execution)
 
-    def _is_overloaded_by(self, run: Execution) -> bool:
-        """Whether all dispatchers together have sent more than the cold worker bears, which crashes it."""
+    def _is_overloaded_by(self, execution: Execution) -> bool:
+        """Whether the dispatchers together have overloaded the cold worker, which crashes it."""
         now = self.clock.now()
-        self.overload_detector.add(now, run.job.work * run.job.slots, run.dispatcher)
+        self.overload_detector.add(now, execution.job.work * execution.job.slots, execution.dispatcher)
         rate = self.options.overload_multiple * self.warmth() * self.speed * self.slots
-        overload = self.overload_detector.overload(rate * self.options.overload_window)
+        overload = self.overload_detector.detect_overload(rate * self.options.overload_window)
         if overload is None:
             return False
         self.event_log.add(Event(now, event_records.WORKER_OVERLOADED, worker=self.name, detail=overload))
--- a/tests/testbed/harness.py
+++ b/tests/testbed/harness.py
@@ -1,4 +1,4 @@
-"""A small experiment that tests of the testbed vary."""
+"""A small experiment, which the tests of the testbed change as they need."""
 
 from typing import Any
 
@@ -24,5 +24,5 @@
 
 
 def small_experiment(**changes: Any) -> Experiment:
-    """Four workers and sixty requests a second for six seconds, with top-level keys changed."""
+    """Parse SMALL_EXPERIMENT (4 workers, 60 requests/s for 6 s) with the given top-level keys changed."""
     return parse_experiment({**SMALL_EXPERIMENT, **changes})
--- a/tests/testbed/models/test_models.py
+++ b/tests/testbed/models/test_models.py
@@ -1,4 +1,4 @@
-"""The fleet model against closed forms, its hard cases, and determinism to the byte."""
+"""The fleet models: agreement with queueing theory, edge cases, and byte-identical results for one seed."""
 
 import math
 from typing import Any
@@ -23,7 +23,7 @@
 
 
 class RecordingListener:
-    """Keeps when one execution arrived, started and ended."""
+    """Records when one execution arrived, started and ended."""
 
     def __init__(self, clock: VirtualClock) -> None:
         self.clock = clock
@@ -32,19 +32,21 @@
         self.end = ""
         self.ended_at = -1
 
-    def run_started(self, run: Execution) -> None:
+    def run_started(self, execution: Execution) -> None:
         self.started_at = self.clock.now()
 
-    def run_progressed(self, run: Execution, share: float) -> None: ...
+    def run_progressed(self, execution: Execution, share: float) -> None: ...
 
-    def run_ended(self, run: Execution, end: ExecutionEnd) -> None:
+    def run_ended(self, execution: Execution, end: ExecutionEnd) -> None:
         assert not self.end, "an end is reported once"
         self.end, self.ended_at = end, self.clock.now()
 
 
 def one_worker(clock: VirtualClock, **changes: Any) -> Worker:
-    rules = {k: changes.pop(k) for k in list(changes) if k in ("start", "cancel_stops_work", "report_age")}
-    context = RunContext(small_experiment(worker_rules=rules), 1, clock, EventLog())
+    worker_rules = {
+        key: changes.pop(key) for key in list(changes) if key in ("start", "cancel_stops_work", "report_age")
+    }
+    context = RunContext(small_experiment(worker_rules=worker_rules), 1, clock, EventLog())
     return Worker("w0", WorkerGroup(count=1, **changes), context, {})
 
 
@@ -56,19 +58,19 @@
     worker: Worker, clock: VirtualClock, work: int, slots: float = 1.0, number: int = 0
 ) -> tuple[Execution, RecordingListener]:
     listener = RecordingListener(clock)
-    run = Execution(f"{number:x}-0", job(number, work, slots), 0, listener)
-    worker.accept(run)
-    return run, listener
+    execution = Execution(f"{number:x}-0", job(number, work, slots), 0, listener)
+    worker.accept(execution)
+    return execution, listener
 
 
 def run_queue(servers: int, queue_limit: int, load: float, count: int, seed: int) -> list[RecordingListener]:
-    """Poisson arrivals of exponential work at one worker; load is offered work for each server."""
+    """Send Poisson arrivals with exponential work to one worker; `load` is the offered load per server."""
     clock = VirtualClock()
     worker = one_worker(clock, slots=servers, queue_limit=queue_limit)
     generator = np.random.default_rng(seed)
-    mean = 10 * MILLISECOND
-    at = np.cumsum(generator.exponential(mean / load / servers, count))
-    work = generator.exponential(mean, count)
+    mean_work = 10 * MILLISECOND
+    arrival_times = np.cumsum(generator.exponential(mean_work / load / servers, count))
+    work = generator.exponential(mean_work, count)
     listeners: list[RecordingListener] = []
 
     def arrive(number: int) -> None:
@@ -76,20 +78,20 @@
         listeners.append(listener)
 
     for number in range(count):
-        clock.call_at(int(at[number]), arrive, number)
-    clock.run(int(at[-1]) + 100 * SECOND)
+        clock.call_at(int(arrival_times[number]), arrive, number)
+    clock.run(int(arrival_times[-1]) + 100 * SECOND)
     return listeners
 
 
 def erlang_b(servers: int, offered: float) -> float:
-    lost = 1.0
+    blocking_probability = 1.0
     for n in range(1, servers + 1):
-        lost = offered * lost / (n + offered * lost)
-    return lost
+        blocking_probability = offered * blocking_probability / (n + offered * blocking_probability)
+    return blocking_probability
 
 
-def interval(means: list[float]) -> tuple[float, float]:
-    """99% of Student's t with 9 degrees of freedom, over independent runs."""
+def confidence_interval(means: list[float]) -> tuple[float, float]:
+    """The 99% confidence interval of ten independent runs: Student's t with 9 degrees of freedom."""
     margin = 3.250 * float(np.std(means, ddof=1)) / math.sqrt(len(means))
     return float(np.mean(means)) - margin, float(np.mean(means)) + margin
 
@@ -99,21 +101,21 @@
     waits = []
     for seed in range(10):
         listeners = run_queue(servers, 10_000_000, load, 12_000, seed)[2000:]
-        waits.append(float(np.mean([each.started_at - each.arrived_at for each in listeners])))
+        waits.append(float(np.mean([listener.started_at - listener.arrived_at for listener in listeners])))
     offered = servers * load
-    b = erlang_b(servers, offered)
-    must_wait = b / (1 - load * (1 - b))
-    expected = must_wait * 10 * MILLISECOND / (servers * (1 - load))
-    low, high = interval(waits)
+    blocking_probability = erlang_b(servers, offered)
+    wait_probability = blocking_probability / (1 - load * (1 - blocking_probability))
+    expected = wait_probability * 10 * MILLISECOND / (servers * (1 - load))
+    low, high = confidence_interval(waits)
     assert low <= expected <= high
 
 
 def test_losses_match_erlang_b() -> None:
-    lost = [
-        np.mean([each.end == "returned" for each in run_queue(5, 0, 0.8, 12_000, s)[2000:]])
-        for s in range(10)
+    lost_shares = [
+        np.mean([listener.end == "returned" for listener in run_queue(5, 0, 0.8, 12_000, seed)[2000:]])
+        for seed in range(10)
     ]
-    low, high = interval([float(x) for x in lost])
+    low, high = confidence_interval([float(share) for share in lost_shares])
     assert low <= erlang_b(5, 4.0) <= high
 
 
@@ -141,22 +143,23 @@
     clock = VirtualClock()
     worker = one_worker(clock)
     _, listener = send(worker, clock, 100 * MILLISECOND)
-    clock.call_at(10 * MILLISECOND, worker.slow_down, 1, 2.0)
-    clock.call_at(20 * MILLISECOND, worker.slow_down, 2, 5.0)
-    clock.call_at(40 * MILLISECOND, worker.recover, 1)
-    clock.call_at(60 * MILLISECOND, worker.recover, 2)
+    clock.call_at(10 * MILLISECOND, worker.start_slowdown, 1, 2.0)
+    clock.call_at(20 * MILLISECOND, worker.start_slowdown, 2, 5.0)
+    clock.call_at(40 * MILLISECOND, worker.clear_fault, 1)
+    clock.call_at(60 * MILLISECOND, worker.clear_fault, 2)
     clock.run(SECOND)
-    # 10 ms whole, 10 at a half, 20 at a tenth, 20 at a fifth: 21 of 100 are done at 60 ms.
+    # 10 ms at full speed, 10 ms at a half, 20 ms at a tenth and 20 ms at a fifth of it: at 60 ms, 21 of the
+    # 100 ms of work are done.
     assert listener.ended_at == pytest.approx(139 * MILLISECOND, abs=1000)
 
 
 def test_the_end_of_a_hang_does_not_revive_a_dead_worker() -> None:
     clock = VirtualClock()
     worker = one_worker(clock)
-    worker.freeze(1)
+    worker.start_hang(1)
     _, listener = send(worker, clock, 10 * MILLISECOND)
     worker.die()
-    worker.thaw(1)
+    worker.end_hang(1)
     clock.run(SECOND)
     assert listener.end == "lost" and not worker.executor.running
 
@@ -178,10 +181,10 @@
     for stops in (True, False):
         clock = VirtualClock()
         worker = one_worker(clock, cancel_stops_work=stops)
-        run, _ = send(worker, clock, 100 * MILLISECOND)
-        clock.call_at(10 * MILLISECOND, worker.cancel, run)
+        execution, _ = send(worker, clock, 100 * MILLISECOND)
+        clock.call_at(10 * MILLISECOND, worker.cancel, execution)
         clock.run(50 * MILLISECOND)
-        assert (run in worker.executor.running) != stops
+        assert (execution in worker.executor.running) != stops
 
 
 def test_a_delayed_report_has_the_load_of_the_past() -> None:
@@ -222,23 +225,23 @@
 
 def test_a_change_of_one_concern_shifts_no_other() -> None:
     plain = draw_schedule(small_experiment(), 1)
-    longer = draw_schedule(
+    changed = draw_schedule(
         small_experiment(clients={"leave_early": 0.5}, customers=[{"name": "a"}, {"name": "b"}]), 1
     )
-    assert [(j.due_at, j.request_class, j.work) for j in plain] == [
-        (j.due_at, j.request_class, j.work) for j in longer
+    assert [(request.due_at, request.request_class, request.work) for request in plain] == [
+        (request.due_at, request.request_class, request.work) for request in changed
     ]
 
 
 class DelayedClock(VirtualClock):
-    """The clock of a loop that does nothing for a while, as on a busy machine."""
+    """A clock whose event loop is delayed by 300 ms for one second, as on a busy machine."""
 
     def now(self) -> int:
         return self.time + (300 * MILLISECOND if SECOND < self.time < 2 * SECOND else 0)
 
 
 class RecordingConnections:
-    """Keeps all requests and answers none."""
+    """Records all requests and answers none."""
 
     def __init__(self) -> None:
         self.sent: list[ClientRequest] = []
@@ -261,17 +264,19 @@
     assert behind and clients.max_lateness >= 300 * MILLISECOND
     late = next(request for request in connections.sent if request.job.number == behind[-1].job)
     assert late.deadline == late.job.due_at + experiment.request_classes[late.job.request_class].deadline
-    assert len(connections.sent) >= len(draw_schedule(experiment, 1)), "the offered load is not slowed"
+    assert len(connections.sent) >= len(draw_schedule(experiment, 1)), "the offered load is not reduced"
 
 
 def test_a_paused_dispatcher_handles_what_came_meanwhile_and_the_others_go_on() -> None:
     pause = {"what": "dispatcher paused", "at": "2s", "lasts": "500ms", "dispatchers": [0]}
     events = run_virtual_time(small_experiment(troubles=[pause]), 1, "ours")
     answered = [event for event in events if event.kind == event_records.REQUEST_ANSWERED]
-    stopped = [
+    during_pause = [
         event for event in answered if event.dispatcher == 0 and 2.001 * SECOND < event.at < 2.5 * SECOND
     ]
-    went_on = [event for event in answered if event.dispatcher == 1 and 2 * SECOND < event.at < 2.5 * SECOND]
-    woke = [event for event in answered if event.dispatcher == 0 and 2.5 * SECOND <= event.at < 2.51 * SECOND]
-    assert not stopped and went_on and len(woke) > 3
+    by_other = [event for event in answered if event.dispatcher == 1 and 2 * SECOND < event.at < 2.5 * SECOND]
+    after_resume = [
+        event for event in answered if event.dispatcher == 0 and 2.5 * SECOND <= event.at < 2.51 * SECOND
+    ]
+    assert not during_pause and by_other and len(after_resume) > 3
     assert audit_requests(small_experiment(), events, VIRTUAL_TOLERANCE) == []
