--- a/ploverspoke/testbed/capacity/__init__.py
+++ b/ploverspoke/testbed/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""The capacity model: costs per unit of load, and what a fleet of a given size costs by them."""
+"""The capacity model: measured costs per unit of load, and the estimated costs of a fleet of a given size."""
--- a/ploverspoke/testbed/capacity/budgets.py
+++ b/ploverspoke/testbed/capacity/budgets.py
@@ -1,4 +1,4 @@
-"""What a dispatcher spends on control, for several definitions of control, against its budget."""
+"""Compares what a dispatcher spends on control with its budget, for several definitions of control."""
 
 from typing import NamedTuple
 
@@ -12,7 +12,7 @@
 
 MEGABYTE = 1_000_000
 DISPATCHER, WATCHING = "dispatcher", "dispatcher watching configuration"  # roles
-# What each kind of estimate adds up; what goes two ways counts both.
+# The metrics that are summed for each kind of estimate. Traffic counts both directions.
 METRICS = {
     "messages": ("messages_in", "messages_out"),
     "core": ("core_share",),
@@ -20,26 +20,26 @@
     "bytes": ("bytes_in", "bytes_out"),
     "growth": ("memory_growth_bytes",),
 }
-# What is counted as control.
-CONTROL = "control alone: the list, its changes, new settings; no task"
-STARTS = "and starts and ends of tasks, without progress reports"
-PROGRESS = "and progress reports, one a second of each task"
-GOSSIP = "control alone, and tellings of all dispatchers of a zone"
-WATCHED = "control alone, and configuration watched at config servers"
-EVERYTHING = "starts, progress reports and configuration watched"
-SCOPES = (CONTROL, STARTS, PROGRESS, GOSSIP, WATCHED, EVERYTHING)
+# Scopes: what is counted as control.
+SCOPE_CONTROL = "control alone: the list, its changes, new settings; no task"
+SCOPE_STARTS = "and starts and ends of tasks, without progress reports"
+SCOPE_PROGRESS = "and progress reports, one a second of each task"
+SCOPE_GOSSIP = "control alone, and tellings of all dispatchers of a zone"
+SCOPE_WATCHED = "control alone, and configuration watched at config servers"
+SCOPE_EVERYTHING = "starts, progress reports and configuration watched"
+SCOPES = (SCOPE_CONTROL, SCOPE_STARTS, SCOPE_PROGRESS, SCOPE_GOSSIP, SCOPE_WATCHED, SCOPE_EVERYTHING)
 
 
 class Spending(NamedTuple):
-    """What one dispatcher spends: a share of a core, bytes of memory, bytes a second."""
+    """The resources that one dispatcher uses."""
 
-    core: Estimate
-    memory: Estimate
-    bytes: Estimate
+    core: Estimate  # share of a core
+    memory: Estimate  # bytes
+    bytes: Estimate  # bytes a second
 
 
 class BudgetRow(msgspec.Struct, frozen=True, kw_only=True, rename={"scope": "counted"}):
-    """What one dispatcher spends in one situation, against the budget."""
+    """The resources that one dispatcher uses in one situation, compared with the budget."""
 
     scope: str  # what is counted as control, one of SCOPES
     dispatchers: int
@@ -53,73 +53,81 @@
 def estimate_kind(
     costs: MeasuredCosts, role: str, kind: str, load_amounts: dict[str, Amount], progress: bool = True
 ) -> Estimate:
-    """Estimate one kind of METRICS for a role."""
+    """Estimate the sum of the metrics of one kind of METRICS for a role."""
     return total([estimate(costs, role, metric, load_amounts, progress) for metric in METRICS[kind]])
 
 
 def scope_amounts(fleet: FleetSize, dispatchers: int, situation: str, scope: str) -> dict[str, Amount]:
-    """Return the loads of a dispatcher that the scope counts."""
+    """Return the loads of a dispatcher within the scope."""
     load_amounts = dict(workload(fleet, dispatchers, situation)[DISPATCHER])
-    if scope in (CONTROL, GOSSIP, WATCHED):
+    if scope in (SCOPE_CONTROL, SCOPE_GOSSIP, SCOPE_WATCHED):
         load_amounts["tasks_running"] = load_amounts["starts_a_second"] = Amount(0, WORKED_OUT)
-    if scope == GOSSIP:
+    if scope == SCOPE_GOSSIP:
         load_amounts["peers_telling"] = gossip_peers(fleet, dispatchers)
     return load_amounts
 
 
-def watch_cost(costs: MeasuredCosts, kind: str, changes: Amount) -> Estimate:
-    """Estimate what a watch adds: a dispatcher that has one, less the same dispatcher without."""
-    whole = estimate_kind(costs, WATCHING, kind, {"changes_a_minute": changes})
-    listed = {line.fixed_amounts.get("workers_listed", 0.0) for line in costs.lines if line.role == WATCHING}
+def estimate_watch_cost(costs: MeasuredCosts, kind: str, changes: Amount) -> Estimate:
+    """Estimate the cost that watching the configuration adds to a dispatcher.
+
+    It is the difference between a dispatcher with a watch and the same dispatcher without one.
+    """
+    with_watch = estimate_kind(costs, WATCHING, kind, {"changes_a_minute": changes})
+    listed_workers = {
+        line.fixed_amounts.get("workers_listed", 0.0) for line in costs.lines if line.role == WATCHING
+    }
     load_amounts = {line.load: Amount(0, WORKED_OUT) for line in costs.lines if line.role == DISPATCHER}
-    load_amounts["workers_listed"] = Amount(max(listed, default=0.0), STATED)
-    idle = estimate_kind(costs, DISPATCHER, kind, load_amounts)
-    if whole.value is None or idle.value is None:
+    load_amounts["workers_listed"] = Amount(max(listed_workers, default=0.0), STATED)
+    without_watch = estimate_kind(costs, DISPATCHER, kind, load_amounts)
+    if with_watch.value is None or without_watch.value is None:
         return Estimate(value=None, origin=NOT_MEASURED)
-    difference = max(0.0, whole.value - idle.value)
-    return msgspec.structs.replace(total([whole, idle]), value=difference, origin=WORKED_OUT)
+    difference = max(0.0, with_watch.value - without_watch.value)
+    return msgspec.structs.replace(total([with_watch, without_watch]), value=difference, origin=WORKED_OUT)
 
 
 def estimate_spending(
     fleet: FleetSize, costs: MeasuredCosts, dispatchers: int, situation: str, scope: str
 ) -> Spending:
-    """Estimate what one dispatcher spends on what the scope counts."""
+    """Estimate the resources that one dispatcher uses for the loads within the scope."""
     load_amounts = scope_amounts(fleet, dispatchers, situation, scope)
-    progress = scope in (PROGRESS, EVERYTHING)
-    if scope not in (WATCHED, EVERYTHING):
+    progress = scope in (SCOPE_PROGRESS, SCOPE_EVERYTHING)
+    if scope not in (SCOPE_WATCHED, SCOPE_EVERYTHING):
         return Spending(
             *(estimate_kind(costs, DISPATCHER, kind, load_amounts, progress) for kind in Spending._fields)
         )
     changes, load_amounts["reloads_a_minute"] = load_amounts["reloads_a_minute"], Amount(0, WORKED_OUT)
     estimates = []
     for kind in Spending._fields:
-        parts = [
+        summands = [
             estimate_kind(costs, DISPATCHER, kind, load_amounts, progress),
-            watch_cost(costs, kind, changes),
+            estimate_watch_cost(costs, kind, changes),
         ]
-        is_unknown = any(part.value is None for part in parts)
-        estimates.append(Estimate(value=None, origin=NOT_MEASURED) if is_unknown else total(parts))
+        is_unknown = any(summand.value is None for summand in summands)
+        estimates.append(Estimate(value=None, origin=NOT_MEASURED) if is_unknown else total(summands))
     return Spending(*estimates)
 
 
 def budget_verdict(budget: Budget, spending: Spending) -> str:
     """Compare spending with the budget.
 
-    Over where any estimate is, near where one may be by its relative error; else it holds where all were
-    measured along all their loads.
+    The verdict is OVER if any estimate exceeds its limit, and NEAR if one may exceed it within its relative
+    error. Otherwise it is HOLDS if all estimates are based on measurements of all their loads, else
+    NOT_MEASURED.
     """
     limits = (budget.core_share, budget.memory_mb * MEGABYTE, budget.bytes_a_second)
-    shares = [(each.value or 0.0) / limit for each, limit in zip(spending, limits, strict=True)]
+    shares = [(estimate.value or 0.0) / limit for estimate, limit in zip(spending, limits, strict=True)]
     if max(shares) > 1:
         return OVER
-    if any(share * (1 + each.relative_error) > 1 for share, each in zip(shares, spending, strict=True)):
+    if any(
+        share * (1 + estimate.relative_error) > 1 for share, estimate in zip(shares, spending, strict=True)
+    ):
         return NEAR
-    is_whole = all(each.value is not None and not each.missing for each in spending)
-    return HOLDS if is_whole else NOT_MEASURED
+    is_complete = all(estimate.value is not None and not estimate.missing for estimate in spending)
+    return HOLDS if is_complete else NOT_MEASURED
 
 
 def budget_rows(fleet: FleetSize, costs: MeasuredCosts) -> list[BudgetRow]:
-    """Return a row for each scope, number of dispatchers, and situation without a failure."""
+    """Return a row for each scope, each number of dispatchers, and each situation without a failure."""
     rows = []
     for scope in SCOPES:
         for dispatchers in fleet.size.dispatchers:
@@ -140,15 +148,21 @@
 
 
 def core_share_with_tasks(fleet: FleetSize, costs: MeasuredCosts, tasks: int, scope: str) -> float | None:
-    """Estimate the core share of a dispatcher with so many running tasks, at the largest fleet's peak."""
+    """Estimate the core share of a dispatcher with `tasks` running tasks.
+
+    The other loads are those of the peak, with the largest number of dispatchers.
+    """
     load_amounts = scope_amounts(fleet, max(fleet.size.dispatchers), PEAK, scope)
     load_amounts["tasks_running"] = Amount(tasks, STATED)
-    return estimate_kind(costs, DISPATCHER, "core", load_amounts, scope == PROGRESS).value
+    return estimate_kind(costs, DISPATCHER, "core", load_amounts, scope == SCOPE_PROGRESS).value
 
 
 def dispatcher_load_at_limit(
     fleet: FleetSize, costs: MeasuredCosts, limit: Limit, scope: str
 ) -> float | None:
-    """Return the load at which one dispatcher reaches the limit, at the largest fleet's peak."""
+    """Return the load at which one dispatcher reaches the limit.
+
+    The other loads are those of the peak, with the largest number of dispatchers.
+    """
     load_amounts = scope_amounts(fleet, max(fleet.size.dispatchers), PEAK, scope)
-    return load_at_limit(costs, DISPATCHER, limit, load_amounts, scope == PROGRESS)
+    return load_at_limit(costs, DISPATCHER, limit, load_amounts, scope == SCOPE_PROGRESS)
--- a/ploverspoke/testbed/capacity/failure_requirements.py
+++ b/ploverspoke/testbed/capacity/failure_requirements.py
@@ -1,54 +1,54 @@
-"""Requirements in failures: machines, racks, zones, regions apart, a region lost."""
+"""Assesses the requirements in failures: of machines, racks, zones, and between or of regions."""
 
 from typing import NamedTuple
 
 from ..experiment_files.durations import SECOND
-from .budgets import PROGRESS, STARTS, estimate_spending
-from .machines import VOTERS, layout, losses, survives_with_third_site
+from .budgets import SCOPE_PROGRESS, SCOPE_STARTS, estimate_spending
+from .machines import VOTER_COUNT, layout, losses, survives_with_third_site
 from .requirement import (
     CALCULATED,
     FAILURE,
     FROM_RUNS,
-    Facts,
+    AssessmentContext,
     Need,
     Requirement,
     assess_runs,
-    number,
-    run_limit,
-    scaled,
+    describe_run_limit,
+    format_number,
+    scale_estimate,
 )
 from .verdicts import HOLDS, MISSING
-from .workload import APART, MACHINE, RACK, RESTART, ZONE, larger_region, lost_workers
+from .workload import MACHINE, RACK, REGIONS_APART, RESTART, ZONE, lost_workers, zones_in_larger_region
 
 SECONDS_PER_MINUTE = 60
 
 
 class _Failure(NamedTuple):
-    """A kind of failure that comes again and again."""
+    """A kind of failure that recurs."""
 
     key: str
     line: str
     design: str
     mechanism: str
-    scenario: str  # a word in the names of the scenarios that show it
+    scenario: str  # a word in the names of the scenarios that test it
     situation: str
 
 
-def repeated_failures(facts: Facts) -> list[Requirement]:
-    """Return a requirement for each kind of failure that comes again and again."""
-    return [_failure_requirement(facts, failure) for failure in _failures(facts)]
+def assess_repeated_failures(context: AssessmentContext) -> list[Requirement]:
+    """Assess the requirement for each kind of failure that recurs."""
+    return [_assess_failure(context, failure) for failure in _recurring_failures(context)]
 
 
-def _failures(facts: Facts) -> list[_Failure]:
-    failures = facts.fleet.failures
-    rack, zone = (lost_workers(facts.fleet, situation).value for situation in (RACK, ZONE))
+def _recurring_failures(context: AssessmentContext) -> list[_Failure]:
+    failures = context.fleet.failures
+    rack, zone = (lost_workers(context.fleet, situation).value for situation in (RACK, ZONE))
     return [
         _Failure(
             key="machine",
             line=f"{failures.machines_a_day:g} machines fail a day",
             design="ejected by its errors, then gone from discovery's list; by the play of a rack",
             mechanism="`decisions/outlier_ejection.py`, `docs/on-call.md`",
-            scenario="rack",  # as much as one machine, and more
+            scenario="rack",  # the loss of a rack includes that of a machine
             situation=MACHINE,
         ),
         _Failure(
@@ -81,9 +81,9 @@
     ]
 
 
-def _failure_requirement(facts: Facts, failure: _Failure) -> Requirement:
-    runs = assess_runs(facts, facts.runs(failure.scenario))
-    spending = _describe_worst_minute(facts, failure.situation)
+def _assess_failure(context: AssessmentContext, failure: _Failure) -> Requirement:
+    runs = assess_runs(context, context.find_runs(failure.scenario))
+    spending = _describe_worst_minute(context, failure.situation)
     return Requirement(
         key=failure.key,
         line=failure.line,
@@ -93,43 +93,48 @@
         verdict=runs.verdict,
         basis=FROM_RUNS,
         priority=FAILURE,
-        limit=run_limit(runs.verdict),
+        limit=describe_run_limit(runs.verdict),
     )
 
 
-def _describe_worst_minute(facts: Facts, situation: str) -> str:
-    """Describe the core share by measured costs, with the fewest dispatchers."""
-    fewest = facts.fewest_dispatchers
+def _describe_worst_minute(context: AssessmentContext, situation: str) -> str:
+    """Describe the core share in the worst minute by measured costs, with the fewest dispatchers."""
+    fewest = context.fewest_dispatchers
     without, with_progress = (
-        number(scaled(estimate_spending(facts.fleet, facts.costs, fewest, situation, scope).core, 100), "%")
-        for scope in (STARTS, PROGRESS)
+        format_number(
+            scale_estimate(
+                estimate_spending(context.fleet, context.costs, fewest, situation, scope).core, 100
+            ),
+            "%",
+        )
+        for scope in (SCOPE_STARTS, SCOPE_PROGRESS)
     )
     return f"by slopes {without} of a core with {fewest} dispatchers, {with_progress} with progress reports"
 
 
-def regions_apart(facts: Facts) -> Requirement:
-    """Regions that cannot reach each other for a while."""
-    runs = facts.runs("region", "absence")
-    assessment = assess_runs(facts, runs)
+def assess_regions_apart(context: AssessmentContext) -> Requirement:
+    """Assess the behaviour while the regions cannot reach each other."""
+    runs = context.find_runs("region", "absence")
+    assessment = assess_runs(context, runs)
     text = assessment.text
     if names := sorted({run.scenario for run in runs if not run.void}):
         text += f" ({'; '.join(names)})"
-    by_version = "a version can name another for the zones of a region"
-    change = by_version if facts.with_config_distribution else "all go by hand"
-    minutes = facts.fleet.failures.regions_apart / SECOND / SECONDS_PER_MINUTE
+    per_region_version = "a version can name another for the zones of a region"
+    config_change = per_region_version if context.with_config_distribution else "all go by hand"
+    minutes = context.fleet.failures.regions_apart / SECOND / SECONDS_PER_MINUTE
     return Requirement(
         key="apart",
         line=f"regions apart for {minutes:g} minutes",
         demand="each goes on with its own workers; nothing grows without bound; one fleet again afterwards",
         design="dispatchers keep the last list and eject what they cannot reach; a configuration names "
-        f"one discovery, and {change}; the side with fewer voters gets no lease and commits nothing; "
+        f"one discovery, and {config_change}; the side with fewer voters gets no lease and commits nothing; "
         "what config servers hold for one that is silent: `docs/distribution.md`; "
-        f"{text}; {_describe_worst_minute(facts, APART)}",
+        f"{text}; {_describe_worst_minute(context, REGIONS_APART)}",
         mechanism="`routing/endpoint_watch.py`, `leases/manager.py`, `docs/leases.md`",
         verdict=assessment.verdict,
         basis=FROM_RUNS,
         priority=FAILURE,
-        limit=run_limit(assessment.verdict),
+        limit=describe_run_limit(assessment.verdict),
         needs=[
             Need(
                 "changes",
@@ -139,18 +144,18 @@
     )
 
 
-def region_lost(facts: Facts) -> Requirement:
-    """A region that is gone."""
-    fleet = facts.fleet
+def assess_region_loss(context: AssessmentContext) -> Requirement:
+    """Assess the loss of a region."""
+    fleet = context.fleet
     region_losses = [loss for loss in losses(layout(fleet)) if loss.what.startswith("region ")]
     without_majority = " and ".join(loss.what for loss in region_losses if not loss.majority)
-    left = fleet.size.zones - larger_region(fleet)
+    remaining_zones = fleet.size.zones - zones_in_larger_region(fleet)
     third_site = "" if survives_with_third_site() else " not"
     return Requirement(
         key="region lost",
         line="a region gone (asked of the machines; not in the list of failures)",
-        demand=f"the other goes on: {left} of {fleet.size.zones} zones may be all that is left",
-        design=f"without {without_majority} the {VOTERS} voters have no majority, and no split over two "
+        demand=f"the other goes on: {remaining_zones} of {fleet.size.zones} zones may be all that is left",
+        design=f"without {without_majority} the {VOTER_COUNT} voters have no majority, and no split over two "
         f"regions bears the loss of either; one voter at a third site would{third_site}",
         mechanism="members are changed by hand (`consensus/membership.py`, `docs/operating-the-store.md`)",
         verdict=MISSING if without_majority else HOLDS,
--- a/ploverspoke/testbed/capacity/fleet_size.py
+++ b/ploverspoke/testbed/capacity/fleet_size.py
@@ -1,6 +1,7 @@
-"""Fleet files (`kind = "fleet"`): the size of a fleet, its budget and its failures, read and checked.
+"""Reads and validates fleet files (`kind = "fleet"`): the size, budget and failures of a fleet.
 
-The table `[play]` of the same file has the scenarios of the scale tests, which `scenarios/` reads.
+The table `[play]` of the same file describes the scenarios of the scale tests. It is read by
+`scale/scenario_file.py`.
 """
 
 import tomllib
@@ -13,26 +14,26 @@
 
 
 class FleetFileError(ValueError):
-    """The file describes no fleet; the text is one line that names the key."""
+    """The fleet file is invalid; the message is one line that names the key."""
 
     def __init__(self, key: str, reason: str) -> None:
-        """`key` is the key or file at fault; `reason` says what is wrong with it."""
+        """`key` is the invalid key or file; `reason` says what is wrong with it."""
         super().__init__(f"{key}: {reason}" if key else reason)
         self.key = key
         self.reason = reason
 
 
 class Part(msgspec.Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
-    """Base of all tables of a file: an unknown key is an error."""
+    """Base of all tables of a fleet file; rejects unknown keys."""
 
 
 class Size(
     Part, frozen=True, kw_only=True, rename={"config_applied_within": "configuration_in_force_within"}
 ):
-    """The size that the operators state."""
+    """The size of the fleet, as stated by its operators."""
 
     workers: int
-    dispatchers: list[int]  # the number is not stated: each of these is estimated
+    dispatchers: list[int]  # the operators do not state the number; each of these is estimated
     jobs_a_day: int
     task_starts_a_second: float  # at the peak
     tasks_running: int
@@ -46,7 +47,7 @@
 
 
 class Budget(Part, frozen=True, kw_only=True):
-    """What a dispatcher may spend on control, and the machines that are set aside for it."""
+    """The resources that one dispatcher may use for control, and the machines reserved for control."""
 
     core_share: float
     memory_mb: float
@@ -55,17 +56,17 @@
 
 
 class Failures(Part, frozen=True, kw_only=True):
-    """How often each kind of failure comes."""
+    """The frequency of each kind of failure."""
 
     machines_a_day: float
     restarts_a_day: float
     rack_every_days: float
     zone_every_days: float
-    regions_apart: Duration
+    regions_apart: Duration  # how long the regions cannot reach each other
 
 
 class FleetSize(Part, frozen=True, kw_only=True, rename={"scenarios": "play"}):
-    """A fleet file."""
+    """The contents of a fleet file."""
 
     kind: str
     name: str
@@ -73,17 +74,17 @@
     size: Size
     budget: Budget
     failures: Failures
-    scenarios: dict[str, Any] = {}  # not checked here
+    scenarios: dict[str, Any] = {}  # validated by `scale/scenario_file.py`
 
 
 def read_fleet(path: Path) -> FleetSize:
-    """Read and check a fleet file. Raises FleetFileError, naming the file."""
+    """Read and validate a fleet file. Raises FleetFileError, which names the file."""
     try:
         document = tomllib.loads(path.read_text(encoding="utf-8"))
     except OSError as error:
         raise FleetFileError(str(path), error.strerror or str(error)) from error
     except (UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
-        raise FleetFileError(str(path), f"no TOML: {error}") from error
+        raise FleetFileError(str(path), f"not valid TOML: {error}") from error
     try:
         return parse_fleet(document)
     except FleetFileError as error:
@@ -91,7 +92,7 @@
 
 
 def parse_fleet(document: dict[str, Any]) -> FleetSize:
-    """Check a document: unknown keys, units, zero and negative sizes. Raises FleetFileError."""
+    """Decode and validate a document: known keys, units, positive values. Raises FleetFileError."""
     try:
         fleet = msgspec.convert(document, FleetSize, dec_hook=decode_duration)
     except msgspec.ValidationError as error:
@@ -101,9 +102,9 @@
     for name, table in (("size", fleet.size), ("budget", fleet.budget), ("failures", fleet.failures)):
         _check_positive(name, table)
     if fleet.size.regions > fleet.size.zones:
-        raise FleetFileError("size.regions", "expected no more of them than zones")
+        raise FleetFileError("size.regions", "expected at most as many regions as zones")
     if fleet.size.largest_gang > fleet.size.tasks_running:
-        raise FleetFileError("size.largest_gang", "expected no more than tasks_running")
+        raise FleetFileError("size.largest_gang", "expected at most tasks_running")
     return fleet
 
 
@@ -111,5 +112,5 @@
     for field, key in zip(table.__struct_fields__, table.__struct_encode_fields__, strict=True):
         value = getattr(table, field)
         values = value if isinstance(value, list) else [value]
-        if not values or any(each <= 0 for each in values):
+        if not values or any(number <= 0 for number in values):
             raise FleetFileError(f"{name}.{key}", f"expected more than 0, got {value!r}")
--- a/ploverspoke/testbed/capacity/linear_fit.py
+++ b/ploverspoke/testbed/capacity/linear_fit.py
@@ -1,4 +1,4 @@
-"""Weighted linear fits through measured points, and whether the points contradict the line."""
+"""Weighted linear fits through measured points, with a check whether the points contradict the line."""
 
 from collections.abc import Sequence
 from typing import NamedTuple
@@ -7,15 +7,15 @@
 
 from .measured_costs import MAX_RESIDUAL
 
-MIN_POINTS = 3  # a line goes through any two
+MIN_POINTS = 3  # a line through two points always fits
 
 
 class TooFewPointsError(ValueError):
-    """There is no fit: fewer than three different loads were measured."""
+    """No fit is possible: fewer than MIN_POINTS different loads were measured."""
 
     def __init__(self, points: int) -> None:
-        """`points` is how many there were."""
-        super().__init__(f"{points} points, {MIN_POINTS} different sizes are wanted")
+        """`points` is the number of measured points."""
+        super().__init__(f"{points} points; a fit needs {MIN_POINTS} different loads")
         self.points = points
 
 
@@ -29,10 +29,10 @@
 
 
 def fit_line(points: Sequence[tuple[float, float]], resolution: float = 0.0) -> LinearFit:
-    """Fit a line of least squares through (load, value), each point weighed by one over its value.
+    """Fit a line through (load, value) by least squares, each point weighted by the inverse of its value.
 
-    A distance below `resolution` (in the unit of the value) counts as none. A point of value 0 is weighed by
-    the largest value. Raises TooFewPointsError.
+    A distance of up to `resolution` (in the unit of the value) counts as 0. A point of value 0 is weighted by
+    the inverse of the largest value. Raises TooFewPointsError.
     """
     if len({load for load, _ in points}) < MIN_POINTS:
         raise TooFewPointsError(len(points))
--- a/ploverspoke/testbed/capacity/machines.py
+++ b/ploverspoke/testbed/capacity/machines.py
@@ -1,19 +1,16 @@
-"""The machines set aside for control: their roles, and what is left of these after each loss."""
+"""The machines reserved for control: their roles, and which roles survive each loss of machines."""
 
 from collections import Counter
 from itertools import combinations
 from typing import NamedTuple
 
 from .fleet_size import FleetSize
-from .workload import larger_region
+from .workload import zones_in_larger_region
 
-LEASE_SERVER, REPLICA, CONFIG_SERVER = (
-    "keeper",
-    "store replica",
-    "config server",
-)  # as measured costs name them
+# Roles, by their names in the file of measured costs.
+LEASE_SERVER, REPLICA, CONFIG_SERVER = "keeper", "store replica", "config server"
 PUBLISHER, SUMMARY = "configuration publisher", "fleet summary"
-VOTERS = 5  # of each kind
+VOTER_COUNT = 5  # lease servers, store replicas and config servers each
 
 
 class Machine(NamedTuple):
@@ -26,12 +23,12 @@
 
 
 class Loss(NamedTuple):
-    """What is left after a loss of machines."""
+    """The voters and machines that remain after a loss of machines."""
 
-    what: str
-    voters: int  # that are left, of VOTERS
-    majority: bool
-    tasks: int  # machines left that can hold the publisher's and the summary's lease
+    what: str  # which machines are lost
+    voters: int  # remaining voters of each kind, out of VOTER_COUNT
+    majority: bool  # whether the remaining voters are a majority
+    tasks: int  # remaining machines that can hold the leases of the publisher and the fleet summary
     note: str
 
 
@@ -40,74 +37,79 @@
 
     first: int
     second: int
-    survives_first: bool  # whether a majority is left without the first region
-    survives_second: bool
+    survives_first: bool  # whether a majority remains without the first region
+    survives_second: bool  # the same without the second region
 
 
 def zones_of(fleet: FleetSize) -> list[tuple[str, str]]:
-    """Return region and zone of each zone; the first region has as many as the larger one."""
-    larger = larger_region(fleet)
+    """Return the region and name of each zone; the first region has the most zones."""
+    zones_per_region = zones_in_larger_region(fleet)
     return [
-        (f"r{min(zone // larger, fleet.size.regions - 1) + 1}", f"z{zone + 1}")
+        (f"r{min(zone // zones_per_region, fleet.size.regions - 1) + 1}", f"z{zone + 1}")
         for zone in range(fleet.size.zones)
     ]
 
 
 def layout(fleet: FleetSize) -> list[Machine]:
-    """Place voters in zones of their own, a majority in the larger region; the rest hold single tasks."""
+    """Place each voter in a separate zone, a majority of them in the larger region.
+
+    The remaining machines run the configuration publisher and the fleet summary.
+    """
     zones = zones_of(fleet)
-    first = [zone for zone in zones if zone[0] == "r1"]
-    others = [zone for zone in zones if zone[0] != "r1"]
-    order = [zone for pair in zip(first, others, strict=False) for zone in pair]  # by turns over the regions
+    first_region = [zone for zone in zones if zone[0] == "r1"]
+    other_regions = [zone for zone in zones if zone[0] != "r1"]
+    # Alternate between the first region and the others.
+    order = [zone for pair in zip(first_region, other_regions, strict=False) for zone in pair]
     order += [zone for zone in zones if zone not in order]
     machines = []
     for number in range(fleet.budget.control_machines):
         region, zone = order[number % len(order)]
-        roles = (LEASE_SERVER, REPLICA, CONFIG_SERVER) if number < VOTERS else (PUBLISHER, SUMMARY)
+        roles = (LEASE_SERVER, REPLICA, CONFIG_SERVER) if number < VOTER_COUNT else (PUBLISHER, SUMMARY)
         machines.append(Machine(f"c{number + 1}", region, zone, roles))
     return machines
 
 
-def has_majority(left: int, voters: int = VOTERS) -> bool:
-    """Whether the voters that are left are a majority."""
-    return left > voters // 2
+def has_majority(remaining: int, voters: int = VOTER_COUNT) -> bool:
+    """Whether the remaining voters are a majority."""
+    return remaining > voters // 2
 
 
 def after_loss(machines: list[Machine], lost: set[str], what: str, note: str = "") -> Loss:
-    """Count what is left without the named machines."""
-    left = [machine for machine in machines if machine.name not in lost]
-    count = Counter(role for machine in left for role in machine.roles)
+    """Count the voters and machines that remain without the lost ones."""
+    remaining = [machine for machine in machines if machine.name not in lost]
+    count = Counter(role for machine in remaining for role in machine.roles)
     return Loss(what, count[LEASE_SERVER], has_majority(count[LEASE_SERVER]), count[SUMMARY], note)
 
 
 def losses(machines: list[Machine]) -> list[Loss]:
-    """Return the worst loss of any one and any two machines, then of each zone and each region."""
-    found = [
+    """Return the worst loss of any one and any two machines, then the loss of each zone and region."""
+    results = [
         _worst_loss(machines, 1, "any one machine"),
         _worst_loss(machines, 2, "any two machines"),
     ]
     for zone in sorted({machine.zone for machine in machines}):
         names = {machine.name for machine in machines if machine.zone == zone}
-        found.append(after_loss(machines, names, f"zone {zone}", f"takes {', '.join(sorted(names))}"))
+        results.append(after_loss(machines, names, f"zone {zone}", f"takes {', '.join(sorted(names))}"))
     for region in sorted({machine.region for machine in machines}):
         names = {machine.name for machine in machines if machine.region == region}
-        found.append(after_loss(machines, names, f"region {region}", f"takes {', '.join(sorted(names))}"))
-    return found
+        results.append(after_loss(machines, names, f"region {region}", f"takes {', '.join(sorted(names))}"))
+    return results
 
 
 def _worst_loss(machines: list[Machine], count: int, what: str) -> Loss:
-    """Return the fewest of everything that any loss of so many machines leaves."""
-    tried = [
-        after_loss(machines, {machine.name for machine in some}, what)
-        for some in combinations(machines, count)
+    """Return the lowest numbers of voters and machines that remain after losing any `count` machines."""
+    outcomes = [
+        after_loss(machines, {machine.name for machine in lost}, what)
+        for lost in combinations(machines, count)
     ]
-    kept = sum(loss.majority for loss in tried)
-    voters, tasks = min(loss.voters for loss in tried), min(loss.tasks for loss in tried)
-    return Loss(what, voters, kept == len(tried), tasks, f"{kept} of {len(tried)} keep a majority")
+    with_majority = sum(loss.majority for loss in outcomes)
+    voters, tasks = min(loss.voters for loss in outcomes), min(loss.tasks for loss in outcomes)
+    note = f"{with_majority} of {len(outcomes)} keep a majority"
+    return Loss(what, voters, with_majority == len(outcomes), tasks, note)
 
 
-def region_splits(voters: int = VOTERS) -> list[RegionSplit]:
-    """Return each split of the voters over two regions, the larger part first."""
+def region_splits(voters: int = VOTER_COUNT) -> list[RegionSplit]:
+    """Return each split of the voters over two regions, with the larger share in the first region."""
     return [
         RegionSplit(
             first=first,
@@ -119,7 +121,7 @@
     ]
 
 
-def survives_with_third_site(voters: int = VOTERS) -> bool:
-    """Whether voters with one at a third site survive the loss of any one site."""
+def survives_with_third_site(voters: int = VOTER_COUNT) -> bool:
+    """Whether a majority survives the loss of any one site, if the odd voter is at a third site."""
     sites = (voters // 2, voters // 2, voters - 2 * (voters // 2))
     return all(has_majority(voters - site, voters) for site in sites)
--- a/ploverspoke/testbed/capacity/measured_costs.py
+++ b/ploverspoke/testbed/capacity/measured_costs.py
@@ -1,9 +1,9 @@
-"""Measured costs of each role per unit of load, and the file that keeps them.
+"""Measured costs of each role per unit of load, and the file that stores them.
 
-    value of a metric = intercept + sum of slope x load, over the loads along which it was measured
+    value of a metric = intercept + sum of slope x load, over the loads that were varied
 
-The points are kept beside the fit; a fit that its points contradict is kept and marked. The encoded names are
-those of the file.
+The file stores the measured points together with each fit. A fit that its points contradict is kept and
+marked. The encoded names are those of the file.
 """
 
 from pathlib import Path
@@ -13,7 +13,7 @@
 from .stored_file import read_stored_file
 
 FORMAT = 1
-MAX_RESIDUAL = 0.15  # of the value at a point; a fit with a larger one is contradicted
+MAX_RESIDUAL = 0.15  # share of the value at a point; with a larger residual the points contradict the fit
 
 
 class CostPerUnit(
@@ -33,17 +33,17 @@
 
     role: str  # "dispatcher", "keeper", "store replica", "discovery", "worker", ...
     metric: str  # "core_share", "memory_bytes", "bytes_in", "bytes_out", "messages_in", "messages_out"
-    load: str  # what was varied: "workers_listed", "tasks_running", "starts_a_second", ...
+    load: str  # the load that was varied: "workers_listed", "tasks_running", "starts_a_second", ...
     unit: str  # of the metric: "cores", "bytes", "bytes a second", "messages a second"
     points: list[tuple[float, float]]  # (load, value), as measured
     intercept: float
     slope: float
-    residual: float  # the largest, as a share of the measured value
+    residual: float  # the largest distance of a point from the line, as a share of the measured value
     contradicted: bool  # whether the residual is over MAX_RESIDUAL
-    max_load: float  # the largest that was measured
-    fixed_amounts: dict[str, float] = {}  # the other loads, while this one was varied
-    method: str = ""  # how the metric was read, in a few words
-    note: str = ""  # what a reader should know of it: other load, failed tries
+    max_load: float  # the largest load that was measured
+    fixed_amounts: dict[str, float] = {}  # the other loads, constant while this one was varied
+    method: str = ""  # a short description of how the metric was read
+    note: str = ""  # caveats: other load on the machine, void runs
 
 
 class MeasuredCosts(
@@ -53,16 +53,16 @@
     forbid_unknown_fields=True,
     rename={"date": "at", "commit": "text"},
 ):
-    """All measured costs, as the file keeps them."""
+    """All measured costs, as stored in the file."""
 
     format: int
-    date: str  # as 2026-12-02
-    commit: str  # that was measured
-    machine: str  # cores and memory, no names
+    date: str  # ISO 8601, such as 2026-12-02
+    commit: str  # the commit that was measured
+    machine: str  # number of cores and size of memory, no host name
     lines: list[CostPerUnit]
 
     def of(self, role: str, metric: str) -> list[CostPerUnit]:
-        """Return the costs of one metric of one role, one for each load."""
+        """Return the costs of one metric of one role, one for each load that was varied."""
         return [line for line in self.lines if (line.role, line.metric) == (role, metric)]
 
 
--- a/ploverspoke/testbed/capacity/measurements/__init__.py
+++ b/ploverspoke/testbed/capacity/measurements/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements of what each role costs per unit of load."""
+"""Measurements of the cost of each role per unit of load."""
--- a/ploverspoke/testbed/capacity/measurements/command_costs.py
+++ b/ploverspoke/testbed/capacity/measurements/command_costs.py
@@ -1,4 +1,4 @@
-"""Measures what the fleet's commands cost, one run each, and a supervisor that stands by."""
+"""Measures the costs of the fleet's commands, in one run each, and of an idle supervisor."""
 
 import asyncio
 import contextlib
@@ -26,7 +26,7 @@
 from ...processes.running_process import ProcessStartError, RunningProcess
 from ...scenarios.lease_experiment import LeaseScenario
 from ...scenarios.lease_fleet import LeaseFleet
-from .dispatcher import dispatcher_experiment, measuring_interval
+from .dispatcher import dispatcher_experiment, measurement_interval
 from .measurement import (
     FOLDER_PREFIX,
     SEED,
@@ -36,40 +36,40 @@
     MeasurementRequest,
     MeasurementResult,
     Point,
-    result_of,
+    make_result,
 )
 
 SUMMARY, RESTART, SUPERVISOR = "fleet summary", "rolling restart", "supervisor"  # roles
 METHOD = "one run: the kernel's account when it ended (wait4), VmHWM while it ran; bytes are not counted"
-STANDING_METHOD = "schedstat and /proc/PID/status of the supervisor, of its children as children_*"
+IDLE_METHOD = "schedstat and /proc/PID/status of the supervisor, of its children as children_*"
 RUN_TIMEOUT = 30.0  # seconds
 MEMORY_POLL_INTERVAL = 0.01  # seconds
 LEASE_DURATION = Duration(10 * SECOND)
-DISPATCHER_COUNTS = (5, 10, 20)  # that a summary asks
+DISPATCHER_COUNTS = (5, 10, 20)  # dispatchers that a summary queries
 LEASE_SERVER_COUNTS = (1, 3, 5)
 FIXED_LEASE_SERVERS = 3
 PROCESS_COUNTS = (1, 2, 4)
-WORKERS = 20  # listed in a dispatcher's own file
-FIRST_WORKER_PORT = 20_000  # nobody listens there
+WORKERS = 20  # listed in the configuration of a dispatcher
+FIRST_WORKER_PORT = 20_000  # no process listens there
 MAX_ERROR_TEXT = 300  # characters
 
 
 def run_command(words: Sequence[str]) -> dict[str, float]:
-    """Run `ploverspoke` to its end; return CPU time, peak memory and time.
+    """Run `ploverspoke` to completion; return its CPU time, peak memory and duration.
 
-    Raises ProcessStartError where the exit code is not 0.
+    Raises ProcessStartError if the exit code is not 0.
     """
-    began = time.monotonic()
+    start = time.monotonic()
     process = subprocess.Popen(
         [sys.executable, "-m", "ploverspoke", *words], stdout=subprocess.DEVNULL, stderr=subprocess.PIPE
     )
     peak = 0
-    while not (ended := os.wait4(process.pid, os.WNOHANG))[0]:
-        # Not the account's own maximum, which includes the process before it became this program.
+    while not (wait_result := os.wait4(process.pid, os.WNOHANG))[0]:
+        # The maximum that wait4 reports includes the forked process before it executed the program.
         with contextlib.suppress(OSError):
             peak = max(peak, read_resource_usage(process.pid).memory_peak)
         time.sleep(MEMORY_POLL_INTERVAL)
-    _, status, account = ended
+    _, status, usage = wait_result
     process.returncode = os.waitstatus_to_exitcode(status)
     assert process.stderr is not None
     with process.stderr as stream:
@@ -78,14 +78,14 @@
         text = f"{' '.join(words[:2])} gave {process.returncode}: {errors[-MAX_ERROR_TEXT:]}"
         raise ProcessStartError(text)
     return {
-        "processor_seconds": account.ru_utime + account.ru_stime,
+        "processor_seconds": usage.ru_utime + usage.ru_stime,
         "memory_peak_bytes": float(peak),
-        "seconds": time.monotonic() - began,
+        "seconds": time.monotonic() - start,
     }
 
 
 def _dispatcher_config(listen: str, admin: str, discovery: str) -> dict[str, Any]:
-    """Return the configuration of a dispatcher that knows its workers and has no discovery."""
+    """Return the configuration of a dispatcher with a fixed list of workers and no running discovery."""
     servers = [
         {
             "id": f"w{number}",
@@ -96,7 +96,7 @@
         }
         for number in range(WORKERS)
     ]
-    experiment = parse_experiment(dispatcher_experiment(measuring_interval(quick=True)))
+    experiment = parse_experiment(dispatcher_experiment(measurement_interval(quick=True)))
     return {
         "name": "d",
         "listen": listen,
@@ -109,7 +109,7 @@
 
 
 class _ControlFleet(NamedTuple):
-    """Lease servers, and the admin addresses of dispatchers."""
+    """Running lease servers, and the admin addresses of running dispatchers."""
 
     leases: LeaseFleet
     admin_addresses: list[str]
@@ -147,7 +147,7 @@
 async def _measure_command(
     name: str, load: float, run: Callable[[], Awaitable[dict[str, float]]], request: MeasurementRequest
 ) -> Point:
-    """Measure a command; `name` is that of the role and the load."""
+    """Measure a command; `name` names the role and the load in progress reports."""
     try:
         costs = await run()
     except (ProcessStartError, OSError, TimeoutError) as error:
@@ -175,13 +175,13 @@
 
 
 async def measure_summary(request: MeasurementRequest) -> MeasurementResult:
-    """Vary the dispatchers that a summary asks."""
+    """Vary the number of dispatchers that a summary queries."""
     points = [
         await _measure_command(f"{SUMMARY}, doors", float(count), partial(_run_summary, count), request)
         for count in DISPATCHER_COUNTS
     ]
     fixed = {"keepers": float(FIXED_LEASE_SERVERS), "files": 1.0}
-    return result_of(MeasuredLoad(SUMMARY, "doors", METHOD, fixed), points)
+    return make_result(MeasuredLoad(SUMMARY, "doors", METHOD, fixed), points)
 
 
 async def _run_restart(lease_servers: int) -> dict[str, float]:
@@ -191,23 +191,26 @@
 
 
 async def measure_restart(request: MeasurementRequest) -> MeasurementResult:
-    """Vary the lease servers: one place of the lease, a command that does nothing, one ready dispatcher."""
+    """Vary the number of lease servers.
+
+    The lease has one place, the command does nothing, and the dispatcher to wait for is ready.
+    """
     points = [
         await _measure_command(f"{RESTART}, keepers", float(count), partial(_run_restart, count), request)
         for count in LEASE_SERVER_COUNTS
     ]
-    return result_of(MeasuredLoad(RESTART, "keepers", METHOD, {"dispatchers": 1.0}), points)
+    return make_result(MeasuredLoad(RESTART, "keepers", METHOD, {"dispatchers": 1.0}), points)
 
 
 async def measure_supervisor(request: MeasurementRequest) -> MeasurementResult:
-    """Vary the processes of a supervisor that stands by."""
+    """Vary the number of processes of an idle supervisor."""
     points = []
     for count in PROCESS_COUNTS:
-        point = await _measure_supervisor(count, measuring_interval(request.quick))
-        request.say(f"{SUPERVISOR}, processes {count}: {point.void or 'seen'}")
+        point = await _measure_supervisor(count, measurement_interval(request.quick))
+        request.say(f"{SUPERVISOR}, processes {count}: {point.void or 'measured'}")
         points.append(point)
     fixed = {"workers_listed": float(WORKERS)}
-    return result_of(MeasuredLoad(SUPERVISOR, "processes", STANDING_METHOD, fixed), points)
+    return make_result(MeasuredLoad(SUPERVISOR, "processes", IDLE_METHOD, fixed), points)
 
 
 async def _measure_supervisor(count: int, interval: Interval) -> Point:
@@ -216,11 +219,11 @@
             supervisor = _add_supervisor(rig, count)
             try:
                 await rig.start_processes()
-                return Point(float(count), await _measure_standing(supervisor, count, interval))
+                return Point(float(count), await _measure_idle(supervisor, count, interval))
             except (ProcessStartError, OSError) as error:
                 return Point(float(count), {}, str(error))
             finally:
-                # Its children would outlive it where it is killed.
+                # SIGTERM, since its children would outlive a killed supervisor.
                 await supervisor.stop(signal.SIGTERM, RUN_TIMEOUT)
 
 
@@ -238,20 +241,23 @@
     return supervisor
 
 
-async def _measure_standing(supervisor: RunningProcess, count: int, interval: Interval) -> dict[str, float]:
-    """Raises ProcessStartError where it has not as many children."""
-    await asyncio.sleep(interval.settled)
+async def _measure_idle(supervisor: RunningProcess, count: int, interval: Interval) -> dict[str, float]:
+    """Measure an idle supervisor and its children over the interval.
+
+    Raises ProcessStartError if the supervisor does not have `count` children.
+    """
+    await asyncio.sleep(interval.settling_s)
     assert supervisor.process is not None
     pid = supervisor.process.pid
     children = [int(child) for child in Path(f"/proc/{pid}/task/{pid}/children").read_text().split()]
     if len(children) != count:
         reason = f"{len(children)} children of {count}"
         raise ProcessStartError(reason)
-    begin, before = time.monotonic_ns(), _read_all([pid, *children])
-    await asyncio.sleep(interval.lasts)
+    start, before = time.monotonic_ns(), _read_all([pid, *children])
+    await asyncio.sleep(interval.duration_s)
     end, after = time.monotonic_ns(), _read_all([pid, *children])
     shares = [
-        (last.processor - first.processor) / (end - begin) for first, last in zip(before, after, strict=True)
+        (last.processor - first.processor) / (end - start) for first, last in zip(before, after, strict=True)
     ]
     return {
         "core_share": shares[0],
--- a/ploverspoke/testbed/capacity/measurements/config_server.py
+++ b/ploverspoke/testbed/capacity/measurements/config_server.py
@@ -1,7 +1,7 @@
 """Measures the costs of config servers and of publishing.
 
-Three servers on a rig, with the proxy in front of them and between them, where bytes are counted. Watchers
-are the product's own clients in the measuring process, all at the leader.
+Three servers run on a rig. Bytes are counted at the proxy, which is in front of them and between them. The
+watchers are real watch clients in the measuring process, all of them connected to the leader.
 """
 
 import asyncio
@@ -23,7 +23,7 @@
 from .command_costs import METHOD as COMMAND_METHOD
 from .command_costs import run_command
 from .config_server_fleet import CLUSTER, SERVER_COUNT, ConfigServerFleet, make_body
-from .dispatcher import RELOAD_OFFSET, measuring_interval
+from .dispatcher import RELOAD_OFFSET, measurement_interval
 from .measurement import (
     FOLDER_PREFIX,
     NO_RESULT,
@@ -35,7 +35,7 @@
     MeasurementRequest,
     MeasurementResult,
     Point,
-    result_of,
+    make_result,
     run_points,
 )
 from .replica_usage import ByteRates, UsageSampler, read_link_bytes, replica_metrics
@@ -44,10 +44,10 @@
 BODY_SIZES = (4096, 16384)  # bytes
 CHANGE_RATES = (0, 10, 30, 60)  # a minute
 WATCHER_COUNTS = (20, 60, 150)
-FIXED_WATCHERS = 60  # where changes are varied
+FIXED_WATCHERS = 60  # while the rate of changes is varied
 PUBLISHED_SIZES = (4096, 16384, 65536)  # bytes
 SAMPLE_INTERVAL, MIN_SAMPLE_INTERVAL = 0.5, 0.05  # seconds
-DELIVERY_TIME = 1.0  # seconds, until the last version has come
+DELIVERY_TIME = 1.0  # seconds until all watchers have received the last version
 SECONDS_PER_MINUTE = 60
 METHOD = (
     "the server that leads and that all watch, the others as follower_*; schedstat and /proc/PID/status, "
@@ -56,7 +56,7 @@
 
 
 class _Watchers:
-    """Light watchers of one server, in this process."""
+    """Watch clients of one server, without dispatchers, in this process."""
 
     def __init__(self, rig: Rig, server: ProcessAddress, count: int) -> None:
         self.versions_received = 0
@@ -86,7 +86,7 @@
 
 
 async def _measure_server(watchers: int, changes: int, body_size: int, request: MeasurementRequest) -> Point:
-    """Measure the leader with so many watchers and changes a minute."""
+    """Measure the leader with a number of watchers and of changes a minute."""
     with tempfile.TemporaryDirectory(prefix=FOLDER_PREFIX, dir=memory_backed_folder()) as folder:
         try:
             async with Rig(Path(folder), SEED) as rig:
@@ -102,15 +102,15 @@
 async def _measure_server_on(
     rig: Rig, watchers: int, changes: int, body_size: int, request: MeasurementRequest
 ) -> dict[str, float]:
-    """Raises ProcessStartError where a version did not come to a watcher, or the leader has changed."""
-    interval, fleet = measuring_interval(request.quick), ConfigServerFleet(rig)
+    """Measure on the rig. Raises ProcessStartError if a watcher missed a version or the leader changed."""
+    interval, fleet = measurement_interval(request.quick), ConfigServerFleet(rig)
     await fleet.start()
     leader = await fleet.find_leader()
     await fleet.publish(body_size)
     clients = _Watchers(rig, leader, watchers)
     try:
         clients.start()
-        await asyncio.sleep(interval.settled)
+        await asyncio.sleep(interval.settling_s)
         if clients.versions_received != watchers:
             reason = f"{clients.versions_received} of {watchers} watchers have the first version"
             raise ProcessStartError(reason)
@@ -119,9 +119,9 @@
         published = await _publish_and_sample(fleet, sampler, interval, changes, body_size)
         after = await read_link_bytes(rig)
         await asyncio.sleep(DELIVERY_TIME)
-        sent = watchers * (1 + published)
-        if clients.versions_received != sent or (await fleet.find_leader()).name != leader.name:
-            reason = f"{clients.versions_received} versions came to watchers where {sent} were sent"
+        expected = watchers * (1 + published)
+        if clients.versions_received != expected or (await fleet.find_leader()).name != leader.name:
+            reason = f"{clients.versions_received} versions came to watchers where {expected} were sent"
             raise ProcessStartError(reason)
     finally:
         clients.close()
@@ -135,49 +135,52 @@
 async def _publish_and_sample(
     fleet: ConfigServerFleet, sampler: UsageSampler, interval: Interval, changes: int, body_size: int
 ) -> int:
-    """Publish at a fixed rate and sample meanwhile; return how many versions were published."""
-    began, published = time.monotonic(), 0
-    between = SECONDS_PER_MINUTE / changes if changes else 0.0
-    pause = min(SAMPLE_INTERVAL, max(MIN_SAMPLE_INTERVAL, between / 4)) if changes else SAMPLE_INTERVAL
-    while time.monotonic() < began + interval.lasts:
+    """Publish at a fixed rate and sample meanwhile; return the number of published versions."""
+    start, published = time.monotonic(), 0
+    publish_interval = SECONDS_PER_MINUTE / changes if changes else 0.0
+    sample_interval = (
+        min(SAMPLE_INTERVAL, max(MIN_SAMPLE_INTERVAL, publish_interval / 4)) if changes else SAMPLE_INTERVAL
+    )
+    while time.monotonic() < start + interval.duration_s:
         sampler.sample()
-        if changes and time.monotonic() >= began + RELOAD_OFFSET + published * between:
+        if changes and time.monotonic() >= start + RELOAD_OFFSET + published * publish_interval:
             await fleet.publish(body_size)
             published += 1
-        await asyncio.sleep(pause)
+        await asyncio.sleep(sample_interval)
     return published
 
 
 async def measure_watchers(request: MeasurementRequest) -> MeasurementResult:
-    """Vary the watchers of one server."""
+    """Vary the number of watchers of one server."""
     runs = [_measure_server(count, 0, BODY_SIZES[0], request) for count in WATCHER_COUNTS]
     fixed = {"changes_a_minute": 0.0, "servers": float(SERVER_COUNT)}
-    return result_of(MeasuredLoad(ROLE, "watchers", METHOD, fixed), await run_points(runs, request))
+    return make_result(MeasuredLoad(ROLE, "watchers", METHOD, fixed), await run_points(runs, request))
 
 
 async def measure_changes_at_server(request: MeasurementRequest) -> MeasurementResult:
-    """Vary the changes a minute, with small and large bodies."""
+    """Vary the changes a minute, with a small and a large body."""
     result = NO_RESULT
     for body_size in BODY_SIZES:
         runs = [_measure_server(FIXED_WATCHERS, rate, body_size, request) for rate in CHANGE_RATES]
-        by_watchers = await run_points(runs, request)
+        points_by_watchers = await run_points(runs, request)
         points = [
-            point._replace(load=float(rate)) for rate, point in zip(CHANGE_RATES, by_watchers, strict=True)
+            point._replace(load=float(rate))
+            for rate, point in zip(CHANGE_RATES, points_by_watchers, strict=True)
         ]
         fixed = {
             "watchers": float(FIXED_WATCHERS),
             "body_bytes": float(body_size),
             "servers": float(SERVER_COUNT),
         }
-        result = result.plus(result_of(MeasuredLoad(ROLE, "changes_a_minute", METHOD, fixed), points))
+        result = result.plus(make_result(MeasuredLoad(ROLE, "changes_a_minute", METHOD, fixed), points))
     return result
 
 
 async def measure_publisher(request: MeasurementRequest) -> MeasurementResult:
-    """Vary the body of `config publish`, from the start of the command to the committed version."""
+    """Vary the size of the body of `config publish`, which ends when its version is committed."""
     points = [await _measure_publish(size, request) for size in PUBLISHED_SIZES]
     fixed = {"servers": float(SERVER_COUNT)}
-    return result_of(MeasuredLoad(PUBLISHER, "body_bytes", COMMAND_METHOD, fixed), points)
+    return make_result(MeasuredLoad(PUBLISHER, "body_bytes", COMMAND_METHOD, fixed), points)
 
 
 async def _measure_publish(body_size: int, request: MeasurementRequest) -> Point:
--- a/ploverspoke/testbed/capacity/measurements/config_server_fleet.py
+++ b/ploverspoke/testbed/capacity/measurements/config_server_fleet.py
@@ -1,4 +1,4 @@
-"""Config servers on a rig of their own, for measurements: start, leader, publishing, watch files."""
+"""Config servers on a separate rig, for measurements."""
 
 import asyncio
 import contextlib
@@ -23,7 +23,7 @@
 from ...processes.rig import Rig
 from ...processes.running_process import ProcessStartError
 from ...scenarios.replica_files import SECRET, proxied_replicas, write_secret
-from .dispatcher import dispatcher_experiment, measuring_interval
+from .dispatcher import dispatcher_experiment, measurement_interval
 
 SERVER_COUNT = 3
 CLUSTER = "testbed"
@@ -33,8 +33,11 @@
 
 
 def make_body(size: int, number: int) -> str:
-    """Return a body of about so many bytes: a weight that differs with each number, and teams."""
-    experiment = parse_experiment(dispatcher_experiment(measuring_interval(quick=True)))
+    """Return a configuration body of about `size` bytes; each number gives another weight.
+
+    Teams are added until the body has its size.
+    """
+    experiment = parse_experiment(dispatcher_experiment(measurement_interval(quick=True)))
     classes = dispatcher_settings(experiment, 0)["ServiceGrades"]
     classes[0]["Benefit"] = 1.0 + (number + 1) / 1000
     teams: list[dict[str, Any]] = []
@@ -50,10 +53,10 @@
 
 
 class ConfigServerFleet:
-    """Three config servers behind the proxy of a rig."""
+    """Config servers behind the proxy of a rig."""
 
     def __init__(self, rig: Rig) -> None:
-        """Nothing is started yet."""
+        """Create the fleet without starting any server."""
         self.rig = rig
         self.addresses: list[ProcessAddress] = []
         self._published = 0
@@ -86,9 +89,9 @@
         return self.rig.folder / f"{address.name}.json"
 
     async def find_leader(self) -> ProcessAddress:
-        """Return the leader's address. Raises ProcessStartError where there is none in time."""
-        until = time.monotonic() + ELECTION_TIMEOUT
-        while time.monotonic() < until:
+        """Return the leader's address. Raises ProcessStartError if there is none within ELECTION_TIMEOUT."""
+        deadline = time.monotonic() + ELECTION_TIMEOUT
+        while time.monotonic() < deadline:
             for address in self.addresses:
                 with contextlib.suppress(OSError, FrameError):
                     status = await asyncio.to_thread(
@@ -105,7 +108,7 @@
         raise ProcessStartError(reason)
 
     async def publish(self, size: int) -> None:
-        """Publish the next version, with a body of about so many bytes. Raises ProcessStartError."""
+        """Publish the next version, with a body of about `size` bytes. Raises ProcessStartError."""
         endpoints = {address.name: address.endpoint("peers") for address in self.addresses}
         servers = ConfigServers(endpoints, SECRET.encode())
         body = make_body(size, self._published)
@@ -120,7 +123,7 @@
             raise ProcessStartError(reason)
 
     def write_watch_file(self, address: ProcessAddress) -> Path:
-        """Write the file of a dispatcher that watches this server, and return its path."""
+        """Write the watch file of a dispatcher that watches this server, and return its path."""
         path = self.rig.folder / "watch.json"
         document = {
             "cluster": CLUSTER,
--- a/ploverspoke/testbed/capacity/measurements/fake_reports.py
+++ b/ploverspoke/testbed/capacity/measurements/fake_reports.py
@@ -1,4 +1,4 @@
-"""Reports of the fakes of a measured fleet: counters of traffic, and their rates over an interval."""
+"""Traffic counters reported by the fakes of a measured fleet, and their rates over an interval."""
 
 from collections.abc import Sequence
 from typing import Any
@@ -7,13 +7,14 @@
 
 from ...experiment_files.durations import MILLISECOND, SECOND
 
-SECOND_TOLERANCE = 20 * MILLISECOND  # by which four reports may make less than a second
-# Which fake reports, by a key that only its reports have.
+# Reports come four times a second; four report intervals may be this much shorter than a second.
+SECOND_TOLERANCE = 20 * MILLISECOND
+# Identifies the fake by a key that only its reports contain.
 FAKE_BY_KEY = {"running": "workers", "answers": "clients", "version": "discovery"}
 FAKES = tuple(FAKE_BY_KEY.values())
 TRAFFIC = ("bytes_in", "bytes_out", "messages_in", "messages_out")
 
-Report = dict[str, Any]  # of a fake process, as JSON
+Report = dict[str, Any]  # one decoded JSON report of a fake process
 
 
 class FakeReports:
@@ -23,45 +24,47 @@
     """
 
     def __init__(self) -> None:
-        """Begin without reports."""
+        """Start without any reports."""
         self._reports: dict[str, list[Report]] = {fake: [] for fake in FAKES}
 
     def add(self, report: Report) -> None:
-        """Keep what is measured of a report; one without traffic is ignored."""
+        """Store the counters of a report; reports without traffic are ignored."""
         if "traffic" not in report:
             return
         for key, fake in FAKE_BY_KEY.items():
             if key in report:
                 keys = (key, "counted_at", "traffic", *(["sent"] if fake == "clients" else []))
-                self._reports[fake].append({each: report[each] for each in keys})
+                self._reports[fake].append({name: report[name] for name in keys})
 
     def latest(self, fake: str) -> Report:
-        """Return the last report of these fakes. Raises IndexError where there is none."""
+        """Return the last report of these fakes. Raises IndexError if there is none."""
         return self._reports[fake][-1]
 
-    def between(self, fake: str, begin: int, end: int) -> list[Report]:
-        """Return the reports of these fakes in that time of the run (ns)."""
+    def in_interval(self, fake: str, begin: int, end: int) -> list[Report]:
+        """Return the reports of these fakes from `begin` to `end`."""
         return [report for report in self._reports[fake] if begin <= report["counted_at"] <= end]
 
     def rates(self, fake: str, keys: Sequence[str], begin: int, end: int) -> dict[str, float]:
-        """Return the rates a second over all dispatchers."""
-        reports = self.between(fake, begin, end)
+        """Return the rates a second of counters, summed over all dispatchers."""
+        reports = self.in_interval(fake, begin, end)
         first, last = reports[0], reports[-1]
         seconds = (last["counted_at"] - first["counted_at"]) / SECOND
         return {key: (_total(last, key) - _total(first, key)) / seconds for key in keys}
 
     def increase(self, fake: str, key: str, begin: int, end: int) -> float:
-        """Return the increase of a counter over all dispatchers."""
-        reports = self.between(fake, begin, end)
+        """Return the increase of a counter, summed over all dispatchers."""
+        reports = self.in_interval(fake, begin, end)
         return _total(reports[-1], key) - _total(reports[0], key)
 
     def worst_second(self, fake: str, key: str, begin: int, end: int) -> float:
-        """Return the largest increase a second of a counter, over all dispatchers."""
-        counts = [(report["counted_at"], _total(report, key)) for report in self.between(fake, begin, end)]
+        """Return the largest increase a second of a counter, summed over all dispatchers."""
+        samples = [
+            (report["counted_at"], _total(report, key)) for report in self.in_interval(fake, begin, end)
+        ]
         largest = 0.0
-        for index, (at, count) in enumerate(counts):
+        for index, (at, count) in enumerate(samples):
             later = next(
-                (other for other in counts[index:] if other[0] - at >= SECOND - SECOND_TOLERANCE), None
+                (sample for sample in samples[index:] if sample[0] - at >= SECOND - SECOND_TOLERANCE), None
             )
             if later is not None:
                 largest = max(largest, (later[1] - count) * SECOND / (later[0] - at))
@@ -69,7 +72,7 @@
 
     def mean(self, fake: str, key: str, begin: int, end: int) -> float:
         """Return the mean of a value, summed over all dispatchers."""
-        reports = self.between(fake, begin, end)
+        reports = self.in_interval(fake, begin, end)
         return float(np.mean([_total(report, key) for report in reports]))
 
 
@@ -80,5 +83,5 @@
 
 
 def _total(report: Report, key: str) -> float:
-    """Return a counter's sum over all dispatchers."""
+    """Return the sum of a counter over all dispatchers."""
     return float(sum(traffic[key] for traffic in report["traffic"]))
--- a/ploverspoke/testbed/capacity/measurements/lease_server.py
+++ b/ploverspoke/testbed/capacity/measurements/lease_server.py
@@ -1,7 +1,7 @@
-"""Measures the CPU, memory and traffic of lease servers: the leader, and the followers on average.
+"""Measures the CPU, memory and traffic of lease servers: of the leader, and the mean of the followers.
 
-Real lease servers on a rig, with the proxy between them and in front of them, where bytes are counted. The
-holders are the product's own clients, all in the measuring process.
+The lease servers are real processes on a rig. Bytes are counted at the proxy, which is between them and in
+front of them. The holders are real lease clients, all of them in the measuring process.
 """
 
 import asyncio
@@ -35,16 +35,16 @@
     MeasurementRequest,
     MeasurementResult,
     Point,
-    result_of,
+    make_result,
     run_points,
 )
 from .replica_usage import ByteRates, LinkBytes, UsageSampler, read_link_bytes, replica_metrics
 
-ROLE = "keeper"  # as measured costs name it
+ROLE = "keeper"  # name of the role in the file of measured costs
 SERVER_COUNTS = (3, 5)
 LEASE_DURATION = 10 * SECOND
 INTERVAL, QUICK_INTERVAL = Interval(4, 15), Interval(1, 4)
-FIXED_HOLDERS, FIXED_CHANGING_HOLDERS = 20, 50  # where names, and changes, are varied
+FIXED_HOLDERS, FIXED_CHANGING_HOLDERS = 20, 50  # while the number of names or the rate of changes is varied
 GRANT_TIMEOUT = 20.0  # seconds
 SAMPLE_INTERVAL = 0.5  # seconds
 POLL_INTERVAL = 0.1  # seconds
@@ -55,20 +55,20 @@
 
 
 class HolderLoad(NamedTuple):
-    """Holders of leases, and how often a lease changes its holder."""
+    """Holders of leases, and the rate at which leases change their holder."""
 
     clients: list[LeaseClient]
-    names_each: int
+    leases_per_client: int
     changes_a_second: float = 0.0
 
 
-LoadFactory = Callable[[LeaseServers, float], HolderLoad]  # makes the holders for an amount of the load
+LoadFactory = Callable[[LeaseServers, float], HolderLoad]  # creates the holders for an amount of the load
 
 
 async def _find_leader(leases: LeaseFleet, secret: bytes) -> str:
-    """Return the leader's name. Raises ProcessStartError where there is none in time."""
-    until = time.monotonic() + GRANT_TIMEOUT
-    while time.monotonic() < until:
+    """Return the leader's name. Raises ProcessStartError if there is none within GRANT_TIMEOUT."""
+    deadline = time.monotonic() + GRANT_TIMEOUT
+    while time.monotonic() < deadline:
         for address in leases.servers:
             with contextlib.suppress(OSError):
                 status = await asyncio.to_thread(
@@ -87,22 +87,22 @@
     def __init__(self, load: HolderLoad) -> None:
         self._load = load
         self._names = [f"team-c{number}" for number in range(len(load.clients))]
-        self._holders = {name: number for number, name in enumerate(self._names)}
-        self.times: list[float] = []  # monotonic seconds
+        self._holder_indices = {name: number for number, name in enumerate(self._names)}
+        self.times: list[float] = []  # of the changes, in monotonic seconds
 
-    async def run(self, until: float) -> None:
-        """Change holders until that time, in monotonic seconds."""
+    async def run(self, end: float) -> None:
+        """Change holders until `end`, in monotonic seconds."""
         due, count = time.monotonic(), 0
-        while due < until:
+        while due < end:
             await asyncio.sleep(max(0.0, due - time.monotonic()))
             self._change(self._names[count % len(self._names)])
             due, count = due + 1 / self._load.changes_a_second, count + 1
 
     def _change(self, name: str) -> None:
         clients = self._load.clients
-        clients[self._holders[name]].release(name)
-        self._holders[name] = (self._holders[name] + 1) % len(clients)
-        clients[self._holders[name]].want(name, LEASE_DURATION)
+        clients[self._holder_indices[name]].release(name)
+        self._holder_indices[name] = (self._holder_indices[name] + 1) % len(clients)
+        clients[self._holder_indices[name]].want(name, LEASE_DURATION)
         self.times.append(time.monotonic())
 
 
@@ -131,25 +131,27 @@
     address = rig.addresses[leader].proxied_endpoint("clients")
     load = make_load(LeaseServers({}, [address], secret), amount)
     try:
-        missing = await _acquire_all(load)
-        if missing:
-            return Point(amount, {}, f"{missing} was not granted in time")
-        begin = time.monotonic() + interval.settled
+        missing_name = await _acquire_all(load)
+        if missing_name:
+            return Point(amount, {}, f"{missing_name} was not granted in time")
+        start = time.monotonic() + interval.settling_s
         changes = _HolderChanges(load)
-        changing = asyncio.create_task(changes.run(begin + interval.lasts)) if load.changes_a_second else None
-        await asyncio.sleep(interval.settled)
+        change_task = (
+            asyncio.create_task(changes.run(start + interval.duration_s)) if load.changes_a_second else None
+        )
+        await asyncio.sleep(interval.settling_s)
         sampler = UsageSampler(rig, [address.name for address in leases.servers])
-        before, after = await _sample(rig, sampler, interval.lasts)
-        if changing is not None:
-            changing.cancel()
+        before, after = await _sample(rig, sampler, interval.duration_s)
+        if change_task is not None:
+            change_task.cancel()
         lost = sum(client.holder.lost for client in load.clients)
         if lost or await _find_leader(leases, secret) != leader:
             return Point(amount, {}, f"{lost} leases were lost, or another keeper leads now")
     finally:
         await asyncio.gather(*(client.close() for client in load.clients))
     if load.changes_a_second:
-        counted = sum(begin <= at <= begin + interval.lasts for at in changes.times)
-        amount = counted / interval.lasts
+        counted = sum(start <= at <= start + interval.duration_s for at in changes.times)
+        amount = counted / interval.duration_s
     rates = ByteRates(before, after)
     metrics = replica_metrics(leader, sampler.samples, rates)
     metrics["bytes_in_holders"] = rates.between(OUTSIDE, leader)
@@ -158,11 +160,11 @@
 
 
 async def _acquire_all(load: HolderLoad) -> str:
-    """Wait until all leases are held; return the first that was not granted in time."""
+    """Wait until all leases are held; return the first one that was not granted in time, else empty."""
     names = [
         (client, f"team-h{number}-{index}")
         for number, client in enumerate(load.clients)
-        for index in range(load.names_each)
+        for index in range(load.leases_per_client)
     ]
     for client, name in names:
         client.want(name, LEASE_DURATION)
@@ -173,9 +175,9 @@
 
 
 async def _sample(rig: Rig, sampler: UsageSampler, seconds: float) -> tuple[LinkBytes, LinkBytes]:
-    until = time.monotonic() + seconds
+    end = time.monotonic() + seconds
     before = await read_link_bytes(rig)
-    while time.monotonic() < until:
+    while time.monotonic() < end:
         sampler.sample()
         await asyncio.sleep(SAMPLE_INTERVAL)
     return before, await read_link_bytes(rig)
@@ -198,7 +200,7 @@
             request.say(f"{fleet}, {load} {point.load:g}: {text}")
         fixed = {"keepers": float(servers), **fixed_amounts}
         measured = MeasuredLoad(ROLE, load, METHOD, fixed, fleet=fleet)
-        result = result.plus(result_of(measured, points))
+        result = result.plus(make_result(measured, points))
     return result
 
 
@@ -210,7 +212,7 @@
     """Vary the number of holders, each with one lease."""
 
     def make_load(servers: LeaseServers, amount: float) -> HolderLoad:
-        """Make so many holders."""
+        """Create `amount` holders."""
         return HolderLoad(_make_clients(servers, int(amount)), 1)
 
     return await _measure_load("holders", (50, 150, 300, 980), make_load, request, {"names_each": 1.0})
@@ -220,7 +222,7 @@
     """Vary the number of leases of a fixed number of holders."""
 
     def make_load(servers: LeaseServers, amount: float) -> HolderLoad:
-        """Divide so many leases among the holders."""
+        """Divide `amount` leases among the holders."""
         return HolderLoad(_make_clients(servers, FIXED_HOLDERS), int(amount) // FIXED_HOLDERS)
 
     fixed = {"holders": float(FIXED_HOLDERS)}
@@ -228,10 +230,10 @@
 
 
 async def measure_changes(request: MeasurementRequest) -> MeasurementResult:
-    """Vary how often a lease changes its holder."""
+    """Vary the rate at which leases change their holder."""
 
     def make_load(servers: LeaseServers, amount: float) -> HolderLoad:
-        """Make holders that change at that rate."""
+        """Create holders, with `amount` changes of holder a second."""
         return HolderLoad(_make_clients(servers, FIXED_CHANGING_HOLDERS), 1, amount)
 
     fixed = {"holders": float(FIXED_CHANGING_HOLDERS), "names_each": 1.0}
--- a/ploverspoke/testbed/capacity/measurements/measurement.py
+++ b/ploverspoke/testbed/capacity/measurements/measurement.py
@@ -1,4 +1,4 @@
-"""Measurements: one load of one role is varied; the results are costs and the runs that were void."""
+"""Measurements of one role while one of its loads is varied; they yield costs and a list of void runs."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Sequence
@@ -24,22 +24,23 @@
     "messages_after_restart": "messages",
     "bytes_after_restart": "bytes",
 }
-PREFIXES = ("follower_", "children_")  # of metrics that have the unit of the rest of their name
+# Prefixes of metrics whose unit is that of the metric named by the rest of the name.
+INHERITED_UNIT_PREFIXES = ("follower_", "children_")
 GROWTH_METRIC = "memory_growth_bytes"
-GROWTH_RESOLUTION = 4096.0  # bytes a second: a page of memory
-FOLDER_PREFIX = "ploverspoke-slopes-"  # of the temporary folder of a run
+GROWTH_RESOLUTION = 4096.0  # bytes a second; one page of memory
+FOLDER_PREFIX = "ploverspoke-slopes-"  # prefix of the temporary folder of a run
 SEED = 1
 NOT_READY = "not ready in time"
 
 
 class MeasurementResult(NamedTuple):
-    """Costs, and a line for each run that was void."""
+    """Measured costs, and a text for each void run."""
 
     lines: list[CostPerUnit]
     void: list[str]
 
     def plus(self, other: "MeasurementResult") -> "MeasurementResult":
-        """Return both results as one."""
+        """Return a result that combines both."""
         return MeasurementResult([*self.lines, *other.lines], [*self.void, *other.void])
 
 
@@ -47,65 +48,68 @@
 
 
 class MeasurementRequest(NamedTuple):
-    """How to measure."""
+    """Options of a measurement."""
 
     say: Callable[[str], None]  # reports progress
-    quick: bool = False
-    together: bool = True  # small fleets side by side
+    quick: bool = False  # use shorter intervals
+    in_parallel: bool = True  # run small fleets at the same time
 
 
 class Measurement(NamedTuple):
-    """One load of one role, and how its costs are measured."""
+    """A load of one role or of several, and the function that measures its costs."""
 
-    roles: tuple[str, ...]  # that the results are about
+    roles: tuple[str, ...]  # the roles whose costs are measured
     load: str
     measure: Callable[[MeasurementRequest], Awaitable[MeasurementResult]]
 
     def name(self) -> str:
-        """Return the name that the command line takes."""
+        """Return the name of the measurement on the command line."""
         return f"{self.roles[0]}/{self.load}"
 
 
 class Interval(NamedTuple):
-    """The time of a run in which is measured, in seconds."""
+    """The interval of a run in which metrics are measured."""
 
-    settled: int  # until it begins
-    lasts: int
+    settling_s: int  # from the start of the run to the start of the interval
+    duration_s: int
 
     @property
-    def end(self) -> int:
-        """When it ends, from the start of the run."""
-        return self.settled + self.lasts
+    def end_s(self) -> int:
+        """The end of the interval, from the start of the run."""
+        return self.settling_s + self.duration_s
 
 
 class MeasuredLoad(NamedTuple):
-    """What was varied, and what was not."""
+    """The load that was varied, and the conditions of the measurement."""
 
     role: str
     load: str
     method: str  # how the metrics were read
-    fixed_amounts: dict[str, float]
+    fixed_amounts: dict[str, float]  # the loads that were kept constant
     note: str = ""
-    fleet: str = ""  # in which of several fleets, for the lines of void runs
+    fleet: str = ""  # names the fleet in the texts of void runs, if there are several
 
 
 class Point(NamedTuple):
-    """One run: the load as it was, and the metrics."""
+    """One run: the observed amount of the load, and the metrics."""
 
     load: float
     metrics: dict[str, float]
-    void: str = ""  # why the run proves nothing; empty where it does
+    void: str = ""  # why the run is void; empty if it is valid
 
 
 async def run_points(runs: Sequence[Awaitable[Point]], request: MeasurementRequest) -> list[Point]:
-    """Run side by side or in turn, as the request says."""
-    if request.together:
+    """Run all points, in parallel or one after another, as the request says."""
+    if request.in_parallel:
         return list(await asyncio.gather(*runs))
     return [await run for run in runs]
 
 
-def result_of(measured: MeasuredLoad, points: Sequence[Point]) -> MeasurementResult:
-    """Fit lines through the points that are not void; void ones are named, in the notes of the lines too."""
+def make_result(measured: MeasuredLoad, points: Sequence[Point]) -> MeasurementResult:
+    """Fit lines through the points that are not void.
+
+    Void points are listed in the result, and in the notes of the lines.
+    """
     fleet = f", {measured.fleet}" if measured.fleet else ""
     void = [
         f"{measured.role}, {measured.load} {point.load:g}{fleet}: {point.void}"
@@ -118,7 +122,7 @@
 
 
 def cost_lines(measured: MeasuredLoad, points: Sequence[tuple[float, dict[str, float]]]) -> list[CostPerUnit]:
-    """Fit a line for each metric with enough points; `points` are loads with their metrics."""
+    """Fit a line for each metric with enough points; `points` are pairs of a load and its metrics."""
     names = dict.fromkeys(name for _, metrics in points for name in metrics)
     lines = []
     for name in names:
@@ -153,7 +157,7 @@
     """Return the unit of a metric."""
     if metric in UNITS:
         return UNITS[metric]
-    for prefix in PREFIXES:
+    for prefix in INHERITED_UNIT_PREFIXES:
         if metric.startswith(prefix):
             return unit_of(metric.removeprefix(prefix))
     return "messages a second" if "messages" in metric else "bytes a second"
--- a/ploverspoke/testbed/capacity/measurements/measurement_fleet.py
+++ b/ploverspoke/testbed/capacity/measurements/measurement_fleet.py
@@ -1,8 +1,8 @@
-"""A fleet in which one load has a value, and what its dispatchers used over a settled interval.
+"""A fleet with a given load, and the resources that its dispatchers use over a steady interval.
 
-A dispatcher that is measured alone is the program as users start it, with nothing between it and the kernel:
-the rig's launcher would cost it time at each look at the clock. Fleets of several dispatchers need the
-launcher, by which each has an address of its own; they are read for messages and bytes.
+A single dispatcher is measured as users start it, without the rig's launcher, which would cost it time at
+each reading of the clock. Fleets of several dispatchers need the launcher, which gives each of them a
+separate address; they are measured for messages and bytes.
 """
 
 import asyncio
@@ -33,41 +33,41 @@
 from .replica_usage import core_share, memory_growth
 
 SAMPLE_INTERVAL = 500 * MILLISECOND
-REPORT_DELAY = 400 * MILLISECOND  # after the end of the interval, until the fakes have reported it
-LOOPBACK = "127.0.0.1"  # the kernel's own choice of a sender's address
-MAX_UNSUCCESSFUL = 0.02  # share of the answers; with more the fleet did not carry its load
-MIN_ANSWERS = 50  # that the share is taken of
-SETTINGS_APPLIED = "new configuration: settings applied"  # in a dispatcher's log
+REPORT_DELAY = 400 * MILLISECOND  # from the end of the interval until the fakes have reported on it
+LOOPBACK = "127.0.0.1"  # the source address that the kernel chooses by default
+MAX_UNSUCCESSFUL = 0.02  # share of the answers; with a larger share the fleet did not carry its load
+MIN_ANSWERS = 50  # the share is taken of at least this number of answers
+SETTINGS_APPLIED = "new configuration: settings applied"  # line in the log of a dispatcher
 
 Action = Callable[["MeasurementFleet"], Awaitable[None] | None]
 
 
 class Reading(NamedTuple):
-    """What one fleet has shown. Rates are a second and a dispatcher."""
+    """The measurements of one fleet. Rates are per second and per dispatcher."""
 
-    load_amounts: dict[str, float]  # as they were in the interval, where they can be counted
+    load_amounts: dict[str, float]  # the observed amounts of the loads that can be counted
     metrics: dict[str, float]
-    void: str  # why the run proves nothing; empty where it does
+    void: str  # why the run is void; empty if it is valid
 
 
 class PlainDispatcher(DispatcherProgram):
-    """The program without the rig's launcher: it sends from the kernel's own choice of address."""
+    """A dispatcher without the rig's launcher; the kernel chooses its source address."""
 
     def command(self) -> list[str]:
-        """Return the command line without its arguments."""
+        """Return the command without its arguments."""
         return [sys.executable, "-m", self.module]
 
-    def watch(self, watch_file: Path) -> None:
-        """Start it with versions of the configuration from the servers that this file names."""
+    def watch_config_servers(self, watch_file: Path) -> None:
+        """Make the dispatcher watch the config servers that the file names."""
         self.arguments = ["serve", self.environment["RELAY_CONFIG"], "--watch", str(watch_file)]
 
     async def start(self, more: Sequence[str] = ()) -> None:
-        """Start it without a store."""
+        """Start the dispatcher without a store."""
         await RunningProcess.start(self, more)
 
 
 class MeasurementFleet(SocketFleet):
-    """A fleet on sockets that is measured while it runs."""
+    """A fleet of real dispatchers on sockets that is measured while it runs."""
 
     def __init__(
         self,
@@ -76,22 +76,22 @@
         folder: Path,
         interval: tuple[int, int],
         actions: Sequence[tuple[int, Action]] = (),
-        watch: Path | None = None,
+        watch_file: Path | None = None,
     ) -> None:
-        """`interval` and the times of `actions` are ns from the start of the run."""
+        """`interval` and the times of `actions` are in ns from the start of the run."""
         self.reports = FakeReports()
         super().__init__(experiment, seed, folder, self.reports.add)
         self.reports_traffic = True
-        self.settled, self.ends = interval
-        self.configs: list[dict[str, Any]] = []  # of the dispatchers
+        self.interval_start, self.interval_end = interval
+        self.dispatcher_configs: list[dict[str, Any]] = []  # by dispatcher
         self.expected_reloads = 0
         self.samples: list[list[tuple[int, ResourceUsage]]] = []  # by dispatcher
-        self._watch = watch
+        self._watch_file = watch_file
         self._actions = sorted(actions, key=lambda action: action[0])
         self._is_alone = experiment.dispatchers.count == 1
-        self._proxied: list[tuple[int, LinkCounters]] = []  # the proxy's counters, with the time of each
+        self._proxy_counters: list[tuple[int, LinkCounters]] = []  # with their times in ns
 
-    # ---- In place of the base's own ----
+    # ---- Overridden methods of SocketFleet ----
 
     def _hosts(self, addresses: list[ProcessAddress]) -> list[str]:
         return [LOOPBACK] if self._is_alone else super()._hosts(addresses)
@@ -99,35 +99,35 @@
     def _program(
         self, address: ProcessAddress, config: dict[str, Any], store: dict[str, Any] | None
     ) -> DispatcherProgram:
-        self.configs.append(config)
+        self.dispatcher_configs.append(config)
         if not self._is_alone:
             return DispatcherProgram(self.rig, address, config, store)
         program = PlainDispatcher(self.rig, address, config, store)
-        if self._watch is not None:
-            program.watch(self._watch)
+        if self._watch_file is not None:
+            program.watch_config_servers(self._watch_file)
         return program
 
     def _on_run_start(self, epoch: int, workers: ChildProcess, discovery: ChildProcess) -> None:
-        for task in (self._read_reports(discovery, discovery), self._sample(epoch), self._act(epoch)):
+        for task in (self._read_reports(discovery, discovery), self._sample(epoch), self._run_actions(epoch)):
             self.tasks.append(asyncio.create_task(task))
 
     def _end(self) -> int:
         return self.experiment.duration + REPORT_DELAY
 
-    # ---- While it runs ----
+    # ---- Samples and actions during the run ----
 
     async def _sample(self, epoch: int) -> None:
         self.samples = [[] for _ in self.programs]
-        at = self.settled
+        at = self.interval_start
         try:
-            while at <= self.ends:
+            while at <= self.interval_end:
                 await asyncio.sleep(max(0, epoch + at - time.monotonic_ns()) / SECOND)
                 self._sample_dispatchers(epoch)
-                is_edge = at == self.settled or at + SAMPLE_INTERVAL > self.ends
+                is_edge = at == self.interval_start or at + SAMPLE_INTERVAL > self.interval_end
                 if is_edge and self.rig.link_faults.is_open():
                     await self.rig.link_faults.read_counters()
                     counters = self.rig.link_faults.counters.links
-                    self._proxied.append((time.monotonic_ns() - epoch, counters))
+                    self._proxy_counters.append((time.monotonic_ns() - epoch, counters))
                 at += SAMPLE_INTERVAL
         except OSError as error:
             self.rig.errors.append(f"a dispatcher could not be looked at: {error}")
@@ -137,7 +137,7 @@
             if program.process is not None and program.is_running():
                 samples.append((time.monotonic_ns() - epoch, read_resource_usage(program.process.pid)))
 
-    async def _act(self, epoch: int) -> None:
+    async def _run_actions(self, epoch: int) -> None:
         for at, action in self._actions:
             await asyncio.sleep(max(0, epoch + at - time.monotonic_ns()) / SECOND)
             try:
@@ -147,26 +147,26 @@
             except (OSError, ProcessStartError, FrameError) as error:
                 self.rig.errors.append(f"what was to be done could not be: {error}")
 
-    # ---- What it comes to ----
+    # ---- Results ----
 
     def read(self) -> Reading:
-        """Return what was measured; a fleet that cannot be read is void."""
-        void = self.void_reason() or self._too_little_seen()
+        """Return the measurements; they are void if they are incomplete or the load was not carried."""
+        void = self.void_reason() or self._missing_data_reason()
         if void:
             return Reading({}, {}, void)
         reloads = sum(program.log_path.read_text().count(SETTINGS_APPLIED) for program in self.programs)
         if reloads != self.expected_reloads:
             return Reading({}, {}, f"{self.expected_reloads} reloads were asked for, {reloads} were taken")
-        return Reading(self._observed_amounts(), self._usage() | self._traffic(), self._load_not_carried())
+        return Reading(self._observed_loads(), self._usage() | self._traffic(), self._overload_reason())
 
-    def _too_little_seen(self) -> str:
-        interval = self.settled, self.ends
-        has_reports = all(len(self.reports.between(fake, *interval)) >= 2 for fake in FAKES)
+    def _missing_data_reason(self) -> str:
+        interval = self.interval_start, self.interval_end
+        has_reports = all(len(self.reports.in_interval(fake, *interval)) >= 2 for fake in FAKES)
         has_samples = all(len(samples) >= 2 for samples in self.samples)
         return "" if has_reports and has_samples else "too little was seen of the stretch"
 
     def _usage(self) -> dict[str, float]:
-        """Return CPU and memory, the means over the dispatchers."""
+        """Return CPU and memory use, averaged over the dispatchers."""
         return {
             "core_share": float(np.mean([core_share(samples) for samples in self.samples])),
             "memory_bytes": float(np.mean([samples[-1][1].memory for samples in self.samples])),
@@ -174,12 +174,14 @@
         }
 
     def _traffic(self) -> dict[str, float]:
-        """Return all that a dispatcher sends and receives, and its bytes by the other side."""
+        """Return the total traffic of a dispatcher, and its bytes for each kind of fake."""
         count = len(self.programs)
         metrics: dict[str, float] = {}
         totals = dict.fromkeys(TRAFFIC, 0.0)
         for fake in FAKES:
-            for key, rate in self.reports.rates(fake, TRAFFIC, self.settled, self.ends).items():
+            for key, rate in self.reports.rates(
+                fake, TRAFFIC, self.interval_start, self.interval_end
+            ).items():
                 totals[key] += rate / count
                 if key.startswith("bytes"):
                     metrics[f"{key}_{fake}"] = rate / count
@@ -189,10 +191,13 @@
         return metrics | between_peers
 
     def _peer_traffic(self, count: int) -> dict[str, float]:
-        """Return what passed between dispatchers; the proxy loses no datagrams here."""
-        if len(self._proxied) < 2:
+        """Return the traffic between dispatchers.
+
+        The proxy drops no datagrams here, so as many come in as go out.
+        """
+        if len(self._proxy_counters) < 2:
             return {}
-        (begin, first), (end, last) = self._proxied[0], self._proxied[-1]
+        (begin, first), (end, last) = self._proxy_counters[0], self._proxy_counters[-1]
         seconds = (end - begin) / SECOND * count
         bytes_passed = (last.bytes_passed - first.bytes_passed) / seconds
         datagrams = (last.passed - first.passed) / seconds
@@ -203,19 +208,19 @@
             "peer_messages_out": datagrams,
         }
 
-    def _observed_amounts(self) -> dict[str, float]:
-        interval = self.settled, self.ends
+    def _observed_loads(self) -> dict[str, float]:
+        interval = self.interval_start, self.interval_end
         count = len(self.programs)
-        running = [report["running"] for report in self.reports.between("workers", *interval)]
-        sent = self.reports.between("clients", *interval)
-        versions = self.reports.between("discovery", *interval)
+        running = [report["running"] for report in self.reports.in_interval("workers", *interval)]
+        client_reports = self.reports.in_interval("clients", *interval)
+        discovery_reports = self.reports.in_interval("discovery", *interval)
         return {
             "tasks_running": float(np.mean(running)) / count,
-            "starts_a_second": increase_rate(sent, "sent") / count,
-            "list_changes_a_second": increase_rate(versions, "version"),
+            "starts_a_second": increase_rate(client_reports, "sent") / count,
+            "list_changes_a_second": increase_rate(discovery_reports, "version"),
         }
 
-    def _load_not_carried(self) -> str:
+    def _overload_reason(self) -> str:
         answers: dict[str, int] = self.reports.latest("clients")["answers"]
         unsuccessful = sum(count for outcome, count in answers.items() if outcome != "satisfied")
         if unsuccessful > MAX_UNSUCCESSFUL * max(MIN_ANSWERS, sum(answers.values())):
@@ -226,19 +231,19 @@
 async def run_fleet(
     experiment: Experiment,
     seed: int,
-    settled: int,
+    interval_start: int,
     actions: Sequence[tuple[int, Action]] = (),
-    ends: int = 0,
-    watch: Path | None = None,
+    interval_end: int = 0,
+    watch_file: Path | None = None,
 ) -> tuple[MeasurementFleet, Reading]:
-    """Run one fleet in real time; one that does not start is void.
+    """Run one fleet in real time; the reading is void if the fleet does not start.
 
-    The interval begins at `settled` and ends at `ends`, ns from the start; 0: with the experiment. Raises
-    CapacityError where the fleet does not fit on the machine.
+    `interval_start` and `interval_end` are in ns from the start of the run; an `interval_end` of 0 means the
+    end of the experiment. Raises CapacityError if the fleet does not fit on the machine.
     """
-    interval = settled, ends or experiment.duration
+    interval = interval_start, interval_end or experiment.duration
     with tempfile.TemporaryDirectory(prefix=FOLDER_PREFIX, dir=memory_backed_folder()) as folder:
-        fleet = MeasurementFleet(experiment, seed, Path(folder), interval, actions, watch)
+        fleet = MeasurementFleet(experiment, seed, Path(folder), interval, actions, watch_file)
         try:
             await fleet.run()
         except (ProcessStartError, TimeoutError) as error:
@@ -249,8 +254,8 @@
 
 
 def replace_config(program: DispatcherProgram, config: dict[str, Any]) -> None:
-    """Replace a dispatcher's configuration file, which is whole at any moment."""
+    """Replace the configuration file of a dispatcher atomically."""
     path = Path(program.environment["RELAY_CONFIG"])
-    fresh = path.with_suffix(".new")
-    fresh.write_bytes(msgspec.json.encode(config))
-    fresh.replace(path)
+    new_path = path.with_suffix(".new")
+    new_path.write_bytes(msgspec.json.encode(config))
+    new_path.replace(path)
--- a/ploverspoke/testbed/capacity/measurements/replica_usage.py
+++ b/ploverspoke/testbed/capacity/measurements/replica_usage.py
@@ -1,4 +1,4 @@
-"""CPU, memory and traffic of replicas behind the proxy: the leader, and the followers on average."""
+"""CPU, memory and traffic of replicas behind the proxy: of the leader, and the mean of the followers."""
 
 import time
 from collections.abc import Mapping, Sequence
@@ -10,11 +10,11 @@
 from ...processes.resource_usage import ResourceUsage, read_resource_usage
 from ...processes.rig import Rig
 
-Samples = Sequence[tuple[int, ResourceUsage]]  # of one process, with the time of each in ns
+Samples = Sequence[tuple[int, ResourceUsage]]  # samples of one process, with their times in ns
 
 
 class LinkBytes(NamedTuple):
-    """The bytes that have passed on each link of the proxy."""
+    """The bytes that have passed each link of the proxy so far."""
 
     at: float  # seconds of the monotonic clock
     by_link: Mapping[str, int]  # by "ORIGIN>TARGET"
@@ -56,12 +56,12 @@
     """Samples the resource usage of processes of a rig."""
 
     def __init__(self, rig: Rig, names: Sequence[str]) -> None:
-        """`names` are those of the processes."""
+        """`names` are the names of the processes in the rig."""
         self._rig = rig
         self.samples: dict[str, list[tuple[int, ResourceUsage]]] = {name: [] for name in names}
 
     def sample(self) -> None:
-        """Take one sample of each process that runs."""
+        """Take one sample of each running process."""
         for name, samples in self.samples.items():
             process = self._rig.processes[name].process
             if process is not None:
@@ -75,14 +75,14 @@
 
 
 def memory_growth(samples: Samples) -> float:
-    """Return the growth of memory in bytes a second, by the line of least squares."""
+    """Return the growth of memory in bytes a second, by a least-squares line."""
     times = np.array([at / SECOND for at, _ in samples])
     memory = np.array([float(usage.memory) for _, usage in samples])
     return float(round(np.polyfit(times - times[0], memory, 1)[0]))
 
 
 def replica_metrics(leader: str, samples: Mapping[str, Samples], rates: ByteRates) -> dict[str, float]:
-    """Return the metrics of the leader, and the means of the followers as `follower_*`."""
+    """Return the metrics of the leader, and the means over the followers as `follower_*`."""
     followers = [name for name in samples if name != leader]
     return {
         "core_share": core_share(samples[leader]),
--- a/ploverspoke/testbed/capacity/measurements/store_replica.py
+++ b/ploverspoke/testbed/capacity/measurements/store_replica.py
@@ -1,4 +1,4 @@
-"""Measures what replicas of a store cost: commits, stored state, and catching up after an absence."""
+"""Measures the costs of store replicas: commits, stored state, and catching up after an absence."""
 
 import asyncio
 import sys
@@ -17,7 +17,7 @@
 from ...experiment_files.reader import parse_experiment
 from ...processes.capacity_check import memory_backed_folder
 from ...scenarios.replica_files import SECRET
-from .dispatcher import measuring_interval
+from .dispatcher import measurement_interval
 from .measurement import (
     FOLDER_PREFIX,
     NO_RESULT,
@@ -27,7 +27,7 @@
     MeasurementRequest,
     MeasurementResult,
     Point,
-    result_of,
+    make_result,
     run_points,
 )
 from .measurement_fleet import Action, MeasurementFleet, run_fleet
@@ -40,10 +40,10 @@
 STORED_REQUESTS, QUICK_STORED_REQUESTS = (10_000, 30_000, 100_000), (5_000, 10_000, 20_000)
 ABSENCES = (1.0, 4.0, 10.0)  # seconds
 ABSENT_REPLICAS = 3
-SNAPSHOT_INTERVALS = (20_000, 200)  # entries; with the second the absent replica gets a snapshot
+SNAPSHOT_INTERVALS = (20_000, 200)  # log entries; with 200 the absent replica receives a snapshot
 RATE_DURING_ABSENCE = 50.0  # requests a second
 CATCH_UP_TIMEOUT = 15.0  # seconds
-CATCH_UP_POLL = 0.005  # seconds
+CATCH_UP_POLL_INTERVAL = 0.005  # seconds
 WORKERS = 20
 METHOD = (
     "the replica that leads, the others as follower_*; schedstat and /proc/PID/status, bytes at the proxy "
@@ -72,13 +72,13 @@
 
 
 class ClusterState(NamedTuple):
-    """The replicas at one moment: their status by number, and what has passed between them."""
+    """The state of the replicas at one moment: their status by number, and the bytes between them so far."""
 
     status: dict[int, dict[str, Any]]
     link_bytes: LinkBytes
 
     def leader(self) -> int:
-        """Return the leader's number, -1 where there is none."""
+        """Return the number of the leader, or -1 if there is none."""
         return next((number for number, status in self.status.items() if status.get("leads")), -1)
 
 
@@ -100,14 +100,14 @@
 
 
 async def _measure_commits_at(replicas: int, rate: float, request: MeasurementRequest) -> Point:
-    interval = measuring_interval(request.quick)
+    interval = measurement_interval(request.quick)
     states: list[ClusterState] = []
     actions: list[tuple[int, Action]] = [
-        (interval.settled * SECOND, partial(_append_cluster_state, states)),
-        (interval.end * SECOND, partial(_append_cluster_state, states)),
+        (interval.settling_s * SECOND, partial(_append_cluster_state, states)),
+        (interval.end_s * SECOND, partial(_append_cluster_state, states)),
     ]
-    experiment = parse_experiment(_experiment(rate, interval.end, replicas))
-    fleet, reading = await run_fleet(experiment, SEED, interval.settled * SECOND, actions)
+    experiment = parse_experiment(_experiment(rate, interval.end_s, replicas))
+    fleet, reading = await run_fleet(experiment, SEED, interval.settling_s * SECOND, actions)
     point = Point(rate, {}, reading.void) if reading.void else _commit_point(rate, fleet, states)
     text = f"void: {point.void}" if point.void else f"core {point.metrics['core_share']:.2%}"
     request.say(f"{replicas} replicas, commits_a_second {point.load:.3g}: {text}")
@@ -127,14 +127,17 @@
 
 
 async def measure_commits(request: MeasurementRequest) -> MeasurementResult:
-    """Vary entries of the log; a non-idempotent request makes four where its first attempt ends it."""
+    """Vary the rate of log entries.
+
+    A non-idempotent request makes four entries if its first attempt succeeds.
+    """
     result = NO_RESULT
     for replicas in REPLICA_COUNTS:
         points = await run_points(
             [_measure_commits_at(replicas, rate, request) for rate in COMMIT_RATES], request
         )
         measured = MeasuredLoad(ROLE, "commits_a_second", METHOD, {"replicas": float(replicas)})
-        result = result.plus(result_of(measured, points))
+        result = result.plus(make_result(measured, points))
     return result
 
 
@@ -142,7 +145,7 @@
     """Vary the number of stored requests."""
     counts = QUICK_STORED_REQUESTS if request.quick else STORED_REQUESTS
     points = [await _measure_stored_requests(count, request) for count in counts]
-    return result_of(MeasuredLoad(ROLE, "kept_state", STATE_METHOD, {}), points)
+    return make_result(MeasuredLoad(ROLE, "kept_state", STATE_METHOD, {}), points)
 
 
 async def _measure_stored_requests(count: int, request: MeasurementRequest) -> Point:
@@ -160,48 +163,50 @@
 
 
 class _Absence:
-    """Kills a follower, starts it again, and measures how it catches up."""
+    """Kills a follower, restarts it, and measures how it catches up."""
 
     def __init__(self, seconds: float) -> None:
         self._seconds = seconds
         self.point: Point | None = None  # None: it did not catch up in time
 
     async def run(self, fleet: MeasurementFleet) -> None:
-        """Play the absence; an action of a run."""
+        """Run the absence, as an action of a fleet."""
         before = await _read_cluster(fleet)
         leader = before.leader()
         if leader < 0:
             return
         absent = (leader + 1) % len(fleet.programs)
         name = f"d{absent}"
-        lasts = Duration(int(self._seconds * SECOND))
-        step = FaultStep(start=Duration(0), kind="kill", processes=[name], duration=lasts)
-        await fleet.rig.timeline.apply_to_process(step, name)  # returns once it is back and ready
-        began = time.monotonic()
+        duration = Duration(int(self._seconds * SECOND))
+        step = FaultStep(start=Duration(0), kind="kill", processes=[name], duration=duration)
+        await fleet.rig.timeline.apply_to_process(step, name)  # returns when the replica is ready again
+        start = time.monotonic()
         goal = (await _read_status(fleet, leader))["committed"]
-        if not await self._catches_up(fleet, absent, goal, began + CATCH_UP_TIMEOUT):
+        if not await self._catches_up(fleet, absent, goal, start + CATCH_UP_TIMEOUT):
             return
         after = await _read_cluster(fleet)
         link = f"d{leader}>{name}"
         sent = after.link_bytes.by_link.get(link, 0) - before.link_bytes.by_link.get(link, 0)
-        metrics = {"seconds": time.monotonic() - began, "bytes_sent": float(sent)}
+        metrics = {"seconds": time.monotonic() - start, "bytes_sent": float(sent)}
         self.point = Point(goal - before.status[absent]["applied"], metrics)
 
-    async def _catches_up(self, fleet: MeasurementFleet, number: int, goal: int, until: float) -> bool:
+    async def _catches_up(self, fleet: MeasurementFleet, number: int, goal: int, deadline: float) -> bool:
         while (await _read_status(fleet, number))["applied"] < goal:
-            if time.monotonic() >= until:
+            if time.monotonic() >= deadline:
                 return False
-            await asyncio.sleep(CATCH_UP_POLL)
+            await asyncio.sleep(CATCH_UP_POLL_INTERVAL)
         return True
 
 
 async def _measure_absence(seconds: float, snapshot_interval: int, request: MeasurementRequest) -> Point:
-    settled = 2
-    lasts = int(settled + seconds + 4 + CATCH_UP_TIMEOUT / 3)
+    settling_s = 2
+    run_s = int(settling_s + seconds + 4 + CATCH_UP_TIMEOUT / 3)
     absence = _Absence(seconds)
-    document = _experiment(RATE_DURING_ABSENCE, lasts, ABSENT_REPLICAS, snapshot_every=snapshot_interval)
-    actions: list[tuple[int, Action]] = [(settled * SECOND, absence.run)]
-    _, reading = await run_fleet(parse_experiment(document), SEED, SECOND, actions, ends=settled * SECOND)
+    document = _experiment(RATE_DURING_ABSENCE, run_s, ABSENT_REPLICAS, snapshot_every=snapshot_interval)
+    actions: list[tuple[int, Action]] = [(settling_s * SECOND, absence.run)]
+    _, reading = await run_fleet(
+        parse_experiment(document), SEED, SECOND, actions, interval_end=settling_s * SECOND
+    )
     point = absence.point or Point(seconds, {}, "it did not catch up while the world lasted")
     if reading.void:
         point = point._replace(void=reading.void)
@@ -212,14 +217,14 @@
 
 
 async def measure_absences(request: MeasurementRequest) -> MeasurementResult:
-    """Vary what a replica has missed, caught up from the log and by a snapshot."""
+    """Vary the number of entries that a replica missed; it catches up from the log or by a snapshot."""
     result = NO_RESULT
     for interval in SNAPSHOT_INTERVALS:
         points = await run_points(
             [_measure_absence(seconds, interval, request) for seconds in ABSENCES], request
         )
         fixed = {"replicas": float(ABSENT_REPLICAS), "snapshot_every": float(interval)}
-        result = result.plus(result_of(MeasuredLoad(ROLE, "missed_entries", ABSENCE_METHOD, fixed), points))
+        result = result.plus(make_result(MeasuredLoad(ROLE, "missed_entries", ABSENCE_METHOD, fixed), points))
     return result
 
 
--- a/ploverspoke/testbed/capacity/measurements/stored_state.py
+++ b/ploverspoke/testbed/capacity/measurements/stored_state.py
@@ -1,7 +1,7 @@
-"""Measures what stored requests cost one replica, in a process of its own so that its memory is its own.
+"""Measures what stored requests cost one replica, in a separate process so that its memory can be measured.
 
 `python -m ploverspoke.testbed.capacity.measurements.stored_state COUNT FOLDER` fills a state machine with
-answered requests as in service, writes a snapshot, reads it again, and prints the costs as JSON.
+answered requests as in operation, writes a snapshot, reads it back, and prints the costs as JSON.
 """
 
 import os
@@ -27,16 +27,16 @@
 from ...experiment_files.durations import MILLISECOND, SECOND
 from ...processes.resource_usage import read_resource_usage
 
-RESULT = "x" * 64  # that each request returned
-DIGEST = b"0" * 16  # of each request
+RESULT = "x" * 64  # the result of each request
+DIGEST = b"0" * 16  # the digest of each request
 REQUEST_INTERVAL = MILLISECOND
 REQUEST_TIMEOUT = 2 * SECOND
 
 
 class StoredStateCosts(msgspec.Struct):
-    """The costs of so many stored requests."""
+    """The costs of a number of stored requests."""
 
-    kept: int
+    kept: int  # the number of requests
     memory_bytes: int
     disk_bytes: int
     snapshot_seconds: float
@@ -44,7 +44,7 @@
 
 
 def fill(state: RequestStateMachine, count: int) -> int:
-    """Apply the entries of so many requests, each answered after one attempt; return how many entries."""
+    """Apply the log entries of `count` requests, each answered after one attempt; return their number."""
     entries = 0
     for number in range(count):
         name, now = f"{number:016x}", number * REQUEST_INTERVAL
@@ -60,7 +60,10 @@
 
 
 def measure(count: int, folder: Path) -> StoredStateCosts:
-    """Fill a state machine, write its snapshot, read it into another one. Exits where that one differs."""
+    """Fill a state machine, write its snapshot and restore it into another one.
+
+    Exits if the restored one has a different number of requests.
+    """
     storage, state = ReplicaStorage(folder), RequestStateMachine()
     storage.open()
     storage.initialize("r0.1", "slopes", {})
@@ -68,16 +71,16 @@
     entries = fill(state, count)
     memory = read_resource_usage(os.getpid()).memory - memory_before
     kept = len(state.answered)
-    began = time.perf_counter()
+    start = time.perf_counter()
     storage.save_snapshot(Snapshot(entries, 1, {}, state.take_snapshot()))
-    snapshot_seconds = time.perf_counter() - began
+    snapshot_seconds = time.perf_counter() - start
     disk_bytes = storage.size_bytes()
     storage.close()
-    began = time.perf_counter()
+    start = time.perf_counter()
     loaded = _load(folder)
-    load_seconds = time.perf_counter() - began
+    load_seconds = time.perf_counter() - start
     if len(loaded.answered) != kept:
-        sys.exit(f"{kept} were kept, {len(loaded.answered)} were read again")
+        sys.exit(f"the snapshot restored {len(loaded.answered)} of {kept} stored requests")
     return StoredStateCosts(kept, memory, disk_bytes, snapshot_seconds, load_seconds)
 
 
@@ -90,7 +93,7 @@
 
 
 def main() -> None:
-    """Measure as the command line says and print the costs."""
+    """Measure as given on the command line and print the costs."""
     costs = measure(int(sys.argv[1]), Path(sys.argv[2]))
     print(msgspec.json.encode(costs).decode())
 
--- a/ploverspoke/testbed/capacity/measurements/watching_dispatcher.py
+++ b/ploverspoke/testbed/capacity/measurements/watching_dispatcher.py
@@ -1,6 +1,6 @@
 """Measures the costs of a dispatcher that watches config servers.
 
-The dispatcher is the program as users start it; bytes of its watch are counted at the proxy before the
+The dispatcher runs as users start it. The bytes of its watch are counted at the proxy in front of the
 servers.
 """
 
@@ -18,7 +18,7 @@
 from ...processes.tcp_proxy import OUTSIDE
 from .config_server import BODY_SIZES, CHANGE_RATES, SECONDS_PER_MINUTE
 from .config_server_fleet import ConfigServerFleet
-from .dispatcher import RELOAD_OFFSET, WORKERS, dispatcher_experiment, measuring_interval
+from .dispatcher import RELOAD_OFFSET, WORKERS, dispatcher_experiment, measurement_interval
 from .measurement import (
     FOLDER_PREFIX,
     NO_RESULT,
@@ -30,7 +30,7 @@
     MeasurementRequest,
     MeasurementResult,
     Point,
-    result_of,
+    make_result,
     run_points,
 )
 from .measurement_fleet import Action, MeasurementFleet, run_fleet
@@ -44,14 +44,14 @@
 
 
 async def _measure_without_watch(request: MeasurementRequest) -> Point:
-    interval = measuring_interval(request.quick)
+    interval = measurement_interval(request.quick)
     experiment = parse_experiment(dispatcher_experiment(interval))
-    _, reading = await run_fleet(experiment, SEED, interval.settled * SECOND)
+    _, reading = await run_fleet(experiment, SEED, interval.settling_s * SECOND)
     return Point(0.0, reading.metrics, reading.void)
 
 
 async def _measure_watching(changes: int, body_size: int, request: MeasurementRequest) -> Point:
-    interval = measuring_interval(request.quick)
+    interval = measurement_interval(request.quick)
     experiment = parse_experiment(dispatcher_experiment(interval))
     readings: list[LinkBytes] = []
     with tempfile.TemporaryDirectory(prefix=FOLDER_PREFIX, dir=memory_backed_folder()) as folder:
@@ -61,16 +61,16 @@
                 await servers.start()
                 leader = await servers.find_leader()
                 actions = _watching_actions(servers, readings, interval, changes, body_size)
-                watch = servers.write_watch_file(leader)
+                watch_file = servers.write_watch_file(leader)
                 _, reading = await run_fleet(
-                    experiment, SEED, interval.settled * SECOND, actions, watch=watch
+                    experiment, SEED, interval.settling_s * SECOND, actions, watch_file=watch_file
                 )
                 void = reading.void or rig.void_reason()
         except (ProcessStartError, OSError, FrameError) as error:
             return Point(float(changes), {}, str(error) or NOT_READY)
     if not void and len(readings) < 2:
         void = "too little was seen at the config servers"
-    # At config servers only bytes are counted.
+    # The proxy in front of the config servers counts bytes only, so the message counts are left out.
     metrics = {key: value for key, value in reading.metrics.items() if "messages" not in key}
     if not void:
         _add_config_traffic(metrics, ByteRates(*readings), leader.name)
@@ -86,16 +86,22 @@
     changes: int,
     body_size: int,
 ) -> list[tuple[int, Action]]:
-    """Return a first version, a reading of the proxy at both ends of the interval, and changes in between."""
-    count = changes * interval.lasts // SECONDS_PER_MINUTE
+    """Return the actions of a run.
+
+    They publish a first version, read the proxy at the start and end of the interval, and publish changes in
+    between.
+    """
+    count = changes * interval.duration_s // SECONDS_PER_MINUTE
     publish = partial(_publish, servers, body_size)
-    read = partial(_append_link_bytes, servers, readings)
-    times = (interval.settled + RELOAD_OFFSET + number * interval.lasts / count for number in range(count))
+    read_proxy = partial(_append_link_bytes, servers, readings)
+    times = (
+        interval.settling_s + RELOAD_OFFSET + number * interval.duration_s / count for number in range(count)
+    )
     return [
         (SECOND, publish),
-        (interval.settled * SECOND, read),
+        (interval.settling_s * SECOND, read_proxy),
         *((int(at * SECOND), publish) for at in times),
-        (interval.end * SECOND, read),
+        (interval.end_s * SECOND, read_proxy),
     ]
 
 
@@ -111,14 +117,14 @@
 
 
 def _add_config_traffic(metrics: dict[str, float], rates: ByteRates, server: str) -> None:
-    into, out_of = rates.between(server, OUTSIDE), rates.between(OUTSIDE, server)
-    metrics["bytes_in_config"], metrics["bytes_out_config"] = into, out_of
-    metrics["bytes_in"] += into
-    metrics["bytes_out"] += out_of
+    received, sent = rates.between(server, OUTSIDE), rates.between(OUTSIDE, server)
+    metrics["bytes_in_config"], metrics["bytes_out_config"] = received, sent
+    metrics["bytes_in"] += received
+    metrics["bytes_out"] += sent
 
 
 async def measure_changes_at_dispatcher(request: MeasurementRequest) -> MeasurementResult:
-    """Vary the changes a minute at a dispatcher that watches; one without a watch is noted beside it."""
+    """Vary the changes a minute at a watching dispatcher; the notes give the costs of one without a watch."""
     result = NO_RESULT
     for body_size in BODY_SIZES:
         watching = [_measure_watching(rate, body_size, request) for rate in CHANGE_RATES]
@@ -126,7 +132,7 @@
         fixed = {"body_bytes": float(body_size), "workers_listed": float(WORKERS)}
         note = _note_without_watch(without)
         measured = MeasuredLoad(WATCHING_ROLE, "changes_a_minute", WATCHING_METHOD, fixed, note)
-        result = result.plus(result_of(measured, points))
+        result = result.plus(make_result(measured, points))
     return result
 
 
--- a/ploverspoke/testbed/capacity/ordinary_requirements.py
+++ b/ploverspoke/testbed/capacity/ordinary_requirements.py
@@ -1,13 +1,20 @@
-"""Requirements on an ordinary day and at its peak.
+"""Assesses the requirements on an ordinary day and at its peak.
 
-What they say of the code is written by hand, from the modules that they name; their figures come from
-measured costs, results of scenarios and the fleet file alone.
+The descriptions of the design are written by hand, based on the modules that they name. All figures come only
+from measured costs, results of scenarios and the fleet file.
 """
 
 import msgspec
 
 from ..experiment_files.durations import SECOND
-from .budgets import PROGRESS, STARTS, WATCHED, budget_verdict, core_share_with_tasks, estimate_spending
+from .budgets import (
+    SCOPE_PROGRESS,
+    SCOPE_STARTS,
+    SCOPE_WATCHED,
+    budget_verdict,
+    core_share_with_tasks,
+    estimate_spending,
+)
 from .requirement import (
     FROM_CODE,
     FROM_CONFIG_SERVERS,
@@ -16,27 +23,29 @@
     NO_MECHANISM,
     ORDINARY_DAY,
     PEAK_SCENARIO,
-    Facts,
+    AssessmentContext,
     Need,
     Requirement,
     assess_metric,
     assess_runs,
-    limit_text,
+    describe_limit,
+    describe_run_limit,
+    format_number,
     measured_or_run,
-    number,
-    run_limit,
-    scaled,
+    scale_estimate,
 )
 from .verdicts import FAILS, MISSING, OVER
-from .workload import DAY, PEAK, configuration_changes, largest_zone_part, running_time
+from .workload import PEAK, SECONDS_PER_DAY, config_change_rate, largest_zone_share, mean_running_time_s
 
 
-def workers(facts: Facts) -> Requirement:
-    """All workers are known to each dispatcher."""
-    count = facts.fleet.size.workers
-    max_measured = facts.max_measured("workers_listed")
-    limit = facts.load_at_limit("core_share", "workers_listed", facts.fleet.budget.core_share, STARTS)
-    runs = assess_runs(facts, facts.runs(PEAK_SCENARIO), ("rule",))
+def assess_workers(context: AssessmentContext) -> Requirement:
+    """Assess whether each dispatcher knows all workers."""
+    count = context.fleet.size.workers
+    max_measured = context.max_measured_load("workers_listed")
+    limit = context.load_at_limit(
+        "core_share", "workers_listed", context.fleet.budget.core_share, SCOPE_STARTS
+    )
+    runs = assess_runs(context, context.find_runs(PEAK_SCENARIO), ("rule",))
     verdict, basis = measured_or_run(runs.verdict, max_measured, count)
     return Requirement(
         key="workers",
@@ -47,45 +56,48 @@
         verdict=verdict,
         basis=basis,
         priority=ORDINARY_DAY,
-        limit=limit_text(limit, "listed workers") + ", by the share of a core",
+        limit=describe_limit(limit, "listed workers") + ", by the share of a core",
     )
 
 
-def starts(facts: Facts) -> Requirement:
-    """The day's jobs, and the starts of tasks at the peak."""
-    size = facts.fleet.size
-    each = size.task_starts_a_second / facts.fewest_dispatchers
-    max_measured = facts.max_measured("starts_a_second")
-    limit = facts.load_at_limit("core_share", "starts_a_second", facts.fleet.budget.core_share, STARTS)
-    runs = assess_metric(facts, "starts_a_second", size.task_starts_a_second, "starts a second")
-    verdict, basis = measured_or_run(runs.verdict, max_measured, each)
+def assess_starts(context: AssessmentContext) -> Requirement:
+    """Assess the number of jobs a day and the starts of tasks at the peak."""
+    size = context.fleet.size
+    rate_per_dispatcher = size.task_starts_a_second / context.fewest_dispatchers
+    max_measured = context.max_measured_load("starts_a_second")
+    limit = context.load_at_limit(
+        "core_share", "starts_a_second", context.fleet.budget.core_share, SCOPE_STARTS
+    )
+    runs = assess_metric(context, "starts_a_second", size.task_starts_a_second, "starts a second")
+    verdict, basis = measured_or_run(runs.verdict, max_measured, rate_per_dispatcher)
     return Requirement(
         key="starts",
         line=f"{size.jobs_a_day:,} jobs a day, {size.task_starts_a_second:g} starts a second at the peak",
-        demand=f"{size.jobs_a_day / DAY:.2g} jobs a second; {each:.2g} starts a second at one of "
-        f"{facts.fewest_dispatchers} dispatchers",
+        demand=f"{size.jobs_a_day / SECONDS_PER_DAY:.2g} jobs a second; "
+        f"{rate_per_dispatcher:.2g} starts a second at one of {context.fewest_dispatchers} dispatchers",
         design=f"each hands out its own; one dispatcher measured to {max_measured:.3g} a second; {runs.text}",
         mechanism="`decisions/queues.py`, `docs/design.md`",
         verdict=verdict,
         basis=basis,
         priority=ORDINARY_DAY,
-        limit=limit_text(limit, "starts a second at one dispatcher") + ", by its share of a core",
+        limit=describe_limit(limit, "starts a second at one dispatcher") + ", by its share of a core",
     )
 
 
-def tasks(facts: Facts) -> Requirement:
-    """The tasks that run at once."""
-    size = facts.fleet.size
-    each = size.tasks_running / facts.fewest_dispatchers
-    at_worker = size.tasks_running / size.workers
-    max_measured = facts.max_measured("tasks_running")
-    runs = assess_metric(facts, "tasks_running", size.tasks_running, "tasks running")
-    verdict, basis = measured_or_run(runs.verdict, max_measured, each)
+def assess_running_tasks(context: AssessmentContext) -> Requirement:
+    """Assess the number of tasks that run at the same time."""
+    size = context.fleet.size
+    tasks_per_dispatcher = size.tasks_running / context.fewest_dispatchers
+    tasks_per_worker = size.tasks_running / size.workers
+    max_measured = context.max_measured_load("tasks_running")
+    runs = assess_metric(context, "tasks_running", size.tasks_running, "tasks running")
+    verdict, basis = measured_or_run(runs.verdict, max_measured, tasks_per_dispatcher)
     return Requirement(
         key="tasks",
         line=f"{size.tasks_running:,} tasks running",
-        demand=f"{each:.3g} at one of {facts.fewest_dispatchers} dispatchers, {at_worker:.2g} at a worker; "
-        f"each runs for {running_time(facts.fleet):.3g} s, where the peak lasts",
+        demand=f"{tasks_per_dispatcher:.3g} at one of {context.fewest_dispatchers} dispatchers, "
+        f"{tasks_per_worker:.2g} at a worker; each runs for "
+        f"{mean_running_time_s(context.fleet):.3g} s, where the peak lasts",
         design="one worker call and one connection for each; one dispatcher measured to "
         f"{max_measured:.3g}; {runs.text}",
         mechanism="`routing/worker_calls.py`, `docs/architecture.md`",
@@ -96,17 +108,17 @@
     )
 
 
-def gangs(facts: Facts) -> Requirement:
-    """Tasks that start together or not at all."""
-    gang = facts.fleet.size.largest_gang
-    core = core_share_with_tasks(facts.fleet, facts.costs, gang, PROGRESS)
-    share = number(None if core is None else 100 * core, "% of a core")
+def assess_gangs(context: AssessmentContext) -> Requirement:
+    """Assess gangs: tasks that start either all together or not at all."""
+    gang = context.fleet.size.largest_gang
+    core_share = core_share_with_tasks(context.fleet, context.costs, gang, SCOPE_PROGRESS)
+    core_text = format_number(None if core_share is None else 100 * core_share, "% of a core")
     return Requirement(
         key="gangs",
         line=f"gangs of up to {gang}",
         demand="all tasks of a gang begin together, or none does",
         design="each task is a request of its own: a part of a gang may run and hold workers while the "
-        f"rest waits. {gang} tasks at one dispatcher, with progress reports: {share}",
+        f"rest waits. {gang} tasks at one dispatcher, with progress reports: {core_text}",
         mechanism=NO_MECHANISM,
         verdict=MISSING,
         basis=FROM_CODE,
@@ -116,9 +128,9 @@
     )
 
 
-def quotas(facts: Facts) -> Requirement:
-    """Quotas of teams over all dispatchers."""
-    teams = facts.fleet.size.teams
+def assess_quotas(context: AssessmentContext) -> Requirement:
+    """Assess the quotas of teams over all dispatchers."""
+    teams = context.fleet.size.teams
     return Requirement(
         key="quotas",
         line=f"{teams} teams with quotas",
@@ -134,10 +146,10 @@
     )
 
 
-def urgent_work(facts: Facts) -> Requirement:
-    """Urgent work starts in time."""
-    size = facts.fleet.size
-    runs = assess_runs(facts, facts.runs(PEAK_SCENARIO), ("urgent",))
+def assess_urgent_work(context: AssessmentContext) -> Requirement:
+    """Assess whether urgent work starts in time."""
+    size = context.fleet.size
+    runs = assess_runs(context, context.find_runs(PEAK_SCENARIO), ("urgent",))
     return Requirement(
         key="urgent",
         line=f"urgent work starts within {size.urgent_starts_within / SECOND:g} s",
@@ -158,16 +170,16 @@
     )
 
 
-def configuration_updates(facts: Facts) -> Requirement:
-    """Changes of the configuration, and the time until they are applied."""
-    size = facts.fleet.size
+def assess_config_changes(context: AssessmentContext) -> Requirement:
+    """Assess the rate of configuration changes and the time until they are applied."""
+    size = context.fleet.size
     seconds = size.config_applied_within / SECOND
-    busiest = configuration_changes(facts.fleet, PEAK).value
+    peak_rate = config_change_rate(context.fleet, PEAK).value
     requirement = Requirement(
         key="changes",
         line=f"{size.configuration_changes_a_day} changes of configuration a day, "
         f"applied within {seconds:g} s",
-        demand=f"{busiest:.2g} a minute in the busiest hour (assumed), at every dispatcher",
+        demand=f"{peak_rate:.2g} a minute in the busiest hour (assumed), at every dispatcher",
         design="each reads a file of its own at SIGHUP (`service/service.py`); `lease publish` commits "
         "to a store, which its own replicas alone take; nothing notifies dispatchers, or says what is "
         "applied where",
@@ -177,10 +189,10 @@
         priority=ORDINARY_DAY,
         limit="2 machines with a dispatcher",
     )
-    if not facts.with_config_distribution:
+    if not context.with_config_distribution:
         return requirement
-    runs = assess_runs(facts, facts.runs(FROM_CONFIG_SERVERS), ("in force", "rule"))
-    verdict, watch_costs = _with_watch_costs(facts, runs.verdict)
+    runs = assess_runs(context, context.find_runs(FROM_CONFIG_SERVERS), ("in force", "rule"))
+    verdict, watch_costs = _with_watch_costs(context, runs.verdict)
     return msgspec.structs.replace(
         requirement,
         design="config servers agree on versions and notify every dispatcher that watches; with fewer "
@@ -188,28 +200,31 @@
         mechanism="`config_distribution/`, `docs/distribution.md`",
         verdict=verdict,
         basis=FROM_RUNS,
-        limit=run_limit(verdict),
+        limit=describe_run_limit(verdict),
     )
 
 
-def _with_watch_costs(facts: Facts, verdict: str) -> tuple[str, str]:
-    """Return the verdict with the costs of the watch, and these: over the budget it does not hold."""
-    largest = max(facts.fleet.size.dispatchers)
-    spending = estimate_spending(facts.fleet, facts.costs, largest, PEAK, WATCHED)
-    share, kilobytes = scaled(spending.core, 100), scaled(spending.bytes, 1 / KILOBYTE)
-    text = f"control with a watch {number(share, '% of a core')}, {number(kilobytes, ' KB/s')}"
-    is_over = budget_verdict(facts.fleet.budget, spending) == OVER
-    return (OVER if is_over and verdict != FAILS else verdict), text
+def _with_watch_costs(context: AssessmentContext, verdict: str) -> tuple[str, str]:
+    """Return the verdict, with the cost of the watch included, and a description of that cost.
+
+    If the cost exceeds the budget, every verdict but FAILS becomes OVER.
+    """
+    largest = max(context.fleet.size.dispatchers)
+    spending = estimate_spending(context.fleet, context.costs, largest, PEAK, SCOPE_WATCHED)
+    share, kilobytes = scale_estimate(spending.core, 100), scale_estimate(spending.bytes, 1 / KILOBYTE)
+    text = f"control with a watch {format_number(share, '% of a core')}, {format_number(kilobytes, ' KB/s')}"
+    exceeds_budget = budget_verdict(context.fleet.budget, spending) == OVER
+    return (OVER if exceeds_budget and verdict != FAILS else verdict), text
 
 
-def zones(facts: Facts) -> Requirement:
-    """Work stays in its zone."""
-    size = facts.fleet.size
-    runs = assess_runs(facts, facts.runs(PEAK_SCENARIO), ("rule",))
+def assess_zones(context: AssessmentContext) -> Requirement:
+    """Assess whether work stays in its zone."""
+    size = context.fleet.size
+    runs = assess_runs(context, context.find_runs(PEAK_SCENARIO), ("rule",))
     return Requirement(
         key="zones",
         line=f"{size.regions} regions with {size.zones} zones",
-        demand=f"work stays near; {largest_zone_part(facts.fleet, size.workers)} workers in a zone",
+        demand=f"work stays near; {largest_zone_share(context.fleet, size.workers)} workers in a zone",
         design="own zone first, others where it has no capacity; a region is not known: zones of the "
         f"other are no further away; {runs.text}",
         mechanism="`decisions/worker_choice.py` (`tiers`), `docs/design.md`",
--- a/ploverspoke/testbed/capacity/requirement.py
+++ b/ploverspoke/testbed/capacity/requirement.py
@@ -1,4 +1,4 @@
-"""The form of a requirement of a fleet's size, and how it is assessed by costs and runs."""
+"""Requirements of a fleet, and helpers that assess them by measured costs and by runs of scenarios."""
 
 from collections.abc import Sequence
 from typing import NamedTuple
@@ -10,33 +10,34 @@
 from .fleet_size import FleetSize
 from .measured_costs import MeasuredCosts
 from .scenario_results import ScenarioResult, ScenarioResults
-from .verdicts import FAILS, HOLDS, LESSER, NOT_MEASURED, worst
+from .verdicts import FAILS, HOLDS, LESSER, NOT_MEASURED, worst_verdict
 from .workload import PEAK
 
 KILOBYTE = 1_000
 NO_MECHANISM = "none"
-# What a verdict rests on.
+# The basis of a verdict.
 FROM_RUNS, FROM_COSTS, FROM_CODE, CALCULATED = (
     "played",
     "slopes of one process",
     "read off the code",
     "worked out",
 )
-# Urgency of a requirement that does not hold.
+# Priorities of a requirement that does not hold: a promise is broken on an ordinary day, a budget is exceeded
+# on an ordinary day, or a promise is broken in a failure.
 ORDINARY_DAY, BUDGET, FAILURE = "a", "b", "c"
 BEYOND_RUNS = "beyond what was played"
-# In the names of scenarios.
-FROM_CONFIG_SERVERS = "from config servers"  # they bring the changes
-HALF_PEAK = "half"  # less load than the peak's on purpose
+# Words in the names of scenarios.
+FROM_CONFIG_SERVERS = "from config servers"  # config servers distribute the changes
+HALF_PEAK = "half"  # deliberately less load than at the peak
 PEAK_SCENARIO = "peak"
 LOAD_METRICS = {"starts_a_second": "starts a second", "tasks_running": "tasks running"}
-RATE_TOLERANCE = 0.97  # arrivals are random: so large a share of a rate counts as that rate
+RATE_TOLERANCE = 0.97  # a run with this share of a required rate reaches it, since arrivals are random
 
 
 class Need(NamedTuple):
-    """A requirement whose mechanism another one needs."""
+    """The need of one requirement for the mechanism of another."""
 
-    row: str  # the key of the requirement
+    row: str  # the key of the other requirement
     why: str
 
 
@@ -46,22 +47,22 @@
     kw_only=True,
     rename={"design": "gives", "priority": "letter", "limit": "stops"},
 ):
-    """One line of the fleet's size, with what carries it and whether it holds."""
+    """One requirement of the fleet, with the mechanism that meets it and the verdict."""
 
     key: str
-    line: str  # of the size
-    demand: str
-    design: str  # what it gives today
-    mechanism: str  # module and page, or NO_MECHANISM
+    line: str  # the requirement, as the operators state it
+    demand: str  # what the requirement asks of the system
+    design: str  # what today's design provides
+    mechanism: str  # module and page of the documentation, or NO_MECHANISM
     verdict: str
     basis: str  # of the verdict
-    priority: str  # ORDINARY_DAY: breaks a promise on an ordinary day; BUDGET: goes over one; FAILURE
-    limit: str  # from which load on the design stops
+    priority: str  # ORDINARY_DAY, BUDGET or FAILURE
+    limit: str  # the load at which the design no longer suffices
     needs: list[Need] = []
 
 
-class Facts(NamedTuple):
-    """What all requirements are assessed by."""
+class AssessmentContext(NamedTuple):
+    """The inputs of the assessment of all requirements."""
 
     fleet: FleetSize
     costs: MeasuredCosts
@@ -71,34 +72,37 @@
 
     @property
     def fewest_dispatchers(self) -> int:
-        """The smallest of the numbers of dispatchers that are estimated."""
+        """The smallest of the estimated numbers of dispatchers."""
         return min(self.fleet.size.dispatchers)
 
-    def max_measured(self, load: str) -> float:
-        """Return the largest of that load at which any metric of a dispatcher was measured."""
+    def max_measured_load(self, load: str) -> float:
+        """Return the largest amount of the load at which any metric of a dispatcher was measured."""
         lines = [line for line in self.costs.lines if (line.role, line.load) == ("dispatcher", load)]
         return max((line.max_load for line in lines), default=0.0)
 
-    def runs(self, *words: str) -> list[ScenarioResult]:
+    def find_runs(self, *words: str) -> list[ScenarioResult]:
         """Return the runs of scenarios with any of the words in their names."""
         return [run for run in self.results.runs if any(word in run.scenario for word in words)]
 
     def load_at_limit(self, metric: str, load: str, limit: float, scope: str) -> float | None:
-        """Return the load at which one dispatcher reaches the limit; None where it is not known."""
+        """Return the load at which one dispatcher reaches the limit, or None if it is unknown."""
         return dispatcher_load_at_limit(self.fleet, self.costs, Limit(metric, load, limit), scope)
 
 
 class Assessment(NamedTuple):
-    """A verdict with what it rests on, as a text."""
+    """A verdict, and a text that describes its basis."""
 
     verdict: str
     text: str
 
 
-def assess_runs(facts: Facts, runs: Sequence[ScenarioResult], words: Sequence[str] = ()) -> Assessment:
-    """Assess the runs that are not void; only lines with one of the words count, if any are given.
+def assess_runs(
+    context: AssessmentContext, runs: Sequence[ScenarioResult], words: Sequence[str] = ()
+) -> Assessment:
+    """Assess the runs that are not void.
 
-    What held in runs that all had less than the peak's load is LESSER.
+    If `words` are given, only those checks of a run count whose text contains one of them. The verdict is
+    LESSER if the checks held, but all runs had less load than the peak.
     """
     counted = [run for run in runs if not run.void]
     if not counted:
@@ -112,7 +116,7 @@
         return Assessment(FAILS, f"{text}, failed: {'; '.join(failed)}")
     if not held:
         return Assessment(NOT_MEASURED, f"{text} say nothing of it")
-    verdict = HOLDS if any(has_peak_load(facts, run) for run in counted) else LESSER
+    verdict = HOLDS if any(has_peak_load(context, run) for run in counted) else LESSER
     return Assessment(verdict, f"{text}, held")
 
 
@@ -129,72 +133,81 @@
     return text
 
 
-def has_peak_load(facts: Facts, run: ScenarioResult) -> bool:
-    """Whether the run had the load of the peak, and the fewest dispatchers at least."""
-    size = facts.fleet.size
+def has_peak_load(context: AssessmentContext, run: ScenarioResult) -> bool:
+    """Whether the run had the load of the peak and at least `fewest_dispatchers`."""
+    size = context.fleet.size
     starts = run.metrics.get("starts_a_second") or 0.0
     running = run.metrics.get("tasks_running") or 0.0
     return (
         starts >= RATE_TOLERANCE * size.task_starts_a_second
         and running >= RATE_TOLERANCE * size.tasks_running
-        and run.dispatchers >= facts.fewest_dispatchers
+        and run.dispatchers >= context.fewest_dispatchers
     )
 
 
-def assess_metric(facts: Facts, metric: str, demand: float, unit: str) -> Assessment:
-    """Assess the peak's runs by one of their metrics; half of the peak by design is no failure."""
-    runs = facts.runs(PEAK_SCENARIO)
-    values = [(run, value) for run in runs if not run.void and (value := run.metrics.get(metric)) is not None]
-    if not values:
-        void = assess_runs(facts, [run for run in runs if run.void])
+def assess_metric(context: AssessmentContext, metric: str, demand: float, unit: str) -> Assessment:
+    """Assess the runs of the peak by one of their metrics.
+
+    Too low a value is no failure if all runs deliberately had half of the load of the peak.
+    """
+    runs = context.find_runs(PEAK_SCENARIO)
+    measured_runs = [
+        (run, value) for run in runs if not run.void and (value := run.metrics.get(metric)) is not None
+    ]
+    if not measured_runs:
+        void = assess_runs(context, [run for run in runs if run.void])
         return Assessment(NOT_MEASURED, void.text)
-    largest = max(value for _, value in values)
-    is_whole = any(HALF_PEAK not in run.scenario for run, _ in values)
-    verdict = HOLDS if largest >= RATE_TOLERANCE * demand else FAILS if is_whole else LESSER
+    largest = max(value for _, value in measured_runs)
+    has_full_peak = any(HALF_PEAK not in run.scenario for run, _ in measured_runs)
+    verdict = HOLDS if largest >= RATE_TOLERANCE * demand else FAILS if has_full_peak else LESSER
     return Assessment(verdict, f"played: {largest:.4g} {unit}")
 
 
-def assess_budget(facts: Facts, scope: str) -> Assessment:
-    """Assess the budget over all numbers of dispatchers, and describe it at each."""
-    rows = [row for row in facts.budget if row.scope == scope]
+def assess_budget(context: AssessmentContext, scope: str) -> Assessment:
+    """Assess the budget for all numbers of dispatchers, and describe the spending with each number."""
+    rows = [row for row in context.budget if row.scope == scope]
     verdicts: dict[int, str] = {}
     texts = []
-    for dispatchers in facts.fleet.size.dispatchers:
-        same = [row for row in rows if row.dispatchers == dispatchers]
-        verdicts[dispatchers] = worst([row.verdict for row in same])
-        at_peak = next(_describe_spending(row) for row in same if row.situation == PEAK)
+    for dispatchers in context.fleet.size.dispatchers:
+        rows_of_count = [row for row in rows if row.dispatchers == dispatchers]
+        verdicts[dispatchers] = worst_verdict([row.verdict for row in rows_of_count])
+        at_peak = next(_describe_spending(row) for row in rows_of_count if row.situation == PEAK)
         texts.append(f"{verdicts[dispatchers]} with {dispatchers} ({at_peak} at the peak)")
-    return Assessment(worst(list(verdicts.values())), "; ".join(texts))
+    return Assessment(worst_verdict(list(verdicts.values())), "; ".join(texts))
 
 
 def _describe_spending(row: BudgetRow) -> str:
-    core, memory = scaled(row.core, 100), scaled(row.memory, 1 / MEGABYTE)
-    byte_rate = scaled(row.bytes, 1 / KILOBYTE)
-    return f"{number(core, '%')}, {number(memory, ' MB')}, {number(byte_rate, ' KB/s')}"
+    core, memory = scale_estimate(row.core, 100), scale_estimate(row.memory, 1 / MEGABYTE)
+    byte_rate = scale_estimate(row.bytes, 1 / KILOBYTE)
+    return f"{format_number(core, '%')}, {format_number(memory, ' MB')}, {format_number(byte_rate, ' KB/s')}"
 
 
 def measured_or_run(verdict: str, max_measured: float, demand: float) -> tuple[str, str]:
-    """Return verdict and basis; a dispatcher that carried its part alone counts where no run shows it."""
+    """Return the verdict and its basis.
+
+    If no run shows that the requirement holds, a measurement of a single dispatcher that carried its share of
+    the load counts instead.
+    """
     if verdict in (NOT_MEASURED, LESSER) and max_measured >= demand:
         return HOLDS, FROM_COSTS
     return verdict, FROM_RUNS
 
 
-def number(value: float | None, unit: str = "") -> str:
+def format_number(value: float | None, unit: str = "") -> str:
     """Format a value with three digits and its unit."""
     return NOT_MEASURED if value is None else f"{value:.3g}{unit}"
 
 
-def scaled(estimate: Estimate, factor: float) -> float | None:
-    """Return the value in another unit."""
+def scale_estimate(estimate: Estimate, factor: float) -> float | None:
+    """Return the value in another unit, or None if it was not measured."""
     return None if estimate.value is None else estimate.value * factor
 
 
-def limit_text(value: float | None, unit: str) -> str:
-    """Describe a load at which a limit is reached."""
+def describe_limit(value: float | None, unit: str) -> str:
+    """Describe the load at which a limit is reached."""
     return f"{value:.3g} {unit}" if value is not None else f"no number of {unit} near what was measured"
 
 
-def run_limit(verdict: str) -> str:
-    """Describe the limit of what was only shown by runs."""
+def describe_run_limit(verdict: str) -> str:
+    """Describe the limit of a requirement that is assessed by runs only."""
     return NOT_MEASURED if verdict == NOT_MEASURED else BEYOND_RUNS
--- a/ploverspoke/testbed/capacity/requirements.py
+++ b/ploverspoke/testbed/capacity/requirements.py
@@ -1,30 +1,30 @@
-"""All requirements of a fleet's size, in the order of the page."""
+"""Assesses all requirements of a fleet, in the order of the page."""
 
 from collections.abc import Callable
 
 from . import budget_requirements, failure_requirements, ordinary_requirements
-from .requirement import Facts, Requirement
+from .requirement import AssessmentContext, Requirement
 
-SINGLE_REQUIREMENTS: tuple[Callable[[Facts], Requirement], ...] = (
-    ordinary_requirements.workers,
-    ordinary_requirements.starts,
-    ordinary_requirements.tasks,
-    ordinary_requirements.gangs,
-    ordinary_requirements.quotas,
-    ordinary_requirements.urgent_work,
-    ordinary_requirements.configuration_updates,
-    ordinary_requirements.zones,
-    budget_requirements.control,
-    budget_requirements.control_with_progress,
-    budget_requirements.control_machines,
+SINGLE_ASSESSMENTS: tuple[Callable[[AssessmentContext], Requirement], ...] = (
+    ordinary_requirements.assess_workers,
+    ordinary_requirements.assess_starts,
+    ordinary_requirements.assess_running_tasks,
+    ordinary_requirements.assess_gangs,
+    ordinary_requirements.assess_quotas,
+    ordinary_requirements.assess_urgent_work,
+    ordinary_requirements.assess_config_changes,
+    ordinary_requirements.assess_zones,
+    budget_requirements.assess_budget_without_progress,
+    budget_requirements.assess_budget_with_progress,
+    budget_requirements.assess_control_machines,
 )
 
 
-def assess_requirements(facts: Facts) -> list[Requirement]:
-    """Assess all requirements by the facts."""
+def assess_requirements(context: AssessmentContext) -> list[Requirement]:
+    """Assess all requirements."""
     return [
-        *(assess(facts) for assess in SINGLE_REQUIREMENTS),
-        *failure_requirements.repeated_failures(facts),
-        failure_requirements.regions_apart(facts),
-        failure_requirements.region_lost(facts),
+        *(assess(context) for assess in SINGLE_ASSESSMENTS),
+        *failure_requirements.assess_repeated_failures(context),
+        failure_requirements.assess_regions_apart(context),
+        failure_requirements.assess_region_loss(context),
     ]
--- a/ploverspoke/testbed/capacity/scenario_results.py
+++ b/ploverspoke/testbed/capacity/scenario_results.py
@@ -1,4 +1,4 @@
-"""Results of the scale tests, and the file that keeps them. The encoded names are those of the file."""
+"""Results of the scale tests, and the file that stores them. The encoded names are those of the file."""
 
 from pathlib import Path
 
@@ -21,20 +21,20 @@
     seed: int
     dispatchers: int
     processes: int = 0
-    simulated: bool = True  # several dispatchers in a process
-    void: str = ""  # why the run proves nothing; empty where it does
-    metrics: dict[str, float | None] = {}  # None: void, or not measured
-    held: list[str] = []
-    failed: list[str] = []
+    simulated: bool = True  # whether one process simulates several dispatchers
+    void: str = ""  # why the run is void; empty if it is valid
+    metrics: dict[str, float | None] = {}  # None: the run is void, or the metric was not measured
+    held: list[str] = []  # checks that passed
+    failed: list[str] = []  # checks that failed
     note: str = ""
 
 
 class ScenarioResults(msgspec.Struct, frozen=True, kw_only=True, rename={"date": "at", "commit": "text"}):
-    """All runs, as the file keeps them."""
+    """All runs, as stored in the file."""
 
     format: int
     date: str
-    commit: str  # that was run
+    commit: str  # the commit that was tested
     machine: str
     runs: list[ScenarioResult]
 
--- a/ploverspoke/testbed/capacity/stored_file.py
+++ b/ploverspoke/testbed/capacity/stored_file.py
@@ -1,4 +1,4 @@
-"""Files that the capacity model keeps: JSON of a known format."""
+"""Reads the files of the capacity model: JSON with a format number."""
 
 from pathlib import Path
 from typing import Protocol, TypeVar
@@ -7,7 +7,7 @@
 
 
 class StoredFileError(ValueError):
-    """The file holds nothing of the expected kind and format."""
+    """The file cannot be read, or its content is not of the expected kind and format."""
 
     def __init__(self, path: Path, reason: str) -> None:
         """`reason` says what is wrong with the file."""
@@ -17,21 +17,21 @@
 
 
 class StoredDocument(Protocol):
-    """What each file has, whatever it holds."""
+    """The fields that all stored files have."""
 
     @property
     def format(self) -> int:
-        """The version of the file's form."""
+        """The version of the file format."""
 
 
 Document = TypeVar("Document", bound=StoredDocument)
 
 
 def read_stored_file(path: Path, kind: type[Document], name: str, expected_format: int) -> Document:
-    """Read a file of that kind; `name` is what messages call its content.
+    """Read a file of that kind; error messages call its content `name`.
 
     Raises:
-        StoredFileError: it cannot be read, is no such file, or has another format.
+        StoredFileError: The file cannot be read, is not of that kind, or has another format.
     """
     try:
         document: Document = msgspec.json.decode(path.read_bytes(), type=kind)
--- a/ploverspoke/testbed/capacity/table.py
+++ b/ploverspoke/testbed/capacity/table.py
@@ -1,7 +1,7 @@
-"""The whole capacity table: requirements, budgets, costs of each role, and what is missing first.
+"""The capacity table: requirements, budgets, costs of each role, and unmet requirements in order.
 
-The requirements are assessed twice: without the distribution of configuration, by which it was chosen, and
-with it.
+The requirements are assessed twice: without the distribution of configuration, and with it. By the first
+assessment the distribution of configuration was chosen as the mechanism to build first.
 """
 
 from collections.abc import Sequence
@@ -12,14 +12,15 @@
 from .estimate import Estimate, estimate_line
 from .fleet_size import FleetSize
 from .measured_costs import CostPerUnit, MeasuredCosts
-from .requirement import Facts, Requirement
+from .requirement import AssessmentContext, Requirement
 from .requirements import assess_requirements
 from .scenario_results import ScenarioResults
 from .verdicts import HOLDS, UNMET
 from .workload import PEAK, SITUATIONS, Amount, temporary_amounts, workload
 
-MIN_CHANGE = 0.05  # share of a metric; one that changes less over all that was measured is independent
-# What carries each role: module and page.
+# A metric that changes by a smaller share over the measured range is treated as independent of the load.
+MIN_RELATIVE_CHANGE = 0.05
+# The modules that implement each role, and its page of the documentation.
 ROLES = {
     "dispatcher": "`routing/`, `decisions/` (`docs/architecture.md`)",
     WATCHING: "`config_distribution/watcher.py` (`docs/distribution.md`); a whole one, idle",
@@ -40,12 +41,12 @@
 class RoleRow(
     msgspec.Struct, frozen=True, kw_only=True, rename={"load_amounts": "state", "estimates": "figures"}
 ):
-    """What one role costs under the same loads."""
+    """The costs of one role in situations with the same loads."""
 
     role: str
     dispatchers: int
-    situations: list[str]  # that have these loads
-    load_amounts: str  # as a text
+    situations: list[str]  # the situations with these loads
+    load_amounts: str  # formatted as text
     estimates: dict[str, Estimate]  # by the kinds of METRICS
 
 
@@ -55,7 +56,7 @@
     kw_only=True,
     rename={"metric": "figure", "load": "size", "fixed_amounts": "still", "estimates": "at"},
 ):
-    """A metric that only some roles have, along one load, at the peak."""
+    """A metric that only some roles have, estimated at the peak for one load."""
 
     role: str
     metric: str
@@ -66,11 +67,11 @@
 
 
 class MissingMechanism(msgspec.Struct, frozen=True, kw_only=True, rename={"priority": "letter"}):
-    """A requirement that does not hold."""
+    """An unmet requirement, whose mechanism has to be built or improved."""
 
-    row: str  # its key
+    row: str  # the key of the requirement
     priority: str
-    needed_by: list[str]  # keys of requirements that need its mechanism
+    needed_by: list[str]  # the keys of requirements that need its mechanism
 
 
 class CapacityTable(
@@ -79,7 +80,7 @@
     kw_only=True,
     rename={"requirements": "rows", "role_metrics": "further"},
 ):
-    """All that the page shows. The encoded names are those of the command's JSON."""
+    """The whole content of the page. The encoded names are those of the command's JSON output."""
 
     fleet: FleetSize
     before: list[Requirement]  # without the distribution of configuration
@@ -87,38 +88,40 @@
     budget: list[BudgetRow]
     roles: list[RoleRow]
     role_metrics: list[RoleMetric]
-    missing: list[MissingMechanism]  # of `before`, the first to build first
-    missing_now: list[MissingMechanism]
+    missing: list[MissingMechanism]  # unmet requirements of `before`, in the order in which to build them
+    missing_now: list[MissingMechanism]  # unmet requirements of `requirements`, in the same order
 
     def requirement(self, key: str) -> Requirement:
         """Return the requirement with that key."""
-        return next(each for each in self.requirements if each.key == key)
+        return next(requirement for requirement in self.requirements if requirement.key == key)
 
     def unmet(self) -> list[Requirement]:
-        """Return what does not hold, or was not measured."""
-        return [each for each in self.requirements if each.verdict != HOLDS]
+        """Return the requirements that do not hold or were not measured."""
+        return [requirement for requirement in self.requirements if requirement.verdict != HOLDS]
 
 
 def order_missing(requirements: Sequence[Requirement]) -> list[MissingMechanism]:
-    """Order the requirements that do not hold, the one to build first at the front.
+    """Return the requirements that do not hold, in the order in which to build their mechanisms.
 
-    By priority, then by how many others need its mechanism, then as they stand. What was not measured is none
-    of them; the page names it.
+    They are sorted by priority, then by how many others need their mechanism; otherwise they keep their
+    order. Requirements that were not measured are left out; the page lists them separately.
     """
     needed_by = {
-        each.key: [other.key for other in requirements if each.key in dict(other.needs)]
-        for each in requirements
+        requirement.key: [other.key for other in requirements if requirement.key in dict(other.needs)]
+        for requirement in requirements
     }
-    unmet = [each for each in requirements if each.verdict in UNMET]
-    unmet.sort(key=lambda each: (each.priority, -len(needed_by[each.key])))
+    unmet = [requirement for requirement in requirements if requirement.verdict in UNMET]
+    unmet.sort(key=lambda requirement: (requirement.priority, -len(needed_by[requirement.key])))
     return [
-        MissingMechanism(row=each.key, priority=each.priority, needed_by=needed_by[each.key])
-        for each in unmet
+        MissingMechanism(
+            row=requirement.key, priority=requirement.priority, needed_by=needed_by[requirement.key]
+        )
+        for requirement in unmet
     ]
 
 
 def role_rows(fleet: FleetSize, costs: MeasuredCosts) -> list[RoleRow]:
-    """Return the costs of each role; situations with the same measured loads share a row."""
+    """Return the costs of each role, with one row for all situations that have the same measured loads."""
     rows = []
     for role in ROLES:
         measured = {line.load for line in costs.lines if line.role == role}
@@ -153,7 +156,7 @@
 
 
 def role_metrics(fleet: FleetSize, costs: MeasuredCosts) -> list[RoleMetric]:
-    """Return the metrics that not all roles have, as those of the worst second of a failure."""
+    """Return the metrics that not all roles have, such as those of the worst second of a failure."""
     rows = []
     for line in _role_metric_lines(costs):
         estimates = {}
@@ -178,12 +181,15 @@
 
 
 def _role_metric_lines(costs: MeasuredCosts) -> list[CostPerUnit]:
-    """Choose lines; of those that differ only in the amounts of fixed loads, the one with the largest."""
-    common = {name for names in METRICS.values() for name in names}
+    """Choose the lines of metrics that only some roles have and that depend on their load.
+
+    Of lines that differ only in the amounts of their fixed loads, the one with the largest amounts is chosen.
+    """
+    common_metrics = {name for names in METRICS.values() for name in names}
     chosen: dict[tuple[str, ...], CostPerUnit] = {}
     for line in costs.lines:
         largest = max(abs(value) for _, value in line.points)
-        if line.metric in common or abs(line.slope * line.max_load) <= MIN_CHANGE * largest:
+        if line.metric in common_metrics or abs(line.slope * line.max_load) <= MIN_RELATIVE_CHANGE * largest:
             continue
         key = (line.role, line.metric, line.load, *sorted(line.fixed_amounts))
         if key not in chosen or sum(line.fixed_amounts.values()) > sum(chosen[key].fixed_amounts.values()):
@@ -192,10 +198,10 @@
 
 
 def make_table(fleet: FleetSize, costs: MeasuredCosts, results: ScenarioResults) -> CapacityTable:
-    """Assess a fleet by measured costs and results of scenarios."""
+    """Assess a fleet by measured costs and by the results of scenarios."""
     budget = budget_rows(fleet, costs)
-    before = assess_requirements(Facts(fleet, costs, results, budget, False))
-    requirements = assess_requirements(Facts(fleet, costs, results, budget, True))
+    before = assess_requirements(AssessmentContext(fleet, costs, results, budget, False))
+    requirements = assess_requirements(AssessmentContext(fleet, costs, results, budget, True))
     return CapacityTable(
         fleet=fleet,
         before=before,
--- a/tests/testbed/capacity/test_capacity_table.py
+++ b/tests/testbed/capacity/test_capacity_table.py
@@ -1,4 +1,4 @@
-"""The table of a fleet's size: its file, figures from slopes, verdicts, what is missing first, the page."""
+"""The capacity table: fleet file, estimates from measured costs, verdicts, unmet requirements, the page."""
 
 import re
 import tomllib
@@ -10,7 +10,7 @@
 from click.testing import CliRunner
 
 from ploverspoke.cli import main
-from ploverspoke.testbed.capacity.budgets import CONTROL, PROGRESS, STARTS, WATCHED
+from ploverspoke.testbed.capacity.budgets import SCOPE_CONTROL, SCOPE_PROGRESS, SCOPE_STARTS, SCOPE_WATCHED
 from ploverspoke.testbed.capacity.estimate import Limit, estimate, load_at_limit
 from ploverspoke.testbed.capacity.fleet_size import FleetFileError, parse_fleet, read_fleet
 from ploverspoke.testbed.capacity.machines import layout, losses, region_splits, survives_with_third_site
@@ -28,7 +28,7 @@
     read_scenario_results,
 )
 from ploverspoke.testbed.capacity.table import CapacityTable, make_table, order_missing
-from ploverspoke.testbed.capacity.workload import APART, ORDINARY, PEAK, ZONE, Amount, workload
+from ploverspoke.testbed.capacity.workload import ORDINARY, PEAK, REGIONS_APART, ZONE, Amount, workload
 from ploverspoke.testbed.reports.capacity_page.page import (
     BEGIN,
     END,
@@ -46,9 +46,9 @@
 
 
 def fleet_document(table: str, key: str, value: object) -> dict[str, Any]:
-    whole = tomllib.loads(FLEET.read_text())
-    whole[table][key] = value
-    return whole
+    document = tomllib.loads(FLEET.read_text())
+    document[table][key] = value
+    return document
 
 
 @pytest.mark.parametrize(
@@ -80,32 +80,33 @@
 
 
 def test_missing_key_and_another_kind_are_rejected() -> None:
-    whole = tomllib.loads(FLEET.read_text())
-    del whole["budget"]["memory_mb"]
+    document = tomllib.loads(FLEET.read_text())
+    del document["budget"]["memory_mb"]
     with pytest.raises(FleetFileError, match="memory_mb"):
-        parse_fleet(whole)
+        parse_fleet(document)
     with pytest.raises(FleetFileError, match="kind"):
         parse_fleet({**tomllib.loads(FLEET.read_text()), "kind": "leases"})
 
 
 def line(metric: str, load: str, points: list[tuple[float, float]], **more: Any) -> CostPerUnit:
-    """Through its first and last point."""
+    """Return a cost whose line goes through the first and the last point."""
     (x0, y0), (x1, y1) = points[0], points[-1]
     slope = (y1 - y0) / (x1 - x0)
     fit = {"intercept": y0 - slope * x0, "slope": slope, "residual": 0.0, "contradicted": False, "unit": "-"}
-    given = {"role": "dispatcher", "metric": metric, "load": load, "points": points, "max_load": x1}
-    return CostPerUnit(**{**given, **fit, **more})
+    defaults = {"role": "dispatcher", "metric": metric, "load": load, "points": points, "max_load": x1}
+    return CostPerUnit(**{**defaults, **fit, **more})
 
 
 def costs(*lines: CostPerUnit) -> MeasuredCosts:
     return MeasuredCosts(format=1, date="2026-12-02", commit="abc", machine="made up", lines=list(lines))
 
 
-def sizes(**amounts: float) -> dict[str, Amount]:
+def load_amounts(**amounts: float) -> dict[str, Amount]:
     return {name: Amount(value, "stated") for name, value in amounts.items()}
 
 
-LISTED = line("core_share", "workers_listed", [(100.0, 0.001), (300.0, 0.003)])  # 0.00001 each, from 0
+# 0.00001 for each listed worker, and a base of 0.
+LISTED = line("core_share", "workers_listed", [(100.0, 0.001), (300.0, 0.003)])
 STARTED = line(
     "core_share", "starts_a_second", [(0.0, 0.001), (4.0, 0.009)], fixed_amounts={"workers_listed": 100}
 )
@@ -126,9 +127,9 @@
 def test_estimate_is_the_base_and_each_cost_times_its_amount() -> None:
     found = estimate(
         costs(LISTED, STARTED, WITH_PROGRESS, WITHOUT_PROGRESS), "dispatcher", "core_share",
-        sizes(workers_listed=980, starts_a_second=0.6, tasks_running=24),
+        load_amounts(workers_listed=980, starts_a_second=0.6, tasks_running=24),
     )  # fmt: skip
-    # 980 x 0.00001 + 0.6 x 0.002 + 24 x 0.0005, and no base: a hundred listed workers are all of 0.001.
+    # 980 x 0.00001 + 0.6 x 0.002 + 24 x 0.0005. The base is 0, as 100 listed workers cost the whole 0.001.
     assert found.value == pytest.approx(0.0098 + 0.0012 + 0.012)
     assert found.origin == "worked out" and not found.missing and not found.contradicted
     assert found.extrapolated == [
@@ -137,7 +138,7 @@
 
 
 def test_cost_with_or_without_progress_reports_is_chosen() -> None:
-    both, at = costs(WITH_PROGRESS, WITHOUT_PROGRESS), sizes(tasks_running=20)
+    both, at = costs(WITH_PROGRESS, WITHOUT_PROGRESS), load_amounts(tasks_running=20)
     assert estimate(both, "dispatcher", "core_share", at, True).value == pytest.approx(0.011)
     assert estimate(both, "dispatcher", "core_share", at, False).value == pytest.approx(0.001)
 
@@ -150,14 +151,14 @@
         "core_share", "holders", [(0.0, 0.01), (100.0, 0.03)], role="keeper", fixed_amounts={"keepers": 5}
     )
     for both in (costs(three, five), costs(five, three)):
-        assert estimate(both, "keeper", "core_share", sizes(holders=100)).value == 0.03
+        assert estimate(both, "keeper", "core_share", load_amounts(holders=100)).value == 0.03
 
 
 def test_cost_measured_with_fewer_voters_is_scaled() -> None:
     three = line(
         "core_share", "watchers", [(0.0, 0.0), (9.0, 0.9)], role="config server", fixed_amounts={"servers": 3}
     )
-    found = estimate(costs(three), "config server", "core_share", sizes(watchers=9))
+    found = estimate(costs(three), "config server", "core_share", load_amounts(watchers=9))
     assert found.extrapolated == ["servers: measured to 3, used at 5"]
 
 
@@ -168,16 +169,16 @@
         role="dispatcher watching configuration", fixed_amounts={"workers_listed": 100},
     )  # fmt: skip
     table = table_of(costs(by_list, watch))
-    at_peak = next(row for row in table.budget if (row.scope, row.situation) == (WATCHED, PEAK))
-    # A quarter of 680 changes in an hour; the list at 980, and 0.001 that a watch takes by itself.
+    at_peak = next(row for row in table.budget if (row.scope, row.situation) == (SCOPE_WATCHED, PEAK))
+    # A quarter of 680 changes falls into one hour; the list has 980 workers; the watch itself costs 0.001.
     assert at_peak.core.value == pytest.approx(0.0098 + 0.001 + 680 / 4 / 60 * 0.0001)
     assert "control with a watch 1.11% of a core" in table.requirement("changes").design
 
 
 def test_absent_load_adds_no_cost_and_no_fixed_amounts() -> None:
-    telling = line("core_share", "peers_telling", [(3.0, 0.02), (31.0, 0.03)])
+    gossip = line("core_share", "peers_telling", [(3.0, 0.02), (31.0, 0.03)])
     found = estimate(
-        costs(LISTED, telling), "dispatcher", "core_share", sizes(workers_listed=100, peers_telling=0)
+        costs(LISTED, gossip), "dispatcher", "core_share", load_amounts(workers_listed=100, peers_telling=0)
     )
     assert found.value == 0.001
 
@@ -194,21 +195,23 @@
 
 
 def test_estimate_at_a_measured_amount_is_measured_and_an_assumed_amount_is_reported() -> None:
-    point = estimate(costs(LISTED), "dispatcher", "core_share", sizes(workers_listed=300))
+    point = estimate(costs(LISTED), "dispatcher", "core_share", load_amounts(workers_listed=300))
     assert (point.value, point.origin) == (0.003, "measured")
     assumed = estimate(costs(LISTED), "dispatcher", "core_share", {"workers_listed": Amount(200, "assumed")})
     assert assumed.origin == "assumed"
 
 
 def test_unmeasured_cost_is_reported_and_never_zero() -> None:
-    nothing = estimate(costs(LISTED), "keeper", "core_share", sizes(holders=3))
-    assert (nothing.value, nothing.origin) == (None, "not measured")
-    part = estimate(costs(LISTED), "dispatcher", "core_share", sizes(workers_listed=300, peers_telling=2))
-    assert part.missing == ["core_share by peers_telling"]
-    none_of_it = estimate(
-        costs(LISTED), "dispatcher", "core_share", sizes(workers_listed=300, peers_telling=0)
+    not_measured = estimate(costs(LISTED), "keeper", "core_share", load_amounts(holders=3))
+    assert (not_measured.value, not_measured.origin) == (None, "not measured")
+    partly_measured = estimate(
+        costs(LISTED), "dispatcher", "core_share", load_amounts(workers_listed=300, peers_telling=2)
     )
-    assert not none_of_it.missing
+    assert partly_measured.missing == ["core_share by peers_telling"]
+    without_peers = estimate(
+        costs(LISTED), "dispatcher", "core_share", load_amounts(workers_listed=300, peers_telling=0)
+    )
+    assert not without_peers.missing
     table = table_of(costs(LISTED))
     assert all(row.bytes.value is None and row.verdict == "not measured" for row in table.budget)
     assert "keeper: bytes, core, growth, memory, messages" in render_markdown(
@@ -218,29 +221,32 @@
 
 def test_contradicted_fit_is_reported_and_the_highest_measured_ratio_used() -> None:
     points = [(0.0, 0.0), (1.0, 0.006), (4.0, 0.008)]
-    bad = line("core_share", "starts_a_second", points, residual=0.67, contradicted=True)
-    found = estimate(costs(bad), "dispatcher", "core_share", sizes(starts_a_second=4))
+    contradicted = line("core_share", "starts_a_second", points, residual=0.67, contradicted=True)
+    found = estimate(costs(contradicted), "dispatcher", "core_share", load_amounts(starts_a_second=4))
     assert found.value == pytest.approx(0.024) and found.origin == "worked out"
     assert "residual 67%, the worst measured ratio" in found.contradicted[0]
-    text = render_markdown(table_of(costs(bad)), costs(bad), NO_RESULTS)
+    text = render_markdown(table_of(costs(contradicted)), costs(contradicted), NO_RESULTS)
     assert found.contradicted[0] in text and "w!" in text
 
 
 def test_falling_fit_counts_as_its_highest_point() -> None:
-    falls = line("memory_bytes", "workers_listed", [(100.0, 31e6), (300.0, 30e6)])
-    assert estimate(costs(falls), "dispatcher", "memory_bytes", sizes(workers_listed=980)).value == 31.5e6
+    falling = line("memory_bytes", "workers_listed", [(100.0, 31e6), (300.0, 30e6)])
+    assert (
+        estimate(costs(falling), "dispatcher", "memory_bytes", load_amounts(workers_listed=980)).value
+        == 31.5e6
+    )
 
 
 def test_load_at_the_limit_is_solved_and_not_extrapolated_too_far() -> None:
-    at = sizes(workers_listed=100, starts_a_second=0.1)
+    at = load_amounts(workers_listed=100, starts_a_second=0.1)
     both = costs(LISTED, STARTED)
-    stop = load_at_limit(both, "dispatcher", Limit("core_share", "starts_a_second", 0.012), at)
-    assert stop == pytest.approx((0.012 - 0.001) / 0.002)
+    load = load_at_limit(both, "dispatcher", Limit("core_share", "starts_a_second", 0.012), at)
+    assert load == pytest.approx((0.012 - 0.001) / 0.002)
     assert load_at_limit(both, "dispatcher", Limit("core_share", "starts_a_second", 1.0), at) is None
     assert load_at_limit(both, "dispatcher", Limit("memory_bytes", "starts_a_second", 1.0), at) is None
 
 
-# ---- The fleet ----
+# ---- The planned fleet ----
 
 
 def table_of(measured: MeasuredCosts, results: ScenarioResults = NO_RESULTS) -> CapacityTable:
@@ -251,48 +257,50 @@
     fleet = read_fleet(FLEET)
     peak = workload(fleet, 200, PEAK)["dispatcher"]
     assert peak["tasks_running"].value == 24 and peak["starts_a_second"].value == pytest.approx(0.6)
-    # 9,400 jobs of 64 tasks at the most over a day, 200 dispatchers.
+    # 9,400 jobs a day of at most 64 tasks each, over 200 dispatchers.
     ordinary = workload(fleet, 200, ORDINARY)["dispatcher"]["starts_a_second"]
     assert ordinary.value == pytest.approx(9400 * 64 / 86400 / 200) and ordinary.origin == "assumed"
-    # 140 of 980 workers go with 29 of 200 dispatchers; 685.7 tasks start again within the minute.
+    # A lost zone takes 140 of 980 workers and 29 of 200 dispatchers; 685.7 tasks start again within a minute.
     zone = workload(fleet, 200, ZONE)["dispatcher"]
     assert zone["starts_a_second"].value == pytest.approx((120 + 4800 / 7 / 60) / 171)
     assert zone["list_changes_a_second"].value == pytest.approx(140 / 60)
-    assert workload(fleet, 200, APART)["dispatcher"]["list_changes_a_second"].value == pytest.approx(560 / 60)
+    assert workload(fleet, 200, REGIONS_APART)["dispatcher"]["list_changes_a_second"].value == pytest.approx(
+        560 / 60
+    )
 
 
 def test_budget_is_compared_with_the_control_share() -> None:
     table = table_of(costs(LISTED, STARTED, WITH_PROGRESS, WITHOUT_PROGRESS))
     core = {(row.scope, row.dispatchers, row.situation): row for row in table.budget}
-    assert core[CONTROL, 200, PEAK].core.value == pytest.approx(0.0098)
-    assert core[STARTS, 200, PEAK].core.value == pytest.approx(0.0098 + 0.6 * 0.002)
-    assert core[PROGRESS, 200, PEAK].core.value == pytest.approx(0.0098 + 0.6 * 0.002 + 24 * 0.0005)
-    assert core[PROGRESS, 200, PEAK].verdict == "over budget"
-    assert core[STARTS, 200, PEAK].verdict == "not measured"  # no memory, no bytes
+    assert core[SCOPE_CONTROL, 200, PEAK].core.value == pytest.approx(0.0098)
+    assert core[SCOPE_STARTS, 200, PEAK].core.value == pytest.approx(0.0098 + 0.6 * 0.002)
+    assert core[SCOPE_PROGRESS, 200, PEAK].core.value == pytest.approx(0.0098 + 0.6 * 0.002 + 24 * 0.0005)
+    assert core[SCOPE_PROGRESS, 200, PEAK].verdict == "over budget"
+    assert core[SCOPE_STARTS, 200, PEAK].verdict == "not measured"  # memory and bytes were not measured
     assert table.requirement("progress").verdict == "over budget"
 
 
 def test_budget_kept_by_less_than_the_error_of_the_fits_is_too_close_to_call() -> None:
-    """0.000490 x 24 is 0.01176 of 0.012: within it, but not by a tenth."""
-    wide = [line(name, "tasks_running", [(0.0, 0.0), (48.0, 9.0)]) for name in ("bytes_in", "bytes_out")]
+    """24 tasks x 0.000490 are 0.01176 of the allowed 0.012: within it, but by less than a tenth."""
+    traffic = [line(name, "tasks_running", [(0.0, 0.0), (48.0, 9.0)]) for name in ("bytes_in", "bytes_out")]
     memory = line("memory_bytes", "tasks_running", [(0.0, 30e6), (48.0, 31e6)])
 
     def verdict(residual: float) -> set[str]:
         core = line("core_share", "tasks_running", [(0.0, 0.0), (48.0, 0.02352)], residual=residual)
-        table = table_of(costs(core, memory, *wide))
-        return {row.verdict for row in table.budget if (row.scope, row.dispatchers) == (PROGRESS, 200)}
+        table = table_of(costs(core, memory, *traffic))
+        return {row.verdict for row in table.budget if (row.scope, row.dispatchers) == (SCOPE_PROGRESS, 200)}
 
     assert verdict(0.1) == {"too close to call"}
-    assert verdict(0.01) == {"not measured"}  # starts, the list and new settings are in no line here
+    assert verdict(0.01) == {"not measured"}  # no line covers starts, the list or new settings
 
 
 def test_with_five_voters_in_two_regions_the_loss_of_one_region_loses_the_quorum() -> None:
     machines = layout(read_fleet(FLEET))
-    voters = [one for one in machines if "keeper" in one.roles]
-    assert len(machines) == 8 and len(voters) == len({one.zone for one in voters}) == 5
-    found = {one.what: one.majority for one in losses(machines)}
-    assert found["any two machines"] and all(found[f"zone z{n}"] for n in range(1, 8))
-    assert not found["region r1"] and found["region r2"]
+    voters = [machine for machine in machines if "keeper" in machine.roles]
+    assert len(machines) == 8 and len(voters) == len({voter.zone for voter in voters}) == 5
+    has_majority = {loss.what: loss.majority for loss in losses(machines)}
+    assert has_majority["any two machines"] and all(has_majority[f"zone z{n}"] for n in range(1, 8))
+    assert not has_majority["region r1"] and has_majority["region r2"]
     assert not any(first and second for _, _, first, second in region_splits()) and survives_with_third_site()
 
 
@@ -314,34 +322,34 @@
         requirement("workers", "holds", "a"),
         requirement("regions", "missing", "c"),
     ]
-    found = order_missing(rows)
-    assert [one.row for one in found] == ["table", "quotas", "gangs", "core", "zone", "regions"]
-    assert found[0].needed_by == ["zone", "core", "quotas"]
-    assert [one.row for one in order_missing(rows[::-1])][:2] == ["table", "quotas"]
+    ordered = order_missing(rows)
+    assert [missing.row for missing in ordered] == ["table", "quotas", "gangs", "core", "zone", "regions"]
+    assert ordered[0].needed_by == ["zone", "core", "quotas"]
+    assert [missing.row for missing in order_missing(rows[::-1])][:2] == ["table", "quotas"]
 
 
 def test_for_the_planned_fleet_changes_are_missing_first_then_quotas_then_gangs() -> None:
-    assert [one.row for one in table_of(costs()).missing][:3] == ["changes", "quotas", "gangs"]
+    assert [missing.row for missing in table_of(costs()).missing][:3] == ["changes", "quotas", "gangs"]
 
 
 def test_row_of_config_distribution_is_shown_before_and_after_its_measurement() -> None:
     server = line("core_share", "watchers", [(10.0, 0.001), (400.0, 0.02)], role="config server")
     held = ["changes in force at the last dispatcher within 10000 ms"]
     run = ScenarioResult(scenario="many changes, from config servers", seed=1, dispatchers=50, held=held)
-    by_hand = ScenarioResult(scenario="many changes, by signals", seed=1, dispatchers=50, failed=held)
-    played = ScenarioResults(
-        format=1, date="2026-12-02", commit="abc", machine="made up", runs=[run, by_hand]
+    by_signals = ScenarioResult(scenario="many changes, by signals", seed=1, dispatchers=50, failed=held)
+    results = ScenarioResults(
+        format=1, date="2026-12-02", commit="abc", machine="made up", runs=[run, by_signals]
     )
-    table = table_of(costs(server), played)
-    text = render_markdown(table, costs(server), played)
+    table = table_of(costs(server), results)
+    text = render_markdown(table, costs(server), results)
     assert "Before, 680 changes of configuration a day, applied within 10 s: missing, carried by none" in text
     assert table.missing[0].row == "changes"
     assert table.missing_now[0].row == "quotas"
     assert table.requirement("changes").verdict == "holds for less than asked"
-    full = {"starts_a_second": 118.0, "tasks_running": 4800.0}
-    whole = msgspec.structs.replace(run, dispatchers=200, metrics=full)
-    at_peak = msgspec.structs.replace(played, runs=[whole])
-    assert table_of(costs(server), at_peak).requirement("changes").verdict == "holds"
+    peak_load = {"starts_a_second": 118.0, "tasks_running": 4800.0}
+    run_at_peak = msgspec.structs.replace(run, dispatchers=200, metrics=peak_load)
+    results_at_peak = msgspec.structs.replace(results, runs=[run_at_peak])
+    assert table_of(costs(server), results_at_peak).requirement("changes").verdict == "holds"
     assert table_of(costs(server)).requirement("changes").verdict == "not measured"
 
 
@@ -352,15 +360,15 @@
     void = ScenarioResult(
         scenario="rack", seed=1, dispatchers=50, void="the machine was too slow", held=["all"]
     )
-    played = ScenarioResults(
+    results = ScenarioResults(
         format=1, date="2026-12-02", commit="abc", machine="made up", runs=[failed, void]
     )
-    table = table_of(costs(), played)
+    table = table_of(costs(), results)
     assert table.requirement("zone").verdict == "fails" and "3.9 s" in table.requirement("zone").design
     assert (
         table.requirement("rack").verdict == "not measured" and "too slow" in table.requirement("rack").design
     )
-    assert "zone" in [one.row for one in table.missing]
+    assert "zone" in [missing.row for missing in table.missing]
 
 
 def test_run_at_half_of_the_peak_is_neither_failure_nor_proof() -> None:
@@ -369,27 +377,28 @@
         scenario="peak minute, half of it", seed=1, dispatchers=100, metrics=metrics,
         held=["urgent work begun within 3400 ms", "no broken rule (0 found)"],
     )  # fmt: skip
-    played = ScenarioResults(format=1, date="2026-12-02", commit="abc", machine="made up", runs=[half])
-    table = table_of(costs(), played)
+    results = ScenarioResults(format=1, date="2026-12-02", commit="abc", machine="made up", runs=[half])
+    table = table_of(costs(), results)
     for key in ("workers", "starts", "tasks", "urgent", "zones"):
         assert table.requirement(key).verdict == "holds for less than asked", key
     whole = msgspec.structs.replace(half, scenario="peak minute")
-    table = table_of(costs(), msgspec.structs.replace(played, runs=[half, whole]))
+    table = table_of(costs(), msgspec.structs.replace(results, runs=[half, whole]))
     assert table.requirement("starts").verdict == "fails" and "60" in table.requirement("starts").design
 
 
 def test_rows_name_existing_modules_and_pages() -> None:
-    for one in table_of(costs()).requirements:
-        for name in re.findall(r"`([a-z_]+/[a-z_./-]*|docs/[\w.-]+)`", one.mechanism + one.design):
-            assert (ROOT / name).exists() or (ROOT / "ploverspoke" / name).exists(), (one.key, name)
+    for row in table_of(costs()).requirements:
+        text = row.mechanism + row.design
+        for name in re.findall(r"`([a-z_]+/[a-z_./-]*|docs/[\w.-]+)`", text):
+            assert (ROOT / name).exists() or (ROOT / "ploverspoke" / name).exists(), (row.key, name)
 
 
 # ---- The command and the page ----
 
 
 def call(*words: str) -> tuple[int, str]:
-    found = CliRunner().invoke(main, ["testbed", "capacity", *words])
-    return found.exit_code, found.output
+    result = CliRunner().invoke(main, ["testbed", "capacity", *words])
+    return result.exit_code, result.output
 
 
 def test_command_writes_between_the_markers_and_reports_what_is_not_met(tmp_path: Path) -> None:
@@ -410,7 +419,7 @@
     write_measured_costs(costs(LISTED), file)
     size.write_text(FLEET.read_text().replace("workers = 980", "workers = 0"))
     page.write_text("no markers\n")
-    for words, says in (
+    for words, message in (
         ((str(file), "--size", str(size)), "size.workers"),
         ((str(size), "--size", str(FLEET)), "no slopes"),
         ((str(file), "--size", str(FLEET), "--plays", str(size)), "no plays"),
@@ -418,14 +427,14 @@
         ((str(tmp_path / "none.json"),), "does not exist"),
     ):
         code, output = call(*words)
-        assert code == 2 and says in output, output
+        assert code == 2 and message in output, output
     assert page.read_text() == "no markers\n"
     with pytest.raises(CapacityPageError):
         replace_between_markers(f"{END} {BEGIN}", "")
 
 
 def test_page_matches_its_input_files() -> None:
-    """And what it says outside of that has no figure of its own."""
+    """Its text outside the markers contains only figures that also occur in the table or the fleet file."""
     measured = read_measured_costs(SLOPES)
     results = read_scenario_results(RESULTS) if RESULTS.exists() else NO_RESULTS
     page = PAGE.read_text()
@@ -439,5 +448,5 @@
     known = set(numbers.findall(text + FLEET.read_text()))
     prose = re.sub(
         r"^\d+\. ", "", replace_between_markers(page, ""), flags=re.MULTILINE
-    )  # without numbers of lists
+    )  # without the numbers of list items
     assert not [figure for figure in numbers.findall(prose) if figure not in known]
--- a/tests/testbed/capacity/test_measured_costs.py
+++ b/tests/testbed/capacity/test_measured_costs.py
@@ -1,4 +1,4 @@
-"""Measured costs: fit, file, what a later measurement replaces, and the counters of one small fleet."""
+"""Measured costs: fits, their file, merging of later measurements, and the counters of one small fleet."""
 
 import asyncio
 from pathlib import Path
@@ -41,7 +41,8 @@
 
 
 def test_fit_just_beyond_the_limit_is_contradicted() -> None:
-    # Three points at even steps, the middle one off: weights of nearly 1 share it out, a third on each end.
+    # Three evenly spaced points, the middle one with a deviation. All weights are close to 1, so the fit
+    # spreads the deviation, with about a third of it at each end.
     assert not fit_line([(0, 1.0), (1, 1.2), (2, 1.0)]).contradicted
     assert fit_line([(0, 1.0), (1, 1.5), (2, 1.0)]).contradicted
 
@@ -69,14 +70,14 @@
     )
 
 
-def lines(role: str, size: str, slope: float) -> list[CostPerUnit]:
+def lines(role: str, load: str, slope: float) -> list[CostPerUnit]:
     return cost_lines(
-        MeasuredLoad(role, size, "how", {"k": 1.0}), [(x, {"core_share": slope * x}) for x in (1.0, 2.0, 3.0)]
+        MeasuredLoad(role, load, "how", {"k": 1.0}), [(x, {"core_share": slope * x}) for x in (1.0, 2.0, 3.0)]
     )
 
 
-def costs(*found: CostPerUnit) -> MeasuredCosts:
-    return MeasuredCosts(format=1, date="2026-12-02", commit="abc", machine="8 cores", lines=list(found))
+def costs(*measured: CostPerUnit) -> MeasuredCosts:
+    return MeasuredCosts(format=1, date="2026-12-02", commit="abc", machine="8 cores", lines=list(measured))
 
 
 def test_file_is_read_back_and_errors_in_it_are_reported(tmp_path: Path) -> None:
@@ -99,8 +100,8 @@
 def test_later_measurement_replaces_only_the_amounts_that_it_measured() -> None:
     old = costs(*lines("dispatcher", "a", 1.0), *lines("dispatcher", "b", 1.0), *lines("keeper", "a", 1.0))
     new = measure_costs.merge_costs(old, costs(*lines("dispatcher", "a", 5.0)))
-    found = {(line.role, line.load): round(line.slope) for line in new.lines}
-    assert found == {("dispatcher", "a"): 5, ("dispatcher", "b"): 1, ("keeper", "a"): 1}
+    slopes = {(line.role, line.load): round(line.slope) for line in new.lines}
+    assert slopes == {("dispatcher", "a"): 5, ("dispatcher", "b"): 1, ("keeper", "a"): 1}
     assert measure_costs.merge_costs(None, old) == old
 
 
@@ -117,19 +118,22 @@
     assert notes == [(3.0, ""), (5.0, "void: keeper, holders 150, 5 keepers: late")]
 
 
-async def _found(asked: MeasurementRequest) -> MeasurementResult:
+async def _measure_valid(request: MeasurementRequest) -> MeasurementResult:
     return MeasurementResult(lines("dispatcher", "a", 2.0), [])
 
 
-async def _void(asked: MeasurementRequest) -> MeasurementResult:
+async def _measure_void(request: MeasurementRequest) -> MeasurementResult:
     return MeasurementResult([], ["dispatcher, b 3: the rig was late"])
 
 
 def test_command_reports_void_points_and_unknown_roles(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    parts = [Measurement(("dispatcher",), "a", _found), Measurement(("dispatcher", "worker"), "b", _void)]
-    monkeypatch.setattr(measure_costs, "MEASUREMENTS", parts)
+    measurements = [
+        Measurement(("dispatcher",), "a", _measure_valid),
+        Measurement(("dispatcher", "worker"), "b", _measure_void),
+    ]
+    monkeypatch.setattr(measure_costs, "MEASUREMENTS", measurements)
     out = tmp_path / "slopes.json"
     run = CliRunner().invoke
 
@@ -147,36 +151,37 @@
 
 
 def test_bytes_of_a_measurement_fleet_are_counted_at_its_proxies() -> None:
-    """Eight long tasks run and tell their progress; one reload; nothing else passes in the stretch."""
+    """About eight long tasks run and report progress, and one reload happens; there is no other traffic."""
     interval = Interval(2, 3)
     traffic = [{"rate": 8.0, "start": "0s", "end": "1s"}]
     experiment = parse_experiment(dispatcher_experiment(interval, 5, work="900s", traffic=traffic))
-    acts = [(int(2.2 * SECOND), reload_action(experiment, 0))]
-    fleet, _ = asyncio.run(run_fleet(experiment, 1, interval.settled * SECOND, acts))
+    actions = [(int(2.2 * SECOND), reload_action(experiment, 0))]
+    fleet, _ = asyncio.run(run_fleet(experiment, 1, interval.settling_s * SECOND, actions))
     reports = {kind: fleet.reports.latest(kind) for kind in ("workers", "clients", "discovery")}
     (at_workers,), (at_clients,) = reports["workers"]["traffic"], reports["clients"]["traffic"]
     (at_discovery,) = reports["discovery"]["traffic"]
     sent, running = reports["clients"]["sent"], reports["workers"]["running"]
     assert sent == running > 2
-    # Each client's request goes on to one worker, over a connection each; no answer has come back.
+    # Each request has its own connection and is sent to one worker; no response has come back yet.
     assert at_clients["messages_in"] == at_clients["connected"] == sent and at_clients["bytes_out"] == 0
     assert at_workers["messages_out"] - at_workers["probes"] == sent
     assert at_workers["connections"] >= running
-    # Every worker's first note and then one a second for each, of more bytes than its id and its share.
-    notes = at_workers["messages_in"] - at_workers["probes"]
-    assert 2 * running <= notes <= 6 * running and at_workers["bytes_in"] > 40 * notes
+    # Each task reports its progress at its start and then once a second. A report has more bytes than the id
+    # and the share that it contains.
+    reports_in = at_workers["messages_in"] - at_workers["probes"]
+    assert 2 * running <= reports_in <= 6 * running and at_workers["bytes_in"] > 40 * reports_in
     assert at_discovery["messages_out"] >= at_discovery["messages_in"] >= 1
     assert at_discovery["bytes_in"] > 5 * len('{"id":"w0"}')
-    assert fleet.samples and all(seen.memory > 1 << 20 for _, seen in fleet.samples[0])
-    processor = [seen.processor for _, seen in fleet.samples[0]]
-    assert processor == sorted(processor)
+    assert fleet.samples and all(usage.memory > 1 << 20 for _, usage in fleet.samples[0])
+    cpu_times = [usage.processor for _, usage in fleet.samples[0]]
+    assert cpu_times == sorted(cpu_times)
 
 
 def test_ended_process_is_not_measured_as_idle() -> None:
-    async def ended() -> int:
+    async def run_to_end() -> int:
         process = await asyncio.create_subprocess_exec("true")
         await process.wait()
         return process.pid
 
     with pytest.raises(OSError):
-        read_resource_usage(asyncio.run(ended()))
+        read_resource_usage(asyncio.run(run_to_end()))
