--- a/ploverspoke/testbed/capacity/estimate.py
+++ b/ploverspoke/testbed/capacity/estimate.py
@@ -37,9 +37,7 @@
     extrapolated: list[str] = []  # costs that were used beyond the largest measured load
     contradicted: list[str] = []  # costs whose points contradict the fit, and the value that was used instead
     relative_error: float = 0.0  # of the fits: their residuals, weighted by their shares of the value
-    missing: list[
-        str
-    ] = []  # unmeasured costs that the value leaves out, such as "bytes_in by workers_listed"
+    missing: list[str] = []  # unmeasured costs that it leaves out, such as "bytes_in by workers_listed"
 
 
 class EffectiveCost(NamedTuple):
--- a/ploverspoke/testbed/capacity/failure_requirements.py
+++ b/ploverspoke/testbed/capacity/failure_requirements.py
@@ -1,4 +1,4 @@
-"""Assesses the requirements in failures: of machines, racks, zones, and between or of regions."""
+"""Assesses the requirements in failures of machines, racks, zones and regions, and between regions."""
 
 from typing import NamedTuple
 
--- a/ploverspoke/testbed/capacity/machines.py
+++ b/ploverspoke/testbed/capacity/machines.py
@@ -1,4 +1,4 @@
-"""The machines reserved for control: their roles, and which roles survive each loss of machines."""
+"""The machines reserved for control: their roles, and the voters that remain after each loss."""
 
 from collections import Counter
 from itertools import combinations
@@ -41,7 +41,7 @@
     survives_second: bool  # the same without the second region
 
 
-def zones_of(fleet: FleetSize) -> list[tuple[str, str]]:
+def list_zones(fleet: FleetSize) -> list[tuple[str, str]]:
     """Return the region and name of each zone; the first region has the most zones."""
     zones_per_region = zones_in_larger_region(fleet)
     return [
@@ -55,7 +55,7 @@
 
     The remaining machines run the configuration publisher and the fleet summary.
     """
-    zones = zones_of(fleet)
+    zones = list_zones(fleet)
     first_region = [zone for zone in zones if zone[0] == "r1"]
     other_regions = [zone for zone in zones if zone[0] != "r1"]
     # Alternate between the first region and the others.
@@ -74,7 +74,7 @@
     return remaining > voters // 2
 
 
-def after_loss(machines: list[Machine], lost: set[str], what: str, note: str = "") -> Loss:
+def compute_loss(machines: list[Machine], lost: set[str], what: str, note: str = "") -> Loss:
     """Count the voters and machines that remain without the lost ones."""
     remaining = [machine for machine in machines if machine.name not in lost]
     count = Counter(role for machine in remaining for role in machine.roles)
@@ -89,17 +89,17 @@
     ]
     for zone in sorted({machine.zone for machine in machines}):
         names = {machine.name for machine in machines if machine.zone == zone}
-        results.append(after_loss(machines, names, f"zone {zone}", f"takes {', '.join(sorted(names))}"))
+        results.append(compute_loss(machines, names, f"zone {zone}", f"takes {', '.join(sorted(names))}"))
     for region in sorted({machine.region for machine in machines}):
         names = {machine.name for machine in machines if machine.region == region}
-        results.append(after_loss(machines, names, f"region {region}", f"takes {', '.join(sorted(names))}"))
+        results.append(compute_loss(machines, names, f"region {region}", f"takes {', '.join(sorted(names))}"))
     return results
 
 
 def _worst_loss(machines: list[Machine], count: int, what: str) -> Loss:
     """Return the lowest numbers of voters and machines that remain after losing any `count` machines."""
     outcomes = [
-        after_loss(machines, {machine.name for machine in lost}, what)
+        compute_loss(machines, {machine.name for machine in lost}, what)
         for lost in combinations(machines, count)
     ]
     with_majority = sum(loss.majority for loss in outcomes)
--- a/ploverspoke/testbed/capacity/measurements/discovery_and_workers.py
+++ b/ploverspoke/testbed/capacity/measurements/discovery_and_workers.py
@@ -46,7 +46,7 @@
 }
 
 
-def _experiment(count: int, seconds: int, **more: Any) -> dict[str, Any]:
+def _experiment(count: int, seconds: int, **extra: Any) -> dict[str, Any]:
     request_class = {
         "name": "task",
         "expected_time": "30s",
@@ -60,7 +60,7 @@
         "workers": [{"count": WORKERS_PER_ZONE, "slots": 4, "zone": f"z{zone}"} for zone in range(ZONES)],
         "dispatchers": {"count": count},
         "traffic": [{"rate": STARTS_PER_DISPATCHER * count}],
-        **more,
+        **extra,
     }
 
 
@@ -176,43 +176,43 @@
 
 def _discovery_metrics(fleet: MeasurementFleet) -> dict[str, float]:
     """Return the rates of all dispatchers together; in and out are as seen by discovery."""
-    begin, end = fleet.interval_start, fleet.interval_end
-    rates = fleet.reports.rates("discovery", TRAFFIC, begin, end)
+    start, end = fleet.interval_start, fleet.interval_end
+    rates = fleet.reports.rates("discovery", TRAFFIC, start, end)
     metrics = {REVERSED[key]: rate for key, rate in rates.items()}
-    return {**metrics, "connections": fleet.reports.mean("discovery", "connections", begin, end)}
+    return {**metrics, "connections": fleet.reports.mean("discovery", "connections", start, end)}
 
 
 def _worker_metrics(fleet: MeasurementFleet) -> dict[str, float]:
     """Return the mean rates of one worker; in and out are as seen by the worker."""
-    begin, end = fleet.interval_start, fleet.interval_end
-    rates = fleet.reports.rates("workers", (*TRAFFIC, "connected", "probes"), begin, end)
+    start, end = fleet.interval_start, fleet.interval_end
+    rates = fleet.reports.rates("workers", (*TRAFFIC, "connected", "probes"), start, end)
     connected_rate = rates.pop("connected")
     metrics = {REVERSED.get(key, key): rate / WORKERS for key, rate in rates.items()}
-    connections = fleet.reports.mean("workers", "connections", begin, end)
+    connections = fleet.reports.mean("workers", "connections", start, end)
     return {**metrics, "connections": connections / WORKERS, "connections_made": connected_rate / WORKERS}
 
 
-def _worst_second(fleet: MeasurementFleet, begin: int, end: int) -> dict[str, float]:
+def _worst_second(fleet: MeasurementFleet, start: int, end: int) -> dict[str, float]:
     """Return the highest rates at which messages and bytes came to discovery in any second.
 
-    `begin` and `end` are in seconds from the start of the run.
+    `start` and `end` are in seconds from the start of the run.
     """
     return {
         f"{REVERSED[key]}_worst_second": fleet.reports.worst_second(
-            "discovery", key, begin * SECOND, end * SECOND
+            "discovery", key, start * SECOND, end * SECOND
         )
         for key in ("messages_out", "bytes_in")
     }
 
 
-def _calls_after_restart(fleet: MeasurementFleet, begin: int, end: int) -> dict[str, float]:
+def _calls_after_restart(fleet: MeasurementFleet, start: int, end: int) -> dict[str, float]:
     """Return the messages and bytes that came to discovery.
 
-    `begin` and `end` are in seconds from the start of the run.
+    `start` and `end` are in seconds from the start of the run.
     """
     names = {"messages_out": "messages_after_restart", "bytes_in": "bytes_after_restart"}
     return {
-        name: fleet.reports.increase("discovery", key, begin * SECOND, end * SECOND)
+        name: fleet.reports.increase("discovery", key, start * SECOND, end * SECOND)
         for key, name in names.items()
     }
 
--- a/ploverspoke/testbed/capacity/measurements/dispatcher.py
+++ b/ploverspoke/testbed/capacity/measurements/dispatcher.py
@@ -70,7 +70,7 @@
 
 
 def dispatcher_experiment(
-    interval: Interval, workers: int = WORKERS, work: str = SHORT_WORK, rate: float = 0.0, **more: Any
+    interval: Interval, workers: int = WORKERS, work: str = SHORT_WORK, rate: float = 0.0, **extra: Any
 ) -> dict[str, Any]:
     """Return an experiment with one dispatcher and one request class with a loose latency objective."""
     deadline = LONG_WORK if work == SHORT_WORK else ENDLESS_DEADLINE
@@ -87,7 +87,7 @@
         "workers": [{"count": workers, "slots": SLOTS}],
         "dispatchers": {"count": 1, "sockets": MAX_SOCKETS},
         "traffic": [{"rate": rate}],
-        **more,
+        **extra,
     }
 
 
@@ -154,7 +154,7 @@
     runs = [
         PlannedRun(
             rate,
-            dispatcher_experiment(interval, LIST_CHANGE_WORKERS, troubles=_drains(interval, rate)),
+            dispatcher_experiment(interval, LIST_CHANGE_WORKERS, troubles=_drain_faults(interval, rate)),
         )
         for rate in LIST_CHANGE_RATES
     ]
@@ -162,7 +162,7 @@
     return await _measure_runs(MeasuredLoad(ROLE, "list_changes_a_second", METHOD, fixed), runs, request)
 
 
-def _drains(interval: Interval, changes_a_second: float) -> list[dict[str, Any]]:
+def _drain_faults(interval: Interval, changes_a_second: float) -> list[dict[str, Any]]:
     drain_interval_s = 2.0 / changes_a_second  # a drain makes two changes
     count = int((interval.end_s - DRAIN_SECONDS) / drain_interval_s)
     return [
--- a/ploverspoke/testbed/capacity/measurements/fake_reports.py
+++ b/ploverspoke/testbed/capacity/measurements/fake_reports.py
@@ -40,26 +40,26 @@
         """Return the last report of these fakes. Raises IndexError if there is none."""
         return self._reports[fake][-1]
 
-    def in_interval(self, fake: str, begin: int, end: int) -> list[Report]:
-        """Return the reports of these fakes from `begin` to `end`."""
-        return [report for report in self._reports[fake] if begin <= report["counted_at"] <= end]
+    def in_interval(self, fake: str, start: int, end: int) -> list[Report]:
+        """Return the reports of these fakes from `start` to `end`."""
+        return [report for report in self._reports[fake] if start <= report["counted_at"] <= end]
 
-    def rates(self, fake: str, keys: Sequence[str], begin: int, end: int) -> dict[str, float]:
+    def rates(self, fake: str, keys: Sequence[str], start: int, end: int) -> dict[str, float]:
         """Return the rates a second of counters, summed over all dispatchers."""
-        reports = self.in_interval(fake, begin, end)
+        reports = self.in_interval(fake, start, end)
         first, last = reports[0], reports[-1]
         seconds = (last["counted_at"] - first["counted_at"]) / SECOND
         return {key: (_total(last, key) - _total(first, key)) / seconds for key in keys}
 
-    def increase(self, fake: str, key: str, begin: int, end: int) -> float:
+    def increase(self, fake: str, key: str, start: int, end: int) -> float:
         """Return the increase of a counter, summed over all dispatchers."""
-        reports = self.in_interval(fake, begin, end)
+        reports = self.in_interval(fake, start, end)
         return _total(reports[-1], key) - _total(reports[0], key)
 
-    def worst_second(self, fake: str, key: str, begin: int, end: int) -> float:
+    def worst_second(self, fake: str, key: str, start: int, end: int) -> float:
         """Return the largest increase a second of a counter, summed over all dispatchers."""
         samples = [
-            (report["counted_at"], _total(report, key)) for report in self.in_interval(fake, begin, end)
+            (report["counted_at"], _total(report, key)) for report in self.in_interval(fake, start, end)
         ]
         largest = 0.0
         for index, (at, count) in enumerate(samples):
@@ -70,9 +70,9 @@
                 largest = max(largest, (later[1] - count) * SECOND / (later[0] - at))
         return largest
 
-    def mean(self, fake: str, key: str, begin: int, end: int) -> float:
+    def mean(self, fake: str, key: str, start: int, end: int) -> float:
         """Return the mean of a value, summed over all dispatchers."""
-        reports = self.in_interval(fake, begin, end)
+        reports = self.in_interval(fake, start, end)
         return float(np.mean([_total(report, key) for report in reports]))
 
 
--- a/ploverspoke/testbed/capacity/measurements/measurement_fleet.py
+++ b/ploverspoke/testbed/capacity/measurements/measurement_fleet.py
@@ -88,19 +88,19 @@
         self.samples: list[list[tuple[int, ResourceUsage]]] = []  # by dispatcher
         self._watch_file = watch_file
         self._actions = sorted(actions, key=lambda action: action[0])
-        self._is_alone = experiment.dispatchers.count == 1
+        self._has_single_dispatcher = experiment.dispatchers.count == 1
         self._proxy_counters: list[tuple[int, LinkCounters]] = []  # with their times in ns
 
     # ---- Overridden methods of SocketFleet ----
 
     def _hosts(self, addresses: list[ProcessAddress]) -> list[str]:
-        return [LOOPBACK] if self._is_alone else super()._hosts(addresses)
+        return [LOOPBACK] if self._has_single_dispatcher else super()._hosts(addresses)
 
     def _program(
         self, address: ProcessAddress, config: dict[str, Any], store: dict[str, Any] | None
     ) -> DispatcherProgram:
         self.dispatcher_configs.append(config)
-        if not self._is_alone:
+        if not self._has_single_dispatcher:
             return DispatcherProgram(self.rig, address, config, store)
         program = PlainDispatcher(self.rig, address, config, store)
         if self._watch_file is not None:
@@ -197,8 +197,8 @@
         """
         if len(self._proxy_counters) < 2:
             return {}
-        (begin, first), (end, last) = self._proxy_counters[0], self._proxy_counters[-1]
-        seconds = (end - begin) / SECOND * count
+        (start, first), (end, last) = self._proxy_counters[0], self._proxy_counters[-1]
+        seconds = (end - start) / SECOND * count
         bytes_passed = (last.bytes_passed - first.bytes_passed) / seconds
         datagrams = (last.passed - first.passed) / seconds
         return {
--- a/ploverspoke/testbed/capacity/measurements/store_replica.py
+++ b/ploverspoke/testbed/capacity/measurements/store_replica.py
@@ -53,7 +53,7 @@
 ABSENCE_METHOD = "from the replica's own readiness on, bytes at the proxy towards it"
 
 
-def _experiment(rate: float, seconds: int, replicas: int, **more: Any) -> dict[str, Any]:
+def _experiment(rate: float, seconds: int, replicas: int, **extra: Any) -> dict[str, Any]:
     request_class = {
         "name": "book",
         "repeat": "irreversible",
@@ -66,7 +66,7 @@
         "lasts": f"{seconds}s",
         "grades": [request_class],
         "workers": [{"count": WORKERS, "slots": 16}],
-        "dispatchers": {"count": replicas, "store": True, **more},
+        "dispatchers": {"count": replicas, "store": True, **extra},
         "traffic": [{"rate": rate}],
     }
 
@@ -129,7 +129,7 @@
 async def measure_commits(request: MeasurementRequest) -> MeasurementResult:
     """Vary the rate of log entries.
 
-    A non-idempotent request makes four entries if its first attempt succeeds.
+    A non-idempotent request makes four entries if its first attempt completes it.
     """
     result = NO_RESULT
     for replicas in REPLICA_COUNTS:
--- a/ploverspoke/testbed/capacity/ordinary_requirements.py
+++ b/ploverspoke/testbed/capacity/ordinary_requirements.py
@@ -28,10 +28,10 @@
     Requirement,
     assess_metric,
     assess_runs,
+    choose_verdict,
     describe_limit,
     describe_run_limit,
     format_number,
-    measured_or_run,
     scale_estimate,
 )
 from .verdicts import FAILS, MISSING, OVER
@@ -46,7 +46,7 @@
         "core_share", "workers_listed", context.fleet.budget.core_share, SCOPE_STARTS
     )
     runs = assess_runs(context, context.find_runs(PEAK_SCENARIO), ("rule",))
-    verdict, basis = measured_or_run(runs.verdict, max_measured, count)
+    verdict, basis = choose_verdict(runs.verdict, max_measured, count)
     return Requirement(
         key="workers",
         line=f"{count} workers",
@@ -69,7 +69,7 @@
         "core_share", "starts_a_second", context.fleet.budget.core_share, SCOPE_STARTS
     )
     runs = assess_metric(context, "starts_a_second", size.task_starts_a_second, "starts a second")
-    verdict, basis = measured_or_run(runs.verdict, max_measured, rate_per_dispatcher)
+    verdict, basis = choose_verdict(runs.verdict, max_measured, rate_per_dispatcher)
     return Requirement(
         key="starts",
         line=f"{size.jobs_a_day:,} jobs a day, {size.task_starts_a_second:g} starts a second at the peak",
@@ -91,7 +91,7 @@
     tasks_per_worker = size.tasks_running / size.workers
     max_measured = context.max_measured_load("tasks_running")
     runs = assess_metric(context, "tasks_running", size.tasks_running, "tasks running")
-    verdict, basis = measured_or_run(runs.verdict, max_measured, tasks_per_dispatcher)
+    verdict, basis = choose_verdict(runs.verdict, max_measured, tasks_per_dispatcher)
     return Requirement(
         key="tasks",
         line=f"{size.tasks_running:,} tasks running",
--- a/ploverspoke/testbed/capacity/requirement.py
+++ b/ploverspoke/testbed/capacity/requirement.py
@@ -55,7 +55,7 @@
     design: str  # what today's design provides
     mechanism: str  # module and page of the documentation, or NO_MECHANISM
     verdict: str
-    basis: str  # of the verdict
+    basis: str  # of the verdict, such as FROM_RUNS
     priority: str  # ORDINARY_DAY, BUDGET or FAILURE
     limit: str  # the load at which the design no longer suffices
     needs: list[Need] = []
@@ -109,8 +109,8 @@
         reasons = sorted({run.void for run in runs})
         text = f"every play of it is void ({'; '.join(reasons)})" if reasons else "not played"
         return Assessment(NOT_MEASURED, text)
-    failed = _matching({text for run in counted for text in run.failed}, words)
-    held = _matching({text for run in counted for text in run.held}, words)
+    failed = _filter_texts({text for run in counted for text in run.failed}, words)
+    held = _filter_texts({text for run in counted for text in run.held}, words)
     text = _describe_runs(counted)
     if failed:
         return Assessment(FAILS, f"{text}, failed: {'; '.join(failed)}")
@@ -120,7 +120,7 @@
     return Assessment(verdict, f"{text}, held")
 
 
-def _matching(texts: set[str], words: Sequence[str]) -> list[str]:
+def _filter_texts(texts: set[str], words: Sequence[str]) -> list[str]:
     return sorted(text for text in texts if not words or any(word in text.lower() for word in words))
 
 
@@ -182,7 +182,7 @@
     return f"{format_number(core, '%')}, {format_number(memory, ' MB')}, {format_number(byte_rate, ' KB/s')}"
 
 
-def measured_or_run(verdict: str, max_measured: float, demand: float) -> tuple[str, str]:
+def choose_verdict(verdict: str, max_measured: float, demand: float) -> tuple[str, str]:
     """Return the verdict and its basis.
 
     If no run shows that the requirement holds, a measurement of a single dispatcher that carried its share of
