--- a/ploverspoke/testbed/__init__.py
+++ b/ploverspoke/testbed/__init__.py
@@ -1,1 +1,1 @@
-"""Provides a fleet model, on virtual time and on sockets, to test the dispatcher in; no product code."""
+"""A model of a fleet, on virtual time and on sockets, to test the dispatcher in; no product code."""
--- a/ploverspoke/testbed/commands/__init__.py
+++ b/ploverspoke/testbed/commands/__init__.py
@@ -1,1 +1,1 @@
-"""The command line of the testbed; it only parses arguments and calls the other packages."""
+"""The command line of the testbed; it parses arguments and calls the other packages."""
--- a/ploverspoke/testbed/commands/bench.py
+++ b/ploverspoke/testbed/commands/bench.py
@@ -1,4 +1,4 @@
-"""`ploverspoke testbed bench`: the benchmarks of one dispatcher, of a store and of lease servers."""
+"""`ploverspoke testbed bench`: benchmarks of one dispatcher, of a store and of lease servers."""
 
 from pathlib import Path
 
@@ -10,14 +10,18 @@
 
 
 @click.command()
-@click.option("--quick", is_flag=True, help="Shorter, and fewer steps.")
-@click.option("--out", type=click.Path(dir_okay=False, path_type=Path), help="A JSON file for the metrics.")
+@click.option("--quick", is_flag=True, help="Run fewer measurements, each for a shorter time.")
 @click.option(
-    "--store", is_flag=True, help="What a store costs and how long a lost leader is missed, instead."
+    "--out", type=click.Path(dir_okay=False, path_type=Path), help="Write the metrics to this JSON file."
 )
-@click.option("--leases", is_flag=True, help="What lease servers bear and cost, instead.")
+@click.option(
+    "--store",
+    is_flag=True,
+    help="Measure the cost of a store and the outage after the loss of its leader instead.",
+)
+@click.option("--leases", is_flag=True, help="Measure the throughput and cost of lease servers instead.")
 def bench(quick: bool, out: Path | None, store: bool, leases: bool) -> None:
-    """Measure one dispatcher on one core against a bare relay, and the decisions' cost by fleet size."""
+    """Compare one dispatcher on one core with a bare relay; measure the decisions' cost by fleet size."""
     metrics, tables = _measure(quick, store, leases)
     console = make_console()
     for table in tables:
@@ -27,7 +31,7 @@
 
 
 def _measure(quick: bool, store: bool, leases: bool) -> tuple[object, list[Table]]:
-    """Run the chosen benchmark; return its metrics and their tables."""
+    """Run the chosen benchmark; return its metrics and the tables that show them."""
     from ..scenarios.dispatcher_bench import measure, tables
     from ..scenarios.lease_bench import lease_tables, measure_leases
     from ..scenarios.store_bench import measure_store, store_tables
--- a/ploverspoke/testbed/commands/capacity.py
+++ b/ploverspoke/testbed/commands/capacity.py
@@ -1,4 +1,4 @@
-"""`testbed capacity`: what a fleet of a given size costs, from measured slopes."""
+"""`testbed capacity`: estimates the cost of a fleet of a given size from measured costs per unit of load."""
 
 import sys
 from pathlib import Path
@@ -18,17 +18,17 @@
     replace_between_markers,
 )
 
-FILE = click.Path(exists=True, dir_okay=False, path_type=Path)
-DEFAULT_SIZE = Path("experiments/fleet-ahead.toml")
+FILE_PATH = click.Path(exists=True, dir_okay=False, path_type=Path)
+DEFAULT_FLEET_FILE = Path("experiments/fleet-ahead.toml")
 
 
 @click.command()
-@click.argument("costs_file", metavar="SLOPES", type=FILE)
-@click.option("--size", type=FILE, default=DEFAULT_SIZE, show_default=True, help="The fleet's file.")
-@click.option("--plays", "results_file", type=FILE, help="What the scale tests found.")
-@click.option("--json", "as_json", is_flag=True, help="All rows and estimates.")
-@click.option("--markdown", "as_markdown", is_flag=True, help="As the page shows it.")
-@click.option("--write", "page", type=FILE, help="Put it between the markers of this page.")
+@click.argument("costs_file", metavar="SLOPES", type=FILE_PATH)
+@click.option("--size", type=FILE_PATH, default=DEFAULT_FLEET_FILE, show_default=True, help="The fleet file.")
+@click.option("--plays", "results_file", type=FILE_PATH, help="The results of the scale tests.")
+@click.option("--json", "as_json", is_flag=True, help="Print all rows and estimates as JSON.")
+@click.option("--markdown", "as_markdown", is_flag=True, help="Print Markdown, as the page shows it.")
+@click.option("--write", "page", type=FILE_PATH, help="Insert the Markdown between the markers of this page.")
 def capacity(
     costs_file: Path,
     size: Path,
@@ -37,10 +37,10 @@
     as_markdown: bool,
     page: Path | None,
 ) -> None:
-    """Estimate what a fleet of some size asks of each role, by measured SLOPES, and what carries it.
+    """Estimate the load of a fleet on each role from the measured SLOPES, and check its requirements.
 
-    Exit 0: all requirements hold. 1: some do not, or were not measured; they are named. 2: the call or a file
-    is wrong, and the key is named.
+    Exit code 0: all requirements hold. 1: some do not hold or were not measured; they are printed. 2: the
+    arguments or a file are invalid; the error names the key.
     """
     try:
         fleet, costs = read_fleet(size), read_measured_costs(costs_file)
@@ -63,5 +63,8 @@
         click.echo(render_plain(table))
     unmet = table.unmet()
     if unmet:
-        click.echo(f"does not hold, or was not measured: {', '.join(each.key for each in unmet)}", err=True)
+        click.echo(
+            f"does not hold, or was not measured: {', '.join(requirement.key for requirement in unmet)}",
+            err=True,
+        )
     sys.exit(1 if unmet else 0)
--- a/ploverspoke/testbed/commands/compare.py
+++ b/ploverspoke/testbed/commands/compare.py
@@ -1,4 +1,4 @@
-"""`ploverspoke testbed compare`: two results side by side."""
+"""`ploverspoke testbed compare`: compares two results."""
 
 from pathlib import Path
 
@@ -13,17 +13,21 @@
 
 
 @click.command()
-@click.argument("one", type=click.Path(exists=True, path_type=Path))
-@click.argument("other", type=click.Path(exists=True, path_type=Path))
+@click.argument("first", metavar="ONE", type=click.Path(exists=True, path_type=Path))
+@click.argument("second", metavar="OTHER", type=click.Path(exists=True, path_type=Path))
 @click.option(
-    "--policies", nargs=2, default=("ours", "ours"), help="The policy of each side.", show_default=True
+    "--policies",
+    nargs=2,
+    default=("ours", "ours"),
+    help="The policy to compare of each result.",
+    show_default=True,
 )
-def compare(one: Path, other: Path, policies: tuple[str, str]) -> None:
-    """Set two results side by side, pair by pair over the seeds."""
+def compare(first: Path, second: Path, policies: tuple[str, str]) -> None:
+    """Compare two results with the paired differences of the seeds that both have."""
     try:
-        rows = compare_results(read_result(one), read_result(other), *policies)
+        rows = compare_results(read_result(first), read_result(second), *policies)
     except ExperimentError as error:
         raise click.UsageError(str(error)) from None
     if not rows:
         raise click.UsageError(NO_COMMON_SEED)
-    make_console().print(differences_table(rows, (f"{one} {policies[0]}", f"{other} {policies[1]}")))
+    make_console().print(differences_table(rows, (f"{first} {policies[0]}", f"{second} {policies[1]}")))
--- a/ploverspoke/testbed/commands/demo.py
+++ b/ploverspoke/testbed/commands/demo.py
@@ -1,4 +1,4 @@
-"""`ploverspoke demo`: a small fleet on loopback ports under load and two faults, shown live."""
+"""`ploverspoke demo`: shows a small fleet on loopback ports under load and two faults."""
 
 import sys
 import tempfile
@@ -69,40 +69,40 @@
 }
 LOAD_BARS = " ▁▂▃▄▅▆▇█"
 STATE_COLOURS = {"up": "green", "cold": "cyan", "hung": "yellow", "down": "red", "slow": "magenta"}
-STATE_NAMES = {"cold": "warming up"}  # shown in place of the fakes' own word
+STATE_NAMES = {"cold": "warming up"}  # replaces the state name in the reports of the fakes
 OUTCOME_NAMES = {"satisfied": "succeeded", "nacked": "rejected", "abandoned": "failed", "broken": "broken"}
-LOAD_HISTORY = 40  # reports
-PRINT_INTERVAL = 1.0  # seconds, where there is no terminal
+LOAD_HISTORY_REPORTS = 40
+PRINT_INTERVAL_S = 1.0  # between status lines where there is no terminal
 REFRESHES_PER_SECOND = 4
 
-Report = dict[str, Any]  # what a fake process reports, as JSON
+Report = dict[str, Any]  # a JSON report of a fake process
 
 
 class StatusBoard:
     """The state of the fleet while it runs, from the reports of the fakes."""
 
     def __init__(self, experiment: Experiment) -> None:
-        """Start without any report."""
+        """Start without reports."""
         self.experiment = experiment
         self.time = 0.0  # seconds of the run
-        self.workers: dict[str, list[Any]] = {}  # state, load and attempts served, by name
-        self.clients: dict[int, Report] = {}  # the latest report, by process
-        self.loads: dict[str, deque[float]] = {
-            name: deque(maxlen=LOAD_HISTORY) for name in experiment.worker_names()
+        self.workers: dict[str, list[Any]] = {}  # worker name -> state, load, attempts served
+        self.clients: dict[int, Report] = {}  # process number -> its latest report
+        self.recent_loads: dict[str, deque[float]] = {
+            name: deque(maxlen=LOAD_HISTORY_REPORTS) for name in experiment.worker_names()
         }
 
     def on_report(self, report: Report) -> None:
-        """Take over one report of a fake process."""
+        """Update the state with one report of a fake process."""
         self.time = report["at"] / SECOND
         if "workers" in report:
             self.workers = report["workers"]
             for name, (_, load, _) in self.workers.items():
-                self.loads[name].append(load)
+                self.recent_loads[name].append(load)
         elif "answers" in report:
             self.clients[report["child"]] = report
 
     def status_line(self) -> str:
-        """Return the counts of requests by outcome, in a line."""
+        """Return one line with the counts of requests by outcome."""
         sent = sum(client["sent"] for client in self.clients.values())
         in_flight = sum(client["out"] for client in self.clients.values())
         outcomes = ", ".join(f"{self._count(key)} {name}" for key, name in OUTCOME_NAMES.items())
@@ -112,7 +112,7 @@
         return sum(client["answers"].get(outcome, 0) for client in self.clients.values())
 
     def worker_states(self) -> str:
-        """Return the state of each worker, in a line."""
+        """Return one line with the state of each worker."""
         return " ".join(f"{name}:{_state_name(state)}" for name, (state, _, _) in self.workers.items())
 
     def render(self) -> Group:
@@ -122,8 +122,10 @@
             table.add_column(heading)
         kinds = [group.machine_kind for group in self.experiment.workers for _ in range(group.count)]
         for (name, (state, _, served)), kind in zip(self.workers.items(), kinds, strict=True):
-            top = len(LOAD_BARS) - 1
-            bars = "".join(LOAD_BARS[min(top, round(load * top))] for load in self.loads[name])
+            max_level = len(LOAD_BARS) - 1
+            bars = "".join(
+                LOAD_BARS[min(max_level, round(load * max_level))] for load in self.recent_loads[name]
+            )
             table.add_row(name, kind, Text(_state_name(state), style=STATE_COLOURS[state]), str(served), bars)
         return Group(Text(self.status_line()), self._fault_line(), table)
 
@@ -141,21 +143,25 @@
 
 
 @click.command()
-@click.option("--out", type=click.Path(file_okay=False, path_type=Path), help="Where the plots go.")
+@click.option("--out", type=click.Path(file_okay=False, path_type=Path), help="The folder for the plots.")
 @click.option(
-    "--seconds", type=click.IntRange(28, 600), default=30, show_default=True, help="How long it runs."
+    "--seconds", type=click.IntRange(28, 600), default=30, show_default=True, help="The duration of the run."
 )
 def demo(out: Path | None, seconds: int) -> None:
-    """See it work: discovery, six workers of two kinds, two dispatchers and mixed load, on free ports.
+    """Run a demo fleet: discovery, six workers of two kinds, two dispatchers and clients, on free ports.
 
-    One worker is killed after 8 s and one hangs after 16 s. It ends with the service by request class and the
-    verdict of an audit.
+    One worker is killed after 8 s and one hangs after 16 s. At the end the service by request class and the
+    verdict of an audit are printed.
     """
     experiment = parse_experiment({**DEMO, "lasts": f"{seconds}s"})
     folder = out or Path(tempfile.mkdtemp(prefix="ploverspoke-demo-"))
     console = make_console()
     console.print("Starting two dispatchers, fake workers, discovery and clients.")
-    run = _run_live(experiment, console) if console.is_terminal else _run_printing(experiment)
+    run = (
+        _run_with_live_screen(experiment, console)
+        if console.is_terminal
+        else _run_with_status_lines(experiment)
+    )
     result = make_result(experiment, "sockets", [run])
     write_result(result, folder)
     console.print(result_table(result))
@@ -165,8 +171,8 @@
     sys.exit(1 if result.failed else 0)
 
 
-def _run_live(experiment: Experiment, console: Console) -> RunScore:
-    """Run the experiment while the terminal shows its state."""
+def _run_with_live_screen(experiment: Experiment, console: Console) -> RunScore:
+    """Run the experiment and show its state on the terminal."""
     board = StatusBoard(experiment)
     with Live(console=console, refresh_per_second=REFRESHES_PER_SECOND) as screen:
 
@@ -179,8 +185,8 @@
         return run_sockets(experiment, experiment.seeds[0], None, show)
 
 
-def _run_printing(experiment: Experiment) -> RunScore:
-    """Run the experiment and print a line of its state in each interval."""
+def _run_with_status_lines(experiment: Experiment) -> RunScore:
+    """Run the experiment and print a status line at each interval."""
     return run_sockets(experiment, experiment.seeds[0], None, _line_printer(StatusBoard(experiment)))
 
 
@@ -188,10 +194,10 @@
     printed_at = time.monotonic()
 
     def on_report(report: Report) -> None:
-        """Print a line if the last one is old enough."""
+        """Print a status line if the interval since the last one has passed."""
         nonlocal printed_at
         board.on_report(report)
-        if time.monotonic() - printed_at >= PRINT_INTERVAL:
+        if time.monotonic() - printed_at >= PRINT_INTERVAL_S:
             printed_at = time.monotonic()
             print(f"{board.status_line()}  {board.worker_states()}", flush=True)
 
--- a/ploverspoke/testbed/commands/main.py
+++ b/ploverspoke/testbed/commands/main.py
@@ -1,4 +1,4 @@
-"""`ploverspoke testbed`: the group of the testbed's commands."""
+"""`ploverspoke testbed`: the command group of the testbed."""
 
 import click
 
@@ -11,7 +11,7 @@
 
 @click.group()
 def testbed() -> None:
-    """Test the dispatcher in a fleet model: experiments on virtual time or on sockets."""
+    """Test the dispatcher in a model of a fleet: experiments on virtual time or on sockets."""
 
 
 testbed.add_command(run)
--- a/ploverspoke/testbed/commands/measure_costs.py
+++ b/ploverspoke/testbed/commands/measure_costs.py
@@ -1,4 +1,4 @@
-"""`ploverspoke testbed slopes`: measures what roles cost per unit of load and keeps the results in a file."""
+"""`ploverspoke testbed slopes`: measures the costs of roles per unit of load and stores them in a file."""
 
 import asyncio
 import datetime
@@ -46,32 +46,34 @@
 
 
 class UnknownRoleError(KeyError):
-    """A word on the command line names no role, or no load of a role."""
+    """An argument of the command names an unknown role, or an unknown load of a role."""
 
-    def __init__(self, word: str) -> None:
-        """`word` is as it was given."""
-        super().__init__(word)
-        self.word = word
+    def __init__(self, argument: str) -> None:
+        """`argument` is the text from the command line."""
+        super().__init__(argument)
+        self.argument = argument
 
 
-def choose_measurements(words: Sequence[str], measurements: Sequence[Measurement]) -> list[Measurement]:
-    """Return those of the named roles or `role/load`; all where none is named. Raises UnknownRoleError."""
+def choose_measurements(arguments: Sequence[str], measurements: Sequence[Measurement]) -> list[Measurement]:
+    """Return the measurements of each `role` or `role/load`, by default all. Raises UnknownRoleError."""
     chosen: set[int] = set()
-    for word in words:
-        role, _, load = word.partition("/")
+    for argument in arguments:
+        role, _, load = argument.partition("/")
         matching = [
             number
             for number, measurement in enumerate(measurements)
             if role in measurement.roles and load in ("", measurement.load)
         ]
         if not matching:
-            raise UnknownRoleError(word)
+            raise UnknownRoleError(argument)
         chosen.update(matching)
-    return [measurement for number, measurement in enumerate(measurements) if not words or number in chosen]
+    return [
+        measurement for number, measurement in enumerate(measurements) if not arguments or number in chosen
+    ]
 
 
 def merge_costs(old: MeasuredCosts | None, fresh: MeasuredCosts) -> MeasuredCosts:
-    """Replace old costs of the same role and load by the fresh ones; the others stay."""
+    """Replace the old costs of each measured role and load with the fresh ones; keep the others."""
     if old is None:
         return fresh
     measured = {(line.role, line.load) for line in fresh.lines}
@@ -81,7 +83,7 @@
 
 
 async def measure(measurements: Iterable[Measurement], request: MeasurementRequest) -> MeasurementResult:
-    """Run the measurements one after another; one that does not fit on the machine is void."""
+    """Run the measurements one after another; a measurement that exceeds the machine's capacity is void."""
     lines: list[CostPerUnit] = []
     void: list[str] = []
     for measurement in measurements:
@@ -99,7 +101,7 @@
 
 
 def describe_costs(lines: list[CostPerUnit]) -> MeasuredCosts:
-    """Add the day, the commit and the machine to what was measured."""
+    """Add the date, the commit and the machine to the measured costs."""
     commit = subprocess.run(["git", "rev-parse", "--short", "HEAD"], capture_output=True, text=True)
     memory = os.sysconf("SC_PHYS_PAGES") * os.sysconf("SC_PAGE_SIZE") / GIBIBYTE
     return MeasuredCosts(
@@ -111,7 +113,7 @@
     )
 
 
-def _read_if_there(path: Path) -> MeasuredCosts | None:
+def _read_if_exists(path: Path) -> MeasuredCosts | None:
     return read_measured_costs(path) if path.exists() else None
 
 
@@ -122,24 +124,27 @@
 @click.command()
 @click.argument("roles", nargs=-1, metavar="[ROLE...]")
 @click.option(
-    "--out", type=click.Path(dir_okay=False, path_type=Path), required=True, help="The file of the costs."
+    "--out",
+    type=click.Path(dir_okay=False, path_type=Path),
+    required=True,
+    help="The file that stores the costs.",
 )
-@click.option("--quick", is_flag=True, help="Shorter intervals: for a look, not for the file that is kept.")
-@click.option("--in-turn", is_flag=True, help="No fleets side by side: several times as long.")
-@click.option("--json", "as_json", is_flag=True, help="For tools: the costs of this call.")
+@click.option("--quick", is_flag=True, help="Use shorter intervals; not accurate enough for the stored file.")
+@click.option("--in-turn", is_flag=True, help="Run one fleet at a time; takes several times as long.")
+@click.option("--json", "as_json", is_flag=True, help="Print the costs of this run as JSON.")
 def slopes(roles: tuple[str, ...], out: Path, quick: bool, in_turn: bool, as_json: bool) -> None:
-    """Measure what each ROLE costs per unit of load, and keep the costs in a file.
+    """Measure the cost of each ROLE per unit of load, and store the costs in a file.
 
-    Without a ROLE all are measured; ROLE/LOAD is one load of one. What the file has of other roles and
-    loads stays. Exit 0: done. 1: a run was void or a fit is contradicted by its points, and it is named. 2:
-    the call or the file is wrong.
+    Without a ROLE all roles are measured; ROLE/LOAD measures one load of a role. Costs of other roles and
+    loads in the file are kept. Exit code 0: done. 1: a run was void, or a fit is contradicted by its points;
+    it is printed. 2: the arguments or the file are invalid.
     """
     try:
         measurements = choose_measurements(roles, MEASUREMENTS)
-        _read_if_there(out)  # a wrong file ends the call before anything is measured
+        _read_if_exists(out)  # an invalid file is reported before anything is measured
     except UnknownRoleError as error:
-        known = ", ".join(dict.fromkeys(role for each in MEASUREMENTS for role in each.roles))
-        message = f"{error.word!r} is no role; there are {known}"
+        known = ", ".join(dict.fromkeys(role for measurement in MEASUREMENTS for role in measurement.roles))
+        message = f"{error.argument!r} is not a known role; known roles: {known}"
         raise click.UsageError(message) from error
     except StoredFileError as error:
         raise click.UsageError(str(error)) from error
@@ -147,8 +152,8 @@
     result = asyncio.run(measure(measurements, request))
     fresh = describe_costs(result.lines)
     if result.lines:
-        # Read again: another call may have measured another role meanwhile.
-        write_measured_costs(merge_costs(_read_if_there(out), fresh), out)
+        # Read again: another process may have stored the costs of other roles in the meantime.
+        write_measured_costs(merge_costs(_read_if_exists(out), fresh), out)
     contradicted = [_describe_contradicted(line) for line in result.lines if line.contradicted]
     _print_costs(fresh, result.void, contradicted, as_json)
     sys.exit(1 if result.void or contradicted else 0)
--- a/ploverspoke/testbed/commands/result_files.py
+++ b/ploverspoke/testbed/commands/result_files.py
@@ -1,4 +1,4 @@
-"""Writes the files of a result, for the commands that leave one."""
+"""Writes the files of a result, for the commands that produce one."""
 
 from pathlib import Path
 
@@ -19,5 +19,5 @@
 
 
 def print_plain(console: Console, line: str) -> None:
-    """Print a line as it is, without markup, colours or wrapping."""
+    """Print a line without markup, colours or wrapping."""
     console.print(line, markup=False, highlight=False, soft_wrap=True)
--- a/ploverspoke/testbed/commands/run.py
+++ b/ploverspoke/testbed/commands/run.py
@@ -1,4 +1,4 @@
-"""`ploverspoke testbed run`: runs an experiment file of any kind and checks its demands."""
+"""`ploverspoke testbed run`: runs an experiment file of any kind and checks its acceptance criteria."""
 
 import sys
 import tomllib
@@ -20,10 +20,10 @@
 from ..scenarios.experiment_runner import run_experiment
 from .result_files import print_plain, write_result
 
-OUT_IS_FILE = "--out: {} is a file, a folder is wanted"
-OUT_IS_FOLDER = "--out: {} is a folder, a file is wanted"
-# Keys of the result of a run of processes that are printed on lines of their own.
-NOT_METRICS = (
+OUT_IS_FILE = "--out: {} is a file; expected a folder"
+OUT_IS_FOLDER = "--out: {} is a folder; expected a file"
+# Keys in the result of a process run that are printed on separate lines.
+NON_METRIC_KEYS = (
     "void",
     "failed",
     "shown",
@@ -46,25 +46,30 @@
 @click.argument("experiment", type=click.Path(exists=True, dir_okay=False, path_type=Path))
 @click.option("--sockets", is_flag=True, help="Run the real program on loopback sockets, in real time.")
 @click.option(
-    "--seed", "seeds", type=int, multiple=True, help="In place of the file's seeds; may be repeated."
+    "--seed", "seeds", type=int, multiple=True, help="Replaces the seeds of the file; may be repeated."
+)
+@click.option(
+    "--policy", "policies", multiple=True, help="Replaces the policies of the file; may be repeated."
 )
-@click.option("--policy", "policies", multiple=True, help="In place of the file's policies; may be repeated.")
 @click.option(
     "--out",
     type=click.Path(path_type=Path),
-    help="The folder where result, histograms and plots go; of a fleet file, the JSON file of its scenarios.",
+    help="The folder for result, histograms and plots; for a fleet file, the JSON file for its results.",
+)
+@click.option(
+    "--events/--no-events", default=False, help="Also write every recorded event, one JSON line each."
 )
-@click.option("--events/--no-events", default=False, help="Keep every event seen, too, one JSON line each.")
 @click.option(
-    "--play", "scenarios", multiple=True, help="Of a fleet file: only this scenario; may be repeated."
+    "--play", "scenarios", multiple=True, help="For a fleet file: run only this scenario; may be repeated."
 )
 def run(experiment: Path, **options: Unpack[RunOptions]) -> None:
-    """Run an EXPERIMENT file and check its demands.
+    """Run an EXPERIMENT file and check its acceptance criteria.
 
-    Kinds "leases" and "distribution" run real processes, kind "fleet" simulated dispatchers; of that, --out
-    is a JSON file.
+    The kinds "leases" and "distribution" run real processes; the kind "fleet" runs simulated dispatchers, and
+    its --out is a JSON file.
 
-    Exit 0: all that must hold held. 1: something did not, and is named. 2: the file or the call is wrong.
+    Exit code 0: all criteria held. 1: a criterion failed or a run was void; it is printed. 2: the file or the
+    arguments are invalid.
     """
     document = _read_document(experiment)
     kind, out = document.get("kind"), options["out"]
@@ -75,13 +80,13 @@
     if kind in ("leases", "distribution"):
         _run_processes(document, options["seeds"], out)
     policies = options["policies"]
-    checked = _read_experiment(experiment, options["seeds"], policies)
-    # Neither replicas nor links among dispatchers exist on virtual time.
-    needs_sockets = checked.dispatchers.store or checked.dispatchers.gossip or bool(checked.timeline)
+    loaded = _read_experiment(experiment, options["seeds"], policies)
+    # Virtual time simulates neither replicas nor links between dispatchers.
+    needs_sockets = loaded.dispatchers.store or loaded.dispatchers.gossip or bool(loaded.timeline)
     driver: Driver = "sockets" if options["sockets"] or needs_sockets else "virtual"
     if driver == "sockets" and not policies:
-        checked = msgspec.structs.replace(checked, policies=[OWN_POLICY])
-    _run_and_report(checked, driver, out, options["events"])
+        loaded = msgspec.structs.replace(loaded, policies=[OWN_POLICY])
+    _run_and_report(loaded, driver, out, options["events"])
 
 
 def _run_and_report(experiment: Experiment, driver: Driver, out: Path | None, events: bool) -> NoReturn:
@@ -102,7 +107,7 @@
 def _run_with_progress(
     experiment: Experiment, driver: Driver, folder: Path | None, console: Console
 ) -> Result:
-    """Show a progress bar on a terminal, a line for each run elsewhere."""
+    """Run it with a progress bar on a terminal, or else with a printed line for each run."""
     if not console.is_terminal:
         return run_experiment(experiment, driver, folder, _print_run)
     total = len(experiment.seeds) * (1 if driver == "sockets" else len(experiment.policies))
@@ -118,7 +123,7 @@
 
 
 def _read_document(path: Path) -> dict[str, Any]:
-    """Return the TOML document; empty where the file is none, which its own reader then reports."""
+    """Return the TOML document, or an empty one if the file is invalid, which its reader reports later."""
     try:
         return tomllib.loads(path.read_text(encoding="utf-8"))
     except (OSError, ValueError):
@@ -167,7 +172,7 @@
 
 
 def _print_process_result(name: str, result: Mapping[str, Any]) -> None:
-    metrics = {key: value for key, value in result.items() if key not in NOT_METRICS}
+    metrics = {key: value for key, value in result.items() if key not in NON_METRIC_KEYS}
     print(f"{name}: {_key_value_pairs(metrics)}", flush=True)
     for sample in result.get("looked", ()):
         print(f"  {_key_value_pairs(sample)}", flush=True)
--- a/ploverspoke/testbed/experiment_files/__init__.py
+++ b/ploverspoke/testbed/experiment_files/__init__.py
@@ -1,1 +1,1 @@
-"""Experiment files: TOML read into checked types."""
+"""Experiment files: TOML that is read into validated types."""
--- a/ploverspoke/testbed/experiment_files/distributions.py
+++ b/ploverspoke/testbed/experiment_files/distributions.py
@@ -1,4 +1,4 @@
-"""Distributions of durations, chosen in the file by the key `law`."""
+"""Distributions of durations; the key `law` of the file selects one."""
 
 import math
 
@@ -8,12 +8,12 @@
 from .durations import SECOND, Duration
 from .experiment_table import ExperimentTable
 
-SHAPE_REASON = "shape must be over 1: below there is no mean"
+SHAPE_REASON = "shape must be more than 1; otherwise the distribution has no mean"
 Samples = npt.NDArray[np.float64]
 
 
 class Fixed(ExperimentTable, tag="fixed", tag_field="law", frozen=True, kw_only=True):
-    """Always the mean."""
+    """A constant duration."""
 
     mean: Duration
 
@@ -51,9 +51,9 @@
     kw_only=True,
     rename={"maximum": "at_most"},
 ):
-    """Heavy-tailed durations: P(X > x) falls as x to the power of -shape, from the minimum on."""
+    """Heavy-tailed durations: P(X > x) falls as x to the power of -shape for x above the minimum."""
 
-    mean: Duration  # of the distribution before it is capped
+    mean: Duration  # before samples are capped at the maximum
     shape: float = 2.5
     maximum: Duration = Duration(60 * SECOND)
 
--- a/ploverspoke/testbed/experiment_files/durations.py
+++ b/ploverspoke/testbed/experiment_files/durations.py
@@ -1,4 +1,4 @@
-"""Durations as experiment files write them: a number and a unit, as "250ms"."""
+"""Durations in experiment files: a number and a unit, such as "250ms"."""
 
 import re
 
@@ -10,10 +10,10 @@
 
 
 class DurationError(ValueError):
-    """The value is no number with a unit."""
+    """The value is not a number with a unit."""
 
     def __init__(self, value: object) -> None:
-        """Keep the value that was found."""
+        """Keep the invalid value."""
         super().__init__(f'expected a time with its unit (ns, us, ms, s, min), as "250ms", got {value!r}')
         self.value = value
 
@@ -34,20 +34,20 @@
     return Duration(round(float(match[1]) * NANOSECONDS_PER_UNIT[match[2]]))
 
 
-def decode_duration(kind: type, value: object) -> Duration:
-    """Decode a value of a file as `msgspec.convert` asks for it, its `dec_hook`.
+def decode_duration(target_type: type, value: object) -> Duration:
+    """Decode a duration of a file; the `dec_hook` of `msgspec.convert`.
 
     Raises:
         DurationError: The number or its unit is missing.
-        NotImplementedError: `kind` is another type.
+        NotImplementedError: `target_type` is not Duration.
     """
-    if kind is not Duration:
-        raise NotImplementedError(kind)
+    if target_type is not Duration:
+        raise NotImplementedError(target_type)
     return value if isinstance(value, Duration) else parse_duration(value)
 
 
 def format_duration(nanoseconds: float) -> str:
-    """Format for people: three digits and the largest unit that leaves a whole part."""
+    """Format for display: three digits, in the largest unit in which the value is at least 1."""
     for unit in ("s", "ms", "us"):
         if nanoseconds >= NANOSECONDS_PER_UNIT[unit]:
             return f"{nanoseconds / NANOSECONDS_PER_UNIT[unit]:.3g}{unit}"
--- a/ploverspoke/testbed/experiment_files/experiment.py
+++ b/ploverspoke/testbed/experiment_files/experiment.py
@@ -1,4 +1,4 @@
-"""An experiment: the whole file as one checked value, and what follows from its tables."""
+"""An experiment: a whole validated file, and values that are derived from its tables."""
 
 from typing import NamedTuple
 
@@ -26,9 +26,9 @@
 
 
 class AppliedRules(NamedTuple):
-    """Rules that a request keeps from its arrival on."""
+    """Rules for a request; those at its arrival apply until it ends."""
 
-    idempotency: list[Idempotency]  # by request class
+    idempotency: list[Idempotency]  # of each request class, by its number
     max_attempts: int
 
 
@@ -51,7 +51,7 @@
     name: str
     description: str = ""
     duration: Duration
-    measured_from: Duration = Duration(0)  # requests before it do not count for service
+    measured_from: Duration = Duration(0)  # the service score excludes earlier requests
     seeds: list[int] = msgspec.field(default_factory=lambda: [1, 2, 3])
     policies: list[str] = msgspec.field(default_factory=lambda: ["ours"])
     request_classes: list[RequestClass]
@@ -71,7 +71,7 @@
     acceptance: AcceptanceCriteria = AcceptanceCriteria()
 
     def rules_at(self, at: int) -> AppliedRules:
-        """Return the rules for a request that arrives at that time (ns from the start)."""
+        """Return the rules for a request that arrives at the given time (ns from the start)."""
         idempotency = [request_class.idempotency for request_class in self.request_classes]
         max_attempts = self.rules.max_attempts
         for fault in self.faults:
@@ -87,7 +87,7 @@
         return AppliedRules(idempotency, max_attempts)
 
     def zones(self) -> list[str]:
-        """Return the names of all zones, by number."""
+        """Return the names of all zones in the order of their numbers."""
         return list(dict.fromkeys(group.zone for group in self.workers))
 
     def region(self, zone: int) -> int:
@@ -96,7 +96,7 @@
         return next((number for number, zones in enumerate(self.network.regions) if name in zones), 0)
 
     def one_way(self, zone: int, other: int) -> int:
-        """Return how long a message takes between two zones, in ns."""
+        """Return the one-way latency between two zones, in ns."""
         if zone == other:
             return self.network.same_zone
         if self.region(zone) != self.region(other):
@@ -104,7 +104,7 @@
         return self.network.other_zone
 
     def kinds(self) -> list[str]:
-        """Return the names of all machine kinds, by number."""
+        """Return the names of all machine kinds in the order of their numbers."""
         return list(dict.fromkeys(group.machine_kind for group in self.workers))
 
     def worker_names(self) -> list[str]:
--- a/ploverspoke/testbed/experiment_files/experiment_table.py
+++ b/ploverspoke/testbed/experiment_files/experiment_table.py
@@ -6,5 +6,5 @@
 class ExperimentTable(msgspec.Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
     """A table in which an unknown key is an error.
 
-    Fields have the terms of `docs/glossary.md`; `rename` maps them to the keys of the file.
+    Fields use the terms of `docs/glossary.md`; `rename` maps them to the keys of the file.
     """
--- a/ploverspoke/testbed/experiment_files/reader.py
+++ b/ploverspoke/testbed/experiment_files/reader.py
@@ -1,7 +1,7 @@
 """Reads experiment files.
 
-An ExperimentError has one line that names the key: what is unknown, of a wrong unit or kind, names what does
-not exist, or lies beyond the end.
+The text of an ExperimentError is one line that names the key: an unknown key, a value of the wrong unit or
+type, a reference to something that does not exist, or a time after the end of the run.
 """
 
 import tomllib
@@ -27,7 +27,7 @@
     except OSError as error:
         raise ExperimentError(str(error.strerror), str(path)) from None
     except (UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
-        reason = f"no TOML: {error}"
+        reason = f"not valid TOML: {error}"
         raise ExperimentError(reason, str(path)) from None
     try:
         return parse_experiment(document)
@@ -50,5 +50,5 @@
 
 
 def experiment_from_builtins(document: dict[str, Any]) -> Experiment:
-    """Return the experiment of `msgspec.to_builtins(experiment, enc_hook=int)`, where durations are ns."""
-    return msgspec.convert(document, Experiment, dec_hook=lambda kind, value: kind(value))
+    """Restore an experiment from `msgspec.to_builtins(experiment, enc_hook=int)`, where durations are ns."""
+    return msgspec.convert(document, Experiment, dec_hook=lambda target_type, value: target_type(value))
--- a/ploverspoke/testbed/experiment_files/tables.py
+++ b/ploverspoke/testbed/experiment_files/tables.py
@@ -11,7 +11,7 @@
 
 
 class Idempotency(Enum):
-    """Whether a request may run more than once, with the words that experiment files have for it."""
+    """Whether a request may run more than once; the values are those of experiment files."""
 
     IDEMPOTENT = "redoable"
     IDEMPOTENT_WITH_KEY = "labelled"
@@ -19,7 +19,7 @@
 
 
 class QueueOrder(Enum):
-    """Which waiting requests a worker starts when slots are free."""
+    """The order in which a worker starts waiting requests when slots are free."""
 
     FIFO = "in order"
     FIRST_FIT = "any that fits"
@@ -53,18 +53,19 @@
 
     name: str
     idempotency: Idempotency = Idempotency.IDEMPOTENT
-    retry_scope: Literal["all", "zone", "rack"] = "all"  # workers that drop duplicates by idempotency key
-    retry_window: Duration = Duration(10 * SECOND)  # in which they recognize duplicates
+    # the workers among which duplicates are dropped by idempotency key
+    retry_scope: Literal["all", "zone", "rack"] = "all"
+    retry_window: Duration = Duration(10 * SECOND)  # during which they recognize duplicates
     latency_objective: Duration = Duration(300 * MILLISECOND)
     deadline: Duration = Duration(3 * SECOND)
     weight: float = 1.0
     overdue_weight: float = 0.0  # earned between the objective and the deadline
-    machine_kind: str = ""  # that it needs; empty: any
-    work: Distribution = Lognormal(mean=Duration(30 * MILLISECOND))  # of one slot at speed 1
+    machine_kind: str = ""  # required; empty: any
+    work: Distribution = Lognormal(mean=Duration(30 * MILLISECOND))  # time on one slot of a worker of speed 1
     share: float = 1.0  # of all requests, relative to the other classes
     # slot count -> relative share of requests; empty: one slot each
     slot_shares: dict[str, float] = msgspec.field(default_factory=dict)
-    affinity_keys: int = 0  # number of keys, drawn with shares that fall as 1/rank; 0: requests have none
+    affinity_keys: int = 0  # number of keys, drawn with weights of 1/rank; 0: requests have none
 
 
 class Tenant(ExperimentTable, frozen=True, kw_only=True):
@@ -80,15 +81,15 @@
     kw_only=True,
     rename={"machine_kind": "kind", "queue_limit": "waiting"},
 ):
-    """Workers that are alike (`[[workers]]`)."""
+    """A group of identical workers (`[[workers]]`)."""
 
     count: int
     machine_kind: str = "plain"
     slots: int = 4
     speed: float = 1.0
     zone: str = "a"
-    rack: int | None = None  # none given: each worker has one of its own
-    queue_limit: int = 50  # requests that may wait at one worker; more are returned unstarted
+    rack: int | None = None  # None: each worker has its own rack
+    queue_limit: int = 50  # requests that may wait at one worker; further ones are returned unstarted
 
 
 class WorkerOptions(
@@ -113,12 +114,12 @@
     cancel_stops_work: bool = True
     reports_start: bool = True
     progress_interval: Duration = Duration(SECOND)
-    report_age: Duration = Duration(0)  # of load reports
-    report_noise: float = 0.0  # standard deviation, as a share of the value
+    report_age: Duration = Duration(0)  # added delay of load reports
+    report_noise: float = 0.0  # standard deviation in load reports, as a share of the value
     cached_keys: int = 200  # affinity keys whose data one worker caches
-    warmup_share: float = 0.3  # of a warm worker's rate that a cold one has at first
+    warmup_share: float = 0.3  # initial rate of a cold worker, as a share of a warm worker's rate
     warmup_period: Duration = Duration(8 * SECOND)
-    overload_multiple: float = 3.0  # of its rate, above which arriving work crashes a cold worker
+    overload_multiple: float = 3.0  # multiple of its rate; more arriving work crashes a cold worker
     overload_window: Duration = Duration(2 * SECOND)  # over which arriving work is summed
     overload_downtime: Duration = Duration(10 * SECOND)
 
@@ -131,7 +132,7 @@
 ):
     """The store (`[store]`) from which each worker fetches the data of an affinity key once."""
 
-    max_concurrent: int = 50  # fetches; further ones wait
+    max_concurrent: int = 50  # concurrent fetches; further ones wait
     fetch_time: Distribution = Exponential(mean=Duration(5 * MILLISECOND))
 
 
@@ -144,8 +145,8 @@
     """The dispatchers (`[dispatchers]`) and the resources of each."""
 
     count: int = 2
-    store: bool = False  # they are the replicas of one request log (on sockets only)
-    gossip: bool = False  # they exchange load gossip (on sockets only)
+    store: bool = False  # dispatchers are the replicas of one request log (on sockets only)
+    gossip: bool = False  # dispatchers exchange load gossip (on sockets only)
     snapshot_interval: int = 20_000  # log entries between snapshots of a replica
     memory_mb: int = 192
     max_sockets: int = 1024
@@ -163,8 +164,8 @@
 ):
     """Delays of discovery (`[discovery]`)."""
 
-    max_notification_delay: Duration = Duration(200 * MILLISECOND)  # each watch: uniform from 0 up to it
-    call_time: Duration = Duration(MILLISECOND)  # calls are served one after the other
+    max_notification_delay: Duration = Duration(200 * MILLISECOND)  # of each watch: uniform from 0
+    call_time: Duration = Duration(MILLISECOND)  # calls are served one at a time
     failure_detection_time: Duration = Duration(3 * SECOND)
 
 
@@ -180,12 +181,12 @@
         "connect_timeout": "connect_time_out",
     },
 ):
-    """One-way latencies (`[network]`) and the timeout of connects."""
+    """One-way latencies (`[network]`) and the connect timeout."""
 
     same_zone: Duration = Duration(200 * MICROSECOND)
     other_zone: Duration = Duration(2 * MILLISECOND)
     other_region: Duration = Duration(0)
-    # zones of each region; discovery stands in the first
+    # zones of each region; discovery is in the first region
     regions: list[list[str]] = msgspec.field(default_factory=list)
     client_to_dispatcher: Duration = Duration(100 * MICROSECOND)
     connect_timeout: Duration = Duration(150 * MILLISECOND)
@@ -204,15 +205,15 @@
         "discovery_polling": "asks_first",
     },
 ):
-    """What dispatchers may do and must keep to (`[rules]`)."""
+    """What dispatchers may do and the limits that they must respect (`[rules]`)."""
 
     max_attempts: int = 6
     cancel: bool = True
     probing: bool = True
     retry_after: bool = True  # rejected clients are told when to retry
     max_retry_after: Duration = Duration(2 * SECOND)
-    drain_grace: Duration = Duration(500 * MILLISECOND)  # in which sending to a draining worker stops
-    discovery_polling: bool = True  # endpoints must be polled: changes do not come unprompted
+    drain_grace: Duration = Duration(500 * MILLISECOND)  # until sending to a draining worker has stopped
+    discovery_polling: bool = True  # endpoints must be polled; discovery does not push changes
 
 
 class ClientOptions(
@@ -228,14 +229,14 @@
         "early_disconnect_share": "leave_early",
     },
 ):
-    """Retries and patience of clients (`[clients]`)."""
+    """Retries, failover and early disconnects of clients (`[clients]`)."""
 
     max_attempts: int = 3
     retry_timing: RetryTiming = RetryTiming.BACKOFF
     retry_backoff: Distribution = Exponential(mean=Duration(200 * MILLISECOND))
     honors_retry_after: bool = True
-    failover_timeout: Duration = Duration(0)  # after which another replica is asked; 0: never
-    early_disconnect_share: float = 0.0  # of clients, that leave at a random time before the deadline
+    failover_timeout: Duration = Duration(0)  # until the client asks another dispatcher replica; 0: never
+    early_disconnect_share: float = 0.0  # of requests, disconnected at a random time before the deadline
 
 
 class TrafficPhase(
@@ -244,15 +245,15 @@
     kw_only=True,
     rename={"end_rate": "to_rate", "wave_amplitude": "wave", "wave_period": "period", "burst_size": "burst"},
 ):
-    """Open-loop arrivals in one period of the run (`[[traffic]]`); phases that overlap add up."""
+    """Open-loop arrivals in one period of the run (`[[traffic]]`); rates of overlapping phases add up."""
 
-    rate: float  # requests a second
-    end_rate: float | None = None  # reached linearly at the end; none given: the rate stays
+    rate: float  # requests per second
+    end_rate: float | None = None  # reached linearly at the end; None: the rate is constant
     start: Duration = Duration(0)
-    end: Duration | None = None  # none given: the end of the run
+    end: Duration | None = None  # None: the end of the run
     wave_amplitude: float = 0.0  # of a sine around the rate, as a share of it
     wave_period: Duration = Duration(10 * SECOND)
-    burst_size: int = 1  # requests that arrive at one instant
+    burst_size: int = 1  # requests that arrive at the same time
 
 
 class AcceptanceCriteria(
@@ -266,10 +267,10 @@
         "min_margin_over": "over",
     },
 ):
-    """When the experiment has passed (`[must_hold]`); service is the mean over the seeds."""
+    """Criteria that the experiment has to meet (`[must_hold]`); service is the mean over the seeds."""
 
-    rules_hold: bool = True  # no rule is broken
+    rules_hold: bool = True  # the audit finds no broken rule
     min_service: float = 0.0
     min_service_by_class: dict[str, float] = msgspec.field(default_factory=dict)
-    # baseline policy -> service above that of the baseline
+    # baseline policy -> minimum lead in service over it
     min_margin_over: dict[str, float] = msgspec.field(default_factory=dict)
--- a/ploverspoke/testbed/experiment_files/timeline_experiment.py
+++ b/ploverspoke/testbed/experiment_files/timeline_experiment.py
@@ -1,4 +1,4 @@
-"""What experiment files of a drawn fault timeline (leases, config distribution) have in common."""
+"""The common part of experiment files with a randomly drawn fault timeline (leases, config distribution)."""
 
 from typing import Any, TypeVar
 
@@ -15,25 +15,25 @@
     forbid_unknown_fields=True,
     rename={"description": "about", "is_calm": "calm"},
 ):
-    """A whole file, without the scenario and the demands of its kind."""
+    """The fields of a file that all kinds share; each kind adds its scenario and acceptance criteria."""
 
     kind: str
     name: str
     description: str = ""
     seeds: list[int]
-    is_calm: bool = False  # without faults but those that the kind names
+    is_calm: bool = False  # without faults other than those that the scenario itself specifies
 
 
-ExperimentOfKind = TypeVar("ExperimentOfKind", bound=TimelineExperiment)
+TimelineExperimentT = TypeVar("TimelineExperimentT", bound=TimelineExperiment)
 
 
 def convert_timeline_experiment(
-    document: dict[str, Any], experiment_type: type[ExperimentOfKind]
-) -> ExperimentOfKind:
-    """Convert a file that was parsed as TOML; its values are not checked yet.
+    document: dict[str, Any], experiment_type: type[TimelineExperimentT]
+) -> TimelineExperimentT:
+    """Convert a parsed TOML file; the ranges of its values are not checked.
 
     Raises:
-        TimelineError: a key or a value of it is invalid; it names the key.
+        TimelineError: A key or a value is invalid; the error names the key.
     """
     try:
         return msgspec.convert(document, experiment_type, dec_hook=decode_duration)
--- a/ploverspoke/testbed/list_age/__init__.py
+++ b/ploverspoke/testbed/list_age/__init__.py
@@ -1,1 +1,1 @@
-"""Former place of the measurement of endpoint list age; it is `scenarios/endpoint_list_age.py`."""
+"""Former location of the measurement of endpoint list age, now `scenarios/endpoint_list_age.py`."""
--- a/ploverspoke/testbed/list_age/measure.py
+++ b/ploverspoke/testbed/list_age/measure.py
@@ -1,4 +1,4 @@
-"""Runs the measurement under its former name, `python -m ploverspoke.testbed.list_age.measure`."""
+"""Measures endpoint list age under its former name, `python -m ploverspoke.testbed.list_age.measure`."""
 
 import sys
 
--- a/ploverspoke/testbed/soak/__init__.py
+++ b/ploverspoke/testbed/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Former place of the soak; the command is `python -m ploverspoke.testbed.commands.soak`."""
+"""Former location of the soak test; the command is now `python -m ploverspoke.testbed.commands.soak`."""
--- a/ploverspoke/testbed/soak/__main__.py
+++ b/ploverspoke/testbed/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the soak under its former name, `python -m ploverspoke.testbed.soak`."""
+"""Runs the soak test under its former name, `python -m ploverspoke.testbed.soak`."""
 
 import sys
 
--- a/tests/testbed/commands/test_experiment_commands.py
+++ b/tests/testbed/commands/test_experiment_commands.py
@@ -1,4 +1,4 @@
-"""Experiment files, results and the command line."""
+"""Tests of experiment files, results and the command line."""
 
 import subprocess
 import sys
@@ -26,10 +26,10 @@
 from tests.example_config import EXAMPLE_PATH
 from tests.testbed.harness import SMALL_EXPERIMENT, small_experiment
 
-SHIPPED = sorted((Path(__file__).parents[3] / "experiments").glob("*.toml"))
+SHIPPED_EXPERIMENTS = sorted((Path(__file__).parents[3] / "experiments").glob("*.toml"))
 
 
-@pytest.mark.parametrize("path", SHIPPED, ids=lambda p: p.stem)
+@pytest.mark.parametrize("path", SHIPPED_EXPERIMENTS, ids=lambda p: p.stem)
 def test_shipped_experiment_is_valid_and_named_like_its_file(path: Path) -> None:
     document = tomllib.loads(path.read_text())
     if document.get("kind") == "fleet":
@@ -44,8 +44,8 @@
         "distribution": read_distribution_experiment,
     }
     reader = readers.get(document.get("kind", ""))
-    read = read_experiment(path) if reader is None else reader(document)
-    assert read.name == path.stem and read.seeds
+    experiment = read_experiment(path) if reader is None else reader(document)
+    assert experiment.name == path.stem and experiment.seeds
 
 
 INVALID_CHANGES: list[tuple[dict[str, Any], str]] = [
@@ -54,10 +54,10 @@
     ({"lastz": "6s"}, "`lastz`"),
     ({"workers": [{"count": 4, "slot": 2}]}, "`workers[0]`"),
     ({"workers": [{"count": 0}]}, "workers[0]"),
-    ({"traffic": [{"rate": 10.0, "end": "7s"}]}, "traffic[0]: its stretch is empty or lies beyond the end"),
+    ({"traffic": [{"rate": 10.0, "end": "7s"}]}, "traffic[0]: its period is empty or ends after the run"),
     (
         {"troubles": [{"what": "crash", "at": "5s", "lasts": "2s"}]},
-        "troubles[0]: 'crash' ends beyond the end",
+        "troubles[0]: 'crash' ends after the run",
     ),
     ({"troubles": [{"what": "crush", "at": "5s", "lasts": "2s"}]}, "troubles[0]"),
     ({"troubles": [{"what": "hang", "at": "1s", "lasts": "1s", "workers": ["w9"]}]}, "troubles[0].workers"),
@@ -109,11 +109,11 @@
     )
     result = run_experiment(experiment, "virtual", tmp_path)
     assert len(result.held) == 2 and "over random" in result.failed[0]
-    again = read_result(tmp_path)
-    assert again.runs == result.runs
-    grade = again.runs[0].request_classes["look"]
-    assert merge_histograms([grade.histogram]).get_total_count() == grade.timely + grade.overdue
-    rows = compare_results(again, again, "random", "ours")
+    read_back = read_result(tmp_path)
+    assert read_back.runs == result.runs
+    score = read_back.runs[0].request_classes["look"]
+    assert merge_histograms([score.histogram]).get_total_count() == score.timely + score.overdue
+    rows = compare_results(read_back, read_back, "random", "ours")
     assert rows[0].metric == "service" and rows[0].pairs == 2
 
 
@@ -122,7 +122,7 @@
     assert paired_difference("x", [(1.0, 2.0), (1.1, 2.1), (0.9, 1.9)]).is_clear()
 
 
-def write(path: Path, text: str) -> str:
+def write_file(path: Path, text: str) -> str:
     path.write_text(text)
     return str(path)
 
@@ -136,38 +136,38 @@
         workers = [{count = 2}]
         traffic = [{rate = 20}]
     """
-    run = CliRunner()
-    good = run.invoke(
-        main, ["testbed", "run", write(tmp_path / "a.toml", small), "--out", str(tmp_path / "out")]
+    runner = CliRunner()
+    met = runner.invoke(
+        main, ["testbed", "run", write_file(tmp_path / "a.toml", small), "--out", str(tmp_path / "out")]
     )
-    assert good.exit_code == 0 and "held:" in good.output
-    left = {p.suffix for p in (tmp_path / "out").iterdir()}
-    assert left == {".json", ".svg", ".hgrm"}
+    assert met.exit_code == 0 and "held:" in met.output
+    suffixes = {p.suffix for p in (tmp_path / "out").iterdir()}
+    assert suffixes == {".json", ".svg", ".hgrm"}
     failing = small + "\n[must_hold]\nservice = 1.1\n"
-    failed = run.invoke(main, ["testbed", "run", write(tmp_path / "b.toml", failing)])
+    failed = runner.invoke(main, ["testbed", "run", write_file(tmp_path / "b.toml", failing)])
     assert failed.exit_code == 1 and "FAILED: service" in failed.output
-    wrong = run.invoke(main, ["testbed", "run", write(tmp_path / "c.toml", small + "\nlater = 1")])
-    assert wrong.exit_code == 2 and "later" in wrong.output
-    policy = run.invoke(main, ["testbed", "run", str(tmp_path / "a.toml"), "--policy", "psychic"])
-    assert policy.exit_code == 2 and "psychic" in policy.output
+    invalid = runner.invoke(main, ["testbed", "run", write_file(tmp_path / "c.toml", small + "\nlater = 1")])
+    assert invalid.exit_code == 2 and "later" in invalid.output
+    unknown_policy = runner.invoke(main, ["testbed", "run", str(tmp_path / "a.toml"), "--policy", "psychic"])
+    assert unknown_policy.exit_code == 2 and "psychic" in unknown_policy.output
 
 
 def test_check_reports_the_key_of_an_invalid_configuration(tmp_path: Path) -> None:
-    run = CliRunner()
-    assert run.invoke(main, ["check", str(EXAMPLE_PATH)]).exit_code == 0
-    wrong = write(tmp_path / "wrong.json", EXAMPLE_PATH.read_text().replace('"free"', '"often"'))
-    rejected = run.invoke(main, ["check", wrong])
+    runner = CliRunner()
+    assert runner.invoke(main, ["check", str(EXAMPLE_PATH)]).exit_code == 0
+    invalid = write_file(tmp_path / "wrong.json", EXAMPLE_PATH.read_text().replace('"free"', '"often"'))
+    rejected = runner.invoke(main, ["check", invalid])
     assert rejected.exit_code == 2 and "Repeat is 'often'" in rejected.output
 
 
 def test_start_of_the_dispatcher_does_not_import_the_testbed() -> None:
     program = "import sys, ploverspoke.service.service; print(*sys.modules)"
     modules = subprocess.run([sys.executable, "-c", program], capture_output=True, text=True, check=True)
-    found = set(modules.stdout.split())
-    for heavy in ("click", "msgspec", "numpy", "rich", "matplotlib"):
-        assert heavy not in found
-    # Nothing beside what it is made of: no store, no leases, no consensus.
-    assert {name.split(".")[1] for name in found if name.startswith("ploverspoke.")} == {
+    imported = set(modules.stdout.split())
+    for package in ("click", "msgspec", "numpy", "rich", "matplotlib"):
+        assert package not in imported
+    # Only its own packages are imported: no store, no leases, no consensus.
+    assert {name.split(".")[1] for name in imported if name.startswith("ploverspoke.")} == {
         "decisions",
         "protocol",
         "routing",
@@ -177,7 +177,7 @@
 
 
 def test_the_fakes_share_no_code_with_the_program() -> None:
-    # With the same parsers they would have the same faults.
+    # With shared parsers, they would share the program's bugs and not detect them.
     program = "import sys, ploverspoke.testbed.{}; print(*sys.modules)"
     checkers = ("checkers.lease_checker", "checkers.distribution_checker", "checkers.request_audit")
     for module in (
@@ -198,9 +198,9 @@
         *checkers,
         "processes.tcp_proxy",
     ):
-        words = [sys.executable, "-c", program.format(module)]
-        modules = subprocess.run(words, capture_output=True, text=True, check=True).stdout.split()
-        ours = {
+        command = [sys.executable, "-c", program.format(module)]
+        modules = subprocess.run(command, capture_output=True, text=True, check=True).stdout.split()
+        program_modules = {
             m for m in modules if m.startswith("ploverspoke.") and not m.startswith("ploverspoke.testbed")
         }
-        assert ours == set()
+        assert program_modules == set()
--- a/tests/testbed/experiment_files/test_fault_timeline.py
+++ b/tests/testbed/experiment_files/test_fault_timeline.py
@@ -1,4 +1,4 @@
-"""Fault timelines: checks of their rows, and timelines that are drawn."""
+"""Tests of fault timelines: the checks of their rows, and randomly drawn timelines."""
 
 from typing import Any
 
