--- a/ploverspoke/testbed/reports/__init__.py
+++ b/ploverspoke/testbed/reports/__init__.py
@@ -1,1 +1,1 @@
-"""Tables, plots, comparisons and Markdown made from results."""
+"""Tables, plots, comparisons and Markdown pages that present results."""
--- a/ploverspoke/testbed/reports/capacity_page/answer.py
+++ b/ploverspoke/testbed/reports/capacity_page/answer.py
@@ -1,4 +1,4 @@
-"""The answer at the head of the page: what holds, what does not, what is missing first."""
+"""The answer at the head of the page: which requirements hold or fail, and what to build first."""
 
 import textwrap
 from collections.abc import Sequence
@@ -9,7 +9,7 @@
 
 PAGE_WIDTH = 128
 NOTHING = "nothing"
-MAX_SHOWN_MISSING = 5
+MAX_LISTED_MISSING = 5
 PRIORITIES = {
     ORDINARY_DAY: "breaks a promise on an ordinary day",
     BUDGET: "goes over a budget on one",
@@ -18,28 +18,32 @@
 
 
 def answer_lines(table: CapacityTable) -> list[str]:
-    """Return the answer, wrapped to the width of the page."""
-    not_measured = "; ".join(each.line for each in table.requirements if each.verdict == NOT_MEASURED)
+    """Return the lines of the answer, wrapped to the width of the page."""
+    not_measured = "; ".join(
+        requirement.line for requirement in table.requirements if requirement.verdict == NOT_MEASURED
+    )
     bullets = {
-        "Holds": _by_basis(table, (HOLDS,)),
-        "Holds for less than asked": _by_basis(table, (LESSER,)),
-        "Does not hold": _by_basis(table, (FAILS, OVER)),
-        "Too close to call": _by_basis(table, (NEAR,)),
-        "Missing": _by_basis(table, (MISSING,)),
+        "Holds": _lines_by_basis(table, (HOLDS,)),
+        "Holds for less than asked": _lines_by_basis(table, (LESSER,)),
+        "Does not hold": _lines_by_basis(table, (FAILS, OVER)),
+        "Too close to call": _lines_by_basis(table, (NEAR,)),
+        "Missing": _lines_by_basis(table, (MISSING,)),
         "Not measured": not_measured or NOTHING,
     }
-    always = ("Holds", "Does not hold", "Missing")
-    lines = [f"- **{name}**: {text}." for name, text in bullets.items() if text != NOTHING or name in always]
-    lines += ["", _first_missing(table), "", *_missing_lines(table)[:MAX_SHOWN_MISSING]]
-    return [part for line in lines for part in _wrap(line)]
+    always_shown = ("Holds", "Does not hold", "Missing")
+    lines = [
+        f"- **{name}**: {text}." for name, text in bullets.items() if text != NOTHING or name in always_shown
+    ]
+    lines += ["", _first_missing(table), "", *_missing_lines(table)[:MAX_LISTED_MISSING]]
+    return [wrapped for line in lines for wrapped in _wrap(line)]
 
 
-def _by_basis(table: CapacityTable, verdicts: Sequence[str]) -> str:
-    """Name the requirements with one of the verdicts, by what the verdict rests on."""
+def _lines_by_basis(table: CapacityTable, verdicts: Sequence[str]) -> str:
+    """Return the requirements with one of the verdicts, grouped by the basis of the verdict."""
     by_basis: dict[str, list[str]] = {}
-    for each in table.requirements:
-        if each.verdict in verdicts:
-            by_basis.setdefault(each.basis, []).append(each.line)
+    for requirement in table.requirements:
+        if requirement.verdict in verdicts:
+            by_basis.setdefault(requirement.basis, []).append(requirement.line)
     return "; ".join(f"{'; '.join(lines)} ({basis})" for basis, lines in by_basis.items()) or NOTHING
 
 
@@ -58,9 +62,9 @@
 
 def _missing_lines(table: CapacityTable) -> list[str]:
     lines = [
-        f"{place}. {table.requirement(missing.row).line} "
+        f"{rank}. {table.requirement(missing.row).line} "
         f"({missing.priority}: {PRIORITIES[missing.priority]}{_needed_by(missing)})"
-        for place, missing in enumerate(table.missing_now, 1)
+        for rank, missing in enumerate(table.missing_now, 1)
     ]
     return lines or ["Nothing is missing among what was measured."]
 
--- a/ploverspoke/testbed/reports/capacity_page/reservations.py
+++ b/ploverspoke/testbed/reports/capacity_page/caveats.py
@@ -1,4 +1,4 @@
-"""The reservations: what was extrapolated, contradicted, not measured and assumed."""
+"""Caveats of the estimates: extrapolated, contradicted, unmeasured and assumed values."""
 
 from ...capacity.measured_costs import MeasuredCosts
 from ...capacity.table import CapacityTable, RoleRow
@@ -6,16 +6,16 @@
 from .markdown_table import table_lines
 
 
-class _Reservations:
-    """Reservations on the estimates of all roles, each once for all rows."""
+class _Caveats:
+    """Caveats of the estimates of all roles, without duplicates."""
 
     def __init__(self) -> None:
-        self.extrapolated: dict[str, str] = {}  # the largest load used, by role and load
+        self.extrapolated: dict[str, str] = {}  # role and load -> largest amount used
         self.contradicted: set[str] = set()
-        self.missing: dict[str, set[str]] = {}  # by role
+        self.missing: dict[str, set[str]] = {}  # role -> unmeasured loads and kinds
 
     def add(self, row: RoleRow) -> None:
-        """Take over the reservations on the estimates of one row."""
+        """Add the caveats of the estimates of one row."""
         for kind, estimate in row.estimates.items():
             for text in estimate.extrapolated:
                 self._add_extrapolated(row.role, text)
@@ -33,38 +33,38 @@
             self.extrapolated[name] = used
 
 
-def reservation_lines(table: CapacityTable) -> list[str]:
-    """Return what was extrapolated, contradicted and not measured."""
-    reservations = _Reservations()
+def caveat_lines(table: CapacityTable) -> list[str]:
+    """Return lists of the extrapolated, contradicted and unmeasured costs."""
+    caveats = _Caveats()
     for row in table.roles:
-        reservations.add(row)
-    extrapolated = (f"{name}, used up to {used}" for name, used in reservations.extrapolated.items())
-    missing = [f"{role}: {', '.join(sorted(texts))}" for role, texts in reservations.missing.items()]
-    parts = {
+        caveats.add(row)
+    extrapolated = (f"{name}, used up to {used}" for name, used in caveats.extrapolated.items())
+    missing = [f"{role}: {', '.join(sorted(texts))}" for role, texts in caveats.missing.items()]
+    sections = {
         "Stretched": sorted(extrapolated),
-        "Contradicted by their points": sorted(reservations.contradicted),
+        "Contradicted by their points": sorted(caveats.contradicted),
         "Not measured, and so in no figure above": missing,
     }
     lines: list[str] = []
-    for heading, texts in parts.items():
+    for heading, texts in sections.items():
         lines += [f"{heading}:", "", *(f"- {text}" for text in texts or ["nothing"]), ""]
     return lines
 
 
 def note_lines(costs: MeasuredCosts) -> list[str]:
-    """Return the notes of measured costs, once for each role with the loads that they are about."""
-    load_amounts: dict[tuple[str, str], set[str]] = {}
+    """Return each note of the measured costs once per role, with the loads that have it."""
+    loads_by_note: dict[tuple[str, str], set[str]] = {}
     for line in costs.lines:
         if line.note:
-            load_amounts.setdefault((line.role, line.note), set()).add(line.load)
+            loads_by_note.setdefault((line.role, line.note), set()).add(line.load)
     notes = [
-        f"- {role} along {', '.join(sorted(along))}: {note}" for (role, note), along in load_amounts.items()
+        f"- {role} along {', '.join(sorted(loads))}: {note}" for (role, note), loads in loads_by_note.items()
     ]
     return ["What the slopes file says of its lines:", "", *(notes or ["- nothing"]), ""]
 
 
 def assumption_table() -> list[str]:
-    """Return a row for each assumption."""
+    """Return a table with a row for each assumption."""
     rows = (
         (assumption.what, f"{assumption.value:g}", assumption.question or "-")
         for assumption in ASSUMPTIONS.values()
--- a/ploverspoke/testbed/reports/capacity_page/markdown_table.py
+++ b/ploverspoke/testbed/reports/capacity_page/markdown_table.py
@@ -1,4 +1,4 @@
-"""Markdown tables and the formats of their cells."""
+"""Builds Markdown tables and formats their cells."""
 
 from collections.abc import Iterable, Sequence
 
@@ -8,7 +8,7 @@
 from ...capacity.verdicts import NOT_MEASURED
 
 ORIGIN_MARKS = {"measured": "m", "worked out": "w", "assumed": "a"}
-# Factor and unit of each kind of estimate.
+# kind of estimate -> display factor, unit
 UNITS = {
     "core": (100.0, "%"),
     "memory": (1 / MEGABYTE, " MB"),
@@ -16,16 +16,16 @@
     "messages": (1.0, ""),
     "growth": (1 / KILOBYTE, " KB/s"),
 }
-WHOLE_NUMBERS_FROM = 999.5  # with three digits a smaller value still rounds to less than a thousand
+MIN_WHOLE_NUMBER = 999.5  # smaller values round to less than 1,000 with three digits
 
 
 def format_digits(value: float) -> str:
-    """Format with three digits; whole numbers from a thousand on."""
-    return f"{value:,.0f}" if abs(value) >= WHOLE_NUMBERS_FROM else f"{value:.3g}"
+    """Format with three significant digits, or as a whole number from 1,000 on."""
+    return f"{value:,.0f}" if abs(value) >= MIN_WHOLE_NUMBER else f"{value:.3g}"
 
 
 def format_estimate(estimate: Estimate, kind: str) -> str:
-    """Format an estimate with its unit and marks."""
+    """Format an estimate with its unit and the marks of the page's legend."""
     if estimate.value is None:
         return NOT_MEASURED
     factor, unit = UNITS[kind]
@@ -34,7 +34,7 @@
 
 
 def uncertainty_marks(estimate: Estimate) -> str:
-    """Return a mark each for costs that were extrapolated and for contradicted ones."""
+    """Return `*` if a cost was extrapolated and `!` if a cost is contradicted by its points."""
     return "*" * bool(estimate.extrapolated) + "!" * bool(estimate.contradicted)
 
 
--- a/ploverspoke/testbed/reports/capacity_page/page.py
+++ b/ploverspoke/testbed/reports/capacity_page/page.py
@@ -1,10 +1,10 @@
-"""The page as a whole, its place in a Markdown file, and the same for a terminal."""
+"""Renders the whole page, inserts it into a Markdown file, and renders a short version for a terminal."""
 
 from ...capacity.measured_costs import MeasuredCosts
 from ...capacity.scenario_results import ScenarioResults
 from ...capacity.table import CapacityTable
 from .answer import answer_lines
-from .reservations import assumption_table, note_lines, reservation_lines
+from .caveats import assumption_table, caveat_lines, note_lines
 from .tables import (
     budget_table,
     machine_tables,
@@ -25,10 +25,10 @@
 
 
 class CapacityPageError(ValueError):
-    """The page has no place for the table."""
+    """The page does not have both markers exactly once."""
 
     def __init__(self) -> None:
-        """The text names the markers."""
+        """Build the message with the markers."""
         super().__init__(f"expected {BEGIN} and {END} in it, once each")
 
 
@@ -56,32 +56,38 @@
         "How far it was stretched, and what was assumed": [
             measured,
             "",
-            *reservation_lines(table),
+            *caveat_lines(table),
             *note_lines(costs),
             *assumption_table(),
         ],
     }
-    parts = ["\n".join([f"## {heading}", "", *lines]) for heading, lines in sections.items()]
-    return "\n\n".join(parts) + "\n"
+    texts = ["\n".join([f"## {heading}", "", *lines]) for heading, lines in sections.items()]
+    return "\n\n".join(texts) + "\n"
 
 
 def render_plain(table: CapacityTable) -> str:
     """Return the answer and the verdicts for a terminal."""
     lines = [line.replace("**", "") for line in answer_lines(table)]
-    lines += ["", *(f"{each.verdict:<13} {each.line}: {each.design}" for each in table.requirements)]
+    lines += [
+        "",
+        *(
+            f"{requirement.verdict:<13} {requirement.line}: {requirement.design}"
+            for requirement in table.requirements
+        ),
+    ]
     return "\n".join(lines)
 
 
 def replace_between_markers(page: str, text: str) -> str:
-    """Return the page with the text between its markers. Raises CapacityPageError."""
-    head, found, rest = page.partition(BEGIN)
-    _, ended, tail = rest.partition(END)
-    if not found or not ended or BEGIN in rest:
+    """Return the page with the text inserted between its markers. Raises CapacityPageError."""
+    head, begin, rest = page.partition(BEGIN)
+    _, end, tail = rest.partition(END)
+    if not begin or not end or BEGIN in rest:
         raise CapacityPageError
     return f"{head}{BEGIN}\n{text}{END}{tail}"
 
 
 def text_between_markers(page: str) -> str:
-    """Return what stands between the markers. Raises CapacityPageError."""
+    """Return the text between the markers. Raises CapacityPageError."""
     replace_between_markers(page, "")
     return page.partition(BEGIN)[2].partition(END)[0].removeprefix("\n")
--- a/ploverspoke/testbed/reports/capacity_page/tables.py
+++ b/ploverspoke/testbed/reports/capacity_page/tables.py
@@ -19,8 +19,8 @@
     uncertainty_marks,
 )
 
-# Prefixes of metrics that the page leaves to the file of results.
-ONLY_IN_FILE = (
+# Prefixes of metrics that are only in the results file and not on the page.
+OMITTED_METRIC_PREFIXES = (
     "inside_",
     "workers_",
     "clients_",
@@ -40,18 +40,19 @@
 
 
 def requirement_table(table: CapacityTable) -> list[str]:
-    """Return a row for each requirement, and those that changed since before."""
+    """Return a row for each requirement, and a line for each whose mechanism has changed."""
     heading = ("the size", "what it asks", "what today's design gives", "carried by", "verdict", "stops at")
     rows = [
         (
-            each.line,
-            each.demand,
-            each.design,
-            each.mechanism,
-            f"**{each.verdict}**" + (f" ({each.priority})" if each.verdict != HOLDS else ""),
-            each.limit,
+            requirement.line,
+            requirement.demand,
+            requirement.design,
+            requirement.mechanism,
+            f"**{requirement.verdict}**"
+            + (f" ({requirement.priority})" if requirement.verdict != HOLDS else ""),
+            requirement.limit,
         )
-        for each in table.requirements
+        for requirement in table.requirements
     ]
     lines = table_lines(heading, rows)
     for old in table.before:
@@ -62,17 +63,17 @@
 
 
 def needs_table(table: CapacityTable) -> list[str]:
-    """Return a row for each mechanism that a requirement needs."""
+    """Return a row for each mechanism that a requirement needs from another."""
     rows = [
-        (each.line, table.requirement(need.row).line, need.why)
-        for each in table.before
-        for need in each.needs
+        (requirement.line, table.requirement(need.row).line, need.why)
+        for requirement in table.before
+        for need in requirement.needs
     ]
     return table_lines(("row", "needs the mechanism of", "why"), rows)
 
 
 def budget_table(table: CapacityTable) -> list[str]:
-    """Return what a dispatcher spends; situations with the same estimates share a row."""
+    """Return the resource use of a dispatcher; situations with the same estimates share a row."""
     budget = table.fleet.budget
     heading = (
         "counted as control",
@@ -100,7 +101,7 @@
 
 
 def role_tables(table: CapacityTable) -> list[str]:
-    """Return a table for each role."""
+    """Return a headed table for each role."""
     lines: list[str] = []
     for role, carried_by in ROLES.items():
         rows = [row for row in table.roles if row.role == role]
@@ -109,7 +110,7 @@
 
 
 def _role_table(rows: Sequence[RoleRow]) -> list[str]:
-    """Return the table of one role; numbers of dispatchers with the same estimates share a row."""
+    """Return the table of one role; fleet sizes with the same estimates share a row."""
     if all(estimate.value is None for row in rows for estimate in row.estimates.values()):
         return ["Not measured."]
     heading = (
@@ -132,7 +133,7 @@
 
 
 def role_metric_table(table: CapacityTable) -> list[str]:
-    """Return the metrics that only some roles have."""
+    """Return a table of the metrics that only some roles have."""
     dispatchers = table.fleet.size.dispatchers
     rows = [
         _role_metric_cells(row, dispatchers)
@@ -158,7 +159,7 @@
 
 
 def machine_tables(table: CapacityTable, costs: MeasuredCosts) -> list[str]:
-    """Return the machines for control, their losses, and the splits of voters over two regions."""
+    """Return tables of the control machines, their losses, and the splits of voters over two regions."""
     machines = layout(table.fleet)
     load_amounts = workload(table.fleet, max(table.fleet.size.dispatchers), PEAK)
     machine_rows = [_machine_cells(machine, costs, load_amounts) for machine in machines]
@@ -220,7 +221,7 @@
     metrics = ", ".join(
         f"{name.replace('_', ' ')} {format_digits(value)}"
         for name, value in run.metrics.items()
-        if value is not None and not name.startswith(ONLY_IN_FILE)
+        if value is not None and not name.startswith(OMITTED_METRIC_PREFIXES)
     )
     simulated = " simulated" if run.simulated else ""
     return (
--- a/ploverspoke/testbed/reports/comparison.py
+++ b/ploverspoke/testbed/reports/comparison.py
@@ -1,4 +1,4 @@
-"""Compares two results pair by pair over the seeds that both have, with confidence intervals."""
+"""Compares two results by paired differences of the seeds that both have, with confidence intervals."""
 
 from math import sqrt
 from statistics import fmean, stdev
@@ -6,7 +6,7 @@
 
 from .experiment_result import OWN_POLICY, Result
 
-# Two-sided 95% quantiles of Student's t distribution, from one degree of freedom on.
+# Two-sided 95% quantiles of Student's t distribution, for 1 to 15 degrees of freedom.
 STUDENT_T_95 = (
     12.706,
     4.303,
@@ -24,11 +24,11 @@
     2.145,
     2.131,
 )
-NORMAL_95 = 1.96  # of the normal distribution, for more degrees of freedom
+NORMAL_95 = 1.96  # quantile of the normal distribution, used for more degrees of freedom
 
 
 class Difference(NamedTuple):
-    """One metric on two sides: means, and the mean difference (second less first) with its interval."""
+    """One metric of two results: both means, and the mean of second minus first with its interval."""
 
     metric: str
     first: float
@@ -56,10 +56,10 @@
 def compare_results(
     first: Result, second: Result, first_policy: str = OWN_POLICY, second_policy: str = OWN_POLICY
 ) -> list[Difference]:
-    """Compare service, by request class too, p99 latency and broken rules; empty where no seed is in both."""
-    left = {run.seed: run for run in first.runs_of(first_policy) if not run.void}
-    right = {run.seed: run for run in second.runs_of(second_policy) if not run.void}
-    pairs = [(left[seed], right[seed]) for seed in left if seed in right]
+    """Compare service (total and by class), p99 latency and broken rules; empty without common seeds."""
+    first_runs = {run.seed: run for run in first.runs_of(first_policy) if not run.void}
+    second_runs = {run.seed: run for run in second.runs_of(second_policy) if not run.void}
+    pairs = [(first_runs[seed], second_runs[seed]) for seed in first_runs if seed in second_runs]
     if not pairs:
         return []
     rows = [paired_difference("service", [(a.service, b.service) for a, b in pairs])]
--- a/ploverspoke/testbed/reports/cost_tables.py
+++ b/ploverspoke/testbed/reports/cost_tables.py
@@ -10,7 +10,7 @@
 
 
 def cost_tables(lines: Sequence[CostPerUnit]) -> list[Table]:
-    """Build a table for each role; metrics that were 0 throughout are left out."""
+    """Build a table for each role; metrics that were 0 at every point are omitted."""
     roles = dict.fromkeys(line.role for line in lines)
     return [_role_table(role, [line for line in lines if line.role == role]) for role in roles]
 
--- a/ploverspoke/testbed/reports/experiment_result.py
+++ b/ploverspoke/testbed/reports/experiment_result.py
@@ -1,4 +1,4 @@
-"""The result of an experiment, as `result.json` holds it."""
+"""The result of an experiment, as stored in `result.json`."""
 
 from pathlib import Path
 from typing import Any, Literal
@@ -10,11 +10,11 @@
 
 Driver = Literal["virtual", "sockets"]
 FORMAT = 1  # of result.json
-OWN_POLICY = "ours"  # the dispatcher's own decisions, beside the baseline policies
+OWN_POLICY = "ours"  # the dispatcher's own decisions, as opposed to the baseline policies
 
 
 class ResultError(ExperimentError):
-    """A file holds no result that this version reads."""
+    """A file does not contain a result that this version can read."""
 
     def __init__(self, file: Path, reason: str) -> None:
         """`reason` says what is wrong with the file."""
@@ -24,7 +24,7 @@
 
 
 class Result(msgspec.Struct):
-    """All runs of one experiment, and which of its demands held."""
+    """All runs of one experiment, and its acceptance criteria that held or failed."""
 
     format: int
     driver: Driver
@@ -43,16 +43,18 @@
 
 
 def read_result(path: Path) -> Result:
-    """Read `result.json`, given by itself or by its folder.
+    """Read `result.json`; `path` is the file or its folder.
 
     Raises:
-        ResultError: there is no result, or one of another format.
+        ResultError: There is no result, or its format is not supported.
     """
     file = path / "result.json" if path.is_dir() else path
     try:
         result: Result = msgspec.json.decode(file.read_bytes(), type=Result)
     except (OSError, msgspec.DecodeError) as error:
-        raise ResultError(file, f"no result: {error}") from error
+        raise ResultError(file, f"not a valid result: {error}") from error
     if result.format != FORMAT:
-        raise ResultError(file, f"format {result.format}, this version reads {FORMAT}")
+        raise ResultError(
+            file, f"format {result.format} is not supported; this version reads format {FORMAT}"
+        )
     return result
--- a/ploverspoke/testbed/reports/plots.py
+++ b/ploverspoke/testbed/reports/plots.py
@@ -10,13 +10,13 @@
 from .scores import merge_histograms
 
 matplotlib.use("svg")
-matplotlib.rcParams["svg.hashsalt"] = "ploverspoke"  # the same result gives the same file
-from matplotlib import pyplot  # noqa: E402 - the backend is chosen before
-from matplotlib.axes import Axes  # noqa: E402 - the backend is chosen before
-from matplotlib.figure import Figure  # noqa: E402 - the backend is chosen before
+matplotlib.rcParams["svg.hashsalt"] = "ploverspoke"  # equal results give identical files
+from matplotlib import pyplot  # noqa: E402 - the backend must be selected first
+from matplotlib.axes import Axes  # noqa: E402 - the backend must be selected first
+from matplotlib.figure import Figure  # noqa: E402 - the backend must be selected first
 
 PERCENTILES = (0, 10, 25, 50, 75, 90, 95, 99, 99.5, 99.9)
-MIN_LATENCY_MS = 0.01  # the logarithmic axis has no zero
+MIN_LATENCY_MS = 0.01  # lower bound, as a logarithmic axis has no zero
 MAX_WORKER_LABELS = 30
 
 
@@ -51,7 +51,7 @@
 
 
 def _plot_service(result: Result, folder: Path) -> Path:
-    """Plot the service of the requests first sent in each second, the mean over the seeds."""
+    """Plot the mean service over the seeds of the requests that were first sent in each second."""
     figure, axes = pyplot.subplots(figsize=(10, 4))
     for policy in result.policies():
         by_second: dict[float, list[float]] = {}
@@ -69,15 +69,15 @@
 
 
 def _shade_faults(result: Result, axes: Axes) -> None:
-    """Shade the time of each fault, with its name at one of six heights."""
+    """Shade the interval of each fault and label it at one of six heights."""
     for number, fault in enumerate(result.experiment["troubles"]):
-        begin, end = fault["at"] / SECOND, (fault["at"] + fault["lasts"]) / SECOND
-        axes.axvspan(begin, end, alpha=0.08, color="tab:red")
-        axes.text(begin, 0.02 + 0.05 * (number % 6), fault["what"], fontsize=7, color="tab:red")
+        start, end = fault["at"] / SECOND, (fault["at"] + fault["lasts"]) / SECOND
+        axes.axvspan(start, end, alpha=0.08, color="tab:red")
+        axes.text(start, 0.02 + 0.05 * (number % 6), fault["what"], fontsize=7, color="tab:red")
 
 
 def _plot_latencies(result: Result, folder: Path) -> Path:
-    """Plot the latencies of succeeded requests by request class, as percentiles."""
+    """Plot the latency percentiles of succeeded requests by request class."""
     classes = list(result.runs[0].request_classes)
     figure, all_axes = pyplot.subplots(1, len(classes), figsize=(4 * len(classes), 4), squeeze=False)
     positions = range(len(PERCENTILES))
@@ -87,8 +87,8 @@
                 run.request_classes[name].histogram for run in result.runs_of(policy)
             )
             latencies = [histogram.get_value_at_percentile(p) / 1000 for p in PERCENTILES]
-            shown = [max(MIN_LATENCY_MS, latency) for latency in latencies]
-            axes.plot(positions, shown, label=policy, marker=".")
+            plotted = [max(MIN_LATENCY_MS, latency) for latency in latencies]
+            axes.plot(positions, plotted, label=policy, marker=".")
         axes.set(title=name, yscale="log", ylabel="latency, ms", xlabel="percentile")
         axes.set_xticks(positions, [f"{p:g}" for p in PERCENTILES], fontsize=7)
     all_axes[0][0].legend(fontsize=8)
@@ -96,16 +96,14 @@
 
 
 def _plot_workers(result: Result, folder: Path) -> Path:
-    """Plot the requests begun by each worker in each second of the first policy's first run."""
+    """Plot the attempts that each worker started in each second of the first run of the first policy."""
     run = result.runs[0]
     names = list(run.by_worker)
     figure, axes = pyplot.subplots(figsize=(10, max(2.5, len(names) * 0.18)))
-    picture = axes.imshow(
-        list(run.by_worker.values()), aspect="auto", interpolation="nearest", cmap="viridis"
-    )
+    image = axes.imshow(list(run.by_worker.values()), aspect="auto", interpolation="nearest", cmap="viridis")
     step = max(1, len(names) // MAX_WORKER_LABELS)
     axes.set_yticks(range(0, len(names), step), names[::step], fontsize=7)
     title = f"requests begun a second by worker ({run.policy}, seed {run.seed})"
     axes.set(xlabel="second", title=title)
-    figure.colorbar(picture)
+    figure.colorbar(image)
     return _save(figure, folder / "workers.svg")
--- a/ploverspoke/testbed/reports/scores.py
+++ b/ploverspoke/testbed/reports/scores.py
@@ -1,4 +1,4 @@
-"""Scores one run by what clients and workers saw: service, latencies and outcomes by request class."""
+"""Scores one run from the events of clients and workers: service, latencies, outcomes by request class."""
 
 from collections import Counter, defaultdict
 from collections.abc import Iterable, Sequence
@@ -14,7 +14,7 @@
 from ..models import event_records
 from ..models.event_records import BROKEN, FAILED, REJECTED, SUCCEEDED, Event
 
-MAX_LATENCY_US = 3_600_000_000  # the highest value of a histogram
+MAX_LATENCY_US = 3_600_000_000  # highest value that a histogram can record: one hour
 HISTOGRAM_DIGITS = 3  # significant decimal digits
 PERCENTILES = (50.0, 90.0, 99.0, 99.9)
 MAX_SHOWN_FINDINGS = 10
@@ -29,17 +29,17 @@
         "latencies_ms": "waits_ms",
     },
 ):
-    """Results of one request class over one run; latencies of succeeded requests count from the first try."""
+    """Results of one request class in one run; latencies of succeeded requests start at the first try."""
 
     requests: int = 0
     timely: int = 0  # succeeded within the latency objective
-    overdue: int = 0  # succeeded after it, before the deadline
+    overdue: int = 0  # succeeded after the latency objective, within the deadline
     rejected: int = 0
     failed: int = 0
     broken: int = 0  # the connection broke
-    left: int = 0  # the client left before an answer
-    service: float = 0.0  # weight earned, as a share of what could be earned
-    latencies_ms: dict[str, float] = {}  # by percentile, as "p99"
+    left: int = 0  # the client disconnected before an answer
+    service: float = 0.0  # earned weight, as a share of the possible weight
+    latencies_ms: dict[str, float] = {}  # percentile, such as "p99" -> latency
     histogram: str = ""  # of the latencies in microseconds, in HdrHistogram's encoding
 
 
@@ -52,20 +52,20 @@
         "lateness_ms": "behind_ms",
     },
 ):
-    """Results of one run: one experiment, policy and seed. The encoded names are those of stored results."""
+    """Results of one run of an experiment with one policy and seed; the encoded names are stored names."""
 
     policy: str
     seed: int
     service: float
     request_classes: dict[str, RequestClassScore]
-    findings: list[str]  # broken rules; the first ones, each with its timeline
+    findings: list[str]  # the first broken rules, each with its timeline
     broken_rules: int
     attempts: int
     requests: int
-    lateness_ms: float  # of the load generator, at most
-    void: str  # why the run proves nothing; empty where it does
+    lateness_ms: float  # maximum of the load generator
+    void: str  # why the run is not valid evidence; empty if it is
     over_time: list[list[float]]  # [second, service of the requests first sent in it]
-    by_worker: dict[str, list[int]]  # requests begun, for each second
+    by_worker: dict[str, list[int]]  # worker name -> attempts started in each second
     events: int
     ran_for_s: float = 0.0
 
@@ -78,7 +78,7 @@
 
 
 class _Answer(NamedTuple):
-    """The answer to a request that counts."""
+    """The answer to a request that is scored."""
 
     at: int  # ns of the run
     outcome: str
@@ -88,27 +88,27 @@
 
 
 class _Observations:
-    """What the events of a run say of each request, read once and in order."""
+    """The state of each request, collected from the events of a run, which are read once and in order."""
 
     def __init__(self, experiment: Experiment) -> None:
         seconds = experiment.duration // SECOND + 1
         self.scores = [RequestClassScore() for _ in experiment.request_classes]
-        self.first_tries: dict[int, _FirstTry] = {}  # by request number
+        self.first_tries: dict[int, _FirstTry] = {}  # request number -> first try
         self.answers: dict[int, _Answer] = {}
-        self.left: set[int] = set()
+        self.disconnected: set[int] = set()
         self.event_counts: Counter[str] = Counter()
         self.lateness = 0  # ns
         self.by_worker = {name: [0] * seconds for name in experiment.worker_names()}
 
     def read(self, event: Event) -> None:
-        """Take over one event."""
+        """Update the state with one event."""
         self.event_counts[event.kind] += 1
         if event.kind == event_records.REQUEST_SENT:
             self._read_sent(event)
         elif event.kind == event_records.REQUEST_ANSWERED:
             self._read_answer(event)
         elif event.kind == event_records.CLIENT_DISCONNECTED:
-            self.left.add(event.job)
+            self.disconnected.add(event.job)
         elif event.kind == event_records.ATTEMPT_STARTED:
             by_second = self.by_worker[event.worker]
             by_second[min(event.at // SECOND, len(by_second) - 1)] += 1
@@ -121,8 +121,8 @@
             self.first_tries[event.job] = _FirstTry(request_class, first_sent_at)
 
     def _read_answer(self, event: Event) -> None:
-        known = self.answers.get(event.job)
-        if known is None or known.outcome != SUCCEEDED:
+        previous = self.answers.get(event.job)
+        if previous is None or previous.outcome != SUCCEEDED:
             self.answers[event.job] = _Answer(event.at, event.detail)
         if event.job not in self.first_tries:
             return
@@ -133,7 +133,7 @@
 
 
 class _Service:
-    """Weight earned and weight that could be earned, by second and by request class."""
+    """Earned and possible weight, by second and by request class."""
 
     def __init__(self, class_count: int) -> None:
         self.earned: dict[int, float] = defaultdict(float)
@@ -142,7 +142,7 @@
         self.possible_by_class = [0.0] * class_count
 
     def add(self, request_class: int, second: int, earned: float, possible: float) -> None:
-        """Add one request, first sent in that second."""
+        """Add one request that was first sent in the given second."""
         self.earned[second] += earned
         self.possible[second] += possible
         self.earned_by_class[request_class] += earned
@@ -152,12 +152,12 @@
         return sum(self.earned.values()) / max(1e-9, sum(self.possible.values()))
 
     def of_class(self, request_class: int) -> float:
-        """Return the service of one request class; 1 where it could earn nothing."""
+        """Return the service of one request class; 1 if no weight was possible."""
         possible = self.possible_by_class[request_class]
         return self.earned_by_class[request_class] / possible if possible else 1.0
 
     def over_time(self) -> list[list[float]]:
-        """Return [second, service] for each second in which something could be earned."""
+        """Return [second, service] for each second with possible weight."""
         seconds = (second for second in sorted(self.possible) if self.possible[second])
         return [[float(second), self.earned[second] / self.possible[second]] for second in seconds]
 
@@ -170,7 +170,7 @@
     findings: Iterable[Finding],
     void: str = "",
 ) -> RunScore:
-    """Score the events of one run, in order of time; `findings` are those of the audit of the same run."""
+    """Score the events of one run in order of time; `findings` are the broken rules that its audit found."""
     observations = _Observations(experiment)
     for event in events:
         observations.read(event)
@@ -197,13 +197,13 @@
 
 
 def _score_requests(experiment: Experiment, observations: _Observations) -> _Service:
-    """Fill in the scores of the request classes from all requests, and return the service."""
+    """Update the scores of the request classes from all requests, and return the service."""
     scores = observations.scores
     histograms = [HdrHistogram(1, MAX_LATENCY_US, HISTOGRAM_DIGITS) for _ in scores]
     service = _Service(len(scores))
     for number, first in observations.first_tries.items():
         score, request_class = scores[first.request_class], experiment.request_classes[first.request_class]
-        if number in observations.left:
+        if number in observations.disconnected:
             score.left += 1
             continue
         answer = observations.answers.get(number, NO_ANSWER)
@@ -223,7 +223,7 @@
 
 
 def _count_success(score: RequestClassScore, request_class: RequestClass, latency: int) -> float:
-    """Count a succeeded request as timely or overdue; return the weight that it earned."""
+    """Count a succeeded request as timely or overdue; return the earned weight."""
     if latency <= request_class.latency_objective:
         score.timely += 1
         return request_class.weight
--- a/ploverspoke/testbed/reports/tables.py
+++ b/ploverspoke/testbed/reports/tables.py
@@ -1,4 +1,4 @@
-"""Tables of results: coloured on a terminal, plain lines elsewhere."""
+"""Tables of results: coloured on a terminal, plain text elsewhere."""
 
 from collections.abc import Iterable, Sequence
 from statistics import fmean
@@ -10,7 +10,7 @@
 from .experiment_result import OWN_POLICY, Result
 from .scores import RequestClassScore, RunScore
 
-PLAIN_WIDTH = 160  # columns where there is no terminal; wide enough for every table
+PLAIN_WIDTH = 160  # columns of the output without a terminal; wide enough for every table
 
 
 def result_table(result: Result) -> Table:
@@ -40,7 +40,7 @@
 
 
 def verdict_lines(result: Result) -> Iterable[str]:
-    """Yield a line for each demand, held or failed, and the first finding of the audit."""
+    """Yield a line for each acceptance criterion that held or failed, and the first finding of the audit."""
     for text in result.held:
         yield f"held:   {text}"
     for text in result.failed:
@@ -71,6 +71,6 @@
 
 
 def make_console() -> Console:
-    """Return a console as wide as the terminal, or wide enough for any table where there is none."""
+    """Return a console as wide as the terminal; without a terminal, it is wide enough for every table."""
     console = Console()
     return console if console.is_terminal else Console(width=PLAIN_WIDTH, color_system=None)
--- a/ploverspoke/testbed/scale/__init__.py
+++ b/ploverspoke/testbed/scale/__init__.py
@@ -1,1 +1,1 @@
-"""Many simulated dispatchers in one process: the real program on real sockets, sharing one event loop."""
+"""Many simulated dispatchers in one process: the real program on real sockets, on a shared event loop."""
--- a/ploverspoke/testbed/scale/config_poller.py
+++ b/ploverspoke/testbed/scale/config_poller.py
@@ -1,9 +1,9 @@
-"""Polls all dispatchers, from outside, until a change of configuration is applied there.
+"""Polls all dispatchers from outside until a change of configuration is applied there.
 
-`python -m ploverspoke.testbed.scale.config_poller` takes `PollTargets`, then a `ConfigChange` for each change
-that is made, and answers each with `ChangeApplied` once the request class that it adds is known at all
-dispatchers, or polling is given up. A request class is known where a GET to it is a wrong method (405) and
-not an unknown target (404).
+`python -m ploverspoke.testbed.scale.config_poller` reads `PollTargets`, then a `ConfigChange` per change. It
+answers each change with `ChangeApplied` once the request class that the change adds is known at all
+dispatchers, or once polling times out. A dispatcher knows a request class if it answers a GET to it with 405
+(wrong method) instead of 404 (unknown target).
 """
 
 import asyncio
@@ -17,10 +17,10 @@
 from ..fakes.http_wire import HttpReader, HttpSyntaxError
 from ..processes.pipe_messages import input_lines, send_message
 
-POLL_INTERVAL = 0.05  # seconds, at each dispatcher; the resolution of the times
-POLL_TIMEOUT = 30.0  # seconds
+POLL_INTERVAL_S = 0.05  # for each dispatcher; this is the resolution of the measured delays
+POLL_TIMEOUT_S = 30.0
 NOT_FOUND = 404
-NEVER_APPLIED = -1  # in place of a time
+NEVER_APPLIED = -1  # in place of a delay
 
 
 class PollTargets(msgspec.Struct, tag="targets"):
@@ -37,25 +37,25 @@
 
 
 class ChangeApplied(msgspec.Struct, tag="applied"):
-    """When a change was applied."""
+    """The delays until a change was applied."""
 
     number: int
-    delays: list[int]  # ns by dispatcher, or NEVER_APPLIED
+    delays: list[int]  # ns for each dispatcher, or NEVER_APPLIED
 
 
 class _PendingChange:
-    """A change that is not known at all dispatchers yet."""
+    """A change that is not yet known at all dispatchers."""
 
-    def __init__(self, change: ConfigChange, targets: int) -> None:
+    def __init__(self, change: ConfigChange, target_count: int) -> None:
         self.number = change.number
         self.request = f"GET /{change.request_class} HTTP/1.1\r\nHost: testbed\r\n\r\n".encode()
         self.made_at = time.monotonic_ns()
-        self.delays = [NEVER_APPLIED] * targets
-        self.missing = targets
+        self.delays = [NEVER_APPLIED] * target_count
+        self.unapplied_count = target_count
 
 
 class _TargetPoller(asyncio.Protocol):
-    """Polls one dispatcher for the oldest change that it does not know; this implies the earlier ones."""
+    """Polls one dispatcher for its oldest unapplied change; an applied change implies the earlier ones."""
 
     def __init__(self, poller: "ConfigPoller", number: int, address: str) -> None:
         self._poller = poller
@@ -63,22 +63,22 @@
         self._address = address
         self._reader = HttpReader()
         self._transport: asyncio.Transport | None = None
-        self._asked: _PendingChange | None = None  # and not answered yet
+        self._requested: _PendingChange | None = None  # in the request that is not answered yet
         self._task: asyncio.Task[None] | None = None
-        self.unknown: deque[_PendingChange] = deque()
+        self.unapplied: deque[_PendingChange] = deque()
 
     def add(self, change: _PendingChange) -> None:
-        """Poll for one more change."""
-        self.unknown.append(change)
+        """Poll for another change."""
+        self.unapplied.append(change)
         if self._task is None or self._task.done():
             self._task = asyncio.create_task(self._poll())
 
     async def _poll(self) -> None:
-        while self.unknown:
+        while self.unapplied:
             if self._transport is None:
                 await self._connect()
-            self._ask()
-            await asyncio.sleep(POLL_INTERVAL)
+            self._send_request()
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     async def _connect(self) -> None:
         host, _, port = self._address.rpartition(":")
@@ -87,10 +87,10 @@
         except OSError:
             return
 
-    def _ask(self) -> None:
-        if self._transport is not None and self._asked is None and self.unknown:
-            self._asked = self.unknown[0]
-            self._transport.write(self._asked.request)
+    def _send_request(self) -> None:
+        if self._transport is not None and self._requested is None and self.unapplied:
+            self._requested = self.unapplied[0]
+            self._transport.write(self._requested.request)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Keep the connection for all requests."""
@@ -98,54 +98,54 @@
         self._reader = HttpReader()
 
     def data_received(self, data: bytes) -> None:
-        """Read answers; a malformed one closes the connection."""
+        """Read responses; a malformed response closes the connection."""
         try:
             for message in self._reader.feed(data):
-                self._on_answer(message.status)
+                self._on_response(message.status)
         except HttpSyntaxError:
             if self._transport is not None:
                 self._transport.abort()
 
-    def _on_answer(self, status: int) -> None:
-        change, self._asked = self._asked, None
+    def _on_response(self, status: int) -> None:
+        change, self._requested = self._requested, None
         if change is None or status == NOT_FOUND:
             return
-        if self.unknown and self.unknown[0] is change:
-            self.unknown.popleft()
-            self._poller.on_known(change, self._number)
-            self._ask()
+        if self.unapplied and self.unapplied[0] is change:
+            self.unapplied.popleft()
+            self._poller.on_applied(change, self._number)
+            self._send_request()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Connect again with the next poll."""
-        self._transport = self._asked = None
+        """Reset the state; the next poll connects again."""
+        self._transport = self._requested = None
 
 
 class ConfigPoller:
     """Polls all dispatchers for all pending changes."""
 
     def __init__(self, addresses: list[str]) -> None:
-        """`addresses` are those for clients of the dispatchers."""
+        """`addresses` are the client addresses of the dispatchers."""
         self._targets = [_TargetPoller(self, number, address) for number, address in enumerate(addresses)]
         self._pending: dict[int, _PendingChange] = {}
 
     def add(self, change: ConfigChange) -> None:
-        """Poll for a change that is made now."""
+        """Poll for a change that is being made now."""
         pending = self._pending[change.number] = _PendingChange(change, len(self._targets))
         for target in self._targets:
             target.add(pending)
-        asyncio.get_running_loop().call_later(POLL_TIMEOUT, self._give_up, pending)
+        asyncio.get_running_loop().call_later(POLL_TIMEOUT_S, self._give_up, pending)
 
-    def on_known(self, change: _PendingChange, target: int) -> None:
-        """A dispatcher knows the change."""
+    def on_applied(self, change: _PendingChange, target: int) -> None:
+        """Record that a dispatcher has applied the change."""
         change.delays[target] = time.monotonic_ns() - change.made_at
-        change.missing -= 1
-        if not change.missing:
+        change.unapplied_count -= 1
+        if not change.unapplied_count:
             self._report(change)
 
     def _give_up(self, change: _PendingChange) -> None:
         for target in self._targets:
-            if change in target.unknown:
-                target.unknown.remove(change)
+            if change in target.unapplied:
+                target.unapplied.remove(change)
         self._report(change)
 
     def _report(self, change: _PendingChange) -> None:
@@ -154,7 +154,7 @@
 
 
 async def serve() -> None:
-    """Poll until the input ends."""
+    """Process messages until the input ends."""
     decoder: msgspec.json.Decoder[PollTargets | ConfigChange] = msgspec.json.Decoder(
         PollTargets | ConfigChange
     )
--- a/ploverspoke/testbed/scale/dispatcher_host.py
+++ b/ploverspoke/testbed/scale/dispatcher_host.py
@@ -1,4 +1,4 @@
-"""One process of simulated dispatchers, commanded over its pipes. The end of its input ends it and them."""
+"""A process of simulated dispatchers, controlled over its pipes; the end of its input ends it and them."""
 
 import asyncio
 import gc
@@ -32,23 +32,23 @@
 )
 from .simulated_dispatcher import SimulatedDispatcher
 
-LATENESS_INTERVAL = 0.02  # seconds, in which the event loop is checked
+LATENESS_CHECK_INTERVAL_S = 0.02  # of the event loop
 PAGE_SIZE = os.sysconf("SC_PAGE_SIZE")
 
 
 class DispatcherHost:
-    """Starts, stops, kills and counts the dispatchers of this process."""
+    """Starts, stops and kills the dispatchers of this process, and counts their resource usage."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, addresses: list[DispatcherAddress]) -> None:
-        """`addresses` are those of all dispatchers that may be started here."""
+        """`addresses` are those of all dispatchers that this process may start."""
         self.loop = loop
         self.addresses = {address.number: address for address in addresses}
         self.running: dict[int, SimulatedDispatcher] = {}
-        self.lateness = 0  # ns, of the event loop since the run began
-        self.watch: asyncio.Task[None] | None = None
+        self.lateness = 0  # ns, maximum of the event loop since the run began
+        self.lateness_task: asyncio.Task[None] | None = None
 
     def on_command(self, command: HostCommand) -> None:
-        """Carry out a command; one for a dispatcher that has ended is ignored, as a signal would be."""
+        """Execute a command; commands for an ended dispatcher are ignored, like a signal to it."""
         match command:
             case StartDispatcher(number):
                 self._start(number)
@@ -59,7 +59,7 @@
             case KillDispatcher(number) if number in self.running:
                 self._kill(number)
             case BeginRun():
-                self._begin()
+                self._begin_run()
             case CountUsage():
                 send_message(self.count_usage())
             case _:
@@ -84,43 +84,43 @@
         del self.running[number]
         send_message(DispatcherEnded(number, reason))
 
-    def _begin(self) -> None:
-        # What exists now stays for the run; scanning it again and again would hold up the loop.
+    def _begin_run(self) -> None:
+        # The current objects live until the end of the run; repeated collections would delay the event loop.
         gc.collect()
         gc.freeze()
-        self.watch = self.loop.create_task(self._measure_lateness())
+        self.lateness_task = self.loop.create_task(self._measure_lateness())
 
     def count_usage(self) -> UsageCounts:
-        """Return what this process and its dispatchers use."""
+        """Return the resource usage of this process and its dispatchers."""
         usage = resource.getrusage(resource.RUSAGE_SELF)
-        inside: Counter[str] = Counter()
+        held_counts: Counter[str] = Counter()
         for dispatcher in self.running.values():
-            inside.update(dispatcher.counts())
+            held_counts.update(dispatcher.counts())
         return UsageCounts(
             cpu_ns=int((usage.ru_utime + usage.ru_stime) * SECOND),
             resident=int(Path("/proc/self/statm").read_text().split()[1]) * PAGE_SIZE,
             descriptors=sum(1 for _ in Path("/proc/self/fd").iterdir()),
             serving=sum(dispatcher.is_serving for dispatcher in self.running.values()),
-            listed=sum(dispatcher.has_list() for dispatcher in self.running.values()),
+            listed=sum(dispatcher.has_endpoint_list() for dispatcher in self.running.values()),
             lateness=self.lateness,
-            inside=dict(inside),
+            inside=dict(held_counts),
         )
 
     async def _measure_lateness(self) -> None:
         while True:
-            due = time.monotonic_ns() + int(LATENESS_INTERVAL * SECOND)
-            await asyncio.sleep(LATENESS_INTERVAL)
+            due = time.monotonic_ns() + int(LATENESS_CHECK_INTERVAL_S * SECOND)
+            await asyncio.sleep(LATENESS_CHECK_INTERVAL_S)
             self.lateness = max(self.lateness, time.monotonic_ns() - due)
 
     def kill_all(self) -> None:
-        """Kill all dispatchers without a message."""
+        """Kill all dispatchers without sending a message."""
         for number in list(self.running):
             self.running.pop(number).kill()
 
 
 async def serve(addresses: list[DispatcherAddress]) -> None:
-    """Carry out commands until the input ends."""
-    descriptor_limit()  # raises the limit, too
+    """Execute commands until the input ends."""
+    descriptor_limit()  # also raises the limit
     host = DispatcherHost(asyncio.get_running_loop(), addresses)
     decoder: msgspec.json.Decoder[HostCommand] = msgspec.json.Decoder(HostCommand)
     send_message(HostReady())
@@ -130,6 +130,6 @@
 
 
 def run(path: Path, part: int) -> None:
-    """Run the process with that number of the spec."""
+    """Run the process whose dispatchers are at index `part` of the spec."""
     spec: DispatcherHostSpec = msgspec.json.decode(path.read_bytes(), type=DispatcherHostSpec)
     uvloop.run(serve(spec.parts[part]))
--- a/ploverspoke/testbed/scale/host_messages.py
+++ b/ploverspoke/testbed/scale/host_messages.py
@@ -6,17 +6,17 @@
 
 
 class DispatcherAddress(NamedTuple):
-    """Where one simulated dispatcher is, and where it finds its configuration."""
+    """The address of one simulated dispatcher and the paths of its configuration files."""
 
     number: int
     name: str
-    address: str  # host that it sends from
+    address: str  # source host of its connections
     config: str  # path
-    watch: str = ""  # path of its `serve --watch` file; empty: it watches nothing
+    watch: str = ""  # path of its `serve --watch` file; empty: it watches no config servers
 
 
 class DispatcherHostSpec(msgspec.Struct):
-    """The dispatchers of each process of a run, in a file that all of them read."""
+    """The dispatchers of each process of a run, in a file that all processes read."""
 
     parts: list[list[DispatcherAddress]]
 
@@ -49,7 +49,7 @@
 
 
 class BeginRun(msgspec.Struct, tag="begin"):
-    """The run begins; from now on lateness counts."""
+    """The run begins; lateness is measured from now on."""
 
 
 class CountUsage(msgspec.Struct, tag="count"):
@@ -63,11 +63,11 @@
 
 
 class HostReady(msgspec.Struct, tag="ready"):
-    """The process takes commands; its first message."""
+    """The first message: the process accepts commands."""
 
 
 class DispatcherServes(msgspec.Struct, tag="serves"):
-    """A dispatcher serves."""
+    """A dispatcher has become ready to serve."""
 
     number: int
 
@@ -80,15 +80,15 @@
 
 
 class UsageCounts(msgspec.Struct, tag="counts"):
-    """What a process and its dispatchers use."""
+    """The resource usage of a process and its dispatchers."""
 
     cpu_ns: int
     resident: int  # bytes
     descriptors: int
-    serving: int  # dispatchers
-    listed: int  # dispatchers that have an endpoint list
-    lateness: int  # ns, of the event loop since the run began, at most
-    inside: dict[str, int]  # what dispatchers hold, by name, summed
+    serving: int  # number of dispatchers that serve
+    listed: int  # number of dispatchers that have an endpoint list
+    lateness: int  # ns, maximum of the event loop since the run began
+    inside: dict[str, int]  # counts of what the dispatchers hold, by name, summed over them
 
 
 HostEvent = HostReady | DispatcherServes | DispatcherEnded | UsageCounts
--- a/ploverspoke/testbed/scale/simulated_dispatcher.py
+++ b/ploverspoke/testbed/scale/simulated_dispatcher.py
@@ -1,4 +1,4 @@
-"""One dispatcher among many in a process: the program's own Service, with signals and kills played."""
+"""One of many dispatchers in a process: the program's own Service, with simulated signals and kills."""
 
 import asyncio
 import signal
@@ -22,11 +22,11 @@
 if TYPE_CHECKING:
     from ploverspoke.config_distribution.client import WatchClient
 
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: reset, whatever is unsent
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # value of SO_LINGER: close with a reset and drop unsent data
 
 
 class SimulatedDispatcher:
-    """One run of one dispatcher."""
+    """One dispatcher, from one start to its end."""
 
     def __init__(
         self,
@@ -34,7 +34,7 @@
         address: DispatcherAddress,
         on_ended: Callable[[int, str], None],
     ) -> None:
-        """Start it. `on_ended` gets its number and the reason of its end; empty: it was stopped."""
+        """Start it. `on_ended` gets its number and the reason for its end, which is empty after a stop."""
         self.address = address
         self.on_ended = on_ended
         self.on_serving: Callable[[int], None] = lambda _: None
@@ -48,10 +48,10 @@
     async def _run(self) -> None:
         reason = ""
         try:
-            # Read as the program reads it; nothing comes from the environment of this process.
-            read = partial(read_config, {"RELAY_CONFIG": self.address.config})
-            self.service = Service(cast(asyncio.AbstractEventLoop, self.loop), read())
-            self.service.load_config = read
+            # Read it as the program does, but without the environment of this process.
+            load_config = partial(read_config, {"RELAY_CONFIG": self.address.config})
+            self.service = Service(cast(asyncio.AbstractEventLoop, self.loop), load_config())
+            self.service.load_config = load_config
             if self.address.watch:
                 self._attach_watch(self.service)
             self.service.on_ready = self._on_ready
@@ -67,9 +67,9 @@
         from ploverspoke.config_distribution.cluster_config import read_watch_config
         from ploverspoke.config_distribution.dynamic_config import attach_watch, read_own_config
 
-        own = read_own_config({"RELAY_CONFIG": self.address.config})
+        own_config = read_own_config({"RELAY_CONFIG": self.address.config})
         watch_config = read_watch_config(Path(self.address.watch))
-        self.watch_client = attach_watch(service, watch_config, own, seed=self.address.number)
+        self.watch_client = attach_watch(service, watch_config, own_config, seed=self.address.number)
 
     def _on_ready(self) -> None:
         if self.watch_client is not None:
@@ -77,22 +77,22 @@
         self.is_serving = True
         self.on_serving(self.address.number)
 
-    # ---- In place of signals ----
+    # ---- Simulated signals ----
 
     def signal(self, number: signal.Signals) -> None:
-        """Call the handler that the program has set for this signal."""
+        """Call the handler that the program has registered for this signal."""
         handler = self.loop.signal_handlers.get(number)
         if handler is not None:
             _context_with_log(self.log).run(handler)
 
     def kill(self) -> None:
-        """Reset its sockets and stop it at once, as the kernel does with a killed process."""
+        """Stop it immediately and reset its sockets, as the kernel does for a killed process."""
         self.is_serving = False
         self.task.cancel()
         self._release(reset=True)
 
     def _release(self, reset: bool) -> None:
-        """Release timers, listeners and connections; with `reset`, connections are reset."""
+        """Release timers, listeners and connections, with or without a reset of the connections."""
         if self.watch_client is not None:
             self.watch_client.close()
         self.loop.kill()
@@ -111,14 +111,14 @@
         for connection in list(_connections_of(service)):
             _close(connection, reset)
 
-    # ---- What it holds; checked for growth only ----
+    # ---- What it holds; only checked for growth ----
 
-    def has_list(self) -> bool:
+    def has_endpoint_list(self) -> bool:
         """Whether it has received an endpoint list."""
         return self.service is not None and self.service.router.endpoints.lists_received > 0
 
     def counts(self) -> dict[str, int]:
-        """Return what it holds: open requests, deadlines, connections, and log lines so far."""
+        """Return the counts of open requests, deadlines, connections, and log lines so far."""
         service = self.service
         if service is None:
             return {}
@@ -147,13 +147,13 @@
 
 
 def _close(connection: Connection, reset: bool) -> None:
-    """Close a connection without a callback to its user."""
+    """Close a connection without callbacks to its protocol."""
     transport = connection.transport
     if transport is None or transport.is_closing():
         return
     transport.set_protocol(asyncio.Protocol())
     if reset:
-        # The transport's own socket takes no options; a duplicate of its descriptor does.
+        # The transport's own socket object does not accept options; a duplicate of its descriptor does.
         with socket.socket(fileno=socket.dup(transport.get_extra_info("socket").fileno())) as duplicate:
             duplicate.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
     transport.abort()
--- a/ploverspoke/testbed/scale/simulated_programs.py
+++ b/ploverspoke/testbed/scale/simulated_programs.py
@@ -1,4 +1,4 @@
-"""The rig's side of simulated dispatchers: their processes, and a handle for each in place of a process."""
+"""The rig's side of simulated dispatchers: handles for their processes and for each dispatcher."""
 
 import asyncio
 import signal
@@ -26,8 +26,8 @@
     UsageCounts,
 )
 
-READY_TIMEOUT = 30.0  # seconds: several start at once in one process
-COUNT_TIMEOUT = 5.0  # seconds
+READY_TIMEOUT_S = 30.0  # long, as several dispatchers start at once in one process
+COUNT_TIMEOUT_S = 5.0
 MODULE = "ploverspoke.testbed.scale"
 
 
@@ -35,15 +35,15 @@
     """One process of simulated dispatchers."""
 
     def __init__(self, child: ChildProcess) -> None:
-        """`child` was started with MODULE."""
+        """`child` is a process that runs MODULE."""
         self.child = child
         self.programs: dict[int, SimulatedDispatcherProgram] = {}
         self.listening: asyncio.Task[None] | None = None
-        self._counts: asyncio.Future[UsageCounts] | None = None  # that were asked for
+        self._counts: asyncio.Future[UsageCounts] | None = None  # requested last
 
     async def listen(self) -> None:
         """Wait until the process is ready, then read its messages in a task. Raises ProcessStartError."""
-        if await asyncio.wait_for(self.child.receive(), READY_TIMEOUT) is None:
+        if await asyncio.wait_for(self.child.receive(), READY_TIMEOUT_S) is None:
             raise ProcessStartError(problem="a process of simulated dispatchers ended at its start")
         self.listening = asyncio.create_task(self._listen())
 
@@ -73,12 +73,12 @@
         self.send(BeginRun())
 
     async def counts(self) -> UsageCounts:
-        """Return what the process uses. Raises ProcessStartError where it does not answer."""
+        """Return the resource usage of the process. Raises ProcessStartError if it does not answer."""
         if self._counts is None or self._counts.done():
             self._counts = asyncio.get_running_loop().create_future()
             self.send(CountUsage())
         try:
-            return await asyncio.wait_for(asyncio.shield(self._counts), COUNT_TIMEOUT)
+            return await asyncio.wait_for(asyncio.shield(self._counts), COUNT_TIMEOUT_S)
         except TimeoutError as error:
             raise ProcessStartError(problem="a process of simulated dispatchers does not answer") from error
 
@@ -93,12 +93,12 @@
 
 
 class SimulatedDispatcherProgram:
-    """One simulated dispatcher, with the interface that the rig uses for a process."""
+    """One simulated dispatcher, with the interface by which the rig controls a process."""
 
     def __init__(
         self, host: SimulatedDispatcherHost, address: DispatcherAddress, config: dict[str, Any]
     ) -> None:
-        """Write its configuration; it is not started yet."""
+        """Write its configuration file without starting it."""
         self.host = host
         self.address = address
         self.name = address.name
@@ -106,34 +106,34 @@
         self.config = config
         self.starts = 0
         self.state = ProgramState.DOWN
-        self.end_reason = ""  # of its last end
-        self._crash_reason = ""  # why it ended though nobody had stopped it
+        self.end_reason = ""  # of its last end; empty after a stop
+        self._crash_reason = ""  # why it ended without being stopped
         self._changed = asyncio.Event()
         host.programs[address.number] = self
         self.write_config()
 
     def write_config(self) -> None:
-        """Replace its configuration file, which is whole at any moment."""
+        """Replace its configuration file atomically."""
         path = Path(self.address.config)
-        fresh = path.with_suffix(".new")
-        fresh.write_bytes(msgspec.json.encode(self.config))
-        fresh.replace(path)
+        new_path = path.with_suffix(".new")
+        new_path.write_bytes(msgspec.json.encode(self.config))
+        new_path.replace(path)
 
     # ---- Events of its process ----
 
     def on_serving(self) -> None:
-        """It serves."""
+        """Handle that the dispatcher has become ready to serve."""
         self.state = ProgramState.SERVING
         self._changed.set()
 
     def on_ended(self, reason: str) -> None:
-        """It has ended."""
+        """Handle the end of the dispatcher; `reason` is empty after a stop."""
         if self.state in (ProgramState.STARTING, ProgramState.SERVING):
             self._crash_reason = reason or "it ended, and nobody had told it to"
         self.state, self.end_reason = ProgramState.DOWN, reason
         self._changed.set()
 
-    # ---- What the rig calls ----
+    # ---- Interface of the rig ----
 
     async def start(self, more: Sequence[str] = ()) -> None:
         """Start it and wait until it serves. Raises ProcessStartError."""
@@ -142,7 +142,7 @@
         self.starts += 1
         self.state = ProgramState.STARTING
         self.host.send(StartDispatcher(self.address.number))
-        await self._wait_for(ProgramState.SERVING, ProgramState.DOWN, timeout=READY_TIMEOUT)
+        await self._wait_for(ProgramState.SERVING, ProgramState.DOWN, timeout=READY_TIMEOUT_S)
         if self.state is not ProgramState.SERVING:
             problem = f"did not come up: {self.end_reason or self.state.value}"
             raise ProcessStartError(process=self.name, problem=problem)
@@ -157,11 +157,11 @@
             await self._wait_for(ProgramState.DOWN, timeout=timeout)
         if self.is_running():
             self.host.send(KillDispatcher(self.address.number))
-            await self._wait_for(ProgramState.DOWN, timeout=READY_TIMEOUT)
+            await self._wait_for(ProgramState.DOWN, timeout=READY_TIMEOUT_S)
 
     async def kill(self) -> None:
         """Kill it."""
-        await self.stop(signal.SIGKILL, READY_TIMEOUT)
+        await self.stop(signal.SIGKILL, READY_TIMEOUT_S)
 
     def reload_config(self) -> None:
         """Make it read its configuration file again."""
@@ -172,7 +172,7 @@
         return self.state is not ProgramState.DOWN
 
     def has_crashed(self) -> bool:
-        """Whether it ended though nobody had stopped it."""
+        """Whether it ended without being stopped."""
         return bool(self._crash_reason)
 
     def log_tail(self) -> str:
@@ -180,10 +180,10 @@
         return self._crash_reason
 
     def close(self) -> None:
-        """Do nothing: its process is closed by itself."""
+        """Do nothing; the process is closed separately."""
 
     async def _wait_for(self, *states: ProgramState, timeout: float) -> None:
-        """Wait until it has one of the states, or the time is over."""
+        """Wait until it is in one of the states, or the timeout (seconds) expires."""
         try:
             async with asyncio.timeout(timeout):
                 while self.state not in states:
--- a/ploverspoke/testbed/scale/single_dispatcher.py
+++ b/ploverspoke/testbed/scale/single_dispatcher.py
@@ -1,7 +1,7 @@
-"""Runs a dispatcher that sends from an address of its own: `single_dispatcher HOST MODULE`.
+"""Runs a real dispatcher with its own source address: `single_dispatcher HOST MODULE`.
 
-What simulated dispatchers are compared with: it has nothing of the rig's `launcher.py` but the address, since
-the rest costs time at each look at the clock.
+Simulated dispatchers are compared with it. Of the rig's `launcher.py` it only has the source address, since
+the launcher's other replacements add a cost to each read of the clock.
 """
 
 import ctypes
@@ -12,30 +12,30 @@
 
 import uvloop
 
-PR_SET_PDEATHSIG = 1  # of prctl(2)
+PR_SET_PDEATHSIG = 1  # option of prctl(2)
 
 
-def loop_with_source(address: str) -> type[uvloop.Loop]:
-    """Return a loop class whose connections leave from the address."""
+def loop_with_source_address(address: str) -> type[uvloop.Loop]:
+    """Return a loop class whose connections use the source address."""
 
     class SourceAddressLoop(uvloop.Loop):
-        """A loop whose connections leave from one address."""
+        """A loop whose connections use one source address."""
 
         async def create_connection(  # type: ignore[override]
             self, factory: Any, host: Any = None, port: Any = None, **options: Any
         ) -> Any:
-            """Connect from the address."""
+            """Connect from the source address."""
             return await super().create_connection(factory, host, port, local_addr=(address, 0), **options)
 
     return SourceAddressLoop
 
 
 def main() -> None:
-    """Run the module with the loop in place of its own."""
-    # The starter ends it by its handle; where that is killed, the kernel ends this process too.
+    """Run the module with this loop class in place of uvloop's."""
+    # The starter stops this process by its handle; if the starter is killed, the kernel kills this process.
     ctypes.CDLL(None).prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
     address, module = sys.argv[1:]
-    uvloop.Loop = loop_with_source(address)  # type: ignore[misc]
+    uvloop.Loop = loop_with_source_address(address)  # type: ignore[misc]
     sys.argv = [module]
     runpy.run_module(module, run_name="__main__", alter_sys=True)
 
--- a/ploverspoke/testbed/scale/usage.py
+++ b/ploverspoke/testbed/scale/usage.py
@@ -1,22 +1,22 @@
-"""What a fleet of dispatchers uses, and what its fakes have counted, at one moment of a run."""
+"""Samples of the resource usage of a fleet of dispatchers and of the counters of its fakes."""
 
 from typing import NamedTuple
 
 
 class FleetUsage(NamedTuple):
-    """The usage of all dispatchers together."""
+    """The resource usage of all dispatchers together."""
 
     cpu_ns: int
     resident: int  # bytes
-    descriptors: int  # the most of one process
-    serving: int  # dispatchers
-    inside: dict[str, int]  # what dispatchers hold, by name, summed
+    descriptors: int  # maximum of one process
+    serving: int  # number of dispatchers that serve
+    inside: dict[str, int]  # counts of what the dispatchers hold, by name, summed over them
 
 
 class UsageSample(NamedTuple):
     """One sample of a run."""
 
-    at: int  # ns of the run
+    at: int  # ns since the start of the run
     used: FleetUsage
-    traffic: dict[str, dict[str, int]]  # counters by kind of fake, over all dispatchers
-    running: int  # tasks, as the workers count them
+    traffic: dict[str, dict[str, int]]  # kind of fake -> counters, summed over all dispatchers
+    running: int  # number of running tasks, as counted by the workers
--- a/tests/testbed/scale/test_scale.py
+++ b/tests/testbed/scale/test_scale.py
@@ -1,4 +1,4 @@
-"""Many dispatchers in one process: they are real and share nothing; rejected, void and checked by counts."""
+"""Tests of many simulated dispatchers in one process, and of the limits and checks of scale runs."""
 
 import asyncio
 import signal
@@ -114,11 +114,11 @@
     return {**FLEET, "play": {**FLEET["play"], **changes}}
 
 
-# ---- One by one ----
+# ---- Control of single dispatchers ----
 
 
 class HostHarness:
-    """Some dispatchers in one process, and a discovery that notes who calls and says nothing."""
+    """Dispatchers in one process, and a discovery that records its callers and never answers."""
 
     def __init__(
         self, host: SimulatedDispatcherHost, programs: list[SimulatedDispatcherProgram], callers: set[str]
@@ -127,19 +127,19 @@
         self.programs = programs
         self.callers = callers
 
-    def endpoint(self, number: int) -> tuple[str, int]:
+    def client_address(self, number: int) -> tuple[str, int]:
         host, _, port = self.programs[number].config["listen"].rpartition(":")
         return host, int(port)
 
-    async def status_of(self, number: int, first: str, more: str = "") -> int:
-        """The status of the answer."""
-        reader, writer = await asyncio.open_connection(*self.endpoint(number))
-        writer.write(f"{first} HTTP/1.1\r\nHost: test\r\nConnection: close\r\n{more}\r\n".encode())
+    async def status_of(self, number: int, request_line: str, headers: str = "") -> int:
+        """Return the status code of the response."""
+        reader, writer = await asyncio.open_connection(*self.client_address(number))
+        writer.write(f"{request_line} HTTP/1.1\r\nHost: test\r\nConnection: close\r\n{headers}\r\n".encode())
         status = int((await reader.readline()).split()[1])
         writer.close()
         return status
 
-    async def serving(self) -> int:
+    async def serving_count(self) -> int:
         counts = await self.host.counts()
         return counts.serving
 
@@ -148,12 +148,12 @@
 async def start_host(folder: Path, count: int) -> AsyncIterator[HostHarness]:
     block, callers = AddressBlock(), set[str]()
 
-    async def called(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def record_caller(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         callers.add(writer.get_extra_info("peername")[0])
         await reader.read()
         writer.close()
 
-    server = await asyncio.start_server(called, block.fake_host(1), 0)
+    server = await asyncio.start_server(record_caller, block.fake_host(1), 0)
     discovery = f"{block.fake_host(1)}:{server.sockets[0].getsockname()[1]}"
     addresses = [
         DispatcherAddress(n, f"d{n}", block.process_host(n), str(folder / f"d{n}.json")) for n in range(count)
@@ -188,34 +188,34 @@
 
 
 def run_with_host(folder: Path, count: int, test: Callable[[HostHarness], Awaitable[None]]) -> None:
-    async def whole() -> None:
+    async def run() -> None:
         async with start_host(folder, count) as harness:
             await asyncio.wait_for(test(harness), 30)
 
-    asyncio.run(whole())
+    asyncio.run(run())
 
 
 def test_each_is_killed_stopped_and_started_without_touching_the_others(tmp_path: Path) -> None:
     async def test(harness: HostHarness) -> None:
-        assert await harness.serving() == 3
-        held = [await asyncio.open_connection(*harness.endpoint(n)) for n in range(3)]
-        for _, writer in held:
+        assert await harness.serving_count() == 3
+        connections = [await asyncio.open_connection(*harness.client_address(n)) for n in range(3)]
+        for _, writer in connections:
             writer.write(b"GET /-/ready HTTP/1.1\r\nHost: test\r\n\r\n")
-        for reader, _ in held:
+        for reader, _ in connections:
             assert b" 200 " in await reader.readuntil(b"ready")
         await harness.programs[1].kill()
         with pytest.raises(ConnectionResetError):
-            await held[1][0].read()
+            await connections[1][0].read()
         with pytest.raises(ConnectionRefusedError):
             await harness.status_of(1, "GET /-/ready")
-        assert await harness.serving() == 2 and not harness.programs[1].has_crashed()
+        assert await harness.serving_count() == 2 and not harness.programs[1].has_crashed()
         await harness.programs[2].stop(signal.SIGTERM, 10)
-        assert await held[2][0].read() == b"" and harness.programs[2].end_reason == ""
-        held[0][1].write(b"GET /-/ready HTTP/1.1\r\nHost: test\r\n\r\n")
-        assert b" 200 " in await held[0][0].readuntil(b"ready")
+        assert await connections[2][0].read() == b"" and harness.programs[2].end_reason == ""
+        connections[0][1].write(b"GET /-/ready HTTP/1.1\r\nHost: test\r\n\r\n")
+        assert b" 200 " in await connections[0][0].readuntil(b"ready")
         await asyncio.gather(harness.programs[1].start(), harness.programs[2].start())
         assert [await harness.status_of(n, "GET /-/ready") for n in range(3)] == [200] * 3
-        for _, writer in held:
+        for _, writer in connections:
             writer.close()
 
     run_with_host(tmp_path, 3, test)
@@ -223,12 +223,12 @@
 
 def test_simulated_dispatchers_share_only_the_event_loop(tmp_path: Path) -> None:
     async def test(harness: HostHarness) -> None:
-        # Ids that one has taken are new to the other.
-        same = "Request-Id: one\r\nContent-Length: 0\r\n"
-        first = await harness.status_of(0, "POST /look", same)
-        assert await harness.status_of(0, "POST /look", same) == 409 != first
-        assert await harness.status_of(1, "POST /look", same) == first
-        # A setting that is changed at one binds that one.
+        # A request id that one dispatcher has accepted is new to the other.
+        headers = "Request-Id: one\r\nContent-Length: 0\r\n"
+        first_status = await harness.status_of(0, "POST /look", headers)
+        assert await harness.status_of(0, "POST /look", headers) == 409 != first_status
+        assert await harness.status_of(1, "POST /look", headers) == first_status
+        # A changed setting applies only to its dispatcher.
         experiment = small_experiment(
             dispatchers={"count": 2}, grades=[{"name": name} for name in ("look", "book", "more")]
         )
@@ -240,7 +240,7 @@
         assert (
             await harness.status_of(0, "GET /more") == 405 and await harness.status_of(1, "GET /more") == 404
         )
-        # An invalid one is rejected, and the log line names the dispatcher that received it.
+        # An invalid configuration is rejected, and the log line names the dispatcher that received it.
         harness.programs[1].config["settings"] = {}
         harness.programs[1].write_config()
         harness.programs[1].reload_config()
@@ -258,12 +258,12 @@
         writer.write(b"HTTP/1.1 405 Method Not Allowed\r\nContent-Length: 0\r\n\r\n")
         writer.close()
 
-    async def whole() -> None:
+    async def run() -> None:
         server = await asyncio.start_server(answer, "127.0.0.1", 0)
         host, port = server.sockets[0].getsockname()
         child = await ChildProcess.start(f"{MODULE}.config_poller", [])
         try:
-            # Nobody is polled before a change, and the later addresses replace the first ones.
+            # Nothing is polled before the first change, and later addresses replace earlier ones.
             child.send(PollTargets(["127.200.200.200:65535"] * 10_000))
             child.send(PollTargets([f"{host}:{port}"]))
             child.send(ConfigChange(1, "added"))
@@ -274,10 +274,10 @@
             await child.stop()
             server.close()
 
-    asyncio.run(whole())
+    asyncio.run(run())
 
 
-# ---- Worlds ----
+# ---- Scenarios ----
 
 
 def run_simulated(
@@ -285,15 +285,15 @@
 ) -> tuple[SimulatedScaleFleet, list[Event]]:
     fleet = SimulatedScaleFleet(experiment, 1, folder, counts)
 
-    async def whole() -> None:
+    async def run() -> None:
         try:
             await fleet.run()
         finally:
             await fleet.close()
 
-    asyncio.run(whole())
-    parts = [read_events(path) for path in sorted(folder.glob("*.jsonl"))]
-    return fleet, merge_events([fleet.records.events, *parts])
+    asyncio.run(run())
+    event_files = [read_events(path) for path in sorted(folder.glob("*.jsonl"))]
+    return fleet, merge_events([fleet.records.events, *event_files])
 
 
 def test_run_with_a_lost_zone_and_a_region_partition_keeps_the_rules(tmp_path: Path) -> None:
@@ -314,35 +314,37 @@
     assert audit_requests(experiment, events, SOCKETS_TOLERANCE) == []
     assert {event.dispatcher for event in events if event.kind == ATTEMPT_ARRIVED} == set(range(9))
     sent = {event.job for event in events if event.kind == REQUEST_SENT}
-    began = {event.job for event in events if event.kind == ATTEMPT_STARTED}
-    assert len(sent) == fleet.request_count and len(began) > 0.8 * len(sent)
-    last = fleet.samples[-1]
-    assert last.used.serving == 9 and last.used.inside["open"] == 0
-    # What the stand-ins counted is what came: an answer to each hand-off at the least.
-    came = sum(event.kind == ATTEMPT_ARRIVED for event in events)
-    assert last.traffic["workers"]["messages_out"] >= came
-    assert last.traffic["discovery"]["bytes_in"] > 9 * len(experiment.worker_names()) * 50
+    started = {event.job for event in events if event.kind == ATTEMPT_STARTED}
+    assert len(sent) == fleet.request_count and len(started) > 0.8 * len(sent)
+    last_sample = fleet.samples[-1]
+    assert last_sample.used.serving == 9 and last_sample.used.inside["open"] == 0
+    # The counters of the fakes cover the traffic: at least one answer for each attempt.
+    attempts = sum(event.kind == ATTEMPT_ARRIVED for event in events)
+    assert last_sample.traffic["workers"]["messages_out"] >= attempts
+    assert last_sample.traffic["discovery"]["bytes_in"] > 9 * len(experiment.worker_names()) * 50
 
 
 def test_no_message_passes_a_partition_between_regions_on_virtual_time() -> None:
     begin, end = 2 * SECOND, 4 * SECOND
-    trouble = {"what": "region cut", "at": "2s", "lasts": "2s"}
-    # The second region has less than its dispatchers need, so they send into the first.
+    fault = {"what": "region cut", "at": "2s", "lasts": "2s"}
+    # The second region has too little capacity for its dispatchers, so they also send to the first.
     workers = [{"count": 3, "zone": "a"}, {"count": 3, "zone": "b"}, {"count": 1, "slots": 1, "zone": "c"}]
     experiment = small_experiment(
         dispatchers={"count": 6},
         workers=workers,
         network=REGIONS,
-        troubles=[trouble],
+        troubles=[fault],
         traffic=[{"rate": 200.0}],
     )
     events = run_virtual_time(experiment, 1, "ours")
     assert audit_requests(experiment, events, VIRTUAL_TOLERANCE) == []
     zone_of = {name: number // 3 for number, name in enumerate(experiment.worker_names())}
-    came = [event for event in events if event.kind == ATTEMPT_ARRIVED]
-    across = [x for x in came if experiment.region(x.dispatcher % 3) != experiment.region(zone_of[x.worker])]
-    assert not [x for x in across if begin + 10 * SECOND // 1000 < x.at < end]
-    assert any(x.at < begin for x in across) and any(x.at >= end for x in across)
+    arrivals = [event for event in events if event.kind == ATTEMPT_ARRIVED]
+    cross_region = [
+        x for x in arrivals if experiment.region(x.dispatcher % 3) != experiment.region(zone_of[x.worker])
+    ]
+    assert not [x for x in cross_region if begin + 10 * SECOND // 1000 < x.at < end]
+    assert any(x.at < begin for x in cross_region) and any(x.at >= end for x in cross_region)
     assert (experiment.one_way(0, 0), experiment.one_way(0, 1), experiment.one_way(1, 2)) == (
         200_000,
         1_000_000,
@@ -351,7 +353,7 @@
 
 
 @pytest.mark.parametrize(
-    ("network", "trouble", "key"),
+    ("network", "faults", "key"),
     [
         ({**REGIONS, "regions": [["a"], ["c"]]}, [], "network.regions"),
         ({**REGIONS, "farther": "10us"}, [], "network.farther"),
@@ -359,22 +361,22 @@
     ],
 )
 def test_invalid_regions_are_rejected_with_their_key(
-    network: dict[str, Any], trouble: list[Any], key: str
+    network: dict[str, Any], faults: list[Any], key: str
 ) -> None:
     with pytest.raises(ExperimentError, match=f"^{key.replace('[', '.')}".replace("]", ".")):
-        small_experiment(workers=THREE_ZONES, network=network, troubles=trouble)
+        small_experiment(workers=THREE_ZONES, network=network, troubles=faults)
 
 
-# ---- What does not fit, and what is void ----
+# ---- Demands beyond the machine, and void runs ----
 
 
 def test_demand_beyond_the_machine_is_rejected_before_anything_starts(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def no_child(*what: Any) -> None:
+    async def fail_to_start(*_: Any) -> None:
         raise AssertionError("something was started")
 
-    monkeypatch.setattr(ChildProcess, "start", no_child)
+    monkeypatch.setattr(ChildProcess, "start", fail_to_start)
     experiment = small_experiment(dispatchers={"count": 40}, workers=THREE_ZONES)
     with pytest.raises(CapacityError, match=r"cores wanted .*40 dispatchers\), 0.01 are there"):
         run_simulated(experiment, tmp_path, ProcessCounts(2, 1, 1, cores=0.01))
@@ -382,9 +384,9 @@
     with pytest.raises(CapacityError, match="MiB wanted, 512 are half of the machine's"):
         run_simulated(experiment, tmp_path, ProcessCounts(2, 1, 1))
     monkeypatch.undo()
-    shared = small_experiment(grades=[{"name": "a", "repeat": "labelled"}], workers=THREE_ZONES)
+    with_key = small_experiment(grades=[{"name": "a", "repeat": "labelled"}], workers=THREE_ZONES)
     with pytest.raises(ExperimentError, match="worker processes"):
-        run_simulated(shared, tmp_path, ProcessCounts(2, 2, 1))
+        run_simulated(with_key, tmp_path, ProcessCounts(2, 2, 1))
 
 
 def test_run_whose_dispatchers_delayed_each_other_is_void(tmp_path: Path) -> None:
@@ -394,20 +396,20 @@
     assert "delayed each other" in fleet.void_reason()
     fleet.rig.block.close()
 
-    async def held_up() -> int:
-        process = DispatcherHost(asyncio.get_running_loop(), [])
-        process.on_command(BeginRun())
+    async def measure_blocked_loop() -> int:
+        host = DispatcherHost(asyncio.get_running_loop(), [])
+        host.on_command(BeginRun())
         await asyncio.sleep(0)
         time.sleep(0.15)
         await asyncio.sleep(0.05)
-        assert process.watch is not None
-        process.watch.cancel()
-        return process.lateness
+        assert host.lateness_task is not None
+        host.lateness_task.cancel()
+        return host.lateness
 
-    assert asyncio.run(held_up()) > MAX_LATENESS
+    assert asyncio.run(measure_blocked_loop()) > MAX_LATENESS
 
 
-# ---- The file and its judgement ----
+# ---- The fleet file, and the checks of its results ----
 
 
 @pytest.mark.parametrize(
@@ -425,7 +427,7 @@
         ({"worlds": [{"name": "x", "lasts": "9s", "what": "zone lost", "zone": "z", "away": "1s"}]}, "zone"),
         ({"worlds": [{"name": "x", "lasts": "9s", "what": "region cut"}]}, "play.worlds[0].away"),
         ({"worlds": [{"name": "x", "lasts": "9s", "what": "changes"}]}, "play.worlds[0].changes"),
-        ({"worlds": [{"name": "x", "lasts": "9s"}] * 2}, "two have one name"),
+        ({"worlds": [{"name": "x", "lasts": "9s"}] * 2}, "two have the same name"),
     ],
 )
 def test_invalid_scenario_is_rejected_with_its_key(changes: dict[str, Any], key: str) -> None:
@@ -454,12 +456,12 @@
         for n in (0, 1, 2, 3)
     ]
     sent.append(Event(3 * SECOND, REQUEST_SENT, "4-0", 4, 0, detail=[1, 0, 9 * SECOND, 3 * SECOND]))
-    began = [
-        Event(n * SECOND + n, ATTEMPT_STARTED, f"{n}-{again}", n, 0, "w0", 1)
+    started = [
+        Event(n * SECOND + n, ATTEMPT_STARTED, f"{n}-{attempt}", n, 0, "w0", 1)
         for n in (1, 2)
-        for again in (0, 1)
+        for attempt in (0, 1)
     ]
-    assert urgent_start_delays(experiment, merge_events([sent, began])) == [1, 2, -1]
+    assert urgent_start_delays(experiment, merge_events([sent, started])) == [1, 2, -1]
     ratios, void = compare_metrics(
         {"core_share": 0.8, "network_bytes_in": 1.1}, {"core_share": 1.0, "network_bytes_in": 1.0}, 0.15
     )
@@ -468,15 +470,15 @@
         "core_share (void)": 1.0,
         "service": 2.0,
     }
-    grown = check_bounded_by_length(
+    growth = check_bounded_by_length(
         {"away_open": 10.0, "service": 1.0}, {"away_open": 20.0, "service": 1.0}, 2.0
     )
-    assert len(grown.failed) == 1 and "away_open 2.00 times" in grown.failed[0] and grown.held == []
+    assert len(growth.failed) == 1 and "away_open 2.00 times" in growth.failed[0] and growth.held == []
 
 
 def test_metrics_of_an_outage_are_read_from_its_own_interval() -> None:
     experiment = small_experiment(grades=[{"name": "urgent"}], lasts="30s", counted_from="2s")
-    cut = ScaleScenario(
+    region_cut = ScaleScenario(
         name="cut",
         kind="region cut",
         duration=Duration(28 * SECOND),
@@ -485,21 +487,21 @@
     )
 
     def sample(second: int) -> UsageSample:
-        away = 6 < second <= 16
+        is_outage = 6 < second <= 16
         used = FleetUsage(
             0,
-            7_000_000 if away else 5_000_000,
-            60 if away else 40,
+            7_000_000 if is_outage else 5_000_000,
+            60 if is_outage else 40,
             2,
-            {"open": 8 if away else 2, "said": second},
+            {"open": 8 if is_outage else 2, "said": second},
         )
-        octets = {"bytes_in": 100 * second, "bytes_out": 0}
-        return UsageSample(second * SECOND, used, {"workers": octets, "discovery": octets}, 0)
+        byte_counts = {"bytes_in": 100 * second, "bytes_out": 0}
+        return UsageSample(second * SECOND, used, {"workers": byte_counts, "discovery": byte_counts}, 0)
 
-    seen = ScaleObservations(
+    observations = ScaleObservations(
         experiment, [], cast(RunScore, None), [sample(second) for second in range(0, 30, 2)], [], 0
     )
-    assert region_cut_metrics(seen, cut) == {
+    assert region_cut_metrics(observations, region_cut) == {
         "away_resident_mb": 7.0,
         "away_descriptors": 60,
         "away_log_lines_a_second": 1.0,
@@ -508,12 +510,12 @@
         "away_connections": 0.0,
         "healing_bytes_a_second": 100.0,
     }
-    assert region_cut_metrics(seen._replace(samples=seen.samples[:5]), cut) == {}
+    assert region_cut_metrics(observations._replace(samples=observations.samples[:5]), region_cut) == {}
 
 
 def in_toml(value: Any) -> str:
     if isinstance(value, dict):
-        return "{" + ", ".join(f"{key} = {in_toml(one)}" for key, one in value.items()) + "}"
+        return "{" + ", ".join(f"{key} = {in_toml(item)}" for key, item in value.items()) + "}"
     if isinstance(value, list):
         return "[" + ", ".join(map(in_toml, value)) + "]"
     return msgspec.json.encode(value).decode()
@@ -523,8 +525,8 @@
     path, out = tmp_path / "small.toml", tmp_path / "plays.json"
     path.write_text("\n".join(f"{key} = {in_toml(value)}" for key, value in FLEET.items()))
     runner = CliRunner()
-    wrong = runner.invoke(main, ["testbed", "run", str(path), "--play", "nothing"])
-    assert wrong.exit_code == 2 and "'nothing' is none of" in wrong.output
+    unknown = runner.invoke(main, ["testbed", "run", str(path), "--play", "nothing"])
+    assert unknown.exit_code == 2 and "'nothing' is none of" in unknown.output
     runner.invoke(
         main,
         ["testbed", "run", str(path), "--play", "few changes", "--out", str(out)],
