--- a/ploverspoke/testbed/commands/compare.py
+++ b/ploverspoke/testbed/commands/compare.py
@@ -19,11 +19,11 @@
     "--policies",
     nargs=2,
     default=("ours", "ours"),
-    help="The policy to compare of each result.",
+    help="The policy to compare from each result.",
     show_default=True,
 )
 def compare(first: Path, second: Path, policies: tuple[str, str]) -> None:
-    """Compare two results with the paired differences of the seeds that both have."""
+    """Compare two results, paired by the seeds that both have."""
     try:
         rows = compare_results(read_result(first), read_result(second), *policies)
     except ExperimentError as error:
--- a/ploverspoke/testbed/experiment_files/experiment.py
+++ b/ploverspoke/testbed/experiment_files/experiment.py
@@ -26,7 +26,7 @@
 
 
 class AppliedRules(NamedTuple):
-    """Rules for a request; those at its arrival apply until it ends."""
+    """The rules that apply to a request from its arrival until it ends."""
 
     idempotency: list[Idempotency]  # of each request class, by its number
     max_attempts: int
