--- a/ploverspoke/testbed/fakes/__init__.py
+++ b/ploverspoke/testbed/fakes/__init__.py
@@ -1,1 +1,1 @@
-"""Fake workers, discovery, clients and a protected resource for the real program, on loopback sockets."""
+"""Fake workers, discovery, clients and a protected resource, run with the real program on loopback."""
--- a/ploverspoke/testbed/fakes/__main__.py
+++ b/ploverspoke/testbed/fakes/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m ploverspoke.testbed.fakes KIND SPEC PART` runs a fake process; see `fake_messages`."""
+"""`python -m ploverspoke.testbed.fakes KIND SPEC NUMBER` runs a fake process; see `fake_messages`."""
 
 import sys
 from pathlib import Path
@@ -6,8 +6,8 @@
 from .fake_process import FakeProcessFactory, run
 
 
-def _factory(kind: str) -> FakeProcessFactory:
-    """Import only what that kind needs."""
+def _import_factory(kind: str) -> FakeProcessFactory:
+    """Return the class of that kind; only its module is imported."""
     if kind == "workers":
         from .worker_server import FakeWorkers
 
@@ -22,9 +22,9 @@
 
 
 def main() -> None:
-    """Read the command line and run."""
-    kind, spec_path, part = sys.argv[1:]
-    run(_factory(kind), kind, Path(spec_path), int(part))
+    """Run the fake process that the command line names."""
+    kind, spec_path, number = sys.argv[1:]
+    run(_import_factory(kind), kind, Path(spec_path), int(number))
 
 
 main()
--- a/ploverspoke/testbed/fakes/baseline_dispatcher.py
+++ b/ploverspoke/testbed/fakes/baseline_dispatcher.py
@@ -1,6 +1,6 @@
-"""The baseline of `testbed bench`: the program as it is, with random choice in place of its decisions.
+"""The baseline of `testbed bench`: the real dispatcher, but it chooses workers at random.
 
-It is started like the program; the difference in cost is the cost of the decisions.
+It is started like the real dispatcher. The difference between their costs is the cost of the decision code.
 """
 
 import os
@@ -12,7 +12,7 @@
 
 
 def main() -> None:
-    """Serve until a signal ends it."""
+    """Serve until a signal stops the process."""
     config = read_config(os.environ)
     service = create_service(config)
     service.router.dispatcher = RandomPick(service.router, config.seed, config.settings)  # type: ignore[assignment]
--- a/ploverspoke/testbed/fakes/client_process.py
+++ b/ploverspoke/testbed/fakes/client_process.py
@@ -1,4 +1,4 @@
-"""The fake clients of an experiment: one process's part of the schedule, over persistent connections."""
+"""Fake clients of an experiment: one process sends its share of the schedule, on persistent connections."""
 
 import asyncio
 from collections import Counter
@@ -14,19 +14,22 @@
 from .http_connection import CountedConnection
 from .http_wire import HttpMessage, HttpSyntaxError
 
-TEMPORARY_REDIRECT = 307  # the replica that leads the store is elsewhere
+TEMPORARY_REDIRECT = 307  # sent by a store replica that is not the leader
 SERVICE_UNAVAILABLE = 503
 NO_LEADER_BODY = b"no replica leads"
-OUTCOMES = {200: SUCCEEDED, 503: REJECTED, 429: REJECTED, 504: FAILED}  # by status
-CROSSING_TIME = 20 * MILLISECOND  # an idle connection that ends so soon after a request crossed it
-LEAVING_NOTICE = 300 * MILLISECOND  # after which no new connections go to a dispatcher that is leaving
+OUTCOMES = {200: SUCCEEDED, 503: REJECTED, 429: REJECTED, 504: FAILED}  # by HTTP status
+# A reused connection that ends this soon after a request was sent is taken to have been closed as idle before
+# the dispatcher read the request.
+IDLE_CLOSE_RACE_NS = 20 * MILLISECOND
+# From this long after the start of a dispatcher's restart, clients open no new connections to it.
+RESTART_NOTICE_NS = 300 * MILLISECOND
 
 
 class ClientConnection(CountedConnection):
-    """One persistent connection to a dispatcher; it carries one request at a time."""
+    """A persistent connection to a dispatcher that carries one request at a time."""
 
     def __init__(self, clients: "FakeClients", dispatcher: int) -> None:
-        """A connection that is about to be made."""
+        """Create the protocol of a connection that is not open yet."""
         super().__init__(clients.counters, dispatcher)
         self.clients = clients
         self.request: ClientRequest | None = None
@@ -44,7 +47,7 @@
         self.clients.model.accepted(request)
 
     def data_received(self, data: bytes) -> None:
-        """Hand the responses in it to the model."""
+        """Pass the received responses to the client model."""
         try:
             super().data_received(data)
         except (HttpSyntaxError, ValueError) as error:
@@ -52,10 +55,10 @@
             self.abort()
 
     def on_message(self, message: HttpMessage) -> None:
-        """Hand a response to the model.
+        """Pass a response to the client model.
 
         Raises:
-            ValueError: its status, or a header that belongs to it, is invalid.
+            ValueError: the status, the `Location` header or the `Retry-After` header is invalid.
         """
         request, self.request = self.request, None
         if request is None:
@@ -70,13 +73,13 @@
             leader = self.clients.dispatcher_at(message.headers["location"])
             self.clients.model.redirected(request, leader)
         elif status == SERVICE_UNAVAILABLE and message.body == NO_LEADER_BODY:
-            # No replica has taken the request: that does not count as a rejection.
+            # No replica has accepted the request, so this does not count as a rejection.
             self.clients.release(self)
             self.clients.model.connect_failed(request)
         else:
-            self._on_final_answer(request, status, message)
+            self._on_final_response(request, status, message)
 
-    def _on_final_answer(self, request: ClientRequest, status: int, message: HttpMessage) -> None:
+    def _on_final_response(self, request: ClientRequest, status: int, message: HttpMessage) -> None:
         retry_after = float(message.headers.get("retry-after", 0))
         outcome = OUTCOMES.get(status, INVALID_ANSWER)
         if outcome == SUCCEEDED and message.body != f"{request.id} done".encode():
@@ -88,54 +91,56 @@
         self.clients.model.answered(request, outcome, int(retry_after * SECOND))
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Send the request again where it crossed the end of an idle connection, else it is broken."""
+        """Resend a request that raced with the close of an idle connection; record any other as broken."""
         super().connection_lost(exc)
-        self.clients.forget(self)
+        self.clients.remove(self)
         request, self.request = self.request, None
         if request is None or request.is_over:
             return
-        has_crossed = (
+        is_idle_close_race = (
             self.requests_sent > 1
-            and self.clients.clock.now() - self.sent_at < CROSSING_TIME
+            and self.clients.clock.now() - self.sent_at < IDLE_CLOSE_RACE_NS
             and not self.reader.has_partial_message()
         )
-        if has_crossed and not self.clients.experiment.dispatchers.store:
+        if is_idle_close_race and not self.clients.experiment.dispatchers.store:
             self.clients.connect(request, is_resend=True)
         else:
-            self.clients.on_broken(request)
+            self.clients.on_connection_broken(request)
 
 
 class FakeClients(FakeProcess):
-    """One process of clients."""
+    """One of the processes of fake clients."""
 
-    def __init__(self, spec: FakeProcessSpec, part: int) -> None:
-        """Every n-th job of the schedule, for n processes."""
-        super().__init__(spec, part)
+    def __init__(self, spec: FakeProcessSpec, number: int) -> None:
+        """Take every n-th job of the schedule, where n is the number of client processes."""
+        super().__init__(spec, number)
         experiment = self.experiment
-        jobs = draw_schedule(experiment, self.seed)[part :: spec.clients]
-        self.model = Clients(self.context, jobs, self, part)
+        jobs = draw_schedule(experiment, self.seed)[number :: spec.clients]
+        self.model = Clients(self.context, jobs, self, number)
         self.job_count = len(jobs)
-        self.idle: dict[int, list[ClientConnection]] = {n: [] for n in range(experiment.dispatchers.count)}
-        self.dispatchers: list[str] = []
+        self.idle_connections: dict[int, list[ClientConnection]] = {
+            n: [] for n in range(experiment.dispatchers.count)
+        }
+        self.dispatcher_addresses: list[str] = []  # by number
         self.outcomes: Counter[str] = Counter()
         self.request_heads = [
             f"POST /{request_class.name} HTTP/1.1\r\nHost: testbed\r\nContent-Length: 4\r\n"
             for request_class in experiment.request_classes
         ]
-        self.leaving = [
-            (begin + LEAVING_NOTICE, end, dispatcher)
-            for begin, end, dispatcher, kind in dispatcher_outages(experiment, self.seed)
+        self.restarts = [  # start and end of the time without new connections (ns), dispatcher
+            (start + RESTART_NOTICE_NS, end, dispatcher)
+            for start, end, dispatcher, kind in dispatcher_outages(experiment, self.seed)
             if kind is OutageKind.RESTARTED
         ]
         self.tasks: set[asyncio.Task[None]] = set()
 
     async def prepare(self) -> ClientsReady:
-        """Return the number of jobs; connections are made when they are needed."""
+        """Return the number of jobs; connections are opened when they are needed."""
         return ClientsReady(self.job_count)
 
-    def begin(self, command: FakeCommand) -> None:
-        """Send what the schedule says."""
-        self.dispatchers = command.dispatchers
+    def on_run_start(self, command: FakeCommand) -> None:
+        """Start sending the scheduled requests."""
+        self.dispatcher_addresses = command.dispatchers
         self.model.start()
 
     def status(self) -> ClientsStatus:
@@ -164,18 +169,18 @@
     # ---- Connections ----
 
     def send(self, request: ClientRequest) -> None:
-        """Send a request on an idle connection, else on a new one."""
-        idle = self.idle[request.target]
+        """Send a request on an idle connection, or on a new one if none is idle."""
+        idle = self.idle_connections[request.target]
         if idle:
             idle.pop().send(request)
-        elif self._is_leaving(request.target):
+        elif self._is_restarting(request.target):
             self.model.connect_failed(request)
         else:
             self.connect(request)
 
-    def _is_leaving(self, dispatcher: int) -> bool:
+    def _is_restarting(self, dispatcher: int) -> bool:
         now = self.clock.now()
-        return any(begin <= now < end and number == dispatcher for begin, end, number in self.leaving)
+        return any(start <= now < end and number == dispatcher for start, end, number in self.restarts)
 
     def connect(self, request: ClientRequest, is_resend: bool = False) -> None:
         """Send the request on a new connection."""
@@ -185,12 +190,12 @@
 
     async def _connect(self, request: ClientRequest, is_resend: bool) -> None:
         connection = ClientConnection(self, request.target)
-        host, _, port = self.dispatchers[request.target].rpartition(":")
+        host, _, port = self.dispatcher_addresses[request.target].rpartition(":")
         try:
             await self.loop.create_connection(lambda: connection, host, int(port))
         except OSError:
             if is_resend:
-                self.on_broken(request)
+                self.on_connection_broken(request)
             else:
                 self.model.connect_failed(request)
             return
@@ -199,34 +204,34 @@
             return
         connection.abort()
         if not request.is_over:
-            self.on_broken(request)
+            self.on_connection_broken(request)
 
     def dispatcher_at(self, location: str) -> int:
-        """Return the number of the dispatcher in a URL that another replica gave.
+        """Return the number of the dispatcher whose address is in a redirect URL.
 
         Raises:
-            ValueError: there is none.
+            ValueError: no dispatcher has that address.
         """
-        return self.dispatchers.index(location.split("/")[2])
+        return self.dispatcher_addresses.index(location.split("/")[2])
 
-    def on_broken(self, request: ClientRequest) -> None:
-        """Note a request whose connection ended without an answer."""
+    def on_connection_broken(self, request: ClientRequest) -> None:
+        """Record a request whose connection ended without a response."""
         self.outcomes[BROKEN] += 1
         self.model.answered(request, BROKEN)
 
     def release(self, connection: ClientConnection) -> None:
-        """Keep an open connection for later requests."""
+        """Keep a connection, if it is still open, for later requests."""
         if connection.transport is not None and not connection.transport.is_closing():
-            self.idle[connection.dispatcher].append(connection)
+            self.idle_connections[connection.dispatcher].append(connection)
 
-    def forget(self, connection: ClientConnection) -> None:
-        """Use a connection no more."""
-        idle = self.idle[connection.dispatcher]
+    def remove(self, connection: ClientConnection) -> None:
+        """Remove a closed connection from the idle ones."""
+        idle = self.idle_connections[connection.dispatcher]
         if connection in idle:
             idle.remove(connection)
 
     def close(self, request: ClientRequest) -> None:
-        """Close the connection of a request whose answer is no longer waited for."""
+        """Close the connection of a request whose response is no longer needed."""
         connection = request.connection
         if isinstance(connection, ClientConnection) and connection.request is request:
             connection.request = None
--- a/ploverspoke/testbed/fakes/config_client_messages.py
+++ b/ploverspoke/testbed/fakes/config_client_messages.py
@@ -1,4 +1,4 @@
-"""What the process of config clients reads and sends, and the bodies of configuration that it publishes."""
+"""The messages of the config client process, and the configuration bodies that it publishes."""
 
 from typing import Any, Literal, NamedTuple
 
@@ -8,113 +8,114 @@
 
 LATENCY_OBJECTIVE_US = 200_000
 DEADLINE_US = 500_000
-PARTS = ("a", "b")  # each version brings one request class for each: a mix of versions shows
+# Each version defines one request class for each suffix, so that a mix of two versions is visible to probes.
+CLASS_SUFFIXES = ("a", "b")
 
 
 class ConfigClientsSpec(msgspec.Struct):
-    """Whom the config clients call, and how often."""
+    """The servers and dispatchers that the config clients call, and how often."""
 
     seed: int
-    history: str  # file
+    history: str  # path of the history file
     secret: str
-    servers: dict[str, str]  # address of each config server, by name
-    names: dict[str, str]  # a server's name by the address that servers give of it
-    dispatchers: dict[str, list[str]]  # by name: the addresses for clients and for administrators
-    discovery: str  # host
+    servers: dict[str, str]  # addresses of the config servers, by name
+    names: dict[str, str]  # names of the config servers, by the address that replies give for the leader
+    dispatchers: dict[str, list[str]]  # by name: client address, admin address
+    discovery: str  # host on which the fake discovery listens
     publishers: int
-    publish_interval: int  # mean, ns, of one publisher
-    retry_share: float  # share of publications that are retried where no answer came
-    probe_interval: int  # ns between two rounds at one dispatcher
-    pause_interval: int  # mean, ns; then nothing follows a refused version for `pause`; 0: never
-    pause: int  # ns
+    publish_interval: int  # ns, mean for one publisher
+    retry_share: float  # share of publications that are retried if no reply came
+    probe_interval: int  # ns between two rounds of probes of one dispatcher
+    pause_interval: int  # ns until the next pause; 0: no pauses
+    pause: int  # ns for which nothing is published after a rejected version
 
 
 class ConfigClientsOpened(msgspec.Struct):
     """The first message of the process."""
 
-    discovery: str  # address
+    discovery: str  # host:port
 
 
 Action = Literal["start", "publish last", "read servers"]
 
 
 class ConfigClientsCommand(msgspec.Struct):
-    """A message to the process.
+    """A command to the process.
 
-    "start" begins to publish and probe; "publish last" ends publishing with one body that is accepted and one
-    that dispatchers refuse; "read servers" records what all servers have.
+    "start" starts publishing and probing. "publish last" stops publishing, then publishes one body that is
+    accepted and one that dispatchers reject. "read servers" records the versions and watchers of all servers.
     """
 
     action: Action
 
 
 class ConfigClientsReply(msgspec.Struct):
-    """The answer to a command, once it is done."""
+    """The reply to a command, sent when the command is done."""
 
     action: Action
-    lateness: int  # ns, the largest so far
+    lateness: int  # ns, largest so far
 
 
-class PublishReply(msgspec.Struct):
-    """A server's answer to a publication."""
+class PublishReply(msgspec.Struct, rename={"accepted": "done", "reason": "why", "is_unknown": "unknown"}):
+    """A server's reply to a publish request."""
 
-    done: bool
+    accepted: bool
     version: int
-    why: str
-    unknown: bool = False  # whether it is committed
-    leader: str | None = None  # where the server does not lead; "": it knows no leader
+    reason: str
+    is_unknown: bool = False  # the publication may be committed or not
+    leader: str | None = None  # only from a server that does not lead; "": it knows no leader
 
 
 class Publication(NamedTuple):
-    """One body to publish; each has its tag, by which it is known at dispatchers."""
+    """One body to publish. Dispatchers that apply it know the request classes with its tag."""
 
     id: str
     tag: int
     kind: PublicationKind
-    refused_key: str  # that a refusal has to name
+    rejected_key: str  # key that a rejection has to name
     expected_version: int
     body: str
 
 
-class InvalidPart(msgspec.Struct, frozen=True):
-    """What is wrong with a body, and the key that a refusal has to name."""
+class BodyDefect(msgspec.Struct, frozen=True):
+    """Content that makes a body invalid, and the key that a rejection has to name."""
 
     key: str
     settings: dict[str, Any] = {}
     top_level: dict[str, Any] = {}
 
 
-VALID = InvalidPart("")
-# By the kind of publication that they belong to: refused by dispatchers, or by the servers themselves.
-INVALID_PARTS = {
+NO_DEFECT = BodyDefect("")
+# By the kind of publication: rejected by dispatchers, or by the config servers themselves.
+BODY_DEFECTS = {
     PublicationKind.REJECTED_BY_DISPATCHERS: [
-        InvalidPart("settings.Limits.MaxHandOffs", {"Limits": {"MaxHandOffs": 0}}),
-        InvalidPart("settings.RoundUs", {"RoundUs": -1}),
-        InvalidPart("settings.Discovery", {"Discovery": None}),
+        BodyDefect("settings.Limits.MaxHandOffs", {"Limits": {"MaxHandOffs": 0}}),
+        BodyDefect("settings.RoundUs", {"RoundUs": -1}),
+        BodyDefect("settings.Discovery", {"Discovery": None}),
     ],
     PublicationKind.REJECTED_BY_SERVERS: [
-        InvalidPart("listen", top_level={"listen": "127.0.0.1:1"}),
-        InvalidPart("settings.SlotNo", {"SlotNo": 1}),
-        InvalidPart("zones", top_level={"zones": []}),
+        BodyDefect("listen", top_level={"listen": "127.0.0.1:1"}),
+        BodyDefect("settings.SlotNo", {"SlotNo": 1}),
+        BodyDefect("zones", top_level={"zones": []}),
     ],
 }
 
 
 def request_classes_of(tag: int) -> list[dict[str, Any]]:
-    """Return the request classes of the body with that tag; 0 is the dispatcher's own file."""
+    """Return the request classes of the body with that tag; tag 0 is the dispatcher's own file."""
     return [
         {
-            "Name": f"g{tag}{part}",
+            "Name": f"g{tag}{suffix}",
             "Repeat": "free",
             "ExpectedTimeUs": LATENCY_OBJECTIVE_US,
             "AbandonTimeUs": DEADLINE_US,
         }
-        for part in PARTS
+        for suffix in CLASS_SUFFIXES
     ]
 
 
-def encode_body(tag: int, discovery: str, invalid_part: InvalidPart) -> str:
-    """Return a body of configuration as JSON."""
-    settings = {"ServiceGrades": request_classes_of(tag), **invalid_part.settings}
-    body = {"settings": settings, "discovery": discovery, **invalid_part.top_level}
+def encode_body(tag: int, discovery: str, defect: BodyDefect) -> str:
+    """Return a configuration body as JSON."""
+    settings = {"ServiceGrades": request_classes_of(tag), **defect.settings}
+    body = {"settings": settings, "discovery": discovery, **defect.top_level}
     return msgspec.json.encode(body).decode()
--- a/ploverspoke/testbed/fakes/config_clients.py
+++ b/ploverspoke/testbed/fakes/config_clients.py
@@ -1,7 +1,8 @@
-"""The process of everybody who meets config servers and dispatchers: publishers, probers and a discovery.
+"""The process that calls config servers and dispatchers: publishers and probers, with a fake discovery.
 
-`python -m ploverspoke.testbed.fakes.config_clients SPEC`; `config_client_messages` has its messages. What was
-done, and with what result, goes to a history on the machine's clock; `distribution_checker` has the events.
+`python -m ploverspoke.testbed.fakes.config_clients SPEC`; its messages are in `config_client_messages`. Each
+action and its result are written to a history with times of the machine's clock; the events are described in
+`distribution_history`.
 """
 
 import asyncio
@@ -25,24 +26,24 @@
 from .config_publishers import ConfigPublishers
 from .faulty_discovery import ScriptedDiscovery
 
-DISCOVERY_ADDRESSES = 2  # that bodies name in turn
-MAX_HOLD = 2.0  # seconds
-LATENESS_CHECK_INTERVAL = 50 * MILLISECOND
+DISCOVERY_ADDRESSES = 2  # published bodies name them in turn
+MAX_HOLD_S = 2.0  # longest wait of a watch of the endpoint list
+LATENESS_CHECK_INTERVAL_NS = 50 * MILLISECOND
 
 
 class ConfigClients:
-    """Publishers, probers and a discovery without workers."""
+    """Publishers, probers and a discovery whose endpoint list is empty."""
 
     def __init__(self, spec: ConfigClientsSpec) -> None:
-        """Listen and send nothing yet."""
+        """Create the history and the discovery; nothing listens or is sent yet."""
         self.spec = spec
         self.history = History(Path(spec.history), "clients")
-        self.discovery = ScriptedDiscovery([], host=spec.discovery, max_hold=MAX_HOLD)
-        self.lateness = LatenessMeter(LATENESS_CHECK_INTERVAL)
+        self.discovery = ScriptedDiscovery([], host=spec.discovery, max_hold=MAX_HOLD_S)
+        self.lateness = LatenessMeter(LATENESS_CHECK_INTERVAL_NS)
         self.tasks: list[asyncio.Task[None]] = []
 
     async def open(self) -> None:
-        """Listen as discovery, and report where."""
+        """Start the discovery and report its address."""
         addresses = [await self.discovery.address_for(number) for number in range(DISCOVERY_ADDRESSES)]
         self.publishers = ConfigPublishers(self.spec, self.history, addresses)
         send_message(ConfigClientsOpened(addresses[0]))
@@ -52,9 +53,9 @@
         if command.action == "start":
             self._start()
         elif command.action == "publish last":
-            await self.publishers.publish_last()
+            await self.publishers.publish_final_versions()
         else:
-            await self.publishers.read_servers()
+            await self.publishers.record_servers()
         send_message(ConfigClientsReply(command.action, self.lateness.max_lateness))
 
     def _start(self) -> None:
@@ -68,7 +69,7 @@
 
 
 async def main() -> None:
-    """Run the clients whose spec the command line names until the input ends."""
+    """Run the config clients, with the spec file on the command line, until the input ends."""
     spec: ConfigClientsSpec = msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=ConfigClientsSpec)
     clients = ConfigClients(spec)
     await clients.open()
--- a/ploverspoke/testbed/fakes/discovery_protocol.py
+++ b/ploverspoke/testbed/fakes/discovery_protocol.py
@@ -1,4 +1,4 @@
-"""What fake discoveries and dispatchers send each other: queries for the endpoint list, and its versions."""
+"""The protocol between dispatchers and fake discoveries: queries for the endpoint list, and their answers."""
 
 from collections.abc import Sequence
 from urllib.parse import parse_qs, urlsplit
@@ -10,21 +10,21 @@
 LIST_PATH = "/api/targets"
 
 
-class ListedEndpoint(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """One worker as the endpoint list shows it."""
+class ListedEndpoint(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True, rename={"rack": "cell"}):
+    """One worker in the endpoint list."""
 
     id: str
     addr: str  # host:port
     zone: str
     kind: str
     state: str  # "Ready", "Terminating" or "Gone"
-    cell: int | msgspec.UnsetType = msgspec.UNSET  # its rack
+    rack: int | msgspec.UnsetType = msgspec.UNSET
     weight: float | msgspec.UnsetType = msgspec.UNSET
-    started_ms: int  # Unix time; 0: long ago
+    started_ms: int  # Unix time of the worker's start; 0: long ago
 
 
 class EndpointListUpdate(msgspec.Struct, frozen=True, rename={"is_full": "full", "endpoints": "servers"}):
-    """The whole list, or the entries that have changed since the version of a watch."""
+    """The whole endpoint list, or the entries that changed since the version of a watch."""
 
     version: int
     is_full: bool
@@ -32,23 +32,23 @@
 
 
 class ListQuery(msgspec.Struct, frozen=True):
-    """A query for the list: a watch where it names a version, else for the whole list at once."""
+    """A query for the endpoint list: a watch if it names a version, else a request for the whole list."""
 
     path: str
     version: int | None
-    hold_ms: int  # how long a watch may wait for a change
+    hold_ms: int  # longest time that a watch waits for a change
 
     @property
     def hold_seconds(self) -> float:
-        """How long a watch may wait for a change."""
+        """The longest time that a watch waits for a change."""
         return self.hold_ms / 1000
 
 
 def parse_list_query(request: HttpMessage) -> ListQuery:
-    """Read the target of a request.
+    """Parse the target of a request.
 
     Raises:
-        ValueError: a number in it is none.
+        ValueError: a parameter is not a number.
     """
     target = urlsplit(request.target)
     parameters = parse_qs(target.query)
@@ -57,5 +57,5 @@
 
 
 def encode_list_update(update: EndpointListUpdate) -> bytes:
-    """Return the response with that list."""
+    """Return the HTTP response with that update."""
     return encode_response(200, "OK", msgspec.json.encode(update))
--- a/ploverspoke/testbed/fakes/discovery_server.py
+++ b/ploverspoke/testbed/fakes/discovery_server.py
@@ -1,7 +1,7 @@
 """The fake discovery of an experiment: the discovery model behind a socket.
 
-It follows the faults of the experiment. `faulty_discovery` has the other one, whose failures a caller sets
-off. Dispatchers are known by their addresses.
+It follows the faults of the experiment. `faulty_discovery` has another fake, whose failures are set by its
+caller. Dispatchers are identified by the addresses from which they connect.
 """
 
 import time
@@ -32,25 +32,25 @@
 from .fake_process import FakeProcess
 from .http_wire import HttpMessage, HttpSyntaxError, encode_response
 
-STATES = {
+LISTED_STATES = {
     EndpointStatus.READY: "Ready",
     EndpointStatus.DRAINING: "Terminating",
     EndpointStatus.GONE: "Gone",
 }
-MAX_HOLD_MS = 60_000
-EXTRA_BACKLOG = 64
+MAX_HOLD_MS = 60_000  # longest wait of a watch
+EXTRA_BACKLOG = 64  # connections, beside one for each dispatcher
 
 
 class DiscoveryConnection(DispatcherConnection):
-    """One connection of a dispatcher; calls that wait at its end are answered to nobody."""
+    """One connection of a dispatcher; the answers to calls that wait when it ends are dropped."""
 
     def __init__(self, discovery: "FakeDiscovery") -> None:
-        """A connection that is about to be made."""
+        """Create the protocol of a connection that is not open yet."""
         super().__init__(discovery, "discovery")
         self.discovery = discovery
 
     def data_received(self, data: bytes) -> None:
-        """Hand the calls in it to the model."""
+        """Pass the received calls to the discovery model."""
         if self.discovery.model.is_unreachable(self.dispatcher):
             return
         try:
@@ -59,10 +59,10 @@
             self.write(encode_response(400, "Bad Request", b""))
 
     def on_message(self, message: HttpMessage) -> None:
-        """Hand a call to the model.
+        """Pass a call to the discovery model.
 
         Raises:
-            ValueError: a number in it is none.
+            ValueError: a parameter of the call is not a number.
         """
         query = parse_list_query(message)
         if query.path != LIST_PATH:
@@ -78,11 +78,11 @@
                 self.transport.close()
             return
         version, is_full, entries = answer
-        endpoints = [self.discovery.listed(entry) for entry in entries]
+        endpoints = [self.discovery.to_listed_endpoint(entry) for entry in entries]
         self.write(encode_list_update(EndpointListUpdate(version, is_full, endpoints)))
 
     def write(self, data: bytes) -> None:
-        """Send a response, unless the dispatcher is out of reach."""
+        """Send a response, unless the dispatcher is unreachable."""
         if not self.discovery.model.is_unreachable(self.dispatcher):
             super().write(data)
 
@@ -90,9 +90,9 @@
 class FakeDiscovery(FakeProcess):
     """The process of the fake discovery."""
 
-    def __init__(self, spec: FakeProcessSpec, part: int) -> None:
-        """All workers of the experiment are listed as ready."""
-        super().__init__(spec, part)
+    def __init__(self, spec: FakeProcessSpec, number: int) -> None:
+        """List all workers of the experiment as ready."""
+        super().__init__(spec, number)
         draws = RandomStreams(self.seed).draws("discovery")
         self.model = DiscoveryModel(self.experiment.discovery, self.clock, self.records, draws)
         fleet = WorkerFleet(self.context)
@@ -100,25 +100,28 @@
             self.model.add(
                 EndpointEntry(name, worker.zone, worker.kind, fleet.rack_of[name], EndpointStatus.READY, 0)
             )
-        self.addresses: dict[str, str] = {}
+        self.worker_addresses: dict[str, str] = {}  # by worker
         self.zones, self.kinds = self.experiment.zones(), self.experiment.kinds()
 
     async def prepare(self) -> DiscoveryOpened:
-        """Listen."""
+        """Start listening; returns the address."""
         host = self.spec.own_hosts["discovery"]
         backlog = len(self.dispatcher_by_host) + EXTRA_BACKLOG
         server = await self.loop.create_server(lambda: DiscoveryConnection(self), host, 0, backlog=backlog)
         return DiscoveryOpened(f"{host}:{server.sockets[0].getsockname()[1]}")
 
     def shift_clock(self, nanoseconds: int) -> None:
-        """Shift also the time until which the model is busy with calls."""
+        """Shift the recorded times, and the time until which the model is busy with calls."""
         super().shift_clock(nanoseconds)
         self.model.free_at += nanoseconds
 
     def on_command(self, command: FakeCommand) -> None:
-        """Take addresses, which dispatchers ask for before the run begins, and falls of workers."""
+        """Store worker addresses, count answered dispatchers, or apply a worker's overload or recovery.
+
+        The addresses come before the run starts, because dispatchers query the list from their start on.
+        """
         if command.workers:
-            self.addresses = command.workers
+            self.worker_addresses = command.workers
         elif command.asks_who_was_answered:
             send_message(AnsweredCount(sum(traffic.bytes_in > 0 for traffic in self.counters.traffic)))
         elif command.worker_fell:
@@ -126,8 +129,8 @@
         elif command.worker_returned:
             self.faults.recovered(command.worker_returned)
 
-    def begin(self, command: FakeCommand) -> None:
-        """Set off the faults of the experiment."""
+    def on_run_start(self, command: FakeCommand) -> None:
+        """Schedule the faults of the experiment."""
         self.faults = DiscoveryFaults(self.context, self.model)
         partitions, zones = NetworkPartitions(self.experiment, self.clock), len(self.zones)
         self.model.is_unreachable = lambda dispatcher: not partitions.reaches_discovery(dispatcher % zones)
@@ -136,17 +139,17 @@
         """Return the version of the list."""
         return DiscoveryStatus(version=self.model.version)
 
-    def listed(self, entry: EndpointEntry) -> ListedEndpoint:
-        """Return an entry of the model as the list shows it, with starts in Unix time."""
+    def to_listed_endpoint(self, entry: EndpointEntry) -> ListedEndpoint:
+        """Return the model's entry as the wire protocol has it, with the start in Unix time."""
         unix_time_of_epoch = time.time_ns() - time.monotonic_ns() + self.clock.epoch
         started_ms = (entry.started_at + unix_time_of_epoch) // MILLISECOND if entry.started_at else 0
         return ListedEndpoint(
             id=entry.worker,
-            addr=self.addresses[entry.worker],
+            addr=self.worker_addresses[entry.worker],
             zone=self.zones[entry.zone],
             kind=self.kinds[entry.kind],
-            cell=entry.rack,
-            state=STATES[entry.condition],
+            rack=entry.rack,
+            state=LISTED_STATES[entry.condition],
             weight=1.0,
             started_ms=started_ms,
         )
--- a/ploverspoke/testbed/fakes/dispatcher_connection.py
+++ b/ploverspoke/testbed/fakes/dispatcher_connection.py
@@ -1,4 +1,4 @@
-"""A dispatcher's connection to a fake server of an experiment, by whose address the dispatcher is known."""
+"""A connection to a fake server of an experiment; its source address identifies the dispatcher."""
 
 import asyncio
 
@@ -11,24 +11,24 @@
 
 
 class DispatcherConnection(CountedConnection):
-    """One connection; a caller that is no dispatcher is reported and cut off."""
+    """One connection; a caller that is not a dispatcher is reported and disconnected."""
 
     def __init__(self, fake: FakeProcess, server_name: str) -> None:
-        """A connection that is about to be made to the server of that name."""
+        """Create the protocol of a connection, not open yet, to the server of that name."""
         super().__init__(fake.counters, NO_DISPATCHER)
         self.dispatcher_by_host = fake.dispatcher_by_host
         self.server_name = server_name
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Identify the dispatcher by its address."""
+        """Identify the dispatcher by its source address."""
         host = transport.get_extra_info("peername")[0]
         self.dispatcher = self.dispatcher_by_host.get(host, NO_DISPATCHER)
-        self.traffic = self.counters.of(self.dispatcher)
+        self.traffic = self.counters.for_dispatcher(self.dispatcher)
         super().connection_made(transport)
         if self.dispatcher == NO_DISPATCHER:
             self.report_fault("was called by somebody who is no dispatcher")
             self.abort()
 
     def report_fault(self, text: str) -> None:
-        """Report what no caller may do."""
+        """Report a violation of the protocol by the caller."""
         send_message(FaultReport(f"{self.server_name} {text}"))
--- a/ploverspoke/testbed/fakes/fake_messages.py
+++ b/ploverspoke/testbed/fakes/fake_messages.py
@@ -1,7 +1,7 @@
-"""Messages between the fake processes of a run and whoever started them, as JSON lines on their pipes.
+"""Messages between the fake processes of a run and the process that started them, as JSON lines on pipes.
 
-Each process first sends what it has opened, then a status in an interval while the run goes on, and
-`RunFinished` at its end. The demo, the scale test and the capacity measurements read the reports, too.
+Each fake first sends what it has opened, then status reports at a fixed interval during the run, and
+`RunFinished` at the end. The demo, the scale test and the capacity measurements also read the reports.
 """
 
 from typing import Any, NamedTuple
@@ -12,16 +12,16 @@
 
 
 class FakeProcessSpec(msgspec.Struct):
-    """A run as the fakes read it, from a file."""
+    """The parameters of a run, which the fakes read from a file."""
 
-    experiment: dict[str, Any]  # `experiment_from_builtins` reads it
+    experiment: dict[str, Any]  # parsed by `experiment_from_builtins`
     seed: int
-    records: str  # folder
-    clients: int  # processes
-    hosts: list[str]  # of the dispatchers, each its own
-    own_hosts: dict[str, str]  # of fakes that listen, by kind
-    worker_processes: int = 1  # among which the zones are spread
-    reports_traffic: bool = False  # whoever asks for it has to read the reports of every fake
+    records: str  # folder of the event files
+    clients: int  # number of client processes
+    hosts: list[str]  # of the dispatchers, by number; all are different
+    own_hosts: dict[str, str]  # on which fakes listen, by kind of fake
+    worker_processes: int = 1  # the zones are divided among these
+    reports_traffic: bool = False  # if set, the reports of every fake have to be read
 
 
 class FakeCommand(
@@ -29,69 +29,69 @@
     omit_defaults=True,
     rename={"asks_who_was_answered": "who was told", "worker_fell": "fell", "worker_returned": "back"},
 ):
-    """A message to a fake; each kind reads the fields that concern it."""
+    """A command to a fake; each kind of fake reads the fields that it needs."""
 
-    start: int | None = None  # the start of the run, ns of the machine's monotonic clock
-    dispatchers: list[str] = []  # addresses for clients, with `start`
-    workers: dict[str, str] = {}  # addresses by name, for discovery
-    asks_who_was_answered: bool = False  # discovery counts the dispatchers that it has answered
-    worker_fell: str = ""  # for discovery: a worker that an overload has ended
-    worker_returned: str = ""
+    start: int | None = None  # time of the run's start, ns of the machine's monotonic clock
+    dispatchers: list[str] = []  # client addresses, sent with `start`
+    workers: dict[str, str] = {}  # for discovery: addresses by worker
+    asks_who_was_answered: bool = False  # for discovery: reply with an `AnsweredCount`
+    worker_fell: str = ""  # for discovery: a worker that crashed from overload
+    worker_returned: str = ""  # for discovery: a worker that runs again after such a crash
 
 
 class WorkersOpened(msgspec.Struct):
-    """Where the fake workers listen, by name."""
+    """The addresses on which the fake workers listen, by name."""
 
     addresses: dict[str, str]
 
 
 class DiscoveryOpened(msgspec.Struct):
-    """Where the fake discovery listens."""
+    """The address on which the fake discovery listens."""
 
     address: str
 
 
 class ClientsReady(msgspec.Struct):
-    """How many requests of the schedule this process will send, retries apart."""
+    """The number of scheduled requests that this process will send, without retries."""
 
     jobs: int
 
 
 class FaultReport(msgspec.Struct):
-    """Something that no dispatcher may do, or that makes the run void."""
+    """A violation by a dispatcher, or a fault that makes the run void."""
 
     fault: str
 
 
-class WorkerFell(msgspec.Struct, rename={"worker": "fell"}):
-    """A worker was ended by an overload while it was warming up."""
+class WorkerOverloadReport(msgspec.Struct, rename={"worker": "fell"}):
+    """A worker crashed from overload while it was warming up."""
 
     worker: str
 
 
-class WorkerReturned(msgspec.Struct, rename={"worker": "back"}):
-    """A worker that an overload had ended is back."""
+class WorkerRecoveryReport(msgspec.Struct, rename={"worker": "back"}):
+    """A worker runs again after a crash from overload."""
 
     worker: str
 
 
 class AnsweredCount(msgspec.Struct, rename={"dispatchers": "told"}):
-    """How many dispatchers discovery has answered."""
+    """The number of dispatchers that discovery has answered."""
 
     dispatchers: int
 
 
 class RunFinished(msgspec.Struct, rename={"is_finished": "over"}):
-    """The last message of a fake: its records are written."""
+    """The last message of a fake, sent when its event file is written."""
 
     is_finished: bool = True
 
 
 class StatusReport(msgspec.Struct, kw_only=True, rename={"lateness": "late"}):
-    """A report in an interval of a run. Traffic is reported where the spec asks for it."""
+    """A periodic report during a run; it has the traffic if the spec asks for it."""
 
-    lateness: int = 0  # ns, the largest so far
-    counted_at: int | msgspec.UnsetType = msgspec.UNSET  # ns of the run
+    lateness: int = 0  # ns, largest so far
+    counted_at: int | msgspec.UnsetType = msgspec.UNSET  # ns from the start of the run
     traffic: list[Traffic] | msgspec.UnsetType = msgspec.UNSET  # by dispatcher
 
 
@@ -99,39 +99,39 @@
     """State of one worker."""
 
     state: str  # "up", "cold", "slow", "hung" or "down"
-    load: float  # share of its slots
-    attempts: int  # served so far
+    load: float  # slots in use or queued for, as a share of its slots
+    attempts: int  # received so far
 
 
 class WorkersStatus(StatusReport):
-    """Report of a process of fake workers."""
+    """Status of a process of fake workers."""
 
-    running: int  # attempts
+    running: int  # attempts in execution
     workers: dict[str, WorkerStatus]
 
 
 class DiscoveryStatus(StatusReport):
-    """Report of the fake discovery."""
+    """Status of the fake discovery."""
 
-    version: int
+    version: int  # of the endpoint list
 
 
 class ClientsStatus(
     StatusReport, kw_only=True, rename={"lateness": "late", "unanswered": "out", "lag": "behind"}
 ):
-    """Report of a process of fake clients."""
+    """Status of a process of fake clients."""
 
-    answers: dict[str, int]  # by outcome
-    sent: int
+    answers: dict[str, int]  # number by outcome
+    sent: int  # scheduled requests, without retries
     unanswered: int
-    lag: int  # ns by which the latest request of the schedule was sent late
+    lag: int  # ns, largest lateness of a scheduled request so far
 
 
 class ReportSummary(
     msgspec.Struct,
     rename={"worker_fell": "fell", "worker_returned": "back", "lag": "behind", "lateness": "late"},
 ):
-    """What whoever runs the fakes reads of any of their messages."""
+    """The fields that the runner of the fakes reads from each of their messages."""
 
     fault: str = ""
     worker_fell: str = ""
--- a/ploverspoke/testbed/fakes/fake_process.py
+++ b/ploverspoke/testbed/fakes/fake_process.py
@@ -1,7 +1,7 @@
-"""What all fake processes of a run have in common: the run's clock, messages on pipes, records.
+"""The common parts of the fake processes of a run: the run's clock, messages on pipes, event records.
 
-Each is started with the path of a run's `spec.json`; `fake_messages` has its messages. A command with `start`
-begins the run, and the end of the input ends the process.
+Each process is started with the path of the run's `spec.json`; its messages are in `fake_messages`. A command
+with `start` starts the run, and the end of the input ends the process.
 """
 
 import asyncio
@@ -25,17 +25,17 @@
 from .byte_counters import ByteCounters
 from .fake_messages import FakeCommand, FakeProcessSpec, RunFinished, StatusReport
 
-STATUS_INTERVAL = 0.25  # seconds
-LATENESS_CHECK_INTERVAL = 20 * MILLISECOND
+STATUS_INTERVAL_S = 0.25
+LATENESS_CHECK_INTERVAL_NS = 20 * MILLISECOND
 
 
 class LoopTimer:
-    """One call on the event loop, with the interface of the models' timers."""
+    """A scheduled call of the event loop, with the interface of the models' timers."""
 
     __slots__ = ("handle",)
 
     def __init__(self, handle: asyncio.Handle) -> None:
-        """Wrap the handle of the call."""
+        """Wrap the event loop's handle of the call."""
         self.handle = handle
 
     def cancel(self) -> None:
@@ -44,19 +44,19 @@
 
 
 class LoopClock:
-    """The models' clock on an event loop: nanoseconds from the run's start on, the same in all processes."""
+    """The models' clock on an event loop: ns since the start of the run, the same in all processes."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
-        """Start at 0; the start of the run sets `epoch`."""
+        """Start at 0; `epoch` is set again when the run starts."""
         self.loop = loop
         self.epoch = time.monotonic_ns()
 
     def now(self) -> int:
-        """Return the time of the run."""
+        """Return the ns since the start of the run."""
         return time.monotonic_ns() - self.epoch
 
     def call_at(self, when: int, call: Callable[..., None], *args: Any) -> TimerHandle:
-        """Make the call at that time, or soon where it is past."""
+        """Make the call at that time, or in the next loop iteration if the time has passed."""
         delay = when - self.now()
         if delay <= 0:
             return LoopTimer(self.loop.call_soon(call, *args))
@@ -66,52 +66,52 @@
 class FakeProcess:
     """One process of fakes. Subclasses open sockets, act on commands and report their status."""
 
-    def __init__(self, spec: FakeProcessSpec, part: int) -> None:
-        """Process number `part` of its kind."""
+    def __init__(self, spec: FakeProcessSpec, number: int) -> None:
+        """Create the process with that number among those of its kind."""
         self.loop = asyncio.get_running_loop()
         self.clock = LoopClock(self.loop)
         self.records = EventLog()
-        self.lateness = LatenessMeter(LATENESS_CHECK_INTERVAL)
+        self.lateness = LatenessMeter(LATENESS_CHECK_INTERVAL_NS)
         self.spec = spec
-        self.part = part
+        self.number = number
         self.experiment: Experiment = experiment_from_builtins(spec.experiment)
         self.seed = spec.seed
         self.context = RunContext(self.experiment, self.seed, self.clock, self.records)
         self.counters = ByteCounters(len(spec.hosts))
-        self.dispatcher_by_host = {host: number for number, host in enumerate(spec.hosts)}
+        self.dispatcher_by_host = {host: dispatcher for dispatcher, host in enumerate(spec.hosts)}
 
     async def prepare(self) -> msgspec.Struct:
-        """Open what there is to open; returns the first message of the process."""
+        """Open listening sockets, if any; returns the first message of the process."""
         raise NotImplementedError
 
-    def begin(self, command: FakeCommand) -> None:
-        """Begin the run."""
+    def on_run_start(self, command: FakeCommand) -> None:
+        """Start the process's work in the run."""
         raise NotImplementedError
 
     def on_command(self, command: FakeCommand) -> None:
-        """Act on a command other than the start."""
+        """Act on a command that does not start the run."""
 
     def shift_clock(self, nanoseconds: int) -> None:
-        """Add so much to all times recorded so far, as the epoch of the clock moves."""
+        """Add `nanoseconds` to all times recorded so far, because the epoch of the clock changes."""
         self.records.events = [event._replace(at=event.at + nanoseconds) for event in self.records.events]
 
     def status(self) -> StatusReport:
-        """Return a report; lateness and traffic are added to it."""
+        """Return a status report; the caller adds lateness and traffic."""
         raise NotImplementedError
 
     def start_run(self, command: FakeCommand, epoch: int) -> list[asyncio.Task[None]]:
-        """Set the clock and begin; returns the tasks that go on until the end."""
+        """Set the clock and start the run; returns the tasks that run until its end."""
         self.shift_clock(self.clock.epoch - epoch)
         self.clock.epoch = epoch
         gc.collect()
-        # A collection of all records of a run would hold the process up for longer than it may be late.
+        # A garbage collection over all records of a run would delay the process by more than is allowed.
         gc.disable()
-        self.begin(command)
+        self.on_run_start(command)
         return [self.loop.create_task(self._report_status()), self.loop.create_task(self.lateness.run())]
 
     async def _report_status(self) -> None:
         while True:
-            await asyncio.sleep(STATUS_INTERVAL)
+            await asyncio.sleep(STATUS_INTERVAL_S)
             report = self.status()
             report.lateness = self.lateness.max_lateness
             if self.spec.reports_traffic:
@@ -123,9 +123,9 @@
 FakeProcessFactory = Callable[[FakeProcessSpec, int], FakeProcess]
 
 
-async def serve(factory: FakeProcessFactory, spec: FakeProcessSpec, name: str, part: int) -> None:
-    """Run a fake process until its input ends; its records go to `NAME-PART.jsonl`."""
-    fake = factory(spec, part)
+async def serve(factory: FakeProcessFactory, spec: FakeProcessSpec, name: str, number: int) -> None:
+    """Run a fake process until its input ends, then write its events to `NAME-NUMBER.jsonl`."""
+    fake = factory(spec, number)
     send_message(await fake.prepare())
     tasks: list[asyncio.Task[None]] = []
     async for line in input_lines():
@@ -136,11 +136,11 @@
             tasks += fake.start_run(command, command.start)
     for task in tasks:
         task.cancel()
-    write_events(fake.records.events, Path(spec.records) / f"{name}-{part}.jsonl")
+    write_events(fake.records.events, Path(spec.records) / f"{name}-{number}.jsonl")
     send_message(RunFinished())
 
 
-def run(factory: FakeProcessFactory, name: str, spec_path: Path, part: int) -> None:
+def run(factory: FakeProcessFactory, name: str, spec_path: Path, number: int) -> None:
     """Run a fake process with the spec in that file."""
     spec: FakeProcessSpec = msgspec.json.decode(spec_path.read_bytes(), type=FakeProcessSpec)
-    uvloop.run(serve(factory, spec, name, part))
+    uvloop.run(serve(factory, spec, name, number))
--- a/ploverspoke/testbed/fakes/faulty_discovery.py
+++ b/ploverspoke/testbed/fakes/faulty_discovery.py
@@ -1,6 +1,6 @@
-"""A fake discovery whose failures its caller sets off; it records who called and what was written when.
+"""A fake discovery whose failures are set by its caller; it records each call and when lists were written.
 
-`discovery_server` has the other one, which follows the faults of an experiment.
+`discovery_server` has another fake, which follows the faults of an experiment.
 """
 
 import asyncio
@@ -25,7 +25,7 @@
 )
 from .http_wire import encode_response, read_message
 
-BACKLOG = 256
+BACKLOG = 256  # connections
 INVALID_LIST = b'{"version":"soon"}'
 
 
@@ -38,24 +38,24 @@
     INVALID = "invalid"
 
 
-class CallSeen(NamedTuple):
-    """One call as discovery saw it."""
+class ReceivedCall(NamedTuple):
+    """One call that discovery received."""
 
-    at: float  # of the event loop's clock
+    at: float  # seconds of the event loop's clock
     dispatcher: int
-    version: int | None  # None: the whole list was asked for
+    version: int | None  # None: the call asks for the whole list
 
 
 class CallQueue(NamedTuple):
-    """Calls are worked through one after the other."""
+    """A queue of calls that are served one at a time."""
 
-    service_time: float  # seconds that each takes
-    capacity: int  # further ones are rejected
-    rejections_are_served: bool = False
+    service_time: float  # seconds for each call
+    capacity: int  # calls; further ones are rejected
+    rejections_are_served: bool = False  # a rejected call also takes the service time
 
 
 class ScriptedDiscovery:
-    """One discovery with an address for each dispatcher, by which it knows who calls."""
+    """A discovery with one address for each dispatcher, which identifies the caller."""
 
     def __init__(
         self,
@@ -64,76 +64,77 @@
         host: str = "127.0.0.1",
         max_hold: float = math.inf,
     ) -> None:
-        """Start with that list, not listening.
+        """Create a discovery that does not listen yet.
 
         Args:
-            entries: Those of the list.
-            queue: How calls are worked through; without it each is answered at once.
-            host: Where it listens.
-            max_hold: Seconds that a watch may wait at most, whatever it asks for.
+            entries: The entries of the endpoint list.
+            queue: The queue for calls; without it each call is answered at once.
+            host: The host on which it listens.
+            max_hold: Longest time, in seconds, that a watch waits, even if it asks for more.
         """
         self.entries = list(entries)
         self.version = 1
         self.queue = queue
         self.host = host
         self.max_hold = max_hold
-        self.next_failures: deque[Failure] = deque()  # one for each of the next calls
-        self.outage: Failure | None = None  # how every call fails
-        self.calls: list[CallSeen] = []
-        self.written: dict[int, dict[int, float]] = {}  # by dispatcher and version: when first written
+        self.next_failures: deque[Failure] = deque()  # of the next calls, one each
+        self.outage: Failure | None = None  # the failure of every call at present
+        self.calls: list[ReceivedCall] = []
+        self.first_written_at: dict[int, dict[int, float]] = {}  # by dispatcher and version
         self.changed = asyncio.Event()
         self.servers: dict[int, asyncio.Server] = {}
         self.ports: dict[int, int] = {}
         self.writers: set[asyncio.StreamWriter] = set()
         self.tasks: set[asyncio.Task[None]] = set()
-        self.waiting = 0
-        self.free_at = 0.0
+        self.queued_calls = 0
+        self.busy_until = 0.0  # when all calls so far are served, by the event loop's clock
 
     # ---- Control ----
 
     async def address_for(self, dispatcher: int) -> str:
-        """The address of this discovery for one dispatcher, where it listens from now on."""
+        """Start listening for one dispatcher and return the address."""
         await self._listen(dispatcher)
         return f"{self.host}:{self.ports[dispatcher]}"
 
     def change(self, worker: str, state: str) -> int:
-        """Change a worker's state; returns the version from which on the list shows it."""
+        """Change a worker's state; returns the first version of the list that has it."""
         self.version += 1
         self.entries = [
-            msgspec.structs.replace(each, state=state) if each.id == worker else each for each in self.entries
+            msgspec.structs.replace(entry, state=state) if entry.id == worker else entry
+            for entry in self.entries
         ]
         self.wake_watches()
         return self.version
 
     def fail_watches(self, *failures: Failure) -> None:
-        """Have the call that waits fail in the first way, and the next ones in the others."""
+        """Make the next calls fail in these ways, in order, starting with the watches that wait now."""
         self.next_failures.extend(failures)
         self.wake_watches()
 
     def wake_watches(self) -> None:
-        """End the waits of all calls."""
+        """Wake all watches that wait for a change."""
         self.changed.set()
         self.changed = asyncio.Event()
 
-    def reset_all(self) -> None:
+    def reset_connections(self) -> None:
         """Reset every connection."""
         for writer in list(self.writers):
             _reset(writer)
 
     async def refuse(self) -> None:
-        """Reset every connection and listen no more."""
+        """Stop listening and reset every connection."""
         for server in self.servers.values():
             server.close()
         self.servers.clear()
-        self.reset_all()
+        self.reset_connections()
 
     async def listen_again(self) -> None:
-        """Accept connections at all addresses again."""
+        """Listen at all addresses again."""
         for dispatcher in self.ports:
             await self._listen(dispatcher)
 
     async def fail_for(self, failure: Failure | None, seconds: float) -> None:
-        """Every call fails for a while; None: nobody listens."""
+        """Make every call fail for that time; with None, connections are refused."""
         if failure is None:
             await self.refuse()
         else:
@@ -145,25 +146,29 @@
             await self.listen_again()
 
     def written_at(self, dispatcher: int, version: int) -> float | None:
-        """When a list of that version or a later one was first written to the dispatcher."""
-        times = [at for number, at in self.written.get(dispatcher, {}).items() if number >= version]
+        """Return when a list of that version or a later one was first written to the dispatcher."""
+        times = [
+            at
+            for written_version, at in self.first_written_at.get(dispatcher, {}).items()
+            if written_version >= version
+        ]
         return min(times, default=None)
 
     def close(self) -> None:
-        """End for good."""
+        """Stop listening, reset every connection and cancel all tasks."""
         for server in self.servers.values():
             server.close()
-        self.reset_all()
+        self.reset_connections()
         for task in self.tasks:
             task.cancel()
 
     # ---- Calls ----
 
     async def _listen(self, dispatcher: int) -> None:
-        listening = bind_without_listening(self.host, self.ports.get(dispatcher, 0))
-        self.ports[dispatcher] = listening.getsockname()[1]
+        listening_socket = bind_without_listening(self.host, self.ports.get(dispatcher, 0))
+        self.ports[dispatcher] = listening_socket.getsockname()[1]
         serve = partial(self._serve, dispatcher)
-        self.servers[dispatcher] = await asyncio.start_server(serve, sock=listening, backlog=BACKLOG)
+        self.servers[dispatcher] = await asyncio.start_server(serve, sock=listening_socket, backlog=BACKLOG)
 
     async def _serve(
         self, dispatcher: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -185,9 +190,9 @@
     async def _serve_call(
         self, dispatcher: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> bool:
-        """Answer one call; false where its connection ends."""
+        """Serve one call; returns whether the connection stays open."""
         query = parse_list_query(await read_message(reader))
-        self.calls.append(CallSeen(asyncio.get_running_loop().time(), dispatcher, query.version))
+        self.calls.append(ReceivedCall(asyncio.get_running_loop().time(), dispatcher, query.version))
         failure = await self._wait_for_answer(query)
         if failure is Failure.RESET:
             _reset(writer)
@@ -195,22 +200,22 @@
         if failure is Failure.SILENT:
             await asyncio.Event().wait()
         if writer.transport.is_closing():
-            return False  # nothing is written to it any more
+            return False  # the connection ended while the call waited
         if failure is Failure.REJECTED:
             writer.write(encode_response(503, "Busy", b""))
         elif failure is Failure.INVALID:
             writer.write(encode_response(200, "OK", INVALID_LIST))
         else:
-            writer.write(self._list(dispatcher, query.version))
+            writer.write(self._encode_list(dispatcher, query.version))
         return True
 
     async def _wait_for_answer(self, query: ListQuery) -> Failure | None:
-        """Wait until the call is to be answered; returns how it fails instead, if it does."""
+        """Wait until the call can be answered; returns its failure, or None if it succeeds."""
         failure = self._next_failure()
         if failure is not None:
             return failure
         if query.version == self.version:
-            # Watches that wait need no service, and are not rejected.
+            # A watch that waits for a change takes no service time and is never rejected.
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(min(self.max_hold, query.hold_seconds)):
                     await self.changed.wait()
@@ -223,33 +228,33 @@
         return self.outage
 
     async def _wait_for_service(self) -> bool:
-        """Wait until the calls before this one are worked through; false where too many wait."""
+        """Wait until this call is served; returns False if the queue is full."""
         if self.queue is None:
             return True
         loop = asyncio.get_running_loop()
-        if self.waiting >= self.queue.capacity:
+        if self.queued_calls >= self.queue.capacity:
             if self.queue.rejections_are_served:
-                self.free_at = max(loop.time(), self.free_at) + self.queue.service_time
+                self.busy_until = max(loop.time(), self.busy_until) + self.queue.service_time
             return False
-        self.waiting += 1
-        self.free_at = max(loop.time(), self.free_at) + self.queue.service_time
+        self.queued_calls += 1
+        self.busy_until = max(loop.time(), self.busy_until) + self.queue.service_time
         try:
-            await asyncio.sleep(self.free_at - loop.time())
+            await asyncio.sleep(self.busy_until - loop.time())
         finally:
-            self.waiting -= 1
+            self.queued_calls -= 1
         return True
 
-    def _list(self, dispatcher: int, version: int | None) -> bytes:
-        """Return the response with the list, whole where the dispatcher's version is not the latest."""
+    def _encode_list(self, dispatcher: int, version: int | None) -> bytes:
+        """Return the response with the list; it is whole unless the dispatcher has the latest version."""
         is_full = version is None or version < self.version
         now = asyncio.get_running_loop().time()
-        self.written.setdefault(dispatcher, {}).setdefault(self.version, now)
+        self.first_written_at.setdefault(dispatcher, {}).setdefault(self.version, now)
         return encode_list_update(EndpointListUpdate(self.version, is_full, self.entries if is_full else []))
 
 
 def _reset(writer: asyncio.StreamWriter) -> None:
-    end = writer.get_extra_info("socket")
-    if end is not None and end.fileno() >= 0:
+    connection = writer.get_extra_info("socket")
+    if connection is not None and connection.fileno() >= 0:
         with contextlib.suppress(OSError):
-            reset_on_close(end)
+            reset_on_close(connection)
     writer.transport.abort()
--- a/ploverspoke/testbed/fakes/http_connection.py
+++ b/ploverspoke/testbed/fakes/http_connection.py
@@ -1,4 +1,4 @@
-"""Protocols of the fakes' HTTP connections: they hand each message received to `on_message`."""
+"""Protocols of the fakes' HTTP connections: they pass each received message to `on_message`."""
 
 import asyncio
 from typing import cast
@@ -8,10 +8,10 @@
 
 
 class HttpConnection(asyncio.Protocol):
-    """One connection; subclasses act on its messages."""
+    """One connection; subclasses handle its messages."""
 
     def __init__(self) -> None:
-        """A connection that is about to be made."""
+        """Create the protocol of a connection that is not open yet."""
         self.reader = HttpReader()
         self.transport: asyncio.Transport | None = None
 
@@ -20,16 +20,16 @@
         self.transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        """Act on the messages that are complete by the data.
+        """Handle the messages that the data completes.
 
         Raises:
-            HttpSyntaxError: the stream cannot be read on.
+            HttpSyntaxError: the stream is invalid.
         """
         for message in self.reader.feed(data):
             self.on_message(message)
 
     def on_message(self, message: HttpMessage) -> None:
-        """Act on one request or response."""
+        """Handle one request or response."""
         raise NotImplementedError
 
     def abort(self) -> None:
@@ -39,34 +39,34 @@
 
 
 class CountedConnection(HttpConnection):
-    """A connection with a dispatcher, whose traffic is counted."""
+    """A connection with a dispatcher that counts the traffic."""
 
     def __init__(self, counters: ByteCounters, dispatcher: int) -> None:
-        """A connection that is about to be made; the dispatcher is -1 where it is not known yet."""
+        """Create the protocol of a connection that is not open yet; dispatcher -1 is not known yet."""
         super().__init__()
         self.counters = counters
         self.dispatcher = dispatcher
-        self.traffic = counters.of(dispatcher)
+        self.traffic = counters.for_dispatcher(dispatcher)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Count it."""
+        """Count the opened connection."""
         super().connection_made(transport)
         self.traffic.count_opened()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Count it; nothing is written any more."""
+        """Count the closed connection; later writes are ignored."""
         self.transport = None
         self.traffic.count_closed()
 
     def data_received(self, data: bytes) -> None:
-        """Count the data and its messages, and act on these."""
+        """Count the data and the messages that it completes, and handle these."""
         self.traffic.bytes_out += len(data)
         for message in self.reader.feed(data):
             self.traffic.messages_out += 1
             self.on_message(message)
 
     def write(self, data: bytes) -> None:
-        """Send one message to the dispatcher, unless the connection is gone."""
+        """Send one message to the dispatcher, unless the connection has ended."""
         if self.transport is not None:
             self.traffic.count_message_in(len(data))
             self.transport.write(data)
--- a/ploverspoke/testbed/fakes/http_wire.py
+++ b/ploverspoke/testbed/fakes/http_wire.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 of the fakes: strict, with bodies of a stated length, and independent of the product's parser."""
+"""HTTP/1.1 of the fakes: strict, reads only bodies with a length, and independent of the product's parser."""
 
 import asyncio
 from enum import Enum
@@ -6,13 +6,13 @@
 
 HEAD_END = b"\r\n\r\n"
 MAX_HEAD_BYTES = 65536
-MAX_SHOWN = 40  # characters of an invalid text
+MAX_QUOTED_LENGTH = 40  # characters of invalid text in an error message
 CHUNKED_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 LAST_CHUNK = b"0\r\n\r\n"
 
 
 class HttpProblem(Enum):
-    """What is wrong with the bytes received."""
+    """The way in which the received bytes are invalid."""
 
     NO_HEAD_END = "a head without an end"
     NO_COLON = "a header without a colon"
@@ -21,11 +21,11 @@
 
 
 class HttpSyntaxError(Exception):
-    """The bytes received are no HTTP/1.1 message with a body of a stated length."""
+    """The received bytes are not an HTTP/1.1 message whose body has a content length."""
 
     def __init__(self, problem: HttpProblem, received: str = "") -> None:
-        """Name the problem, and the start of the text that has it."""
-        super().__init__(f"{problem.value}: {received[:MAX_SHOWN]!r}" if received else problem.value)
+        """Name the problem and quote the start of the invalid text."""
+        super().__init__(f"{problem.value}: {received[:MAX_QUOTED_LENGTH]!r}" if received else problem.value)
         self.problem = problem
 
 
@@ -43,7 +43,7 @@
 
     @property
     def target(self) -> str:
-        """The target of a request; "" where the start line has none."""
+        """The target of a request; "" if the start line has none."""
         return self.start_line.partition(" ")[2].partition(" ")[0]
 
     @property
@@ -57,17 +57,17 @@
 
 
 class HttpReader:
-    """Splits a stream into messages, for protocols that are handed its pieces."""
+    """Splits a byte stream, received in pieces, into messages."""
 
     def __init__(self) -> None:
         """Start with an empty buffer."""
         self.buffer = bytearray()
 
     def feed(self, data: bytes) -> list[HttpMessage]:
-        """Add a piece of the stream; returns the messages that are complete by it.
+        """Add a piece of the stream; returns the messages that it completes.
 
         Raises:
-            HttpSyntaxError: the stream cannot be read on.
+            HttpSyntaxError: the stream is invalid; nothing more can be read from it.
         """
         self.buffer += data
         messages = []
@@ -76,7 +76,7 @@
         return messages
 
     def has_partial_message(self) -> bool:
-        """Whether a message has begun and is not complete."""
+        """Whether a part of a message has been received."""
         return bool(self.buffer)
 
     def _next_message(self) -> HttpMessage | None:
@@ -99,8 +99,8 @@
     """Read the next message of a stream.
 
     Raises:
-        HttpSyntaxError: it is no message with a body of a stated length.
-        asyncio.IncompleteReadError: the stream ended before or within it.
+        HttpSyntaxError: it is not a message whose body has a content length.
+        asyncio.IncompleteReadError: the stream ended before the end of the message.
         ConnectionError: the connection was reset.
     """
     head = await stream.readuntil(HEAD_END)
@@ -109,7 +109,7 @@
 
 
 def _parse_head(head: bytes) -> tuple[str, dict[str, str]]:
-    """Return the start line and the headers of a head without its empty line."""
+    """Return the start line and the headers; `head` does not have the final empty line."""
     start_line, *lines = head.decode("latin-1").split("\r\n")
     headers = {}
     for line in lines:
@@ -135,6 +135,6 @@
 
 
 def encode_response(status: int, reason: str, body: bytes, extra_headers: str = "") -> bytes:
-    """Return a response; `extra_headers` are whole header lines, each with its line end."""
+    """Return a response; `extra_headers` are complete header lines, each with its CRLF."""
     head = f"HTTP/1.1 {status} {reason}\r\nContent-Length: {len(body)}\r\n{extra_headers}\r\n"
     return head.encode("latin-1") + body
--- a/ploverspoke/testbed/fakes/instant_workers.py
+++ b/ploverspoke/testbed/fakes/instant_workers.py
@@ -13,11 +13,11 @@
 from ..processes.pipe_messages import send_message, wait_for_input_end
 from .http_connection import HttpConnection
 from .http_wire import HttpMessage, encode_response
-from .worker_protocol import LoadReport, RunUpdate, encode_load_report, encode_run_update
+from .worker_protocol import ExecutionUpdate, LoadReport, encode_execution_update, encode_load_report
 
 LOAD_RESPONSE = encode_load_report(LoadReport(0, 1000))
 PLAIN_RESPONSE = encode_response(200, "OK", b"done")
-PLAIN_TARGET = "/plain"  # asked for by clients without a dispatcher between
+PLAIN_TARGET = "/plain"  # requested by clients that call a worker directly, without a dispatcher
 
 
 class WorkerPorts(msgspec.Struct):
@@ -41,12 +41,14 @@
     if message.target.startswith(PLAIN_TARGET):
         return PLAIN_RESPONSE
     request_id = message.headers["request-id"]
-    started = encode_run_update(RunUpdate(request_id, "w", "started"), is_first=True)
-    return started + encode_run_update(RunUpdate(request_id, "w", "done", result="done"), is_last=True)
+    started = encode_execution_update(ExecutionUpdate(request_id, "w", "started"), is_first=True)
+    return started + encode_execution_update(
+        ExecutionUpdate(request_id, "w", "done", result="done"), is_last=True
+    )
 
 
 async def serve(count: int) -> None:
-    """Serve so many workers until the input ends."""
+    """Serve `count` workers until the input ends."""
     loop = asyncio.get_running_loop()
     servers = [await loop.create_server(InstantWorkerConnection, "127.0.0.1", 0) for _ in range(count)]
     send_message(WorkerPorts([server.sockets[0].getsockname()[1] for server in servers]))
--- a/ploverspoke/testbed/fakes/lease_candidate.py
+++ b/ploverspoke/testbed/fakes/lease_candidate.py
@@ -1,8 +1,9 @@
-"""A lease candidate: a process that wants leases and acts under them on a resource.
+"""A lease candidate: a process that acquires leases and, while it holds them, sends effects to a resource.
 
-`python -m ploverspoke.testbed.fakes.lease_candidate SPEC`. It runs the product's lease client. Each look at a
-lease goes to a history on the machine's clock; each effect goes to the resource with the fencing token and
-the time of the look. It acts for a while, then releases the lease or goes on, and knows nothing of others.
+`python -m ploverspoke.testbed.fakes.lease_candidate SPEC`. It runs the product's lease client. Each check of
+a lease is written to a history with the time of the machine's clock. Each effect is sent to the resource with
+the fencing token and the time of the check. A candidate acts for a while and then releases the lease, or
+holds it until it is lost. It does not communicate with other candidates.
 """
 
 import asyncio
@@ -21,44 +22,44 @@
 from ..experiment_files.durations import SECOND
 from ..processes.history import History, monotonic_now
 
-WAIT_TIMEOUT = 3600.0  # seconds, for a lease
-RESOURCE_TIMEOUT = 0.5  # seconds, to connect and to be answered
-MEAN_HOLDING_TIME = 0.5  # seconds, of those who release
-MAX_PAUSE = 0.1  # seconds, after a release
-DRIFT_OF_FAULT = -1.0  # by which a lease seems to last for twice its duration
+LEASE_TIMEOUT_S = 3600.0  # longest wait for a lease
+RESOURCE_TIMEOUT_S = 0.5  # to connect, and to receive an answer
+MEAN_HOLDING_TIME_S = 0.5  # before a release
+MAX_RELEASE_PAUSE_S = 0.1  # after a release
+FAULTY_DRIFT = -1.0  # with it the lease client takes a lease to last for twice its duration
 
 
 class LeaseCandidateSpec(msgspec.Struct):
-    """What one candidate does."""
+    """The parameters of one candidate."""
 
     name: str
     seed: int
     servers_file: str
-    resource: str  # address
-    history: str  # file
+    resource: str  # host:port
+    history: str  # path of the history file
     leases: list[str]
-    duration: int  # of a lease, ns
-    step: int  # ns that an effect may take
+    duration: int  # ns, of a lease
+    step: int  # ns, longest duration of an effect
     pause: float  # seconds between two effects
-    hold_share: float  # probability of holding a lease for good, rather than releasing it after a while
-    overestimates_duration: bool = False  # a planted fault: leases are believed to last for twice their time
+    hold_share: float  # probability of holding a lease until it is lost instead of releasing it
+    overestimates_duration: bool = False  # injected fault: leases are taken to last twice as long
 
 
 class RecordedLeaseView:
-    """A view of the leases that notes when it was looked at, just before: a pause may follow."""
+    """A view of the leases that records the time of a check before it is made: a pause may follow it."""
 
     def __init__(self, client: LeaseClient) -> None:
-        """A view of that client's leases."""
+        """Create a view of that client's leases."""
         self.client = client
-        self.looked_at = 0  # ns of the machine's clock
+        self.checked_at = 0  # ns of the machine's clock
 
     def time_left(self, name: str) -> int:
-        """Return nanoseconds for which the lease is certainly held; 0 where it is not."""
-        self.looked_at = monotonic_now()
+        """Return the nanoseconds for which the lease is certainly still held; 0 if it is not held."""
+        self.checked_at = monotonic_now()
         return self.client.time_left(name)
 
     def token(self, name: str) -> int:
-        """Return the fencing token of a lease that is held now; 0 where it is not."""
+        """Return the fencing token of a lease; 0 if it is not held."""
         return self.client.token(name)
 
 
@@ -66,7 +67,7 @@
     """The process: one lease client, and a connection to the resource for each lease."""
 
     def __init__(self, spec: LeaseCandidateSpec) -> None:
-        """Read the file of the lease servers; nothing is sent yet."""
+        """Create the lease client from the file of the lease servers; nothing is sent yet."""
         self.spec = spec
         self.history = History(Path(spec.history), spec.name)
         self.random = random.Random(f"{spec.seed} {spec.name} {monotonic_now()}")
@@ -74,26 +75,26 @@
         self.streams: dict[str, tuple[asyncio.StreamReader, asyncio.StreamWriter]] = {}  # by lease
 
     async def run(self) -> None:
-        """Acquire and release the leases, forever."""
+        """Acquire and release the leases until cancelled."""
         await asyncio.gather(*(self._run_lease(name) for name in self.spec.leases))
 
     async def _run_lease(self, name: str) -> None:
         while True:
             lease = self.client.want(name, self.spec.duration)
             lease.on_lost = partial(self._on_lost, name)
-            token = await self.client.wait_until_held(name, WAIT_TIMEOUT)
+            token = await self.client.wait_until_held(name, LEASE_TIMEOUT_S)
             if not token:
                 continue
             self.history.add("held", [name, token, self.client.time_left(name)])
             await self._act_while_held(name, token)
             self.history.add("stops", [name, token, self.client.time_left(name)])
             self.client.release(name)
-            await asyncio.sleep(self.random.random() * MAX_PAUSE)
+            await asyncio.sleep(self.random.random() * MAX_RELEASE_PAUSE_S)
 
     async def _act_while_held(self, name: str, token: int) -> None:
-        """Act under the lease until it is lost, or until this candidate has had it for long enough."""
-        releases = self.random.random() > self.spec.hold_share
-        holding_time = self.random.expovariate(1 / MEAN_HOLDING_TIME) if releases else float("inf")
+        """Send effects until the lease is lost or the holding time has passed."""
+        will_release = self.random.random() > self.spec.hold_share
+        holding_time = self.random.expovariate(1 / MEAN_HOLDING_TIME_S) if will_release else float("inf")
         began_at = monotonic_now()
         while self.client.token(name) == token and (monotonic_now() - began_at) / SECOND < holding_time:
             view = RecordedLeaseView(self.client)
@@ -106,16 +107,16 @@
         self.history.add("lost", [name, reason])
 
     async def _act(self, view: RecordedLeaseView, name: str, token: int) -> None:
-        """Send one effect to the resource, at once after the look, and wait for the answer."""
-        looked_at = view.looked_at
+        """Send one effect to the resource right after the check of the lease, and wait for the answer."""
+        checked_at = view.checked_at
         if name not in self.streams or self.streams[name][1].is_closing():
             await self._connect(name)
-            return  # the look is old by now: the next step has its own
+            return  # the check of the lease is out of date by now: the next step makes a new one
         reader, writer = self.streams[name]
-        self.history.add("acts", [name, token], at=looked_at)
-        writer.write(f"{name} {token} {looked_at}\n".encode())
+        self.history.add("acts", [name, token], at=checked_at)
+        writer.write(f"{name} {token} {checked_at}\n".encode())
         try:
-            async with asyncio.timeout(RESOURCE_TIMEOUT):
+            async with asyncio.timeout(RESOURCE_TIMEOUT_S):
                 answer = await reader.readline()
         except (OSError, TimeoutError):
             answer = b""
@@ -126,17 +127,17 @@
     async def _connect(self, name: str) -> None:
         host, _, port = self.spec.resource.rpartition(":")
         try:
-            async with asyncio.timeout(RESOURCE_TIMEOUT):
+            async with asyncio.timeout(RESOURCE_TIMEOUT_S):
                 self.streams[name] = await asyncio.open_connection(host, int(port))
         except (OSError, TimeoutError):
             return
 
 
 async def main() -> None:
-    """Run the candidate whose spec the command line names."""
+    """Run the candidate with the spec file that the command line names."""
     spec: LeaseCandidateSpec = msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=LeaseCandidateSpec)
     if spec.overestimates_duration:
-        vars(holder)["DRIFT"] = DRIFT_OF_FAULT
+        vars(holder)["DRIFT"] = FAULTY_DRIFT
     await LeaseCandidate(spec).run()
 
 
--- a/ploverspoke/testbed/fakes/persistent_clients.py
+++ b/ploverspoke/testbed/fakes/persistent_clients.py
@@ -1,6 +1,6 @@
-"""Fake clients of a soak: they keep their connections, and send on them for as long as these stay open.
+"""Fake clients of a soak: each sends requests one after another on a connection until that is closed.
 
-`client_process` has the ones that follow the schedule of an experiment.
+The clients in `client_process` follow the schedule of an experiment instead.
 """
 
 import asyncio
@@ -12,28 +12,30 @@
 from .recording_workers import RecordingWorkers
 
 DEADLINE = 0.9  # seconds, of both request classes of the soak
-ANSWER_GRACE = 0.5  # seconds; an answer after this counts as lost
-CROSSING_TIME = 0.02  # seconds; a connection that ends so soon after a request crossed it
-RECONNECT_PAUSE = 0.02  # seconds
-MAX_IDLE = 0.08  # seconds between two requests of a connection
-MAX_LONG_IDLE = 3.0  # until the dispatcher closes the connection or is killed
+ANSWER_GRACE_S = 0.5  # after the deadline; an answer later than this counts as lost
+# A connection that ends this soon after a request was sent is taken to have been closed before the dispatcher
+# read the request.
+IDLE_CLOSE_RACE_S = 0.02
+RECONNECT_PAUSE_S = 0.02
+MAX_IDLE_S = 0.08  # between two requests on a connection
+MAX_LONG_IDLE_S = 3.0  # long enough for the dispatcher to close the connection or to be killed
 LONG_IDLE_SHARE = 0.02
 IDEMPOTENT_CLASS, NON_IDEMPOTENT_CLASS = "look", "book"
 IDEMPOTENT_SHARE = 0.7
 
 
 class PersistentClients:
-    """All clients, and the outcomes of their requests."""
+    """All clients of a soak, and the outcomes of their requests."""
 
     def __init__(self, port: int, workers: RecordingWorkers, randomness: random.Random) -> None:
-        """Clients of the dispatcher at that port."""
+        """Create clients of the dispatcher at that port."""
         self.port = port
         self.workers = workers
         self.random = randomness
         self.sent = 0
         self.statuses: Counter[int] = Counter()
-        self.lost: list[str] = []
-        self.non_idempotent: set[str] = set()
+        self.lost: list[str] = []  # a description of each lost or wrong answer
+        self.non_idempotent: set[str] = set()  # request ids
         self.is_over = False
         self.loop = asyncio.get_running_loop()
 
@@ -43,37 +45,39 @@
             try:
                 reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
             except OSError:
-                await asyncio.sleep(RECONNECT_PAUSE)
+                await asyncio.sleep(RECONNECT_PAUSE_S)
                 continue
             with contextlib.suppress(ConnectionError):
                 while not self.is_over and await self._exchange(number, reader, writer):
-                    is_long = self.random.random() < LONG_IDLE_SHARE
-                    await asyncio.sleep(self.random.random() * (MAX_LONG_IDLE if is_long else MAX_IDLE))
+                    is_long_idle = self.random.random() < LONG_IDLE_SHARE
+                    await asyncio.sleep(
+                        self.random.random() * (MAX_LONG_IDLE_S if is_long_idle else MAX_IDLE_S)
+                    )
             writer.close()
 
     async def _exchange(
         self, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> bool:
-        """Send one request; returns whether the connection can be used on."""
+        """Send one request; returns whether the connection can be reused."""
         self.sent += 1
         request_id = f"c{number}-{self.sent}"
-        began_at = self.loop.time()
-        writer.write(self._request(request_id))
+        sent_at = self.loop.time()
+        writer.write(self._encode_request(request_id))
         try:
-            async with asyncio.timeout(DEADLINE + ANSWER_GRACE):
+            async with asyncio.timeout(DEADLINE + ANSWER_GRACE_S):
                 answer = await read_message(reader)
         except TimeoutError:
-            self.lost.append(f"{request_id}: no answer in {DEADLINE + ANSWER_GRACE} s")
+            self.lost.append(f"{request_id}: no answer in {DEADLINE + ANSWER_GRACE_S} s")
             return False
         except (ConnectionError, asyncio.IncompleteReadError):
-            elapsed = self.loop.time() - began_at
-            if request_id in self.workers.by_request or elapsed > CROSSING_TIME:
+            elapsed = self.loop.time() - sent_at
+            if request_id in self.workers.by_request or elapsed > IDLE_CLOSE_RACE_S:
                 self.lost.append(f"{request_id}: closed without an answer after {elapsed:.3f} s")
             return False
         return self._on_answer(request_id, answer)
 
-    def _request(self, request_id: str) -> bytes:
-        """Return a request of a random class."""
+    def _encode_request(self, request_id: str) -> bytes:
+        """Return a request of a random class as HTTP."""
         request_class = NON_IDEMPOTENT_CLASS
         if self.random.random() < IDEMPOTENT_SHARE:
             request_class = IDEMPOTENT_CLASS
@@ -98,7 +102,7 @@
 
 
 async def hold_idle_connections(port: int, count: int, seconds: float) -> None:
-    """Keep so many connections open for a while, without a request on them."""
+    """Keep `count` connections open for that time without sending requests."""
     writers = []
     for _ in range(count):
         with contextlib.suppress(OSError):
--- a/ploverspoke/testbed/fakes/recording_workers.py
+++ b/ploverspoke/testbed/fakes/recording_workers.py
@@ -1,6 +1,6 @@
 """Fake workers of a soak: they serve requests, drain, and record every request that arrives.
 
-`worker_server` has the ones with the model of a worker behind them, for experiments.
+The workers in `worker_server`, for experiments, are backed by the worker model instead.
 """
 
 import asyncio
@@ -13,33 +13,33 @@
 from .discovery_protocol import ListedEndpoint
 from .http_wire import HttpMessage, encode_response, read_message
 from .worker_protocol import (
+    ExecutionUpdate,
     LoadReport,
-    RunUpdate,
+    encode_execution_update,
     encode_load_report,
     encode_not_started,
-    encode_run_update,
 )
 
-MAX_RUN = 0.06  # seconds, for most requests
-MAX_LONG_RUN = 0.4  # seconds
-LONG_RUN_SHARE = 0.03
-LOAD = LoadReport(0, 8)
+MAX_EXECUTION_S = 0.06  # for most requests
+MAX_LONG_EXECUTION_S = 0.4
+LONG_EXECUTION_SHARE = 0.03
+LOAD = LoadReport(backlog=0, free_slots=8)
 
 
 class Arrival(NamedTuple):
-    """One attempt as its worker saw it."""
+    """An attempt that arrived at a worker."""
 
-    at: float  # of the event loop's clock
+    at: float  # seconds of the event loop's clock
     worker: str
     request_id: str
     has_run: bool
 
 
 class RecordingWorkers:
-    """All workers; one that drains fails health checks and returns requests that it has not started."""
+    """All workers; a draining one fails health checks and returns each request without starting it."""
 
     def __init__(self, count: int, randomness: random.Random) -> None:
-        """`count` workers, which listen after `start`."""
+        """Create `count` workers; they listen after `start`."""
         self.names = [f"w{number}" for number in range(count)]
         self.random = randomness
         self.draining: set[str] = set()
@@ -48,7 +48,7 @@
         self.servers: list[asyncio.Server] = []
 
     async def start(self) -> list[ListedEndpoint]:
-        """Listen; returns the entries of the endpoint list."""
+        """Start listening; returns the entries of the endpoint list."""
         entries = []
         for name in self.names:
             server = await asyncio.start_server(partial(self._serve, name), "127.0.0.1", 0)
@@ -60,7 +60,7 @@
         return entries
 
     def close(self) -> None:
-        """Listen no more."""
+        """Stop listening."""
         for server in self.servers:
             server.close()
 
@@ -83,8 +83,9 @@
         if is_draining:
             writer.write(encode_not_started())
             return
-        writer.write(encode_run_update(RunUpdate(request_id, name, "started"), is_first=True))
-        max_run = MAX_LONG_RUN if self.random.random() < LONG_RUN_SHARE else MAX_RUN
-        await asyncio.sleep(self.random.random() * max_run)
-        done = RunUpdate(request_id, name, "done", result=request_id)
-        writer.write(encode_run_update(done, is_last=True))
+        writer.write(encode_execution_update(ExecutionUpdate(request_id, name, "started"), is_first=True))
+        is_long = self.random.random() < LONG_EXECUTION_SHARE
+        max_execution = MAX_LONG_EXECUTION_S if is_long else MAX_EXECUTION_S
+        await asyncio.sleep(self.random.random() * max_execution)
+        done = ExecutionUpdate(request_id, name, "done", result=request_id)
+        writer.write(encode_execution_update(done, is_last=True))
--- a/ploverspoke/testbed/fakes/worker_protocol.py
+++ b/ploverspoke/testbed/fakes/worker_protocol.py
@@ -1,4 +1,4 @@
-"""What fake workers send to dispatchers: the chunked response with updates of a run, and load reports."""
+"""The responses of fake workers: chunked ones with the progress of an execution, and load reports."""
 
 from typing import Final
 
@@ -6,28 +6,30 @@
 
 from .http_wire import CHUNKED_HEAD, LAST_CHUNK, encode_chunk, encode_response
 
-NOT_STARTED_HEADER: Final = "Not-Started: 1\r\n"  # on a 503: the request may run elsewhere
+NOT_STARTED_HEADER: Final = "Not-Started: 1\r\n"  # on a 503: the request may be sent to another worker
 
 
-class RunUpdate(msgspec.Struct, frozen=True, omit_defaults=True, rename={"worker": "from"}):
-    """One line of the response to a request: a state of its run."""
+class ExecutionUpdate(msgspec.Struct, frozen=True, omit_defaults=True, rename={"worker": "from"}):
+    """One line of the response to a request: the state of its execution."""
 
-    id: str  # of the request
+    id: str  # request id
     worker: str
     state: str  # "started", "running", "done" or "failed"
-    share: float | msgspec.UnsetType = msgspec.UNSET  # of the work that is done, while it runs
-    result: str | msgspec.UnsetType = msgspec.UNSET  # once it is done
+    share: float | msgspec.UnsetType = msgspec.UNSET  # share of the work that is done, in state "running"
+    result: str | msgspec.UnsetType = msgspec.UNSET  # in state "done"
 
 
 class LoadReport(msgspec.Struct, frozen=True, rename={"free_slots": "x0"}):
     """A worker's answer to a load probe."""
 
-    backlog: float  # requests that wait
+    backlog: float  # queued requests
     free_slots: float
 
 
-def encode_run_update(update: RunUpdate, *, is_first: bool = False, is_last: bool = False) -> bytes:
-    """Return the update as a chunk, after the head where it is the first, before the end where the last."""
+def encode_execution_update(
+    update: ExecutionUpdate, *, is_first: bool = False, is_last: bool = False
+) -> bytes:
+    """Return the update as a chunk, with the response head before the first and the end after the last."""
     chunk = encode_chunk(msgspec.json.encode(update) + b"\n")
     return (CHUNKED_HEAD if is_first else b"") + chunk + (LAST_CHUNK if is_last else b"")
 
@@ -38,5 +40,5 @@
 
 
 def encode_not_started() -> bytes:
-    """Return the response to a request that the worker gives back without having started it."""
+    """Return the response with which a worker returns a request that it has not started."""
     return encode_response(503, "Service Unavailable", b"", NOT_STARTED_HEADER)
