--- a/ploverspoke/testbed/scenarios/bench_process.py
+++ b/ploverspoke/testbed/scenarios/bench_process.py
@@ -17,7 +17,7 @@
 FAKES = "ploverspoke.testbed.fakes"
 WORKERS = 8
 WORKER_SLOTS = 4
-IDS_PER_LOAD = 10_000_000  # so that no two loads share an id
+IDS_PER_LOAD = 10_000_000  # request ids reserved for each load, so that no two loads share an id
 
 Log = Callable[[str], None]
 Message = TypeVar("Message")
@@ -27,7 +27,7 @@
     """A Python process on one core that prints JSON lines."""
 
     def __init__(self, arguments: list[str], core: int, **environment: str) -> None:
-        """Start `python ARGUMENTS` with more variables in its environment."""
+        """Start `python ARGUMENTS` on that core, with additional environment variables."""
         self.process = subprocess.Popen(
             [sys.executable, *arguments],
             env={**os.environ, **environment},
@@ -38,25 +38,25 @@
         os.sched_setaffinity(self.process.pid, {core})
 
     def read(self, message_type: type[Message]) -> Message:
-        """Return its next line.
+        """Read the next line of its output as a message.
 
         Raises:
-            msgspec.DecodeError: it has ended, or the line is no such message.
+            msgspec.DecodeError: the process has ended, or the line is not a message of that type.
         """
         assert self.process.stdout is not None
         return msgspec.json.decode(self.process.stdout.readline(), type=message_type)
 
     def stop(self) -> None:
-        """Terminate it and wait for its end."""
+        """Terminate the process and wait until it has ended."""
         self.process.terminate()
         self.process.wait()
 
 
 class InstantWorkers:
-    """A process of workers that answer at once."""
+    """A process with workers that answer immediately."""
 
     def __init__(self, count: int, core: int) -> None:
-        """Start it and read where its workers listen."""
+        """Start the process and read the ports of its workers."""
         self.process = BenchProcess(["-m", f"{FAKES}.instant_workers", str(count)], core)
         self.ports = self.process.read(WorkerPorts).ports
 
@@ -65,7 +65,7 @@
     """Runs load generators one after the other, on one core."""
 
     def __init__(self, core: int, seconds: float) -> None:
-        """Each load takes so long."""
+        """Prepare loads that each run for `seconds`."""
         self.core = core
         self.seconds = seconds
         self.next_first_id = 1
@@ -81,7 +81,7 @@
 
 
 def endpoint_list(worker_ports: list[int]) -> EndpointListUpdate:
-    """Return the list of workers at these ports, which a dispatcher is given at its start."""
+    """Return an endpoint list of the workers at these ports, for the configuration of a dispatcher."""
     return EndpointListUpdate(
         version=1,
         is_full=True,
@@ -103,7 +103,7 @@
 def bench_experiment(
     request_classes: list[dict[str, object]], workers: int, duration: str, rate: float
 ) -> Experiment:
-    """Return an experiment of one dispatcher; classes and duration are as an experiment file has them."""
+    """Return an experiment with one dispatcher; classes and duration have the form of an experiment file."""
     return parse_experiment(
         {
             "name": f"{workers} workers",
--- a/ploverspoke/testbed/scenarios/bench_replicas.py
+++ b/ploverspoke/testbed/scenarios/bench_replicas.py
@@ -1,4 +1,4 @@
-"""The dispatchers of `testbed bench --store`: replicas of one store, or a single one without a store."""
+"""The dispatchers of `testbed bench --store`: replicas of one store, or a single dispatcher without one."""
 
 import http.client
 import os
@@ -31,10 +31,10 @@
 
 
 class BenchReplicas:
-    """The processes, each on a core of its own as far as there are any."""
+    """The dispatcher processes, each on its own core as long as there are enough cores."""
 
     def __init__(self, folder: Path, size: int, worker_ports: list[int], cores: list[int]) -> None:
-        """Start `size` replicas with a new store; 0: one dispatcher without a store."""
+        """Start `size` replicas with a new store, or one dispatcher without a store if `size` is 0."""
         self.folder = folder
         self.size = size
         self.cores = cores
@@ -82,11 +82,11 @@
     def _store_path(self, number: int) -> Path:
         return self.folder / f"s{number}.json"
 
-    def _start(self, number: int, more: list[str]) -> subprocess.Popen[bytes]:
+    def _start(self, number: int, extra_arguments: list[str]) -> subprocess.Popen[bytes]:
         arguments = ["-m", "ploverspoke"]
         config, store = str(self._config_path(number)), str(self._store_path(number))
         if self.size:
-            arguments += ["serve", config, "--store", store, *more]
+            arguments += ["serve", config, "--store", store, *extra_arguments]
         process = subprocess.Popen(
             [sys.executable, *arguments],
             env={**os.environ, "RELAY_CONFIG": config},
@@ -97,20 +97,20 @@
         return process
 
     def wait_for_leader(self) -> int:
-        """Wait until a replica leads, or the single dispatcher serves; returns its number.
+        """Wait until a replica leads, or the single dispatcher serves, and return its number.
 
         Raises:
-            ProcessStartError: none does in time.
+            ProcessStartError: none of them does so within LEADER_TIMEOUT.
         """
         deadline = time.monotonic() + LEADER_TIMEOUT
         while time.monotonic() < deadline:
             for number in range(len(self.client_ports)):
-                if self._leads(number):
+                if self._is_leader(number):
                     return number
             time.sleep(LEADER_POLL_INTERVAL)
         raise ProcessStartError(problem="no replica leads")
 
-    def _leads(self, number: int) -> bool:
+    def _is_leader(self, number: int) -> bool:
         if not self.size:
             return self.serves(number, f"first-{time.monotonic_ns()}")
         try:
@@ -120,7 +120,7 @@
             return False
 
     def serves(self, number: int, request_id: str) -> bool:
-        """Whether a non-idempotent request succeeds there now."""
+        """Return whether that dispatcher now completes a non-idempotent request."""
         connection = http.client.HTTPConnection(
             "127.0.0.1", self.client_ports[number], timeout=REQUEST_TIMEOUT
         )
@@ -139,11 +139,11 @@
         self.processes[number].wait()
 
     def restart(self, number: int) -> None:
-        """Start a replica that was killed."""
+        """Start a killed replica again, with the store that it has."""
         self.processes[number] = self._start(number, [])
 
     def stop(self) -> None:
-        """Kill all."""
+        """Kill all processes."""
         for process in self.processes:
             process.kill()
             process.wait()
--- a/ploverspoke/testbed/scenarios/config_change_fleet.py
+++ b/ploverspoke/testbed/scenarios/config_change_fleet.py
@@ -1,4 +1,4 @@
-"""Fleets of the scale tests with many changes of configuration: by signals, or from config servers."""
+"""Fleets of the scale tests with many changes of configuration, by signals or from config servers."""
 
 import asyncio
 import time
@@ -22,9 +22,9 @@
 from .scale_fleet import SimulatedScaleFleet
 from .scale_resources import ProcessCounts
 
-ADDED_CLASS = "change"  # the request classes that changes add: change-1, change-2, ...
+ADDED_CLASS = "change"  # prefix of the request classes that changes add: change-1, change-2, ...
 CLUSTER = "testbed"
-PUBLISH_TIMEOUT = 10.0  # seconds, for a leader to take a version
+PUBLISH_TIMEOUT = 10.0  # seconds until a leader must have accepted a version
 
 
 class ConfigChangeFleet(SimulatedScaleFleet):
@@ -38,11 +38,11 @@
         counts: ProcessCounts,
         scenario: ScaleScenario,
     ) -> None:
-        """`scenario` says how many changes there are."""
+        """Prepare a fleet; `scenario` states the number of changes."""
         super().__init__(experiment, seed, folder, counts)
         self.scenario = scenario
-        self.delays: list[list[int]] = []  # ns until each change was applied, by dispatcher
-        self.bytes_delivered = 0  # of all changes
+        self.delays: list[list[int]] = []  # for each change, ns until each dispatcher has applied it
+        self.bytes_delivered = 0  # of all changes, to all dispatchers
         self._poller: ChildProcess | None = None
 
     async def _before_dispatchers(self, addresses: list[ProcessAddress]) -> None:
@@ -61,20 +61,21 @@
             self.delays.append(applied.delays)
 
     async def _make_changes(self, epoch: int) -> None:
-        """Make the changes, evenly over the measured time."""
+        """Make the changes at regular intervals over the measured time."""
         assert self._poller is not None
-        begin = epoch + self.experiment.measured_from
+        measured_from = epoch + self.experiment.measured_from
         interval = self.scenario.duration // (self.scenario.changes + 1)
         try:
             for number in range(1, self.scenario.changes + 1):
-                await asyncio.sleep(max(0, begin + number * interval - time.monotonic_ns()) / SECOND)
+                due = measured_from + number * interval
+                await asyncio.sleep(max(0, due - time.monotonic_ns()) / SECOND)
                 self._poller.send(ConfigChange(number, f"{ADDED_CLASS}-{number}"))
                 await self.deliver(number)
         except (OSError, RuntimeError) as error:
             self.rig.errors.append(f"a change could not be made: {error}")
 
     def settings_after(self, changes: int, dispatcher: int) -> dict[str, Any]:
-        """Return the settings of a dispatcher after so many changes."""
+        """Return the settings of a dispatcher after that number of changes."""
         classes = self.experiment.request_classes
         added = [
             msgspec.structs.replace(classes[-1], name=f"{ADDED_CLASS}-{number}", weight=1.0 + number / 100)
@@ -95,9 +96,9 @@
 
 
 class WatchedConfigFleet(ConfigChangeFleet):
-    """Each change is a version at config servers, real processes, that all dispatchers watch.
+    """Each change is a version at real config servers, which all dispatchers watch.
 
-    The proxy stands between watchers and servers, and counts the bytes both ways.
+    The proxy is between watchers and servers, and counts the bytes in both directions.
     """
 
     def __init__(
@@ -108,7 +109,7 @@
         counts: ProcessCounts,
         scenario: ScaleScenario,
     ) -> None:
-        """`scenario` says how many config servers and changes there are."""
+        """Prepare a fleet; `scenario` states the numbers of config servers and changes."""
         super().__init__(experiment, seed, folder, counts, scenario)
         self.server_addresses = [
             self.rig.allocate_address(f"c{number}", ["clients"], [], direct=["peers"])
@@ -130,18 +131,18 @@
             "folder": address.name,
             "secret_file": "secret",
             "replicas": {
-                each.name: {"peers": each.endpoint("peers"), "clients": each.endpoint("clients")}
-                for each in self.server_addresses
+                server.name: {"peers": server.endpoint("peers"), "clients": server.endpoint("clients")}
+                for server in self.server_addresses
             },
         }
         path.write_bytes(msgspec.json.encode(config))
-        server = RunningProcess(address, self.folder, "ploverspoke", ["config", "serve", str(path)])
-        server.ready = accepts_connections(address.host, address.ports["clients"])
-        return server
+        process = RunningProcess(address, self.folder, "ploverspoke", ["config", "serve", str(path)])
+        process.ready = accepts_connections(address.host, address.ports["clients"])
+        return process
 
     def _dispatcher_address(self, number: int, address: ProcessAddress) -> DispatcherAddress:
-        servers = [each.proxied_endpoint("clients") for each in self.server_addresses]
-        watch = self.folder / f"{address.name}.watch.json"
+        servers = [server.proxied_endpoint("clients") for server in self.server_addresses]
+        watch_path = self.folder / f"{address.name}.watch.json"
         document = {
             "cluster": CLUSTER,
             "servers": servers,
@@ -149,22 +150,23 @@
             "secret_file": "secret",
             "cache": f"{address.name}.cache",
         }
-        watch.write_bytes(msgspec.json.encode(document))
-        return super()._dispatcher_address(number, address)._replace(watch=str(watch))
+        watch_path.write_bytes(msgspec.json.encode(document))
+        return super()._dispatcher_address(number, address)._replace(watch=str(watch_path))
 
     async def _make_changes(self, epoch: int) -> None:
-        before = await self._proxied_bytes_at(epoch + self.experiment.measured_from)
+        bytes_before = await self._proxied_bytes_at(epoch + self.experiment.measured_from)
         await super()._make_changes(epoch)
-        self.bytes_delivered = await self._proxied_bytes_at(epoch + self.experiment.duration) - before
+        bytes_after = await self._proxied_bytes_at(epoch + self.experiment.duration)
+        self.bytes_delivered = bytes_after - bytes_before
 
     async def _proxied_bytes_at(self, due: int) -> int:
-        """Return the bytes that the proxy has passed by that time, ns of the monotonic clock."""
+        """Wait until `due`, ns of the monotonic clock, and return the bytes that the proxy has passed."""
         await asyncio.sleep(max(0, due - time.monotonic_ns()) / SECOND)
         await self.rig.link_faults.read_counters()
         return self.rig.link_faults.counters.links.bytes_passed
 
     async def deliver(self, number: int) -> None:
-        """Publish one version, as an operator's tool does."""
+        """Publish one version in the same way as an operator's tool."""
         from ploverspoke.config_distribution.admin_client import publish
         from ploverspoke.config_distribution.cluster_config import ConfigServers
         from ploverspoke.config_distribution.errors import NoServerAvailableError
@@ -182,7 +184,7 @@
             raise ProcessStartError(problem=f"version {number} is not published: {reply.reason}")
 
     async def close(self) -> None:
-        """Kill the config servers, then end all else."""
+        """Kill the config servers, then end all other processes and tasks."""
         await asyncio.gather(*(server.kill() for server in self.servers))
         for server in self.servers:
             server.close()
--- a/ploverspoke/testbed/scenarios/decision_bench.py
+++ b/ploverspoke/testbed/scenarios/decision_bench.py
@@ -1,4 +1,4 @@
-"""Measures the time that decisions take, by fleet size, on virtual time."""
+"""Measures the CPU time of decisions by fleet size, in simulations on virtual time."""
 
 import time
 from collections.abc import Callable
@@ -29,14 +29,17 @@
 
 
 class DecisionCost(msgspec.Struct, rename={"microseconds_per_request": "us_each"}):
-    """The time of decisions with a fleet of so many workers."""
+    """The time of decisions, by the number of workers in the fleet."""
 
     workers: int
     microseconds_per_request: float
 
 
 class TimedHost:
-    """Carries out actions for a policy and times them: they are the models' cost, not the decisions'."""
+    """Passes a policy's actions to its host and times them, since they are a cost of the models.
+
+    The time of decisions is without them.
+    """
 
     def __init__(self, host: Any) -> None:
         """Wrap the host of a policy."""
@@ -48,7 +51,7 @@
         action = getattr(self.host, name)
 
         def timed(*arguments: Any) -> None:
-            """Carry out the action."""
+            """Carry out the action and add its time."""
             began_at = time.perf_counter()
             action(*arguments)
             TimedPolicy.host_seconds += time.perf_counter() - began_at
@@ -64,34 +67,34 @@
     host_seconds = 0.0
 
     def __init__(self, host: Any, seed: int, settings: Any, true_load: Any = None) -> None:
-        """Decide for that host."""
+        """Create a policy for that host, whose actions are timed."""
         super().__init__(TimedHost(host), seed, settings)
 
     @classmethod
     def reset(cls) -> None:
-        """Begin anew."""
+        """Reset the added times to zero."""
         cls.seconds = cls.host_seconds = 0.0
 
 
-def _timed(event: str) -> Callable[..., None]:
+def _timed_handler(event: str) -> Callable[..., None]:
     original = getattr(Policy, event)
 
-    def call(self: TimedPolicy, *arguments: Any, **named: Any) -> None:
-        """Handle the event."""
+    def handle(self: TimedPolicy, *arguments: Any, **keyword_arguments: Any) -> None:
+        """Handle the event and add its time, without that of the host's actions."""
         began_at, host_seconds = time.perf_counter(), TimedPolicy.host_seconds
-        original(self, *arguments, **named)
+        original(self, *arguments, **keyword_arguments)
         elapsed = time.perf_counter() - began_at
         TimedPolicy.seconds += elapsed - (TimedPolicy.host_seconds - host_seconds)
 
-    return call
+    return handle
 
 
 for _event in EVENTS:
-    setattr(TimedPolicy, _event, _timed(_event))
+    setattr(TimedPolicy, _event, _timed_handler(_event))
 
 
 def measure_decisions(is_quick: bool, log: Log) -> list[DecisionCost]:
-    """Return the microseconds of decisions for each request, of one dispatcher, by fleet size."""
+    """Return the microseconds that one dispatcher spends on decisions for each request, by fleet size."""
     costs = []
     POLICIES[TIMED_POLICY] = TimedPolicy
     try:
--- a/ploverspoke/testbed/scenarios/dispatcher_bench.py
+++ b/ploverspoke/testbed/scenarios/dispatcher_bench.py
@@ -1,7 +1,7 @@
 """`testbed bench`: throughput and latency of one dispatcher on one core, and the cost of its decisions.
 
-All measurements of one call are taken in turns on the same cores, so that they can be compared with one
-another; alone they say little, since machines differ and are noisy.
+All measurements of one call are taken in turns on the same cores, so that they can be compared with each
+other. Measurements of different calls cannot, since machines differ and are noisy.
 """
 
 import os
@@ -34,9 +34,9 @@
 CLIENT_COUNTS = (1, 8, 32, 128)
 WORKER_PROCESSES = 2
 PROGRAMS = {"dispatcher": "ploverspoke", "bare relay": f"{FAKES}.baseline_dispatcher"}
-OPEN_LOOP_SHARE = 0.6  # of the smaller of both throughputs: the rate of the open loop
+OPEN_LOOP_SHARE = 0.6  # the rate of the open loop, as a share of the lower closed-loop throughput of both
 ROUNDS, QUICK_ROUNDS = 3, 1
-SECONDS, QUICK_SECONDS = 2.5, 1.0  # of one load
+SECONDS, QUICK_SECONDS = 2.5, 1.0  # duration of one load
 START_TIMEOUT = 10.0  # seconds
 START_POLL_INTERVAL = 0.02  # seconds
 MAX_SOCKETS = 1024
@@ -53,7 +53,7 @@
         "open_loop_p99_ms": "open_p99_ms",
     },
 ):
-    """One program with so many clients; rates are requests a second."""
+    """One program, by the number of clients; rates are requests a second."""
 
     clients: int
     program: str
@@ -81,13 +81,13 @@
 
 
 class BenchProgram:
-    """A dispatcher, or the baseline, with a list of workers that it is given at its start."""
+    """A dispatcher, or the baseline, with an endpoint list in its configuration."""
 
     def __init__(self, folder: Path, name: str, worker_ports: list[int], core: int) -> None:
-        """Start it and wait until it accepts connections; nobody listens at its discovery.
+        """Start the program and wait until it accepts connections; nothing listens at its discovery address.
 
         Raises:
-            ProcessStartError: it does not in time.
+            ProcessStartError: it does not accept connections within START_TIMEOUT.
         """
         module = PROGRAMS[name]
         [self.port, unused_port] = reserve_ports(2)
@@ -147,24 +147,24 @@
 def _measure_programs(
     programs: dict[str, BenchProgram], clients: int, rounds: int, loads: LoadRunner, log: Log
 ) -> list[ProgramMetrics]:
-    """Measure all programs in turns, first in a closed loop, then at a rate that all of them bear."""
-    closed: dict[str, list[LoadResult]] = {name: [] for name in programs}
+    """Measure all programs in turns: first in a closed loop, then at a rate that all of them can sustain."""
+    closed_loop: dict[str, list[LoadResult]] = {name: [] for name in programs}
     for _ in range(rounds):
         for name, program in programs.items():
-            closed[name].append(loads.run(program.port, clients, 0.0, "look-up"))
-    rate = OPEN_LOOP_SHARE * min(_median_throughput(results) for results in closed.values())
+            closed_loop[name].append(loads.run(program.port, clients, 0.0, "look-up"))
+    rate = OPEN_LOOP_SHARE * min(_median_throughput(results) for results in closed_loop.values())
     rows = []
     for name, program in programs.items():
-        opened = [loads.run(program.port, clients, rate, "look-up") for _ in range(rounds)]
+        open_loop = [loads.run(program.port, clients, rate, "look-up") for _ in range(rounds)]
         row = ProgramMetrics(
             clients=clients,
             program=name,
-            requests_per_second=_median_throughput(closed[name]),
-            rejected=sum(result.rejected for result in closed[name]),
+            requests_per_second=_median_throughput(closed_loop[name]),
+            rejected=sum(result.rejected for result in closed_loop[name]),
             open_loop_rate=rate,
-            open_loop_p50_ms=median(result.p50_ms for result in opened),
-            open_loop_p99_ms=median(result.p99_ms for result in opened),
-            generator_late_ms=max(result.max_lateness_ms for result in opened),
+            open_loop_p50_ms=median(result.p50_ms for result in open_loop),
+            open_loop_p99_ms=median(result.p99_ms for result in open_loop),
+            generator_late_ms=max(result.max_lateness_ms for result in open_loop),
         )
         rows.append(row)
         log(f"{clients} clients, {name}: {row.requests_per_second:.0f} a second")
--- a/ploverspoke/testbed/scenarios/dispatcher_program.py
+++ b/ploverspoke/testbed/scenarios/dispatcher_program.py
@@ -14,7 +14,7 @@
 
 
 class DispatcherProgram(RunningProcess):
-    """One dispatcher, ready once its readiness endpoint says so."""
+    """One dispatcher process; it is ready once its readiness endpoint answers 200."""
 
     def __init__(
         self,
@@ -23,7 +23,7 @@
         config: Mapping[str, object],
         store: Mapping[str, object] | None = None,
     ) -> None:
-        """Write its files into the rig's folder; with `store` it is a replica of a store."""
+        """Write its configuration files into the rig's folder; with `store` it is a replica of a store."""
         config_path = rig.folder / f"{address.name}.json"
         config_path.write_bytes(msgspec.json.encode(config))
         arguments = []
@@ -36,7 +36,7 @@
         self.ready = self._is_ready
 
     async def start(self, more: Sequence[str] = ()) -> None:
-        """Start it; only at its first start a replica may create its store."""
+        """Start the process; a replica gets `--new`, which creates its store, only at its first start."""
         is_new_replica = bool(self.arguments) and not self.starts
         await super().start(["--new"] if is_new_replica else more)
 
--- a/ploverspoke/testbed/scenarios/distribution_experiment.py
+++ b/ploverspoke/testbed/scenarios/distribution_experiment.py
@@ -1,4 +1,4 @@
-"""Experiment files of config distribution (`kind = "distribution"`): scenario, demands and their checks."""
+"""Experiment files of config distribution (`kind = "distribution"`): scenario, demands, and their checks."""
 
 from typing import Any
 
@@ -10,12 +10,12 @@
 from ..experiment_files.timeline_experiment import TimelineExperiment, convert_timeline_experiment
 
 REGIONS = ("a", "b")
-QUIET_END = 2 * SECOND  # ns without faults and publications, beyond the limit of the checks
+QUIET_END = 2 * SECOND  # ns without faults and publications, in addition to the limit of the checks
 SERVER_COUNTS = (3, 5)
 MAX_DISPATCHERS = 64
 MAX_PUBLISHERS = 16
 
-# What a file calls each field of the scenario.
+# The key in an experiment file of each field of the scenario whose name differs.
 SCENARIO_KEYS = {
     "run_duration": "lasts",
     "publish_interval": "every",
@@ -42,19 +42,20 @@
 class DistributionScenario(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True, rename=SCENARIO_KEYS
 ):
-    """Config servers, dispatchers that watch them, publishers, and how often there are faults.
+    """Config servers, dispatchers that watch them, publishers, and the frequency of faults.
 
-    Intervals of faults are means; 0: there are none of that kind.
+    Intervals between faults are means; with 0 there are no faults of that kind.
     """
 
     servers: int = 3
     dispatchers: int = 6
     run_duration: Duration = Duration(25 * SECOND)
-    within: Duration = Duration(10 * SECOND)  # the limit of the checks, from acknowledged to active
+    within: Duration = Duration(10 * SECOND)  # the limit that is checked, from acknowledged to active
     publishers: int = 3
     publish_interval: Duration = Duration(600 * MILLISECOND)  # mean, of one publisher
-    retry_share: float = 0.75  # of publications that are retried where no answer came
-    prefers_one_server: bool = False  # each dispatcher, in turn; else those of its region
+    retry_share: float = 0.75  # share of publications that are retried if no answer comes
+    # Whether each dispatcher prefers one server, assigned in turn, instead of the servers of its region.
+    prefers_one_server: bool = False
     probe_interval: Duration = Duration(150 * MILLISECOND)  # between two rounds at one dispatcher
     election_timeout: Duration = Duration(200 * MILLISECOND)
     snapshot_interval: int = 100  # log entries
@@ -63,12 +64,12 @@
     pause_interval: Duration = Duration(3 * SECOND)
     cut_interval: Duration = Duration(2 * SECOND)
     rough_link_interval: Duration = Duration(3 * SECOND)
-    empty_folder_interval: Duration = Duration(8 * SECOND)  # a server starts without its folder for a while
+    empty_folder_interval: Duration = Duration(8 * SECOND)  # between starts of a server without its folder
     # The leader is cut off from the other servers for most of the interval.
     leader_cut_interval: Duration = Duration(0)
-    # Nothing is published after a refused version, for `within` and a second.
+    # In a pause, nothing is published after a refused version for `within` and one more second.
     publish_pause_interval: Duration = Duration(0)
-    partition_start: Duration = Duration(0)  # of the regions
+    partition_start: Duration = Duration(0)  # of the partition between the regions
     partition_duration: Duration = Duration(0)
     sample_interval: Duration = Duration(0)  # of memory, disk and traffic
 
@@ -85,7 +86,7 @@
         return [f"{self.region(n)}-d{n}" for n in range(self.dispatchers)]
 
     def calm_end(self) -> int:
-        """Return how much of the end has no faults and publications, ns."""
+        """Return the length of the period at the end without faults and publications, in ns."""
         return self.within + QUIET_END
 
 
@@ -96,10 +97,10 @@
     forbid_unknown_fields=True,
     rename={"faults": "troubles", "max_calm_delay": "calm"},
 ):
-    """What a run must show."""
+    """The demands on a run."""
 
-    versions: int = MIN_VERSIONS  # seen active; with fewer a run is void
-    faults: int = MIN_FAULTS  # with fewer a run is void
+    versions: int = MIN_VERSIONS  # seen active; with fewer the run is void
+    faults: int = MIN_FAULTS  # with fewer the run is void
     max_calm_delay: Duration = Duration(0)  # from acknowledged to active, without faults; 0: any
 
 
@@ -110,7 +111,7 @@
     forbid_unknown_fields=True,
     rename={"scenario": "plan", "demands": "must_hold"},
 ):
-    """A whole file; where it is calm, there are no faults but the partition of the regions."""
+    """A whole experiment file; if it is calm, the only fault is the partition of the regions."""
 
     scenario: DistributionScenario = DistributionScenario()
     demands: DistributionDemands = DistributionDemands()
@@ -120,7 +121,7 @@
     """Read and check a file that was parsed as TOML.
 
     Raises:
-        TimelineError: it is invalid; it names the key.
+        TimelineError: the file is invalid; the error names the key.
     """
     experiment = convert_timeline_experiment(document, DistributionExperiment)
     _check_counts(experiment.scenario)
@@ -150,5 +151,5 @@
         raise TimelineError(key="plan.lasts", problem=problem)
     partition_end = scenario.partition_start + scenario.partition_duration
     if scenario.partition_duration and partition_end + calm_end > scenario.run_duration:
-        problem = "expected an end that leaves plan.within of plan.lasts"
+        problem = f"expected to end {format_duration(calm_end)} before plan.lasts or earlier"
         raise TimelineError(key="plan.apart", problem=problem)
--- a/ploverspoke/testbed/scenarios/distribution_faults.py
+++ b/ploverspoke/testbed/scenarios/distribution_faults.py
@@ -1,4 +1,4 @@
-"""Faults of config servers that no timeline has: lost folders, and leaders that are cut off."""
+"""Faults of config servers that fault timelines do not support: lost folders and leaders that are cut off."""
 
 import asyncio
 import shutil
@@ -15,26 +15,28 @@
 from .replica_files import SECRET
 
 LEADER_POLL_INTERVAL = 0.05  # seconds
-CUT_SHARE = 0.9  # of the interval for which a leader is cut off
-MIN_INTERVAL_SHARE = 0.5  # the time until the next lost folder is this to 1.5, ...
-INTERVAL_DIVISOR = 1.5  # ... of the interval divided by this
+CUT_SHARE = 0.9  # of the interval, for which a leader is cut off
+# The time until the next lost folder is a random factor from MIN_INTERVAL_FACTOR to 1.5, times the interval,
+# divided by INTERVAL_DIVISOR.
+MIN_INTERVAL_FACTOR = 0.5
+INTERVAL_DIVISOR = 1.5
 
 
 class ServerFaults:
-    """Sets off the faults of a run until its calm end."""
+    """Injects the faults of one run until the calm period at its end."""
 
     def __init__(self, fleet: DistributionFleet) -> None:
-        """For the servers of that fleet."""
+        """Prepare faults of that fleet's servers."""
         self.fleet = fleet
         self.rig, self.scenario = fleet.rig, fleet.scenario
-        self.ends_at = self.scenario.run_duration - self.scenario.calm_end()  # ns of the run
+        self.ends_at = self.scenario.run_duration - self.scenario.calm_end()  # ns since the start of the run
 
     async def empty_folders(self) -> None:
-        """Have one server after the other lose its folder for a while."""
+        """Repeatedly make a random server lose its folder for a while."""
         random = Random(f"{self.rig.seed} emptied")
         interval, busy = self.scenario.empty_folder_interval, self.rig.timeline.busy
         while self.rig.timeline.now() < self.ends_at - interval // 2:
-            pause = interval * (MIN_INTERVAL_SHARE + random.random()) / INTERVAL_DIVISOR
+            pause = interval * (MIN_INTERVAL_FACTOR + random.random()) / INTERVAL_DIVISOR
             await asyncio.sleep(pause / SECOND)
             server = self.rig.processes[random.choice(self.fleet.servers).name]
             if server.name in busy or not server.is_running():
@@ -46,7 +48,7 @@
                 busy.discard(server.name)
 
     async def _empty_folder(self, server: RunningProcess) -> None:
-        """Start a server without its folder, which it must refuse, and then with it again."""
+        """Start a server without its folder, which it must refuse, and then start it with its folder."""
         history, moved_folder = self.rig.history, server.folder.with_suffix(".aside")
         history.add("empty", server.name)
         await server.kill()
@@ -64,7 +66,7 @@
         history.add("empty is over", server.name)
 
     async def cut_off_leaders(self) -> None:
-        """Cut the leader off from the other servers, but not from publishers and watchers, in turns."""
+        """Repeatedly cut the leader off from the other servers, but not from publishers and watchers."""
         interval = self.scenario.leader_cut_interval
         while self.rig.timeline.now() < self.ends_at - interval:
             leader = await self._find_leader()
@@ -83,7 +85,7 @@
             await asyncio.sleep(interval * (1 - CUT_SHARE) / SECOND)
 
     async def _find_leader(self) -> str:
-        """Return the name of a server that leads; "" where none is sure to."""
+        """Return the name of a server that reports that it leads; "" if none does."""
         for server in self.fleet.servers:
             try:
                 status = await asyncio.to_thread(
--- a/ploverspoke/testbed/scenarios/distribution_fleet.py
+++ b/ploverspoke/testbed/scenarios/distribution_fleet.py
@@ -1,4 +1,4 @@
-"""The processes of a config distribution run: config servers, dispatchers that watch them, and clients."""
+"""The processes of a config distribution run: config servers, their dispatchers, publishers and probers."""
 
 from collections.abc import Mapping, Sequence
 from typing import Any
@@ -24,9 +24,10 @@
 
 CLIENTS_MODULE = "ploverspoke.testbed.fakes.config_clients"
 CLIENT_PORT, ADMIN_PORT = "clients", "admin"  # of dispatchers
-OWN_FILE_TAG = 0
+OWN_FILE_TAG = 0  # of the request classes in a dispatcher's own file
 
-# Modules and their first arguments that run in place of the program, by process: faulty variants.
+# By process name: the module, with its first arguments, that runs in place of the program. Tests of the
+# checker run faulty variants in this way.
 Replacements = Mapping[str, Sequence[str]]
 
 
@@ -34,7 +35,7 @@
     """The processes of one run on a rig."""
 
     def __init__(self, rig: Rig, scenario: DistributionScenario, replacements: Replacements) -> None:
-        """Start nothing yet."""
+        """Prepare a fleet; nothing is started before `start`."""
         self.rig, self.scenario, self.replacements = rig, scenario, replacements
         self.servers: list[ProcessAddress] = []
         self.dispatchers: list[ProcessAddress] = []
@@ -63,10 +64,10 @@
         await rig.start_processes([dispatcher.name for dispatcher in self.dispatchers])
 
     async def command_clients(self, action: Action) -> None:
-        """Have publishers and probers do something, and wait until it is done.
+        """Send an action to publishers and probers, and wait until it is done.
 
         Raises:
-            ProcessStartError: their process has ended.
+            ProcessStartError: the process of publishers and probers has ended.
         """
         assert self.clients is not None
         self.clients.send(ConfigClientsCommand(action))
@@ -107,7 +108,7 @@
         dispatcher.ready = accepts_connections(address.host, address.ports[CLIENT_PORT])
 
     def _watch_file(self, number: int, address: ProcessAddress) -> dict[str, Any]:
-        """Return the file that names the config servers."""
+        """Return the watch file, which names the config servers."""
         servers = {server.name: server.proxied_endpoint("clients") for server in self.servers}
         preferred = [
             endpoint for name, endpoint in servers.items() if name.startswith(self.scenario.region(number))
@@ -123,7 +124,7 @@
         }
 
     def _settings(self, number: int) -> dict[str, Any]:
-        """Return the settings of the dispatcher's own file."""
+        """Return the settings in the dispatcher's own file."""
         return {
             "Discovery": "push",
             "Localities": list(REGIONS),
@@ -143,7 +144,7 @@
         }
 
     async def _start_clients(self) -> str:
-        """Start publishers and probers; returns the address of their discovery."""
+        """Start publishers and probers, and return the address of their discovery."""
         rig, scenario = self.rig, self.scenario
         spec = ConfigClientsSpec(
             seed=rig.seed,
@@ -152,8 +153,8 @@
             servers={server.name: server.endpoint("peers") for server in self.servers},
             names={server.proxied_endpoint("peers"): server.name for server in self.servers},
             dispatchers={
-                each.name: [each.endpoint(CLIENT_PORT), each.endpoint(ADMIN_PORT)]
-                for each in self.dispatchers
+                address.name: [address.endpoint(CLIENT_PORT), address.endpoint(ADMIN_PORT)]
+                for address in self.dispatchers
             },
             discovery=rig.block.fake_host(0),
             publishers=scenario.publishers,
@@ -170,11 +171,11 @@
         return opened.discovery
 
     def _add_process(self, address: ProcessAddress, arguments: list[str]) -> RunningProcess:
-        module, *first = self.replacements.get(address.name, ["ploverspoke"])
-        return self.rig.add_process(address, module, [*first, *arguments])
+        module, *first_arguments = self.replacements.get(address.name, ["ploverspoke"])
+        return self.rig.add_process(address, module, [*first_arguments, *arguments])
 
     def _write_json(self, name: str, content: object) -> str:
-        """Write a file into the run's folder; returns its path."""
+        """Write a JSON file into the run's folder, and return its path."""
         path = self.rig.folder / name
         path.write_bytes(msgspec.json.encode(content))
         return str(path)
--- a/ploverspoke/testbed/scenarios/distribution_scenario.py
+++ b/ploverspoke/testbed/scenarios/distribution_scenario.py
@@ -24,16 +24,16 @@
 
 MAX_FINDINGS_SHOWN = 3
 EVENTS_AROUND_FINDING = 60
-FREQUENT_EVENTS = ("probe", "door")  # shown only where a finding names their dispatcher
-MAX_LATENESS = 400 * MILLISECOND  # of publishers and probers; past that a run is void
+FREQUENT_EVENTS = ("probe", "door")  # shown only if the finding names their dispatcher
+MAX_LATENESS = 400 * MILLISECOND  # ns, of publishers and probers; if they are later, the run is void
 
 
 class DistributionRunOutcome(NamedTuple):
-    """What one run has shown."""
+    """The outcome of one run."""
 
     verdict: DistributionVerdict
-    void: str  # why the run proves nothing; "" if it does
-    errors: list[str]  # what went wrong though no fault was to cause it
+    void: str  # why the run proves nothing; "" if it is valid
+    errors: list[str]  # failures that no injected fault was meant to cause
     findings: list[str]  # of the checker, each with the events around it
     events: list[HistoryEvent]
     steps: list[FaultStep]
@@ -69,12 +69,12 @@
         await _run_timeline(fleet, timeline, samples)
         events = rig.read_events()
         verdict = check_distribution_history(events, scenario.within)
-        shown = verdict.findings[:MAX_FINDINGS_SHOWN]
+        shown_findings = verdict.findings[:MAX_FINDINGS_SHOWN]
         findings = [
             rig.describe_finding(
                 finding.text, finding.at, _related_events(finding, events), EVENTS_AROUND_FINDING
             )
-            for finding in shown
+            for finding in shown_findings
         ]
     void, links = _void_reason(rig, fleet), rig.link_faults.counters.links
     return DistributionRunOutcome(verdict, void, rig.errors, findings, events, timeline, links, samples)
@@ -83,31 +83,31 @@
 async def _run_timeline(
     fleet: DistributionFleet, timeline: list[FaultStep], samples: list[GrowthSample]
 ) -> None:
-    """Publish, probe and set off all faults; at the end read what the servers have."""
+    """Publish, probe and inject all faults; at the end read the versions that the servers have."""
     rig, scenario, faults = fleet.rig, fleet.scenario, ServerFaults(fleet)
     await fleet.command_clients("start")
     starts_at = monotonic_now()
     rig.timeline.epoch = starts_at
-    work = [asyncio.create_task(_publish_last(fleet))]
+    finite_tasks = [asyncio.create_task(_publish_last(fleet))]
     if scenario.empty_folder_interval:
-        work.append(asyncio.create_task(faults.empty_folders()))
+        finite_tasks.append(asyncio.create_task(faults.empty_folders()))
     if scenario.leader_cut_interval:
-        work.append(asyncio.create_task(faults.cut_off_leaders()))
-    sampling = []
+        finite_tasks.append(asyncio.create_task(faults.cut_off_leaders()))
+    endless_tasks = []
     if scenario.sample_interval:
-        sampling.append(asyncio.create_task(sample_usage(fleet, samples)))
+        endless_tasks.append(asyncio.create_task(sample_usage(fleet, samples)))
     try:
         await rig.run_timeline(timeline, scenario.run_duration, starts_at)
-        for task in work:
+        for task in finite_tasks:
             await task
     finally:
-        for task in [*work, *sampling]:
+        for task in [*finite_tasks, *endless_tasks]:
             task.cancel()
     await fleet.command_clients("read servers")
 
 
 async def _publish_last(fleet: DistributionFleet) -> None:
-    """End publishing early enough for all that was published to be checked."""
+    """End publishing early enough that all published versions can be checked."""
     scenario, now = fleet.scenario, fleet.rig.timeline.now()
     await asyncio.sleep(max(0.0, (scenario.run_duration - scenario.calm_end() - now) / SECOND))
     await fleet.command_clients("publish last")
@@ -122,7 +122,7 @@
 
 
 def _related_events(finding: HistoryFinding, events: list[HistoryEvent]) -> list[HistoryEvent]:
-    """Return the events that are shown around a finding."""
+    """Return the events that may be shown with a finding."""
     return [event for event in events if event.kind not in FREQUENT_EVENTS or event.detail[0] in finding.text]
 
 
@@ -130,7 +130,7 @@
 
 
 def run_distribution(experiment: DistributionExperiment, seed: int) -> dict[str, Any]:
-    """Run one seed of an experiment; returns its entry in `result.json`."""
+    """Run one seed of an experiment, and return its entry in `result.json`."""
     scenario, steps = experiment.scenario, None
     if experiment.is_calm:
         scenario = msgspec.structs.replace(scenario, empty_folder_interval=Duration(0))
@@ -170,7 +170,7 @@
 
 
 def _failures(outcome: DistributionRunOutcome, demands: DistributionDemands) -> list[str]:
-    """Return the findings, the errors, and the demands that do not hold."""
+    """Return the findings, the errors, and the demands that are not met."""
     failures = [*(finding.text for finding in outcome.verdict.findings), *outcome.errors]
     delays = outcome.verdict.calm_delays
     if demands.max_calm_delay and delays and delays[-1] * SECOND > demands.max_calm_delay:
--- a/ploverspoke/testbed/scenarios/endpoint_list_age.py
+++ b/ploverspoke/testbed/scenarios/endpoint_list_age.py
@@ -1,4 +1,4 @@
-"""Measures how long a drain stays unknown to dispatchers, by kind of discovery failure.
+"""Measures the time until dispatchers learn of a drain, by kind of discovery failure.
 
 `python -m ploverspoke.testbed.scenarios.endpoint_list_age` prints the table.
 """
@@ -19,9 +19,9 @@
 
 # Times are in seconds.
 FLEET_SIZES = (1, 30, 177, 1000)
-TRIES = 4
+RUNS_PER_CELL = 4
 MAX_PROCESSES = 16
-MAX_AGE = 25.0  # an age that is longer is not waited for
+MAX_AGE = 25.0  # the longest age that a measurement waits for; a longer one counts as this
 CASE_OUTAGE_DURATION = 4.0
 POLL_INTERVAL = 0.01
 WATCH_TIMEOUT = 60.0  # until a dispatcher watches discovery
@@ -32,7 +32,7 @@
 QUEUE_CAPACITY = 20  # calls
 CALL_SERVICE_TIMES = (0.05, 0.125)  # seconds
 FLEET_OUTAGE_DURATION = 3.0  # seconds
-COUNTED_AFTER = 10.0  # after the outage, in which calls are counted
+COUNTED_AFTER = 10.0  # time after the outage in which calls are counted
 
 ENTRIES = [
     ListedEndpoint(id=f"w{n}", addr="127.0.0.1:9", zone="a", kind="plain", state="Ready", started_ms=0)
@@ -41,10 +41,10 @@
 
 
 class DiscoveryCase:
-    """One dispatcher and its discovery, or two where a new configuration moves it."""
+    """One dispatcher and its current discovery, which a new configuration can replace."""
 
     def __init__(self, discovery: ScriptedDiscovery, dispatcher: DispatcherProcess) -> None:
-        """A dispatcher that is configured for that discovery."""
+        """Take a dispatcher that is configured for that discovery."""
         self.discovery = discovery
         self.dispatcher = dispatcher
 
@@ -60,22 +60,22 @@
 
 
 def failing_watch(*failures: Failure) -> Fault:
-    """Return a fault: the open watch and the calls after it fail."""
+    """Return a fault in which the open watch and the calls after it fail, one for each failure."""
 
     async def inject(case: DiscoveryCase) -> None:
-        """Have them fail."""
+        """Make the watch and the calls fail."""
         case.discovery.fail_watches(*failures)
 
     return inject
 
 
-def moving(failures: int) -> Fault:
-    """Return a fault: a new configuration, with so many rejections at the new address."""
+def moving_discovery(failures: int) -> Fault:
+    """Return a fault in which a new configuration names a discovery whose first calls are rejected."""
     return lambda case: case.move(failures)
 
 
 def failing_for_a_while(failure: Failure | None) -> Fault:
-    """Return a fault: an outage; None: connections are refused."""
+    """Return a fault in which all calls fail for a while; with None, connections are refused."""
     return lambda case: case.discovery.fail_for(failure, CASE_OUTAGE_DURATION)
 
 
@@ -83,8 +83,8 @@
     "one call answered 503": failing_watch(Failure.REJECTED),
     "two in a row answered 503": failing_watch(*[Failure.REJECTED] * 2),
     "three in a row answered 503": failing_watch(*[Failure.REJECTED] * 3),
-    "new configuration, first call there answered 503": moving(1),
-    "the same, three in a row": moving(3),
+    "new configuration, first call there answered 503": moving_discovery(1),
+    "the same, three in a row": moving_discovery(3),
     "reset twice, then 503": failing_watch(Failure.RESET, Failure.RESET, Failure.REJECTED),
     "a watch falls silent once": failing_watch(Failure.SILENT),
     "a watch falls silent, the next call 503": failing_watch(Failure.SILENT, Failure.REJECTED),
@@ -99,7 +99,7 @@
 async def measure_list_age(fault: Fault, fleet_size: int, seed: int, folder: Path) -> float:
     """Return the seconds from a drain until discovery has written it to the dispatcher.
 
-    The drain comes with the first of some failures, or at the end of an outage.
+    The drain happens at the same time as the first of several failures, or at the end of an outage.
     """
     loop, discovery = asyncio.get_running_loop(), ScriptedDiscovery(ENTRIES)
     dispatcher = DispatcherProcess(folder, 0, await discovery.address_for(0), seed, PeersTotal=fleet_size)
@@ -123,7 +123,7 @@
     """Wait until the dispatcher has the list and watches for changes.
 
     Raises:
-        TimeoutError: it does not in time.
+        TimeoutError: it does not do so within WATCH_TIMEOUT.
     """
     async with asyncio.timeout(WATCH_TIMEOUT):
         while not any(call.dispatcher == dispatcher and call.version for call in discovery.calls):
@@ -153,7 +153,7 @@
             with tempfile.TemporaryDirectory() as folder:
                 return await measure_list_age(fault, fleet_size, seed, Path(folder))
 
-    ages = await asyncio.gather(*(measure(fleet_size * 100 + number) for number in range(TRIES)))
+    ages = await asyncio.gather(*(measure(fleet_size * 100 + number) for number in range(RUNS_PER_CELL)))
     return f"{min(ages):.1f} to {max(ages):.1f}"
 
 
@@ -161,30 +161,31 @@
 
 
 class FleetOutageRun(NamedTuple):
-    """A fleet whose discovery, which works through a queue of calls, comes back from an outage."""
+    """A fleet after an outage of its discovery, which serves its calls from a queue."""
 
     discovery: ScriptedDiscovery
     queue: CallQueue
-    is_refusing: bool  # during the outage connections are refused; else calls are rejected
-    version: int  # of the list that has a drain, made when discovery is back
-    began_at: float  # of the event loop's clock
-    back_at: float
+    is_refusing: bool  # whether connections are refused in the outage; otherwise calls are rejected
+    version: int  # of the list with a drain that is published as soon as the outage ends
+    began_at: float  # start of the outage, by the event loop's clock
+    back_at: float  # end of the outage
 
     def table_row(self) -> str:
-        """Return its row in the table."""
-        written = [self.discovery.written_at(number, self.version) for number in range(FLEET_SIZE)]
-        ages = sorted(MAX_AGE if at is None else at - self.back_at for at in written)
-        calls = [call.at for call in self.discovery.calls]
-        during = sum(self.began_at <= at < self.back_at for at in calls) / FLEET_OUTAGE_DURATION
-        after = sum(self.back_at <= at < self.back_at + COUNTED_AFTER for at in calls) / COUNTED_AFTER
+        """Return the run's row in the table."""
+        write_times = [self.discovery.written_at(number, self.version) for number in range(FLEET_SIZE)]
+        ages = sorted(MAX_AGE if at is None else at - self.back_at for at in write_times)
+        call_times = [call.at for call in self.discovery.calls]
+        rate_during = sum(self.began_at <= at < self.back_at for at in call_times) / FLEET_OUTAGE_DURATION
+        counted_until = self.back_at + COUNTED_AFTER
+        rate_after = sum(self.back_at <= at < counted_until for at in call_times) / COUNTED_AFTER
         cells = [
             f"{self.queue.service_time * 1000:.0f} ms",
             "yes" if self.queue.rejections_are_served else "no",
             "refused" if self.is_refusing else "503",
             f"{statistics.median(ages):.1f}",
             f"{ages[-1]:.1f}",
-            "not seen" if self.is_refusing else f"{during:.1f}",
-            f"{after:.1f}",
+            "not seen" if self.is_refusing else f"{rate_during:.1f}",
+            f"{rate_after:.1f}",
         ]
         return f"| {' | '.join(cells)} |"
 
@@ -222,7 +223,7 @@
 
 
 async def print_outage_table() -> None:
-    """Print the ages in a fleet at a discovery that comes back."""
+    """Print the ages in a fleet whose discovery comes back from an outage."""
     print("| a call | rejections are served | while down | median | last | calls/s down | calls/s after |")
     print("| --- | --- | --- | --- | --- | --- | --- |")
     for service_time in CALL_SERVICE_TIMES:
@@ -239,10 +240,10 @@
     "--crowd",
     "is_outage",
     is_flag=True,
-    help="The table of a fleet after an outage of discovery, in place of that of faults.",
+    help="Print the table of a fleet after an outage of discovery instead of the table of faults.",
 )
 def main(is_outage: bool) -> None:
-    """Measure with the program of this checkout; takes some minutes."""
+    """Measure the program of this checkout; takes some minutes."""
     uvloop.run(print_outage_table() if is_outage else print_fault_table())
 
 
--- a/ploverspoke/testbed/scenarios/experiment_runner.py
+++ b/ploverspoke/testbed/scenarios/experiment_runner.py
@@ -22,24 +22,24 @@
 
 
 def run_virtual(experiment: Experiment, seed: int, policy: str, events_path: Path | None = None) -> RunScore:
-    """Run once on virtual time; write the events to `events_path` where it is given."""
+    """Run once on virtual time, and write the events to `events_path` if it is given."""
     from ..models.virtual_run import run_virtual_time
 
-    began = time.perf_counter()
+    began_at = time.perf_counter()
     with _without_garbage_collection():
         events = run_virtual_time(experiment, seed, policy)
-    took = time.perf_counter() - began
+    elapsed = time.perf_counter() - began_at
     if events_path is not None:
         write_events(events, events_path)
     findings = audit_requests(experiment, events, VIRTUAL_TOLERANCE)
     score = score_run(experiment, policy, seed, events, findings)
-    score.ran_for_s = took
+    score.ran_for_s = elapsed
     return score
 
 
 @contextmanager
 def _without_garbage_collection() -> Iterator[None]:
-    """Switch the cycle collector off: the records of a run all stay, and scanning them is slow."""
+    """Disable the cyclic garbage collector: all records of a run stay in use, and scanning them is slow."""
     was_enabled = gc.isenabled()
     gc.disable()
     try:
@@ -63,12 +63,12 @@
         write_events(run.events, events_path)
     findings = audit_requests(experiment, run.events, SOCKETS_TOLERANCE)
     score = score_run(experiment, OWN_POLICY, seed, run.events, findings, run.void)
-    score.ran_for_s = run.took_s
+    score.ran_for_s = run.elapsed_s
     return score
 
 
 def run_all(experiment: Experiment, driver: Driver, folder: Path | None) -> Iterator[RunScore]:
-    """Yield all runs, each as soon as it is over; events are written below `folder` where it is given."""
+    """Yield the score of each run as soon as it ends; events are written to `folder` if it is given."""
 
     def events_path(policy: str, seed: int) -> Path | None:
         return None if folder is None else folder / f"events-{policy.replace(' ', '-')}-{seed}.jsonl"
@@ -83,7 +83,7 @@
         for seed, policy in tasks:
             yield run_virtual(experiment, seed, policy, events_path(policy, seed))
         return
-    # Spawned, since a fork would share this process's threads and locks.
+    # Processes are spawned, since a fork would inherit this process's locks without its threads.
     with ProcessPoolExecutor(processes, mp_context=get_context("spawn")) as pool:
         futures = [
             pool.submit(run_virtual, experiment, seed, policy, events_path(policy, seed))
@@ -99,7 +99,7 @@
     folder: Path | None = None,
     on_run: Callable[[RunScore], None] | None = None,
 ) -> Result:
-    """Run all policies and seeds; with `folder`, `result.json` and the events are written there.
+    """Run all policies and seeds; if `folder` is given, `result.json` and the events are written there.
 
     Raises:
         ExperimentError: a policy is unknown, or cannot run with this driver.
@@ -127,30 +127,33 @@
             reason = f"{policy!r} is none of {', '.join(POLICIES)}"
             raise ExperimentError(reason, location="policies")
     if driver == "sockets" and OWN_POLICY not in experiment.policies:
-        raise ExperimentError(reason="on sockets only 'ours' runs", location="policies")
+        raise ExperimentError(reason="on sockets only the policy 'ours' can run", location="policies")
 
 
 def make_result(experiment: Experiment, driver: Driver, runs: list[RunScore]) -> Result:
-    """Check the demands of the experiment and put runs and demands together."""
+    """Check the demands of the experiment, and return the result with the runs and the checks."""
     demands = check_demands(experiment, runs)
     builtins = msgspec.to_builtins(experiment, enc_hook=int)
-    return Result(FORMAT, driver, builtins, runs, demands.held, demands.failed)
+    return Result(FORMAT, driver, builtins, runs, demands.met, demands.failed)
 
 
-class Demands(NamedTuple):
-    """The demands of an experiment file on the own policy, each as a line with its metric."""
+class CheckedDemands(NamedTuple):
+    """The demands of an experiment file on the policy `ours`, each as one line with its metric."""
 
-    held: list[str]
+    met: list[str]
     failed: list[str]
 
-    def add(self, holds: bool, text: str) -> None:
+    def add(self, is_met: bool, text: str) -> None:
         """Add one demand."""
-        (self.held if holds else self.failed).append(text)
+        (self.met if is_met else self.failed).append(text)
 
 
-def check_demands(experiment: Experiment, runs: list[RunScore]) -> Demands:
-    """Check what the table `[must_hold]` demands, on means over the seeds; a void run is a failed demand."""
-    demands = Demands([], [])
+def check_demands(experiment: Experiment, runs: list[RunScore]) -> CheckedDemands:
+    """Check the demands of the table `[must_hold]` on means over the seeds.
+
+    Each void run counts as a failed demand.
+    """
+    demands = CheckedDemands([], [])
     own_runs = [run for run in runs if run.policy == OWN_POLICY]
     for run in own_runs:
         if run.void:
@@ -167,11 +170,11 @@
             service >= must_hold.min_service, f"service {service:.4f} of {must_hold.min_service} or more"
         )
     for name, minimum in must_hold.min_service_by_class.items():
-        found = fmean(run.request_classes[name].service for run in own_runs)
-        demands.add(found >= minimum, f"service of {name} {found:.4f} of {minimum} or more")
+        class_service = fmean(run.request_classes[name].service for run in own_runs)
+        demands.add(class_service >= minimum, f"service of {name} {class_service:.4f} of {minimum} or more")
     for policy, margin in must_hold.min_margin_over.items():
-        others = [run.service for run in runs if run.policy == policy]
-        if others:
-            ahead = service - fmean(others)
-            demands.add(ahead >= margin, f"{ahead:+.4f} over {policy}, {margin:+} or more wanted")
+        other_services = [run.service for run in runs if run.policy == policy]
+        if other_services:
+            difference = service - fmean(other_services)
+            demands.add(difference >= margin, f"{difference:+.4f} over {policy}, {margin:+} or more wanted")
     return demands
--- a/ploverspoke/testbed/scenarios/fake_children.py
+++ b/ploverspoke/testbed/scenarios/fake_children.py
@@ -1,4 +1,4 @@
-"""The processes of the fakes of a run."""
+"""The child processes that run the fakes of one run."""
 
 from typing import NamedTuple
 
@@ -6,12 +6,12 @@
 
 
 class FakeChildren(NamedTuple):
-    """The processes of the fakes."""
+    """The child processes, by the kind of fake that they run."""
 
     workers: list[ChildProcess]
     discovery: ChildProcess
     clients: list[ChildProcess]
 
     def all(self) -> list[ChildProcess]:
-        """Return all of them."""
+        """Return all processes: workers, then discovery, then clients."""
         return [*self.workers, self.discovery, *self.clients]
--- a/ploverspoke/testbed/scenarios/lease_bench.py
+++ b/ploverspoke/testbed/scenarios/lease_bench.py
@@ -1,7 +1,7 @@
-"""`testbed bench --leases`: throughput and cost of lease servers, and what many holders cost their leader.
+"""`testbed bench --leases`: throughput and cost of lease servers, and what many holders cost the leader.
 
-The servers are real, each a process; the load is one process of many holders. As with the other benchmarks,
-measurements are compared with one another within one call.
+The servers are real processes; the load comes from one process that acts as many holders. As with the other
+benchmarks, only measurements of the same call can be compared with each other.
 """
 
 import asyncio
@@ -26,13 +26,13 @@
 from .lease_fleet import LeaseFleet
 from .lease_load import CONNECTIONS, LEASES_PER_MESSAGE, WARM_UP, LeaseLoad
 
-SIZES = (3, 5)  # lease servers
+SERVER_COUNTS = (3, 5)
 HOLDERS = 300
-HOLD_DURATION = 10  # s, of the holders' leases
+HOLD_DURATION = 10  # seconds, of the holders' leases
 HOLD_TIMEOUT = 10.0  # seconds
-SECONDS, QUICK_SECONDS = 10.0, 3.0  # of one load
+SECONDS, QUICK_SECONDS = 10.0, 3.0  # duration of one load
 LEADER_POLL_INTERVAL = 0.1  # seconds
-CLOCK_TICKS = os.sysconf("SC_CLK_TCK")  # a second
+CLOCK_TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
 
 
 class LeaseServerMetrics(
@@ -46,15 +46,15 @@
         "held_renewals_per_second": "held_renewals_a_second",
     },
 ):
-    """So many lease servers; `core` is the leader's share of a core."""
+    """Measurements with a number of lease servers; `core` is the leader's share of a core."""
 
     servers: int
     renewals_per_second: float
     core_at_renewals: float
-    bytes_for_10_leases: float  # that one message renews
+    bytes_for_10_leases: float  # to renew 10 leases, which one message does
     grants_per_second: float
     core_at_grants: float
-    held: int  # leases of the holders
+    held: int  # leases that the holders have
     held_core: float
     held_renewals_per_second: float
     leader_mib: float
@@ -67,14 +67,14 @@
 
 
 class Leader(msgspec.Struct):
-    """The server that leads."""
+    """The lease server that leads."""
 
-    address: str  # for holders, without the proxy
+    address: str  # at which holders reach it without the proxy
     pid: int
 
 
 class LoadCost(msgspec.Struct):
-    """One load on the leader; rates are per second."""
+    """One load on the leader: its rate and bytes per second, and the leader's share of a core."""
 
     rate: float
     bytes: float
@@ -82,7 +82,7 @@
 
 
 class HoldCost(msgspec.Struct):
-    """What holders cost the leader."""
+    """What a number of held leases costs the leader."""
 
     held: int
     core: float
@@ -92,7 +92,7 @@
 def measure_leases(is_quick: bool, log: Log) -> LeaseMetrics:
     """Take all measurements."""
     rows = []
-    for size in SIZES[:1] if is_quick else SIZES:
+    for size in SERVER_COUNTS[:1] if is_quick else SERVER_COUNTS:
         with tempfile.TemporaryDirectory(prefix="ploverspoke-leases-", dir=memory_backed_folder()) as folder:
             rows.append(
                 asyncio.run(_measure(size, QUICK_SECONDS if is_quick else SECONDS, Path(folder), log))
@@ -115,12 +115,12 @@
         log(f"{size} lease servers: {grants.rate:,.0f} grants a second, {grants.core:.0%} of a core")
         direct = LeaseServers({}, [leader.address], servers.secret)
         clients = [LeaseClient(direct, f"h{number}") for number in range(HOLDERS)]
-        holding = await _measure_holders(leader, clients, max(seconds, 2 * HOLD_DURATION))
+        hold_cost = await _measure_holders(leader, clients, max(seconds, 2 * HOLD_DURATION))
         leader_mib = read_resource_usage(leader.pid).memory / MEBIBYTE
         await asyncio.gather(*(client.close() for client in clients))
     log(
-        f"{size} lease servers, {holding.held} leases held for {HOLD_DURATION} s: "
-        f"leader {holding.core:.1%} of a core"
+        f"{size} lease servers, {hold_cost.held} leases held for {HOLD_DURATION} s: "
+        f"leader {hold_cost.core:.1%} of a core"
     )
     return LeaseServerMetrics(
         servers=size,
@@ -129,9 +129,9 @@
         bytes_for_10_leases=renewals.bytes * LEASES_PER_MESSAGE / max(1.0, renewals.rate),
         grants_per_second=grants.rate,
         core_at_grants=grants.core,
-        held=holding.held,
-        held_core=holding.core,
-        held_renewals_per_second=holding.renewals,
+        held=hold_cost.held,
+        held_core=hold_cost.core,
+        held_renewals_per_second=hold_cost.renewals,
         leader_mib=leader_mib,
     )
 
@@ -148,15 +148,15 @@
         await asyncio.sleep(LEADER_POLL_INTERVAL)
 
 
-async def _measure_load(leader: Leader, servers: LeaseServers, renews: bool, seconds: float) -> LoadCost:
+async def _measure_load(leader: Leader, servers: LeaseServers, is_renewing: bool, seconds: float) -> LoadCost:
     cpu_before = _cpu_seconds(leader.pid)
-    result = await LeaseLoad(servers, renews).run(leader.address, seconds)
+    result = await LeaseLoad(servers, is_renewing).run(leader.address, seconds)
     core = (_cpu_seconds(leader.pid) - cpu_before) / (seconds + WARM_UP)
-    return LoadCost(result.renewals if renews else result.grants, result.bytes, core)
+    return LoadCost(result.renewals if is_renewing else result.grants, result.bytes, core)
 
 
 async def _measure_holders(leader: Leader, clients: list[LeaseClient], seconds: float) -> HoldCost:
-    """Have each client hold a lease for so long."""
+    """Have each client hold one lease for `seconds`, and return what that costs the leader."""
     names = [f"team-h{number}" for number in range(len(clients))]
     for client, name in zip(clients, names, strict=True):
         client.want(name, HOLD_DURATION * SECOND)
@@ -179,7 +179,7 @@
 def _cpu_seconds(pid: int) -> float:
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     user, system = fields[11:13]
-    return (int(user) + int(system)) / CLOCK_TICKS
+    return (int(user) + int(system)) / CLOCK_TICKS_PER_SECOND
 
 
 def lease_tables(metrics: LeaseMetrics) -> list[Table]:
--- a/ploverspoke/testbed/scenarios/lease_experiment.py
+++ b/ploverspoke/testbed/scenarios/lease_experiment.py
@@ -1,4 +1,4 @@
-"""Experiment files of leases (`kind = "leases"`): the scenario, its demands, and their checks."""
+"""Experiment files of leases (`kind = "leases"`): scenario, demands, and the checks of both."""
 
 from typing import Any
 
@@ -12,7 +12,7 @@
 SERVER_COUNTS = (1, 3, 5)
 DEFAULT_LEASES = {"one": 1, "two": 1, "three": 3}
 
-# What a file calls each field of the scenario.
+# The key in an experiment file of each field of the scenario whose name differs.
 SCENARIO_KEYS = {
     "servers": "keepers",
     "candidates": "contenders",
@@ -44,7 +44,7 @@
 class LeaseScenario(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True, rename=SCENARIO_KEYS
 ):
-    """Lease servers, lease candidates, and how often there are faults; intervals of faults are means."""
+    """Lease servers, lease candidates, and the frequency of faults; intervals between faults are means."""
 
     servers: int = 5
     candidates: int = 20
@@ -56,25 +56,23 @@
     pause_interval: Duration = Duration(2 * SECOND)
     cut_interval: Duration = Duration(2 * SECOND)
     rough_link_interval: Duration = Duration(4 * SECOND)
-    extra_leases: int = 0  # further ones, of one holder each
-    leases_per_candidate: int = 0  # of the extra leases, and none of `leases`; 0: every candidate wants all
+    extra_leases: int = 0  # leases in addition to `leases`, for one holder each
+    # Extra leases that each candidate wants, and none of `leases`; 0: every candidate wants all leases.
+    leases_per_candidate: int = 0
     effect_pause: Duration = Duration(20 * MILLISECOND)  # between two effects under a lease
     has_drifting_clocks: bool = True
     checks_tokens: bool = True
-    overestimates_duration: bool = (
-        False  # a planted fault, for tests of the checker: see `LeaseCandidateSpec`
-    )
-    hold_share: float = 0.05  # probability that a candidate holds a lease for good
-    holder_kill_interval: Duration = Duration(
-        0
-    )  # for holders of the first lease; 0: none is killed on purpose
+    overestimates_duration: bool = False  # a deliberate defect to test the checker: see `LeaseCandidateSpec`
+    hold_share: float = 0.05  # probability that a candidate never releases a lease
+    # Between deliberate kills of the first lease's holder; 0: there are no such kills.
+    holder_kill_interval: Duration = Duration(0)
 
     def holders_by_lease(self) -> dict[str, int]:
-        """Return how many may hold each lease at a time."""
+        """Return how many candidates may hold each lease at a time."""
         return {**self.leases, **{f"n{number}": 1 for number in range(self.extra_leases)}}
 
     def leases_wanted_by(self, candidate: int) -> list[str]:
-        """Return the names that a candidate wants; extra leases are shared by candidates far apart."""
+        """Return the leases that a candidate wants; candidates that share one have numbers far apart."""
         if not self.leases_per_candidate:
             return list(self.holders_by_lease())
         first = candidate * self.leases_per_candidate
@@ -82,12 +80,13 @@
 
 
 class LeaseDemands(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True, rename=DEMAND_KEYS):
-    """What a run must show."""
+    """The demands on a run."""
 
-    holder_changes: int = MIN_HOLDER_CHANGES  # over all leases; with fewer a run is void
-    max_takeover: Duration = Duration(0)  # from the kill of a holder to the next one's look, 99th percentile
-    holder_kills: int = 0  # with fewer a run is void
-    no_lost_leases: bool = False  # no holder that is alive loses a lease
+    holder_changes: int = MIN_HOLDER_CHANGES  # of all leases; with fewer the run is void
+    # 99th percentile, from the kill of a holder to the first check of the lease by another candidate.
+    max_takeover: Duration = Duration(0)
+    holder_kills: int = 0  # with fewer the run is void
+    no_lost_leases: bool = False  # whether no holder may lose a lease while it is alive
 
 
 class LeaseExperiment(
@@ -97,7 +96,7 @@
     forbid_unknown_fields=True,
     rename={"scenario": "plan", "demands": "must_hold"},
 ):
-    """A whole file; where it is calm, there are no faults but kills of holders."""
+    """A whole experiment file; if it is calm, the only faults are kills of holders."""
 
     scenario: LeaseScenario = LeaseScenario()
     demands: LeaseDemands = LeaseDemands()
@@ -107,7 +106,7 @@
     """Read and check a file that was parsed as TOML.
 
     Raises:
-        TimelineError: it is invalid; it names the key.
+        TimelineError: the file is invalid; the error names the key.
     """
     experiment = convert_timeline_experiment(document, LeaseExperiment)
     _check(experiment.scenario)
--- a/ploverspoke/testbed/scenarios/lease_fleet.py
+++ b/ploverspoke/testbed/scenarios/lease_fleet.py
@@ -1,4 +1,4 @@
-"""The processes of a lease scenario: lease servers, lease candidates and the resource that they act on."""
+"""The processes of a lease scenario: lease servers, lease candidates and the resource that leases protect."""
 
 import asyncio
 from typing import Any
@@ -20,22 +20,22 @@
 HOLDER_KILLED = "holder killed"  # event of the history
 FAKES_MODULE = "ploverspoke.testbed.fakes"
 SNAPSHOT_INTERVAL = 200  # log entries
-MAX_DURATION_FACTOR = 3  # longest lease that servers grant, in durations of the scenario
-EFFECTS_PER_DURATION = 5  # the longest effect is that part of a lease's duration
-CLOCK_RATES = (0.95, 1.0, 1.05)  # of the candidates in turn
-RESTART_SHARE = 0.25  # of the interval between kills for which a killed holder stays down
+MAX_DURATION_FACTOR = 3  # longest lease that servers grant, as a multiple of the scenario's lease duration
+EFFECTS_PER_DURATION = 5  # the longest effect takes the lease's duration divided by this
+CLOCK_RATES = (0.95, 1.0, 1.05)  # assigned to the candidates in turn
+DOWNTIME_SHARE = 0.25  # of the interval between kills, for which a killed holder stays down
 
 
 class LeaseFleet:
     """The processes of one run on a rig."""
 
     def __init__(self, rig: Rig, scenario: LeaseScenario) -> None:
-        """Start nothing yet."""
+        """Prepare a fleet; nothing is started before `start`."""
         self.rig, self.scenario = rig, scenario
         self.servers: list[ProcessAddress] = []
         self.candidates: list[RunningProcess] = []
         self.resource: ChildProcess | None = None
-        self.file = rig.folder / "keepers.json"  # of the lease servers, for clients
+        self.file = rig.folder / "keepers.json"  # names the lease servers to clients
         self.resource_history = rig.folder / "resource.history"
 
     async def start(self) -> None:
@@ -58,16 +58,17 @@
         self.servers = [
             self.rig.allocate_address(f"k{n}", ["peers", "clients"]) for n in range(self.scenario.servers)
         ]
-        common = self._server_config()
-        self.file.write_bytes(msgspec.json.encode(common))
+        shared_config = self._server_config()
+        self.file.write_bytes(msgspec.json.encode(shared_config))
         for address in self.servers:
             path = self.rig.folder / f"{address.name}.json"
-            path.write_bytes(msgspec.json.encode({**common, "name": address.name, "folder": address.name}))
+            config = {**shared_config, "name": address.name, "folder": address.name}
+            path.write_bytes(msgspec.json.encode(config))
             server = self.rig.add_process(address, "ploverspoke", ["lease-server", str(path)])
             server.ready = accepts_connections(address.host, address.ports["clients"])
 
     def _server_config(self) -> dict[str, Any]:
-        """Return what the files of all lease servers have in common."""
+        """Return the configuration that all lease servers share."""
         max_duration_ms = self.scenario.lease_duration * MAX_DURATION_FACTOR // MILLISECOND
         return {
             "cluster": "testbed",
@@ -105,7 +106,7 @@
         self.candidates.append(candidate)
 
     async def _start_resource(self, address: ProcessAddress) -> None:
-        # Where several may hold a lease, the order of tokens does not show which are out of date.
+        # Only leases with a single holder are fenced: with several holders, a lower token may be valid.
         fenced = [
             name
             for name, holders in self.scenario.holders_by_lease().items()
@@ -116,7 +117,7 @@
         await self.resource.receive()
 
     async def kill_holders(self) -> None:
-        """Kill the holder of the first lease, start it again a while later, and so on."""
+        """Repeatedly kill the holder of the first lease and start it again a while later."""
         name = next(iter(self.scenario.leases))
         interval = self.scenario.holder_kill_interval / SECOND
         while True:
@@ -125,17 +126,17 @@
             if holder is not None and holder.is_running():
                 self.rig.history.add(HOLDER_KILLED, [holder.name, name])
                 await holder.kill()
-                await asyncio.sleep(interval * RESTART_SHARE)
+                await asyncio.sleep(interval * DOWNTIME_SHARE)
                 await holder.start()
 
     def _last_holder(self, name: str) -> RunningProcess | None:
-        """Return the candidate whose effect under that lease came last."""
+        """Return the candidate with the latest effect under that lease."""
         effects = [
             RecordedEffect(*event.detail)
             for event in read_history(self.resource_history)
             if event.kind == EFFECT
         ]
-        hosts = [effect.candidate for effect in effects if effect.name == name]
-        if not hosts:
+        candidate_hosts = [effect.candidate for effect in effects if effect.name == name]
+        if not candidate_hosts:
             return None
-        return next(candidate for candidate in self.candidates if candidate.host == hosts[-1])
+        return next(candidate for candidate in self.candidates if candidate.host == candidate_hosts[-1])
--- a/ploverspoke/testbed/scenarios/lease_load.py
+++ b/ploverspoke/testbed/scenarios/lease_load.py
@@ -1,6 +1,6 @@
 """A load on lease servers: connections that each send the next message as soon as the last is answered.
 
-It speaks the protocol of lease holders itself, so that the load is one process of many holders.
+It implements the protocol of lease holders directly, so that one process can act as many holders.
 """
 
 import asyncio
@@ -14,13 +14,13 @@
 from ..experiment_files.durations import SECOND
 
 CONNECTIONS = 64
-LEASES_PER_MESSAGE = 10  # that a connection renews with one message
+LEASES_PER_MESSAGE = 10  # leases that a connection renews with one message
 LEASE_DURATION = 10 * SECOND  # ns
 WARM_UP = 1.0  # seconds
 
 
 class LeaseLoadResult(NamedTuple):
-    """What one load has measured, per second."""
+    """The rates that one load has reached, per second."""
 
     renewals: float
     grants: float
@@ -28,16 +28,17 @@
 
 
 class LeaseConnection(asyncio.Protocol):
-    """One connection; it renews its leases, or releases the one that it has and wants another."""
+    """One connection, which either renews its leases or keeps releasing its lease and requesting another."""
 
     def __init__(self, load: "LeaseLoad", number: int) -> None:
-        """A connection that is about to be made."""
+        """Prepare a connection that is not open yet."""
         self.load, self.message_number = load, 0
         greeting = {"id": f"load/{os.urandom(4).hex()}{number}", "store": ""}
         self.frames = FrameCodec(load.servers.secret, greeting)
-        # Names of its own: leases that an earlier load has left expire only with their time.
-        self.prefix = f"team-{'r' if load.renews else 'g'}{number}"
-        count = LEASES_PER_MESSAGE if load.renews else 1
+        # Loads of renewals and of grants use different names, since leases that an earlier load did not
+        # release stay held until they expire.
+        self.prefix = f"team-{'r' if load.is_renewing else 'g'}{number}"
+        count = LEASES_PER_MESSAGE if load.is_renewing else 1
         self.tokens = {f"{self.prefix}-{k}": 0 for k in range(count)}  # by name; 0: not held
         self.transport: asyncio.Transport | None = None
         self.is_greeted = False
@@ -55,13 +56,13 @@
             self.is_greeted = True
             self._send()
         for message in cast(list[dict[str, Any]], messages):
-            held = [row for row in message.get("has", ()) if row[0] in self.tokens]
-            for name, token, _ in held:
+            held_leases = [row for row in message.get("has", ()) if row[0] in self.tokens]
+            for name, token, _ in held_leases:
                 self.load.renewed += self.tokens[name] == token
                 self.load.granted += self.tokens[name] != token
                 self.tokens[name] = token
-            # A grant comes only once a majority has written it.
-            if held and all(self.tokens.values()):
+            # The server reports a grant only once a majority of the servers has written it.
+            if held_leases and all(self.tokens.values()):
                 self._send()
 
     def _send(self) -> None:
@@ -69,11 +70,11 @@
             return
         self.message_number += 1
         release = []
-        if not self.load.renews and all(self.tokens.values()):
+        if not self.load.is_renewing and all(self.tokens.values()):
             release = [[name, token, ""] for name, token in self.tokens.items()]
             self.tokens = {f"{self.prefix}-{self.message_number}": 0}
-        want = [[name, LEASE_DURATION, token, 0] for name, token in self.tokens.items()]
-        data = self.frames.encode({"n": self.message_number, "want": want, "release": release})
+        wanted = [[name, LEASE_DURATION, token, 0] for name, token in self.tokens.items()]
+        data = self.frames.encode({"n": self.message_number, "want": wanted, "release": release})
         self.load.bytes += len(data)
         self.transport.write(data)
 
@@ -81,19 +82,19 @@
 class LeaseLoad:
     """All connections of a load."""
 
-    def __init__(self, servers: LeaseServers, renews: bool) -> None:
-        """A load of renewals, or of grants."""
-        self.servers, self.renews = servers, renews
+    def __init__(self, servers: LeaseServers, is_renewing: bool) -> None:
+        """Prepare a load of renewals, or of grants."""
+        self.servers, self.is_renewing = servers, is_renewing
         self.renewed = self.granted = self.bytes = 0
         self.is_over = False
 
     async def run(self, address: str, seconds: float) -> LeaseLoadResult:
-        """Load the server at that address for so long, after a warm-up."""
+        """Load the server at that address for `seconds` after a warm-up."""
         host, _, port = address.rpartition(":")
         loop = asyncio.get_running_loop()
         connections = [LeaseConnection(self, number) for number in range(CONNECTIONS)]
         for connection in connections:
-            await loop.create_connection(lambda made=connection: made, host, int(port))  # type: ignore[misc]
+            await loop.create_connection(lambda protocol=connection: protocol, host, int(port))  # type: ignore[misc]
         await asyncio.sleep(WARM_UP)
         self.renewed = self.granted = self.bytes = 0
         began_at = time.monotonic()
--- a/ploverspoke/testbed/scenarios/lease_scenario.py
+++ b/ploverspoke/testbed/scenarios/lease_scenario.py
@@ -18,20 +18,20 @@
 from .lease_experiment import LeaseDemands, LeaseExperiment, LeaseScenario
 from .lease_fleet import HOLDER_KILLED, LeaseFleet
 
-CALM = 6 * SECOND  # at the end, without faults
+CALM_END_DURATION = 6 * SECOND  # ns at the end of a run, without faults
 MAX_FINDINGS_SHOWN = 3
 WALL_CLOCK_JUMP_INTERVAL = Duration(5 * SECOND)
-SHORT_FAULT = [Duration(100 * MILLISECOND), Duration(2 * SECOND)]  # least and longest duration
+SHORT_FAULT = [Duration(100 * MILLISECOND), Duration(2 * SECOND)]  # shortest and longest duration
 LONG_FAULT = [Duration(100 * MILLISECOND), Duration(10 * SECOND)]
 INSTANT = [Duration(0), Duration(0)]
 
 
 class LeaseRunOutcome(NamedTuple):
-    """What one run has shown."""
+    """The outcome of one run."""
 
     verdict: LeaseVerdict
-    void: str  # why the run proves nothing; "" if it does
-    errors: list[str]  # what went wrong though no fault was to cause it
+    void: str  # why the run proves nothing; "" if it is valid
+    errors: list[str]  # failures that no injected fault was meant to cause
     findings: list[str]  # of the checker, each with the events around it
     events: list[HistoryEvent]
     steps: list[FaultStep]
@@ -43,13 +43,13 @@
     rename={"takeover_p50_s": "gap_p50_s", "takeover_p99_s": "gap_p99_s", "max_takeover_s": "gap_most_s"}
     | {"holder_changes": "changes", "findings": "shown"},
 ):
-    """One run as `result.json` has it."""
+    """The entry of one run in `result.json`."""
 
     seed: int
     effects: int
     holder_changes: int
     refused_tokens: int
-    lost: int  # leases, by holders that are alive
+    lost: int  # leases that holders lost while they were alive
     steps: int
     holder_kills: int
     takeover_p50_s: float
@@ -61,31 +61,31 @@
 
 
 def draw_lease_timeline(scenario: LeaseScenario, seed: int) -> list[FaultStep]:
-    """Return the faults of a run, which follow from its seed."""
+    """Draw the faults of a run, which are determined by its seed."""
     servers = [f"k{number}" for number in range(scenario.servers)]
     candidates = [f"c{number}" for number in range(scenario.candidates)]
-    everyone, kills = [*servers, *candidates], scenario.kill_interval
-    pauses, cuts, rough = scenario.pause_interval, scenario.cut_interval, scenario.rough_link_interval
+    processes, kills = [*servers, *candidates], scenario.kill_interval
+    pauses, cuts, rough_links = scenario.pause_interval, scenario.cut_interval, scenario.rough_link_interval
     weights = [
         ("kill", candidates, kills, SHORT_FAULT),
         ("kill", servers, kills * 2, SHORT_FAULT),
         ("pause", candidates, pauses, LONG_FAULT),
         ("pause", servers, pauses * 3, SHORT_FAULT),
-        ("cut", everyone, cuts, SHORT_FAULT),
+        ("cut", processes, cuts, SHORT_FAULT),
         ("cut", servers, cuts * 3, SHORT_FAULT),
         ("cut", [*candidates, "r"], cuts * 2, SHORT_FAULT),
-        ("rough", [*everyone, "r"], rough, SHORT_FAULT),
+        ("rough", [*processes, "r"], rough_links, SHORT_FAULT),
         ("wall jumps", servers, WALL_CLOCK_JUMP_INTERVAL, INSTANT),
-        ("reset", candidates, rough, INSTANT),
+        ("reset", candidates, rough_links, INSTANT),
     ]
     return draw_timeline(
         [
-            FaultWeight(kind=kind, processes=processes, interval=Duration(interval), durations=durations)
-            for kind, processes, interval, durations in weights
+            FaultWeight(kind=kind, processes=targets, interval=Duration(interval), durations=durations)
+            for kind, targets, interval, durations in weights
         ],
         scenario.run_duration,
         seed,
-        calm=CALM,
+        calm=CALM_END_DURATION,
     )
 
 
@@ -105,14 +105,14 @@
         await fleet.start()
         drawn = draw_lease_timeline(scenario, seed) if steps is None else steps
         timeline = check_timeline(drawn, list(rig.addresses))
-        killing = asyncio.create_task(fleet.kill_holders()) if scenario.holder_kill_interval else None
+        kill_task = asyncio.create_task(fleet.kill_holders()) if scenario.holder_kill_interval else None
         await rig.run_timeline(timeline, scenario.run_duration)
-        if killing is not None:
-            killing.cancel()
+        if kill_task is not None:
+            kill_task.cancel()
         events = rig.read_events()
     verdict = check_lease_history(events, scenario.holders_by_lease())
-    shown = verdict.findings[:MAX_FINDINGS_SHOWN]
-    findings = [rig.describe_finding(finding.text, finding.at, events) for finding in shown]
+    shown_findings = verdict.findings[:MAX_FINDINGS_SHOWN]
+    findings = [rig.describe_finding(finding.text, finding.at, events) for finding in shown_findings]
     links = rig.link_faults.counters.links
     return LeaseRunOutcome(verdict, rig.void_reason(), rig.errors, findings, events, timeline, links)
 
@@ -121,7 +121,7 @@
 
 
 def run_leases(experiment: LeaseExperiment, seed: int) -> dict[str, Any]:
-    """Run one seed of an experiment; returns its entry in `result.json`."""
+    """Run one seed of an experiment, and return its entry in `result.json`."""
     outcome = run_lease_scenario(experiment.scenario, seed, [] if experiment.is_calm else None)
     takeovers = takeover_gaps(outcome.events, HOLDER_KILLED)
     lost = [event for event in outcome.events if event.kind == "lost"]
@@ -141,8 +141,8 @@
         failed=_failures(outcome, experiment.demands, takeover_p99, lost),
         findings=outcome.findings,
     )
-    found: dict[str, Any] = msgspec.to_builtins(result)
-    return found
+    entry: dict[str, Any] = msgspec.to_builtins(result)
+    return entry
 
 
 def _void_reason(outcome: LeaseRunOutcome, demands: LeaseDemands, holder_kills: int) -> str:
@@ -155,7 +155,7 @@
 def _failures(
     outcome: LeaseRunOutcome, demands: LeaseDemands, takeover_p99: float, lost: list[HistoryEvent]
 ) -> list[str]:
-    """Return the findings, the errors, and the demands that do not hold."""
+    """Return the findings, the errors, and the demands that are not met."""
     failures = [*(finding.text for finding in outcome.verdict.findings), *outcome.errors]
     if demands.max_takeover and takeover_p99 * SECOND > demands.max_takeover:
         limit = format_duration(demands.max_takeover)
--- a/ploverspoke/testbed/scenarios/outage_steps.py
+++ b/ploverspoke/testbed/scenarios/outage_steps.py
@@ -1,16 +1,16 @@
-"""The outages of dispatchers in an experiment as steps of a fault timeline."""
+"""Converts the outages of dispatchers in an experiment into steps of a fault timeline."""
 
 from ..experiment_files.durations import Duration
 from ..experiment_files.experiment import Experiment
 from ..experiment_files.fault_timeline import FaultStep
 from ..models.dispatcher_outages import OutageKind, dispatcher_outages
 
-# An experiment with replacements runs on virtual time only.
+# Replacements of dispatchers have no step: experiments with them run on virtual time only.
 STEP_KINDS = {OutageKind.KILLED: "kill", OutageKind.PAUSED: "pause", OutageKind.RESTARTED: "restart"}
 
 
 def outage_steps(experiment: Experiment, seed: int) -> list[FaultStep]:
-    """Return the outages of dispatchers and the timeline of an experiment, in order of time."""
+    """Return the outages of dispatchers and the other timeline steps of an experiment, ordered by time."""
     outages = [
         FaultStep(
             start=Duration(outage.start),
--- a/ploverspoke/testbed/scenarios/replica_files.py
+++ b/ploverspoke/testbed/scenarios/replica_files.py
@@ -1,4 +1,4 @@
-"""What the files of replicas have in common: the cluster's secret, and how replicas reach each other."""
+"""Configuration that all replicas of a cluster share: its secret and the replicas' addresses."""
 
 from collections.abc import Iterable
 from pathlib import Path
@@ -14,7 +14,7 @@
 
 
 def proxied_replicas(addresses: Iterable[ProcessAddress]) -> dict[str, dict[str, str]]:
-    """Return the table of replicas of a configuration, all reached through the proxy."""
+    """Return the `replicas` table of a configuration, with addresses at the proxy."""
     return {
         address.name: {port: address.proxied_endpoint(port) for port in ("peers", "clients")}
         for address in addresses
--- a/ploverspoke/testbed/scenarios/scale_fleet.py
+++ b/ploverspoke/testbed/scenarios/scale_fleet.py
@@ -1,4 +1,4 @@
-"""Fleets of the scale tests: many dispatchers, simulated or each in a process, sampled as they run."""
+"""Fleets of the scale tests: many dispatchers, simulated or each in a process, sampled while they run."""
 
 import asyncio
 import sys
@@ -36,26 +36,27 @@
 
 LIST_TIMEOUT, LIST_POLL_INTERVAL = 30.0, 0.1  # seconds
 SAMPLE_INTERVAL = 2 * SECOND
-QUIET_PERIOD = 3 * SECOND  # no request is open for so long: no retry waits any more, and the run is over
+# ns; after so long without an open request no retry is waiting any more, and the run is over.
+QUIET_PERIOD = 3 * SECOND
 COUNTERS = ("bytes_in", "bytes_out", "messages_in", "messages_out", "progress_bytes", "probes", "connections")
 
-Report = dict[str, Any]  # of a fake process, as JSON
+Report = dict[str, Any]  # the decoded JSON report of a fake process
 
 
 class ScaleFleet(SocketFleet):
-    """A fleet that is sampled while it runs, and ends once no client waits for an answer."""
+    """A fleet that is sampled while it runs, and stops once no client waits for an answer."""
 
     def __init__(self, experiment: Experiment, seed: int, folder: Path, counts: ProcessCounts) -> None:
-        """Draw the requests; nothing is started before `run`."""
+        """Draw the schedule of requests; nothing is started before `run`."""
         super().__init__(experiment, seed, folder, self._on_report)
         self.counts = counts
         self.worker_processes = counts.workers
         self.reports_traffic = True
         self.request_count = len(draw_schedule(experiment, seed))
         self.samples: list[UsageSample] = []
-        self._latest: dict[int, Report] = {}  # of each fake process
-        self._quiet_since = -1  # ns of the run; -1: requests are open
-        self._first_late = ""  # which fake was too late first, and when
+        self._latest: dict[int, Report] = {}  # the latest report of each fake process, by `child`
+        self._quiet_since = -1  # ns since the start of the run; -1: requests are open
+        self._first_late = ""  # the first fake that was too late, and when it reported that
 
     # ---- Before the run ----
 
@@ -70,16 +71,19 @@
         return demands
 
     def _dispatcher_demand(self) -> ResourceDemand:
-        """Return what the dispatchers need."""
+        """Return the resources that the dispatchers need."""
         raise NotImplementedError
 
     async def run(self) -> None:
-        """Run as the base does, and take a last sample."""
+        """Run as the base class does, and take a last sample."""
         await super().run()
         self.samples.append(await self.sample())
 
     async def _on_dispatchers_started(self, discovery: ChildProcess) -> None:
-        """Wait until all have the list: later so many never take it in at once, and that holds them up."""
+        """Wait until all dispatchers have the endpoint list.
+
+        Applying it delays them, and during the run so many never do so at the same time.
+        """
         expected = self.experiment.dispatchers.count
         async with asyncio.timeout(LIST_TIMEOUT):
             while True:
@@ -90,10 +94,10 @@
                 await asyncio.sleep(LIST_POLL_INTERVAL)
 
     async def _count_with_list(self) -> int:
-        """Return how many dispatchers have the list, where that can be seen."""
+        """Return how many dispatchers have the list; all, unless a subclass can observe it."""
         return self.experiment.dispatchers.count
 
-    # ---- While it runs ----
+    # ---- During the run ----
 
     def _on_run_start(self, epoch: int, workers: ChildProcess, discovery: ChildProcess) -> None:
         self.tasks.append(asyncio.create_task(self._read_reports(discovery, discovery)))
@@ -104,10 +108,13 @@
         if report.get("late", 0) > MAX_LATENESS and not self._first_late:
             self._first_late = f"{_kind_of_fake(report)} by {report['at'] / SECOND:.1f} s"
         if "sent" in report:
-            self._check_if_over(report["at"])
+            self._finish_if_quiet(report["at"])
+
+    def _finish_if_quiet(self, now: int) -> None:
+        """End the run once all requests were sent and none was open for a while.
 
-    def _check_if_over(self, now: int) -> None:
-        """End the run once all requests were sent and none was open for a while; `now` is ns of the run."""
+        `now` is ns since the start of the run.
+        """
         clients = [report for report in self._latest.values() if "sent" in report]
         sent = sum(report["sent"] for report in clients)
         if len(clients) < self.counts.clients or sent < self.request_count:
@@ -129,51 +136,51 @@
             self.rig.errors.append(f"what dispatchers use could not be seen: {error}")
 
     async def sample(self) -> UsageSample:
-        """Return what dispatchers use and fakes have counted by now."""
+        """Return the resources that dispatchers use, and the traffic that fakes have counted so far."""
         usage = await self.read_usage()
         traffic: dict[str, dict[str, int]] = {}
         for report in self._latest.values():
             if "traffic" not in report:
                 continue
             counters = traffic.setdefault(_kind_of_fake(report), dict.fromkeys(COUNTERS, 0))
-            for of_dispatcher in report["traffic"]:
+            for dispatcher_traffic in report["traffic"]:
                 for key in COUNTERS:
-                    counters[key] += of_dispatcher[key]
+                    counters[key] += dispatcher_traffic[key]
         running = sum(report["running"] for report in self._latest.values() if "running" in report)
         return UsageSample(self.rig.timeline.now(), usage, traffic, running)
 
     async def read_usage(self) -> FleetUsage:
-        """Return what all dispatchers use."""
+        """Return the resources that all dispatchers use."""
         raise NotImplementedError
 
     def void_reason(self) -> str:
-        """Return why the run proves nothing, and which fake was late first; empty where it does."""
+        """Return why the run proves nothing, with the first late fake; "" if the run is valid."""
         reason = super().void_reason()
         return f"{reason} (first {self._first_late})" if reason and self._first_late else reason
 
 
 class SimulatedScaleFleet(ScaleFleet):
-    """A fleet with many simulated dispatchers in a few processes."""
+    """A fleet of many simulated dispatchers in a few host processes."""
 
     def __init__(self, experiment: Experiment, seed: int, folder: Path, counts: ProcessCounts) -> None:
-        """A fleet without hosts of simulated dispatchers yet."""
+        """Prepare a fleet that has no host processes yet."""
         super().__init__(experiment, seed, folder, counts)
         self.hosts: list[SimulatedDispatcherHost] = []
-        self.loop_lateness = 0  # ns, of the processes' event loops
-        self._late_at = 0  # ns of the run, when it was first too much
+        self.loop_lateness = 0  # ns, the most by which a host's event loop was late
+        self._first_late_at = 0  # ns since the start of the run, when a loop was first too late
 
     def _dispatcher_demand(self) -> ResourceDemand:
         return host_demand(self.experiment, self.counts.hosts)
 
     async def _before_dispatchers(self, addresses: list[ProcessAddress]) -> None:
         await super()._before_dispatchers(addresses)
-        parts: list[list[DispatcherAddress]] = [[] for _ in range(self.counts.hosts)]
+        addresses_by_host: list[list[DispatcherAddress]] = [[] for _ in range(self.counts.hosts)]
         for number, address in enumerate(addresses):
-            parts[number % self.counts.hosts].append(self._dispatcher_address(number, address))
+            addresses_by_host[number % self.counts.hosts].append(self._dispatcher_address(number, address))
         spec = self.folder / "hosts.json"
-        spec.write_bytes(msgspec.json.encode(DispatcherHostSpec(parts)))
-        for part in range(self.counts.hosts):
-            child = await self.rig.start_child(MODULE, [str(spec), str(part)], log=f"d-host-{part}")
+        spec.write_bytes(msgspec.json.encode(DispatcherHostSpec(addresses_by_host)))
+        for number in range(self.counts.hosts):
+            child = await self.rig.start_child(MODULE, [str(spec), str(number)], log=f"d-host-{number}")
             self.hosts.append(SimulatedDispatcherHost(child))
         for host in self.hosts:
             await host.listen()
@@ -190,12 +197,12 @@
         number = len(self.programs)
         host = self.hosts[number % self.counts.hosts]
         program = SimulatedDispatcherProgram(host, self._dispatcher_address(number, address), config)
-        # It has what the rig uses of a process: it is started, stopped and killed in the same way.
+        # It has the attributes of a process that the rig uses, and is started, stopped and killed alike.
         return cast(DispatcherProgram, program)
 
     async def _count_with_list(self) -> int:
         counts = await asyncio.gather(*(host.counts() for host in self.hosts))
-        return sum(each.listed for each in counts)
+        return sum(host_counts.listed for host_counts in counts)
 
     def _on_run_start(self, epoch: int, workers: ChildProcess, discovery: ChildProcess) -> None:
         for host in self.hosts:
@@ -203,35 +210,35 @@
         super()._on_run_start(epoch, workers, discovery)
 
     async def read_usage(self) -> FleetUsage:
-        """Return what all processes of simulated dispatchers use."""
+        """Return the resources that all host processes use."""
         counts = await asyncio.gather(*(host.counts() for host in self.hosts))
-        lateness = max(each.lateness for each in counts)
+        lateness = max(host_counts.lateness for host_counts in counts)
         if lateness > MAX_LATENESS >= self.loop_lateness:
-            self._late_at = self.rig.timeline.now()
+            self._first_late_at = self.rig.timeline.now()
         self.loop_lateness = max(self.loop_lateness, lateness)
         inside: dict[str, int] = {}
-        for each in counts:
-            for key, value in each.inside.items():
+        for host_counts in counts:
+            for key, value in host_counts.inside.items():
                 inside[key] = inside.get(key, 0) + value
         return FleetUsage(
-            cpu_ns=sum(each.cpu_ns for each in counts),
-            resident=sum(each.resident for each in counts),
-            descriptors=max(each.descriptors for each in counts),
-            serving=sum(each.serving for each in counts),
+            cpu_ns=sum(host_counts.cpu_ns for host_counts in counts),
+            resident=sum(host_counts.resident for host_counts in counts),
+            descriptors=max(host_counts.descriptors for host_counts in counts),
+            serving=sum(host_counts.serving for host_counts in counts),
             inside=inside,
         )
 
     def void_reason(self) -> str:
-        """Return why the run proves nothing; first, that the dispatchers of a process held each other up."""
+        """Return why the run proves nothing; a delay among the dispatchers of one host is reported first."""
         if self.loop_lateness > MAX_LATENESS:
-            late = format_duration(self.loop_lateness)
-            first = f"first by {self._late_at / SECOND:.0f} s"
-            return f"simulated dispatchers delayed each other: their loop was late by {late} ({first})"
+            lateness = format_duration(self.loop_lateness)
+            first = f"first by {self._first_late_at / SECOND:.0f} s"
+            return f"simulated dispatchers delayed each other: their loop was late by {lateness} ({first})"
         return super().void_reason()
 
 
 class SingleDispatcherProgram(DispatcherProgram):
-    """The program in a process of its own, with nothing of the rig's in it but an address to send from."""
+    """The real program in its own process; the rig sets only the address from which it sends."""
 
     def command(self) -> list[str]:
         """Return the command line without its arguments."""
@@ -239,7 +246,7 @@
 
 
 class RealScaleFleet(ScaleFleet):
-    """A fleet with a process for each dispatcher, as in use: what simulated ones are compared with."""
+    """A fleet with one process for each dispatcher, as in production; the reference for simulated fleets."""
 
     def _dispatcher_demand(self) -> ResourceDemand:
         dispatchers = self.experiment.dispatchers
@@ -251,7 +258,7 @@
         return SingleDispatcherProgram(self.rig, address, config, store)
 
     async def read_usage(self) -> FleetUsage:
-        """Return what the processes of all dispatchers use."""
+        """Return the resources that the processes of all dispatchers use."""
         cpu_ns = resident = descriptors = serving = 0
         for program in self.programs:
             if program.process is None or not program.is_running():
@@ -266,5 +273,5 @@
 
 
 def _kind_of_fake(report: Report) -> str:
-    """Return which fake has sent a report, by a key that only its reports have."""
+    """Return the kind of fake that sent a report, which a key shows that only its reports have."""
     return "workers" if "workers" in report else "clients" if "sent" in report else "discovery"
--- a/ploverspoke/testbed/scenarios/scale_resources.py
+++ b/ploverspoke/testbed/scenarios/scale_resources.py
@@ -1,4 +1,4 @@
-"""What a scale run needs of the machine, by its experiment and how it is spread over processes."""
+"""The resources that a scale run needs, by its experiment and its number of processes."""
 
 from os import sched_getaffinity
 from pathlib import Path
@@ -11,28 +11,29 @@
 from ..processes.capacity_check import MEBIBYTE, CapacityError, ResourceDemand, free_memory
 from .socket_resources import fake_resource_demands
 
-PROCESS_MEMORY, DISPATCHER_MEMORY = 48 * MEBIBYTE, 10 * MEBIBYTE
-CORES_PER_TASK = 0.0012  # running, with a progress report a second: dispatcher, worker and client
-CORES_PER_START = 0.006  # a second
+PROCESS_MEMORY, DISPATCHER_MEMORY = 48 * MEBIBYTE, 10 * MEBIBYTE  # bytes
+# For a running task with one progress report a second, in its dispatcher, worker and client together.
+CORES_PER_TASK = 0.0012
+CORES_PER_START = 0.006  # for one task start a second
 CORES_PER_DISPATCHER = 0.001
 DESCRIPTORS_PER_DISPATCHER = 32
 DESCRIPTORS_PER_TASK, DESCRIPTORS_PER_START = 3, 30
-PROCESS_DESCRIPTORS = 64  # beside those for dispatchers
+PROCESS_DESCRIPTORS = 64  # of a process, in addition to those for dispatchers
 KIBIBYTE = 1024
-SHARED_WORKERS = "worker processes: what all zones share can't be spread over several"
+SHARED_WORKERS = "worker processes: state that all zones share cannot be split among several"
 
 
 class ProcessCounts(NamedTuple):
-    """How a run is spread over processes."""
+    """The number of processes of each kind in a run, and the cores for them."""
 
-    hosts: int  # of simulated dispatchers; 0: each dispatcher has a process of its own
+    hosts: int  # processes of simulated dispatchers; 0: each dispatcher has a process of its own
     workers: int
     clients: int
-    cores: float = 0.0  # that may be used; 0: all that this process may run on
+    cores: float = 0.0  # cores that the run may use; 0: all that this process may run on
 
 
 class CoreDemand(NamedTuple):
-    """The cores that a run needs at its peak, and the load that they are for."""
+    """The cores that a run needs at its peak, and the load from which they follow."""
 
     cores: float
     tasks_running: float
@@ -40,21 +41,23 @@
 
 
 def estimate_cores(experiment: Experiment) -> CoreDemand:
-    """Estimate the cores of a run from its traffic and work."""
+    """Estimate the cores that a run needs from its traffic and work."""
     starts = max(
         max(traffic.rate, traffic.end_rate or 0.0) * (1 + traffic.wave_amplitude)
         for traffic in experiment.traffic
     )
     classes = experiment.request_classes
-    total_share = sum(each.share for each in classes)
-    running = starts * sum(each.share / total_share * each.work.mean / SECOND for each in classes)
+    total_share = sum(request_class.share for request_class in classes)
+    running = starts * sum(
+        request_class.share / total_share * request_class.work.mean / SECOND for request_class in classes
+    )
     reports_a_second = SECOND / experiment.worker_rules.progress_interval
     cores = running * reports_a_second * CORES_PER_TASK + starts * CORES_PER_START
     return CoreDemand(cores + experiment.dispatchers.count * CORES_PER_DISPATCHER, running, starts)
 
 
 def check_cores(experiment: Experiment, available: float) -> None:
-    """Raise CapacityError where there are too few cores; 0: all that this process may run on."""
+    """Raise CapacityError if there are too few cores; `available` 0 is all that this process may run on."""
     demand = estimate_cores(experiment)
     cores = available or len(sched_getaffinity(0))
     if demand.cores > cores:
@@ -67,7 +70,7 @@
 
 
 def check_memory(demands: list[ResourceDemand], total: int) -> None:
-    """Raise CapacityError where the demands are over half of the machine's memory (bytes)."""
+    """Raise CapacityError if the demands exceed half of the machine's memory, `total` bytes."""
     half = total // 2
     wanted = sum(demand.processes * demand.memory for demand in demands)
     if wanted > half:
@@ -76,17 +79,17 @@
 
 
 def check_workers_can_be_split(experiment: Experiment, processes: int) -> None:
-    """Raise ExperimentError where several worker processes would have to share state."""
+    """Raise ExperimentError if several worker processes would have to share state."""
     shares_keys = any(
-        each.idempotency is Idempotency.IDEMPOTENT_WITH_KEY and each.retry_scope == "all"
-        for each in experiment.request_classes
+        request_class.idempotency is Idempotency.IDEMPOTENT_WITH_KEY and request_class.retry_scope == "all"
+        for request_class in experiment.request_classes
     )
     if processes > 1 and (experiment.store is not None or shares_keys):
         raise ExperimentError(SHARED_WORKERS)
 
 
 def scaled_fake_demands(experiment: Experiment, counts: ProcessCounts) -> list[ResourceDemand]:
-    """Return the demands of the fakes, with the descriptors divided among their processes."""
+    """Return the demands of the fakes, with their descriptors divided among the processes of each kind."""
     processes = {"workers": counts.workers, "clients": counts.clients}
     demands = []
     for demand in fake_resource_demands(experiment):
@@ -100,9 +103,12 @@
     """Return the demand of the processes of simulated dispatchers."""
     count = experiment.dispatchers.count
     per_host = -(-count // hosts)
-    cores = estimate_cores(experiment)
-    load = cores.tasks_running * DESCRIPTORS_PER_TASK + cores.starts_a_second * DESCRIPTORS_PER_START
-    descriptors = PROCESS_DESCRIPTORS + int(per_host * (DESCRIPTORS_PER_DISPATCHER + load / count))
+    load = estimate_cores(experiment)
+    task_descriptors = (
+        load.tasks_running * DESCRIPTORS_PER_TASK + load.starts_a_second * DESCRIPTORS_PER_START
+    )
+    per_dispatcher = DESCRIPTORS_PER_DISPATCHER + task_descriptors / count
+    descriptors = PROCESS_DESCRIPTORS + int(per_host * per_dispatcher)
     memory = PROCESS_MEMORY + per_host * DISPATCHER_MEMORY
     return ResourceDemand("processes of simulated dispatchers", hosts, memory, descriptors)
 
--- a/ploverspoke/testbed/scenarios/scale_run.py
+++ b/ploverspoke/testbed/scenarios/scale_run.py
@@ -1,4 +1,4 @@
-"""Runs one scenario of a fleet file in real time, and checks it."""
+"""Runs one scenario of a fleet file in real time and checks the result."""
 
 import asyncio
 import tempfile
@@ -35,7 +35,7 @@
 def make_fleet(
     scenario: ScaleScenario, table: ScaleScenarios, experiment: Experiment, folder: Path, simulated: bool
 ) -> ScaleFleet:
-    """Return the fleet that the scenario asks for; nothing is started yet."""
+    """Return the fleet for a scenario; nothing is started yet."""
     counts = ProcessCounts(table.host_processes, table.worker_processes, table.client_processes)
     if not simulated:
         return RealScaleFleet(experiment, table.seed, folder, counts._replace(hosts=0))
@@ -53,7 +53,7 @@
 
 
 class _Recording(NamedTuple):
-    """What one run has left."""
+    """The fleet of a finished run, and what the run recorded."""
 
     fleet: ScaleFleet
     events: list[Event]
@@ -68,8 +68,8 @@
         folder = Path(name)
         fleet = make_fleet(scenario, table, experiment, folder, simulated)
         asyncio.run(_run_and_close(fleet))
-        parts = [read_events(path) for path in sorted(folder.glob("*.jsonl"))]
-        events = merge_events([fleet.records.events, *parts])
+        fake_records = [read_events(path) for path in sorted(folder.glob("*.jsonl"))]
+        events = merge_events([fleet.records.events, *fake_records])
         log_lines = sum(path.read_bytes().count(b"\n") for path in folder.glob("d*.log"))
     return _Recording(fleet, events, log_lines)
 
@@ -83,7 +83,7 @@
     void_kinds: Sequence[str] = (),
     events_path: Path | None = None,
 ) -> ScenarioResult:
-    """Run and check one scenario; one that does not fit or start is void, with the reason."""
+    """Run and check one scenario; the result is void, with the reason, if it does not fit or start."""
     experiment = scale_experiment(fleet_size, table, scenario)
     dispatchers = experiment.dispatchers.count
     result = ScenarioResult(
@@ -109,21 +109,21 @@
     recording: _Recording,
     void_kinds: Sequence[str],
 ) -> ScenarioResult:
-    """Return the result with what was measured and checked."""
-    seen = _observe(recording, result.seed)
-    metrics = _all_metrics(scenario, seen, recording.fleet)
-    verdict = check_scale_run(fleet_size, scenario, seen, metrics, void_kinds)
-    if scenario.kind == "changes" and len(seen.change_delays) < scenario.changes:
-        text = f"{len(seen.change_delays)} of {scenario.changes} changes were seen to the end"
+    """Return the result with its metrics and checks."""
+    observations = _observe(recording, result.seed)
+    metrics = _all_metrics(scenario, observations, recording.fleet)
+    verdict = check_scale_run(fleet_size, scenario, observations, metrics, void_kinds)
+    if scenario.kind == "changes" and len(observations.change_delays) < scenario.changes:
+        text = f"{len(observations.change_delays)} of {scenario.changes} changes were seen to the end"
         verdict.check(False, text)
     marked = mark_void_metrics(metrics, void_kinds)
-    shown = [text.splitlines()[0] for text in seen.score.findings[:MAX_SHOWN_FINDINGS]]
+    shown_findings = [text.splitlines()[0] for text in observations.score.findings[:MAX_SHOWN_FINDINGS]]
     return msgspec.structs.replace(
         result,
-        void=seen.score.void,
+        void=observations.score.void,
         metrics={key: round(value, METRIC_DIGITS) for key, value in marked.items()},
         held=verdict.held,
-        failed=[*verdict.failed, *shown],
+        failed=[*verdict.failed, *shown_findings],
         note=void_note(void_kinds) if void_kinds else "",
     )
 
@@ -137,12 +137,12 @@
     return ScaleObservations(fleet.experiment, events, score, fleet.samples, delays, recording.log_lines)
 
 
-def _all_metrics(scenario: ScaleScenario, seen: ScaleObservations, fleet: ScaleFleet) -> Metrics:
-    metrics = scale_metrics(seen)
+def _all_metrics(scenario: ScaleScenario, observations: ScaleObservations, fleet: ScaleFleet) -> Metrics:
+    metrics = scale_metrics(observations)
     if scenario.kind == "region cut":
-        metrics |= region_cut_metrics(seen, scenario)
+        metrics |= region_cut_metrics(observations, scenario)
     if isinstance(fleet, ConfigChangeFleet):
-        dispatchers = seen.experiment.dispatchers.count
-        per_change = fleet.bytes_delivered / scenario.changes / dispatchers
-        metrics["carried_bytes_a_change_a_dispatcher"] = per_change
+        dispatchers = observations.experiment.dispatchers.count
+        bytes_per_change = fleet.bytes_delivered / scenario.changes / dispatchers
+        metrics["carried_bytes_a_change_a_dispatcher"] = bytes_per_change
     return metrics
--- a/ploverspoke/testbed/scenarios/scale_test.py
+++ b/ploverspoke/testbed/scenarios/scale_test.py
@@ -13,21 +13,21 @@
 from ..experiment_files.errors import ExperimentError
 from ..scale.scenario_file import ScaleScenario, ScaleScenarios, read_scale_scenarios
 from .scale_experiment import COMPARISON, comparison_scenario
-from .scale_results import LENGTHS, ResultLog, known_metrics, void_kinds_of
+from .scale_results import LENGTH_COMPARISON, ResultLog, last_void_kinds, measured_metrics
 from .scale_run import run_scenario
 
 RATIO_DIGITS = 4  # after the point
 
 
 class ComparisonResult(NamedTuple):
-    """The rows of a comparison, and the kinds of metrics that are void by it."""
+    """The rows of a comparison, and the kinds of metrics that it makes void."""
 
     rows: list[ScenarioResult]
     void_kinds: list[str]
 
 
 def compare_with_real(fleet_size: FleetSize, table: ScaleScenarios) -> ComparisonResult:
-    """Run one experiment with simulated and with real dispatchers, and compare."""
+    """Run one experiment with simulated and with real dispatchers, and compare the metrics."""
     scenario, comparison = comparison_scenario(table), table.comparison
     hosts = max(1, table.host_processes * comparison.dispatchers // table.dispatchers)
     table = msgspec.structs.replace(table, host_processes=hosts)
@@ -39,7 +39,7 @@
         msgspec.structs.replace(real, scenario=f"{COMPARISON}: real"),
     ]
     void = next((f"one of the two is void: {row.void}" for row in rows if row.void), "")
-    both = ScenarioResult(
+    summary = ScenarioResult(
         scenario=COMPARISON,
         seed=table.seed,
         dispatchers=comparison.dispatchers,
@@ -49,19 +49,20 @@
         f"{comparison.max_difference:.0%}, memory a dispatcher always: it is shared",
     )
     if void:
-        return ComparisonResult([*rows, both], [ALWAYS_VOID])
-    found = compare_metrics(known_metrics(simulated), known_metrics(real), comparison.max_difference)
-    both = msgspec.structs.replace(
-        both,
-        metrics={key: round(value, RATIO_DIGITS) for key, value in found.ratios.items()},
-        held=[kind for kind in METRIC_KINDS if kind not in found.void_kinds],
-        failed=[f"{kind}: simulated metrics of it are void" for kind in found.void_kinds],
+        return ComparisonResult([*rows, summary], [ALWAYS_VOID])
+    simulated_metrics, real_metrics = measured_metrics(simulated), measured_metrics(real)
+    differences = compare_metrics(simulated_metrics, real_metrics, comparison.max_difference)
+    summary = msgspec.structs.replace(
+        summary,
+        metrics={key: round(value, RATIO_DIGITS) for key, value in differences.ratios.items()},
+        held=[kind for kind in METRIC_KINDS if kind not in differences.void_kinds],
+        failed=[f"{kind}: simulated metrics of it are void" for kind in differences.void_kinds],
     )
-    return ComparisonResult([*rows, both], [*found.void_kinds, ALWAYS_VOID])
+    return ComparisonResult([*rows, summary], [*differences.void_kinds, ALWAYS_VOID])
 
 
 def compare_lengths(table: ScaleScenarios, results: Sequence[ScenarioResult]) -> ScenarioResult | None:
-    """Compare the shortest and the longest cut of a region that were run; None where there are not two."""
+    """Compare the shortest and the longest region cut that were run; None if fewer than two were run."""
     cuts = {scenario.name: scenario for scenario in table.scenarios if scenario.kind == "region cut"}
     latest = {result.scenario: result for result in results if result.scenario in cuts}
     by_length = sorted(latest.values(), key=lambda result: cuts[result.scenario].fault_duration)
@@ -69,10 +70,10 @@
         return None
     short, long = by_length[0], by_length[-1]
     ratio = cuts[long.scenario].fault_duration / cuts[short.scenario].fault_duration
-    verdict = check_bounded_by_length(known_metrics(short), known_metrics(long), ratio)
+    verdict = check_bounded_by_length(measured_metrics(short), measured_metrics(long), ratio)
     void = next((f"{row.scenario} is void: {row.void}" for row in (short, long) if row.void), "")
     return ScenarioResult(
-        scenario=LENGTHS,
+        scenario=LENGTH_COMPARISON,
         seed=table.seed,
         dispatchers=long.dispatchers,
         processes=long.processes,
@@ -89,14 +90,14 @@
     on_result: Callable[[ScenarioResult], None],
     events_folder: Path | None = None,
 ) -> list[ScenarioResult]:
-    """Run all scenarios or those named; results are added to the file `out` as they come.
+    """Run all scenarios or those in `names`; each result is added to the file `out` as soon as it is there.
 
-    Raises FleetFileError where the table of scenarios is wrong, ExperimentError where a name is none of them.
+    Raises FleetFileError if the table of scenarios is invalid, and ExperimentError if a name is unknown.
     """
     table = read_scale_scenarios(fleet_size)
     _check_names(names, table)
     log = ResultLog(out, on_result)
-    void_kinds = void_kinds_of(log.all)
+    void_kinds = last_void_kinds(log.all_results)
     if not names or COMPARISON in names:
         comparison = compare_with_real(fleet_size, table)
         void_kinds = comparison.void_kinds
@@ -108,10 +109,10 @@
         path = _events_path(events_folder, scenario)
         log.add(run_scenario(fleet_size, table, scenario, void_kinds=void_kinds, events_path=path))
     if any(scenario.kind == "region cut" for scenario in scenarios):
-        lengths = compare_lengths(table, log.all)
-        if lengths is not None:
-            log.add(lengths)
-    return log.fresh
+        length_comparison = compare_lengths(table, log.all_results)
+        if length_comparison is not None:
+            log.add(length_comparison)
+    return log.new_results
 
 
 def _check_names(names: Sequence[str], table: ScaleScenarios) -> None:
--- a/ploverspoke/testbed/scenarios/soak.py
+++ b/ploverspoke/testbed/scenarios/soak.py
@@ -1,4 +1,4 @@
-"""Soaks a real dispatcher for one seed: random faults of discovery, drains and restarts, then the checks."""
+"""Soak test of a real dispatcher: random faults of discovery, drains and restarts, and then the checks."""
 
 import asyncio
 import random
@@ -15,35 +15,37 @@
 # Times are in seconds.
 DURATION = 22.0
 RESTARTS_AT = (8.0, 15.0)
-TICK = 0.02  # of the watch on this process's lateness
+LATENESS_POLL_INTERVAL = 0.02  # between two measurements of this process's lateness
 
 WORKERS = 5
 MAX_DRAINED = 3
 CLIENTS = 8
-FLEET_SIZES = (1, 30, 177, 1000, 3000)  # dispatchers, in the settings
+FLEET_SIZES = (1, 30, 177, 1000, 3000)  # number of dispatchers that the settings state
 
-# Kinds of fault: each is drawn where the number is below its limit, and above the one before.
+# The kind of a fault follows from a random number from 0 to 1: a drain below the first limit, a move of
+# discovery below the second, idle clients below the third, and else a failure of discovery.
 DRAIN_LIMIT, MOVE_LIMIT, IDLE_CLIENTS_LIMIT = 0.2, 0.3, 0.4
-FAULT_PAUSES = (0.05, 0.4, 1.5, 3.0)  # until the next fault
-DRAIN_DURING_FAILURE_SHARE = 0.5
-MAX_DRAIN_DELAY = 0.5  # after a failure has begun
+FAULT_PAUSES = (0.05, 0.4, 1.5, 3.0)  # between a fault and the next one
+DRAIN_DURING_FAILURE_SHARE = 0.5  # of the failures
+MAX_DRAIN_DELAY = 0.5  # after the start of a failure
 SINGLE_CALLS_SHARE = 0.4  # of the failures; the others are outages
 MAX_FAILED_CALLS = 4
-REFUSED_SHARE = 0.2  # of the outages
-OUTAGES = (0.2, 1.0, 4.0, 9.0)
-IDLE_CLIENTS_SHARE = 0.3  # of the seeds
+REFUSED_SHARE = 0.2  # of the outages, in which connections are refused
+OUTAGE_DURATIONS = (0.2, 1.0, 4.0, 9.0)
+IDLE_CLIENTS_SHARE = 0.3  # of the seeds, which have idle clients
 IDLE_CONNECTIONS = 150
-IDLE_CONNECTIONS_DURATION = 3.0  # seconds
+IDLE_CONNECTIONS_DURATION = 3.0
 SOCKET_LIMIT_WITH_IDLE_CLIENTS = 128
 
-KILL_DELAY = DEADLINE + 0.7  # after SIGTERM: the earliest time at which a platform kills
+KILL_DELAY = DEADLINE + 0.7  # from SIGTERM to SIGKILL: the earliest time at which a platform kills
 STOP_SIGNALS = (
     (signal.SIGTERM,),
     (signal.SIGHUP, signal.SIGTERM),
     (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM),
 )
 
-# After a drain, or the start of a process, no attempt may be sent to the worker later than the sum of these.
+# After a drain, or after a later start of the dispatcher, attempts may be sent to the worker for at most the
+# sum of these.
 LIST_VALIDITY = 6.0
 DRAIN_GRACE = 0.55
 SOCKET_TOLERANCE = 0.1
@@ -51,22 +53,22 @@
 
 @dataclass
 class SoakVerdict:
-    """What one seed has shown."""
+    """The result of one seed."""
 
     seed: int
     requests: int = 0
     served: int = 0
     drains: int = 0
     restarts: int = 0
-    lateness: float = 0.0  # of this process; its observations may be off by as much
+    lateness: float = 0.0  # of this process; times that it observes may be off by as much
     problems: list[str] = field(default_factory=list)
 
 
 class Soak:
-    """One dispatcher, its two discoveries, its workers and clients."""
+    """One dispatcher with two discoveries, workers and clients."""
 
     def __init__(self, seed: int, folder: Path) -> None:
-        """Whatever is random follows from the seed, but for the machine's pace."""
+        """Derive all random choices from the seed; timing depends on the machine as well."""
         self.random = random.Random(seed)
         self.seed = seed
         self.folder = folder
@@ -74,15 +76,15 @@
         self.workers = RecordingWorkers(WORKERS, random.Random(seed + 1))
         self.verdict = SoakVerdict(seed)
         self.drained_at: dict[str, float] = {}  # by worker
-        self.known_since: dict[str, float] = {}  # as drained_at, or the start of a later process
+        self.validity_start: dict[str, float] = {}  # as drained_at, or the start of a later process
         self.tasks: list[asyncio.Task[None]] = []
         self.outage_lock = asyncio.Lock()
 
     async def run(self) -> SoakVerdict:
-        """Run to the end; returns what is wrong."""
+        """Run to the end, and return the verdict."""
         entries = await self.workers.start()
         self.discoveries = [ScriptedDiscovery(entries), ScriptedDiscovery(entries)]
-        self.addresses = [await each.address_for(0) for each in self.discoveries]
+        self.addresses = [await discovery.address_for(0) for discovery in self.discoveries]
         self.dispatcher = self._make_dispatcher()
         self.clients = PersistentClients(self.dispatcher.port, self.workers, random.Random(self.seed + 2))
         await self.dispatcher.start()
@@ -123,29 +125,29 @@
             await asyncio.sleep(min(self.random.choice(FAULT_PAUSES), max(0.0, until_restart)))
 
     async def _inject_fault(self) -> None:
-        drawn = self.random.random()
-        if drawn < DRAIN_LIMIT:
-            self._drain_one()
-        elif drawn < MOVE_LIMIT:
+        draw = self.random.random()
+        if draw < DRAIN_LIMIT:
+            self._drain_worker()
+        elif draw < MOVE_LIMIT:
             self._move_discovery()
-        elif drawn < IDLE_CLIENTS_LIMIT and self.has_idle_clients:
+        elif draw < IDLE_CLIENTS_LIMIT and self.has_idle_clients:
             idle_clients = hold_idle_connections(
                 self.dispatcher.port, IDLE_CONNECTIONS, IDLE_CONNECTIONS_DURATION
             )
             self.tasks.append(self.loop.create_task(idle_clients))
         elif not self.outage_lock.locked():
             self.tasks.append(self.loop.create_task(self._fail_discovery()))
-            # A drain that is missed matters most just after a failure has begun.
+            # Missing a drain matters most just after a failure has begun.
             if self.random.random() < DRAIN_DURING_FAILURE_SHARE:
                 await asyncio.sleep(self.random.random() * MAX_DRAIN_DELAY)
-                self._drain_one()
+                self._drain_worker()
 
-    def _drain_one(self) -> None:
+    def _drain_worker(self) -> None:
         ready = [name for name in self.workers.names if name not in self.drained_at]
         if len(ready) <= WORKERS - MAX_DRAINED:
             return
         worker = self.random.choice(ready)
-        self.drained_at[worker] = self.known_since[worker] = self.loop.time()
+        self.drained_at[worker] = self.validity_start[worker] = self.loop.time()
         self.workers.draining.add(worker)
         for discovery in self.discoveries:
             discovery.change(worker, "Terminating")
@@ -155,7 +157,7 @@
         self.dispatcher.move_discovery(self.addresses[0])
 
     async def _fail_discovery(self) -> None:
-        """Fail some calls, or all of them for a while."""
+        """Fail some calls to discovery, or all of them for a while."""
         async with self.outage_lock:
             if self.random.random() < SINGLE_CALLS_SHARE:
                 count = self.random.randint(1, MAX_FAILED_CALLS)
@@ -163,35 +165,35 @@
                 for discovery in self.discoveries:
                     discovery.fail_watches(*failures)
                 return
-            duration = self.random.choice(OUTAGES)
+            duration = self.random.choice(OUTAGE_DURATIONS)
             is_refused = self.random.random() < REFUSED_SHARE
             failure = None if is_refused else self.random.choice(list(Failure))
-            await asyncio.gather(*(each.fail_for(failure, duration) for each in self.discoveries))
+            await asyncio.gather(*(discovery.fail_for(failure, duration) for discovery in self.discoveries))
 
     async def _restart(self) -> None:
-        """Stop the process with signals, kill it at the earliest moment, and start the next one."""
+        """Stop the process with signals, kill it if it outlasts KILL_DELAY, and start the next one."""
         process = self.dispatcher.process
         assert process is not None
         if process.returncode is not None:
-            self.verdict.problems.append(f"it ended by itself with {process.returncode}")
-        for number in self.random.choice(STOP_SIGNALS):
-            self.dispatcher.send(number)
+            self.verdict.problems.append(f"the dispatcher ended by itself with {process.returncode}")
+        for signal_number in self.random.choice(STOP_SIGNALS):
+            self.dispatcher.send(signal_number)
         try:
             await asyncio.wait_for(process.wait(), KILL_DELAY)
             if process.returncode:
-                self.verdict.problems.append(f"it ended with {process.returncode} after SIGTERM")
+                self.verdict.problems.append(f"the dispatcher ended with {process.returncode} after SIGTERM")
         except TimeoutError:
             await self.dispatcher.kill()
         self.verdict.restarts += 1
-        # Signals are sent only to a process whose start is over.
+        # Wait until the process has started, since signals are sent only after that.
         await self.dispatcher.start()
-        for worker in self.known_since:
-            self.known_since[worker] = self.loop.time()
+        for worker in self.validity_start:
+            self.validity_start[worker] = self.loop.time()
 
     async def _watch_lateness(self) -> None:
         while True:
-            due_at = self.loop.time() + TICK
-            await asyncio.sleep(TICK)
+            due_at = self.loop.time() + LATENESS_POLL_INTERVAL
+            await asyncio.sleep(LATENESS_POLL_INTERVAL)
             self.verdict.lateness = max(self.verdict.lateness, self.loop.time() - due_at)
 
     # ---- Checks ----
@@ -211,13 +213,13 @@
         return verdict
 
     def _check_arrival(self, arrival: Arrival) -> str:
-        """Return what is wrong with an attempt that arrived at a draining worker; "" for nothing."""
+        """Return why an attempt should not have arrived at a draining worker; "" if nothing is wrong."""
         drained_at = self.drained_at.get(arrival.worker)
         if drained_at is None or arrival.at < drained_at:
             return ""
-        # A later process may begin with an old list, and has it for as long as it would from its start on.
-        known_since = self.known_since[arrival.worker]
-        since = known_since if arrival.at >= known_since else drained_at
+        # A later process may start with an old list and use it for the full validity from its start.
+        validity_start = self.validity_start[arrival.worker]
+        since = validity_start if arrival.at >= validity_start else drained_at
         last_allowed = since + LIST_VALIDITY + DRAIN_GRACE + SOCKET_TOLERANCE + self.verdict.lateness
         late_by = arrival.at - last_allowed
         return f"{arrival.request_id} at {arrival.worker}, {late_by:.2f} s late" if late_by > 0 else ""
--- a/ploverspoke/testbed/scenarios/socket_fleet.py
+++ b/ploverspoke/testbed/scenarios/socket_fleet.py
@@ -1,7 +1,7 @@
 """The processes of an experiment on sockets: the real program, started as users start it, among fakes.
 
-All processes stand on a rig: each dispatcher has an address of its own on loopback, by which the fakes know
-it, and whatever was started is ended with the rig.
+All processes run on a rig: each dispatcher has its own loopback address, by which the fakes identify it, and
+closing the rig ends every process that was started.
 """
 
 import asyncio
@@ -39,17 +39,17 @@
 from .replica_files import write_secret
 from .socket_resources import count_client_processes, fake_resource_demands
 
-START_DELAY = 300 * MILLISECOND  # from the command to start until the start
+START_DELAY = 300 * MILLISECOND  # ns from the start command to the fakes until the start of the run
 FIRST_MESSAGE_TIMEOUT = 20.0  # seconds
-MAX_LATENESS = 100 * MILLISECOND  # of the load generator and the fakes; past that a run is void
-FINAL_CALM = SECOND
-STOP_GRACE = 0.7  # seconds, for a dispatcher after the last deadline
-SEED_FACTOR = 1_000_003
+MAX_LATENESS = 100 * MILLISECOND  # ns, of the load generator and the fakes; if one is later, the run is void
+FINAL_CALM = SECOND  # ns after the last deadline until the run ends
+STOP_GRACE = 0.7  # seconds that a dispatcher has to stop after the last deadline
+SEED_FACTOR = 1_000_003  # so that dispatchers of runs with different seeds have different seeds
 FAKES_MODULE = "ploverspoke.testbed.fakes"
 VIRTUAL_TIME_ONLY = "replacing and changed settings run on virtual time only"
 
 Message = TypeVar("Message")
-ReportListener = Callable[[dict[str, Any]], None]  # gets each report of a fake as it comes
+ReportListener = Callable[[dict[str, Any]], None]  # called with each report of a fake as it arrives
 
 
 class SocketFleet:
@@ -58,7 +58,7 @@
     def __init__(
         self, experiment: Experiment, seed: int, folder: Path, on_report: ReportListener | None
     ) -> None:
-        """Take a block of addresses; nothing is started before `run`."""
+        """Reserve a block of addresses; nothing is started before `run`."""
         self.experiment = experiment
         self.seed = seed
         self.folder = folder
@@ -67,8 +67,8 @@
         self.rig = Rig(folder, seed)
         self.rig.timeline.on_process_down, self.rig.timeline.on_process_up = self._on_down, self._on_up
         self.rig.timeline.stop_timeout = self._last_deadline() / SECOND + STOP_GRACE
-        self.lag = 0  # ns by which the load generator was late
-        self.lateness = 0  # ns, of the fakes
+        self.lag = 0  # ns, the most by which the load generator was late
+        self.lateness = 0  # ns, the most by which a fake was late
         self.programs: list[DispatcherProgram] = []
         self.tasks: list[asyncio.Task[None]] = []
         self.reports_traffic = False
@@ -78,11 +78,11 @@
         """Start all processes and run the experiment to its end.
 
         Raises:
-            ExperimentError: it has faults that need virtual time.
-            CapacityError: it does not fit on the machine.
+            ExperimentError: the experiment has faults that need virtual time.
+            CapacityError: the experiment does not fit on the machine.
             ProcessStartError: a process did not become ready.
         """
-        if any(isinstance(t, DispatcherReplaced | SettingsChange) for t in self.experiment.faults):
+        if any(isinstance(fault, DispatcherReplaced | SettingsChange) for fault in self.experiment.faults):
             raise ExperimentError(VIRTUAL_TIME_ONLY, location="troubles")
         addresses = self._allocate_addresses()
         self.rig.check_capacity(self._resource_demands())
@@ -94,9 +94,10 @@
         await self.rig.start_processes()
         await self._on_dispatchers_started(fakes.discovery)
         epoch = time.monotonic_ns() + START_DELAY
-        start = FakeCommand(start=epoch, dispatchers=[each.endpoint(CLIENT_PORT) for each in addresses])
+        endpoints = [address.endpoint(CLIENT_PORT) for address in addresses]
+        start_command = FakeCommand(start=epoch, dispatchers=endpoints)
         for child in fakes.all():
-            child.send(start)
+            child.send(start_command)
         for child in (*fakes.workers, *fakes.clients):
             self.tasks.append(asyncio.create_task(self._read_reports(child, fakes.discovery)))
         self._on_run_start(epoch, fakes.workers[0], fakes.discovery)
@@ -127,8 +128,8 @@
         async def start(kind: str, count: int) -> list[ChildProcess]:
             """Start the processes of one kind."""
             return [
-                await self.rig.start_child(FAKES_MODULE, [kind, str(spec_path), str(part)])
-                for part in range(count)
+                await self.rig.start_child(FAKES_MODULE, [kind, str(spec_path), str(number)])
+                for number in range(count)
             ]
 
         workers = await start("workers", spec.worker_processes)
@@ -136,9 +137,9 @@
         return FakeChildren(workers, discovery, await start("clients", spec.clients))
 
     async def _connect_fakes(self, fakes: FakeChildren) -> str:
-        """Wait for all fakes and name the workers to discovery; returns the address of discovery.
+        """Wait until all fakes are ready, tell discovery the workers, and return discovery's address.
 
-        Discovery answers dispatchers from their start on, so it has the workers before them.
+        Discovery answers dispatchers from their start, so it must know the workers before they start.
         """
         worker_addresses: dict[str, str] = {}
         for child in fakes.workers:
@@ -167,22 +168,22 @@
     # ---- Extension points ----
 
     def _hosts(self, addresses: list[ProcessAddress]) -> list[str]:
-        """Return the hosts that dispatchers send from."""
+        """Return the hosts from which dispatchers send."""
         return [address.host for address in addresses]
 
     def _client_processes(self) -> int:
-        """Return how many client processes to start."""
+        """Return the number of client processes to start."""
         return count_client_processes(self.experiment)
 
     def _resource_demands(self) -> list[ResourceDemand]:
-        """Return what the fakes need."""
+        """Return the resources that the fakes need."""
         return fake_resource_demands(self.experiment)
 
     async def _before_dispatchers(self, addresses: list[ProcessAddress]) -> None:
-        """Start what dispatchers need at their start."""
+        """Start the processes that dispatchers need when they start."""
 
     async def _on_dispatchers_started(self, discovery: ChildProcess) -> None:
-        """All dispatchers serve, and the run is about to begin."""
+        """Called once all dispatchers serve, before the run starts."""
 
     def _program(
         self, address: ProcessAddress, config: dict[str, Any], store: dict[str, Any] | None
@@ -191,17 +192,17 @@
         return DispatcherProgram(self.rig, address, config, store)
 
     def _on_run_start(self, epoch: int, workers: ChildProcess, discovery: ChildProcess) -> None:
-        """Everything is started; the run begins at `epoch`."""
+        """Called once all processes are started; the run begins at `epoch`, ns of the monotonic clock."""
 
     def _end(self) -> int:
-        """Return the time of the run at which it ends, ns."""
+        """Return the time at which the run ends, in ns since its start."""
         end = self.experiment.duration + self._last_deadline() + FINAL_CALM
         return end + (LATE_ANSWER_ALLOWANCE if self.experiment.dispatchers.store else 0)
 
     def _last_deadline(self) -> int:
         return max(request_class.deadline for request_class in self.experiment.request_classes)
 
-    # ---- Files of dispatchers ----
+    # ---- Configuration of dispatchers ----
 
     def _config(self, number: int, addresses: Sequence[ProcessAddress], discovery: str) -> dict[str, Any]:
         dispatchers = self.experiment.dispatchers
@@ -220,8 +221,8 @@
     def _store(self, number: int, addresses: Sequence[ProcessAddress]) -> dict[str, Any]:
         write_secret(self.folder)
         replicas = {
-            f"r{n}": {"peers": each.proxied_endpoint("peers"), "clients": each.endpoint(CLIENT_PORT)}
-            for n, each in enumerate(addresses)
+            f"r{n}": {"peers": address.proxied_endpoint("peers"), "clients": address.endpoint(CLIENT_PORT)}
+            for n, address in enumerate(addresses)
         }
         return {
             "cluster": "testbed",
@@ -232,7 +233,7 @@
             "snapshot_every": self.experiment.dispatchers.snapshot_interval,
         }
 
-    # ---- While it runs ----
+    # ---- During the run ----
 
     async def _read_reports(self, child: ChildProcess, discovery: ChildProcess) -> None:
         while (report := await child.receive()) is not None:
@@ -248,8 +249,9 @@
             if self.on_report is not None:
                 self.on_report({"at": self.rig.timeline.now(), "child": id(child), **report})
 
-    def _on_down(self, name: str, how: str) -> None:
-        kind = event_records.DISPATCHER_TERMINATING if how == "restart" else event_records.DISPATCHER_KILLED
+    def _on_down(self, name: str, step_kind: str) -> None:
+        is_restart = step_kind == "restart"
+        kind = event_records.DISPATCHER_TERMINATING if is_restart else event_records.DISPATCHER_KILLED
         self._record(kind, name)
 
     def _on_up(self, name: str) -> None:
@@ -259,14 +261,14 @@
         self.records.add(Event(self.rig.timeline.now(), kind, dispatcher=int(name[1:])))
 
     async def close(self) -> None:
-        """End all that was started, whatever happened."""
+        """End all processes and tasks that were started, also after a failure."""
         await self.rig.close()
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
     def void_reason(self) -> str:
-        """Return why the run proves nothing; "" if it does."""
+        """Return why the run proves nothing; "" if it is valid."""
         if self.lag > MAX_LATENESS:
             return f"the load generator fell behind by {format_duration(self.lag)}"
         if self.lateness > MAX_LATENESS:
--- a/ploverspoke/testbed/scenarios/socket_resources.py
+++ b/ploverspoke/testbed/scenarios/socket_resources.py
@@ -1,17 +1,17 @@
-"""What the fakes of a run on sockets need of the machine, and over how many processes they are spread."""
+"""The memory and descriptors that the fakes of a run on sockets need, and their number of processes."""
 
 from ..experiment_files.experiment import Experiment
 from ..processes.capacity_check import MEBIBYTE, ResourceDemand
 
-FAKE_MEMORY = 256 * MEBIBYTE  # bytes of one process
+FAKE_MEMORY = 256 * MEBIBYTE  # bytes for one process
 DISPATCHER_IDLE_TIMEOUT = 21  # seconds for which dispatchers keep an idle connection to a worker
 ATTEMPTS_PER_REQUEST = 1.5
-MAX_CONNECTIONS_PER_PAIR = 4  # of a dispatcher and a worker
+MAX_CONNECTIONS_PER_PAIR = 4  # between one dispatcher and one worker
 REQUESTS_PER_CLIENT_PROCESS = 1500  # a second
 MAX_CLIENT_PROCESSES = 4
-BASE_DESCRIPTORS = 64
+BASE_DESCRIPTORS = 64  # of any process
 DESCRIPTORS_PER_WORKER = DESCRIPTORS_PER_WATCHER = 2
-DESCRIPTORS_PER_DISPATCHER = 8  # of a client process
+DESCRIPTORS_PER_DISPATCHER = 8  # in a client process
 
 
 def count_client_processes(experiment: Experiment) -> int:
@@ -20,7 +20,7 @@
 
 
 def _peak_rate(experiment: Experiment) -> float:
-    """Return an upper bound of the requests a second."""
+    """Return an upper bound on the requests a second."""
     return sum(
         max(traffic.rate, traffic.end_rate or 0.0) * (1 + traffic.wave_amplitude)
         for traffic in experiment.traffic
@@ -30,7 +30,7 @@
 def fake_resource_demands(experiment: Experiment) -> list[ResourceDemand]:
     """Return the memory of the fakes, and the descriptors of one process of each kind."""
     dispatchers, workers = experiment.dispatchers.count, sum(group.count for group in experiment.workers)
-    # Each attempt may leave an idle connection behind, up to the most that a dispatcher has to a worker.
+    # Each attempt may leave an idle connection behind, up to the limit between a dispatcher and a worker.
     attempts_within_timeout = int(_peak_rate(experiment) * ATTEMPTS_PER_REQUEST * DISPATCHER_IDLE_TIMEOUT)
     idle_connections = min(dispatchers * workers * MAX_CONNECTIONS_PER_PAIR, attempts_within_timeout)
     descriptors = {
--- a/ploverspoke/testbed/scenarios/socket_run.py
+++ b/ploverspoke/testbed/scenarios/socket_run.py
@@ -13,17 +13,17 @@
 from ..processes.link_faults import LinkCounters
 from .socket_fleet import ReportListener, SocketFleet
 
-LOG_TAIL = 2000  # characters of each dispatcher's log
+LOG_TAIL = 2000  # characters from the end of each dispatcher's log
 
 
 class SocketRunResult(NamedTuple):
-    """What a run has shown."""
+    """The result of one run."""
 
     events: list[Event]
-    void: str  # why it proves nothing; "" if it does
-    took_s: float
-    logs: str  # the last lines that dispatchers wrote
-    history: list[HistoryEvent]  # what was done to dispatchers, and what they logged
+    void: str  # why the run proves nothing; "" if it is valid
+    elapsed_s: float
+    logs: str  # the ends of the dispatchers' logs
+    history: list[HistoryEvent]  # the faults of dispatchers, and what they logged
     links: LinkCounters
 
 
@@ -44,9 +44,9 @@
         events = merge_events([fleet.records.events, *fake_records])
         history = fleet.rig.read_events()
         logs = "\n".join(path.read_text()[-LOG_TAIL:] for path in sorted(folder.glob("d*.log")))
-    took = time.monotonic() - began_at
+    elapsed = time.monotonic() - began_at
     links = fleet.rig.link_faults.counters.links
-    return SocketRunResult(events, fleet.void_reason(), took, logs, history, links)
+    return SocketRunResult(events, fleet.void_reason(), elapsed, logs, history, links)
 
 
 async def _run_and_close(fleet: SocketFleet) -> None:
--- a/ploverspoke/testbed/scenarios/store_bench.py
+++ b/ploverspoke/testbed/scenarios/store_bench.py
@@ -1,6 +1,6 @@
 """`testbed bench --store`: throughput with a store, time without a leader, size of the store, snapshot load.
 
-As with the other benchmarks, measurements are compared with one another within one call.
+As with the other benchmarks, only measurements of the same call can be compared with each other.
 """
 
 import os
@@ -20,12 +20,12 @@
 from .bench_replicas import LEADER_TIMEOUT, BenchReplicas
 from .store_size_bench import SnapshotLoad, StoreSize, measure_snapshot_load, measure_store_size
 
-SIZES = (0, 1, 3, 5)  # replicas; 0: no store
+REPLICA_COUNTS = (0, 1, 3, 5)  # 0: a dispatcher without a store
 REPLICA_CORES = 5
 CLIENT_COUNTS = (1, 32, 128)
 REQUEST_CLASSES = ("book", "look-up")
 ROUNDS, QUICK_ROUNDS = 2, 1
-SECONDS, QUICK_SECONDS = 2.0, 1.0  # of one load
+SECONDS, QUICK_SECONDS = 2.0, 1.0  # duration of one load
 KILLS, QUICK_KILLS = 100, 5
 REPLICAS_IN_KILLS = 3
 SERVICE_POLL_INTERVAL = 0.003  # seconds
@@ -35,7 +35,7 @@
 
 
 class ThroughputMetrics(msgspec.Struct, rename={"request_class": "grade", "requests_per_second": "a_second"}):
-    """A closed loop of one request class with so many replicas and clients."""
+    """A closed loop of one request class, by the number of replicas and clients."""
 
     request_class: str
     replicas: int
@@ -52,7 +52,7 @@
     """All measurements of one call."""
 
     throughput: list[ThroughputMetrics]
-    without_service_ms: list[float]  # after each kill of the leader
+    without_service_ms: list[float]  # for each kill of the leader
     store_size: StoreSize
     snapshot_load: SnapshotLoad
 
@@ -80,17 +80,17 @@
     for request_class in REQUEST_CLASSES:
         results: dict[tuple[int, int], list[LoadResult]] = defaultdict(list)  # by replicas and clients
         for _ in range(QUICK_ROUNDS if is_quick else ROUNDS):
-            for size in SIZES:
+            for size in REPLICA_COUNTS:
                 for clients, result in _run_loads(size, worker_ports, cores, loads, request_class):
                     results[size, clients].append(result)
-        for (size, clients), of_size in sorted(results.items()):
+        for (size, clients), load_results in sorted(results.items()):
             row = ThroughputMetrics(
                 request_class=request_class,
                 replicas=size,
                 clients=clients,
-                requests_per_second=median(result.requests_per_second for result in of_size),
-                p50_ms=median(result.p50_ms for result in of_size),
-                p99_ms=median(result.p99_ms for result in of_size),
+                requests_per_second=median(result.requests_per_second for result in load_results),
+                p50_ms=median(result.p50_ms for result in load_results),
+                p99_ms=median(result.p99_ms for result in load_results),
             )
             rows.append(row)
             rate = f"{row.requests_per_second:.0f} a second"
@@ -101,7 +101,7 @@
 def _run_loads(
     size: int, worker_ports: list[int], cores: list[int], loads: LoadRunner, request_class: str
 ) -> list[tuple[int, LoadResult]]:
-    """Return the results at the leader of a new store, by number of clients."""
+    """Start replicas with a new store; return the results of loads on the leader, by number of clients."""
     with tempfile.TemporaryDirectory(prefix="ploverspoke-store-bench-") as folder:
         replicas = BenchReplicas(Path(folder), size, worker_ports, cores[:REPLICA_CORES])
         try:
@@ -112,7 +112,7 @@
 
 
 def _measure_kills(worker_ports: list[int], cores: list[int], kills: int, log: Log) -> list[float]:
-    """Return the ms from each kill of the leader until another serves a non-idempotent request."""
+    """Return the ms from each kill of the leader until another replica serves a non-idempotent request."""
     with tempfile.TemporaryDirectory(prefix="ploverspoke-store-bench-") as folder:
         replicas = BenchReplicas(Path(folder), REPLICAS_IN_KILLS, worker_ports, cores[:REPLICA_CORES])
         try:
--- a/ploverspoke/testbed/scenarios/store_size_bench.py
+++ b/ploverspoke/testbed/scenarios/store_size_bench.py
@@ -1,4 +1,4 @@
-"""Measures a store on its own: its size after many requests, and how long a snapshot takes to load."""
+"""Measures a store without a dispatcher: its size after many requests and the load time of a snapshot."""
 
 import tempfile
 import time
@@ -21,18 +21,18 @@
 )
 from ploverspoke.store.state_machine import RequestStateMachine
 
-BATCH = 250  # requests in one write
-SNAPSHOT_INTERVAL = 20_000  # log entries, as in service
+REQUESTS_PER_WRITE = 250
+SNAPSHOT_INTERVAL = 20_000  # log entries, as replicas have by default
 REQUEST_INTERVAL = 1_000_000  # ns between two requests
-DEADLINE = 2_000_000_000  # ns after a request
-NEVER = 1 << 62  # ns
+DEADLINE = 2_000_000_000  # ns after the arrival of a request
+DISTANT_DEADLINE = 1 << 62  # ns; never reached
 FINGERPRINT = b"0" * 16
 RESULT = "x" * 64
 REPLICA, CLUSTER, TERM = "r0.1", "bench", 1
 
 
 class StoreSize(msgspec.Struct, rename={"requests": "submissions"}):
-    """Bytes on disk after so many requests, and the most between two snapshots."""
+    """Bytes on disk after all requests, and the largest size seen at a snapshot or at the end."""
 
     requests: float
     bytes: float
@@ -40,21 +40,21 @@
 
 
 class SnapshotLoad(msgspec.Struct, rename={"open_requests": "open"}):
-    """How long a snapshot of so many open requests takes to load."""
+    """How long a snapshot with a number of open requests takes to load."""
 
     open_requests: float
     seconds: float
 
 
 def measure_store_size(requests: int) -> StoreSize:
-    """Write non-idempotent requests of one attempt each, with snapshots as in service."""
+    """Write the log of non-idempotent requests with one attempt each and the default snapshot interval."""
     with tempfile.TemporaryDirectory(prefix="ploverspoke-store-bench-") as folder:
         storage, state = _new_storage(Path(folder)), RequestStateMachine()
         index = snapshot_index = largest = 0
-        for first in range(0, requests, BATCH):
+        for first in range(0, requests, REQUESTS_PER_WRITE):
             batch = WriteBatch()
-            for number in range(first, min(first + BATCH, requests)):
-                for command in _commands_of(number):
+            for number in range(first, min(first + REQUESTS_PER_WRITE, requests)):
+                for command in _request_commands(number):
                     index += 1
                     encoded = encode_command(command)
                     batch.entries.append(Entry(index, TERM, EntryKind.DATA, encoded))
@@ -69,7 +69,7 @@
     return StoreSize(float(requests), float(size), float(max(largest, size)))
 
 
-def _commands_of(number: int) -> tuple[LogCommand, ...]:
+def _request_commands(number: int) -> tuple[LogCommand, ...]:
     """Return the log commands of one request from its arrival to its answer."""
     request_id, now = f"{number:016x}", number * REQUEST_INTERVAL
     return (
@@ -81,12 +81,13 @@
 
 
 def measure_snapshot_load(open_requests: int) -> SnapshotLoad:
-    """Save a snapshot of requests with an attempt each, and load it."""
+    """Save a snapshot of open requests with one attempt each, and measure how long it takes to load."""
     with tempfile.TemporaryDirectory(prefix="ploverspoke-store-bench-") as folder:
         storage, state = _new_storage(Path(folder)), RequestStateMachine()
         for number in range(open_requests):
             request_id = f"{number:016x}"
-            state.apply(number, encode_command(AcceptRequest(request_id, 1, FINGERPRINT, NEVER, number)))
+            accept = AcceptRequest(request_id, 1, FINGERPRINT, DISTANT_DEADLINE, number)
+            state.apply(number, encode_command(accept))
             state.apply(number, encode_command(StartAttempt(request_id, "w1", 0, number)))
         storage.save_snapshot(Snapshot(2 * open_requests, TERM, {}, state.take_snapshot()))
         storage.close()
--- a/tests/testbed/scenarios/test_soak.py
+++ b/tests/testbed/scenarios/test_soak.py
@@ -1,4 +1,7 @@
-"""A short soak: signals, restarts, kills at the earliest moment, faults of discovery; long ones by hand."""
+"""A short soak with signals, restarts, kills at the earliest moment and discovery faults.
+
+Longer soaks are run manually.
+"""
 
 import asyncio
 
@@ -8,7 +11,7 @@
 from ploverspoke.testbed.scenarios.soak import SoakVerdict, run_seed
 
 RUNS_LONG = True  # scheduled first: see tests/conftest.py
-SEEDS = (101, 102, 106, 109)  # the last two have idle clients
+SEEDS = (101, 102, 106, 109)  # seeds 106 and 109 have idle clients
 
 
 @pytest.fixture(scope="module")
--- a/tests/testbed/scenarios/test_socket_run.py
+++ b/tests/testbed/scenarios/test_socket_run.py
@@ -1,4 +1,4 @@
-"""The real program among fakes, in real time: short, with a crash and a dispatcher that is killed."""
+"""Short runs of the real program among fakes in real time, with a worker crash and a killed dispatcher."""
 
 import asyncio
 
@@ -32,7 +32,7 @@
     assert {event.dispatcher for event in result.events if event.kind == ATTEMPT_ARRIVED} == {0, 1}
     assert any("workers" in report for report in reports)
     assert any("answers" in report for report in reports)
-    # Every job was sent, whatever the machine was busy with; how late is reported, and does not matter here.
+    # Every job was sent, even on a busy machine. How late the jobs were is reported but not checked here.
     assert len({event.job for event in result.events if event.kind == REQUEST_SENT}) == len(
         {event.job for event in result.events if event.job >= 0}
     )
@@ -40,12 +40,12 @@
 
 def test_the_reader_of_the_fakes_splits_messages_and_refuses_invalid_ones() -> None:
     reader = HttpReader()
-    whole = encode_response(200, "OK", b"body") + encode_response(503, "No", b"")
-    found = [m for at in range(len(whole)) for m in reader.feed(whole[at : at + 1])]
-    assert [m.body for m in found] == [b"body", b""] and not reader.has_partial_message()
-    for bad in (b"HTTP/1.1 200 OK\r\nnothing\r\n\r\n", b"HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n"):
+    stream = encode_response(200, "OK", b"body") + encode_response(503, "No", b"")
+    messages = [message for at in range(len(stream)) for message in reader.feed(stream[at : at + 1])]
+    assert [message.body for message in messages] == [b"body", b""] and not reader.has_partial_message()
+    for invalid in (b"HTTP/1.1 200 OK\r\nnothing\r\n\r\n", b"HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n"):
         with pytest.raises(HttpSyntaxError):
-            HttpReader().feed(bad)
+            HttpReader().feed(invalid)
     assert encode_chunk(b"abc") == b"3\r\nabc\r\n"
 
 
@@ -55,12 +55,12 @@
     started: list[asyncio.subprocess.Process] = []
     start = ChildProcess.start
 
-    async def noted(module: str, words: list[str]) -> ChildProcess:
-        child = await start(module, words)
+    async def start_and_record(module: str, arguments: list[str]) -> ChildProcess:
+        child = await start(module, arguments)
         started.append(child.process)
         return child
 
-    monkeypatch.setattr(ChildProcess, "start", noted)
+    monkeypatch.setattr(ChildProcess, "start", start_and_record)
     monkeypatch.setattr(SocketFleet, "_config", lambda *_: {"listen": "nowhere", "settings": {}})
     with pytest.raises(ProcessStartError):
         run_on_sockets(small_experiment(lasts="2s"), 1)
