--- a/ploverspoke/testbed/scenarios/decision_bench.py
+++ b/ploverspoke/testbed/scenarios/decision_bench.py
@@ -1,4 +1,4 @@
-"""Measures the CPU time of decisions by fleet size, in simulations on virtual time."""
+"""Measures the time that decisions take by fleet size, in simulations on virtual time."""
 
 import time
 from collections.abc import Callable
--- a/ploverspoke/testbed/scenarios/distribution_experiment.py
+++ b/ploverspoke/testbed/scenarios/distribution_experiment.py
@@ -52,7 +52,7 @@
     run_duration: Duration = Duration(25 * SECOND)
     within: Duration = Duration(10 * SECOND)  # the limit that is checked, from acknowledged to active
     publishers: int = 3
-    publish_interval: Duration = Duration(600 * MILLISECOND)  # mean, of one publisher
+    publish_interval: Duration = Duration(600 * MILLISECOND)  # mean, between publications of one publisher
     retry_share: float = 0.75  # share of publications that are retried if no answer comes
     # Whether each dispatcher prefers one server, assigned in turn, instead of the servers of its region.
     prefers_one_server: bool = False
@@ -71,7 +71,7 @@
     publish_pause_interval: Duration = Duration(0)
     partition_start: Duration = Duration(0)  # of the partition between the regions
     partition_duration: Duration = Duration(0)
-    sample_interval: Duration = Duration(0)  # of memory, disk and traffic
+    sample_interval: Duration = Duration(0)  # between samples of memory, disk and traffic
 
     def region(self, number: int) -> str:
         """Return the region of a server or dispatcher."""
@@ -101,7 +101,7 @@
 
     versions: int = MIN_VERSIONS  # seen active; with fewer the run is void
     faults: int = MIN_FAULTS  # with fewer the run is void
-    max_calm_delay: Duration = Duration(0)  # from acknowledged to active, without faults; 0: any
+    max_calm_delay: Duration = Duration(0)  # from acknowledged to active, without faults; 0: no limit
 
 
 class DistributionExperiment(
--- a/ploverspoke/testbed/scenarios/distribution_faults.py
+++ b/ploverspoke/testbed/scenarios/distribution_faults.py
@@ -15,7 +15,7 @@
 from .replica_files import SECRET
 
 LEADER_POLL_INTERVAL = 0.05  # seconds
-CUT_SHARE = 0.9  # of the interval, for which a leader is cut off
+CUT_SHARE = 0.9  # share of the interval for which a leader is cut off
 # The time until the next lost folder is a random factor from MIN_INTERVAL_FACTOR to 1.5, times the interval,
 # divided by INTERVAL_DIVISOR.
 MIN_INTERVAL_FACTOR = 0.5
--- a/ploverspoke/testbed/scenarios/distribution_fleet.py
+++ b/ploverspoke/testbed/scenarios/distribution_fleet.py
@@ -23,7 +23,7 @@
 from .replica_files import SECRET, proxied_replicas, write_secret
 
 CLIENTS_MODULE = "ploverspoke.testbed.fakes.config_clients"
-CLIENT_PORT, ADMIN_PORT = "clients", "admin"  # of dispatchers
+CLIENT_PORT, ADMIN_PORT = "clients", "admin"  # names of the ports of a dispatcher
 OWN_FILE_TAG = 0  # of the request classes in a dispatcher's own file
 
 # By process name: the module, with its first arguments, that runs in place of the program. Tests of the
--- a/ploverspoke/testbed/scenarios/lease_bench.py
+++ b/ploverspoke/testbed/scenarios/lease_bench.py
@@ -46,7 +46,7 @@
         "held_renewals_per_second": "held_renewals_a_second",
     },
 ):
-    """Measurements with a number of lease servers; `core` is the leader's share of a core."""
+    """Measurements with a number of lease servers; fields with `core` are the leader's share of a core."""
 
     servers: int
     renewals_per_second: float
--- a/ploverspoke/testbed/scenarios/lease_fleet.py
+++ b/ploverspoke/testbed/scenarios/lease_fleet.py
@@ -23,7 +23,7 @@
 MAX_DURATION_FACTOR = 3  # longest lease that servers grant, as a multiple of the scenario's lease duration
 EFFECTS_PER_DURATION = 5  # the longest effect takes the lease's duration divided by this
 CLOCK_RATES = (0.95, 1.0, 1.05)  # assigned to the candidates in turn
-DOWNTIME_SHARE = 0.25  # of the interval between kills, for which a killed holder stays down
+DOWNTIME_SHARE = 0.25  # share of the interval between kills for which a killed holder stays down
 
 
 class LeaseFleet:
--- a/ploverspoke/testbed/scenarios/scale_fleet.py
+++ b/ploverspoke/testbed/scenarios/scale_fleet.py
@@ -197,7 +197,8 @@
         number = len(self.programs)
         host = self.hosts[number % self.counts.hosts]
         program = SimulatedDispatcherProgram(host, self._dispatcher_address(number, address), config)
-        # It has the attributes of a process that the rig uses, and is started, stopped and killed alike.
+        # It has the attributes of a process that the rig uses, and the rig starts, stops and kills it in the
+        # same way.
         return cast(DispatcherProgram, program)
 
     async def _count_with_list(self) -> int:
@@ -273,5 +274,5 @@
 
 
 def _kind_of_fake(report: Report) -> str:
-    """Return the kind of fake that sent a report, which a key shows that only its reports have."""
+    """Return the kind of fake that sent a report, by a key that only reports of that kind have."""
     return "workers" if "workers" in report else "clients" if "sent" in report else "discovery"
--- a/ploverspoke/testbed/scenarios/scale_run.py
+++ b/ploverspoke/testbed/scenarios/scale_run.py
@@ -28,7 +28,7 @@
 from .scale_results import void_note
 
 MAX_SHOWN_FINDINGS = 5
-METRIC_DIGITS = 6  # after the point
+METRIC_DIGITS = 6  # after the decimal point
 FOLDER_PREFIX = "ploverspoke-fleet-"
 
 
--- a/ploverspoke/testbed/scenarios/scale_test.py
+++ b/ploverspoke/testbed/scenarios/scale_test.py
@@ -16,7 +16,7 @@
 from .scale_results import LENGTH_COMPARISON, ResultLog, last_void_kinds, measured_metrics
 from .scale_run import run_scenario
 
-RATIO_DIGITS = 4  # after the point
+RATIO_DIGITS = 4  # after the decimal point
 
 
 class ComparisonResult(NamedTuple):
--- a/ploverspoke/testbed/scenarios/soak.py
+++ b/ploverspoke/testbed/scenarios/soak.py
@@ -26,13 +26,13 @@
 # discovery below the second, idle clients below the third, and else a failure of discovery.
 DRAIN_LIMIT, MOVE_LIMIT, IDLE_CLIENTS_LIMIT = 0.2, 0.3, 0.4
 FAULT_PAUSES = (0.05, 0.4, 1.5, 3.0)  # between a fault and the next one
-DRAIN_DURING_FAILURE_SHARE = 0.5  # of the failures
+DRAIN_DURING_FAILURE_SHARE = 0.5  # share of failures after whose start a worker is drained
 MAX_DRAIN_DELAY = 0.5  # after the start of a failure
-SINGLE_CALLS_SHARE = 0.4  # of the failures; the others are outages
+SINGLE_CALLS_SHARE = 0.4  # share of failures that affect single calls; the others are outages
 MAX_FAILED_CALLS = 4
-REFUSED_SHARE = 0.2  # of the outages, in which connections are refused
+REFUSED_SHARE = 0.2  # share of outages in which connections are refused
 OUTAGE_DURATIONS = (0.2, 1.0, 4.0, 9.0)
-IDLE_CLIENTS_SHARE = 0.3  # of the seeds, which have idle clients
+IDLE_CLIENTS_SHARE = 0.3  # share of seeds that have idle clients
 IDLE_CONNECTIONS = 150
 IDLE_CONNECTIONS_DURATION = 3.0
 SOCKET_LIMIT_WITH_IDLE_CLIENTS = 128
