--- a/ploverspoke/testbed/checkers/audited_requests.py
+++ b/ploverspoke/testbed/checkers/audited_requests.py
@@ -1,4 +1,4 @@
-"""What clients and workers observed of one request; input of the request audit."""
+"""The observations of clients and workers about one request, which are the input of the request audit."""
 
 from dataclasses import dataclass, field
 from enum import StrEnum
@@ -19,18 +19,18 @@
 
 
 class Finding(NamedTuple):
-    """One broken rule."""
+    """One violation of a rule."""
 
     rule: Rule
     at: int  # ns
-    request_id: str  # "" where it is about a worker
+    request_id: str  # "" if the finding is about a worker
     worker: str
     text: str
     timeline: list[str]  # what was observed; only for the first findings
 
 
 class Answer(NamedTuple):
-    """What a client received."""
+    """An answer that a client received, or the break of its connection."""
 
     at: int  # ns
     outcome: str  # one of those in event_records
@@ -42,10 +42,10 @@
 
     arrived_at: int
     worker: str
-    serial: int  # the worker's own number of it
+    serial: int  # the worker's number of the attempt
     dispatcher: int
     end: ExecutionEnd | None = None
-    open_until: int = UNKNOWN_TIME
+    open_until: int = UNKNOWN_TIME  # its end or the close of its connection, whichever was first
 
     def may_have_run(self) -> bool:
         """Whether the worker may have run the request."""
@@ -65,7 +65,7 @@
     request_class: int
     deadline: int
     accepted_at: int = UNKNOWN_TIME  # by the dispatcher's machine
-    left_at: int = UNKNOWN_TIME  # the client gave up
+    disconnected_at: int = UNKNOWN_TIME  # the client gave up
     answers: list[Answer] = field(default_factory=list)
     attempts: list[ObservedAttempt] = field(default_factory=list)
 
@@ -73,12 +73,12 @@
         """The answers that were complete."""
         return [answer for answer in self.answers if answer.outcome != BROKEN]
 
-    def over_at(self) -> int:
+    def ended_at(self) -> int:
         """When the client had its first answer or gave up, whichever was first."""
-        times = [self.left_at, self.answers[0].at if self.answers else UNKNOWN_TIME]
+        times = [self.disconnected_at, self.answers[0].at if self.answers else UNKNOWN_TIME]
         return min((at for at in times if at >= 0), default=UNKNOWN_TIME)
 
-    def attempt(self, worker: str, serial: int) -> ObservedAttempt | None:
-        """The attempt of that number at that worker."""
+    def find_attempt(self, worker: str, serial: int) -> ObservedAttempt | None:
+        """The attempt with that number at that worker."""
         matching = (a for a in self.attempts if a.worker == worker and a.serial == serial)
         return next(matching, None)
--- a/ploverspoke/testbed/checkers/committed_version_checks.py
+++ b/ploverspoke/testbed/checkers/committed_version_checks.py
@@ -5,7 +5,7 @@
 from itertools import accumulate
 
 from .distribution_history import (
-    NOT_EXPECTED,
+    NO_EXPECTED_VERSION,
     DistributionHistory,
     ListedVersion,
     PublicationKind,
@@ -13,14 +13,14 @@
 )
 from .finding_collector import FindingCollector
 
-DIGEST_SHOWN = 8  # characters
+SHOWN_DIGEST_LENGTH = 8  # characters
 
 
 class CommittedVersionChecks:
-    """The checks that need no knowledge of faults."""
+    """The checks that do not depend on which faults were applied."""
 
     def __init__(self, history: DistributionHistory, findings: FindingCollector) -> None:
-        """Findings go to the collector."""
+        """Add findings to the collector."""
         self._history = history
         self._findings = findings
 
@@ -34,11 +34,11 @@
             self._findings.add("empty", server, f"{server} serves with an empty folder, without --new", at)
         self._check_committed_twice()
         self._check_lost()
-        self._check_growing_numbers()
+        self._check_increasing_numbers()
         self._check_expected_versions()
         self._check_rejected_and_committed()
 
-    # ---- What servers replied and listed ----
+    # ---- Replies and listings of servers ----
 
     def _check_reply(self, at: int, reply: PublishReply) -> None:
         publication = self._history.publications[reply.id]
@@ -64,12 +64,12 @@
             first = self._history.committed[version]
             if (digest, publication_id) != first:
                 text = (
-                    f"{server} lists version {version} as {publication_id} ({digest[:DIGEST_SHOWN]}), "
-                    f"and it was {first.id} ({first.digest[:DIGEST_SHOWN]})"
+                    f"{server} lists version {version} as {publication_id} ({digest[:SHOWN_DIGEST_LENGTH]}), "
+                    f"and it was {first.id} ({first.digest[:SHOWN_DIGEST_LENGTH]})"
                 )
                 self._findings.add("changed", server, text, at)
 
-    # ---- What was committed ----
+    # ---- Committed versions ----
 
     def _check_committed_twice(self) -> None:
         versions: dict[str, list[int]] = defaultdict(list)
@@ -90,8 +90,8 @@
                     )
                     self._findings.add("lost", publication_id, text, at)
 
-    def _check_growing_numbers(self) -> None:
-        """A publication that began when another was acknowledged has a higher number."""
+    def _check_increasing_numbers(self) -> None:
+        """A publication that was first sent after another was acknowledged must have a higher number."""
         by_time = sorted((at, version, id_) for id_, (at, version) in self._history.acknowledged.items())
         times = [at for at, _, _ in by_time]
         highest = list(accumulate(((version, id_) for _, version, id_ in by_time), max))
@@ -108,15 +108,15 @@
                 self._findings.add("number", publication_id, text, at)
 
     def _check_expected_versions(self) -> None:
-        """A publication with an expected version follows it, and is the only one to do so."""
+        """A publication with an expected version must directly follow it, as the only one."""
         followers: dict[int, list[str]] = defaultdict(list)
         previous = 0
         for position, (version, committed) in enumerate(sorted(self._history.committed.items())):
             publication = self._history.publications.get(committed.id)
-            if publication is not None and publication.expected_version > NOT_EXPECTED:
+            if publication is not None and publication.expected_version > NO_EXPECTED_VERSION:
                 expected = publication.expected_version
                 followers[expected].append(publication.id)
-                # Servers list the last versions only: the first listed one may follow any.
+                # Servers list only the latest versions: the predecessor of the first listed one is unknown.
                 if previous != expected and (position or version == 1):
                     text = f"{publication.id} expected version {expected} and follows {previous} as {version}"
                     self._findings.add("expected", publication.id, text, self._sent_at(publication.id))
--- a/ploverspoke/testbed/checkers/dispatcher_checks.py
+++ b/ploverspoke/testbed/checkers/dispatcher_checks.py
@@ -1,4 +1,4 @@
-"""Checks what is active at each dispatcher (rules 1 to 4), that it answers, and its admin address."""
+"""Checks the active versions of each dispatcher (rules 1 to 4), its answers and its admin replies."""
 
 from bisect import bisect_right
 from itertools import accumulate, pairwise
@@ -17,7 +17,7 @@
 from .observed_reachability import ObservedReachability
 from .time_intervals import Interval, find_interval, subtract_intervals
 
-MAX_SILENCE = 5 * SECOND  # of a dispatcher that runs and is probed all the time
+MAX_SILENCE = 5 * SECOND  # without an answer, while a dispatcher runs and is probed continuously
 OWN_FILE_TAG = 0
 UNKNOWN_VERSION = -1
 
@@ -28,7 +28,8 @@
     def __init__(self, history: DistributionHistory) -> None:
         """Read them from the history.
 
-        What was acknowledged has a number also if no server lists it: a missing one is another finding.
+        An acknowledged publication has a version number even if no server lists it: that it is missing is
+        reported by another check.
         """
         self._publications = {p.tag: p for p in history.publications.values()}
         acknowledged = {id_: reply.version for id_, reply in history.acknowledged.items()}
@@ -46,8 +47,8 @@
         return tag in self._versions
 
     def active_version(self, probe_round: ProbeRound) -> int:
-        """The highest version of which both classes were known; UNKNOWN_VERSION if there is none."""
-        complete = [tag for tag, parts in probe_round.known.items() if parts == COMPLETE]
+        """The highest version whose two classes were both known; UNKNOWN_VERSION if there is none."""
+        complete = [tag for tag, classes in probe_round.known.items() if classes == COMPLETE]
         return max((self._versions.get(tag, UNKNOWN_VERSION) for tag in complete), default=UNKNOWN_VERSION)
 
 
@@ -59,7 +60,7 @@
 
 
 class DispatcherChecks:
-    """The checks of one dispatcher after another; counts what they checked."""
+    """Checks dispatchers one by one, and collects counts and delays over all of them."""
 
     def __init__(
         self,
@@ -67,15 +68,15 @@
         reachability: ObservedReachability,
         versions: VersionsByTag,
         findings: FindingCollector,
-        within: int,
+        time_limit: int,
     ) -> None:
-        """`within` is the limit (ns) of rules 1 and 3."""
+        """`time_limit` (ns) is the limit of rules 1 and 3."""
         self._history = history
         self._reachability = reachability
         self._versions = versions
         self._findings = findings
-        self._within = within
-        self.active_versions: set[int] = set()  # without dispatchers' own files
+        self._time_limit = time_limit
+        self.active_versions: set[int] = set()  # without version 0, the dispatchers' own files
         self.checked_probes = 0
         self.calm_delays: list[float] = []  # s
         self.delays_after_faults: list[float] = []  # s
@@ -85,27 +86,27 @@
         dispatcher: str,
         rounds: list[ProbeRound],
         reachable: list[Interval],
-        shortly_reachable: list[Interval],
+        reachable_for_1_s: list[Interval],
     ) -> None:
         """Check one dispatcher.
 
         Args:
             dispatcher: Its name.
             rounds: Its rounds of probes, in order of time.
-            reachable: The intervals of at least `within` in which it could reach the configuration.
-            shortly_reachable: The same of at least a second.
+            reachable: The intervals of at least `time_limit` in which it could reach the configuration.
+            reachable_for_1_s: The intervals of at least 1 s in which it could.
         """
         self._check_known_tags(dispatcher, rounds)
-        self._check_complete(dispatcher, rounds)
-        self._check_anything_active(dispatcher, rounds)
-        active = [ActiveVersion(one, self._versions.active_version(one)) for one in rounds]
+        self._check_not_half_applied(dispatcher, rounds)
+        self._check_some_version_active(dispatcher, rounds)
+        active = [ActiveVersion(probed, self._versions.active_version(probed)) for probed in rounds]
         self.active_versions |= {version for _, version in active if version > 0}
-        self._check_never_back(dispatcher, active)
-        self._check_not_behind_after_restart(dispatcher, active, reachable)
+        self._check_never_decreases(dispatcher, active)
+        self._check_not_older_after_restart(dispatcher, active, reachable)
         acknowledged = self._acknowledged_valid_versions()
-        self._check_in_time(dispatcher, active, reachable, acknowledged)
-        self._measure_delays(active, shortly_reachable, acknowledged)
-        self._check_answers(dispatcher, rounds)
+        self._check_applied_in_time(dispatcher, active, reachable, acknowledged)
+        self._measure_delays(active, reachable_for_1_s, acknowledged)
+        self._check_answers_regularly(dispatcher, rounds)
         self._check_admin_replies(dispatcher, active)
 
     # ---- Rule 2 ----
@@ -128,22 +129,22 @@
             return "must be rejected"
         return "" if publication is not None and self._versions.is_committed(tag) else "was not committed"
 
-    def _check_complete(self, dispatcher: str, rounds: list[ProbeRound]) -> None:
+    def _check_not_half_applied(self, dispatcher: str, rounds: list[ProbeRound]) -> None:
         previous: dict[int, str] = {}
         for probe_round in rounds:
             incomplete = {
-                tag: part
-                for tag, part in probe_round.known.items()
-                if part != COMPLETE and tag in probe_round.unknown
+                tag: classes
+                for tag, classes in probe_round.known.items()
+                if classes != COMPLETE and tag in probe_round.unknown
             }
-            for tag, part in incomplete.items():
-                if previous.get(tag) == part:
-                    text = f"{dispatcher} applied half of tag {tag}: {part} alone"
+            for tag, classes in incomplete.items():
+                if previous.get(tag) == classes:
+                    text = f"{dispatcher} applied half of tag {tag}: {classes} alone"
                     self._findings.add("half", dispatcher, text, probe_round.asked_at)
             previous = incomplete
 
-    def _check_anything_active(self, dispatcher: str, rounds: list[ProbeRound]) -> None:
-        # A change between two requests of one round may show no class, but not in two rounds.
+    def _check_some_version_active(self, dispatcher: str, rounds: list[ProbeRound]) -> None:
+        # A change between two requests of a round may leave all classes of it unknown, but not of two rounds.
         for previous, probe_round in pairwise(rounds):
             if not previous.known and not probe_round.known:
                 text = f"{dispatcher} applies no version that is known"
@@ -151,7 +152,7 @@
 
     # ---- Rule 1 ----
 
-    def _check_never_back(self, dispatcher: str, active: list[ActiveVersion]) -> None:
+    def _check_never_decreases(self, dispatcher: str, active: list[ActiveVersion]) -> None:
         highest: dict[int, int] = {}  # by incarnation
         for (asked_at, _, _, _, incarnation), version in active:
             if version < 0 or incarnation < 0:
@@ -161,22 +162,22 @@
                 self._findings.add("back", dispatcher, text, asked_at)
             highest[incarnation] = max(highest.get(incarnation, UNKNOWN_VERSION), version)
 
-    def _check_not_behind_after_restart(
+    def _check_not_older_after_restart(
         self, dispatcher: str, active: list[ActiveVersion], reachable: list[Interval]
     ) -> None:
         highest: dict[int, int] = {}  # by incarnation
         for (asked_at, _, _, _, incarnation), version in active:
             if version < 0 or incarnation < 0:
                 continue
-            before = max((v for other, v in highest.items() if other < incarnation), default=0)
-            if version < before and self._was_reachable(reachable, asked_at):
-                text = f"{dispatcher} is at version {version} after its restart, and had {before}"
+            highest_before = max((v for other, v in highest.items() if other < incarnation), default=0)
+            if version < highest_before and self._was_reachable(reachable, asked_at):
+                text = f"{dispatcher} is at version {version} after its restart, and had {highest_before}"
                 self._findings.add("behind", dispatcher, text, asked_at)
             highest[incarnation] = max(highest.get(incarnation, UNKNOWN_VERSION), version)
 
     def _was_reachable(self, reachable: list[Interval], at: int) -> bool:
-        """Whether the configuration could be reached for `within` before that time."""
-        return any(interval.start + self._within <= at <= interval.end for interval in reachable)
+        """Whether the configuration could be reached throughout the time limit before `at`."""
+        return any(interval.start + self._time_limit <= at <= interval.end for interval in reachable)
 
     # ---- Rules 3 and 4 ----
 
@@ -189,7 +190,7 @@
             if publications[id_].kind is PublicationKind.VALID
         )
 
-    def _check_in_time(
+    def _check_applied_in_time(
         self,
         dispatcher: str,
         active: list[ActiveVersion],
@@ -203,7 +204,7 @@
             if version < 0 or not self._was_reachable(reachable, asked_at):
                 continue
             self.checked_probes += 1
-            required = newest[bisect_right(times, asked_at - self._within)]
+            required = newest[bisect_right(times, asked_at - self._time_limit)]
             if version < required:
                 acknowledged_at = next(reply.at for reply in acknowledged if reply.version == required)
                 late_by = format_duration(asked_at - acknowledged_at)
@@ -213,19 +214,26 @@
     def _measure_delays(
         self, active: list[ActiveVersion], reachable: list[Interval], acknowledged: list[Acknowledgement]
     ) -> None:
-        """How long each version took where it could be reached, from the end of the fault before."""
+        """Measure the time until each acknowledged version was active.
+
+        It counts from the acknowledgement, or from the end of a fault that lasted longer.
+        """
         for at, version in acknowledged:
-            first = next((one for one, v in active if v >= version and one.answered_at >= at), None)
-            interval = find_interval(reachable, first.asked_at) if first is not None else None
-            if first is None or interval is None:
+            first_active = next(
+                (probed for probed, v in active if v >= version and probed.answered_at >= at), None
+            )
+            interval = find_interval(reachable, first_active.asked_at) if first_active is not None else None
+            if first_active is None or interval is None:
                 continue
-            delay = max(0, first.answered_at - max(at, interval.start)) / SECOND
-            is_calm = interval.start + self._within <= at or interval.start == self._reachability.run.start
+            delay = max(0, first_active.answered_at - max(at, interval.start)) / SECOND
+            is_calm = (
+                interval.start + self._time_limit <= at or interval.start == self._reachability.run.start
+            )
             (self.calm_delays if is_calm else self.delays_after_faults).append(delay)
 
-    # ---- What clients and operators receive ----
+    # ---- Answers to clients and operators ----
 
-    def _check_answers(self, dispatcher: str, rounds: list[ProbeRound]) -> None:
+    def _check_answers_regularly(self, dispatcher: str, rounds: list[ProbeRound]) -> None:
         answered = [probe_round.answered_at for probe_round in rounds]
         for running in subtract_intervals(self._reachability.run, self._reachability.outages[dispatcher]):
             times = [running.start, *(at for at in answered if running.contains(at)), running.end]
@@ -235,16 +243,18 @@
                     self._findings.add("silent", dispatcher, text, at)
 
     def _check_admin_replies(self, dispatcher: str, active: list[ActiveVersion]) -> None:
-        """The admin address names a version between those that clients see before and after."""
+        """The admin address must name a version between those that clients saw before and after."""
         for reply in self._history.admin_replies[dispatcher]:
             incarnation = self._reachability.incarnation(dispatcher, reply.asked_at)
             if incarnation < 0 or incarnation != self._reachability.incarnation(
                 dispatcher, reply.answered_at
             ):
                 continue
-            same = [(one, v) for one, v in active if v >= 0 and one.incarnation == incarnation]
-            before = [v for one, v in same if one.answered_at < reply.asked_at]
-            after = [v for one, v in same if one.asked_at > reply.answered_at]
+            of_incarnation = [
+                item for item in active if item.version >= 0 and item.probe_round.incarnation == incarnation
+            ]
+            before = [v for probed, v in of_incarnation if probed.answered_at < reply.asked_at]
+            after = [v for probed, v in of_incarnation if probed.asked_at > reply.answered_at]
             if (before and reply.version < before[-1]) or (after and reply.version > after[0]):
                 seen = f"{before[-1:]} before and {after[:1]} after"
                 text = f"{dispatcher} claims version {reply.version}, clients saw {seen}"
--- a/ploverspoke/testbed/checkers/distribution_history.py
+++ b/ploverspoke/testbed/checkers/distribution_history.py
@@ -1,12 +1,12 @@
-"""The history of a config distribution run, read into types.
+"""Parses the history of a config distribution run into typed records.
 
-A *tag* belongs to one publication: its body has the request classes gTAGa and gTAGb, and no others. Tag 0 is
-the dispatcher's own file.
+A *tag* belongs to one publication: its body has the request classes gTAGa and gTAGb, and no others. Tag 0
+stands for the dispatcher's own configuration file.
 
-Details of the events: `roles` {servers, dispatchers}; `wants` a Publication; `sends` [id, server]; `answer` a
-PublishReply; `versions` [server, rows of ListedVersion, is final]; `probe` [dispatcher, asked at, names of
-known classes, names of unknown classes]; `door` [dispatcher, asked at, line of the admin address]; `watchers`
-[server, rows]; `serves empty` the server's name. Dispatchers' log lines are `log` events.
+Details of the events, by kind: `roles` {servers, dispatchers}; `wants` a Publication; `sends` [id, server];
+`answer` a PublishReply; `versions` [server, rows of ListedVersion, is final]; `probe` [dispatcher, asked at,
+names of known classes, names of unknown classes]; `door` [dispatcher, asked at, line of the admin address];
+`watchers` [server, rows]; `serves empty` the server's name. Dispatchers' log lines are `log` events.
 """
 
 import re
@@ -19,7 +19,7 @@
 
 from ..processes.history import HistoryEvent
 
-NOT_EXPECTED = -1  # a publication without an expected version
+NO_EXPECTED_VERSION = -1  # in a publication that states none
 CLASS_NAME = re.compile(r"g(\d+)([ab])")
 COMPLETE = "ab"  # both classes of a tag
 REJECTION_LINE = re.compile(r"config: version (\d+) rejected: (.*)")
@@ -27,7 +27,7 @@
 
 
 class PublicationKind(StrEnum):
-    """Who must reject the body of a publication."""
+    """Publications by the processes that must reject their body, if any."""
 
     VALID = "good"
     REJECTED_BY_DISPATCHERS = "refusable"
@@ -40,7 +40,7 @@
     id: str
     tag: int
     kind: PublicationKind
-    key: str  # that a rejection must name
+    key: str  # the configuration key that a rejection must name
     expected_version: int
 
 
@@ -52,7 +52,7 @@
     is_done: bool
     version: int
     reason: str
-    is_certain: bool  # the server knows whether it was committed
+    is_certain: bool  # whether the server knows if it was committed
 
 
 class Acknowledgement(NamedTuple):
@@ -72,7 +72,7 @@
 
 
 class CommittedVersion(NamedTuple):
-    """What was committed under a version number."""
+    """The publication that was committed under a version number."""
 
     digest: str
     id: str
@@ -84,8 +84,8 @@
     asked_at: int  # ns
     answered_at: int
     known: dict[int, str]  # by tag
-    unknown: dict[int, str]  # the same of the classes that it did not know
-    incarnation: int  # -1: while it ended or started
+    unknown: dict[int, str]  # by tag, the classes that it does not know
+    incarnation: int  # of the dispatcher; -1 during a restart
 
 
 class Rejection(NamedTuple):
@@ -105,7 +105,7 @@
 
 
 class WatcherRow(NamedTuple):
-    """A dispatcher as a server lists it."""
+    """A server's entry for a dispatcher that watches its configuration."""
 
     at: int  # ns
     row: list[Any]  # name, applied version, rejected version, reason, ...
@@ -119,19 +119,19 @@
         return str(self.row[3])
 
 
-def tags_of(class_names: Iterable[str]) -> dict[int, str]:
-    """By tag, which of its two classes are among the names."""
+def classes_by_tag(class_names: Iterable[str]) -> dict[int, str]:
+    """By tag, the letters of its classes that are among the names."""
     tags: dict[int, str] = {}
     for name in sorted(class_names):
-        part = CLASS_NAME.fullmatch(name)
-        if part is not None:
-            tag = int(part[1])
-            tags[tag] = tags.get(tag, "") + part[2]
+        match = CLASS_NAME.fullmatch(name)
+        if match is not None:
+            tag = int(match[1])
+            tags[tag] = tags.get(tag, "") + match[2]
     return tags
 
 
 class DistributionHistory:
-    """What publishers, probers and dispatchers recorded."""
+    """The records of publishers, probers and dispatchers."""
 
     def __init__(self, events: Sequence[HistoryEvent]) -> None:
         """Read the events, which are in order of time."""
@@ -140,7 +140,7 @@
         self.replies: list[tuple[int, PublishReply]] = []  # with their times, ns
         self.acknowledged: dict[str, Acknowledgement] = {}  # by id
         self.listings: list[tuple[int, str, list[ListedVersion]]] = []  # time (ns), server
-        self.final_listings: dict[str, dict[int, str]] = {}  # by server, ids by version
+        self.final_listings: dict[str, dict[int, str]] = {}  # by server: publication ids by version
         self.committed: dict[int, CommittedVersion] = {}  # by version, as first listed
         self.probes: dict[str, list[HistoryEvent]] = defaultdict(list)  # by dispatcher
         self.rejections: dict[str, list[Rejection]] = defaultdict(list)  # by dispatcher
@@ -159,9 +159,9 @@
             "serves empty": self._read_empty_start,
         }
         for event in events:
-            read = readers.get(event.kind)
-            if read is not None:
-                read(event)
+            reader = readers.get(event.kind)
+            if reader is not None:
+                reader(event)
 
     def _read_publication(self, event: HistoryEvent) -> None:
         publication = msgspec.convert(event.detail, Publication)
--- a/ploverspoke/testbed/checkers/finding_collector.py
+++ b/ploverspoke/testbed/checkers/finding_collector.py
@@ -1,18 +1,18 @@
-"""Collects findings, the first of each kind at each place."""
+"""Collects findings, and keeps only the first of each kind about each process or publication."""
 
 from .history_finding import HistoryFinding
 
 
 class FindingCollector:
-    """Keeps a finding unless there is one of its kind at its place already."""
+    """Keeps the first finding of each kind about each subject."""
 
     def __init__(self) -> None:
         """Start without findings."""
         self._findings: dict[tuple[str, str], HistoryFinding] = {}
 
-    def add(self, kind: str, place: str, text: str, at: int) -> None:
-        """Add a finding; `place` is the process or publication that it is about, `at` in ns."""
-        self._findings.setdefault((kind, place), HistoryFinding(text, at))
+    def add(self, kind: str, subject: str, text: str, at: int) -> None:
+        """Add a finding about `subject`, a process or publication, at `at` (ns)."""
+        self._findings.setdefault((kind, subject), HistoryFinding(text, at))
 
     def sorted(self) -> list[HistoryFinding]:
         """The findings in order of time."""
--- a/ploverspoke/testbed/checkers/lease_checker.py
+++ b/ploverspoke/testbed/checkers/lease_checker.py
@@ -3,8 +3,8 @@
 It shares no code with what it checks, and uses no clock but the machine's own. A candidate records each check
 of its lease that precedes an effect, and the protected resource records each effect.
 
-1. Holders exclude one another: all checks under one token precede all checks under a later one, and at any
-   time no more tokens of a name are in use than it may have holders.
+1. Holders exclude one another: all checks with one token precede all checks with a later one, and at no time
+   are more tokens of a lease in use than it may have holders.
 2. A token belongs to one candidate, and a later grant has a higher one.
 3. The protected resource accepts no token lower than one that it has accepted.
 """
@@ -18,9 +18,9 @@
 from ..processes.history import HistoryEvent
 from .history_finding import HistoryFinding
 
-MIN_HOLDER_CHANGES = 50  # fewer show too little
-LEASE_CHECKED = "acts"  # events: by candidates, [name, token]
-EFFECT = "effect"  # by the protected resource, a RecordedEffect
+MIN_HOLDER_CHANGES = 50  # a run with fewer proves too little
+LEASE_CHECKED = "acts"  # event of a candidate; its detail is [name, token]
+EFFECT = "effect"  # event of the protected resource; its detail is a RecordedEffect
 
 
 class RecordedEffect(NamedTuple):
@@ -39,53 +39,53 @@
     token: int
     candidate: str
     first_check: int  # ns
-    last_check: int
+    last_check: int  # ns
 
 
 class LeaseVerdict(NamedTuple):
-    """What a history shows."""
+    """The findings and counts of a history."""
 
     findings: list[HistoryFinding]
-    checks: int  # of a lease, whether its effect came or not
+    checks: int  # of a lease by a candidate, whether or not an effect followed
     accepted_effects: int
     holder_changes: int
-    rejected_effects: int  # for an old token
+    rejected_effects: int  # because of an old token
     names: int  # leases that were in use
 
     def void_reason(self, min_changes: int = MIN_HOLDER_CHANGES) -> str:
-        """Why the history proves nothing; "" if it does."""
+        """Why the history proves too little; "" if it proves enough."""
         if self.holder_changes >= min_changes:
             return ""
         return f"only {self.holder_changes} changes of holder: that proves nothing"
 
 
 def check_lease_history(events: Sequence[HistoryEvent], max_holders: Mapping[str, int]) -> LeaseVerdict:
-    """Check events in order of time; `max_holders` is by name of the lease, 1 where it has none."""
+    """Check events in order of time; `max_holders` has the limit by lease name; a missing one is 1."""
     effects = [RecordedEffect(*event.detail) for event in events if event.kind == EFFECT]
     checks = [event for event in events if event.kind == LEASE_CHECKED]
-    findings = _find_lower_tokens(events, max_holders) + _find_shared_tokens(checks)
+    findings = _find_decreasing_tokens(events, max_holders) + _find_shared_tokens(checks)
     uses = _token_uses(checks)
-    for name, of_name in uses.items():
-        findings += _find_overlaps(name, of_name, max_holders.get(name, 1))
+    for name, lease_uses in uses.items():
+        findings += _find_overlaps(name, lease_uses, max_holders.get(name, 1))
     return LeaseVerdict(
         findings=sorted(findings, key=lambda finding: finding.at),
         checks=len(checks),
         accepted_effects=sum(effect.was_accepted for effect in effects),
-        holder_changes=sum(_count_changes(of_name) for of_name in uses.values()),
+        holder_changes=sum(_count_holder_changes(lease_uses) for lease_uses in uses.values()),
         rejected_effects=sum(not effect.was_accepted for effect in effects),
         names=len(uses),
     )
 
 
-def takeover_gaps(events: Sequence[HistoryEvent], killed: str) -> list[float]:
+def takeover_gaps(events: Sequence[HistoryEvent], kill_event: str) -> list[float]:
     """The sorted seconds from each kill of a holder to the first check of another candidate for that lease.
 
-    `killed` is the event of a kill; its detail is [candidate, name].
+    `kill_event` is the kind of event that records a kill; its detail is [candidate, name].
     """
     gaps = []
     checks = [event for event in events if event.kind == LEASE_CHECKED]
     for event in events:
-        if event.kind != killed:
+        if event.kind != kill_event:
             continue
         candidate, name = event.detail
         later = (c.at for c in checks if c.at > event.at and c.detail[0] == name and c.source != candidate)
@@ -95,7 +95,7 @@
     return sorted(gaps)
 
 
-def _find_lower_tokens(
+def _find_decreasing_tokens(
     events: Sequence[HistoryEvent], max_holders: Mapping[str, int]
 ) -> list[HistoryFinding]:
     findings = []
@@ -114,7 +114,7 @@
     return findings
 
 
-def _by_token(checks: Sequence[HistoryEvent]) -> dict[tuple[str, int], list[HistoryEvent]]:
+def _checks_by_token(checks: Sequence[HistoryEvent]) -> dict[tuple[str, int], list[HistoryEvent]]:
     grouped: dict[tuple[str, int], list[HistoryEvent]] = defaultdict(list)
     for event in checks:
         name, token = event.detail
@@ -124,27 +124,27 @@
 
 def _find_shared_tokens(checks: Sequence[HistoryEvent]) -> list[HistoryFinding]:
     findings = []
-    for (name, token), of_token in _by_token(checks).items():
-        candidates = {event.source for event in of_token}
+    for (name, token), token_checks in _checks_by_token(checks).items():
+        candidates = {event.source for event in token_checks}
         if len(candidates) > 1:
             text = f"{name}: token {token} was used by {', '.join(sorted(candidates))}"
-            findings.append(HistoryFinding(text, of_token[0].at))
+            findings.append(HistoryFinding(text, token_checks[0].at))
     return findings
 
 
 def _token_uses(checks: Sequence[HistoryEvent]) -> dict[str, list[TokenUse]]:
-    """By name of the lease, in order of their first checks."""
+    """The uses of each lease by its name, in order of their first checks."""
     uses: dict[str, list[TokenUse]] = defaultdict(list)
-    for (name, token), of_token in _by_token(checks).items():
-        times = [event.at for event in of_token]
-        uses[name].append(TokenUse(token, of_token[0].source, min(times), max(times)))
-    for of_name in uses.values():
-        of_name.sort(key=lambda use: use.first_check)
+    for (name, token), token_checks in _checks_by_token(checks).items():
+        times = [event.at for event in token_checks]
+        uses[name].append(TokenUse(token, token_checks[0].source, min(times), max(times)))
+    for lease_uses in uses.values():
+        lease_uses.sort(key=lambda use: use.first_check)
     return uses
 
 
-def _count_changes(uses: Sequence[TokenUse]) -> int:
-    return sum(use.candidate != following.candidate for use, following in pairwise(uses))
+def _count_holder_changes(uses: Sequence[TokenUse]) -> int:
+    return sum(use.candidate != next_use.candidate for use, next_use in pairwise(uses))
 
 
 def _find_overlaps(name: str, uses: Sequence[TokenUse], max_holders: int) -> list[HistoryFinding]:
--- a/ploverspoke/testbed/checkers/observed_reachability.py
+++ b/ploverspoke/testbed/checkers/observed_reachability.py
@@ -1,4 +1,4 @@
-"""Which processes ran and could reach each other, as follows from the faults that the rig applied."""
+"""Derives from the faults that the rig applied which processes ran and could reach each other."""
 
 from collections import defaultdict
 from collections.abc import Hashable, Mapping, Sequence
@@ -9,7 +9,7 @@
 from .time_intervals import Interval, find_interval, merge_intervals, subtract_intervals
 
 RIG = "rig"
-OVER = " is over"  # the end of the event of a step's end
+STEP_END_SUFFIX = " is over"  # of the kind of the event that ends a step
 RESTARTS = ("kill", "restart", "empty", "older")  # steps that end an incarnation
 # Steps during which a process may not answer.
 OUTAGES = (*RESTARTS, "pause", "starve", "disk full", "disk fails")
@@ -24,14 +24,14 @@
 
 
 class CutLinks(NamedTuple):
-    """A time in which nothing passed from each origin to each target; an empty set is every process."""
+    """An interval in which nothing passed from any origin to any target; an empty set means every process."""
 
     interval: Interval
     origins: frozenset[str]
     targets: frozenset[str]
 
     def covers(self, origin: str, target: str) -> bool:
-        """Whether the link from one to the other was cut."""
+        """Whether the link from `origin` to `target` was cut."""
         return (not self.origins or origin in self.origins) and (not self.targets or target in self.targets)
 
 
@@ -48,7 +48,7 @@
         self.run = Interval(next((event.at for event in rig_events if event.kind == "begin"), first), last)
         self.outages: dict[str, list[Interval]] = defaultdict(list)  # by process
         self.fault_count = sum(event.kind in (*LINK_FAULT_EVENTS, *OUTAGES) for event in rig_events)
-        self._restarts: dict[str, list[Interval]] = defaultdict(list)  # the outages that ended an incarnation
+        self._restarts: dict[str, list[Interval]] = defaultdict(list)  # outages that ended an incarnation
         self._cut_links: list[CutLinks] = []
         self._read_faults(rig_events)
 
@@ -57,8 +57,9 @@
         for event in rig_events:
             if event.kind in OUTAGES:
                 active[event.kind, event.detail] = event
-            elif event.kind.endswith(OVER):
-                self._add_fault(active.pop((event.kind.removesuffix(OVER), event.detail), None), event.at)
+            elif event.kind.endswith(STEP_END_SUFFIX):
+                step_kind = event.kind.removesuffix(STEP_END_SUFFIX)
+                self._add_fault(active.pop((step_kind, event.detail), None), event.at)
             elif event.kind == "add fault":
                 active[event.detail[0]] = event
             elif event.kind == "remove fault":
@@ -83,7 +84,7 @@
             self._cut_links.append(CutLinks(interval, origins, targets))
 
     def separations(self, process: str, other: str) -> list[Interval]:
-        """When a link between them was cut, in either direction."""
+        """The intervals in which a link between the two was cut, in either direction."""
         return [
             cut.interval
             for cut in self._cut_links
@@ -94,11 +95,11 @@
     def reachable_intervals(self, min_length: int) -> dict[str, list[Interval]]:
         """By dispatcher, the intervals of at least `min_length` (ns) in which it can reach the configuration.
 
-        That is while it runs and nothing is cut between it and a server that runs and, with others that run,
-        is a majority with nothing cut among them.
+        It can while it runs and has an uncut link to a server in a working majority: one whose servers all
+        run and have no cut link between them.
         """
         majorities = list(combinations(self.roles.servers, len(self.roles.servers) // 2 + 1))
-        broken = {majority: self._broken_intervals(majority) for majority in majorities}
+        failures = {majority: self._majority_failures(majority) for majority in majorities}
         reachable = {}
         for dispatcher in self.roles.dispatchers:
             intervals = {
@@ -108,7 +109,7 @@
                 for interval in subtract_intervals(
                     self.run,
                     [
-                        *broken[majority],
+                        *failures[majority],
                         *self.outages[dispatcher],
                         *self.separations(dispatcher, server),
                     ],
@@ -118,8 +119,8 @@
             reachable[dispatcher] = sorted(intervals)
         return reachable
 
-    def _broken_intervals(self, servers: Sequence[str]) -> list[Interval]:
-        """When one of these servers did not run, or two could not reach each other."""
+    def _majority_failures(self, servers: Sequence[str]) -> list[Interval]:
+        """The intervals in which one of these servers did not run, or two could not reach each other."""
         outages = [interval for server in servers for interval in self.outages[server]]
         separations = [
             interval
@@ -129,6 +130,6 @@
         return merge_intervals(outages + separations)
 
     def incarnation(self, process: str, at: int) -> int:
-        """The number of the process's incarnation at that time, from 0; -1 while it ends or starts."""
+        """The number of the process's incarnation at that time, from 0; -1 during a restart."""
         restarts = self._restarts[process]
         return -1 if find_interval(restarts, at) else sum(interval.end < at for interval in restarts)
--- a/ploverspoke/testbed/checkers/rejection_checks.py
+++ b/ploverspoke/testbed/checkers/rejection_checks.py
@@ -7,20 +7,20 @@
 
 
 class RejectionChecks:
-    """The checks of one dispatcher after another; counts the rejections that were reported."""
+    """Checks dispatchers one by one, and counts the rejections that they reported."""
 
     def __init__(
         self,
         history: DistributionHistory,
         reachability: ObservedReachability,
         findings: FindingCollector,
-        within: int,
+        time_limit: int,
     ) -> None:
-        """`within` is the time (ns) in which a dispatcher must report."""
+        """`time_limit` is the time (ns) in which a dispatcher must report."""
         self._history = history
         self._reachability = reachability
         self._findings = findings
-        self._within = within
+        self._time_limit = time_limit
         self.reported = 0
 
     def check(self, dispatcher: str, reachable: list[Interval]) -> None:
@@ -36,16 +36,16 @@
                 self._check_server_lists(dispatcher, publication, acknowledged.version, due_at)
 
     def _due_at(self, acknowledged: Acknowledgement, reachable: list[Interval]) -> int | None:
-        """By when the dispatcher must have reported it; None if it need not."""
+        """The time by which the dispatcher must have reported the rejection; None if it need not."""
         # Once a later version may have been committed, the dispatcher need not look at this one.
-        later = [
+        later_sent_at = [
             self._history.sent_at[committed.id]
             for version, committed in self._history.committed.items()
             if version > acknowledged.version and committed.id in self._history.sent_at
         ]
-        replaced_at = min(later, default=self._reachability.run.end)
+        replaced_at = min(later_sent_at, default=self._reachability.run.end)
         for interval in reachable:
-            due_at = max(interval.start, acknowledged.at) + self._within
+            due_at = max(interval.start, acknowledged.at) + self._time_limit
             if due_at <= min(interval.end, replaced_at):
                 return due_at
         return None
@@ -65,7 +65,7 @@
     def _check_server_lists(
         self, dispatcher: str, publication: Publication, version: int, since: int
     ) -> None:
-        """Servers that were asked afterwards name the key, too."""
+        """Rows that servers list afterwards must name the key as well."""
         rows = [
             row for row in self._history.watcher_rows if row.at >= since and row.rejects(dispatcher, version)
         ]
--- a/ploverspoke/testbed/checkers/request_audit.py
+++ b/ploverspoke/testbed/checkers/request_audit.py
@@ -1,8 +1,8 @@
-"""Audits the four rules for dispatchers by what clients, workers and discovery observed, and by nothing else.
+"""Audits the four rules for dispatchers, only from the observations of clients, workers and discovery.
 
 The auditor reads the events in order of time. Rules 3 and 4 are checked at the events that break them; rules
-1 and 2 afterwards, request by request (`request_rules.py`). A finding names the rule and prints the timeline
-of the request or worker.
+1 and 2 afterwards, request by request (`request_rules.py`). A finding names the rule and has the timeline of
+the request or worker.
 """
 
 from collections import defaultdict
@@ -18,16 +18,16 @@
 
 VIRTUAL_TOLERANCE = 5 * MILLISECOND
 SOCKETS_TOLERANCE = 100 * MILLISECOND
-# The share of an overloading worker's work that must come from dispatchers which knew of its start.
+# An overload breaks rule 4 if at least this share of the work came from dispatchers that knew of the start.
 INFORMED_SHARE = 2 / 3
-MAX_TIMELINE = 40  # events of one finding
-MAX_TIMELINES = 3  # findings that have one
-RACK_NUMBERS = 1000  # from here on those of workers without a rack
+MAX_TIMELINE_EVENTS = 40  # of one finding
+MAX_TIMELINES = 3  # later findings have none
+FIRST_IMPLICIT_RACK = 1000  # each worker without a configured rack is its own rack, numbered from here on
 READY = "ready"
 
 
 class WorkerPlaces(NamedTuple):
-    """Numbers of the rack and the zone of each worker, by its name."""
+    """The rack and zone numbers of workers, by worker name."""
 
     racks: dict[str, int]
     zones: dict[str, int]
@@ -37,15 +37,16 @@
     """Reads the events of one run, then checks each request."""
 
     def __init__(self, experiment: Experiment, tolerance: int, places: WorkerPlaces) -> None:
-        """`tolerance` (ns) is allowed between a dispatcher's act and its observation."""
+        """`tolerance` (ns) is allowed between an action of a dispatcher and its observation."""
         self._experiment = experiment
         self._tolerance = tolerance
         self._requests: dict[str, ObservedRequest] = {}
-        self._kills: dict[int, list[int]] = defaultdict(list)  # ns, by dispatcher
+        self._kills: dict[int, list[int]] = defaultdict(list)  # times in ns, by dispatcher
         groups = {"all": dict.fromkeys(places.racks, 0), "zone": places.zones, "rack": places.racks}
         self._rules = RequestRules(experiment, tolerance, groups, self._kills)
-        self._unready_since: dict[tuple[int, str], int] = {}  # by dispatcher and worker, as discovery told it
-        self._start_told_at: dict[tuple[int, str], int] = {}  # the same
+        # Times (ns), by dispatcher and worker, at which discovery notified the dispatcher of the worker.
+        self._unready_since: dict[tuple[int, str], int] = {}
+        self._ready_notified_at: dict[tuple[int, str], int] = {}
         self._worker_started_at: dict[str, int] = {}
         self._events: list[Event] = []
         self._findings: list[Finding] = []
@@ -53,7 +54,7 @@
             event_records.REQUEST_SENT: self._request_sent,
             event_records.REQUEST_ACCEPTED: self._request_accepted,
             event_records.REQUEST_ANSWERED: self._request_answered,
-            event_records.CLIENT_DISCONNECTED: self._client_left,
+            event_records.CLIENT_DISCONNECTED: self._client_disconnected,
             event_records.ATTEMPT_ARRIVED: self._attempt_arrived,
             event_records.ATTEMPT_ENDED: self._attempt_ended,
             event_records.ATTEMPT_CLOSED: self._attempt_closed,
@@ -68,13 +69,13 @@
         """The findings in order of time."""
         self._events = list(events)
         for event in self._events:
-            read = self._readers.get(event.kind)
-            if read is not None:
-                read(event)
+            reader = self._readers.get(event.kind)
+            if reader is not None:
+                reader(event)
         for request in self._requests.values():
             for rule, at, text in self._rules.check(request):
-                about = Event(at, "found", request.id, request.job)
-                self._add_finding(rule, about, f"{request.id}: {text}")
+                finding_event = Event(at, "found", request.id, request.job)
+                self._add_finding(rule, finding_event, f"{request.id}: {text}")
         self._findings.sort(key=lambda finding: finding.at)
         return self._findings
 
@@ -92,8 +93,8 @@
     def _request_answered(self, event: Event) -> None:
         self._requests[event.request_id].answers.append(Answer(event.at, event.detail))
 
-    def _client_left(self, event: Event) -> None:
-        self._requests[event.request_id].left_at = event.at
+    def _client_disconnected(self, event: Event) -> None:
+        self._requests[event.request_id].disconnected_at = event.at
 
     # ---- Attempts ----
 
@@ -104,16 +105,16 @@
             self._add_finding(Rule.ONE_ANSWER, event, text)
             return
         request.attempts.append(ObservedAttempt(event.at, event.worker, event.detail, event.dispatcher))
-        since = self._unready_since.get((event.dispatcher, event.worker))
+        unready_since = self._unready_since.get((event.dispatcher, event.worker))
         allowed = self._experiment.rules.drain_grace + self._tolerance
-        if since is not None and event.at > since + allowed:
-            late_by = format_duration(event.at - since)
+        if unready_since is not None and event.at > unready_since + allowed:
+            late_by = format_duration(event.at - unready_since)
             text = f"sent to {event.worker} {late_by} after it was reported not to be ready"
             self._add_finding(Rule.DRAINING, event, text)
 
     def _find_attempt(self, event: Event, serial: int) -> ObservedAttempt | None:
         request = self._requests.get(event.request_id)
-        return request.attempt(event.worker, serial) if request is not None else None
+        return request.find_attempt(event.worker, serial) if request is not None else None
 
     def _attempt_ended(self, event: Event) -> None:
         serial, end = event.detail
@@ -134,7 +135,7 @@
         key = (event.dispatcher, event.worker)
         if event.detail == READY:
             self._unready_since.pop(key, None)
-            self._start_told_at[key] = event.at
+            self._ready_notified_at[key] = event.at
         else:
             self._unready_since.setdefault(key, event.at)
 
@@ -147,7 +148,7 @@
         informed = sum(
             work
             for dispatcher, work in overload.work_by_dispatcher.items()
-            if self._start_told_at.get((int(dispatcher), event.worker), -1) >= started_at
+            if self._ready_notified_at.get((int(dispatcher), event.worker), -1) >= started_at
         )
         if informed >= INFORMED_SHARE * overload.arrived_work:
             share = overload.arrived_work / overload.work_limit
@@ -168,7 +169,7 @@
         self._findings.append(Finding(rule, event.at, event.request_id, event.worker, text, timeline))
 
     def _timeline(self, event: Event) -> list[str]:
-        """All that was observed of the event's job, or of its worker if it has no job."""
+        """The events of the same job, or of the same worker if the event has no job."""
         if event.job >= 0:
             related = [other for other in self._events if other.job == event.job]
         else:
@@ -179,7 +180,7 @@
                 event_records.ENDPOINT_NOTIFIED,
             )
             related = [e for e in self._events if e.worker == event.worker and e.kind in kinds]
-        return [describe_event(other, self._experiment) for other in related[:MAX_TIMELINE]]
+        return [describe_event(other, self._experiment) for other in related[:MAX_TIMELINE_EVENTS]]
 
 
 def describe_event(event: Event, experiment: Experiment) -> str:
@@ -202,6 +203,6 @@
         for _ in range(workers.count):
             number = len(places.racks)
             name = f"w{number}"
-            places.racks[name] = number + RACK_NUMBERS if workers.rack is None else workers.rack
+            places.racks[name] = number + FIRST_IMPLICIT_RACK if workers.rack is None else workers.rack
             places.zones[name] = experiment.zones().index(workers.zone)
     return RequestAuditor(experiment, tolerance, places).audit(events)
--- a/ploverspoke/testbed/checkers/request_rules.py
+++ b/ploverspoke/testbed/checkers/request_rules.py
@@ -18,13 +18,13 @@
     Rule,
 )
 
-STORE_ANSWER_RETENTION = 5 * SECOND  # past the deadline; a store keeps answers for clients that ask again
+STORE_ANSWER_RETENTION = 5 * SECOND  # after the deadline; a store keeps answers for clients that ask again
 SUCCESSFUL_ENDS = (ExecutionEnd.DONE, ExecutionEnd.DUPLICATE_DROPPED)
-ALL_WORKERS = "all"  # a group
+ALL_WORKERS = "all"  # the retry scope with all workers in one group
 
 
 class Violation(NamedTuple):
-    """A rule that one request breaks."""
+    """A rule that a request breaks."""
 
     rule: Rule
     at: int  # ns
@@ -45,8 +45,8 @@
 
         Args:
             experiment: The experiment that was run.
-            tolerance: ns between a dispatcher's act and its observation.
-            group_of: By kind of group, the group's number of each worker.
+            tolerance: The time (ns) allowed between an action of a dispatcher and its observation.
+            group_of: By retry scope, the number of each worker's group.
             kills: By dispatcher, the times (ns) at which it was killed.
         """
         self._experiment = experiment
@@ -74,7 +74,7 @@
         latest = request.deadline + self._tolerance + (STORE_ANSWER_RETENTION if self._has_store else 0)
         if len(answers) > 1:
             yield Violation(Rule.ONE_ANSWER, answers[1].at, f"{len(answers)} final answers")
-        elif not answers and request.left_at < 0 and not self._is_excused(request):
+        elif not answers and request.disconnected_at < 0 and not self._is_excused(request):
             reason = "its connection broke" if request.answers else "none came"
             yield Violation(Rule.ONE_ANSWER, request.deadline, f"no final answer: {reason}")
         elif answers and answers[0].at > latest:
@@ -82,7 +82,7 @@
             yield Violation(Rule.ONE_ANSWER, answers[0].at, f"answered {late_by} after its deadline")
 
     def _is_excused(self, request: ObservedRequest) -> bool:
-        """Whether its dispatcher was killed while it had the request; with a store that excuses nothing."""
+        """Whether its dispatcher was killed while it had the request; with a store that is no excuse."""
         if self._has_store:
             return False
         first, last = request.accepted_at - self._tolerance, request.deadline + self._tolerance
@@ -95,11 +95,11 @@
             yield Violation(Rule.ONE_ANSWER, answers[0].at, "succeeded, though no worker has done it")
 
     def _check_attempts_after_answer(self, request: ObservedRequest) -> Iterator[Violation]:
-        over_at = request.over_at()
-        if over_at < 0:
+        ended_at = request.ended_at()
+        if ended_at < 0:
             return
         for attempt in request.attempts:
-            if attempt.arrived_at > over_at + self._tolerance:
+            if attempt.arrived_at > ended_at + self._tolerance:
                 yield Violation(
                     Rule.ONE_ANSWER, attempt.arrived_at, f"sent to {attempt.worker} after its answer"
                 )
@@ -148,7 +148,7 @@
     def _check_rejection(
         self, request: ObservedRequest, idempotency: Idempotency, first: ObservedAttempt
     ) -> Iterator[Violation]:
-        """A rejection promises that the request did not run, or may run again anywhere."""
+        """A rejection promises that the request did not run, or that any worker may run it again."""
         rejected_at = next((answer.at for answer in request.answers if answer.outcome == REJECTED), -1)
         request_class = self._experiment.request_classes[request.request_class]
         is_restricted = idempotency is Idempotency.NON_IDEMPOTENT or request_class.retry_scope != ALL_WORKERS
--- a/ploverspoke/testbed/checkers/scale_checker.py
+++ b/ploverspoke/testbed/checkers/scale_checker.py
@@ -1,4 +1,4 @@
-"""Checks of a scale run: the rules, the promises and budgets of the fleet, and that nothing grows."""
+"""Checks a scale run: the rules, the time limits and budgets of the fleet, and that resources do not grow."""
 
 from collections.abc import Callable, Sequence
 
@@ -9,11 +9,11 @@
 from ..scale.usage import UsageSample
 from .scale_metrics import NEVER_STARTED, Metrics, ScaleObservations, urgent_start_delays
 
-MAX_GROWTH = 1.25  # of what is held, over a third of the measured time
+MAX_GROWTH = 1.25  # of a held resource, from one third of the measured time to the next
 
 
 class ScaleVerdict:
-    """What held and what failed, each as a line with its metric."""
+    """The checks that held and those that failed, each as a line with its metric."""
 
     def __init__(self) -> None:
         """Start without any check."""
@@ -28,9 +28,9 @@
 class _ScaleChecker:
     """All checks of one run."""
 
-    def __init__(self, fleet: FleetSize, seen: ScaleObservations, metrics: Metrics) -> None:
+    def __init__(self, fleet: FleetSize, observations: ScaleObservations, metrics: Metrics) -> None:
         self.fleet = fleet
-        self.seen = seen
+        self.observations = observations
         self.metrics = metrics
         self.verdict = ScaleVerdict()
 
@@ -42,7 +42,7 @@
     def check_urgent_work(self) -> None:
         """All urgent work begins in time."""
         limit = self.fleet.size.urgent_starts_within / MILLISECOND
-        delays = urgent_start_delays(self.seen.experiment, self.seen.events)
+        delays = urgent_start_delays(self.observations.experiment, self.observations.events)
         late = [delay for delay in delays if delay == NEVER_STARTED or delay / MILLISECOND > limit]
         requests = int(self.metrics["urgent_jobs"])
         longest = self.metrics.get("urgent_begin_max_ms", 0.0)
@@ -65,34 +65,34 @@
             self.verdict.check(rate <= limit, text)
 
     def check_growth(self) -> None:
-        """Compare what is held in the last third of the measured time with the second."""
-        begin, end = self.seen.experiment.measured_from, self.seen.experiment.duration
+        """Compare the held resources in the last third of the measured time with those in the second."""
+        begin, end = self.observations.experiment.measured_from, self.observations.experiment.duration
         third = (end - begin) // 3
-        parts = [
+        samples_by_third = [
             [
                 sample
-                for sample in self.seen.samples
+                for sample in self.observations.samples
                 if begin + number * third <= sample.at < begin + (number + 1) * third
             ]
             for number in range(3)
         ]
-        if not all(parts):
+        if not all(samples_by_third):
             self.verdict.check(False, "too little was seen to say whether anything grows")
             return
-        for name, value in self._held_values().items():
-            before, after = (max(value(sample) for sample in part) for part in parts[1:])
+        for name, value in self._held_resources().items():
+            before, after = (max(value(sample) for sample in samples) for samples in samples_by_third[1:])
             if before:
                 text = f"{name} came to rest: {after / before:.2f} of a third earlier"
                 self.verdict.check(after <= MAX_GROWTH * before, text)
 
-    def _held_values(self) -> dict[str, Callable[[UsageSample], int]]:
+    def _held_resources(self) -> dict[str, Callable[[UsageSample], int]]:
         held: dict[str, Callable[[UsageSample], int]] = {
             "memory of the processes": lambda sample: sample.used.resident,
             "descriptors": lambda sample: sample.used.descriptors,
             "deadlines kept": lambda sample: sample.used.inside.get("deadlines", 0),
         }
-        if dispatcher_outages(self.seen.experiment, 0):
-            # A process that goes on frees late what an ended dispatcher held: no sign of a leak.
+        if dispatcher_outages(self.observations.experiment, 0):
+            # A host process frees the memory of an ended dispatcher late, which is no sign of a leak.
             del held["memory of the processes"]
         return held
 
@@ -101,7 +101,7 @@
         lost = sum(
             int(self.metrics[f"{outcome}_{request_class.name}"])
             for outcome in ("abandoned", "broken")
-            for request_class in self.seen.experiment.request_classes
+            for request_class in self.observations.experiment.request_classes
         )
         text = f"running tasks live through a restart of their dispatcher ({lost} did not)"
         self.verdict.check(not lost, text)
@@ -121,25 +121,25 @@
 def check_scale_run(
     fleet: FleetSize,
     scenario: ScaleScenario,
-    seen: ScaleObservations,
+    observations: ScaleObservations,
     metrics: Metrics,
     void_kinds: Sequence[str],
 ) -> ScaleVerdict:
-    """Check one run; metrics of void kinds, in which simulated and real dispatchers differ, prove nothing."""
-    checker = _ScaleChecker(fleet, seen, metrics)
+    """Check one run; metrics of void kinds prove nothing: simulated and real dispatchers differ in them."""
+    checker = _ScaleChecker(fleet, observations, metrics)
     checker.check_rules()
     checker.check_urgent_work()
     checker.check_budgets(void_kinds)
     checker.check_growth()
     if scenario.kind == "restart":
         checker.check_restarts()
-    if seen.change_delays:
+    if observations.change_delays:
         checker.check_changes()
     return checker.verdict
 
 
 def check_bounded_by_length(short: Metrics, long: Metrics, length_ratio: float) -> ScaleVerdict:
-    """Compare two absences of a region: what is held must not grow with the length."""
+    """Compare two outages of a region: held resources must not grow with the length of the outage."""
     verdict = ScaleVerdict()
     for key, value in short.items():
         if key.startswith(("away_", "healing_")):
--- a/ploverspoke/testbed/checkers/scale_metrics.py
+++ b/ploverspoke/testbed/checkers/scale_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of one scale run, from what was observed from outside, by their names in stored results."""
+"""Computes the metrics of one scale run from outside observations, by their names in stored results."""
 
 from collections.abc import Sequence
 from statistics import fmean
@@ -16,11 +16,11 @@
 from ..scale.usage import UsageSample
 
 NEVER_STARTED = -1  # in place of a delay
-NETWORK_FAKES = ("workers", "discovery")  # over the network; clients are beside their dispatchers
+NETWORK_FAKES = ("workers", "discovery")  # reached over the network; clients are next to their dispatchers
 TRAFFIC = ("bytes_in", "bytes_out", "messages_in", "messages_out")
-HEALING_TIME = 10 * SECOND  # in which what waited for a region comes
+HEALING_TIME = 10 * SECOND  # after a region is back, in which the traffic that waited for it arrives
 MEGABYTE = 1e6
-URGENT = "urgent"  # the request class that has to begin in time
+URGENT = "urgent"  # the request class whose start delay is limited
 
 Metrics = dict[str, float]
 
@@ -32,36 +32,37 @@
     events: Sequence[Event]
     score: RunScore
     samples: Sequence[UsageSample]
-    change_delays: Sequence[Sequence[int]]  # ns until each was applied, by dispatcher, or NEVER_APPLIED
+    change_delays: Sequence[Sequence[int]]  # by change: ns until each dispatcher applied it, or NEVER_APPLIED
     log_lines: int
 
 
-def scale_metrics(seen: ScaleObservations) -> Metrics:
+def scale_metrics(observations: ScaleObservations) -> Metrics:
     """Return all metrics of a run."""
-    experiment = seen.experiment
+    experiment = observations.experiment
     begin, end = experiment.measured_from, experiment.duration
     dispatchers = experiment.dispatchers.count
-    measured = [sample for sample in seen.samples if begin <= sample.at <= end]
+    measured = [sample for sample in observations.samples if begin <= sample.at <= end]
     metrics = _usage_metrics(measured, dispatchers) if len(measured) >= 2 else {}
     starts = sum(
-        event.kind == event_records.ATTEMPT_STARTED and begin <= event.at < end for event in seen.events
+        event.kind == event_records.ATTEMPT_STARTED and begin <= event.at < end
+        for event in observations.events
     )
     metrics["starts_a_second"] = starts / ((end - begin) / SECOND)
-    metrics |= _urgent_metrics(seen)
-    metrics |= _score_metrics(seen.score)
-    metrics["fell_over"] = sum(event.kind == event_records.WORKER_OVERLOADED for event in seen.events)
-    metrics["log_lines_a_dispatcher"] = seen.log_lines / dispatchers
-    return metrics | _change_metrics(seen.change_delays)
+    metrics |= _urgent_metrics(observations)
+    metrics |= _score_metrics(observations.score)
+    metrics["fell_over"] = sum(event.kind == event_records.WORKER_OVERLOADED for event in observations.events)
+    metrics["log_lines_a_dispatcher"] = observations.log_lines / dispatchers
+    return metrics | _change_metrics(observations.change_delays)
 
 
 def _score_metrics(score: RunScore) -> Metrics:
     metrics: Metrics = {"service": score.service}
-    for name, of_class in score.request_classes.items():
-        metrics[f"service_of_{name}"] = of_class.service
-        metrics[f"jobs_{name}"] = of_class.requests
-        metrics[f"nacks_{name}"] = of_class.rejected
-        metrics[f"abandoned_{name}"] = of_class.failed
-        metrics[f"broken_{name}"] = of_class.broken
+    for name, class_score in score.request_classes.items():
+        metrics[f"service_of_{name}"] = class_score.service
+        metrics[f"jobs_{name}"] = class_score.requests
+        metrics[f"nacks_{name}"] = class_score.rejected
+        metrics[f"abandoned_{name}"] = class_score.failed
+        metrics[f"broken_{name}"] = class_score.broken
     metrics["broken_rules"] = score.broken_rules
     return metrics
 
@@ -103,30 +104,33 @@
 
 
 def _slope_per_second(points: Sequence[tuple[int, int]]) -> float:
-    """Return the slope of the line of least squares through (ns, value)."""
+    """Return the slope of the least-squares line through (ns, value) points."""
     times, values = (np.array(column, dtype=float) for column in zip(*points, strict=True))
     return float(np.polyfit((times - times[0]) / SECOND, values, 1)[0])
 
 
 def urgent_start_delays(experiment: Experiment, events: Sequence[Event]) -> list[int]:
-    """Return, of each urgent request of the measured time, the ns from due to begun, or NEVER_STARTED."""
-    names = [each.name for each in experiment.request_classes]
+    """Return the start delay (ns) of each urgent request of the measured time, or NEVER_STARTED.
+
+    The delay is from the time at which the request was due until an attempt started.
+    """
+    names = [request_class.name for request_class in experiment.request_classes]
     urgent = names.index(URGENT) if URGENT in names else -1
-    due: dict[int, int] = {}
-    began: dict[int, int] = {}
+    due_at: dict[int, int] = {}  # ns, by job
+    started_at: dict[int, int] = {}  # ns, by job
     for event in events:
         if event.kind == event_records.REQUEST_SENT:
             request_class, tries, _, first_sent_at = event.detail
             is_measured = experiment.measured_from <= first_sent_at < experiment.duration
             if request_class == urgent and tries == 0 and is_measured:
-                due[event.job] = first_sent_at
-        elif event.kind == event_records.ATTEMPT_STARTED and event.job in due:
-            began.setdefault(event.job, event.at)
-    return [began[job] - at if job in began else NEVER_STARTED for job, at in due.items()]
+                due_at[event.job] = first_sent_at
+        elif event.kind == event_records.ATTEMPT_STARTED and event.job in due_at:
+            started_at.setdefault(event.job, event.at)
+    return [started_at[job] - at if job in started_at else NEVER_STARTED for job, at in due_at.items()]
 
 
-def _urgent_metrics(seen: ScaleObservations) -> Metrics:
-    delays = urgent_start_delays(seen.experiment, seen.events)
+def _urgent_metrics(observations: ScaleObservations) -> Metrics:
+    delays = urgent_start_delays(observations.experiment, observations.events)
     started = [delay for delay in delays if delay != NEVER_STARTED]
     if not started:
         return {"urgent_jobs": len(delays), "urgent_never_begun": len(delays)}
@@ -157,31 +161,31 @@
     return metrics
 
 
-def region_cut_metrics(seen: ScaleObservations, scenario: ScaleScenario) -> Metrics:
-    """Return what gathered while a region was cut off, and what came at once when it was back."""
-    begin = seen.experiment.measured_from + scenario.fault_start
+def region_cut_metrics(observations: ScaleObservations, scenario: ScaleScenario) -> Metrics:
+    """Return the peak resource use while a region was cut off, and the traffic just after it was back."""
+    begin = observations.experiment.measured_from + scenario.fault_start
     end = begin + scenario.fault_duration
-    before = [sample for sample in seen.samples if sample.at <= begin]
-    during = [sample for sample in seen.samples if begin < sample.at <= end]
-    after = [sample for sample in seen.samples if end < sample.at <= end + HEALING_TIME]
+    before = [sample for sample in observations.samples if sample.at <= begin]
+    during = [sample for sample in observations.samples if begin < sample.at <= end]
+    after = [sample for sample in observations.samples if end < sample.at <= end + HEALING_TIME]
     if not before or not during or len(after) < 2:
         return {}
-    dispatchers = seen.experiment.dispatchers.count
-    log_lines = _held(during[-1], "said") - _held(before[-1], "said")
+    dispatchers = observations.experiment.dispatchers.count
+    log_lines = _internal_count(during[-1], "said") - _internal_count(before[-1], "said")
     metrics: Metrics = {
         "away_resident_mb": max(sample.used.resident for sample in during) / MEGABYTE,
         "away_descriptors": max(sample.used.descriptors for sample in during),
         "away_log_lines_a_second": log_lines / (scenario.fault_duration / SECOND),
     }
     for key in ("open", "deadlines", "connections"):
-        metrics[f"away_{key}"] = max(_held(sample, key) for sample in during) / dispatchers
+        metrics[f"away_{key}"] = max(_internal_count(sample, key) for sample in during) / dispatchers
     seconds = (after[-1].at - during[-1].at) / SECOND
     byte_count = _network_bytes(after[-1]) - _network_bytes(during[-1])
     metrics["healing_bytes_a_second"] = byte_count / seconds / dispatchers
     return metrics
 
 
-def _held(sample: UsageSample, key: str) -> int:
+def _internal_count(sample: UsageSample, key: str) -> int:
     return sample.used.inside.get(key, 0)
 
 
--- a/ploverspoke/testbed/checkers/time_intervals.py
+++ b/ploverspoke/testbed/checkers/time_intervals.py
@@ -5,7 +5,7 @@
 
 
 class Interval(NamedTuple):
-    """A time from `start` to `end`, in ns; both belong to it."""
+    """The times from `start` to `end` (ns), both included."""
 
     start: int
     end: int
@@ -20,7 +20,7 @@
 
 
 def merge_intervals(intervals: Iterable[Interval]) -> list[Interval]:
-    """The same times as disjoint intervals, in order."""
+    """The union of the intervals as disjoint intervals, in order."""
     merged: list[Interval] = []
     for interval in sorted(intervals):
         if merged and interval.start <= merged[-1].end:
--- a/tests/testbed/checkers/distribution_violations.py
+++ b/tests/testbed/checkers/distribution_violations.py
@@ -22,10 +22,10 @@
     publish_unacknowledged,
 )
 
-# Rule and violation, a part of the text of the finding, and the history.
+# The rule and its violation, a part of the text of the expected finding, and the history.
 VIOLATIONS: list[tuple[str, str, Callable[[], Events]]] = [
     (
-        "1: an older one after a newer",
+        "1: an older version after a newer one",
         "d0 went back from version 3 to 2",
         lambda: make_run(PUBLISHED, probes("d0", {**IN_TIME, 6000: 2}), probes("d1", IN_TIME)),
     ),
@@ -40,7 +40,7 @@
         ),
     ),
     (
-        "1: behind what it had and nobody acknowledged",
+        "1: behind a version that it had and that was never acknowledged",
         "d1 is at version 3 after its restart, and had 4",
         lambda: make_run(
             PUBLISHED,
@@ -62,7 +62,7 @@
         ),
     ),
     (
-        "2: half of it",
+        "2: half of a version",
         "d1 applied half of tag 3: a alone",
         lambda: make_run(
             PUBLISHED,
@@ -72,7 +72,7 @@
         ),
     ),
     (
-        "2: nothing that is known",
+        "2: no known version",
         "d1 applies no version that is known",
         lambda: make_run(
             PUBLISHED,
@@ -126,7 +126,7 @@
         ),
     ),
     (
-        "5: one number for two",
+        "5: one number for two publications",
         "s0 lists version 3 as p3",
         lambda: make_run(
             PUBLISHED,
@@ -166,7 +166,7 @@
         ),
     ),
     (
-        "5: both committed",
+        "5: two with the same expected version committed",
         "p2 and p3 expected version 1, and all were committed",
         lambda: make_run(
             publish(1000, 1, 1),
@@ -240,7 +240,7 @@
         lambda: make_run(PUBLISHED, probes_at_both(IN_TIME), [event_at(5000, "rig", "serves empty", "s1")]),
     ),
     (
-        "nobody is answered",
+        "a dispatcher answers nobody",
         "d1 runs and answers nobody for 6",
         lambda: make_run(PUBLISHED, probes("d0", IN_TIME), probes("d1", IN_TIME, (20_000, 26_000))),
     ),
--- a/tests/testbed/checkers/test_distribution_checker.py
+++ b/tests/testbed/checkers/test_distribution_checker.py
@@ -31,13 +31,13 @@
 CORRECT: list[tuple[str, Callable[[], Events]]] = [
     ("calm", lambda: make_run(PUBLISHED, probes_at_both(IN_TIME))),
     (
-        "late where it was cut off, and 10 s after the end of that",
+        "late during a cut, and in time 10 s after its end",
         lambda: make_run(
             PUBLISHED, probes("d0", IN_TIME), probes("d1", {22_000: 3}), link_fault(500, 12_050, CUT)
         ),
     ),
     (
-        "late behind a pause",
+        "late after a pause",
         lambda: make_run(
             PUBLISHED,
             probes("d0", IN_TIME),
@@ -77,7 +77,7 @@
         ),
     ),
     (
-        "one grade of two for a moment",
+        "one class of two in a single round of probes",
         lambda: make_run(
             PUBLISHED,
             probes_at_both(IN_TIME),
@@ -93,7 +93,7 @@
         ),
     ),
     (
-        "of two with one expected version the other is rejected",
+        "the second of two with the same expected version is rejected",
         lambda: make_run(
             PUBLISHED,
             publish(4000, 4, 4, expect=3),
@@ -121,13 +121,13 @@
 
 
 @pytest.mark.parametrize(
-    ("found", "make_history"),
-    [(found, make_history) for _, found, make_history in VIOLATIONS],
+    ("expected_text", "make_history"),
+    [(expected_text, make_history) for _, expected_text, make_history in VIOLATIONS],
     ids=[name for name, _, _ in VIOLATIONS],
 )
-def test_violation_is_found(found: str, make_history: Callable[[], Events]) -> None:
-    findings = [what for what, _ in check_distribution_history(make_history()).findings]
-    assert any(found in what for what in findings), findings
+def test_violation_is_found(expected_text: str, make_history: Callable[[], Events]) -> None:
+    texts = [text for text, _ in check_distribution_history(make_history()).findings]
+    assert any(expected_text in text for text in texts), texts
 
 
 def test_short_history_is_void_and_delays_count_from_the_acknowledgement_or_the_recovery() -> None:
@@ -135,8 +135,8 @@
         make_run(PUBLISHED, probes("d0", IN_TIME), probes("d1", {13_000: 3}), link_fault(500, 12_050, CUT))
     )
     assert verdict.findings == [] and verdict.acknowledged == 3 and verdict.faults == 1
-    assert [round(one, 3) for one in verdict.calm_delays] == [0.185] * 3
-    assert [round(one, 3) for one in verdict.delays_after_faults] == [0.955] * 3
+    assert [round(delay, 3) for delay in verdict.calm_delays] == [0.185] * 3
+    assert [round(delay, 3) for delay in verdict.delays_after_faults] == [0.955] * 3
     assert verdict.void_reason(3, 2) == "only 1 faults: that proves nothing"
     unread = [event for event in make_run(PUBLISHED, probes_at_both(IN_TIME)) if event.kind != "versions"]
     assert "not read" in check_distribution_history(unread).void_reason(0, 0)
@@ -153,9 +153,9 @@
         and subtract_intervals(Interval(0, 10), [Interval(0, 10)]) == []
     )
     one_way = link_fault(10_000, 20_000, {"origin": ["s0"], "target": ["s1"], "cut": True})
-    third = [*process_fault(5000, 30_000, "kill", "s2"), *link_fault(0, 1, {"origin": [], "target": []}, 2)]
-    reachability = ObservedReachability(make_run(one_way, third))
-    # With s2 away s0 and s1 are the majority, and they are apart meanwhile.
+    s2_down = [*process_fault(5000, 30_000, "kill", "s2"), *link_fault(0, 1, {"origin": [], "target": []}, 2)]
+    reachability = ObservedReachability(make_run(one_way, s2_down))
+    # While s2 is down, the only majority is s0 and s1, and the link from s0 to s1 is cut meanwhile.
     assert [
         (begin // MILLISECOND, end // MILLISECOND)
         for begin, end in reachability.reachable_intervals(4 * SECOND)["d0"]
--- a/tests/testbed/checkers/test_request_audit.py
+++ b/tests/testbed/checkers/test_request_audit.py
@@ -1,4 +1,4 @@
-"""The request audit: faulty dispatchers break exactly the rule that they should, correct ones none."""
+"""The request audit: each faulty dispatcher breaks exactly one rule, and correct dispatchers break none."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import replace
@@ -21,17 +21,17 @@
 
 
 class AnswersTwice(TwoChoices):
-    def request_arrived(self, request_id: int, *what: Any) -> None:
+    def request_arrived(self, request_id: int, *details: Any) -> None:
         if request_id % 40 == 0:
             request = self.actions.requests[request_id].client_request  # type: ignore[attr-defined]
             self.actions.environment.answer_client(request, "nacked", 0)  # type: ignore[attr-defined]
-        super().request_arrived(request_id, *what)
+        super().request_arrived(request_id, *details)
 
 
 class LosesOneRequest(TwoChoices):
-    def request_arrived(self, request_id: int, *what: Any) -> None:
+    def request_arrived(self, request_id: int, *details: Any) -> None:
         if request_id != 50:
-            super().request_arrived(request_id, *what)
+            super().request_arrived(request_id, *details)
 
 
 class RetriesNonIdempotent(TwoChoices):
@@ -69,11 +69,13 @@
 
 
 def with_each_class(settings: Settings, **changes: Any) -> Settings:
-    return replace(settings, classes=tuple(replace(each, **changes) for each in settings.classes))
+    return replace(
+        settings, classes=tuple(replace(request_class, **changes) for request_class in settings.classes)
+    )
 
 
 class ExceedsAttemptLimit(TwoChoices):
-    """Retries as often as it likes."""
+    """Retries without a limit of attempts."""
 
     def send(self, request: OpenRequest) -> None:
         self.settings = with_each_class(self.settings, max_attempts=99)
@@ -81,7 +83,7 @@
 
 
 class KeepsOldAttemptLimit(TwoChoices):
-    """Applies new settings, but keeps the limit of attempts."""
+    """Applies new settings, but keeps the old limit of attempts."""
 
     def settings_changed(self, settings: Settings, predecessors: Mapping[int, int]) -> None:
         super().settings_changed(with_each_class(settings, max_attempts=6), predecessors)
@@ -141,9 +143,9 @@
 
 
 def broken_rules(*events: tuple[Any, ...], request_class: int = 0) -> list[str]:
-    """The rules that request 0-0 breaks: sent at 0 with a deadline of 1 s, then these events.
+    """The rules that request 0-0 breaks, which is sent at 0 with a deadline of 1 s and then has these events.
 
-    An event is its time (ms), kind, and where it has them the worker and the detail.
+    An event is a tuple of its time (ms), its kind and, if it has them, the worker and the detail.
     """
     first = [
         Event(0, "sent", "0-0", 0, 0, "", [request_class, 0, 1000 * MILLISECOND, 0]),
@@ -179,7 +181,7 @@
     assert len(broken_rules((51, "answered", "", "broken"))) == 1
 
 
-def test_overload_counts_only_if_discovery_told_of_the_start() -> None:
+def test_overload_counts_only_if_discovery_reported_the_start() -> None:
     overloaded = (900, "fell", "w0", [100, 50, {"0": 100}])
     rejected = (950, "answered", "", "nacked")
     assert broken_rules((100, "up", "w0"), overloaded, rejected) == []
