--- a/ploverspoke/testbed/checkers/dispatcher_checks.py
+++ b/ploverspoke/testbed/checkers/dispatcher_checks.py
@@ -144,7 +144,7 @@
             previous = incomplete
 
     def _check_some_version_active(self, dispatcher: str, rounds: list[ProbeRound]) -> None:
-        # A change between two requests of a round may leave all classes of it unknown, but not of two rounds.
+        # A version change during a round may leave no class known in it, but not in two rounds in a row.
         for previous, probe_round in pairwise(rounds):
             if not previous.known and not probe_round.known:
                 text = f"{dispatcher} applies no version that is known"
@@ -153,7 +153,7 @@
     # ---- Rule 1 ----
 
     def _check_never_decreases(self, dispatcher: str, active: list[ActiveVersion]) -> None:
-        highest: dict[int, int] = {}  # by incarnation
+        highest: dict[int, int] = {}  # version by incarnation
         for (asked_at, _, _, _, incarnation), version in active:
             if version < 0 or incarnation < 0:
                 continue
@@ -165,7 +165,7 @@
     def _check_not_older_after_restart(
         self, dispatcher: str, active: list[ActiveVersion], reachable: list[Interval]
     ) -> None:
-        highest: dict[int, int] = {}  # by incarnation
+        highest: dict[int, int] = {}  # version by incarnation
         for (asked_at, _, _, _, incarnation), version in active:
             if version < 0 or incarnation < 0:
                 continue
@@ -182,7 +182,7 @@
     # ---- Rules 3 and 4 ----
 
     def _acknowledged_valid_versions(self) -> list[Acknowledgement]:
-        """In order of time."""
+        """The acknowledgements of valid publications, in order of time."""
         publications = self._history.publications
         return sorted(
             reply
@@ -198,13 +198,13 @@
         acknowledged: list[Acknowledgement],
     ) -> None:
         times = [reply.at for reply in acknowledged]
-        newest = list(accumulate((reply.version for reply in acknowledged), max, initial=0))
+        newest_versions = list(accumulate((reply.version for reply in acknowledged), max, initial=0))
         for probe_round, version in active:
             asked_at = probe_round.asked_at
             if version < 0 or not self._was_reachable(reachable, asked_at):
                 continue
             self.checked_probes += 1
-            required = newest[bisect_right(times, asked_at - self._time_limit)]
+            required = newest_versions[bisect_right(times, asked_at - self._time_limit)]
             if version < required:
                 acknowledged_at = next(reply.at for reply in acknowledged if reply.version == required)
                 late_by = format_duration(asked_at - acknowledged_at)
@@ -237,9 +237,9 @@
         answered = [probe_round.answered_at for probe_round in rounds]
         for running in subtract_intervals(self._reachability.run, self._reachability.outages[dispatcher]):
             times = [running.start, *(at for at in answered if running.contains(at)), running.end]
-            for at, following in pairwise(times):
-                if following - at > MAX_SILENCE:
-                    text = f"{dispatcher} runs and answers nobody for {format_duration(following - at)}"
+            for at, next_at in pairwise(times):
+                if next_at - at > MAX_SILENCE:
+                    text = f"{dispatcher} runs and answers nobody for {format_duration(next_at - at)}"
                     self._findings.add("silent", dispatcher, text, at)
 
     def _check_admin_replies(self, dispatcher: str, active: list[ActiveVersion]) -> None:
--- a/ploverspoke/testbed/checkers/distribution_checker.py
+++ b/ploverspoke/testbed/checkers/distribution_checker.py
@@ -7,8 +7,8 @@
    restart once the dispatcher could reach the configuration for the time limit.
 2. An active version was committed and is complete: only one of its two classes may be known for no longer
    than a round of probes, and never any class of a publication that was rejected or not committed.
-3. An acknowledged version is active after the time limit wherever the configuration could be reached all
-   that time.
+3. An acknowledged version, or a newer one, is active after the time limit wherever the configuration could
+   be reached all that time.
 4. After a pause, a cut or a restart the same time limit counts from its end.
 5. An acknowledged publication is never lost. A version number belongs to one publication, and numbers
    increase. Of two publications with the same expected version only one is committed. A publication that is
--- a/ploverspoke/testbed/checkers/scale_checker.py
+++ b/ploverspoke/testbed/checkers/scale_checker.py
@@ -9,7 +9,7 @@
 from ..scale.usage import UsageSample
 from .scale_metrics import NEVER_STARTED, Metrics, ScaleObservations, urgent_start_delays
 
-MAX_GROWTH = 1.25  # of a held resource, from one third of the measured time to the next
+MAX_GROWTH = 1.25  # of a held resource, between two thirds of a run or two lengths of an outage
 
 
 class ScaleVerdict:
--- a/ploverspoke/testbed/processes/__init__.py
+++ b/ploverspoke/testbed/processes/__init__.py
@@ -1,1 +1,1 @@
-"""Processes of one run on loopback: start and end, addresses, and faults on them and their links."""
+"""Processes of one run on loopback: their start, end and addresses, and faults on them and their links."""
--- a/ploverspoke/testbed/processes/addresses.py
+++ b/ploverspoke/testbed/processes/addresses.py
@@ -1,8 +1,8 @@
 """Loopback addresses that belong to one run: each process has its own host, and keeps its ports.
 
 A run holds one of the blocks 127.N.0.0/16 while it lives. In its block each process has a host of its own, by
-which others know the sender, and a second one at which the proxy stands in front of it. Whoever hands out a
-port binds it and keeps it bound, so that nobody else can get it between two starts of the process.
+which others identify the sender, and a second one at which the proxy listens in its place. A reserved port is
+kept bound, so that no other process can get it between two starts of its owner.
 """
 
 import os
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 FIRST_BLOCK, LAST_BLOCK = 16, 250
-HOSTS_PER_ROW = 250  # a row is the third number of an address
+HOSTS_PER_ROW = 250  # a row is all addresses with the same third byte
 ROWS_PER_KIND = 100
 FIRST_FAKE_ROW, FIRST_PROCESS_ROW, FIRST_PROXY_ROW = 0, 1, 128
 PORT_ATTEMPTS = 20
@@ -25,7 +25,7 @@
     """Other processes hold all blocks."""
 
     def __init__(self, blocks: int) -> None:
-        """`blocks` is how many there are."""
+        """`blocks` is their number."""
         super().__init__(f"all {blocks} blocks of loopback addresses are in use")
         self.blocks = blocks
 
@@ -34,7 +34,7 @@
     """One block has too few addresses for the run."""
 
     def __init__(self, limit: int, wanted: int) -> None:
-        """`limit` is how many a block has."""
+        """`limit` is the number of addresses in a block, `wanted` the number that the run needs."""
         super().__init__(f"a block has {limit} addresses, {wanted} are wanted")
         self.limit, self.wanted = limit, wanted
 
@@ -43,19 +43,19 @@
     """A host has no port that is free for both TCP and UDP."""
 
     def __init__(self, host: str) -> None:
-        """Keep the host."""
+        """Name the host."""
         super().__init__(f"no port at {host}")
         self.host = host
 
 
 class ProcessAddress(NamedTuple):
-    """Where one process listens, and where the proxy stands in front of it."""
+    """The address of one process, and the one at which the proxy listens in its place."""
 
     name: str
     number: int
     host: str
     proxy_host: str
-    ports: dict[str, int]  # by their names
+    ports: dict[str, int]  # by name
 
     def endpoint(self, port: str) -> str:
         """The process's own `host:port`, without the proxy."""
@@ -75,7 +75,7 @@
         self._bound_sockets: list[socket.socket] = []
         for n in range(blocks):
             number = FIRST_BLOCK + (os.getpid() + n) % blocks
-            # An abstract socket name ends with its process, however that ends: no lock file is left behind.
+            # An abstract socket name disappears with its process, also after a kill: no lock file remains.
             lock = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM)
             try:
                 lock.bind(f"\0ploverspoke-block-{number}")
@@ -100,7 +100,7 @@
         return self._host(FIRST_PROCESS_ROW, number)
 
     def proxy_host(self, number: int) -> str:
-        """The host at which the proxy stands in front of process `number`."""
+        """The host at which the proxy listens in place of process `number`."""
         return self._host(FIRST_PROXY_ROW, number)
 
     def reserve_port(self, host: str) -> int:
--- a/ploverspoke/testbed/processes/capacity_check.py
+++ b/ploverspoke/testbed/processes/capacity_check.py
@@ -1,4 +1,4 @@
-"""Checks before a run starts whether the machine has the memory and the descriptors that it wants."""
+"""Checks before a run starts whether the machine has the memory and the file descriptors that it needs."""
 
 import os
 import resource
@@ -7,38 +7,38 @@
 from typing import NamedTuple
 
 MEBIBYTE = 1 << 20
-RESERVED_MEMORY = 512 * MEBIBYTE  # bytes, left to the rest of the machine
-UNLIMITED_DESCRIPTORS = 1 << 20  # taken as the limit where the kernel sets none
+RESERVED_MEMORY = 512 * MEBIBYTE  # left to the rest of the machine
+UNLIMITED_DESCRIPTORS = 1 << 20  # used as the limit if the kernel sets none
 MEMORY_FOLDER = "/dev/shm"
 MEMORY_INFO = Path("/proc/meminfo")
 
 
 class CapacityError(RuntimeError):
-    """The run wants more than the machine has; the text names the resource."""
+    """The run needs more than the machine has; the text names the resource."""
 
 
 class FreeMemoryUnknownError(CapacityError):
-    """The kernel doesn't tell how much memory is free."""
+    """The kernel doesn't report how much memory is available."""
 
     def __init__(self) -> None:
-        """Name the source."""
-        super().__init__(f"{MEMORY_INFO} does not tell what is available")
+        """Name the file that lacks the amount."""
+        super().__init__(f"{MEMORY_INFO} does not report the available memory")
 
 
 class ResourceDemand(NamedTuple):
-    """What a group of processes wants."""
+    """The resources that a group of processes needs."""
 
     name: str  # of the group
     processes: int
     memory: int  # bytes of each process
-    descriptors: int  # of each process, since their limit holds for one process
+    descriptors: int  # of each process, since the limit is per process
 
 
 class DescriptorLimitError(CapacityError):
-    """One process wants more open files than it may have."""
+    """One process needs more open files than it may have."""
 
     def __init__(self, demand: ResourceDemand, limit: int) -> None:
-        """`limit` is of one process."""
+        """`limit` is the number of descriptors that one process may have."""
         super().__init__(
             f"{demand.name}: {demand.descriptors} descriptors in one process, {limit} are allowed"
         )
@@ -46,29 +46,29 @@
 
 
 class InsufficientMemoryError(CapacityError):
-    """All processes together want more memory than is free."""
+    """All processes together need more memory than is free."""
 
     def __init__(self, demands: list[ResourceDemand], free: int) -> None:
-        """`free` is in bytes, without what is left to the rest of the machine."""
-        parts = ", ".join(f"{d.processes} {d.name} of {d.memory // MEBIBYTE} MiB" for d in demands)
+        """`free` is in bytes, without RESERVED_MEMORY."""
+        groups = ", ".join(f"{d.processes} {d.name} of {d.memory // MEBIBYTE} MiB" for d in demands)
         wanted = total_memory(demands) // MEBIBYTE
-        super().__init__(f"{wanted} MiB wanted ({parts}), {free // MEBIBYTE} are free")
+        super().__init__(f"{wanted} MiB wanted ({groups}), {free // MEBIBYTE} are free")
         self.demands, self.free = demands, free
 
 
 def total_memory(demands: list[ResourceDemand]) -> int:
-    """The bytes that all processes want."""
+    """The memory (bytes) that all processes need."""
     return sum(demand.processes * demand.memory for demand in demands)
 
 
 def memory_backed_folder() -> str | None:
-    """The parent folder for files that no slow disk may delay, where the machine has one with space."""
+    """A folder in memory for files that no slow disk may delay, if the machine has one with enough space."""
     is_usable = os.access(MEMORY_FOLDER, os.W_OK) and shutil.disk_usage(MEMORY_FOLDER).free > RESERVED_MEMORY
     return MEMORY_FOLDER if is_usable else None
 
 
 def free_memory() -> int:
-    """The bytes that the machine can give without swapping. Raises FreeMemoryUnknownError."""
+    """The memory (bytes) that is available without swapping. Raises FreeMemoryUnknownError."""
     for line in MEMORY_INFO.read_text().splitlines():
         if line.startswith("MemAvailable:"):
             return int(line.split()[1]) * 1024
--- a/ploverspoke/testbed/processes/child_process.py
+++ b/ploverspoke/testbed/processes/child_process.py
@@ -1,4 +1,4 @@
-"""A child process that exchanges JSON lines over its pipes; the end of its input ends it."""
+"""A child process that exchanges JSON lines over its pipes, and exits at the end of its input."""
 
 import asyncio
 import sys
@@ -25,7 +25,7 @@
     async def start(
         cls, module: str, arguments: Sequence[str], stderr: IO[bytes] | None = None
     ) -> "ChildProcess":
-        """Run `python -m module arguments`; its standard error goes to `stderr`, or to ours."""
+        """Run `python -m module arguments`; its standard error goes to `stderr`, or to this process's."""
         process = await asyncio.create_subprocess_exec(
             *(sys.executable, "-m", module, *arguments),
             stdin=asyncio.subprocess.PIPE,
@@ -51,7 +51,7 @@
         self.process.stdin.write(msgspec.json.encode(message) + b"\n")
 
     async def stop(self) -> None:
-        """Close the child's input and wait for its end; past the timeout it is killed."""
+        """Close the child's input and wait for its exit; kill it after STOP_TIMEOUT."""
         if self.process.stdin is not None:
             self.process.stdin.close()
         try:
--- a/ploverspoke/testbed/processes/connection_reset.py
+++ b/ploverspoke/testbed/processes/connection_reset.py
@@ -1,4 +1,4 @@
-"""Has a TCP connection end with a reset."""
+"""Ends TCP connections with a reset."""
 
 import socket
 import struct
@@ -7,5 +7,5 @@
 
 
 def reset_on_close(connection: socket.socket) -> None:
-    """Have the peer read a reset in place of an end once the socket is closed. Raises OSError."""
+    """Make the close of the socket send a reset instead of a normal end. Raises OSError."""
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, NO_LINGER)
--- a/ploverspoke/testbed/processes/dispatcher_process.py
+++ b/ploverspoke/testbed/processes/dispatcher_process.py
@@ -1,4 +1,4 @@
-"""Dispatchers as processes of their own, each with a configuration and a log in a folder."""
+"""Dispatchers in their own processes, each with a configuration and a log in a folder."""
 
 import asyncio
 import json
@@ -42,7 +42,7 @@
     """One dispatcher: the program itself, as an operator starts it."""
 
     def __init__(self, folder: Path, number: int, discovery: str, seed: int, **settings: Any) -> None:
-        """Prepare its configuration; `settings` replace those of SETTINGS."""
+        """Prepare its configuration; `settings` override those of SETTINGS."""
         self.port = reserve_ports(1)[0]
         self.path = folder / f"dispatcher-{number}.json"
         self.log = self.path.with_suffix(".log")
@@ -69,7 +69,7 @@
                 await asyncio.sleep(READY_POLL_INTERVAL)
 
     def move_discovery(self, address: str) -> None:
-        """Have it read a configuration that names another discovery."""
+        """Make it reload a configuration with another address of discovery."""
         self.document = {**self.document, "discovery": address}
         self.path.write_text(json.dumps(self.document))
         self.send(signal.SIGHUP)
--- a/ploverspoke/testbed/processes/drawn_timeline.py
+++ b/ploverspoke/testbed/processes/drawn_timeline.py
@@ -9,15 +9,16 @@
 from ..experiment_files.durations import MILLISECOND, SECOND, Duration
 from ..experiment_files.fault_timeline import FAULTS_WITH_DURATION, FaultStep
 
-# What a drawn step chooses from.
+# The values from which a drawn step chooses.
 PROBABILITIES, ROUGH_PROBABILITIES = [0.05, 0.2, 0.5], [0.02, 0.1]
 MAX_JITTER = 2 * SECOND
-ROUGH_JITTERS = [5, 50]  # ms
-DELAYS = [5, 50, 300]  # ms
+ROUGH_JITTERS_MS = [5, 50]
+DELAYS_MS = [5, 50, 300]
 DELAY_JITTER = 20 * MILLISECOND
 SLOW_RATES = [2_000.0, 20_000.0]  # bytes a second
-WALL_CLOCK_JUMPS = [-3600.0, -60.0, 60.0, 3600.0]  # seconds
-CUT_BOTH_WAYS, CUT_FROM_ALL, CUT_INCOMING = 0.4, 0.4, 0.5  # shares of cuts
+WALL_CLOCK_JUMPS_S = [-3600.0, -60.0, 60.0, 3600.0]
+# Shares of cuts.
+BOTH_DIRECTIONS_SHARE, FROM_ALL_SHARE, INCOMING_SHARE = 0.4, 0.4, 0.5
 
 
 class FaultWeight(msgspec.Struct, frozen=True, kw_only=True):
@@ -38,10 +39,10 @@
         start = random.expovariate(1.0) * weight.interval
         while start < end:
             shortest, longest = weight.durations
-            # Log-uniform: drawn uniformly, few would be short.
-            lasts = shortest * (longest / shortest) ** random.random() if shortest else 0
-            lasts = min(lasts, end - start)
-            steps.append(_draw_step(weight, Duration(int(start)), Duration(int(lasts)), random))
+            # Log-uniform, since few uniformly drawn durations would be short.
+            step_duration = shortest * (longest / shortest) ** random.random() if shortest else 0
+            step_duration = min(step_duration, end - start)
+            steps.append(_draw_step(weight, Duration(int(start)), Duration(int(step_duration)), random))
             start += random.expovariate(1.0) * weight.interval
     return sorted(steps, key=lambda step: step.start)
 
@@ -62,23 +63,23 @@
         return {"probability": random.choice(PROBABILITIES), "jitter": Duration(MAX_JITTER)}
     if kind == "rough":
         probability = random.choice(ROUGH_PROBABILITIES)
-        jitter = Duration(random.choice(ROUGH_JITTERS) * MILLISECOND)
+        jitter = Duration(random.choice(ROUGH_JITTERS_MS) * MILLISECOND)
         return {"probability": probability, "jitter": jitter, "both_directions": True}
     if kind == "delay":
-        delay = Duration(random.choice(DELAYS) * MILLISECOND)
+        delay = Duration(random.choice(DELAYS_MS) * MILLISECOND)
         return {"delay": delay, "jitter": Duration(DELAY_JITTER)}
     if kind == "slow":
         return {"rate": random.choice(SLOW_RATES)}
     if kind == "wall jumps":
-        return {"wall_clock_offset": random.choice(WALL_CLOCK_JUMPS)}
+        return {"wall_clock_offset": random.choice(WALL_CLOCK_JUMPS_S)}
     return {}
 
 
 def _draw_cut(step: FaultStep, names: list[str], random: Random) -> FaultStep:
     """A cut between the step's process and some others or all, in one direction or both."""
-    both = random.random() < CUT_BOTH_WAYS
-    is_from_all = random.random() < CUT_FROM_ALL
+    both_directions = random.random() < BOTH_DIRECTIONS_SHARE
+    is_from_all = random.random() < FROM_ALL_SHARE
     others = [] if is_from_all else random.sample(names, max(1, len(names) // 2))
-    is_incoming = not both and random.random() < CUT_INCOMING
+    is_incoming = not both_directions and random.random() < INCOMING_SHARE
     origin, target = (others, step.processes) if is_incoming else (step.processes, others)
-    return msgspec.structs.replace(step, processes=origin, peers=target, both_directions=both)
+    return msgspec.structs.replace(step, processes=origin, peers=target, both_directions=both_directions)
--- a/ploverspoke/testbed/processes/fault_controls.py
+++ b/ploverspoke/testbed/processes/fault_controls.py
@@ -1,4 +1,4 @@
-"""Faults that the rig sets in a running process: numbers in a file that both have mapped into memory."""
+"""Faults that the rig sets in a running process, as numbers in a file that both have mapped into memory."""
 
 import mmap
 import struct
@@ -15,7 +15,7 @@
     WALL_CLOCK_OFFSET = 0  # ns
     MONOTONIC_CLOCK_OFFSET = 1  # ns
     DISK_MODE = 2  # a DiskMode
-    SYNC_DELAY = 3  # ns that each commit takes longer
+    SYNC_DELAY = 3  # ns by which each commit takes longer
 
 
 class DiskMode(IntEnum):
@@ -33,7 +33,7 @@
     """The mapped numbers; while all are zero, the process runs without faults."""
 
     def __init__(self, path: Path, new: bool = False) -> None:
-        """Map the file; `new` writes it first, with zeros. Raises OSError."""
+        """Map the file; `new` first creates it with zeros. Raises OSError."""
         if new:
             path.write_bytes(bytes(FILE_SIZE))
         with path.open("r+b") as file:
--- a/ploverspoke/testbed/processes/history.py
+++ b/ploverspoke/testbed/processes/history.py
@@ -1,7 +1,7 @@
-"""Histories: what processes claim and what fakes observe, one JSON array a line, on one monotonic clock.
+"""Histories of the claims of processes and the observations of fakes, one JSON array a line.
 
-The clock is the machine's own, also in a process whose clock the rig replaces: this module must be imported
-before that.
+All times are of the machine's monotonic clock, also in a process whose clock the rig replaces: this module
+must be imported before the clock is replaced.
 """
 
 import time
@@ -12,7 +12,7 @@
 import msgspec
 
 monotonic_now = time.monotonic_ns
-EVENTS_SHOWN = 20  # around a finding
+EVENTS_SHOWN = 20  # by default, around a finding
 
 
 class HistoryEvent(NamedTuple):
@@ -25,10 +25,10 @@
 
 
 class History:
-    """Writes one process's history. It is unbuffered: a kill loses no event that was added."""
+    """Writes one process's history, unbuffered: a kill of the process loses no event that was added."""
 
     def __init__(self, path: Path, source: str) -> None:
-        """Open the file to append to it; `source` is the name in its events."""
+        """Open the file for appending; `source` is the name of the process in its events."""
         self._file = path.open("ab", buffering=0)
         self.source = source
 
--- a/ploverspoke/testbed/processes/lateness.py
+++ b/ploverspoke/testbed/processes/lateness.py
@@ -1,4 +1,4 @@
-"""Measures how late the event loop of this process is with what is due: its records are off by as much."""
+"""Measures how late the event loop of this process is, since its records are wrong by as much."""
 
 import asyncio
 
@@ -10,12 +10,12 @@
     """Keeps the largest lateness so far."""
 
     def __init__(self, interval: int) -> None:
-        """Measure in that interval (ns) while `run` is under way."""
+        """Measure at that interval (ns) while `run` is active."""
         self.interval = interval
         self.max_lateness = 0  # ns
 
     def record(self, lateness: int) -> None:
-        """Take into account that something was late by so many ns."""
+        """Record that something was `lateness` ns late."""
         self.max_lateness = max(self.max_lateness, lateness)
 
     async def run(self) -> None:
--- a/ploverspoke/testbed/processes/launcher.py
+++ b/ploverspoke/testbed/processes/launcher.py
@@ -1,8 +1,9 @@
 """Runs a module with a host, clocks and a disk that the rig controls: `launcher PLAN MODULE [ARGUMENTS...]`.
 
-The product has no switch for any of it: this module replaces the clock, the event loop and the SQLite
-connection. The process sends from a host of its own, by which the proxy and fakes know it, and listens there
-where it believes to listen at the proxy's host; its clocks may run fast or slow and jump; its disk may fail.
+The product has no settings for these, so this module replaces the clock, the event loop and the SQLite
+connection. The process sends from a host of its own, by which the proxy and the fakes identify it. It also
+listens at that host where its configuration names the proxy's host. Its clocks may run fast or slow and jump,
+and its disk may fail.
 """
 
 import asyncio
@@ -29,10 +30,10 @@
 
 
 class LaunchPlan(msgspec.Struct):
-    """How a process runs."""
+    """The settings with which the launcher runs a process."""
 
     name: str
-    host: str  # its own
+    host: str  # the process's own
     proxy_host: str
     controls: str  # path of its FaultControls
     history: str  # path
@@ -50,20 +51,20 @@
         self._machine_wall_clock = time.time_ns
 
     def monotonic_ns(self) -> int:
-        """Stands for time.monotonic_ns."""
+        """Replaces time.monotonic_ns."""
         elapsed = int((monotonic_now() - self._started_at) * self.rate)
         return self._started_at + elapsed + self.controls.get(Control.MONOTONIC_CLOCK_OFFSET)
 
     def monotonic(self) -> float:
-        """Stands for time.monotonic."""
+        """Replaces time.monotonic."""
         return self.monotonic_ns() / 1e9
 
     def time_ns(self) -> int:
-        """Stands for time.time_ns."""
+        """Replaces time.time_ns."""
         return self._machine_wall_clock() + self.controls.get(Control.WALL_CLOCK_OFFSET)
 
     def time(self) -> float:
-        """Stands for time.time."""
+        """Replaces time.time."""
         return self.time_ns() / 1e9
 
     def install(self) -> None:
@@ -73,16 +74,16 @@
 
 
 def make_event_loop_class(plan: LaunchPlan, clock: FaultyClock) -> type[uvloop.Loop]:
-    """An event loop that sends from and listens at the process's own host, by the process's clock."""
+    """Make an event loop class that uses the process's own host and the process's clock."""
     own_host_loop = make_own_host_loop_class(plan)
     return own_host_loop if plan.clock_rate == 1.0 else make_drifting_loop_class(own_host_loop, clock)
 
 
 def make_own_host_loop_class(plan: LaunchPlan) -> type[uvloop.Loop]:
-    """An event loop that sends from and listens at the process's own host."""
+    """Make an event loop class that sends from and listens at the process's own host."""
 
     def own_host(host: Any) -> Any:
-        """Replace the proxy's host."""
+        """Return the process's own host in place of the proxy's host, and any other host unchanged."""
         return plan.host if host == plan.proxy_host else host
 
     class OwnHostLoop(uvloop.Loop):
@@ -114,7 +115,7 @@
 
 
 def make_drifting_loop_class(base: type[uvloop.Loop], clock: FaultyClock) -> type[uvloop.Loop]:
-    """An event loop whose timers run by the process's clock, as on a machine with such a clock."""
+    """Make an event loop class whose timers run by the process's clock, as on a machine with such a clock."""
 
     class DriftingLoop(base):  # type: ignore[valid-type, misc]
         """Converts the delays of timers to the machine's clock."""
@@ -140,13 +141,13 @@
 
 
 def make_connection_class(controls: FaultControls) -> type[sqlite3.Connection]:
-    """An SQLite connection whose statements fail as the disk mode says."""
+    """Make an SQLite connection class whose statements fail according to the disk mode."""
 
     class FaultyConnection(sqlite3.Connection):
         """Fails at the commit, as a disk does; the caller rolls back what it wrote before."""
 
         def execute(self, statement: str, *parameters: Any) -> sqlite3.Cursor:
-            """Execute the statement, unless the disk mode has it fail."""
+            """Execute the statement, unless it fails in the current disk mode."""
             mode = controls.get(Control.DISK_MODE)
             if mode == DiskMode.FULL and statement.lstrip().startswith(WRITE_STATEMENTS):
                 raise sqlite3.OperationalError(DISK_FULL)
@@ -165,14 +166,14 @@
     connect, connection_class = sqlite3.connect, make_connection_class(controls)
 
     def connect_with_faults(path: Any, **options: Any) -> sqlite3.Connection:
-        """Stands for sqlite3.connect."""
+        """Replaces sqlite3.connect."""
         return connect(path, factory=connection_class, **options)
 
     sqlite3.connect = connect_with_faults  # type: ignore[assignment]
 
 
 def _record_log_lines(history: History) -> None:
-    from ploverspoke.transport import rate_limited_log  # must see the replaced clock and loop
+    from ploverspoke.transport import rate_limited_log  # must be imported after the replacements
 
     write_line: Callable[[str], None] = rate_limited_log.log_line
 
@@ -199,7 +200,7 @@
 
 def main() -> None:
     """Run the module that the command line names."""
-    # The rig ends this process by its handle; should the rig be killed, the kernel ends it.
+    # The rig ends this process through its handle. If the rig is killed, the kernel kills this process.
     ctypes.CDLL(None).prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
     plan: LaunchPlan = msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=LaunchPlan)
     install_faults(plan)
--- a/ploverspoke/testbed/processes/link_fault_controller.py
+++ b/ploverspoke/testbed/processes/link_fault_controller.py
@@ -40,11 +40,11 @@
     """Client of the proxy process. Each fault is recorded in the history."""
 
     def __init__(self, history: History) -> None:
-        """A controller whose proxy isn't started; a run without proxied ports has none."""
+        """Start without a proxy; a run without proxied ports never has one."""
         self.counters = ProxyCounters()  # as of the last request
         self._history = history
         self._proxy: ChildProcess | None = None
-        self._one_request = asyncio.Lock()
+        self._request_lock = asyncio.Lock()
         self._next_number = 1
 
     def is_open(self) -> bool:
@@ -81,12 +81,12 @@
         await self._request(ResetConnections(fault))
 
     async def read_counters(self, by_link: bool = False) -> ProxyCounters:
-        """Ask for the counters; `by_link` for the bytes of each link, too."""
+        """Ask for the counters; `by_link` adds the bytes of each link."""
         return await self._request(ReadCounters(by_link))
 
     async def _request(self, request: ProxyRequest) -> ProxyCounters:
         assert self._proxy is not None
-        async with self._one_request:
+        async with self._request_lock:
             self._proxy.send(request)
             counters = await self._proxy.receive_as(ProxyCounters)
         if counters is None:
--- a/ploverspoke/testbed/processes/link_faults.py
+++ b/ploverspoke/testbed/processes/link_faults.py
@@ -1,7 +1,7 @@
 """Faults on network links between processes, without I/O: the caller passes the time and the random numbers.
 
 A link is one direction between two processes. Several faults may be active on it, each with a number by which
-it is removed again: delays add up, of losses the highest counts, and one cut is enough.
+it is removed again. Delays add up, the highest loss applies, and a single cut is enough to cut the link.
 """
 
 from collections.abc import Callable, Iterable
@@ -11,14 +11,14 @@
 
 from ..experiment_files.durations import MILLISECOND, SECOND
 
-RETRANSMIT_TIMEOUT = 200 * MILLISECOND  # the kernel's shortest after a loss; it doubles each time
+RETRANSMIT_TIMEOUT = 200 * MILLISECOND  # the kernel's minimum; it doubles after each loss of a segment
 MAX_RETRANSMITS = 6
 
 RandomFraction = Callable[[], float]  # a number from 0 up to 1
 
 
 class LinkFault(msgspec.Struct, frozen=True):
-    """A fault on the links from each of `origin` to each of `target`; an empty list is every process."""
+    """A fault on the links from each of `origin` to each of `target`; an empty list means every process."""
 
     origin: list[str] = []
     target: list[str] = []
@@ -26,8 +26,8 @@
     jitter: int = 0  # ns at most, drawn for each datagram or segment
     loss: float = 0.0  # share
     duplicate: float = 0.0  # share of datagrams that arrive twice
-    duplicate_delay: int = 0  # ns at most from the first to the second
-    reorder: float = 0.0  # share of datagrams that arrive behind later ones
+    duplicate_delay: int = 0  # ns at most from the first copy to the second
+    reorder: float = 0.0  # share of datagrams that arrive after later ones
     cut: bool = False
     rate: float = 0.0  # bytes a second; 0: unlimited
     silent: bool = False  # new connections are accepted and never served
@@ -38,12 +38,12 @@
 
 
 class LinkCounters(NamedTuple):
-    """What happened to datagrams and segments."""
+    """Counts of datagrams and segments."""
 
     passed: int = 0
     lost: int = 0
     duplicated: int = 0
-    delayed: int = 0  # reordered, or sent again
+    delayed: int = 0  # reordered or retransmitted
     bytes_passed: int = 0
 
 
@@ -51,11 +51,11 @@
     """One direction between two processes, with its faults and counters."""
 
     def __init__(self, random_fraction: RandomFraction) -> None:
-        """A link without faults."""
+        """Start without faults."""
         self.random_fraction = random_fraction
         self.faults: dict[int, LinkFault] = {}
-        self.effective = LinkFault()  # all faults together
-        self._free_at = 0  # ns; when a slow link has sent what it was given so far
+        self.effective = LinkFault()  # the combination of all faults
+        self._free_at = 0  # ns; when a link with a limited rate has sent all data so far
         self._passed = self._lost = self._duplicated = self._delayed = 0
         self.bytes_passed = 0
 
@@ -70,11 +70,11 @@
             self.effective = combine_faults(self.faults.values())
 
     def counters(self) -> LinkCounters:
-        """What happened so far."""
+        """The counts so far."""
         return LinkCounters(self._passed, self._lost, self._duplicated, self._delayed, self.bytes_passed)
 
     def datagram_arrivals(self, now: int, size: int) -> list[int]:
-        """When a datagram of that many bytes arrives (ns): never, once or twice."""
+        """The arrival times (ns) of a datagram of `size` bytes: none, one or two."""
         fault = self.effective
         if fault.cut or self._occurs(fault.loss):
             self._lost += 1
@@ -91,9 +91,9 @@
         return [arrives_at]
 
     def segment_arrival(self, now: int, size: int) -> int:
-        """When a part of a stream arrives (ns): it may be late, and is never lost.
+        """The arrival time (ns) of `size` bytes of a stream: they may be late, but are never lost.
 
-        During a cut the caller holds it back.
+        During a cut the caller holds them back.
         """
         arrives_at, timeout = self._arrival(now, size), RETRANSMIT_TIMEOUT
         for _ in range(MAX_RETRANSMITS):
@@ -110,7 +110,7 @@
         return share > 0 and self.random_fraction() < share
 
     def _arrival(self, now: int, size: int) -> int:
-        """When the last byte arrives, by the link's rate, delay and jitter."""
+        """The arrival time (ns) of the last byte, by the link's rate, delay and jitter."""
         rate = self.effective.rate
         if rate:
             self._free_at = max(now, self._free_at) + int(size / rate * SECOND)
@@ -120,46 +120,46 @@
 
 
 class LinkTable:
-    """All links between processes, created when they are first asked for."""
+    """All links between processes, created on first use."""
 
     def __init__(self, random_stream: Callable[[str], RandomFraction]) -> None:
-        """`random_stream` gives a stream for a link's name: one link's draws change no other's."""
+        """`random_stream` makes a stream from a link's name: the draws of one link must affect no other."""
         self._random_stream = random_stream
         self._links: dict[tuple[str, str], Link] = {}
         self._faults: dict[int, LinkFault] = {}
 
     def link(self, origin: str, target: str) -> Link:
         """The link in that direction."""
-        found = self._links.get((origin, target))
-        if found is None:
-            found = self._links[origin, target] = Link(self._random_stream(f"{origin}>{target}"))
+        link = self._links.get((origin, target))
+        if link is None:
+            link = self._links[origin, target] = Link(self._random_stream(f"{origin}>{target}"))
             for number, fault in self._faults.items():
                 if fault.covers(origin, target):
-                    found.add_fault(number, fault)
-        return found
+                    link.add_fault(number, fault)
+        return link
 
     def add_fault(self, number: int, fault: LinkFault) -> None:
         """Activate a fault on all links that it covers, also on later ones."""
         self._faults[number] = fault
-        for link in self._covered(fault):
+        for link in self._covered_links(fault):
             link.add_fault(number, fault)
 
     def remove_fault(self, number: int) -> None:
         """Deactivate a fault; does nothing if it isn't active."""
         fault = self._faults.pop(number, None)
-        for link in self._covered(fault) if fault is not None else ():
+        for link in self._covered_links(fault) if fault is not None else ():
             link.remove_fault(number)
 
     def counters(self) -> LinkCounters:
         """The sums over all links."""
-        each = [link.counters() for link in self._links.values()]
-        return LinkCounters(*map(sum, zip(*each, strict=True))) if each else LinkCounters()
+        counters = [link.counters() for link in self._links.values()]
+        return LinkCounters(*map(sum, zip(*counters, strict=True))) if counters else LinkCounters()
 
     def bytes_by_link(self) -> dict[str, int]:
         """The bytes that passed each link, by "origin>target"."""
         return {f"{origin}>{target}": link.bytes_passed for (origin, target), link in self._links.items()}
 
-    def _covered(self, fault: LinkFault) -> list[Link]:
+    def _covered_links(self, fault: LinkFault) -> list[Link]:
         return [link for (origin, target), link in self._links.items() if fault.covers(origin, target)]
 
 
--- a/ploverspoke/testbed/processes/process_log.py
+++ b/ploverspoke/testbed/processes/process_log.py
@@ -1,4 +1,4 @@
-"""Gives each of many dispatchers in one process its own rate-limited log, as in a process of its own."""
+"""Gives each of many dispatchers in one process its own rate-limited log, as if it ran in its own process."""
 
 import sys
 from contextvars import ContextVar
@@ -13,7 +13,7 @@
         """Start an empty log."""
         super().__init__()
         self.name = name
-        self.count = 0  # lines, also those that the rate limit dropped
+        self.count = 0  # lines, including those that the rate limit dropped
 
     def write(self, line: str) -> None:
         """Count the line and write it if the rate limit allows."""
@@ -26,10 +26,10 @@
 
     def __init__(self) -> None:
         """Build the text."""
-        super().__init__("the program was imported before its log lines could be told apart")
+        super().__init__("the product was imported before its log function was replaced")
 
 
-# Callbacks run in the context that was current when they were scheduled: it tells whose line it is.
+# Callbacks run in the context in which they were scheduled, which identifies the dispatcher of a line.
 CURRENT_LOG: ContextVar[DispatcherLog] = ContextVar("log of the current dispatcher")
 _unassigned_log = DispatcherLog("nobody")
 
--- a/ploverspoke/testbed/processes/proxied_stream.py
+++ b/ploverspoke/testbed/processes/proxied_stream.py
@@ -1,7 +1,7 @@
 """A TCP connection through the proxy: two connections, and a link with faults in each direction.
 
-A cut holds the data that is on its way, as a network does whose segments are sent again. What a closed
-connection has sent still arrives. A connection that is half closed is closed.
+A cut delays the data in transit and drops none, as if lost segments were retransmitted after the cut. Data
+that was sent before a close still arrives. A half-closed connection is closed in both directions.
 """
 
 import asyncio
@@ -13,11 +13,11 @@
 from .history import monotonic_now
 from .link_faults import Link
 
-MAX_QUEUED = 1 << 20  # bytes in one direction; beyond that the proxy stops reading from the sender
+MAX_QUEUED_BYTES = 1 << 20  # in one direction; beyond that the proxy stops reading from the sender
 
 
 class StreamAddress(NamedTuple):
-    """Between whom a connection is."""
+    """The two ends of a connection."""
 
     origin: str  # names of processes
     target: str
@@ -26,14 +26,15 @@
 
 
 class StreamDirection:
-    """The data that is on its way in one direction."""
+    """The data in transit in one direction."""
 
     def __init__(self, link: Link) -> None:
-        """An empty queue on that link."""
+        """Start with an empty queue; `link` has the delays and cuts of this direction."""
         self.link = link
         self.source: StreamEnd | None = None
         self.sink: StreamEnd | None = None
-        self._queue: deque[tuple[int, bytes | None]] = deque()  # arrival (ns) and data; None is the end
+        # Arrival times (ns) and data; None is the end of the stream.
+        self._queue: deque[tuple[int, bytes | None]] = deque()
         self._queued_bytes = 0
         self._last_arrival = 0  # ns
         self._timer: asyncio.TimerHandle | None = None
@@ -41,19 +42,19 @@
     def put(self, data: bytes | None) -> None:
         """Send data, or the end of the stream (None).
 
-        The end arrives behind all data, but takes no time of its own.
+        The end arrives after all data sent before it, without a delay of its own.
         """
         now = monotonic_now()
         arrives_at = now if data is None else self.link.segment_arrival(now, len(data))
         self._last_arrival = max(self._last_arrival, arrives_at)
         self._queue.append((self._last_arrival, data))
         self._queued_bytes += len(data or b"")
-        if self._queued_bytes > MAX_QUEUED and self.source is not None:
+        if self._queued_bytes > MAX_QUEUED_BYTES and self.source is not None:
             self.source.pause_reading()
         self.deliver()
 
     def deliver(self) -> None:
-        """Pass on what has arrived by now, unless the link is cut, and set a timer for the rest."""
+        """Deliver the data that has arrived by now, unless the link is cut, and set a timer for the rest."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -69,7 +70,7 @@
                 return
             self._queued_bytes -= len(data)
             self.sink.write(data)
-            if self._queued_bytes <= MAX_QUEUED and self.source is not None:
+            if self._queued_bytes <= MAX_QUEUED_BYTES and self.source is not None:
                 self.source.resume_reading()
 
 
@@ -77,25 +78,25 @@
     """The proxy's side of the connection to one of the two processes."""
 
     def __init__(self, stream: "ProxiedStream", outgoing: StreamDirection, incoming: StreamDirection) -> None:
-        """`outgoing` takes what this process sends, `incoming` brings what is sent to it."""
+        """`outgoing` carries the data that this process sends, `incoming` the data that is sent to it."""
         self.stream, self.outgoing, self.incoming = stream, outgoing, incoming
         self.transport: asyncio.Transport | None = None
         self.is_closed = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin to deliver."""
+        """Start to deliver data to the process."""
         self.transport = cast(asyncio.Transport, transport)
         self.outgoing.source = self
         self.incoming.sink = self
         self.incoming.deliver()
 
     def data_received(self, data: bytes) -> None:
-        """Pass data on."""
+        """Forward data to the other process."""
         if not self.stream.is_silent:
             self.outgoing.put(data)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Pass the end on."""
+        """Forward the end of the stream to the other process."""
         self.transport = None
         if not self.is_closed:
             self.is_closed = True
@@ -109,12 +110,12 @@
             self.transport.write(data)
 
     def pause_reading(self) -> None:
-        """Make the process wait."""
+        """Stop reading, so that flow control makes the process wait."""
         if self.transport is not None:
             self.transport.pause_reading()
 
     def resume_reading(self) -> None:
-        """Read again."""
+        """Read from the process again."""
         if self.transport is not None:
             self.transport.resume_reading()
 
@@ -125,7 +126,7 @@
             self.transport.close()
 
     def reset(self) -> None:
-        """Close the connection so that the process reads a reset."""
+        """Close the connection so that the process receives a reset."""
         self.is_closed = True
         if self.transport is not None:
             reset_on_close(self.transport.get_extra_info("socket"))
@@ -152,7 +153,7 @@
         self._on_closed = on_closed
 
     async def connect(self, source_host: str) -> None:
-        """Connect to the target, from that host unless it is "". If that fails, the origin reads a reset."""
+        """Connect to the target, from that host unless it is "". On failure the origin receives a reset."""
         loop = asyncio.get_running_loop()
         local_address = (source_host, 0) if source_host else None
         try:
@@ -172,11 +173,11 @@
         self._on_closed(self)
 
     def deliver(self) -> None:
-        """Pass on what has arrived in both directions; called after faults have changed."""
+        """Deliver the data that has arrived in both directions; called after faults have changed."""
         for direction in self._directions:
             direction.deliver()
 
     def end_closed(self) -> None:
-        """One of the two connections is closed."""
+        """Called when one of the two connections is closed."""
         if self.origin_end.transport is None and self.target_end.transport is None:
             self._on_closed(self)
--- a/ploverspoke/testbed/processes/proxy_messages.py
+++ b/ploverspoke/testbed/processes/proxy_messages.py
@@ -1,4 +1,4 @@
-"""Messages between the rig and its TCP proxy, JSON lines both ways, and the proxy's specification."""
+"""Messages between the rig and its TCP proxy, as JSON lines in both directions, and the proxy's settings."""
 
 import msgspec
 
@@ -9,8 +9,8 @@
     """One process as the proxy knows it."""
 
     name: str
-    host: str  # its own
-    proxy_host: str  # at which the proxy stands in front of it
+    host: str  # the process's own
+    proxy_host: str  # at which the proxy listens in place of the process
     stream_ports: list[int] = []
     datagram_ports: list[int] = []
 
@@ -42,22 +42,22 @@
 
 
 class ReadCounters(msgspec.Struct, tag="counters"):
-    """Ask for the counters alone."""
+    """Ask for the counters, without a change."""
 
-    by_link: bool = False  # the bytes of each link, too
+    by_link: bool = False  # whether to add the bytes of each link
 
 
 ProxyRequest = AddLinkFault | RemoveLinkFault | ResetConnections | ReadCounters
 
 
 class ProxyReady(msgspec.Struct):
-    """The proxy's first message: it listens."""
+    """The proxy's first message, once it listens."""
 
-    processes: int
+    processes: int  # how many it has
 
 
 class ProxyCounters(msgspec.Struct):
-    """The proxy's answer to each request, once that is done."""
+    """The proxy's answer to each request, after it was carried out."""
 
     links: LinkCounters = LinkCounters()
     open_streams: int = 0
--- a/ploverspoke/testbed/processes/readiness.py
+++ b/ploverspoke/testbed/processes/readiness.py
@@ -3,7 +3,7 @@
 import asyncio
 from collections.abc import Awaitable, Callable
 
-# Tells whether the process is ready. It may raise OSError where it is not.
+# Returns whether the process is ready; may raise OSError if it is not.
 ReadinessCheck = Callable[[], Awaitable[bool]]
 
 
--- a/ploverspoke/testbed/processes/rig.py
+++ b/ploverspoke/testbed/processes/rig.py
@@ -1,4 +1,4 @@
-"""The test rig: many processes of one run, their addresses and faults, and their end.
+"""The test rig: starts the processes of one run, gives them addresses, applies faults and ends them.
 
     async with Rig(folder, seed) as rig:
         address = rig.allocate_address("k0", streams=["peers"])
@@ -7,7 +7,7 @@
         await rig.start_processes()
         await rig.run_timeline(steps, duration)
 
-All that was started is ended when the block is left, whatever happened in it.
+All processes that were started are ended when the block is left, also by an exception.
 """
 
 import asyncio
@@ -27,8 +27,8 @@
 from .running_process import RunningProcess
 from .timeline_runner import TimelineRunner
 
-STARTS_PER_CORE = 3  # at once: a start takes a second of CPU time, and some waiting
-MAX_LATENESS = 400 * MILLISECOND  # of a step, or of the rig's event loop; past that a run is void
+STARTS_PER_CORE = 3  # at once; a start takes 1 s of CPU time, and waits for some time
+MAX_LATENESS = 400 * MILLISECOND  # of a step or of the rig's event loop; with more a run is void
 PROCESS_MEMORY = 48 * MEBIBYTE
 RIG_DESCRIPTORS = 64
 DESCRIPTORS_PER_ADDRESS = 6
@@ -45,20 +45,20 @@
         self.addresses: dict[str, ProcessAddress] = {}  # by name of the process
         self.processes: dict[str, RunningProcess] = {}  # by name
         self.history = History(folder / "rig.history", "rig")
-        self.errors: list[str] = []  # what went wrong though no step was to cause it
+        self.errors: list[str] = []  # problems that no step of the timeline was meant to cause
         self.link_faults = LinkFaultController(self.history)
         self.timeline = TimelineRunner(self.processes, self.link_faults, self.history, self.errors)
         self._proxied: list[ProxiedProcess] = []
         self._children: list[ChildProcess] = []
 
     async def __aenter__(self) -> "Rig":
-        """Use as a context manager: at its end all is closed."""
+        """Use as a context manager, which closes the rig at its end."""
         return self
 
     async def __aexit__(
         self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
     ) -> None:
-        """End all that was started."""
+        """Close the rig."""
         await self.close()
 
     # ---- Before the start ----
@@ -94,7 +94,7 @@
         self.processes[address.name] = process
         return process
 
-    def check_capacity(self, more: Sequence[ResourceDemand] = ()) -> str:
+    def check_capacity(self, extra_demands: Sequence[ResourceDemand] = ()) -> str:
         """Check that the run fits on the machine; returns its demands in one line. Raises CapacityError."""
         descriptors = (
             RIG_DESCRIPTORS
@@ -104,7 +104,7 @@
         demands = [
             ResourceDemand("processes", len(self.processes), PROCESS_MEMORY, 0),
             ResourceDemand("rig", 1, 0, descriptors),
-            *more,
+            *extra_demands,
         ]
         return check_capacity(demands)
 
@@ -116,7 +116,7 @@
         await self.link_faults.open(self.folder, self.seed, self._proxied, self.start_child)
 
     async def start_child(self, module: str, arguments: Sequence[str], log: str = "") -> ChildProcess:
-        """Start a child that `close` ends. Its standard error goes to a log of that name, or to ours."""
+        """Start a child that `close` ends. Its standard error goes to a log of that name, or to the rig's."""
         if log:
             with (self.folder / f"{log}.log").open("ab") as file:
                 child = await ChildProcess.start(module, arguments, file)
@@ -125,10 +125,15 @@
         self._children.append(child)
         return child
 
-    async def start_processes(self, names: Iterable[str] | None = None, more: Sequence[str] = ()) -> None:
-        """Start these processes, or all, as many at once as the machine bears. Raises ProcessStartError."""
+    async def start_processes(
+        self, names: Iterable[str] | None = None, extra_arguments: Sequence[str] = ()
+    ) -> None:
+        """Start these processes, or all, as many at once as the machine can bear.
+
+        They get `extra_arguments` for this start only. Raises ProcessStartError.
+        """
         chosen = self.processes if names is None else names
-        await run_in_groups(self.processes[name].start(more) for name in chosen)
+        await await_starts(self.processes[name].start(extra_arguments) for name in chosen)
 
     # ---- The run ----
 
@@ -139,7 +144,7 @@
         await self.timeline.run(steps, duration, self.seed, starts_at)
 
     def void_reason(self) -> str:
-        """Why the run proves nothing; "" if it does."""
+        """Why the run is void; "" if it is not."""
         lateness = self.timeline.lateness.max_lateness
         if lateness > MAX_LATENESS:
             return f"the machine was too slow: the rig itself was late by {format_duration(lateness)}"
@@ -152,7 +157,7 @@
     def describe_finding(
         self, finding: str, at: int, events: list[HistoryEvent], shown: int = EVENTS_SHOWN
     ) -> str:
-        """A finding with the seed, the timeline and those of `events` that are nearest to it."""
+        """Format a finding with the seed, the timeline and the `shown` events nearest to it."""
         steps: list[str] = next((event.detail[1] for event in events if event.kind == "begin"), [])
         return "\n".join(
             [
@@ -167,7 +172,7 @@
     # ---- The end ----
 
     async def close(self) -> None:
-        """End all that was started and release the addresses; processes that crashed become errors."""
+        """End all processes and release the addresses; a process that crashed is added to `errors`."""
         await self.timeline.close()
         for process in self.processes.values():
             if process.has_crashed() and process.process is not None:
@@ -181,12 +186,12 @@
         self.block.close()
 
 
-async def run_in_groups(starts: Iterable[Awaitable[None]]) -> None:
-    """Wait for all, a few for each core at a time. Raises the first error, once none is under way."""
+async def await_starts(starts: Iterable[Awaitable[None]]) -> None:
+    """Await all starts, STARTS_PER_CORE at once for each core. Raises the first error once all have ended."""
     slots = asyncio.Semaphore(STARTS_PER_CORE * len(sched_getaffinity(0)))
 
     async def run_one(start: Awaitable[None]) -> None:
-        """Wait for one in a slot."""
+        """Await a start once there is a free slot for it."""
         async with slots:
             await start
 
--- a/ploverspoke/testbed/processes/running_process.py
+++ b/ploverspoke/testbed/processes/running_process.py
@@ -1,4 +1,4 @@
-"""One process of the program, started by the rig and ended by its own handle."""
+"""One process of the program, which the rig starts, and ends through its process handle."""
 
 import asyncio
 import contextlib
@@ -19,7 +19,7 @@
 
 READY_TIMEOUT = 20.0  # seconds
 READY_POLL_INTERVAL = 0.02  # seconds
-STARVED_RUN, STARVED_PAUSE = 0.02, 0.18  # seconds; a starved process gets a tenth of the time
+STARVED_RUN, STARVED_PAUSE = 0.02, 0.18  # seconds; a starved process runs a tenth of the time
 LOG_TAIL = 2000  # characters
 LAUNCHER_MODULE = "ploverspoke.testbed.processes.launcher"
 
@@ -28,18 +28,18 @@
     """A process of the run did not become ready.
 
     Attributes:
-        process: Its name; empty where the problem names it.
-        problem: What it did, as a sentence that may begin with the name.
+        process: Its name; empty if the problem names it.
+        problem: The rest of a sentence that begins with the name, or the whole sentence.
     """
 
     def __init__(self, problem: str, *, process: str = "") -> None:
-        """Build the sentence of both."""
+        """Join both into one sentence."""
         super().__init__(f"{process} {problem}" if process else problem)
         self.process, self.problem = process, problem
 
 
 class RunningProcess:
-    """A process that is started any number of times with the same arguments. Its folder outlives it."""
+    """A process that can be started repeatedly with the same arguments; its folder is kept between starts."""
 
     def __init__(
         self,
@@ -59,7 +59,7 @@
         self.arguments = list(arguments)
         self.environment = dict(environment or {})
         self.ready: ReadinessCheck | None = None
-        self.clock_rate = 1.0  # relative to the machine's, from its next start on
+        self.clock_rate = 1.0  # relative to the machine's clock; takes effect at the next start
         self.process: asyncio.subprocess.Process | None = None
         self.starts = 0
         self.log_path = folder / f"{self.name}.log"
@@ -74,7 +74,7 @@
     # ---- Start and end ----
 
     async def start(self, more: Sequence[str] = ()) -> None:
-        """Start it, with `more` arguments this time, and wait until it is ready.
+        """Start it, with `more` arguments for this start only, and wait until it is ready.
 
         Raises ProcessStartError, with the end of its log, if it does not become ready in time.
         """
@@ -110,7 +110,7 @@
         return [sys.executable, "-m", LAUNCHER_MODULE, str(self._plan_file), self.module]
 
     async def stop(self, number: signal.Signals, timeout: float) -> None:
-        """Send it a signal and wait for its end; past the timeout (s) it is killed."""
+        """Send it a signal and wait for its exit; kill it after `timeout` (s)."""
         if self.process is None:
             return
         self.stop_starving()
@@ -138,7 +138,7 @@
         return self.process is not None and self.process.returncode is None
 
     def has_crashed(self) -> bool:
-        """Whether it has ended with an error or by a signal other than our kill."""
+        """Whether it has ended with an error, or by a signal other than SIGKILL, which the rig sends."""
         return self.process is not None and self.process.returncode not in (None, 0, -signal.SIGKILL)
 
     def log_tail(self) -> str:
@@ -153,7 +153,7 @@
     # ---- Faults ----
 
     def pause(self) -> None:
-        """Stop it until `resume`."""
+        """Suspend it until `resume`."""
         self._is_paused = True
         self.signal(signal.SIGSTOP)
 
@@ -163,12 +163,12 @@
         self.signal(signal.SIGCONT)
 
     def start_starving(self) -> None:
-        """Give it a tenth of the time, in slices."""
+        """Let it run only a tenth of the time, in short slices."""
         self.stop_starving()
         self._starvation = asyncio.get_running_loop().create_task(self._starve())
 
     def stop_starving(self) -> None:
-        """Give it all the time again."""
+        """Let it run all the time again."""
         if self._starvation is not None:
             self._starvation.cancel()
             self._starvation = None
@@ -182,7 +182,7 @@
             await asyncio.sleep(STARVED_RUN)
 
     def set_wall_clock_offset(self, offset: int) -> None:
-        """Put its wall clock that many ns ahead of the machine's; negative: behind."""
+        """Set its wall clock `offset` ns ahead of the machine's, or behind if negative."""
         self._controls.set(Control.WALL_CLOCK_OFFSET, offset)
 
     def set_disk_fault(self, mode: DiskMode, sync_delay: int = 0) -> None:
@@ -191,16 +191,16 @@
         self._controls.set(Control.SYNC_DELAY, sync_delay)
 
     def copy_folder(self) -> None:
-        """Copy its folder for `restore_folder_copy`. The process must be paused, or not run."""
+        """Copy its folder for `restore_folder_copy`. The process must be paused or stopped."""
         shutil.rmtree(self.folder_copy, ignore_errors=True)
         shutil.copytree(self.folder, self.folder_copy)
 
     def clear_folder(self) -> None:
-        """Delete its data. The process must not run."""
+        """Delete its data. The process must be stopped."""
         shutil.rmtree(self.folder)
         self.folder.mkdir()
 
     def restore_folder_copy(self) -> None:
-        """Replace its data by the copy. The process must not run."""
+        """Replace its data with the copy. The process must be stopped."""
         shutil.rmtree(self.folder)
         shutil.copytree(self.folder_copy, self.folder)
--- a/ploverspoke/testbed/processes/tcp_proxy.py
+++ b/ploverspoke/testbed/processes/tcp_proxy.py
@@ -1,10 +1,11 @@
-"""The proxy of a run, one process: it stands in front of each process at a host of its own, and forwards.
+"""The proxy of a run, one process: it listens in place of each process at a separate host, and forwards.
 
 `python -m ploverspoke.testbed.processes.tcp_proxy SPEC`. Lines on its input add and remove faults on links
-and reset connections (`proxy_messages.py`); it answers each once that is done. The end of the input ends it.
+and reset connections (`proxy_messages.py`); it answers each line once that is done, and exits at the end of
+its input.
 
-A sender is known by its own host. A datagram is forwarded from the host at which the proxy stands in front of
-its sender, since that is where the receiver believes it to be.
+A sender is identified by its own host. A datagram is forwarded from the host at which the proxy listens in
+place of the sender, since that is the sender's address as the receiver knows it.
 """
 
 import asyncio
@@ -34,14 +35,14 @@
 )
 
 BACKLOG = 1024
-OUTSIDE = "outside"  # the name of whoever has no host of its own: tools and tests
+OUTSIDE = "outside"  # the name of senders without a host of their own, such as tools and tests
 
 
 class DatagramPort(asyncio.DatagramProtocol):
     """The proxy's socket for one process and port."""
 
     def __init__(self, proxy: "TcpProxy", process: ProxiedProcess, port: int) -> None:
-        """Stand in front of that process."""
+        """Create the protocol of that process's port."""
         self.proxy, self.process, self.port = proxy, process, port
         self.transport: asyncio.DatagramTransport | None = None
 
@@ -50,7 +51,7 @@
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str | int, ...]) -> None:
-        """Forward a datagram, from the proxy's port of its sender, as the link has it."""
+        """Forward a datagram from the proxy's port of its sender, subject to the faults of the link."""
         sender = self.proxy.process_by_host.get(str(addr[0]))
         sender_port = (
             self.proxy.datagram_ports.get((sender.name, int(addr[1]))) if sender is not None else None
@@ -69,16 +70,16 @@
                 asyncio.get_running_loop().call_later((arrives_at - now) / 1e9, send)
 
     def send(self, data: bytes, host: str, port: int) -> None:
-        """Send a datagram from here."""
+        """Send a datagram from this port."""
         if self.transport is not None:
             self.transport.sendto(data, (host, port))
 
 
 class StreamPort(asyncio.Protocol):
-    """A new connection, until its peer's host tells from which process it is."""
+    """A new connection, until the host of its peer has identified the process that opened it."""
 
     def __init__(self, proxy: "TcpProxy", target: ProxiedProcess, port: int) -> None:
-        """Stand in front of that process."""
+        """Create the protocol of a connection to that process's port."""
         self.proxy, self.target, self.port = proxy, target, port
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -143,7 +144,7 @@
         task.add_done_callback(self._connecting.discard)
 
     def handle(self, request: ProxyRequest) -> ProxyCounters:
-        """Carry out a request and deliver what it lets through."""
+        """Carry out a request, and deliver data that is no longer held back."""
         match request:
             case AddLinkFault(number, fault):
                 self.links.add_fault(number, fault)
@@ -153,13 +154,13 @@
                 self._reset_connections(fault)
         for stream in list(self._streams):
             stream.deliver()
-        with_links = isinstance(request, ReadCounters) and request.by_link
+        has_links = isinstance(request, ReadCounters) and request.by_link
         return ProxyCounters(
             links=self.links.counters(),
             open_streams=len(self._streams),
             accepted_connections=self._accepted_connections,
             unknown_datagrams=self.unknown_datagrams,
-            bytes_by_link=self.links.bytes_by_link() if with_links else {},
+            bytes_by_link=self.links.bytes_by_link() if has_links else {},
         )
 
     def _reset_connections(self, fault: LinkFault) -> None:
--- a/ploverspoke/testbed/processes/timeline_runner.py
+++ b/ploverspoke/testbed/processes/timeline_runner.py
@@ -33,11 +33,11 @@
         history: History,
         errors: list[str],
     ) -> None:
-        """`processes` by name, to which the rig may still add; a step that fails is appended to `errors`."""
+        """`processes` is by name, and the rig may still add to it; failed steps are appended to `errors`."""
         self.on_process_down: Callable[[str, str], None] = lambda name, step_kind: None
         self.on_process_up: Callable[[str], None] = lambda name: None
-        self.stop_timeout = STOP_TIMEOUT  # seconds, of a process that is restarted
-        self.epoch = 0  # ns of the machine's monotonic clock, when the timeline began
+        self.stop_timeout = STOP_TIMEOUT  # seconds until a process that is being restarted is killed
+        self.epoch = 0  # when the timeline began, in ns of the machine's monotonic clock
         self.lateness = LatenessMeter(LATENESS_CHECK_INTERVAL)  # of steps and of this process's event loop
         self.finished = asyncio.Event()  # set to end the run early
         self.busy: set[str] = set()  # names of processes to which a step is being applied
@@ -56,18 +56,19 @@
     ) -> None:
         """Apply the steps and wait until `duration` (ns) has passed, or `finished` is set.
 
-        It begins at `starts_at` of the machine's monotonic clock, or now. The history names the seed.
+        The timeline begins at `starts_at` (ns of the machine's monotonic clock), or now. The seed is recorded
+        in the history.
         """
         self.epoch = monotonic_now() if starts_at is None else starts_at
         self._history.add("begin", [seed, [step.describe() for step in steps]])
-        lateness_watch = asyncio.create_task(self.lateness.run())
+        lateness_task = asyncio.create_task(self.lateness.run())
         for step in steps:
             await asyncio.sleep(max(0.0, (step.start - self.now()) / SECOND))
             self.lateness.record(self.now() - step.start)
-            self._begin_step(step)
+            self._start_step(step)
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(self.finished.wait(), max(0.0, (duration - self.now()) / SECOND))
-        lateness_watch.cancel()
+        lateness_task.cancel()
         for task in list(self._tasks):
             await task
         if self._link_faults.is_open():
@@ -75,12 +76,12 @@
         self._history.add("end")
 
     async def close(self) -> None:
-        """Cancel the steps that are under way."""
+        """Cancel the steps in progress."""
         for task in list(self._tasks):
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    def _begin_step(self, step: FaultStep) -> None:
+    def _start_step(self, step: FaultStep) -> None:
         task = asyncio.create_task(self._apply_step(step))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -151,8 +152,8 @@
 
     async def _restart(self, step: FaultStep, process: RunningProcess, starts_at: int) -> None:
         self.on_process_down(process.name, step.kind)
-        number = signal.SIGTERM if step.kind == "restart" else signal.SIGKILL
-        await process.stop(number, self.stop_timeout)
+        stop_signal = signal.SIGTERM if step.kind == "restart" else signal.SIGKILL
+        await process.stop(stop_signal, self.stop_timeout)
         if step.kind == "empty":
             process.clear_folder()
         elif step.kind == "older":
@@ -163,7 +164,7 @@
 
 
 def make_link_fault(step: FaultStep) -> LinkFault:
-    """The fault of a step on links, in the direction from `processes` to `peers`."""
+    """The link fault of a step, in the direction from its `processes` to its `peers`."""
     effects: dict[str, dict[str, Any]] = {
         "delay": {"delay": int(step.delay), "jitter": int(step.jitter)},
         "loss": {"loss": step.probability},
--- a/tests/testbed/processes/clock_probe.py
+++ b/tests/testbed/processes/clock_probe.py
@@ -1,4 +1,4 @@
-"""A process that reports how its clocks run, for each line that it receives; started by tests of the rig."""
+"""A process that the tests of the rig start: it reports how its clocks run for each line that it receives."""
 
 import asyncio
 import json
--- a/tests/testbed/processes/test_link_faults.py
+++ b/tests/testbed/processes/test_link_faults.py
@@ -15,12 +15,12 @@
     ("fault", "datagrams", "segments"),
     [
         (LinkFault(), [[0]], [0]),
-        (LinkFault(cut=True), [[]], [0]),  # a segment is held by its stream, not by the link
+        (LinkFault(cut=True), [[]], [0]),  # a cut segment is held back by its stream, not by the link
         (LinkFault(delay=5 * MILLISECOND), [[5 * MILLISECOND]], [5 * MILLISECOND]),
         (LinkFault(loss=1.0), [[]], [ALL_RETRANSMITS]),
         (LinkFault(duplicate=1.0), [[0, 0]], [0]),
         (LinkFault(delay=MILLISECOND, reorder=1.0), [[3 * MILLISECOND]], [MILLISECOND]),
-        # Each waits until the one before it was sent.
+        # Each waits until the previous one was sent.
         (LinkFault(rate=1000.0), [[100 * MILLISECOND], [200 * MILLISECOND]], [300 * MILLISECOND]),
     ],
 )
--- a/tests/testbed/processes/test_rig.py
+++ b/tests/testbed/processes/test_rig.py
@@ -1,4 +1,4 @@
-"""The rig: hosts and clocks of its processes, their end, and faults on replicas and dispatchers."""
+"""The rig: the hosts, clocks and end of its processes, and faults on replicas and dispatchers."""
 
 import asyncio
 import json
@@ -30,9 +30,9 @@
 class ClockReport(NamedTuple):
     """How the clocks of a probe run; all in seconds."""
 
-    took: float  # on the machine's clock
+    elapsed: float  # on the machine's clock
     slept: float  # on the probe's clock
-    ahead: float  # its wall clock of the machine's
+    ahead: float  # how far the probe's wall clock is ahead of the machine's
 
 
 Connection = tuple[asyncio.StreamReader, asyncio.StreamWriter]
@@ -43,8 +43,8 @@
     started_at = time.monotonic()
     writer.write(b"\n")
     report = json.loads(await reader.readline())
-    took = time.monotonic() - started_at
-    return ClockReport(took, report["slept"], report["wall"] - time.time())
+    elapsed = time.monotonic() - started_at
+    return ClockReport(elapsed, report["slept"], report["wall"] - time.time())
 
 
 async def read_clocks(folder: Path) -> dict[str, ClockReport]:
@@ -76,9 +76,9 @@
 
 def test_process_has_the_host_and_the_clocks_that_the_rig_gives_it(tmp_path: Path) -> None:
     reports = asyncio.run(asyncio.wait_for(read_clocks(tmp_path), 30))
-    # All slept as long by their own clocks; on the machine's that was half as long, or twice.
+    # All slept equally long by their own clocks, which is half or twice as long by the machine's clock.
     assert all(report.slept > 0.35 for report in reports.values())
-    assert reports["slow"].took > 0.75 and reports["fast"].took < reports["slow"].took
+    assert reports["slow"].elapsed > 0.75 and reports["fast"].elapsed < reports["slow"].elapsed
     assert 3500 < reports["slow"].ahead < 3700 and abs(reports["true"].ahead) < 60
 
 
@@ -99,7 +99,7 @@
 
 
 def test_replicas_keep_the_rules_under_clock_jumps_disk_errors_and_one_way_cuts() -> None:
-    # One fault after the other: with two replicas of three gone nobody can be answered, and clients wait on.
+    # One fault after the other: with two of three replicas down no request can be answered, and clients wait.
     timeline = [
         {"at": "1s", "what": "wall jumps", "who": ["d0", "d2"], "ahead": 3600.0},
         {"at": "1s", "what": "disk fails", "who": ["d0"], "lasts": "500ms"},
--- a/tests/testbed/processes/test_tcp_proxy.py
+++ b/tests/testbed/processes/test_tcp_proxy.py
@@ -21,7 +21,7 @@
 from ploverspoke.testbed.processes.tcp_proxy import TcpProxy
 from tests.polling import until
 
-SILENCE = 0.05  # seconds in which nothing may arrive
+SILENCE_S = 0.05  # for which nothing may arrive
 
 
 class DatagramRecorder(asyncio.DatagramProtocol):
@@ -51,7 +51,7 @@
 
 
 def ask(proxy: TcpProxy, request: ProxyRequest) -> ProxyCounters:
-    """Hand a request to the proxy, and its answer back, as each is read from its line."""
+    """Pass a request to the proxy and return its answer, both encoded and decoded as on the pipes."""
     line = msgspec.json.encode(request)
     answer = msgspec.json.encode(proxy.handle(msgspec.json.decode(line, type=ProxyRequest)))
     return msgspec.json.decode(answer, type=ProxyCounters)
@@ -59,7 +59,7 @@
 
 async def assert_silent(reader: asyncio.StreamReader) -> None:
     with pytest.raises(TimeoutError):
-        await asyncio.wait_for(reader.read(10), SILENCE)
+        await asyncio.wait_for(reader.read(10), SILENCE_S)
 
 
 async def run_streams_and_datagrams(block: AddressBlock) -> None:
@@ -83,9 +83,9 @@
     writer.write(b"one")
     assert await reader.read(10) == b"ONE" and server.clients == [a.host]
     sender.sendto(b"x", (b.proxy_host, ports[1]))
-    await until(lambda: datagrams.received == [(b"x", a.proxy_host)])  # from where b believes a to be
+    await until(lambda: datagrams.received == [(b"x", a.proxy_host)])  # a's address as b knows it
 
-    # Answers are cut off, requests arrive; then the other way round.
+    # First answers are cut off and requests arrive, then the other way round.
     ask(proxy, AddLinkFault(1, LinkFault(origin=["b"], target=["a"], cut=True)))
     writer.write(b"two")
     await until(lambda: server.received[-1] == b"two")
@@ -95,8 +95,8 @@
     assert await reader.read(10) == b"TWO"
     writer.write(b"three")
     sender.sendto(b"y", (b.proxy_host, ports[1]))
-    writer.close()  # the end arrives behind what was sent before it
-    await asyncio.sleep(SILENCE)
+    writer.close()  # the end arrives after the data that was sent before it
+    await asyncio.sleep(SILENCE_S)
     assert server.received[-1] == b"two" and len(datagrams.received) == 1
     ask(proxy, RemoveLinkFault(2))
     await until(lambda: server.received[-2:] == [b"three", b"end"])
