--- a/ploverspoke/testbed/checkers/distribution_history.py
+++ b/ploverspoke/testbed/checkers/distribution_history.py
@@ -27,7 +27,7 @@
 
 
 class PublicationKind(StrEnum):
-    """Publications by the processes that must reject their body, if any."""
+    """Kinds of publications, by the processes that must reject their body."""
 
     VALID = "good"
     REJECTED_BY_DISPATCHERS = "refusable"
--- a/ploverspoke/testbed/checkers/lease_checker.py
+++ b/ploverspoke/testbed/checkers/lease_checker.py
@@ -34,7 +34,7 @@
 
 
 class TokenUse(NamedTuple):
-    """How long a candidate used one token."""
+    """The period in which a candidate used one token."""
 
     token: int
     candidate: str
--- a/ploverspoke/testbed/checkers/scale_checker.py
+++ b/ploverspoke/testbed/checkers/scale_checker.py
@@ -35,12 +35,12 @@
         self.verdict = ScaleVerdict()
 
     def check_rules(self) -> None:
-        """No rule is broken."""
+        """Check that no rule is broken."""
         broken = int(self.metrics["broken_rules"])
         self.verdict.check(not broken, f"no broken rule ({broken} found)")
 
     def check_urgent_work(self) -> None:
-        """All urgent work begins in time."""
+        """Check that all urgent work starts in time."""
         limit = self.fleet.size.urgent_starts_within / MILLISECOND
         delays = urgent_start_delays(self.observations.experiment, self.observations.events)
         late = [delay for delay in delays if delay == NEVER_STARTED or delay / MILLISECOND > limit]
@@ -53,7 +53,7 @@
         )
 
     def check_budgets(self, void_kinds: Sequence[str]) -> None:
-        """CPU time and bytes are within the budget of a dispatcher."""
+        """Check that CPU time and bytes are within the budget of a dispatcher."""
         budget = self.fleet.budget
         if "core_share" in self.metrics and "processor time" not in void_kinds:
             share, limit = self.metrics["core_share"], budget.core_share
@@ -97,7 +97,7 @@
         return held
 
     def check_restarts(self) -> None:
-        """Running tasks live through a restart of their dispatcher."""
+        """Check that running tasks survive a restart of their dispatcher."""
         lost = sum(
             int(self.metrics[f"{outcome}_{request_class.name}"])
             for outcome in ("abandoned", "broken")
@@ -107,7 +107,7 @@
         self.verdict.check(not lost, text)
 
     def check_changes(self) -> None:
-        """All changes are applied everywhere in time."""
+        """Check that all dispatchers apply all changes in time."""
         limit = self.fleet.size.config_applied_within / MILLISECOND
         never = int(self.metrics["changes_never_in_force"])
         longest = self.metrics.get("in_force_at_the_last_ms", 0.0)
