--- a/ploverspoke/testbed/fakes/client_process.py
+++ b/ploverspoke/testbed/fakes/client_process.py
@@ -115,7 +115,7 @@
         """Take every n-th job of the schedule, where n is the number of client processes."""
         super().__init__(spec, number)
         experiment = self.experiment
-        jobs = draw_schedule(experiment, self.seed)[number :: spec.clients]
+        jobs = draw_schedule(experiment, self.seed)[number :: spec.client_processes]
         self.model = Clients(self.context, jobs, self, number)
         self.job_count = len(jobs)
         self.idle_connections: dict[int, list[ClientConnection]] = {
--- a/ploverspoke/testbed/fakes/config_client_messages.py
+++ b/ploverspoke/testbed/fakes/config_client_messages.py
@@ -12,14 +12,15 @@
 CLASS_SUFFIXES = ("a", "b")
 
 
-class ConfigClientsSpec(msgspec.Struct):
+class ConfigClientsSpec(msgspec.Struct, rename={"server_names_by_address": "names"}):
     """The servers and dispatchers that the config clients call, and how often."""
 
     seed: int
     history: str  # path of the history file
     secret: str
     servers: dict[str, str]  # addresses of the config servers, by name
-    names: dict[str, str]  # names of the config servers, by the address that replies give for the leader
+    # Names of the config servers, by the address that replies give for the leader.
+    server_names_by_address: dict[str, str]
     dispatchers: dict[str, list[str]]  # by name: client address, admin address
     discovery: str  # host on which the fake discovery listens
     publishers: int
--- a/ploverspoke/testbed/fakes/config_publishers.py
+++ b/ploverspoke/testbed/fakes/config_publishers.py
@@ -213,7 +213,7 @@
 
     def _follow_leader(self, address: str, server: str) -> bool:
         """Send further requests to the leader that a server named; returns whether that leader is known."""
-        name = self.spec.names.get(address)
+        name = self.spec.server_names_by_address.get(address)
         if name:
             self.leader = name
             return True
--- a/ploverspoke/testbed/fakes/discovery_server.py
+++ b/ploverspoke/testbed/fakes/discovery_server.py
@@ -105,7 +105,7 @@
 
     async def prepare(self) -> DiscoveryOpened:
         """Start listening; returns the address."""
-        host = self.spec.own_hosts["discovery"]
+        host = self.spec.fake_hosts["discovery"]
         backlog = len(self.dispatcher_by_host) + EXTRA_BACKLOG
         server = await self.loop.create_server(lambda: DiscoveryConnection(self), host, 0, backlog=backlog)
         return DiscoveryOpened(f"{host}:{server.sockets[0].getsockname()[1]}")
@@ -113,7 +113,7 @@
     def shift_clock(self, nanoseconds: int) -> None:
         """Shift the recorded times, and the time until which the model is busy with calls."""
         super().shift_clock(nanoseconds)
-        self.model.free_at += nanoseconds
+        self.model.busy_until += nanoseconds
 
     def on_command(self, command: FakeCommand) -> None:
         """Store worker addresses, count answered dispatchers, or apply a worker's overload or recovery.
@@ -122,12 +122,12 @@
         """
         if command.workers:
             self.worker_addresses = command.workers
-        elif command.asks_who_was_answered:
+        elif command.asks_for_answered_count:
             send_message(AnsweredCount(sum(traffic.bytes_in > 0 for traffic in self.counters.traffic)))
-        elif command.worker_fell:
-            self.faults.overloaded(command.worker_fell)
-        elif command.worker_returned:
-            self.faults.recovered(command.worker_returned)
+        elif command.overloaded_worker:
+            self.faults.worker_overloaded(command.overloaded_worker)
+        elif command.recovered_worker:
+            self.faults.worker_recovered(command.recovered_worker)
 
     def on_run_start(self, command: FakeCommand) -> None:
         """Schedule the faults of the experiment."""
--- a/ploverspoke/testbed/fakes/fake_messages.py
+++ b/ploverspoke/testbed/fakes/fake_messages.py
@@ -11,15 +11,18 @@
 from .byte_counters import Traffic
 
 
-class FakeProcessSpec(msgspec.Struct):
+class FakeProcessSpec(
+    msgspec.Struct,
+    rename={"client_processes": "clients", "dispatcher_hosts": "hosts", "fake_hosts": "own_hosts"},
+):
     """The parameters of a run, which the fakes read from a file."""
 
     experiment: dict[str, Any]  # parsed by `experiment_from_builtins`
     seed: int
     records: str  # folder of the event files
-    clients: int  # number of client processes
-    hosts: list[str]  # of the dispatchers, by number; all are different
-    own_hosts: dict[str, str]  # on which fakes listen, by kind of fake
+    client_processes: int
+    dispatcher_hosts: list[str]  # of the dispatchers, by number; all are different
+    fake_hosts: dict[str, str]  # on which fakes listen, by kind of fake
     worker_processes: int = 1  # the zones are divided among these
     reports_traffic: bool = False  # if set, the reports of every fake have to be read
 
@@ -27,16 +30,20 @@
 class FakeCommand(
     msgspec.Struct,
     omit_defaults=True,
-    rename={"asks_who_was_answered": "who was told", "worker_fell": "fell", "worker_returned": "back"},
+    rename={
+        "asks_for_answered_count": "who was told",
+        "overloaded_worker": "fell",
+        "recovered_worker": "back",
+    },
 ):
     """A command to a fake; each kind of fake reads the fields that it needs."""
 
     start: int | None = None  # time of the run's start, ns of the machine's monotonic clock
     dispatchers: list[str] = []  # client addresses, sent with `start`
     workers: dict[str, str] = {}  # for discovery: addresses by worker
-    asks_who_was_answered: bool = False  # for discovery: reply with an `AnsweredCount`
-    worker_fell: str = ""  # for discovery: a worker that crashed from overload
-    worker_returned: str = ""  # for discovery: a worker that runs again after such a crash
+    asks_for_answered_count: bool = False  # for discovery: reply with an `AnsweredCount`
+    overloaded_worker: str = ""  # for discovery: a worker that crashed from overload
+    recovered_worker: str = ""  # for discovery: a worker that runs again after such a crash
 
 
 class WorkersOpened(msgspec.Struct):
@@ -129,12 +136,12 @@
 
 class ReportSummary(
     msgspec.Struct,
-    rename={"worker_fell": "fell", "worker_returned": "back", "lag": "behind", "lateness": "late"},
+    rename={"overloaded_worker": "fell", "recovered_worker": "back", "lag": "behind", "lateness": "late"},
 ):
     """The fields that the runner of the fakes reads from each of their messages."""
 
     fault: str = ""
-    worker_fell: str = ""
-    worker_returned: str = ""
+    overloaded_worker: str = ""
+    recovered_worker: str = ""
     lag: int = 0  # ns
     lateness: int = 0  # ns
--- a/ploverspoke/testbed/fakes/fake_process.py
+++ b/ploverspoke/testbed/fakes/fake_process.py
@@ -77,8 +77,8 @@
         self.experiment: Experiment = experiment_from_builtins(spec.experiment)
         self.seed = spec.seed
         self.context = RunContext(self.experiment, self.seed, self.clock, self.records)
-        self.counters = ByteCounters(len(spec.hosts))
-        self.dispatcher_by_host = {host: dispatcher for dispatcher, host in enumerate(spec.hosts)}
+        self.counters = ByteCounters(len(spec.dispatcher_hosts))
+        self.dispatcher_by_host = {host: dispatcher for dispatcher, host in enumerate(spec.dispatcher_hosts)}
 
     async def prepare(self) -> msgspec.Struct:
         """Open listening sockets, if any; returns the first message of the process."""
--- a/ploverspoke/testbed/fakes/faulty_discovery.py
+++ b/ploverspoke/testbed/fakes/faulty_discovery.py
@@ -51,7 +51,7 @@
 
     service_time: float  # seconds for each call
     capacity: int  # calls; further ones are rejected
-    rejections_are_served: bool = False  # a rejected call also takes the service time
+    rejections_take_service_time: bool = False  # a rejected call also takes the service time
 
 
 class ScriptedDiscovery:
@@ -96,7 +96,7 @@
         await self._listen(dispatcher)
         return f"{self.host}:{self.ports[dispatcher]}"
 
-    def change(self, worker: str, state: str) -> int:
+    def set_worker_state(self, worker: str, state: str) -> int:
         """Change a worker's state; returns the first version of the list that has it."""
         self.version += 1
         self.entries = [
@@ -106,7 +106,7 @@
         self.wake_watches()
         return self.version
 
-    def fail_watches(self, *failures: Failure) -> None:
+    def fail_next_calls(self, *failures: Failure) -> None:
         """Make the next calls fail in these ways, in order, starting with the watches that wait now."""
         self.next_failures.extend(failures)
         self.wake_watches()
@@ -121,7 +121,7 @@
         for writer in list(self.writers):
             _reset(writer)
 
-    async def refuse(self) -> None:
+    async def stop_listening(self) -> None:
         """Stop listening and reset every connection."""
         for server in self.servers.values():
             server.close()
@@ -136,7 +136,7 @@
     async def fail_for(self, failure: Failure | None, seconds: float) -> None:
         """Make every call fail for that time; with None, connections are refused."""
         if failure is None:
-            await self.refuse()
+            await self.stop_listening()
         else:
             self.outage = failure
             self.wake_watches()
@@ -233,7 +233,7 @@
             return True
         loop = asyncio.get_running_loop()
         if self.queued_calls >= self.queue.capacity:
-            if self.queue.rejections_are_served:
+            if self.queue.rejections_take_service_time:
                 self.busy_until = max(loop.time(), self.busy_until) + self.queue.service_time
             return False
         self.queued_calls += 1
--- a/ploverspoke/testbed/fakes/lease_candidate.py
+++ b/ploverspoke/testbed/fakes/lease_candidate.py
@@ -29,7 +29,7 @@
 FAULTY_DRIFT = -1.0  # with it the lease client takes a lease to last for twice its duration
 
 
-class LeaseCandidateSpec(msgspec.Struct):
+class LeaseCandidateSpec(msgspec.Struct, rename={"max_effect_duration": "step", "effect_pause": "pause"}):
     """The parameters of one candidate."""
 
     name: str
@@ -39,8 +39,8 @@
     history: str  # path of the history file
     leases: list[str]
     duration: int  # ns, of a lease
-    step: int  # ns, longest duration of an effect
-    pause: float  # seconds between two effects
+    max_effect_duration: int  # ns
+    effect_pause: float  # seconds between two effects
     hold_share: float  # probability of holding a lease until it is lost instead of releasing it
     overestimates_duration: bool = False  # injected fault: leases are taken to last twice as long
 
@@ -98,10 +98,10 @@
         began_at = monotonic_now()
         while self.client.token(name) == token and (monotonic_now() - began_at) / SECOND < holding_time:
             view = RecordedLeaseView(self.client)
-            step = guarded_task.GuardedStep(self.spec.step, partial(self._act, view, name))
+            step = guarded_task.GuardedStep(self.spec.max_effect_duration, partial(self._act, view, name))
             if not await guarded_task.run_guarded_steps(view, name, [step]):
                 break
-            await asyncio.sleep(self.spec.pause)
+            await asyncio.sleep(self.spec.effect_pause)
 
     def _on_lost(self, name: str, reason: str) -> None:
         self.history.add("lost", [name, reason])
--- a/ploverspoke/testbed/fakes/persistent_clients.py
+++ b/ploverspoke/testbed/fakes/persistent_clients.py
@@ -11,7 +11,7 @@
 from .http_wire import HttpMessage, read_message
 from .recording_workers import RecordingWorkers
 
-DEADLINE = 0.9  # seconds, of both request classes of the soak
+REQUEST_TIMEOUT_S = 0.9  # of both request classes of the soak
 ANSWER_GRACE_S = 0.5  # after the deadline; an answer later than this counts as lost
 # A connection that ends this soon after a request was sent is taken to have been closed before the dispatcher
 # read the request.
@@ -34,7 +34,7 @@
         self.random = randomness
         self.sent = 0
         self.statuses: Counter[int] = Counter()
-        self.lost: list[str] = []  # a description of each lost or wrong answer
+        self.problems: list[str] = []  # a description of each lost or wrong answer
         self.non_idempotent: set[str] = set()  # request ids
         self.is_over = False
         self.loop = asyncio.get_running_loop()
@@ -64,15 +64,15 @@
         sent_at = self.loop.time()
         writer.write(self._encode_request(request_id))
         try:
-            async with asyncio.timeout(DEADLINE + ANSWER_GRACE_S):
+            async with asyncio.timeout(REQUEST_TIMEOUT_S + ANSWER_GRACE_S):
                 answer = await read_message(reader)
         except TimeoutError:
-            self.lost.append(f"{request_id}: no answer in {DEADLINE + ANSWER_GRACE_S} s")
+            self.problems.append(f"{request_id}: no answer in {REQUEST_TIMEOUT_S + ANSWER_GRACE_S} s")
             return False
         except (ConnectionError, asyncio.IncompleteReadError):
             elapsed = self.loop.time() - sent_at
-            if request_id in self.workers.by_request or elapsed > IDLE_CLOSE_RACE_S:
-                self.lost.append(f"{request_id}: closed without an answer after {elapsed:.3f} s")
+            if request_id in self.workers.arrivals_by_request or elapsed > IDLE_CLOSE_RACE_S:
+                self.problems.append(f"{request_id}: closed without an answer after {elapsed:.3f} s")
             return False
         return self._on_answer(request_id, answer)
 
@@ -88,7 +88,7 @@
             "Host: soak",
             f"Request-Id: {request_id}",
             "Tenant: acme",
-            f"Request-Timeout-Ms: {int(DEADLINE * 1000)}",
+            f"Request-Timeout-Ms: {int(REQUEST_TIMEOUT_S * 1000)}",
             "Content-Length: 1",
         ]
         return "\r\n".join([*lines, "", "x"]).encode()
@@ -97,7 +97,7 @@
         """Record the answer; returns whether the connection stays open."""
         self.statuses[answer.status] += 1
         if answer.status == 200 and answer.body.decode() != request_id:
-            self.lost.append(f"{request_id}: got another's answer")
+            self.problems.append(f"{request_id}: got another's answer")
         return answer.headers.get("connection", "").lower() != "close"
 
 
--- a/ploverspoke/testbed/fakes/recording_workers.py
+++ b/ploverspoke/testbed/fakes/recording_workers.py
@@ -44,7 +44,7 @@
         self.random = randomness
         self.draining: set[str] = set()
         self.arrivals: list[Arrival] = []
-        self.by_request: dict[str, list[Arrival]] = defaultdict(list)
+        self.arrivals_by_request: dict[str, list[Arrival]] = defaultdict(list)
         self.servers: list[asyncio.Server] = []
 
     async def start(self) -> list[ListedEndpoint]:
@@ -79,7 +79,7 @@
         now = asyncio.get_running_loop().time()
         arrival = Arrival(now, name, request_id, has_run=not is_draining)
         self.arrivals.append(arrival)
-        self.by_request[request_id].append(arrival)
+        self.arrivals_by_request[request_id].append(arrival)
         if is_draining:
             writer.write(encode_not_started())
             return
--- a/ploverspoke/testbed/fakes/worker_connection.py
+++ b/ploverspoke/testbed/fakes/worker_connection.py
@@ -4,7 +4,7 @@
 from typing import TYPE_CHECKING
 
 from ..models import event_records
-from ..models.connection_faults import ARRIVAL_PROBABILITY, MAX_RESET_DELAY
+from ..models.connection_faults import MAX_RESET_DELAY, SILENT_LOSS_PROBABILITY
 from ..models.event_records import Event, ExecutionEnd
 from ..models.execution import Execution
 from ..models.request_schedule import ScheduledRequest
@@ -88,7 +88,7 @@
             self.report_fault(f"was sent an id that no client sent: {request_id!r}")
             return
         draws, faults = self.workers.draws, self.workers.connection_faults
-        if self.request_count > 1 and faults.idle_drops.strikes(self.worker.name, draws):
+        if self.request_count > 1 and faults.idle_drops.draw_fault(self.worker.name, draws):
             self.abort()
             return
         self._start_execution(request_id, job, message.headers.get("job-label", ""))
@@ -98,11 +98,11 @@
         draws, faults, clock = self.workers.draws, self.workers.connection_faults, self.workers.clock
         execution = Execution(request_id, job, self.dispatcher, self, label)
         self.execution = execution
-        if faults.silences.strikes(self.worker.name, draws):
+        if faults.silences.draw_fault(self.worker.name, draws):
             self.is_silent = True
-            if draws.happens(ARRIVAL_PROBABILITY):
+            if draws.happens(SILENT_LOSS_PROBABILITY):
                 return
-        elif faults.resets.strikes(self.worker.name, draws):
+        elif faults.resets.draw_fault(self.worker.name, draws):
             clock.call_at(clock.now() + int(draws.fraction() * MAX_RESET_DELAY), self._reset, execution)
         self.worker.accept(execution)
 
@@ -124,19 +124,19 @@
 
     # ---- Calls of the worker model ----
 
-    def run_started(self, execution: Execution) -> None:
+    def execution_started(self, execution: Execution) -> None:
         """Send that the execution has started."""
         self._send_update(
             execution, ExecutionUpdate(execution.request_id, self.worker.name, "started"), is_first=True
         )
 
-    def run_progressed(self, execution: Execution, share: float) -> None:
+    def execution_progressed(self, execution: Execution, share: float) -> None:
         """Send the share of the work that is done."""
         self._send_update(
             execution, ExecutionUpdate(execution.request_id, self.worker.name, "running", share)
         )
 
-    def run_ended(self, execution: Execution, end: ExecutionEnd) -> None:
+    def execution_ended(self, execution: Execution, end: ExecutionEnd) -> None:
         """Send the end of the execution, or reset the connection if the execution was lost."""
         is_first = not (execution.has_started and self.worker.options.reports_start)
         if end is ExecutionEnd.LOST:
--- a/ploverspoke/testbed/fakes/worker_server.py
+++ b/ploverspoke/testbed/fakes/worker_server.py
@@ -46,7 +46,7 @@
         ]  # by zone of the dispatcher
         self.connections: set[WorkerConnection] = set()
         self.server: asyncio.Server | None = None
-        self.host = workers.spec.own_hosts["workers"]
+        self.host = workers.spec.fake_hosts["workers"]
         self.reserved_socket = bind_without_listening(self.host, 0)
         self.port: int = self.reserved_socket.getsockname()[1]
 
--- a/ploverspoke/testbed/models/baseline_policies.py
+++ b/ploverspoke/testbed/models/baseline_policies.py
@@ -240,7 +240,7 @@
         return min(candidates[start:] + candidates[:start], key=self.true_load)
 
 
-class Policy(Dispatcher):
+class ProductPolicy(Dispatcher):
     """The product's decisions, which do not see the true load."""
 
     def __init__(
@@ -253,7 +253,7 @@
 TRUE_LOAD_POLICY = "all-seeing"
 PolicyFactory = Callable[[DispatchActions, int, Settings, TrueLoad | None], BaselinePolicy | Dispatcher]
 POLICIES: dict[str, PolicyFactory] = {
-    "ours": Policy,
+    "ours": ProductPolicy,
     "random": RandomPick,
     "round robin": RoundRobin,
     "two choices": TwoChoices,
--- a/ploverspoke/testbed/models/clients.py
+++ b/ploverspoke/testbed/models/clients.py
@@ -20,7 +20,7 @@
 REPLICA_BACKOFF = 40 * MILLISECOND  # before the same request is sent to another replica; doubled each time
 MAX_BACKOFF_DOUBLINGS = 5
 MAX_IMMEDIATE_REDIRECTS = 2  # later ones are delayed, since two replicas may redirect to each other
-LATE_ANSWER_ALLOWANCE = 5000 * MILLISECOND  # after the deadline, if dispatchers are replicas of a store
+STORE_ANSWER_GRACE = 5000 * MILLISECOND  # after the deadline, if dispatchers are replicas of a store
 ANSWER_GRACE = 50 * MILLISECOND  # after the deadline, if they are not
 REPEAT_QUERY_SHARE = 0.1  # share of answered requests whose answer is requested again from another replica
 MIN_TIME_LEFT = 5 * MILLISECOND  # until the deadline, for a retry to be made
@@ -174,7 +174,7 @@
         detail = RequestSent(job.request_class, attempt, deadline, first_sent_at)
         self._record(event_records.REQUEST_SENT, request, detail)
         self.open_count += 1
-        grace = LATE_ANSWER_ALLOWANCE if self.has_store else ANSWER_GRACE
+        grace = STORE_ANSWER_GRACE if self.has_store else ANSWER_GRACE
         request.timers.append(self.clock.call_at(deadline + grace, self._time_out, request))
         if job.disconnects_after and not attempt:
             disconnect_at = first_sent_at + job.disconnects_after
--- a/ploverspoke/testbed/models/connection_faults.py
+++ b/ploverspoke/testbed/models/connection_faults.py
@@ -9,7 +9,7 @@
 from .virtual_clock import Clock
 
 MAX_RESET_DELAY = 50 * MILLISECOND  # a connection to be reset is reset after a random delay up to this
-ARRIVAL_PROBABILITY = 0.5  # of a request to reach the worker on a connection that falls silent
+SILENT_LOSS_PROBABILITY = 0.5  # of a request to be lost on a connection that falls silent
 
 
 class FaultProbabilities:
@@ -27,7 +27,7 @@
         """End a fault."""
         self._by_worker.get(worker, {}).pop(fault_number, None)
 
-    def strikes(self, worker: str, draws: RandomDraws) -> bool:
+    def draw_fault(self, worker: str, draws: RandomDraws) -> bool:
         """Draw whether the fault happens to one connection; nothing is drawn if the worker has no fault."""
         faults = self._by_worker.get(worker)
         return draws.happens(max(faults.values())) if faults else False
--- a/ploverspoke/testbed/models/discovery.py
+++ b/ploverspoke/testbed/models/discovery.py
@@ -65,7 +65,7 @@
         self.draws = draws
         self.version = 1
         self.entries: dict[str, EndpointEntry] = {}
-        self.free_at = 0  # ns; when all calls received so far will have been served
+        self.busy_until = 0  # ns; when all calls received so far will have been served
         self.is_unreachable: Callable[[int], bool] = lambda dispatcher: False  # by dispatcher number
         self._changed_in: dict[str, int] = {}  # worker -> version
         self._watches: list[DiscoveryCall] = []
@@ -118,8 +118,8 @@
             self._serve(call)
 
     def _serve(self, call: DiscoveryCall) -> None:
-        self.free_at = max(self.clock.now(), self.free_at) + self.options.call_time
-        self.clock.call_at(self.free_at, self._answer, call)
+        self.busy_until = max(self.clock.now(), self.busy_until) + self.options.call_time
+        self.clock.call_at(self.busy_until, self._answer, call)
 
     def _answer(self, call: DiscoveryCall) -> None:
         if self._outages or self.is_unreachable(call.dispatcher):
--- a/ploverspoke/testbed/models/discovery_faults.py
+++ b/ploverspoke/testbed/models/discovery_faults.py
@@ -32,11 +32,11 @@
                 if isinstance(fault, Crash | Drain):
                     self.clock.call_at(end, self._end_fault, fault_number, worker)
 
-    def overloaded(self, worker: str) -> None:
+    def worker_overloaded(self, worker: str) -> None:
         """A cold worker has crashed by overload, which is detected like any other death."""
         self._schedule_death_detection(OVERLOAD_CRASH, worker)
 
-    def recovered(self, worker: str) -> None:
+    def worker_recovered(self, worker: str) -> None:
         """A worker is back after a crash by overload."""
         self._end_fault(OVERLOAD_CRASH, worker)
 
--- a/ploverspoke/testbed/models/execution.py
+++ b/ploverspoke/testbed/models/execution.py
@@ -11,26 +11,26 @@
 class ExecutionListener(Protocol):
     """Receives the messages that the worker sends about an execution."""
 
-    def run_started(self, execution: "Execution") -> None:
+    def execution_started(self, execution: "Execution") -> None:
         """The execution has started."""
 
-    def run_progressed(self, execution: "Execution", share: float) -> None:
+    def execution_progressed(self, execution: "Execution", share: float) -> None:
         """That share of the work is done."""
 
-    def run_ended(self, execution: "Execution", end: ExecutionEnd) -> None:
+    def execution_ended(self, execution: "Execution", end: ExecutionEnd) -> None:
         """The execution has ended; called at most once, and not after it was cancelled."""
 
 
 class IgnoringListener:
     """Ignores the messages that a worker sends on a connection that has fallen silent."""
 
-    def run_started(self, execution: "Execution") -> None:
+    def execution_started(self, execution: "Execution") -> None:
         """Ignore the message."""
 
-    def run_progressed(self, execution: "Execution", share: float) -> None:
+    def execution_progressed(self, execution: "Execution", share: float) -> None:
         """Ignore the message."""
 
-    def run_ended(self, execution: "Execution", end: ExecutionEnd) -> None:
+    def execution_ended(self, execution: "Execution", end: ExecutionEnd) -> None:
         """Ignore the message."""
 
 
--- a/ploverspoke/testbed/models/executor.py
+++ b/ploverspoke/testbed/models/executor.py
@@ -147,7 +147,7 @@
             duplicate_filter.remember(execution)
         self._occupy_slots(execution)
         if self.options.reports_start:
-            execution.listener.run_started(execution)
+            execution.listener.execution_started(execution)
             if not execution.is_over:
                 self._schedule_progress(execution)
         if execution.is_over:
@@ -206,7 +206,7 @@
         if execution.is_over:
             return
         if not self.is_hung:
-            execution.listener.run_progressed(execution, round(execution.progress(), 3))
+            execution.listener.execution_progressed(execution, round(execution.progress(), 3))
         self._schedule_progress(execution)
 
     # ---- End of an execution ----
@@ -245,7 +245,7 @@
             is_dropped = end is ExecutionEnd.DONE
             self._record_end(execution, ExecutionEnd.DUPLICATE_DROPPED if is_dropped else end)
         if end is not ExecutionEnd.CANCELLED:
-            execution.listener.run_ended(execution, end)
+            execution.listener.execution_ended(execution, end)
 
     def _duplicate_filter(self, execution: Execution) -> DuplicateFilter:
         return self.duplicate_filters[execution.job.request_class]
--- a/ploverspoke/testbed/models/virtual_attempt.py
+++ b/ploverspoke/testbed/models/virtual_attempt.py
@@ -7,7 +7,7 @@
 
 from . import event_records
 from .clients import ClientRequest
-from .connection_faults import ARRIVAL_PROBABILITY, MAX_RESET_DELAY
+from .connection_faults import MAX_RESET_DELAY, SILENT_LOSS_PROBABILITY
 from .event_records import Event, ExecutionEnd
 from .execution import Execution, IgnoringListener
 from .random_streams import RandomDraws
@@ -78,15 +78,15 @@
         self.execution: Execution | None = None
         self.timers: list[TimerHandle] = []
 
-    def run_started(self, execution: Execution) -> None:
+    def execution_started(self, execution: Execution) -> None:
         """Notify the dispatcher after the latency."""
         self._notify(self.connections.listener.attempt_started, self)
 
-    def run_progressed(self, execution: Execution, share: float) -> None:
+    def execution_progressed(self, execution: Execution, share: float) -> None:
         """Notify the dispatcher after the latency."""
         self._notify(self.connections.listener.attempt_progressed, self, share)
 
-    def run_ended(self, execution: Execution, end: ExecutionEnd) -> None:
+    def execution_ended(self, execution: Execution, end: ExecutionEnd) -> None:
         """Notify the dispatcher after the latency."""
         self._notify(self.connections.listener.attempt_ended, self, OUTCOMES[end])
 
@@ -150,7 +150,7 @@
     def _send_on_idle_connection(self, attempt: VirtualAttempt) -> None:
         latency = self.one_way_latency(attempt.worker)
         idle_drops = self.environment.connection_faults.idle_drops
-        if idle_drops.strikes(attempt.worker.name, self.draws):
+        if idle_drops.draw_fault(attempt.worker.name, self.draws):
             self._end_after(attempt, 2 * latency, AttemptOutcome.BROKEN_OFF)
         elif not self.is_partitioned(attempt.worker):
             self._arrive_after(attempt, latency)
@@ -184,11 +184,11 @@
         execution = Execution(request.id, request.job, self.number, attempt, request.idempotency_key)
         attempt.execution = execution
         faults = self.environment.connection_faults
-        if faults.silences.strikes(worker.name, self.draws):
+        if faults.silences.draw_fault(worker.name, self.draws):
             execution.listener = IgnoringListener()
-            if self.draws.happens(ARRIVAL_PROBABILITY):
+            if self.draws.happens(SILENT_LOSS_PROBABILITY):
                 return
-        elif faults.resets.strikes(worker.name, self.draws):
+        elif faults.resets.draw_fault(worker.name, self.draws):
             reset_at = self.clock.time + int(self.draws.fraction() * MAX_RESET_DELAY)
             attempt.timers.append(self.clock.call_at(reset_at, self._reset, attempt))
         worker.accept(execution)
--- a/ploverspoke/testbed/models/virtual_run.py
+++ b/ploverspoke/testbed/models/virtual_run.py
@@ -101,11 +101,11 @@
 
     def worker_overloaded(self, worker: Worker) -> None:
         """Let discovery detect the crash."""
-        self.discovery_faults.overloaded(worker.name)
+        self.discovery_faults.worker_overloaded(worker.name)
 
     def worker_recovered(self, worker: Worker) -> None:
         """Let discovery list the worker as ready again."""
-        self.discovery_faults.recovered(worker.name)
+        self.discovery_faults.worker_recovered(worker.name)
 
     # ---- Connections of clients ----
 
--- a/ploverspoke/testbed/scenarios/decision_bench.py
+++ b/ploverspoke/testbed/scenarios/decision_bench.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from ..models.baseline_policies import POLICIES, Policy
+from ..models.baseline_policies import POLICIES, ProductPolicy
 from .bench_process import Log, bench_experiment
 
 FLEET_SIZES = (10, 100, 300, 1000)  # workers
@@ -60,7 +60,7 @@
         return timed
 
 
-class TimedPolicy(Policy):
+class TimedPolicy(ProductPolicy):
     """The decisions, with the time of each event added up."""
 
     seconds = 0.0
@@ -77,7 +77,7 @@
 
 
 def _timed_handler(event: str) -> Callable[..., None]:
-    original = getattr(Policy, event)
+    original = getattr(ProductPolicy, event)
 
     def handle(self: TimedPolicy, *arguments: Any, **keyword_arguments: Any) -> None:
         """Handle the event and add its time, without that of the host's actions."""
--- a/ploverspoke/testbed/scenarios/distribution_fleet.py
+++ b/ploverspoke/testbed/scenarios/distribution_fleet.py
@@ -151,7 +151,9 @@
             history=str(rig.folder / "clients.history"),
             secret=SECRET,
             servers={server.name: server.endpoint("peers") for server in self.servers},
-            names={server.proxied_endpoint("peers"): server.name for server in self.servers},
+            server_names_by_address={
+                server.proxied_endpoint("peers"): server.name for server in self.servers
+            },
             dispatchers={
                 address.name: [address.endpoint(CLIENT_PORT), address.endpoint(ADMIN_PORT)]
                 for address in self.dispatchers
--- a/ploverspoke/testbed/scenarios/endpoint_list_age.py
+++ b/ploverspoke/testbed/scenarios/endpoint_list_age.py
@@ -64,7 +64,7 @@
 
     async def inject(case: DiscoveryCase) -> None:
         """Make the watch and the calls fail."""
-        case.discovery.fail_watches(*failures)
+        case.discovery.fail_next_calls(*failures)
 
     return inject
 
@@ -108,7 +108,7 @@
         await dispatcher.start()
         await wait_for_watch(discovery, 0)
         await fault(case)
-        drained_at, version = loop.time(), case.discovery.change("w0", "Terminating")
+        drained_at, version = loop.time(), case.discovery.set_worker_state("w0", "Terminating")
         deadline = drained_at + MAX_AGE
         while case.discovery.written_at(0, version) is None and loop.time() < deadline:
             await asyncio.sleep(POLL_INTERVAL)
@@ -180,7 +180,7 @@
         rate_after = sum(self.back_at <= at < counted_until for at in call_times) / COUNTED_AFTER
         cells = [
             f"{self.queue.service_time * 1000:.0f} ms",
-            "yes" if self.queue.rejections_are_served else "no",
+            "yes" if self.queue.rejections_take_service_time else "no",
             "refused" if self.is_refusing else "503",
             f"{statistics.median(ages):.1f}",
             f"{ages[-1]:.1f}",
@@ -206,13 +206,13 @@
             discovery.queue = queue
             began_at = loop.time()
             if is_refusing:
-                await discovery.refuse()
+                await discovery.stop_listening()
             else:
                 discovery.outage = Failure.REJECTED
                 discovery.wake_watches()
             await asyncio.sleep(FLEET_OUTAGE_DURATION)
             discovery.outage = None
-            version, back_at = discovery.change("w0", "Terminating"), loop.time()
+            version, back_at = discovery.set_worker_state("w0", "Terminating"), loop.time()
             if is_refusing:
                 await discovery.listen_again()
             await asyncio.sleep(MAX_AGE)
--- a/ploverspoke/testbed/scenarios/lease_fleet.py
+++ b/ploverspoke/testbed/scenarios/lease_fleet.py
@@ -93,8 +93,8 @@
             history=str(folder / f"{address.name}.acts.history"),
             leases=scenario.leases_wanted_by(number),
             duration=int(scenario.lease_duration),
-            step=scenario.lease_duration // EFFECTS_PER_DURATION,
-            pause=scenario.effect_pause / SECOND,
+            max_effect_duration=scenario.lease_duration // EFFECTS_PER_DURATION,
+            effect_pause=scenario.effect_pause / SECOND,
             hold_share=scenario.hold_share,
             overestimates_duration=scenario.overestimates_duration,
         )
--- a/ploverspoke/testbed/scenarios/scale_fleet.py
+++ b/ploverspoke/testbed/scenarios/scale_fleet.py
@@ -87,7 +87,7 @@
         expected = self.experiment.dispatchers.count
         async with asyncio.timeout(LIST_TIMEOUT):
             while True:
-                discovery.send(FakeCommand(asks_who_was_answered=True))
+                discovery.send(FakeCommand(asks_for_answered_count=True))
                 answered = (await self._first_message(discovery, AnsweredCount)).dispatchers
                 if answered >= expected and await self._count_with_list() >= expected:
                     return
--- a/ploverspoke/testbed/scenarios/soak.py
+++ b/ploverspoke/testbed/scenarios/soak.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 from ..fakes.faulty_discovery import Failure, ScriptedDiscovery
-from ..fakes.persistent_clients import DEADLINE, PersistentClients, hold_idle_connections
+from ..fakes.persistent_clients import REQUEST_TIMEOUT_S, PersistentClients, hold_idle_connections
 from ..fakes.recording_workers import Arrival, RecordingWorkers
 from ..processes.dispatcher_process import DispatcherProcess
 
@@ -37,7 +37,7 @@
 IDLE_CONNECTIONS_DURATION = 3.0
 SOCKET_LIMIT_WITH_IDLE_CLIENTS = 128
 
-KILL_DELAY = DEADLINE + 0.7  # from SIGTERM to SIGKILL: the earliest time at which a platform kills
+KILL_DELAY = REQUEST_TIMEOUT_S + 0.7  # from SIGTERM to SIGKILL: the earliest time at which a platform kills
 STOP_SIGNALS = (
     (signal.SIGTERM,),
     (signal.SIGHUP, signal.SIGTERM),
@@ -150,7 +150,7 @@
         self.drained_at[worker] = self.validity_start[worker] = self.loop.time()
         self.workers.draining.add(worker)
         for discovery in self.discoveries:
-            discovery.change(worker, "Terminating")
+            discovery.set_worker_state(worker, "Terminating")
 
     def _move_discovery(self) -> None:
         self.addresses.reverse()
@@ -163,7 +163,7 @@
                 count = self.random.randint(1, MAX_FAILED_CALLS)
                 failures = [self.random.choice(list(Failure)) for _ in range(count)]
                 for discovery in self.discoveries:
-                    discovery.fail_watches(*failures)
+                    discovery.fail_next_calls(*failures)
                 return
             duration = self.random.choice(OUTAGE_DURATIONS)
             is_refused = self.random.random() < REFUSED_SHARE
@@ -202,11 +202,11 @@
         verdict = self.verdict
         verdict.requests, verdict.served = self.clients.sent, self.clients.statuses[200]
         verdict.drains = len(self.drained_at)
-        verdict.problems += self.clients.lost
+        verdict.problems += self.clients.problems
         verdict.problems += [
             problem for arrival in self.workers.arrivals if (problem := self._check_arrival(arrival))
         ]
-        for request_id, arrivals in self.workers.by_request.items():
+        for request_id, arrivals in self.workers.arrivals_by_request.items():
             has_run_twice = sum(arrival.has_run for arrival in arrivals) > 1
             if has_run_twice and request_id in self.clients.non_idempotent:
                 verdict.problems.append(f"{request_id} ran twice")
--- a/ploverspoke/testbed/scenarios/socket_fleet.py
+++ b/ploverspoke/testbed/scenarios/socket_fleet.py
@@ -25,7 +25,7 @@
     WorkersOpened,
 )
 from ..models import event_records
-from ..models.clients import LATE_ANSWER_ALLOWANCE
+from ..models.clients import STORE_ANSWER_GRACE
 from ..models.deployment_settings import dispatcher_settings
 from ..models.event_records import Event, EventLog
 from ..processes.addresses import ProcessAddress
@@ -117,9 +117,9 @@
             experiment=msgspec.to_builtins(self.experiment, enc_hook=int),
             seed=self.seed,
             records=str(self.folder),
-            clients=self._client_processes(),
-            hosts=self._hosts(addresses),
-            own_hosts={"workers": block.fake_host(1), "discovery": block.fake_host(2)},
+            client_processes=self._client_processes(),
+            dispatcher_hosts=self._hosts(addresses),
+            fake_hosts={"workers": block.fake_host(1), "discovery": block.fake_host(2)},
             worker_processes=self.worker_processes,
             reports_traffic=self.reports_traffic,
         )
@@ -134,7 +134,7 @@
 
         workers = await start("workers", spec.worker_processes)
         [discovery] = await start("discovery", 1)
-        return FakeChildren(workers, discovery, await start("clients", spec.clients))
+        return FakeChildren(workers, discovery, await start("clients", spec.client_processes))
 
     async def _connect_fakes(self, fakes: FakeChildren) -> str:
         """Wait until all fakes are ready, tell discovery the workers, and return discovery's address.
@@ -197,7 +197,7 @@
     def _end(self) -> int:
         """Return the time at which the run ends, in ns since its start."""
         end = self.experiment.duration + self._last_deadline() + FINAL_CALM
-        return end + (LATE_ANSWER_ALLOWANCE if self.experiment.dispatchers.store else 0)
+        return end + (STORE_ANSWER_GRACE if self.experiment.dispatchers.store else 0)
 
     def _last_deadline(self) -> int:
         return max(request_class.deadline for request_class in self.experiment.request_classes)
@@ -240,9 +240,11 @@
             summary = msgspec.convert(report, ReportSummary)
             if summary.fault:
                 self.rig.errors.append(summary.fault)
-            if summary.worker_fell or summary.worker_returned:
+            if summary.overloaded_worker or summary.recovered_worker:
                 discovery.send(
-                    FakeCommand(worker_fell=summary.worker_fell, worker_returned=summary.worker_returned)
+                    FakeCommand(
+                        overloaded_worker=summary.overloaded_worker, recovered_worker=summary.recovered_worker
+                    )
                 )
             self.lag = max(self.lag, summary.lag)
             self.lateness = max(self.lateness, summary.lateness)
--- a/tests/routing/test_stale_endpoint_list.py
+++ b/tests/routing/test_stale_endpoint_list.py
@@ -73,7 +73,7 @@
                 dispatcher.move_discovery(await after.address_for(number))
             await wait_until_called_by_all(after, len(SEEDS))
             after.outage = None
-            after.change("w0", "Terminating")
+            after.set_worker_state("w0", "Terminating")
             binding_at = loop.time() + BINDING_DELAY_S
             await asyncio.sleep(binding_at + GRACE_S - loop.time())
             harness.sent.clear()
--- a/tests/testbed/models/test_models.py
+++ b/tests/testbed/models/test_models.py
@@ -32,12 +32,12 @@
         self.end = ""
         self.ended_at = -1
 
-    def run_started(self, execution: Execution) -> None:
+    def execution_started(self, execution: Execution) -> None:
         self.started_at = self.clock.now()
 
-    def run_progressed(self, execution: Execution, share: float) -> None: ...
+    def execution_progressed(self, execution: Execution, share: float) -> None: ...
 
-    def run_ended(self, execution: Execution, end: ExecutionEnd) -> None:
+    def execution_ended(self, execution: Execution, end: ExecutionEnd) -> None:
         assert not self.end, "an end is reported once"
         self.end, self.ended_at = end, self.clock.now()
 
