--- a/ploverspoke/testbed/capacity/measurements/command_costs.py
+++ b/ploverspoke/testbed/capacity/measurements/command_costs.py
@@ -67,7 +67,7 @@
     while not (wait_result := os.wait4(process.pid, os.WNOHANG))[0]:
         # The maximum that wait4 reports includes the forked process before it executed the program.
         with contextlib.suppress(OSError):
-            peak = max(peak, read_resource_usage(process.pid).memory_peak)
+            peak = max(peak, read_resource_usage(process.pid).peak_memory_bytes)
         time.sleep(MEMORY_POLL_INTERVAL)
     _, status, usage = wait_result
     process.returncode = os.waitstatus_to_exitcode(status)
@@ -165,7 +165,7 @@
     async with _control_fleet(FIXED_LEASE_SERVERS, dispatchers) as fleet:
         path = fleet.leases.rig.folder / "summary.json"
         sources = [word for address in fleet.admin_addresses for word in ("--from", address)]
-        words = ["lease", "summary", str(fleet.leases.file), "team-summary", *sources]
+        words = ["lease", "summary", str(fleet.leases.servers_file), "team-summary", *sources]
         costs = await _run_in_time([*words, "--to", str(path), "--every", "0.1", "--times", "1"])
         answered = msgspec.json.decode(path.read_bytes())["answered"]
         if answered != dispatchers:
@@ -186,7 +186,7 @@
 
 async def _run_restart(lease_servers: int) -> dict[str, float]:
     async with _control_fleet(lease_servers, 1) as fleet:
-        words = ["lease", "restart", str(fleet.leases.file), "team-restart"]
+        words = ["lease", "restart", str(fleet.leases.servers_file), "team-restart"]
         return await _run_in_time([*words, "--ready", fleet.admin_addresses[0], "--", "true"])
 
 
@@ -257,13 +257,14 @@
     await asyncio.sleep(interval.duration_s)
     end, after = time.monotonic_ns(), _read_all([pid, *children])
     shares = [
-        (last.processor - first.processor) / (end - start) for first, last in zip(before, after, strict=True)
+        (last.cpu_time_ns - first.cpu_time_ns) / (end - start)
+        for first, last in zip(before, after, strict=True)
     ]
     return {
         "core_share": shares[0],
-        "memory_bytes": float(after[0].memory),
+        "memory_bytes": float(after[0].memory_bytes),
         "children_core_share": sum(shares[1:]),
-        "children_memory_bytes": float(sum(usage.memory for usage in after[1:])),
+        "children_memory_bytes": float(sum(usage.memory_bytes for usage in after[1:])),
     }
 
 
--- a/ploverspoke/testbed/capacity/measurements/lease_server.py
+++ b/ploverspoke/testbed/capacity/measurements/lease_server.py
@@ -126,7 +126,7 @@
     )
     leases = LeaseFleet(rig, scenario)
     await leases.start()
-    secret = read_lease_servers(leases.file).secret
+    secret = read_lease_servers(leases.servers_file).secret
     leader = await _find_leader(leases, secret)
     address = rig.addresses[leader].proxied_endpoint("clients")
     load = make_load(LeaseServers({}, [address], secret), amount)
--- a/ploverspoke/testbed/capacity/measurements/measurement_fleet.py
+++ b/ploverspoke/testbed/capacity/measurements/measurement_fleet.py
@@ -61,9 +61,9 @@
         """Make the dispatcher watch the config servers that the file names."""
         self.arguments = ["serve", self.environment["RELAY_CONFIG"], "--watch", str(watch_file)]
 
-    async def start(self, more: Sequence[str] = ()) -> None:
+    async def start(self, extra_arguments: Sequence[str] = ()) -> None:
         """Start the dispatcher without a store."""
-        await RunningProcess.start(self, more)
+        await RunningProcess.start(self, extra_arguments)
 
 
 class MeasurementFleet(SocketFleet):
@@ -169,7 +169,7 @@
         """Return CPU and memory use, averaged over the dispatchers."""
         return {
             "core_share": float(np.mean([core_share(samples) for samples in self.samples])),
-            "memory_bytes": float(np.mean([samples[-1][1].memory for samples in self.samples])),
+            "memory_bytes": float(np.mean([samples[-1][1].memory_bytes for samples in self.samples])),
             "memory_growth_bytes": float(np.mean([memory_growth(samples) for samples in self.samples])),
         }
 
--- a/ploverspoke/testbed/capacity/measurements/replica_usage.py
+++ b/ploverspoke/testbed/capacity/measurements/replica_usage.py
@@ -71,13 +71,13 @@
 def core_share(samples: Samples) -> float:
     """Return the share of a core that a process used from its first sample to its last."""
     (first_at, first), (last_at, last) = samples[0], samples[-1]
-    return (last.processor - first.processor) / (last_at - first_at)
+    return (last.cpu_time_ns - first.cpu_time_ns) / (last_at - first_at)
 
 
 def memory_growth(samples: Samples) -> float:
     """Return the growth of memory in bytes a second, by a least-squares line."""
     times = np.array([at / SECOND for at, _ in samples])
-    memory = np.array([float(usage.memory) for _, usage in samples])
+    memory = np.array([float(usage.memory_bytes) for _, usage in samples])
     return float(round(np.polyfit(times - times[0], memory, 1)[0]))
 
 
@@ -86,12 +86,12 @@
     followers = [name for name in samples if name != leader]
     return {
         "core_share": core_share(samples[leader]),
-        "memory_bytes": float(samples[leader][-1][1].memory),
+        "memory_bytes": float(samples[leader][-1][1].memory_bytes),
         "memory_growth_bytes": memory_growth(samples[leader]),
         "bytes_in": rates.into(leader),
         "bytes_out": rates.out_of(leader),
         "follower_core_share": float(np.mean([core_share(samples[name]) for name in followers])),
-        "follower_memory_bytes": float(np.mean([samples[name][-1][1].memory for name in followers])),
+        "follower_memory_bytes": float(np.mean([samples[name][-1][1].memory_bytes for name in followers])),
         "follower_bytes_in": float(np.mean([rates.into(name) for name in followers])),
         "follower_bytes_out": float(np.mean([rates.out_of(name) for name in followers])),
     }
--- a/ploverspoke/testbed/capacity/measurements/stored_state.py
+++ b/ploverspoke/testbed/capacity/measurements/stored_state.py
@@ -67,9 +67,9 @@
     storage, state = ReplicaStorage(folder), RequestStateMachine()
     storage.open()
     storage.initialize("r0.1", "slopes", {})
-    memory_before = read_resource_usage(os.getpid()).memory
+    memory_before = read_resource_usage(os.getpid()).memory_bytes
     entries = fill(state, count)
-    memory = read_resource_usage(os.getpid()).memory - memory_before
+    memory = read_resource_usage(os.getpid()).memory_bytes - memory_before
     kept = len(state.answered)
     start = time.perf_counter()
     storage.save_snapshot(Snapshot(entries, 1, {}, state.take_snapshot()))
--- a/ploverspoke/testbed/checkers/scale_checker.py
+++ b/ploverspoke/testbed/checkers/scale_checker.py
@@ -17,12 +17,12 @@
 
     def __init__(self) -> None:
         """Start without any check."""
-        self.held: list[str] = []
+        self.passed: list[str] = []
         self.failed: list[str] = []
 
     def check(self, holds: bool, text: str) -> None:
         """Add one check."""
-        (self.held if holds else self.failed).append(text)
+        (self.passed if holds else self.failed).append(text)
 
 
 class _ScaleChecker:
@@ -87,9 +87,9 @@
 
     def _held_resources(self) -> dict[str, Callable[[UsageSample], int]]:
         held: dict[str, Callable[[UsageSample], int]] = {
-            "memory of the processes": lambda sample: sample.used.resident,
-            "descriptors": lambda sample: sample.used.descriptors,
-            "deadlines kept": lambda sample: sample.used.inside.get("deadlines", 0),
+            "memory of the processes": lambda sample: sample.usage.resident_bytes,
+            "descriptors": lambda sample: sample.usage.descriptors,
+            "deadlines kept": lambda sample: sample.usage.held_counts.get("deadlines", 0),
         }
         if dispatcher_outages(self.observations.experiment, 0):
             # A host process frees the memory of an ended dispatcher late, which is no sign of a leak.
--- a/ploverspoke/testbed/checkers/scale_metrics.py
+++ b/ploverspoke/testbed/checkers/scale_metrics.py
@@ -70,17 +70,17 @@
 def _usage_metrics(samples: Sequence[UsageSample], dispatchers: int) -> Metrics:
     first, last = samples[0], samples[-1]
     dispatcher_seconds = (last.at - first.at) / SECOND * dispatchers
-    growth = _slope_per_second([(sample.at, sample.used.resident) for sample in samples])
+    growth = _slope_per_second([(sample.at, sample.usage.resident_bytes) for sample in samples])
     metrics: Metrics = {
-        "core_share": (last.used.cpu_ns - first.used.cpu_ns) / SECOND / dispatcher_seconds,
-        "resident_mb_a_dispatcher": last.used.resident / dispatchers / MEGABYTE,
+        "core_share": (last.usage.cpu_ns - first.usage.cpu_ns) / SECOND / dispatcher_seconds,
+        "resident_mb_a_dispatcher": last.usage.resident_bytes / dispatchers / MEGABYTE,
         "resident_growth_bytes_a_second": growth / dispatchers,
-        "descriptors_most": max(sample.used.descriptors for sample in samples),
-        "tasks_running": fmean(sample.running for sample in samples),
-        "serving_fewest": min(sample.used.serving for sample in samples),
+        "descriptors_most": max(sample.usage.descriptors for sample in samples),
+        "tasks_running": fmean(sample.running_tasks for sample in samples),
+        "serving_fewest": min(sample.usage.serving for sample in samples),
     }
-    for key in last.used.inside:
-        largest = max(sample.used.inside.get(key, 0) for sample in samples)
+    for key in last.usage.held_counts:
+        largest = max(sample.usage.held_counts.get(key, 0) for sample in samples)
         metrics[f"inside_{key}_most"] = largest / dispatchers
     return metrics | _traffic_metrics(first, last, dispatcher_seconds, dispatchers)
 
@@ -173,8 +173,8 @@
     dispatchers = observations.experiment.dispatchers.count
     log_lines = _internal_count(during[-1], "said") - _internal_count(before[-1], "said")
     metrics: Metrics = {
-        "away_resident_mb": max(sample.used.resident for sample in during) / MEGABYTE,
-        "away_descriptors": max(sample.used.descriptors for sample in during),
+        "away_resident_mb": max(sample.usage.resident_bytes for sample in during) / MEGABYTE,
+        "away_descriptors": max(sample.usage.descriptors for sample in during),
         "away_log_lines_a_second": log_lines / (scenario.fault_duration / SECOND),
     }
     for key in ("open", "deadlines", "connections"):
@@ -186,7 +186,7 @@
 
 
 def _internal_count(sample: UsageSample, key: str) -> int:
-    return sample.used.inside.get(key, 0)
+    return sample.usage.held_counts.get(key, 0)
 
 
 def _network_bytes(sample: UsageSample) -> int:
--- a/ploverspoke/testbed/experiment_files/experiment.py
+++ b/ploverspoke/testbed/experiment_files/experiment.py
@@ -95,7 +95,7 @@
         name = self.zones()[zone]
         return next((number for number, zones in enumerate(self.network.regions) if name in zones), 0)
 
-    def one_way(self, zone: int, other: int) -> int:
+    def one_way_latency(self, zone: int, other: int) -> int:
         """Return the one-way latency between two zones, in ns."""
         if zone == other:
             return self.network.same_zone
@@ -103,7 +103,7 @@
             return self.network.other_region
         return self.network.other_zone
 
-    def kinds(self) -> list[str]:
+    def machine_kinds(self) -> list[str]:
         """Return the names of all machine kinds in the order of their numbers."""
         return list(dict.fromkeys(group.machine_kind for group in self.workers))
 
--- a/ploverspoke/testbed/experiment_files/fault_timeline.py
+++ b/ploverspoke/testbed/experiment_files/fault_timeline.py
@@ -25,7 +25,7 @@
     "disk fails",
     "slow sync",
 )
-FAULTS_WITH_DURATION = ("pause", "starve", "disk full", "disk fails", "slow sync")  # on processes
+PROCESS_FAULTS_WITH_DURATION = ("pause", "starve", "disk full", "disk fails", "slow sync")
 
 
 class TimelineError(ValueError):
@@ -105,7 +105,7 @@
 
 
 def _check_values(row: str, step: FaultStep) -> None:
-    if step.kind in FAULTS_WITH_DURATION and not step.duration:
+    if step.kind in PROCESS_FAULTS_WITH_DURATION and not step.duration:
         raise TimelineError(key=f"{row}.lasts", problem="expected a duration")
     if step.kind in ("slow", "clock") and step.rate <= 0:
         raise TimelineError(key=f"{row}.rate", problem="expected more than 0")
--- a/ploverspoke/testbed/experiment_files/validation.py
+++ b/ploverspoke/testbed/experiment_files/validation.py
@@ -53,7 +53,7 @@
 
 def _check_request_classes(experiment: Experiment) -> None:
     max_slots = max(group.slots for group in experiment.workers)
-    kinds = experiment.kinds()
+    kinds = experiment.machine_kinds()
     for number, request_class in enumerate(experiment.request_classes):
         key, kind = f"grades[{number}]", request_class.machine_kind
         _require(not kind or kind in kinds, f"{key}.kind", f"no worker is of kind {kind!r}")
@@ -96,7 +96,7 @@
     _require(not unknown, f"{key}.workers", f"unknown workers: {sorted(unknown)}")
     zone_exists = not fault.zone or fault.zone in experiment.zones()
     _require(zone_exists, f"{key}.zone", f"no worker is in zone {fault.zone!r}")
-    kind_exists = not fault.machine_kind or fault.machine_kind in experiment.kinds()
+    kind_exists = not fault.machine_kind or fault.machine_kind in experiment.machine_kinds()
     _require(kind_exists, f"{key}.kind", f"no worker is of kind {fault.machine_kind!r}")
     _require(0 <= fault.share <= 1, f"{key}.share", "must be between 0 and 1")
     if isinstance(fault, ZonePartition):
--- a/ploverspoke/testbed/fakes/discovery_server.py
+++ b/ploverspoke/testbed/fakes/discovery_server.py
@@ -101,7 +101,7 @@
                 EndpointEntry(name, worker.zone, worker.kind, fleet.rack_of[name], EndpointStatus.READY, 0)
             )
         self.worker_addresses: dict[str, str] = {}  # by worker
-        self.zones, self.kinds = self.experiment.zones(), self.experiment.kinds()
+        self.zones, self.kinds = self.experiment.zones(), self.experiment.machine_kinds()
 
     async def prepare(self) -> DiscoveryOpened:
         """Start listening; returns the address."""
--- a/ploverspoke/testbed/fakes/worker_server.py
+++ b/ploverspoke/testbed/fakes/worker_server.py
@@ -41,7 +41,7 @@
         experiment = workers.experiment
         # Within a zone, nothing is added to the machine's own latency.
         self.extra_delays_ns = [
-            max(0, experiment.one_way(zone, worker.zone) - experiment.network.same_zone)
+            max(0, experiment.one_way_latency(zone, worker.zone) - experiment.network.same_zone)
             for zone in range(len(experiment.zones()))
         ]  # by zone of the dispatcher
         self.connections: set[WorkerConnection] = set()
--- a/ploverspoke/testbed/models/deployment_settings.py
+++ b/ploverspoke/testbed/models/deployment_settings.py
@@ -25,7 +25,7 @@
     return {
         "Discovery": "ask" if experiment.rules.discovery_polling else "push",
         "Localities": zones,
-        "HostTypes": experiment.kinds(),
+        "HostTypes": experiment.machine_kinds(),
         "Zone": dispatcher % len(zones),
         "PeersTotal": experiment.dispatchers.count,
         "SlotNo": dispatcher,
@@ -66,7 +66,7 @@
 
 
 def _workers(experiment: Experiment) -> dict[str, Any]:
-    kinds = experiment.kinds()
+    kinds = experiment.machine_kinds()
     required_kinds = [request_class.machine_kind for request_class in experiment.request_classes]
     return {
         "TellsStart": experiment.worker_rules.reports_start,
--- a/ploverspoke/testbed/models/virtual_network.py
+++ b/ploverspoke/testbed/models/virtual_network.py
@@ -15,7 +15,7 @@
         self.client_latency: int = experiment.network.client_to_dispatcher
         self.discovery_latency: int = experiment.network.same_zone
         self.connect_timeout: int = experiment.network.connect_timeout
-        self._latency = [[experiment.one_way(zone, other) for other in zones] for zone in zones]
+        self._latency = [[experiment.one_way_latency(zone, other) for other in zones] for zone in zones]
 
     def one_way_latency(self, zone: int, other: int) -> int:
         """Return the one-way latency between two zones, in ns."""
--- a/ploverspoke/testbed/models/worker.py
+++ b/ploverspoke/testbed/models/worker.py
@@ -60,7 +60,7 @@
         """Start warm; `duplicate_filters` are keyed by the number of the request class."""
         self.name = name
         self.zone = context.experiment.zones().index(group.zone)
-        self.kind = context.experiment.kinds().index(group.machine_kind)
+        self.kind = context.experiment.machine_kinds().index(group.machine_kind)
         self.slots = group.slots
         self.speed = group.speed
         self.options = context.experiment.worker_rules
--- a/ploverspoke/testbed/processes/dispatcher_process.py
+++ b/ploverspoke/testbed/processes/dispatcher_process.py
@@ -68,7 +68,7 @@
             while READY_LOG_LINE not in self.log.read_text():
                 await asyncio.sleep(READY_POLL_INTERVAL)
 
-    def move_discovery(self, address: str) -> None:
+    def change_discovery_address(self, address: str) -> None:
         """Make it reload a configuration with another address of discovery."""
         self.document = {**self.document, "discovery": address}
         self.path.write_text(json.dumps(self.document))
--- a/ploverspoke/testbed/processes/drawn_timeline.py
+++ b/ploverspoke/testbed/processes/drawn_timeline.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from ..experiment_files.durations import MILLISECOND, SECOND, Duration
-from ..experiment_files.fault_timeline import FAULTS_WITH_DURATION, FaultStep
+from ..experiment_files.fault_timeline import PROCESS_FAULTS_WITH_DURATION, FaultStep
 
 # The values from which a drawn step chooses.
 PROBABILITIES, ROUGH_PROBABILITIES = [0.05, 0.2, 0.5], [0.02, 0.1]
@@ -49,7 +49,7 @@
 
 def _draw_step(weight: FaultWeight, start: Duration, duration: Duration, random: Random) -> FaultStep:
     process = random.choice(weight.processes)
-    if weight.kind in FAULTS_WITH_DURATION and not duration:
+    if weight.kind in PROCESS_FAULTS_WITH_DURATION and not duration:
         duration = Duration(MILLISECOND)
     step = FaultStep(start=start, kind=weight.kind, processes=[process], duration=duration)
     if weight.kind == "cut":
--- a/ploverspoke/testbed/processes/resource_usage.py
+++ b/ploverspoke/testbed/processes/resource_usage.py
@@ -16,9 +16,9 @@
 class ResourceUsage(NamedTuple):
     """The usage of one process up to now."""
 
-    processor: int  # ns of CPU time, of all its threads
-    memory: int  # resident bytes now
-    memory_peak: int  # the highest number of resident bytes so far
+    cpu_time_ns: int  # of all its threads
+    memory_bytes: int  # resident now
+    peak_memory_bytes: int  # the most that were resident so far
 
 
 def read_resource_usage(pid: int) -> ResourceUsage:
--- a/ploverspoke/testbed/processes/running_process.py
+++ b/ploverspoke/testbed/processes/running_process.py
@@ -73,8 +73,8 @@
 
     # ---- Start and end ----
 
-    async def start(self, more: Sequence[str] = ()) -> None:
-        """Start it, with `more` arguments for this start only, and wait until it is ready.
+    async def start(self, extra_arguments: Sequence[str] = ()) -> None:
+        """Start it, with `extra_arguments` for this start only, and wait until it is ready.
 
         Raises ProcessStartError, with the end of its log, if it does not become ready in time.
         """
@@ -85,7 +85,7 @@
         self.starts += 1
         self._is_paused = False
         self.process = await asyncio.create_subprocess_exec(
-            *(*self.command(), *self.arguments, *more),
+            *(*self.command(), *self.arguments, *extra_arguments),
             env={**os.environ, **self.environment},
             stdin=asyncio.subprocess.DEVNULL,
             stdout=self._log,
--- a/ploverspoke/testbed/processes/timeline_runner.py
+++ b/ploverspoke/testbed/processes/timeline_runner.py
@@ -39,7 +39,7 @@
         self.stop_timeout = STOP_TIMEOUT  # seconds until a process that is being restarted is killed
         self.epoch = 0  # when the timeline began, in ns of the machine's monotonic clock
         self.lateness = LatenessMeter(LATENESS_CHECK_INTERVAL)  # of steps and of this process's event loop
-        self.finished = asyncio.Event()  # set to end the run early
+        self.end_requested = asyncio.Event()  # set to end the run early
         self.busy: set[str] = set()  # names of processes to which a step is being applied
         self._processes = processes
         self._link_faults = link_faults
@@ -54,7 +54,7 @@
     async def run(
         self, steps: Sequence[FaultStep], duration: int, seed: int, starts_at: int | None = None
     ) -> None:
-        """Apply the steps and wait until `duration` (ns) has passed, or `finished` is set.
+        """Apply the steps and wait until `duration` (ns) has passed, or `end_requested` is set.
 
         The timeline begins at `starts_at` (ns of the machine's monotonic clock), or now. The seed is recorded
         in the history.
@@ -67,7 +67,7 @@
             self.lateness.record(self.now() - step.start)
             self._start_step(step)
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(self.finished.wait(), max(0.0, (duration - self.now()) / SECOND))
+            await asyncio.wait_for(self.end_requested.wait(), max(0.0, (duration - self.now()) / SECOND))
         lateness_task.cancel()
         for task in list(self._tasks):
             await task
--- a/ploverspoke/testbed/scale/simulated_programs.py
+++ b/ploverspoke/testbed/scale/simulated_programs.py
@@ -38,14 +38,14 @@
         """`child` is a process that runs MODULE."""
         self.child = child
         self.programs: dict[int, SimulatedDispatcherProgram] = {}
-        self.listening: asyncio.Task[None] | None = None
+        self.listen_task: asyncio.Task[None] | None = None
         self._counts: asyncio.Future[UsageCounts] | None = None  # requested last
 
     async def listen(self) -> None:
         """Wait until the process is ready, then read its messages in a task. Raises ProcessStartError."""
         if await asyncio.wait_for(self.child.receive(), READY_TIMEOUT_S) is None:
             raise ProcessStartError(problem="a process of simulated dispatchers ended at its start")
-        self.listening = asyncio.create_task(self._listen())
+        self.listen_task = asyncio.create_task(self._listen())
 
     async def _listen(self) -> None:
         while (message := await self.child.receive()) is not None:
@@ -135,7 +135,7 @@
 
     # ---- Interface of the rig ----
 
-    async def start(self, more: Sequence[str] = ()) -> None:
+    async def start(self, extra_arguments: Sequence[str] = ()) -> None:
         """Start it and wait until it serves. Raises ProcessStartError."""
         if self.is_running():
             raise ProcessStartError(process=self.name, problem="runs already: one handle is for one process")
--- a/ploverspoke/testbed/scale/usage.py
+++ b/ploverspoke/testbed/scale/usage.py
@@ -7,16 +7,16 @@
     """The resource usage of all dispatchers together."""
 
     cpu_ns: int
-    resident: int  # bytes
+    resident_bytes: int
     descriptors: int  # maximum of one process
     serving: int  # number of dispatchers that serve
-    inside: dict[str, int]  # counts of what the dispatchers hold, by name, summed over them
+    held_counts: dict[str, int]  # counts of what the dispatchers hold, by name, summed over them
 
 
 class UsageSample(NamedTuple):
     """One sample of a run."""
 
     at: int  # ns since the start of the run
-    used: FleetUsage
+    usage: FleetUsage
     traffic: dict[str, dict[str, int]]  # kind of fake -> counters, summed over all dispatchers
-    running: int  # number of running tasks, as counted by the workers
+    running_tasks: int  # as counted by the workers
--- a/ploverspoke/testbed/scenarios/dispatcher_program.py
+++ b/ploverspoke/testbed/scenarios/dispatcher_program.py
@@ -35,10 +35,10 @@
         self.client_address = (address.host, address.ports[CLIENT_PORT])
         self.ready = self._is_ready
 
-    async def start(self, more: Sequence[str] = ()) -> None:
+    async def start(self, extra_arguments: Sequence[str] = ()) -> None:
         """Start the process; a replica gets `--new`, which creates its store, only at its first start."""
         is_new_replica = bool(self.arguments) and not self.starts
-        await super().start(["--new"] if is_new_replica else more)
+        await super().start(["--new"] if is_new_replica else extra_arguments)
 
     async def _is_ready(self) -> bool:
         reader, writer = await asyncio.open_connection(*self.client_address)
--- a/ploverspoke/testbed/scenarios/distribution_experiment.py
+++ b/ploverspoke/testbed/scenarios/distribution_experiment.py
@@ -85,7 +85,7 @@
         """Return the names of the dispatchers; each begins with its region."""
         return [f"{self.region(n)}-d{n}" for n in range(self.dispatchers)]
 
-    def calm_end(self) -> int:
+    def calm_end_duration(self) -> int:
         """Return the length of the period at the end without faults and publications, in ns."""
         return self.within + QUIET_END
 
@@ -145,7 +145,7 @@
         if getattr(scenario, name) <= 0:
             key = SCENARIO_KEYS.get(name, name)
             raise TimelineError(key=f"plan.{key}", problem="expected more than 0")
-    calm_end = scenario.calm_end()
+    calm_end = scenario.calm_end_duration()
     if scenario.run_duration < 2 * calm_end:
         problem = f"expected at least {format_duration(2 * calm_end)}, twice plan.within and more"
         raise TimelineError(key="plan.lasts", problem=problem)
--- a/ploverspoke/testbed/scenarios/distribution_faults.py
+++ b/ploverspoke/testbed/scenarios/distribution_faults.py
@@ -29,7 +29,8 @@
         """Prepare faults of that fleet's servers."""
         self.fleet = fleet
         self.rig, self.scenario = fleet.rig, fleet.scenario
-        self.ends_at = self.scenario.run_duration - self.scenario.calm_end()  # ns since the start of the run
+        # In ns since the start of the run.
+        self.ends_at = self.scenario.run_duration - self.scenario.calm_end_duration()
 
     async def empty_folders(self) -> None:
         """Repeatedly make a random server lose its folder for a while."""
--- a/ploverspoke/testbed/scenarios/distribution_growth.py
+++ b/ploverspoke/testbed/scenarios/distribution_growth.py
@@ -60,7 +60,7 @@
     """Return the resident memory of a process; 0 if it does not run."""
     try:
         assert process.process is not None
-        return read_resource_usage(process.process.pid).memory
+        return read_resource_usage(process.process.pid).memory_bytes
     except OSError:
         return 0
 
--- a/ploverspoke/testbed/scenarios/distribution_scenario.py
+++ b/ploverspoke/testbed/scenarios/distribution_scenario.py
@@ -109,7 +109,7 @@
 async def _publish_last(fleet: DistributionFleet) -> None:
     """End publishing early enough that all published versions can be checked."""
     scenario, now = fleet.scenario, fleet.rig.timeline.now()
-    await asyncio.sleep(max(0.0, (scenario.run_duration - scenario.calm_end() - now) / SECOND))
+    await asyncio.sleep(max(0.0, (scenario.run_duration - scenario.calm_end_duration() - now) / SECOND))
     await fleet.command_clients("publish last")
 
 
--- a/ploverspoke/testbed/scenarios/distribution_timeline.py
+++ b/ploverspoke/testbed/scenarios/distribution_timeline.py
@@ -42,7 +42,7 @@
         ],
         scenario.run_duration,
         seed,
-        calm=scenario.calm_end(),
+        calm=scenario.calm_end_duration(),
     )
     if any(step.kind == "older" for step in steps):
         steps = _with_copied_folders(steps, dispatchers)
--- a/ploverspoke/testbed/scenarios/endpoint_list_age.py
+++ b/ploverspoke/testbed/scenarios/endpoint_list_age.py
@@ -53,7 +53,7 @@
         self.discovery.close()
         self.discovery = ScriptedDiscovery(ENTRIES)
         self.discovery.next_failures.extend([Failure.REJECTED] * failures)
-        self.dispatcher.move_discovery(await self.discovery.address_for(0))
+        self.dispatcher.change_discovery_address(await self.discovery.address_for(0))
 
 
 Fault = Callable[[DiscoveryCase], Awaitable[None]]
--- a/ploverspoke/testbed/scenarios/lease_bench.py
+++ b/ploverspoke/testbed/scenarios/lease_bench.py
@@ -107,7 +107,7 @@
     async with Rig(folder, 1) as rig:
         fleet = LeaseFleet(rig, scenario)
         await fleet.start()
-        servers = read_lease_servers(fleet.file)
+        servers = read_lease_servers(fleet.servers_file)
         leader = await _find_leader(fleet, servers)
         renewals = await _measure_load(leader, servers, True, seconds)
         log(f"{size} lease servers: {renewals.rate:,.0f} renewals a second, {renewals.core:.0%} of a core")
@@ -116,7 +116,7 @@
         direct = LeaseServers({}, [leader.address], servers.secret)
         clients = [LeaseClient(direct, f"h{number}") for number in range(HOLDERS)]
         hold_cost = await _measure_holders(leader, clients, max(seconds, 2 * HOLD_DURATION))
-        leader_mib = read_resource_usage(leader.pid).memory / MEBIBYTE
+        leader_mib = read_resource_usage(leader.pid).memory_bytes / MEBIBYTE
         await asyncio.gather(*(client.close() for client in clients))
     log(
         f"{size} lease servers, {hold_cost.held} leases held for {HOLD_DURATION} s: "
--- a/ploverspoke/testbed/scenarios/lease_fleet.py
+++ b/ploverspoke/testbed/scenarios/lease_fleet.py
@@ -35,7 +35,7 @@
         self.servers: list[ProcessAddress] = []
         self.candidates: list[RunningProcess] = []
         self.resource: ChildProcess | None = None
-        self.file = rig.folder / "keepers.json"  # names the lease servers to clients
+        self.servers_file = rig.folder / "keepers.json"  # names the lease servers to clients
         self.resource_history = rig.folder / "resource.history"
 
     async def start(self) -> None:
@@ -59,7 +59,7 @@
             self.rig.allocate_address(f"k{n}", ["peers", "clients"]) for n in range(self.scenario.servers)
         ]
         shared_config = self._server_config()
-        self.file.write_bytes(msgspec.json.encode(shared_config))
+        self.servers_file.write_bytes(msgspec.json.encode(shared_config))
         for address in self.servers:
             path = self.rig.folder / f"{address.name}.json"
             config = {**shared_config, "name": address.name, "folder": address.name}
@@ -88,7 +88,7 @@
         spec = LeaseCandidateSpec(
             name=address.name,
             seed=self.rig.seed,
-            servers_file=str(self.file),
+            servers_file=str(self.servers_file),
             resource=resource.proxied_endpoint("act"),
             history=str(folder / f"{address.name}.acts.history"),
             leases=scenario.leases_wanted_by(number),
--- a/ploverspoke/testbed/scenarios/scale_fleet.py
+++ b/ploverspoke/testbed/scenarios/scale_fleet.py
@@ -124,7 +124,7 @@
         elif self._quiet_since < 0:
             self._quiet_since = now
         elif now - self._quiet_since > QUIET_PERIOD:
-            self.rig.timeline.finished.set()
+            self.rig.timeline.end_requested.set()
 
     async def _sample(self, epoch: int) -> None:
         try:
@@ -184,8 +184,8 @@
             self.hosts.append(SimulatedDispatcherHost(child))
         for host in self.hosts:
             await host.listen()
-            assert host.listening is not None
-            self.tasks.append(host.listening)
+            assert host.listen_task is not None
+            self.tasks.append(host.listen_task)
 
     def _dispatcher_address(self, number: int, address: ProcessAddress) -> DispatcherAddress:
         config = self.folder / f"{address.name}.json"
@@ -217,16 +217,16 @@
         if lateness > MAX_LATENESS >= self.loop_lateness:
             self._first_late_at = self.rig.timeline.now()
         self.loop_lateness = max(self.loop_lateness, lateness)
-        inside: dict[str, int] = {}
+        held_counts: dict[str, int] = {}
         for host_counts in counts:
             for key, value in host_counts.inside.items():
-                inside[key] = inside.get(key, 0) + value
+                held_counts[key] = held_counts.get(key, 0) + value
         return FleetUsage(
             cpu_ns=sum(host_counts.cpu_ns for host_counts in counts),
-            resident=sum(host_counts.resident for host_counts in counts),
+            resident_bytes=sum(host_counts.resident for host_counts in counts),
             descriptors=max(host_counts.descriptors for host_counts in counts),
             serving=sum(host_counts.serving for host_counts in counts),
-            inside=inside,
+            held_counts=held_counts,
         )
 
     def void_reason(self) -> str:
@@ -266,8 +266,8 @@
                 continue
             pid = program.process.pid
             usage = read_resource_usage(pid)
-            cpu_ns += usage.processor
-            resident += usage.memory
+            cpu_ns += usage.cpu_time_ns
+            resident += usage.memory_bytes
             descriptors = max(descriptors, sum(1 for _ in Path(f"/proc/{pid}/fd").iterdir()))
             serving += 1
         return FleetUsage(cpu_ns, resident, descriptors, serving, {})
--- a/ploverspoke/testbed/scenarios/scale_run.py
+++ b/ploverspoke/testbed/scenarios/scale_run.py
@@ -122,7 +122,7 @@
         result,
         void=observations.score.void,
         metrics={key: round(value, METRIC_DIGITS) for key, value in marked.items()},
-        held=verdict.held,
+        held=verdict.passed,
         failed=[*verdict.failed, *shown_findings],
         note=void_note(void_kinds) if void_kinds else "",
     )
--- a/ploverspoke/testbed/scenarios/scale_test.py
+++ b/ploverspoke/testbed/scenarios/scale_test.py
@@ -78,7 +78,7 @@
         dispatchers=long.dispatchers,
         processes=long.processes,
         void=void,
-        held=verdict.held,
+        held=verdict.passed,
         failed=verdict.failed,
     )
 
--- a/ploverspoke/testbed/scenarios/soak.py
+++ b/ploverspoke/testbed/scenarios/soak.py
@@ -154,7 +154,7 @@
 
     def _move_discovery(self) -> None:
         self.addresses.reverse()
-        self.dispatcher.move_discovery(self.addresses[0])
+        self.dispatcher.change_discovery_address(self.addresses[0])
 
     async def _fail_discovery(self) -> None:
         """Fail some calls to discovery, or all of them for a while."""
--- a/tests/config_distribution/test_processes.py
+++ b/tests/config_distribution/test_processes.py
@@ -162,7 +162,9 @@
     scenario = DistributionScenario(run_duration=Duration(60 * SECOND))
     steps = draw_distribution_timeline(scenario, 7)
     assert steps == draw_distribution_timeline(scenario, 7) != draw_distribution_timeline(scenario, 8)
-    assert all(step.start + step.duration <= scenario.run_duration - scenario.calm_end() for step in steps)
+    assert all(
+        step.start + step.duration <= scenario.run_duration - scenario.calm_end_duration() for step in steps
+    )
     copied = {step.processes[0] for step in steps if step.kind == "copy"}
     assert copied == set(scenario.dispatcher_names())
     assert min(step.start for step in steps if step.kind == "older") >= 2 * SECOND
--- a/tests/leases/lease_server_rig.py
+++ b/tests/leases/lease_server_rig.py
@@ -33,7 +33,7 @@
 
     async def call(leases: LeaseFleet, command: str, *arguments: str) -> tuple[int, str]:
         process = await asyncio.create_subprocess_exec(
-            *(sys.executable, "-m", "ploverspoke", "lease", command, str(leases.file), *arguments),
+            *(sys.executable, "-m", "ploverspoke", "lease", command, str(leases.servers_file), *arguments),
             stdout=subprocess.PIPE,
             stderr=subprocess.STDOUT,
         )
--- a/tests/leases/test_fleet_tasks.py
+++ b/tests/leases/test_fleet_tasks.py
@@ -127,7 +127,8 @@
     options = ["--to", str(path), "--every", "0.2", "--for", "1.5"]
     for port in ports:
         options += ["--from", f"127.0.0.1:{port}"]
-    command = [sys.executable, "-m", "ploverspoke", "lease", "summary", str(leases.file), "one", *options]
+    servers_file = str(leases.servers_file)
+    command = [sys.executable, "-m", "ploverspoke", "lease", "summary", servers_file, "one", *options]
     return [await asyncio.create_subprocess_exec(*command, "--as", f"w{number}") for number in range(3)]
 
 
--- a/tests/routing/test_stale_endpoint_list.py
+++ b/tests/routing/test_stale_endpoint_list.py
@@ -70,7 +70,7 @@
             await wait_until_called_by_all(before, len(SEEDS))
             after.outage = Failure.REJECTED
             for number, dispatcher in enumerate(dispatchers):
-                dispatcher.move_discovery(await after.address_for(number))
+                dispatcher.change_discovery_address(await after.address_for(number))
             await wait_until_called_by_all(after, len(SEEDS))
             after.outage = None
             after.set_worker_state("w0", "Terminating")
--- a/tests/testbed/capacity/test_measured_costs.py
+++ b/tests/testbed/capacity/test_measured_costs.py
@@ -172,8 +172,8 @@
     assert 2 * running <= reports_in <= 6 * running and at_workers["bytes_in"] > 40 * reports_in
     assert at_discovery["messages_out"] >= at_discovery["messages_in"] >= 1
     assert at_discovery["bytes_in"] > 5 * len('{"id":"w0"}')
-    assert fleet.samples and all(usage.memory > 1 << 20 for _, usage in fleet.samples[0])
-    cpu_times = [usage.processor for _, usage in fleet.samples[0]]
+    assert fleet.samples and all(usage.memory_bytes > 1 << 20 for _, usage in fleet.samples[0])
+    cpu_times = [usage.cpu_time_ns for _, usage in fleet.samples[0]]
     assert cpu_times == sorted(cpu_times)
 
 
--- a/tests/testbed/scale/test_scale.py
+++ b/tests/testbed/scale/test_scale.py
@@ -317,7 +317,7 @@
     started = {event.job for event in events if event.kind == ATTEMPT_STARTED}
     assert len(sent) == fleet.request_count and len(started) > 0.8 * len(sent)
     last_sample = fleet.samples[-1]
-    assert last_sample.used.serving == 9 and last_sample.used.inside["open"] == 0
+    assert last_sample.usage.serving == 9 and last_sample.usage.held_counts["open"] == 0
     # The counters of the fakes cover the traffic: at least one answer for each attempt.
     attempts = sum(event.kind == ATTEMPT_ARRIVED for event in events)
     assert last_sample.traffic["workers"]["messages_out"] >= attempts
@@ -345,7 +345,11 @@
     ]
     assert not [x for x in cross_region if begin + 10 * SECOND // 1000 < x.at < end]
     assert any(x.at < begin for x in cross_region) and any(x.at >= end for x in cross_region)
-    assert (experiment.one_way(0, 0), experiment.one_way(0, 1), experiment.one_way(1, 2)) == (
+    assert (
+        experiment.one_way_latency(0, 0),
+        experiment.one_way_latency(0, 1),
+        experiment.one_way_latency(1, 2),
+    ) == (
         200_000,
         1_000_000,
         5_000_000,
@@ -473,7 +477,7 @@
     growth = check_bounded_by_length(
         {"away_open": 10.0, "service": 1.0}, {"away_open": 20.0, "service": 1.0}, 2.0
     )
-    assert len(growth.failed) == 1 and "away_open 2.00 times" in growth.failed[0] and growth.held == []
+    assert len(growth.failed) == 1 and "away_open 2.00 times" in growth.failed[0] and growth.passed == []
 
 
 def test_metrics_of_an_outage_are_read_from_its_own_interval() -> None:
@@ -488,7 +492,7 @@
 
     def sample(second: int) -> UsageSample:
         is_outage = 6 < second <= 16
-        used = FleetUsage(
+        usage = FleetUsage(
             0,
             7_000_000 if is_outage else 5_000_000,
             60 if is_outage else 40,
@@ -496,7 +500,7 @@
             {"open": 8 if is_outage else 2, "said": second},
         )
         byte_counts = {"bytes_in": 100 * second, "bytes_out": 0}
-        return UsageSample(second * SECOND, used, {"workers": byte_counts, "discovery": byte_counts}, 0)
+        return UsageSample(second * SECOND, usage, {"workers": byte_counts, "discovery": byte_counts}, 0)
 
     observations = ScaleObservations(
         experiment, [], cast(RunScore, None), [sample(second) for second in range(0, 30, 2)], [], 0
