--- a/ploverspoke/testbed/capacity/budget_requirements.py
+++ b/ploverspoke/testbed/capacity/budget_requirements.py
@@ -3,13 +3,13 @@
 from math import ceil
 
 from .budgets import SCOPE_EVERYTHING, SCOPE_PROGRESS, SCOPE_STARTS, WATCHING
-from .machines import VOTER_COUNT, layout, losses
+from .machines import VOTER_COUNT, assess_losses, place_machines
 from .requirement import (
-    BUDGET,
     CALCULATED,
     FROM_COSTS,
     KILOBYTE,
     PEAK_SCENARIO,
+    PRIORITY_BUDGET,
     AssessmentContext,
     Need,
     Requirement,
@@ -27,14 +27,14 @@
     limit = context.load_at_limit("core_share", "starts_a_second", budget.core_share, SCOPE_STARTS)
     return Requirement(
         key="budget",
-        line=f"a dispatcher within {100 * budget.core_share:g}% of a core, {budget.memory_mb:g} MB and "
+        statement=f"a dispatcher within {100 * budget.core_share:g}% of a core, {budget.memory_mb:g} MB and "
         f"{budget.bytes_a_second / KILOBYTE:g} KB/s, progress reports not counted",
         demand="on an ordinary day and at its peak",
         design=assessment.text,
         mechanism="`limits` bound memory and descriptors (`docs/architecture.md`); nothing bounds the rest",
         verdict=assessment.verdict,
         basis=FROM_COSTS,
-        priority=BUDGET,
+        priority=PRIORITY_BUDGET,
         limit=describe_limit(limit, "starts a second at one dispatcher") + ", by its share of a core",
     )
 
@@ -56,13 +56,13 @@
     )
     return Requirement(
         key="progress",
-        line="a dispatcher within that, progress reports counted",
+        statement="a dispatcher within that, progress reports counted",
         demand=f"a report a second of each task that runs{', and configuration watched' * has_watch}",
         design=f"{assessment.text}; {runs.text}",
         mechanism="`ProgressUs`, one interval for all tasks (`service/settings.py`)",
         verdict=assessment.verdict,
         basis=FROM_COSTS,
-        priority=BUDGET,
+        priority=PRIORITY_BUDGET,
         limit=f"{describe_limit(limit_by_core, 'tasks running at one dispatcher')}{min_dispatchers}, by its "
         f"share of a core; {describe_limit(limit_by_bytes, 'tasks')}, by the bytes that come in",
         needs=[Need("changes", "workers and all dispatchers change the interval in step")],
@@ -72,22 +72,22 @@
 def assess_control_machines(context: AssessmentContext) -> Requirement:
     """Assess which losses the machines reserved for control survive."""
     fleet = context.fleet
-    machines = layout(fleet)
-    losses_by_name = {loss.what: loss for loss in losses(machines)}
+    machines = place_machines(fleet)
+    losses_by_name = {loss.lost: loss for loss in assess_losses(machines)}
     two_machines_lost = losses_by_name["any two machines"]
     survives_any_zone = all(
-        loss.majority for what, loss in losses_by_name.items() if what.startswith("zone ")
+        loss.has_majority for what, loss in losses_by_name.items() if what.startswith("zone ")
     )
     return Requirement(
         key="machines",
-        line=f"{fleet.budget.control_machines} machines for control",
+        statement=f"{fleet.budget.control_machines} machines for control",
         demand="all roles but dispatchers, discovery and workers; two machines down, or a zone gone",
         design=f"{VOTER_COUNT} voters of each kind in as many zones, {len(machines) - VOTER_COUNT} machines "
         f"for single tasks; two down: {two_machines_lost.note}; "
         f"{'any zone may go' if survives_any_zone else 'not every zone may go'}",
         mechanism="`consensus/`, `docs/operating-leases.md`, `docs/operating-the-store.md`",
-        verdict=HOLDS if two_machines_lost.majority and survives_any_zone else MISSING,
+        verdict=HOLDS if two_machines_lost.has_majority and survives_any_zone else MISSING,
         basis=CALCULATED,
-        priority=BUDGET,
+        priority=PRIORITY_BUDGET,
         limit=f"{VOTER_COUNT // 2 + 1} voters down",
     )
--- a/ploverspoke/testbed/capacity/budgets.py
+++ b/ploverspoke/testbed/capacity/budgets.py
@@ -4,10 +4,10 @@
 
 import msgspec
 
-from .estimate import Estimate, Limit, estimate, load_at_limit, total
+from .estimate import Estimate, Limit, add_estimates, estimate, load_at_limit
 from .fleet_size import Budget, FleetSize
 from .measured_costs import MeasuredCosts
-from .verdicts import HOLDS, NEAR, NOT_MEASURED, OVER
+from .verdicts import HOLDS, NOT_MEASURED, OVER_BUDGET, TOO_CLOSE
 from .workload import ORDINARY, PEAK, STATED, WORKED_OUT, Amount, gossip_peers, workload
 
 MEGABYTE = 1_000_000
@@ -54,7 +54,7 @@
     costs: MeasuredCosts, role: str, kind: str, load_amounts: dict[str, Amount], progress: bool = True
 ) -> Estimate:
     """Estimate the sum of the metrics of one kind of METRICS for a role."""
-    return total([estimate(costs, role, metric, load_amounts, progress) for metric in METRICS[kind]])
+    return add_estimates([estimate(costs, role, metric, load_amounts, progress) for metric in METRICS[kind]])
 
 
 def scope_amounts(fleet: FleetSize, dispatchers: int, situation: str, scope: str) -> dict[str, Amount]:
@@ -82,7 +82,9 @@
     if with_watch.value is None or without_watch.value is None:
         return Estimate(value=None, origin=NOT_MEASURED)
     difference = max(0.0, with_watch.value - without_watch.value)
-    return msgspec.structs.replace(total([with_watch, without_watch]), value=difference, origin=WORKED_OUT)
+    return msgspec.structs.replace(
+        add_estimates([with_watch, without_watch]), value=difference, origin=WORKED_OUT
+    )
 
 
 def estimate_spending(
@@ -103,25 +105,25 @@
             estimate_watch_cost(costs, kind, changes),
         ]
         is_unknown = any(summand.value is None for summand in summands)
-        estimates.append(Estimate(value=None, origin=NOT_MEASURED) if is_unknown else total(summands))
+        estimates.append(Estimate(value=None, origin=NOT_MEASURED) if is_unknown else add_estimates(summands))
     return Spending(*estimates)
 
 
 def budget_verdict(budget: Budget, spending: Spending) -> str:
     """Compare spending with the budget.
 
-    The verdict is OVER if any estimate exceeds its limit, and NEAR if one may exceed it within its relative
-    error. Otherwise it is HOLDS if all estimates are based on measurements of all their loads, else
-    NOT_MEASURED.
+    The verdict is OVER_BUDGET if any estimate exceeds its limit, and TOO_CLOSE if one may exceed it within
+    its relative error. Otherwise it is HOLDS if all estimates are based on measurements of all their loads,
+    else NOT_MEASURED.
     """
     limits = (budget.core_share, budget.memory_mb * MEGABYTE, budget.bytes_a_second)
     shares = [(estimate.value or 0.0) / limit for estimate, limit in zip(spending, limits, strict=True)]
     if max(shares) > 1:
-        return OVER
+        return OVER_BUDGET
     if any(
         share * (1 + estimate.relative_error) > 1 for share, estimate in zip(shares, spending, strict=True)
     ):
-        return NEAR
+        return TOO_CLOSE
     is_complete = all(estimate.value is not None and not estimate.missing for estimate in spending)
     return HOLDS if is_complete else NOT_MEASURED
 
--- a/ploverspoke/testbed/capacity/estimate.py
+++ b/ploverspoke/testbed/capacity/estimate.py
@@ -81,7 +81,7 @@
         return fixed.get(PROGRESS_KEY, float(progress)) == progress, sum(fixed.values())
 
     chosen: dict[str, CostPerUnit] = {}
-    for line in costs.of(role, metric):
+    for line in costs.lines_of(role, metric):
         if line.load not in chosen or preference(line) > preference(chosen[line.load]):
             chosen[line.load] = line
     return list(chosen.values())
@@ -246,7 +246,7 @@
     return at_limit if at_limit <= MAX_EXTRAPOLATION * line.max_load else None
 
 
-def total(estimates: Sequence[Estimate]) -> Estimate:
+def add_estimates(estimates: Sequence[Estimate]) -> Estimate:
     """Add estimates in the same unit, and combine their reservations."""
     values = [estimate.value for estimate in estimates if estimate.value is not None]
     origins = [estimate.origin for estimate in estimates if estimate.value is not None]
--- a/ploverspoke/testbed/capacity/failure_requirements.py
+++ b/ploverspoke/testbed/capacity/failure_requirements.py
@@ -4,11 +4,11 @@
 
 from ..experiment_files.durations import SECOND
 from .budgets import SCOPE_PROGRESS, SCOPE_STARTS, estimate_spending
-from .machines import VOTER_COUNT, layout, losses, survives_with_third_site
+from .machines import VOTER_COUNT, assess_losses, place_machines, survives_with_third_site
 from .requirement import (
     CALCULATED,
-    FAILURE,
     FROM_RUNS,
+    PRIORITY_FAILURE,
     AssessmentContext,
     Need,
     Requirement,
@@ -86,13 +86,13 @@
     spending = _describe_worst_minute(context, failure.situation)
     return Requirement(
         key=failure.key,
-        line=failure.line,
+        statement=failure.line,
         demand="rules kept, urgent work in time, budgets kept, back by itself",
         design=f"{failure.design}; {runs.text}; {spending}",
         mechanism=failure.mechanism,
         verdict=runs.verdict,
         basis=FROM_RUNS,
-        priority=FAILURE,
+        priority=PRIORITY_FAILURE,
         limit=describe_run_limit(runs.verdict),
     )
 
@@ -124,7 +124,7 @@
     minutes = context.fleet.failures.regions_apart / SECOND / SECONDS_PER_MINUTE
     return Requirement(
         key="apart",
-        line=f"regions apart for {minutes:g} minutes",
+        statement=f"regions apart for {minutes:g} minutes",
         demand="each goes on with its own workers; nothing grows without bound; one fleet again afterwards",
         design="dispatchers keep the last list and eject what they cannot reach; a configuration names "
         f"one discovery, and {config_change}; the side with fewer voters gets no lease and commits nothing; "
@@ -133,7 +133,7 @@
         mechanism="`routing/endpoint_watch.py`, `leases/manager.py`, `docs/leases.md`",
         verdict=assessment.verdict,
         basis=FROM_RUNS,
-        priority=FAILURE,
+        priority=PRIORITY_FAILURE,
         limit=describe_run_limit(assessment.verdict),
         needs=[
             Need(
@@ -147,19 +147,19 @@
 def assess_region_loss(context: AssessmentContext) -> Requirement:
     """Assess the loss of a region."""
     fleet = context.fleet
-    region_losses = [loss for loss in losses(layout(fleet)) if loss.what.startswith("region ")]
-    without_majority = " and ".join(loss.what for loss in region_losses if not loss.majority)
+    region_losses = [loss for loss in assess_losses(place_machines(fleet)) if loss.lost.startswith("region ")]
+    without_majority = " and ".join(loss.lost for loss in region_losses if not loss.has_majority)
     remaining_zones = fleet.size.zones - zones_in_larger_region(fleet)
     third_site = "" if survives_with_third_site() else " not"
     return Requirement(
         key="region lost",
-        line="a region gone (asked of the machines; not in the list of failures)",
+        statement="a region gone (asked of the machines; not in the list of failures)",
         demand=f"the other goes on: {remaining_zones} of {fleet.size.zones} zones may be all that is left",
         design=f"without {without_majority} the {VOTER_COUNT} voters have no majority, and no split over two "
         f"regions bears the loss of either; one voter at a third site would{third_site}",
         mechanism="members are changed by hand (`consensus/membership.py`, `docs/operating-the-store.md`)",
         verdict=MISSING if without_majority else HOLDS,
         basis=CALCULATED,
-        priority=FAILURE,
+        priority=PRIORITY_FAILURE,
         limit=f"{fleet.size.regions} regions without a third site",
     )
--- a/ploverspoke/testbed/capacity/fleet_size.py
+++ b/ploverspoke/testbed/capacity/fleet_size.py
@@ -23,12 +23,15 @@
         self.reason = reason
 
 
-class Part(msgspec.Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
+class FleetFileTable(msgspec.Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
     """Base of all tables of a fleet file; rejects unknown keys."""
 
 
 class Size(
-    Part, frozen=True, kw_only=True, rename={"config_applied_within": "configuration_in_force_within"}
+    FleetFileTable,
+    frozen=True,
+    kw_only=True,
+    rename={"config_applied_within": "configuration_in_force_within"},
 ):
     """The size of the fleet, as stated by its operators."""
 
@@ -46,7 +49,7 @@
     config_applied_within: Duration
 
 
-class Budget(Part, frozen=True, kw_only=True):
+class Budget(FleetFileTable, frozen=True, kw_only=True):
     """The resources that one dispatcher may use for control, and the machines reserved for control."""
 
     core_share: float
@@ -55,7 +58,7 @@
     control_machines: int
 
 
-class Failures(Part, frozen=True, kw_only=True):
+class Failures(FleetFileTable, frozen=True, kw_only=True):
     """The frequency of each kind of failure."""
 
     machines_a_day: float
@@ -65,7 +68,7 @@
     regions_apart: Duration  # how long the regions cannot reach each other
 
 
-class FleetSize(Part, frozen=True, kw_only=True, rename={"scenarios": "play"}):
+class FleetSize(FleetFileTable, frozen=True, kw_only=True, rename={"scenarios": "play"}):
     """The contents of a fleet file."""
 
     kind: str
@@ -108,7 +111,7 @@
     return fleet
 
 
-def _check_positive(name: str, table: Part) -> None:
+def _check_positive(name: str, table: FleetFileTable) -> None:
     for field, key in zip(table.__struct_fields__, table.__struct_encode_fields__, strict=True):
         value = getattr(table, field)
         values = value if isinstance(value, list) else [value]
--- a/ploverspoke/testbed/capacity/machines.py
+++ b/ploverspoke/testbed/capacity/machines.py
@@ -25,10 +25,11 @@
 class Loss(NamedTuple):
     """The voters and machines that remain after a loss of machines."""
 
-    what: str  # which machines are lost
+    lost: str  # which machines
     voters: int  # remaining voters of each kind, out of VOTER_COUNT
-    majority: bool  # whether the remaining voters are a majority
-    tasks: int  # remaining machines that can hold the leases of the publisher and the fleet summary
+    has_majority: bool  # whether the remaining voters are a majority
+    # Remaining machines that can hold the leases of the publisher and the fleet summary.
+    single_task_machines: int
     note: str
 
 
@@ -50,7 +51,7 @@
     ]
 
 
-def layout(fleet: FleetSize) -> list[Machine]:
+def place_machines(fleet: FleetSize) -> list[Machine]:
     """Place each voter in a separate zone, a majority of them in the larger region.
 
     The remaining machines run the configuration publisher and the fleet summary.
@@ -81,7 +82,7 @@
     return Loss(what, count[LEASE_SERVER], has_majority(count[LEASE_SERVER]), count[SUMMARY], note)
 
 
-def losses(machines: list[Machine]) -> list[Loss]:
+def assess_losses(machines: list[Machine]) -> list[Loss]:
     """Return the worst loss of any one and any two machines, then the loss of each zone and region."""
     results = [
         _worst_loss(machines, 1, "any one machine"),
@@ -102,8 +103,8 @@
         compute_loss(machines, {machine.name for machine in lost}, what)
         for lost in combinations(machines, count)
     ]
-    with_majority = sum(loss.majority for loss in outcomes)
-    voters, tasks = min(loss.voters for loss in outcomes), min(loss.tasks for loss in outcomes)
+    with_majority = sum(loss.has_majority for loss in outcomes)
+    voters, tasks = min(loss.voters for loss in outcomes), min(loss.single_task_machines for loss in outcomes)
     note = f"{with_majority} of {len(outcomes)} keep a majority"
     return Loss(what, voters, with_majority == len(outcomes), tasks, note)
 
--- a/ploverspoke/testbed/capacity/measured_costs.py
+++ b/ploverspoke/testbed/capacity/measured_costs.py
@@ -61,7 +61,7 @@
     machine: str  # number of cores and size of memory, no host name
     lines: list[CostPerUnit]
 
-    def of(self, role: str, metric: str) -> list[CostPerUnit]:
+    def lines_of(self, role: str, metric: str) -> list[CostPerUnit]:
         """Return the costs of one metric of one role, one for each load that was varied."""
         return [line for line in self.lines if (line.role, line.metric) == (role, metric)]
 
--- a/ploverspoke/testbed/capacity/measurements/command_costs.py
+++ b/ploverspoke/testbed/capacity/measurements/command_costs.py
@@ -151,9 +151,9 @@
     try:
         costs = await run()
     except (ProcessStartError, OSError, TimeoutError) as error:
-        request.say(f"{name} {load:g}: void: {error}")
+        request.report_progress(f"{name} {load:g}: void: {error}")
         return Point(load, {}, str(error) or "not over in time")
-    request.say(f"{name} {load:g}: {costs['processor_seconds']:.2f} s of a core")
+    request.report_progress(f"{name} {load:g}: {costs['processor_seconds']:.2f} s of a core")
     return Point(load, costs)
 
 
@@ -207,7 +207,7 @@
     points = []
     for count in PROCESS_COUNTS:
         point = await _measure_supervisor(count, measurement_interval(request.quick))
-        request.say(f"{SUPERVISOR}, processes {count}: {point.void or 'measured'}")
+        request.report_progress(f"{SUPERVISOR}, processes {count}: {point.void or 'measured'}")
         points.append(point)
     fixed = {"workers_listed": float(WORKERS)}
     return make_result(MeasuredLoad(SUPERVISOR, "processes", IDLE_METHOD, fixed), points)
--- a/ploverspoke/testbed/capacity/measurements/config_server.py
+++ b/ploverspoke/testbed/capacity/measurements/config_server.py
@@ -95,7 +95,9 @@
         except (ProcessStartError, OSError, FrameError) as error:
             point = Point(float(watchers), {}, str(error) or NOT_READY)
     text = point.void or f"core {point.metrics['core_share']:.2%}"
-    request.say(f"{ROLE}, {watchers} watchers, {changes} changes a minute of {body_size} bytes: {text}")
+    request.report_progress(
+        f"{ROLE}, {watchers} watchers, {changes} changes a minute of {body_size} bytes: {text}"
+    )
     return point
 
 
@@ -197,7 +199,9 @@
                 point = Point(float(body_size), costs)
         except (ProcessStartError, OSError, FrameError) as error:
             point = Point(float(body_size), {}, str(error) or NOT_READY)
-    request.say(f"{PUBLISHER}, {body_size} bytes: {point.void or point.metrics['processor_seconds']}")
+    request.report_progress(
+        f"{PUBLISHER}, {body_size} bytes: {point.void or point.metrics['processor_seconds']}"
+    )
     return point
 
 
--- a/ploverspoke/testbed/capacity/measurements/discovery_and_workers.py
+++ b/ploverspoke/testbed/capacity/measurements/discovery_and_workers.py
@@ -95,7 +95,7 @@
     experiment = parse_experiment(_experiment(count, run_s, troubles=_zone_loss(settling_s)))
     interval_end = (settling_s + INTERVAL.duration_s) * SECOND
     fleet, reading = await run_fleet(experiment, SEED, settling_s * SECOND, interval_end=interval_end)
-    request.say(f"discovery and workers, {count} dispatchers: {reading.void or 'measured'}")
+    request.report_progress(f"discovery and workers, {count} dispatchers: {reading.void or 'measured'}")
     if reading.void:
         void = Point(count, {}, reading.void)
         return _OrdinaryPoints(void, void, void, void)
@@ -156,7 +156,7 @@
         RESTART_SETTLING_S * SECOND,
         interval_end=(RESTARTED_AT - 1) * SECOND,
     )
-    request.say(f"discovery, {count} dispatchers all restarted: {reading.void or 'measured'}")
+    request.report_progress(f"discovery, {count} dispatchers all restarted: {reading.void or 'measured'}")
     if reading.void:
         return Point(count, {}, reading.void)
     metrics = _worst_second(fleet, RESTARTED_AT, end) | _calls_after_restart(fleet, RESTARTED_AT, end)
--- a/ploverspoke/testbed/capacity/measurements/dispatcher.py
+++ b/ploverspoke/testbed/capacity/measurements/dispatcher.py
@@ -98,7 +98,7 @@
     _, reading = await run_fleet(experiment, SEED, interval.settling_s * SECOND, actions)
     point = Point(reading.load_amounts.get(load, run.load), reading.metrics, reading.void)
     text = f"void: {point.void}" if point.void else f"core {point.metrics['core_share']:.3%}"
-    request.say(f"{ROLE}, {load} {point.load:g}: {text}")
+    request.report_progress(f"{ROLE}, {load} {point.load:g}: {text}")
     return point
 
 
--- a/ploverspoke/testbed/capacity/measurements/lease_server.py
+++ b/ploverspoke/testbed/capacity/measurements/lease_server.py
@@ -197,7 +197,7 @@
         fleet = f"{servers} keepers"
         for point in points:
             text = point.void or f"core {point.metrics['core_share']:.2%}"
-            request.say(f"{fleet}, {load} {point.load:g}: {text}")
+            request.report_progress(f"{fleet}, {load} {point.load:g}: {text}")
         fixed = {"keepers": float(servers), **fixed_amounts}
         measured = MeasuredLoad(ROLE, load, METHOD, fixed, fleet=fleet)
         result = result.plus(make_result(measured, points))
--- a/ploverspoke/testbed/capacity/measurements/measurement.py
+++ b/ploverspoke/testbed/capacity/measurements/measurement.py
@@ -50,7 +50,7 @@
 class MeasurementRequest(NamedTuple):
     """Options of a measurement."""
 
-    say: Callable[[str], None]  # reports progress
+    report_progress: Callable[[str], None]
     quick: bool = False  # use shorter intervals
     in_parallel: bool = True  # run small fleets at the same time
 
--- a/ploverspoke/testbed/capacity/measurements/store_replica.py
+++ b/ploverspoke/testbed/capacity/measurements/store_replica.py
@@ -110,7 +110,7 @@
     fleet, reading = await run_fleet(experiment, SEED, interval.settling_s * SECOND, actions)
     point = Point(rate, {}, reading.void) if reading.void else _commit_point(rate, fleet, states)
     text = f"void: {point.void}" if point.void else f"core {point.metrics['core_share']:.2%}"
-    request.say(f"{replicas} replicas, commits_a_second {point.load:.3g}: {text}")
+    request.report_progress(f"{replicas} replicas, commits_a_second {point.load:.3g}: {text}")
     return point
 
 
@@ -157,7 +157,7 @@
     if process.returncode:
         return Point(float(count), {}, f"exit {process.returncode}")
     costs: StoredStateCosts = msgspec.json.decode(output, type=StoredStateCosts)
-    request.say(f"store replica, kept_state {costs.kept:g}: {costs.memory_bytes / 1e6:.1f} MB")
+    request.report_progress(f"store replica, kept_state {costs.kept:g}: {costs.memory_bytes / 1e6:.1f} MB")
     metrics = {key: float(value) for key, value in msgspec.to_builtins(costs).items() if key != "kept"}
     return Point(float(costs.kept), metrics)
 
@@ -212,7 +212,7 @@
         point = point._replace(void=reading.void)
     metrics = point.metrics
     text = point.void or f"{metrics['seconds']:.3f} s, {metrics['bytes_sent']:,.0f} bytes"
-    request.say(f"store replica, missed_entries {point.load:g}: {text}")
+    request.report_progress(f"store replica, missed_entries {point.load:g}: {text}")
     return point
 
 
--- a/ploverspoke/testbed/capacity/measurements/watching_dispatcher.py
+++ b/ploverspoke/testbed/capacity/measurements/watching_dispatcher.py
@@ -75,7 +75,7 @@
     if not void:
         _add_config_traffic(metrics, ByteRates(*readings), leader.name)
     text = void or f"core {metrics['core_share']:.3%}, {metrics['bytes_in_config']:.0f} bytes a second in"
-    request.say(f"{WATCHING_ROLE}, {changes} changes a minute of {body_size} bytes: {text}")
+    request.report_progress(f"{WATCHING_ROLE}, {changes} changes a minute of {body_size} bytes: {text}")
     return Point(float(changes), metrics, void)
 
 
--- a/ploverspoke/testbed/capacity/ordinary_requirements.py
+++ b/ploverspoke/testbed/capacity/ordinary_requirements.py
@@ -21,8 +21,8 @@
     FROM_RUNS,
     KILOBYTE,
     NO_MECHANISM,
-    ORDINARY_DAY,
     PEAK_SCENARIO,
+    PRIORITY_ORDINARY_DAY,
     AssessmentContext,
     Need,
     Requirement,
@@ -34,7 +34,7 @@
     format_number,
     scale_estimate,
 )
-from .verdicts import FAILS, MISSING, OVER
+from .verdicts import FAILS, MISSING, OVER_BUDGET
 from .workload import PEAK, SECONDS_PER_DAY, config_change_rate, largest_zone_share, mean_running_time_s
 
 
@@ -49,13 +49,13 @@
     verdict, basis = choose_verdict(runs.verdict, max_measured, count)
     return Requirement(
         key="workers",
-        line=f"{count} workers",
+        statement=f"{count} workers",
         demand=f"each dispatcher knows and may use all {count}",
         design=f"the whole list at each; one dispatcher measured to {max_measured:.3g} listed; {runs.text}",
         mechanism="`routing/endpoint_watch.py`, `docs/architecture.md`",
         verdict=verdict,
         basis=basis,
-        priority=ORDINARY_DAY,
+        priority=PRIORITY_ORDINARY_DAY,
         limit=describe_limit(limit, "listed workers") + ", by the share of a core",
     )
 
@@ -72,14 +72,15 @@
     verdict, basis = choose_verdict(runs.verdict, max_measured, rate_per_dispatcher)
     return Requirement(
         key="starts",
-        line=f"{size.jobs_a_day:,} jobs a day, {size.task_starts_a_second:g} starts a second at the peak",
+        statement=f"{size.jobs_a_day:,} jobs a day, "
+        f"{size.task_starts_a_second:g} starts a second at the peak",
         demand=f"{size.jobs_a_day / SECONDS_PER_DAY:.2g} jobs a second; "
         f"{rate_per_dispatcher:.2g} starts a second at one of {context.fewest_dispatchers} dispatchers",
         design=f"each hands out its own; one dispatcher measured to {max_measured:.3g} a second; {runs.text}",
         mechanism="`decisions/queues.py`, `docs/design.md`",
         verdict=verdict,
         basis=basis,
-        priority=ORDINARY_DAY,
+        priority=PRIORITY_ORDINARY_DAY,
         limit=describe_limit(limit, "starts a second at one dispatcher") + ", by its share of a core",
     )
 
@@ -94,7 +95,7 @@
     verdict, basis = choose_verdict(runs.verdict, max_measured, tasks_per_dispatcher)
     return Requirement(
         key="tasks",
-        line=f"{size.tasks_running:,} tasks running",
+        statement=f"{size.tasks_running:,} tasks running",
         demand=f"{tasks_per_dispatcher:.3g} at one of {context.fewest_dispatchers} dispatchers, "
         f"{tasks_per_worker:.2g} at a worker; each runs for "
         f"{mean_running_time_s(context.fleet):.3g} s, where the peak lasts",
@@ -103,7 +104,7 @@
         mechanism="`routing/worker_calls.py`, `docs/architecture.md`",
         verdict=verdict,
         basis=basis,
-        priority=ORDINARY_DAY,
+        priority=PRIORITY_ORDINARY_DAY,
         limit="the connections to workers that `limits.sockets` leaves; its share of a core is a row below",
     )
 
@@ -115,14 +116,14 @@
     core_text = format_number(None if core_share is None else 100 * core_share, "% of a core")
     return Requirement(
         key="gangs",
-        line=f"gangs of up to {gang}",
+        statement=f"gangs of up to {gang}",
         demand="all tasks of a gang begin together, or none does",
         design="each task is a request of its own: a part of a gang may run and hold workers while the "
         f"rest waits. {gang} tasks at one dispatcher, with progress reports: {core_text}",
         mechanism=NO_MECHANISM,
         verdict=MISSING,
         basis=FROM_CODE,
-        priority=ORDINARY_DAY,
+        priority=PRIORITY_ORDINARY_DAY,
         limit="2 tasks in a gang",
         needs=[Need("quotas", f"one start takes up to {gang} of a team's places at once")],
     )
@@ -133,14 +134,14 @@
     teams = context.fleet.size.teams
     return Requirement(
         key="quotas",
-        line=f"{teams} teams with quotas",
+        statement=f"{teams} teams with quotas",
         demand="over all dispatchers a team has no more than its quota, and its quota when it asks",
         design="a request may name its tenant, and settings may list their shares; the dispatcher reads "
         "neither. `MaxOpen` bounds one dispatcher, whoever asks; nothing is counted over two of them",
         mechanism=NO_MECHANISM,
         verdict=MISSING,
         basis=FROM_CODE,
-        priority=ORDINARY_DAY,
+        priority=PRIORITY_ORDINARY_DAY,
         limit="1 team with a quota",
         needs=[Need("changes", f"the table of {teams} quotas changes, and is the same at all dispatchers")],
     )
@@ -152,7 +153,7 @@
     runs = assess_runs(context, context.find_runs(PEAK_SCENARIO), ("urgent",))
     return Requirement(
         key="urgent",
-        line=f"urgent work starts within {size.urgent_starts_within / SECOND:g} s",
+        statement=f"urgent work starts within {size.urgent_starts_within / SECOND:g} s",
         demand="at the peak, and in a failure",
         design="request classes with latency objectives of their own; a queue is first come, first "
         "served within a slot count and machine kind, but for those that are too late; nothing that runs is "
@@ -160,7 +161,7 @@
         mechanism="`decisions/admission_policy.py` (queueing budgets, weights), `docs/design.md`",
         verdict=runs.verdict,
         basis=FROM_RUNS,
-        priority=ORDINARY_DAY,
+        priority=PRIORITY_ORDINARY_DAY,
         limit=f"where all slots are busy: how many a worker has is not stated, "
         f"{size.tasks_running / size.workers:.2g} of them run",
         needs=[
@@ -177,7 +178,7 @@
     peak_rate = config_change_rate(context.fleet, PEAK).value
     requirement = Requirement(
         key="changes",
-        line=f"{size.configuration_changes_a_day} changes of configuration a day, "
+        statement=f"{size.configuration_changes_a_day} changes of configuration a day, "
         f"applied within {seconds:g} s",
         demand=f"{peak_rate:.2g} a minute in the busiest hour (assumed), at every dispatcher",
         design="each reads a file of its own at SIGHUP (`service/service.py`); `lease publish` commits "
@@ -186,7 +187,7 @@
         mechanism=NO_MECHANISM,
         verdict=MISSING,
         basis=FROM_CODE,
-        priority=ORDINARY_DAY,
+        priority=PRIORITY_ORDINARY_DAY,
         limit="2 machines with a dispatcher",
     )
     if not context.with_config_distribution:
@@ -207,14 +208,14 @@
 def _with_watch_costs(context: AssessmentContext, verdict: str) -> tuple[str, str]:
     """Return the verdict, with the cost of the watch included, and a description of that cost.
 
-    If the cost exceeds the budget, every verdict but FAILS becomes OVER.
+    If the cost exceeds the budget, every verdict but FAILS becomes OVER_BUDGET.
     """
     largest = max(context.fleet.size.dispatchers)
     spending = estimate_spending(context.fleet, context.costs, largest, PEAK, SCOPE_WATCHED)
     share, kilobytes = scale_estimate(spending.core, 100), scale_estimate(spending.bytes, 1 / KILOBYTE)
     text = f"control with a watch {format_number(share, '% of a core')}, {format_number(kilobytes, ' KB/s')}"
-    exceeds_budget = budget_verdict(context.fleet.budget, spending) == OVER
-    return (OVER if exceeds_budget and verdict != FAILS else verdict), text
+    exceeds_budget = budget_verdict(context.fleet.budget, spending) == OVER_BUDGET
+    return (OVER_BUDGET if exceeds_budget and verdict != FAILS else verdict), text
 
 
 def assess_zones(context: AssessmentContext) -> Requirement:
@@ -223,13 +224,13 @@
     runs = assess_runs(context, context.find_runs(PEAK_SCENARIO), ("rule",))
     return Requirement(
         key="zones",
-        line=f"{size.regions} regions with {size.zones} zones",
+        statement=f"{size.regions} regions with {size.zones} zones",
         demand=f"work stays near; {largest_zone_share(context.fleet, size.workers)} workers in a zone",
         design="own zone first, others where it has no capacity; a region is not known: zones of the "
         f"other are no further away; {runs.text}",
         mechanism="`decisions/worker_choice.py` (`tiers`), `docs/design.md`",
         verdict=runs.verdict,
         basis=FROM_RUNS,
-        priority=ORDINARY_DAY,
+        priority=PRIORITY_ORDINARY_DAY,
         limit="2 regions, where the way between them is dearer than between zones",
     )
--- a/ploverspoke/testbed/capacity/requirement.py
+++ b/ploverspoke/testbed/capacity/requirement.py
@@ -10,7 +10,7 @@
 from .fleet_size import FleetSize
 from .measured_costs import MeasuredCosts
 from .scenario_results import ScenarioResult, ScenarioResults
-from .verdicts import FAILS, HOLDS, LESSER, NOT_MEASURED, worst_verdict
+from .verdicts import FAILS, HOLDS, HOLDS_FOR_LESS, NOT_MEASURED, worst_verdict
 from .workload import PEAK
 
 KILOBYTE = 1_000
@@ -24,7 +24,7 @@
 )
 # Priorities of a requirement that does not hold: a promise is broken on an ordinary day, a budget is exceeded
 # on an ordinary day, or a promise is broken in a failure.
-ORDINARY_DAY, BUDGET, FAILURE = "a", "b", "c"
+PRIORITY_ORDINARY_DAY, PRIORITY_BUDGET, PRIORITY_FAILURE = "a", "b", "c"
 BEYOND_RUNS = "beyond what was played"
 # Words in the names of scenarios.
 FROM_CONFIG_SERVERS = "from config servers"  # config servers distribute the changes
@@ -37,7 +37,7 @@
 class Need(NamedTuple):
     """The need of one requirement for the mechanism of another."""
 
-    row: str  # the key of the other requirement
+    requirement_key: str  # of the other requirement
     why: str
 
 
@@ -45,18 +45,18 @@
     msgspec.Struct,
     frozen=True,
     kw_only=True,
-    rename={"design": "gives", "priority": "letter", "limit": "stops"},
+    rename={"statement": "line", "design": "gives", "priority": "letter", "limit": "stops"},
 ):
     """One requirement of the fleet, with the mechanism that meets it and the verdict."""
 
     key: str
-    line: str  # the requirement, as the operators state it
+    statement: str  # the requirement, as the operators state it
     demand: str  # what the requirement asks of the system
     design: str  # what today's design provides
     mechanism: str  # module and page of the documentation, or NO_MECHANISM
     verdict: str
     basis: str  # of the verdict, such as FROM_RUNS
-    priority: str  # ORDINARY_DAY, BUDGET or FAILURE
+    priority: str  # PRIORITY_ORDINARY_DAY, PRIORITY_BUDGET or PRIORITY_FAILURE
     limit: str  # the load at which the design no longer suffices
     needs: list[Need] = []
 
@@ -102,7 +102,7 @@
     """Assess the runs that are not void.
 
     If `words` are given, only those checks of a run count whose text contains one of them. The verdict is
-    LESSER if the checks held, but all runs had less load than the peak.
+    HOLDS_FOR_LESS if the checks held, but all runs had less load than the peak.
     """
     counted = [run for run in runs if not run.void]
     if not counted:
@@ -116,7 +116,7 @@
         return Assessment(FAILS, f"{text}, failed: {'; '.join(failed)}")
     if not held:
         return Assessment(NOT_MEASURED, f"{text} say nothing of it")
-    verdict = HOLDS if any(has_peak_load(context, run) for run in counted) else LESSER
+    verdict = HOLDS if any(has_peak_load(context, run) for run in counted) else HOLDS_FOR_LESS
     return Assessment(verdict, f"{text}, held")
 
 
@@ -159,7 +159,7 @@
         return Assessment(NOT_MEASURED, void.text)
     largest = max(value for _, value in measured_runs)
     has_full_peak = any(HALF_PEAK not in run.scenario for run, _ in measured_runs)
-    verdict = HOLDS if largest >= RATE_TOLERANCE * demand else FAILS if has_full_peak else LESSER
+    verdict = HOLDS if largest >= RATE_TOLERANCE * demand else FAILS if has_full_peak else HOLDS_FOR_LESS
     return Assessment(verdict, f"played: {largest:.4g} {unit}")
 
 
@@ -188,7 +188,7 @@
     If no run shows that the requirement holds, a measurement of a single dispatcher that carried its share of
     the load counts instead.
     """
-    if verdict in (NOT_MEASURED, LESSER) and max_measured >= demand:
+    if verdict in (NOT_MEASURED, HOLDS_FOR_LESS) and max_measured >= demand:
         return HOLDS, FROM_COSTS
     return verdict, FROM_RUNS
 
--- a/ploverspoke/testbed/capacity/table.py
+++ b/ploverspoke/testbed/capacity/table.py
@@ -21,7 +21,7 @@
 # A metric that changes by a smaller share over the measured range is treated as independent of the load.
 MIN_RELATIVE_CHANGE = 0.05
 # The modules that implement each role, and its page of the documentation.
-ROLES = {
+ROLE_MECHANISMS = {
     "dispatcher": "`routing/`, `decisions/` (`docs/architecture.md`)",
     WATCHING: "`config_distribution/watcher.py` (`docs/distribution.md`); a whole one, idle",
     "discovery": "the platform's; `routing/endpoint_watch.py` calls it (`docs/architecture.md`)",
@@ -66,10 +66,15 @@
     estimates: dict[int, Estimate]  # by the number of dispatchers
 
 
-class MissingMechanism(msgspec.Struct, frozen=True, kw_only=True, rename={"priority": "letter"}):
+class MissingMechanism(
+    msgspec.Struct,
+    frozen=True,
+    kw_only=True,
+    rename={"requirement_key": "row", "priority": "letter"},
+):
     """An unmet requirement, whose mechanism has to be built or improved."""
 
-    row: str  # the key of the requirement
+    requirement_key: str
     priority: str
     needed_by: list[str]  # the keys of requirements that need its mechanism
 
@@ -114,7 +119,9 @@
     unmet.sort(key=lambda requirement: (requirement.priority, -len(needed_by[requirement.key])))
     return [
         MissingMechanism(
-            row=requirement.key, priority=requirement.priority, needed_by=needed_by[requirement.key]
+            requirement_key=requirement.key,
+            priority=requirement.priority,
+            needed_by=needed_by[requirement.key],
         )
         for requirement in unmet
     ]
@@ -123,7 +130,7 @@
 def role_rows(fleet: FleetSize, costs: MeasuredCosts) -> list[RoleRow]:
     """Return the costs of each role, with one row for all situations that have the same measured loads."""
     rows = []
-    for role in ROLES:
+    for role in ROLE_MECHANISMS:
         measured = {line.load for line in costs.lines if line.role == role}
         for dispatchers in fleet.size.dispatchers:
             situations: dict[str, list[str]] = {}
--- a/ploverspoke/testbed/capacity/verdicts.py
+++ b/ploverspoke/testbed/capacity/verdicts.py
@@ -4,15 +4,16 @@
 from typing import Final
 
 HOLDS: Final = "holds"
-OVER: Final = "over budget"
+OVER_BUDGET: Final = "over budget"
 FAILS: Final = "fails"
-LESSER: Final = "holds for less than asked"  # shown only below the load of the peak, or for a shorter time
+# Shown only below the load of the peak, or for a shorter time.
+HOLDS_FOR_LESS: Final = "holds for less than asked"
 # Within the limit, but by less than the error of the fits.
-NEAR: Final = "too close to call"
+TOO_CLOSE: Final = "too close to call"
 MISSING: Final = "missing"
 NOT_MEASURED: Final = "not measured"
-WORST_FIRST = (MISSING, FAILS, OVER, NEAR, NOT_MEASURED, LESSER, HOLDS)
-UNMET = (MISSING, FAILS, OVER)
+WORST_FIRST = (MISSING, FAILS, OVER_BUDGET, TOO_CLOSE, NOT_MEASURED, HOLDS_FOR_LESS, HOLDS)
+UNMET = (MISSING, FAILS, OVER_BUDGET)
 
 
 def worst_verdict(verdicts: Sequence[str]) -> str:
--- a/ploverspoke/testbed/capacity/workload.py
+++ b/ploverspoke/testbed/capacity/workload.py
@@ -35,7 +35,7 @@
 
     name: str
     value: float
-    what: str  # a description of the value
+    description: str
     question: str  # the question whose answer would replace the assumption
 
 
--- a/ploverspoke/testbed/commands/measure_costs.py
+++ b/ploverspoke/testbed/commands/measure_costs.py
@@ -88,7 +88,7 @@
     void: list[str] = []
     for measurement in measurements:
         machine_load = f"load of the machine at the start {os.getloadavg()[0]:.1f}"
-        request.say(f"{measurement.name()}: {machine_load}")
+        request.report_progress(f"{measurement.name()}: {machine_load}")
         try:
             result = await measurement.measure(request)
         except CapacityError as error:
--- a/ploverspoke/testbed/reports/capacity_page/answer.py
+++ b/ploverspoke/testbed/reports/capacity_page/answer.py
@@ -3,30 +3,30 @@
 import textwrap
 from collections.abc import Sequence
 
-from ...capacity.requirement import BUDGET, FAILURE, ORDINARY_DAY
+from ...capacity.requirement import PRIORITY_BUDGET, PRIORITY_FAILURE, PRIORITY_ORDINARY_DAY
 from ...capacity.table import CapacityTable, MissingMechanism
-from ...capacity.verdicts import FAILS, HOLDS, LESSER, MISSING, NEAR, NOT_MEASURED, OVER
+from ...capacity.verdicts import FAILS, HOLDS, HOLDS_FOR_LESS, MISSING, NOT_MEASURED, OVER_BUDGET, TOO_CLOSE
 
 PAGE_WIDTH = 128
 NOTHING = "nothing"
 MAX_LISTED_MISSING = 5
 PRIORITIES = {
-    ORDINARY_DAY: "breaks a promise on an ordinary day",
-    BUDGET: "goes over a budget on one",
-    FAILURE: "breaks in a failure of the list",
+    PRIORITY_ORDINARY_DAY: "breaks a promise on an ordinary day",
+    PRIORITY_BUDGET: "goes over a budget on one",
+    PRIORITY_FAILURE: "breaks in a failure of the list",
 }
 
 
 def answer_lines(table: CapacityTable) -> list[str]:
     """Return the lines of the answer, wrapped to the width of the page."""
     not_measured = "; ".join(
-        requirement.line for requirement in table.requirements if requirement.verdict == NOT_MEASURED
+        requirement.statement for requirement in table.requirements if requirement.verdict == NOT_MEASURED
     )
     bullets = {
         "Holds": _lines_by_basis(table, (HOLDS,)),
-        "Holds for less than asked": _lines_by_basis(table, (LESSER,)),
-        "Does not hold": _lines_by_basis(table, (FAILS, OVER)),
-        "Too close to call": _lines_by_basis(table, (NEAR,)),
+        "Holds for less than asked": _lines_by_basis(table, (HOLDS_FOR_LESS,)),
+        "Does not hold": _lines_by_basis(table, (FAILS, OVER_BUDGET)),
+        "Too close to call": _lines_by_basis(table, (TOO_CLOSE,)),
         "Missing": _lines_by_basis(table, (MISSING,)),
         "Not measured": not_measured or NOTHING,
     }
@@ -43,7 +43,7 @@
     by_basis: dict[str, list[str]] = {}
     for requirement in table.requirements:
         if requirement.verdict in verdicts:
-            by_basis.setdefault(requirement.basis, []).append(requirement.line)
+            by_basis.setdefault(requirement.basis, []).append(requirement.statement)
     return "; ".join(f"{'; '.join(lines)} ({basis})" for basis, lines in by_basis.items()) or NOTHING
 
 
@@ -53,16 +53,16 @@
 
 def _first_missing(table: CapacityTable) -> str:
     first = table.missing[0]
-    requirement = table.requirement(first.row)
+    requirement = table.requirement(first.requirement_key)
     return (
-        f"Missing first was: {requirement.line} ({first.priority}{_needed_by(first)}). It is built; now: "
-        f"{requirement.verdict}. Missing since then, in the order in which to build it:"
+        f"Missing first was: {requirement.statement} ({first.priority}{_needed_by(first)}). It is built; "
+        f"now: {requirement.verdict}. Missing since then, in the order in which to build it:"
     )
 
 
 def _missing_lines(table: CapacityTable) -> list[str]:
     lines = [
-        f"{rank}. {table.requirement(missing.row).line} "
+        f"{rank}. {table.requirement(missing.requirement_key).statement} "
         f"({missing.priority}: {PRIORITIES[missing.priority]}{_needed_by(missing)})"
         for rank, missing in enumerate(table.missing_now, 1)
     ]
--- a/ploverspoke/testbed/reports/capacity_page/caveats.py
+++ b/ploverspoke/testbed/reports/capacity_page/caveats.py
@@ -66,7 +66,7 @@
 def assumption_table() -> list[str]:
     """Return a table with a row for each assumption."""
     rows = (
-        (assumption.what, f"{assumption.value:g}", assumption.question or "-")
+        (assumption.description, f"{assumption.value:g}", assumption.question or "-")
         for assumption in ASSUMPTIONS.values()
     )
     return table_lines(("assumed", "value", "what would replace it"), rows)
--- a/ploverspoke/testbed/reports/capacity_page/page.py
+++ b/ploverspoke/testbed/reports/capacity_page/page.py
@@ -71,7 +71,7 @@
     lines += [
         "",
         *(
-            f"{requirement.verdict:<13} {requirement.line}: {requirement.design}"
+            f"{requirement.verdict:<13} {requirement.statement}: {requirement.design}"
             for requirement in table.requirements
         ),
     ]
--- a/ploverspoke/testbed/reports/capacity_page/tables.py
+++ b/ploverspoke/testbed/reports/capacity_page/tables.py
@@ -3,12 +3,12 @@
 from collections.abc import Sequence
 
 from ...capacity.budgets import estimate_kind
-from ...capacity.estimate import Estimate, total
-from ...capacity.machines import Machine, layout, losses, region_splits
+from ...capacity.estimate import Estimate, add_estimates
+from ...capacity.machines import Machine, assess_losses, place_machines, region_splits
 from ...capacity.measured_costs import MeasuredCosts
 from ...capacity.requirement import KILOBYTE
 from ...capacity.scenario_results import ScenarioResult, ScenarioResults
-from ...capacity.table import ROLES, CapacityTable, RoleMetric, RoleRow
+from ...capacity.table import ROLE_MECHANISMS, CapacityTable, RoleMetric, RoleRow
 from ...capacity.verdicts import HOLDS
 from ...capacity.workload import PEAK, Amount, workload
 from .markdown_table import (
@@ -44,7 +44,7 @@
     heading = ("the size", "what it asks", "what today's design gives", "carried by", "verdict", "stops at")
     rows = [
         (
-            requirement.line,
+            requirement.statement,
             requirement.demand,
             requirement.design,
             requirement.mechanism,
@@ -57,7 +57,7 @@
     lines = table_lines(heading, rows)
     for old in table.before:
         if old.mechanism != table.requirement(old.key).mechanism:
-            text = f"Before, {old.line}: {old.verdict}, carried by {old.mechanism}; {old.design}."
+            text = f"Before, {old.statement}: {old.verdict}, carried by {old.mechanism}; {old.design}."
             lines += ["", text]
     return lines
 
@@ -65,7 +65,7 @@
 def needs_table(table: CapacityTable) -> list[str]:
     """Return a row for each mechanism that a requirement needs from another."""
     rows = [
-        (requirement.line, table.requirement(need.row).line, need.why)
+        (requirement.statement, table.requirement(need.requirement_key).statement, need.why)
         for requirement in table.before
         for need in requirement.needs
     ]
@@ -103,7 +103,7 @@
 def role_tables(table: CapacityTable) -> list[str]:
     """Return a headed table for each role."""
     lines: list[str] = []
-    for role, carried_by in ROLES.items():
+    for role, carried_by in ROLE_MECHANISMS.items():
         rows = [row for row in table.roles if row.role == role]
         lines += [f"**{role}**, carried by {carried_by}", "", *_role_table(rows), ""]
     return lines
@@ -160,12 +160,18 @@
 
 def machine_tables(table: CapacityTable, costs: MeasuredCosts) -> list[str]:
     """Return tables of the control machines, their losses, and the splits of voters over two regions."""
-    machines = layout(table.fleet)
+    machines = place_machines(table.fleet)
     load_amounts = workload(table.fleet, max(table.fleet.size.dispatchers), PEAK)
     machine_rows = [_machine_cells(machine, costs, load_amounts) for machine in machines]
     loss_rows = [
-        (loss.what, str(loss.voters), "yes" if loss.majority else "**no**", str(loss.tasks), loss.note)
-        for loss in losses(machines)
+        (
+            loss.lost,
+            str(loss.voters),
+            "yes" if loss.has_majority else "**no**",
+            str(loss.single_task_machines),
+            loss.note,
+        )
+        for loss in assess_losses(machines)
     ]
     split_rows = [
         (
@@ -192,10 +198,10 @@
     machine: Machine, costs: MeasuredCosts, load_amounts: dict[str, dict[str, Amount]]
 ) -> tuple[str, ...]:
     core, memory = (
-        total([estimate_kind(costs, role, kind, load_amounts[role]) for role in machine.roles])
+        add_estimates([estimate_kind(costs, role, kind, load_amounts[role]) for role in machine.roles])
         for kind in ("core", "memory")
     )
-    unmeasured = [role for role in machine.roles if not costs.of(role, "core_share")]
+    unmeasured = [role for role in machine.roles if not costs.lines_of(role, "core_share")]
     without = f" without {', '.join(unmeasured)}" if unmeasured else ""
     return (
         machine.name,
--- a/ploverspoke/testbed/scale/scenario_file.py
+++ b/ploverspoke/testbed/scale/scenario_file.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from ..capacity.fleet_size import FleetFileError, FleetSize, Part
+from ..capacity.fleet_size import FleetFileError, FleetFileTable, FleetSize
 from ..experiment_files.durations import Duration, decode_duration
 
 Kind = Literal["steady", "zone lost", "rack lost", "region cut", "changes", "restart"]
@@ -15,7 +15,7 @@
 
 
 class ScaleScenario(
-    Part,
+    FleetFileTable,
     frozen=True,
     kw_only=True,
     rename={
@@ -46,7 +46,10 @@
 
 
 class ComparisonRun(
-    Part, frozen=True, kw_only=True, rename={"duration": "lasts", "max_difference": "differ_at_most"}
+    FleetFileTable,
+    frozen=True,
+    kw_only=True,
+    rename={"duration": "lasts", "max_difference": "differ_at_most"},
 ):
     """The comparison of simulated with real dispatchers (`[play.compared]`)."""
 
@@ -58,7 +61,7 @@
 
 
 class ScaleScenarios(
-    Part,
+    FleetFileTable,
     frozen=True,
     kw_only=True,
     rename={
--- a/tests/testbed/capacity/test_capacity_table.py
+++ b/tests/testbed/capacity/test_capacity_table.py
@@ -13,7 +13,12 @@
 from ploverspoke.testbed.capacity.budgets import SCOPE_CONTROL, SCOPE_PROGRESS, SCOPE_STARTS, SCOPE_WATCHED
 from ploverspoke.testbed.capacity.estimate import Limit, estimate, load_at_limit
 from ploverspoke.testbed.capacity.fleet_size import FleetFileError, parse_fleet, read_fleet
-from ploverspoke.testbed.capacity.machines import layout, losses, region_splits, survives_with_third_site
+from ploverspoke.testbed.capacity.machines import (
+    assess_losses,
+    place_machines,
+    region_splits,
+    survives_with_third_site,
+)
 from ploverspoke.testbed.capacity.measured_costs import (
     CostPerUnit,
     MeasuredCosts,
@@ -295,17 +300,17 @@
 
 
 def test_with_five_voters_in_two_regions_the_loss_of_one_region_loses_the_quorum() -> None:
-    machines = layout(read_fleet(FLEET))
+    machines = place_machines(read_fleet(FLEET))
     voters = [machine for machine in machines if "keeper" in machine.roles]
     assert len(machines) == 8 and len(voters) == len({voter.zone for voter in voters}) == 5
-    has_majority = {loss.what: loss.majority for loss in losses(machines)}
+    has_majority = {loss.lost: loss.has_majority for loss in assess_losses(machines)}
     assert has_majority["any two machines"] and all(has_majority[f"zone z{n}"] for n in range(1, 8))
     assert not has_majority["region r1"] and has_majority["region r2"]
     assert not any(first and second for _, _, first, second in region_splits()) and survives_with_third_site()
 
 
 def requirement(key: str, verdict: str, priority: str, *needs: str) -> Requirement:
-    texts = {"line": key, "demand": "", "design": "", "mechanism": "", "basis": "", "limit": ""}
+    texts = {"statement": key, "demand": "", "design": "", "mechanism": "", "basis": "", "limit": ""}
     return Requirement(
         key=key, verdict=verdict, priority=priority, needs=[Need(other, "") for other in needs], **texts
     )  # fmt: skip
@@ -323,13 +328,24 @@
         requirement("regions", "missing", "c"),
     ]
     ordered = order_missing(rows)
-    assert [missing.row for missing in ordered] == ["table", "quotas", "gangs", "core", "zone", "regions"]
+    assert [missing.requirement_key for missing in ordered] == [
+        "table",
+        "quotas",
+        "gangs",
+        "core",
+        "zone",
+        "regions",
+    ]
     assert ordered[0].needed_by == ["zone", "core", "quotas"]
-    assert [missing.row for missing in order_missing(rows[::-1])][:2] == ["table", "quotas"]
+    assert [missing.requirement_key for missing in order_missing(rows[::-1])][:2] == ["table", "quotas"]
 
 
 def test_for_the_planned_fleet_changes_are_missing_first_then_quotas_then_gangs() -> None:
-    assert [missing.row for missing in table_of(costs()).missing][:3] == ["changes", "quotas", "gangs"]
+    assert [missing.requirement_key for missing in table_of(costs()).missing][:3] == [
+        "changes",
+        "quotas",
+        "gangs",
+    ]
 
 
 def test_row_of_config_distribution_is_shown_before_and_after_its_measurement() -> None:
@@ -343,8 +359,8 @@
     table = table_of(costs(server), results)
     text = render_markdown(table, costs(server), results)
     assert "Before, 680 changes of configuration a day, applied within 10 s: missing, carried by none" in text
-    assert table.missing[0].row == "changes"
-    assert table.missing_now[0].row == "quotas"
+    assert table.missing[0].requirement_key == "changes"
+    assert table.missing_now[0].requirement_key == "quotas"
     assert table.requirement("changes").verdict == "holds for less than asked"
     peak_load = {"starts_a_second": 118.0, "tasks_running": 4800.0}
     run_at_peak = msgspec.structs.replace(run, dispatchers=200, metrics=peak_load)
@@ -368,7 +384,7 @@
     assert (
         table.requirement("rack").verdict == "not measured" and "too slow" in table.requirement("rack").design
     )
-    assert "zone" in [missing.row for missing in table.missing]
+    assert "zone" in [missing.requirement_key for missing in table.missing]
 
 
 def test_run_at_half_of_the_peak_is_neither_failure_nor_proof() -> None:
--- a/tests/testbed/capacity/test_measured_costs.py
+++ b/tests/testbed/capacity/test_measured_costs.py
@@ -83,7 +83,7 @@
 def test_file_is_read_back_and_errors_in_it_are_reported(tmp_path: Path) -> None:
     path = tmp_path / "slopes.json"
     write_measured_costs(costs(*lines("dispatcher", "tasks_running", 2.0)), path)
-    (line,) = read_measured_costs(path).of("dispatcher", "core_share")
+    (line,) = read_measured_costs(path).lines_of("dispatcher", "core_share")
     assert (line.unit, line.max_load, line.points[0]) == ("cores", 3.0, (1.0, 2.0))
     assert line.fixed_amounts == {"k": 1.0} and line.slope == pytest.approx(2.0)
     path.write_text(path.read_text().replace('"format": 1', '"format": 9'))
