--- a/tests/testbed/capacity/test_measured_costs.py
+++ b/tests/testbed/capacity/test_measured_costs.py
@@ -83,7 +83,7 @@
 def test_file_is_read_back_and_errors_in_it_are_reported(tmp_path: Path) -> None:
     path = tmp_path / "slopes.json"
     write_measured_costs(costs(*lines("dispatcher", "tasks_running", 2.0)), path)
-    (line,) = read_measured_costs(path).of("dispatcher", "core_share")
+    (line,) = read_measured_costs(path).lines_of("dispatcher", "core_share")
     assert (line.unit, line.max_load, line.points[0]) == ("cores", 3.0, (1.0, 2.0))
     assert line.fixed_amounts == {"k": 1.0} and line.slope == pytest.approx(2.0)
     path.write_text(path.read_text().replace('"format": 1', '"format": 9'))
@@ -172,8 +172,8 @@
     assert 2 * running <= reports_in <= 6 * running and at_workers["bytes_in"] > 40 * reports_in
     assert at_discovery["messages_out"] >= at_discovery["messages_in"] >= 1
     assert at_discovery["bytes_in"] > 5 * len('{"id":"w0"}')
-    assert fleet.samples and all(usage.memory > 1 << 20 for _, usage in fleet.samples[0])
-    cpu_times = [usage.processor for _, usage in fleet.samples[0]]
+    assert fleet.samples and all(usage.memory_bytes > 1 << 20 for _, usage in fleet.samples[0])
+    cpu_times = [usage.cpu_time_ns for _, usage in fleet.samples[0]]
     assert cpu_times == sorted(cpu_times)
 
 
