--- a/ploverspoke/config_distribution/cache.py
+++ b/ploverspoke/config_distribution/cache.py
@@ -30,7 +30,7 @@
     path: Path = config.cache_file
     try:
         if path.stat().st_size > MAX_FILE_BYTES:
-            return CachedVersion(NO_VERSION, f"the file is larger than {MAX_FILE_BYTES} bytes")
+            return CachedVersion(NO_VERSION, "it is too long")
         document = json.loads(path.read_text(encoding="utf-8"))
         version = VerifiedVersion(document["version"], bytes.fromhex(document["digest"]), document["body"])
         problem = _find_problem(document["format"], document["cluster"], version, config.cluster)
@@ -45,11 +45,11 @@
     if file_format != CACHE_FORMAT:
         return f"format {file_format!r}, this release reads {CACHE_FORMAT}"
     if file_cluster != cluster:
-        return f"the file is for cluster {file_cluster!r}"
+        return f"it is of cluster {file_cluster!r}"
     if not is_version_number(version.number) or not version.number:
-        return f"version {version.number!r:.20} is not a valid version number"
+        return f"version {version.number!r:.20} is none"
     if digest_of(version.body) != version.digest:
-        return "the digest does not match the body"
+        return "its digest is wrong"
     return ""
 
 
@@ -115,4 +115,4 @@
             self.schedule(self.pending)
 
     def _log_failure(self, error: BaseException) -> None:
-        log_line(f"config: cannot write the cache: {error}")
+        log_line(f"config: the cache cannot be written: {error}")
--- a/ploverspoke/config_distribution/command_output.py
+++ b/ploverspoke/config_distribution/command_output.py
@@ -48,7 +48,7 @@
     """Print for operators which dispatchers have applied the version."""
     click.echo(f"version {fleet.version}: applied at {len(fleet.applied)} of {fleet.connected()} connected")
     if fleet.silent_servers:
-        click.echo(f"no answer from {', '.join(fleet.silent_servers)}: their watchers are not known")
+        click.echo(f"no answer from {', '.join(fleet.silent_servers)}: who watches there is not known")
     if fleet.behind:
         click.echo(f"behind: {_join_names(fleet.behind)}")
     for name, reason in sorted(fleet.rejected.items())[:MAX_NAMES_PER_LINE]:
--- a/ploverspoke/config_distribution/server.py
+++ b/ploverspoke/config_distribution/server.py
@@ -65,7 +65,7 @@
             return False
         if self.register(connection) is not None:
             self.node.broadcaster.on_disconnected(name)
-            log_line(f"config: {name} connected again, its previous connection is closed")
+            log_line(f"config: {name} connected again, its older connection is closed")
         return True
 
     def _report_status(self, name: str, status: WatchStatus) -> None:
--- a/ploverspoke/config_distribution/watcher.py
+++ b/ploverspoke/config_distribution/watcher.py
@@ -123,7 +123,7 @@
         for link in (self.link, self.trial_link):
             if link is not None and link.is_overdue(now):
                 if link is self.link and link.greeted_at:
-                    self.environment.log(f"config: {link.address} is silent, trying another server")
+                    self.environment.log(f"config: {link.address} is silent, another server is tried")
                 self._close_link(link, now)
         if self.link is None:
             if now >= self.next_dial_at:
--- a/ploverspoke/consensus/framed_client.py
+++ b/ploverspoke/consensus/framed_client.py
@@ -98,5 +98,5 @@
                 if not self.closed:
                     self.on_message(message)
         except self.server_errors as error:
-            log_line(f"{self.log_name}: a message from the server is refused: {error}")
+            log_line(f"{self.log_name}: a message of a server is refused: {error}")
             self.abort()
--- a/ploverspoke/consensus/node.py
+++ b/ploverspoke/consensus/node.py
@@ -260,7 +260,7 @@
         self._driver = None
         self.storage_error = str(error)
         self.storage_failures += 1
-        log_line(f"store: the disk cannot be written, this replica takes no part in consensus: {error}")
+        log_line(f"store: the disk cannot be written, this replica stands aside: {error}")
         replica, self.replica = self.replica, None
         replica.stop()
         task = self.loop.create_task(self._reopen_storage())
--- a/ploverspoke/consensus/storage.py
+++ b/ploverspoke/consensus/storage.py
@@ -64,7 +64,7 @@
     """
     target = folder / schema.DATABASE_FILE
     if target.exists():
-        raise ClusterMismatchError(target, "already exists and is not overwritten")
+        raise ClusterMismatchError(target, "exists: it is never written over")
     folder.mkdir(parents=True, exist_ok=True)
     try:
         with closing(sqlite3.connect(backup)) as source, closing(sqlite3.connect(target)) as copy:
--- a/ploverspoke/decisions/endpoint_polling.py
+++ b/ploverspoke/decisions/endpoint_polling.py
@@ -120,7 +120,7 @@
         if is_rejected:
             # Discovery is overloaded: leave enough time for the calls of all dispatchers.
             delay = min(max(delay, self.context.time_for_all_calls), MAX_BACKOFF_AFTER_REJECTION_NS)
-            reason, max_jitter = "it leaves time for the calls of all dispatchers", MAX_JITTER_AFTER_REJECTION
+            reason, max_jitter = "it leaves time for the calls of all", MAX_JITTER_AFTER_REJECTION
         time_left = self.validity.time_left(now)
         if time_left is not None and time_left - ANSWER_TIME_NS > MIN_TIME_LEFT_NS:
             affordable = int(TIME_LEFT_SHARE * (time_left - ANSWER_TIME_NS) / max_jitter)
--- a/ploverspoke/decisions/outlier_ejection.py
+++ b/ploverspoke/decisions/outlier_ejection.py
@@ -55,7 +55,7 @@
         worker.ejected, worker.unreachable = True, is_proven
         self.choice.clear_cached_tiers()
         reason, count = "unreachable" if is_proven else "suspected", sum(each.ejected for each in ready)
-        self.context.log.write(f"{worker.name} ejected: {reason}; {count} workers are ejected now")
+        self.context.log.write(f"{worker.name} ejected: {reason}; {count} are now")
         worker.placeholders.clear()
         self._start_ejection_timer(worker, now)
 
--- a/ploverspoke/leases/errors.py
+++ b/ploverspoke/leases/errors.py
@@ -50,5 +50,5 @@
 
     def __init__(self, name: str) -> None:
         """`name` is the name of the lease."""
-        super().__init__("the lease did not last long enough")
+        super().__init__("the lease did not last")
         self.name = name
--- a/ploverspoke/routing/admin_connection.py
+++ b/ploverspoke/routing/admin_connection.py
@@ -76,6 +76,6 @@
         if self.is_answered:
             self.connection.abort()
         else:
-            self._reply(admin.error_reply("no complete line within the time limit"))
+            self._reply(admin.error_reply("no whole line came"))
             now = self.server.deadlines.now()
             self.deadline = self.server.deadlines.schedule(now + COMMAND_TIMEOUT_NS, self._on_timeout)
--- a/ploverspoke/routing/admin_server.py
+++ b/ploverspoke/routing/admin_server.py
@@ -46,7 +46,7 @@
             return execute()
         except Exception:  # an error in a report must not affect the clients' requests
             log_line(f"an admin command failed: {traceback.format_exc()}")
-            return admin.error_reply("internal error")
+            return admin.error_reply("a fault of ours")
 
     def remove_session(self, session: AdminConnection) -> None:
         """Remove a session that has ended or is about to be closed."""
--- a/ploverspoke/routing/completion.py
+++ b/ploverspoke/routing/completion.py
@@ -89,7 +89,7 @@
     def on_deadline(self, request: Request) -> None:
         """Answer a request that the decision logic has not answered in time."""
         if request.client is not None:
-            log_line(f"request {request.request_id} was not answered in time by the decision logic")
+            log_line(f"request {request.request_id} was not answered in time by the decisions")
             self.answer_without_decision(request)
 
     def answer_without_decision(self, request: Request | None) -> None:
--- a/ploverspoke/routing/endpoint_watch.py
+++ b/ploverspoke/routing/endpoint_watch.py
@@ -155,7 +155,7 @@
 
     def _on_complete(self, body: bytes, reusable: bool) -> None:
         if self.body is not None:
-            self.reader.fail(HttpSyntaxError("more than one response to a request"))
+            self.reader.fail(HttpSyntaxError("more than one answer"))
         self.body, self.is_reusable = body, reusable
 
     def _on_timeout(self) -> None:
@@ -241,7 +241,7 @@
         except Exception as error:  # an error in applying a list must not stop the watch
             return f"{type(error).__name__}: {error}"
         if requested_version is None and not received.is_complete:
-            return "partial list in response to a request for the whole list"
+            return "a part of the list, where all of it was requested"
         # A lower version comes from a restarted discovery, which would omit the changes up to the version
         # that was requested.
         has_restarted = requested_version is not None and received.version < requested_version
--- a/ploverspoke/routing/watch_journal.py
+++ b/ploverspoke/routing/watch_journal.py
@@ -94,7 +94,7 @@
 
     def _log(self, call: WatchCall, outcome: CallOutcome, detail: str, consecutive: int) -> None:
         elapsed = (self.now() - call.began_at) / MILLISECOND
-        version = "the whole list" if call.version is None else f"changes after version {call.version}"
+        version = "the whole list" if call.version is None else f"changes of version {call.version}"
         log_line(
             f"discovery: call {call.number} to {call.address} for {version} ({call.reason.value}): "
             f"{outcome.value}{detail and f', {detail}'}, after {elapsed:.0f} ms, {consecutive} in a row; "
--- a/ploverspoke/transport/listener.py
+++ b/ploverspoke/transport/listener.py
@@ -101,7 +101,7 @@
             except BlockingIOError:
                 return True
             except OSError as error:
-                log_line(f"could not accept a connection: {error.strerror}")
+                log_line(f"a connection could not be accepted: {error.strerror}")
                 self._pause(self.socket)
                 return False
             task = self.loop.create_task(self._set_up(accepted_socket))
@@ -126,7 +126,7 @@
             else:
                 return
         # In most cases the client has already disconnected, so that no error can be sent to it.
-        log_line(f"could not set up an accepted connection: {failure.strerror if failure else ''}")
+        log_line(f"an accepted connection is closed: {failure.strerror if failure else ''}")
         accepted_socket.close()
 
     def _pause(self, listening_socket: socket.socket) -> None:
