--- a/ploverspoke/cli.py
+++ b/ploverspoke/cli.py
@@ -27,7 +27,7 @@
         "testbed",
         "Run experiments with the dispatcher in virtual time or on real sockets.",
     ),
-    "store": LazyCommand("ploverspoke.store.commands", "store", "Inspect and change a store."),
+    "store": LazyCommand("ploverspoke.store.commands", "store", "Inspect or change a store."),
     "config": LazyCommand(
         "ploverspoke.config_distribution.commands",
         "config",
@@ -37,7 +37,7 @@
     "demo": LazyCommand(
         "ploverspoke.testbed.commands.demo",
         "demo",
-        "Run a demo: workers, dispatchers and load on free ports.",
+        "Run a demo fleet: discovery, six workers of two kinds, two dispatchers and clients, on free ports.",
     ),
 }
 
@@ -244,7 +244,7 @@
 
     Exit code 0: it is valid, and a summary is printed. 2: it is invalid, and the error names the key.
     """
-    from ploverspoke.service.config import NO_PEERS, read_config
+    from ploverspoke.service.config import NO_PEERS_MESSAGE, read_config
     from ploverspoke.service.config_reader import ConfigError
     from ploverspoke.service.exit_codes import EXIT_UNUSABLE
     from ploverspoke.transport.units import MEBIBYTE, SECOND
@@ -258,7 +258,7 @@
     if config.peers:
         click.echo(f"load gossip: to {len(config.peers) - 1} other dispatchers")
     elif config.lacks_peers:
-        click.echo(NO_PEERS)
+        click.echo(NO_PEERS_MESSAGE)
     click.echo(f"{config.name} would listen on {config.listen}, discovery {config.discovery}")
     click.echo(f"limits: {config.descriptor_limit} descriptors, {config.memory_limit // MEBIBYTE} MiB")
     for name, rules in zip(config.names.request_classes, config.settings.classes, strict=True):
--- a/ploverspoke/config_distribution/client.py
+++ b/ploverspoke/config_distribution/client.py
@@ -103,7 +103,7 @@
         self.is_closed = True
         self.timer.cancel()
         for link_id in list(self.connections):
-            self.hang_up(link_id)
+            self.close_connection(link_id)
         self.cache_writer.close()
 
     # ---- Environment of the watcher ----
@@ -125,7 +125,7 @@
         connection = self.connections[link_id] = ServerConnection(self, link_id)
         self.dial_tasks[link_id] = self.loop.create_task(self._dial(connection, address))
 
-    def hang_up(self, link_id: int) -> None:
+    def close_connection(self, link_id: int) -> None:
         """Close a connection; no further events are reported for it."""
         task, connection = self.dial_tasks.pop(link_id, None), self.connections.pop(link_id, None)
         if task is not None:
--- a/ploverspoke/config_distribution/cluster_config.py
+++ b/ploverspoke/config_distribution/cluster_config.py
@@ -48,11 +48,11 @@
     """Read the file of a config server. Raises ConfigError with the invalid key."""
     section = read_json_file(path)
     replica = parse_replica_config(section, path)
-    snapshot_every = section.integer("snapshot_every", DEFAULT_SNAPSHOT_EVERY, least=MIN_SNAPSHOT_EVERY)
+    snapshot_every = section.integer("snapshot_every", DEFAULT_SNAPSHOT_EVERY, minimum=MIN_SNAPSHOT_EVERY)
     return ConfigServerConfig(
         replica._replace(snapshot_every=snapshot_every),
-        section.integer("most_watchers", DEFAULT_MAX_WATCHERS, least=1),
-        section.integer("bytes_a_second", DEFAULT_BYTES_PER_SECOND, least=MIN_BYTES_PER_SECOND),
+        section.integer("most_watchers", DEFAULT_MAX_WATCHERS, minimum=1),
+        section.integer("bytes_a_second", DEFAULT_BYTES_PER_SECOND, minimum=MIN_BYTES_PER_SECOND),
     )
 
 
--- a/ploverspoke/config_distribution/commands.py
+++ b/ploverspoke/config_distribution/commands.py
@@ -38,9 +38,10 @@
 
 @click.group()
 def config() -> None:
-    """Distribute configuration changes to all dispatchers (docs/operating-distribution.md).
+    """Distribute configuration changes to all dispatchers.
 
-    FILE is the file of any config server, or one with only `replicas` and `secret_file`.
+    FILE is the file of any config server, or one with only `replicas` and `secret_file`; see
+    docs/operating-distribution.md.
 
     Exit 0: done. 1: not done, or not applied everywhere; the dispatchers and reasons are printed. 2: the call
     or a file is invalid; the invalid key is printed. 3: no config server leads, or none answers.
--- a/ploverspoke/config_distribution/overlay.py
+++ b/ploverspoke/config_distribution/overlay.py
@@ -87,7 +87,7 @@
 
 
 def _body_error(key: str, problem: str) -> ConfigError:
-    return ConfigError(problem, key=key, longest=MAX_ERROR_CHARACTERS)
+    return ConfigError(problem, key=key, max_length=MAX_ERROR_CHARACTERS)
 
 
 def _parse(text: str) -> JsonObject:
@@ -98,7 +98,7 @@
         raise
     except (ValueError, RecursionError) as error:
         problem = f"the body is no JSON: {error}"
-        raise ConfigError(problem, longest=MAX_ERROR_CHARACTERS) from error
+        raise ConfigError(problem, max_length=MAX_ERROR_CHARACTERS) from error
     if not isinstance(body, dict):
         raise _body_error(WHOLE_BODY, "expected an object")
     return body
--- a/ploverspoke/config_distribution/server_node.py
+++ b/ploverspoke/config_distribution/server_node.py
@@ -94,7 +94,7 @@
 
     def has_recent_leader(self) -> bool:
         """Whether this replica is the leader, or has recently received a message from the leader."""
-        return self.is_in_contact(self.leader_contact_timeout)
+        return self.has_leader_contact_within(self.leader_contact_timeout)
 
     def send(self, name: str, message: ServerMessage) -> int:
         """Send a message to the watcher; return its size on the wire, in bytes."""
--- a/ploverspoke/config_distribution/watcher.py
+++ b/ploverspoke/config_distribution/watcher.py
@@ -47,7 +47,7 @@
     def dial(self, link_id: int, address: str) -> None:
         """Start connecting; `on_greeting` or `on_disconnected` is called later, not during this call."""
 
-    def hang_up(self, link_id: int) -> None:
+    def close_connection(self, link_id: int) -> None:
         """Close a connection; no further events are reported for it."""
 
     def send(self, link_id: int, status: WatchStatus) -> None:
@@ -193,7 +193,7 @@
         if not self._is_better(trial, link):
             self._close_link(trial, now)
             return
-        self.environment.hang_up(link.link_id)
+        self.environment.close_connection(link.link_id)
         self.link, self.trial_link = trial, None
         self.selector.consecutive_trials = 0
         self.counters.server_changes += 1
@@ -226,7 +226,7 @@
         return link
 
     def _close_link(self, link: ServerLink, now: int) -> None:
-        self.environment.hang_up(link.link_id)
+        self.environment.close_connection(link.link_id)
         self._remove_link(link, now)
 
     def _remove_link(self, link: ServerLink, now: int) -> None:
--- a/ploverspoke/consensus/admin_requests.py
+++ b/ploverspoke/consensus/admin_requests.py
@@ -48,7 +48,7 @@
     def change_members(self, members: Members) -> bool:
         """Start replacing the members; return False if that is not possible now."""
 
-    def transfer(self, name: str) -> bool:
+    def transfer_leadership(self, name: str) -> bool:
         """Start transferring leadership to the voter of that name; return False if that is not possible."""
 
     def state_status(self) -> msgspec.Struct | WireMap:
@@ -76,7 +76,7 @@
             members = changed_members(self.node.members(), request)
             reply(encode_reply(ResultReply(done=self.node.change_members(members))))
         elif isinstance(request, TransferLeadershipRequest):
-            reply(encode_reply(ResultReply(done=self.node.transfer(request.to))))
+            reply(encode_reply(ResultReply(done=self.node.transfer_leadership(request.to))))
         elif isinstance(request, BackupRequest):
             self._back_up(Path(request.path), reply)
         elif not isinstance(raw, dict) or not self.node.handle_state_request(raw, reply):
--- a/ploverspoke/consensus/cluster_config.py
+++ b/ploverspoke/consensus/cluster_config.py
@@ -131,9 +131,9 @@
         path.parent / section.text("folder"),
         read_shared_secret(section, path),
         replicas,
-        section.integer("election_ms", DEFAULT_ELECTION_TIMEOUT_MS, least=MIN_ELECTION_TIMEOUT_MS)
+        section.integer("election_ms", DEFAULT_ELECTION_TIMEOUT_MS, minimum=MIN_ELECTION_TIMEOUT_MS)
         * MILLISECOND,
-        section.integer("snapshot_every", DEFAULT_SNAPSHOT_EVERY, least=MIN_SNAPSHOT_EVERY),
+        section.integer("snapshot_every", DEFAULT_SNAPSHOT_EVERY, minimum=MIN_SNAPSHOT_EVERY),
     )
 
 
--- a/ploverspoke/consensus/framed_server.py
+++ b/ploverspoke/consensus/framed_server.py
@@ -22,7 +22,7 @@
 class RegistrationLimits(NamedTuple):
     """Limits for connections that are accepted but not registered yet."""
 
-    timeout: float  # seconds from accepting a connection to its registration
+    timeout_s: float  # seconds from accepting a connection to its registration
     max_unregistered: int  # unregistered connections at the same time
 
 
@@ -63,7 +63,7 @@
             for message in messages:
                 self.server.handle_message(self, message)
         except self.server.client_errors as error:
-            self.server.refused += 1
+            self.server.refused_connections += 1
             self.server.handle_client_error(self, error)
 
     def is_open(self) -> bool:
@@ -98,7 +98,7 @@
     """Accepts framed connections and keeps the latest one of each registered client.
 
     A subclass defines the greeting and handles messages. Errors of the types in `client_errors` that a
-    handler raises are counted in `refused`, logged, and end the connection.
+    handler raises are counted in `refused_connections`, logged, and end the connection.
     """
 
     client_errors: ClassVar[tuple[type[Exception], ...]] = (FrameError,)
@@ -111,7 +111,7 @@
         self.connections: set[FramedConnection] = set()
         self.clients: dict[str, FramedConnection] = {}  # the latest connection of each client, by name
         self.listener: asyncio.Server | None = None
-        self.refused = 0
+        self.refused_connections = 0
 
     async def listen(self, address: str) -> None:
         """Accept connections at `address` ("host:port") until `close`. Raises OSError."""
@@ -183,7 +183,7 @@
         if self.limits is not None:
             if len(self.connections) - len(self.clients) > self.limits.max_unregistered:
                 connection.abort()
-            connection.start_registration_timer(self.limits.timeout)
+            connection.start_registration_timer(self.limits.timeout_s)
 
     def remove_connection(self, connection: FramedConnection) -> None:
         """Remove a lost connection; report its client as disconnected if the connection was its latest."""
--- a/ploverspoke/consensus/framing.py
+++ b/ploverspoke/consensus/framing.py
@@ -92,9 +92,9 @@
 
         The greeting is not returned, but stored in `peer_greeting`.
         """
-        return [_decode_body(body) for body in self.receive(data)]
+        return [_decode_body(body) for body in self.decode_bodies(data)]
 
-    def receive(self, data: bytes) -> list[bytes]:
+    def decode_bodies(self, data: bytes) -> list[bytes]:
         """Return the bodies of the frames that `data` completes, for a typed decoder. Raises FrameError."""
         self._receive_buffer += data
         bodies: list[bytes] = []
--- a/ploverspoke/consensus/node.py
+++ b/ploverspoke/consensus/node.py
@@ -123,13 +123,13 @@
         """Whether this replica is the leader of its term; unlike `leads`, another may lead a later term."""
         return self.replica is not None and self.replica.raft.role is Role.LEADER
 
-    def is_in_contact(self, within: int) -> bool:
-        """Whether this replica leads, or has received from its leader in the last `within` nanoseconds."""
+    def has_leader_contact_within(self, duration_ns: int) -> bool:
+        """Whether this replica leads, or has received from its leader in the last `duration_ns`."""
         if self.replica is None:
             return False
         if self.is_elected():
             return self.replica.leads()
-        return self.replica.raft.has_leader_contact_within(within)
+        return self.replica.raft.has_leader_contact_within(duration_ns)
 
     def members(self) -> Members:
         """Return the members by replica id, as this replica knows them."""
@@ -159,7 +159,7 @@
             self.loop.call_soon(self._propose_batch)
         self._proposals.append(Proposal(command, on_result))
 
-    def read(self, on_result: CommitCallback) -> None:
+    def read_barrier(self, on_result: CommitCallback) -> None:
         """Call `on_result` with True once the state includes all that was committed before this call.
 
         False means that this could not be confirmed.
@@ -167,7 +167,7 @@
         if self.replica is None:
             self.loop.call_soon(on_result, False)
         else:
-            self.replica.read(on_result)
+            self.replica.read_barrier(on_result)
             self._schedule_step()
 
     def change_members(self, members: Members) -> bool:
@@ -178,7 +178,7 @@
         self._schedule_step()
         return accepted
 
-    def transfer(self, name: str) -> bool:
+    def transfer_leadership(self, name: str) -> bool:
         """Start transferring leadership to the voter of that name; return False if that is not possible."""
         if self.replica is None:
             return False
--- a/ploverspoke/consensus/peer_links.py
+++ b/ploverspoke/consensus/peer_links.py
@@ -161,7 +161,7 @@
     def data_received(self, data: bytes) -> None:
         """Handle each complete message; abort the connection at the first invalid one."""
         try:
-            for body in self.frames.receive(data):
+            for body in self.frames.decode_bodies(data):
                 self._handle(body)
         except (ConsensusError, KeyError, TypeError, msgspec.DecodeError) as error:
             self.links.refused_connections += 1
@@ -218,7 +218,7 @@
     def data_received(self, data: bytes) -> None:
         """Check the greeting of the peer, which sends nothing else on this connection."""
         try:
-            self.frames.receive(data)
+            self.frames.decode_bodies(data)
             if self.frames.peer_greeting is not None and not self.ready:
                 self._check_peer()
                 self.ready = True
--- a/ploverspoke/consensus/replica.py
+++ b/ploverspoke/consensus/replica.py
@@ -88,7 +88,7 @@
         else:
             self._proposals[index] = PendingProposal(self.raft.current_term, on_result)
 
-    def read(self, on_result: ResultCallback) -> None:
+    def read_barrier(self, on_result: ResultCallback) -> None:
         """Call `on_result` with True once the state includes all that was committed before this call.
 
         False means that this could not be confirmed.
--- a/ploverspoke/consensus/server.py
+++ b/ploverspoke/consensus/server.py
@@ -64,6 +64,6 @@
 async def hand_over_leadership(node: ReplicaNode) -> None:
     """Transfer leadership before stopping, so that the others need not wait for an election timeout."""
     for member in node.members().values():
-        if member.votes and member.name != node.config.name and node.transfer(member.name):
+        if member.votes and member.name != node.config.name and node.transfer_leadership(member.name):
             await asyncio.sleep(node.config.election_timeout / SECOND)
             return
--- a/ploverspoke/decisions/parts.py
+++ b/ploverspoke/decisions/components.py
@@ -1,4 +1,4 @@
-"""Composition of a dispatcher: creates its parts and connects them."""
+"""Composition of a dispatcher: creates its components and connects them."""
 
 from .admission_policy import AdmissionPolicy
 from .attempt_policy import AttemptPolicy, RetryPolicy
@@ -19,11 +19,11 @@
 from .worker_choice import WorkerChoice
 
 
-class Parts:
-    """All parts of one dispatcher, and the state that they share."""
+class DispatcherComponents:
+    """All components of one dispatcher, and the state that they share."""
 
     def __init__(self, actions: DispatchActions, seed: int, settings: Settings) -> None:
-        """Build the parts; the same seed gives the same decisions."""
+        """Build the components; the same seed gives the same decisions."""
         self.workers: dict[str, Worker] = {}
         self.queues: dict[tuple[float, int], RequestQueue] = {}
         self.open_requests: dict[int, Request] = {}
--- a/ploverspoke/decisions/context.py
+++ b/ploverspoke/decisions/context.py
@@ -1,4 +1,4 @@
-"""The context shared by all parts of a dispatcher: its actions, timers, random numbers and settings."""
+"""The context shared by all components of a dispatcher: its actions, timers, random numbers and settings."""
 
 from .interface import DispatchActions, never_ran
 from .random_numbers import RandomNumbers
@@ -18,14 +18,14 @@
 DISCOVERY_CALL_NS = 125 * MILLISECOND  # service discovery's time for one call
 
 
-def time_for_all_calls(settings: Settings) -> int:
+def fleet_call_duration(settings: Settings) -> int:
     """Estimated time in ns that service discovery takes for one call from each dispatcher."""
     all_calls = settings.dispatcher_count * DISCOVERY_CALL_NS
     return int(min(all_calls, settings.discovery_poll_interval // 2))
 
 
 class Context:
-    """Shared by the parts of one dispatcher."""
+    """Shared by the components of one dispatcher."""
 
     def __init__(self, actions: DispatchActions, seed: int, settings: Settings) -> None:
         """Create the context with the initial settings; the same seed gives the same random numbers."""
@@ -43,7 +43,7 @@
         self.highest_weight = max(rules.priority_weight for rules in active) or 1.0
         shortest_objective = max(MILLISECOND, min(rules.latency_objective for rules in active))
         self.min_tick_rate = MIN_TICKS_PER_OBJECTIVE * SECOND / shortest_objective
-        self.needed_kinds = {rules.machine_kind for rules in active}
+        self.required_machine_kinds = {rules.machine_kind for rules in active}
         self.any_idempotent = any(rules.idempotency is not Idempotency.NON_IDEMPOTENT for rules in active)
         self.never_ran = never_ran(settings.full_may_have_run)
         self.probed_classes = {Idempotency.NON_IDEMPOTENT}
@@ -57,4 +57,4 @@
         )
         self.cancels_per_request = CANCEL_BUDGET / max(MIN_PRICE, settings.waste_cost)
         self.silence_limit = settings.progress_interval * SILENT_HALF_INTERVALS // 2
-        self.time_for_all_calls = time_for_all_calls(settings)
+        self.fleet_call_duration = fleet_call_duration(settings)
--- a/ploverspoke/decisions/dispatcher.py
+++ b/ploverspoke/decisions/dispatcher.py
@@ -1,4 +1,4 @@
-"""Entry point for the events of a dispatcher: each method passes one event to the part that handles it.
+"""Entry point for the events of a dispatcher: each method passes one event to the component that handles it.
 
 The caller creates a `Dispatcher` with its `DispatchActions`, a seed and the settings, then calls one method
 for each event. `docs/design.md` describes the basis of each decision. Dispatchers share only load gossip.
@@ -6,6 +6,7 @@
 
 from collections.abc import Iterable, Mapping
 
+from .components import DispatcherComponents
 from .interface import (
     AttemptOutcome,
     AttemptResult,
@@ -15,7 +16,6 @@
     LoadGossip,
     LoadReport,
 )
-from .parts import Parts
 from .request_path import RequestPath
 from .settings import Settings
 from .state import EarlierAttempts, PeriodicTimer, ProbePurpose, Request, RequestQueue, Worker
@@ -25,32 +25,32 @@
     """The decisions of one dispatcher, with one method for each event."""
 
     def __init__(self, actions: DispatchActions, seed: int, settings: Settings) -> None:
-        """Build the parts; except for `now`, `actions` are called only while an event is processed."""
+        """Build the components; except for `now`, `actions` are called only while an event is processed."""
         self.actions = actions
-        self.parts = parts = Parts(actions, seed, settings)
-        self.request_path = RequestPath(parts)
-        self.random = parts.context.random
-        self.workers = parts.workers
-        self.open_requests = parts.open_requests
+        self.components = components = DispatcherComponents(actions, seed, settings)
+        self.request_path = RequestPath(components)
+        self.random = components.context.random
+        self.workers = components.workers
+        self.open_requests = components.open_requests
 
     # ---- Events ----
 
     def started(self) -> None:
         """Start watching the endpoint list and sending gossip, after the initial state has been reported."""
         now = self.actions.now()
-        self.parts.gossip.start(now)
-        self.parts.polling.start(bool(self.workers), now)
+        self.components.gossip.start(now)
+        self.components.polling.start(bool(self.workers), now)
 
     def settings_changed(self, settings: Settings, predecessors: Mapping[int, int]) -> None:
         """Apply new settings; open requests keep the rules of their class.
 
         `predecessors` maps a new class number to the one whose measured running times it takes over.
         """
-        context = self.parts.context
+        context = self.components.context
         for number in set(settings.active_classes) - set(context.settings.active_classes):
-            self.parts.observations.reset_class(number, predecessors.get(number))
+            self.components.observations.reset_class(number, predecessors.get(number))
         context.apply(settings)
-        self.parts.choice.clear_cached_tiers()
+        self.components.choice.clear_cached_tiers()
 
     def request_arrived(
         self,
@@ -62,11 +62,11 @@
         affinity_key: str,
     ) -> None:
         """Process a request to answer by `deadline`; `work_hint`: its running time in ns, 0 if unknown."""
-        rules = self.parts.context.settings.classes[request_class]
-        queue = self.parts.queues.get((slots, rules.machine_kind))
+        rules = self.components.context.settings.classes[request_class]
+        queue = self.components.queues.get((slots, rules.machine_kind))
         if queue is None:
             queue = RequestQueue(slots, rules.machine_kind)
-            self.parts.queues[slots, rules.machine_kind] = queue
+            self.components.queues[slots, rules.machine_kind] = queue
         request = Request(request_id, request_class, rules, queue, self.actions.now())
         self.request_path.arrived(request, affinity_key, deadline, work_hint)
 
@@ -76,7 +76,7 @@
         `may_have_run_on` is the first worker that may have run it, "" if there is none.
         """
         earlier = EarlierAttempts(attempts, may_have_run_on, sent_at)
-        self.parts.retries.earlier_attempts[request_id] = earlier
+        self.components.retries.earlier_attempts[request_id] = earlier
 
     def attempt_started(self, request_id: int, attempt: int) -> None:
         """Record a worker's report that it has started a request."""
@@ -116,9 +116,9 @@
     def endpoints_changed(self, endpoints: Iterable[Endpoint]) -> None:
         """Apply changes of the list, in order."""
         now = self.actions.now()
-        self.parts.polling.record_answer()
+        self.components.polling.record_answer()
         for endpoint in endpoints:
-            self.parts.endpoints.update(endpoint, now)
+            self.components.endpoints.update(endpoint, now)
 
     def endpoint_list_confirmed(self, as_of: int) -> None:
         """Renew the endpoint list: all that service discovery had at `as_of` has been reported before.
@@ -126,94 +126,95 @@
         The list's validity starts with the first such event. Without any such event the list never expires:
         the caller then receives changes by other means.
         """
-        self.parts.polling.record_answer()
-        self.parts.validity.confirm(as_of, self.actions.now())
+        self.components.polling.record_answer()
+        self.components.validity.confirm(as_of, self.actions.now())
 
     def endpoint_watch_failed(self, is_rejected: bool = False, is_unreachable: bool = False) -> None:
         """Schedule another watch after one that ended without an answer or was rejected by a busy discovery.
 
         `is_unreachable`: no process listens at discovery's address, so no change of the list is binding.
         """
-        self.parts.polling.watch_failed(is_rejected, is_unreachable, self.actions.now())
+        self.components.polling.watch_failed(is_rejected, is_unreachable, self.actions.now())
 
-    def endpoint_watch_silent(self, as_of: int) -> None:
+    def endpoint_watch_timed_out(self, as_of: int) -> None:
         """Handle a call started at `as_of` that requested an immediate answer and got none in time."""
-        self.parts.polling.call_timed_out(as_of, self.actions.now())
+        self.components.polling.call_timed_out(as_of, self.actions.now())
 
-    def discovery_moved(self) -> None:
+    def discovery_address_changed(self) -> None:
         """Handle a change of service discovery's address, which `watch_endpoints` uses from now on."""
-        self.parts.polling.address_changed(self.actions.now())
+        self.components.polling.address_changed(self.actions.now())
 
     def probe_completed(
         self, worker_name: str, outcome: AttemptOutcome, elapsed: int, load: LoadReport | None
     ) -> None:
         """Process the result of a probe according to its purpose."""
-        parts, worker, now = self.parts, self.workers[worker_name], self.actions.now()
+        components, worker, now = self.components, self.workers[worker_name], self.actions.now()
         purpose, worker.probe = worker.probe, None
-        parts.confirmation.completed(worker)
+        components.confirmation.completed(worker)
         if outcome is AttemptOutcome.SUCCEEDED:
             worker.healthy_at = max(worker.healthy_at, now - elapsed)
             worker.next_check_at = now
         if outcome is AttemptOutcome.SUCCEEDED and load:
-            parts.reports.record(worker, load, now)
+            components.reports.record(worker, load, now)
         elif outcome is AttemptOutcome.SUCCEEDED:
             worker.last_contact_at = now
         if purpose is ProbePurpose.LOAD:
-            parts.probes.record_answer(worker, outcome, elapsed, now)
-            parts.service.probe_answered(worker, now)
+            components.probes.record_answer(worker, outcome, elapsed, now)
+            components.service.probe_answered(worker, now)
         elif purpose is ProbePurpose.HEALTH:
-            parts.attempts.health_checked(worker, outcome, now)
+            components.attempts.health_checked(worker, outcome, now)
         elif purpose is ProbePurpose.CONFIRMATION:
-            parts.attempts.confirmation_ended(worker, outcome, now)
-            parts.service.worker_confirmed(now)
+            components.attempts.confirmation_ended(worker, outcome, now)
+            components.service.worker_confirmed(now)
         else:
-            parts.ejection.record_probe(worker, outcome, now)
+            components.ejection.record_probe(worker, outcome, now)
 
     def timer_fired(self, token: int) -> None:
         """Process a timer that was started by `wake_at` and is due."""
-        parts, timer, now = self.parts, self.parts.context.timers.pop(token), self.actions.now()
+        components = self.components
+        timer, now = components.context.timers.pop(token), self.actions.now()
         if isinstance(timer, Request):
             self._check_request(timer, now)
         elif isinstance(timer, RequestQueue):
             # Some probed workers have not answered in time, or all had a fresh report.
             if timer.probed and now >= timer.probed_until:
-                parts.service.send_after_probes(timer, now)
+                components.service.send_after_probes(timer, now)
         elif isinstance(timer, Worker):
-            parts.ejection.ejection_ended(timer, now)
+            components.ejection.ejection_ended(timer, now)
         elif timer is PeriodicTimer.CLOCK_TICK:
-            parts.service.tick(now)
+            components.service.tick(now)
         elif timer is PeriodicTimer.WATCH_ENDPOINTS:
-            if parts.polling.is_due(token):
+            if components.polling.is_due(token):
                 self.actions.watch_endpoints()
         elif timer is not None:
-            parts.gossip.send(now, to_all=timer is PeriodicTimer.GOSSIP_TO_ALL)
+            components.gossip.send(now, to_all=timer is PeriodicTimer.GOSSIP_TO_ALL)
 
     def _check_request(self, request: Request, now: int) -> None:
         if request.id not in self.open_requests:
             return
         if request.worker is not None:
-            self.parts.attempts.check(request, request.worker, now)
+            self.components.attempts.check(request, request.worker, now)
         else:
-            self.parts.admission.check(request, now)
+            self.components.admission.check(request, now)
 
     def gossip_received(self, peer: int, gossip: LoadGossip) -> None:
         """Record another dispatcher's report of its load."""
-        self.parts.gossip.receive(peer, gossip, self.actions.now())
+        self.components.gossip.receive(peer, gossip, self.actions.now())
 
     # ---- Queries ----
 
     def may_send_to(self, worker_name: str) -> bool:
         """Whether an attempt that has been decided on may be sent now."""
         worker = self.workers[worker_name]
-        return worker.ready and self.parts.validity.covers(worker, self.actions.now())
+        return worker.ready and self.components.validity.covers(worker, self.actions.now())
 
     def list_time_left(self) -> int | None:
         """Time in ns until the endpoint list expires, negative after the expiry; None if it never expires."""
-        return self.parts.validity.time_left(self.actions.now())
+        return self.components.validity.time_left(self.actions.now())
 
     def list_expirations(self) -> int:
         """How often the endpoint list has expired."""
-        return self.parts.validity.expirations
+        return self.components.validity.expirations
 
     def listed_workers(self) -> list[Worker]:
         """Workers on the endpoint list, ready or draining."""
--- a/ploverspoke/decisions/endpoint_polling.py
+++ b/ploverspoke/decisions/endpoint_polling.py
@@ -50,7 +50,7 @@
         if not self.context.settings.discovery_polling:
             return
         if has_workers:
-            spread = self.context.time_for_all_calls
+            spread = self.context.fleet_call_duration
             self._call_after(int(self.context.random.fraction() * spread), now)
         else:
             self.context.actions.watch_endpoints()
@@ -59,7 +59,7 @@
         """Schedule a call to discovery's new address, spread over time as all dispatchers have to call it."""
         self.failures = 0
         self.validity.shorten(now + ADDRESS_CHANGE_TTL_NS)
-        all_calls = self.context.time_for_all_calls
+        all_calls = self.context.fleet_call_duration
         spread = min(all_calls * ADDRESS_CHANGE_SPREAD_SHARE, MAX_ADDRESS_CHANGE_SPREAD_NS)
         if not self.context.settings.discovery_polling:
             spread = 0
@@ -119,7 +119,7 @@
         reason, max_jitter = "it grows with each failure", MAX_JITTER
         if is_rejected:
             # Discovery is overloaded: leave enough time for the calls of all dispatchers.
-            delay = min(max(delay, self.context.time_for_all_calls), MAX_BACKOFF_AFTER_REJECTION_NS)
+            delay = min(max(delay, self.context.fleet_call_duration), MAX_BACKOFF_AFTER_REJECTION_NS)
             reason, max_jitter = "it leaves time for the calls of all", MAX_JITTER_AFTER_REJECTION
         time_left = self.validity.time_left(now)
         if time_left is not None and time_left - ANSWER_TIME_NS > MIN_TIME_LEFT_NS:
--- a/ploverspoke/decisions/interface.py
+++ b/ploverspoke/decisions/interface.py
@@ -18,7 +18,7 @@
     WORKER_ERROR = "worker_error"
     FULL = "full"  # returned by the worker
     REJECTED = "rejected"  # the request itself is at fault
-    BROKEN_OFF = "broken_off"  # the connection broke, or the response was malformed
+    CONNECTION_BROKEN = "broken_off"  # the connection broke, or the response was malformed
     UNREACHABLE = "unreachable"
     TIMED_OUT = "timed_out"
     CANCELLED = "recalled"
@@ -26,7 +26,7 @@
 
 
 ANSWERS = (AttemptOutcome.SUCCEEDED, AttemptOutcome.WORKER_ERROR, AttemptOutcome.FULL)
-CONNECTION_FAILURES = (AttemptOutcome.UNREACHABLE, AttemptOutcome.BROKEN_OFF)
+CONNECTION_FAILURES = (AttemptOutcome.UNREACHABLE, AttemptOutcome.CONNECTION_BROKEN)
 NEVER_RAN = frozenset({AttemptOutcome.FULL, AttemptOutcome.UNREACHABLE, AttemptOutcome.NOT_SENT})
 
 
--- a/ploverspoke/decisions/worker_choice.py
+++ b/ploverspoke/decisions/worker_choice.py
@@ -118,7 +118,7 @@
             kind = worker.endpoint.machine_kind
             if worker.ready and not worker.ejected and machine_kind in (ANY_MACHINE_KIND, kind):
                 # Machine kinds that some class requires are reserved for it while other kinds have capacity.
-                is_needed = machine_kind == ANY_MACHINE_KIND and kind in self.context.needed_kinds
+                is_needed = machine_kind == ANY_MACHINE_KIND and kind in self.context.required_machine_kinds
                 is_remote = own_zone_first and worker.endpoint.zone != self.context.settings.zone
                 tiers[is_needed, is_remote].append(worker)
         return [tiers[rank] for rank in sorted(tiers)]
--- a/ploverspoke/leases/client.py
+++ b/ploverspoke/leases/client.py
@@ -67,9 +67,9 @@
 
     # ---- Interface for the user ----
 
-    def want(self, name: str, duration: int) -> Lease:
+    def request_lease(self, name: str, duration: int) -> Lease:
         """Request the lease for `duration` ns, and renew it until `release` is called."""
-        lease = self.holder.want(name, duration)
+        lease = self.holder.request_lease(name, duration)
         self._schedule_tick()
         return lease
 
@@ -200,8 +200,8 @@
             self.timer.set(self.holder.next_tick_at())
 
     def _tick(self) -> None:
-        lost_before = self.holder.lost
+        lost_before = self.holder.lost_count
         self.holder.tick()
-        if self.holder.lost > lost_before:
+        if self.holder.lost_count > lost_before:
             self.changed.set()
         self._schedule_tick()
--- a/ploverspoke/leases/commands.py
+++ b/ploverspoke/leases/commands.py
@@ -146,7 +146,7 @@
         def commit(token: int) -> ConfigureReply:
             return commit_configuration(store, ConfigureRequest(body, client.holder_id, token))
 
-        client.want(arguments.name, arguments.duration)
+        client.request_lease(arguments.name, arguments.duration)
         if not await client.wait_until_held(arguments.name, wait):
             return ConfigureReply(done=False, why=f"{arguments.name} is not acquired")
         try:
@@ -208,7 +208,7 @@
 
     async def summarise_while_held(client: LeaseClient) -> bool:
         """Write summaries; return False if the lease is rejected."""
-        wanted = client.want(name, arguments.duration)
+        wanted = client.request_lease(name, arguments.duration)
         wanted.on_lost = lambda reason: click.echo(f"{name}: {reason}", err=True)
         return await summarise(client, name, plan)
 
--- a/ploverspoke/leases/definitions.py
+++ b/ploverspoke/leases/definitions.py
@@ -89,9 +89,9 @@
         )
         raise ConfigError(message)
     section = leases.section(name)
-    max_holders = section.integer("places", 1, least=1)
+    max_holders = section.integer("places", 1, minimum=1)
     max_duration_ms = section.integer(
-        "longest_ms", DEFAULT_MAX_DURATION_MS, least=min_duration // MILLISECOND
+        "longest_ms", DEFAULT_MAX_DURATION_MS, minimum=min_duration // MILLISECOND
     )
     if max_duration_ms > MAX_DURATION_MS:
         raise section.invalid("longest_ms", f"at most {MAX_DURATION_MS}")
--- a/ploverspoke/leases/guarded_process.py
+++ b/ploverspoke/leases/guarded_process.py
@@ -43,7 +43,7 @@
 
     `duration` is in ns. The child process is killed when this process ends.
     """
-    client.want(name, duration)
+    client.request_lease(name, duration)
     token = await client.wait_until_held(name, timeout)
     if not token:
         click.echo(f"ploverspoke: {name} is not acquired", err=True)
--- a/ploverspoke/leases/holder.py
+++ b/ploverspoke/leases/holder.py
@@ -74,11 +74,11 @@
         self.latest_response_number = 0  # the latest request that has been answered
         self.sent_at: dict[int, int] = {}  # when each request was sent
         self.next_request_at = NEVER
-        self.lost = self.renewals = 0  # counts since the start
+        self.lost_count = self.renewal_count = 0  # counts since the start
 
     # ---- Interface for the user ----
 
-    def want(self, name: str, duration: int) -> Lease:
+    def request_lease(self, name: str, duration: int) -> Lease:
         """Request the lease for `duration` ns, and renew it until `release` is called."""
         lease = self.leases.get(name)
         if lease is None:
@@ -181,14 +181,14 @@
         lease.token = granted.token
         if expires_at <= now or expires_at <= lease.expires_at:
             return  # already expired, or already known to last longer
-        self.renewals += lease.expires_at != 0
+        self.renewal_count += lease.expires_at != 0
         lease.expires_at = expires_at
 
     def _lose(self, lease: Lease, reason: str) -> None:
         if lease.expires_at:
             lease.expires_at = 0
             lease.waiting_since = self.environment.now()
-            self.lost += 1
+            self.lost_count += 1
             lease.on_lost(reason)
 
     def _shortest_duration(self) -> int:
--- a/ploverspoke/leases/holding_commands.py
+++ b/ploverspoke/leases/holding_commands.py
@@ -77,7 +77,7 @@
     async def acquire_and_keep(client: LeaseClient) -> Acquisition:
         """Acquire the lease and stop renewing it, so that it is held until it expires."""
         reasons: list[str] = []
-        client.want(arguments.name, arguments.duration).on_lost = reasons.append
+        client.request_lease(arguments.name, arguments.duration).on_lost = reasons.append
         token = await client.wait_until_held(arguments.name, REQUEST_TIME_S + wait)
         left_s = client.time_left(arguments.name) / SECOND
         client.keep_until_expiry()
--- a/ploverspoke/leases/server_node.py
+++ b/ploverspoke/leases/server_node.py
@@ -46,7 +46,7 @@
 
     def confirm_leadership(self, on_decided: Callable[[bool], None]) -> None:
         """Ask a majority to confirm that this replica leads."""
-        self.read(on_decided)
+        self.read_barrier(on_decided)
 
     def send(self, holder: str, response: LeaseResponse) -> None:
         """Send to a holder; the response is dropped if the holder is not connected."""
@@ -59,7 +59,7 @@
         # Leading stops here, not in a later callback of the event loop: a lease server that applied another
         # leader's entries while it still believed that it led would send a holder an old grant as a new one.
         if role is Role.LEADER:
-            self.loop.call_soon(self.read, self._start_leading)
+            self.loop.call_soon(self.read_barrier, self._start_leading)
         elif self.manager.is_leader:
             self.manager.lose_leadership()
             log_line(f"lease server: {self.config.name} does not lead any more")
@@ -106,7 +106,7 @@
             result = self.list_leases() if leads and self.manager.is_leader else FollowerReply()
             reply(encode_reply(result))
 
-        self.read(on_decided)
+        self.read_barrier(on_decided)
         return True
 
     def list_leases(self) -> LeaseListing:
--- a/ploverspoke/routing/active_settings.py
+++ b/ploverspoke/routing/active_settings.py
@@ -3,7 +3,7 @@
 from collections.abc import Collection, Sequence
 from dataclasses import replace
 
-from ploverspoke.decisions.context import time_for_all_calls
+from ploverspoke.decisions.context import fleet_call_duration
 from ploverspoke.decisions.settings import DeploymentNames, Idempotency, Settings
 
 from .request_classes import RequestClassTable
@@ -63,7 +63,7 @@
 
     def watch_pace(self) -> PaceLimits:
         """The limits of the watch on discovery."""
-        return PaceLimits(time_for_all_calls(self.current), int(self.current.discovery_poll_interval))
+        return PaceLimits(fleet_call_duration(self.current), int(self.current.discovery_poll_interval))
 
     def is_pushed(self) -> bool:
         """Whether endpoint list changes are pushed, and binding even if they have not been requested."""
--- a/ploverspoke/routing/admin_server.py
+++ b/ploverspoke/routing/admin_server.py
@@ -7,7 +7,7 @@
 from ploverspoke.protocol import admin
 from ploverspoke.transport.connections import Connection
 from ploverspoke.transport.deadlines import Deadlines
-from ploverspoke.transport.listener import FIRST_BYTES_WITHIN, Listener
+from ploverspoke.transport.listener import EVICTION_MIN_AGE, Listener
 from ploverspoke.transport.rate_limited_log import log_line
 from ploverspoke.transport.slot_table import SlotTable
 
@@ -55,7 +55,7 @@
     # ---- Commands ----
 
     def _check(self) -> bytes:
-        if self.client_server.is_leaving:
+        if self.client_server.is_marked_not_ready:
             return admin.error_reply("leaving")
         if self.client_server.listener.socket is None:
             return admin.error_reply("not listening yet")
@@ -76,9 +76,9 @@
         yield admin.counter_line("out_of_rotation", out_of_rotation)
         yield admin.counter_line("cfg_accepted", counters.configs_accepted)
         yield admin.counter_line("cfg_invalid", counters.configs_invalid)
-        yield from self.router.endpoints.journal.lines()
+        yield from self.router.endpoints.journal.metric_lines()
         yield admin.counter_line("endpoint_list_expirations", dispatcher.list_expirations())
-        yield from self.router.request_journal.lines()
+        yield from self.router.request_journal.metric_lines()
 
     # ---- Limit on connections ----
 
@@ -96,7 +96,7 @@
         if len(self.sessions) + pending_count < MAX_SESSIONS:
             return True
         oldest = next((session for session in self.sessions.values() if not session.is_answered), None)
-        if oldest is None or self.deadlines.now() - oldest.began_at < FIRST_BYTES_WITHIN:
+        if oldest is None or self.deadlines.now() - oldest.began_at < EVICTION_MIN_AGE:
             return False
         self.remove_session(oldest)
         oldest.abort()
--- a/ploverspoke/routing/client_server.py
+++ b/ploverspoke/routing/client_server.py
@@ -4,7 +4,7 @@
 
 from ploverspoke.transport.connections import Connection
 from ploverspoke.transport.deadlines import Deadlines
-from ploverspoke.transport.listener import FIRST_BYTES_WITHIN, Listener
+from ploverspoke.transport.listener import EVICTION_MIN_AGE, Listener
 from ploverspoke.transport.rate_limited_log import log_line
 from ploverspoke.transport.slot_table import SlotTable
 
@@ -37,9 +37,9 @@
         self.connections: SlotTable[Connection] = SlotTable()
         self.sessions: dict[int, ClientSession] = {}  # by connection number, oldest first
         self.unserved: dict[int, ClientSession] = {}  # sessions without an admitted request, oldest first
-        self.is_leaving = False  # not ready for new clients
+        self.is_marked_not_ready = False  # not ready for new clients
         self.is_handing_over = False  # other processes accept new connections
-        self.is_shut = False  # no more connections are accepted
+        self.is_accepting_stopped = False  # no more connections are accepted
         self.listener = Listener(loop, deadlines, self._make_connection, self._may_accept)
 
     def is_full(self) -> bool:
@@ -50,29 +50,29 @@
         """Whether there is no session and none is being set up."""
         return not self.sessions and not self.listener.setup_tasks and not self.listener.is_finishing
 
-    def forget(self, session: ClientSession) -> None:
+    def remove_session(self, session: ClientSession) -> None:
         """Remove a session that has ended or is about to end."""
         self.sessions.pop(session.connection.number, None)
         self.unserved.pop(session.connection.number, None)
 
     # ---- Shutdown ----
 
-    def leave(self, hand_over: bool = False) -> None:
+    def mark_not_ready(self, hand_over: bool = False) -> None:
         """Report that this process is not ready for new clients; further requests are still served.
 
         With `hand_over`, another process shares the listening socket: it is closed here, and each connection
         is closed after its next response, so that the client reconnects to the other process.
         """
-        self.is_leaving = True
+        self.is_marked_not_ready = True
         if hand_over:
             self.is_handing_over = True
             self.listener.close()
 
-    def shut(self) -> None:
+    def stop_accepting(self) -> None:
         """Accept no more connections, and close each existing one once it is between two requests."""
-        if self.is_shut:
+        if self.is_accepting_stopped:
             return
-        self.is_shut = True
+        self.is_accepting_stopped = True
         self.listener.finish()
         for session in self.sessions.values():
             session.close_if_idle()
@@ -111,8 +111,8 @@
             return False
         if session is None:
             return False
-        self.forget(session)
-        session.hang_up(CloseReason.EVICTED)
+        self.remove_session(session)
+        session.abort(CloseReason.EVICTED)
         return True
 
     def _oldest_unserved(self) -> ClientSession | None:
@@ -121,7 +121,7 @@
     def _may_evict_unserved(self, session: ClientSession) -> bool:
         """Whether the client had time to send a request; on a busy event loop one may still be unread."""
         age = self.deadlines.now() - session.idle_since
-        return age >= FIRST_BYTES_WITHIN and not session.connection.has_unread_data()
+        return age >= EVICTION_MIN_AGE and not session.connection.has_unread_data()
 
     def _longest_idle(self) -> ClientSession | None:
         idle = [session for session in self.sessions.values() if session.was_served and session.is_idle()]
--- a/ploverspoke/routing/client_session.py
+++ b/ploverspoke/routing/client_session.py
@@ -59,9 +59,9 @@
     def close_if_idle(self) -> None:
         """Close the connection if it is between two requests; one still in the kernel is answered first."""
         if self.is_idle() and not self.connection.has_unread_data():
-            self.hang_up(CloseReason.SHUTDOWN)
+            self.abort(CloseReason.SHUTDOWN)
 
-    def hang_up(self, reason: CloseReason) -> None:
+    def abort(self, reason: CloseReason) -> None:
         """Close the connection once all written bytes are sent."""
         self.close_reason = reason
         self.is_closing = True
@@ -81,7 +81,7 @@
 
     def on_disconnected(self) -> None:
         """End the session, and the request that the client is waiting for."""
-        self.server.forget(self)
+        self.server.remove_session(self)
         self.server.buffered_bytes -= self.buffered_bytes
         self.buffered_bytes = 0
         self.server.deadlines.cancel(self.deadline)
@@ -173,7 +173,7 @@
         self.keep_alive = message.keep_alive and not self.is_excess
         self._update_buffered_bytes()
         if message.target.startswith(OWN_TARGET_PREFIX):
-            self._respond(*status_response(message, self.server.is_leaving))
+            self._respond(*status_response(message, self.server.is_marked_not_ready))
             return
         leader = self.server.router.leader_redirect()
         if leader is not None:
@@ -226,7 +226,7 @@
         """Close the connection without an answer."""
         self.is_answering = False
         self.request = None
-        self.hang_up(CloseReason.OTHER_LEADER)
+        self.abort(CloseReason.OTHER_LEADER)
 
     def _respond(self, status: int, body: bytes, retry_after: int = 0, location: str = "") -> None:
         self.is_answering = False
@@ -234,7 +234,7 @@
         # After an invalid request the connection is closed, as the client might repeat it as fast as it can.
         is_client_error = 400 <= status < 500
         has_dropped = self.dropped_bytes > 0
-        is_ending = self.server.is_shut or self.server.is_handing_over
+        is_ending = self.server.is_accepting_stopped or self.server.is_handing_over
         keep_alive = self.keep_alive and not (is_client_error or has_dropped or is_ending)
         self.connection.write(clients.encode_response(status, body, keep_alive, retry_after, location))
         self.idle_since = self.server.deadlines.now()
--- a/ploverspoke/routing/client_session_owner.py
+++ b/ploverspoke/routing/client_session_owner.py
@@ -18,12 +18,12 @@
     router: Router
     unserved: dict[int, Session]  # sessions without an admitted request, by connection number
     buffered_bytes: int  # of requests in all sessions that are not admitted yet
-    is_leaving: bool  # not ready for new clients
+    is_marked_not_ready: bool  # not ready for new clients
     is_handing_over: bool  # other processes accept new connections
-    is_shut: bool  # no more connections are accepted
+    is_accepting_stopped: bool  # no more connections are accepted
 
     def is_full(self) -> bool:
         """Whether the memory limit for requests is exceeded."""
 
-    def forget(self, session: Session) -> None:
+    def remove_session(self, session: Session) -> None:
         """Remove a session that has ended."""
--- a/ploverspoke/routing/endpoint_directory.py
+++ b/ploverspoke/routing/endpoint_directory.py
@@ -27,13 +27,13 @@
         super().__init__(context)
         self.addresses: dict[str, str] = {}  # by worker name, including workers that are gone
         self.lists_received = 0  # from discovery, since this process started
-        self.on_list: Callable[[bytes], None] | None = None  # called with the body of each list
+        self.on_list_received: Callable[[bytes], None] | None = None  # called with the body of each list
         self.start_times = StartTimes(self.deadlines.now)
         self.journal = WatchJournal(self.deadlines.now)
         self.watch = self._make_watch(discovery_address)
         self.has_new_address = False  # the address changed and has not been called since
 
-    def load_known(self, known: EndpointList, resume: bool) -> None:
+    def load_stored_list(self, known: EndpointList, resume: bool) -> None:
         """Load a stored list before the first call to discovery.
 
         With `resume` only changes after its version are requested, otherwise the whole list.
@@ -55,8 +55,8 @@
             raise
         self._report(received, received.is_complete)
         self.lists_received += 1
-        if self.on_list is not None:
-            self.on_list(body)
+        if self.on_list_received is not None:
+            self.on_list_received(body)
         return received
 
     def start_watch(self) -> None:
@@ -73,7 +73,7 @@
         self.watch.stop()
         self.watch = self._make_watch(address)
         self.has_new_address = True
-        self.events.emit(partial(self.dispatcher.discovery_moved))
+        self.events.emit(partial(self.dispatcher.discovery_address_changed))
 
     def apply_settings(self) -> None:
         """Apply the current settings to the watch."""
@@ -98,9 +98,9 @@
         """Return the time (ns) until the list expires: negative after the expiry, None if it has none."""
         return self.dispatcher.list_time_left()
 
-    def call_was_silent(self, as_of: int) -> None:
+    def call_timed_out(self, as_of: int) -> None:
         """Report that a call begun at `as_of` (ns), which requested an immediate response, timed out."""
-        self.events.emit(partial(self.dispatcher.endpoint_watch_silent, as_of))
+        self.events.emit(partial(self.dispatcher.endpoint_watch_timed_out, as_of))
 
     def watch_failed(self, outcome: CallOutcome) -> None:
         """Report the failure; the decision logic chooses when the watch is started again."""
--- a/ploverspoke/routing/endpoint_watch.py
+++ b/ploverspoke/routing/endpoint_watch.py
@@ -37,7 +37,7 @@
     def list_time_left(self) -> int | None:
         """Return the time (ns) until the list expires: negative after the expiry, None if it has none."""
 
-    def call_was_silent(self, as_of: int) -> None:
+    def call_timed_out(self, as_of: int) -> None:
         """A call that began at `as_of` (ns) and requested an immediate response has timed out."""
 
     def watch_failed(self, outcome: CallOutcome) -> None:
@@ -275,7 +275,7 @@
         if self.request is request:
             if not request.max_wait:
                 self.consecutive_timeouts += 1
-                self.listener.call_was_silent(request.call.began_at)
+                self.listener.call_timed_out(request.call.began_at)
             self.journal.end_call(request.call, CallOutcome.TIMED_OUT)
             self.request = WatchRequest(self, CallReason.TIMED_OUT)
             self.request.acquire_connection()
--- a/ploverspoke/routing/request_journal.py
+++ b/ploverspoke/routing/request_journal.py
@@ -57,7 +57,7 @@
         if request is not None:
             self.log.write(f"request {request.request_id}: its connection ended, {reason.value}")
 
-    def lines(self) -> Iterator[str]:
+    def metric_lines(self) -> Iterator[str]:
         """Yield the lines of the counters that operators fetch."""
         for outcome in ExchangeOutcome:
             labels = {"outcome": outcome.name.lower()}
--- a/ploverspoke/routing/responses.py
+++ b/ploverspoke/routing/responses.py
@@ -28,13 +28,13 @@
 }
 
 
-def status_response(message: HttpRequest, is_leaving: bool) -> Response:
+def status_response(message: HttpRequest, is_marked_not_ready: bool) -> Response:
     """The response to a status request about this process."""
     if message.target.partition("?")[0] not in STATUS_TARGETS:
         return Response(404, b"not found")
     if message.method != "GET":
         return Response(405, b"ask by GET")
-    return Response(503, b"leaving") if is_leaving else Response(200, b"ready")
+    return Response(503, b"leaving") if is_marked_not_ready else Response(200, b"ready")
 
 
 def redirect_response(leader: str, target: str) -> Response:
--- a/ploverspoke/routing/router.py
+++ b/ploverspoke/routing/router.py
@@ -82,7 +82,7 @@
         With `resume` only changes since that list are requested from discovery, else the whole list.
         """
         if known is not None:
-            self.endpoints.load_known(known, resume)
+            self.endpoints.load_stored_list(known, resume)
         self.endpoints.list_confirmed(self.deadlines.now())
         self.events.emit(partial(self.dispatcher.started))
         if self.active_settings.is_pushed():
--- a/ploverspoke/routing/watch_journal.py
+++ b/ploverspoke/routing/watch_journal.py
@@ -84,7 +84,7 @@
         """Return the time (ns) since discovery last answered, or since the start."""
         return self.now() - self.list_confirmed_at
 
-    def lines(self) -> Iterator[str]:
+    def metric_lines(self) -> Iterator[str]:
         """Yield the metric lines that operators fetch."""
         for outcome in CallOutcome:
             yield admin.labeled_counter_line(
--- a/ploverspoke/routing/watch_pace.py
+++ b/ploverspoke/routing/watch_pace.py
@@ -26,22 +26,22 @@
 class PaceLimits(NamedTuple):
     """Limits on the waits that follow from the settings, in ns."""
 
-    time_for_all_calls: int  # discovery's time for one call from each dispatcher
+    fleet_call_duration: int  # discovery's time for one call from each dispatcher
     max_wait: int
 
 
 class WatchPace:
     """Measures how late discovery responds, and derives waits and timeouts from it."""
 
-    def __init__(self, time_for_all_calls: int, max_wait: int) -> None:
+    def __init__(self, fleet_call_duration: int, max_wait: int) -> None:
         """Start without a measurement; the arguments are the fields of `PaceLimits`."""
         self.lateness = 0.0  # ns, smoothed
-        self.configure(time_for_all_calls, max_wait)
+        self.configure(fleet_call_duration, max_wait)
 
-    def configure(self, time_for_all_calls: int, max_wait: int) -> None:
+    def configure(self, fleet_call_duration: int, max_wait: int) -> None:
         """Replace the limits, as the settings have changed."""
         self.max_wait = min(max_wait, MAX_WAIT_NS)
-        min_wait = max(MIN_WAIT_NS, min(time_for_all_calls, MIN_WAIT_OF_LARGE_FLEET_NS))
+        min_wait = max(MIN_WAIT_NS, min(fleet_call_duration, MIN_WAIT_OF_LARGE_FLEET_NS))
         self.min_wait = min(self.max_wait, min_wait)
 
     def record(self, wait: int, elapsed: int) -> None:
--- a/ploverspoke/service/config.py
+++ b/ploverspoke/service/config.py
@@ -26,7 +26,7 @@
 SEED_BASE = 16
 
 # Logged at the start, and printed by `ploverspoke check`, if `Config.lacks_peers` is set.
-NO_PEERS = "load gossip is permitted but cannot be sent: the configuration has no addresses (peers)"
+NO_PEERS_MESSAGE = "load gossip is permitted but cannot be sent: the configuration has no addresses (peers)"
 EMPTY_OBJECT: JsonObject = MappingProxyType({})
 
 
@@ -92,8 +92,8 @@
         admin_address=_parse_admin_address(top, environment.get("RELAY_ADMIN_ADDR")),
         discovery=top.text("discovery", environment.get("RELAY_DISCOVERY")),
         seed=seed,
-        descriptor_limit=limits.integer("sockets", DEFAULT_SOCKETS, least=MIN_SOCKETS),
-        memory_limit=limits.integer("memory_mb", DEFAULT_MEMORY_MB, least=MIN_MEMORY_MB) * MEBIBYTE,
+        descriptor_limit=limits.integer("sockets", DEFAULT_SOCKETS, minimum=MIN_SOCKETS),
+        memory_limit=limits.integer("memory_mb", DEFAULT_MEMORY_MB, minimum=MIN_MEMORY_MB) * MEBIBYTE,
         known_endpoints=known_endpoints,
         settings=replace(settings, gossip_allowed=bool(peers)),
         names=parse_names(top.value["settings"], "settings"),
--- a/ploverspoke/service/config_reader.py
+++ b/ploverspoke/service/config_reader.py
@@ -31,9 +31,9 @@
 
     separator = ": "  # between the key and the problem
 
-    def __init__(self, problem: str, *, key: str = "", longest: int | None = None) -> None:
-        """Build the message from `key` and `problem`, cut to `longest` characters if that is given."""
-        super().__init__((f"{key}{self.separator}{problem}" if key else problem)[:longest])
+    def __init__(self, problem: str, *, key: str = "", max_length: int | None = None) -> None:
+        """Build the message from `key` and `problem`, cut to `max_length` characters if that is given."""
+        super().__init__((f"{key}{self.separator}{problem}" if key else problem)[:max_length])
         self.key = key
         self.problem = problem
 
@@ -125,7 +125,7 @@
         """Return the error for the key `name` (the caller raises it); `expected` describes a valid value."""
         state = "is missing" if name not in self.value else f"is {self.value[name]!r}"
         return InvalidValueError(
-            key=self.key_path(name), problem=f"{state}: expected {expected}", longest=MAX_MESSAGE_LENGTH
+            key=self.key_path(name), problem=f"{state}: expected {expected}", max_length=MAX_MESSAGE_LENGTH
         )
 
     def _get(self, name: str, default: JsonDocument) -> JsonDocument:
@@ -136,11 +136,11 @@
         """Return the object under `name`; an empty section if it is missing."""
         return ConfigSection(self._get(name, {}), self.key_path(name))
 
-    def sections(self, name: str, least: int = 0) -> list["ConfigSection"]:
-        """Return the objects of the list under `name`, which must have at least `least` of them."""
+    def sections(self, name: str, minimum: int = 0) -> list["ConfigSection"]:
+        """Return the objects of the list under `name`, which must have at least `minimum` of them."""
         values = self._get(name, [])
-        if not isinstance(values, list) or len(values) < least:
-            raise self.invalid(name, f"a list of at least {least} objects")
+        if not isinstance(values, list) or len(values) < minimum:
+            raise self.invalid(name, f"a list of at least {minimum} objects")
         return [ConfigSection(value, f"{self.key_path(name)}[{index}]") for index, value in enumerate(values)]
 
     def values(
@@ -162,16 +162,16 @@
             raise self.invalid(name, f"{count} numbers, one for each service grade")
         return numbers
 
-    def integer(self, name: str, default: int | None = None, least: int = 0) -> int:
-        """Return the integer under `name`, of at least `least`. Required if there is no default."""
+    def integer(self, name: str, default: int | None = None, minimum: int = 0) -> int:
+        """Return the integer under `name`, of at least `minimum`. Required if there is no default."""
         number = self.number(name, default)
-        if number < least or number % 1:
-            raise self.invalid(name, f"a whole number of at least {least}")
+        if number < minimum or number % 1:
+            raise self.invalid(name, f"a whole number of at least {minimum}")
         return int(number)
 
-    def duration(self, name: str, default: int | None = None, least: int = 0) -> int:
-        """Return the duration under `name` in ns. The value, `default` and `least` are in microseconds."""
-        return self.integer(name, default, least) * MICROSECOND
+    def duration(self, name: str, default: int | None = None, minimum: int = 0) -> int:
+        """Return the duration under `name` in ns. The value, `default` and `minimum` are in microseconds."""
+        return self.integer(name, default, minimum) * MICROSECOND
 
     def number(self, name: str, default: float | None = None) -> float:
         """Return the finite number under `name`. Required if there is no default."""
--- a/ploverspoke/service/inherited_socket.py
+++ b/ploverspoke/service/inherited_socket.py
@@ -22,7 +22,7 @@
     invalid_error = InvalidValueError(
         key=SOCKET_VARIABLE,
         problem=f"is {value!r}: expected the descriptor number of a listening TCP socket",
-        longest=MAX_MESSAGE_LENGTH,
+        max_length=MAX_MESSAGE_LENGTH,
     )
     if not (value.isascii() and value.isdigit() and len(value) <= MAX_DESCRIPTOR_DIGITS):
         raise invalid_error
--- a/ploverspoke/service/service.py
+++ b/ploverspoke/service/service.py
@@ -24,7 +24,7 @@
 from ploverspoke.transport.resource_limits import split_resources
 from ploverspoke.transport.units import MILLISECOND, SECOND
 
-from .config import NO_PEERS, Config, read_config
+from .config import NO_PEERS_MESSAGE, Config, read_config
 from .config_reader import ConfigError, InvalidValueError, first_missing_key
 from .descriptor_limit import usable_descriptors
 from .exit_codes import run_with_exit_code
@@ -105,7 +105,7 @@
         if self.router.load_gossip is not None:
             await self.router.load_gossip.open(self.loop)
         elif self.config.lacks_peers:
-            log_line(NO_PEERS)
+            log_line(NO_PEERS_MESSAGE)
         has_predecessor = self.process_count > 1
         document = self.config.known_endpoints
         known = None if document is None else parse_endpoint_list(document)
@@ -204,7 +204,7 @@
         if self.router.load_gossip is not None:
             self.router.load_gossip.close()  # from now on the successor receives load gossip
         shares_socket = self.listening_socket is not None
-        self.client_server.leave(hand_over=shares_socket)
+        self.client_server.mark_not_ready(hand_over=shares_socket)
         self._continue_shutdown(shutdown_schedule(self.router.settings, shares_socket))
 
     def _continue_shutdown(self, schedule: ShutdownSchedule) -> None:
@@ -212,10 +212,10 @@
         elapsed = now - self.shutdown_started_at
         is_empty = self.client_server.is_empty()
         if elapsed >= (schedule.accept_until if is_empty else schedule.serve_until):
-            self.client_server.shut()
+            self.client_server.stop_accepting()
         if elapsed >= schedule.answer_at:
             self.router.completion.answer_all()
-        is_finished = self.client_server.is_shut and self.client_server.is_empty()
+        is_finished = self.client_server.is_accepting_stopped and self.client_server.is_empty()
         if is_finished or elapsed >= schedule.exit_at:
             self.stopped.set()
         else:
--- a/ploverspoke/service/settings.py
+++ b/ploverspoke/service/settings.py
@@ -42,10 +42,10 @@
     top = ConfigSection(document, path)
     limits, rules, domain = top.section("Limits"), top.section("Invariants"), top.section("Domain")
     report, prices = top.section("Report"), top.section("Tariffs")
-    count = len(top.sections("ServiceGrades", least=1))
+    count = len(top.sections("ServiceGrades", minimum=1))
     return Settings(
         batch_interval=top.duration("RoundUs", 0),
-        dispatcher_count=top.integer("PeersTotal", 1, least=1),
+        dispatcher_count=top.integer("PeersTotal", 1, minimum=1),
         dispatcher_index=top.integer("SlotNo", 0),
         zone=top.integer("Zone", 0),
         discovery_polling=top.text("Discovery", "push") == "ask",
@@ -64,7 +64,7 @@
         max_retry_after=limits.duration("MaxRetryAfterUs", 0),
         connect_timeout=limits.duration("ConnectTimeoutUs", 0) or SECOND,
         idle_timeout=limits.duration("IdleCloseUs", DEFAULT_IDLE_TIMEOUT_US),
-        max_open_requests=limits.integer("MaxOpen", DEFAULT_MAX_OPEN_REQUESTS, least=1),
+        max_open_requests=limits.integer("MaxOpen", DEFAULT_MAX_OPEN_REQUESTS, minimum=1),
         full_may_have_run=rules.boolean("FullMayHaveRun"),
         only_draining_is_binding=rules.boolean("SoftRemoval"),
         warmup_share=rules.number("ColdShare"),
@@ -82,7 +82,7 @@
     """Read the names that clients and discovery use. Raises ConfigError."""
     top = ConfigSection(document, path)
     names: list[str] = []
-    for section in top.sections("ServiceGrades", least=1):
+    for section in top.sections("ServiceGrades", minimum=1):
         name = section.text("Name")
         if not name or name in names:
             raise section.invalid("Name", "a unique name that is not empty")
@@ -98,16 +98,16 @@
 def _parse_classes(
     top: ConfigSection, limits: ConfigSection, domain: ConfigSection
 ) -> tuple[RequestClass, ...]:
-    sections = top.sections("ServiceGrades", least=1)
+    sections = top.sections("ServiceGrades", minimum=1)
     count = len(sections)
     for name in domain.value:
         if name.startswith("Class"):
             domain.values_per_class(name, 0, count)
-    max_attempts = limits.integer("MaxHandOffs", 1, least=1)
+    max_attempts = limits.integer("MaxHandOffs", 1, minimum=1)
     # Read key by key, not class by class: if several keys are invalid, the error names the first one.
     columns = (
-        [section.duration("ExpectedTimeUs", least=1) for section in sections],
-        [section.duration("AbandonTimeUs", least=1) for section in sections],
+        [section.duration("ExpectedTimeUs", minimum=1) for section in sections],
+        [section.duration("AbandonTimeUs", minimum=1) for section in sections],
         [section.number("Benefit", 1.0) for section in sections],
         [section.number("OverdueBenefit", 0.0) for section in sections],
         [section.choice("Repeat", IDEMPOTENCY) for section in sections],
--- a/ploverspoke/simulator/wire_names.py
+++ b/ploverspoke/simulator/wire_names.py
@@ -89,7 +89,7 @@
     "shed": AttemptOutcome.FULL,
     "expired": AttemptOutcome.TIMED_OUT,
     "dial_failed": AttemptOutcome.UNREACHABLE,
-    "dropped": AttemptOutcome.BROKEN_OFF,
+    "dropped": AttemptOutcome.CONNECTION_BROKEN,
     "revoked": AttemptOutcome.CANCELLED,
     "unused": AttemptOutcome.NOT_SENT,
 }
--- a/ploverspoke/store/daemon.py
+++ b/ploverspoke/store/daemon.py
@@ -57,7 +57,7 @@
         service = Service(asyncio.get_running_loop(), config, request_log)
         service.load_config = self.read_config
         endpoint_cache = EndpointCache(self.node.save_endpoints, config.known_endpoints)
-        service.router.endpoints.on_list = endpoint_cache.update
+        service.router.endpoints.on_list_received = endpoint_cache.update
         request_log.on_leadership_lost = service.router.completion.leave_all_to_leader
         return service
 
--- a/ploverspoke/store/request_log.py
+++ b/ploverspoke/store/request_log.py
@@ -130,7 +130,7 @@
 
     def _on_role_changed(self, role: Role, leader: str) -> None:
         if role is Role.LEADER:
-            self.node.read(self._take_over)
+            self.node.read_barrier(self._take_over)
         elif self.is_leading:
             self.is_leading = False
             log_line(f"store: {self.node.config.name} is no longer the leader")
--- a/ploverspoke/testbed/capacity/measurements/lease_server.py
+++ b/ploverspoke/testbed/capacity/measurements/lease_server.py
@@ -102,7 +102,7 @@
         clients = self._load.clients
         clients[self._holders[name]].release(name)
         self._holders[name] = (self._holders[name] + 1) % len(clients)
-        clients[self._holders[name]].want(name, LEASE_DURATION)
+        clients[self._holders[name]].request_lease(name, LEASE_DURATION)
         self.times.append(time.monotonic())
 
 
@@ -142,7 +142,7 @@
         before, after = await _sample(rig, sampler, interval.lasts)
         if changing is not None:
             changing.cancel()
-        lost = sum(client.holder.lost for client in load.clients)
+        lost = sum(client.holder.lost_count for client in load.clients)
         if lost or await _find_leader(leases, secret) != leader:
             return Point(amount, {}, f"{lost} leases were lost, or another keeper leads now")
     finally:
@@ -165,7 +165,7 @@
         for index in range(load.names_each)
     ]
     for client, name in names:
-        client.want(name, LEASE_DURATION)
+        client.request_lease(name, LEASE_DURATION)
     for client, name in names:
         if not await client.wait_until_held(name, GRANT_TIMEOUT):
             return name
--- a/ploverspoke/testbed/fakes/lease_candidate.py
+++ b/ploverspoke/testbed/fakes/lease_candidate.py
@@ -79,7 +79,7 @@
 
     async def _run_lease(self, name: str) -> None:
         while True:
-            lease = self.client.want(name, self.spec.duration)
+            lease = self.client.request_lease(name, self.spec.duration)
             lease.on_lost = partial(self._on_lost, name)
             token = await self.client.wait_until_held(name, WAIT_TIMEOUT)
             if not token:
--- a/ploverspoke/testbed/models/virtual_attempt.py
+++ b/ploverspoke/testbed/models/virtual_attempt.py
@@ -19,7 +19,7 @@
     ExecutionEnd.DONE: AttemptOutcome.SUCCEEDED,
     ExecutionEnd.FAILED: AttemptOutcome.WORKER_ERROR,
     ExecutionEnd.RETURNED: AttemptOutcome.FULL,
-    ExecutionEnd.LOST: AttemptOutcome.BROKEN_OFF,
+    ExecutionEnd.LOST: AttemptOutcome.CONNECTION_BROKEN,
 }
 
 
@@ -151,7 +151,7 @@
         latency = self.one_way_latency(attempt.worker)
         idle_drops = self.environment.connection_faults.idle_drops
         if idle_drops.strikes(attempt.worker.name, self.draws):
-            self._end_after(attempt, 2 * latency, AttemptOutcome.BROKEN_OFF)
+            self._end_after(attempt, 2 * latency, AttemptOutcome.CONNECTION_BROKEN)
         elif not self.is_partitioned(attempt.worker):
             self._arrive_after(attempt, latency)
 
@@ -196,7 +196,7 @@
     def _reset(self, attempt: VirtualAttempt) -> None:
         if attempt.is_open:
             self._cancel_at_worker(attempt)
-            self.listener.attempt_ended(attempt, AttemptOutcome.BROKEN_OFF)
+            self.listener.attempt_ended(attempt, AttemptOutcome.CONNECTION_BROKEN)
 
     # ---- End of an attempt ----
 
--- a/ploverspoke/testbed/scenarios/lease_bench.py
+++ b/ploverspoke/testbed/scenarios/lease_bench.py
@@ -159,7 +159,7 @@
     """Have each client hold a lease for so long."""
     names = [f"team-h{number}" for number in range(len(clients))]
     for client, name in zip(clients, names, strict=True):
-        client.want(name, HOLD_DURATION * SECOND)
+        client.request_lease(name, HOLD_DURATION * SECOND)
     await asyncio.gather(
         *(client.wait_until_held(name, HOLD_TIMEOUT) for client, name in zip(clients, names, strict=True))
     )
@@ -173,7 +173,7 @@
 
 
 def _count_renewals(clients: list[LeaseClient]) -> int:
-    return sum(client.holder.renewals for client in clients)
+    return sum(client.holder.renewal_count for client in clients)
 
 
 def _cpu_seconds(pid: int) -> float:
--- a/ploverspoke/transport/deadlines.py
+++ b/ploverspoke/transport/deadlines.py
@@ -13,16 +13,16 @@
 
 
 class Deadline:
-    """One scheduled callback; `done` is true once it has run or was cancelled."""
+    """One scheduled callback; `is_done` is true once it has run or was cancelled."""
 
-    __slots__ = ("callback", "done", "serial", "when")
+    __slots__ = ("callback", "is_done", "serial", "when")
 
     def __init__(self, when: int, serial: int, callback: Callable[[], None]) -> None:
         """`when` is in ns; `serial` orders deadlines with the same time."""
         self.when = when
         self.serial = serial
         self.callback = callback
-        self.done = False
+        self.is_done = False
 
     def __lt__(self, other: "Deadline") -> bool:
         """Order by time, then by the order of scheduling."""
@@ -56,13 +56,13 @@
 
     def cancel(self, deadline: Deadline | None) -> None:
         """Cancel a deadline; does nothing if it is None or done."""
-        if deadline is None or deadline.done:
+        if deadline is None or deadline.is_done:
             return
-        deadline.done = True
+        deadline.is_done = True
         self.cancelled_count += 1
         # Most deadlines are cancelled. Left in the heap until due, they would use most of the memory.
         if self.cancelled_count > max(MIN_CANCELLED_TO_COMPACT, len(self.heap) // 2):
-            self.heap = [pending for pending in self.heap if not pending.done]
+            self.heap = [pending for pending in self.heap if not pending.is_done]
             heapq.heapify(self.heap)
             self.cancelled_count = 0
 
@@ -85,10 +85,10 @@
         while self.heap and self.heap[0].when <= now:
             due.append(heapq.heappop(self.heap))
         for deadline in due:
-            if deadline.done:
+            if deadline.is_done:
                 self.cancelled_count -= self.cancelled_count > 0
                 continue
-            deadline.done = True
+            deadline.is_done = True
             try:
                 deadline.callback()
             except Exception:  # an error in one callback must not prevent the others
--- a/ploverspoke/transport/listener.py
+++ b/ploverspoke/transport/listener.py
@@ -15,7 +15,7 @@
 # The first bytes of these connections are read before more are accepted. Otherwise the new connections of a
 # flood would evict each other before their requests are read.
 ACCEPTS_PER_ITERATION = 8
-FIRST_BYTES_WITHIN = 20 * MILLISECOND  # a new connection that sends nothing for this time may be evicted
+EVICTION_MIN_AGE = 20 * MILLISECOND  # a new connection that sends nothing for this time may be evicted
 RETRY_DELAY = 10 * MILLISECOND  # after an accept or setup failed, or while there is no capacity
 FINISH_ATTEMPTS = 20  # attempts to accept all pending connections before the socket is closed
 SETUP_ATTEMPTS = 5  # attempts to hand an accepted connection to the event loop
--- a/tests/compatibility/test_wire_bytes.py
+++ b/tests/compatibility/test_wire_bytes.py
@@ -135,13 +135,13 @@
     host.send = lambda message: run.emit("send", "keeper", message)
     holder = LeaseHolder(host)
     told = lambda data: holder.handle_response(parse_response(decoded(data)))  # noqa: E731
-    return {"want": holder.want, "release": holder.release, "tick": holder.tick, "told": told}
+    return {"want": holder.request_lease, "release": holder.release, "tick": holder.tick, "told": told}
 
 
 def watch_calls(run: Run) -> Calls:
     host: Any = SimpleNamespace(now=lambda: run.now, random_fraction=lambda: 0.5, log=lambda line: None)
     host.dial = lambda link, where: run.emit("dial", where, link)
-    host.hang_up = lambda link: run.emit("hang up", "", link)
+    host.close_connection = lambda link: run.emit("hang up", "", link)
     host.send = lambda link, message: run.emit("send", "", message)
 
     def apply_version(version: VerifiedVersion) -> None:
@@ -383,7 +383,7 @@
     node.replica.raft.tick()
     for _ in range(2):  # the second is told when all that waits for the lead has heard of it
         confirmed = loop.create_future()
-        node.read(confirmed.set_result)
+        node.read_barrier(confirmed.set_result)
         assert await confirmed
     if first is not None:
         await first(node)
--- a/tests/config_distribution/virtual_fleet.py
+++ b/tests/config_distribution/virtual_fleet.py
@@ -170,7 +170,7 @@
         if link in self.open:
             self.on_message(link, server, decoded(server.broadcaster.heartbeat()))
 
-    def hang_up(self, link: int) -> None:
+    def close_connection(self, link: int) -> None:
         address = self.open.pop(link)
         server = self.fleet.servers[address]
         if server.links.get(self.name) == (self, link) and self.reaches(address):
--- a/tests/consensus/simulated_cluster.py
+++ b/tests/consensus/simulated_cluster.py
@@ -154,7 +154,7 @@
                     applied >= expected, f"{node.name} read at index {applied}, but {expected} was committed"
                 )
 
-        node.replica.read(on_result)
+        node.replica.read_barrier(on_result)
 
     def compact(self, node: SimulatedReplica) -> None:
         replica, log = node.replica, node.replica.raft.log
--- a/tests/consensus/test_framed_connections.py
+++ b/tests/consensus/test_framed_connections.py
@@ -126,7 +126,10 @@
     server = EchoServer()
     link = Link(server, RecordingClient(secret=b"another secret than theirs"))
     link.exchange()
-    assert server.refused == 1 and link.server_transport.closed == link.client_transport.closed == "abort"
+    assert (
+        server.refused_connections == 1
+        and link.server_transport.closed == link.client_transport.closed == "abort"
+    )
     link.client.connection_lost(None)
     assert link.client.events == ["disconnected"]
 
@@ -166,7 +169,7 @@
 @pytest.mark.parametrize("registers", [True, False])
 def test_connection_that_does_not_register_in_time_is_aborted(registers: bool) -> None:
     async def run() -> str:
-        link = Link(EchoServer(RegistrationLimits(timeout=0.0, max_unregistered=9)), RecordingClient())
+        link = Link(EchoServer(RegistrationLimits(timeout_s=0.0, max_unregistered=9)), RecordingClient())
         link.exchange()
         if registers:
             link.client.write("hello")
@@ -179,7 +182,7 @@
 
 def test_connections_above_the_limit_of_unregistered_ones_are_aborted() -> None:
     async def run() -> list[str]:
-        server = EchoServer(RegistrationLimits(timeout=60.0, max_unregistered=2))
+        server = EchoServer(RegistrationLimits(timeout_s=60.0, max_unregistered=2))
         links = [Link(server, RecordingClient(f"c{number}")) for number in range(3)]
         closed = [link.server_transport.closed for link in links]
         for link in links:
--- a/tests/consensus/test_wire_messages.py
+++ b/tests/consensus/test_wire_messages.py
@@ -64,7 +64,7 @@
         transport = mock.Mock(spec=asyncio.Transport)
         connection.connection_made(transport)
         peer = FrameCodec(SECRET, {"id": "a.1", "store": "s"})
-        peer.receive(transport.write.call_args.args[0])
+        peer.decode_bodies(transport.write.call_args.args[0])
         connection.data_received(peer.greeting_frame() + peer.encode(STALE_TERM))
         assert received == [("a.1", StaleTerm(3, storage_id="d"))] and not transport.abort.called
         connection.data_received(peer.encode(plain))
--- a/tests/decisions/harness.py
+++ b/tests/decisions/harness.py
@@ -196,7 +196,7 @@
 
     def first_queue(self) -> RequestQueue:
         """The queue that was created first."""
-        return next(iter(self.dispatcher.parts.queues.values()))
+        return next(iter(self.dispatcher.components.queues.values()))
 
     def worker_of(self, request_id: int) -> str | None:
         """The worker with an attempt of the request in flight."""
--- a/tests/decisions/random_runs.py
+++ b/tests/decisions/random_runs.py
@@ -13,7 +13,7 @@
     AttemptOutcome.FULL,
     AttemptOutcome.TIMED_OUT,
     AttemptOutcome.UNREACHABLE,
-    AttemptOutcome.BROKEN_OFF,
+    AttemptOutcome.CONNECTION_BROKEN,
     AttemptOutcome.NOT_SENT,
 ]
 
--- a/tests/decisions/test_endpoint_polling.py
+++ b/tests/decisions/test_endpoint_polling.py
@@ -24,7 +24,7 @@
     called_at = harness.clock
     for _ in range(200):
         calls = harness.watch_calls
-        harness.dispatcher.discovery_moved()
+        harness.dispatcher.discovery_address_changed()
         harness.advance(100 * MS)
         if harness.watch_calls > calls:
             called_at = harness.clock
@@ -65,9 +65,9 @@
     harness, lines = DispatchHarness([]), list[str]()
     harness.log = lambda line: lines.append(line)  # type: ignore[method-assign]
     for _ in range(60):
-        harness.dispatcher.parts.context.log.write("line")
+        harness.dispatcher.components.context.log.write("line")
     assert len(lines) == 40
     harness.advance(60 * SECOND)
     for _ in range(60):
-        harness.dispatcher.parts.context.log.write("line")
+        harness.dispatcher.components.context.log.write("line")
     assert len(lines) == 46
--- a/tests/decisions/test_fleet.py
+++ b/tests/decisions/test_fleet.py
@@ -71,8 +71,8 @@
     harness = DispatchHarness([endpoint(name) for name in "abcdefghi"])
     dispatcher = harness.dispatcher
     for name in "abc":
-        dispatcher.parts.ejection.eject(dispatcher.workers[name], harness.clock, is_proven=True)
-    dispatcher.parts.ejection.eject(dispatcher.workers["d"], harness.clock)
+        dispatcher.components.ejection.eject(dispatcher.workers[name], harness.clock, is_proven=True)
+    dispatcher.components.ejection.eject(dispatcher.workers["d"], harness.clock)
     assert dispatcher.workers["d"].ejected
 
 
--- a/tests/decisions/test_load_gossip.py
+++ b/tests/decisions/test_load_gossip.py
@@ -94,17 +94,17 @@
     for own_lateness, other, expected in ((0.8, 0.1, "f"), (0.8, 0.6, None), (0.8, None, None)):
         harness = DispatchHarness([endpoint("a"), remote], cross_zone_cost=0.02, **GOSSIP)
         harness.dispatcher.gossip_received(1, LoadGossip(0, 1, own_lateness, ["a"] * 9))
-        harness.dispatcher.parts.lateness.recent.extend([own_lateness] * 16)
+        harness.dispatcher.components.lateness.recent.extend([own_lateness] * 16)
         if other is not None:
             harness.dispatcher.gossip_received(2, LoadGossip(1, 1, other, []))
-        harness.dispatcher.parts.admission.should_refuse = lambda request, now: False  # type: ignore[method-assign]
+        harness.dispatcher.components.admission.should_refuse = lambda request, now: False  # type: ignore[method-assign]
         harness.send_request(1)
         assert harness.worker_of(1) == expected
 
 
 def test_refusals_follow_the_lateness_of_starts() -> None:
     harness = DispatchHarness([endpoint("a")], **GOSSIP)
-    harness.dispatcher.parts.lateness.recent.extend([1.0] * 16)
+    harness.dispatcher.components.lateness.recent.extend([1.0] * 16)
     for number in range(100):
         harness.send_request(number, request_class=2, deadline_in=30 * SECOND)
     refused = sum(answer is Answer.REJECTED for answer in harness.answers.values())
--- a/tests/decisions/test_load_probes.py
+++ b/tests/decisions/test_load_probes.py
@@ -136,7 +136,7 @@
     for worker in harness.dispatcher.workers.values():
         worker.capacity = worker.capacity_before_cut = 1.0
     harness.advance(no_capacity_until - harness.clock)
-    assert harness.dispatcher.parts.choice.draw_two(harness.first_queue(), harness.clock, None)
+    assert harness.dispatcher.components.choice.draw_two(harness.first_queue(), harness.clock, None)
 
 
 def test_many_dispatchers_together_send_work_to_a_warming_worker_from_the_start() -> None:
@@ -146,7 +146,7 @@
             [endpoint("a"), endpoint("b", started_at=100 * SECOND)], seed, dispatcher_count=200
         )
         dispatcher, harness.clock = harness.dispatcher, harness.clock + 4 * SECOND
-        slow_start = dispatcher.parts.slow_start
+        slow_start = dispatcher.components.slow_start
         slow_start.warm_load, slow_start.warm_load_at = 0.02, harness.clock
         queue = RequestQueue(1.0, ANY_MACHINE_KIND)
         allowed_count += slow_start.allows(dispatcher.workers["b"], queue, harness.clock)
@@ -155,7 +155,7 @@
 
 def test_a_long_wait_does_not_count_as_silence_where_all_starts_are_late() -> None:
     harness = DispatchHarness([endpoint(name, kind=1) for name in "abcd"], deadline=[9 * SECOND] * 3)
-    harness.dispatcher.parts.observations.start_delays[0].extend([MS, 3 * SECOND])
+    harness.dispatcher.components.observations.start_delays[0].extend([MS, 3 * SECOND])
     harness.send_request(1, request_class=2, deadline_in=9 * SECOND)
     worker = harness.dispatcher.workers[str(harness.worker_of(1))]
     harness.advance(3 * SECOND)
--- a/tests/decisions/test_mechanism.py
+++ b/tests/decisions/test_mechanism.py
@@ -82,13 +82,13 @@
     for number, affinity_key in enumerate(keys):
         harness.send_request(number, affinity_key=affinity_key)
     preferred = [
-        harness.dispatcher.parts.choice.tiers(-1, harness.dispatcher.open_requests[number])[0][0].name
+        harness.dispatcher.components.choice.tiers(-1, harness.dispatcher.open_requests[number])[0][0].name
         for number in range(9)
     ]
     assert set(preferred) == {"a", "b"}
     other = "b" if preferred[0] == "a" else "a"
     harness.dispatcher.random.fraction = lambda: 0.0  # type: ignore[method-assign]
-    harness.dispatcher.parts.service.replace(
+    harness.dispatcher.components.service.replace(
         harness.dispatcher.open_requests[0].queue, harness.dispatcher.workers[other], harness.clock
     )
     assert [number for number in range(9) if harness.worker_of(number)] == [preferred.index(other)]
@@ -103,7 +103,7 @@
     harness.dispatcher.endpoints_changed([endpoint("b", rack=2)])
     harness.endpoints["b"] = endpoint("b", rack=2)
     for _ in range(20):
-        harness.dispatcher.parts.service.tick(harness.clock)
+        harness.dispatcher.components.service.tick(harness.clock)
     assert harness.worker_of(1) is None and harness.worker_of(2) == "b"
 
 
@@ -150,7 +150,7 @@
 
 
 @pytest.mark.parametrize("probing", [True, False])
-@pytest.mark.parametrize("outcome", [AttemptOutcome.UNREACHABLE, AttemptOutcome.BROKEN_OFF])
+@pytest.mark.parametrize("outcome", [AttemptOutcome.UNREACHABLE, AttemptOutcome.CONNECTION_BROKEN])
 def test_one_broken_connection_ejects_no_worker(outcome: AttemptOutcome, probing: bool) -> None:
     # With occasional connection resets all workers were ejected within seconds.
     harness = DispatchHarness([endpoint(name) for name in "abc"], probing_allowed=probing)
@@ -168,14 +168,14 @@
     alone.end_attempt(0, outcome)
     alone.end_attempt(1, outcome)
     if probing:
-        alone.dispatcher.probe_completed(alone.probes.pop(), AttemptOutcome.BROKEN_OFF, MS, None)
+        alone.dispatcher.probe_completed(alone.probes.pop(), AttemptOutcome.CONNECTION_BROKEN, MS, None)
     assert alone.dispatcher.workers["a"].ejected
 
 
 def test_only_a_part_of_the_workers_is_ejected() -> None:
     harness = DispatchHarness([endpoint(name) for name in "abcdef"])
     for worker in list(harness.dispatcher.workers.values()):
-        harness.dispatcher.parts.ejection.eject(worker, harness.clock)
+        harness.dispatcher.components.ejection.eject(worker, harness.clock)
     assert sum(each.ejected for each in harness.dispatcher.workers.values()) == 2
 
 
@@ -200,7 +200,7 @@
 
 def test_a_non_idempotent_request_does_not_try_a_worker_that_has_just_returned() -> None:
     harness = DispatchHarness([endpoint("a", kind=1)])
-    harness.dispatcher.parts.ejection._readmit(harness.dispatcher.workers["a"], harness.clock)
+    harness.dispatcher.components.ejection._readmit(harness.dispatcher.workers["a"], harness.clock)
     harness.send_request(1, request_class=2)
     harness.send_request(2, request_class=0)
     assert harness.worker_of(1) is None and harness.worker_of(2) == "a"
@@ -217,7 +217,7 @@
     worker = harness.dispatcher.workers["a"]
     worker.capacity = worker.capacity_before_cut = 1.0
     harness.send_request(1)
-    harness.dispatcher.parts.observations.start_delays[0] = deque([MS])
+    harness.dispatcher.components.observations.start_delays[0] = deque([MS])
     harness.advance(60 * MS)
     harness.report_start(1)
     assert harness.dispatcher.open_requests[1].started_too_late
@@ -234,7 +234,7 @@
     harness.send_request(2, request_class=2)
     harness.report_start(2)
     harness.advance(100 * MS)
-    assert harness.worker_of(1) == "a" and not harness.dispatcher.parts.capacity.has_pending_start(
+    assert harness.worker_of(1) == "a" and not harness.dispatcher.components.capacity.has_pending_start(
         worker, harness.clock
     )
 
@@ -259,14 +259,14 @@
     # latest are stored.
     harness = DispatchHarness([endpoint(f"w{number}") for number in range(40)])
     for number in range(700):
-        harness.dispatcher.parts.observations.affinity_keys.record(
+        harness.dispatcher.components.observations.affinity_keys.record(
             "common" if number % 7 == 0 else f"user-{number}"
         )
     assert (
-        harness.dispatcher.parts.choice.preferred_count("common") == 8
-        and harness.dispatcher.parts.choice.preferred_count("user-699") == 1
+        harness.dispatcher.components.choice.preferred_count("common") == 8
+        and harness.dispatcher.components.choice.preferred_count("user-699") == 1
     )
     assert (
-        harness.dispatcher.parts.choice.preferred_count("") == 0
-        and len(harness.dispatcher.parts.observations.affinity_keys.recent) == 512
+        harness.dispatcher.components.choice.preferred_count("") == 0
+        and len(harness.dispatcher.components.observations.affinity_keys.recent) == 512
     )
--- a/tests/leases/faulty_variants.py
+++ b/tests/leases/faulty_variants.py
@@ -25,8 +25,8 @@
 
 
 class FaultyAcceptsOldResponses(LeaseHolder):
-    def want(self, name: str, duration: int) -> Lease:
-        lease = super().want(name, duration)
+    def request_lease(self, name: str, duration: int) -> Lease:
+        lease = super().request_lease(name, duration)
         lease.first_request_number = 0
         return lease
 
--- a/tests/leases/lease_raft_simulation.py
+++ b/tests/leases/lease_raft_simulation.py
@@ -59,7 +59,7 @@
         self.cluster.deferred_calls.append((self, self.incarnation, call))
 
     def _confirm_leadership(self) -> None:
-        self.replica.read(self._start_leading)
+        self.replica.read_barrier(self._start_leading)
 
     def _start_leading(self, confirmed: bool) -> None:
         if confirmed and self.replica.raft.role is Role.LEADER and not self.manager.is_leader:
@@ -75,7 +75,7 @@
         self._defer(lambda: self.replica.propose([entry], on_decided))
 
     def confirm_leadership(self, on_decided: Callable[[bool], None]) -> None:
-        self._defer(lambda: self.replica.read(on_decided))
+        self._defer(lambda: self.replica.read_barrier(on_decided))
 
     def send(self, holder: str, response: LeaseResponse) -> None:
         self.cluster.responses.append((int(holder), response))
@@ -115,7 +115,7 @@
         self.holding: set[tuple[int, int]] = set()
         self.highest_token = self.holder_changes = 0
         for raft_holder in self.holders:
-            raft_holder.holder.want(NAME, DURATION)
+            raft_holder.holder.request_lease(NAME, DURATION)
 
     def propose(self, node: SimulatedReplica) -> None:
         """Nothing: the lease managers make their own proposals."""
@@ -168,7 +168,7 @@
             if rng.random() < 0.002:
                 raft_holder.holder.release(NAME)
                 raft_holder.holder.tick()
-                raft_holder.holder.want(NAME, DURATION)
+                raft_holder.holder.request_lease(NAME, DURATION)
         super().step()
 
 
--- a/tests/leases/lease_simulation.py
+++ b/tests/leases/lease_simulation.py
@@ -67,7 +67,7 @@
         elif roll < 0.97:
             holder.holder.release(NAME)
             self.tick()
-            holder.holder.want(NAME, DURATION)
+            holder.holder.request_lease(NAME, DURATION)
         elif roll < 0.98:
             self.elect(server)
             if rng.random() < 0.6:
--- a/tests/leases/simulated_lease_cluster.py
+++ b/tests/leases/simulated_lease_cluster.py
@@ -147,7 +147,7 @@
         self.highest_token = 0
         self.holder_changes = self.rejected_effects = 0
         for simulated_holder in self.holders:
-            simulated_holder.holder.want(NAME, DURATION)
+            simulated_holder.holder.request_lease(NAME, DURATION)
 
     # ---- Invariants ----
 
--- a/tests/leases/test_holder.py
+++ b/tests/leases/test_holder.py
@@ -37,7 +37,7 @@
     holder = environment.holder
     lost: list[str] = []
     for name in ("one", "team-a"):
-        holder.want(name, 2 * SECOND).on_lost = lost.append
+        holder.request_lease(name, 2 * SECOND).on_lost = lost.append
     holder.tick()
     [request] = environment.sent
     wanted = [(lease.name, lease.duration, lease.token) for lease in request.wanted]
@@ -64,7 +64,7 @@
 def test_pause_ends_a_lease_before_its_holder_does_anything() -> None:
     environment = HolderEnvironment()
     holder = environment.holder
-    holder.want("one", 2 * SECOND)
+    holder.request_lease("one", 2 * SECOND)
     holder.tick()
     environment.respond(1, ("one", 7))
     environment.clock += 10 * SECOND
--- a/tests/routing/faulty_discovery.py
+++ b/tests/routing/faulty_discovery.py
@@ -185,7 +185,7 @@
         deadlines, clock = self.harness.service.deadlines, self.clock
         await self.settle()
         while not condition() and clock.held_at < end:
-            next_deadline = min((d.when for d in deadlines.heap if not d.done), default=end)
+            next_deadline = min((d.when for d in deadlines.heap if not d.is_done), default=end)
             clock.resume_after(max(0, min(next_deadline, end) - clock.held_at))
             await self.settle()
 
--- a/tests/routing/simulated_discovery.py
+++ b/tests/routing/simulated_discovery.py
@@ -67,12 +67,12 @@
     def run_until(self, when: int) -> None:
         self.settle()
         while self.heap and self.heap[0].when <= when:
-            if self.heap[0].done:
+            if self.heap[0].is_done:
                 heapq.heappop(self.heap)
                 continue
             self.time = max(self.time, self.heap[0].when)
             deadline = heapq.heappop(self.heap)
-            deadline.done = True
+            deadline.is_done = True
             deadline.callback()
             self.settle()
         self.time = max(self.time, when)
--- a/tests/routing/test_endpoint_watch.py
+++ b/tests/routing/test_endpoint_watch.py
@@ -49,7 +49,7 @@
     def list_time_left(self) -> int | None:
         return self.time_left
 
-    def call_was_silent(self, as_of: int) -> None:
+    def call_timed_out(self, as_of: int) -> None:
         pass
 
     def watch_failed(self, outcome: CallOutcome) -> None:
--- a/tests/routing/test_list_validity.py
+++ b/tests/routing/test_list_validity.py
@@ -68,6 +68,6 @@
     for seed in range(SEEDS):
         router = simulate(seed, mode, probing_allowed)
         assert not router.violations, f"seed {seed}: {router.violations[:3]}"
-        assert router.dispatcher.parts.validity.is_valid(router.virtual.now()), f"seed {seed}"
+        assert router.dispatcher.components.validity.is_valid(router.virtual.now()), f"seed {seed}"
         if probing_allowed:
             assert router.served > router.requests_sent * 0.9, f"seed {seed}: {router.served}"
--- a/tests/routing/test_shutdown_races.py
+++ b/tests/routing/test_shutdown_races.py
@@ -69,7 +69,7 @@
         for number, client in enumerate(clients):
             client.socket.send(harness.request(f"r{number}"))
         wait_for_kernel(newest_session(harness).connection.has_unread_data)
-        harness.service.client_server.shut()
+        harness.service.client_server.stop_accepting()
         for client in clients:
             await wait_until(client.has_ended)
             assert client.status() == 200
--- a/tests/routing/test_watch_pace.py
+++ b/tests/routing/test_watch_pace.py
@@ -9,15 +9,15 @@
 LIST_VALIDITY = 5 * SECOND
 
 
-def make_pace(time_for_all_calls: int = 5 * SECOND, max_wait: int = 10 * SECOND) -> WatchPace:
-    return WatchPace(time_for_all_calls, max_wait)
+def make_pace(fleet_call_duration: int = 5 * SECOND, max_wait: int = 10 * SECOND) -> WatchPace:
+    return WatchPace(fleet_call_duration, max_wait)
 
 
-@pytest.mark.parametrize("time_for_all_calls", [0, 125 * MS, 2500 * MS, 5 * SECOND])
+@pytest.mark.parametrize("fleet_call_duration", [0, 125 * MS, 2500 * MS, 5 * SECOND])
 def test_silent_watch_leaves_time_for_a_call_and_a_backoff_before_the_list_expires(
-    time_for_all_calls: int,
+    fleet_call_duration: int,
 ) -> None:
-    pace = make_pace(time_for_all_calls)
+    pace = make_pace(fleet_call_duration)
     for time_left in range(0, LIST_VALIDITY + 1, 100 * MS):
         wait = pace.next_wait(time_left, is_continued=True)
         assert wait <= max(time_left // 4, time_left - SECOND - pace.lateness_limit())
@@ -54,6 +54,6 @@
 
 
 def test_wait_is_above_zero_for_a_short_poll_interval() -> None:
-    pace = make_pace(time_for_all_calls=100 * MS, max_wait=200 * MS)
+    pace = make_pace(fleet_call_duration=100 * MS, max_wait=200 * MS)
     assert pace.next_wait(800 * MS, is_continued=True) == 200 * MS
     assert pace.next_wait(100 * MS, is_continued=True) > 0
--- a/tests/service/test_settings_change.py
+++ b/tests/service/test_settings_change.py
@@ -70,11 +70,11 @@
     fewer = replace(harness.settings.classes[2], max_attempts=1)
     changed = replace(harness.settings, active_classes=(3,), classes=(*harness.settings.classes, fewer))
     harness.dispatcher.settings_changed(changed, {3: 0})
-    context = harness.dispatcher.parts.context
+    context = harness.dispatcher.components.context
     assert (
         context.highest_weight == harness.settings.classes[2].priority_weight and not context.any_idempotent
     )
-    assert context.needed_kinds == {1}
+    assert context.required_machine_kinds == {1}
     for spent in range(1, 4):
         assert harness.dispatcher.open_requests[0].attempts == spent
         harness.end_attempt(0, AttemptOutcome.FULL)
--- a/tests/store/test_node.py
+++ b/tests/store/test_node.py
@@ -21,7 +21,7 @@
 def transfer_leadership(cluster: Cluster, name: str) -> bool:
     """Start a transfer of leadership to the named replica, if there is a leader."""
     leader = cluster.leader()
-    return leader is not None and leader.transfer(name)
+    return leader is not None and leader.transfer_leadership(name)
 
 
 def members_all_vote(node: StoreNode) -> bool:
