--- a/ploverspoke/routing/watch_journal.py
+++ b/ploverspoke/routing/watch_journal.py
@@ -84,7 +84,7 @@
         """Return the time (ns) since discovery last answered, or since the start."""
         return self.now() - self.list_confirmed_at
 
-    def lines(self) -> Iterator[str]:
+    def metric_lines(self) -> Iterator[str]:
         """Yield the metric lines that operators fetch."""
         for outcome in CallOutcome:
             yield admin.labeled_counter_line(
@@ -94,7 +94,7 @@
 
     def _log(self, call: WatchCall, outcome: CallOutcome, detail: str, consecutive: int) -> None:
         elapsed = (self.now() - call.began_at) / MILLISECOND
-        version = "the whole list" if call.version is None else f"changes after version {call.version}"
+        version = "the whole list" if call.version is None else f"changes of version {call.version}"
         log_line(
             f"discovery: call {call.number} to {call.address} for {version} ({call.reason.value}): "
             f"{outcome.value}{detail and f', {detail}'}, after {elapsed:.0f} ms, {consecutive} in a row; "
--- a/ploverspoke/testbed/capacity/measurements/lease_server.py
+++ b/ploverspoke/testbed/capacity/measurements/lease_server.py
@@ -102,7 +102,7 @@
         clients = self._load.clients
         clients[self._holder_indices[name]].release(name)
         self._holder_indices[name] = (self._holder_indices[name] + 1) % len(clients)
-        clients[self._holder_indices[name]].want(name, LEASE_DURATION)
+        clients[self._holder_indices[name]].request_lease(name, LEASE_DURATION)
         self.times.append(time.monotonic())
 
 
@@ -144,7 +144,7 @@
         before, after = await _sample(rig, sampler, interval.duration_s)
         if change_task is not None:
             change_task.cancel()
-        lost = sum(client.holder.lost for client in load.clients)
+        lost = sum(client.holder.lost_count for client in load.clients)
         if lost or await _find_leader(leases, secret) != leader:
             return Point(amount, {}, f"{lost} leases were lost, or another keeper leads now")
     finally:
@@ -167,7 +167,7 @@
         for index in range(load.leases_per_client)
     ]
     for client, name in names:
-        client.want(name, LEASE_DURATION)
+        client.request_lease(name, LEASE_DURATION)
     for client, name in names:
         if not await client.wait_until_held(name, GRANT_TIMEOUT):
             return name
--- a/ploverspoke/transport/listener.py
+++ b/ploverspoke/transport/listener.py
@@ -15,7 +15,7 @@
 # The first bytes of these connections are read before more are accepted. Otherwise the new connections of a
 # flood would evict each other before their requests are read.
 ACCEPTS_PER_ITERATION = 8
-FIRST_BYTES_WITHIN = 20 * MILLISECOND  # a new connection that sends nothing for this time may be evicted
+EVICTION_MIN_AGE = 20 * MILLISECOND  # a new connection that sends nothing for this time may be evicted
 RETRY_DELAY = 10 * MILLISECOND  # after an accept or setup failed, or while there is no capacity
 FINISH_ATTEMPTS = 20  # attempts to accept all pending connections before the socket is closed
 SETUP_ATTEMPTS = 5  # attempts to hand an accepted connection to the event loop
@@ -101,7 +101,7 @@
             except BlockingIOError:
                 return True
             except OSError as error:
-                log_line(f"could not accept a connection: {error.strerror}")
+                log_line(f"a connection could not be accepted: {error.strerror}")
                 self._pause(self.socket)
                 return False
             task = self.loop.create_task(self._set_up(accepted_socket))
@@ -126,7 +126,7 @@
             else:
                 return
         # In most cases the client has already disconnected, so that no error can be sent to it.
-        log_line(f"could not set up an accepted connection: {failure.strerror if failure else ''}")
+        log_line(f"an accepted connection is closed: {failure.strerror if failure else ''}")
         accepted_socket.close()
 
     def _pause(self, listening_socket: socket.socket) -> None:
