--- a/ploverspoke/consensus/admin_messages.py
+++ b/ploverspoke/consensus/admin_messages.py
@@ -96,7 +96,7 @@
 
     name: str
     cluster: str
-    store: str  # fingerprint of the cluster's first members
+    store: str  # fingerprint of the cluster's name and initial members
     role: str
     trouble: str  # the storage error that keeps this replica stopped; "": none
     troubles: int  # storage failures since the start
--- a/ploverspoke/consensus/election.py
+++ b/ploverspoke/consensus/election.py
@@ -1,4 +1,4 @@
-"""Leader election (paper, section 5.2 and 5.4.1) with pre-vote (thesis, section 9.6)."""
+"""Leader election (paper, sections 5.2 and 5.4.1) with pre-vote (thesis, section 9.6)."""
 
 from collections.abc import Callable
 
@@ -24,8 +24,8 @@
         self.become_leader = become_leader
         self.votes: dict[str, bool] = {}  # whether the vote was granted, by replica id
         self.timeout_at = 0
-        # A replica may have answered a leader just before it restarted, so it does not vote for another
-        # candidate for one election timeout after the start.
+        # A replica may have answered a leader just before it restarted, so it ignores candidates for one
+        # election timeout after the start.
         self.leader_contact_at = state.environment.now() if state.current_term else LONG_AGO
         self.postpone()
 
--- a/ploverspoke/consensus/log.py
+++ b/ploverspoke/consensus/log.py
@@ -88,7 +88,7 @@
         return None
 
     def get(self, index: int) -> Entry:
-        """Return an entry after the snapshot."""
+        """Return the entry at `index`, which must be in the log and after the snapshot."""
         return self.entries[index - self.snapshot_index - 1]
 
     def entries_after(self, index: int, max_entries: int, max_bytes: int) -> list[Entry]:
--- a/ploverspoke/consensus/membership_changes.py
+++ b/ploverspoke/consensus/membership_changes.py
@@ -43,8 +43,8 @@
             if replica_id != self.state.replica_id and replica_id not in followers:
                 followers[replica_id] = FollowerProgress(self.state.log.last_index() + 1, now)
         for replica_id in [replica_id for replica_id in followers if replica_id not in members]:
-            # A removed replica is sent the entry that removes it now, and not again later. That is enough,
-            # since it may not become a candidate.
+            # The entry that removes a replica is sent to it only here, and is not repeated if it is lost.
+            # That is enough, since the replica may not become a candidate.
             self.replication.replicate_to(replica_id)
             del followers[replica_id]
 
--- a/ploverspoke/consensus/node.py
+++ b/ploverspoke/consensus/node.py
@@ -124,7 +124,7 @@
         return self.replica is not None and self.replica.raft.role is Role.LEADER
 
     def has_leader_contact_within(self, duration_ns: int) -> bool:
-        """Whether this replica leads, or has received from its leader in the last `duration_ns`."""
+        """Whether this replica leads, or its leader has sent a message within the last `duration_ns`."""
         if self.replica is None:
             return False
         if self.is_elected():
--- a/ploverspoke/consensus/peer_links.py
+++ b/ploverspoke/consensus/peer_links.py
@@ -200,8 +200,8 @@
         self.ready = False  # the greeting of the expected peer was received
         self.disconnected = asyncio.Event()
         self._written_bytes = 0
-        self._flushed_bytes = 0  # of the written bytes, those not buffered, when their number last grew
-        self._flushed_at = 0.0  # event loop time when it last grew, or when nothing was buffered
+        self._flushed_bytes = 0  # bytes that had left the write buffer when their number last grew
+        self._flushed_at = 0.0  # event loop time when that number last grew, or the buffer was empty
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Send the greeting."""
--- a/ploverspoke/consensus/raft.py
+++ b/ploverspoke/consensus/raft.py
@@ -214,7 +214,8 @@
     def _tick_as_leader(self, now: int) -> None:
         self.transfers.cancel_if_late(now)
         if now >= self.leadership.quorum_check_at and not self.leadership.check_quorum(now):
-            # A leader that cannot reach a majority steps down (thesis, section 6.2).
+            # A leader that cannot reach a majority steps down, so that a partitioned replica does not remain
+            # the leader (thesis, section 6.2).
             self._become_follower(self.state.current_term, "")
         elif now >= self.leadership.next_heartbeat_at:
             self._send_heartbeat()
--- a/ploverspoke/consensus/replica_client.py
+++ b/ploverspoke/consensus/replica_client.py
@@ -35,8 +35,8 @@
     """Send a request to the replica at `address` ("host:port" for peers) and return its typed reply.
 
     Raises OSError if nothing answers there, FrameError if it is not a replica with this secret,
-    RequestRejectedError if the reply is a rejection with a reason, ReplyError for any other reply that is not
-    a `reply_type`.
+    RequestRejectedError if the reply is not a `reply_type` but a rejection with a reason, ReplyError for any
+    other reply that is not a `reply_type`.
     """
     raw = send_admin_request(address, secret, encode_request(request))
     try:
--- a/ploverspoke/consensus/server.py
+++ b/ploverspoke/consensus/server.py
@@ -55,13 +55,13 @@
         log_line(f"{log_prefix}: {config.name} serves at {config.replicas[config.name].client}")
         await stopped.wait()
         if node.leads():
-            await hand_over_leadership(node)
+            await transfer_leadership_before_stop(node)
     finally:
         client_server.close()
         await node.close()
 
 
-async def hand_over_leadership(node: ReplicaNode) -> None:
+async def transfer_leadership_before_stop(node: ReplicaNode) -> None:
     """Transfer leadership before stopping, so that the others need not wait for an election timeout."""
     for member in node.members().values():
         if member.votes and member.name != node.config.name and node.transfer_leadership(member.name):
--- a/ploverspoke/consensus/snapshot_transfer.py
+++ b/ploverspoke/consensus/snapshot_transfer.py
@@ -71,7 +71,7 @@
         """Store a chunk; after the last one, install the snapshot."""
         self.follow_leader(sender)
         if message.last_index <= self.state.commit_index:
-            # Entries have arrived before the snapshot, so the log is already newer.
+            # Entries arrived faster than the snapshot: the committed state already includes it.
             self._reply(sender, message, offset=0, match_index=self.state.commit_index)
             return
         if message.offset == 0 or message.last_index != self._receiving_index:
--- a/ploverspoke/consensus/storage.py
+++ b/ploverspoke/consensus/storage.py
@@ -250,7 +250,7 @@
             )
 
     def save_snapshot(self, snapshot: Snapshot) -> None:
-        """Write a snapshot of the replica's own state, delete the entries up to it. Raises StorageError."""
+        """Write a snapshot of the replica's own state and delete entries up to it. Raises StorageError."""
         with self._transaction() as connection:
             self._put_snapshot(snapshot)
             connection.execute("delete from entries where at <= ?", (snapshot.index,))
--- a/ploverspoke/consensus/storage_setup.py
+++ b/ploverspoke/consensus/storage_setup.py
@@ -36,7 +36,7 @@
 def as_learners(members: Members) -> Members:
     """Return the members as learners, without votes.
 
-    A joining replica is no candidate in elections until the leader has brought it up to date and made it a
+    A joining replica does not become a candidate until the leader has brought it up to date and made it a
     voter.
     """
     return {
--- a/ploverspoke/store/inspection.py
+++ b/ploverspoke/store/inspection.py
@@ -18,7 +18,7 @@
     """The contents of a replica's storage, encoded with the keys of `store inspect --json`."""
 
     replica: str
-    store: str  # fingerprint of the cluster's initial members
+    store: str  # fingerprint of the cluster's name and initial members
     term: int
     vote: str
     snapshot: int  # index of the last entry in the snapshot
--- a/ploverspoke/store/log_commands.py
+++ b/ploverspoke/store/log_commands.py
@@ -64,7 +64,7 @@
 
 
 class CommitConfiguration(msgspec.Struct, array_like=True, frozen=True, tag="configure"):
-    """Commits the next version of the shared configuration."""
+    """The next version of the shared configuration."""
 
     body: str
     committed_by: str
--- a/ploverspoke/store/recovery.py
+++ b/ploverspoke/store/recovery.py
@@ -17,10 +17,11 @@
 class RecoveryVerdict(Enum):
     """What a new leader may do with an open request."""
 
-    MAY_RUN = auto()  # no attempt may have run, or it is idempotent: handled like a new request
-    # An attempt may have run, and the request is idempotent with a key: only in its retry scope and window.
+    MAY_RUN = auto()  # no attempt may have run, or it is idempotent: it is handled like a new request
+    # An attempt may have run, and the request is idempotent with a key: it may run again, but only within its
+    # retry scope and window.
     MAY_RUN_IN_SCOPE = auto()
-    MUST_FAIL = auto()  # non-idempotent, and an attempt may have run: fails and is never sent again
+    MUST_FAIL = auto()  # non-idempotent, and an attempt may have run: it fails and is never sent again
 
 
 class Recovery(NamedTuple):
--- a/ploverspoke/store/request_log.py
+++ b/ploverspoke/store/request_log.py
@@ -117,7 +117,7 @@
         )
 
     def _time_since_start(self, attempt: AttemptRecord) -> int:
-        """Return the time since the attempt started in ns: the longer of the times that two clocks measured.
+        """Return the ns since the attempt started: the longer of the times that two clocks measured.
 
         The replicated clock stops while no replica runs, and the wall clock may have been set back. An
         attempt must not be repeated after the window in which workers drop duplicates.
