--- a/ploverspoke/decisions/attempt_policy.py
+++ b/ploverspoke/decisions/attempt_policy.py
@@ -88,7 +88,7 @@
         self.cancel_credit = min(self.cancel_credit + cancels, max_credit)
 
     def start(self, request: Request, worker: Worker, now: int) -> None:
-        """Send a request; the attempt times out a batch interval before the deadline, in time to answer."""
+        """Send a request; it times out a batch interval before the deadline, which leaves time to answer."""
         request.begin_attempt(worker, now)
         worker.begin_attempt(request, now)
         self.capacity.record_attempt(request, worker, now)
--- a/ploverspoke/decisions/capacity.py
+++ b/ploverspoke/decisions/capacity.py
@@ -15,7 +15,7 @@
 # A delay is prompt if it is at most PROMPT_FACTOR times the shortest recent one plus the margin.
 PROMPT_FACTOR = 3
 PROMPT_MARGIN_NS = 10 * MILLISECOND
-WARMING_SHARE = 0.5  # used share of the load that a worker can take while it warms up
+WARMING_SHARE = 0.5  # share that is used of the load that a worker can take while it warms up
 WARM_LOAD_MAX_AGE_NS = 20 * MILLISECOND
 
 
@@ -69,7 +69,7 @@
         request.slots_in_use = worker.in_flight + self.gossip.peer_slots(worker)
 
     def record_start(self, request: Request, worker: Worker, wait: int, now: int) -> None:
-        """Update the estimate at a start; a late one counts as FULL, which workers with queues send late."""
+        """Update the estimate at a start; a late one counts as FULL: workers with queues send FULL late."""
         if wait <= self.prompt_start(worker):
             worker.recovery_time = max(MILLISECOND, worker.recovery_time / 2)
             self.record_accepted(worker, request.slots_in_use)
--- a/ploverspoke/decisions/gossip.py
+++ b/ploverspoke/decisions/gossip.py
@@ -10,7 +10,7 @@
 
 SEND_DELAY_NS = 40 * MILLISECOND  # after a change, so that changes at about the same time are sent together
 SEND_INTERVAL_NS = 2 * SECOND  # while nothing changes
-EXPIRY_NS = 5 * SECOND
+EXPIRY_NS = 5 * SECOND  # of a peer's report
 REMOTE_RECEIVERS = 2  # randomly drawn peers of other zones that also receive each message
 
 
@@ -45,7 +45,7 @@
             self.context.timers.start(PeriodicTimer.GOSSIP, self.next_send_at)
 
     def send(self, now: int, to_all: bool = False) -> None:
-        """Send to all peers or the next ones in the ring, if slots have changed or the interval is over."""
+        """Send to all peers, or to the next in the ring if slots have changed or the interval is over."""
         if now < self.next_send_at and not to_all:
             return
         slots = self.busy.slots()
--- a/ploverspoke/decisions/observations.py
+++ b/ploverspoke/decisions/observations.py
@@ -56,7 +56,8 @@
     arrivals: deque[int] = field(default_factory=_recent)
     class_running_times: dict[int, deque[int]] = field(default_factory=lambda: defaultdict(_recent))
     min_class_means: dict[int, int] = field(default_factory=dict)  # lowest mean running time so far, by class
-    time_limits: dict[int, deque[int]] = field(default_factory=lambda: defaultdict(_recent))  # by class
+    # Time from arrival to deadline, by class.
+    time_limits: dict[int, deque[int]] = field(default_factory=lambda: defaultdict(_recent))
     start_delays: dict[int, deque[int]] = field(default_factory=lambda: defaultdict(_recent))  # by zone
     probe_delays: dict[int, deque[int]] = field(default_factory=lambda: defaultdict(_recent))  # by zone
     kind_slowdowns: dict[int, deque[float]] = field(default_factory=lambda: defaultdict(_recent_slowdowns))
--- a/ploverspoke/decisions/state.py
+++ b/ploverspoke/decisions/state.py
@@ -62,7 +62,7 @@
         self.attempts: dict[int, Request] = {}  # requests in flight there, by id
         self.unstarted: dict[int, int] = {}  # send times of the requests without a known start, by id
         self.latest_start_sent_at = 0  # when the latest attempt that has started was sent
-        self.last_contact_at = 0  # latest report on any attempt
+        self.last_contact_at = 0  # latest report on any attempt, or probe answer without a load report
         # Send time of the latest successful health check. Attempts do not count, as draining workers may
         # accept them.
         self.healthy_at = LONG_AGO_NS
@@ -70,7 +70,7 @@
         # Capacity estimate.
         self.capacity = capacity
         self.capacity_before_cut = capacity
-        self.capacity_at = 0  # when the estimate last recovered
+        self.capacity_at = 0  # when the estimate was last cut or updated by recovery
         self.recovery_time = 1.0 * SECOND  # time in which the estimate recovers by one slot
         self.placeholders: deque[Placeholder] = deque()
         self.slowdowns: deque[float] = deque(maxlen=RECENT_SLOWDOWNS)  # running times over the class's mean
--- a/ploverspoke/decisions/worker_choice.py
+++ b/ploverspoke/decisions/worker_choice.py
@@ -124,7 +124,7 @@
         return [tiers[rank] for rank in sorted(tiers)]
 
     def choose_better(self, drawn: list[Worker], request: Request | None) -> Worker:
-        """The worker with fewer slots in flight, or the faster of equals; one where it failed comes last."""
+        """Fewest slots in flight, then lowest slowdown; one where the request failed is the last choice."""
         failed_on, peer_slots = None if request is None else request.failed_on, self.gossip.peer_slots
         slowdown = self.observations.slowdown
         return min(drawn, key=lambda w: (w is failed_on, w.in_flight + peer_slots(w), slowdown(w)))
--- a/ploverspoke/routing/active_settings.py
+++ b/ploverspoke/routing/active_settings.py
@@ -27,7 +27,7 @@
         """Activate other settings, numbered in the order of `names`; open requests keep their rules.
 
         `numbers_in_use` are the class numbers of open requests. Returns, by new class number, the old number
-        whose measured times apply to the class.
+        whose running times the class takes over.
         """
         zone = settings.zone
         if zone < len(names.zones):
--- a/ploverspoke/routing/client_server.py
+++ b/ploverspoke/routing/client_server.py
@@ -112,7 +112,7 @@
         if session is None:
             return False
         self.remove_session(session)
-        session.abort(CloseReason.EVICTED)
+        session.close_when_sent(CloseReason.EVICTED)
         return True
 
     def _oldest_unserved(self) -> ClientSession | None:
--- a/ploverspoke/routing/client_session.py
+++ b/ploverspoke/routing/client_session.py
@@ -18,9 +18,9 @@
 from .requests import Request
 from .responses import OWN_TARGET_PREFIX, UNSUCCESSFUL_RESPONSES, redirect_response, status_response
 
-REQUEST_TIMEOUT = 2500 * MILLISECOND  # for receiving a whole request; the first one is timed from the connect
-RESPONSE_TIMEOUT = 10 * SECOND  # for the client to read a response
-CLOSE_TIMEOUT = SECOND  # for the client to read the last response
+REQUEST_TIMEOUT_NS = 2500 * MILLISECOND  # to receive a whole request; the first is timed from the connect
+RESPONSE_TIMEOUT_NS = 10 * SECOND  # for the client to read a response
+CLOSE_TIMEOUT_NS = SECOND  # for the client to read the last response
 # Data sent ahead of the response (pipelining) is read, because a disconnect is only seen after that data.
 UNCOUNTED_READ_AHEAD_BYTES = 64 * 1024  # do not count as buffered
 MAX_READ_AHEAD_BYTES = 256 * 1024  # kept; a client that sends more is disconnected after its response
@@ -59,9 +59,9 @@
     def close_if_idle(self) -> None:
         """Close the connection if it is between two requests; one still in the kernel is answered first."""
         if self.is_idle() and not self.connection.has_unread_data():
-            self.abort(CloseReason.SHUTDOWN)
+            self.close_when_sent(CloseReason.SHUTDOWN)
 
-    def abort(self, reason: CloseReason) -> None:
+    def close_when_sent(self, reason: CloseReason) -> None:
         """Close the connection once all written bytes are sent."""
         self.close_reason = reason
         self.is_closing = True
@@ -226,7 +226,7 @@
         """Close the connection without an answer."""
         self.is_answering = False
         self.request = None
-        self.abort(CloseReason.OTHER_LEADER)
+        self.close_when_sent(CloseReason.OTHER_LEADER)
 
     def _respond(self, status: int, body: bytes, retry_after: int = 0, location: str = "") -> None:
         self.is_answering = False
@@ -260,7 +260,7 @@
             self.connection.set_reading_paused(True)  # the client may have much more to send
         self.connection.shut_down_writing()
         self.server.deadlines.cancel(self.deadline)
-        abort_at = self.server.deadlines.now() + CLOSE_TIMEOUT
+        abort_at = self.server.deadlines.now() + CLOSE_TIMEOUT_NS
         self.deadline = self.server.deadlines.schedule(abort_at, self.connection.abort)
 
     # ---- Slow clients ----
@@ -275,7 +275,7 @@
             self.deadline = None
         elif self.deadline is None:
             # Set only once, so that a client that sends byte by byte does not extend it.
-            timeout = REQUEST_TIMEOUT if has_to_send else RESPONSE_TIMEOUT
+            timeout = REQUEST_TIMEOUT_NS if has_to_send else RESPONSE_TIMEOUT_NS
             now = self.server.deadlines.now()
             self.deadline = self.server.deadlines.schedule(now + timeout, self._on_timeout)
 
--- a/ploverspoke/routing/completion.py
+++ b/ploverspoke/routing/completion.py
@@ -110,7 +110,7 @@
             self.answer_without_decision(request)
 
     def leave_all_to_leader(self) -> None:
-        """Leave all open requests to the leader. Active attempts continue; their outcomes are not needed."""
+        """Leave all open requests to the leader. Sent attempts continue; their outcomes are not needed."""
         for request in self.requests:
             if request.client is not None:
                 self.leave_to_leader(request)
--- a/ploverspoke/routing/endpoint_directory.py
+++ b/ploverspoke/routing/endpoint_directory.py
@@ -95,7 +95,7 @@
         self.events.emit(partial(self.dispatcher.endpoint_list_confirmed, as_of))
 
     def list_time_left(self) -> int | None:
-        """Return the time (ns) until the list expires: negative after the expiry, None if it has none."""
+        """Time in ns until the list expires, negative after the expiry; None if it never expires."""
         return self.dispatcher.list_time_left()
 
     def call_timed_out(self, as_of: int) -> None:
--- a/ploverspoke/routing/endpoint_watch.py
+++ b/ploverspoke/routing/endpoint_watch.py
@@ -35,7 +35,7 @@
         """Everything that discovery had at `as_of` (monotonic ns) has been received."""
 
     def list_time_left(self) -> int | None:
-        """Return the time (ns) until the list expires: negative after the expiry, None if it has none."""
+        """Time in ns until the list expires, negative after the expiry; None if it never expires."""
 
     def call_timed_out(self, as_of: int) -> None:
         """A call that began at `as_of` (ns) and requested an immediate response has timed out."""
--- a/ploverspoke/routing/health_checks.py
+++ b/ploverspoke/routing/health_checks.py
@@ -18,7 +18,7 @@
 
 
 class HealthCheckCall:
-    """One health check; it is the user of a `WorkerCall`."""
+    """One health check; implements `WorkerCallUser` for its worker call."""
 
     def __init__(self, checks: "HealthChecks", worker: str) -> None:
         """Create a check of a worker; `checks` sends it and reports the outcome."""
--- a/ploverspoke/routing/request_admission.py
+++ b/ploverspoke/routing/request_admission.py
@@ -20,8 +20,8 @@
 from .request_recorder import RequestRecorder
 from .requests import Request
 
-# The final answer is due this long before the client times out, but by at most a tenth of the timeout.
-MAX_ANSWER_MARGIN = 20 * MILLISECOND
+# The final answer is due this long before the client times out, or a tenth of its timeout if that is less.
+MAX_ANSWER_MARGIN_NS = 20 * MILLISECOND
 ANSWER_MARGIN_DIVISOR = 10
 
 
@@ -73,7 +73,9 @@
             self.counters.count_rejected(self.settings.class_name(class_number))
             self.request_journal.rejected_for_capacity()
             return NotAdmitted.NO_CAPACITY
-        deadline = self.deadlines.now() + timeout - min(MAX_ANSWER_MARGIN, timeout // ANSWER_MARGIN_DIVISOR)
+        deadline = (
+            self.deadlines.now() + timeout - min(MAX_ANSWER_MARGIN_NS, timeout // ANSWER_MARGIN_DIVISOR)
+        )
         request = Request(client, class_number, message, deadline)
         self._register(request)
         affinity_key = message.headers.get(AFFINITY_KEY, "")
--- a/ploverspoke/routing/request_classes.py
+++ b/ploverspoke/routing/request_classes.py
@@ -16,7 +16,7 @@
     """Settings in which the request classes are indexed by their numbers."""
 
     settings: Settings
-    predecessors: dict[int, int]  # by new number: the old number whose measured times apply to the class
+    predecessors: dict[int, int]  # by new number: the old number whose running times the class takes over
 
 
 class RequestClassTable:
--- a/ploverspoke/routing/request_recorder.py
+++ b/ploverspoke/routing/request_recorder.py
@@ -41,7 +41,7 @@
     def join_open_request(self, client: Client, message: HttpRequest) -> Request | None:
         """Let the client wait for the open request with the same id; None if there is none.
 
-        Raises RequestIdInUseError if the id belongs to a different request, open or ended.
+        Raises RequestIdInUseError if the open request with this id is a different one.
         """
         request = self.open_requests.get(message.headers[REQUEST_ID])
         if request is None:
--- a/ploverspoke/routing/responses.py
+++ b/ploverspoke/routing/responses.py
@@ -9,7 +9,7 @@
 
 OWN_TARGET_PREFIX = "/-/"  # of requests that the dispatcher itself answers
 STATUS_TARGETS = ("/-/ready", "/-/healthy")
-NO_LEADER_RETRY_AFTER = 200 * MILLISECOND  # advice to clients while the store has no leader
+NO_LEADER_RETRY_AFTER_NS = 200 * MILLISECOND  # advice to clients while the store has no leader
 
 
 class Response(NamedTuple):
@@ -38,7 +38,7 @@
 
 
 def redirect_response(leader: str, target: str) -> Response:
-    """The response of a replica that does not lead; if no leader is known (""), clients are to retry."""
+    """The response of a replica that does not lead; "": no leader is known, but one soon will be."""
     if not leader:
-        return Response(503, b"no replica leads", NO_LEADER_RETRY_AFTER)
+        return Response(503, b"no replica leads", NO_LEADER_RETRY_AFTER_NS)
     return Response(307, b"another replica leads", location=f"http://{leader}{target}")
--- a/ploverspoke/routing/start_times.py
+++ b/ploverspoke/routing/start_times.py
@@ -7,7 +7,7 @@
 
 # Discovery lists a start at most this long after it happened. A start that is new in a list is therefore at
 # most this much older than the previous confirmation of the list.
-MAX_LISTING_DELAY = 3500 * MILLISECOND
+MAX_LISTING_DELAY_NS = 3500 * MILLISECOND
 
 
 class StartTimes:
@@ -33,7 +33,7 @@
             return 0
         known_started_ms, started_at = self.known.get(worker, (0, 0))
         if known_started_ms != started_ms:
-            earliest = 1 if confirmed_at is None else confirmed_at - MAX_LISTING_DELAY
+            earliest = 1 if confirmed_at is None else confirmed_at - MAX_LISTING_DELAY_NS
             converted = started_ms * MILLISECOND - self.offset
             started_at = max(1, min(self.now(), max(converted, earliest)))
             self.known[worker] = started_ms, started_at
--- a/ploverspoke/routing/watch_pace.py
+++ b/ploverspoke/routing/watch_pace.py
@@ -20,7 +20,7 @@
 MAX_LATENESS_LIMIT_NS = 2250 * MILLISECOND
 # Part of the list's validity that remains for a call and a backoff after a watch without a response.
 VALIDITY_RESERVE_NS = 1250 * MILLISECOND
-MIN_TIME_LEFT_SHARE = 0.25  # a wait takes at least this, as the settings may leave little time
+MIN_TIME_LEFT_SHARE = 0.25  # a wait may always take this share, as the settings may leave little time
 
 
 class PaceLimits(NamedTuple):
--- a/tests/routing/test_start_times.py
+++ b/tests/routing/test_start_times.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from ploverspoke.routing.start_times import MAX_LISTING_DELAY, StartTimes
+from ploverspoke.routing.start_times import MAX_LISTING_DELAY_NS, StartTimes
 from ploverspoke.transport.units import MILLISECOND as MS
 from ploverspoke.transport.units import SECOND
 
@@ -37,7 +37,7 @@
     known = clocks.starts.convert("w0", clocks.listed(490 * SECOND), None)
     listed_before, clocks.discovery_step, clocks.time = clocks.listed(490 * SECOND), step, 600 * SECOND
     fresh = clocks.starts.convert("w1", clocks.listed(599 * SECOND), 598 * SECOND)
-    assert 598 * SECOND - MAX_LISTING_DELAY <= fresh <= 600 * SECOND
+    assert 598 * SECOND - MAX_LISTING_DELAY_NS <= fresh <= 600 * SECOND
     assert clocks.starts.convert("w0", listed_before, 598 * SECOND) == known
     clocks.time = 700 * SECOND
     assert clocks.starts.convert("w1", clocks.listed(599 * SECOND), 699 * SECOND) == fresh
