--- a/ploverspoke/config_distribution/broadcaster.py
+++ b/ploverspoke/config_distribution/broadcaster.py
@@ -30,7 +30,7 @@
 MAX_HEARTBEATS_PER_TURN = 64
 TURN_INTERVAL_NS = 4 * MILLISECOND
 MAX_REMEMBERED_WATCHERS = 4096
-BURST_FRACTION = 4  # a burst may send up to a quarter of one second's bytes
+BURST_DIVISOR = 4  # a burst may send up to a quarter of one second's bytes
 
 
 class BroadcasterEnvironment(Protocol):
@@ -138,7 +138,7 @@
         return self.latest.number if self.latest is not None else 0
 
     def heartbeat(self) -> Heartbeat:
-        """Return the first message of each connection, which is also sent to every watcher once a second."""
+        """Return the message that follows the greeting, and is sent to every watcher once a second."""
         return Heartbeat(self.latest_number(), self.environment.has_recent_leader())
 
     def watcher_rows(self) -> list[WatcherRow]:
@@ -203,7 +203,7 @@
 
     def _refill_byte_budget(self, now: int) -> None:
         refill = (now - self.budget_updated_at) * self.bytes_per_second / SECOND
-        self.byte_budget = min(self.bytes_per_second / BURST_FRACTION, self.byte_budget + refill)
+        self.byte_budget = min(self.bytes_per_second / BURST_DIVISOR, self.byte_budget + refill)
         self.budget_updated_at = now
 
     def _send_version(self, watcher: ConnectedWatcher, now: int) -> None:
--- a/ploverspoke/config_distribution/client.py
+++ b/ploverspoke/config_distribution/client.py
@@ -20,7 +20,7 @@
 from .server_link import NO_HEARTBEAT
 from .watcher import ConfigWatcher
 
-MAX_TIMER_DELAY_S = 60.0
+MAX_TICK_DELAY_S = 60.0
 SEED_BYTES = 8
 
 ApplyVersion = Callable[[VerifiedVersion], None]  # raises VersionRejectedError
@@ -85,11 +85,10 @@
         self.apply = apply
         self.random = random.Random(int.from_bytes(os.urandom(SEED_BYTES), "big") if seed is None else seed)
         self.watcher = ConfigWatcher(self, config.cluster, config.servers, config.local_servers, applied)
-        self.connections: dict[
-            int, ServerConnection
-        ] = {}  # by link id, including those still being established
+        # By link id, including those still being established.
+        self.connections: dict[int, ServerConnection] = {}
         self.dial_tasks: dict[int, asyncio.Task[None]] = {}
-        self.timer = LoopTimer(self._tick, MAX_TIMER_DELAY_S)
+        self.timer = LoopTimer(self._tick, MAX_TICK_DELAY_S)
         self.cache_writer = CacheWriter(loop, config)
         self.is_closed = False
 
--- a/ploverspoke/config_distribution/commands.py
+++ b/ploverspoke/config_distribution/commands.py
@@ -184,7 +184,7 @@
     Exit 0: all connected dispatchers have applied it. 1: some have not. 3: no server answers.
     """
     servers = _read_servers_file(file)
-    rows = [_status_row(answer) for answer in ask_all(servers, StatusRequest(), StatusRow)]
+    rows = [_status_row(result) for result in ask_all(servers, StatusRequest(), StatusRow)]
     try:
         fleet = fleet_status(servers)
     except NoServerAvailableError as error:
@@ -199,10 +199,10 @@
     sys.exit(0 if fleet.is_applied_everywhere() else EXIT_NOT_DONE)
 
 
-def _status_row(answer: ServerReply[StatusRow]) -> WireMap:
-    if answer.reply is None:
-        return ReplicaUnavailableError(answer.server, str(answer.error)).row()
-    return answer.reply.fields
+def _status_row(result: ServerReply[StatusRow]) -> WireMap:
+    if result.reply is None:
+        return ReplicaUnavailableError(result.server, str(result.error)).row()
+    return result.reply.fields
 
 
 @config.command()
--- a/ploverspoke/config_distribution/errors.py
+++ b/ploverspoke/config_distribution/errors.py
@@ -28,6 +28,6 @@
     """No config server leads, or none answers."""
 
     def __init__(self, failures: dict[str, str], reason: str = "") -> None:
-        """`failures`: why each server is not usable, by server name; `reason` is used if it is empty."""
+        """`failures`: why each server is not usable, by server name; `reason` is used if there are none."""
         super().__init__("; ".join(f"{name}: {why}" for name, why in failures.items()) or reason)
         self.failures = failures
--- a/ploverspoke/config_distribution/fleet_status.py
+++ b/ploverspoke/config_distribution/fleet_status.py
@@ -16,9 +16,8 @@
     version: int  # the requested version
     applied: list[str] = msgspec.field(name="in_force", default_factory=list)  # this version or later
     behind: list[str] = msgspec.field(default_factory=list)
-    rejected: dict[str, str] = msgspec.field(
-        name="refused", default_factory=dict
-    )  # reasons by dispatcher name
+    # Reasons by dispatcher name.
+    rejected: dict[str, str] = msgspec.field(name="refused", default_factory=dict)
     # Seconds since the last status of each disconnected dispatcher, by name.
     disconnected: dict[str, float] = msgspec.field(name="away", default_factory=dict)
     # Servers that did not reply, so that their watchers are unknown.
--- a/ploverspoke/config_distribution/overlay.py
+++ b/ploverspoke/config_distribution/overlay.py
@@ -15,7 +15,7 @@
 
 SETTINGS, DISCOVERY, ZONES = "settings", "discovery", "zones"
 OVERLAY_KEYS = (SETTINGS, DISCOVERY)
-IDENTITY_SETTINGS = ("SlotNo", "Zone")  # together they identify one dispatcher; no two have the same
+IDENTITY_SETTINGS = ("SlotNo", "Zone")  # both together identify a dispatcher; no two have the same pair
 MAX_BODY_BYTES = 1 << 20
 MAX_DEPTH = 32
 MAX_ERROR_CHARACTERS = 200
@@ -50,7 +50,7 @@
 
 
 def merge_patch(target: object, patch: object) -> object:
-    """Apply a JSON merge patch (RFC 7386, section 2): objects are merged, null removes a key."""
+    """Apply a JSON merge patch (RFC 7386, section 2): merge objects, remove null keys, replace all else."""
     if not isinstance(patch, dict):
         return patch
     merged = dict(target) if isinstance(target, Mapping) else {}
--- a/ploverspoke/config_distribution/server_selection.py
+++ b/ploverspoke/config_distribution/server_selection.py
@@ -8,16 +8,17 @@
 
 from ploverspoke.transport.units import MILLISECOND, SECOND
 
-# Before the first server of a round after a stable connection, drawn at random up to this maximum.
+# Before the first server at the start, or after a stable connection; drawn at random up to this maximum.
 MAX_FIRST_DELAY_NS = 250 * MILLISECOND
 MAX_NEXT_SERVER_DELAY_NS = 100 * MILLISECOND  # before each further server of the first round
 # Before each further server of a later round, when no server was available and all watchers retry.
 MAX_LATER_ROUND_DELAY_NS = 400 * MILLISECOND
-# Maximum after the first round in which all servers failed; doubled after each further one.
+# Maximum delay after the first round in which all servers failed; doubled after each further one.
 INITIAL_ROUND_BACKOFF_NS = SECOND
 MAX_ROUND_BACKOFF_NS = 3 * SECOND
-# Between trials of other servers while the current one is unhealthy; doubled with each trial.
-INITIAL_TRIAL_BACKOFF_NS = 500 * MILLISECOND
+# Between trials of other servers while the current one is unhealthy: doubled with each trial, so the maximum
+# is twice this value after the first one.
+TRIAL_BACKOFF_BASE_NS = 500 * MILLISECOND
 MAX_TRIAL_BACKOFF_NS = 16 * SECOND
 LOCAL_TRIAL_INTERVAL_NS = 30 * SECOND  # between trials of local servers while a healthy remote one is used
 MAX_DOUBLINGS = 10
@@ -36,7 +37,7 @@
         self.untried_servers: list[str] = []  # in the current round
         self.failed_rounds = 0  # since the last stable connection
         self.untried_alternatives: list[str] = []
-        self.consecutive_trials = 0  # trials of alternatives since the last one that was better
+        self.consecutive_trials = 0  # trials of alternatives in a row without a better server
 
     def is_remote(self, address: str) -> bool:
         """Whether local servers are configured and this is not one of them."""
@@ -88,7 +89,7 @@
         if is_current_healthy:
             return self._jittered(LOCAL_TRIAL_INTERVAL_NS)
         return self._jittered(
-            min(MAX_TRIAL_BACKOFF_NS, INITIAL_TRIAL_BACKOFF_NS << min(self.consecutive_trials, MAX_DOUBLINGS))
+            min(MAX_TRIAL_BACKOFF_NS, TRIAL_BACKOFF_BASE_NS << min(self.consecutive_trials, MAX_DOUBLINGS))
         )
 
     # ---- Random order and delays ----
--- a/ploverspoke/config_distribution/state_machine.py
+++ b/ploverspoke/config_distribution/state_machine.py
@@ -1,8 +1,8 @@
 """The replicated state machine of config servers: the versions in order, and the results of publish requests.
 
 It is driven by the consensus log and does no I/O. A command is a msgpack list that starts with the command's
-name. Applying a command never fails: a publish request with an outdated expected version changes nothing, and
-its result contains the reason.
+name. Applying a command never fails: a publish request that expects another version than the latest changes
+nothing, and its result contains the reason.
 """
 
 from collections.abc import Callable, Sequence
--- a/ploverspoke/leases/client.py
+++ b/ploverspoke/leases/client.py
@@ -197,7 +197,7 @@
         # Cancelled first, so that MAX_TICK_DELAY_S counts from now even if the time is unchanged.
         self.timer.cancel()
         if not self.closed:
-            self.timer.set(self.holder.next_tick_at())
+            self.timer.set(self.holder.next_tick())
 
     def _tick(self) -> None:
         lost_before = self.holder.lost_count
--- a/ploverspoke/leases/fleet_tasks.py
+++ b/ploverspoke/leases/fleet_tasks.py
@@ -35,13 +35,13 @@
 
 
 async def publish(
-    client: LeaseClient, name: str, commit: Callable[[int], ReplyT], max_duration: float
+    client: LeaseClient, name: str, commit: Callable[[int], ReplyT], timeout: float
 ) -> ReplyT | None:
     """Commit a configuration under the lease `name`, which must be held, and return the reply.
 
     `commit` blocks, and sends the token with the configuration. The store rejects a lower token than it has
     seen, so a publisher that was paused overwrites no later configuration. Returns None if `commit` did not
-    return within `max_duration` seconds; the configuration may have been committed then. Raises
+    return within `timeout` seconds; the configuration may have been committed then. Raises
     LeaseLostError, and the errors of `commit`.
     """
     started = False
@@ -53,7 +53,7 @@
         started = True
         reply = await asyncio.to_thread(commit, token)
 
-    await run_guarded_steps(client, name, [GuardedStep(int(max_duration * SECOND), run_commit)])
+    await run_guarded_steps(client, name, [GuardedStep(int(timeout * SECOND), run_commit)])
     if not started:
         raise LeaseLostError(name)
     return reply
--- a/ploverspoke/leases/holder.py
+++ b/ploverspoke/leases/holder.py
@@ -74,7 +74,7 @@
         self.latest_response_number = 0  # the latest request that has been answered
         self.sent_at: dict[int, int] = {}  # when each request was sent
         self.next_request_at = NEVER
-        self.lost_count = self.renewal_count = 0  # counts since the start
+        self.lost_count = self.renewal_count = 0  # since the start
 
     # ---- Interface for the user ----
 
@@ -121,7 +121,7 @@
         if self.leases or self.pending_releases:
             self._send_request(self.environment.now())
 
-    def next_tick_at(self) -> int:
+    def next_tick(self) -> int:
         """Return the time at which `tick` must be called next."""
         expirations = [lease.expires_at for lease in self.leases.values() if lease.expires_at]
         return min(self.next_request_at, *expirations) if expirations else self.next_request_at
--- a/ploverspoke/leases/manager.py
+++ b/ploverspoke/leases/manager.py
@@ -62,7 +62,7 @@
         # Requests for which no round of confirmation has begun, each with its holder.
         self.unconfirmed_requests: list[tuple[str, LeaseRequest]] = []
         self.is_confirming = False
-        self.next_tick_at = NEVER
+        self.next_tick = NEVER
         self.granted = self.renewed = 0  # counts since the start
         state.on_granted = self._on_granted
         state.on_ended = self._on_ended
@@ -105,7 +105,7 @@
         self.latest_request_numbers.clear()
         self.unconfirmed_requests.clear()
         self.is_confirming = False
-        self.next_tick_at = NEVER
+        self.next_tick = NEVER
 
     # ---- Interface for the environment ----
 
@@ -129,10 +129,10 @@
         self.queues.remove_from_all(holder)
 
     def tick(self) -> None:
-        """Grant expired leases to the next holders; to be called from the time `next_tick_at` on."""
-        if not self.is_leader or self.environment.now() < self.next_tick_at:
+        """Grant expired leases to the next holders; to be called from the time `next_tick` on."""
+        if not self.is_leader or self.environment.now() < self.next_tick:
             return
-        self.next_tick_at = NEVER
+        self.next_tick = NEVER
         self._grant_all()
 
     # ---- Responses ----
@@ -142,13 +142,13 @@
         if self.is_confirming or not self.unconfirmed_requests:
             return
         self.is_confirming = True
-        confirmed, self.unconfirmed_requests = self.unconfirmed_requests, []
+        pending, self.unconfirmed_requests = self.unconfirmed_requests, []
 
         def on_decided(leads: bool) -> None:
             """Respond to the requests if this server leads, then confirm those that arrived meanwhile."""
             self.is_confirming = False
             if leads and self.is_leader:
-                for holder, request in confirmed:
+                for holder, request in pending:
                     self._respond(holder, request)
             if self.is_leader:
                 self._confirm_requests()
@@ -242,7 +242,7 @@
             return
         active, expired = self._split_expired(name, now)
         if len(active) >= definition.max_holders:
-            self.next_tick_at = min(self.next_tick_at, *(self.expires_at[grant.token] for grant in active))
+            self.next_tick = min(self.next_tick, *(self.expires_at[grant.token] for grant in active))
             return
         waiting = self.queues.next_waiting(name, {grant.holder for grant in active}, now)
         if waiting is not None:
@@ -275,7 +275,7 @@
 
     def _begin_epoch(self, now: int) -> None:
         if now < self.no_grants_until:
-            self.next_tick_at = min(self.next_tick_at, self.no_grants_until)
+            self.next_tick = min(self.next_tick, self.no_grants_until)
         elif not self.epoch_proposed:
             self.epoch_proposed = True
             self.environment.propose(EpochCommand(self.epoch), self._on_epoch_decided)
