--- a/ploverspoke/service/config.py
+++ b/ploverspoke/service/config.py
@@ -58,7 +58,7 @@
 
 
 def read_config_document(environment: Mapping[str, str]) -> JsonDocument:
-    """Read the file that RELAY_CONFIG names without validation. Raises ConfigError if it is not JSON."""
+    """Read and parse the file that RELAY_CONFIG names, without validating it. Raises ConfigError."""
     path = environment.get(CONFIG_VARIABLE)
     if not path:
         raise InvalidValueError(
--- a/ploverspoke/service/handover.py
+++ b/ploverspoke/service/handover.py
@@ -28,8 +28,8 @@
     def register(self) -> bool:
         """Make this process visible to the others.
 
-        Returns False if there is no directory or the file cannot be written or locked. The reason is logged,
-        and the process counts as the only one.
+        Returns False if there is no directory, or if the file cannot be written or locked, which is logged.
+        The process then counts as the only one.
         """
         if self.directory is None:
             return False
--- a/ploverspoke/service/settings.py
+++ b/ploverspoke/service/settings.py
@@ -14,8 +14,9 @@
 
 from .config_reader import ConfigSection, JsonDocument
 
-DEFAULT_POLL_INTERVAL = 10 * SECOND  # if not set; a failed watch is retried at least this often
-DEFAULT_DRAIN_GRACE_US = 500_000  # if not set
+# If MustAskInUs is missing or 0. A failed watch is retried at least this often.
+DEFAULT_POLL_INTERVAL = 10 * SECOND
+DEFAULT_DRAIN_GRACE_US = 500_000  # if StopSendingWithinUs is missing
 DEFAULT_IDLE_TIMEOUT_US = 30_000_000
 DEFAULT_MAX_OPEN_REQUESTS = 10_000
 MIN_POLL_INTERVAL = 200 * MILLISECOND  # backoffs are derived from the interval and must not be 0
--- a/ploverspoke/service/shutdown.py
+++ b/ploverspoke/service/shutdown.py
@@ -8,7 +8,7 @@
 ACCEPT_TIME = 700 * MILLISECOND  # the listening socket stays open, as clients may still connect
 MAX_FINISH_TIME = 3 * SECOND  # for admitted requests, if the longest deadline is later
 HANDOVER_SERVE_TIME = 600 * MILLISECOND  # for connected clients, if another process has the listening socket
-# Times within the finish time, in twentieths of it: open requests are answered, and the process exits.
+# After ACCEPT_TIME, open requests are answered and the process exits at these twentieths of the finish time.
 TWENTIETHS = 20
 ANSWER_AFTER_TWENTIETHS = 18
 EXIT_AFTER_TWENTIETHS = 19
--- a/ploverspoke/simulator/codec.py
+++ b/ploverspoke/simulator/codec.py
@@ -8,7 +8,7 @@
 from .errors import FieldValueError, LineSyntaxError, MissingFieldError
 from .wire_names import REST_OF_LINE_FIELDS
 
-NO_NUMBERS = ("", "-")  # texts of a field for a list of numbers that is absent
+NO_NUMBERS = ("", "-")  # values of a field that stand for no list of numbers
 MAX_QUOTED_LENGTH = 40  # characters of an invalid field that the error message quotes
 
 
--- a/ploverspoke/supervisor/child_environment.py
+++ b/ploverspoke/supervisor/child_environment.py
@@ -20,6 +20,6 @@
 
     @classmethod
     def from_environment(cls, environment: Mapping[str, str]) -> "ChildEnvironment":
-        """Parse the variable that `to_environment` returns. Raises KeyError or ValueError if that fails."""
+        """Parse the variable of `to_environment`. Raises KeyError if it is missing, ValueError if invalid."""
         index, count, socket_descriptor = map(int, environment[CHILD_VARIABLE].split(","))
         return cls(index, count, socket_descriptor)
--- a/ploverspoke/transport/buffers.py
+++ b/ploverspoke/transport/buffers.py
@@ -20,7 +20,7 @@
     def writable_space(self) -> memoryview:
         """Return the space for the next bytes from the socket, at least `MIN_WRITABLE` bytes.
 
-        The buffer changes its size only in this method, since there must be no view of it then.
+        Only this method resizes the buffer, as there must be no view of a bytearray that is resized.
         """
         if self.start == self.end:
             self.start = self.end = 0
--- a/ploverspoke/transport/connection_pool.py
+++ b/ploverspoke/transport/connection_pool.py
@@ -14,8 +14,8 @@
 from .slot_table import SlotTable
 from .units import MILLISECOND, SECOND
 
-# An idle connection is closed after this fraction of the time after which the other side would close it: a
-# request that is sent while the other side closes the connection is lost.
+# An idle connection is closed at this fraction of the other side's idle limit: a request that is sent while
+# the other side closes the connection is lost.
 MAX_IDLE_FRACTION = 0.7
 MAX_BREAKS_KEPT = 16  # latest breaks of reused connections that are remembered
 MIN_BREAKS_FOR_LIMIT = 4  # recent breaks needed to estimate a safe idle time
@@ -49,8 +49,8 @@
 class ReuseBreak(NamedTuple):
     """A connection that broke without a response during the first request after an idle time."""
 
-    at: int  # ns
-    idle_time: int  # ns
+    at: int  # ns; when it broke
+    idle_time: int  # ns; before that request
 
 
 class IdleConnectionUser:
@@ -61,7 +61,7 @@
         self.connection = connection
 
     def on_data_available(self) -> None:
-        """Discard the connection, since no request was sent on it."""
+        """Discard the connection, since no request on it is waiting for this data."""
         # After an abort alone, it could still be acquired until the event loop reports its end.
         self.connection.discard()
 
@@ -161,10 +161,7 @@
         self.reuse_breaks: deque[ReuseBreak] = deque(maxlen=MAX_BREAKS_KEPT)
 
     def resize(self, capacity: int) -> None:
-        """Change the capacity.
-
-        Idle connections in excess of it are closed now; those in use stay open.
-        """
+        """Change the capacity; idle connections in excess of it are closed now, those in use stay open."""
         self.capacity = capacity
         while self.connection_count() > capacity and self._close_longest_idle():
             pass
@@ -183,8 +180,8 @@
         while idle and (max_idle_time is None or now - idle[-1].since < max_idle_time):
             number, since = idle.pop()  # the most recently used one
             connection = self.connections.get(number)
-            # Unread data means that the other side has closed the connection, or it is data that would be
-            # taken for the response to the next request.
+            # Unread data is the end of a stream that the other side has closed, or bytes that would be taken
+            # for the response to the next request.
             if (
                 connection is not None
                 and now - since < self.max_idle_time
--- a/ploverspoke/transport/listener.py
+++ b/ploverspoke/transport/listener.py
@@ -11,9 +11,9 @@
 from .rate_limited_log import log_line
 from .units import MILLISECOND, SECOND
 
-BACKLOG = 512
-# The first bytes of these connections are read before more are accepted. Otherwise the new connections of a
-# flood would evict each other before their requests are read.
+BACKLOG = 512  # connections in the kernel's queue
+# After this number of accepted connections, their first bytes are read before more are accepted. Otherwise
+# the new connections of a flood would evict each other before their requests are read.
 ACCEPTS_PER_ITERATION = 8
 EVICTION_MIN_AGE = 20 * MILLISECOND  # a new connection that sends nothing for this time may be evicted
 RETRY_DELAY = 10 * MILLISECOND  # after an accept or setup failed, or while there is no capacity
--- a/ploverspoke/transport/resource_limits.py
+++ b/ploverspoke/transport/resource_limits.py
@@ -4,7 +4,7 @@
 
 from .units import MEBIBYTE
 
-# For the event loop, listeners, discovery, admin connections, log and configuration.
+# Descriptors for the event loop, listeners, discovery, admin connections, log and configuration.
 RESERVED_DESCRIPTORS = 32
 WORKER_FRACTION = 0.4  # share of the unreserved descriptors for connections to workers
 # Share of the remaining descriptors for clients. The last eighth is left for clients that are refused with an
