--- a/ploverspoke/consensus/storage.py
+++ b/ploverspoke/consensus/storage.py
@@ -237,17 +237,15 @@
 
     def write(self, batch: WriteBatch) -> None:
         """Write a batch atomically; it is durable when this returns. Raises StorageError."""
-        with self._transaction() as connection:
+        with self._transaction() as db:
             if batch.vote is not None:
                 self._put(schema.VOTE_KEY, batch.vote)
             if batch.snapshot is not None:
-                connection.execute("delete from entries")
+                db.execute("delete from entries")
                 self._put_snapshot(batch.snapshot)
             if batch.truncate_from:
-                connection.execute("delete from entries where at >= ?", (batch.truncate_from,))
-            connection.executemany(
-                "insert into entries values (?, ?, ?, ?)", map(self._entry_row, batch.entries)
-            )
+                db.execute("delete from entries where at >= ?", (batch.truncate_from,))
+            db.executemany("insert into entries values (?, ?, ?, ?)", map(self._entry_row, batch.entries))
 
     def save_snapshot(self, snapshot: Snapshot) -> None:
         """Write a snapshot of the replica's own state and delete entries up to it. Raises StorageError."""
--- a/ploverspoke/routing/request_admission.py
+++ b/ploverspoke/routing/request_admission.py
@@ -73,10 +73,8 @@
             self.counters.count_rejected(self.settings.class_name(class_number))
             self.request_journal.rejected_for_capacity()
             return NotAdmitted.NO_CAPACITY
-        deadline = (
-            self.deadlines.now() + timeout - min(MAX_ANSWER_MARGIN_NS, timeout // ANSWER_MARGIN_DIVISOR)
-        )
-        request = Request(client, class_number, message, deadline)
+        due_at = self.deadlines.now() + timeout - min(MAX_ANSWER_MARGIN_NS, timeout // ANSWER_MARGIN_DIVISOR)
+        request = Request(client, class_number, message, due_at)
         self._register(request)
         affinity_key = message.headers.get(AFFINITY_KEY, "")
         event = partial(
@@ -84,7 +82,7 @@
             request.number,
             class_number,
             slots,
-            deadline,
+            due_at,
             work_hint,
             affinity_key,
         )
--- a/ploverspoke/service/settings.py
+++ b/ploverspoke/service/settings.py
@@ -36,10 +36,7 @@
 
 
 def parse_settings(document: JsonDocument, path: str = "") -> Settings:
-    """Validate and return the `settings` of a configuration; errors name keys below `path`.
-
-    Raises ConfigError.
-    """
+    """Validate and return a configuration's `settings`; errors name keys below `path`. Raises ConfigError."""
     top = ConfigSection(document, path)
     limits, rules, domain = top.section("Limits"), top.section("Invariants"), top.section("Domain")
     report, prices = top.section("Report"), top.section("Tariffs")
--- a/ploverspoke/testbed/capacity/workload.py
+++ b/ploverspoke/testbed/capacity/workload.py
@@ -153,17 +153,14 @@
 
 
 def workload(fleet: FleetSize, dispatchers: int, situation: str) -> dict[str, dict[str, Amount]]:
-    """Return the loads of each role, by the names of roles and loads in the measured costs.
-
-    Failures happen at the peak. Work is spread evenly; the tasks of lost workers start again within a minute,
-    and the remaining dispatchers take over all work.
-    """
+    """Return the loads of each role, by the names of roles and loads in the measured costs."""
+    # Failures happen at the peak. Work is spread evenly.
     changes, reloads = list_change_rate(fleet, situation), config_change_rate(fleet, situation)
     listed = Amount(fleet.size.workers, STATED)
-    dispatcher_count = Amount(dispatchers, ASSUMED)
-    starts = _start_rate(fleet, situation)
+    count = Amount(dispatchers, ASSUMED)
+    starts = _start_rate(fleet, situation)  # the tasks of lost workers start again within a minute
     running = Amount(fleet.size.tasks_running, STATED)
-    dispatchers_with_work = remaining_dispatchers(fleet, dispatchers, situation)
+    dispatchers_with_work = remaining_dispatchers(fleet, dispatchers, situation)  # they take over all work
     workers_with_work = fleet.size.workers - lost_workers(fleet, situation).value
     return {
         "dispatcher": {
@@ -174,13 +171,9 @@
             "reloads_a_minute": reloads,
             "peers_telling": Amount(0, WORKED_OUT),  # off by default; SCOPE_GOSSIP estimates its cost
         },
-        "discovery": {
-            "dispatchers": dispatcher_count,
-            "workers_listed": listed,
-            "list_changes_a_second": changes,
-        },
+        "discovery": {"dispatchers": count, "workers_listed": listed, "list_changes_a_second": changes},
         "worker": {
-            "dispatchers": dispatcher_count,
+            "dispatchers": count,
             "starts_a_second": _divide(starts, workers_with_work),
             "tasks_running": _divide(running, workers_with_work),
         },
@@ -195,10 +188,9 @@
         },
         "dispatcher watching configuration": {"changes_a_minute": reloads},
         "configuration publisher": {"body_bytes": assumed_amount("body_bytes")},
-        "fleet summary": {"doors": dispatcher_count},  # the admin address of each dispatcher
+        "fleet summary": {"doors": count},  # the admin address of each dispatcher
         "rolling restart": {"keepers": assumed_amount("voters")},
-        # The processes of one dispatcher; more than one are off by default.
-        "supervisor": {"processes": Amount(1, ASSUMED)},
+        "supervisor": {"processes": Amount(1, ASSUMED)},  # per dispatcher; more than one are off by default
     }
 
 
--- a/tests/routing/test_acceptance_rules.py
+++ b/tests/routing/test_acceptance_rules.py
@@ -202,16 +202,14 @@
                 await asyncio.sleep(0.01)
         discovery_address = harness.stop_discovery()
         idle: list[asyncio.StreamWriter] = []
-        max_descriptors = 0
+        max_open_fds = 0
         for number in range(360):
             await add_idle_client(harness, number, idle)
             if number % 20 == 0:
                 descriptor_count = len(list(Path(f"/proc/{process.pid}/fd").iterdir()))
-                max_descriptors = max(max_descriptors, descriptor_count)
+                max_open_fds = max(max_open_fds, descriptor_count)
                 await served(f"during-{number}")
-        assert 48 < max_descriptors <= descriptor_limit - 8, (
-            f"{max_descriptors} of {descriptor_limit} descriptors"
-        )
+        assert 48 < max_open_fds <= descriptor_limit - 8, f"{max_open_fds} of {descriptor_limit} descriptors"
         await restart_discovery_with_a_drain(harness, *discovery_address)
         harness.sent.clear()
         for number in range(8):
